--- a/src/main/java/beaconturn/agreement/AgreementException.java
+++ b/src/main/java/beaconturn/agreement/AgreementException.java
@@ -1,11 +1,13 @@
 package beaconturn.agreement;
 
-/** A text of the agreement that cannot be followed, or a step not allowed now; the message says why. */
+/**
+ * A text of the agreement that cannot be followed, or a step not allowed now; the message says why.
+ */
 public final class AgreementException extends Exception {
-    private static final long serialVersionUID = 1;
+  private static final long serialVersionUID = 1;
 
-    /** With what is wrong. */
-    public AgreementException(String message) {
-        super(message);
-    }
+  /** With what is wrong. */
+  public AgreementException(String message) {
+    super(message);
+  }
 }
--- a/src/main/java/beaconturn/agreement/ClassRule.java
+++ b/src/main/java/beaconturn/agreement/ClassRule.java
@@ -8,12 +8,14 @@
  * @param deadline the longest that a client may wait, in nanoseconds
  */
 public record ClassRule(Effect effect, Long window, Long deadline) {
-    /** Nothing said. */
-    public static final ClassRule UNSAID = new ClassRule(null, null, null);
+  /** Nothing said. */
+  public static final ClassRule UNSAID = new ClassRule(null, null, null);
 
-    /** This rule where it says something, the other elsewhere. */
-    ClassRule over(ClassRule other) {
-        return new ClassRule(effect == null ? other.effect : effect, window == null ? other.window : window,
-            deadline == null ? other.deadline : deadline);
-    }
+  /** This rule where it says something, the other elsewhere. */
+  ClassRule over(ClassRule other) {
+    return new ClassRule(
+        effect == null ? other.effect : effect,
+        window == null ? other.window : window,
+        deadline == null ? other.deadline : deadline);
+  }
 }
--- a/src/main/java/beaconturn/agreement/Contradiction.java
+++ b/src/main/java/beaconturn/agreement/Contradiction.java
@@ -5,57 +5,63 @@
 import java.util.Map;
 
 /**
- * Which fields of two versions contradict each other and which merely differ; the table of
- * {@code docs/agreement.md} as code. A field contradicts where acting by one version does what the other
- * forbids: a request run twice, a send too many, a send to a server that is out. A deadline merely differs:
- * each client is held to the one under which its request was read. Contents are to be whole, as
- * {@link Content#over} makes them.
+ * Which fields of two versions contradict each other and which merely differ; the table of {@code
+ * docs/agreement.md} as code. A field contradicts where acting by one version does what the other
+ * forbids: a request run twice, a send too many, a send to a server that is out. A deadline merely
+ * differs: each client is held to the one under which its request was read. Contents are to be
+ * whole, as {@link Content#over} makes them.
  */
 public final class Contradiction {
-    private Contradiction() {
-    }
+  private Contradiction() {}
 
-    /** What acting by the one does that the other forbids, or the reverse; empty where neither does. */
-    public static List<String> between(Content one, Content other) {
-        List<String> fields = new ArrayList<>(breaks(one, other));
-        breaks(other, one).stream().filter(f -> !fields.contains(f)).forEach(fields::add);
-        return fields;
-    }
+  /**
+   * What acting by the one does that the other forbids, or the reverse; empty where neither does.
+   */
+  public static List<String> between(Content one, Content other) {
+    List<String> fields = new ArrayList<>(breaks(one, other));
+    breaks(other, one).stream().filter(f -> !fields.contains(f)).forEach(fields::add);
+    return fields;
+  }
 
-    /** The fields in which acting by the content does what the rule forbids. */
-    public static List<String> breaks(Content acting, Content rule) {
-        List<String> fields = new ArrayList<>();
-        for (Map.Entry<String, ClassRule> e : rule.classes().entrySet()) {
-            ClassRule acts = acting.classes().get(e.getKey());
-            ClassRule must = e.getValue();
-            if (acts != null && looser(acts.effect(), must.effect())) {
-                fields.add("class." + e.getKey() + ".effect");
-            }
-            // A window counts only where repeats are made at all; unsafe requests are never repeated.
-            if (acts != null && acts.effect() == Effect.KEYED && longer(acts.window(), must.window())) {
-                fields.add("class." + e.getKey() + ".window");
-            }
-        }
-        if (acting.mostTries() != null && rule.mostTries() != null && acting.mostTries() > rule.mostTries()) {
-            fields.add("most_tries");
-        }
-        if (Boolean.TRUE.equals(acting.secondCopies()) && Boolean.FALSE.equals(rule.secondCopies())) {
-            fields.add("second_copies");
-        }
-        if (acting.oldestList() < rule.oldestList()) {
-            fields.add("oldest_list");
-        }
-        rule.out().stream().filter(server -> !acting.out().contains(server))
-            .forEach(server -> fields.add("out." + server));
-        return fields;
+  /** The fields in which acting by the content does what the rule forbids. */
+  public static List<String> breaks(Content acting, Content rule) {
+    List<String> fields = new ArrayList<>();
+    for (Map.Entry<String, ClassRule> e : rule.classes().entrySet()) {
+      ClassRule acts = acting.classes().get(e.getKey());
+      ClassRule must = e.getValue();
+      if (acts != null && looser(acts.effect(), must.effect())) {
+        fields.add("class." + e.getKey() + ".effect");
+      }
+      // A window counts only where repeats are made at all; unsafe requests are never repeated.
+      if (acts != null && acts.effect() == Effect.KEYED && longer(acts.window(), must.window())) {
+        fields.add("class." + e.getKey() + ".window");
+      }
     }
-
-    private static boolean looser(Effect acts, Effect must) {
-        return acts != null && must != null && acts.compareTo(must) < 0;
+    if (acting.mostTries() != null
+        && rule.mostTries() != null
+        && acting.mostTries() > rule.mostTries()) {
+      fields.add("most_tries");
     }
-
-    /** Repeats are sent for as long as the window that is acted on: beyond the other's they run twice. */
-    private static boolean longer(Long acts, Long must) {
-        return acts != null && must != null && acts > must;
+    if (Boolean.TRUE.equals(acting.secondCopies()) && Boolean.FALSE.equals(rule.secondCopies())) {
+      fields.add("second_copies");
     }
+    if (acting.oldestList() < rule.oldestList()) {
+      fields.add("oldest_list");
+    }
+    rule.out().stream()
+        .filter(server -> !acting.out().contains(server))
+        .forEach(server -> fields.add("out." + server));
+    return fields;
+  }
+
+  private static boolean looser(Effect acts, Effect must) {
+    return acts != null && must != null && acts.compareTo(must) < 0;
+  }
+
+  /**
+   * Repeats are sent for as long as the window that is acted on: beyond the other's they run twice.
+   */
+  private static boolean longer(Long acts, Long must) {
+    return acts != null && must != null && acts > must;
+  }
 }
--- a/src/main/java/beaconturn/agreement/Effect.java
+++ b/src/main/java/beaconturn/agreement/Effect.java
@@ -2,15 +2,15 @@
 
 /** Whether a request may run more than once, from the loosest to the strictest. */
 public enum Effect {
-    /** Any number of times. */
-    SAFE,
-    /** As often as wanted within the window of its key. */
-    KEYED,
-    /** At most once. */
-    UNSAFE;
+  /** Any number of times. */
+  SAFE,
+  /** As often as wanted within the window of its key. */
+  KEYED,
+  /** At most once. */
+  UNSAFE;
 
-    /** The stricter one. */
-    Effect stricter(Effect other) {
-        return compareTo(other) >= 0 ? this : other;
-    }
+  /** The stricter one. */
+  Effect stricter(Effect other) {
+    return compareTo(other) >= 0 ? this : other;
+  }
 }
--- a/src/main/java/beaconturn/agreement/Ground.java
+++ b/src/main/java/beaconturn/agreement/Ground.java
@@ -1,8 +1,8 @@
 package beaconturn.agreement;
 
 /**
- * What a router may act on: one content until its lease ends, another from then on; they are the same where
- * nothing else can have come into force.
+ * What a router may act on: one content until its lease ends, another from then on; they are the
+ * same where nothing else can have come into force.
  *
  * @param until the end of the lease, by the router's clock, in nanoseconds
  * @param held what is acted on before
@@ -11,13 +11,13 @@
  * @param afterAs in words
  */
 public record Ground(long until, Content held, String heldAs, Content after, String afterAs) {
-    /** What may be acted on at the time. */
-    public Content at(long now) {
-        return now < until ? held : after;
-    }
+  /** What may be acted on at the time. */
+  public Content at(long now) {
+    return now < until ? held : after;
+  }
 
-    /** The same in words. */
-    public String says(long now) {
-        return now < until ? heldAs : afterAs;
-    }
+  /** The same in words. */
+  public String says(long now) {
+    return now < until ? heldAs : afterAs;
+  }
 }
--- a/src/main/java/beaconturn/agreement/Keys.java
+++ b/src/main/java/beaconturn/agreement/Keys.java
@@ -17,72 +17,72 @@
  * </pre>
  */
 public record Keys(String fleet) {
-    /** All that every router reads. */
-    public String common() {
-        return fleet + "/common/";
-    }
-
-    String identity() {
-        return common() + "identity";
-    }
-
-    String current() {
-        return common() + "current";
-    }
-
-    String previous() {
-        return common() + "previous";
-    }
-
-    String next() {
-        return common() + "next";
-    }
-
-    String settled() {
-        return common() + "settled";
-    }
-
-    String office() {
-        return common() + "office";
-    }
-
-    /** All versions there ever were. */
-    public String histories() {
-        return fleet + "/history/";
-    }
-
-    String history(long number) {
-        return histories() + String.format("%09d", number);
-    }
-
-    String refusal(long number) {
-        return history(number) + ".no";
-    }
-
-    /** All routers. */
-    public String rosters() {
-        return fleet + "/roster/";
-    }
-
-    String roster(String name, String incarnation) {
-        return rosters() + name + "/" + incarnation;
-    }
-
-    /** All routers that hold leases. */
-    public String alives() {
-        return fleet + "/alive/";
-    }
-
-    String alive(String name, String incarnation) {
-        return alives() + name + "/" + incarnation;
-    }
-
-    /** What routers make of cache servers. */
-    public String sights() {
-        return fleet + "/sight/";
-    }
-
-    String sight(String name, String incarnation) {
-        return sights() + name + "/" + incarnation;
-    }
+  /** All that every router reads. */
+  public String common() {
+    return fleet + "/common/";
+  }
+
+  String identity() {
+    return common() + "identity";
+  }
+
+  String current() {
+    return common() + "current";
+  }
+
+  String previous() {
+    return common() + "previous";
+  }
+
+  String next() {
+    return common() + "next";
+  }
+
+  String settled() {
+    return common() + "settled";
+  }
+
+  String office() {
+    return common() + "office";
+  }
+
+  /** All versions there ever were. */
+  public String histories() {
+    return fleet + "/history/";
+  }
+
+  String history(long number) {
+    return histories() + String.format("%09d", number);
+  }
+
+  String refusal(long number) {
+    return history(number) + ".no";
+  }
+
+  /** All routers. */
+  public String rosters() {
+    return fleet + "/roster/";
+  }
+
+  String roster(String name, String incarnation) {
+    return rosters() + name + "/" + incarnation;
+  }
+
+  /** All routers that hold leases. */
+  public String alives() {
+    return fleet + "/alive/";
+  }
+
+  String alive(String name, String incarnation) {
+    return alives() + name + "/" + incarnation;
+  }
+
+  /** What routers make of cache servers. */
+  public String sights() {
+    return fleet + "/sight/";
+  }
+
+  String sight(String name, String incarnation) {
+    return sights() + name + "/" + incarnation;
+  }
 }
--- a/src/main/java/beaconturn/agreement/Seat.java
+++ b/src/main/java/beaconturn/agreement/Seat.java
@@ -14,16 +14,32 @@
  * @param acts the version that it acts on while it holds its lease
  */
 public record Seat(String name, String incarnation, long yes, long no, String why, long acts) {
-    String text() {
-        return JsonWriter.write(Texts.object("name", name, "incarnation", incarnation,
-            "yes", yes, "no", no, "why", why, "acts", acts));
-    }
+  String text() {
+    return JsonWriter.write(
+        Texts.object(
+            "name",
+            name,
+            "incarnation",
+            incarnation,
+            "yes",
+            yes,
+            "no",
+            no,
+            "why",
+            why,
+            "acts",
+            acts));
+  }
 
-    /** Of a line of the roster. */
-    public static Seat of(String text) throws AgreementException {
-        Json json = Texts.parse(text);
-        return new Seat(json.get("name").word(""), json.get("incarnation").word(""),
-            Texts.whole(json, "yes", 0, Long.MAX_VALUE), Texts.whole(json, "no", 0, Long.MAX_VALUE),
-            json.get("why").word(""), Texts.whole(json, "acts", 0, Long.MAX_VALUE));
-    }
+  /** Of a line of the roster. */
+  public static Seat of(String text) throws AgreementException {
+    Json json = Texts.parse(text);
+    return new Seat(
+        json.get("name").word(""),
+        json.get("incarnation").word(""),
+        Texts.whole(json, "yes", 0, Long.MAX_VALUE),
+        Texts.whole(json, "no", 0, Long.MAX_VALUE),
+        json.get("why").word(""),
+        Texts.whole(json, "acts", 0, Long.MAX_VALUE));
+  }
 }
--- a/src/main/java/beaconturn/agreement/Snapshot.java
+++ b/src/main/java/beaconturn/agreement/Snapshot.java
@@ -18,49 +18,70 @@
  * @param office the incarnation that looks after the steps, or empty
  * @param changed when each key was last changed
  */
-public record Snapshot(String cluster, long revision, String identity, Version current, Version previous,
-        Version next, String unreadable, long nextNumber, long settled, String office,
-        Map<String, Long> changed) {
-    /** Reads what a call for all common keys was given. */
-    public static Snapshot of(Keys keys, Answer.Given given) throws AgreementException {
-        Map<String, String> values = new HashMap<>();
-        Map<String, Long> changed = new HashMap<>();
-        for (Answer.Pair pair : given.pairs()) {
-            values.put(pair.key(), pair.value());
-            changed.put(pair.key(), pair.changed());
-        }
-        String text = values.get(keys.next());
-        Version next = null;
-        String unreadable = null;
-        long number = 0;
-        if (text != null) {
-            number = Texts.whole(Texts.parse(text), "number", 1, Long.MAX_VALUE);
-            try {
-                next = Texts.version(text);
-            } catch (AgreementException e) {
-                unreadable = e.getMessage();
-            }
-        }
-        String settled = values.getOrDefault(keys.settled(), "0");
-        if (!settled.matches("[0-9]{1,18}")) {
-            throw new AgreementException(keys.settled() + ": not a number");
-        }
-        return new Snapshot(given.cluster(), given.revision(), values.getOrDefault(keys.identity(), ""),
-            version(values.get(keys.current())), version(values.get(keys.previous())), next, unreadable,
-            number, Long.parseLong(settled), values.getOrDefault(keys.office(), ""), changed);
+public record Snapshot(
+    String cluster,
+    long revision,
+    String identity,
+    Version current,
+    Version previous,
+    Version next,
+    String unreadable,
+    long nextNumber,
+    long settled,
+    String office,
+    Map<String, Long> changed) {
+  /** Reads what a call for all common keys was given. */
+  public static Snapshot of(Keys keys, Answer.Given given) throws AgreementException {
+    Map<String, String> values = new HashMap<>();
+    Map<String, Long> changed = new HashMap<>();
+    for (Answer.Pair pair : given.pairs()) {
+      values.put(pair.key(), pair.value());
+      changed.put(pair.key(), pair.changed());
     }
-
-    private static Version version(String text) throws AgreementException {
-        return text == null ? Version.NONE : Texts.version(text);
+    String text = values.get(keys.next());
+    Version next = null;
+    String unreadable = null;
+    long number = 0;
+    if (text != null) {
+      number = Texts.whole(Texts.parse(text), "number", 1, Long.MAX_VALUE);
+      try {
+        next = Texts.version(text);
+      } catch (AgreementException e) {
+        unreadable = e.getMessage();
+      }
     }
-
-    /** Whether a step is still to be taken: a version proposed, or one in force that not all act on yet. */
-    public boolean open() {
-        return nextNumber != 0 || settled < current.number();
+    String settled = values.getOrDefault(keys.settled(), "0");
+    if (!settled.matches("[0-9]{1,18}")) {
+      throw new AgreementException(keys.settled() + ": not a number");
     }
+    return new Snapshot(
+        given.cluster(),
+        given.revision(),
+        values.getOrDefault(keys.identity(), ""),
+        version(values.get(keys.current())),
+        version(values.get(keys.previous())),
+        next,
+        unreadable,
+        number,
+        Long.parseLong(settled),
+        values.getOrDefault(keys.office(), ""),
+        changed);
+  }
 
-    /** The condition that the key is as it was read here. */
-    Call.Condition unchanged(String key) {
-        return new Call.Condition.Unchanged(key, changed.getOrDefault(key, 0L));
-    }
+  private static Version version(String text) throws AgreementException {
+    return text == null ? Version.NONE : Texts.version(text);
+  }
+
+  /**
+   * Whether a step is still to be taken: a version proposed, or one in force that not all act on
+   * yet.
+   */
+  public boolean open() {
+    return nextNumber != 0 || settled < current.number();
+  }
+
+  /** The condition that the key is as it was read here. */
+  Call.Condition unchanged(String key) {
+    return new Call.Condition.Unchanged(key, changed.getOrDefault(key, 0L));
+  }
 }
--- a/src/main/java/beaconturn/agreement/Timing.java
+++ b/src/main/java/beaconturn/agreement/Timing.java
@@ -8,39 +8,42 @@
  * @param apply how long a router takes at most to put a version in force once it knows of it
  */
 public record Timing(long lease, double drift, long apply) {
-    private static final long SECOND = 1_000_000_000;
-    private static final int RENEWALS = 4;
+  private static final long SECOND = 1_000_000_000;
+  private static final int RENEWALS = 4;
 
-    /** How often a lease is renewed: three renewals may fail before it ends. */
-    public long renewEvery() {
-        return lease / RENEWALS;
-    }
+  /** How often a lease is renewed: three renewals may fail before it ends. */
+  public long renewEvery() {
+    return lease / RENEWALS;
+  }
 
-    /** How long one call to the store may take. */
-    public long callTimeout() {
-        return lease / RENEWALS;
-    }
+  /** How long one call to the store may take. */
+  public long callTimeout() {
+    return lease / RENEWALS;
+  }
 
-    /**
-     * The store's own lease on a router, in whole seconds as it counts them: longer than the router's by what
-     * both clocks may err, so that who is gone at the store has long stopped acting on its version alone.
-     */
-    public long storeLeaseSeconds() {
-        return (long) Math.ceil(lease * (1 + 2 * drift) / SECOND) + 1;
-    }
+  /**
+   * The store's own lease on a router, in whole seconds as it counts them: longer than the router's
+   * by what both clocks may err, so that who is gone at the store has long stopped acting on its
+   * version alone.
+   */
+  public long storeLeaseSeconds() {
+    return (long) Math.ceil(lease * (1 + 2 * drift) / SECOND) + 1;
+  }
 
-    /**
-     * For how long after a version has come into force anywhere another router may still act on the one
-     * before: its lease, counted from before the call that renewed it, by a clock that may be slow, and the
-     * time to put the other in force. A process that is paused acts on nothing; it looks at its lease before
-     * its next decision and before its next write.
-     */
-    public long stated() {
-        return (long) (lease * (1 + drift)) + apply;
-    }
+  /**
+   * For how long after a version has come into force anywhere another router may still act on the
+   * one before: its lease, counted from before the call that renewed it, by a clock that may be
+   * slow, and the time to put the other in force. A process that is paused acts on nothing; it
+   * looks at its lease before its next decision and before its next write.
+   */
+  public long stated() {
+    return (long) (lease * (1 + drift)) + apply;
+  }
 
-    /** Calls a second at the store of so many routers, all renewing: one keeps the lease, one reads. */
-    public double callsPerSecond(int routers) {
-        return routers * 2.0 * SECOND / renewEvery();
-    }
+  /**
+   * Calls a second at the store of so many routers, all renewing: one keeps the lease, one reads.
+   */
+  public double callsPerSecond(int routers) {
+    return routers * 2.0 * SECOND / renewEvery();
+  }
 }
--- a/src/main/java/beaconturn/agreement/Version.java
+++ b/src/main/java/beaconturn/agreement/Version.java
@@ -10,19 +10,25 @@
  * @param atMillis when, by the author's clock, Unix time; for people only
  * @param digest of all that stands before, see {@link Texts#digest}
  */
-public record Version(long number, Content content, String author, String reason, long atMillis,
-        String digest) {
-    /** What each router is configured with, before there is any agreement. */
-    public static final Version NONE = new Version(0, Content.UNSAID, "", "", 0, "");
+public record Version(
+    long number, Content content, String author, String reason, long atMillis, String digest) {
+  /** What each router is configured with, before there is any agreement. */
+  public static final Version NONE = new Version(0, Content.UNSAID, "", "", 0, "");
 
-    /** A version whose digest is that of its text. */
-    public static Version of(long number, Content content, String author, String reason, long atMillis) {
-        return new Version(number, content, author, reason, atMillis,
-            Texts.digest(number, content, author, reason, atMillis));
-    }
+  /** A version whose digest is that of its text. */
+  public static Version of(
+      long number, Content content, String author, String reason, long atMillis) {
+    return new Version(
+        number,
+        content,
+        author,
+        reason,
+        atMillis,
+        Texts.digest(number, content, author, reason, atMillis));
+  }
 
-    /** Whether it is the one of that number and text. */
-    boolean same(Version other) {
-        return number == other.number && digest.equals(other.digest);
-    }
+  /** Whether it is the one of that number and text. */
+  boolean same(Version other) {
+    return number == other.number && digest.equals(other.digest);
+  }
 }
--- a/src/main/java/beaconturn/cli/AgreementCommand.java
+++ b/src/main/java/beaconturn/cli/AgreementCommand.java
@@ -5,38 +5,51 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The options of the agreement's orders; it names no class of the agreement but the one that runs them. */
-@Parameters(commandNames = "agreement", commandDescription = "versions of settings and lists on which routers"
-    + " agree: init, propose FILE, show, history, back, withdraw, lost ROUTER, explain;"
-    + " example: agreement propose out.toml --reason \"c3 is replaced\" --features router.toml --wait 20;"
-    + " status 0: done, 1: wrong input or the store does not answer, 3: not now, or turned down")
+/**
+ * The options of the agreement's orders; it names no class of the agreement but the one that runs
+ * them.
+ */
+@Parameters(
+    commandNames = "agreement",
+    commandDescription =
+        "versions of settings and lists on which routers"
+            + " agree: init, propose FILE, show, history, back, withdraw, lost ROUTER, explain;"
+            + " example: agreement propose out.toml --reason \"c3 is replaced\" --features router.toml --wait 20;"
+            + " status 0: done, 1: wrong input or the store does not answer, 3: not now, or turned down")
 final class AgreementCommand implements Command {
-    @Parameter(description = "ORDER [FILE or ROUTER]")
-    private List<String> words = new ArrayList<>();
-    @Parameter(names = "--features", description = "the operators' file with the [agreement] section")
-    private String features = "deploy/router.toml";
-    @Parameter(names = "--reason", description = "why, for the history")
-    private String reason;
-    @Parameter(names = "--author", description = "who, for the history; the user where not given")
-    private String author = System.getProperty("user.name");
-    @Parameter(names = "--wait", description = "how many seconds to wait until it is in force; 0: not at all")
-    private int wait;
-    @Parameter(names = "--json", description = "print JSON")
-    private boolean json;
-
-    @Override
-    public int execute() {
-        String order = words.isEmpty() ? "" : words.get(0);
-        int wanted = order.equals("propose") || order.equals("lost") ? 2 : 1;
-        boolean why = order.equals("propose") || order.equals("back") || order.equals("withdraw");
-        if (words.size() != wanted) {
-            System.err.println("agreement: see 'agreement --help'");
-            return 2;
-        }
-        if (why && (reason == null || reason.isBlank())) {
-            System.err.println("agreement " + order + ": --reason is missing");
-            return 2;
-        }
-        return new AgreementRun(features, reason, author, wait, json).run(order, words.get(wanted - 1));
+  @Parameter(description = "ORDER [FILE or ROUTER]")
+  private List<String> words = new ArrayList<>();
+
+  @Parameter(names = "--features", description = "the operators' file with the [agreement] section")
+  private String features = "deploy/router.toml";
+
+  @Parameter(names = "--reason", description = "why, for the history")
+  private String reason;
+
+  @Parameter(names = "--author", description = "who, for the history; the user where not given")
+  private String author = System.getProperty("user.name");
+
+  @Parameter(
+      names = "--wait",
+      description = "how many seconds to wait until it is in force; 0: not at all")
+  private int wait;
+
+  @Parameter(names = "--json", description = "print JSON")
+  private boolean json;
+
+  @Override
+  public int execute() {
+    String order = words.isEmpty() ? "" : words.get(0);
+    int wanted = order.equals("propose") || order.equals("lost") ? 2 : 1;
+    boolean why = order.equals("propose") || order.equals("back") || order.equals("withdraw");
+    if (words.size() != wanted) {
+      System.err.println("agreement: see 'agreement --help'");
+      return 2;
+    }
+    if (why && (reason == null || reason.isBlank())) {
+      System.err.println("agreement " + order + ": --reason is missing");
+      return 2;
     }
+    return new AgreementRun(features, reason, author, wait, json).run(order, words.get(wanted - 1));
+  }
 }
--- a/src/main/java/beaconturn/cli/ContentFile.java
+++ b/src/main/java/beaconturn/cli/ContentFile.java
@@ -13,40 +13,47 @@
 
 /** The file of a version to be proposed: all that it says; what it leaves out is as configured. */
 final class ContentFile {
-    private static final long MILLI = 1_000_000;
-    private static final int MOST_TRIES = 64;
+  private static final long MILLI = 1_000_000;
+  private static final int MOST_TRIES = 64;
 
-    private ContentFile() {
-    }
+  private ContentFile() {}
 
-    static Content read(String file) throws ConfigException {
-        return OperatorsFile.read(file, ContentFile::content);
-    }
+  static Content read(String file) throws ConfigException {
+    return OperatorsFile.read(file, ContentFile::content);
+  }
 
-    private static Content content(Section all) throws TomlException {
-        TreeMap<String, ClassRule> classes = new TreeMap<>();
-        for (Section s : all.tables("class")) {
-            String name = s.word("name", "");
-            if (name.isEmpty() || classes.containsKey(name)) {
-                throw s.wrong("name", "missing or given twice: '" + name + "'");
-            }
-            classes.put(name, rule(s));
-        }
-        Section settings = all.table("settings");
-        Integer tries = settings.has("most_tries") ? (Integer) settings.whole("most_tries", 1, 1,
-            MOST_TRIES) : null;
-        Boolean copies = settings.has("second_copies") ? (Boolean) settings.flag("second_copies", false)
-            : null;
-        Section list = all.table("list");
-        return new Content(classes, tries, copies, list.whole("oldest", 0, 0, Integer.MAX_VALUE),
-            new TreeSet<>(list.words("out", List.of())));
+  private static Content content(Section all) throws TomlException {
+    TreeMap<String, ClassRule> classes = new TreeMap<>();
+    for (Section s : all.tables("class")) {
+      String name = s.word("name", "");
+      if (name.isEmpty() || classes.containsKey(name)) {
+        throw s.wrong("name", "missing or given twice: '" + name + "'");
+      }
+      classes.put(name, rule(s));
     }
+    Section settings = all.table("settings");
+    Integer tries =
+        settings.has("most_tries")
+            ? (Integer) settings.whole("most_tries", 1, 1, MOST_TRIES)
+            : null;
+    Boolean copies =
+        settings.has("second_copies") ? (Boolean) settings.flag("second_copies", false) : null;
+    Section list = all.table("list");
+    return new Content(
+        classes,
+        tries,
+        copies,
+        list.whole("oldest", 0, 0, Integer.MAX_VALUE),
+        new TreeSet<>(list.words("out", List.of())));
+  }
 
-    private static ClassRule rule(Section s) throws TomlException {
-        List<String> effects = List.of("safe", "keyed", "unsafe");
-        return new ClassRule(
-            s.has("effect") ? Effect.valueOf(s.choice("effect", "", effects).toUpperCase(Locale.ROOT)) : null,
-            s.has("window") ? (Long) s.time("window", 0, 0) : null,
-            s.has("deadline") ? (Long) s.time("deadline", 0, MILLI) : null);
-    }
+  private static ClassRule rule(Section s) throws TomlException {
+    List<String> effects = List.of("safe", "keyed", "unsafe");
+    return new ClassRule(
+        s.has("effect")
+            ? Effect.valueOf(s.choice("effect", "", effects).toUpperCase(Locale.ROOT))
+            : null,
+        s.has("window") ? (Long) s.time("window", 0, 0) : null,
+        s.has("deadline") ? (Long) s.time("deadline", 0, MILLI) : null);
+  }
 }
--- a/src/main/java/beaconturn/cli/EmbeddedLauncher.java
+++ b/src/main/java/beaconturn/cli/EmbeddedLauncher.java
@@ -8,87 +8,89 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** Runs routers inside this process: quick to start and easy to debug, but they cannot be killed. */
+/**
+ * Runs routers inside this process: quick to start and easy to debug, but they cannot be killed.
+ */
 public final class EmbeddedLauncher implements RouterLauncher {
-    private final Maker maker;
+  private final Maker maker;
 
-    /** How a router is made of its configuration; it is not started yet. */
-    public interface Maker {
-        /** A router that listens already. */
-        RouterServer make(RouterConfig config) throws IOException;
-    }
+  /** How a router is made of its configuration; it is not started yet. */
+  public interface Maker {
+    /** A router that listens already. */
+    RouterServer make(RouterConfig config) throws IOException;
+  }
+
+  /** The usual routers. */
+  EmbeddedLauncher() {
+    this(config -> new RouterServer(config, () -> config, new Lifecycle()));
+  }
+
+  /** Routers that are made otherwise, as tests need them. */
+  public EmbeddedLauncher(Maker maker) {
+    this.maker = maker;
+  }
+
+  @Override
+  public boolean restarts() {
+    return false;
+  }
 
-    /** The usual routers. */
-    EmbeddedLauncher() {
-        this(config -> new RouterServer(config, () -> config, new Lifecycle()));
+  @Override
+  public Running launch(Start start) throws IOException {
+    try {
+      RouterServer server = maker.make(RouterConfig.read(start.config(), Map.of()));
+      server.start();
+      return new Embedded(server);
+    } catch (ConfigException e) {
+      throw new IOException(e.getMessage(), e);
     }
+  }
 
-    /** Routers that are made otherwise, as tests need them. */
-    public EmbeddedLauncher(Maker maker) {
-        this.maker = maker;
+  private static final class Embedded implements Running {
+    private final RouterServer server;
+    private Thread drain;
+
+    private Embedded(RouterServer server) {
+      this.server = server;
     }
 
     @Override
-    public boolean restarts() {
-        return false;
+    public boolean alive() {
+      return drain == null || drain.isAlive();
     }
 
     @Override
-    public Running launch(Start start) throws IOException {
-        try {
-            RouterServer server = maker.make(RouterConfig.read(start.config(), Map.of()));
-            server.start();
-            return new Embedded(server);
-        } catch (ConfigException e) {
-            throw new IOException(e.getMessage(), e);
-        }
+    public void kill() {
+      terminate();
     }
 
-    private static final class Embedded implements Running {
-        private final RouterServer server;
-        private Thread drain;
-
-        private Embedded(RouterServer server) {
-            this.server = server;
-        }
-
-        @Override
-        public boolean alive() {
-            return drain == null || drain.isAlive();
-        }
-
-        @Override
-        public void kill() {
-            terminate();
-        }
-
-        @Override
-        public void terminate() {
-            if (drain == null) {
-                drain = new Thread(this::drain, "drain");
-                drain.setDaemon(true);
-                drain.start();
-            }
-        }
+    @Override
+    public void terminate() {
+      if (drain == null) {
+        drain = new Thread(this::drain, "drain");
+        drain.setDaemon(true);
+        drain.start();
+      }
+    }
 
-        private void drain() {
-            try {
-                server.drain();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }
+    private void drain() {
+      try {
+        server.drain();
+      } catch (InterruptedException e) {
+        Thread.currentThread().interrupt();
+      }
+    }
 
-        @Override
-        public int awaitEnd(long millis) throws InterruptedException {
-            terminate();
-            drain.join(Math.max(1, millis));
-            return drain.isAlive() ? -1 : 0;
-        }
+    @Override
+    public int awaitEnd(long millis) throws InterruptedException {
+      terminate();
+      drain.join(Math.max(1, millis));
+      return drain.isAlive() ? -1 : 0;
+    }
 
-        @Override
-        public long cpu() {
-            return -1;
-        }
+    @Override
+    public long cpu() {
+      return -1;
     }
+  }
 }
--- a/src/main/java/beaconturn/cli/Logs.java
+++ b/src/main/java/beaconturn/cli/Logs.java
@@ -6,25 +6,24 @@
 
 /** The log: a line a record on standard error, to the very end of a planned stop. */
 final class Logs {
-    private static final String MANAGER = "beaconturn.cli.LastingLogManager";
+  private static final String MANAGER = "beaconturn.cli.LastingLogManager";
 
-    private Logs() {
-    }
+  private Logs() {}
 
-    /** Installs the log; called before the first logger is made. */
-    static void start() {
-        System.setProperty("java.util.logging.manager", MANAGER);
-        Logger root = LogManager.getLogManager().getLogger("");
-        for (Handler handler : root.getHandlers()) {
-            root.removeHandler(handler);
-        }
-        root.addHandler(new LineHandler(System.err));
+  /** Installs the log; called before the first logger is made. */
+  static void start() {
+    System.setProperty("java.util.logging.manager", MANAGER);
+    Logger root = LogManager.getLogManager().getLogger("");
+    for (Handler handler : root.getHandlers()) {
+      root.removeHandler(handler);
     }
+    root.addHandler(new LineHandler(System.err));
+  }
 
-    /** Writes what is left and lets the log manager end; nothing is logged after it. */
-    static void finish() {
-        if (LogManager.getLogManager() instanceof LastingLogManager manager) {
-            manager.finish();
-        }
+  /** Writes what is left and lets the log manager end; nothing is logged after it. */
+  static void finish() {
+    if (LogManager.getLogManager() instanceof LastingLogManager manager) {
+      manager.finish();
     }
+  }
 }
--- a/src/main/java/beaconturn/cli/OperatorsFile.java
+++ b/src/main/java/beaconturn/cli/OperatorsFile.java
@@ -7,26 +7,27 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Reads a TOML file of operators whole; what is wrong in it, unknown keys too, is said in one line. */
+/**
+ * Reads a TOML file of operators whole; what is wrong in it, unknown keys too, is said in one line.
+ */
 final class OperatorsFile {
-    private OperatorsFile() {
-    }
+  private OperatorsFile() {}
 
-    /** What is made of a file. */
-    interface Form<T> {
-        T of(Section all) throws TomlException;
-    }
+  /** What is made of a file. */
+  interface Form<T> {
+    T of(Section all) throws TomlException;
+  }
 
-    static <T> T read(String file, Form<T> form) throws ConfigException {
-        try {
-            Section all = Section.read(file, Files.readString(Path.of(file)));
-            T made = form.of(all);
-            all.end();
-            return made;
-        } catch (IOException e) {
-            throw new ConfigException(file + ": cannot be read: " + e.getClass().getSimpleName());
-        } catch (TomlException e) {
-            throw new ConfigException(e.getMessage());
-        }
+  static <T> T read(String file, Form<T> form) throws ConfigException {
+    try {
+      Section all = Section.read(file, Files.readString(Path.of(file)));
+      T made = form.of(all);
+      all.end();
+      return made;
+    } catch (IOException e) {
+      throw new ConfigException(file + ": cannot be read: " + e.getClass().getSimpleName());
+    } catch (TomlException e) {
+      throw new ConfigException(e.getMessage());
     }
+  }
 }
--- a/src/main/java/beaconturn/cli/ReleaseFiles.java
+++ b/src/main/java/beaconturn/cli/ReleaseFiles.java
@@ -17,103 +17,126 @@
 
 /** Operators' files of releases: who belongs to the fleet, and what a release is to do. */
 final class ReleaseFiles {
-    private static final long SECOND = 1_000_000_000;
-    private static final int MOST_PARTS = 10_000;
+  private static final long SECOND = 1_000_000_000;
+  private static final int MOST_PARTS = 10_000;
 
-    private ReleaseFiles() {
-    }
+  private ReleaseFiles() {}
 
-    /** The fleet and what may be out of it. */
-    static Fleet fleet(String file) throws ConfigException {
-        return OperatorsFile.read(file, all -> {
-            Map<Kind, Fleet.Group> groups = new EnumMap<>(Kind.class);
-            for (Kind kind : Kind.values()) {
-                if (all.has(kind.word() + "s")) {
-                    groups.put(kind, group(all.table(kind.word() + "s")));
-                }
-            }
-            if (groups.isEmpty()) {
-                throw all.wrong("routers", "neither [routers] nor [caches] is given");
+  /** The fleet and what may be out of it. */
+  static Fleet fleet(String file) throws ConfigException {
+    return OperatorsFile.read(
+        file,
+        all -> {
+          Map<Kind, Fleet.Group> groups = new EnumMap<>(Kind.class);
+          for (Kind kind : Kind.values()) {
+            if (all.has(kind.word() + "s")) {
+              groups.put(kind, group(all.table(kind.word() + "s")));
             }
-            return new Fleet(groups);
+          }
+          if (groups.isEmpty()) {
+            throw all.wrong("routers", "neither [routers] nor [caches] is given");
+          }
+          return new Fleet(groups);
         });
-    }
+  }
 
-    private static Fleet.Group group(Section s) throws TomlException {
-        SortedMap<String, List<String>> sites = new TreeMap<>();
-        int parts = 0;
-        for (Section site : s.tables("site")) {
-            String name = site.word("name", "");
-            List<String> ids = site.words("parts", List.of());
-            if (name.isEmpty() || sites.containsKey(name)) {
-                throw site.wrong("name", "'" + name + "' is empty or given twice");
-            }
-            if (ids.isEmpty()) {
-                throw site.wrong("parts", "empty, at least one is needed");
-            }
-            for (String id : ids) {
-                if (!id.matches("[!-.0-~]{1,64}") || sites.values().stream().anyMatch(l -> l.contains(id))) {
-                    throw site.wrong("parts", "'" + id + "' is odd or given twice");
-                }
-            }
-            parts += ids.size();
-            sites.put(name, ids);
+  private static Fleet.Group group(Section s) throws TomlException {
+    SortedMap<String, List<String>> sites = new TreeMap<>();
+    int parts = 0;
+    for (Section site : s.tables("site")) {
+      String name = site.word("name", "");
+      List<String> ids = site.words("parts", List.of());
+      if (name.isEmpty() || sites.containsKey(name)) {
+        throw site.wrong("name", "'" + name + "' is empty or given twice");
+      }
+      if (ids.isEmpty()) {
+        throw site.wrong("parts", "empty, at least one is needed");
+      }
+      for (String id : ids) {
+        if (!id.matches("[!-.0-~]{1,64}")
+            || sites.values().stream().anyMatch(l -> l.contains(id))) {
+          throw site.wrong("parts", "'" + id + "' is odd or given twice");
         }
-        if (sites.isEmpty()) {
-            throw s.wrong("site", "none is given, at least one site is needed");
-        }
-        return new Fleet.Group(most(s, "most_out", "share_out", parts),
-            most(s, "most_out_of_site", "share_out_of_site", parts), sites,
-            new Fleet.Capacity(s.number("each_per_s", 0, 0, 1e9), s.number("cores", 0, 0, 4096),
-                s.whole("spare", s.has("each_per_s") ? 1 : -1, -1, MOST_PARTS)));
+      }
+      parts += ids.size();
+      sites.put(name, ids);
     }
-
-    /** A number, or the whole part of a share. */
-    private static int most(Section s, String number, String share, int parts) throws TomlException {
-        if (s.has(number) && s.has(share)) {
-            throw s.wrong(share, "given beside " + number + ", allowed is one of them");
-        }
-        return s.has(share) ? (int) (parts * s.number(share, 0, 0, 1)) : s.whole(number, 1, 0, MOST_PARTS);
+    if (sites.isEmpty()) {
+      throw s.wrong("site", "none is given, at least one site is needed");
     }
+    return new Fleet.Group(
+        most(s, "most_out", "share_out", parts),
+        most(s, "most_out_of_site", "share_out_of_site", parts),
+        sites,
+        new Fleet.Capacity(
+            s.number("each_per_s", 0, 0, 1e9),
+            s.number("cores", 0, 0, 4096),
+            s.whole("spare", s.has("each_per_s") ? 1 : -1, -1, MOST_PARTS)));
+  }
 
-    /** Settings that go with it, in the form of a version's file; what is held out is no matter of theirs. */
-    private static Content settings(Section all) throws TomlException {
-        String file = all.word("settings", "");
-        if (file.isEmpty()) {
-            return null;
-        }
-        try {
-            Content said = ContentFile.read(file);
-            if (!said.out().isEmpty()) {
-                throw all.wrong("settings", file + " holds cache servers out, which a release does not");
-            }
-            return said;
-        } catch (ConfigException e) {
-            throw all.wrong("settings", e.getMessage());
-        }
+  /** A number, or the whole part of a share. */
+  private static int most(Section s, String number, String share, int parts) throws TomlException {
+    if (s.has(number) && s.has(share)) {
+      throw s.wrong(share, "given beside " + number + ", allowed is one of them");
     }
+    return s.has(share)
+        ? (int) (parts * s.number(share, 0, 0, 1))
+        : s.whole(number, 1, 0, MOST_PARTS);
+  }
 
-    private static Bounds bounds(Section all) throws TomlException {
-        Bounds usual = Bounds.USUAL;
-        return new Bounds(all.number("worse", usual.bad(), 0, 1),
-            all.number("worse_late", usual.late(), 0, 1), all.number("worse_missed", usual.missed(), 0, 1),
-            all.number("worse_avoided", usual.avoided(), 0, 1),
-            all.number("worse_memory", usual.memory(), 0, 1000),
-            all.number("worse_hits", usual.slower(), 0, 1000));
+  /**
+   * Settings that go with it, in the form of a version's file; what is held out is no matter of
+   * theirs.
+   */
+  private static Content settings(Section all) throws TomlException {
+    String file = all.word("settings", "");
+    if (file.isEmpty()) {
+      return null;
     }
+    try {
+      Content said = ContentFile.read(file);
+      if (!said.out().isEmpty()) {
+        throw all.wrong("settings", file + " holds cache servers out, which a release does not");
+      }
+      return said;
+    } catch (ConfigException e) {
+      throw all.wrong("settings", e.getMessage());
+    }
+  }
 
-    /** The plan of a release; without waves the usual ones are made of the fleet. */
-    static Plan plan(String file, String reason, Fleet fleet) throws ConfigException {
-        return OperatorsFile.read(file, all -> {
-            Kind kind = Kind.of(all.choice("kind", "router", List.of("router", "cache")));
-            List<List<String>> waves = new ArrayList<>();
-            for (Section wave : all.tables("wave")) {
-                waves.add(wave.words("parts", List.of()));
-            }
-            return new Plan(0, kind, waves.isEmpty() ? Plan.usual(fleet.group(kind)) : waves,
-                all.time("soak", 60 * SECOND, 0), all.whole("samples", 200, 0, 1_000_000),
-                bounds(all), all.time("limit", 60 * SECOND, SECOND),
-                all.time("alone", 0, 0), reason, settings(all), "");
+  private static Bounds bounds(Section all) throws TomlException {
+    Bounds usual = Bounds.USUAL;
+    return new Bounds(
+        all.number("worse", usual.bad(), 0, 1),
+        all.number("worse_late", usual.late(), 0, 1),
+        all.number("worse_missed", usual.missed(), 0, 1),
+        all.number("worse_avoided", usual.avoided(), 0, 1),
+        all.number("worse_memory", usual.memory(), 0, 1000),
+        all.number("worse_hits", usual.slower(), 0, 1000));
+  }
+
+  /** The plan of a release; without waves the usual ones are made of the fleet. */
+  static Plan plan(String file, String reason, Fleet fleet) throws ConfigException {
+    return OperatorsFile.read(
+        file,
+        all -> {
+          Kind kind = Kind.of(all.choice("kind", "router", List.of("router", "cache")));
+          List<List<String>> waves = new ArrayList<>();
+          for (Section wave : all.tables("wave")) {
+            waves.add(wave.words("parts", List.of()));
+          }
+          return new Plan(
+              0,
+              kind,
+              waves.isEmpty() ? Plan.usual(fleet.group(kind)) : waves,
+              all.time("soak", 60 * SECOND, 0),
+              all.whole("samples", 200, 0, 1_000_000),
+              bounds(all),
+              all.time("limit", 60 * SECOND, SECOND),
+              all.time("alone", 0, 0),
+              reason,
+              settings(all),
+              "");
         });
-    }
+  }
 }
--- a/src/main/java/beaconturn/cli/ServeCommand.java
+++ b/src/main/java/beaconturn/cli/ServeCommand.java
@@ -16,65 +16,75 @@
 /** Runs one real router until it is told to stop. */
 @Parameters(commandNames = "serve", commandDescription = "run one router on sockets")
 final class ServeCommand implements Command {
-    private static final long MILLI = 1_000_000;
-    @ParametersDelegate
-    private final ConfigFile config = new ConfigFile();
-    @Parameter(names = "--features", description = "the operators' file of what else is on; none: nothing")
-    private String features;
+  private static final long MILLI = 1_000_000;
+  @ParametersDelegate private final ConfigFile config = new ConfigFile();
 
-    @Override
-    public int execute() {
-        Logs.start();
-        // Before all else: a SIGHUP that nobody handles would end the process.
-        AtomicBoolean asked = new AtomicBoolean();
-        AtomicReference<RouterServer> serving = new AtomicReference<>();
-        HangUpSignal.handle(() -> {
-            asked.set(true);
-            reload(serving.get());
+  @Parameter(
+      names = "--features",
+      description = "the operators' file of what else is on; none: nothing")
+  private String features;
+
+  @Override
+  public int execute() {
+    Logs.start();
+    // Before all else: a SIGHUP that nobody handles would end the process.
+    AtomicBoolean asked = new AtomicBoolean();
+    AtomicReference<RouterServer> serving = new AtomicReference<>();
+    HangUpSignal.handle(
+        () -> {
+          asked.set(true);
+          reload(serving.get());
         });
-        Lifecycle lifecycle = new Lifecycle();
-        if (Long.getLong(Clock.OFF, 0) != 0) {
-            Logger.getLogger(ServeCommand.class.getName()).warning("the wall clock is "
-                + Long.getLong(Clock.OFF) / MILLI + " ms off, as a rehearsal has it");
-        }
-        try {
-            RouterConfig read = config.read();
-            RouterServer server = new RouterServer(read, config::readAnew, lifecycle,
-                features == null ? null : FeaturesFile.agreed(features, read),
-                features == null ? null : FeaturesFile.placing(features, read));
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(server), "drain"));
-            serving.set(server);
-            if (asked.get()) {
-                reload(server);
-            }
-            server.start();
-            lifecycle.await(Lifecycle.Phase.STOPPED);
-            return 0;
-        } catch (ConfigException | IOException e) {
-            System.err.println("serve: " + e.getMessage());
-            return 1;
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            return 1;
-        }
+    Lifecycle lifecycle = new Lifecycle();
+    if (Long.getLong(Clock.OFF, 0) != 0) {
+      Logger.getLogger(ServeCommand.class.getName())
+          .warning(
+              "the wall clock is "
+                  + Long.getLong(Clock.OFF) / MILLI
+                  + " ms off, as a rehearsal has it");
+    }
+    try {
+      RouterConfig read = config.read();
+      RouterServer server =
+          new RouterServer(
+              read,
+              config::readAnew,
+              lifecycle,
+              features == null ? null : FeaturesFile.agreed(features, read),
+              features == null ? null : FeaturesFile.placing(features, read));
+      Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(server), "drain"));
+      serving.set(server);
+      if (asked.get()) {
+        reload(server);
+      }
+      server.start();
+      lifecycle.await(Lifecycle.Phase.STOPPED);
+      return 0;
+    } catch (ConfigException | IOException e) {
+      System.err.println("serve: " + e.getMessage());
+      return 1;
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      return 1;
     }
+  }
 
-    /** What is asked for before there is a router is caught up with once there is one. */
-    private static void reload(RouterServer server) {
-        if (server != null) {
-            server.reload();
-        }
+  /** What is asked for before there is a router is caught up with once there is one. */
+  private static void reload(RouterServer server) {
+    if (server != null) {
+      server.reload();
     }
+  }
 
-    private static void stop(RouterServer server) {
-        try {
-            server.drain();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        } finally {
-            Logs.finish();
-            // Ends the JVM here: after a signal it would report one, though the stop went as planned.
-            Runtime.getRuntime().halt(0);
-        }
+  private static void stop(RouterServer server) {
+    try {
+      server.drain();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    } finally {
+      Logs.finish();
+      // Ends the JVM here: after a signal it would report one, though the stop went as planned.
+      Runtime.getRuntime().halt(0);
     }
+  }
 }
--- a/src/main/java/beaconturn/cli/SimHostCommand.java
+++ b/src/main/java/beaconturn/cli/SimHostCommand.java
@@ -6,17 +6,19 @@
 import java.io.IOException;
 
 /** Hosts decision modules for the simulator. */
-@Parameters(commandNames = "simhost",
-    commandDescription = "host decision modules on the simulator's wire (standard input and output)")
+@Parameters(
+    commandNames = "simhost",
+    commandDescription =
+        "host decision modules on the simulator's wire (standard input and output)")
 final class SimHostCommand implements Command {
-    @Override
-    public int execute() {
-        try {
-            new SimHost(System.in, System.out).run();
-            return 0;
-        } catch (WireException | IOException e) {
-            System.err.println("simhost: " + e.getMessage());
-            return 1;
-        }
+  @Override
+  public int execute() {
+    try {
+      new SimHost(System.in, System.out).run();
+      return 0;
+    } catch (WireException | IOException e) {
+      System.err.println("simhost: " + e.getMessage());
+      return 1;
     }
+  }
 }
--- a/src/main/java/beaconturn/cli/StandInRun.java
+++ b/src/main/java/beaconturn/cli/StandInRun.java
@@ -22,48 +22,61 @@
 
 /** Runs the surroundings of one router until the process is stopped, or told to quit. */
 record StandInRun(String file, int port, int control) {
-    private static final int WRONG_INPUT = 1;
+  private static final int WRONG_INPUT = 1;
 
-    int run() {
-        try {
-            Scenario scenario = ScenarioReader.read(file, Files.readString(Path.of(file)), null);
-            Clock clock = Clock.system();
-            World world = new World(new Agenda(clock.now()), scenario.world(), new Seeds(scenario.seed()),
-                Witness.NONE);
-            Orders orders = new Orders(world);
-            try (Surroundings surroundings = new Surroundings(world, clock::now, 1, port)) {
-                InetSocketAddress told = surroundings.control(control, orders::run);
-                surroundings.start();
-                System.out.println("discovery at 127.0.0.1:" + surroundings.discovery(0).getPort() + ", "
-                    + world.places() + " cache servers from 127.0.0.1:" + surroundings.cache(0, 0).getPort()
-                    + " on, control at 127.0.0.1:" + told.getPort() + "; say help");
-                listen(surroundings, orders);
-            }
-            return 0;
-        } catch (BindException e) {
-            System.err.println("stand-in: an address from 127.0.0.1:" + port + " on, or the control port "
-                + control + ", is in use; choose others with --port and --control");
-        } catch (IOException e) {
-            System.err.println("stand-in: " + e.getClass().getSimpleName() + ": " + e.getMessage());
-        } catch (TomlException e) {
-            System.err.println(e.getMessage());
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        return WRONG_INPUT;
+  int run() {
+    try {
+      Scenario scenario = ScenarioReader.read(file, Files.readString(Path.of(file)), null);
+      Clock clock = Clock.system();
+      World world =
+          new World(
+              new Agenda(clock.now()), scenario.world(), new Seeds(scenario.seed()), Witness.NONE);
+      Orders orders = new Orders(world);
+      try (Surroundings surroundings = new Surroundings(world, clock::now, 1, port)) {
+        InetSocketAddress told = surroundings.control(control, orders::run);
+        surroundings.start();
+        System.out.println(
+            "discovery at 127.0.0.1:"
+                + surroundings.discovery(0).getPort()
+                + ", "
+                + world.places()
+                + " cache servers from 127.0.0.1:"
+                + surroundings.cache(0, 0).getPort()
+                + " on, control at 127.0.0.1:"
+                + told.getPort()
+                + "; say help");
+        listen(surroundings, orders);
+      }
+      return 0;
+    } catch (BindException e) {
+      System.err.println(
+          "stand-in: an address from 127.0.0.1:"
+              + port
+              + " on, or the control port "
+              + control
+              + ", is in use; choose others with --port and --control");
+    } catch (IOException e) {
+      System.err.println("stand-in: " + e.getClass().getSimpleName() + ": " + e.getMessage());
+    } catch (TomlException e) {
+      System.err.println(e.getMessage());
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+    return WRONG_INPUT;
+  }
 
-    /** Until a line says quit; an input that ends, as that of a service does, ends nothing. */
-    private static void listen(Surroundings surroundings, Orders orders) throws IOException,
-            InterruptedException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        for (String line = in.readLine(); line != null; line = in.readLine()) {
-            if (line.trim().equals("quit")) {
-                return;
-            }
-            String order = line;
-            System.out.println(surroundings.ask(() -> orders.run(order)));
-        }
-        new CountDownLatch(1).await();
+  /** Until a line says quit; an input that ends, as that of a service does, ends nothing. */
+  private static void listen(Surroundings surroundings, Orders orders)
+      throws IOException, InterruptedException {
+    BufferedReader in =
+        new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+    for (String line = in.readLine(); line != null; line = in.readLine()) {
+      if (line.trim().equals("quit")) {
+        return;
+      }
+      String order = line;
+      System.out.println(surroundings.ask(() -> orders.run(order)));
     }
+    new CountDownLatch(1).await();
+  }
 }
--- a/src/main/java/beaconturn/cli/StoreStandInCommand.java
+++ b/src/main/java/beaconturn/cli/StoreStandInCommand.java
@@ -4,18 +4,23 @@
 import com.beust.jcommander.Parameters;
 
 /** The options of the store's stand-in; it names no class of the kit but the one that runs it. */
-@Parameters(commandNames = "store-stand-in",
-    commandDescription = "run a stand-in of the coordination store on"
-    + " loopback, for trials of the agreement; lines on standard input make it fail; it keeps nothing;"
-    + " example: store-stand-in --port 2379, then: slow 3000")
+@Parameters(
+    commandNames = "store-stand-in",
+    commandDescription =
+        "run a stand-in of the coordination store on"
+            + " loopback, for trials of the agreement; lines on standard input make it fail; it keeps nothing;"
+            + " example: store-stand-in --port 2379, then: slow 3000")
 final class StoreStandInCommand implements Command {
-    @Parameter(names = "--port", description = "where it listens, on loopback; 0 takes a free one")
-    private int port = 2379;
-    @Parameter(names = "--log", description = "a file that tells every change: time, revision, key and value")
-    private String log;
+  @Parameter(names = "--port", description = "where it listens, on loopback; 0 takes a free one")
+  private int port = 2379;
 
-    @Override
-    public int execute() {
-        return new StoreStandInRun(port, log).run();
-    }
+  @Parameter(
+      names = "--log",
+      description = "a file that tells every change: time, revision, key and value")
+  private String log;
+
+  @Override
+  public int execute() {
+    return new StoreStandInRun(port, log).run();
+  }
 }
--- a/src/main/java/beaconturn/cli/StoreStandInRun.java
+++ b/src/main/java/beaconturn/cli/StoreStandInRun.java
@@ -13,35 +13,41 @@
 
 /** Runs the store's stand-in until its input ends or says quit. */
 record StoreStandInRun(int port, String log) {
-    private static final int WRONG_INPUT = 1;
-    private static final long FIRST_CLUSTER = 1000;
+  private static final int WRONG_INPUT = 1;
+  private static final long FIRST_CLUSTER = 1000;
 
-    int run() {
-        Clock clock = Clock.system();
-        try (PrintWriter changes = log == null ? null
-                : new PrintWriter(Files.newBufferedWriter(Path.of(log)), true)) {
-            StoreModel.Watcher watcher = (at, revision, key, value) -> {
-                if (changes != null) {
-                    // Monotonic time, which all processes of a machine read alike.
-                    changes.println(System.nanoTime() + " " + revision + " " + key
-                        + (value == null ? "" : " " + value));
-                }
-            };
-            try (StoreFront front = new StoreFront(port, FIRST_CLUSTER, clock::now, watcher)) {
-                front.start();
-                System.out.println("store at 127.0.0.1:" + front.address().getPort());
-                BufferedReader in =
-                    new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-                String line = in.readLine();
-                while (line != null && !line.equals("quit")) {
-                    System.out.println(front.run(line));
-                    line = in.readLine();
-                }
+  int run() {
+    Clock clock = Clock.system();
+    try (PrintWriter changes =
+        log == null ? null : new PrintWriter(Files.newBufferedWriter(Path.of(log)), true)) {
+      StoreModel.Watcher watcher =
+          (at, revision, key, value) -> {
+            if (changes != null) {
+              // Monotonic time, which all processes of a machine read alike.
+              changes.println(
+                  System.nanoTime()
+                      + " "
+                      + revision
+                      + " "
+                      + key
+                      + (value == null ? "" : " " + value));
             }
-            return 0;
-        } catch (IOException e) {
-            System.err.println("store-stand-in: " + e.getMessage());
-            return WRONG_INPUT;
+          };
+      try (StoreFront front = new StoreFront(port, FIRST_CLUSTER, clock::now, watcher)) {
+        front.start();
+        System.out.println("store at 127.0.0.1:" + front.address().getPort());
+        BufferedReader in =
+            new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+        String line = in.readLine();
+        while (line != null && !line.equals("quit")) {
+          System.out.println(front.run(line));
+          line = in.readLine();
         }
+      }
+      return 0;
+    } catch (IOException e) {
+      System.err.println("store-stand-in: " + e.getMessage());
+      return WRONG_INPUT;
     }
+  }
 }
--- a/src/main/java/beaconturn/cli/ZonesRun.java
+++ b/src/main/java/beaconturn/cli/ZonesRun.java
@@ -18,78 +18,121 @@
 
 /** Carries out one order to places. */
 record ZonesRun(String features, String reason, String author, int seconds, int near) {
-    private static final int WRONG = 1;
-    private static final int USAGE = 2;
-    private static final int NOT_NOW = 3;
-    private static final long SECOND = 1_000_000_000;
-    private static final long CALL = 5 * SECOND;
+  private static final int WRONG = 1;
+  private static final int USAGE = 2;
+  private static final int NOT_NOW = 3;
+  private static final long SECOND = 1_000_000_000;
+  private static final long CALL = 5 * SECOND;
 
-    int run(String order, String zone) {
-        try {
-            AgreementConfig config = FeaturesFile.required(features);
-            Geography map = FeaturesFile.requiredPlaces(features);
-            StoreClient store = new StoreClient(config.endpoints(), CALL);
-            try {
-                return carryOut(order, zone, map, new ZonesDesk(new ZonesKeys(config.fleet()), map, store),
-                    new ReleaseDesk(new ReleaseKeys(config.fleet()), store, author, AgentRun::now));
-            } finally {
-                store.close();
-            }
-        } catch (ConfigException e) {
-            System.err.println("zones: " + e.getMessage());
-            return WRONG;
-        } catch (AgreementException e) {
-            System.err.println("zones " + order + ": " + e.getMessage());
-            return e.getMessage().startsWith("the store does not answer") ? WRONG : NOT_NOW;
-        }
+  int run(String order, String zone) {
+    try {
+      AgreementConfig config = FeaturesFile.required(features);
+      Geography map = FeaturesFile.requiredPlaces(features);
+      StoreClient store = new StoreClient(config.endpoints(), CALL);
+      try {
+        return carryOut(
+            order,
+            zone,
+            map,
+            new ZonesDesk(new ZonesKeys(config.fleet()), map, store),
+            new ReleaseDesk(new ReleaseKeys(config.fleet()), store, author, AgentRun::now));
+      } finally {
+        store.close();
+      }
+    } catch (ConfigException e) {
+      System.err.println("zones: " + e.getMessage());
+      return WRONG;
+    } catch (AgreementException e) {
+      System.err.println("zones " + order + ": " + e.getMessage());
+      return e.getMessage().startsWith("the store does not answer") ? WRONG : NOT_NOW;
     }
+  }
 
-    private int carryOut(String order, String zone, Geography map, ZonesDesk desk, ReleaseDesk releases)
-            throws AgreementException {
-        switch (order) {
-            case "show" -> {
-                Scene scene = desk.look();
-                show(scene);
-                Distances.doubts(map, scene.reports()).forEach(System.out::println);
-            }
-            case "history" -> desk.history().forEach(plan -> System.out.println(line(plan)));
-            case "drain" -> System.out.println(desk.give(order(zone, Order.What.DRAIN),
-                releases.siteOut(zone, reason)));
-            case "hold" -> System.out.println(desk.give(order(zone, Order.What.HOLD)));
-            case "weight" -> System.out.println(desk.give(order(zone, Order.What.WEIGHT)));
-            case "free" -> System.out.println(desk.free(zone));
-            default -> {
-                System.err.println("zones: unknown order '" + order + "', see 'zones --help'");
-                return USAGE;
-            }
-        }
-        return 0;
+  private int carryOut(
+      String order, String zone, Geography map, ZonesDesk desk, ReleaseDesk releases)
+      throws AgreementException {
+    switch (order) {
+      case "show" -> {
+        Scene scene = desk.look();
+        show(scene);
+        Distances.doubts(map, scene.reports()).forEach(System.out::println);
+      }
+      case "history" -> desk.history().forEach(plan -> System.out.println(line(plan)));
+      case "drain" ->
+          System.out.println(
+              desk.give(order(zone, Order.What.DRAIN), releases.siteOut(zone, reason)));
+      case "hold" -> System.out.println(desk.give(order(zone, Order.What.HOLD)));
+      case "weight" -> System.out.println(desk.give(order(zone, Order.What.WEIGHT)));
+      case "free" -> System.out.println(desk.free(zone));
+      default -> {
+        System.err.println("zones: unknown order '" + order + "', see 'zones --help'");
+        return USAGE;
+      }
     }
+    return 0;
+  }
 
-    private Order order(String zone, Order.What what) {
-        return new Order(zone, what, near, seconds * SECOND, author, reason);
-    }
+  private Order order(String zone, Order.What what) {
+    return new Order(zone, what, near, seconds * SECOND, author, reason);
+  }
 
-    private static String line(Plan plan) {
-        return "plan " + plan.number() + " by " + plan.by() + ": " + plan.why();
-    }
+  private static String line(Plan plan) {
+    return "plan " + plan.number() + " by " + plan.by() + ": " + plan.why();
+  }
 
-    private static void show(Scene scene) {
-        System.out.println(scene.plan() == null ? "no plan: all near" : line(scene.plan()));
-        if (scene.plan() != null) {
-            scene.plan().rows().forEach((place, row) -> System.out.println("  " + place + " "
-                + scene.plan().states().getOrDefault(place, Plan.State.NEAR).name().toLowerCase(Locale.ROOT)
-                    .replace('_', ' ') + ": " + row.parts()));
-        }
-        System.out.println("office: " + (scene.office().isEmpty() ? "nobody" : scene.office()));
-        scene.orders().forEach(o -> System.out.println("  " + o.place() + " "
-            + o.what().name().toLowerCase(Locale.ROOT) + " by " + o.by() + ": " + o.reason()));
-        for (Report r : scene.reports()) {
-            StringBuilder places = new StringBuilder();
-            r.places().forEach((place, s) -> places.append(String.format(Locale.ROOT,
-                "; %s %d good, %d bad, %d of %d servers warm, %d ejected", place, s.good(), s.bad(), s.warm(),
-                s.listed(), s.ejected())));
-            System.out.println("  " + r.router() + " at " + r.home() + " acts on plan " + r.plan() + places);
-        }
+  private static void show(Scene scene) {
+    System.out.println(scene.plan() == null ? "no plan: all near" : line(scene.plan()));
+    if (scene.plan() != null) {
+      scene
+          .plan()
+          .rows()
+          .forEach(
+              (place, row) ->
+                  System.out.println(
+                      "  "
+                          + place
+                          + " "
+                          + scene
+                              .plan()
+                              .states()
+                              .getOrDefault(place, Plan.State.NEAR)
+                              .name()
+                              .toLowerCase(Locale.ROOT)
+                              .replace('_', ' ')
+                          + ": "
+                          + row.parts()));
+    }
+    System.out.println("office: " + (scene.office().isEmpty() ? "nobody" : scene.office()));
+    scene
+        .orders()
+        .forEach(
+            o ->
+                System.out.println(
+                    "  "
+                        + o.place()
+                        + " "
+                        + o.what().name().toLowerCase(Locale.ROOT)
+                        + " by "
+                        + o.by()
+                        + ": "
+                        + o.reason()));
+    for (Report r : scene.reports()) {
+      StringBuilder places = new StringBuilder();
+      r.places()
+          .forEach(
+              (place, s) ->
+                  places.append(
+                      String.format(
+                          Locale.ROOT,
+                          "; %s %d good, %d bad, %d of %d servers warm, %d ejected",
+                          place,
+                          s.good(),
+                          s.bad(),
+                          s.warm(),
+                          s.listed(),
+                          s.ejected())));
+      System.out.println(
+          "  " + r.router() + " at " + r.home() + " acts on plan " + r.plan() + places);
     }
+  }
 }
--- a/src/main/java/beaconturn/core/Body.java
+++ b/src/main/java/beaconturn/core/Body.java
@@ -1,10 +1,10 @@
 package beaconturn.core;
 
 /**
- * An answer that is passed on while it still comes. Its producer and the call both know it; any thread may
- * call.
+ * An answer that is passed on while it still comes. Its producer and the call both know it; any
+ * thread may call.
  */
 public interface Body {
-    /** Nobody wants the rest: its producer stops. */
-    void cancel();
+  /** Nobody wants the rest: its producer stops. */
+  void cancel();
 }
--- a/src/main/java/beaconturn/core/Clock.java
+++ b/src/main/java/beaconturn/core/Clock.java
@@ -2,19 +2,19 @@
 
 /** Where the time comes from; nanoseconds since 1970, never going back. */
 public interface Clock {
-    /** The time now. */
-    long now();
+  /** The time now. */
+  long now();
 
-    /**
-     * A property of the JVM by which only the rehearsal kit has a router believe in a wall clock that is
-     * so many nanoseconds off.
-     */
-    String OFF = "beaconturn.clockOff";
+  /**
+   * A property of the JVM by which only the rehearsal kit has a router believe in a wall clock that
+   * is so many nanoseconds off.
+   */
+  String OFF = "beaconturn.clockOff";
 
-    /** The machine's clock, read once; from then on the monotonic one, which no correction moves. */
-    static Clock system() {
-        long started = System.nanoTime();
-        long epoch = System.currentTimeMillis() * 1_000_000 + Long.getLong(OFF, 0);
-        return () -> epoch + (System.nanoTime() - started);
-    }
+  /** The machine's clock, read once; from then on the monotonic one, which no correction moves. */
+  static Clock system() {
+    long started = System.nanoTime();
+    long epoch = System.currentTimeMillis() * 1_000_000 + Long.getLong(OFF, 0);
+    return () -> epoch + (System.nanoTime() - started);
+  }
 }
--- a/src/main/java/beaconturn/core/Fleet.java
+++ b/src/main/java/beaconturn/core/Fleet.java
@@ -2,31 +2,34 @@
 
 /** The cache servers as the module's thread acts on them; no call may block. */
 public interface Fleet {
-    /** Starts an attempt, whose outcome comes back as a message; false if nothing was or will be sent. */
-    boolean send(Attempt attempt);
+  /**
+   * Starts an attempt, whose outcome comes back as a message; false if nothing was or will be sent.
+   */
+  boolean send(Attempt attempt);
 
-    /** Ends an attempt that is over on the wire, before it returns; nothing comes back. */
-    void abort(Attempt attempt);
+  /** Ends an attempt that is over on the wire, before it returns; nothing comes back. */
+  void abort(Attempt attempt);
 
-    /** Closes idle connections to a cache server. */
-    void closeIdle(long server);
+  /** Closes idle connections to a cache server. */
+  void closeIdle(long server);
 
-    /** Follows news of the list. */
-    void follow(ListNews news);
+  /** Follows news of the list. */
+  void follow(ListNews news);
 
-    /**
-     * Begins nothing new at a cache server that is out by hand, whatever the list says, until it is back;
-     * false, and nothing happens, if nobody has that number, unless it {@code mayCome}.
-     */
-    boolean byHand(long server, boolean out, boolean mayCome);
+  /**
+   * Begins nothing new at a cache server that is out by hand, whatever the list says, until it is
+   * back; false, and nothing happens, if nobody has that number, unless it {@code mayCome}.
+   */
+  boolean byHand(long server, boolean out, boolean mayCome);
 
-    /**
-     * A cache server as the list has it, in that zone; {@code bootTime} is when it started, 0 for long ago.
-     */
-    record Listed(String name, int zone, long bootTime) { }
+  /**
+   * A cache server as the list has it, in that zone; {@code bootTime} is when it started, 0 for
+   * long ago.
+   */
+  record Listed(String name, int zone, long bootTime) {}
 
-    /** What the list says of a cache server, or null if nobody has that number. */
-    default Listed listed(long server) {
-        return null;
-    }
+  /** What the list says of a cache server, or null if nobody has that number. */
+  default Listed listed(long server) {
+    return null;
+  }
 }
--- a/src/main/java/beaconturn/core/ListNews.java
+++ b/src/main/java/beaconturn/core/ListNews.java
@@ -5,15 +5,15 @@
 
 /** News of the list of cache servers, with the addresses that the module does not need. */
 public record ListNews(long version, Routing.ListKind kind, List<Member> members) {
-    /** One line of the list; {@code dial} is where this router reaches the cache server. */
-    public record Member(Routing.ServerEntry entry, String host, String dial) { }
+  /** One line of the list; {@code dial} is where this router reaches the cache server. */
+  public record Member(Routing.ServerEntry entry, String host, String dial) {}
 
-    /** A call for the list failed, or the watch broke. */
-    public static ListNews failed() {
-        return new ListNews(0, Routing.ListKind.FAILED, List.of());
-    }
+  /** A call for the list failed, or the watch broke. */
+  public static ListNews failed() {
+    return new ListNews(0, Routing.ListKind.FAILED, List.of());
+  }
 
-    Routing.ServerList event() {
-        return new Routing.ServerList(version, kind, members.stream().map(Member::entry).toList());
-    }
+  Routing.ServerList event() {
+    return new Routing.ServerList(version, kind, members.stream().map(Member::entry).toList());
+  }
 }
--- a/src/main/java/beaconturn/core/ListSource.java
+++ b/src/main/java/beaconturn/core/ListSource.java
@@ -2,9 +2,9 @@
 
 /** Discovery as the module's thread asks it; no call may block. */
 public interface ListSource {
-    /** Starts or stops a watch on changes of the list. */
-    void watch(boolean on);
+  /** Starts or stops a watch on changes of the list. */
+  void watch(boolean on);
 
-    /** Asks once for the whole list. */
-    void fetch();
+  /** Asks once for the whole list. */
+  void fetch();
 }
--- a/src/main/java/beaconturn/core/ModuleActor.java
+++ b/src/main/java/beaconturn/core/ModuleActor.java
@@ -5,98 +5,101 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** The module's thread: takes one message at a time from its mailbox and runs the module's timers. */
+/**
+ * The module's thread: takes one message at a time from its mailbox and runs the module's timers.
+ */
 public final class ModuleActor {
-    private static final Logger LOG = Logger.getLogger(ModuleActor.class.getName());
-    private static final int MOST_MESSAGES = 8192;
-    private static final long LONGEST_WAIT = 1_000_000_000;
-    /** Figures of the fleet are to be half a second old at most. */
-    private static final long LOOK_EVERY = 200_000_000;
+  private static final Logger LOG = Logger.getLogger(ModuleActor.class.getName());
+  private static final int MOST_MESSAGES = 8192;
+  private static final long LONGEST_WAIT = 1_000_000_000;
 
-    private final Mailbox<Message> mailbox = new Mailbox<>(MOST_MESSAGES);
-    private final AtomicBoolean stopped = new AtomicBoolean();
-    private final Consumer<ModuleHost> look;
-    private final Consumer<ModuleHost> before;
-    private volatile int open;
-    private ModuleHost host;
-    private long lookedAt;
+  /** Figures of the fleet are to be half a second old at most. */
+  private static final long LOOK_EVERY = 200_000_000;
 
-    /** An actor whose module is looked at now and then, on its own thread; null for never. */
-    public ModuleActor(Consumer<ModuleHost> look) {
-        this(look, null);
-    }
+  private final Mailbox<Message> mailbox = new Mailbox<>(MOST_MESSAGES);
+  private final AtomicBoolean stopped = new AtomicBoolean();
+  private final Consumer<ModuleHost> look;
+  private final Consumer<ModuleHost> before;
+  private volatile int open;
+  private ModuleHost host;
+  private long lookedAt;
 
-    /**
-     * One that also has something looked at {@code before} each step: what the module may decide by can have
-     * ended while this thread waited or was kept from running; null for nothing.
-     */
-    public ModuleActor(Consumer<ModuleHost> look, Consumer<ModuleHost> before) {
-        this.look = look;
-        this.before = before;
-    }
+  /** An actor whose module is looked at now and then, on its own thread; null for never. */
+  public ModuleActor(Consumer<ModuleHost> look) {
+    this(look, null);
+  }
 
-    /** Says whom to run; called once, before the thread starts. */
-    public void host(ModuleHost toRun) {
-        host = toRun;
-    }
+  /**
+   * One that also has something looked at {@code before} each step: what the module may decide by
+   * can have ended while this thread waited or was kept from running; null for nothing.
+   */
+  public ModuleActor(Consumer<ModuleHost> look, Consumer<ModuleHost> before) {
+    this.look = look;
+    this.before = before;
+  }
 
-    /** Handles a message on the caller's thread, before the actor's own is started. */
-    public void begin(Message message) {
-        step(message);
-    }
+  /** Says whom to run; called once, before the thread starts. */
+  public void host(ModuleHost toRun) {
+    host = toRun;
+  }
 
-    /**
-     * Posts a message, waiting for room: never called by the module's own thread. News of the list go first:
-     * the time in which sends to a draining server must end runs while they wait behind a start's arrivals.
-     * So do operators' calls and new settings, which bind soon whatever the load.
-     */
-    public void post(Message message) {
-        try {
-            if (message instanceof Message.Urgent) {
-                mailbox.putFirst(message);
-            } else {
-                mailbox.put(message);
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-    }
+  /** Handles a message on the caller's thread, before the actor's own is started. */
+  public void begin(Message message) {
+    step(message);
+  }
 
-    /** How many requests wait for their answer, as of the last message. */
-    public int open() {
-        return open;
+  /**
+   * Posts a message, waiting for room: never called by the module's own thread. News of the list go
+   * first: the time in which sends to a draining server must end runs while they wait behind a
+   * start's arrivals. So do operators' calls and new settings, which bind soon whatever the load.
+   */
+  public void post(Message message) {
+    try {
+      if (message instanceof Message.Urgent) {
+        mailbox.putFirst(message);
+      } else {
+        mailbox.put(message);
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 
-    /** Ends the thread after the message at hand. */
-    public void stop() {
-        stopped.set(true);
-    }
+  /** How many requests wait for their answer, as of the last message. */
+  public int open() {
+    return open;
+  }
+
+  /** Ends the thread after the message at hand. */
+  public void stop() {
+    stopped.set(true);
+  }
 
-    /** Runs until it is stopped or interrupted. */
-    public void run() throws InterruptedException {
-        while (!stopped.get()) {
-            Message message = mailbox.poll(
-                host.untilNext(look == null && before == null ? LONGEST_WAIT : LOOK_EVERY));
-            step(message);
-            open = host.open();
-            if (look != null && System.nanoTime() - lookedAt >= LOOK_EVERY) {
-                lookedAt = System.nanoTime();
-                look.accept(host);
-            }
-        }
+  /** Runs until it is stopped or interrupted. */
+  public void run() throws InterruptedException {
+    while (!stopped.get()) {
+      Message message =
+          mailbox.poll(host.untilNext(look == null && before == null ? LONGEST_WAIT : LOOK_EVERY));
+      step(message);
+      open = host.open();
+      if (look != null && System.nanoTime() - lookedAt >= LOOK_EVERY) {
+        lookedAt = System.nanoTime();
+        look.accept(host);
+      }
     }
+  }
 
-    private void step(Message message) {
-        try {
-            if (before != null) {
-                before.accept(host);
-            }
-            if (message != null) {
-                host.handle(message);
-            }
-            host.runDue();
-        } catch (RuntimeException | Error e) {
-            LOG.log(Level.SEVERE, "module actor failed on a message and goes on", e);
-        }
+  private void step(Message message) {
+    try {
+      if (before != null) {
+        before.accept(host);
+      }
+      if (message != null) {
+        host.handle(message);
+      }
+      host.runDue();
+    } catch (RuntimeException | Error e) {
+      LOG.log(Level.SEVERE, "module actor failed on a message and goes on", e);
     }
+  }
 }
--- a/src/main/java/beaconturn/core/ModuleHost.java
+++ b/src/main/java/beaconturn/core/ModuleHost.java
@@ -17,402 +17,475 @@
 import java.util.logging.Logger;
 
 /**
- * Runs one decision module: messages become its events, its actions reach clients, cache servers and
- * discovery. Decides nothing, does no I/O and belongs to one thread.
+ * Runs one decision module: messages become its events, its actions reach clients, cache servers
+ * and discovery. Decides nothing, does no I/O and belongs to one thread.
  */
 public final class ModuleHost {
-    private static final Logger LOG = Logger.getLogger(ModuleHost.class.getName());
+  private static final Logger LOG = Logger.getLogger(ModuleHost.class.getName());
 
-    /** A module, and when another took its place; it goes on with the requests that it has. */
-    static final class Hosted {
-        private final Routing.Settings settings;
-        private Routing.Router router;
-        private long replacedAt;
+  /** A module, and when another took its place; it goes on with the requests that it has. */
+  static final class Hosted {
+    private final Routing.Settings settings;
+    private Routing.Router router;
+    private long replacedAt;
 
-        private Hosted(Routing.Settings settings) {
-            this.settings = settings;
-        }
+    private Hosted(Routing.Settings settings) {
+      this.settings = settings;
     }
-
-    private record Due(Hosted to, Routing.Event event) { }
-
-    private final Clock clock;
-    private final Fleet fleet;
-    private final ListSource list;
-    private final RequestEvents events = new RequestEvents();
-    private final RequestTable table = new RequestTable();
-    private final Timers timers = new Timers();
-    private final Queue<Due> pending = new ArrayDeque<>();
-    /** Where attempts are counted; empty where nobody asks. */
-    private List<Tally> tallies = List.of();
-    /** The module in force last; those before it go on with the requests that were read under theirs. */
-    private final Deque<Hosted> modules = new ArrayDeque<>();
-    private boolean stopping;
-
-    /** A host whose module starts with the settings and the seed. */
-    public ModuleHost(Routing.Settings settings, long seed, Clock clock, Fleet fleet, ListSource list) {
-        this(settings, clock, fleet, list, out -> new RingRouter(settings, seed, clock.now(), out));
-    }
-
-    /** A host of any module. */
-    public ModuleHost(Routing.Settings settings, Clock clock, Fleet fleet, ListSource list,
-            Function<Routing.Actions, Routing.Router> module) {
-        this.clock = clock;
-        this.fleet = fleet;
-        this.list = list;
-        host(settings, module);
-    }
-
-    private void host(Routing.Settings settings, Function<Routing.Actions, Routing.Router> module) {
-        Hosted next = new Hosted(settings);
-        next.router = module.apply(new Actions(next));
-        modules.add(next);
-    }
-
-    /** A new module for what comes from now on; what it keeps of the old one is the module's affair. */
-    private void switchTo(Message.Switched to) {
-        long now = clock.now();
-        modules.removeIf(m -> m.replacedAt != 0 && now - m.replacedAt > 2 * longest(m.settings));
-        Hosted last = modules.getLast();
-        if (!(last.router instanceof RingRouter before)) {
-            throw new IllegalStateException("a module of another kind is not replaced");
-        }
-        last.replacedAt = now;
-        host(to.settings(), out -> new RingRouter(to.settings(), to.seed(), now, out, before));
-        LOG.info("new settings are in force");
-    }
-
-    private static long longest(Routing.Settings settings) {
-        return settings.rules().answerSlack() + settings.longestDeadline();
-    }
-
-    /** Handles one message and all that follows from it at once. */
-    public void handle(Message message) {
-        if (message instanceof Message.Arrived arrived) {
-            arrived(arrived.call());
-        } else if (message instanceof Message.Left left) {
-            withdraw(table.of(left.call()));
-        } else if (message instanceof Message.Ended ended) {
-            ended(ended.attempt(), ended.outcome());
-        } else if (message instanceof Message.FirstBytes first) {
-            firstBytes(first);
-        } else if (message instanceof Message.News news) {
-            fleet.follow(news.news());
-            Routing.ServerList event = news.news().event();
-            // A list that failed is asked for again by one module only, the one in force.
-            Collection<Hosted> to = event.kind() == Routing.ListKind.FAILED
-                ? List.of(modules.getLast()) : modules;
-            to.forEach(m -> deliver(m, event));
-        } else if (message instanceof Message.ByHand call) {
-            byHand(call);
-        } else if (message instanceof Message.Placed placed) {
-            modules.forEach(m -> deliver(m, placed.shares()));
-        } else if (message instanceof Message.Begun begun) {
-            deliver(modules.getLast(), new Routing.Begun(begun.learned()));
-        } else if (message instanceof Message.Switched switched) {
-            switchTo(switched);
-        } else if (message instanceof Message.Stopping) {
-            stop();
-        }
+  }
+
+  private record Due(Hosted to, Routing.Event event) {}
+
+  private final Clock clock;
+  private final Fleet fleet;
+  private final ListSource list;
+  private final RequestEvents events = new RequestEvents();
+  private final RequestTable table = new RequestTable();
+  private final Timers timers = new Timers();
+  private final Queue<Due> pending = new ArrayDeque<>();
+
+  /** Where attempts are counted; empty where nobody asks. */
+  private List<Tally> tallies = List.of();
+
+  /**
+   * The module in force last; those before it go on with the requests that were read under theirs.
+   */
+  private final Deque<Hosted> modules = new ArrayDeque<>();
+
+  private boolean stopping;
+
+  /** A host whose module starts with the settings and the seed. */
+  public ModuleHost(
+      Routing.Settings settings, long seed, Clock clock, Fleet fleet, ListSource list) {
+    this(settings, clock, fleet, list, out -> new RingRouter(settings, seed, clock.now(), out));
+  }
+
+  /** A host of any module. */
+  public ModuleHost(
+      Routing.Settings settings,
+      Clock clock,
+      Fleet fleet,
+      ListSource list,
+      Function<Routing.Actions, Routing.Router> module) {
+    this.clock = clock;
+    this.fleet = fleet;
+    this.list = list;
+    host(settings, module);
+  }
+
+  private void host(Routing.Settings settings, Function<Routing.Actions, Routing.Router> module) {
+    Hosted next = new Hosted(settings);
+    next.router = module.apply(new Actions(next));
+    modules.add(next);
+  }
+
+  /**
+   * A new module for what comes from now on; what it keeps of the old one is the module's affair.
+   */
+  private void switchTo(Message.Switched to) {
+    long now = clock.now();
+    modules.removeIf(m -> m.replacedAt != 0 && now - m.replacedAt > 2 * longest(m.settings));
+    Hosted last = modules.getLast();
+    if (!(last.router instanceof RingRouter before)) {
+      throw new IllegalStateException("a module of another kind is not replaced");
     }
-
-    private void stop() {
-        stopping = true;
-        for (RequestTable.Entry open : table.open()) {
-            open.call().failed();
-            withdraw(open);
-        }
+    last.replacedAt = now;
+    host(to.settings(), out -> new RingRouter(to.settings(), to.seed(), now, out, before));
+    LOG.info("new settings are in force");
+  }
+
+  private static long longest(Routing.Settings settings) {
+    return settings.rules().answerSlack() + settings.longestDeadline();
+  }
+
+  /** Handles one message and all that follows from it at once. */
+  public void handle(Message message) {
+    if (message instanceof Message.Arrived arrived) {
+      arrived(arrived.call());
+    } else if (message instanceof Message.Left left) {
+      withdraw(table.of(left.call()));
+    } else if (message instanceof Message.Ended ended) {
+      ended(ended.attempt(), ended.outcome());
+    } else if (message instanceof Message.FirstBytes first) {
+      firstBytes(first);
+    } else if (message instanceof Message.News news) {
+      fleet.follow(news.news());
+      Routing.ServerList event = news.news().event();
+      // A list that failed is asked for again by one module only, the one in force.
+      Collection<Hosted> to =
+          event.kind() == Routing.ListKind.FAILED ? List.of(modules.getLast()) : modules;
+      to.forEach(m -> deliver(m, event));
+    } else if (message instanceof Message.ByHand call) {
+      byHand(call);
+    } else if (message instanceof Message.Placed placed) {
+      modules.forEach(m -> deliver(m, placed.shares()));
+    } else if (message instanceof Message.Begun begun) {
+      deliver(modules.getLast(), new Routing.Begun(begun.learned()));
+    } else if (message instanceof Message.Switched switched) {
+      switchTo(switched);
+    } else if (message instanceof Message.Stopping) {
+      stop();
     }
+  }
 
-    private void byHand(Message.ByHand call) {
-        boolean known = fleet.byHand(call.server(), call.out(), call.told());
-        if (known) {
-            modules.forEach(m -> deliver(m, new Routing.ByHand(call.server(), call.out(), call.at())));
-        }
-        call.known().accept(known);
+  private void stop() {
+    stopping = true;
+    for (RequestTable.Entry open : table.open()) {
+      open.call().failed();
+      withdraw(open);
     }
+  }
 
-    /** Tells what the module in force makes of the list. */
-    public void tell(Tally tally) {
-        Routing.View view = modules.getLast().router.view();
-        tally.fleet(view.listed(), view.avoided());
+  private void byHand(Message.ByHand call) {
+    boolean known = fleet.byHand(call.server(), call.out(), call.told());
+    if (known) {
+      modules.forEach(m -> deliver(m, new Routing.ByHand(call.server(), call.out(), call.at())));
+    }
+    call.known().accept(known);
+  }
+
+  /** Tells what the module in force makes of the list. */
+  public void tell(Tally tally) {
+    Routing.View view = modules.getLast().router.view();
+    tally.fleet(view.listed(), view.avoided());
+  }
+
+  /** From here on attempts are counted there. */
+  public void count(List<Tally> where) {
+    tallies = List.copyOf(where);
+  }
+
+  private void count(RequestTable.Entry r, Attempt a, Outcome outcome) {
+    if (!tallies.isEmpty()) {
+      Routing.Ending ending = outcome.ending();
+      long took = outcome.at() - a.sentAt();
+      boolean late = took > r.module().settings.classes().get(r.call().ask().requestClass()).aim();
+      Tally.Found found =
+          outcome.note() == Routing.Note.HIT
+              ? Tally.Found.HIT
+              : outcome.note() == Routing.Note.NONE ? Tally.Found.UNSAID : Tally.Found.MISS;
+      tallies.forEach(
+          t ->
+              t.attempt(
+                  a.server(),
+                  ending == Routing.Ending.OK || ending == Routing.Ending.MISS,
+                  found,
+                  took,
+                  late));
     }
+  }
+
+  /** What the module in force makes of each cache server. */
+  public Map<Fleet.Listed, Routing.Standing> standings() {
+    Map<Fleet.Listed, Routing.Standing> named = new LinkedHashMap<>();
+    modules
+        .getLast()
+        .router
+        .view()
+        .servers()
+        .forEach(
+            (id, standing) -> {
+              Fleet.Listed listed = fleet.listed(id);
+              if (listed != null) {
+                named.put(listed, standing);
+              }
+            });
+    return named;
+  }
+
+  /** What the module in force has learned, for one that follows it. */
+  public Learned learned() {
+    return modules.getLast().router.learned();
+  }
+
+  /**
+   * The module that the request was read for: one that crosses new settings keeps its class's
+   * rules. The latest of them: settings that come back into force have a module of before, which
+   * was replaced. Null if it has been let go: under other settings the same number may be another
+   * class.
+   */
+  private Hosted of(Call call) {
+    if (call.settings() == null) {
+      return modules.getLast();
+    }
+    for (Iterator<Hosted> from = modules.descendingIterator(); from.hasNext(); ) {
+      Hosted m = from.next();
+      if (m.settings == call.settings()) {
+        return m;
+      }
+    }
+    return null;
+  }
+
+  /** Runs the timers that are due. */
+  public void runDue() {
+    for (Runnable due = timers.takeDue(clock.now());
+        due != null;
+        due = timers.takeDue(clock.now())) {
+      due.run();
+    }
+    events.check(clock.now());
+  }
+
+  /** How long until the next timer, at most the given time. */
+  public long untilNext(long atMost) {
+    long now = clock.now();
+    return Math.max(0, timers.next(now + atMost) - now);
+  }
+
+  /** How many requests wait for their answer. */
+  public int open() {
+    return table.openCount();
+  }
+
+  private void arrived(Call call) {
+    long now = clock.now();
+    for (Tally tally : tallies) {
+      tally.arrived();
+    }
+    Hosted module = stopping ? null : of(call);
+    if (module == null) {
+      // Never sent anywhere, so it may be asked again.
+      call.refused(0);
+      return;
+    }
+    long last = call.deadline() + module.settings.rules().answerSlack();
+    RequestTable.Entry r = table.add(call, module, entry -> timers.at(last, () -> overdue(entry)));
+    Call.Ask ask = call.ask();
+    deliver(
+        module,
+        new Routing.Arrival(
+            r.id(),
+            ask.tenant(),
+            ask.hint(),
+            ask.key(),
+            ask.requestClass(),
+            call.deadline() - now,
+            ask.clientRetry(),
+            ask.write(),
+            ask.size()));
+  }
+
+  /** A request must not go without an answer, even if the module fails: its client is told so. */
+  private void overdue(RequestTable.Entry r) {
+    if (r != null && !r.closed()) {
+      LOG.warning("request " + r.call().id() + " had no answer from the module; failed");
+      r.call().failed();
+      withdraw(r);
+    }
+  }
 
-    /** From here on attempts are counted there. */
-    public void count(List<Tally> where) {
-        tallies = List.copyOf(where);
+  private void withdraw(RequestTable.Entry r) {
+    if (r != null && !r.closed()) {
+      table.close(r);
+      deliver(r.module(), new Routing.Withdrawn(r.id()));
+    }
+  }
+
+  /**
+   * The first attempt whose answer begins has the request; for any other the answer is called off.
+   */
+  private void firstBytes(Message.FirstBytes first) {
+    Attempt a = first.attempt();
+    RequestTable.Entry r = table.get(a.request());
+    if (a.over() || r.closed() || r.answering() != null) {
+      first.body().cancel();
+      return;
     }
+    a.begun();
+    r.answering(a);
+    r.call().begun(first.body());
+    deliver(
+        r.module(),
+        new Routing.FirstByte(
+            a.request(), Math.max(0, first.at() - a.sentAt()), a.server(), a.number()));
+  }
+
+  private void ended(Attempt a, Outcome outcome) {
+    if (!a.end(outcome.ending())) {
+      return;
+    }
+    // On the wire first: what the module sends next must not meet an attempt that is still out.
+    if (outcome.ending() == Routing.Ending.TIMEOUT) {
+      fleet.abort(a);
+    }
+    RequestTable.Entry r = table.get(a.request());
+    count(r, a, outcome);
+    if (outcome.ending() == Routing.Ending.OK && !r.closed()) {
+      table.close(r);
+      r.call().served(outcome.answer());
+    }
+    boolean closed = r.closed();
+    table.ended(r);
+    deliver(
+        r.module(),
+        new Routing.AttemptClosed(
+            a.request(),
+            Math.max(0, outcome.at() - a.sentAt()),
+            closed,
+            a.server(),
+            outcome.ending(),
+            outcome.note(),
+            a.number(),
+            outcome.report()));
+  }
+
+  /** Hands the event to the module, then the events that its own actions caused. */
+  private void deliver(Hosted to, Routing.Event event) {
+    pending.add(new Due(to, event));
+    if (pending.size() > 1) {
+      return;
+    }
+    while (!pending.isEmpty()) {
+      Routing.Event next = pending.element().event();
+      try {
+        pending.element().to().router.handle(clock.now(), next);
+      } catch (RuntimeException | StackOverflowError e) {
+        // One event that the module fails on must not end the router, nor strand its request.
+        LOG.log(Level.SEVERE, "decision module failed on " + next.getClass().getSimpleName(), e);
+        if (next instanceof Routing.Arrival arrival) {
+          overdue(table.get(arrival.request()));
+        }
+      }
+      pending.remove();
+    }
+  }
 
-    private void count(RequestTable.Entry r, Attempt a, Outcome outcome) {
-        if (!tallies.isEmpty()) {
-            Routing.Ending ending = outcome.ending();
-            long took = outcome.at() - a.sentAt();
-            boolean late = took > r.module().settings.classes().get(r.call().ask().requestClass()).aim();
-            Tally.Found found = outcome.note() == Routing.Note.HIT ? Tally.Found.HIT
-                : outcome.note() == Routing.Note.NONE ? Tally.Found.UNSAID : Tally.Found.MISS;
-            tallies.forEach(t -> t.attempt(a.server(),
-                ending == Routing.Ending.OK || ending == Routing.Ending.MISS, found, took, late));
-        }
+  private String name(long server) {
+    Fleet.Listed listed = fleet.listed(server);
+    return listed == null ? "a server that is not listed" : listed.name();
+  }
+
+  /** What the module does, carried out at once. */
+  private final class Actions implements Routing.Actions {
+    private final Hosted module;
+
+    private Actions(Hosted module) {
+      this.module = module;
     }
 
-    /** What the module in force makes of each cache server. */
-    public Map<Fleet.Listed, Routing.Standing> standings() {
-        Map<Fleet.Listed, Routing.Standing> named = new LinkedHashMap<>();
-        modules.getLast().router.view().servers().forEach((id, standing) -> {
-            Fleet.Listed listed = fleet.listed(id);
-            if (listed != null) {
-                named.put(listed, standing);
-            }
-        });
-        return named;
+    @Override
+    public void send(long request, long server, long allowFor) {
+      RequestTable.Entry r = table.get(request);
+      if (r == null
+          || r.closed()
+          || r.attempts().size() >= module.settings.permissions().maxTries()) {
+        LOG.warning("send for request " + request + ", which may not have it: not sent");
+        int number = r == null ? 0 : r.attempts().size();
+        pending.add(
+            new Due(
+                module,
+                new Routing.AttemptClosed(
+                    request,
+                    0,
+                    r == null || r.closed(),
+                    server,
+                    Routing.Ending.MOOT,
+                    Routing.Note.NONE,
+                    number,
+                    Outcome.NO_REPORT)));
+        return;
+      }
+      long now = clock.now();
+      if (!r.attempts().isEmpty()) {
+        events.retried(r, () -> name(server), now);
+      }
+      long left = Math.max(0, r.call().deadline() - now);
+      long allowed = allowFor == 0 ? left : Math.min(left, allowFor);
+      Attempt a = table.attempt(r, server, now, allowed);
+      a.timeOut(
+          timers.at(a.until(), () -> ended(a, Outcome.of(Routing.Ending.TIMEOUT, clock.now()))));
+      if (!fleet.send(a)) {
+        over(a, r, Routing.Ending.CONNECT_FAILED);
+      }
     }
 
-    /** What the module in force has learned, for one that follows it. */
-    public Learned learned() {
-        return modules.getLast().router.learned();
+    @Override
+    public void cancel(long request, int attempt) {
+      RequestTable.Entry r = table.get(request);
+      if (r == null || attempt >= r.attempts().size()) {
+        return;
+      }
+      Attempt a = r.attempts().get(attempt);
+      if (!a.over()) {
+        over(a, r, Routing.Ending.CANCELLED);
+        fleet.abort(a);
+      }
     }
 
     /**
-     * The module that the request was read for: one that crosses new settings keeps its class's rules. The
-     * latest of them: settings that come back into force have a module of before, which was replaced. Null if
-     * it has been let go: under other settings the same number may be another class.
+     * Ends an attempt while the module acts: it hears of it once it has handled the event at hand.
      */
-    private Hosted of(Call call) {
-        if (call.settings() == null) {
-            return modules.getLast();
-        }
-        for (Iterator<Hosted> from = modules.descendingIterator(); from.hasNext();) {
-            Hosted m = from.next();
-            if (m.settings == call.settings()) {
-                return m;
-            }
-        }
-        return null;
+    private void over(Attempt a, RequestTable.Entry r, Routing.Ending ending) {
+      a.end(ending);
+      table.ended(r);
+      pending.add(
+          new Due(
+              module,
+              new Routing.AttemptClosed(
+                  a.request(),
+                  clock.now() - a.sentAt(),
+                  r.closed(),
+                  a.server(),
+                  ending,
+                  Routing.Note.NONE,
+                  a.number(),
+                  Outcome.NO_REPORT)));
     }
 
-    /** Runs the timers that are due. */
-    public void runDue() {
-        for (Runnable due = timers.takeDue(clock.now()); due != null; due = timers.takeDue(clock.now())) {
-            due.run();
-        }
-        events.check(clock.now());
+    @Override
+    public void refuse(long request, long retryAfter, Routing.Why why) {
+      RequestTable.Entry r = table.get(request);
+      if (r != null && !r.closed()) {
+        table.close(r);
+        r.call().refused(retryAfter);
+        events.refused(r, why, clock.now());
+      }
     }
 
-    /** How long until the next timer, at most the given time. */
-    public long untilNext(long atMost) {
-        long now = clock.now();
-        return Math.max(0, timers.next(now + atMost) - now);
+    @Override
+    public void fail(long request, Routing.Why why) {
+      RequestTable.Entry r = table.get(request);
+      if (r != null && !r.closed()) {
+        table.close(r);
+        r.call().failed();
+        events.failed(r, why, clock.now());
+      }
     }
 
-    /** How many requests wait for their answer. */
-    public int open() {
-        return table.openCount();
+    @Override
+    public void timer(long delay, long token) {
+      timers.at(clock.now() + delay, () -> deliver(module, new Routing.Timer(token)));
     }
 
-    private void arrived(Call call) {
-        long now = clock.now();
-        for (Tally tally : tallies) {
-            tally.arrived();
-        }
-        Hosted module = stopping ? null : of(call);
-        if (module == null) {
-            // Never sent anywhere, so it may be asked again.
-            call.refused(0);
-            return;
-        }
-        long last = call.deadline() + module.settings.rules().answerSlack();
-        RequestTable.Entry r = table.add(call, module, entry -> timers.at(last, () -> overdue(entry)));
-        Call.Ask ask = call.ask();
-        deliver(module, new Routing.Arrival(r.id(), ask.tenant(), ask.hint(), ask.key(),
-            ask.requestClass(), call.deadline() - now, ask.clientRetry(), ask.write(), ask.size()));
-    }
-
-    /** A request must not go without an answer, even if the module fails: its client is told so. */
-    private void overdue(RequestTable.Entry r) {
-        if (r != null && !r.closed()) {
-            LOG.warning("request " + r.call().id() + " had no answer from the module; failed");
-            r.call().failed();
-            withdraw(r);
-        }
+    @Override
+    public void watch(boolean on) {
+      list.watch(on);
     }
 
-    private void withdraw(RequestTable.Entry r) {
-        if (r != null && !r.closed()) {
-            table.close(r);
-            deliver(r.module(), new Routing.Withdrawn(r.id()));
-        }
+    @Override
+    public void fetchList() {
+      list.fetch();
     }
 
-    /** The first attempt whose answer begins has the request; for any other the answer is called off. */
-    private void firstBytes(Message.FirstBytes first) {
-        Attempt a = first.attempt();
-        RequestTable.Entry r = table.get(a.request());
-        if (a.over() || r.closed() || r.answering() != null) {
-            first.body().cancel();
-            return;
-        }
-        a.begun();
-        r.answering(a);
-        r.call().begun(first.body());
-        deliver(r.module(), new Routing.FirstByte(a.request(), Math.max(0, first.at() - a.sentAt()),
-            a.server(), a.number()));
+    @Override
+    public void probe(long server) {
+      LOG.warning("probes are not part of this protocol; none sent");
     }
 
-    private void ended(Attempt a, Outcome outcome) {
-        if (!a.end(outcome.ending())) {
-            return;
-        }
-        // On the wire first: what the module sends next must not meet an attempt that is still out.
-        if (outcome.ending() == Routing.Ending.TIMEOUT) {
-            fleet.abort(a);
-        }
-        RequestTable.Entry r = table.get(a.request());
-        count(r, a, outcome);
-        if (outcome.ending() == Routing.Ending.OK && !r.closed()) {
-            table.close(r);
-            r.call().served(outcome.answer());
-        }
-        boolean closed = r.closed();
-        table.ended(r);
-        deliver(r.module(), new Routing.AttemptClosed(a.request(),
-            Math.max(0, outcome.at() - a.sentAt()), closed, a.server(), outcome.ending(),
-            outcome.note(), a.number(), outcome.report()));
-    }
-
-    /** Hands the event to the module, then the events that its own actions caused. */
-    private void deliver(Hosted to, Routing.Event event) {
-        pending.add(new Due(to, event));
-        if (pending.size() > 1) {
-            return;
-        }
-        while (!pending.isEmpty()) {
-            Routing.Event next = pending.element().event();
-            try {
-                pending.element().to().router.handle(clock.now(), next);
-            } catch (RuntimeException | StackOverflowError e) {
-                // One event that the module fails on must not end the router, nor strand its request.
-                LOG.log(Level.SEVERE, "decision module failed on " + next.getClass().getSimpleName(), e);
-                if (next instanceof Routing.Arrival arrival) {
-                    overdue(table.get(arrival.request()));
-                }
-            }
-            pending.remove();
-        }
+    @Override
+    public void tell(int peer, byte[] body) {
+      LOG.warning("messages between routers are not in use; none sent");
     }
 
-    private String name(long server) {
-        Fleet.Listed listed = fleet.listed(server);
-        return listed == null ? "a server that is not listed" : listed.name();
+    @Override
+    public void closeIdle(long server) {
+      fleet.closeIdle(server);
     }
 
-    /** What the module does, carried out at once. */
-    private final class Actions implements Routing.Actions {
-        private final Hosted module;
-
-        private Actions(Hosted module) {
-            this.module = module;
-        }
-
-        @Override
-        public void send(long request, long server, long allowFor) {
-            RequestTable.Entry r = table.get(request);
-            if (r == null || r.closed() || r.attempts().size() >= module.settings.permissions().maxTries()) {
-                LOG.warning("send for request " + request + ", which may not have it: not sent");
-                int number = r == null ? 0 : r.attempts().size();
-                pending.add(new Due(module,
-                    new Routing.AttemptClosed(request, 0, r == null || r.closed(), server,
-                    Routing.Ending.MOOT, Routing.Note.NONE, number, Outcome.NO_REPORT)));
-                return;
-            }
-            long now = clock.now();
-            if (!r.attempts().isEmpty()) {
-                events.retried(r, () -> name(server), now);
-            }
-            long left = Math.max(0, r.call().deadline() - now);
-            long allowed = allowFor == 0 ? left : Math.min(left, allowFor);
-            Attempt a = table.attempt(r, server, now, allowed);
-            a.timeOut(timers.at(a.until(),
-                () -> ended(a, Outcome.of(Routing.Ending.TIMEOUT, clock.now()))));
-            if (!fleet.send(a)) {
-                over(a, r, Routing.Ending.CONNECT_FAILED);
-            }
-        }
-
-        @Override
-        public void cancel(long request, int attempt) {
-            RequestTable.Entry r = table.get(request);
-            if (r == null || attempt >= r.attempts().size()) {
-                return;
-            }
-            Attempt a = r.attempts().get(attempt);
-            if (!a.over()) {
-                over(a, r, Routing.Ending.CANCELLED);
-                fleet.abort(a);
-            }
-        }
-
-        /** Ends an attempt while the module acts: it hears of it once it has handled the event at hand. */
-        private void over(Attempt a, RequestTable.Entry r, Routing.Ending ending) {
-            a.end(ending);
-            table.ended(r);
-            pending.add(new Due(module,
-                new Routing.AttemptClosed(a.request(), clock.now() - a.sentAt(), r.closed(),
-                a.server(), ending, Routing.Note.NONE, a.number(), Outcome.NO_REPORT)));
-        }
-
-        @Override
-        public void refuse(long request, long retryAfter, Routing.Why why) {
-            RequestTable.Entry r = table.get(request);
-            if (r != null && !r.closed()) {
-                table.close(r);
-                r.call().refused(retryAfter);
-                events.refused(r, why, clock.now());
-            }
-        }
-
-        @Override
-        public void fail(long request, Routing.Why why) {
-            RequestTable.Entry r = table.get(request);
-            if (r != null && !r.closed()) {
-                table.close(r);
-                r.call().failed();
-                events.failed(r, why, clock.now());
-            }
-        }
-
-        @Override
-        public void timer(long delay, long token) {
-            timers.at(clock.now() + delay, () -> deliver(module, new Routing.Timer(token)));
-        }
-
-        @Override
-        public void watch(boolean on) {
-            list.watch(on);
-        }
-
-        @Override
-        public void fetchList() {
-            list.fetch();
-        }
-
-        @Override
-        public void probe(long server) {
-            LOG.warning("probes are not part of this protocol; none sent");
-        }
-
-        @Override
-        public void tell(int peer, byte[] body) {
-            LOG.warning("messages between routers are not in use; none sent");
-        }
-
-        @Override
-        public void closeIdle(long server) {
-            fleet.closeIdle(server);
-        }
-
-        @Override
-        public void log(String text) {
-            LOG.info("module: " + text);
-        }
+    @Override
+    public void log(String text) {
+      LOG.info("module: " + text);
     }
+  }
 }
--- a/src/main/java/beaconturn/core/RequestEvents.java
+++ b/src/main/java/beaconturn/core/RequestEvents.java
@@ -6,55 +6,70 @@
 import java.util.stream.Collectors;
 
 /**
- * The log of what happens to single requests: refusals, failures and further attempts, each with the
- * request's id, its reason and the ends of its attempts so far. Spells say how many there were; lines of
- * single requests are bounded in their rate. Nothing is done for a request that is answered by its first
- * attempt. For the module's thread.
+ * The log of what happens to single requests: refusals, failures and further attempts, each with
+ * the request's id, its reason and the ends of its attempts so far. Spells say how many there were;
+ * lines of single requests are bounded in their rate. Nothing is done for a request that is
+ * answered by its first attempt. For the module's thread.
  */
 final class RequestEvents {
-    private static final Logger LOG = Logger.getLogger(ModuleHost.class.getName());
-    private static final int REFUSALS_BEGIN = 10;
-    private static final int FAILURES_BEGIN = 3;
-    private static final int BURST = 10;
-    private static final double PER_SECOND = 2;
-    private final Spell refusals = new Spell(LOG, "requests are refused", REFUSALS_BEGIN);
-    private final Spell failures = new Spell(LOG, "requests fail", FAILURES_BEGIN);
-    private final LogBudget refused = new LogBudget(LOG, BURST, PER_SECOND);
-    private final LogBudget failed = new LogBudget(LOG, BURST, PER_SECOND);
-    private final LogBudget retried = new LogBudget(LOG, BURST, PER_SECOND);
-
-    /** A request is answered with a refusal. */
-    void refused(RequestTable.Entry request, Routing.Why why, long now) {
-        refusals.note(now);
-        refused.log(now, () -> line(request, "refused", why));
-    }
-
-    /** A request is answered as failed. */
-    void failed(RequestTable.Entry request, Routing.Why why, long now) {
-        failures.note(now);
-        failed.log(now, () -> line(request, "failed", why));
-    }
-
-    /** A request has a further attempt, beside one that is out or after one that ended. */
-    void retried(RequestTable.Entry request, Supplier<String> server, long now) {
-        retried.log(now, () -> "request " + request.call().id() + ": attempt "
-            + (request.attempts().size() + 1) + " goes to " + server.get() + " after " + attempts(request));
-    }
-
-    /** Ends the spells that are over; called now and then. */
-    void check(long now) {
-        refusals.check(now);
-        failures.check(now);
-    }
-
-    private static String line(RequestTable.Entry request, String how, Routing.Why why) {
-        return "request " + request.call().id() + " is " + how + ": " + why + ", attempts "
-            + attempts(request);
-    }
-
-    private static String attempts(RequestTable.Entry request) {
-        return request.attempts().stream()
-            .map(a -> a.ending() == null ? "out" : a.ending().toString())
-            .collect(Collectors.joining(" ", "[", "]"));
-    }
+  private static final Logger LOG = Logger.getLogger(ModuleHost.class.getName());
+  private static final int REFUSALS_BEGIN = 10;
+  private static final int FAILURES_BEGIN = 3;
+  private static final int BURST = 10;
+  private static final double PER_SECOND = 2;
+  private final Spell refusals = new Spell(LOG, "requests are refused", REFUSALS_BEGIN);
+  private final Spell failures = new Spell(LOG, "requests fail", FAILURES_BEGIN);
+  private final LogBudget refused = new LogBudget(LOG, BURST, PER_SECOND);
+  private final LogBudget failed = new LogBudget(LOG, BURST, PER_SECOND);
+  private final LogBudget retried = new LogBudget(LOG, BURST, PER_SECOND);
+
+  /** A request is answered with a refusal. */
+  void refused(RequestTable.Entry request, Routing.Why why, long now) {
+    refusals.note(now);
+    refused.log(now, () -> line(request, "refused", why));
+  }
+
+  /** A request is answered as failed. */
+  void failed(RequestTable.Entry request, Routing.Why why, long now) {
+    failures.note(now);
+    failed.log(now, () -> line(request, "failed", why));
+  }
+
+  /** A request has a further attempt, beside one that is out or after one that ended. */
+  void retried(RequestTable.Entry request, Supplier<String> server, long now) {
+    retried.log(
+        now,
+        () ->
+            "request "
+                + request.call().id()
+                + ": attempt "
+                + (request.attempts().size() + 1)
+                + " goes to "
+                + server.get()
+                + " after "
+                + attempts(request));
+  }
+
+  /** Ends the spells that are over; called now and then. */
+  void check(long now) {
+    refusals.check(now);
+    failures.check(now);
+  }
+
+  private static String line(RequestTable.Entry request, String how, Routing.Why why) {
+    return "request "
+        + request.call().id()
+        + " is "
+        + how
+        + ": "
+        + why
+        + ", attempts "
+        + attempts(request);
+  }
+
+  private static String attempts(RequestTable.Entry request) {
+    return request.attempts().stream()
+        .map(a -> a.ending() == null ? "out" : a.ending().toString())
+        .collect(Collectors.joining(" ", "[", "]"));
+  }
 }
--- a/src/main/java/beaconturn/core/SettingsReader.java
+++ b/src/main/java/beaconturn/core/SettingsReader.java
@@ -7,163 +7,193 @@
 
 /** Reads the settings from paths and values, however they came; unknown paths are skipped. */
 public final class SettingsReader {
-    private static final long NEVER = Long.MAX_VALUE / 4;
-    private final Map<String, String> values;
-
-    private SettingsReader(Map<String, String> values) {
-        this.values = values;
-    }
-
-    /** Returns the settings, or names the first one that is missing or unreadable. */
-    public static Settings read(Map<String, String> values) throws SettingsException {
-        SettingsReader reader = new SettingsReader(values);
-        return new Settings(reader.routing(), reader.classNames(), reader.words("dcs"),
-            reader.words("flavors"));
-    }
-
-    private List<String> classNames() throws SettingsException {
-        List<String> names = new ArrayList<>();
-        for (int i = 0; i < required("classes.count"); i++) {
-            names.add(word("classes." + i + ".name", Integer.toString(i)));
-        }
-        return List.copyOf(names);
-    }
-
-    private Routing.Settings routing() throws SettingsException {
-        String weights = word("weights", "none");
-        return new Routing.Settings(
-            (int) whole("index", 0), (int) Math.max(1, required("replicas_of_me")), (int) whole("zone", 0),
-            word("discovery", "push").equals("ask"), weights.equals("nominal") || weights.equals("rough"),
-            word("counted_by", "request").equals("work"), number("over_share_worth", 1),
-            whole("tick", 0), classes(), tenants(), rules(), permissions(), origin(),
-            words("load_report.names"));
-    }
-
-    private List<Routing.RequestClass> classes() throws SettingsException {
-        List<Routing.RequestClass> classes = new ArrayList<>();
-        long count = required("classes.count");
-        for (int i = 0; i < count; i++) {
-            String at = "classes." + i + ".";
-            classes.add(new Routing.RequestClass(effect(at + "effect"), scope(at + "key_scope"),
-                whole(at + "window", 0), positive(at + "target", 0), positive(at + "hard_limit", 0),
-                number(at + "worth", 1), number(at + "late_worth", 0), flag(at + "stream", false)));
-        }
-        return List.copyOf(classes);
-    }
-
-    private List<Routing.Tenant> tenants() throws SettingsException {
-        List<Routing.Tenant> tenants = new ArrayList<>();
-        long count = whole("tenants.count", 0);
-        for (int i = 0; i < count; i++) {
-            String at = "tenants." + i + ".";
-            tenants.add(new Routing.Tenant(number(at + "quota_per_s", 0), number(at + "share", 0)));
-        }
-        return List.copyOf(tenants);
-    }
-
-    private Routing.Rules rules() throws SettingsException {
-        return new Routing.Rules(whole("rules.answer_slack", 0), whole("rules.ask_within", NEVER),
-            number("rules.cold_share", 1), whole("rules.cold", 0), whole("rules.drain_grace", 0),
-            number("rules.fall_multiple", 1), whole("rules.overload_for", NEVER),
-            flag("rules.soft_removal", false));
-    }
-
-    private Routing.Permissions permissions() throws SettingsException {
-        String at = "permissions.";
-        return new Routing.Permissions(flag(at + "cancel", false), flag(at + "peers", false),
-            flag(at + "probes", false), flag(at + "retry_after", false), flag(at + "second_copies", false),
-            (int) positive(at + "most_tries", 1), whole(at + "max_retry_after", 0),
-            (int) whole(at + "multiplex", 1), whole(at + "dial_timeout", 0),
-            positive(at + "conn_idle", NEVER));
-    }
-
-    private Routing.Origin origin() throws SettingsException {
-        String at = "family_info.";
-        return new Routing.Origin(word(at + "mode", "through").equals("aside"),
-            (int) whole(at + "origin_kind", -1), flag(at + "ordered", false),
-            tellsHits(at + "notes"),
-            whole(at + "origin_fall", 0), number(at + "origin_fall_multiple", 0));
-    }
-
-    /** {@code none} or what the numbers mean; where nothing is said answers are taken to tell. */
-    private boolean tellsHits(String path) throws SettingsException {
-        String word = word(path, "hit");
-        if (!word.equals("none") && !word.contains("hit")) {
-            throw unreadable(path, word);
-        }
-        return !word.equals("none");
-    }
-
-    private List<String> words(String path) {
-        String words = word(path, "");
-        return words.isEmpty() ? List.of() : List.of(words.split(","));
-    }
-
-    private Routing.Effect effect(String path) throws SettingsException {
-        String word = word(path, "");
-        return switch (word) {
-            case "read_like" -> Routing.Effect.SAFE;
-            case "idempotency_key" -> Routing.Effect.KEYED;
-            case "non_idempotent" -> Routing.Effect.UNSAFE;
-            default -> throw unreadable(path, word);
-        };
-    }
-
-    private static SettingsException unreadable(String path, String word) {
-        return new SettingsException("setting " + path + ": missing or unreadable: '" + word + "'");
-    }
-
-    private Routing.Scope scope(String path) throws SettingsException {
-        String word = word(path, "all");
-        return switch (word) {
-            case "all" -> Routing.Scope.ALL;
-            case "zone" -> Routing.Scope.ZONE;
-            case "cell" -> Routing.Scope.CELL;
-            default -> throw unreadable(path, word);
-        };
-    }
-
-    private String word(String path, String fallback) {
-        return values.getOrDefault(path, fallback);
-    }
-
-    private boolean flag(String path, boolean fallback) throws SettingsException {
-        String word = word(path, Boolean.toString(fallback));
-        if (!word.equals("true") && !word.equals("false")) {
-            throw unreadable(path, word);
-        }
-        return word.equals("true");
-    }
-
-    /** A number over 0; a fallback that is not makes it one that must be there. */
-    private long positive(String path, long fallback) throws SettingsException {
-        long value = fallback > 0 ? whole(path, fallback) : required(path);
-        if (value <= 0) {
-            throw new SettingsException("setting " + path + ": must be over 0, is " + value);
-        }
-        return value;
-    }
-
-    private long required(String path) throws SettingsException {
-        if (!values.containsKey(path)) {
-            throw new SettingsException("setting " + path + ": missing");
-        }
-        return whole(path, 0);
-    }
-
-    private long whole(String path, long fallback) throws SettingsException {
-        return (long) number(path, fallback);
-    }
-
-    private double number(String path, double fallback) throws SettingsException {
-        String value = values.get(path);
-        if (value == null) {
-            return fallback;
-        }
-        try {
-            return Double.parseDouble(value);
-        } catch (NumberFormatException e) {
-            throw new SettingsException("setting " + path + ": not a number: '" + value + "'");
-        }
-    }
+  private static final long NEVER = Long.MAX_VALUE / 4;
+  private final Map<String, String> values;
+
+  private SettingsReader(Map<String, String> values) {
+    this.values = values;
+  }
+
+  /** Returns the settings, or names the first one that is missing or unreadable. */
+  public static Settings read(Map<String, String> values) throws SettingsException {
+    SettingsReader reader = new SettingsReader(values);
+    return new Settings(
+        reader.routing(), reader.classNames(), reader.words("dcs"), reader.words("flavors"));
+  }
+
+  private List<String> classNames() throws SettingsException {
+    List<String> names = new ArrayList<>();
+    for (int i = 0; i < required("classes.count"); i++) {
+      names.add(word("classes." + i + ".name", Integer.toString(i)));
+    }
+    return List.copyOf(names);
+  }
+
+  private Routing.Settings routing() throws SettingsException {
+    String weights = word("weights", "none");
+    return new Routing.Settings(
+        (int) whole("index", 0),
+        (int) Math.max(1, required("replicas_of_me")),
+        (int) whole("zone", 0),
+        word("discovery", "push").equals("ask"),
+        weights.equals("nominal") || weights.equals("rough"),
+        word("counted_by", "request").equals("work"),
+        number("over_share_worth", 1),
+        whole("tick", 0),
+        classes(),
+        tenants(),
+        rules(),
+        permissions(),
+        origin(),
+        words("load_report.names"));
+  }
+
+  private List<Routing.RequestClass> classes() throws SettingsException {
+    List<Routing.RequestClass> classes = new ArrayList<>();
+    long count = required("classes.count");
+    for (int i = 0; i < count; i++) {
+      String at = "classes." + i + ".";
+      classes.add(
+          new Routing.RequestClass(
+              effect(at + "effect"),
+              scope(at + "key_scope"),
+              whole(at + "window", 0),
+              positive(at + "target", 0),
+              positive(at + "hard_limit", 0),
+              number(at + "worth", 1),
+              number(at + "late_worth", 0),
+              flag(at + "stream", false)));
+    }
+    return List.copyOf(classes);
+  }
+
+  private List<Routing.Tenant> tenants() throws SettingsException {
+    List<Routing.Tenant> tenants = new ArrayList<>();
+    long count = whole("tenants.count", 0);
+    for (int i = 0; i < count; i++) {
+      String at = "tenants." + i + ".";
+      tenants.add(new Routing.Tenant(number(at + "quota_per_s", 0), number(at + "share", 0)));
+    }
+    return List.copyOf(tenants);
+  }
+
+  private Routing.Rules rules() throws SettingsException {
+    return new Routing.Rules(
+        whole("rules.answer_slack", 0),
+        whole("rules.ask_within", NEVER),
+        number("rules.cold_share", 1),
+        whole("rules.cold", 0),
+        whole("rules.drain_grace", 0),
+        number("rules.fall_multiple", 1),
+        whole("rules.overload_for", NEVER),
+        flag("rules.soft_removal", false));
+  }
+
+  private Routing.Permissions permissions() throws SettingsException {
+    String at = "permissions.";
+    return new Routing.Permissions(
+        flag(at + "cancel", false),
+        flag(at + "peers", false),
+        flag(at + "probes", false),
+        flag(at + "retry_after", false),
+        flag(at + "second_copies", false),
+        (int) positive(at + "most_tries", 1),
+        whole(at + "max_retry_after", 0),
+        (int) whole(at + "multiplex", 1),
+        whole(at + "dial_timeout", 0),
+        positive(at + "conn_idle", NEVER));
+  }
+
+  private Routing.Origin origin() throws SettingsException {
+    String at = "family_info.";
+    return new Routing.Origin(
+        word(at + "mode", "through").equals("aside"),
+        (int) whole(at + "origin_kind", -1),
+        flag(at + "ordered", false),
+        tellsHits(at + "notes"),
+        whole(at + "origin_fall", 0),
+        number(at + "origin_fall_multiple", 0));
+  }
+
+  /** {@code none} or what the numbers mean; where nothing is said answers are taken to tell. */
+  private boolean tellsHits(String path) throws SettingsException {
+    String word = word(path, "hit");
+    if (!word.equals("none") && !word.contains("hit")) {
+      throw unreadable(path, word);
+    }
+    return !word.equals("none");
+  }
+
+  private List<String> words(String path) {
+    String words = word(path, "");
+    return words.isEmpty() ? List.of() : List.of(words.split(","));
+  }
+
+  private Routing.Effect effect(String path) throws SettingsException {
+    String word = word(path, "");
+    return switch (word) {
+      case "read_like" -> Routing.Effect.SAFE;
+      case "idempotency_key" -> Routing.Effect.KEYED;
+      case "non_idempotent" -> Routing.Effect.UNSAFE;
+      default -> throw unreadable(path, word);
+    };
+  }
+
+  private static SettingsException unreadable(String path, String word) {
+    return new SettingsException("setting " + path + ": missing or unreadable: '" + word + "'");
+  }
+
+  private Routing.Scope scope(String path) throws SettingsException {
+    String word = word(path, "all");
+    return switch (word) {
+      case "all" -> Routing.Scope.ALL;
+      case "zone" -> Routing.Scope.ZONE;
+      case "cell" -> Routing.Scope.CELL;
+      default -> throw unreadable(path, word);
+    };
+  }
+
+  private String word(String path, String fallback) {
+    return values.getOrDefault(path, fallback);
+  }
+
+  private boolean flag(String path, boolean fallback) throws SettingsException {
+    String word = word(path, Boolean.toString(fallback));
+    if (!word.equals("true") && !word.equals("false")) {
+      throw unreadable(path, word);
+    }
+    return word.equals("true");
+  }
+
+  /** A number over 0; a fallback that is not makes it one that must be there. */
+  private long positive(String path, long fallback) throws SettingsException {
+    long value = fallback > 0 ? whole(path, fallback) : required(path);
+    if (value <= 0) {
+      throw new SettingsException("setting " + path + ": must be over 0, is " + value);
+    }
+    return value;
+  }
+
+  private long required(String path) throws SettingsException {
+    if (!values.containsKey(path)) {
+      throw new SettingsException("setting " + path + ": missing");
+    }
+    return whole(path, 0);
+  }
+
+  private long whole(String path, long fallback) throws SettingsException {
+    return (long) number(path, fallback);
+  }
+
+  private double number(String path, double fallback) throws SettingsException {
+    String value = values.get(path);
+    if (value == null) {
+      return fallback;
+    }
+    try {
+      return Double.parseDouble(value);
+    } catch (NumberFormatException e) {
+      throw new SettingsException("setting " + path + ": not a number: '" + value + "'");
+    }
+  }
 }
--- a/src/main/java/beaconturn/core/package-info.java
+++ b/src/main/java/beaconturn/core/package-info.java
@@ -1,2 +1,5 @@
-/** What runs the decision module without any I/O: phases, mailboxes, the request table, timers, settings. */
+/**
+ * What runs the decision module without any I/O: phases, mailboxes, the request table, timers,
+ * settings.
+ */
 package beaconturn.core;
--- a/src/main/java/beaconturn/decision/Average.java
+++ b/src/main/java/beaconturn/decision/Average.java
@@ -2,28 +2,28 @@
 
 /** Mean and mean deviation, newest samples counting most. */
 final class Average {
-    double mean;
-    double deviation;
-    boolean any;
-    private final double newest;
+  double mean;
+  double deviation;
+  boolean any;
+  private final double newest;
 
-    /** {@code newest} is the weight of the newest sample. */
-    Average(double newest) {
-        this.newest = newest;
-    }
+  /** {@code newest} is the weight of the newest sample. */
+  Average(double newest) {
+    this.newest = newest;
+  }
 
-    /** Begins with a mean that was found elsewhere; 0 is none. */
-    void begin(double found) {
-        if (!any && found > 0) {
-            add(found);
-        }
+  /** Begins with a mean that was found elsewhere; 0 is none. */
+  void begin(double found) {
+    if (!any && found > 0) {
+      add(found);
     }
+  }
 
-    /** Adds a sample and returns the new mean. */
-    double add(double sample) {
-        mean = any ? mean + newest * (sample - mean) : sample;
-        deviation = any ? deviation + newest * (Math.abs(sample - mean) - deviation) : sample / 2;
-        any = true;
-        return mean;
-    }
+  /** Adds a sample and returns the new mean. */
+  double add(double sample) {
+    mean = any ? mean + newest * (sample - mean) : sample;
+    deviation = any ? deviation + newest * (Math.abs(sample - mean) - deviation) : sample / 2;
+    any = true;
+    return mean;
+  }
 }
--- a/src/main/java/beaconturn/decision/Flight.java
+++ b/src/main/java/beaconturn/decision/Flight.java
@@ -5,5 +5,5 @@
 
 /** One fetch of a key from the origin, and the requests that wait for it. */
 final class Flight {
-    final List<Request> waiting = new ArrayList<>();
+  final List<Request> waiting = new ArrayList<>();
 }
--- a/src/main/java/beaconturn/decision/LatestUsed.java
+++ b/src/main/java/beaconturn/decision/LatestUsed.java
@@ -5,17 +5,17 @@
 
 /** A map of bounded size: what was used longest ago makes room. */
 final class LatestUsed<V> extends LinkedHashMap<Long, V> {
-    private static final long serialVersionUID = 1L;
-    private final int most;
+  private static final long serialVersionUID = 1L;
+  private final int most;
 
-    /** Keeps the {@code most} entries that were used last. */
-    LatestUsed(int most) {
-        super(16, 0.75f, true);
-        this.most = most;
-    }
+  /** Keeps the {@code most} entries that were used last. */
+  LatestUsed(int most) {
+    super(16, 0.75f, true);
+    this.most = most;
+  }
 
-    @Override
-    protected boolean removeEldestEntry(Map.Entry<Long, V> eldest) {
-        return size() > most;
-    }
+  @Override
+  protected boolean removeEldestEntry(Map.Entry<Long, V> eldest) {
+    return size() > most;
+  }
 }
--- a/src/main/java/beaconturn/decision/Request.java
+++ b/src/main/java/beaconturn/decision/Request.java
@@ -5,80 +5,94 @@
 
 /** A request that the router has accepted, until its last attempt has closed. */
 final class Request {
-    final long id;
-    final long key;
-    final long hash;
-    final int classIndex;
-    final Routing.RequestClass type;
-    final boolean write;
-    final boolean overQuota;
-    final long deadline;
-    /** Until when an answer is in time, counted from the client's first try where that is known. */
-    final long aimEnds;
-    /** Which of the client's asks this is a try of. */
-    final long ask;
-    /** From here on an answer to a safe request earns nothing; the deadline for all others. */
-    final long due;
-    final List<Attempt> attempts = new ArrayList<>(2);
-    double keyPart;
-    /** Its expected work, as a part of the usual. */
-    double size;
-    Server missedAt;
-    Flight flight;
-    boolean queued;
-    boolean streaming;
-    /** Called off where it is late, to go to another cache. */
-    boolean moves;
-    boolean done;
-
-    Request(Routing.Arrival e, Routing.RequestClass type, long now, long aimEnds, long ask,
-            boolean overQuota, boolean cutAtAim) {
-        this.id = e.request();
-        this.key = e.key();
-        this.hash = Hash.mix(e.key() != 0 ? e.key() : e.request());
-        this.classIndex = e.requestClass();
-        this.type = type;
-        this.write = e.write();
-        this.overQuota = overQuota;
-        this.deadline = now + e.left();
-        this.aimEnds = aimEnds;
-        this.ask = ask;
-        this.due = cutAtAim ? Math.min(deadline, aimEnds) : deadline;
-    }
+  final long id;
+  final long key;
+  final long hash;
+  final int classIndex;
+  final Routing.RequestClass type;
+  final boolean write;
+  final boolean overQuota;
+  final long deadline;
 
-    int openCount() {
-        int count = 0;
-        for (Attempt a : attempts) {
-            count += a.open ? 1 : 0;
-        }
-        return count;
-    }
+  /** Until when an answer is in time, counted from the client's first try where that is known. */
+  final long aimEnds;
 
-    boolean anyOpen() {
-        return openCount() > 0;
-    }
+  /** Which of the client's asks this is a try of. */
+  final long ask;
+
+  /** From here on an answer to a safe request earns nothing; the deadline for all others. */
+  final long due;
+
+  final List<Attempt> attempts = new ArrayList<>(2);
+  double keyPart;
+
+  /** Its expected work, as a part of the usual. */
+  double size;
 
-    /** Whether it may go where it might fail: it was not sent yet, and may be repeated. */
-    boolean tries() {
-        return attempts.isEmpty() && type.effect() == Routing.Effect.SAFE;
+  Server missedAt;
+  Flight flight;
+  boolean queued;
+  boolean streaming;
+
+  /** Called off where it is late, to go to another cache. */
+  boolean moves;
+
+  boolean done;
+
+  Request(
+      Routing.Arrival e,
+      Routing.RequestClass type,
+      long now,
+      long aimEnds,
+      long ask,
+      boolean overQuota,
+      boolean cutAtAim) {
+    this.id = e.request();
+    this.key = e.key();
+    this.hash = Hash.mix(e.key() != 0 ? e.key() : e.request());
+    this.classIndex = e.requestClass();
+    this.type = type;
+    this.write = e.write();
+    this.overQuota = overQuota;
+    this.deadline = now + e.left();
+    this.aimEnds = aimEnds;
+    this.ask = ask;
+    this.due = cutAtAim ? Math.min(deadline, aimEnds) : deadline;
+  }
+
+  int openCount() {
+    int count = 0;
+    for (Attempt a : attempts) {
+      count += a.open ? 1 : 0;
     }
+    return count;
+  }
+
+  boolean anyOpen() {
+    return openCount() > 0;
+  }
+
+  /** Whether it may go where it might fail: it was not sent yet, and may be repeated. */
+  boolean tries() {
+    return attempts.isEmpty() && type.effect() == Routing.Effect.SAFE;
+  }
 
-    boolean tried(Server s) {
-        for (Attempt a : attempts) {
-            if (a.server == s) {
-                return true;
-            }
-        }
-        return false;
+  boolean tried(Server s) {
+    for (Attempt a : attempts) {
+      if (a.server == s) {
+        return true;
+      }
     }
+    return false;
+  }
 
-    /** The first attempt that is out or may have had its effect; null if there is none. */
-    Attempt firstMaybeRun() {
-        for (Attempt a : attempts) {
-            if (!a.neverRan) {
-                return a;
-            }
-        }
-        return null;
+  /** The first attempt that is out or may have had its effect; null if there is none. */
+  Attempt firstMaybeRun() {
+    for (Attempt a : attempts) {
+      if (!a.neverRan) {
+        return a;
+      }
     }
+    return null;
+  }
 }
