--- a/src/main/java/beaconturn/net/Placing.java
+++ b/src/main/java/beaconturn/net/Placing.java
@@ -6,16 +6,17 @@
 import java.util.Map;
 
 /**
- * To which places keys go, as decided with other routers; it runs on a thread of its own and hears of
- * attempts as they are counted. Not there, and nothing of it loaded, unless the operators' file turns it on.
+ * To which places keys go, as decided with other routers; it runs on a thread of its own and hears
+ * of attempts as they are counted. Not there, and nothing of it loaded, unless the operators' file
+ * turns it on.
  */
 public interface Placing extends Runnable, Tally {
-    /** The shares that are due; the same object as long as nothing changes. Any thread, no wait. */
-    Routing.Shares due();
+  /** The shares that are due; the same object as long as nothing changes. Any thread, no wait. */
+  Routing.Shares due();
 
-    /** What this router makes of each cache server; any thread, no wait. */
-    void sees(Map<Fleet.Listed, Routing.Standing> caches);
+  /** What this router makes of each cache server; any thread, no wait. */
+  void sees(Map<Fleet.Listed, Routing.Standing> caches);
 
-    /** The router ends as planned. */
-    void leave();
+  /** The router ends as planned. */
+  void leave();
 }
--- a/src/main/java/beaconturn/net/ReplyReader.java
+++ b/src/main/java/beaconturn/net/ReplyReader.java
@@ -9,93 +9,106 @@
 
 /** Turns what a cache server answers into an outcome. */
 final class ReplyReader {
-    private static final int PARTS = 3;
-    private static final int MOST_DIGITS = 32;
-    private final List<String> reportNames;
-    private final boolean aside;
+  private static final int PARTS = 3;
+  private static final int MOST_DIGITS = 32;
+  private final List<String> reportNames;
+  private final boolean aside;
 
-    ReplyReader(Routing.Settings settings) {
-        this.reportNames = settings.reportNames();
-        this.aside = settings.origin().aside();
-    }
+  ReplyReader(Routing.Settings settings) {
+    this.reportNames = settings.reportNames();
+    this.aside = settings.origin().aside();
+  }
 
-    /** The outcome that the answer stands for; what stands for none is spoilt, and so is its connection. */
-    Outcome read(RespValue value, long now) throws ProtocolException {
-        if (value instanceof RespValue.Array array && array.items() != null) {
-            return served(array.items(), now);
-        }
-        if (value instanceof RespValue.Failure failure) {
-            String word = failure.text().toString().split(" ", 2)[0];
-            if (word.equals("BUSY")) {
-                return Outcome.of(Routing.Ending.FULL, now);
-            }
-            if (word.equals("ERR")) {
-                return Outcome.of(Routing.Ending.ERROR, now);
-            }
-        }
-        throw new ProtocolException("an answer that is no value, error or refusal");
+  /**
+   * The outcome that the answer stands for; what stands for none is spoilt, and so is its
+   * connection.
+   */
+  Outcome read(RespValue value, long now) throws ProtocolException {
+    if (value instanceof RespValue.Array array && array.items() != null) {
+      return served(array.items(), now);
     }
-
-    /** The outcome of an answer whose value has gone on already. */
-    Outcome served(RespValue how, RespValue report, long at) throws ProtocolException {
-        if (!(how instanceof RespValue.Bulk word)) {
-            throw new ProtocolException("an answer that is not made of a value, a word and a load report");
-        }
-        return new Outcome(Routing.Ending.OK, at, note(word), report(report), null);
+    if (value instanceof RespValue.Failure failure) {
+      String word = failure.text().toString().split(" ", 2)[0];
+      if (word.equals("BUSY")) {
+        return Outcome.of(Routing.Ending.FULL, now);
+      }
+      if (word.equals("ERR")) {
+        return Outcome.of(Routing.Ending.ERROR, now);
+      }
     }
+    throw new ProtocolException("an answer that is no value, error or refusal");
+  }
 
-    /** The value or receipt, how it went or null, the load report or null; only the last may be anything. */
-    private Outcome served(List<RespValue> items, long now) throws ProtocolException {
-        if (items.size() != PARTS || !(items.get(0) instanceof RespValue.Bulk value)
-                || !(items.get(1) instanceof RespValue.Bulk how)) {
-            throw new ProtocolException("an answer that is not made of a value, a word and a load report");
-        }
-        Routing.Note note = note(how);
-        float[] report = report(items.get(2));
-        if (value.bytes() != null) {
-            return new Outcome(Routing.Ending.OK, now, note, report, value.frame());
-        }
-        return new Outcome(aside ? Routing.Ending.MISS : Routing.Ending.ERROR, now, note, report, null);
+  /** The outcome of an answer whose value has gone on already. */
+  Outcome served(RespValue how, RespValue report, long at) throws ProtocolException {
+    if (!(how instanceof RespValue.Bulk word)) {
+      throw new ProtocolException(
+          "an answer that is not made of a value, a word and a load report");
     }
+    return new Outcome(Routing.Ending.OK, at, note(word), report(report), null);
+  }
 
-    private static Routing.Note note(RespValue value) {
-        return switch (word(value)) {
-            case "hit" -> Routing.Note.HIT;
-            case "miss" -> Routing.Note.MISS;
-            case "pending" -> Routing.Note.MISS_FETCHING;
-            default -> Routing.Note.NONE;
-        };
+  /**
+   * The value or receipt, how it went or null, the load report or null; only the last may be
+   * anything.
+   */
+  private Outcome served(List<RespValue> items, long now) throws ProtocolException {
+    if (items.size() != PARTS
+        || !(items.get(0) instanceof RespValue.Bulk value)
+        || !(items.get(1) instanceof RespValue.Bulk how)) {
+      throw new ProtocolException(
+          "an answer that is not made of a value, a word and a load report");
     }
-
-    /** Name and value pairs, in the order of the settings; a report that lacks one is none. */
-    private float[] report(RespValue value) {
-        String text = word(value);
-        if (text.isEmpty() || reportNames.isEmpty()) {
-            return Outcome.NO_REPORT;
-        }
-        float[] figures = new float[reportNames.size()];
-        Arrays.fill(figures, -1);
-        int found = 0;
-        for (String pair : text.split("[,; ]+")) {
-            int equals = pair.indexOf('=');
-            int at = equals < 0 ? -1 : reportNames.indexOf(pair.substring(0, equals));
-            if (at >= 0 && figures[at] < 0) {
-                figures[at] = figure(pair.substring(equals + 1));
-                found += figures[at] >= 0 ? 1 : 0;
-            }
-        }
-        return found == figures.length ? figures : Outcome.NO_REPORT;
+    Routing.Note note = note(how);
+    float[] report = report(items.get(2));
+    if (value.bytes() != null) {
+      return new Outcome(Routing.Ending.OK, now, note, report, value.frame());
     }
+    return new Outcome(aside ? Routing.Ending.MISS : Routing.Ending.ERROR, now, note, report, null);
+  }
 
-    /** A figure of a load report; below 0 if it is none: not a number, negative, or beyond all bounds. */
-    private static float figure(String digits) {
-        boolean readable = digits.length() <= MOST_DIGITS
-            && digits.matches("[0-9]+(\\.[0-9]+)?([eE][-+]?[0-9]+)?");
-        float value = readable ? Float.parseFloat(digits) : -1;
-        return Float.isInfinite(value) ? -1 : value;
-    }
+  private static Routing.Note note(RespValue value) {
+    return switch (word(value)) {
+      case "hit" -> Routing.Note.HIT;
+      case "miss" -> Routing.Note.MISS;
+      case "pending" -> Routing.Note.MISS_FETCHING;
+      default -> Routing.Note.NONE;
+    };
+  }
 
-    private static String word(RespValue value) {
-        return value instanceof RespValue.Bulk bulk && bulk.bytes() != null ? bulk.bytes().toString() : "";
+  /** Name and value pairs, in the order of the settings; a report that lacks one is none. */
+  private float[] report(RespValue value) {
+    String text = word(value);
+    if (text.isEmpty() || reportNames.isEmpty()) {
+      return Outcome.NO_REPORT;
     }
+    float[] figures = new float[reportNames.size()];
+    Arrays.fill(figures, -1);
+    int found = 0;
+    for (String pair : text.split("[,; ]+")) {
+      int equals = pair.indexOf('=');
+      int at = equals < 0 ? -1 : reportNames.indexOf(pair.substring(0, equals));
+      if (at >= 0 && figures[at] < 0) {
+        figures[at] = figure(pair.substring(equals + 1));
+        found += figures[at] >= 0 ? 1 : 0;
+      }
+    }
+    return found == figures.length ? figures : Outcome.NO_REPORT;
+  }
+
+  /**
+   * A figure of a load report; below 0 if it is none: not a number, negative, or beyond all bounds.
+   */
+  private static float figure(String digits) {
+    boolean readable =
+        digits.length() <= MOST_DIGITS && digits.matches("[0-9]+(\\.[0-9]+)?([eE][-+]?[0-9]+)?");
+    float value = readable ? Float.parseFloat(digits) : -1;
+    return Float.isInfinite(value) ? -1 : value;
+  }
+
+  private static String word(RespValue value) {
+    return value instanceof RespValue.Bulk bulk && bulk.bytes() != null
+        ? bulk.bytes().toString()
+        : "";
+  }
 }
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -31,438 +31,538 @@
 
 /** One real router: puts the parts together, starts them, and takes them down at the end. */
 public final class RouterServer {
-    private static final Logger LOG = Logger.getLogger(RouterServer.class.getName());
-    private static final long MILLI = 1_000_000;
-    /** After a planned stop is announced, new connections still come for up to 0.4 s. */
-    private static final long ACCEPT_ON = 500 * MILLI;
-    /**
-     * Beyond the longest deadline, what is not answered so long after a planned stop was announced is given
-     * up.
-     */
-    private static final long ANSWERED_AFTER = 500 * MILLI;
-    /** A planned stop waits no longer than this for answers: the process is killed soon after. */
-    private static final long LONGEST_AT_STOP = 3_000 * MILLI;
-    /** The process is killed 0.7 s after the longest deadline: the last answers are on their way before. */
-    private static final long LAST_ANSWERS = 60 * MILLI;
-    /** So long a start waits for the list that is agreed on. */
-    private static final long LONGEST_FOR_LIST = 2_000 * MILLI;
-    private static final long LONGEST_FOR_FIRST_LIST = 250 * MILLI;
-    private static final long STEP_MILLIS = 5;
-    private static final long SWEEP_MILLIS = 50;
-    /** A thread for requests that are out ends when it has waited so long for the next. */
-    private static final long KEEP_THREAD = 500 * MILLI;
-
-    /** How the module is hosted and what its mailbox gets; broken in tests to prove what watches over it. */
-    interface Hosting {
-        /** As it should be. */
-        Hosting USUAL = new Hosting() { };
-
-        /** The host that the module's thread runs. */
-        default ModuleHost host(RouterConfig config, Clock clock, Fleet fleet, ListSource list) {
-            return new ModuleHost(config.settings().routing(), config.seed(), clock, fleet, list);
-        }
-
-        /** How long a start waits for discovery's first answer, or its failure, in nanoseconds. */
-        default long firstListWithin() {
-            return LONGEST_FOR_FIRST_LIST;
-        }
-
-        /** How a client's connection is served. */
-        default ClientConnection connection(SocketChannel client, ClientConnection.Site site) {
-            return new ClientConnection(client, site);
-        }
-
-        /** Where clients, cache servers and discovery post. */
-        default Consumer<Message> inbox(Consumer<Message> mailbox) {
-            return mailbox;
-        }
-    }
-
-    private final RouterConfig config;
-    private final Clock clock = Clock.system();
-    private final Lifecycle lifecycle;
-    /** Null where no second address is set. */
-    private final Operators operators;
-    private final Tally tally;
-    /** Null unless routers agree and a second address is set. */
-    private final HealthFigures health;
-    private final ModuleActor module;
-    private final ClientConnections clients;
-    private final ClientPoller poller = new ClientPoller(clock);
-    private final ClientEvents events = new ClientEvents();
-    private final ClientConnection.Site site;
-    /** Null until the router serves. */
-    private volatile Listener listener;
-    private final Discovery discovery;
-    private final Reloads reloads;
-    /** Null where no other process of this router can run beside this one. */
-    private final Neighbour neighbour;
-    private final Places places;
-    private final CacheActors cacheActors;
-    private volatile Settings settings;
-    private volatile Learned learned;
-    /** Null where routers share nothing. */
-    private final Agreed agreed;
-    /** Null where places are not decided on in common. */
-    private final Placing placing;
-    /** By what the module places keys; set by its thread. */
-    private Routing.Shares shares = Routing.Shares.ANYWHERE;
-    /** What the module is under; set by its thread. */
-    private volatile Agreed.Force force;
-    private volatile boolean beside;
-    private volatile RequestParser parser;
-    private final Hosting hosting;
-    private final CountDownLatch listHeard = new CountDownLatch(1);
-    private volatile long knownList;
-    private long switches;
-    private final Spell turnedAway = new Spell(LOG, "new client connections are turned away", 1);
-
-    /** Nothing is bound or served before {@link #start}. A reload reads from the source. */
-    public RouterServer(RouterConfig config, RouterConfig.Source source, Lifecycle lifecycle)
-            throws IOException {
-        this(config, source, lifecycle, Hosting.USUAL, null, null);
-    }
-
-    /** A router that agrees with others; {@code agreed} and {@code placing} null mean that it does not. */
-    public RouterServer(RouterConfig config, RouterConfig.Source source, Lifecycle lifecycle, Agreed agreed,
-            Placing placing) throws IOException {
-        this(config, source, lifecycle, Hosting.USUAL, agreed, placing);
-    }
-
-    /** A router whose module may be hosted otherwise, for tests. */
-    RouterServer(RouterConfig config, RouterConfig.Source source, Lifecycle lifecycle, Hosting hosting,
-            Agreed agreed, Placing placing) throws IOException {
-        this.config = config;
-        this.hosting = hosting;
-        this.agreed = agreed;
-        this.placing = placing;
-        this.lifecycle = lifecycle;
-        this.health = config.control() == null || agreed == null ? null : new HealthFigures(clock::now,
-            this::connections, this::mostConnections);
-        Counters counters = config.control() == null ? null
-            : health == null ? new Counters() : health.counters();
-        this.operators = counters == null ? null
-            : new Operators(config, lifecycle, clock, this::post, this::heldOut,
+  private static final Logger LOG = Logger.getLogger(RouterServer.class.getName());
+  private static final long MILLI = 1_000_000;
+
+  /** After a planned stop is announced, new connections still come for up to 0.4 s. */
+  private static final long ACCEPT_ON = 500 * MILLI;
+
+  /**
+   * Beyond the longest deadline, what is not answered so long after a planned stop was announced is
+   * given up.
+   */
+  private static final long ANSWERED_AFTER = 500 * MILLI;
+
+  /** A planned stop waits no longer than this for answers: the process is killed soon after. */
+  private static final long LONGEST_AT_STOP = 3_000 * MILLI;
+
+  /**
+   * The process is killed 0.7 s after the longest deadline: the last answers are on their way
+   * before.
+   */
+  private static final long LAST_ANSWERS = 60 * MILLI;
+
+  /** So long a start waits for the list that is agreed on. */
+  private static final long LONGEST_FOR_LIST = 2_000 * MILLI;
+
+  private static final long LONGEST_FOR_FIRST_LIST = 250 * MILLI;
+  private static final long STEP_MILLIS = 5;
+  private static final long SWEEP_MILLIS = 50;
+
+  /** A thread for requests that are out ends when it has waited so long for the next. */
+  private static final long KEEP_THREAD = 500 * MILLI;
+
+  /**
+   * How the module is hosted and what its mailbox gets; broken in tests to prove what watches over
+   * it.
+   */
+  interface Hosting {
+    /** As it should be. */
+    Hosting USUAL = new Hosting() {};
+
+    /** The host that the module's thread runs. */
+    default ModuleHost host(RouterConfig config, Clock clock, Fleet fleet, ListSource list) {
+      return new ModuleHost(config.settings().routing(), config.seed(), clock, fleet, list);
+    }
+
+    /** How long a start waits for discovery's first answer, or its failure, in nanoseconds. */
+    default long firstListWithin() {
+      return LONGEST_FOR_FIRST_LIST;
+    }
+
+    /** How a client's connection is served. */
+    default ClientConnection connection(SocketChannel client, ClientConnection.Site site) {
+      return new ClientConnection(client, site);
+    }
+
+    /** Where clients, cache servers and discovery post. */
+    default Consumer<Message> inbox(Consumer<Message> mailbox) {
+      return mailbox;
+    }
+  }
+
+  private final RouterConfig config;
+  private final Clock clock = Clock.system();
+  private final Lifecycle lifecycle;
+
+  /** Null where no second address is set. */
+  private final Operators operators;
+
+  private final Tally tally;
+
+  /** Null unless routers agree and a second address is set. */
+  private final HealthFigures health;
+
+  private final ModuleActor module;
+  private final ClientConnections clients;
+  private final ClientPoller poller = new ClientPoller(clock);
+  private final ClientEvents events = new ClientEvents();
+  private final ClientConnection.Site site;
+
+  /** Null until the router serves. */
+  private volatile Listener listener;
+
+  private final Discovery discovery;
+  private final Reloads reloads;
+
+  /** Null where no other process of this router can run beside this one. */
+  private final Neighbour neighbour;
+
+  private final Places places;
+  private final CacheActors cacheActors;
+  private volatile Settings settings;
+  private volatile Learned learned;
+
+  /** Null where routers share nothing. */
+  private final Agreed agreed;
+
+  /** Null where places are not decided on in common. */
+  private final Placing placing;
+
+  /** By what the module places keys; set by its thread. */
+  private Routing.Shares shares = Routing.Shares.ANYWHERE;
+
+  /** What the module is under; set by its thread. */
+  private volatile Agreed.Force force;
+
+  private volatile boolean beside;
+  private volatile RequestParser parser;
+  private final Hosting hosting;
+  private final CountDownLatch listHeard = new CountDownLatch(1);
+  private volatile long knownList;
+  private long switches;
+  private final Spell turnedAway = new Spell(LOG, "new client connections are turned away", 1);
+
+  /** Nothing is bound or served before {@link #start}. A reload reads from the source. */
+  public RouterServer(RouterConfig config, RouterConfig.Source source, Lifecycle lifecycle)
+      throws IOException {
+    this(config, source, lifecycle, Hosting.USUAL, null, null);
+  }
+
+  /**
+   * A router that agrees with others; {@code agreed} and {@code placing} null mean that it does
+   * not.
+   */
+  public RouterServer(
+      RouterConfig config,
+      RouterConfig.Source source,
+      Lifecycle lifecycle,
+      Agreed agreed,
+      Placing placing)
+      throws IOException {
+    this(config, source, lifecycle, Hosting.USUAL, agreed, placing);
+  }
+
+  /** A router whose module may be hosted otherwise, for tests. */
+  RouterServer(
+      RouterConfig config,
+      RouterConfig.Source source,
+      Lifecycle lifecycle,
+      Hosting hosting,
+      Agreed agreed,
+      Placing placing)
+      throws IOException {
+    this.config = config;
+    this.hosting = hosting;
+    this.agreed = agreed;
+    this.placing = placing;
+    this.lifecycle = lifecycle;
+    this.health =
+        config.control() == null || agreed == null
+            ? null
+            : new HealthFigures(clock::now, this::connections, this::mostConnections);
+    Counters counters =
+        config.control() == null ? null : health == null ? new Counters() : health.counters();
+    this.operators =
+        counters == null
+            ? null
+            : new Operators(
+                config,
+                lifecycle,
+                clock,
+                this::post,
+                this::heldOut,
                 new Operators.Figures(counters, health));
-        this.tally = counters == null ? Tally.NONE : counters;
-        this.module = new ModuleActor(
+    this.tally = counters == null ? Tally.NONE : counters;
+    this.module =
+        new ModuleActor(
             operators == null && !config.shared() && agreed == null ? null : this::look,
             agreed == null ? null : this::agree);
-        this.neighbour = config.shared() ? new Neighbour(config) : null;
-        this.beside = neighbour != null && neighbour.beside();
-        follow(config.settings());
-        Capacity capacity = capacity();
-        this.places = new Places(capacity.cacheConnections());
-        this.clients = new ClientConnections(capacity.clients(), capacity.easyClients());
-        Consumer<Message> inbox = hosting.inbox(module::post);
-        this.site = new ClientConnection.Site(() -> parser, clock, lifecycle,
-            inbox, poller, new OpenIds(), new Semaphore(capacity.largeRequests()), events, clients::remove);
-        this.discovery = new Discovery(config.discovery(), new ListReader(config.settings()),
-            config.known().version(), m -> {
-                inbox.accept(m);
-                noteList(m);
-                listHeard.countDown();
-            }, agreed == null ? () -> 0 : agreed::oldestList, WatchTimes.of(config.seed()));
-        this.reloads = new Reloads(source, discovery, config, module::post, this::follow, tally,
-            agreed != null);
-        Routing.Settings routing = config.settings().routing();
-        long idleTime = routing.permissions().connIdle() / 2;
-        this.cacheActors = new CacheActors(idleTime);
-        CacheFleet fleet = new CacheFleet(new CacheServer.Site(clock, inbox,
-            places, new ReplyReader(routing), routing.permissions().connectTimeout(), idleTime, tally,
-            cacheActors, new Workers("cache", KEEP_THREAD),
-            agreed == null ? () -> true : agreed::mayWrite));
-        ModuleHost host = hosting.host(config, clock, fleet, discovery);
-        host.count(counting());
-        module.host(host);
-    }
-
-    private List<Tally> counting() {
-        List<Tally> all = new ArrayList<>();
-        if (health != null) {
-            all.add(health.counters());
-        }
-        if (placing != null) {
-            all.add(placing);
-        }
-        return all;
-    }
-
-    private void noteList(Message message) {
-        if (agreed != null && message instanceof Message.News news
-                && news.news().kind() != Routing.ListKind.FAILED) {
-            knownList = news.news().version();
-            agreed.hasList(knownList);
-        }
-    }
-
-    /**
-     * The list that it was started with may be old, and what discovery has may count as told from the first
-     * moment of a process: nobody is served before discovery's first word, unless that is long in coming.
-     */
-    private void awaitFirstList() {
-        try {
-            if (!listHeard.await(hosting.firstListWithin(), TimeUnit.NANOSECONDS)) {
-                LOG.info("discovery is slow to answer: goes on with list " + config.known().version());
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-    }
-
-    /** The list that it was started with may be older than what all act on by now. */
-    private void awaitList() {
-        long until = clock.now() + LONGEST_FOR_LIST;
-        while (agreed.due().oldestList() > knownList && clock.now() < until) {
-            LockSupport.parkNanos(STEP_MILLIS * MILLI);
-        }
-        if (agreed.due().oldestList() > knownList) {
-            LOG.warning("list " + knownList + " is older than what is agreed on, " + agreed.due().oldestList()
-                + ", and discovery tells no newer one: serves on it");
-        }
-    }
-
-    private int connections() {
-        return clients.count();
-    }
-
-    private int mostConnections() {
-        return capacity().clients();
-    }
-
-    private Capacity capacity() {
-        return Capacity.of(config.sockets() / (beside ? 2 : 1), config.memoryMb());
-    }
-
-    /** On the module's thread, now and then. */
-    private void look(ModuleHost host) {
-        host.tell(tally);
-        if (agreed != null) {
-            Map<Fleet.Listed, Routing.Standing> standings = host.standings();
-            agreed.sees(standings);
-            if (health != null) {
-                health.knows(standings.keySet());
-            }
-            if (placing != null) {
-                placing.sees(standings);
-            }
-        }
-        if (beside) {
-            learned = host.learned();
-        }
-    }
-
-    /** On the module's thread, before each step: what was agreed on may have changed, or its lease ended. */
-    private void agree(ModuleHost host) {
-        Routing.Shares placed = placing == null ? shares : placing.due();
-        if (placed != shares) {
-            shares = placed;
-            host.handle(new Message.Placed(placed));
-        }
-        Agreed.Force due = agreed.due();
-        if (due == force) {
-            return;
-        }
-        Agreed.Force before = force;
-        force = due;
-        Set<String> was = before == null ? Set.of() : before.out();
-        if (!due.settings().equals(settings)) {
-            host.handle(new Message.Switched(due.settings().routing(), config.seed() + ++switches));
-            follow(due.settings());
-        }
-        long now = clock.now();
-        due.out().stream().filter(s -> !was.contains(s)).forEach(s -> hand(host, s, true, now));
-        was.stream().filter(s -> !due.out().contains(s) && (operators == null || !operators.leftOut(s)))
-            .forEach(s -> hand(host, s, false, now));
-        if (due.oldestList() > (before == null ? 0 : before.oldestList())) {
-            discovery.fetch();
-        }
-        agreed.applied(due);
-        LOG.info("acts on " + due.says());
-    }
-
-    private static void hand(ModuleHost host, String server, boolean out, long now) {
-        host.handle(new Message.ByHand(NameHash.of(server), out, now, true, known -> { }));
-    }
-
-    /** Whether all routers have agreed to leave the cache server out. */
-    private boolean heldOut(String server) {
-        Agreed.Force now = force;
-        return now != null && now.out().contains(server);
-    }
-
-    private void post(Message message) {
-        module.post(message);
-    }
-
-    /** Requests are read under these settings from here on. */
-    private void follow(Settings next) {
-        Settings before = settings == null ? next : settings;
-        settings = next;
-        next.classNames().forEach(tally::names);
-        parser = new RequestParser(next, before, tally);
-    }
-
-    /**
-     * Starts all actors and binds the clients' address last: from then on the kernel accepts, and what a
-     * client writes to a connection that was accepted is owed an answer in time, however long a router that
-     * is still compiling, or has not heard its list, would take to read it.
-     */
-    public void start() throws IOException {
-        if (operators != null) {
-            operators.start();
-        }
-        warmUp();
-        if (agreed != null) {
-            Threads.start("agreement", agreed);
-            if (placing != null) {
-                Threads.start("places", placing);
-            }
-        }
-        cacheActors.start();
-        Message.News known = new Message.News(config.known());
-        noteList(known);
-        module.begin(known);
-        Learned left = neighbour == null ? null : neighbour.left();
-        if (left != null) {
-            module.begin(new Message.Begun(left));
-        }
-        Threads.supervised("module", module::run);
-        discovery.start();
-        if (!settings.routing().askForList()) {
-            // Where lists are pushed the module does not ask, but here a watch is the only way to be told.
-            discovery.watch(true);
-        }
-        reloads.start();
-        poller.start();
-        Threads.supervised("sweeper", this::sweep);
-        if (agreed != null) {
-            agreed.awaitFirst();
-            awaitList();
-        }
-        awaitFirstList();
-        lifecycle.advance(Lifecycle.Phase.SERVING);
-        if (lifecycle.phase() != Lifecycle.Phase.SERVING) {
-            // Told to stop while it started: whom it accepted now nobody would answer.
-            return;
-        }
-        listener = config.shared() ? Listener.inherited(this::accepted)
+    this.neighbour = config.shared() ? new Neighbour(config) : null;
+    this.beside = neighbour != null && neighbour.beside();
+    follow(config.settings());
+    Capacity capacity = capacity();
+    this.places = new Places(capacity.cacheConnections());
+    this.clients = new ClientConnections(capacity.clients(), capacity.easyClients());
+    Consumer<Message> inbox = hosting.inbox(module::post);
+    this.site =
+        new ClientConnection.Site(
+            () -> parser,
+            clock,
+            lifecycle,
+            inbox,
+            poller,
+            new OpenIds(),
+            new Semaphore(capacity.largeRequests()),
+            events,
+            clients::remove);
+    this.discovery =
+        new Discovery(
+            config.discovery(),
+            new ListReader(config.settings()),
+            config.known().version(),
+            m -> {
+              inbox.accept(m);
+              noteList(m);
+              listHeard.countDown();
+            },
+            agreed == null ? () -> 0 : agreed::oldestList,
+            WatchTimes.of(config.seed()));
+    this.reloads =
+        new Reloads(source, discovery, config, module::post, this::follow, tally, agreed != null);
+    Routing.Settings routing = config.settings().routing();
+    long idleTime = routing.permissions().connIdle() / 2;
+    this.cacheActors = new CacheActors(idleTime);
+    CacheFleet fleet =
+        new CacheFleet(
+            new CacheServer.Site(
+                clock,
+                inbox,
+                places,
+                new ReplyReader(routing),
+                routing.permissions().connectTimeout(),
+                idleTime,
+                tally,
+                cacheActors,
+                new Workers("cache", KEEP_THREAD),
+                agreed == null ? () -> true : agreed::mayWrite));
+    ModuleHost host = hosting.host(config, clock, fleet, discovery);
+    host.count(counting());
+    module.host(host);
+  }
+
+  private List<Tally> counting() {
+    List<Tally> all = new ArrayList<>();
+    if (health != null) {
+      all.add(health.counters());
+    }
+    if (placing != null) {
+      all.add(placing);
+    }
+    return all;
+  }
+
+  private void noteList(Message message) {
+    if (agreed != null
+        && message instanceof Message.News news
+        && news.news().kind() != Routing.ListKind.FAILED) {
+      knownList = news.news().version();
+      agreed.hasList(knownList);
+    }
+  }
+
+  /**
+   * The list that it was started with may be old, and what discovery has may count as told from the
+   * first moment of a process: nobody is served before discovery's first word, unless that is long
+   * in coming.
+   */
+  private void awaitFirstList() {
+    try {
+      if (!listHeard.await(hosting.firstListWithin(), TimeUnit.NANOSECONDS)) {
+        LOG.info("discovery is slow to answer: goes on with list " + config.known().version());
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+  }
+
+  /** The list that it was started with may be older than what all act on by now. */
+  private void awaitList() {
+    long until = clock.now() + LONGEST_FOR_LIST;
+    while (agreed.due().oldestList() > knownList && clock.now() < until) {
+      LockSupport.parkNanos(STEP_MILLIS * MILLI);
+    }
+    if (agreed.due().oldestList() > knownList) {
+      LOG.warning(
+          "list "
+              + knownList
+              + " is older than what is agreed on, "
+              + agreed.due().oldestList()
+              + ", and discovery tells no newer one: serves on it");
+    }
+  }
+
+  private int connections() {
+    return clients.count();
+  }
+
+  private int mostConnections() {
+    return capacity().clients();
+  }
+
+  private Capacity capacity() {
+    return Capacity.of(config.sockets() / (beside ? 2 : 1), config.memoryMb());
+  }
+
+  /** On the module's thread, now and then. */
+  private void look(ModuleHost host) {
+    host.tell(tally);
+    if (agreed != null) {
+      Map<Fleet.Listed, Routing.Standing> standings = host.standings();
+      agreed.sees(standings);
+      if (health != null) {
+        health.knows(standings.keySet());
+      }
+      if (placing != null) {
+        placing.sees(standings);
+      }
+    }
+    if (beside) {
+      learned = host.learned();
+    }
+  }
+
+  /**
+   * On the module's thread, before each step: what was agreed on may have changed, or its lease
+   * ended.
+   */
+  private void agree(ModuleHost host) {
+    Routing.Shares placed = placing == null ? shares : placing.due();
+    if (placed != shares) {
+      shares = placed;
+      host.handle(new Message.Placed(placed));
+    }
+    Agreed.Force due = agreed.due();
+    if (due == force) {
+      return;
+    }
+    Agreed.Force before = force;
+    force = due;
+    Set<String> was = before == null ? Set.of() : before.out();
+    if (!due.settings().equals(settings)) {
+      host.handle(new Message.Switched(due.settings().routing(), config.seed() + ++switches));
+      follow(due.settings());
+    }
+    long now = clock.now();
+    due.out().stream().filter(s -> !was.contains(s)).forEach(s -> hand(host, s, true, now));
+    was.stream()
+        .filter(s -> !due.out().contains(s) && (operators == null || !operators.leftOut(s)))
+        .forEach(s -> hand(host, s, false, now));
+    if (due.oldestList() > (before == null ? 0 : before.oldestList())) {
+      discovery.fetch();
+    }
+    agreed.applied(due);
+    LOG.info("acts on " + due.says());
+  }
+
+  private static void hand(ModuleHost host, String server, boolean out, long now) {
+    host.handle(new Message.ByHand(NameHash.of(server), out, now, true, known -> {}));
+  }
+
+  /** Whether all routers have agreed to leave the cache server out. */
+  private boolean heldOut(String server) {
+    Agreed.Force now = force;
+    return now != null && now.out().contains(server);
+  }
+
+  private void post(Message message) {
+    module.post(message);
+  }
+
+  /** Requests are read under these settings from here on. */
+  private void follow(Settings next) {
+    Settings before = settings == null ? next : settings;
+    settings = next;
+    next.classNames().forEach(tally::names);
+    parser = new RequestParser(next, before, tally);
+  }
+
+  /**
+   * Starts all actors and binds the clients' address last: from then on the kernel accepts, and
+   * what a client writes to a connection that was accepted is owed an answer in time, however long
+   * a router that is still compiling, or has not heard its list, would take to read it.
+   */
+  public void start() throws IOException {
+    if (operators != null) {
+      operators.start();
+    }
+    warmUp();
+    if (agreed != null) {
+      Threads.start("agreement", agreed);
+      if (placing != null) {
+        Threads.start("places", placing);
+      }
+    }
+    cacheActors.start();
+    Message.News known = new Message.News(config.known());
+    noteList(known);
+    module.begin(known);
+    Learned left = neighbour == null ? null : neighbour.left();
+    if (left != null) {
+      module.begin(new Message.Begun(left));
+    }
+    Threads.supervised("module", module::run);
+    discovery.start();
+    if (!settings.routing().askForList()) {
+      // Where lists are pushed the module does not ask, but here a watch is the only way to be
+      // told.
+      discovery.watch(true);
+    }
+    reloads.start();
+    poller.start();
+    Threads.supervised("sweeper", this::sweep);
+    if (agreed != null) {
+      agreed.awaitFirst();
+      awaitList();
+    }
+    awaitFirstList();
+    lifecycle.advance(Lifecycle.Phase.SERVING);
+    if (lifecycle.phase() != Lifecycle.Phase.SERVING) {
+      // Told to stop while it started: whom it accepted now nobody would answer.
+      return;
+    }
+    listener =
+        config.shared()
+            ? Listener.inherited(this::accepted)
             : Listener.bound(config.listen(), this::accepted);
-        listener.start();
-        LOG.info(config.name() + " serves on " + listener.address() + "; at most "
-            + capacity().cacheConnections() + " threads for requests that are out at cache servers");
-    }
-
-    /** Asks for a new reading of the configuration; never waits, and may come in any phase. */
-    public void reload() {
-        reloads.ask();
-    }
-
-    /** Where operators call, or null where they cannot. */
-    public InetSocketAddress control() {
-        return operators == null ? null : operators.address();
-    }
-
-    /** Where clients connect. */
-    public InetSocketAddress address() {
-        return listener.address();
-    }
-
-    /**
-     * Serves on while connections still come, then ends each connection as soon as nothing is owed on it.
-     * What is still open when the longest time that a client waits is over is answered as failed, also what
-     * was read under earlier settings with longer deadlines: nothing that was taken goes without an answer,
-     * however long cache servers keep silent.
-     */
-    public void drain() throws InterruptedException {
-        if (!lifecycle.advance(Lifecycle.Phase.DRAINING)) {
-            return;
-        }
-        long began = clock.now();
-        // What is shared another process accepts from; else nobody does, and new connections still come.
-        long acceptOn = config.shared() ? 0 : ACCEPT_ON;
-        Thread.sleep(acceptOn / MILLI);
-        if (listener != null) {
-            listener.close();
-        }
-        long longest = Math.min(settings.routing().longestDeadline(), LONGEST_AT_STOP);
-        endClients(began + longest + ANSWERED_AFTER);
-        int unanswered = clients.count() == 0 ? 0 : module.open();
-        module.post(new Message.Stopping());
-        endClients(clock.now() + LAST_ANSWERS);
-        LOG.info("drained in " + (clock.now() - began) / MILLI + " ms, " + unanswered
+    listener.start();
+    LOG.info(
+        config.name()
+            + " serves on "
+            + listener.address()
+            + "; at most "
+            + capacity().cacheConnections()
+            + " threads for requests that are out at cache servers");
+  }
+
+  /** Asks for a new reading of the configuration; never waits, and may come in any phase. */
+  public void reload() {
+    reloads.ask();
+  }
+
+  /** Where operators call, or null where they cannot. */
+  public InetSocketAddress control() {
+    return operators == null ? null : operators.address();
+  }
+
+  /** Where clients connect. */
+  public InetSocketAddress address() {
+    return listener.address();
+  }
+
+  /**
+   * Serves on while connections still come, then ends each connection as soon as nothing is owed on
+   * it. What is still open when the longest time that a client waits is over is answered as failed,
+   * also what was read under earlier settings with longer deadlines: nothing that was taken goes
+   * without an answer, however long cache servers keep silent.
+   */
+  public void drain() throws InterruptedException {
+    if (!lifecycle.advance(Lifecycle.Phase.DRAINING)) {
+      return;
+    }
+    long began = clock.now();
+    // What is shared another process accepts from; else nobody does, and new connections still
+    // come.
+    long acceptOn = config.shared() ? 0 : ACCEPT_ON;
+    Thread.sleep(acceptOn / MILLI);
+    if (listener != null) {
+      listener.close();
+    }
+    long longest = Math.min(settings.routing().longestDeadline(), LONGEST_AT_STOP);
+    endClients(began + longest + ANSWERED_AFTER);
+    int unanswered = clients.count() == 0 ? 0 : module.open();
+    module.post(new Message.Stopping());
+    endClients(clock.now() + LAST_ANSWERS);
+    LOG.info(
+        "drained in "
+            + (clock.now() - began) / MILLI
+            + " ms, "
+            + unanswered
             + " given up at the end");
-        module.stop();
-        if (placing != null) {
-            placing.leave();
-        }
-        if (agreed != null) {
-            agreed.leave();
-        }
-        if (operators != null) {
-            operators.close();
-        }
-        lifecycle.advance(Lifecycle.Phase.STOPPED);
-    }
-
-    /** Ends the connections of clients until there is none, or until that time. */
-    private void endClients(long until) throws InterruptedException {
-        while (clients.count() > 0 && clock.now() < until) {
-            clients.stop();
-            clients.sweep(clock.now());
-            Thread.sleep(STEP_MILLIS);
-        }
-    }
-
-    private void warmUp() {
-        try {
-            long began = clock.now();
-            new WarmUp(config).run();
-            LOG.info("warmed up in " + (clock.now() - began) / MILLI + " ms");
-        } catch (ProtocolException | InvalidCommandException | RuntimeException e) {
-            // A router that is slow at first is better than none.
-            LOG.log(Level.WARNING, "warm-up failed", e);
-        }
-    }
-
-    private void accepted(SocketChannel client) {
-        // The one accepting thread must not be held up by clients that keep others at work.
-        if (clients.makeRoom(clock.now())) {
-            ClientConnection connection = hosting.connection(client, site);
-            clients.add(connection);
-            connection.start();
-        } else {
-            Sockets.close(client);
-            turnedAway.note(clock.now());
-        }
-        turnedAway.check(clock.now());
-    }
-
-    /** Beside another process of this router: keeps to its part, and leaves the other what was learned. */
-    private void share() {
-        beside = neighbour.beside();
-        Capacity now = capacity();
-        clients.bounds(now.clients(), now.easyClients());
-        places.most(now.cacheConnections());
-        Learned latest = learned;
-        learned = null;
-        if (beside && latest != null && lifecycle.phase() == Lifecycle.Phase.SERVING) {
-            neighbour.leave(latest);
-        }
-    }
-
-    private void sweep() throws InterruptedException {
-        Pauses pauses = new Pauses(clock, Pauses::ownProcessorTime);
-        while (lifecycle.phase() != Lifecycle.Phase.STOPPED) {
-            String pause = pauses.look();
-            if (pause != null) {
-                LOG.warning(pause);
-            }
-            clients.sweep(clock.now());
-            if (neighbour != null) {
-                share();
-            }
-            Thread.sleep(SWEEP_MILLIS);
-        }
+    module.stop();
+    if (placing != null) {
+      placing.leave();
+    }
+    if (agreed != null) {
+      agreed.leave();
+    }
+    if (operators != null) {
+      operators.close();
+    }
+    lifecycle.advance(Lifecycle.Phase.STOPPED);
+  }
+
+  /** Ends the connections of clients until there is none, or until that time. */
+  private void endClients(long until) throws InterruptedException {
+    while (clients.count() > 0 && clock.now() < until) {
+      clients.stop();
+      clients.sweep(clock.now());
+      Thread.sleep(STEP_MILLIS);
+    }
+  }
+
+  private void warmUp() {
+    try {
+      long began = clock.now();
+      new WarmUp(config).run();
+      LOG.info("warmed up in " + (clock.now() - began) / MILLI + " ms");
+    } catch (ProtocolException | InvalidCommandException | RuntimeException e) {
+      // A router that is slow at first is better than none.
+      LOG.log(Level.WARNING, "warm-up failed", e);
+    }
+  }
+
+  private void accepted(SocketChannel client) {
+    // The one accepting thread must not be held up by clients that keep others at work.
+    if (clients.makeRoom(clock.now())) {
+      ClientConnection connection = hosting.connection(client, site);
+      clients.add(connection);
+      connection.start();
+    } else {
+      Sockets.close(client);
+      turnedAway.note(clock.now());
+    }
+    turnedAway.check(clock.now());
+  }
+
+  /**
+   * Beside another process of this router: keeps to its part, and leaves the other what was
+   * learned.
+   */
+  private void share() {
+    beside = neighbour.beside();
+    Capacity now = capacity();
+    clients.bounds(now.clients(), now.easyClients());
+    places.most(now.cacheConnections());
+    Learned latest = learned;
+    learned = null;
+    if (beside && latest != null && lifecycle.phase() == Lifecycle.Phase.SERVING) {
+      neighbour.leave(latest);
+    }
+  }
+
+  private void sweep() throws InterruptedException {
+    Pauses pauses = new Pauses(clock, Pauses::ownProcessorTime);
+    while (lifecycle.phase() != Lifecycle.Phase.STOPPED) {
+      String pause = pauses.look();
+      if (pause != null) {
+        LOG.warning(pause);
+      }
+      clients.sweep(clock.now());
+      if (neighbour != null) {
+        share();
+      }
+      Thread.sleep(SWEEP_MILLIS);
     }
+  }
 }
--- a/src/main/java/beaconturn/net/Sockets.java
+++ b/src/main/java/beaconturn/net/Sockets.java
@@ -14,65 +14,67 @@
 
 /** Small helpers that all connections share. */
 final class Sockets {
-    private static final int COALESCED = 2048;
-    /** Each thread keeps a buffer outside the heap as large as its largest read or write. */
-    static final int LARGEST_STEP = 8 * 1024;
+  private static final int COALESCED = 2048;
 
-    private Sockets() {
-    }
+  /** Each thread keeps a buffer outside the heap as large as its largest read or write. */
+  static final int LARGEST_STEP = 8 * 1024;
+
+  private Sockets() {}
 
-    /** Reads what is there, waiting for the first byte; false at the end of the stream. */
-    static boolean read(InputStream from, InputBuffer into) throws IOException {
-        int room = Math.min(LARGEST_STEP, into.room());
-        int got = from.read(into.array(), into.end(), room);
-        if (got < 0) {
-            return false;
-        }
-        into.filled(got);
-        return true;
+  /** Reads what is there, waiting for the first byte; false at the end of the stream. */
+  static boolean read(InputStream from, InputBuffer into) throws IOException {
+    int room = Math.min(LARGEST_STEP, into.room());
+    int got = from.read(into.array(), into.end(), room);
+    if (got < 0) {
+      return false;
     }
+    into.filled(got);
+    return true;
+  }
 
-    /** Writes small pieces as one, so that a message of many of them is one packet. */
-    static void write(OutputStream to, List<Slice> pieces) throws IOException {
-        BufferedOutputStream out = new BufferedOutputStream(to, COALESCED);
-        for (Slice piece : pieces) {
-            for (int done = 0; done < piece.length(); done += LARGEST_STEP) {
-                int step = Math.min(LARGEST_STEP, piece.length() - done);
-                out.write(piece.array(), piece.from() + done, step);
-            }
-        }
-        out.flush();
+  /** Writes small pieces as one, so that a message of many of them is one packet. */
+  static void write(OutputStream to, List<Slice> pieces) throws IOException {
+    BufferedOutputStream out = new BufferedOutputStream(to, COALESCED);
+    for (Slice piece : pieces) {
+      for (int done = 0; done < piece.length(); done += LARGEST_STEP) {
+        int step = Math.min(LARGEST_STEP, piece.length() - done);
+        out.write(piece.array(), piece.from() + done, step);
+      }
     }
+    out.flush();
+  }
 
-    /** Writes as much as the peer takes without waiting; true once all is written. */
-    static boolean writeSome(SocketChannel to, ByteBuffer bytes) throws IOException {
-        int end = bytes.limit();
-        int written = 1;
-        while (bytes.position() < end && written > 0) {
-            bytes.limit(Math.min(end, bytes.position() + LARGEST_STEP));
-            written = to.write(bytes);
-            bytes.limit(end);
-        }
-        return bytes.position() == end;
+  /** Writes as much as the peer takes without waiting; true once all is written. */
+  static boolean writeSome(SocketChannel to, ByteBuffer bytes) throws IOException {
+    int end = bytes.limit();
+    int written = 1;
+    while (bytes.position() < end && written > 0) {
+      bytes.limit(Math.min(end, bytes.position() + LARGEST_STEP));
+      written = to.write(bytes);
+      bytes.limit(end);
     }
+    return bytes.position() == end;
+  }
 
-    /** Closes without waiting; a socket that is closed already stays so. */
-    static void close(Closeable socket) {
-        try {
-            socket.close();
-        } catch (IOException e) {
-            // There is nothing left to do with a socket that fails to close.
-            return;
-        }
+  /** Closes without waiting; a socket that is closed already stays so. */
+  static void close(Closeable socket) {
+    try {
+      socket.close();
+    } catch (IOException e) {
+      // There is nothing left to do with a socket that fails to close.
+      return;
     }
+  }
 
-    /** An address written as host:port, without asking any name service. */
-    static InetSocketAddress address(String text) {
-        int colon = text.lastIndexOf(':');
-        if (colon <= 0 || !text.substring(colon + 1).matches("[0-9]{1,5}")
-                || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
-            throw new IllegalArgumentException("not an address and port: '" + text + "'");
-        }
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+  /** An address written as host:port, without asking any name service. */
+  static InetSocketAddress address(String text) {
+    int colon = text.lastIndexOf(':');
+    if (colon <= 0
+        || !text.substring(colon + 1).matches("[0-9]{1,5}")
+        || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
+      throw new IllegalArgumentException("not an address and port: '" + text + "'");
     }
+    return new InetSocketAddress(
+        text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+  }
 }
--- a/src/main/java/beaconturn/net/WarmUp.java
+++ b/src/main/java/beaconturn/net/WarmUp.java
@@ -19,110 +19,123 @@
 import java.util.Queue;
 
 /**
- * Runs requests through a module of its own before the router says that it is ready: parsers, decisions and
- * writers are then compiled when the first client comes. All in memory, nothing is sent to anybody.
+ * Runs requests through a module of its own before the router says that it is ready: parsers,
+ * decisions and writers are then compiled when the first client comes. All in memory, nothing is
+ * sent to anybody.
  */
 final class WarmUp {
-    private static final int ROUNDS = 120;
-    private static final long STEP = 5_000_000;
-    private static final long MILLI = 1_000_000;
-    private static final int KEYS = 500;
-    private static final String ANSWER = "*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n";
-
-    private final Settings settings;
-    private final RequestParser requests;
-    private final ReplyReader replies;
-    private final RespReader resp = new RespReader(RespReader.LONGEST_VALUE);
-    private final Queue<Attempt> sent = new ArrayDeque<>();
-    private final ModuleHost host;
-    private final OpenIds ids = new OpenIds();
-    private long now = 1;
-
-    WarmUp(RouterConfig config) {
-        this.settings = config.settings();
-        this.requests = new RequestParser(settings, Tally.NONE);
-        this.replies = new ReplyReader(settings.routing());
-        this.host = new ModuleHost(settings.routing(), config.seed(), () -> now, new NoFleet(), new NoList());
-        host.handle(new Message.News(config.known()));
+  private static final int ROUNDS = 120;
+  private static final long STEP = 5_000_000;
+  private static final long MILLI = 1_000_000;
+  private static final int KEYS = 500;
+  private static final String ANSWER = "*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n";
+
+  private final Settings settings;
+  private final RequestParser requests;
+  private final ReplyReader replies;
+  private final RespReader resp = new RespReader(RespReader.LONGEST_VALUE);
+  private final Queue<Attempt> sent = new ArrayDeque<>();
+  private final ModuleHost host;
+  private final OpenIds ids = new OpenIds();
+  private long now = 1;
+
+  WarmUp(RouterConfig config) {
+    this.settings = config.settings();
+    this.requests = new RequestParser(settings, Tally.NONE);
+    this.replies = new ReplyReader(settings.routing());
+    this.host =
+        new ModuleHost(settings.routing(), config.seed(), () -> now, new NoFleet(), new NoList());
+    host.handle(new Message.News(config.known()));
+  }
+
+  /** Runs all rounds; each ends with the answers to what was sent two rounds before. */
+  void run() throws ProtocolException, InvalidCommandException {
+    for (int i = 0; i < ROUNDS; i++) {
+      now += STEP;
+      host.runDue();
+      host.handle(new Message.Arrived(requests.parse(command(i).items(), now, ids)));
+      while (sent.size() > 2) {
+        answer(sent.remove());
+      }
     }
-
-    /** Runs all rounds; each ends with the answers to what was sent two rounds before. */
-    void run() throws ProtocolException, InvalidCommandException {
-        for (int i = 0; i < ROUNDS; i++) {
-            now += STEP;
-            host.runDue();
-            host.handle(new Message.Arrived(requests.parse(command(i).items(), now, ids)));
-            while (sent.size() > 2) {
-                answer(sent.remove());
-            }
-        }
-    }
-
-    private RespValue.Array command(int round) throws ProtocolException {
-        String name = settings.classNames().get(round % settings.classNames().size());
-        Routing.RequestClass type = settings.routing().classes().get(round % settings.classNames().size());
-        String attributes = "c=" + name + ",k=" + round + ",d=" + Math.max(1, type.deadline() / MILLI / 2);
-        return (RespValue.Array) parse("*4\r\n$5\r\nC.GET\r\n$16\r\n" + hex(round % KEYS + 1) + "\r\n$16\r\n"
-            + hex(round) + "\r\n$" + attributes.length() + "\r\n" + attributes + "\r\n");
+  }
+
+  private RespValue.Array command(int round) throws ProtocolException {
+    String name = settings.classNames().get(round % settings.classNames().size());
+    Routing.RequestClass type =
+        settings.routing().classes().get(round % settings.classNames().size());
+    String attributes =
+        "c=" + name + ",k=" + round + ",d=" + Math.max(1, type.deadline() / MILLI / 2);
+    return (RespValue.Array)
+        parse(
+            "*4\r\n$5\r\nC.GET\r\n$16\r\n"
+                + hex(round % KEYS + 1)
+                + "\r\n$16\r\n"
+                + hex(round)
+                + "\r\n$"
+                + attributes.length()
+                + "\r\n"
+                + attributes
+                + "\r\n");
+  }
+
+  private static String hex(long number) {
+    return HexFormat.of().toHexDigits(number);
+  }
+
+  private void answer(Attempt attempt) throws ProtocolException {
+    attempt.call().forwarded(1);
+    host.handle(new Message.Ended(attempt, replies.read(parse(ANSWER), now)));
+  }
+
+  private RespValue parse(String text) throws ProtocolException {
+    InputBuffer in = new InputBuffer();
+    Slice bytes = Slice.of(text);
+    in.room();
+    System.arraycopy(bytes.array(), 0, in.array(), in.end(), bytes.length());
+    in.filled(bytes.length());
+    return resp.next(in);
+  }
+
+  private final class NoFleet implements Fleet {
+    @Override
+    public boolean send(Attempt attempt) {
+      return sent.add(attempt);
     }
 
-    private static String hex(long number) {
-        return HexFormat.of().toHexDigits(number);
+    @Override
+    public void abort(Attempt attempt) {
+      sent.remove(attempt);
     }
 
-    private void answer(Attempt attempt) throws ProtocolException {
-        attempt.call().forwarded(1);
-        host.handle(new Message.Ended(attempt, replies.read(parse(ANSWER), now)));
+    @Override
+    public void closeIdle(long server) {
+      sent.removeIf(a -> a.server() == server);
     }
 
-    private RespValue parse(String text) throws ProtocolException {
-        InputBuffer in = new InputBuffer();
-        Slice bytes = Slice.of(text);
-        in.room();
-        System.arraycopy(bytes.array(), 0, in.array(), in.end(), bytes.length());
-        in.filled(bytes.length());
-        return resp.next(in);
+    @Override
+    public void follow(ListNews news) {
+      sent.clear();
     }
 
-    private final class NoFleet implements Fleet {
-        @Override
-        public boolean send(Attempt attempt) {
-            return sent.add(attempt);
-        }
-
-        @Override
-        public void abort(Attempt attempt) {
-            sent.remove(attempt);
-        }
-
-        @Override
-        public void closeIdle(long server) {
-            sent.removeIf(a -> a.server() == server);
-        }
-
-        @Override
-        public void follow(ListNews news) {
-            sent.clear();
-        }
-
-        @Override
-        public boolean byHand(long server, boolean out, boolean mayCome) {
-            return mayCome;
-        }
+    @Override
+    public boolean byHand(long server, boolean out, boolean mayCome) {
+      return mayCome;
     }
+  }
 
-    /** The warm-up's module keeps to the list that it was given. */
-    private static final class NoList implements ListSource {
-        private int calls;
+  /** The warm-up's module keeps to the list that it was given. */
+  private static final class NoList implements ListSource {
+    private int calls;
 
-        @Override
-        public void watch(boolean on) {
-            calls++;
-        }
+    @Override
+    public void watch(boolean on) {
+      calls++;
+    }
 
-        @Override
-        public void fetch() {
-            calls++;
-        }
+    @Override
+    public void fetch() {
+      calls++;
     }
+  }
 }
--- a/src/main/java/beaconturn/net/agreement/AgreementConfig.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementConfig.java
@@ -13,4 +13,5 @@
  * @param timing the times, and what follows from them
  * @param folder where versions are kept for a restart, or null
  */
-public record AgreementConfig(List<InetSocketAddress> endpoints, String fleet, Timing timing, Path folder) { }
+public record AgreementConfig(
+    List<InetSocketAddress> endpoints, String fleet, Timing timing, Path folder) {}
--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -23,218 +23,247 @@
 import java.util.logging.Logger;
 
 /**
- * A router's part in the agreement, on a thread of its own: the module's thread never waits for the store, it
- * reads what is due from a field.
+ * A router's part in the agreement, on a thread of its own: the module's thread never waits for the
+ * store, it reads what is due from a field.
  */
 public final class AgreementSubsystem implements Agreed, Member.Router {
-    private static final Logger LOG = Logger.getLogger(AgreementSubsystem.class.getName());
-    private static final long LONGEST_LEAVE = 1_000_000_000;
-    /** A start waits for the store as long as so many calls may take. */
-    private static final int FIRST_CALLS = 2;
-    private final AgreementConfig config;
-    private final Settings configured;
-    private final Clock clock;
-    private final KeptFile file;
-    private final Member member;
-    private volatile Forces forces;
-    private volatile Force applied;
-    private volatile boolean stopped;
-    private volatile Sight sight;
-    /** Of the thread that tells what it sees. */
-    private final Ejections ejections = new Ejections();
-    private volatile long list = Long.MIN_VALUE;
-    private long sightDue = Long.MIN_VALUE;
-    /** Set once, guarded by this. */
-    private volatile boolean asked;
-    // Guarded by this:
-    private boolean left;
-
-    /** What is due until a time and from then on. */
-    private record Forces(long until, Force held, Force after) { }
-
-    /** A part that asks nobody before it is run. */
-    public AgreementSubsystem(AgreementConfig config, RouterConfig router) {
-        this.config = config;
-        this.configured = router.settings();
-        this.clock = Clock.system();
-        this.file = new KeptFile(config.folder(), router.name(), LOG::info);
-        Kept kept = file.read();
-        long now = clock.now();
-        String incarnation = Long.toHexString(now) + "-" + ProcessHandle.current().pid();
-        this.member = new Member(new Keys(config.fleet()), config.timing(), router.name(), incarnation,
-            router.shared(), Rules.of(configured), kept, router.seed() ^ now, now, this, LOG::info);
-    }
+  private static final Logger LOG = Logger.getLogger(AgreementSubsystem.class.getName());
+  private static final long LONGEST_LEAVE = 1_000_000_000;
 
-    @Override
-    public void run() {
-        StoreClient store = new StoreClient(config.endpoints(), config.timing().callTimeout());
-        try {
-            while (!stopped) {
-                Call call = member.next(clock.now());
-                if (call != null) {
-                    member.answered(clock.now(), store.ask(call));
-                    if (!asked && member.hasAsked()) {
-                        hasAsked();
-                    }
-                } else if (!tellSight(store)) {
-                    await(Math.min(member.wakeAt(), sightAt()) - clock.now());
-                }
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        } catch (RuntimeException | Error e) {
-            LOG.log(Level.SEVERE, "the agreement ended: the router goes on to safe ground", e);
-        } finally {
-            if (stopped) {
-                member.leave().forEach(store::ask);
-            }
-            store.close();
-            hasLeft();
-        }
-    }
+  /** A start waits for the store as long as so many calls may take. */
+  private static final int FIRST_CALLS = 2;
 
-    /** Tells what is seen once it has changed, no more often than a lease is renewed; whether it called. */
-    private boolean tellSight(StoreClient store) {
-        if (clock.now() < sightAt()) {
-            return false;
-        }
-        Sight seen = sight;
-        Call call = member.tells(seen);
-        sightDue = clock.now() + config.timing().renewEvery();
+  private final AgreementConfig config;
+  private final Settings configured;
+  private final Clock clock;
+  private final KeptFile file;
+  private final Member member;
+  private volatile Forces forces;
+  private volatile Force applied;
+  private volatile boolean stopped;
+  private volatile Sight sight;
+
+  /** Of the thread that tells what it sees. */
+  private final Ejections ejections = new Ejections();
+
+  private volatile long list = Long.MIN_VALUE;
+  private long sightDue = Long.MIN_VALUE;
+
+  /** Set once, guarded by this. */
+  private volatile boolean asked;
+
+  // Guarded by this:
+  private boolean left;
+
+  /** What is due until a time and from then on. */
+  private record Forces(long until, Force held, Force after) {}
+
+  /** A part that asks nobody before it is run. */
+  public AgreementSubsystem(AgreementConfig config, RouterConfig router) {
+    this.config = config;
+    this.configured = router.settings();
+    this.clock = Clock.system();
+    this.file = new KeptFile(config.folder(), router.name(), LOG::info);
+    Kept kept = file.read();
+    long now = clock.now();
+    String incarnation = Long.toHexString(now) + "-" + ProcessHandle.current().pid();
+    this.member =
+        new Member(
+            new Keys(config.fleet()),
+            config.timing(),
+            router.name(),
+            incarnation,
+            router.shared(),
+            Rules.of(configured),
+            kept,
+            router.seed() ^ now,
+            now,
+            this,
+            LOG::info);
+  }
+
+  @Override
+  public void run() {
+    StoreClient store = new StoreClient(config.endpoints(), config.timing().callTimeout());
+    try {
+      while (!stopped) {
+        Call call = member.next(clock.now());
         if (call != null) {
-            member.told(seen, store.ask(call));
+          member.answered(clock.now(), store.ask(call));
+          if (!asked && member.hasAsked()) {
+            hasAsked();
+          }
+        } else if (!tellSight(store)) {
+          await(Math.min(member.wakeAt(), sightAt()) - clock.now());
         }
-        return call != null;
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    } catch (RuntimeException | Error e) {
+      LOG.log(Level.SEVERE, "the agreement ended: the router goes on to safe ground", e);
+    } finally {
+      if (stopped) {
+        member.leave().forEach(store::ask);
+      }
+      store.close();
+      hasLeft();
     }
+  }
 
-    private long sightAt() {
-        return sight == null ? Long.MAX_VALUE : sightDue;
+  /**
+   * Tells what is seen once it has changed, no more often than a lease is renewed; whether it
+   * called.
+   */
+  private boolean tellSight(StoreClient store) {
+    if (clock.now() < sightAt()) {
+      return false;
+    }
+    Sight seen = sight;
+    Call call = member.tells(seen);
+    sightDue = clock.now() + config.timing().renewEvery();
+    if (call != null) {
+      member.told(seen, store.ask(call));
     }
+    return call != null;
+  }
 
-    @Override
-    public void sees(Map<Fleet.Listed, Routing.Standing> caches) {
-        SortedMap<String, Long> in = new TreeMap<>();
-        SortedMap<String, String> out = new TreeMap<>();
-        ejections.only(caches.entrySet().stream().filter(e -> e.getValue() == Routing.Standing.EJECTED)
-            .map(e -> e.getKey().name()).toList());
-        caches.forEach((listed, standing) -> {
-            boolean passing = standing == Routing.Standing.EJECTED
-                && !ejections.lasts(listed.name(), clock.now());
-            if (standing == Routing.Standing.IN || passing) {
-                in.put(listed.name(), listed.bootTime());
-            } else {
-                out.put(listed.name(), standing.name().toLowerCase(Locale.ROOT).replace('_', ' '));
-            }
+  private long sightAt() {
+    return sight == null ? Long.MAX_VALUE : sightDue;
+  }
+
+  @Override
+  public void sees(Map<Fleet.Listed, Routing.Standing> caches) {
+    SortedMap<String, Long> in = new TreeMap<>();
+    SortedMap<String, String> out = new TreeMap<>();
+    ejections.only(
+        caches.entrySet().stream()
+            .filter(e -> e.getValue() == Routing.Standing.EJECTED)
+            .map(e -> e.getKey().name())
+            .toList());
+    caches.forEach(
+        (listed, standing) -> {
+          boolean passing =
+              standing == Routing.Standing.EJECTED && !ejections.lasts(listed.name(), clock.now());
+          if (standing == Routing.Standing.IN || passing) {
+            in.put(listed.name(), listed.bootTime());
+          } else {
+            out.put(listed.name(), standing.name().toLowerCase(Locale.ROOT).replace('_', ' '));
+          }
         });
-        sight = new Sight(in, out);
-    }
+    sight = new Sight(in, out);
+  }
 
-    private synchronized void hasAsked() {
-        asked = true;
-        notifyAll();
-    }
+  private synchronized void hasAsked() {
+    asked = true;
+    notifyAll();
+  }
 
-    @Override
-    public synchronized void awaitFirst() {
-        long until = System.nanoTime() + FIRST_CALLS * config.timing().callTimeout();
-        try {
-            for (long wait = until - System.nanoTime(); !asked && wait > 0;
-                    wait = until - System.nanoTime()) {
-                TimeUnit.NANOSECONDS.timedWait(this, wait);
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+  @Override
+  public synchronized void awaitFirst() {
+    long until = System.nanoTime() + FIRST_CALLS * config.timing().callTimeout();
+    try {
+      for (long wait = until - System.nanoTime();
+          !asked && wait > 0;
+          wait = until - System.nanoTime()) {
+        TimeUnit.NANOSECONDS.timedWait(this, wait);
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 
-    private synchronized void hasLeft() {
-        left = true;
-        notifyAll();
-    }
+  private synchronized void hasLeft() {
+    left = true;
+    notifyAll();
+  }
 
-    private synchronized void await(long nanos) throws InterruptedException {
-        if (nanos > 0 && !stopped) {
-            TimeUnit.NANOSECONDS.timedWait(this, nanos);
-        }
+  private synchronized void await(long nanos) throws InterruptedException {
+    if (nanos > 0 && !stopped) {
+      TimeUnit.NANOSECONDS.timedWait(this, nanos);
     }
+  }
 
-    @Override
-    public void ground(Ground ground) {
-        Forces before = forces;
-        Force held = force(ground.held(), ground.heldAs(), before);
-        Force after = force(ground.after(), ground.afterAs(), before);
-        forces = new Forces(ground.until(), held, after);
-    }
+  @Override
+  public void ground(Ground ground) {
+    Forces before = forces;
+    Force held = force(ground.held(), ground.heldAs(), before);
+    Force after = force(ground.after(), ground.afterAs(), before);
+    forces = new Forces(ground.until(), held, after);
+  }
 
-    /** The same object where nothing has changed, so that the router need not compare more. */
-    private Force force(Content content, String says, Forces before) {
-        if (before != null && before.held().means(content, says)) {
-            return before.held();
-        }
-        if (before != null && before.after().means(content, says)) {
-            return before.after();
-        }
-        return new Force(Rules.under(configured, content), content.out(), content.oldestList(), content,
-            says);
+  /** The same object where nothing has changed, so that the router need not compare more. */
+  private Force force(Content content, String says, Forces before) {
+    if (before != null && before.held().means(content, says)) {
+      return before.held();
     }
-
-    @Override
-    public boolean keep(Kept kept) {
-        return file.write(kept);
+    if (before != null && before.after().means(content, says)) {
+      return before.after();
     }
+    return new Force(
+        Rules.under(configured, content), content.out(), content.oldestList(), content, says);
+  }
 
-    @Override
-    public String objection(Content content) {
-        return Rules.objection(configured, content);
-    }
+  @Override
+  public boolean keep(Kept kept) {
+    return file.write(kept);
+  }
 
-    @Override
-    public boolean ready(Content content) {
-        return list >= content.oldestList();
-    }
+  @Override
+  public String objection(Content content) {
+    return Rules.objection(configured, content);
+  }
 
-    @Override
-    public long oldestList() {
-        Forces now = forces;
-        return Math.max(now.held().oldestList(), now.after().oldestList());
-    }
+  @Override
+  public boolean ready(Content content) {
+    return list >= content.oldestList();
+  }
 
-    @Override
-    public void hasList(long version) {
-        list = version;
-    }
+  @Override
+  public long oldestList() {
+    Forces now = forces;
+    return Math.max(now.held().oldestList(), now.after().oldestList());
+  }
 
-    @Override
-    public Force due() {
-        Forces now = forces;
-        return clock.now() < now.until() ? now.held() : now.after();
-    }
+  @Override
+  public void hasList(long version) {
+    list = version;
+  }
 
-    @Override
-    public void applied(Force force) {
-        applied = force;
-    }
+  @Override
+  public Force due() {
+    Forces now = forces;
+    return clock.now() < now.until() ? now.held() : now.after();
+  }
 
-    @Override
-    public boolean mayWrite() {
-        Forces now = forces;
-        Force in = applied;
-        return clock.now() < now.until() || in == now.after()
-            || in != null && in.content().equals(now.after().content());
-    }
+  @Override
+  public void applied(Force force) {
+    applied = force;
+  }
 
-    /** Takes the router off the roster, so that nobody waits for it; in vain if the store is out of reach. */
-    @Override
-    public synchronized void leave() {
-        stopped = true;
-        notifyAll();
-        long until = System.nanoTime() + LONGEST_LEAVE;
-        try {
-            for (long wait = LONGEST_LEAVE; !left && wait > 0; wait = until - System.nanoTime()) {
-                TimeUnit.NANOSECONDS.timedWait(this, wait);
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+  @Override
+  public boolean mayWrite() {
+    Forces now = forces;
+    Force in = applied;
+    return clock.now() < now.until()
+        || in == now.after()
+        || in != null && in.content().equals(now.after().content());
+  }
+
+  /**
+   * Takes the router off the roster, so that nobody waits for it; in vain if the store is out of
+   * reach.
+   */
+  @Override
+  public synchronized void leave() {
+    stopped = true;
+    notifyAll();
+    long until = System.nanoTime() + LONGEST_LEAVE;
+    try {
+      for (long wait = LONGEST_LEAVE; !left && wait > 0; wait = until - System.nanoTime()) {
+        TimeUnit.NANOSECONDS.timedWait(this, wait);
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 }
--- a/src/main/java/beaconturn/net/control/MachineTime.java
+++ b/src/main/java/beaconturn/net/control/MachineTime.java
@@ -1,18 +1,19 @@
 package beaconturn.net.control;
 
 /**
- * Milliseconds of this machine's monotonic clock, which all processes on it read alike and no correction of
- * the wall clock moves. Begins anew with the machine: of use only between processes that run there one after
- * the other.
+ * Milliseconds of this machine's monotonic clock, which all processes on it read alike and no
+ * correction of the wall clock moves. Begins anew with the machine: of use only between processes
+ * that run there one after the other.
  */
 public final class MachineTime {
-    private static final long MILLI = 1_000_000;
+  private static final long MILLI = 1_000_000;
 
-    private MachineTime() {
-    }
+  private MachineTime() {}
 
-    /** The time now; Java's monotonic clock is the kernel's, without an origin of the process's own. */
-    public static long millis() {
-        return System.nanoTime() / MILLI;
-    }
+  /**
+   * The time now; Java's monotonic clock is the kernel's, without an origin of the process's own.
+   */
+  public static long millis() {
+    return System.nanoTime() / MILLI;
+  }
 }
--- a/src/main/java/beaconturn/net/control/Office.java
+++ b/src/main/java/beaconturn/net/control/Office.java
@@ -6,18 +6,18 @@
 
 /** What the calls reach in the router; nothing here waits, whatever the load. */
 public interface Office {
-    /** Null once a request would be served, else in a few words why not. */
-    String notReady();
+  /** Null once a request would be served, else in a few words why not. */
+  String notReady();
 
-    /** How this process and the cache servers that it uses do, or null where nobody is to ask. */
-    default List<Counters.Figure> health() {
-        return null;
-    }
+  /** How this process and the cache servers that it uses do, or null where nobody is to ask. */
+  default List<Counters.Figure> health() {
+    return null;
+  }
 
-    /**
-     * Has a cache server left out, or used again; {@code known} hears, on a thread that must not be held up,
-     * whether anybody has that id, once it has taken force. A call that is {@code told} by another process of
-     * this router holds even for an id that nobody has yet.
-     */
-    void hand(Hand hand, boolean told, Consumer<Boolean> known);
+  /**
+   * Has a cache server left out, or used again; {@code known} hears, on a thread that must not be
+   * held up, whether anybody has that id, once it has taken force. A call that is {@code told} by
+   * another process of this router holds even for an id that nobody has yet.
+   */
+  void hand(Hand hand, boolean told, Consumer<Boolean> known);
 }
--- a/src/main/java/beaconturn/net/package-info.java
+++ b/src/main/java/beaconturn/net/package-info.java
@@ -1,2 +1,5 @@
-/** Blocking sockets round the core: clients, cache servers and discovery, each peer with its own threads. */
+/**
+ * Blocking sockets round the core: clients, cache servers and discovery, each peer with its own
+ * threads.
+ */
 package beaconturn.net;
--- a/src/main/java/beaconturn/protocol/HttpWriter.java
+++ b/src/main/java/beaconturn/protocol/HttpWriter.java
@@ -5,33 +5,36 @@
 
 /** Makes HTTP/1.1 requests and answers. */
 public final class HttpWriter {
-    private static final int OK = 200;
+  private static final int OK = 200;
 
-    private HttpWriter() {
-    }
+  private HttpWriter() {}
 
-    /** A request for the path that asks to keep the connection. */
-    public static Slice get(String path, String host) {
-        return Slice.of("GET " + path + " HTTP/1.1\r\nHost: " + host
-            + "\r\nAccept: application/json\r\n\r\n");
-    }
+  /** A request for the path that asks to keep the connection. */
+  public static Slice get(String path, String host) {
+    return Slice.of(
+        "GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n");
+  }
 
-    /** A request that carries a body of JSON and asks to keep the connection. */
-    public static Slice post(String path, String host, String body) {
-        return withBody("POST " + path + " HTTP/1.1\r\nHost: " + host, body);
-    }
+  /** A request that carries a body of JSON and asks to keep the connection. */
+  public static Slice post(String path, String host, String body) {
+    return withBody("POST " + path + " HTTP/1.1\r\nHost: " + host, body);
+  }
 
-    /** An answer with a body of JSON, on a connection that is kept. */
-    public static Slice answer(int status, String body) {
-        return withBody("HTTP/1.1 " + status + (status == OK ? " OK" : " Error"), body);
-    }
+  /** An answer with a body of JSON, on a connection that is kept. */
+  public static Slice answer(int status, String body) {
+    return withBody("HTTP/1.1 " + status + (status == OK ? " OK" : " Error"), body);
+  }
 
-    private static Slice withBody(String first, String body) {
-        byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        byte[] head = (first + "\r\nContent-Type: application/json\r\nContent-Length: " + bytes.length
-            + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
-        byte[] all = Arrays.copyOf(head, head.length + bytes.length);
-        System.arraycopy(bytes, 0, all, head.length, bytes.length);
-        return new Slice(all, 0, all.length);
-    }
+  private static Slice withBody(String first, String body) {
+    byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
+    byte[] head =
+        (first
+                + "\r\nContent-Type: application/json\r\nContent-Length: "
+                + bytes.length
+                + "\r\n\r\n")
+            .getBytes(StandardCharsets.US_ASCII);
+    byte[] all = Arrays.copyOf(head, head.length + bytes.length);
+    System.arraycopy(bytes, 0, all, head.length, bytes.length);
+    return new Slice(all, 0, all.length);
+  }
 }
--- a/src/main/java/beaconturn/rehearsal/CacheSeat.java
+++ b/src/main/java/beaconturn/rehearsal/CacheSeat.java
@@ -7,55 +7,62 @@
 import beaconturn.standin.World;
 import beaconturn.standin.net.Surroundings;
 
-/** A cache server of a play that a release restarts: drained first, as an operator's command would do. */
+/**
+ * A cache server of a play that a release restarts: drained first, as an operator's command would
+ * do.
+ */
 final class CacheSeat {
-    private static final long MILLI = 1_000_000;
-    /** From the end of a process to the begin of the next. */
-    private static final long RESTART_MILLIS = 100;
-    private static final double NOTHING_WORKS = 1;
-    private static final double SLOWER = 4;
-    private final Scenario scenario;
-    private final String name;
-    private final int place;
-    private final Surroundings surroundings;
-    private final Clock clock;
-    private final Account account;
-    private boolean released;
+  private static final long MILLI = 1_000_000;
 
-    CacheSeat(Scenario scenario, String name, Surroundings surroundings, Clock clock, Account account) {
-        this.scenario = scenario;
-        this.name = name;
-        this.place = Scenario.place(name);
-        this.surroundings = surroundings;
-        this.clock = clock;
-        this.account = account;
-    }
+  /** From the end of a process to the begin of the next. */
+  private static final long RESTART_MILLIS = 100;
 
-    /** Has it run what is released, or what was there before; whether it runs then, cold. */
-    synchronized boolean change(boolean toReleased) throws InterruptedException {
-        World world = surroundings.world();
-        if (toReleased == released && !surroundings.ask(() -> world.at(place).dead())) {
-            return true;
-        }
-        account.add(new Entry.Changed(clock.now(), name, -1, toReleased));
-        released = toReleased;
-        surroundings.tell(() -> world.begin(Fault.Kind.DRAIN, place, 0));
-        Thread.sleep((scenario.listLag() + scenario.rules().drainGrace()) / MILLI);
-        surroundings.tell(() -> world.begin(Fault.Kind.KILL, place, 0));
-        Scenario.Harm harm = toReleased ? scenario.release().harm() : Scenario.Harm.NONE;
-        if (harm == Scenario.Harm.CRASH) {
-            return false;
-        }
-        Thread.sleep(RESTART_MILLIS);
-        surroundings.tell(() -> {
-            world.end(Fault.Kind.KILL, place);
-            switch (harm) {
-                case MUTE -> world.begin(Fault.Kind.STALL, place, 0);
-                case SLOWS -> world.begin(Fault.Kind.SLOW, place, SLOWER);
-                case REFUSES -> world.begin(Fault.Kind.ERRORS, place, NOTHING_WORKS);
-                default -> { }
-            }
-        });
-        return true;
+  private static final double NOTHING_WORKS = 1;
+  private static final double SLOWER = 4;
+  private final Scenario scenario;
+  private final String name;
+  private final int place;
+  private final Surroundings surroundings;
+  private final Clock clock;
+  private final Account account;
+  private boolean released;
+
+  CacheSeat(
+      Scenario scenario, String name, Surroundings surroundings, Clock clock, Account account) {
+    this.scenario = scenario;
+    this.name = name;
+    this.place = Scenario.place(name);
+    this.surroundings = surroundings;
+    this.clock = clock;
+    this.account = account;
+  }
+
+  /** Has it run what is released, or what was there before; whether it runs then, cold. */
+  synchronized boolean change(boolean toReleased) throws InterruptedException {
+    World world = surroundings.world();
+    if (toReleased == released && !surroundings.ask(() -> world.at(place).dead())) {
+      return true;
+    }
+    account.add(new Entry.Changed(clock.now(), name, -1, toReleased));
+    released = toReleased;
+    surroundings.tell(() -> world.begin(Fault.Kind.DRAIN, place, 0));
+    Thread.sleep((scenario.listLag() + scenario.rules().drainGrace()) / MILLI);
+    surroundings.tell(() -> world.begin(Fault.Kind.KILL, place, 0));
+    Scenario.Harm harm = toReleased ? scenario.release().harm() : Scenario.Harm.NONE;
+    if (harm == Scenario.Harm.CRASH) {
+      return false;
     }
+    Thread.sleep(RESTART_MILLIS);
+    surroundings.tell(
+        () -> {
+          world.end(Fault.Kind.KILL, place);
+          switch (harm) {
+            case MUTE -> world.begin(Fault.Kind.STALL, place, 0);
+            case SLOWS -> world.begin(Fault.Kind.SLOW, place, SLOWER);
+            case REFUSES -> world.begin(Fault.Kind.ERRORS, place, NOTHING_WORKS);
+            default -> {}
+          }
+        });
+    return true;
+  }
 }
--- a/src/main/java/beaconturn/rehearsal/ClientCommands.java
+++ b/src/main/java/beaconturn/rehearsal/ClientCommands.java
@@ -12,74 +12,75 @@
 
 /** The clients' side of the protocol: commands as bytes, and what answers mean. */
 final class ClientCommands {
-    private static final long MILLI = 1_000_000;
+  private static final long MILLI = 1_000_000;
 
-    private ClientCommands() {
-    }
+  private ClientCommands() {}
 
-    /** The command of a try. */
-    static byte[] bytes(ClientLine.Try one) {
-        Scenario.Type type = one.planned().type();
-        boolean write = type.effect() != Scenario.Effect.SAFE;
-        StringBuilder attributes = new StringBuilder("c=").append(type.name()).append(",d=")
-            .append(one.patience() / MILLI);
-        if (one.once() != null) {
-            attributes.append(",k=").append(one.once());
-        }
-        if (one.attempt() > 0) {
-            attributes.append(",r=1");
-        }
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        add(out, RespWriter.listOf(write ? 5 : 4));
-        add(out, RespWriter.bulk(write ? "C.SET" : "C.GET"));
-        add(out, RespWriter.bulk(one.planned().key()));
-        add(out, RespWriter.bulk(one.id()));
-        add(out, RespWriter.bulk(attributes.toString()));
-        if (write) {
-            add(out, RespWriter.bulk("v".repeat(type.size())));
-        }
-        return out.toByteArray();
+  /** The command of a try. */
+  static byte[] bytes(ClientLine.Try one) {
+    Scenario.Type type = one.planned().type();
+    boolean write = type.effect() != Scenario.Effect.SAFE;
+    StringBuilder attributes =
+        new StringBuilder("c=").append(type.name()).append(",d=").append(one.patience() / MILLI);
+    if (one.once() != null) {
+      attributes.append(",k=").append(one.once());
     }
-
-    private static void add(ByteArrayOutputStream out, Slice piece) {
-        out.write(piece.array(), piece.from(), piece.length());
+    if (one.attempt() > 0) {
+      attributes.append(",r=1");
     }
-
-    /** Reads what has come, waiting for the first byte; false at the end of the stream. */
-    static boolean read(InputStream from, InputBuffer into) throws IOException {
-        int room = into.room();
-        int got = from.read(into.array(), into.end(), room);
-        if (got < 0) {
-            return false;
-        }
-        into.filled(got);
-        return true;
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    add(out, RespWriter.listOf(write ? 5 : 4));
+    add(out, RespWriter.bulk(write ? "C.SET" : "C.GET"));
+    add(out, RespWriter.bulk(one.planned().key()));
+    add(out, RespWriter.bulk(one.id()));
+    add(out, RespWriter.bulk(attributes.toString()));
+    if (write) {
+      add(out, RespWriter.bulk("v".repeat(type.size())));
     }
+    return out.toByteArray();
+  }
 
-    /** What an answer says. */
-    static Entry.Kind kind(RespValue value) {
-        if (value instanceof RespValue.Bulk bulk && bulk.bytes() != null) {
-            return Entry.Kind.SERVED;
-        }
-        boolean busy = value instanceof RespValue.Failure failure
-            && failure.text().toString().split(" ", 2)[0].equals("BUSY");
-        return busy ? Entry.Kind.REFUSED : Entry.Kind.FAILED;
+  private static void add(ByteArrayOutputStream out, Slice piece) {
+    out.write(piece.array(), piece.from(), piece.length());
+  }
+
+  /** Reads what has come, waiting for the first byte; false at the end of the stream. */
+  static boolean read(InputStream from, InputBuffer into) throws IOException {
+    int room = into.room();
+    int got = from.read(into.array(), into.end(), room);
+    if (got < 0) {
+      return false;
     }
+    into.filled(got);
+    return true;
+  }
 
-    /** By what a value is known in the account; 0 where the answer is none. */
-    static long digest(RespValue value) {
-        return value instanceof RespValue.Bulk bulk && bulk.bytes() != null
-            ? Account.digest(bulk.bytes().copy()) : 0;
+  /** What an answer says. */
+  static Entry.Kind kind(RespValue value) {
+    if (value instanceof RespValue.Bulk bulk && bulk.bytes() != null) {
+      return Entry.Kind.SERVED;
     }
+    boolean busy =
+        value instanceof RespValue.Failure failure
+            && failure.text().toString().split(" ", 2)[0].equals("BUSY");
+    return busy ? Entry.Kind.REFUSED : Entry.Kind.FAILED;
+  }
+
+  /** By what a value is known in the account; 0 where the answer is none. */
+  static long digest(RespValue value) {
+    return value instanceof RespValue.Bulk bulk && bulk.bytes() != null
+        ? Account.digest(bulk.bytes().copy())
+        : 0;
+  }
 
-    /** When a refusal allows another try, in nanoseconds; 0 where it does not say. */
-    static long retryAfter(RespValue value) {
-        if (value instanceof RespValue.Failure failure) {
-            String[] words = failure.text().toString().split(" ");
-            if (words.length == 2 && words[0].equals("BUSY") && words[1].matches("[0-9]{1,9}")) {
-                return Long.parseLong(words[1]) * MILLI;
-            }
-        }
-        return 0;
+  /** When a refusal allows another try, in nanoseconds; 0 where it does not say. */
+  static long retryAfter(RespValue value) {
+    if (value instanceof RespValue.Failure failure) {
+      String[] words = failure.text().toString().split(" ");
+      if (words.length == 2 && words[0].equals("BUSY") && words[1].matches("[0-9]{1,9}")) {
+        return Long.parseLong(words[1]) * MILLI;
+      }
     }
+    return 0;
+  }
 }
--- a/src/main/java/beaconturn/rehearsal/Cue.java
+++ b/src/main/java/beaconturn/rehearsal/Cue.java
@@ -5,50 +5,63 @@
 import java.util.regex.Pattern;
 
 /**
- * Something that the store sees, from which on times of a fault or a version can be counted: commands and
- * routers take the time that they take, and a scenario that guessed it would show another thing on a slow
- * machine.
+ * Something that the store sees, from which on times of a fault or a version can be counted:
+ * commands and routers take the time that they take, and a scenario that guessed it would show
+ * another thing on a slow machine.
  *
  * @param what has come about
  * @param version the number of the version, counted from 1
  * @param router whose yes it is, or which is released, else empty
  */
 public record Cue(What what, long version, String router) {
-    private static final Pattern OF_VERSION =
-        Pattern.compile("version ([0-9]{1,4}) (proposed|in force|settled)");
-    private static final Pattern OF_PART = Pattern.compile("([A-Za-z0-9_-]{1,32}) (goes out|is up)");
-    private static final Pattern OF_ROUTER =
-        Pattern.compile("([A-Za-z0-9_-]{1,32}) says yes to version ([0-9]{1,4})");
+  private static final Pattern OF_VERSION =
+      Pattern.compile("version ([0-9]{1,4}) (proposed|in force|settled)");
+  private static final Pattern OF_PART = Pattern.compile("([A-Za-z0-9_-]{1,32}) (goes out|is up)");
+  private static final Pattern OF_ROUTER =
+      Pattern.compile("([A-Za-z0-9_-]{1,32}) says yes to version ([0-9]{1,4})");
 
-    /** What a version has come to. */
-    public enum What { PROPOSED, IN_FORCE, SETTLED, YES, OUT, UP }
+  /** What a version has come to. */
+  public enum What {
+    PROPOSED,
+    IN_FORCE,
+    SETTLED,
+    YES,
+    OUT,
+    UP
+  }
 
-    /** The cue in an operator's words, such as {@code version 2 in force}; nothing where it is none. */
-    static Optional<Cue> of(String words) {
-        Matcher m = OF_VERSION.matcher(words);
-        if (m.matches()) {
-            What what = m.group(2).equals("proposed") ? What.PROPOSED
-                : m.group(2).equals("settled") ? What.SETTLED : What.IN_FORCE;
-            return Optional.of(new Cue(what, Long.parseLong(m.group(1)), ""));
-        }
-        m = OF_PART.matcher(words);
-        if (m.matches()) {
-            return Optional.of(new Cue(m.group(2).equals("goes out") ? What.OUT : What.UP, 0, m.group(1)));
-        }
-        m = OF_ROUTER.matcher(words);
-        return m.matches() ? Optional.of(new Cue(What.YES, Long.parseLong(m.group(2)), m.group(1)))
-            : Optional.empty();
+  /**
+   * The cue in an operator's words, such as {@code version 2 in force}; nothing where it is none.
+   */
+  static Optional<Cue> of(String words) {
+    Matcher m = OF_VERSION.matcher(words);
+    if (m.matches()) {
+      What what =
+          m.group(2).equals("proposed")
+              ? What.PROPOSED
+              : m.group(2).equals("settled") ? What.SETTLED : What.IN_FORCE;
+      return Optional.of(new Cue(what, Long.parseLong(m.group(1)), ""));
     }
-
-    /** The same words. */
-    String words() {
-        return switch (what) {
-            case PROPOSED -> "version " + version + " proposed";
-            case IN_FORCE -> "version " + version + " in force";
-            case SETTLED -> "version " + version + " settled";
-            case OUT -> router + " goes out";
-            case UP -> router + " is up";
-            case YES -> router + " says yes to version " + version;
-        };
+    m = OF_PART.matcher(words);
+    if (m.matches()) {
+      return Optional.of(
+          new Cue(m.group(2).equals("goes out") ? What.OUT : What.UP, 0, m.group(1)));
     }
+    m = OF_ROUTER.matcher(words);
+    return m.matches()
+        ? Optional.of(new Cue(What.YES, Long.parseLong(m.group(2)), m.group(1)))
+        : Optional.empty();
+  }
+
+  /** The same words. */
+  String words() {
+    return switch (what) {
+      case PROPOSED -> "version " + version + " proposed";
+      case IN_FORCE -> "version " + version + " in force";
+      case SETTLED -> "version " + version + " settled";
+      case OUT -> router + " goes out";
+      case UP -> router + " is up";
+      case YES -> router + " says yes to version " + version;
+    };
+  }
 }
--- a/src/main/java/beaconturn/rehearsal/Footprint.java
+++ b/src/main/java/beaconturn/rehearsal/Footprint.java
@@ -5,37 +5,37 @@
 import java.nio.file.Path;
 
 /**
- * What a process holds, as Linux tells under {@code /proc}: memory in kB and threads; 0 where it is not
- * known.
+ * What a process holds, as Linux tells under {@code /proc}: memory in kB and threads; 0 where it is
+ * not known.
  */
 record Footprint(long memory, int threads) {
-    private static final Footprint UNKNOWN = new Footprint(0, 0);
+  private static final Footprint UNKNOWN = new Footprint(0, 0);
 
-    /** Of a process as it is now. */
-    static Footprint of(long pid) {
-        Path status = Path.of("/proc/" + pid + "/status");
-        if (pid < 0 || !Files.exists(status)) {
-            return UNKNOWN;
-        }
-        long memory = 0;
-        int threads = 0;
-        try {
-            for (String line : Files.readAllLines(status)) {
-                if (line.startsWith("VmRSS:")) {
-                    memory = Long.parseLong(line.replaceAll("[^0-9]", ""));
-                } else if (line.startsWith("Threads:")) {
-                    threads = Integer.parseInt(line.replaceAll("[^0-9]", ""));
-                }
-            }
-        } catch (IOException e) {
-            // It has just ended.
-            return UNKNOWN;
+  /** Of a process as it is now. */
+  static Footprint of(long pid) {
+    Path status = Path.of("/proc/" + pid + "/status");
+    if (pid < 0 || !Files.exists(status)) {
+      return UNKNOWN;
+    }
+    long memory = 0;
+    int threads = 0;
+    try {
+      for (String line : Files.readAllLines(status)) {
+        if (line.startsWith("VmRSS:")) {
+          memory = Long.parseLong(line.replaceAll("[^0-9]", ""));
+        } else if (line.startsWith("Threads:")) {
+          threads = Integer.parseInt(line.replaceAll("[^0-9]", ""));
         }
-        return new Footprint(memory, threads);
+      }
+    } catch (IOException e) {
+      // It has just ended.
+      return UNKNOWN;
     }
+    return new Footprint(memory, threads);
+  }
 
-    /** The larger figure of both. */
-    Footprint most(Footprint other) {
-        return new Footprint(Math.max(memory, other.memory), Math.max(threads, other.threads));
-    }
+  /** The larger figure of both. */
+  Footprint most(Footprint other) {
+    return new Footprint(Math.max(memory, other.memory), Math.max(threads, other.threads));
+  }
 }
--- a/src/main/java/beaconturn/rehearsal/HtmlReport.java
+++ b/src/main/java/beaconturn/rehearsal/HtmlReport.java
@@ -12,127 +12,162 @@
 import java.util.Map;
 
 /**
- * A report as a page: the rules, the classes, and a picture of what was served beside what was out, second by
- * second.
+ * A report as a page: the rules, the classes, and a picture of what was served beside what was out,
+ * second by second.
  */
 final class HtmlReport {
-    private static final double SECOND = 1e9;
-    /** Thousandths of a place's keys that go elsewhere at all times. */
-    private static final int TRIAL = 10;
-    private final Report report;
-    private final int seconds;
+  private static final double SECOND = 1e9;
 
-    private HtmlReport(Report report) {
-        this.report = report;
-        this.seconds = (int) Math.ceil(report.scenario().length() / SECOND);
-    }
+  /** Thousandths of a place's keys that go elsewhere at all times. */
+  private static final int TRIAL = 10;
 
-    /** The page. */
-    static String of(Report report) {
-        return new HtmlReport(report).page();
-    }
+  private final Report report;
+  private final int seconds;
 
-    private String page() {
-        Scenario s = report.scenario();
-        Page page = new Page(s.name()).text(s.about());
-        String play = String.format(Locale.ROOT, "seed %d, %.0f s.", s.seed(), s.length() / SECOND);
-        if (report.held()) {
-            page.text("Every rule held; " + play);
-        } else {
-            page.warning("A rule was broken; " + play);
-        }
-        page.chart(picture());
-        shares(page);
-        rules(page);
-        classes(page);
-        return page.html();
-    }
+  private HtmlReport(Report report) {
+    this.report = report;
+    this.seconds = (int) Math.ceil(report.scenario().length() / SECOND);
+  }
 
-    private double second(long at) {
-        return (at - report.start()) / SECOND;
+  /** The page. */
+  static String of(Report report) {
+    return new HtmlReport(report).page();
+  }
+
+  private String page() {
+    Scenario s = report.scenario();
+    Page page = new Page(s.name()).text(s.about());
+    String play = String.format(Locale.ROOT, "seed %d, %.0f s.", s.seed(), s.length() / SECOND);
+    if (report.held()) {
+      page.text("Every rule held; " + play);
+    } else {
+      page.warning("A rule was broken; " + play);
     }
+    page.chart(picture());
+    shares(page);
+    rules(page);
+    classes(page);
+    return page.html();
+  }
+
+  private double second(long at) {
+    return (at - report.start()) / SECOND;
+  }
 
-    private Chart picture() {
-        Chart chart = new Chart(seconds, "served of what was wanted in each second, in %",
+  private Chart picture() {
+    Chart chart =
+        new Chart(
+            seconds,
+            "served of what was wanted in each second, in %",
             "out: blue by a step or an operator, orange by itself");
-        served(chart);
-        long end = report.start() + report.scenario().length();
-        List<Absences.Gone> gone = Absences.of(report.scenario().terms(0), report.entries()).stream()
-            .filter(g -> g.from() < end && g.to() > report.start()).toList();
-        List<String> parts = gone.isEmpty() ? List.of() : report.scenario().parts();
-        for (String part : parts) {
-            List<Chart.Span> spans = gone.stream().filter(g -> g.part().equals(part)).map(g ->
-                new Chart.Span(second(g.from()), second(Math.min(g.to(), end)), g.planned())).toList();
-            if (!spans.isEmpty()) {
-                chart.row(new Chart.Row(part, spans));
-            }
-        }
-        for (Entry entry : report.entries()) {
-            String says = entry instanceof Entry.Ordered o ? o.what()
-                : entry instanceof Entry.Budget b ? "budget " + b.mostOut() : "";
-            if (!says.isEmpty() && second(entry.at()) >= 0) {
-                chart.mark(second(entry.at()), says);
-            }
-        }
-        return chart;
+    served(chart);
+    long end = report.start() + report.scenario().length();
+    List<Absences.Gone> gone =
+        Absences.of(report.scenario().terms(0), report.entries()).stream()
+            .filter(g -> g.from() < end && g.to() > report.start())
+            .toList();
+    List<String> parts = gone.isEmpty() ? List.of() : report.scenario().parts();
+    for (String part : parts) {
+      List<Chart.Span> spans =
+          gone.stream()
+              .filter(g -> g.part().equals(part))
+              .map(
+                  g -> new Chart.Span(second(g.from()), second(Math.min(g.to(), end)), g.planned()))
+              .toList();
+      if (!spans.isEmpty()) {
+        chart.row(new Chart.Row(part, spans));
+      }
     }
+    for (Entry entry : report.entries()) {
+      String says =
+          entry instanceof Entry.Ordered o
+              ? o.what()
+              : entry instanceof Entry.Budget b ? "budget " + b.mostOut() : "";
+      if (!says.isEmpty() && second(entry.at()) >= 0) {
+        chart.mark(second(entry.at()), says);
+      }
+    }
+    return chart;
+  }
 
-    /** Of what clients first asked for in each second, the part that was served in the end. */
-    private void served(Chart chart) {
-        ServedBySecond served = new ServedBySecond(report.entries(), report.start(), seconds);
-        for (int i = 0; i < seconds; i++) {
-            chart.share(i, i + 1, served.share(i));
-        }
+  /** Of what clients first asked for in each second, the part that was served in the end. */
+  private void served(Chart chart) {
+    ServedBySecond served = new ServedBySecond(report.entries(), report.start(), seconds);
+    for (int i = 0; i < seconds; i++) {
+      chart.share(i, i + 1, served.share(i));
     }
+  }
 
-    /** For each place what stayed near, second by second, beside what plans allot elsewhere. */
-    private void shares(Page page) {
-        Crossings crossings = report.crossings();
-        if (crossings == null) {
-            return;
-        }
-        List<Entry.Planned> plans = report.plans();
-        crossings.near().forEach((home, parts) -> {
-            Chart chart = new Chart(seconds, home + ": first sends that stayed there in each second, in %",
-                "to which places plans allot more than a trial of its keys");
-            parts.forEach((second, part) -> {
-                double at = second(second * (long) SECOND);
-                chart.share(Math.max(0, at), Math.max(0, at + 1), part);
-            });
-            for (String other : crossings.near().keySet()) {
+  /** For each place what stayed near, second by second, beside what plans allot elsewhere. */
+  private void shares(Page page) {
+    Crossings crossings = report.crossings();
+    if (crossings == null) {
+      return;
+    }
+    List<Entry.Planned> plans = report.plans();
+    crossings
+        .near()
+        .forEach(
+            (home, parts) -> {
+              Chart chart =
+                  new Chart(
+                      seconds,
+                      home + ": first sends that stayed there in each second, in %",
+                      "to which places plans allot more than a trial of its keys");
+              parts.forEach(
+                  (second, part) -> {
+                    double at = second(second * (long) SECOND);
+                    chart.share(Math.max(0, at), Math.max(0, at + 1), part);
+                  });
+              for (String other : crossings.near().keySet()) {
                 List<Chart.Span> spans = new ArrayList<>();
                 for (int i = 0; i < plans.size(); i++) {
-                    if (!other.equals(home) && plans.get(i).rows().getOrDefault(home, Map.of())
-                            .getOrDefault(other, 0) > TRIAL) {
-                        spans.add(new Chart.Span(second(plans.get(i).at()), i + 1 < plans.size()
-                            ? second(plans.get(i + 1).at()) : seconds, true));
-                    }
+                  if (!other.equals(home)
+                      && plans.get(i).rows().getOrDefault(home, Map.of()).getOrDefault(other, 0)
+                          > TRIAL) {
+                    spans.add(
+                        new Chart.Span(
+                            second(plans.get(i).at()),
+                            i + 1 < plans.size() ? second(plans.get(i + 1).at()) : seconds,
+                            true));
+                  }
                 }
                 if (!spans.isEmpty()) {
-                    chart.row(new Chart.Row(other, spans));
+                  chart.row(new Chart.Row(other, spans));
                 }
-            }
-            plans.forEach(p -> chart.mark(second(p.at()), Long.toString(p.number())));
-            page.chart(chart);
-        });
-    }
+              }
+              plans.forEach(p -> chart.mark(second(p.at()), Long.toString(p.number())));
+              page.chart(chart);
+            });
+  }
 
-    private void rules(Page page) {
-        page.table("rule", "verdict", "checked", "what it says");
-        for (Verdict v : report.verdicts()) {
-            page.row(!v.held(), List.of(v.rule(), v.held() ? "held" : "BROKEN", Long.toString(v.checked()),
-                v.held() ? v.promise() : v.offences().get(0).what()));
-        }
-        page.end();
+  private void rules(Page page) {
+    page.table("rule", "verdict", "checked", "what it says");
+    for (Verdict v : report.verdicts()) {
+      page.row(
+          !v.held(),
+          List.of(
+              v.rule(),
+              v.held() ? "held" : "BROKEN",
+              Long.toString(v.checked()),
+              v.held() ? v.promise() : v.offences().get(0).what()));
     }
+    page.end();
+  }
 
-    private void classes(Page page) {
-        page.table("class", "wanted", "served", "refused", "failed", "p99 ms");
-        for (Tally.Line c : report.classes()) {
-            page.row(false, List.of(c.type(), Long.toString(c.wanted()), Long.toString(c.served()),
-                Long.toString(c.refused()), Long.toString(c.failed()),
-                String.format(Locale.ROOT, "%.1f", c.p99())));
-        }
-        page.end();
+  private void classes(Page page) {
+    page.table("class", "wanted", "served", "refused", "failed", "p99 ms");
+    for (Tally.Line c : report.classes()) {
+      page.row(
+          false,
+          List.of(
+              c.type(),
+              Long.toString(c.wanted()),
+              Long.toString(c.served()),
+              Long.toString(c.refused()),
+              Long.toString(c.failed()),
+              String.format(Locale.ROOT, "%.1f", c.p99())));
     }
+    page.end();
+  }
 }
--- a/src/main/java/beaconturn/rehearsal/Plan.java
+++ b/src/main/java/beaconturn/rehearsal/Plan.java
@@ -10,55 +10,58 @@
 
 /** All requests of a play, made ahead of it from the seed: open arrivals that no stall holds up. */
 final class Plan {
-    private static final long SPREAD = 0x9e3779b97f4a7c15L;
-    private static final double SECOND = 1e9;
-    private final Scenario scenario;
-    private final List<Planned> all = new ArrayList<>();
+  private static final long SPREAD = 0x9e3779b97f4a7c15L;
+  private static final double SECOND = 1e9;
+  private final Scenario scenario;
+  private final List<Planned> all = new ArrayList<>();
 
-    private Plan(Scenario scenario) {
-        this.scenario = scenario;
-    }
+  private Plan(Scenario scenario) {
+    this.scenario = scenario;
+  }
 
-    /** The requests in the order of their times. */
-    static List<Planned> of(Scenario scenario) {
-        Plan plan = new Plan(scenario);
-        for (int stream = 0; stream < scenario.clients().size(); stream++) {
-            plan.add(stream, scenario.clients().get(stream));
-        }
-        plan.all.sort(Comparator.comparingLong(Planned::at));
-        List<Planned> numbered = new ArrayList<>();
-        for (Planned p : plan.all) {
-            numbered.add(new Planned(numbered.size(), p.at(), p.stream(), p.type(), p.key(), p.chance()));
-        }
-        return List.copyOf(numbered);
+  /** The requests in the order of their times. */
+  static List<Planned> of(Scenario scenario) {
+    Plan plan = new Plan(scenario);
+    for (int stream = 0; stream < scenario.clients().size(); stream++) {
+      plan.add(stream, scenario.clients().get(stream));
+    }
+    plan.all.sort(Comparator.comparingLong(Planned::at));
+    List<Planned> numbered = new ArrayList<>();
+    for (Planned p : plan.all) {
+      numbered.add(new Planned(numbered.size(), p.at(), p.stream(), p.type(), p.key(), p.chance()));
     }
+    return List.copyOf(numbered);
+  }
 
-    private void add(int stream, Scenario.Clients clients) {
-        UniformRandomProvider random = new Seeds(scenario.seed()).of("clients " + stream);
-        SharedStateDiscreteSampler rank =
-            RejectionInversionZipfSampler.of(random, clients.keys(), clients.skew());
-        List<Scenario.Type> types = scenario.types().stream()
-            .filter(t -> clients.classes().isEmpty() || clients.classes().contains(t.name())).toList();
-        double at = clients.from();
-        while (true) {
-            at += -Math.log(1 - random.nextDouble()) * SECOND / clients.rate();
-            if (at >= clients.to()) {
-                return;
-            }
-            String key = String.format("%016x", rank.sample() * SPREAD);
-            all.add(new Planned(0, (long) at, stream, pick(types, random.nextDouble()), key,
-                random.nextLong()));
-        }
+  private void add(int stream, Scenario.Clients clients) {
+    UniformRandomProvider random = new Seeds(scenario.seed()).of("clients " + stream);
+    SharedStateDiscreteSampler rank =
+        RejectionInversionZipfSampler.of(random, clients.keys(), clients.skew());
+    List<Scenario.Type> types =
+        scenario.types().stream()
+            .filter(t -> clients.classes().isEmpty() || clients.classes().contains(t.name()))
+            .toList();
+    double at = clients.from();
+    while (true) {
+      at += -Math.log(1 - random.nextDouble()) * SECOND / clients.rate();
+      if (at >= clients.to()) {
+        return;
+      }
+      String key = String.format("%016x", rank.sample() * SPREAD);
+      all.add(
+          new Planned(
+              0, (long) at, stream, pick(types, random.nextDouble()), key, random.nextLong()));
     }
+  }
 
-    private static Scenario.Type pick(List<Scenario.Type> types, double chance) {
-        double left = chance * types.stream().mapToDouble(Scenario.Type::share).sum();
-        for (Scenario.Type type : types) {
-            left -= type.share();
-            if (left < 0) {
-                return type;
-            }
-        }
-        return types.get(types.size() - 1);
+  private static Scenario.Type pick(List<Scenario.Type> types, double chance) {
+    double left = chance * types.stream().mapToDouble(Scenario.Type::share).sum();
+    for (Scenario.Type type : types) {
+      left -= type.share();
+      if (left < 0) {
+        return type;
+      }
     }
+    return types.get(types.size() - 1);
+  }
 }
--- a/src/main/java/beaconturn/rehearsal/Planned.java
+++ b/src/main/java/beaconturn/rehearsal/Planned.java
@@ -8,23 +8,24 @@
  * @param stream which clients it belongs to
  * @param type its class
  * @param key what it concerns
- * @param chance decides all that is left to chance while it is played, so that a play can be repeated
+ * @param chance decides all that is left to chance while it is played, so that a play can be
+ *     repeated
  */
 record Planned(int number, long at, int stream, Scenario.Type type, String key, long chance) {
-    private static final int SPREAD = 40;
+  private static final int SPREAD = 40;
 
-    /** The id of one try. */
-    String id(long seed, int attempt) {
-        return String.format("%08x%02x%06x", number, attempt, seed & 0xffffff);
-    }
+  /** The id of one try. */
+  String id(long seed, int attempt) {
+    return String.format("%08x%02x%06x", number, attempt, seed & 0xffffff);
+  }
 
-    /** The idempotency key, the same for all tries. */
-    String once(long seed) {
-        return String.format("k%08x%06x", number, seed & 0xffffff);
-    }
+  /** The idempotency key, the same for all tries. */
+  String once(long seed) {
+    return String.format("k%08x%06x", number, seed & 0xffffff);
+  }
 
-    /** One of so many routers. */
-    int router(int attempt, int routers) {
-        return (int) Long.remainderUnsigned((chance ^ chance >>> SPREAD) + attempt, routers);
-    }
+  /** One of so many routers. */
+  int router(int attempt, int routers) {
+    return (int) Long.remainderUnsigned((chance ^ chance >>> SPREAD) + attempt, routers);
+  }
 }
--- a/src/main/java/beaconturn/rehearsal/RouterLauncher.java
+++ b/src/main/java/beaconturn/rehearsal/RouterLauncher.java
@@ -6,62 +6,65 @@
 
 /** Starts routers under rehearsal, as processes or otherwise. */
 public interface RouterLauncher {
-    /**
-     * What a router is started with.
-     *
-     * @param name of the router
-     * @param config its configuration
-     * @param features the operators' file of what else is on, or null
-     * @param log where its log goes
-     * @param clockOff how far its wall clock is off, in nanoseconds
-     * @param leaksAfter nanoseconds from its start after which its memory grows, below 0 where it does not
-     */
-    record Start(String name, Path config, Path features, Path log, long clockOff, long leaksAfter) { }
+  /**
+   * What a router is started with.
+   *
+   * @param name of the router
+   * @param config its configuration
+   * @param features the operators' file of what else is on, or null
+   * @param log where its log goes
+   * @param clockOff how far its wall clock is off, in nanoseconds
+   * @param leaksAfter nanoseconds from its start after which its memory grows, below 0 where it
+   *     does not
+   */
+  record Start(String name, Path config, Path features, Path log, long clockOff, long leaksAfter) {}
 
-    /** Starts a router; it need not be ready yet. */
-    Running launch(Start start) throws IOException;
+  /** Starts a router; it need not be ready yet. */
+  Running launch(Start start) throws IOException;
 
-    /** The command line of the same program with these words; empty where it is no process of its own. */
-    default List<String> command(List<String> words) {
-        return List.of();
-    }
+  /**
+   * The command line of the same program with these words; empty where it is no process of its own.
+   */
+  default List<String> command(List<String> words) {
+    return List.of();
+  }
 
-    /** Whether its routers can be killed and started again. */
-    boolean restarts();
+  /** Whether its routers can be killed and started again. */
+  boolean restarts();
 
-    /** A router that has been started. */
-    interface Running {
-        /** Whether it still runs. */
-        boolean alive();
+  /** A router that has been started. */
+  interface Running {
+    /** Whether it still runs. */
+    boolean alive();
 
-        /** Ends it outright. */
-        void kill();
+    /** Ends it outright. */
+    void kill();
 
-        /** Tells it to stop as planned. */
-        void terminate();
+    /** Tells it to stop as planned. */
+    void terminate();
 
-        /**
-         * Waits for its end, but not longer than so many milliseconds: its exit status, or -1 if it still
-         * runs.
-         */
-        int awaitEnd(long millis) throws InterruptedException;
-
-        /** Has it stand still, or go on. */
-        default void pause(boolean on) {
-            throw new UnsupportedOperationException("not a process of its own");
-        }
+    /**
+     * Waits for its end, but not longer than so many milliseconds: its exit status, or -1 if it
+     * still runs.
+     */
+    int awaitEnd(long millis) throws InterruptedException;
 
-        /** Tells it to read its configuration anew. */
-        default void hangUp() {
-            throw new UnsupportedOperationException("not a process of its own");
-        }
+    /** Has it stand still, or go on. */
+    default void pause(boolean on) {
+      throw new UnsupportedOperationException("not a process of its own");
+    }
 
-        /** Its process id, or -1 where it is no process of its own. */
-        default long pid() {
-            return -1;
-        }
+    /** Tells it to read its configuration anew. */
+    default void hangUp() {
+      throw new UnsupportedOperationException("not a process of its own");
+    }
 
-        /** Processor time that it has used, in nanoseconds; below 0 where that is not known. */
-        long cpu();
+    /** Its process id, or -1 where it is no process of its own. */
+    default long pid() {
+      return -1;
     }
+
+    /** Processor time that it has used, in nanoseconds; below 0 where that is not known. */
+    long cpu();
+  }
 }
--- a/src/main/java/beaconturn/rehearsal/Tally.java
+++ b/src/main/java/beaconturn/rehearsal/Tally.java
@@ -9,75 +9,98 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What clients felt, by class: tries and their ends, and requests served, counted from when they were wanted.
+ * What clients felt, by class: tries and their ends, and requests served, counted from when they
+ * were wanted.
  */
 final class Tally {
-    private static final int DIGITS = 3;
-    private static final long LONGEST = 600_000_000_000L;
-    private static final double MILLI = 1e6;
-    private final Map<String, Row> rows = new LinkedHashMap<>();
-    private final Histogram lateness = new Histogram(LONGEST, DIGITS);
+  private static final int DIGITS = 3;
+  private static final long LONGEST = 600_000_000_000L;
+  private static final double MILLI = 1e6;
+  private final Map<String, Row> rows = new LinkedHashMap<>();
+  private final Histogram lateness = new Histogram(LONGEST, DIGITS);
 
-    /** The figures of one class. */
-    private static final class Row {
-        private final Map<Entry.Kind, Long> ends = new EnumMap<>(Entry.Kind.class);
-        private final Histogram latency = new Histogram(LONGEST, DIGITS);
-        private long wanted;
-        private long tries;
-        private long unreached;
-        private long inAim;
-    }
+  /** The figures of one class. */
+  private static final class Row {
+    private final Map<Entry.Kind, Long> ends = new EnumMap<>(Entry.Kind.class);
+    private final Histogram latency = new Histogram(LONGEST, DIGITS);
+    private long wanted;
+    private long tries;
+    private long unreached;
+    private long inAim;
+  }
 
-    /**
-     * A class at the end: requests wanted, tries, ends of tries, requests served within the aim, and the time
-     * from when a request was wanted to its value, in milliseconds.
-     */
-    record Line(String type, long wanted, long tries, long served, long refused, long failed, long unanswered,
-            long unreached, long inAim, double median, double p99, double most) { }
+  /**
+   * A class at the end: requests wanted, tries, ends of tries, requests served within the aim, and
+   * the time from when a request was wanted to its value, in milliseconds.
+   */
+  record Line(
+      String type,
+      long wanted,
+      long tries,
+      long served,
+      long refused,
+      long failed,
+      long unanswered,
+      long unreached,
+      long inAim,
+      double median,
+      double p99,
+      double most) {}
 
-    Tally(Scenario scenario) {
-        scenario.types().forEach(type -> rows.put(type.name(), new Row()));
-    }
+  Tally(Scenario scenario) {
+    scenario.types().forEach(type -> rows.put(type.name(), new Row()));
+  }
 
-    synchronized void sent(ClientLine.Try asked, long late) {
-        Row row = rows.get(asked.planned().type().name());
-        row.wanted += asked.attempt() == 0 ? 1 : 0;
-        row.tries++;
-        lateness.recordValue(Math.min(LONGEST, Math.max(0, late)));
-    }
+  synchronized void sent(ClientLine.Try asked, long late) {
+    Row row = rows.get(asked.planned().type().name());
+    row.wanted += asked.attempt() == 0 ? 1 : 0;
+    row.tries++;
+    lateness.recordValue(Math.min(LONGEST, Math.max(0, late)));
+  }
 
-    synchronized void done(ClientLine.Result result, long start) {
-        Row row = rows.get(result.asked().planned().type().name());
-        if (result.kind() == null) {
-            row.unreached++;
-            return;
-        }
-        row.ends.merge(result.kind(), 1L, Long::sum);
-        if (result.kind() == Entry.Kind.SERVED) {
-            long took = result.at() - start - result.asked().planned().at();
-            row.latency.recordValue(Math.min(LONGEST, Math.max(0, took)));
-            row.inAim += took <= result.asked().planned().type().aim() ? 1 : 0;
-        }
+  synchronized void done(ClientLine.Result result, long start) {
+    Row row = rows.get(result.asked().planned().type().name());
+    if (result.kind() == null) {
+      row.unreached++;
+      return;
     }
-
-    synchronized List<Line> lines() {
-        List<Line> lines = new ArrayList<>();
-        rows.forEach((type, row) -> lines.add(new Line(type, row.wanted, row.tries, count(row,
-            Entry.Kind.SERVED),
-            count(row, Entry.Kind.REFUSED), count(row, Entry.Kind.FAILED) + count(row, Entry.Kind.CUT),
-            count(row, Entry.Kind.SILENCE) + count(row, Entry.Kind.BROKEN) + count(row, Entry.Kind.LEFT),
-            row.unreached, row.inAim,
-            row.latency.getValueAtPercentile(50) / MILLI, row.latency.getValueAtPercentile(99) / MILLI,
-            row.latency.getMaxValue() / MILLI)));
-        return lines;
+    row.ends.merge(result.kind(), 1L, Long::sum);
+    if (result.kind() == Entry.Kind.SERVED) {
+      long took = result.at() - start - result.asked().planned().at();
+      row.latency.recordValue(Math.min(LONGEST, Math.max(0, took)));
+      row.inAim += took <= result.asked().planned().type().aim() ? 1 : 0;
     }
+  }
 
-    private static long count(Row row, Entry.Kind kind) {
-        return row.ends.getOrDefault(kind, 0L);
-    }
+  synchronized List<Line> lines() {
+    List<Line> lines = new ArrayList<>();
+    rows.forEach(
+        (type, row) ->
+            lines.add(
+                new Line(
+                    type,
+                    row.wanted,
+                    row.tries,
+                    count(row, Entry.Kind.SERVED),
+                    count(row, Entry.Kind.REFUSED),
+                    count(row, Entry.Kind.FAILED) + count(row, Entry.Kind.CUT),
+                    count(row, Entry.Kind.SILENCE)
+                        + count(row, Entry.Kind.BROKEN)
+                        + count(row, Entry.Kind.LEFT),
+                    row.unreached,
+                    row.inAim,
+                    row.latency.getValueAtPercentile(50) / MILLI,
+                    row.latency.getValueAtPercentile(99) / MILLI,
+                    row.latency.getMaxValue() / MILLI)));
+    return lines;
+  }
 
-    /** How much later than planned the 99th of a hundred requests was sent, in milliseconds. */
-    synchronized double senderLate() {
-        return lateness.getValueAtPercentile(99) / MILLI;
-    }
+  private static long count(Row row, Entry.Kind kind) {
+    return row.ends.getOrDefault(kind, 0L);
+  }
+
+  /** How much later than planned the 99th of a hundred requests was sent, in milliseconds. */
+  synchronized double senderLate() {
+    return lateness.getValueAtPercentile(99) / MILLI;
+  }
 }
--- a/src/main/java/beaconturn/rehearsal/fleet/Children.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/Children.java
@@ -5,44 +5,43 @@
 
 /** Processes of the kit: they end with it, and can be made to stand still. */
 public final class Children {
-    private Children() {
-    }
+  private Children() {}
 
-    /** Starts a process; whoever ends the rehearsal by a signal must not leave it behind. */
-    public static Process start(ProcessBuilder builder) throws IOException {
-        Process process = builder.start();
-        Thread hook = new Thread(process::destroyForcibly);
-        Runtime.getRuntime().addShutdownHook(hook);
-        process.onExit().thenRun(() -> forget(hook));
-        return process;
-    }
+  /** Starts a process; whoever ends the rehearsal by a signal must not leave it behind. */
+  public static Process start(ProcessBuilder builder) throws IOException {
+    Process process = builder.start();
+    Thread hook = new Thread(process::destroyForcibly);
+    Runtime.getRuntime().addShutdownHook(hook);
+    process.onExit().thenRun(() -> forget(hook));
+    return process;
+  }
 
-    private static void forget(Thread hook) {
-        try {
-            Runtime.getRuntime().removeShutdownHook(hook);
-        } catch (IllegalStateException e) {
-            // The rehearsal itself is on its way out: the hook has run or is running.
-            return;
-        }
+  private static void forget(Thread hook) {
+    try {
+      Runtime.getRuntime().removeShutdownHook(hook);
+    } catch (IllegalStateException e) {
+      // The rehearsal itself is on its way out: the hook has run or is running.
+      return;
     }
+  }
 
-    /** Has a process stand still, or go on. */
-    public static void pause(Process process, boolean on) {
-        signal(process, on ? "-STOP" : "-CONT");
-    }
+  /** Has a process stand still, or go on. */
+  public static void pause(Process process, boolean on) {
+    signal(process, on ? "-STOP" : "-CONT");
+  }
 
-    /** Tells a process to read its configuration anew. */
-    public static void hangUp(Process process) {
-        signal(process, "-HUP");
-    }
+  /** Tells a process to read its configuration anew. */
+  public static void hangUp(Process process) {
+    signal(process, "-HUP");
+  }
 
-    private static void signal(Process process, String signal) {
-        try {
-            new ProcessBuilder("kill", signal, Long.toString(process.pid())).start().waitFor();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+  private static void signal(Process process, String signal) {
+    try {
+      new ProcessBuilder("kill", signal, Long.toString(process.pid())).start().waitFor();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 }
--- a/src/main/java/beaconturn/release/Agreed.java
+++ b/src/main/java/beaconturn/release/Agreed.java
@@ -12,13 +12,13 @@
  * @param atMillis the wall clock, for the version's history
  */
 public record Agreed(Snapshot seen, long nextNumber, List<String> waiting, long atMillis) {
-    /** Whether that version is settled: all routers act on it, or on one after it. */
-    boolean settled(long number) {
-        return seen.settled() >= number;
-    }
+  /** Whether that version is settled: all routers act on it, or on one after it. */
+  boolean settled(long number) {
+    return seen.settled() >= number;
+  }
 
-    /** Whether that version was turned down: it is neither proposed nor in force. */
-    boolean turnedDown(long number) {
-        return seen.nextNumber() != number && seen.current().number() < number;
-    }
+  /** Whether that version was turned down: it is neither proposed nor in force. */
+  boolean turnedDown(long number) {
+    return seen.nextNumber() != number && seen.current().number() < number;
+  }
 }
--- a/src/main/java/beaconturn/release/Course.java
+++ b/src/main/java/beaconturn/release/Course.java
@@ -8,27 +8,27 @@
  * @param by who said so
  */
 public record Course(Mode mode, String why, String by) {
-    /** No release was ever begun. */
-    public static final Course NONE = new Course(Mode.DONE, "", "");
+  /** No release was ever begun. */
+  public static final Course NONE = new Course(Mode.DONE, "", "");
 
-    /** Whether steps are taken, and which way. */
-    public enum Mode {
-        /** Wave after wave. */
-        RUNNING,
-        /** No step begins. */
-        HALTED,
-        /** Steps are undone in the reverse order. */
-        BACKING,
-        /** All parts run what is released. */
-        DONE,
-        /** All parts run again what they ran before. */
-        BACK,
-        /** Left as it is, by an operator. */
-        ABANDONED
-    }
+  /** Whether steps are taken, and which way. */
+  public enum Mode {
+    /** Wave after wave. */
+    RUNNING,
+    /** No step begins. */
+    HALTED,
+    /** Steps are undone in the reverse order. */
+    BACKING,
+    /** All parts run what is released. */
+    DONE,
+    /** All parts run again what they ran before. */
+    BACK,
+    /** Left as it is, by an operator. */
+    ABANDONED
+  }
 
-    /** Whether it is over. */
-    public boolean over() {
-        return mode == Mode.DONE || mode == Mode.BACK || mode == Mode.ABANDONED;
-    }
+  /** Whether it is over. */
+  public boolean over() {
+    return mode == Mode.DONE || mode == Mode.BACK || mode == Mode.ABANDONED;
+  }
 }
--- a/src/main/java/beaconturn/release/Driver.java
+++ b/src/main/java/beaconturn/release/Driver.java
@@ -15,303 +15,369 @@
 import java.util.function.Supplier;
 
 /**
- * What whoever drives a release does next. Any process may drive it: what it decides rests on what stands
- * in the store, and each of its steps holds only while its number is the driver's. What it remembers by
- * itself is since when it has watched a part; one that takes over watches anew.
+ * What whoever drives a release does next. Any process may drive it: what it decides rests on what
+ * stands in the store, and each of its steps holds only while its number is the driver's. What it
+ * remembers by itself is since when it has watched a part; one that takes over watches anew.
  */
 public final class Driver {
-    private final ReleaseKeys keys;
-    private final Steps steps;
-    private final beaconturn.agreement.Steps agreements;
-    private final String me;
-    private final Health health = new Health();
-    private final Load load = new Load();
-    private String waits = "";
-    /** Starts of cache servers as they are known now. */
-    private SortedMap<String, Long> starts = new TreeMap<>();
+  private final ReleaseKeys keys;
+  private final Steps steps;
+  private final beaconturn.agreement.Steps agreements;
+  private final String me;
+  private final Health health = new Health();
+  private final Load load = new Load();
+  private String waits = "";
 
-    /** A driver of that incarnation. */
-    public Driver(ReleaseKeys keys, String me, Supplier<String> when) {
-        this.keys = keys;
-        this.steps = new Steps(keys, when);
-        this.agreements = new beaconturn.agreement.Steps(new Keys(keys.fleet()));
-        this.me = me;
-    }
+  /** Starts of cache servers as they are known now. */
+  private SortedMap<String, Long> starts = new TreeMap<>();
 
-    /** Whom or what the release waits for, in words; empty where it does not. */
-    public String waits() {
-        return waits;
-    }
+  /** A driver of that incarnation. */
+  public Driver(ReleaseKeys keys, String me, Supplier<String> when) {
+    this.keys = keys;
+    this.steps = new Steps(keys, when);
+    this.agreements = new beaconturn.agreement.Steps(new Keys(keys.fleet()));
+    this.me = me;
+  }
 
-    /**
-     * Takes the driver's place, if nobody has it and a release is at hand; the place hangs on the lease.
-     */
-    public Act take(Scene scene, long lease) {
-        if (scene.plan() == null || scene.course().over() || !scene.driver().isEmpty()) {
-            return null;
-        }
-        return new Act(new Call.Swap(List.of(new Call.Condition.Unchanged(keys.driver(), 0)),
-            List.of(new Call.Change.Put(keys.driver(), me, lease))), "drives the release");
-    }
+  /** Whom or what the release waits for, in words; empty where it does not. */
+  public String waits() {
+    return waits;
+  }
 
-    /**
-     * The step that is due, or null while it waits.
-     *
-     * @param seen parts that are out though nobody planned it
-     * @param now by a clock that never goes back, in nanoseconds
-     */
-    public Act due(Scene scene, Absence seen, long now) {
-        return due(scene, seen, null, now);
+  /**
+   * Takes the driver's place, if nobody has it and a release is at hand; the place hangs on the
+   * lease.
+   */
+  public Act take(Scene scene, long lease) {
+    if (scene.plan() == null || scene.course().over() || !scene.driver().isEmpty()) {
+      return null;
     }
+    return new Act(
+        new Call.Swap(
+            List.of(new Call.Condition.Unchanged(keys.driver(), 0)),
+            List.of(new Call.Change.Put(keys.driver(), me, lease))),
+        "drives the release");
+  }
 
-    /** The same where settings go with the release; {@code agreed} null where that is not known. */
-    public Act due(Scene scene, Absence seen, Agreed agreed, long now) {
-        waits = "";
-        if (scene.plan() == null || !scene.driver().equals(me)) {
-            return null;
-        }
-        if (scene.replaced()) {
-            waits = Scene.REPLACED;
-            return null;
-        }
-        SortedMap<String, String> gone = seen.during(scene);
-        starts = seen.latest();
-        health.saw(scene, gone, now);
-        load.saw(scene, now);
-        return switch (scene.course().mode()) {
-            case RUNNING -> scene.plan().settings() == null || inForce(scene, agreed)
-                ? forward(scene, seen, gone, now) : settings(scene, agreed);
-            case BACKING -> back(scene, gone, agreed);
-            default -> null;
-        };
-    }
+  /**
+   * The step that is due, or null while it waits.
+   *
+   * @param seen parts that are out though nobody planned it
+   * @param now by a clock that never goes back, in nanoseconds
+   */
+  public Act due(Scene scene, Absence seen, long now) {
+    return due(scene, seen, null, now);
+  }
 
-    /** Conditions of all that a driver does: it is the driver, and the part stands as it was read. */
-    private Act act(Scene scene, String says, List<String> unchanged, List<Call.Change> changes) {
-        List<String> all = new ArrayList<>(unchanged);
-        all.add(keys.driver());
-        return steps.act(scene, me, says, all, changes);
+  /** The same where settings go with the release; {@code agreed} null where that is not known. */
+  public Act due(Scene scene, Absence seen, Agreed agreed, long now) {
+    waits = "";
+    if (scene.plan() == null || !scene.driver().equals(me)) {
+      return null;
     }
-
-    /** Whether the settings that go with the release are what all routers act on. */
-    private static boolean inForce(Scene scene, Agreed agreed) {
-        return scene.settings() != null && (agreed == null || agreed.settled(scene.settings().number()));
+    if (scene.replaced()) {
+      waits = Scene.REPLACED;
+      return null;
     }
+    SortedMap<String, String> gone = seen.during(scene);
+    starts = seen.latest();
+    health.saw(scene, gone, now);
+    load.saw(scene, now);
+    return switch (scene.course().mode()) {
+      case RUNNING ->
+          scene.plan().settings() == null || inForce(scene, agreed)
+              ? forward(scene, seen, gone, now)
+              : settings(scene, agreed);
+      case BACKING -> back(scene, gone, agreed);
+      default -> null;
+    };
+  }
 
-    /** The settings first: what is released may need them, and nothing of it runs yet. */
-    private Act settings(Scene scene, Agreed agreed) {
-        if (agreed == null) {
-            waits = "what is agreed on is not known";
-            return null;
-        }
-        if (scene.settings() == null) {
-            Content now = agreed.seen().current().content();
-            return propose(scene, agreed, scene.plan().settings().over(now).holding(now),
-                new Changeover(agreed.nextNumber(), now, 0));
-        }
-        if (agreed.turnedDown(scene.settings().number())) {
-            return turn(scene, "its settings, version " + scene.settings().number() + ", were turned down");
-        }
-        waits = "version " + scene.settings().number() + " of its settings waits for "
-            + String.join(", ", agreed.waiting());
-        return null;
+  /** Conditions of all that a driver does: it is the driver, and the part stands as it was read. */
+  private Act act(Scene scene, String says, List<String> unchanged, List<Call.Change> changes) {
+    List<String> all = new ArrayList<>(unchanged);
+    all.add(keys.driver());
+    return steps.act(scene, me, says, all, changes);
+  }
+
+  /** Whether the settings that go with the release are what all routers act on. */
+  private static boolean inForce(Scene scene, Agreed agreed) {
+    return scene.settings() != null
+        && (agreed == null || agreed.settled(scene.settings().number()));
+  }
+
+  /** The settings first: what is released may need them, and nothing of it runs yet. */
+  private Act settings(Scene scene, Agreed agreed) {
+    if (agreed == null) {
+      waits = "what is agreed on is not known";
+      return null;
     }
+    if (scene.settings() == null) {
+      Content now = agreed.seen().current().content();
+      return propose(
+          scene,
+          agreed,
+          scene.plan().settings().over(now).holding(now),
+          new Changeover(agreed.nextNumber(), now, 0));
+    }
+    if (agreed.turnedDown(scene.settings().number())) {
+      return turn(
+          scene, "its settings, version " + scene.settings().number() + ", were turned down");
+    }
+    waits =
+        "version "
+            + scene.settings().number()
+            + " of its settings waits for "
+            + String.join(", ", agreed.waiting());
+    return null;
+  }
 
-    /** One transaction with the driver's own conditions: a driver that was replaced proposes nothing. */
-    private Act propose(Scene scene, Agreed agreed, Content content, Changeover changeover) {
-        try {
-            beaconturn.agreement.Steps.Step step = agreements.propose(agreed.seen(), agreed.nextNumber(),
-                content, "release " + scene.plan().number(), scene.plan().reason(), agreed.atMillis());
-            List<Call.Change> changes = new ArrayList<>(step.swap().changes());
-            changes.add(steps.put(changeover));
-            Act act = act(scene, "its settings: " + step.says(), List.of(keys.settings()), changes);
-            List<Call.Condition> conditions = new ArrayList<>(act.swap().conditions());
-            conditions.addAll(step.swap().conditions());
-            return new Act(new Call.Swap(conditions, act.swap().changes()), act.says());
-        } catch (AgreementException e) {
-            waits = e.getMessage();
-            return null;
-        }
+  /**
+   * One transaction with the driver's own conditions: a driver that was replaced proposes nothing.
+   */
+  private Act propose(Scene scene, Agreed agreed, Content content, Changeover changeover) {
+    try {
+      beaconturn.agreement.Steps.Step step =
+          agreements.propose(
+              agreed.seen(),
+              agreed.nextNumber(),
+              content,
+              "release " + scene.plan().number(),
+              scene.plan().reason(),
+              agreed.atMillis());
+      List<Call.Change> changes = new ArrayList<>(step.swap().changes());
+      changes.add(steps.put(changeover));
+      Act act = act(scene, "its settings: " + step.says(), List.of(keys.settings()), changes);
+      List<Call.Condition> conditions = new ArrayList<>(act.swap().conditions());
+      conditions.addAll(step.swap().conditions());
+      return new Act(new Call.Swap(conditions, act.swap().changes()), act.says());
+    } catch (AgreementException e) {
+      waits = e.getMessage();
+      return null;
     }
+  }
 
-    /** The settings of before, once no part runs what was released; null once they are in force. */
-    private Act settingsBack(Scene scene, Agreed agreed) {
-        Changeover at = scene.settings();
-        if (at.undone() != 0 && agreed.settled(at.undone())) {
-            return null;
-        }
-        if (at.undone() == 0 && agreed.turnedDown(at.number())) {
-            // They never came into force: there is nothing to bring back.
-            return act(scene, "its settings never came into force", List.of(keys.settings()),
-                List.of(new Call.Change.Delete(keys.settings())));
-        }
-        if (at.undone() == 0 || agreed.turnedDown(at.undone())) {
-            return propose(scene, agreed, at.before().holding(agreed.seen().current().content()),
-                new Changeover(at.number(), at.before(), agreed.nextNumber()));
-        }
-        waits = "version " + at.undone() + ", its settings of before, waits for "
-            + String.join(", ", agreed.waiting());
-        return null;
+  /** The settings of before, once no part runs what was released; null once they are in force. */
+  private Act settingsBack(Scene scene, Agreed agreed) {
+    Changeover at = scene.settings();
+    if (at.undone() != 0 && agreed.settled(at.undone())) {
+      return null;
+    }
+    if (at.undone() == 0 && agreed.turnedDown(at.number())) {
+      // They never came into force: there is nothing to bring back.
+      return act(
+          scene,
+          "its settings never came into force",
+          List.of(keys.settings()),
+          List.of(new Call.Change.Delete(keys.settings())));
+    }
+    if (at.undone() == 0 || agreed.turnedDown(at.undone())) {
+      return propose(
+          scene,
+          agreed,
+          at.before().holding(agreed.seen().current().content()),
+          new Changeover(at.number(), at.before(), agreed.nextNumber()));
     }
+    waits =
+        "version "
+            + at.undone()
+            + ", its settings of before, waits for "
+            + String.join(", ", agreed.waiting());
+    return null;
+  }
 
-    private Act forward(Scene scene, Absence seen, Map<String, String> gone, long now) {
-        for (Step step : scene.steps().values()) {
-            if (step.phase() == Step.Phase.FAILED) {
-                return turn(scene, step.id() + " did not get ready: " + step.why());
-            }
-            if (step.phase() == Step.Phase.GRANTED || step.phase() == Step.Phase.BEGUN) {
-                waits = step.id() + " is acted on";
-            }
-            if (step.phase() == Step.Phase.UP && step.variant() == Variant.OLD) {
-                return turn(scene, step.id() + " was brought back by its agent: " + step.why());
-            }
-            if (step.phase() == Step.Phase.UP) {
-                Health.Word word = health.of(scene, step, gone, now);
-                if (word.verdict() == Health.Verdict.BAD) {
-                    return turn(scene, step.id() + " does worse: " + word.says());
-                }
-                if (word.verdict() == Health.Verdict.GOOD) {
-                    return act(scene, step.id() + " has stood the check: " + word.says(),
-                        List.of(keys.step(step.id())), List.of(
-                            steps.put(step.to(Step.Phase.GOOD, step.agent(), "")),
-                                steps.back(step.permit())));
-                }
-                waits = step.id() + " is watched: " + word.says();
-            }
-        }
-        Health.Word later = health.later(scene, now);
-        if (later != null) {
-            return turn(scene, later.says());
+  private Act forward(Scene scene, Absence seen, Map<String, String> gone, long now) {
+    for (Step step : scene.steps().values()) {
+      if (step.phase() == Step.Phase.FAILED) {
+        return turn(scene, step.id() + " did not get ready: " + step.why());
+      }
+      if (step.phase() == Step.Phase.GRANTED || step.phase() == Step.Phase.BEGUN) {
+        waits = step.id() + " is acted on";
+      }
+      if (step.phase() == Step.Phase.UP && step.variant() == Variant.OLD) {
+        return turn(scene, step.id() + " was brought back by its agent: " + step.why());
+      }
+      if (step.phase() == Step.Phase.UP) {
+        Health.Word word = health.of(scene, step, gone, now);
+        if (word.verdict() == Health.Verdict.BAD) {
+          return turn(scene, step.id() + " does worse: " + word.says());
         }
-        for (List<String> wave : scene.plan().waves()) {
-            if (!wave.stream().allMatch(id -> is(scene, id, Step.Phase.GOOD) || is(scene, id,
-                Step.Phase.UNDONE))) {
-                return next(scene, wave, seen, gone, now);
-            }
+        if (word.verdict() == Health.Verdict.GOOD) {
+          return act(
+              scene,
+              step.id() + " has stood the check: " + word.says(),
+              List.of(keys.step(step.id())),
+              List.of(
+                  steps.put(step.to(Step.Phase.GOOD, step.agent(), "")),
+                  steps.back(step.permit())));
         }
-        return act(scene, "all parts run what is released", List.of(),
-            List.of(steps.put(new Course(Course.Mode.DONE, "all parts have stood the check", me))));
+        waits = step.id() + " is watched: " + word.says();
+      }
     }
-
-    private static boolean is(Scene scene, String id, Step.Phase phase) {
-        Step step = scene.steps().get(id);
-        return step != null && step.phase() == phase;
+    Health.Word later = health.later(scene, now);
+    if (later != null) {
+      return turn(scene, later.says());
     }
-
-    private Act turn(Scene scene, String why) {
-        return act(scene, "goes back: " + why, List.of(),
-            List.of(steps.put(new Course(Course.Mode.BACKING, why, me))));
+    for (List<String> wave : scene.plan().waves()) {
+      if (!wave.stream()
+          .allMatch(id -> is(scene, id, Step.Phase.GOOD) || is(scene, id, Step.Phase.UNDONE))) {
+        return next(scene, wave, seen, gone, now);
+      }
     }
+    return act(
+        scene,
+        "all parts run what is released",
+        List.of(),
+        List.of(steps.put(new Course(Course.Mode.DONE, "all parts have stood the check", me))));
+  }
+
+  private static boolean is(Scene scene, String id, Step.Phase phase) {
+    Step step = scene.steps().get(id);
+    return step != null && step.phase() == phase;
+  }
+
+  private Act turn(Scene scene, String why) {
+    return act(
+        scene,
+        "goes back: " + why,
+        List.of(),
+        List.of(steps.put(new Course(Course.Mode.BACKING, why, me))));
+  }
 
-    private Act next(Scene scene, List<String> wave, Absence seen, Map<String, String> gone, long now) {
-        for (String id : wave) {
-            if (scene.steps().get(id) == null) {
-                String full = scene.full(scene.plan().kind(), id, seen, gone);
-                if (full == null) {
-                    full = load.tooMuch(scene, id, scene.out(scene.plan().kind(), gone).keySet(), now);
-                }
-                if (full == null) {
-                    return grant(scene, id, Variant.NEW, gone);
-                }
-                waits = id + ": " + full;
-            }
+  private Act next(
+      Scene scene, List<String> wave, Absence seen, Map<String, String> gone, long now) {
+    for (String id : wave) {
+      if (scene.steps().get(id) == null) {
+        String full = scene.full(scene.plan().kind(), id, seen, gone);
+        if (full == null) {
+          full = load.tooMuch(scene, id, scene.out(scene.plan().kind(), gone).keySet(), now);
         }
-        return null;
+        if (full == null) {
+          return grant(scene, id, Variant.NEW, gone);
+        }
+        waits = id + ": " + full;
+      }
     }
+    return null;
+  }
 
-    /**
-     * Takes a place and has the part go out; the counter holds the place against all who count at the
-     * time.
-     */
-    private Act grant(Scene scene, String id, Variant variant, Map<String, String> gone) {
-        long number = scene.counter() + 1;
-        Permit permit = new Permit(number, scene.plan().kind(), id, "release " + scene.plan().number(),
+  /**
+   * Takes a place and has the part go out; the counter holds the place against all who count at the
+   * time.
+   */
+  private Act grant(Scene scene, String id, Variant variant, Map<String, String> gone) {
+    long number = scene.counter() + 1;
+    Permit permit =
+        new Permit(
+            number,
+            scene.plan().kind(),
+            id,
+            "release " + scene.plan().number(),
             variant == Variant.NEW ? scene.plan().reason() : "back: " + scene.course().why());
-        Set<String> out = new HashSet<>(scene.out(scene.plan().kind(), gone).keySet());
-        out.add(id);
-        return act(scene, id + " goes out under permit " + number + ", " + out.size() + " out",
-            List.of(keys.counter(), keys.parts(), keys.step(id)),
-            List.of(steps.counted(number), steps.put(permit),
-                steps.put(granted(id, number, variant))));
-    }
+    Set<String> out = new HashSet<>(scene.out(scene.plan().kind(), gone).keySet());
+    out.add(id);
+    return act(
+        scene,
+        id + " goes out under permit " + number + ", " + out.size() + " out",
+        List.of(keys.counter(), keys.parts(), keys.step(id)),
+        List.of(steps.counted(number), steps.put(permit), steps.put(granted(id, number, variant))));
+  }
 
-    private Step granted(String id, long number, Variant variant) {
-        return new Step(id, number, Step.Phase.GRANTED, variant, "", "", starts.getOrDefault(id, -1L), 0);
+  private Step granted(String id, long number, Variant variant) {
+    return new Step(
+        id, number, Step.Phase.GRANTED, variant, "", "", starts.getOrDefault(id, -1L), 0);
+  }
+
+  /**
+   * Undoes in the reverse order; what was not begun is taken back, what runs the new goes back to
+   * the old.
+   */
+  private Act back(Scene scene, Map<String, String> gone, Agreed agreed) {
+    List<String> order = new ArrayList<>(scene.plan().parts());
+    Collections.reverse(order);
+    boolean open = false;
+    for (String id : order) {
+      Step step = scene.steps().get(id);
+      if (step == null || step.phase() == Step.Phase.UNDONE) {
+        continue;
+      }
+      open = true;
+      Act act = undo(scene, step, gone);
+      if (act != null) {
+        return act;
+      }
+    }
+    if (!open && scene.settings() != null) {
+      if (agreed == null) {
+        waits = "what is agreed on is not known";
+        return null;
+      }
+      Act act = settingsBack(scene, agreed);
+      if (act != null || !waits.isEmpty()) {
+        return act;
+      }
     }
+    return open
+        ? null
+        : act(
+            scene,
+            "all parts run again what they ran before",
+            List.of(),
+            List.of(steps.put(new Course(Course.Mode.BACK, scene.course().why(), me))));
+  }
 
-    /**
-     * Undoes in the reverse order; what was not begun is taken back, what runs the new goes back to the
-     * old.
-     */
-    private Act back(Scene scene, Map<String, String> gone, Agreed agreed) {
-        List<String> order = new ArrayList<>(scene.plan().parts());
-        Collections.reverse(order);
-        boolean open = false;
-        for (String id : order) {
-            Step step = scene.steps().get(id);
-            if (step == null || step.phase() == Step.Phase.UNDONE) {
-                continue;
-            }
-            open = true;
-            Act act = undo(scene, step, gone);
-            if (act != null) {
-                return act;
-            }
+  private Act undo(Scene scene, Step step, Map<String, String> gone) {
+    String key = keys.step(step.id());
+    switch (step.phase()) {
+      case GRANTED -> {
+        if (step.variant() == Variant.NEW) {
+          return act(
+              scene,
+              step.id() + " was not begun, its place is given back",
+              List.of(key),
+              List.of(steps.put(step.to(Step.Phase.UNDONE, "", "")), steps.back(step.permit())));
         }
-        if (!open && scene.settings() != null) {
-            if (agreed == null) {
-                waits = "what is agreed on is not known";
-                return null;
-            }
-            Act act = settingsBack(scene, agreed);
-            if (act != null || !waits.isEmpty()) {
-                return act;
-            }
+        waits = step.id() + " is to go back";
+      }
+      case BEGUN -> waits = step.id() + " is acted on";
+      case UP, FAILED -> {
+        if (step.variant() == Variant.OLD
+            && step.phase() == Step.Phase.UP
+            && gone.containsKey(step.id())) {
+          waits = step.id() + " is not seen back: " + gone.get(step.id());
+          return null;
         }
-        return open ? null : act(scene, "all parts run again what they ran before", List.of(),
-            List.of(steps.put(new Course(Course.Mode.BACK, scene.course().why(), me))));
-    }
-
-    private Act undo(Scene scene, Step step, Map<String, String> gone) {
-        String key = keys.step(step.id());
-        switch (step.phase()) {
-            case GRANTED -> {
-                if (step.variant() == Variant.NEW) {
-                    return act(scene, step.id() + " was not begun, its place is given back", List.of(key),
-                        List.of(steps.put(step.to(Step.Phase.UNDONE, "", "")), steps.back(step.permit())));
-                }
-                waits = step.id() + " is to go back";
-            }
-            case BEGUN -> waits = step.id() + " is acted on";
-            case UP, FAILED -> {
-                if (step.variant() == Variant.OLD && step.phase() == Step.Phase.UP
-                    && gone.containsKey(step.id())) {
-                    waits = step.id() + " is not seen back: " + gone.get(step.id());
-                    return null;
-                }
-                if (step.variant() == Variant.OLD) {
-                    return step.phase() == Step.Phase.FAILED ? stuck(step)
-                        : act(scene, step.id() + " runs again what it ran before", List.of(key),
-                            List.of(steps.put(step.to(Step.Phase.UNDONE, step.agent(), "")),
-                                steps.back(step.permit())));
-                }
-                // It holds its place still.
-                return act(scene, step.id() + " goes back under permit " + step.permit(), List.of(key),
-                    List.of(steps.put(granted(step.id(), step.permit(), Variant.OLD))));
-            }
-            default -> {
-                String full = scene.full(scene.plan().kind(), step.id(), gone);
-                if (full == null) {
-                    return grant(scene, step.id(), Variant.OLD, gone);
-                }
-                waits = step.id() + ": " + full;
-            }
+        if (step.variant() == Variant.OLD) {
+          return step.phase() == Step.Phase.FAILED
+              ? stuck(step)
+              : act(
+                  scene,
+                  step.id() + " runs again what it ran before",
+                  List.of(key),
+                  List.of(
+                      steps.put(step.to(Step.Phase.UNDONE, step.agent(), "")),
+                      steps.back(step.permit())));
         }
-        return null;
+        // It holds its place still.
+        return act(
+            scene,
+            step.id() + " goes back under permit " + step.permit(),
+            List.of(key),
+            List.of(steps.put(granted(step.id(), step.permit(), Variant.OLD))));
+      }
+      default -> {
+        String full = scene.full(scene.plan().kind(), step.id(), gone);
+        if (full == null) {
+          return grant(scene, step.id(), Variant.OLD, gone);
+        }
+        waits = step.id() + ": " + full;
+      }
     }
+    return null;
+  }
 
-    private Act stuck(Step step) {
-        waits = step.id() + " cannot be brought back: " + step.why();
-        return null;
-    }
+  private Act stuck(Step step) {
+    waits = step.id() + " cannot be brought back: " + step.why();
+    return null;
+  }
 }
--- a/src/main/java/beaconturn/release/Health.java
+++ b/src/main/java/beaconturn/release/Health.java
@@ -10,176 +10,194 @@
 import java.util.TreeSet;
 
 /**
- * Compares parts that run what is released with those that do not, over the same time: by what
- * they answer, how late, and what that takes. Yesterday's figures say nothing, as load and troubles are
+ * Compares parts that run what is released with those that do not, over the same time: by what they
+ * answer, how late, and what that takes. Yesterday's figures say nothing, as load and troubles are
  * today's.
  */
 final class Health {
-    /** While others are gone by themselves only what fails more often than not is the release's. */
-    private static final double MOSTLY = 0.5;
-
-    /**
-     * When a part that is up was first seen so, and what all had answered by then; and what they had when
-     * it was back and nobody else was gone by itself, from which on they are compared.
-     */
-    private record Begun(long at, Map<String, Sample> then, Map<String, Sample> clean) { }
-
-    /** Since when parts that are up are seen in service. */
-    private final Map<String, Long> back = new HashMap<>();
-
-    /**
-     * Whether somebody is out whom the release did not take out, or was a moment ago: one that has just
-     * started then does worse than those that have learned of it, whatever it runs.
-     */
-    private boolean troubled;
-    private long calmAt = Long.MIN_VALUE;
-
-    private final Map<String, Begun> begun = new HashMap<>();
-    private final SortedMap<String, Long> ejectedSince = new TreeMap<>();
-    /** What all had answered when a part that has stood the check was last compared. */
-    private final Map<String, Map<String, Sample>> stood = new HashMap<>();
-
-    /** What is to be thought of a part. */
-    enum Verdict { WAIT, GOOD, BAD }
-
-    /** A verdict and its figures, in words. */
-    record Word(Verdict verdict, String says) { }
-
-    /** Remembers when parts came up; to be told of each scene before it is asked. */
-    void saw(Scene scene, Map<String, String> gone, long now) {
-        boolean others = gone.keySet().stream().anyMatch(id -> scene.permits().values().stream()
-            .noneMatch(p -> p.id().equals(id)));
-        ejected(scene, gone, now);
-        calmAt = others ? now + scene.plan().soak() : calmAt;
-        troubled = others || now < calmAt;
-        Map<String, Sample> health = Map.copyOf(scene.health());
-        for (Step step : scene.steps().values()) {
-            boolean up = step.phase() == Step.Phase.UP && step.variant() == Variant.NEW;
-            String key = key(step);
-            if (up) {
-                Begun before = begun.computeIfAbsent(key, k -> new Begun(now, health, health));
-                Sample base = before.clean().get(step.id());
-                // What a process has answered before anybody was told of it is of another time.
-                boolean another = base != null && health.containsKey(step.id())
-                    && !health.get(step.id()).process().equals(base.process());
-                if (troubled || another || gone.containsKey(step.id())) {
-                    begun.put(key, new Begun(before.at(), before.then(), health));
-                }
-            } else if (troubled) {
-                stood.remove(key);
-            }
-            if (gone.containsKey(step.id())) {
-                back.remove(key);
-            } else if (up) {
-                back.putIfAbsent(key, now);
-            }
+  /** While others are gone by themselves only what fails more often than not is the release's. */
+  private static final double MOSTLY = 0.5;
+
+  /**
+   * When a part that is up was first seen so, and what all had answered by then; and what they had
+   * when it was back and nobody else was gone by itself, from which on they are compared.
+   */
+  private record Begun(long at, Map<String, Sample> then, Map<String, Sample> clean) {}
+
+  /** Since when parts that are up are seen in service. */
+  private final Map<String, Long> back = new HashMap<>();
+
+  /**
+   * Whether somebody is out whom the release did not take out, or was a moment ago: one that has
+   * just started then does worse than those that have learned of it, whatever it runs.
+   */
+  private boolean troubled;
+
+  private long calmAt = Long.MIN_VALUE;
+
+  private final Map<String, Begun> begun = new HashMap<>();
+  private final SortedMap<String, Long> ejectedSince = new TreeMap<>();
+
+  /** What all had answered when a part that has stood the check was last compared. */
+  private final Map<String, Map<String, Sample>> stood = new HashMap<>();
+
+  /** What is to be thought of a part. */
+  enum Verdict {
+    WAIT,
+    GOOD,
+    BAD
+  }
+
+  /** A verdict and its figures, in words. */
+  record Word(Verdict verdict, String says) {}
+
+  /** Remembers when parts came up; to be told of each scene before it is asked. */
+  void saw(Scene scene, Map<String, String> gone, long now) {
+    boolean others =
+        gone.keySet().stream()
+            .anyMatch(id -> scene.permits().values().stream().noneMatch(p -> p.id().equals(id)));
+    ejected(scene, gone, now);
+    calmAt = others ? now + scene.plan().soak() : calmAt;
+    troubled = others || now < calmAt;
+    Map<String, Sample> health = Map.copyOf(scene.health());
+    for (Step step : scene.steps().values()) {
+      boolean up = step.phase() == Step.Phase.UP && step.variant() == Variant.NEW;
+      String key = key(step);
+      if (up) {
+        Begun before = begun.computeIfAbsent(key, k -> new Begun(now, health, health));
+        Sample base = before.clean().get(step.id());
+        // What a process has answered before anybody was told of it is of another time.
+        boolean another =
+            base != null
+                && health.containsKey(step.id())
+                && !health.get(step.id()).process().equals(base.process());
+        if (troubled || another || gone.containsKey(step.id())) {
+          begun.put(key, new Begun(before.at(), before.then(), health));
         }
+      } else if (troubled) {
+        stood.remove(key);
+      }
+      if (gone.containsKey(step.id())) {
+        back.remove(key);
+      } else if (up) {
+        back.putIfAbsent(key, now);
+      }
     }
+  }
 
-    private static String key(Step step) {
-        return step.id() + "#" + step.permit();
-    }
+  private static String key(Step step) {
+    return step.id() + "#" + step.permit();
+  }
 
-    /** Whether the part has stood the check. */
-    Word of(Scene scene, Step step, Map<String, String> gone, long now) {
-        Begun since = begun.get(key(step));
-        if (since == null) {
-            return new Word(Verdict.WAIT, "just up");
-        }
-        Plan plan = scene.plan();
-        Long inService = back.get(key(step));
-        if (inService == null) {
-            // A router waits for its lease; a cache server is to be warm within its limit.
-            boolean late = plan.kind() == Kind.CACHE && now - since.at() > plan.limit();
-            return new Word(late ? Verdict.BAD : Verdict.WAIT, "not seen back: " + gone.get(step.id()));
-        }
-        boolean soaked = now - inService >= plan.soak();
-        if (plan.kind() == Kind.CACHE && !scene.health().containsKey(step.id())) {
-            return new Word(soaked ? Verdict.GOOD : Verdict.WAIT, "in service at most routers");
-        }
-        if (troubled) {
-            boolean mostly = since(scene, step.id(), since.then()).badShare() > MOSTLY;
-            Word word = compared(scene, step.id(), since.then(), false, false);
-            return mostly && word.verdict() == Verdict.BAD ? word
-                : new Word(Verdict.WAIT, "others are gone by themselves; " + word.says());
-        }
-        Word word = compared(scene, step.id(), since.clean(), soaked, false);
-        return word.verdict() == Verdict.GOOD && !soaked ? new Word(Verdict.WAIT, word.says()) : word;
+  /** Whether the part has stood the check. */
+  Word of(Scene scene, Step step, Map<String, String> gone, long now) {
+    Begun since = begun.get(key(step));
+    if (since == null) {
+      return new Word(Verdict.WAIT, "just up");
     }
-
-    /**
-     * Since when cache servers that have stood the check are ejected by most routers, and none of those that
-     * are not changed is: what all suffer from is not the release's.
-     */
-    private void ejected(Scene scene, Map<String, String> gone, long now) {
-        Set<String> ejected = new TreeSet<>();
-        gone.forEach((id, why) -> {
-            if (why.startsWith(Absence.EJECTED)) {
-                ejected.add(id);
-            }
-        });
-        boolean all = ejected.stream().anyMatch(id -> !scene.steps().containsKey(id));
-        ejected.removeIf(id -> all || !scene.steps().containsKey(id)
-            || scene.steps().get(id).phase() != Step.Phase.GOOD);
-        ejectedSince.keySet().retainAll(ejected);
-        ejected.forEach(id -> ejectedSince.putIfAbsent(id, now));
+    Plan plan = scene.plan();
+    Long inService = back.get(key(step));
+    if (inService == null) {
+      // A router waits for its lease; a cache server is to be warm within its limit.
+      boolean late = plan.kind() == Kind.CACHE && now - since.at() > plan.limit();
+      return new Word(late ? Verdict.BAD : Verdict.WAIT, "not seen back: " + gone.get(step.id()));
     }
-
-    /**
-     * Whether one of those that have stood the check does worse by now, which is watched as long as there are
-     * parts to compare it with: what harms may take minutes to do so. Null where none does.
-     */
-    Word later(Scene scene, long now) {
-        for (Map.Entry<String, Long> ejected : ejectedSince.entrySet()) {
-            if (now - ejected.getValue() > scene.plan().limit()) {
-                return new Word(Verdict.BAD, ejected.getKey() + " was ejected after it had stood the check");
-            }
-        }
-        Set<String> told = told(scene);
-        for (Step step : scene.steps().values()) {
-            if (step.phase() != Step.Phase.GOOD || !told.contains(step.id())
-                || scene.steps().keySet().containsAll(told)) {
-                continue;
-            }
-            Map<String, Sample> then = stood.computeIfAbsent(key(step), k -> Map.copyOf(scene.health()));
-            Word word = compared(scene, step.id(), then, true, true);
-            if (word.verdict() == Verdict.BAD) {
-                return new Word(Verdict.BAD,
-                    step.id() + " does worse since it stood the check: " + word.says());
-            }
-            if (word.verdict() == Verdict.GOOD) {
-                stood.put(key(step), Map.copyOf(scene.health()));
-            }
-        }
-        return null;
+    boolean soaked = now - inService >= plan.soak();
+    if (plan.kind() == Kind.CACHE && !scene.health().containsKey(step.id())) {
+      return new Word(soaked ? Verdict.GOOD : Verdict.WAIT, "in service at most routers");
     }
-
-    /** Parts of the kind at hand that tell how they do. */
-    private static Set<String> told(Scene scene) {
-        Set<String> all = new TreeSet<>(scene.health().keySet());
-        all.retainAll(scene.fleet().group(scene.plan().kind()).all());
-        return all;
+    if (troubled) {
+      boolean mostly = since(scene, step.id(), since.then()).badShare() > MOSTLY;
+      Word word = compared(scene, step.id(), since.then(), false, false);
+      return mostly && word.verdict() == Verdict.BAD
+          ? word
+          : new Word(Verdict.WAIT, "others are gone by themselves; " + word.says());
     }
-
-    /** With the parts not yet changed; where all are, with those that have stood the check. */
-    private static Word compared(Scene scene, String id, Map<String, Sample> then, boolean soaked,
-            boolean waits) {
-        Plan plan = scene.plan();
-        List<String> with = new ArrayList<>(told(scene));
-        with.remove(id);
-        List<String> unchanged = with.stream().filter(o -> scene.steps().get(o) == null).toList();
-        with = unchanged.isEmpty() ? with.stream()
-            .filter(o -> scene.steps().get(o).phase() == Step.Phase.GOOD).toList() : unchanged;
-        Sample changed = since(scene, id, then);
-        Sample others = Sample.NONE;
-        for (String other : with) {
-            // Of one that has come since, nobody knows over which time its answers are.
-            others = others.plus(then.containsKey(other) ? since(scene, other, then) : Sample.NONE);
-        }
-        return new Comparison(plan, changed, others, with.size()).word(soaked, waits);
+    Word word = compared(scene, step.id(), since.clean(), soaked, false);
+    return word.verdict() == Verdict.GOOD && !soaked ? new Word(Verdict.WAIT, word.says()) : word;
+  }
+
+  /**
+   * Since when cache servers that have stood the check are ejected by most routers, and none of
+   * those that are not changed is: what all suffer from is not the release's.
+   */
+  private void ejected(Scene scene, Map<String, String> gone, long now) {
+    Set<String> ejected = new TreeSet<>();
+    gone.forEach(
+        (id, why) -> {
+          if (why.startsWith(Absence.EJECTED)) {
+            ejected.add(id);
+          }
+        });
+    boolean all = ejected.stream().anyMatch(id -> !scene.steps().containsKey(id));
+    ejected.removeIf(
+        id ->
+            all
+                || !scene.steps().containsKey(id)
+                || scene.steps().get(id).phase() != Step.Phase.GOOD);
+    ejectedSince.keySet().retainAll(ejected);
+    ejected.forEach(id -> ejectedSince.putIfAbsent(id, now));
+  }
+
+  /**
+   * Whether one of those that have stood the check does worse by now, which is watched as long as
+   * there are parts to compare it with: what harms may take minutes to do so. Null where none does.
+   */
+  Word later(Scene scene, long now) {
+    for (Map.Entry<String, Long> ejected : ejectedSince.entrySet()) {
+      if (now - ejected.getValue() > scene.plan().limit()) {
+        return new Word(
+            Verdict.BAD, ejected.getKey() + " was ejected after it had stood the check");
+      }
     }
-
-    private static Sample since(Scene scene, String id, Map<String, Sample> then) {
-        return scene.health().getOrDefault(id, Sample.NONE).since(then.getOrDefault(id, Sample.NONE));
+    Set<String> told = told(scene);
+    for (Step step : scene.steps().values()) {
+      if (step.phase() != Step.Phase.GOOD
+          || !told.contains(step.id())
+          || scene.steps().keySet().containsAll(told)) {
+        continue;
+      }
+      Map<String, Sample> then = stood.computeIfAbsent(key(step), k -> Map.copyOf(scene.health()));
+      Word word = compared(scene, step.id(), then, true, true);
+      if (word.verdict() == Verdict.BAD) {
+        return new Word(
+            Verdict.BAD, step.id() + " does worse since it stood the check: " + word.says());
+      }
+      if (word.verdict() == Verdict.GOOD) {
+        stood.put(key(step), Map.copyOf(scene.health()));
+      }
     }
+    return null;
+  }
+
+  /** Parts of the kind at hand that tell how they do. */
+  private static Set<String> told(Scene scene) {
+    Set<String> all = new TreeSet<>(scene.health().keySet());
+    all.retainAll(scene.fleet().group(scene.plan().kind()).all());
+    return all;
+  }
+
+  /** With the parts not yet changed; where all are, with those that have stood the check. */
+  private static Word compared(
+      Scene scene, String id, Map<String, Sample> then, boolean soaked, boolean waits) {
+    Plan plan = scene.plan();
+    List<String> with = new ArrayList<>(told(scene));
+    with.remove(id);
+    List<String> unchanged = with.stream().filter(o -> scene.steps().get(o) == null).toList();
+    with =
+        unchanged.isEmpty()
+            ? with.stream().filter(o -> scene.steps().get(o).phase() == Step.Phase.GOOD).toList()
+            : unchanged;
+    Sample changed = since(scene, id, then);
+    Sample others = Sample.NONE;
+    for (String other : with) {
+      // Of one that has come since, nobody knows over which time its answers are.
+      others = others.plus(then.containsKey(other) ? since(scene, other, then) : Sample.NONE);
+    }
+    return new Comparison(plan, changed, others, with.size()).word(soaked, waits);
+  }
+
+  private static Sample since(Scene scene, String id, Map<String, Sample> then) {
+    return scene.health().getOrDefault(id, Sample.NONE).since(then.getOrDefault(id, Sample.NONE));
+  }
 }
--- a/src/main/java/beaconturn/release/Kind.java
+++ b/src/main/java/beaconturn/release/Kind.java
@@ -4,18 +4,18 @@
 
 /** What a part of the fleet is. */
 public enum Kind {
-    /** A router. */
-    ROUTER,
-    /** A cache server. */
-    CACHE;
+  /** A router. */
+  ROUTER,
+  /** A cache server. */
+  CACHE;
 
-    /** The word of files and of the store. */
-    public String word() {
-        return name().toLowerCase(Locale.ROOT);
-    }
+  /** The word of files and of the store. */
+  public String word() {
+    return name().toLowerCase(Locale.ROOT);
+  }
 
-    /** The kind of that word; null where there is none. */
-    public static Kind of(String word) {
-        return word.equals("router") ? ROUTER : word.equals("cache") ? CACHE : null;
-    }
+  /** The kind of that word; null where there is none. */
+  public static Kind of(String word) {
+    return word.equals("router") ? ROUTER : word.equals("cache") ? CACHE : null;
+  }
 }
--- a/src/main/java/beaconturn/release/Permit.java
+++ b/src/main/java/beaconturn/release/Permit.java
@@ -1,8 +1,8 @@
 package beaconturn.release;
 
 /**
- * A place out of the budget of absence, taken before a planned step begins and given back once the part
- * is seen back. It hangs on no lease: whoever holds it may have died with the part out.
+ * A place out of the budget of absence, taken before a planned step begins and given back once the
+ * part is seen back. It hangs on no lease: whoever holds it may have died with the part out.
  *
  * @param number only grows, and is never given again
  * @param kind of the part
@@ -10,4 +10,4 @@
  * @param holder who took it
  * @param reason why, in the holder's words
  */
-public record Permit(long number, Kind kind, String id, String holder, String reason) { }
+public record Permit(long number, Kind kind, String id, String holder, String reason) {}
--- a/src/main/java/beaconturn/release/ReleaseKeys.java
+++ b/src/main/java/beaconturn/release/ReleaseKeys.java
@@ -20,82 +20,82 @@
  * </pre>
  */
 public record ReleaseKeys(String fleet) {
-    /** All of it. */
-    public String all() {
-        return fleet + "/release/";
-    }
-
-    String parts() {
-        return all() + "fleet";
-    }
-
-    String counter() {
-        return all() + "counter";
-    }
-
-    String permits() {
-        return all() + "permit/";
-    }
-
-    String permit(long number) {
-        return permits() + String.format("%09d", number);
-    }
-
-    String plan() {
-        return all() + "plan";
-    }
-
-    String course() {
-        return all() + "course";
-    }
-
-    String settings() {
-        return all() + "settings";
-    }
-
-    String steps() {
-        return all() + "step/";
-    }
-
-    String step(String id) {
-        return steps() + id;
-    }
-
-    String driver() {
-        return all() + "driver";
-    }
-
-    String agents() {
-        return all() + "agent/";
-    }
-
-    String agent(String id) {
-        return agents() + id;
-    }
-
-    String healths() {
-        return all() + "health/";
-    }
-
-    /** Where an agent tells what its part has answered. */
-    public String health(String id) {
-        return healths() + id;
-    }
-
-    String told() {
-        return all() + "told";
-    }
-
-    String stories() {
-        return fleet + "/release-history/";
-    }
-
-    /** The curve of a release. */
-    String curve(long number) {
-        return fleet + "/release-curve/" + String.format("%09d", number);
-    }
-
-    String story(long number) {
-        return stories() + String.format("%09d", number);
-    }
+  /** All of it. */
+  public String all() {
+    return fleet + "/release/";
+  }
+
+  String parts() {
+    return all() + "fleet";
+  }
+
+  String counter() {
+    return all() + "counter";
+  }
+
+  String permits() {
+    return all() + "permit/";
+  }
+
+  String permit(long number) {
+    return permits() + String.format("%09d", number);
+  }
+
+  String plan() {
+    return all() + "plan";
+  }
+
+  String course() {
+    return all() + "course";
+  }
+
+  String settings() {
+    return all() + "settings";
+  }
+
+  String steps() {
+    return all() + "step/";
+  }
+
+  String step(String id) {
+    return steps() + id;
+  }
+
+  String driver() {
+    return all() + "driver";
+  }
+
+  String agents() {
+    return all() + "agent/";
+  }
+
+  String agent(String id) {
+    return agents() + id;
+  }
+
+  String healths() {
+    return all() + "health/";
+  }
+
+  /** Where an agent tells what its part has answered. */
+  public String health(String id) {
+    return healths() + id;
+  }
+
+  String told() {
+    return all() + "told";
+  }
+
+  String stories() {
+    return fleet + "/release-history/";
+  }
+
+  /** The curve of a release. */
+  String curve(long number) {
+    return fleet + "/release-curve/" + String.format("%09d", number);
+  }
+
+  String story(long number) {
+    return stories() + String.format("%09d", number);
+  }
 }
--- a/src/main/java/beaconturn/release/Scene.java
+++ b/src/main/java/beaconturn/release/Scene.java
@@ -28,103 +28,127 @@
  * @param health what parts have answered
  * @param changed when each key was last changed
  */
-public record Scene(String cluster, Fleet fleet, Plan plan, Course course, SortedMap<String, Step> steps,
-        Changeover settings, SortedMap<Long, Permit> permits, String driver, SortedMap<String, String> agents,
-        long counter, long stories, SortedMap<String, Sample> health, Map<String, Long> changed) {
-    static final String REPLACED = "the store was restored or replaced since the release began: what it says"
-        + " of parts may be old; abandon the release, see who runs what, and begin another";
+public record Scene(
+    String cluster,
+    Fleet fleet,
+    Plan plan,
+    Course course,
+    SortedMap<String, Step> steps,
+    Changeover settings,
+    SortedMap<Long, Permit> permits,
+    String driver,
+    SortedMap<String, String> agents,
+    long counter,
+    long stories,
+    SortedMap<String, Sample> health,
+    Map<String, Long> changed) {
+  static final String REPLACED =
+      "the store was restored or replaced since the release began: what it says"
+          + " of parts may be old; abandon the release, see who runs what, and begin another";
 
-    /** Reads what a call for all keys of a release was given. */
-    public static Scene of(ReleaseKeys keys, Answer.Given given) throws AgreementException {
-        Map<String, String> values = new HashMap<>();
-        Map<String, Long> changed = new HashMap<>();
-        SortedMap<String, Step> steps = new TreeMap<>();
-        SortedMap<Long, Permit> permits = new TreeMap<>();
-        SortedMap<String, Sample> health = new TreeMap<>();
-        SortedMap<String, String> agents = new TreeMap<>();
-        try {
-            for (Answer.Pair pair : given.pairs()) {
-                String key = pair.key();
-                values.put(key, pair.value());
-                changed.put(key, pair.changed());
-                if (key.startsWith(keys.steps())) {
-                    Step step = ReleaseTexts.step(pair.value());
-                    steps.put(step.id(), step);
-                } else if (key.startsWith(keys.permits())) {
-                    Permit permit = ReleaseTexts.permit(pair.value());
-                    permits.put(permit.number(), permit);
-                } else if (key.startsWith(keys.agents())) {
-                    agents.put(key.substring(keys.agents().length()), pair.value());
-                } else if (key.startsWith(keys.healths())) {
-                    health.put(key.substring(keys.healths().length()), ReleaseTexts.sample(pair.value()));
-                }
-            }
-            String fleet = values.get(keys.parts());
-            String plan = values.get(keys.plan());
-            String course = values.get(keys.course());
-            String settings = values.get(keys.settings());
-            return new Scene(given.cluster(), fleet == null ? Fleet.NONE : ReleaseTexts.fleet(fleet),
-                plan == null ? null : ReleaseTexts.plan(plan),
-                course == null ? Course.NONE : ReleaseTexts.course(course), steps,
-                settings == null ? null : ReleaseTexts.changeover(settings), permits,
-                values.getOrDefault(keys.driver(), ""), agents,
-                Long.parseLong(values.getOrDefault(keys.counter(), "0")),
-                Long.parseLong(values.getOrDefault(keys.told(), "0")), health, changed);
-        } catch (IllegalArgumentException e) {
-            throw new AgreementException("what stands of a release cannot be read: " + e.getMessage());
+  /** Reads what a call for all keys of a release was given. */
+  public static Scene of(ReleaseKeys keys, Answer.Given given) throws AgreementException {
+    Map<String, String> values = new HashMap<>();
+    Map<String, Long> changed = new HashMap<>();
+    SortedMap<String, Step> steps = new TreeMap<>();
+    SortedMap<Long, Permit> permits = new TreeMap<>();
+    SortedMap<String, Sample> health = new TreeMap<>();
+    SortedMap<String, String> agents = new TreeMap<>();
+    try {
+      for (Answer.Pair pair : given.pairs()) {
+        String key = pair.key();
+        values.put(key, pair.value());
+        changed.put(key, pair.changed());
+        if (key.startsWith(keys.steps())) {
+          Step step = ReleaseTexts.step(pair.value());
+          steps.put(step.id(), step);
+        } else if (key.startsWith(keys.permits())) {
+          Permit permit = ReleaseTexts.permit(pair.value());
+          permits.put(permit.number(), permit);
+        } else if (key.startsWith(keys.agents())) {
+          agents.put(key.substring(keys.agents().length()), pair.value());
+        } else if (key.startsWith(keys.healths())) {
+          health.put(key.substring(keys.healths().length()), ReleaseTexts.sample(pair.value()));
         }
+      }
+      String fleet = values.get(keys.parts());
+      String plan = values.get(keys.plan());
+      String course = values.get(keys.course());
+      String settings = values.get(keys.settings());
+      return new Scene(
+          given.cluster(),
+          fleet == null ? Fleet.NONE : ReleaseTexts.fleet(fleet),
+          plan == null ? null : ReleaseTexts.plan(plan),
+          course == null ? Course.NONE : ReleaseTexts.course(course),
+          steps,
+          settings == null ? null : ReleaseTexts.changeover(settings),
+          permits,
+          values.getOrDefault(keys.driver(), ""),
+          agents,
+          Long.parseLong(values.getOrDefault(keys.counter(), "0")),
+          Long.parseLong(values.getOrDefault(keys.told(), "0")),
+          health,
+          changed);
+    } catch (IllegalArgumentException e) {
+      throw new AgreementException("what stands of a release cannot be read: " + e.getMessage());
     }
+  }
 
-    /** Whether the release was begun in another store: its steps there are not known here. */
-    boolean replaced() {
-        return plan != null && !course.over() && !plan.cluster().equals(cluster);
-    }
+  /** Whether the release was begun in another store: its steps there are not known here. */
+  boolean replaced() {
+    return plan != null && !course.over() && !plan.cluster().equals(cluster);
+  }
 
-    /** The condition that the key is as it was read here. */
-    Call.Condition unchanged(String key) {
-        return new Call.Condition.Unchanged(key, changed.getOrDefault(key, 0L));
-    }
+  /** The condition that the key is as it was read here. */
+  Call.Condition unchanged(String key) {
+    return new Call.Condition.Unchanged(key, changed.getOrDefault(key, 0L));
+  }
 
-    /**
-     * Who is out, and why, one line for each part: whoever holds a permit, and whoever is seen to be gone.
-     *
-     * @param gone parts of that kind that are out though nobody planned it, by what is seen of them
-     */
-    public SortedMap<String, String> out(Kind kind, Map<String, String> gone) {
-        SortedMap<String, String> out = new TreeMap<>(gone);
-        permits.values().stream().filter(p -> p.kind() == kind)
-            .forEach(p -> out.put(p.id(), "permit " + p.number() + " of " + p.holder() + ": " + p.reason()));
-        return out;
-    }
+  /**
+   * Who is out, and why, one line for each part: whoever holds a permit, and whoever is seen to be
+   * gone.
+   *
+   * @param gone parts of that kind that are out though nobody planned it, by what is seen of them
+   */
+  public SortedMap<String, String> out(Kind kind, Map<String, String> gone) {
+    SortedMap<String, String> out = new TreeMap<>(gone);
+    permits.values().stream()
+        .filter(p -> p.kind() == kind)
+        .forEach(
+            p -> out.put(p.id(), "permit " + p.number() + " of " + p.holder() + ": " + p.reason()));
+    return out;
+  }
 
-    /**
-     * Why no place is free for the part, which is whom it waits for; null where it may go out. A part
-     * that is out already takes no further place.
-     */
-    public String full(Kind kind, String id, Map<String, String> gone) {
-        Fleet.Group group = fleet.group(kind);
-        String site = group.siteOf(id);
-        if (site == null) {
-            return "there is no " + kind.word() + " '" + id + "' in the fleet";
-        }
-        SortedMap<String, String> out = out(kind, gone);
-        out.remove(id);
-        List<String> near = out.keySet().stream().filter(o -> site.equals(group.siteOf(o))).toList();
-        if (near.size() >= group.mostOutOfSite()) {
-            return waits(near, out, group.mostOutOfSite() + " of " + site);
-        }
-        return out.size() >= group.mostOut() ? waits(out.keySet(), out, group.mostOut() + " in all") : null;
+  /**
+   * Why no place is free for the part, which is whom it waits for; null where it may go out. A part
+   * that is out already takes no further place.
+   */
+  public String full(Kind kind, String id, Map<String, String> gone) {
+    Fleet.Group group = fleet.group(kind);
+    String site = group.siteOf(id);
+    if (site == null) {
+      return "there is no " + kind.word() + " '" + id + "' in the fleet";
     }
-
-    /** The same, and why none may begin there while another site is out as a whole. */
-    String full(Kind kind, String id, Absence seen, Map<String, String> gone) {
-        String full = full(kind, id, gone);
-        return full == null ? seen.elsewhere(fleet.group(kind).siteOf(id)) : full;
+    SortedMap<String, String> out = out(kind, gone);
+    out.remove(id);
+    List<String> near = out.keySet().stream().filter(o -> site.equals(group.siteOf(o))).toList();
+    if (near.size() >= group.mostOutOfSite()) {
+      return waits(near, out, group.mostOutOfSite() + " of " + site);
     }
+    return out.size() >= group.mostOut()
+        ? waits(out.keySet(), out, group.mostOut() + " in all")
+        : null;
+  }
 
-    private static String waits(Collection<String> whom, Map<String, String> out, String most) {
-        List<String> words = new ArrayList<>();
-        whom.forEach(id -> words.add(id + " (" + out.get(id) + ")"));
-        return "at most " + most + " may be out, it waits for " + String.join(", ", words);
-    }
+  /** The same, and why none may begin there while another site is out as a whole. */
+  String full(Kind kind, String id, Absence seen, Map<String, String> gone) {
+    String full = full(kind, id, gone);
+    return full == null ? seen.elsewhere(fleet.group(kind).siteOf(id)) : full;
+  }
+
+  private static String waits(Collection<String> whom, Map<String, String> out, String most) {
+    List<String> words = new ArrayList<>();
+    whom.forEach(id -> words.add(id + " (" + out.get(id) + ")"));
+    return "at most " + most + " may be out, it waits for " + String.join(", ", words);
+  }
 }
--- a/src/main/java/beaconturn/release/Step.java
+++ b/src/main/java/beaconturn/release/Step.java
@@ -12,25 +12,32 @@
  * @param started its last start that any router knew of when the step was granted, or -1
  * @param took how long it took to get ready, in nanoseconds; 0 where it is not known
  */
-public record Step(String id, long permit, Phase phase, Variant variant, String agent, String why,
-        long started, long took) {
-    /** How far a step is. */
-    public enum Phase {
-        /** The driver has taken a place for it. */
-        GRANTED,
-        /** An agent acts, or may have acted. */
-        BEGUN,
-        /** The part runs what it is to run, and is ready. */
-        UP,
-        /** It does not, within its time. */
-        FAILED,
-        /** It has stood the check, and its place is given back. */
-        GOOD,
-        /** It was brought back to what it ran before. */
-        UNDONE
-    }
+public record Step(
+    String id,
+    long permit,
+    Phase phase,
+    Variant variant,
+    String agent,
+    String why,
+    long started,
+    long took) {
+  /** How far a step is. */
+  public enum Phase {
+    /** The driver has taken a place for it. */
+    GRANTED,
+    /** An agent acts, or may have acted. */
+    BEGUN,
+    /** The part runs what it is to run, and is ready. */
+    UP,
+    /** It does not, within its time. */
+    FAILED,
+    /** It has stood the check, and its place is given back. */
+    GOOD,
+    /** It was brought back to what it ran before. */
+    UNDONE
+  }
 
-    Step to(Phase next, String agentNow, String reason) {
-        return new Step(id, permit, next, variant, agentNow, reason, started, took);
-    }
+  Step to(Phase next, String agentNow, String reason) {
+    return new Step(id, permit, next, variant, agentNow, reason, started, took);
+  }
 }
