--- a/src/main/java/beaconturn/sim/Wire.java
+++ b/src/main/java/beaconturn/sim/Wire.java
@@ -14,189 +14,222 @@
 
 /** The codes of the simulator's wire, and how its records become the decision module's events. */
 final class Wire {
-    static final int BATCH_HEADER = 16;
-    static final int REPLY_HEADER = 8;
-    static final int LIST_ENTRY = 23;
-
-    static final int UP = 1;
-    static final int ROSTER_CHANGE = 2;
-    static final int ARRIVAL = 3;
-    static final int FIRST = 4;
-    static final int CLOSED_ATTEMPT = 5;
-    static final int WITHDRAWN = 6;
-    static final int RING = 7;
-    static final int PROBED = 8;
-    static final int HEARD = 9;
-    static final int EXIT = 10;
-    static final int ON = 11;
-
-    static final int STREAM_CHANGES = 1;
-    static final int TEST = 2;
-    static final int SHARE = 3;
-    static final int SNAPSHOT = 4;
-    static final int OVERLOAD_REPLY = 5;
-    static final int WITHDRAW = 6;
-    static final int RECORD = 7;
-    static final int REMIND = 8;
-    static final int CLOSE = 9;
-    static final int SEND = 10;
-    static final int GIVE_UP = 11;
-    static final int AT = 12;
-    static final int GIVE_IN = 13;
-
-    static final int EVERY_PEER = 0xffff;
-
-    private static final int CLIENT_RETRY = 2;
-    private static final int HINT_VALID = 1;
-    private static final int WRITE = 4;
-    private static final long UNSIGNED_INT = 0xffffffffL;
-
-    private static final Routing.Ending[] ENDINGS = {
-        Routing.Ending.ERROR, Routing.Ending.OK, Routing.Ending.FULL, Routing.Ending.TIMEOUT,
-        Routing.Ending.CONNECT_FAILED, Routing.Ending.RESET, Routing.Ending.CANCELLED,
-        Routing.Ending.MOOT, Routing.Ending.MISS};
-    private static final Routing.Note[] NOTES = Routing.Note.values();
-    private static final Routing.Health[] HEALTHS = Routing.Health.values();
-    private static final Routing.ListKind[] LIST_KINDS = Routing.ListKind.values();
-    private static final float[] NO_REPORT = {};
-
-    /** How an instance begins: its random seed and its settings. */
-    record Up(long seed, Routing.Settings settings) { }
-
-    private Wire() {
-    }
-
-    static Routing.Event event(int code, ByteBuffer in, Routing.Settings settings) throws WireException {
-        return switch (code) {
-            case ROSTER_CHANGE -> serverList(in);
-            case ARRIVAL -> arrival(in, settings);
-            case FIRST -> new Routing.FirstByte(request(in), in.getLong(), server(in), u16(in));
-            case CLOSED_ATTEMPT -> closedAttempt(in);
-            case WITHDRAWN -> new Routing.Withdrawn(request(in));
-            case RING -> new Routing.Timer(in.getLong());
-            case PROBED -> probed(in);
-            case HEARD -> new Routing.PeerMessage(u16(in), bytes(in, u16(in)));
-            default -> throw new WireException("unknown event code " + code);
-        };
-    }
-
-    static Up up(ByteBuffer in) throws WireException {
-        long seed = in.getLong();
-        byte[] text = bytes(in, in.getInt());
-        return new Up(seed, settings(new String(text, StandardCharsets.UTF_8)));
-    }
-
-    private static Routing.Settings settings(String text) throws WireException {
-        Map<String, String> values = new HashMap<>();
-        for (String line : text.split("\n")) {
-            int equals = line.indexOf('=');
-            if (equals > 0) {
-                values.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
-            }
-        }
-        try {
-            return SettingsReader.read(values).routing();
-        } catch (SettingsException e) {
-            throw new WireException(e.getMessage());
-        }
-    }
-
-    private static Routing.ServerList serverList(ByteBuffer in) throws WireException {
-        long version = in.getLong();
-        Routing.ListKind kind = pick(LIST_KINDS, u8(in), "list mode");
-        int count = in.getInt();
-        if (count < 0 || count > in.remaining() / LIST_ENTRY) {
-            throw new WireException("server list of " + count + " entries does not fit its batch");
-        }
-        List<Routing.ServerEntry> entries = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
-            entries.add(new Routing.ServerEntry(server(in), u8(in), u8(in), u16(in),
-                pick(HEALTHS, u8(in), "server health"), in.getFloat(), in.getLong()));
-        }
-        return new Routing.ServerList(version, kind, entries);
-    }
-
-    private static Routing.Arrival arrival(ByteBuffer in, Routing.Settings settings) throws WireException {
-        long request = request(in);
-        int tenant = in.getInt();
-        long hint = in.getLong();
-        long key = in.getLong();
-        int requestClass = u8(in);
-        long left = in.getLong();
-        int options = u16(in);
-        double size = in.getFloat();
-        if (requestClass >= settings.classes().size()) {
-            throw new WireException("class " + requestClass + " out of range");
-        }
-        if (tenant != 0 && (tenant < 0 || tenant >= settings.tenants().size())) {
-            throw new WireException("tenant " + tenant + " out of range");
-        }
-        return new Routing.Arrival(request, tenant, (options & HINT_VALID) != 0 ? hint : 0, key,
-            requestClass, left, (options & CLIENT_RETRY) != 0, (options & WRITE) != 0, size);
-    }
-
-    private static Routing.AttemptClosed closedAttempt(ByteBuffer in) throws WireException {
-        return new Routing.AttemptClosed(request(in), in.getLong(), u8(in) != 0, server(in),
-            pick(ENDINGS, u8(in), "attempt state"), pick(NOTES, u8(in), "remark"), u16(in), report(in));
-    }
-
-    private static Routing.Probed probed(ByteBuffer in) throws WireException {
-        return new Routing.Probed(server(in), pick(ENDINGS, u8(in), "probe state"), in.getLong(),
-            report(in));
-    }
-
-    private static <T> T pick(T[] from, int index, String what) throws WireException {
-        if (index >= from.length) {
-            throw new WireException("unknown " + what + " " + index);
-        }
-        return from[index];
-    }
-
-    private static float[] report(ByteBuffer in) {
-        int count = u8(in);
-        if (count == 0) {
-            return NO_REPORT;
-        }
-        float[] values = new float[count];
-        for (int i = 0; i < count; i++) {
-            values[i] = in.getFloat();
-        }
-        return values;
-    }
-
-    private static byte[] bytes(ByteBuffer in, int count) {
-        if (count < 0 || count > in.remaining()) {
-            throw new BufferUnderflowException();
-        }
-        byte[] body = new byte[count];
-        in.get(body);
-        return body;
-    }
-
-    private static int u8(ByteBuffer in) {
-        return in.get() & 0xff;
-    }
-
-    private static int u16(ByteBuffer in) {
-        return in.getShort() & 0xffff;
-    }
-
-    private static long request(ByteBuffer in) {
-        return in.getInt() & UNSIGNED_INT;
-    }
-
-    /** Four address bytes, first byte first, then the port: packed so that {@link #putServer} can undo it. */
-    private static long server(ByteBuffer in) {
-        long address = Integer.reverseBytes(in.getInt()) & UNSIGNED_INT;
-        return address << 16 | u16(in);
-    }
-
-    static void putServer(ByteBuffer out, long server) {
-        out.putInt(Integer.reverseBytes((int) (server >>> 16)));
-        out.putShort((short) server);
-    }
-
-    static ByteBuffer little(byte[] bytes) {
-        return ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
-    }
+  static final int BATCH_HEADER = 16;
+  static final int REPLY_HEADER = 8;
+  static final int LIST_ENTRY = 23;
+
+  static final int UP = 1;
+  static final int ROSTER_CHANGE = 2;
+  static final int ARRIVAL = 3;
+  static final int FIRST = 4;
+  static final int CLOSED_ATTEMPT = 5;
+  static final int WITHDRAWN = 6;
+  static final int RING = 7;
+  static final int PROBED = 8;
+  static final int HEARD = 9;
+  static final int EXIT = 10;
+  static final int ON = 11;
+
+  static final int STREAM_CHANGES = 1;
+  static final int TEST = 2;
+  static final int SHARE = 3;
+  static final int SNAPSHOT = 4;
+  static final int OVERLOAD_REPLY = 5;
+  static final int WITHDRAW = 6;
+  static final int RECORD = 7;
+  static final int REMIND = 8;
+  static final int CLOSE = 9;
+  static final int SEND = 10;
+  static final int GIVE_UP = 11;
+  static final int AT = 12;
+  static final int GIVE_IN = 13;
+
+  static final int EVERY_PEER = 0xffff;
+
+  private static final int CLIENT_RETRY = 2;
+  private static final int HINT_VALID = 1;
+  private static final int WRITE = 4;
+  private static final long UNSIGNED_INT = 0xffffffffL;
+
+  private static final Routing.Ending[] ENDINGS = {
+    Routing.Ending.ERROR,
+    Routing.Ending.OK,
+    Routing.Ending.FULL,
+    Routing.Ending.TIMEOUT,
+    Routing.Ending.CONNECT_FAILED,
+    Routing.Ending.RESET,
+    Routing.Ending.CANCELLED,
+    Routing.Ending.MOOT,
+    Routing.Ending.MISS
+  };
+  private static final Routing.Note[] NOTES = Routing.Note.values();
+  private static final Routing.Health[] HEALTHS = Routing.Health.values();
+  private static final Routing.ListKind[] LIST_KINDS = Routing.ListKind.values();
+  private static final float[] NO_REPORT = {};
+
+  /** How an instance begins: its random seed and its settings. */
+  record Up(long seed, Routing.Settings settings) {}
+
+  private Wire() {}
+
+  static Routing.Event event(int code, ByteBuffer in, Routing.Settings settings)
+      throws WireException {
+    return switch (code) {
+      case ROSTER_CHANGE -> serverList(in);
+      case ARRIVAL -> arrival(in, settings);
+      case FIRST -> new Routing.FirstByte(request(in), in.getLong(), server(in), u16(in));
+      case CLOSED_ATTEMPT -> closedAttempt(in);
+      case WITHDRAWN -> new Routing.Withdrawn(request(in));
+      case RING -> new Routing.Timer(in.getLong());
+      case PROBED -> probed(in);
+      case HEARD -> new Routing.PeerMessage(u16(in), bytes(in, u16(in)));
+      default -> throw new WireException("unknown event code " + code);
+    };
+  }
+
+  static Up up(ByteBuffer in) throws WireException {
+    long seed = in.getLong();
+    byte[] text = bytes(in, in.getInt());
+    return new Up(seed, settings(new String(text, StandardCharsets.UTF_8)));
+  }
+
+  private static Routing.Settings settings(String text) throws WireException {
+    Map<String, String> values = new HashMap<>();
+    for (String line : text.split("\n")) {
+      int equals = line.indexOf('=');
+      if (equals > 0) {
+        values.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
+      }
+    }
+    try {
+      return SettingsReader.read(values).routing();
+    } catch (SettingsException e) {
+      throw new WireException(e.getMessage());
+    }
+  }
+
+  private static Routing.ServerList serverList(ByteBuffer in) throws WireException {
+    long version = in.getLong();
+    Routing.ListKind kind = pick(LIST_KINDS, u8(in), "list mode");
+    int count = in.getInt();
+    if (count < 0 || count > in.remaining() / LIST_ENTRY) {
+      throw new WireException("server list of " + count + " entries does not fit its batch");
+    }
+    List<Routing.ServerEntry> entries = new ArrayList<>(count);
+    for (int i = 0; i < count; i++) {
+      entries.add(
+          new Routing.ServerEntry(
+              server(in),
+              u8(in),
+              u8(in),
+              u16(in),
+              pick(HEALTHS, u8(in), "server health"),
+              in.getFloat(),
+              in.getLong()));
+    }
+    return new Routing.ServerList(version, kind, entries);
+  }
+
+  private static Routing.Arrival arrival(ByteBuffer in, Routing.Settings settings)
+      throws WireException {
+    long request = request(in);
+    int tenant = in.getInt();
+    long hint = in.getLong();
+    long key = in.getLong();
+    int requestClass = u8(in);
+    long left = in.getLong();
+    int options = u16(in);
+    double size = in.getFloat();
+    if (requestClass >= settings.classes().size()) {
+      throw new WireException("class " + requestClass + " out of range");
+    }
+    if (tenant != 0 && (tenant < 0 || tenant >= settings.tenants().size())) {
+      throw new WireException("tenant " + tenant + " out of range");
+    }
+    return new Routing.Arrival(
+        request,
+        tenant,
+        (options & HINT_VALID) != 0 ? hint : 0,
+        key,
+        requestClass,
+        left,
+        (options & CLIENT_RETRY) != 0,
+        (options & WRITE) != 0,
+        size);
+  }
+
+  private static Routing.AttemptClosed closedAttempt(ByteBuffer in) throws WireException {
+    return new Routing.AttemptClosed(
+        request(in),
+        in.getLong(),
+        u8(in) != 0,
+        server(in),
+        pick(ENDINGS, u8(in), "attempt state"),
+        pick(NOTES, u8(in), "remark"),
+        u16(in),
+        report(in));
+  }
+
+  private static Routing.Probed probed(ByteBuffer in) throws WireException {
+    return new Routing.Probed(
+        server(in), pick(ENDINGS, u8(in), "probe state"), in.getLong(), report(in));
+  }
+
+  private static <T> T pick(T[] from, int index, String what) throws WireException {
+    if (index >= from.length) {
+      throw new WireException("unknown " + what + " " + index);
+    }
+    return from[index];
+  }
+
+  private static float[] report(ByteBuffer in) {
+    int count = u8(in);
+    if (count == 0) {
+      return NO_REPORT;
+    }
+    float[] values = new float[count];
+    for (int i = 0; i < count; i++) {
+      values[i] = in.getFloat();
+    }
+    return values;
+  }
+
+  private static byte[] bytes(ByteBuffer in, int count) {
+    if (count < 0 || count > in.remaining()) {
+      throw new BufferUnderflowException();
+    }
+    byte[] body = new byte[count];
+    in.get(body);
+    return body;
+  }
+
+  private static int u8(ByteBuffer in) {
+    return in.get() & 0xff;
+  }
+
+  private static int u16(ByteBuffer in) {
+    return in.getShort() & 0xffff;
+  }
+
+  private static long request(ByteBuffer in) {
+    return in.getInt() & UNSIGNED_INT;
+  }
+
+  /**
+   * Four address bytes, first byte first, then the port: packed so that {@link #putServer} can undo
+   * it.
+   */
+  private static long server(ByteBuffer in) {
+    long address = Integer.reverseBytes(in.getInt()) & UNSIGNED_INT;
+    return address << 16 | u16(in);
+  }
+
+  static void putServer(ByteBuffer out, long server) {
+    out.putInt(Integer.reverseBytes((int) (server >>> 16)));
+    out.putShort((short) server);
+  }
+
+  static ByteBuffer little(byte[] bytes) {
+    return ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
+  }
 }
--- a/src/main/java/beaconturn/standin/CacheShape.java
+++ b/src/main/java/beaconturn/standin/CacheShape.java
@@ -17,18 +17,31 @@
  * @param multiplex commands of one connection that it works on at once
  * @param shareFetch whether misses of one key share a fetch
  * @param cancel whether the end of a connection stops work that is running
- * @param reports names of the load report's figures: inflight, qps, latency_ms, x0; none for no report
+ * @param reports names of the load report's figures: inflight, qps, latency_ms, x0; none for no
+ *     report
  */
-public record CacheShape(double speed, int workers, int room, long capacity, long timeToLive,
-        double coldShare,
-        long coldFor, double fallMultiple, long fallAfter, int connections, long connectWork, int multiplex,
-        boolean shareFetch, boolean cancel, java.util.List<String> reports) {
+public record CacheShape(
+    double speed,
+    int workers,
+    int room,
+    long capacity,
+    long timeToLive,
+    double coldShare,
+    long coldFor,
+    double fallMultiple,
+    long fallAfter,
+    int connections,
+    long connectWork,
+    int multiplex,
+    boolean shareFetch,
+    boolean cancel,
+    java.util.List<String> reports) {
 
-    /** The part of its full speed that a server born at a time has; 1 where it started long ago. */
-    public double warmth(long born, long now) {
-        if (born == 0 || coldFor <= 0) {
-            return 1;
-        }
-        return Math.min(1, coldShare + (1 - coldShare) * Math.max(0, now - born) / coldFor);
+  /** The part of its full speed that a server born at a time has; 1 where it started long ago. */
+  public double warmth(long born, long now) {
+    if (born == 0 || coldFor <= 0) {
+      return 1;
     }
+    return Math.min(1, coldShare + (1 - coldShare) * Math.max(0, now - born) / coldFor);
+  }
 }
--- a/src/main/java/beaconturn/standin/Command.java
+++ b/src/main/java/beaconturn/standin/Command.java
@@ -16,12 +16,21 @@
  * @param firstAt when its first byte came, on the model's clock
  * @param turn the driver's turn in which its last byte was read
  */
-public record Command(long number, String key, String id, String type, boolean write, String once,
-        long patience, int size, long firstAt, long turn) {
-    /** Checks what every protocol has to give. */
-    public Command {
-        Objects.requireNonNull(key);
-        Objects.requireNonNull(id);
-        Objects.requireNonNull(type);
-    }
+public record Command(
+    long number,
+    String key,
+    String id,
+    String type,
+    boolean write,
+    String once,
+    long patience,
+    int size,
+    long firstAt,
+    long turn) {
+  /** Checks what every protocol has to give. */
+  public Command {
+    Objects.requireNonNull(key);
+    Objects.requireNonNull(id);
+    Objects.requireNonNull(type);
+  }
 }
--- a/src/main/java/beaconturn/standin/Condition.java
+++ b/src/main/java/beaconturn/standin/Condition.java
@@ -1,90 +1,92 @@
 package beaconturn.standin;
 
-/** What is wrong with a cache server at the moment; set by faults, read by the model and by fronts. */
+/**
+ * What is wrong with a cache server at the moment; set by faults, read by the model and by fronts.
+ */
 public final class Condition {
-    private double slow = 1;
-    private boolean stalled;
-    private boolean draining;
-    private double errors;
-    private double spoils;
-    private double resets;
-    private boolean unread;
-    private boolean refusing;
-    private boolean mute;
-    private boolean vanished;
+  private double slow = 1;
+  private boolean stalled;
+  private boolean draining;
+  private double errors;
+  private double spoils;
+  private double resets;
+  private boolean unread;
+  private boolean refusing;
+  private boolean mute;
+  private boolean vanished;
 
-    /** Work takes so many times as long. */
-    public double slow() {
-        return slow;
-    }
+  /** Work takes so many times as long. */
+  public double slow() {
+    return slow;
+  }
 
-    /** It takes commands and neither ends any work nor answers. */
-    public boolean stalled() {
-        return stalled;
-    }
+  /** It takes commands and neither ends any work nor answers. */
+  public boolean stalled() {
+    return stalled;
+  }
 
-    /** It turns new commands away and finishes what it has. */
-    public boolean draining() {
-        return draining;
-    }
+  /** It turns new commands away and finishes what it has. */
+  public boolean draining() {
+    return draining;
+  }
 
-    /** Part of the commands that fail at once. */
-    public double errors() {
-        return errors;
-    }
+  /** Part of the commands that fail at once. */
+  public double errors() {
+    return errors;
+  }
 
-    /** Part of the answers that are spoilt. */
-    public double spoils() {
-        return spoils;
-    }
+  /** Part of the answers that are spoilt. */
+  public double spoils() {
+    return spoils;
+  }
 
-    /** Part of the commands at which the connection is reset once they have come whole. */
-    public double resets() {
-        return resets;
-    }
+  /** Part of the commands at which the connection is reset once they have come whole. */
+  public double resets() {
+    return resets;
+  }
 
-    /** Nothing is read from any connection; it stays in the kernel's buffers. */
-    public boolean unread() {
-        return unread || vanished;
-    }
+  /** Nothing is read from any connection; it stays in the kernel's buffers. */
+  public boolean unread() {
+    return unread || vanished;
+  }
 
-    /** New connections are refused. */
-    public boolean refusing() {
-        return refusing;
-    }
+  /** New connections are refused. */
+  public boolean refusing() {
+    return refusing;
+  }
 
-    /** New connections are accepted and never read from. */
-    public boolean mute() {
-        return mute;
-    }
+  /** New connections are accepted and never read from. */
+  public boolean mute() {
+    return mute;
+  }
 
-    /** The peer is gone without a word: nothing is read or written, new connections never come up. */
-    public boolean vanished() {
-        return vanished;
-    }
+  /** The peer is gone without a word: nothing is read or written, new connections never come up. */
+  public boolean vanished() {
+    return vanished;
+  }
 
-    void set(Fault.Kind kind, double amount) {
-        boolean on = amount != 0;
-        switch (kind) {
-            case SLOW -> slow = on ? amount : 1;
-            case STALL -> stalled = on;
-            case DRAIN, DRAIN_LATE -> draining = on;
-            case ERRORS -> errors = amount;
-            case SPOIL -> spoils = amount;
-            case RESET -> resets = amount;
-            case UNREAD -> unread = on;
-            case REFUSE -> refusing = on;
-            case MUTE -> mute = on;
-            case VANISH -> vanished = on;
-            default -> throw new IllegalArgumentException(kind + " is no condition of a running server");
-        }
+  void set(Fault.Kind kind, double amount) {
+    boolean on = amount != 0;
+    switch (kind) {
+      case SLOW -> slow = on ? amount : 1;
+      case STALL -> stalled = on;
+      case DRAIN, DRAIN_LATE -> draining = on;
+      case ERRORS -> errors = amount;
+      case SPOIL -> spoils = amount;
+      case RESET -> resets = amount;
+      case UNREAD -> unread = on;
+      case REFUSE -> refusing = on;
+      case MUTE -> mute = on;
+      case VANISH -> vanished = on;
+      default -> throw new IllegalArgumentException(kind + " is no condition of a running server");
     }
+  }
 
-    void clear() {
-        for (Fault.Kind kind : Fault.Kind.values()) {
-            if (kind.condition()) {
-                set(kind, 0);
-            }
-        }
+  void clear() {
+    for (Fault.Kind kind : Fault.Kind.values()) {
+      if (kind.condition()) {
+        set(kind, 0);
+      }
     }
+  }
 }
--- a/src/main/java/beaconturn/standin/Line.java
+++ b/src/main/java/beaconturn/standin/Line.java
@@ -2,9 +2,11 @@
 
 /** One connection as a cache server sees it; made by a front, called by the model on its thread. */
 public interface Line {
-    /** Sends an answer; they come in the order of the commands. */
-    void answer(Reply reply);
+  /** Sends an answer; they come in the order of the commands. */
+  void answer(Reply reply);
 
-    /** Ends the connection as a process that dies does, and tells the session so before it returns. */
-    void reset();
+  /**
+   * Ends the connection as a process that dies does, and tells the session so before it returns.
+   */
+  void reset();
 }
--- a/src/main/java/beaconturn/standin/Listing.java
+++ b/src/main/java/beaconturn/standin/Listing.java
@@ -12,14 +12,24 @@
  * @param share its rating
  * @param born when it last started, in nanoseconds of the model's clock; 0 for long ago
  */
-public record Listing(String host, int place, String site, String kind, int block, Health health,
-        double share,
-        long born) {
-    /** A state as discovery tells it. */
-    public enum Health { READY, DRAINING, GONE }
+public record Listing(
+    String host,
+    int place,
+    String site,
+    String kind,
+    int block,
+    Health health,
+    double share,
+    long born) {
+  /** A state as discovery tells it. */
+  public enum Health {
+    READY,
+    DRAINING,
+    GONE
+  }
 
-    /** The same with another state. */
-    public Listing with(Health other) {
-        return new Listing(host, place, site, kind, block, other, share, born);
-    }
+  /** The same with another state. */
+  public Listing with(Health other) {
+    return new Listing(host, place, site, kind, block, other, share, born);
+  }
 }
--- a/src/main/java/beaconturn/standin/Load.java
+++ b/src/main/java/beaconturn/standin/Load.java
@@ -5,21 +5,21 @@
 
 /** The work that was sent within a sliding time, in nanoseconds of a warm worker. */
 final class Load {
-    private final long window;
-    private final Deque<long[]> sent = new ArrayDeque<>();
-    private long sum;
+  private final long window;
+  private final Deque<long[]> sent = new ArrayDeque<>();
+  private long sum;
 
-    Load(long window) {
-        this.window = window;
-    }
+  Load(long window) {
+    this.window = window;
+  }
 
-    /** Adds work and returns all of it within the window that ends now. */
-    long add(long now, long work) {
-        sent.add(new long[] {now, work});
-        sum += work;
-        while (!sent.isEmpty() && sent.peek()[0] <= now - window) {
-            sum -= sent.remove()[1];
-        }
-        return sum;
+  /** Adds work and returns all of it within the window that ends now. */
+  long add(long now, long work) {
+    sent.add(new long[] {now, work});
+    sum += work;
+    while (!sent.isEmpty() && sent.peek()[0] <= now - window) {
+      sum -= sent.remove()[1];
     }
+    return sum;
+  }
 }
--- a/src/main/java/beaconturn/standin/Origin.java
+++ b/src/main/java/beaconturn/standin/Origin.java
@@ -10,165 +10,169 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The slow origin behind all cache servers: a few workers and a queue, a version for each key, and how often
- * each effect has run. Held over a multiple of what it works on at once for a time, it falls over: all that
- * is in it fails, and it takes nothing for a while.
+ * The slow origin behind all cache servers: a few workers and a queue, a version for each key, and
+ * how often each effect has run. Held over a multiple of what it works on at once for a time, it
+ * falls over: all that is in it fails, and it takes nothing for a while.
  */
 public final class Origin {
-    /** A call that the origin has failed or not taken. */
-    public static final long NO_ANSWER = -1;
-    private final Agenda agenda;
-    private final Shape shape;
-    private final UniformRandomProvider random;
-    private final Witness witness;
-    private final Map<String, Long> versions = new HashMap<>();
-    private final Map<String, Integer> runs = new HashMap<>();
-    private final List<Call> working = new ArrayList<>();
-    private final Queue<Call> waiting = new ArrayDeque<>();
-    private Agenda.Task fall;
-    private double slow = 1;
-    private boolean stopped;
-    private boolean fallen;
-
-    /**
-     * What an origin can do.
-     *
-     * @param workers calls that it works on at once
-     * @param queue calls that may wait; beyond them it fails a call at once
-     * @param work time of a call, in nanoseconds; each takes half to one and a half of it
-     * @param fallMultiple in it more than so many times its workers for {@code fallAfter} brings it down
-     * @param fallAfter nanoseconds
-     * @param fallFor how long it then takes nothing, in nanoseconds
-     */
-    public record Shape(int workers, int queue, long work, double fallMultiple, long fallAfter,
-            long fallFor) { }
-
-    private static final class Call {
-        private final String key;
-        private final String effect;
-        private final LongConsumer done;
-        private Agenda.Task end;
-
-        private Call(String key, String effect, LongConsumer done) {
-            this.key = key;
-            this.effect = effect;
-            this.done = done;
-        }
+  /** A call that the origin has failed or not taken. */
+  public static final long NO_ANSWER = -1;
+
+  private final Agenda agenda;
+  private final Shape shape;
+  private final UniformRandomProvider random;
+  private final Witness witness;
+  private final Map<String, Long> versions = new HashMap<>();
+  private final Map<String, Integer> runs = new HashMap<>();
+  private final List<Call> working = new ArrayList<>();
+  private final Queue<Call> waiting = new ArrayDeque<>();
+  private Agenda.Task fall;
+  private double slow = 1;
+  private boolean stopped;
+  private boolean fallen;
+
+  /**
+   * What an origin can do.
+   *
+   * @param workers calls that it works on at once
+   * @param queue calls that may wait; beyond them it fails a call at once
+   * @param work time of a call, in nanoseconds; each takes half to one and a half of it
+   * @param fallMultiple in it more than so many times its workers for {@code fallAfter} brings it
+   *     down
+   * @param fallAfter nanoseconds
+   * @param fallFor how long it then takes nothing, in nanoseconds
+   */
+  public record Shape(
+      int workers, int queue, long work, double fallMultiple, long fallAfter, long fallFor) {}
+
+  private static final class Call {
+    private final String key;
+    private final String effect;
+    private final LongConsumer done;
+    private Agenda.Task end;
+
+    private Call(String key, String effect, LongConsumer done) {
+      this.key = key;
+      this.effect = effect;
+      this.done = done;
     }
-
-    /** An origin that is up and holds version 0 of every key. */
-    public Origin(Agenda agenda, Shape shape, UniformRandomProvider random, Witness witness) {
-        this.agenda = agenda;
-        this.shape = shape;
-        this.random = random;
-        this.witness = witness;
-    }
-
-    /** Reads a key; {@code done} gets its version or {@link #NO_ANSWER}. */
-    void fetch(String from, boolean cold, String key, LongConsumer done) {
-        take(from, cold, new Call(key, null, done));
-    }
-
-    /** Runs a write, known by {@code effect}; {@code done} gets the new version or {@link #NO_ANSWER}. */
-    void write(String from, boolean cold, String key, String effect, LongConsumer done) {
-        take(from, cold, new Call(key, effect, done));
-    }
-
-    private void take(String from, boolean cold, Call call) {
-        witness.fetched(agenda.now(), from, cold, inside() + 1);
-        if (fallen || waiting.size() >= shape.queue()) {
-            agenda.in(0, () -> call.done.accept(NO_ANSWER));
-            return;
-        }
-        waiting.add(call);
-        watch();
-        work();
-    }
-
-    private void work() {
-        while (!stopped && working.size() < shape.workers() && !waiting.isEmpty()) {
-            Call next = waiting.remove();
-            working.add(next);
-            long time = (long) (shape.work() * slow * (0.5 + random.nextDouble()));
-            next.end = agenda.in(time, () -> finish(next));
-        }
-    }
-
-    private void finish(Call call) {
-        if (stopped) {
-            // Nothing ends while it stands still; what was due goes on where it stopped.
-            call.end = agenda.in(shape.work(), () -> finish(call));
-            return;
-        }
-        working.remove(call);
-        long version = versions.getOrDefault(call.key, 0L);
-        if (call.effect != null) {
-            runs.merge(call.effect, 1, Integer::sum);
-            versions.put(call.key, ++version);
-        }
-        work();
-        watch();
-        call.done.accept(version);
-    }
-
-    /** Starts or ends the time that it has been pushed too far. */
-    private void watch() {
-        boolean pushed = inside() > shape.fallMultiple() * shape.workers();
-        if (pushed && fall == null) {
-            fall = agenda.in(shape.fallAfter(), this::fallOver);
-        } else if (!pushed && fall != null) {
-            fall.cancel();
-            fall = null;
-        }
-    }
-
-    private void fallOver() {
-        fall = null;
-        fallen = true;
-        witness.collapsed(agenda.now(), "origin");
-        List<Call> lost = new ArrayList<>(working);
-        lost.addAll(waiting);
-        working.clear();
-        waiting.clear();
-        for (Call call : lost) {
-            if (call.end != null) {
-                call.end.cancel();
-            }
-            call.done.accept(NO_ANSWER);
-        }
-        agenda.in(shape.fallFor(), () -> fallen = false);
+  }
+
+  /** An origin that is up and holds version 0 of every key. */
+  public Origin(Agenda agenda, Shape shape, UniformRandomProvider random, Witness witness) {
+    this.agenda = agenda;
+    this.shape = shape;
+    this.random = random;
+    this.witness = witness;
+  }
+
+  /** Reads a key; {@code done} gets its version or {@link #NO_ANSWER}. */
+  void fetch(String from, boolean cold, String key, LongConsumer done) {
+    take(from, cold, new Call(key, null, done));
+  }
+
+  /**
+   * Runs a write, known by {@code effect}; {@code done} gets the new version or {@link #NO_ANSWER}.
+   */
+  void write(String from, boolean cold, String key, String effect, LongConsumer done) {
+    take(from, cold, new Call(key, effect, done));
+  }
+
+  private void take(String from, boolean cold, Call call) {
+    witness.fetched(agenda.now(), from, cold, inside() + 1);
+    if (fallen || waiting.size() >= shape.queue()) {
+      agenda.in(0, () -> call.done.accept(NO_ANSWER));
+      return;
     }
-
-    /** Its work takes so many times as long from now on. */
-    public void slow(double factor) {
-        slow = factor;
+    waiting.add(call);
+    watch();
+    work();
+  }
+
+  private void work() {
+    while (!stopped && working.size() < shape.workers() && !waiting.isEmpty()) {
+      Call next = waiting.remove();
+      working.add(next);
+      long time = (long) (shape.work() * slow * (0.5 + random.nextDouble()));
+      next.end = agenda.in(time, () -> finish(next));
     }
+  }
 
-    /** It stands still, or goes on; calls wait meanwhile. */
-    public void stop(boolean on) {
-        stopped = on;
-        if (!on) {
-            work();
-        }
+  private void finish(Call call) {
+    if (stopped) {
+      // Nothing ends while it stands still; what was due goes on where it stopped.
+      call.end = agenda.in(shape.work(), () -> finish(call));
+      return;
     }
-
-    /** Calls that it works on or that wait. */
-    public int inside() {
-        return working.size() + waiting.size();
+    working.remove(call);
+    long version = versions.getOrDefault(call.key, 0L);
+    if (call.effect != null) {
+      runs.merge(call.effect, 1, Integer::sum);
+      versions.put(call.key, ++version);
     }
-
-    /** Whether it has fallen over and is not back. */
-    public boolean fallen() {
-        return fallen;
+    work();
+    watch();
+    call.done.accept(version);
+  }
+
+  /** Starts or ends the time that it has been pushed too far. */
+  private void watch() {
+    boolean pushed = inside() > shape.fallMultiple() * shape.workers();
+    if (pushed && fall == null) {
+      fall = agenda.in(shape.fallAfter(), this::fallOver);
+    } else if (!pushed && fall != null) {
+      fall.cancel();
+      fall = null;
     }
-
-    /** The version of the key, which each effect raises by one. */
-    public long version(String key) {
-        return versions.getOrDefault(key, 0L);
+  }
+
+  private void fallOver() {
+    fall = null;
+    fallen = true;
+    witness.collapsed(agenda.now(), "origin");
+    List<Call> lost = new ArrayList<>(working);
+    lost.addAll(waiting);
+    working.clear();
+    waiting.clear();
+    for (Call call : lost) {
+      if (call.end != null) {
+        call.end.cancel();
+      }
+      call.done.accept(NO_ANSWER);
     }
-
-    /** How often the effect has run. */
-    public int runs(String effect) {
-        return runs.getOrDefault(effect, 0);
+    agenda.in(shape.fallFor(), () -> fallen = false);
+  }
+
+  /** Its work takes so many times as long from now on. */
+  public void slow(double factor) {
+    slow = factor;
+  }
+
+  /** It stands still, or goes on; calls wait meanwhile. */
+  public void stop(boolean on) {
+    stopped = on;
+    if (!on) {
+      work();
     }
+  }
+
+  /** Calls that it works on or that wait. */
+  public int inside() {
+    return working.size() + waiting.size();
+  }
+
+  /** Whether it has fallen over and is not back. */
+  public boolean fallen() {
+    return fallen;
+  }
+
+  /** The version of the key, which each effect raises by one. */
+  public long version(String key) {
+    return versions.getOrDefault(key, 0L);
+  }
+
+  /** How often the effect has run. */
+  public int runs(String effect) {
+    return runs.getOrDefault(effect, 0);
+  }
 }
--- a/src/main/java/beaconturn/standin/Reply.java
+++ b/src/main/java/beaconturn/standin/Reply.java
@@ -4,27 +4,43 @@
 
 /** What a cache server answers to a command; how it looks on the wire is the front's matter. */
 public sealed interface Reply {
-    /** How a read went. */
-    enum How { HIT, MISS, PENDING, WRITTEN }
+  /** How a read went. */
+  enum How {
+    HIT,
+    MISS,
+    PENDING,
+    WRITTEN
+  }
 
-    /** Ways in which an answer is spoilt or followed by what does not belong to it. */
-    enum Spoiling { NOISE, ENDLESS_LINE, WRONG_LENGTH, HUGE_LENGTH, SECOND_COPY, NOISE_BEHIND, ODD_REPORT }
+  /** Ways in which an answer is spoilt or followed by what does not belong to it. */
+  enum Spoiling {
+    NOISE,
+    ENDLESS_LINE,
+    WRONG_LENGTH,
+    HUGE_LENGTH,
+    SECOND_COPY,
+    NOISE_BEHIND,
+    ODD_REPORT
+  }
 
-    /** The value or the receipt, made for this request alone; {@code report} is the load report or null. */
-    record Value(byte[] bytes, How how, String report) implements Reply {
-        /** The value as text; for logs. */
-        @Override
-        public String toString() {
-            return new String(bytes, StandardCharsets.ISO_8859_1);
-        }
+  /**
+   * The value or the receipt, made for this request alone; {@code report} is the load report or
+   * null.
+   */
+  record Value(byte[] bytes, How how, String report) implements Reply {
+    /** The value as text; for logs. */
+    @Override
+    public String toString() {
+      return new String(bytes, StandardCharsets.ISO_8859_1);
     }
+  }
 
-    /** A value of which the front makes something spoilt. */
-    record Spoilt(Value value, Spoiling way) implements Reply { }
+  /** A value of which the front makes something spoilt. */
+  record Spoilt(Value value, Spoiling way) implements Reply {}
 
-    /** Turned away: the command has not run and never will. */
-    record Busy(String why) implements Reply { }
+  /** Turned away: the command has not run and never will. */
+  record Busy(String why) implements Reply {}
 
-    /** Failed: the command may have run. */
-    record Failed(String why) implements Reply { }
+  /** Failed: the command may have run. */
+  record Failed(String why) implements Reply {}
 }
--- a/src/main/java/beaconturn/standin/Store.java
+++ b/src/main/java/beaconturn/standin/Store.java
@@ -4,60 +4,61 @@
 import java.util.Map;
 
 /**
- * The objects that a cache server holds: bounded by bytes, the least recently used go first, and each lives
- * for a time. Expired ones are found when they are asked for.
+ * The objects that a cache server holds: bounded by bytes, the least recently used go first, and
+ * each lives for a time. Expired ones are found when they are asked for.
  */
 final class Store {
-    /** What an object takes beside its value, so that many small ones are not free. */
-    static final int OVERHEAD = 64;
-    private final long capacity;
-    private final long timeToLive;
-    private final Map<String, Item> items = new LinkedHashMap<>(16, 0.75f, true);
-    private long held;
-
-    /** One object: the origin's version of its key, its bytes, and when it is no longer served. */
-    record Item(long version, int size, long until) { }
-
-    /** A store of so many bytes whose objects live so many nanoseconds. */
-    Store(long capacity, long timeToLive) {
-        this.capacity = capacity;
-        this.timeToLive = timeToLive;
-    }
+  /** What an object takes beside its value, so that many small ones are not free. */
+  static final int OVERHEAD = 64;
 
-    /** The object of the key if it is there and still alive, else null. */
-    Item get(String key, long now) {
-        Item found = items.get(key);
-        if (found != null && found.until() <= now) {
-            drop(key);
-            return null;
-        }
-        return found;
-    }
+  private final long capacity;
+  private final long timeToLive;
+  private final Map<String, Item> items = new LinkedHashMap<>(16, 0.75f, true);
+  private long held;
 
-    void put(String key, long version, int size, long now) {
-        drop(key);
-        items.put(key, new Item(version, size, now + timeToLive));
-        held += size + OVERHEAD;
-        while (held > capacity && !items.isEmpty()) {
-            drop(items.keySet().iterator().next());
-        }
-    }
+  /** One object: the origin's version of its key, its bytes, and when it is no longer served. */
+  record Item(long version, int size, long until) {}
 
-    void drop(String key) {
-        Item old = items.remove(key);
-        held -= old == null ? 0 : old.size() + OVERHEAD;
-    }
+  /** A store of so many bytes whose objects live so many nanoseconds. */
+  Store(long capacity, long timeToLive) {
+    this.capacity = capacity;
+    this.timeToLive = timeToLive;
+  }
 
-    void clear() {
-        items.clear();
-        held = 0;
+  /** The object of the key if it is there and still alive, else null. */
+  Item get(String key, long now) {
+    Item found = items.get(key);
+    if (found != null && found.until() <= now) {
+      drop(key);
+      return null;
     }
+    return found;
+  }
 
-    int count() {
-        return items.size();
+  void put(String key, long version, int size, long now) {
+    drop(key);
+    items.put(key, new Item(version, size, now + timeToLive));
+    held += size + OVERHEAD;
+    while (held > capacity && !items.isEmpty()) {
+      drop(items.keySet().iterator().next());
     }
+  }
 
-    long bytes() {
-        return held;
-    }
+  void drop(String key) {
+    Item old = items.remove(key);
+    held -= old == null ? 0 : old.size() + OVERHEAD;
+  }
+
+  void clear() {
+    items.clear();
+    held = 0;
+  }
+
+  int count() {
+    return items.size();
+  }
+
+  long bytes() {
+    return held;
+  }
 }
--- a/src/main/java/beaconturn/standin/World.java
+++ b/src/main/java/beaconturn/standin/World.java
@@ -5,227 +5,244 @@
 import java.util.function.IntConsumer;
 
 /**
- * All that stands round the routers: cache servers at their places, the origin and discovery, and the faults
- * that happen to them. A place is an address; the process there may die and another come.
+ * All that stands round the routers: cache servers at their places, the origin and discovery, and
+ * the faults that happen to them. A place is an address; the process there may die and another
+ * come.
  */
 public final class World {
-    private final Agenda agenda;
-    private final Shape shape;
-    private final Witness witness;
-    private final Seeds seeds;
-    private final Origin origin;
-    private final Discovery discovery;
-    private final CacheModel.Site site;
-    private final List<CacheModel> caches = new ArrayList<>();
-    private IntConsumer changed = place -> { };
-    private int starts;
-    private long commands;
-
-    /**
-     * What the surroundings are made of.
-     *
-     * @param fleet one for each place, in their order
-     * @param origin the origin
-     * @param works the classes and what they cost
-     * @param lag how long after a change discovery knows it, in nanoseconds
-     * @param grace how long after the news a draining server still takes work, in nanoseconds
-     */
-    public record Shape(List<Member> fleet, Origin.Shape origin, List<Work> works, long lag, long grace) { }
-
-    /** One place of the fleet and the process that stands there at first. */
-    public record Member(String host, String site, String kind, int block, double share, CacheShape shape) { }
-
-    /** Surroundings in which all is well and everybody is warm. */
-    public World(Agenda agenda, Shape shape, Seeds seeds, Witness witness) {
-        this.agenda = agenda;
-        this.shape = shape;
-        this.witness = witness;
-        this.seeds = seeds;
-        this.origin = new Origin(agenda, shape.origin(), seeds.of("origin"), witness);
-        this.discovery = new Discovery(agenda, witness);
-        this.site = new CacheModel.Site(agenda, origin, new Repeats(), shape.works(), witness, this::voided);
-        for (int place = 0; place < shape.fleet().size(); place++) {
-            caches.add(start(place, shape.fleet().get(place).host(), 0));
-            discovery.change(caches.get(place).listing(), 0);
-        }
-    }
-
-    /** Who wants to know of every change of a place's process or condition. */
-    public void watch(IntConsumer placeChanged) {
-        changed = placeChanged;
-    }
-
-    private CacheModel start(int place, String host, long born) {
-        Member member = shape.fleet().get(place);
-        Listing listing = new Listing(host, place, member.site(), member.kind(), member.block(),
-            Listing.Health.READY, member.share(), born);
-        return new CacheModel(site, listing, member.shape(), seeds.of(host + " " + ++starts));
-    }
-
-    private void voided(String key) {
-        caches.forEach(cache -> cache.drop(key));
-    }
-
-    /** Begins a fault at a place; {@code amount} is a factor, a part, or nanoseconds, as the kind has it. */
-    public void begin(Fault.Kind kind, int place, double amount) {
-        CacheModel cache = caches.get(place);
-        switch (kind) {
-            case KILL, REPLACE -> {
-                kill(cache);
-            }
-            case DRAIN -> {
-                discovery.change(cache.listing().with(Listing.Health.DRAINING), shape.lag());
-                agenda.in(shape.lag() + shape.grace(), () -> {
-                    if (listedDraining(cache)) {
-                        cache.set(kind, 1);
-                    }
-                });
-            }
-            case DRAIN_LATE -> {
+  private final Agenda agenda;
+  private final Shape shape;
+  private final Witness witness;
+  private final Seeds seeds;
+  private final Origin origin;
+  private final Discovery discovery;
+  private final CacheModel.Site site;
+  private final List<CacheModel> caches = new ArrayList<>();
+  private IntConsumer changed = place -> {};
+  private int starts;
+  private long commands;
+
+  /**
+   * What the surroundings are made of.
+   *
+   * @param fleet one for each place, in their order
+   * @param origin the origin
+   * @param works the classes and what they cost
+   * @param lag how long after a change discovery knows it, in nanoseconds
+   * @param grace how long after the news a draining server still takes work, in nanoseconds
+   */
+  public record Shape(
+      List<Member> fleet, Origin.Shape origin, List<Work> works, long lag, long grace) {}
+
+  /** One place of the fleet and the process that stands there at first. */
+  public record Member(
+      String host, String site, String kind, int block, double share, CacheShape shape) {}
+
+  /** Surroundings in which all is well and everybody is warm. */
+  public World(Agenda agenda, Shape shape, Seeds seeds, Witness witness) {
+    this.agenda = agenda;
+    this.shape = shape;
+    this.witness = witness;
+    this.seeds = seeds;
+    this.origin = new Origin(agenda, shape.origin(), seeds.of("origin"), witness);
+    this.discovery = new Discovery(agenda, witness);
+    this.site =
+        new CacheModel.Site(agenda, origin, new Repeats(), shape.works(), witness, this::voided);
+    for (int place = 0; place < shape.fleet().size(); place++) {
+      caches.add(start(place, shape.fleet().get(place).host(), 0));
+      discovery.change(caches.get(place).listing(), 0);
+    }
+  }
+
+  /** Who wants to know of every change of a place's process or condition. */
+  public void watch(IntConsumer placeChanged) {
+    changed = placeChanged;
+  }
+
+  private CacheModel start(int place, String host, long born) {
+    Member member = shape.fleet().get(place);
+    Listing listing =
+        new Listing(
+            host,
+            place,
+            member.site(),
+            member.kind(),
+            member.block(),
+            Listing.Health.READY,
+            member.share(),
+            born);
+    return new CacheModel(site, listing, member.shape(), seeds.of(host + " " + ++starts));
+  }
+
+  private void voided(String key) {
+    caches.forEach(cache -> cache.drop(key));
+  }
+
+  /**
+   * Begins a fault at a place; {@code amount} is a factor, a part, or nanoseconds, as the kind has
+   * it.
+   */
+  public void begin(Fault.Kind kind, int place, double amount) {
+    CacheModel cache = caches.get(place);
+    switch (kind) {
+      case KILL, REPLACE -> {
+        kill(cache);
+      }
+      case DRAIN -> {
+        discovery.change(cache.listing().with(Listing.Health.DRAINING), shape.lag());
+        agenda.in(
+            shape.lag() + shape.grace(),
+            () -> {
+              if (listedDraining(cache)) {
                 cache.set(kind, 1);
-                discovery.change(cache.listing().with(Listing.Health.DRAINING), (long) amount);
-            }
-            case UNLIST -> discovery.change(cache.listing().with(Listing.Health.GONE), 0);
-            default -> cache.set(kind, amount == 0 ? 1 : amount);
-        }
-        changed.accept(place);
-    }
-
-    /** Ends a fault at a place. */
-    public void end(Fault.Kind kind, int place) {
-        CacheModel cache = caches.get(place);
-        switch (kind) {
-            case KILL -> restart(place, cache.listing().host());
-            case REPLACE -> restart(place, nextName(cache.listing().host()));
-            case DRAIN, DRAIN_LATE -> {
-                cache.set(kind, 0);
-                discovery.change(cache.listing(), 0);
-            }
-            case UNLIST -> discovery.change(cache.listing(), 0);
-            default -> cache.set(kind, 0);
-        }
-        changed.accept(place);
-    }
-
-    private boolean listedDraining(CacheModel cache) {
-        Listing listed = discovery.listed(cache.listing().host());
-        return listed != null && listed.health() == Listing.Health.DRAINING;
-    }
-
-    private void kill(CacheModel cache) {
-        if (!cache.dead()) {
-            cache.die();
-            witness.down(agenda.now(), cache.listing().host());
-        }
-        discovery.change(cache.listing().with(Listing.Health.GONE), shape.lag());
-    }
-
-    private void restart(int place, String host) {
-        CacheModel fresh = start(place, host, agenda.now());
-        caches.set(place, fresh);
-        discovery.change(fresh.listing(), shape.lag());
-    }
-
-    private static String nextName(String host) {
-        int dash = host.lastIndexOf('-');
-        boolean successor = dash > 0 && host.substring(dash + 1).matches("[0-9]+");
-        int number = successor ? Integer.parseInt(host.substring(dash + 1)) : 1;
-        return (successor ? host.substring(0, dash) : host) + "-" + (number + 1);
-    }
-
-    /** Begins a fault of the origin or of discovery. */
-    public void begin(Fault.Kind kind, double amount) {
-        switch (kind) {
-            case ORIGIN_SLOW -> origin.slow(amount);
-            case ORIGIN_STOP -> origin.stop(true);
-            case DISCOVERY_OUT -> discovery.out(true);
-            case DISCOVERY_SLOW -> discovery.slow((long) amount);
-            case DISCOVERY_BACK -> discovery.back((long) amount);
-            default -> throw new IllegalArgumentException(kind + " needs a cache server or a router");
-        }
-    }
-
-    /** Ends a fault of the origin or of discovery. */
-    public void end(Fault.Kind kind) {
-        switch (kind) {
-            case ORIGIN_SLOW -> origin.slow(1);
-            case ORIGIN_STOP -> origin.stop(false);
-            case DISCOVERY_OUT -> discovery.out(false);
-            case DISCOVERY_SLOW -> discovery.slow(0);
-            case DISCOVERY_BACK -> discovery.back(0);
-            default -> throw new IllegalArgumentException(kind + " needs a cache server or a router");
-        }
-    }
-
-    /** Ends all that is wrong with anybody; dead processes start again. */
-    public void healAll() {
-        for (int place = 0; place < caches.size(); place++) {
-            heal(place);
-        }
-        for (Fault.Kind kind : Fault.Kind.values()) {
-            if (kind.target() == Fault.Target.ORIGIN || kind.target() == Fault.Target.DISCOVERY) {
-                end(kind);
-            }
-        }
-    }
-
-    /** Ends all that is wrong at a place; a dead process starts again, cold. */
-    public void heal(int place) {
-        CacheModel cache = caches.get(place);
-        if (cache.dead()) {
-            restart(place, cache.listing().host());
-        } else {
-            boolean listed = discovery.listed(cache.listing().host()) != null && !listedDraining(cache);
-            cache.heal();
-            if (!listed) {
-                discovery.change(cache.listing(), 0);
-            }
-        }
-        changed.accept(place);
-    }
-
-    /** The process at the place, perhaps dead. */
-    public CacheModel at(int place) {
-        return caches.get(place);
-    }
-
-    /** How many places there are. */
-    public int places() {
-        return caches.size();
-    }
-
-    /** Where the process of that name stands; -1 if nowhere. */
-    public int placeOf(String host) {
-        for (int place = 0; place < caches.size(); place++) {
-            if (caches.get(place).listing().host().equals(host)) {
-                return place;
-            }
-        }
-        return -1;
-    }
-
-    /** The number of the next command that a front reads. */
-    public long nextCommand() {
-        return ++commands;
-    }
-
-    /** The origin. */
-    public Origin origin() {
-        return origin;
-    }
-
-    /** Discovery. */
-    public Discovery discovery() {
-        return discovery;
-    }
-
-    /** The clock of it all. */
-    public Agenda agenda() {
-        return agenda;
-    }
-
-    /** Who is told of everything. */
-    public Witness witness() {
-        return witness;
-    }
+              }
+            });
+      }
+      case DRAIN_LATE -> {
+        cache.set(kind, 1);
+        discovery.change(cache.listing().with(Listing.Health.DRAINING), (long) amount);
+      }
+      case UNLIST -> discovery.change(cache.listing().with(Listing.Health.GONE), 0);
+      default -> cache.set(kind, amount == 0 ? 1 : amount);
+    }
+    changed.accept(place);
+  }
+
+  /** Ends a fault at a place. */
+  public void end(Fault.Kind kind, int place) {
+    CacheModel cache = caches.get(place);
+    switch (kind) {
+      case KILL -> restart(place, cache.listing().host());
+      case REPLACE -> restart(place, nextName(cache.listing().host()));
+      case DRAIN, DRAIN_LATE -> {
+        cache.set(kind, 0);
+        discovery.change(cache.listing(), 0);
+      }
+      case UNLIST -> discovery.change(cache.listing(), 0);
+      default -> cache.set(kind, 0);
+    }
+    changed.accept(place);
+  }
+
+  private boolean listedDraining(CacheModel cache) {
+    Listing listed = discovery.listed(cache.listing().host());
+    return listed != null && listed.health() == Listing.Health.DRAINING;
+  }
+
+  private void kill(CacheModel cache) {
+    if (!cache.dead()) {
+      cache.die();
+      witness.down(agenda.now(), cache.listing().host());
+    }
+    discovery.change(cache.listing().with(Listing.Health.GONE), shape.lag());
+  }
+
+  private void restart(int place, String host) {
+    CacheModel fresh = start(place, host, agenda.now());
+    caches.set(place, fresh);
+    discovery.change(fresh.listing(), shape.lag());
+  }
+
+  private static String nextName(String host) {
+    int dash = host.lastIndexOf('-');
+    boolean successor = dash > 0 && host.substring(dash + 1).matches("[0-9]+");
+    int number = successor ? Integer.parseInt(host.substring(dash + 1)) : 1;
+    return (successor ? host.substring(0, dash) : host) + "-" + (number + 1);
+  }
+
+  /** Begins a fault of the origin or of discovery. */
+  public void begin(Fault.Kind kind, double amount) {
+    switch (kind) {
+      case ORIGIN_SLOW -> origin.slow(amount);
+      case ORIGIN_STOP -> origin.stop(true);
+      case DISCOVERY_OUT -> discovery.out(true);
+      case DISCOVERY_SLOW -> discovery.slow((long) amount);
+      case DISCOVERY_BACK -> discovery.back((long) amount);
+      default -> throw new IllegalArgumentException(kind + " needs a cache server or a router");
+    }
+  }
+
+  /** Ends a fault of the origin or of discovery. */
+  public void end(Fault.Kind kind) {
+    switch (kind) {
+      case ORIGIN_SLOW -> origin.slow(1);
+      case ORIGIN_STOP -> origin.stop(false);
+      case DISCOVERY_OUT -> discovery.out(false);
+      case DISCOVERY_SLOW -> discovery.slow(0);
+      case DISCOVERY_BACK -> discovery.back(0);
+      default -> throw new IllegalArgumentException(kind + " needs a cache server or a router");
+    }
+  }
+
+  /** Ends all that is wrong with anybody; dead processes start again. */
+  public void healAll() {
+    for (int place = 0; place < caches.size(); place++) {
+      heal(place);
+    }
+    for (Fault.Kind kind : Fault.Kind.values()) {
+      if (kind.target() == Fault.Target.ORIGIN || kind.target() == Fault.Target.DISCOVERY) {
+        end(kind);
+      }
+    }
+  }
+
+  /** Ends all that is wrong at a place; a dead process starts again, cold. */
+  public void heal(int place) {
+    CacheModel cache = caches.get(place);
+    if (cache.dead()) {
+      restart(place, cache.listing().host());
+    } else {
+      boolean listed = discovery.listed(cache.listing().host()) != null && !listedDraining(cache);
+      cache.heal();
+      if (!listed) {
+        discovery.change(cache.listing(), 0);
+      }
+    }
+    changed.accept(place);
+  }
+
+  /** The process at the place, perhaps dead. */
+  public CacheModel at(int place) {
+    return caches.get(place);
+  }
+
+  /** How many places there are. */
+  public int places() {
+    return caches.size();
+  }
+
+  /** Where the process of that name stands; -1 if nowhere. */
+  public int placeOf(String host) {
+    for (int place = 0; place < caches.size(); place++) {
+      if (caches.get(place).listing().host().equals(host)) {
+        return place;
+      }
+    }
+    return -1;
+  }
+
+  /** The number of the next command that a front reads. */
+  public long nextCommand() {
+    return ++commands;
+  }
+
+  /** The origin. */
+  public Origin origin() {
+    return origin;
+  }
+
+  /** Discovery. */
+  public Discovery discovery() {
+    return discovery;
+  }
+
+  /** The clock of it all. */
+  public Agenda agenda() {
+    return agenda;
+  }
+
+  /** Who is told of everything. */
+  public Witness witness() {
+    return witness;
+  }
 }
--- a/src/main/java/beaconturn/standin/net/ControlSession.java
+++ b/src/main/java/beaconturn/standin/net/ControlSession.java
@@ -8,43 +8,43 @@
 
 /** One connection to the control port: a line in, its answer out, an empty line behind it. */
 final class ControlSession extends Wire {
-    private static final int LONGEST_LINE = 1024;
-    private final UnaryOperator<String> orders;
+  private static final int LONGEST_LINE = 1024;
+  private final UnaryOperator<String> orders;
 
-    ControlSession(Loop loop, SocketChannel channel, UnaryOperator<String> orders) {
-        super(loop, channel);
-        this.orders = orders;
-    }
+  ControlSession(Loop loop, SocketChannel channel, UnaryOperator<String> orders) {
+    super(loop, channel);
+    this.orders = orders;
+  }
 
-    @Override
-    protected void parse(InputBuffer buffer) throws ProtocolException {
-        for (int end = lineEnd(buffer); end >= 0; end = lineEnd(buffer)) {
-            String line = buffer.slice(0, end).toString();
-            buffer.consume(end + 1);
-            write(Slice.of(orders.apply(line) + "\n\n"));
-        }
-        if (buffer.size() > LONGEST_LINE) {
-            throw new ProtocolException("line over " + LONGEST_LINE + " bytes");
-        }
+  @Override
+  protected void parse(InputBuffer buffer) throws ProtocolException {
+    for (int end = lineEnd(buffer); end >= 0; end = lineEnd(buffer)) {
+      String line = buffer.slice(0, end).toString();
+      buffer.consume(end + 1);
+      write(Slice.of(orders.apply(line) + "\n\n"));
     }
-
-    private static int lineEnd(InputBuffer buffer) {
-        for (int i = 0; i < buffer.size(); i++) {
-            if (buffer.at(i) == '\n') {
-                return i;
-            }
-        }
-        return -1;
+    if (buffer.size() > LONGEST_LINE) {
+      throw new ProtocolException("line over " + LONGEST_LINE + " bytes");
     }
+  }
 
-    @Override
-    protected void unreadable(String why) {
-        write(Slice.of("error: " + why + "\n\n"));
+  private static int lineEnd(InputBuffer buffer) {
+    for (int i = 0; i < buffer.size(); i++) {
+      if (buffer.at(i) == '\n') {
+        return i;
+      }
     }
+    return -1;
+  }
 
-    @Override
-    protected void gone() {
-        // Nothing is kept for a connection that gives orders.
-        return;
-    }
+  @Override
+  protected void unreadable(String why) {
+    write(Slice.of("error: " + why + "\n\n"));
+  }
+
+  @Override
+  protected void gone() {
+    // Nothing is kept for a connection that gives orders.
+    return;
+  }
 }
--- a/src/main/java/beaconturn/standin/net/RegistrySession.java
+++ b/src/main/java/beaconturn/standin/net/RegistrySession.java
@@ -13,74 +13,78 @@
 
 /** One connection of a router to discovery, in HTTP/1.1; one call at a time, as routers do it. */
 final class RegistrySession extends Wire implements Discovery.Asker {
-    private static final int LONGEST_BODY = 4096;
-    private static final int OK = 200;
-    private static final int NOT_FOUND = 404;
-    private static final int UNAVAILABLE = 503;
-    private static final long MILLI = 1_000_000;
-    private static final long LONGEST_WAIT_MILLIS = 60_000;
-    private final Discovery discovery;
-    private final int router;
-    private final Function<Discovery.News, Json> form;
-    private final HttpReader reader = new HttpReader(LONGEST_BODY);
-    private Discovery.Call call;
+  private static final int LONGEST_BODY = 4096;
+  private static final int OK = 200;
+  private static final int NOT_FOUND = 404;
+  private static final int UNAVAILABLE = 503;
+  private static final long MILLI = 1_000_000;
+  private static final long LONGEST_WAIT_MILLIS = 60_000;
+  private final Discovery discovery;
+  private final int router;
+  private final Function<Discovery.News, Json> form;
+  private final HttpReader reader = new HttpReader(LONGEST_BODY);
+  private Discovery.Call call;
 
-    /** The form is how a list looks to this router, whose addresses are its own. */
-    RegistrySession(Loop loop, SocketChannel channel, Discovery discovery, int router,
-            Function<Discovery.News, Json> form) {
-        super(loop, channel);
-        this.discovery = discovery;
-        this.router = router;
-        this.form = form;
-    }
+  /** The form is how a list looks to this router, whose addresses are its own. */
+  RegistrySession(
+      Loop loop,
+      SocketChannel channel,
+      Discovery discovery,
+      int router,
+      Function<Discovery.News, Json> form) {
+    super(loop, channel);
+    this.discovery = discovery;
+    this.router = router;
+    this.form = form;
+  }
 
-    @Override
-    protected void parse(InputBuffer buffer) throws ProtocolException {
-        for (HttpRequest r = reader.nextRequest(buffer); r != null; r = reader.nextRequest(buffer)) {
-            request(r);
-        }
+  @Override
+  protected void parse(InputBuffer buffer) throws ProtocolException {
+    for (HttpRequest r = reader.nextRequest(buffer); r != null; r = reader.nextRequest(buffer)) {
+      request(r);
     }
+  }
 
-    private void request(HttpRequest request) throws ProtocolException {
-        if (!request.method().equals("GET") || !request.path().equals("/registry/instances")) {
-            write(HttpWriter.answer(NOT_FOUND, "{}"));
-            return;
-        }
-        String after = request.parameter("after", "");
-        if (after.isEmpty()) {
-            call = discovery.whole(router, this);
-        } else {
-            long wait = Math.min(LONGEST_WAIT_MILLIS, number(request.parameter("wait_ms", "0"))) * MILLI;
-            call = discovery.watch(router, number(after), wait, this);
-        }
+  private void request(HttpRequest request) throws ProtocolException {
+    if (!request.method().equals("GET") || !request.path().equals("/registry/instances")) {
+      write(HttpWriter.answer(NOT_FOUND, "{}"));
+      return;
     }
-
-    private static long number(String digits) throws ProtocolException {
-        if (!digits.matches("[0-9]{1,15}")) {
-            throw new ProtocolException("not a whole number: " + digits);
-        }
-        return Long.parseLong(digits);
+    String after = request.parameter("after", "");
+    if (after.isEmpty()) {
+      call = discovery.whole(router, this);
+    } else {
+      long wait = Math.min(LONGEST_WAIT_MILLIS, number(request.parameter("wait_ms", "0"))) * MILLI;
+      call = discovery.watch(router, number(after), wait, this);
     }
+  }
 
-    @Override
-    public void news(Discovery.News news) {
-        write(HttpWriter.answer(OK, JsonWriter.write(form.apply(news))));
+  private static long number(String digits) throws ProtocolException {
+    if (!digits.matches("[0-9]{1,15}")) {
+      throw new ProtocolException("not a whole number: " + digits);
     }
+    return Long.parseLong(digits);
+  }
 
-    @Override
-    public void failed() {
-        write(HttpWriter.answer(UNAVAILABLE, "{}"));
-    }
+  @Override
+  public void news(Discovery.News news) {
+    write(HttpWriter.answer(OK, JsonWriter.write(form.apply(news))));
+  }
 
-    @Override
-    protected void unreadable(String why) {
-        write(HttpWriter.answer(NOT_FOUND, "{}"));
-    }
+  @Override
+  public void failed() {
+    write(HttpWriter.answer(UNAVAILABLE, "{}"));
+  }
+
+  @Override
+  protected void unreadable(String why) {
+    write(HttpWriter.answer(NOT_FOUND, "{}"));
+  }
 
-    @Override
-    protected void gone() {
-        if (call != null) {
-            call.cancel();
-        }
+  @Override
+  protected void gone() {
+    if (call != null) {
+      call.cancel();
     }
+  }
 }
--- a/src/main/java/beaconturn/standin/net/StoreFront.java
+++ b/src/main/java/beaconturn/standin/net/StoreFront.java
@@ -10,97 +10,105 @@
 
 /** The coordination store's stand-in on loopback, and lines by which it is made to fail. */
 public final class StoreFront implements Closeable {
-    private static final int BACKLOG = 512;
-    private static final long MILLI = 1_000_000;
-    private static final String HELP =
-        "down, up, slow MILLIS, lose COUNT, freeze, thaw, empty, rewind REVISIONS, status";
-    private final Loop loop;
-    private final StoreModel model;
-    private final ServerSocketChannel listener;
-    private long delay;
-    private int losing;
-    private boolean down;
-    private long calls;
+  private static final int BACKLOG = 512;
+  private static final long MILLI = 1_000_000;
+  private static final String HELP =
+      "down, up, slow MILLIS, lose COUNT, freeze, thaw, empty, rewind REVISIONS, status";
+  private final Loop loop;
+  private final StoreModel model;
+  private final ServerSocketChannel listener;
+  private long delay;
+  private int losing;
+  private boolean down;
+  private long calls;
 
-    /** Opens the port, 0 for any free one; nobody is served before {@link #start}. */
-    public StoreFront(int port, long cluster, LongSupplier clock, StoreModel.Watcher watcher)
-            throws IOException {
-        Agenda agenda = new Agenda(clock.getAsLong());
-        this.loop = new Loop("store", agenda, clock);
-        this.model = new StoreModel(agenda, cluster, watcher);
-        this.listener = loop.listen(new InetSocketAddress("127.0.0.1", port), BACKLOG,
+  /** Opens the port, 0 for any free one; nobody is served before {@link #start}. */
+  public StoreFront(int port, long cluster, LongSupplier clock, StoreModel.Watcher watcher)
+      throws IOException {
+    Agenda agenda = new Agenda(clock.getAsLong());
+    this.loop = new Loop("store", agenda, clock);
+    this.model = new StoreModel(agenda, cluster, watcher);
+    this.listener =
+        loop.listen(
+            new InetSocketAddress("127.0.0.1", port),
+            BACKLOG,
             new Surroundings.Acceptor("store", channel -> new StoreSession(loop, channel, this)));
-    }
+  }
 
-    /** Begins to serve on a thread of its own. */
-    public void start() {
-        loop.start();
-    }
+  /** Begins to serve on a thread of its own. */
+  public void start() {
+    loop.start();
+  }
 
-    /** Where it listens. */
-    public InetSocketAddress address() throws IOException {
-        return (InetSocketAddress) listener.getLocalAddress();
-    }
+  /** Where it listens. */
+  public InetSocketAddress address() throws IOException {
+    return (InetSocketAddress) listener.getLocalAddress();
+  }
 
-    /** Carries out one line, and says what was done or what is wrong. */
-    public String run(String line) {
-        return loop.call(() -> order(line.trim().split("\\s+")));
-    }
+  /** Carries out one line, and says what was done or what is wrong. */
+  public String run(String line) {
+    return loop.call(() -> order(line.trim().split("\\s+")));
+  }
 
-    private String order(String[] words) {
-        switch (words[0]) {
-            case "slow" -> delay = number(words) * MILLI;
-            case "lose" -> losing = (int) number(words);
-            case "down" -> {
-                down = true;
-                model.holdLeases();
-            }
-            case "up" -> {
-                down = false;
-                model.renewLeases();
-            }
-            case "freeze" -> model.freeze(true);
-            case "thaw" -> model.freeze(false);
-            case "empty" -> model.empty(model.cluster() + 1);
-            case "rewind" -> model.rewind(number(words));
-            case "status" -> {
-                return "cluster " + model.cluster() + ", revision " + model.revision() + ", " + calls
-                    + " calls";
-            }
-            default -> {
-                return "error: unknown order '" + words[0] + "': " + HELP;
-            }
-        }
-        return "ok: " + String.join(" ", words);
+  private String order(String[] words) {
+    switch (words[0]) {
+      case "slow" -> delay = number(words) * MILLI;
+      case "lose" -> losing = (int) number(words);
+      case "down" -> {
+        down = true;
+        model.holdLeases();
+      }
+      case "up" -> {
+        down = false;
+        model.renewLeases();
+      }
+      case "freeze" -> model.freeze(true);
+      case "thaw" -> model.freeze(false);
+      case "empty" -> model.empty(model.cluster() + 1);
+      case "rewind" -> model.rewind(number(words));
+      case "status" -> {
+        return "cluster "
+            + model.cluster()
+            + ", revision "
+            + model.revision()
+            + ", "
+            + calls
+            + " calls";
+      }
+      default -> {
+        return "error: unknown order '" + words[0] + "': " + HELP;
+      }
     }
+    return "ok: " + String.join(" ", words);
+  }
 
-    private static long number(String[] words) {
-        return words.length == 2 && words[1].matches("[0-9]{1,9}") ? Long.parseLong(words[1]) : 0;
-    }
+  private static long number(String[] words) {
+    return words.length == 2 && words[1].matches("[0-9]{1,9}") ? Long.parseLong(words[1]) : 0;
+  }
 
-    StoreModel model() {
-        return model;
-    }
+  StoreModel model() {
+    return model;
+  }
 
-    long delay() {
-        return delay;
-    }
+  long delay() {
+    return delay;
+  }
 
-    boolean down() {
-        return down;
-    }
+  boolean down() {
+    return down;
+  }
 
-    void counted() {
-        calls++;
-    }
+  void counted() {
+    calls++;
+  }
 
-    /** Whether the answer to this swap, which has come about, is to be lost. */
-    boolean losesThis() {
-        return losing > 0 && losing-- > 0;
-    }
+  /** Whether the answer to this swap, which has come about, is to be lost. */
+  boolean losesThis() {
+    return losing > 0 && losing-- > 0;
+  }
 
-    @Override
-    public void close() {
-        loop.close();
-    }
+  @Override
+  public void close() {
+    loop.close();
+  }
 }
--- a/src/main/java/beaconturn/toml/Lines.java
+++ b/src/main/java/beaconturn/toml/Lines.java
@@ -7,46 +7,47 @@
 
 /** Where each key of a TOML text stands, as the parser keeps no positions. */
 final class Lines {
-    private static final Pattern TABLE = Pattern.compile("\\s*\\[\\s*([^\\[\\]]+?)\\s*]\\s*(#.*)?");
-    private static final Pattern ITEM = Pattern.compile("\\s*\\[\\[\\s*([^\\[\\]]+?)\\s*]]\\s*(#.*)?");
-    private static final Pattern KEY = Pattern.compile("\\s*([A-Za-z0-9_.\\-\"']+)\\s*=.*");
-    private final Map<String, Integer> lines = new HashMap<>();
-    private final Map<String, Integer> counts = new HashMap<>();
+  private static final Pattern TABLE = Pattern.compile("\\s*\\[\\s*([^\\[\\]]+?)\\s*]\\s*(#.*)?");
+  private static final Pattern ITEM =
+      Pattern.compile("\\s*\\[\\[\\s*([^\\[\\]]+?)\\s*]]\\s*(#.*)?");
+  private static final Pattern KEY = Pattern.compile("\\s*([A-Za-z0-9_.\\-\"']+)\\s*=.*");
+  private final Map<String, Integer> lines = new HashMap<>();
+  private final Map<String, Integer> counts = new HashMap<>();
 
-    Lines(String text) {
-        String table = "";
-        int number = 0;
-        for (String line : text.split("\n", -1)) {
-            number++;
-            Matcher item = ITEM.matcher(line);
-            Matcher head = TABLE.matcher(line);
-            Matcher key = KEY.matcher(line);
-            if (item.matches()) {
-                int index = counts.merge(item.group(1), 1, Integer::sum) - 1;
-                table = item.group(1) + "[" + index + "]";
-                lines.putIfAbsent(item.group(1), number);
-                lines.put(table, number);
-            } else if (head.matches()) {
-                table = head.group(1);
-                lines.putIfAbsent(table, number);
-            } else if (key.matches()) {
-                String name = key.group(1).replaceAll("[\"']", "");
-                lines.putIfAbsent(table.isEmpty() ? name : table + "." + name, number);
-            }
-        }
+  Lines(String text) {
+    String table = "";
+    int number = 0;
+    for (String line : text.split("\n", -1)) {
+      number++;
+      Matcher item = ITEM.matcher(line);
+      Matcher head = TABLE.matcher(line);
+      Matcher key = KEY.matcher(line);
+      if (item.matches()) {
+        int index = counts.merge(item.group(1), 1, Integer::sum) - 1;
+        table = item.group(1) + "[" + index + "]";
+        lines.putIfAbsent(item.group(1), number);
+        lines.put(table, number);
+      } else if (head.matches()) {
+        table = head.group(1);
+        lines.putIfAbsent(table, number);
+      } else if (key.matches()) {
+        String name = key.group(1).replaceAll("[\"']", "");
+        lines.putIfAbsent(table.isEmpty() ? name : table + "." + name, number);
+      }
     }
+  }
 
-    /** The line of the key, or of the nearest thing round it that has one; 1 at least. */
-    int of(String path) {
-        String at = path;
-        while (!at.isEmpty()) {
-            Integer line = lines.get(at);
-            if (line != null) {
-                return line;
-            }
-            int end = Math.max(at.lastIndexOf('.'), at.lastIndexOf('['));
-            at = at.substring(0, Math.max(0, end));
-        }
-        return 1;
+  /** The line of the key, or of the nearest thing round it that has one; 1 at least. */
+  int of(String path) {
+    String at = path;
+    while (!at.isEmpty()) {
+      Integer line = lines.get(at);
+      if (line != null) {
+        return line;
+      }
+      int end = Math.max(at.lastIndexOf('.'), at.lastIndexOf('['));
+      at = at.substring(0, Math.max(0, end));
     }
+    return 1;
+  }
 }
--- a/src/main/java/beaconturn/toml/TomlException.java
+++ b/src/main/java/beaconturn/toml/TomlException.java
@@ -1,11 +1,13 @@
 package beaconturn.toml;
 
-/** A file that is wrong; the message is one line: FILE:LINE: KEY: what is wrong, what is allowed. */
+/**
+ * A file that is wrong; the message is one line: FILE:LINE: KEY: what is wrong, what is allowed.
+ */
 public final class TomlException extends Exception {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    /** Makes an exception with the whole line. */
-    public TomlException(String line) {
-        super(line);
-    }
+  /** Makes an exception with the whole line. */
+  public TomlException(String line) {
+    super(line);
+  }
 }
--- a/src/main/java/beaconturn/zones/Follower.java
+++ b/src/main/java/beaconturn/zones/Follower.java
@@ -10,340 +10,399 @@
 import java.util.function.Consumer;
 
 /**
- * One router's part: tells what it sees, follows the plan on a lease, and holds the office where nobody
- * does. Driven by one thread, which asks {@link #next} for the call to make and brings its answer to {@link
- * #answered}.
+ * One router's part: tells what it sees, follows the plan on a lease, and holds the office where
+ * nobody does. Driven by one thread, which asks {@link #next} for the call to make and brings its
+ * answer to {@link #answered}.
  */
 public final class Follower {
-    private static final long SECOND = 1_000_000_000;
-    private static final long TICK = SECOND / 4;
-    /**
-     * Short, as nobody moves anything without an office; each of its steps has the office for a condition.
-     */
-    private static final long OFFICE_SECONDS = 2;
-    private static final int SPREAD_PARTS = 5;
-    private static final int LONGEST_BACK_OFF = 8;
-    private static final int STALE_RENEWALS = 4;
-    /**
-     * A report lies in the store for so long after the last word of its router, which may serve on without
-     * it: whoever takes the office then has to know of it. Who is heard is told by reports that grow.
-     */
-    private static final long REPORT_SECONDS = 60;
-    /** Evidence is compared over so long. */
-    private static final long WINDOW = 3 * SECOND / 2;
+  private static final long SECOND = 1_000_000_000;
+  private static final long TICK = SECOND / 4;
 
-    /** What the follower asks of the router. */
-    public interface Router {
-        /** What it sees of each place, with that number and plan; the counts of its process. */
-        Report sees(String router, long number, long plan);
-    }
+  /**
+   * Short, as nobody moves anything without an office; each of its steps has the office for a
+   * condition.
+   */
+  private static final long OFFICE_SECONDS = 2;
 
-    /**
-     * Which row is due, and whether another place of it than its own may take what its own part has no room
-     * for.
-     */
-    public record Due(Row row, boolean overflow, String says) { }
+  private static final int SPREAD_PARTS = 5;
+  private static final int LONGEST_BACK_OFF = 8;
+  private static final int STALE_RENEWALS = 4;
 
-    /** What is due until a time and from then on. */
-    private record Held(long until, Due in, Due after) { }
+  /**
+   * A report lies in the store for so long after the last word of its router, which may serve on
+   * without it: whoever takes the office then has to know of it. Who is heard is told by reports
+   * that grow.
+   */
+  private static final long REPORT_SECONDS = 60;
 
-    private enum Aim { LEASE, RENEW, READ, TELL, LOOK, OFFICE_LEASE, OFFICE_RENEW, DECIDE, STEP }
+  /** Evidence is compared over so long. */
+  private static final long WINDOW = 3 * SECOND / 2;
 
-    private final ZonesKeys keys;
-    private final Geography map;
-    private final Timing timing;
-    private final String home;
-    private final String me;
-    private final Router router;
-    private final Consumer<String> log;
-    private final SplittableRandom random;
-    private final Decision decision;
-    private Aim aim;
-    private long sentAt;
-    private long waitUntil;
-    private int failures;
-    private long lease;
-    private long aliveSince;
-    private long renewAt;
-    private long tellAt;
-    private long number;
-    private boolean read;
-    private Plan plan;
-    private long planRevision;
-    private long leaseUntil = Long.MIN_VALUE;
-    private long lookAt;
-    private boolean office;
-    private long officeLease;
-    private long officeRenewAt;
-    private long decideAt;
-    private Plan step;
-    private Call.Swap swap;
-    private String says = "";
-    private Report before;
-    private long beforeAt;
-    private boolean nearBad;
-    private volatile Held held;
-    private Due now;
+  /** What the follower asks of the router. */
+  public interface Router {
+    /** What it sees of each place, with that number and plan; the counts of its process. */
+    Report sees(String router, long number, long plan);
+  }
 
-    /** A follower at a place; {@code me} is its name and incarnation with a slash between. */
-    public Follower(ZonesKeys keys, Geography map, Timing timing, String home, String me, long seed,
-            long start,
-            Router router, Consumer<String> log) {
-        this.keys = keys;
-        this.map = map;
-        this.timing = timing;
-        this.home = home;
-        this.me = me;
-        this.router = router;
-        this.log = log;
-        this.random = new SplittableRandom(seed);
-        this.decision = new Decision(map, Pace.usual(timing.stated()), WINDOW,
-            STALE_RENEWALS * timing.renewEvery(), REPORT_SECONDS * SECOND / 2);
-        this.plan = Plan.first(map);
-        this.renewAt = start;
-        this.lookAt = start + spread(TICK);
-        hold();
-        this.now = due(start);
-    }
+  /**
+   * Which row is due, and whether another place of it than its own may take what its own part has
+   * no room for.
+   */
+  public record Due(Row row, boolean overflow, String says) {}
 
-    /**
-     * The row that is due at a time, by its clock; any thread may ask, also one that stood still for long.
-     */
-    public Due due(long at) {
-        Held known = held;
-        return at < known.until() ? known.in() : known.after();
-    }
+  /** What is due until a time and from then on. */
+  private record Held(long until, Due in, Due after) {}
+
+  private enum Aim {
+    LEASE,
+    RENEW,
+    READ,
+    TELL,
+    LOOK,
+    OFFICE_LEASE,
+    OFFICE_RENEW,
+    DECIDE,
+    STEP
+  }
+
+  private final ZonesKeys keys;
+  private final Geography map;
+  private final Timing timing;
+  private final String home;
+  private final String me;
+  private final Router router;
+  private final Consumer<String> log;
+  private final SplittableRandom random;
+  private final Decision decision;
+  private Aim aim;
+  private long sentAt;
+  private long waitUntil;
+  private int failures;
+  private long lease;
+  private long aliveSince;
+  private long renewAt;
+  private long tellAt;
+  private long number;
+  private boolean read;
+  private Plan plan;
+  private long planRevision;
+  private long leaseUntil = Long.MIN_VALUE;
+  private long lookAt;
+  private boolean office;
+  private long officeLease;
+  private long officeRenewAt;
+  private long decideAt;
+  private Plan step;
+  private Call.Swap swap;
+  private String says = "";
+  private Report before;
+  private long beforeAt;
+  private boolean nearBad;
+  private volatile Held held;
+  private Due now;
+
+  /** A follower at a place; {@code me} is its name and incarnation with a slash between. */
+  public Follower(
+      ZonesKeys keys,
+      Geography map,
+      Timing timing,
+      String home,
+      String me,
+      long seed,
+      long start,
+      Router router,
+      Consumer<String> log) {
+    this.keys = keys;
+    this.map = map;
+    this.timing = timing;
+    this.home = home;
+    this.me = me;
+    this.router = router;
+    this.log = log;
+    this.random = new SplittableRandom(seed);
+    this.decision =
+        new Decision(
+            map,
+            Pace.usual(timing.stated()),
+            WINDOW,
+            STALE_RENEWALS * timing.renewEvery(),
+            REPORT_SECONDS * SECOND / 2);
+    this.plan = Plan.first(map);
+    this.renewAt = start;
+    this.lookAt = start + spread(TICK);
+    hold();
+    this.now = due(start);
+  }
 
-    private void hold() {
-        held = new Held(leaseUntil, new Due(plan.row(home), true, "plan " + plan.number()),
-            nearBad ? new Due(Plan.floor(map, home), false, "its own evidence: its place is bad, no lease")
+  /**
+   * The row that is due at a time, by its clock; any thread may ask, also one that stood still for
+   * long.
+   */
+  public Due due(long at) {
+    Held known = held;
+    return at < known.until() ? known.in() : known.after();
+  }
+
+  private void hold() {
+    held =
+        new Held(
+            leaseUntil,
+            new Due(plan.row(home), true, "plan " + plan.number()),
+            nearBad
+                ? new Due(
+                    Plan.floor(map, home), false, "its own evidence: its place is bad, no lease")
                 : new Due(Plan.calm(map, home), false, "no lease: near"));
-    }
+  }
 
-    /** To be called before each step and now and then: looks at its own evidence and its lease. */
-    public void look(long at) {
-        if (before == null || at - beforeAt >= WINDOW) {
-            Report last = router.sees(me, number, at < leaseUntil ? plan.number() : 0);
-            if (before != null) {
-                Seen seen = last.places().getOrDefault(home, Seen.NONE)
-                    .since(before.places().getOrDefault(home, Seen.NONE));
-                nearBad = Pool.view(seen) == Verdict.BROKEN || seen.listed() == 0;
-            }
-            before = last;
-            beforeAt = at;
-        }
-        hold();
-        Due next = due(at);
-        if (!next.equals(now)) {
-            log.accept("zones: sends by " + next.says() + ", " + next.row().parts());
-        }
-        now = next;
+  /** To be called before each step and now and then: looks at its own evidence and its lease. */
+  public void look(long at) {
+    if (before == null || at - beforeAt >= WINDOW) {
+      Report last = router.sees(me, number, at < leaseUntil ? plan.number() : 0);
+      if (before != null) {
+        Seen seen =
+            last.places()
+                .getOrDefault(home, Seen.NONE)
+                .since(before.places().getOrDefault(home, Seen.NONE));
+        nearBad = Pool.view(seen) == Verdict.BROKEN || seen.listed() == 0;
+      }
+      before = last;
+      beforeAt = at;
     }
-
-    /** The call to make now, or null while there is none before {@link #wakeAt}; one at a time. */
-    public Call next(long at) {
-        if (aim != null || at < waitUntil) {
-            return null;
-        }
-        sentAt = at;
-        if (lease == 0) {
-            return out(Aim.LEASE, new Call.Grant(Math.max(REPORT_SECONDS, timing.storeLeaseSeconds())));
-        }
-        if (at >= renewAt) {
-            return out(Aim.RENEW, new Call.KeepAlive(lease));
-        }
-        if (!read) {
-            return out(Aim.READ, new Call.Read(keys.plan()));
-        }
-        if (at >= tellAt) {
-            number++;
-            Report report = router.sees(me, number, plan.number());
-            return out(Aim.TELL, new Call.Swap(
-                List.of(new Call.Condition.Unchanged(keys.plan(), planRevision)),
-                List.of(new Call.Change.Put(keys.report(me), ZonesTexts.of(report), lease))));
-        }
-        return office ? official(at) : at >= lookAt ? out(Aim.LOOK, new Call.Read(keys.office())) : null;
+    hold();
+    Due next = due(at);
+    if (!next.equals(now)) {
+      log.accept("zones: sends by " + next.says() + ", " + next.row().parts());
     }
+    now = next;
+  }
 
-    private Call official(long at) {
-        if (officeLease == 0) {
-            return out(Aim.OFFICE_LEASE, new Call.Grant(OFFICE_SECONDS));
-        }
-        if (at >= officeRenewAt) {
-            return out(Aim.OFFICE_RENEW, new Call.KeepAlive(officeLease));
-        }
-        if (swap != null) {
-            return out(Aim.STEP, swap);
-        }
-        return at >= decideAt ? out(Aim.DECIDE, new Call.Read(keys.all())) : null;
+  /** The call to make now, or null while there is none before {@link #wakeAt}; one at a time. */
+  public Call next(long at) {
+    if (aim != null || at < waitUntil) {
+      return null;
     }
-
-    private Call out(Aim what, Call call) {
-        aim = what;
-        return call;
+    sentAt = at;
+    if (lease == 0) {
+      return out(Aim.LEASE, new Call.Grant(Math.max(REPORT_SECONDS, timing.storeLeaseSeconds())));
+    }
+    if (at >= renewAt) {
+      return out(Aim.RENEW, new Call.KeepAlive(lease));
+    }
+    if (!read) {
+      return out(Aim.READ, new Call.Read(keys.plan()));
+    }
+    if (at >= tellAt) {
+      number++;
+      Report report = router.sees(me, number, plan.number());
+      return out(
+          Aim.TELL,
+          new Call.Swap(
+              List.of(new Call.Condition.Unchanged(keys.plan(), planRevision)),
+              List.of(new Call.Change.Put(keys.report(me), ZonesTexts.of(report), lease))));
     }
+    return office
+        ? official(at)
+        : at >= lookAt ? out(Aim.LOOK, new Call.Read(keys.office())) : null;
+  }
 
-    /** When {@link #next} may have a call again. */
-    public long wakeAt() {
-        long at = Math.min(renewAt, tellAt);
-        at = Math.min(at, office ? Math.min(decideAt, officeRenewAt) : lookAt);
-        return Math.max(waitUntil, at);
+  private Call official(long at) {
+    if (officeLease == 0) {
+      return out(Aim.OFFICE_LEASE, new Call.Grant(OFFICE_SECONDS));
     }
+    if (at >= officeRenewAt) {
+      return out(Aim.OFFICE_RENEW, new Call.KeepAlive(officeLease));
+    }
+    if (swap != null) {
+      return out(Aim.STEP, swap);
+    }
+    return at >= decideAt ? out(Aim.DECIDE, new Call.Read(keys.all())) : null;
+  }
 
-    /** What became of the call. */
-    public void answered(long at, Answer answer) {
-        Aim was = aim;
-        aim = null;
-        if (!(answer instanceof Answer.Given given)) {
-            failed(at, was, ((Answer.Failed) answer).why());
-            return;
-        }
-        failures = 0;
-        try {
-            take(at, was, given);
-        } catch (AgreementException e) {
-            failed(at, was, e.getMessage());
-        }
-        look(at);
+  private Call out(Aim what, Call call) {
+    aim = what;
+    return call;
+  }
+
+  /** When {@link #next} may have a call again. */
+  public long wakeAt() {
+    long at = Math.min(renewAt, tellAt);
+    at = Math.min(at, office ? Math.min(decideAt, officeRenewAt) : lookAt);
+    return Math.max(waitUntil, at);
+  }
+
+  /** What became of the call. */
+  public void answered(long at, Answer answer) {
+    Aim was = aim;
+    aim = null;
+    if (!(answer instanceof Answer.Given given)) {
+      failed(at, was, ((Answer.Failed) answer).why());
+      return;
     }
+    failures = 0;
+    try {
+      take(at, was, given);
+    } catch (AgreementException e) {
+      failed(at, was, e.getMessage());
+    }
+    look(at);
+  }
 
-    private void failed(long at, Aim was, String why) {
-        failures++;
-        if (failures == 1) {
-            log.accept("zones: the store does not answer (" + was + "): " + why);
-        }
-        // Whether a step came about is seen when it is looked at anew.
-        swap = was == Aim.STEP ? null : swap;
-        waitUntil = at + spread(TICK * Math.min(LONGEST_BACK_OFF, 1L << Math.min(failures,
-            LONGEST_BACK_OFF)) / 2);
-        look(at);
+  private void failed(long at, Aim was, String why) {
+    failures++;
+    if (failures == 1) {
+      log.accept("zones: the store does not answer (" + was + "): " + why);
     }
+    // Whether a step came about is seen when it is looked at anew.
+    swap = was == Aim.STEP ? null : swap;
+    waitUntil =
+        at
+            + spread(
+                TICK * Math.min(LONGEST_BACK_OFF, 1L << Math.min(failures, LONGEST_BACK_OFF)) / 2);
+    look(at);
+  }
 
-    private void take(long at, Aim was, Answer.Given given) throws AgreementException {
-        switch (was) {
-            case LEASE -> {
-                lease = given.lease();
-                aliveSince = sentAt;
-                renewAt = sentAt + spread(timing.renewEvery());
-            }
-            case RENEW -> {
-                lease = given.seconds() > 0 ? lease : 0;
-                aliveSince = given.seconds() > 0 ? sentAt : aliveSince;
-                renewAt = sentAt + spread(timing.renewEvery());
-            }
-            case READ -> knows(given);
-            case TELL -> told(given);
-            case LOOK -> {
-                boolean free = given.pairs().isEmpty();
-                office = free;
-                decideAt = at;
-                // Who looks often takes an office that has just fallen free; all would look in step else.
-                lookAt = at + spread(2 * TICK);
-            }
-            case OFFICE_LEASE, OFFICE_RENEW -> {
-                officeLease = was == Aim.OFFICE_LEASE ? given.lease() : given.seconds() > 0 ? officeLease : 0;
-                officeRenewAt = sentAt + TICK;
-            }
-            case DECIDE -> decide(at, given);
-            case STEP -> stepped(given);
-            default -> throw new IllegalStateException(was.name());
-        }
+  private void take(long at, Aim was, Answer.Given given) throws AgreementException {
+    switch (was) {
+      case LEASE -> {
+        lease = given.lease();
+        aliveSince = sentAt;
+        renewAt = sentAt + spread(timing.renewEvery());
+      }
+      case RENEW -> {
+        lease = given.seconds() > 0 ? lease : 0;
+        aliveSince = given.seconds() > 0 ? sentAt : aliveSince;
+        renewAt = sentAt + spread(timing.renewEvery());
+      }
+      case READ -> knows(given);
+      case TELL -> told(given);
+      case LOOK -> {
+        boolean free = given.pairs().isEmpty();
+        office = free;
+        decideAt = at;
+        // Who looks often takes an office that has just fallen free; all would look in step else.
+        lookAt = at + spread(2 * TICK);
+      }
+      case OFFICE_LEASE, OFFICE_RENEW -> {
+        officeLease =
+            was == Aim.OFFICE_LEASE ? given.lease() : given.seconds() > 0 ? officeLease : 0;
+        officeRenewAt = sentAt + TICK;
+      }
+      case DECIDE -> decide(at, given);
+      case STEP -> stepped(given);
+      default -> throw new IllegalStateException(was.name());
     }
+  }
 
-    private void knows(Answer.Given given) throws AgreementException {
-        for (Answer.Pair pair : given.pairs()) {
-            if (pair.key().equals(keys.plan())) {
-                Plan there = ZonesTexts.plan(pair.value());
-                if (there.number() < plan.number()) {
-                    throw new AgreementException("plan " + there.number() + " stands there, and "
-                        + plan.number()
-                        + " was known: nobody goes back in time");
-                }
-                plan = there;
-                planRevision = pair.changed();
-                read = true;
-                return;
-            }
-        }
-        if (plan.number() > 0) {
-            throw new AgreementException("no plan stands there, and plan " + plan.number() + " was known");
+  private void knows(Answer.Given given) throws AgreementException {
+    for (Answer.Pair pair : given.pairs()) {
+      if (pair.key().equals(keys.plan())) {
+        Plan there = ZonesTexts.plan(pair.value());
+        if (there.number() < plan.number()) {
+          throw new AgreementException(
+              "plan "
+                  + there.number()
+                  + " stands there, and "
+                  + plan.number()
+                  + " was known: nobody goes back in time");
         }
-        planRevision = 0;
+        plan = there;
+        planRevision = pair.changed();
         read = true;
+        return;
+      }
     }
-
-    /**
-     * What was read is still so: the lease counts from before the earlier of the two calls that it rests on.
-     */
-    private void told(Answer.Given given) {
-        if (given.held()) {
-            leaseUntil = Math.min(sentAt, aliveSince) + timing.lease();
-            tellAt = sentAt + spread(timing.renewEvery() / 2);
-        } else {
-            read = false;
-        }
+    if (plan.number() > 0) {
+      throw new AgreementException(
+          "no plan stands there, and plan " + plan.number() + " was known");
     }
+    planRevision = 0;
+    read = true;
+  }
 
-    private void decide(long at, Answer.Given given) throws AgreementException {
-        Scene scene = Scene.of(keys, given);
-        decideAt = at + TICK;
-        if (!scene.office().equals(me)) {
-            if (!scene.office().isEmpty()) {
-                leaveOffice(at);
-                return;
-            }
-            swap = new Call.Swap(List.of(scene.unchanged(keys.office())),
-                List.of(new Call.Change.Put(keys.office(), me, officeLease)));
-            step = null;
-            return;
-        }
-        Plan there = scene.plan() == null ? Plan.first(map) : scene.plan();
-        step = decision.next(there, scene.reports(), scene.orders(), me, at);
-        tellEvidence();
-        if (step != null) {
-            List<Call.Condition> conditions = new ArrayList<>(List.of(scene.unchanged(keys.office()),
-                scene.unchanged(keys.plan())));
-            map.places().forEach(p -> conditions.add(scene.unchanged(keys.order(p))));
-            swap = new Call.Swap(conditions, List.of(new Call.Change.Put(keys.plan(), ZonesTexts.of(step), 0),
-                new Call.Change.Put(keys.history(step.number()), ZonesTexts.of(step), 0)));
-        }
+  /**
+   * What was read is still so: the lease counts from before the earlier of the two calls that it
+   * rests on.
+   */
+  private void told(Answer.Given given) {
+    if (given.held()) {
+      leaseUntil = Math.min(sentAt, aliveSince) + timing.lease();
+      tellAt = sentAt + spread(timing.renewEvery() / 2);
+    } else {
+      read = false;
     }
+  }
 
-    /** In the log of whoever holds the office, each time that it is something else. */
-    private void tellEvidence() {
-        String waits = decision.waits();
-        String all = decision.says() + (waits.isEmpty() ? "" : "; waits: " + waits);
-        if (!all.equals(says)) {
-            log.accept("zones: evidence " + all);
-            says = all;
-        }
+  private void decide(long at, Answer.Given given) throws AgreementException {
+    Scene scene = Scene.of(keys, given);
+    decideAt = at + TICK;
+    if (!scene.office().equals(me)) {
+      if (!scene.office().isEmpty()) {
+        leaveOffice(at);
+        return;
+      }
+      swap =
+          new Call.Swap(
+              List.of(scene.unchanged(keys.office())),
+              List.of(new Call.Change.Put(keys.office(), me, officeLease)));
+      step = null;
+      return;
+    }
+    Plan there = scene.plan() == null ? Plan.first(map) : scene.plan();
+    step = decision.next(there, scene.reports(), scene.orders(), me, at);
+    tellEvidence();
+    if (step != null) {
+      List<Call.Condition> conditions =
+          new ArrayList<>(List.of(scene.unchanged(keys.office()), scene.unchanged(keys.plan())));
+      map.places().forEach(p -> conditions.add(scene.unchanged(keys.order(p))));
+      swap =
+          new Call.Swap(
+              conditions,
+              List.of(
+                  new Call.Change.Put(keys.plan(), ZonesTexts.of(step), 0),
+                  new Call.Change.Put(keys.history(step.number()), ZonesTexts.of(step), 0)));
     }
+  }
 
-    private void stepped(Answer.Given given) {
-        if (given.held()) {
-            log.accept(step == null ? "zones: holds the office" : "zones: plan " + step.number() + ": "
-                + step.why());
-            read &= step == null;
-        }
-        swap = null;
-        step = null;
+  /** In the log of whoever holds the office, each time that it is something else. */
+  private void tellEvidence() {
+    String waits = decision.waits();
+    String all = decision.says() + (waits.isEmpty() ? "" : "; waits: " + waits);
+    if (!all.equals(says)) {
+      log.accept("zones: evidence " + all);
+      says = all;
     }
+  }
 
-    private void leaveOffice(long at) {
-        office = false;
-        officeLease = 0;
-        lookAt = at + spread(2 * TICK);
+  private void stepped(Answer.Given given) {
+    if (given.held()) {
+      log.accept(
+          step == null
+              ? "zones: holds the office"
+              : "zones: plan " + step.number() + ": " + step.why());
+      read &= step == null;
     }
+    swap = null;
+    step = null;
+  }
+
+  private void leaveOffice(long at) {
+    office = false;
+    officeLease = 0;
+    lookAt = at + spread(2 * TICK);
+  }
 
-    /** What to ask the store at a planned end. */
-    public List<Call> leave() {
-        return lease == 0 ? List.of() : officeLease == 0 ? List.of(new Call.Revoke(lease))
+  /** What to ask the store at a planned end. */
+  public List<Call> leave() {
+    return lease == 0
+        ? List.of()
+        : officeLease == 0
+            ? List.of(new Call.Revoke(lease))
             : List.of(new Call.Revoke(officeLease), new Call.Revoke(lease));
-    }
+  }
 
-    /** Spread by chance, so that many routers do not call in step. */
-    private long spread(long time) {
-        long part = Math.max(1, time / SPREAD_PARTS);
-        return time - part + random.nextLong(2 * part);
-    }
+  /** Spread by chance, so that many routers do not call in step. */
+  private long spread(long time) {
+    long part = Math.max(1, time / SPREAD_PARTS);
+    return time - part + random.nextLong(2 * part);
+  }
 }
--- a/src/main/java/beaconturn/zones/Order.java
+++ b/src/main/java/beaconturn/zones/Order.java
@@ -11,13 +11,13 @@
  * @param reason why
  */
 public record Order(String place, What what, int weight, long leftNanos, String by, String reason) {
-    /** What is to be. */
-    public enum What {
-        /** Nothing goes there, but for the trial part. */
-        DRAIN,
-        /** Its row stays as it is. */
-        HOLD,
-        /** A part of its keys stays. */
-        WEIGHT
-    }
+  /** What is to be. */
+  public enum What {
+    /** Nothing goes there, but for the trial part. */
+    DRAIN,
+    /** Its row stays as it is. */
+    HOLD,
+    /** A part of its keys stays. */
+    WEIGHT
+  }
 }
--- a/src/main/java/beaconturn/zones/Pace.java
+++ b/src/main/java/beaconturn/zones/Pace.java
@@ -10,10 +10,10 @@
  * @param stated how long routers may act on a plan after the next one, from their leases
  */
 public record Pace(long confirm, long calm, long longest, long step, long stated) {
-    private static final long SECOND = 1_000_000_000;
+  private static final long SECOND = 1_000_000_000;
 
-    /** The usual ones with that stated time. */
-    public static Pace usual(long stated) {
-        return new Pace(SECOND, 3 * SECOND, 60 * SECOND, SECOND, stated);
-    }
+  /** The usual ones with that stated time. */
+  public static Pace usual(long stated) {
+    return new Pace(SECOND, 3 * SECOND, 60 * SECOND, SECOND, stated);
+  }
 }
--- a/src/main/java/beaconturn/zones/Plan.java
+++ b/src/main/java/beaconturn/zones/Plan.java
@@ -13,69 +13,75 @@
  * @param number only grows
  * @param rows by place
  * @param states of each place
- * @param flaps how often a place has gone and come back of late; kept so that another office goes on with it
+ * @param flaps how often a place has gone and come back of late; kept so that another office goes
+ *     on with it
  * @param why what the last change was for
  * @param by the incarnation of the office that made it
  */
-public record Plan(long number, SortedMap<String, Row> rows, SortedMap<String, State> states,
-        SortedMap<String, Integer> flaps, String why, String by) {
-    /** What a place is at. */
-    public enum State {
-        /** Its keys are served there, but for a trial part. */
-        NEAR,
-        /** More is wanted there than it carries: a part goes on. */
-        SPILLING,
-        /** Its keys are served elsewhere, but for a trial part. */
-        FAILED_OVER,
-        /** They come back by steps. */
-        RETURNING,
-        /** Its routers alone do not reach it. */
-        SPLIT
-    }
+public record Plan(
+    long number,
+    SortedMap<String, Row> rows,
+    SortedMap<String, State> states,
+    SortedMap<String, Integer> flaps,
+    String why,
+    String by) {
+  /** What a place is at. */
+  public enum State {
+    /** Its keys are served there, but for a trial part. */
+    NEAR,
+    /** More is wanted there than it carries: a part goes on. */
+    SPILLING,
+    /** Its keys are served elsewhere, but for a trial part. */
+    FAILED_OVER,
+    /** They come back by steps. */
+    RETURNING,
+    /** Its routers alone do not reach it. */
+    SPLIT
+  }
 
-    /** A plan of its own. */
-    public Plan {
-        rows = Collections.unmodifiableSortedMap(new TreeMap<>(rows));
-        states = Collections.unmodifiableSortedMap(new TreeMap<>(states));
-        flaps = Collections.unmodifiableSortedMap(new TreeMap<>(flaps));
-    }
+  /** A plan of its own. */
+  public Plan {
+    rows = Collections.unmodifiableSortedMap(new TreeMap<>(rows));
+    states = Collections.unmodifiableSortedMap(new TreeMap<>(states));
+    flaps = Collections.unmodifiableSortedMap(new TreeMap<>(flaps));
+  }
 
-    /** The plan before any: all near. */
-    public static Plan first(Geography map) {
-        SortedMap<String, Row> rows = new TreeMap<>();
-        SortedMap<String, State> states = new TreeMap<>();
-        for (String place : map.places()) {
-            rows.put(place, calm(map, place));
-            states.put(place, State.NEAR);
-        }
-        return new Plan(0, rows, states, new TreeMap<>(), "", "");
+  /** The plan before any: all near. */
+  public static Plan first(Geography map) {
+    SortedMap<String, Row> rows = new TreeMap<>();
+    SortedMap<String, State> states = new TreeMap<>();
+    for (String place : map.places()) {
+      rows.put(place, calm(map, place));
+      states.put(place, State.NEAR);
     }
+    return new Plan(0, rows, states, new TreeMap<>(), "", "");
+  }
 
-    /** All near but a trial part at the nearest other place, which keeps evidence of it. */
-    public static Row calm(Geography map, String place) {
-        return with(map, place, Row.TRIAL);
-    }
+  /** All near but a trial part at the nearest other place, which keeps evidence of it. */
+  public static Row calm(Geography map, String place) {
+    return with(map, place, Row.TRIAL);
+  }
 
-    /**
-     * What a router may do that holds no lease on a plan and finds its own place bad: its reserve at the
-     * nearest other place, which every plan leaves to it.
-     */
-    public static Row floor(Geography map, String place) {
-        return with(map, place, Math.max(Row.TRIAL, map.reserve()));
-    }
+  /**
+   * What a router may do that holds no lease on a plan and finds its own place bad: its reserve at
+   * the nearest other place, which every plan leaves to it.
+   */
+  public static Row floor(Geography map, String place) {
+    return with(map, place, Math.max(Row.TRIAL, map.reserve()));
+  }
 
-    private static Row with(Geography map, String place, int far) {
-        Map<String, Integer> parts = new LinkedHashMap<>();
-        List<String> others = map.others(place);
-        parts.put(place, others.isEmpty() ? Row.WHOLE : Row.WHOLE - far);
-        if (!others.isEmpty()) {
-            parts.put(others.get(0), far);
-        }
-        return new Row(parts);
+  private static Row with(Geography map, String place, int far) {
+    Map<String, Integer> parts = new LinkedHashMap<>();
+    List<String> others = map.others(place);
+    parts.put(place, others.isEmpty() ? Row.WHOLE : Row.WHOLE - far);
+    if (!others.isEmpty()) {
+      parts.put(others.get(0), far);
     }
+    return new Row(parts);
+  }
 
-    /** The row of a place; near where the plan does not know it. */
-    public Row row(String place) {
-        return rows.getOrDefault(place, Row.near(place));
-    }
+  /** The row of a place; near where the plan does not know it. */
+  public Row row(String place) {
+    return rows.getOrDefault(place, Row.near(place));
+  }
 }
--- a/src/main/java/beaconturn/zones/Report.java
+++ b/src/main/java/beaconturn/zones/Report.java
@@ -14,10 +14,15 @@
  * @param arrivals requests that it has taken since its start
  * @param places what it sees of each place
  */
-public record Report(String router, String home, long number, long plan, long arrivals,
-        SortedMap<String, Seen> places) {
-    /** A report of its own. */
-    public Report {
-        places = Collections.unmodifiableSortedMap(new TreeMap<>(places));
-    }
+public record Report(
+    String router,
+    String home,
+    long number,
+    long plan,
+    long arrivals,
+    SortedMap<String, Seen> places) {
+  /** A report of its own. */
+  public Report {
+    places = Collections.unmodifiableSortedMap(new TreeMap<>(places));
+  }
 }
--- a/src/main/java/beaconturn/zones/Seen.java
+++ b/src/main/java/beaconturn/zones/Seen.java
@@ -1,7 +1,8 @@
 package beaconturn.zones;
 
 /**
- * What one router has seen of one place by its own sends. Counts grow from the start of its process.
+ * What one router has seen of one place by its own sends. Counts grow from the start of its
+ * process.
  *
  * @param good attempts that were answered in time
  * @param bad attempts that failed, were reset, timed out or were answered late
@@ -11,12 +12,12 @@
  * @param ejected of these, those that it passes over
  */
 public record Seen(long good, long bad, long micros, int listed, int warm, int ejected) {
-    /** Nothing. */
-    public static final Seen NONE = new Seen(0, 0, 0, 0, 0, 0);
+  /** Nothing. */
+  public static final Seen NONE = new Seen(0, 0, 0, 0, 0, 0);
 
-    /** What came since an earlier one of the same process. */
-    Seen since(Seen earlier) {
-        return new Seen(good - earlier.good, bad - earlier.bad, micros - earlier.micros, listed, warm,
-            ejected);
-    }
+  /** What came since an earlier one of the same process. */
+  Seen since(Seen earlier) {
+    return new Seen(
+        good - earlier.good, bad - earlier.bad, micros - earlier.micros, listed, warm, ejected);
+  }
 }
--- a/src/main/java/beaconturn/zones/ZonesKeys.java
+++ b/src/main/java/beaconturn/zones/ZonesKeys.java
@@ -12,41 +12,41 @@
  * </pre>
  */
 public record ZonesKeys(String fleet) {
-    /** All but the history. */
-    public String all() {
-        return fleet + "/zones/";
-    }
-
-    String plan() {
-        return all() + "plan";
-    }
-
-    String office() {
-        return all() + "office";
-    }
-
-    String orders() {
-        return all() + "order/";
-    }
-
-    String order(String place) {
-        return orders() + place;
-    }
-
-    String reports() {
-        return all() + "seen/";
-    }
-
-    String report(String router) {
-        return reports() + router;
-    }
-
-    /** All plans there ever were. */
-    public String histories() {
-        return fleet + "/zones-history/";
-    }
-
-    String history(long number) {
-        return histories() + String.format("%09d", number);
-    }
+  /** All but the history. */
+  public String all() {
+    return fleet + "/zones/";
+  }
+
+  String plan() {
+    return all() + "plan";
+  }
+
+  String office() {
+    return all() + "office";
+  }
+
+  String orders() {
+    return all() + "order/";
+  }
+
+  String order(String place) {
+    return orders() + place;
+  }
+
+  String reports() {
+    return all() + "seen/";
+  }
+
+  String report(String router) {
+    return reports() + router;
+  }
+
+  /** All plans there ever were. */
+  public String histories() {
+    return fleet + "/zones-history/";
+  }
+
+  String history(long number) {
+    return histories() + String.format("%09d", number);
+  }
 }
--- a/src/main/java/beaconturn/zones/ZonesTexts.java
+++ b/src/main/java/beaconturn/zones/ZonesTexts.java
@@ -14,100 +14,170 @@
 
 /** What stands in the store of places, as lines of JSON. */
 public final class ZonesTexts {
-    private ZonesTexts() {
-    }
+  private ZonesTexts() {}
 
-    static String of(Report r) {
-        List<Json> places = new ArrayList<>();
-        r.places().forEach((place, s) -> places.add(Texts.object("place", place, "good", s.good(), "bad",
-            s.bad(),
-            "micros", s.micros(), "listed", s.listed(), "warm", s.warm(), "ejected", s.ejected())));
-        return JsonWriter.write(Texts.object("router", r.router(), "home", r.home(), "number", r.number(),
+  static String of(Report r) {
+    List<Json> places = new ArrayList<>();
+    r.places()
+        .forEach(
+            (place, s) ->
+                places.add(
+                    Texts.object(
+                        "place",
+                        place,
+                        "good",
+                        s.good(),
+                        "bad",
+                        s.bad(),
+                        "micros",
+                        s.micros(),
+                        "listed",
+                        s.listed(),
+                        "warm",
+                        s.warm(),
+                        "ejected",
+                        s.ejected())));
+    return JsonWriter.write(
+        Texts.object(
+            "router",
+            r.router(),
+            "home",
+            r.home(),
+            "number",
+            r.number(),
             "plan",
-            r.plan(), "arrivals", r.arrivals(), "places", Texts.list(places)));
-    }
+            r.plan(),
+            "arrivals",
+            r.arrivals(),
+            "places",
+            Texts.list(places)));
+  }
 
-    static Report report(String text) throws AgreementException {
-        Json json = Texts.parse(text);
-        SortedMap<String, Seen> places = new TreeMap<>();
-        for (Json p : json.get("places").items()) {
-            places.put(p.get("place").word(""), new Seen(number(p, "good"), number(p, "bad"), number(p,
-                "micros"),
-                (int) number(p, "listed"), (int) number(p, "warm"), (int) number(p, "ejected")));
-        }
-        return new Report(json.get("router").word(""), json.get("home").word(""), number(json, "number"),
-            number(json, "plan"), number(json, "arrivals"), places);
+  static Report report(String text) throws AgreementException {
+    Json json = Texts.parse(text);
+    SortedMap<String, Seen> places = new TreeMap<>();
+    for (Json p : json.get("places").items()) {
+      places.put(
+          p.get("place").word(""),
+          new Seen(
+              number(p, "good"),
+              number(p, "bad"),
+              number(p, "micros"),
+              (int) number(p, "listed"),
+              (int) number(p, "warm"),
+              (int) number(p, "ejected")));
     }
+    return new Report(
+        json.get("router").word(""),
+        json.get("home").word(""),
+        number(json, "number"),
+        number(json, "plan"),
+        number(json, "arrivals"),
+        places);
+  }
 
-    /** A plan, as it stands there and in the history. */
-    public static String of(Plan p) {
-        List<Json> rows = new ArrayList<>();
-        p.rows().forEach((place, row) -> {
-            List<Json> parts = new ArrayList<>();
-            row.parts().forEach((to, part) -> parts.add(Texts.object("to", to, "part", part)));
-            rows.add(Texts.object("place", place, "state",
-                p.states().getOrDefault(place, Plan.State.NEAR).name().toLowerCase(Locale.ROOT), "flaps",
-                p.flaps().getOrDefault(place, -1) + 1, "parts", Texts.list(parts)));
-        });
-        return JsonWriter.write(Texts.object("number", p.number(), "rows", Texts.list(rows), "why",
-            p.why(), "by",
-            p.by()));
-    }
+  /** A plan, as it stands there and in the history. */
+  public static String of(Plan p) {
+    List<Json> rows = new ArrayList<>();
+    p.rows()
+        .forEach(
+            (place, row) -> {
+              List<Json> parts = new ArrayList<>();
+              row.parts().forEach((to, part) -> parts.add(Texts.object("to", to, "part", part)));
+              rows.add(
+                  Texts.object(
+                      "place",
+                      place,
+                      "state",
+                      p.states()
+                          .getOrDefault(place, Plan.State.NEAR)
+                          .name()
+                          .toLowerCase(Locale.ROOT),
+                      "flaps",
+                      p.flaps().getOrDefault(place, -1) + 1,
+                      "parts",
+                      Texts.list(parts)));
+            });
+    return JsonWriter.write(
+        Texts.object("number", p.number(), "rows", Texts.list(rows), "why", p.why(), "by", p.by()));
+  }
 
-    /** The same, read. */
-    public static Plan plan(String text) throws AgreementException {
-        Json json = Texts.parse(text);
-        SortedMap<String, Row> rows = new TreeMap<>();
-        SortedMap<String, Plan.State> states = new TreeMap<>();
-        SortedMap<String, Integer> flaps = new TreeMap<>();
-        for (Json row : json.get("rows").items()) {
-            Map<String, Integer> parts = new LinkedHashMap<>();
-            for (Json part : row.get("parts").items()) {
-                parts.put(part.get("to").word(""), (int) Texts.whole(part, "part", 0, Row.WHOLE));
-            }
-            String place = row.get("place").word("");
-            if (parts.isEmpty() || parts.values().stream().mapToInt(Integer::intValue).sum() > Row.WHOLE) {
-                throw new AgreementException("the row of '" + place + "' is empty or more than a whole");
-            }
-            rows.put(place, new Row(parts));
-            states.put(place, state(row.get("state").word("")));
-            int flapped = (int) Texts.whole(row, "flaps", 0, Integer.MAX_VALUE) - 1;
-            if (flapped >= 0) {
-                flaps.put(place, flapped);
-            }
-        }
-        return new Plan(number(json, "number"), rows, states, flaps, json.get("why").word(""),
-            json.get("by").word(""));
+  /** The same, read. */
+  public static Plan plan(String text) throws AgreementException {
+    Json json = Texts.parse(text);
+    SortedMap<String, Row> rows = new TreeMap<>();
+    SortedMap<String, Plan.State> states = new TreeMap<>();
+    SortedMap<String, Integer> flaps = new TreeMap<>();
+    for (Json row : json.get("rows").items()) {
+      Map<String, Integer> parts = new LinkedHashMap<>();
+      for (Json part : row.get("parts").items()) {
+        parts.put(part.get("to").word(""), (int) Texts.whole(part, "part", 0, Row.WHOLE));
+      }
+      String place = row.get("place").word("");
+      if (parts.isEmpty()
+          || parts.values().stream().mapToInt(Integer::intValue).sum() > Row.WHOLE) {
+        throw new AgreementException("the row of '" + place + "' is empty or more than a whole");
+      }
+      rows.put(place, new Row(parts));
+      states.put(place, state(row.get("state").word("")));
+      int flapped = (int) Texts.whole(row, "flaps", 0, Integer.MAX_VALUE) - 1;
+      if (flapped >= 0) {
+        flaps.put(place, flapped);
+      }
     }
+    return new Plan(
+        number(json, "number"),
+        rows,
+        states,
+        flaps,
+        json.get("why").word(""),
+        json.get("by").word(""));
+  }
 
-    private static Plan.State state(String word) throws AgreementException {
-        for (Plan.State state : Plan.State.values()) {
-            if (state.name().toLowerCase(Locale.ROOT).equals(word)) {
-                return state;
-            }
-        }
-        throw new AgreementException("no state: '" + word + "'");
+  private static Plan.State state(String word) throws AgreementException {
+    for (Plan.State state : Plan.State.values()) {
+      if (state.name().toLowerCase(Locale.ROOT).equals(word)) {
+        return state;
+      }
     }
+    throw new AgreementException("no state: '" + word + "'");
+  }
 
-    static String of(Order o) {
-        return JsonWriter.write(Texts.object("place", o.place(), "what",
+  static String of(Order o) {
+    return JsonWriter.write(
+        Texts.object(
+            "place",
+            o.place(),
+            "what",
             o.what().name().toLowerCase(Locale.ROOT),
-            "weight", o.weight(), "for_ns", o.leftNanos(), "by", o.by(), "reason", o.reason()));
-    }
+            "weight",
+            o.weight(),
+            "for_ns",
+            o.leftNanos(),
+            "by",
+            o.by(),
+            "reason",
+            o.reason()));
+  }
 
-    static Order order(String text) throws AgreementException {
-        Json json = Texts.parse(text);
-        String word = json.get("what").word("");
-        for (Order.What what : Order.What.values()) {
-            if (what.name().toLowerCase(Locale.ROOT).equals(word)) {
-                return new Order(json.get("place").word(""), what, (int) number(json, "weight"),
-                    number(json, "for_ns"), json.get("by").word(""), json.get("reason").word(""));
-            }
-        }
-        throw new AgreementException("no order: '" + word + "'");
+  static Order order(String text) throws AgreementException {
+    Json json = Texts.parse(text);
+    String word = json.get("what").word("");
+    for (Order.What what : Order.What.values()) {
+      if (what.name().toLowerCase(Locale.ROOT).equals(word)) {
+        return new Order(
+            json.get("place").word(""),
+            what,
+            (int) number(json, "weight"),
+            number(json, "for_ns"),
+            json.get("by").word(""),
+            json.get("reason").word(""));
+      }
     }
+    throw new AgreementException("no order: '" + word + "'");
+  }
 
-    private static long number(Json json, String key) throws AgreementException {
-        return Texts.whole(json, key, 0, Long.MAX_VALUE);
-    }
+  private static long number(Json json, String key) throws AgreementException {
+    return Texts.whole(json, key, 0, Long.MAX_VALUE);
+  }
 }
--- a/src/test/java/beaconturn/agreement/EjectionsTest.java
+++ b/src/test/java/beaconturn/agreement/EjectionsTest.java
@@ -7,18 +7,18 @@
 import org.junit.jupiter.api.Test;
 
 class EjectionsTest {
-    private static final long SECOND = 1_000_000_000;
-    private final Ejections ejections = new Ejections();
+  private static final long SECOND = 1_000_000_000;
+  private final Ejections ejections = new Ejections();
 
-    /** Ejected, back after a trial, and ejected again: each counts from its own begin. */
-    @Test
-    void oneLastsThatNoTrialHasEndedForASecond() {
-        assertFalse(ejections.lasts("c1", 0));
-        assertFalse(ejections.lasts("c1", SECOND - 1));
-        ejections.only(List.of());
-        assertFalse(ejections.lasts("c1", SECOND));
-        ejections.only(List.of("c1", "c2"));
-        assertFalse(ejections.lasts("c2", 2 * SECOND));
-        assertTrue(ejections.lasts("c1", 2 * SECOND));
-    }
+  /** Ejected, back after a trial, and ejected again: each counts from its own begin. */
+  @Test
+  void oneLastsThatNoTrialHasEndedForASecond() {
+    assertFalse(ejections.lasts("c1", 0));
+    assertFalse(ejections.lasts("c1", SECOND - 1));
+    ejections.only(List.of());
+    assertFalse(ejections.lasts("c1", SECOND));
+    ejections.only(List.of("c1", "c2"));
+    assertFalse(ejections.lasts("c2", 2 * SECOND));
+    assertTrue(ejections.lasts("c1", 2 * SECOND));
+  }
 }
--- a/src/test/java/beaconturn/agreement/FleetModel.java
+++ b/src/test/java/beaconturn/agreement/FleetModel.java
@@ -7,213 +7,246 @@
 import java.util.Random;
 
 /**
- * Members before a store, in virtual time: calls take a while, get lost on the way there or back, processes
- * stand still, die and come again, and each clock runs at its own pace. Everybody acts all the time, and each
- * act is checked against what was in force.
+ * Members before a store, in virtual time: calls take a while, get lost on the way there or back,
+ * processes stand still, die and come again, and each clock runs at its own pace. Everybody acts
+ * all the time, and each act is checked against what was in force.
  */
 final class FleetModel {
-    static final long MILLI = 1_000_000;
-    static final long SECOND = 1000 * MILLI;
-    static final Timing TIMING = new Timing(2 * SECOND, 0.02, 50 * MILLI);
-    static final Content BASE = SafeGroundTest.any(new Random(99));
-    private static final Keys KEYS = new Keys("/fleet");
-    private static final long ACT_EVERY = 20 * MILLI;
-    final Agenda agenda = new Agenda(0);
-    final List<Seat> seats = new ArrayList<>();
-    final List<String> offences = new ArrayList<>();
-    final List<InForce> inForce = new ArrayList<>();
-    final Random random;
-    final StoreModel store;
-    long acts;
-    int loseNext;
-
-    record InForce(long at, Version version) { }
-
-    /** One router: what stands between it and the store, and the process that lives at the moment. */
-    final class Seat implements Member.Router {
-        final String name;
-        final double pace;
-        boolean cut;
-        boolean oneWay;
-        boolean ignoresLease;
-        boolean keeps = true;
-        long list = Long.MAX_VALUE;
-        long pausedUntil;
-        Kept kept = Kept.NOTHING;
-        Member member;
-        Ground ground;
-        int life;
-
-        private Seat(String name, double pace) {
-            this.name = name;
-            this.pace = pace;
-        }
-
-        /** The time of its own clock. */
-        long now() {
-            return (long) (agenda.now() * pace);
-        }
-
-        void start() {
-            int born = ++life;
-            member = new Member(KEYS, TIMING, name, name + "." + born, false, BASE,
-                keeps ? kept : Kept.NOTHING, random.nextLong(), now(), this, line -> { });
-            step(born);
-        }
-
-        void die() {
-            life++;
-            member = null;
-            ground = null;
-        }
-
-        private void step(int born) {
-            if (born != life) {
-                return;
-            }
-            if (agenda.now() < pausedUntil) {
-                agenda.at(pausedUntil, () -> step(born));
-                return;
-            }
-            Call call = member.next(now());
-            if (call == null) {
-                long wait = (long) ((member.wakeAt() - now()) / pace);
-                agenda.in(Math.max(MILLI, wait), () -> step(born));
-                return;
-            }
-            long way = MILLI + random.nextInt(20) * MILLI;
-            boolean hears = !cut;
-            boolean told = hears && !oneWay;
-            agenda.in(way, () -> {
-                Answer answer = hears ? serve(call) : null;
-                agenda.in(told ? way : TIMING.callTimeout() - way, () -> heard(born,
-                    told && !cut && !oneWay ? answer : new Answer.Failed("no answer in time")));
-            });
-        }
-
-        private void heard(int born, Answer answer) {
-            if (born != life) {
-                return;
-            }
-            if (agenda.now() < pausedUntil) {
-                agenda.at(pausedUntil, () -> heard(born, answer));
-                return;
-            }
-            member.answered(now(), answer);
-            step(born);
-        }
-
-        private void act() {
-            if (ground != null && agenda.now() >= pausedUntil) {
-                acts++;
-                check(this, ignoresLease ? ground.held() : ground.at(now()));
-            }
-        }
-
-        @Override
-        public void ground(Ground next) {
-            ground = next;
-        }
-
-        @Override
-        public boolean keep(Kept next) {
-            kept = next;
-            return true;
-        }
-
-        @Override
-        public boolean ready(Content content) {
-            return list >= content.oldestList();
-        }
-
-        @Override
-        public String objection(Content content) {
-            return content.out().containsAll(List.of("c1", "c2", "c3"))
-                ? "too few are left" : null;
-        }
-    }
-
-    FleetModel(long seed, int routers) {
-        this.random = new Random(seed);
-        this.store = new StoreModel(agenda, 7, (at, revision, key, value) -> {
-            if (key.equals(KEYS.common() + "current") && value != null) {
-                cameIntoForce(value);
-            }
-        });
-        for (int i = 0; i < routers; i++) {
-            seats.add(new Seat("r" + i, 1 + (random.nextDouble() - 0.5) * TIMING.drift()));
-        }
-        agenda.in(0, this::acting);
-    }
-
-    private void cameIntoForce(String text) {
-        try {
-            inForce.add(new InForce(agenda.now(), Texts.version(text)));
-        } catch (AgreementException e) {
-            throw new IllegalStateException(e);
-        }
-    }
-
-    private void acting() {
-        seats.forEach(Seat::act);
-        agenda.in(ACT_EVERY, this::acting);
-    }
-
-    /** What is acted on must be allowed by a version that is in force, or was within the stated time. */
-    private void check(Seat seat, Content acting) {
-        boolean allowed = inForce.isEmpty() || agenda.now() - inForce.get(0).at() <= TIMING.stated()
-            && Contradiction.breaks(acting, Content.UNSAID.over(BASE)).isEmpty();
-        List<String> breaks = List.of();
-        for (int i = inForce.size() - 1; i >= 0 && !allowed; i--) {
-            breaks = Contradiction.breaks(acting, inForce.get(i).version().content().over(BASE));
-            allowed = breaks.isEmpty();
-            if (agenda.now() - inForce.get(i).at() > TIMING.stated()) {
-                break;
-            }
-        }
-        if (!allowed && !strict(breaks, acting)) {
-            offences.add(agenda.now() / MILLI + " ms: " + seat.name + " acts against " + breaks + " of "
-                + inForce.get(inForce.size() - 1).version().number());
-        }
-    }
-
-    /** Who does not know what is in force holds out what it knew to be out; it repeats nothing. */
-    private static boolean strict(List<String> breaks, Content acting) {
-        return acting.mostTries() == 1 && !acting.secondCopies()
-            && acting.classes().values().stream().allMatch(rule -> rule.effect() == Effect.UNSAFE)
-            && breaks.stream().allMatch(f -> f.startsWith("out.") || f.equals("oldest_list"));
-    }
-
-    /** What operators see, at once; the answer to a swap may be lost. */
-    Desk desk() {
-        return new Desk(KEYS, call -> {
-            Answer answer = serve(call);
-            return call instanceof Call.Swap && loseNext-- > 0 ? new Answer.Failed("lost") : answer;
-        });
+  static final long MILLI = 1_000_000;
+  static final long SECOND = 1000 * MILLI;
+  static final Timing TIMING = new Timing(2 * SECOND, 0.02, 50 * MILLI);
+  static final Content BASE = SafeGroundTest.any(new Random(99));
+  private static final Keys KEYS = new Keys("/fleet");
+  private static final long ACT_EVERY = 20 * MILLI;
+  final Agenda agenda = new Agenda(0);
+  final List<Seat> seats = new ArrayList<>();
+  final List<String> offences = new ArrayList<>();
+  final List<InForce> inForce = new ArrayList<>();
+  final Random random;
+  final StoreModel store;
+  long acts;
+  int loseNext;
+
+  record InForce(long at, Version version) {}
+
+  /** One router: what stands between it and the store, and the process that lives at the moment. */
+  final class Seat implements Member.Router {
+    final String name;
+    final double pace;
+    boolean cut;
+    boolean oneWay;
+    boolean ignoresLease;
+    boolean keeps = true;
+    long list = Long.MAX_VALUE;
+    long pausedUntil;
+    Kept kept = Kept.NOTHING;
+    Member member;
+    Ground ground;
+    int life;
+
+    private Seat(String name, double pace) {
+      this.name = name;
+      this.pace = pace;
+    }
+
+    /** The time of its own clock. */
+    long now() {
+      return (long) (agenda.now() * pace);
+    }
+
+    void start() {
+      int born = ++life;
+      member =
+          new Member(
+              KEYS,
+              TIMING,
+              name,
+              name + "." + born,
+              false,
+              BASE,
+              keeps ? kept : Kept.NOTHING,
+              random.nextLong(),
+              now(),
+              this,
+              line -> {});
+      step(born);
+    }
+
+    void die() {
+      life++;
+      member = null;
+      ground = null;
+    }
+
+    private void step(int born) {
+      if (born != life) {
+        return;
+      }
+      if (agenda.now() < pausedUntil) {
+        agenda.at(pausedUntil, () -> step(born));
+        return;
+      }
+      Call call = member.next(now());
+      if (call == null) {
+        long wait = (long) ((member.wakeAt() - now()) / pace);
+        agenda.in(Math.max(MILLI, wait), () -> step(born));
+        return;
+      }
+      long way = MILLI + random.nextInt(20) * MILLI;
+      boolean hears = !cut;
+      boolean told = hears && !oneWay;
+      agenda.in(
+          way,
+          () -> {
+            Answer answer = hears ? serve(call) : null;
+            agenda.in(
+                told ? way : TIMING.callTimeout() - way,
+                () ->
+                    heard(
+                        born,
+                        told && !cut && !oneWay ? answer : new Answer.Failed("no answer in time")));
+          });
     }
 
-    Answer serve(Call call) {
-        return Served.of(store, call);
+    private void heard(int born, Answer answer) {
+      if (born != life) {
+        return;
+      }
+      if (agenda.now() < pausedUntil) {
+        agenda.at(pausedUntil, () -> heard(born, answer));
+        return;
+      }
+      member.answered(now(), answer);
+      step(born);
     }
 
-    void run(long time) {
-        agenda.advance(agenda.now() + time);
+    private void act() {
+      if (ground != null && agenda.now() >= pausedUntil) {
+        acts++;
+        check(this, ignoresLease ? ground.held() : ground.at(now()));
+      }
     }
 
-    /** Begins the agreement and has all routers join. */
-    void begin() throws AgreementException {
-        desk().begin("first");
-        seats.forEach(Seat::start);
-        run(5 * SECOND);
+    @Override
+    public void ground(Ground next) {
+      ground = next;
     }
 
-    /** Runs until the version is in force and settled; false if it is not within the time. */
-    boolean settles(long number, long within) throws AgreementException {
-        for (long end = agenda.now() + within; agenda.now() < end; run(100 * MILLI)) {
-            if (desk().view().seen().settled() >= number) {
-                return true;
-            }
-        }
-        return false;
+    @Override
+    public boolean keep(Kept next) {
+      kept = next;
+      return true;
+    }
+
+    @Override
+    public boolean ready(Content content) {
+      return list >= content.oldestList();
+    }
+
+    @Override
+    public String objection(Content content) {
+      return content.out().containsAll(List.of("c1", "c2", "c3")) ? "too few are left" : null;
+    }
+  }
+
+  FleetModel(long seed, int routers) {
+    this.random = new Random(seed);
+    this.store =
+        new StoreModel(
+            agenda,
+            7,
+            (at, revision, key, value) -> {
+              if (key.equals(KEYS.common() + "current") && value != null) {
+                cameIntoForce(value);
+              }
+            });
+    for (int i = 0; i < routers; i++) {
+      seats.add(new Seat("r" + i, 1 + (random.nextDouble() - 0.5) * TIMING.drift()));
+    }
+    agenda.in(0, this::acting);
+  }
+
+  private void cameIntoForce(String text) {
+    try {
+      inForce.add(new InForce(agenda.now(), Texts.version(text)));
+    } catch (AgreementException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  private void acting() {
+    seats.forEach(Seat::act);
+    agenda.in(ACT_EVERY, this::acting);
+  }
+
+  /**
+   * What is acted on must be allowed by a version that is in force, or was within the stated time.
+   */
+  private void check(Seat seat, Content acting) {
+    boolean allowed =
+        inForce.isEmpty()
+            || agenda.now() - inForce.get(0).at() <= TIMING.stated()
+                && Contradiction.breaks(acting, Content.UNSAID.over(BASE)).isEmpty();
+    List<String> breaks = List.of();
+    for (int i = inForce.size() - 1; i >= 0 && !allowed; i--) {
+      breaks = Contradiction.breaks(acting, inForce.get(i).version().content().over(BASE));
+      allowed = breaks.isEmpty();
+      if (agenda.now() - inForce.get(i).at() > TIMING.stated()) {
+        break;
+      }
+    }
+    if (!allowed && !strict(breaks, acting)) {
+      offences.add(
+          agenda.now() / MILLI
+              + " ms: "
+              + seat.name
+              + " acts against "
+              + breaks
+              + " of "
+              + inForce.get(inForce.size() - 1).version().number());
+    }
+  }
+
+  /** Who does not know what is in force holds out what it knew to be out; it repeats nothing. */
+  private static boolean strict(List<String> breaks, Content acting) {
+    return acting.mostTries() == 1
+        && !acting.secondCopies()
+        && acting.classes().values().stream().allMatch(rule -> rule.effect() == Effect.UNSAFE)
+        && breaks.stream().allMatch(f -> f.startsWith("out.") || f.equals("oldest_list"));
+  }
+
+  /** What operators see, at once; the answer to a swap may be lost. */
+  Desk desk() {
+    return new Desk(
+        KEYS,
+        call -> {
+          Answer answer = serve(call);
+          return call instanceof Call.Swap && loseNext-- > 0 ? new Answer.Failed("lost") : answer;
+        });
+  }
+
+  Answer serve(Call call) {
+    return Served.of(store, call);
+  }
+
+  void run(long time) {
+    agenda.advance(agenda.now() + time);
+  }
+
+  /** Begins the agreement and has all routers join. */
+  void begin() throws AgreementException {
+    desk().begin("first");
+    seats.forEach(Seat::start);
+    run(5 * SECOND);
+  }
+
+  /** Runs until the version is in force and settled; false if it is not within the time. */
+  boolean settles(long number, long within) throws AgreementException {
+    for (long end = agenda.now() + within; agenda.now() < end; run(100 * MILLI)) {
+      if (desk().view().seen().settled() >= number) {
+        return true;
+      }
     }
+    return false;
+  }
 }
--- a/src/test/java/beaconturn/agreement/package-info.java
+++ b/src/test/java/beaconturn/agreement/package-info.java
@@ -1,2 +1,5 @@
-/** Tests of the agreement in virtual time: members before the model of a store, with faults between them. */
+/**
+ * Tests of the agreement in virtual time: members before the model of a store, with faults between
+ * them.
+ */
 package beaconturn.agreement;
--- a/src/test/java/beaconturn/cli/LineHandlerTest.java
+++ b/src/test/java/beaconturn/cli/LineHandlerTest.java
@@ -13,49 +13,52 @@
 import org.junit.jupiter.api.Timeout;
 
 class LineHandlerTest {
-    private static LogRecord record(String text) {
-        LogRecord record = new LogRecord(Level.INFO, text);
-        record.setLoggerName("beaconturn.core.Some");
-        return record;
-    }
+  private static LogRecord record(String text) {
+    LogRecord record = new LogRecord(Level.INFO, text);
+    record.setLoggerName("beaconturn.core.Some");
+    return record;
+  }
 
-    @Test
-    void aRecordIsALineAndAllAreOutAfterAFlush() {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        LineHandler handler = new LineHandler(new PrintStream(out, true));
-        handler.publish(record("one"));
-        handler.publish(record("two"));
-        handler.close();
-        String[] lines = out.toString().split("\n");
-        assertEquals(2, lines.length);
-        assertTrue(lines[0].endsWith(" INFO Some: one"), lines[0]);
-        assertTrue(lines[1].endsWith(" INFO Some: two"), lines[1]);
-    }
+  @Test
+  void aRecordIsALineAndAllAreOutAfterAFlush() {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    LineHandler handler = new LineHandler(new PrintStream(out, true));
+    handler.publish(record("one"));
+    handler.publish(record("two"));
+    handler.close();
+    String[] lines = out.toString().split("\n");
+    assertEquals(2, lines.length);
+    assertTrue(lines[0].endsWith(" INFO Some: one"), lines[0]);
+    assertTrue(lines[1].endsWith(" INFO Some: two"), lines[1]);
+  }
 
-    /** The module's thread logs too: a log that nobody reads must not stop the router. */
-    @Test
-    @Timeout(60)
-    void aLogThatIsNotReadHoldsNobodyUp() {
-        CountDownLatch read = new CountDownLatch(1);
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        LineHandler handler = new LineHandler(new PrintStream(new OutputStream() {
-            @Override
-            public void write(int b) {
-                try {
-                    read.await();
-                    out.write(b);
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            }
-        }));
-        for (int i = 0; i < 5000; i++) {
-            handler.publish(record("line " + i));
-        }
-        read.countDown();
-        while (!out.toString().contains("lines left out")) {
-            Thread.onSpinWait();
-        }
-        assertTrue(out.toString().contains("Some: line 0\n"));
+  /** The module's thread logs too: a log that nobody reads must not stop the router. */
+  @Test
+  @Timeout(60)
+  void aLogThatIsNotReadHoldsNobodyUp() {
+    CountDownLatch read = new CountDownLatch(1);
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    LineHandler handler =
+        new LineHandler(
+            new PrintStream(
+                new OutputStream() {
+                  @Override
+                  public void write(int b) {
+                    try {
+                      read.await();
+                      out.write(b);
+                    } catch (InterruptedException e) {
+                      Thread.currentThread().interrupt();
+                    }
+                  }
+                }));
+    for (int i = 0; i < 5000; i++) {
+      handler.publish(record("line " + i));
+    }
+    read.countDown();
+    while (!out.toString().contains("lines left out")) {
+      Thread.onSpinWait();
     }
+    assertTrue(out.toString().contains("Some: line 0\n"));
+  }
 }
--- a/src/test/java/beaconturn/cli/PlantedAgent.java
+++ b/src/test/java/beaconturn/cli/PlantedAgent.java
@@ -8,80 +8,117 @@
 import java.util.stream.Stream;
 
 /**
- * The agent of a part, a process, with a defect that was put in on purpose: what it asks of the store and
- * what it hears of it is spoilt.
+ * The agent of a part, a process, with a defect that was put in on purpose: what it asks of the
+ * store and what it hears of it is spoilt.
  */
 public final class PlantedAgent {
-    private static final int PART = 3;
-    private static final int FEATURES = 5;
-    private static final int APPLY = 7;
-    private static final int FIGURES = 9;
-    private static final String STEP = "/release/step/";
+  private static final int PART = 3;
+  private static final int FEATURES = 5;
+  private static final int APPLY = 7;
+  private static final int FIGURES = 9;
+  private static final String STEP = "/release/step/";
 
-    private PlantedAgent() {
-    }
+  private PlantedAgent() {}
 
-    /** What is wrong with it. */
-    public enum Defect implements UnaryOperator<Desk.Store> {
-        /** Whoever drives sees no permit of anybody, and takes places without counting them. */
-        IGNORES_NUMBERS {
-            @Override
-            Answer ask(Desk.Store store, Call call) {
-                return read(store.ask(call),
-                    pairs -> pairs.filter(p -> !p.key().contains("/release/permit/")));
-            }
-        },
-        /** Acts on its part as soon as there is a release, whatever stands there. */
-        ACTS_WITHOUT_PERMIT {
-            @Override
-            Answer ask(Desk.Store store, Call call) {
-                if (call instanceof Call.Swap swap && swap.changes().stream().anyMatch(c ->
-                        c instanceof Call.Change.Put put && put.key().contains(STEP)
+  /** What is wrong with it. */
+  public enum Defect implements UnaryOperator<Desk.Store> {
+    /** Whoever drives sees no permit of anybody, and takes places without counting them. */
+    IGNORES_NUMBERS {
+      @Override
+      Answer ask(Desk.Store store, Call call) {
+        return read(
+            store.ask(call), pairs -> pairs.filter(p -> !p.key().contains("/release/permit/")));
+      }
+    },
+    /** Acts on its part as soon as there is a release, whatever stands there. */
+    ACTS_WITHOUT_PERMIT {
+      @Override
+      Answer ask(Desk.Store store, Call call) {
+        if (call instanceof Call.Swap swap
+            && swap.changes().stream()
+                .anyMatch(
+                    c ->
+                        c instanceof Call.Change.Put put
+                            && put.key().contains(STEP)
                             && put.value().contains("\"begun\""))) {
-                    return new Answer.Given(true, "", 0, List.of(), 0, 0);
-                }
-                return read(store.ask(call), pairs -> pairs.flatMap(p -> p.key().endsWith("/agent/" + part)
-                    ? Stream.of(p, granted(p.key())) : Stream.of(p)));
-            }
-        },
-        /** Whatever the others answer, a part stands its check. */
-        COMPARES_WITH_NOTHING {
-            @Override
-            Answer ask(Desk.Store store, Call call) {
-                return read(store.ask(call), pairs -> pairs.map(p -> new Answer.Pair(p.key(),
-                    p.value().replaceAll("\":\"[0-9]+\\.[0-9]+\"", "\":\"1000.0\""), p.made(), p.changed(),
-                    p.lease())));
-            }
-        };
-
-        private static String part;
-
-        /** A step that nobody has granted. */
-        private static Answer.Pair granted(String agentsKey) {
-            return new Answer.Pair(agentsKey.replace("/agent/", "/step/"), "{\"id\":\"" + part
-                + "\",\"permit\":9,\"phase\":\"granted\",\"variant\":\"new\",\"agent\":\"\",\"why\":\"\","
-                + "\"started\":0,\"took_ns\":0}", 0, 0, 0);
+          return new Answer.Given(true, "", 0, List.of(), 0, 0);
         }
+        return read(
+            store.ask(call),
+            pairs ->
+                pairs.flatMap(
+                    p ->
+                        p.key().endsWith("/agent/" + part)
+                            ? Stream.of(p, granted(p.key()))
+                            : Stream.of(p)));
+      }
+    },
+    /** Whatever the others answer, a part stands its check. */
+    COMPARES_WITH_NOTHING {
+      @Override
+      Answer ask(Desk.Store store, Call call) {
+        return read(
+            store.ask(call),
+            pairs ->
+                pairs.map(
+                    p ->
+                        new Answer.Pair(
+                            p.key(),
+                            p.value().replaceAll("\":\"[0-9]+\\.[0-9]+\"", "\":\"1000.0\""),
+                            p.made(),
+                            p.changed(),
+                            p.lease())));
+      }
+    };
 
-        abstract Answer ask(Desk.Store store, Call call);
+    private static String part;
 
-        @Override
-        public Desk.Store apply(Desk.Store store) {
-            return call -> ask(store, call);
-        }
+    /** A step that nobody has granted. */
+    private static Answer.Pair granted(String agentsKey) {
+      return new Answer.Pair(
+          agentsKey.replace("/agent/", "/step/"),
+          "{\"id\":\""
+              + part
+              + "\",\"permit\":9,\"phase\":\"granted\",\"variant\":\"new\",\"agent\":\"\",\"why\":\"\","
+              + "\"started\":0,\"took_ns\":0}",
+          0,
+          0,
+          0);
+    }
 
-        private static Answer read(Answer answer, UnaryOperator<Stream<Answer.Pair>> spoilt) {
-            return !(answer instanceof Answer.Given g) ? answer : new Answer.Given(g.held(), g.cluster(),
-                g.revision(), spoilt.apply(g.pairs().stream()).toList(), g.lease(), g.seconds());
-        }
+    abstract Answer ask(Desk.Store store, Call call);
+
+    @Override
+    public Desk.Store apply(Desk.Store store) {
+      return call -> ask(store, call);
     }
 
-    /** The defect, then the words of the command. */
-    public static void main(String[] args) {
-        Defect defect = Defect.valueOf(args[0]);
-        Defect.part = args[PART];
-        System.exit(new AgentRun(args[FEATURES], args[PART], args[APPLY],
-            args.length > FIGURES ? new PartFigures(args[PART], false, List.of(args[FIGURES])) : null,
-            defect).run());
+    private static Answer read(Answer answer, UnaryOperator<Stream<Answer.Pair>> spoilt) {
+      return !(answer instanceof Answer.Given g)
+          ? answer
+          : new Answer.Given(
+              g.held(),
+              g.cluster(),
+              g.revision(),
+              spoilt.apply(g.pairs().stream()).toList(),
+              g.lease(),
+              g.seconds());
     }
+  }
+
+  /** The defect, then the words of the command. */
+  public static void main(String[] args) {
+    Defect defect = Defect.valueOf(args[0]);
+    Defect.part = args[PART];
+    System.exit(
+        new AgentRun(
+                args[FEATURES],
+                args[PART],
+                args[APPLY],
+                args.length > FIGURES
+                    ? new PartFigures(args[PART], false, List.of(args[FIGURES]))
+                    : null,
+                defect)
+            .run());
+  }
 }
--- a/src/test/java/beaconturn/cli/ReleaseFilesTest.java
+++ b/src/test/java/beaconturn/cli/ReleaseFilesTest.java
@@ -19,34 +19,37 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ReleaseFilesTest {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    @Test
-    void theShippedFilesMakeARelease() throws ConfigException {
-        Fleet fleet = ReleaseFiles.fleet("examples/releases/fleet.toml");
-        assertEquals(2, fleet.group(Kind.ROUTER).mostOut());
-        assertEquals(1, fleet.group(Kind.CACHE).mostOut(), "a quarter of four");
-        assertEquals("west", fleet.group(Kind.ROUTER).siteOf("r4"));
-        Plan plan = ReleaseFiles.plan("examples/releases/plan.toml", "why", fleet);
-        assertNull(plan.objection(fleet));
-        assertEquals(List.of(List.of("r1"), List.of("r2"), List.of("r3"), List.of("r4", "r5")), plan.waves());
-    }
+  @Test
+  void theShippedFilesMakeARelease() throws ConfigException {
+    Fleet fleet = ReleaseFiles.fleet("examples/releases/fleet.toml");
+    assertEquals(2, fleet.group(Kind.ROUTER).mostOut());
+    assertEquals(1, fleet.group(Kind.CACHE).mostOut(), "a quarter of four");
+    assertEquals("west", fleet.group(Kind.ROUTER).siteOf("r4"));
+    Plan plan = ReleaseFiles.plan("examples/releases/plan.toml", "why", fleet);
+    assertNull(plan.objection(fleet));
+    assertEquals(
+        List.of(List.of("r1"), List.of("r2"), List.of("r3"), List.of("r4", "r5")), plan.waves());
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "[routers] | :1: routers.site: none is given, at least one site is needed",
         "[routers];[[routers.site]];name = \"a\" | :2: routers.site[0].parts: empty, at least one is needed",
         "[routers];most_out = 1;share_out = 0.5;[[routers.site]];name = \"a\";parts = [\"r1\"] | :3:"
             + " routers.share_out: given beside most_out, allowed is one of them",
         "[routers];[[routers.site]];name = \"a\";parts = [\"r1\"];[[routers.site]];name = \"b\";"
-            + "parts = [\"r1\"] | :7: routers.site[1].parts: 'r1' is odd or given twice"})
-    void whatIsWrongIsOneLine(String text, String line) throws IOException {
-        Path file = folder.resolve("fleet.toml");
-        Files.writeString(file, text.replace(';', '\n'));
-        ConfigException e =
-            assertThrows(ConfigException.class, () -> ReleaseFiles.fleet(file.toString()));
-        assertTrue(e.getMessage().startsWith(file + line), e.getMessage());
-        assertEquals(1, e.getMessage().lines().count());
-    }
+            + "parts = [\"r1\"] | :7: routers.site[1].parts: 'r1' is odd or given twice"
+      })
+  void whatIsWrongIsOneLine(String text, String line) throws IOException {
+    Path file = folder.resolve("fleet.toml");
+    Files.writeString(file, text.replace(';', '\n'));
+    ConfigException e =
+        assertThrows(ConfigException.class, () -> ReleaseFiles.fleet(file.toString()));
+    assertTrue(e.getMessage().startsWith(file + line), e.getMessage());
+    assertEquals(1, e.getMessage().lines().count());
+  }
 }
--- a/src/test/java/beaconturn/cli/ServeLoadsNothingElseTest.java
+++ b/src/test/java/beaconturn/cli/ServeLoadsNothingElseTest.java
@@ -15,51 +15,75 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A router pays for nothing that is off: its start loads no class of the kit nor of the kit's libraries. */
+/**
+ * A router pays for nothing that is off: its start loads no class of the kit nor of the kit's
+ * libraries.
+ */
 @Timeout(60)
 class ServeLoadsNothingElseTest {
-    private static final List<String> OFF = List.of("beaconturn.standin.", "beaconturn.ledger.",
-        "beaconturn.rehearsal.", "beaconturn.toml.", "beaconturn.agreement.", "beaconturn.release.",
-        "beaconturn.net.agreement.",
-        "beaconturn.net.Agreed", "com.fasterxml.", "org.apache.commons.",
-            "org.HdrHistogram.", "beaconturn.net.control.", "beaconturn.net.Operators",
-            "beaconturn.stats.Counters", " java.util.Formatter ");
-    @TempDir
-    private Path folder;
+  private static final List<String> OFF =
+      List.of(
+          "beaconturn.standin.",
+          "beaconturn.ledger.",
+          "beaconturn.rehearsal.",
+          "beaconturn.toml.",
+          "beaconturn.agreement.",
+          "beaconturn.release.",
+          "beaconturn.net.agreement.",
+          "beaconturn.net.Agreed",
+          "com.fasterxml.",
+          "org.apache.commons.",
+          "org.HdrHistogram.",
+          "beaconturn.net.control.",
+          "beaconturn.net.Operators",
+          "beaconturn.stats.Counters",
+          " java.util.Formatter ");
+  @TempDir private Path folder;
 
-    @Test
-    void serveLoadsNoClassOfTheKit() throws IOException, InterruptedException {
-        Path config = folder.resolve("config.json");
-        Files.writeString(config, Files.readString(Path.of("examples", "config.json"))
+  @Test
+  void serveLoadsNoClassOfTheKit() throws IOException, InterruptedException {
+    Path config = folder.resolve("config.json");
+    Files.writeString(
+        config,
+        Files.readString(Path.of("examples", "config.json"))
             .replace("\"listen\": \"127.0.0.1:6379\"", "\"listen\": \"127.0.0.1:0\""));
-        Path loaded = folder.resolve("loaded");
-        Process router = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin",
-            "java").toString(),
-            "-Xlog:class+load:file=" + loaded, "-cp", System.getProperty("java.class.path"),
-            Main.class.getName(), "serve", "--config", config.toString()).redirectErrorStream(true).start();
-        try (BufferedReader log = router.inputReader()) {
-            String line = log.readLine();
-            while (line != null && !line.contains(" serves on ")) {
-                line = log.readLine();
-            }
-            assertTrue(line != null, "the router did not start");
-        } finally {
-            router.destroyForcibly().waitFor();
-        }
-        List<String> classes = Files.readAllLines(loaded);
-        assertTrue(classes.stream().anyMatch(c -> c.contains("beaconturn.net.RouterServer")));
-        assertEquals(List.of(), classes.stream().filter(c -> OFF.stream().anyMatch(c::contains)).toList());
+    Path loaded = folder.resolve("loaded");
+    Process router =
+        new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xlog:class+load:file=" + loaded,
+                "-cp",
+                System.getProperty("java.class.path"),
+                Main.class.getName(),
+                "serve",
+                "--config",
+                config.toString())
+            .redirectErrorStream(true)
+            .start();
+    try (BufferedReader log = router.inputReader()) {
+      String line = log.readLine();
+      while (line != null && !line.contains(" serves on ")) {
+        line = log.readLine();
+      }
+      assertTrue(line != null, "the router did not start");
+    } finally {
+      router.destroyForcibly().waitFor();
     }
+    List<String> classes = Files.readAllLines(loaded);
+    assertTrue(classes.stream().anyMatch(c -> c.contains("beaconturn.net.RouterServer")));
+    assertEquals(
+        List.of(), classes.stream().filter(c -> OFF.stream().anyMatch(c::contains)).toList());
+  }
 
-    /** What joins strings at run time makes up a class for each shape of them: a fifth of a start. */
-    @Test
-    void stringsAreJoinedByPlainCode() throws Exception {
-        Path classes = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-        try (Stream<Path> files = Files.walk(classes)) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".class")).toList()) {
-                String code = Files.readString(file, StandardCharsets.ISO_8859_1);
-                assertFalse(code.contains("makeConcatWithConstants"), file.toString());
-            }
-        }
+  /** What joins strings at run time makes up a class for each shape of them: a fifth of a start. */
+  @Test
+  void stringsAreJoinedByPlainCode() throws Exception {
+    Path classes = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+    try (Stream<Path> files = Files.walk(classes)) {
+      for (Path file : files.filter(f -> f.toString().endsWith(".class")).toList()) {
+        String code = Files.readString(file, StandardCharsets.ISO_8859_1);
+        assertFalse(code.contains("makeConcatWithConstants"), file.toString());
+      }
     }
+  }
 }
--- a/src/test/java/beaconturn/core/LifecycleTest.java
+++ b/src/test/java/beaconturn/core/LifecycleTest.java
@@ -7,24 +7,24 @@
 import org.junit.jupiter.api.Test;
 
 class LifecycleTest {
-    private final Lifecycle lifecycle = new Lifecycle();
+  private final Lifecycle lifecycle = new Lifecycle();
 
-    @Test
-    void phasesOnlyMoveForward() {
-        assertTrue(lifecycle.advance(Lifecycle.Phase.DRAINING));
-        assertFalse(lifecycle.advance(Lifecycle.Phase.SERVING));
-        assertFalse(lifecycle.advance(Lifecycle.Phase.DRAINING));
-        assertEquals(Lifecycle.Phase.DRAINING, lifecycle.phase());
-    }
+  @Test
+  void phasesOnlyMoveForward() {
+    assertTrue(lifecycle.advance(Lifecycle.Phase.DRAINING));
+    assertFalse(lifecycle.advance(Lifecycle.Phase.SERVING));
+    assertFalse(lifecycle.advance(Lifecycle.Phase.DRAINING));
+    assertEquals(Lifecycle.Phase.DRAINING, lifecycle.phase());
+  }
 
-    @Test
-    void clientsAreWelcomeWhileItServesAndWhileItDrains() {
-        assertFalse(lifecycle.ready());
-        lifecycle.advance(Lifecycle.Phase.SERVING);
-        assertTrue(lifecycle.ready());
-        lifecycle.advance(Lifecycle.Phase.DRAINING);
-        assertTrue(lifecycle.ready());
-        lifecycle.advance(Lifecycle.Phase.STOPPED);
-        assertFalse(lifecycle.ready());
-    }
+  @Test
+  void clientsAreWelcomeWhileItServesAndWhileItDrains() {
+    assertFalse(lifecycle.ready());
+    lifecycle.advance(Lifecycle.Phase.SERVING);
+    assertTrue(lifecycle.ready());
+    lifecycle.advance(Lifecycle.Phase.DRAINING);
+    assertTrue(lifecycle.ready());
+    lifecycle.advance(Lifecycle.Phase.STOPPED);
+    assertFalse(lifecycle.ready());
+  }
 }
--- a/src/test/java/beaconturn/core/ModuleHostTest.java
+++ b/src/test/java/beaconturn/core/ModuleHostTest.java
@@ -17,415 +17,458 @@
 
 /** The host between module and sockets, with a module that does what the test says. */
 class ModuleHostTest {
-    private static final long MILLI = 1_000_000;
-    private static final long SERVER = 7;
-    private final Routing.Settings settings = Samples.read().routing();
-    private final List<Routing.Event> events = new ArrayList<>();
-    private final FakeFleet fleet = new FakeFleet();
-    /** So often the list may be watched, and not more. */
-    private int mayWatch;
-    private Consumer<Routing.Event> module = e -> { };
-    private Routing.Actions actions;
-    private long now = 1000 * MILLI;
-    private final ModuleHost host = new ModuleHost(settings, () -> now, fleet, new NoList(), out -> {
-        actions = out;
-        return (clock, event) -> {
-            events.add(event);
-            module.accept(event);
+  private static final long MILLI = 1_000_000;
+  private static final long SERVER = 7;
+  private final Routing.Settings settings = Samples.read().routing();
+  private final List<Routing.Event> events = new ArrayList<>();
+  private final FakeFleet fleet = new FakeFleet();
+
+  /** So often the list may be watched, and not more. */
+  private int mayWatch;
+
+  private Consumer<Routing.Event> module = e -> {};
+  private Routing.Actions actions;
+  private long now = 1000 * MILLI;
+  private final ModuleHost host =
+      new ModuleHost(
+          settings,
+          () -> now,
+          fleet,
+          new NoList(),
+          out -> {
+            actions = out;
+            return (clock, event) -> {
+              events.add(event);
+              module.accept(event);
+            };
+          });
+
+  /** Sends every arrival to the one server. */
+  private void sending(long allowFor) {
+    module =
+        e -> {
+          if (e instanceof Routing.Arrival a) {
+            actions.send(a.request(), SERVER, allowFor);
+          }
         };
-    });
-
-    /** Sends every arrival to the one server. */
-    private void sending(long allowFor) {
-        module = e -> {
-            if (e instanceof Routing.Arrival a) {
-                actions.send(a.request(), SERVER, allowFor);
-            }
+  }
+
+  private FakeCall arrive() {
+    return arrive(host);
+  }
+
+  private FakeCall arrive(ModuleHost at) {
+    FakeCall call = new FakeCall(now + 400 * MILLI);
+    at.handle(new Message.Arrived(call));
+    return call;
+  }
+
+  private Attempt last() {
+    return fleet.sent.get(fleet.sent.size() - 1);
+  }
+
+  /** A host of the real module, which knows this many servers. */
+  private ModuleHost real(int servers) {
+    mayWatch = 1;
+    ModuleHost real = new ModuleHost(settings, 5, () -> now, fleet, new NoList());
+    list(
+        real,
+        Routing.ListKind.FULL,
+        Routing.Health.READY,
+        LongStream.rangeClosed(1, servers).toArray());
+    return real;
+  }
+
+  private static void list(
+      ModuleHost to, Routing.ListKind kind, Routing.Health health, long... servers) {
+    to.handle(
+        new Message.News(
+            new ListNews(
+                1,
+                kind,
+                LongStream.of(servers)
+                    .mapToObj(
+                        id ->
+                            new ListNews.Member(
+                                new Routing.ServerEntry(id, 0, 0, 0, health, 1, 0), "", ""))
+                    .toList())));
+  }
+
+  private static void switchSettings(ModuleHost of) {
+    of.handle(
+        new Message.Switched(Samples.read("permissions.second_copies", "false").routing(), 6));
+  }
+
+  private Outcome ok(String answer) {
+    return new Outcome(Routing.Ending.OK, now, Routing.Note.HIT, new float[0], Slice.of(answer));
+  }
+
+  private Routing.AttemptClosed lastClosed() {
+    return (Routing.AttemptClosed) events.get(events.size() - 1);
+  }
+
+  @Test
+  void theFirstAnswerOfACacheServerIsTheClients() {
+    sending(0);
+    FakeCall call = arrive();
+    now += 30 * MILLI;
+    host.handle(new Message.Ended(fleet.sent.get(0), ok("value")));
+    assertEquals(List.of("served value"), call.answers);
+    assertEquals(30 * MILLI, lastClosed().elapsed());
+    assertTrue(lastClosed().closed());
+    assertEquals(0, host.open());
+  }
+
+  /** A process that ends answers what it has taken, and what comes while it does. */
+  @Test
+  void whatIsOpenAtTheEndIsAnsweredAndCalledOff() {
+    sending(0);
+    FakeCall open = arrive();
+    host.handle(new Message.Stopping());
+    assertEquals(List.of("failed"), open.answers);
+    assertEquals(0, host.open());
+    assertTrue(events.get(events.size() - 1) instanceof Routing.Withdrawn);
+    int sent = fleet.sent.size();
+    assertEquals(List.of("refused 0"), arrive().answers);
+    assertEquals(sent, fleet.sent.size());
+  }
+
+  /**
+   * Under other settings the same number may be another class, with other rules on what may be
+   * repeated.
+   */
+  @Test
+  void aCallOfSettingsThatNobodyHoldsAnyMoreIsRefused() {
+    sending(0);
+    FakeCall late = new FakeCall(now + 400 * MILLI);
+    late.settings = Samples.read("classes.0.effect", "non_idempotent").routing();
+    host.handle(new Message.Arrived(late));
+    assertEquals(List.of("refused 0"), late.answers);
+    assertEquals(List.of(), fleet.sent);
+  }
+
+  @Test
+  void aSecondAnswerIsDropped() {
+    module =
+        e -> {
+          if (e instanceof Routing.Arrival a) {
+            actions.send(a.request(), SERVER, 0);
+            actions.send(a.request(), SERVER + 1, 0);
+          }
         };
+    FakeCall call = arrive();
+    host.handle(new Message.Ended(fleet.sent.get(1), ok("one")));
+    host.handle(new Message.Ended(fleet.sent.get(0), ok("two")));
+    host.handle(new Message.Ended(fleet.sent.get(0), ok("three")));
+    assertEquals(List.of("served one"), call.answers);
+    assertEquals(3, events.size(), "each attempt ends once");
+  }
+
+  @Test
+  void anAttemptIsTimedOutAndEndedOnTheWire() {
+    sending(100 * MILLI);
+    FakeCall call = arrive();
+    now += 100 * MILLI;
+    host.runDue();
+    assertEquals(fleet.sent, fleet.aborted);
+    assertEquals(Routing.Ending.TIMEOUT, lastClosed().ending());
+    assertEquals(List.of(), call.answers, "what follows is the module's to decide");
+  }
+
+  @Test
+  void noAttemptOutlivesItsClient() {
+    sending(10_000 * MILLI);
+    arrive();
+    assertEquals(now + 400 * MILLI, fleet.sent.get(0).until());
+  }
+
+  @Test
+  void aCancelledAttemptIsEndedOnTheWireAndToldAfterTheEvent() {
+    module =
+        e -> {
+          if (e instanceof Routing.Arrival a) {
+            actions.send(a.request(), SERVER, 0);
+            actions.cancel(a.request(), 0);
+            actions.refuse(a.request(), 20 * MILLI, Routing.Why.FULL);
+          }
+        };
+    FakeCall call = arrive();
+    assertEquals(List.of("refused 20"), call.answers);
+    assertEquals(fleet.sent, fleet.aborted);
+    assertEquals(Routing.Ending.CANCELLED, lastClosed().ending());
+  }
+
+  @Test
+  void whatCannotBeStartedNeverRan() {
+    fleet.reachable = false;
+    sending(0);
+    arrive();
+    assertEquals(Routing.Ending.CONNECT_FAILED, lastClosed().ending());
+  }
+
+  /** A send for a request that has its answer would be an effect nobody asked for. */
+  @Test
+  void nothingIsSentForARequestThatIsOver() {
+    module =
+        e -> {
+          if (e instanceof Routing.Arrival a) {
+            actions.fail(a.request(), Routing.Why.TOO_LATE);
+            actions.refuse(a.request(), 0, Routing.Why.FULL);
+            actions.send(a.request(), SERVER, 0);
+          }
+        };
+    FakeCall call = arrive();
+    assertEquals(List.of("failed"), call.answers);
+    assertEquals(List.of(), fleet.sent);
+    assertEquals(Routing.Ending.MOOT, lastClosed().ending());
+  }
+
+  @Test
+  void aClientThatLeavesIsWithdrawnOnce() {
+    sending(0);
+    FakeCall call = arrive();
+    host.handle(new Message.Left(call));
+    host.handle(new Message.Left(call));
+    host.handle(new Message.Ended(fleet.sent.get(0), ok("late")));
+    assertEquals(List.of(), call.answers);
+    assertEquals(1, events.stream().filter(Routing.Withdrawn.class::isInstance).count());
+  }
+
+  /** Rule one must hold even against a defect of the module: no request goes without its answer. */
+  @Test
+  void aRequestThatTheModuleForgetsFailsWithinTheSlack() {
+    FakeCall call = arrive();
+    now += 400 * MILLI + settings.rules().answerSlack();
+    host.runDue();
+    assertEquals(List.of("failed"), call.answers);
+  }
+
+  @Test
+  void aModuleThatFailsOnAnArrivalFailsThatRequestAlone() {
+    module =
+        e -> {
+          throw new IllegalStateException("defect");
+        };
+    FakeCall call = arrive();
+    assertEquals(List.of("failed"), call.answers);
+    sending(0);
+    FakeCall next = arrive();
+    host.handle(new Message.Ended(fleet.sent.get(0), ok("value")));
+    assertEquals(List.of("served value"), next.answers);
+  }
+
+  @Test
+  void timersComeInTheOrderOfTheirTimes() {
+    module =
+        e -> {
+          if (e instanceof Routing.Arrival) {
+            actions.timer(20 * MILLI, 2);
+            actions.timer(10 * MILLI, 1);
+            actions.timer(20 * MILLI, 3);
+          }
+        };
+    arrive();
+    assertEquals(10 * MILLI, host.untilNext(1000 * MILLI));
+    now += 20 * MILLI;
+    host.runDue();
+    assertEquals(
+        List.of(1L, 2L, 3L),
+        events.stream()
+            .filter(Routing.Timer.class::isInstance)
+            .map(e -> ((Routing.Timer) e).token())
+            .toList());
+  }
+
+  /** At a high rate of large values, what is kept until each deadline fills the heap. */
+  @Test
+  @Timeout(60)
+  void aRequestThatIsOverIsLetGoBeforeItsDeadline() {
+    sending(0);
+    WeakReference<Call> call = new WeakReference<>(arrive());
+    host.handle(new Message.Ended(fleet.sent.remove(0), ok("value")));
+    while (call.get() != null) {
+      System.gc();
     }
-
-    private FakeCall arrive() {
-        return arrive(host);
-    }
-
-    private FakeCall arrive(ModuleHost at) {
-        FakeCall call = new FakeCall(now + 400 * MILLI);
-        at.handle(new Message.Arrived(call));
-        return call;
-    }
-
-    private Attempt last() {
-        return fleet.sent.get(fleet.sent.size() - 1);
-    }
-
-    /** A host of the real module, which knows this many servers. */
-    private ModuleHost real(int servers) {
-        mayWatch = 1;
-        ModuleHost real = new ModuleHost(settings, 5, () -> now, fleet, new NoList());
-        list(real, Routing.ListKind.FULL, Routing.Health.READY, LongStream.rangeClosed(1, servers).toArray());
-        return real;
-    }
-
-    private static void list(ModuleHost to, Routing.ListKind kind, Routing.Health health, long... servers) {
-        to.handle(new Message.News(new ListNews(1, kind, LongStream.of(servers).mapToObj(id ->
-            new ListNews.Member(new Routing.ServerEntry(id, 0, 0, 0, health, 1, 0), "", "")).toList())));
-    }
-
-    private static void switchSettings(ModuleHost of) {
-        of.handle(new Message.Switched(Samples.read("permissions.second_copies", "false").routing(), 6));
-    }
-
-    private Outcome ok(String answer) {
-        return new Outcome(Routing.Ending.OK, now, Routing.Note.HIT, new float[0], Slice.of(answer));
-    }
-
-    private Routing.AttemptClosed lastClosed() {
-        return (Routing.AttemptClosed) events.get(events.size() - 1);
+    assertEquals(0, host.open());
+  }
+
+  @Test
+  void afterASwitchOldRequestsAreAnsweredAndNewOnesServedWithoutANewList() {
+    ModuleHost real = real(3);
+    FakeCall before = arrive(real);
+    switchSettings(real);
+    FakeCall after = arrive(real);
+    assertEquals(2, fleet.sent.size());
+    real.handle(new Message.Ended(fleet.sent.get(1), ok("new")));
+    real.handle(new Message.Ended(fleet.sent.get(0), ok("old")));
+    assertEquals(List.of("served old"), before.answers);
+    assertEquals(List.of("served new"), after.answers);
+    assertEquals(0, mayWatch);
+  }
+
+  @Test
+  void aServerThatDrainsAfterASwitchGetsNothingFromEitherModule() {
+    ModuleHost real = real(2);
+    FakeCall before = arrive(real);
+    Attempt first = last();
+    switchSettings(real);
+    list(real, Routing.ListKind.DELTA, Routing.Health.DRAINING, first.server());
+    real.handle(new Message.Ended(first, Outcome.of(Routing.Ending.FULL, now)));
+    assertEquals(1, before.answers.size());
+    for (int i = 0; i < 20; i++) {
+      now += 10 * MILLI;
+      arrive(real);
     }
-
-    @Test
-    void theFirstAnswerOfACacheServerIsTheClients() {
-        sending(0);
-        FakeCall call = arrive();
-        now += 30 * MILLI;
-        host.handle(new Message.Ended(fleet.sent.get(0), ok("value")));
-        assertEquals(List.of("served value"), call.answers);
-        assertEquals(30 * MILLI, lastClosed().elapsed());
-        assertTrue(lastClosed().closed());
-        assertEquals(0, host.open());
+    assertEquals(0, fleet.sent.stream().filter(a -> a.server() == first.server()).count());
+    assertNotEquals(0, fleet.sent.size());
+  }
+
+  @Test
+  void aSickServerIsNotTrustedAnewBecauseSettingsChanged() {
+    ModuleHost real = real(4);
+    arrive(real);
+    long home = last().server();
+    for (int i = 0; i < 20; i++) {
+      now += 20 * MILLI;
+      arrive(real);
+      real.handle(
+          new Message.Ended(
+              last(), last().server() == home ? Outcome.of(Routing.Ending.ERROR, now) : ok("x")));
     }
-
-    /** A process that ends answers what it has taken, and what comes while it does. */
-    @Test
-    void whatIsOpenAtTheEndIsAnsweredAndCalledOff() {
-        sending(0);
-        FakeCall open = arrive();
-        host.handle(new Message.Stopping());
-        assertEquals(List.of("failed"), open.answers);
-        assertEquals(0, host.open());
-        assertTrue(events.get(events.size() - 1) instanceof Routing.Withdrawn);
-        int sent = fleet.sent.size();
-        assertEquals(List.of("refused 0"), arrive().answers);
-        assertEquals(sent, fleet.sent.size());
+    switchSettings(real);
+    int until = fleet.sent.size();
+    for (int i = 0; i < 20; i++) {
+      arrive(real);
+      real.handle(new Message.Ended(last(), ok("x")));
     }
-
-    /**
-     * Under other settings the same number may be another class, with other rules on what may be repeated.
-     */
-    @Test
-    void aCallOfSettingsThatNobodyHoldsAnyMoreIsRefused() {
-        sending(0);
-        FakeCall late = new FakeCall(now + 400 * MILLI);
-        late.settings = Samples.read("classes.0.effect", "non_idempotent").routing();
-        host.handle(new Message.Arrived(late));
-        assertEquals(List.of("refused 0"), late.answers);
-        assertEquals(List.of(), fleet.sent);
+    long toSick = fleet.sent.stream().skip(until).filter(a -> a.server() == home).count();
+    assertTrue(toSick <= 1, "sent to the sick server: " + toSick);
+    assertNotEquals(0, fleet.sent.size() - until);
+  }
+
+  /**
+   * What all routers agree on can be what a router began with: requests then went to the module of
+   * the start, which had been replaced, and the one in force heard nothing but news.
+   */
+  @Test
+  void settingsThatComeBackIntoForceAreThoseOfTheLatestModule() {
+    Routing.Settings began =
+        Samples.read("rules.cold", "4000000000", "rules.cold_share", "0.2").routing();
+    mayWatch = 1;
+    ModuleHost real = new ModuleHost(began, 5, () -> now, fleet, new NoList());
+    switchSettings(real);
+    real.handle(new Message.Switched(began, 7));
+    fleet.bootTime = now;
+    real.handle(
+        new Message.News(
+            new ListNews(
+                2,
+                Routing.ListKind.FULL,
+                List.of(
+                    new ListNews.Member(
+                        new Routing.ServerEntry(1, 0, 0, 0, Routing.Health.READY, 1, now),
+                        "",
+                        "")))));
+    FakeCall call = new FakeCall(now + 9000 * MILLI);
+    call.settings = began;
+    for (Routing.Standing standing : List.of(Routing.Standing.WARMING, Routing.Standing.IN)) {
+      now += 3000 * MILLI;
+      real.handle(new Message.Arrived(call));
+      assertEquals(Map.of(new Fleet.Listed("s1", 0, fleet.bootTime), standing), real.standings());
     }
+  }
 
-    @Test
-    void aSecondAnswerIsDropped() {
-        module = e -> {
-            if (e instanceof Routing.Arrival a) {
-                actions.send(a.request(), SERVER, 0);
-                actions.send(a.request(), SERVER + 1, 0);
-            }
-        };
-        FakeCall call = arrive();
-        host.handle(new Message.Ended(fleet.sent.get(1), ok("one")));
-        host.handle(new Message.Ended(fleet.sent.get(0), ok("two")));
-        host.handle(new Message.Ended(fleet.sent.get(0), ok("three")));
-        assertEquals(List.of("served one"), call.answers);
-        assertEquals(3, events.size(), "each attempt ends once");
-    }
+  private static final class FakeCall implements Call {
+    private final long deadline;
+    private final List<String> answers = new ArrayList<>();
+    private Routing.Settings settings;
 
-    @Test
-    void anAttemptIsTimedOutAndEndedOnTheWire() {
-        sending(100 * MILLI);
-        FakeCall call = arrive();
-        now += 100 * MILLI;
-        host.runDue();
-        assertEquals(fleet.sent, fleet.aborted);
-        assertEquals(Routing.Ending.TIMEOUT, lastClosed().ending());
-        assertEquals(List.of(), call.answers, "what follows is the module's to decide");
+    FakeCall(long deadline) {
+      this.deadline = deadline;
     }
 
-    @Test
-    void noAttemptOutlivesItsClient() {
-        sending(10_000 * MILLI);
-        arrive();
-        assertEquals(now + 400 * MILLI, fleet.sent.get(0).until());
+    @Override
+    public Ask ask() {
+      return new Ask(0, 1, false, false, 0, 0, 0);
     }
 
-    @Test
-    void aCancelledAttemptIsEndedOnTheWireAndToldAfterTheEvent() {
-        module = e -> {
-            if (e instanceof Routing.Arrival a) {
-                actions.send(a.request(), SERVER, 0);
-                actions.cancel(a.request(), 0);
-                actions.refuse(a.request(), 20 * MILLI, Routing.Why.FULL);
-            }
-        };
-        FakeCall call = arrive();
-        assertEquals(List.of("refused 20"), call.answers);
-        assertEquals(fleet.sent, fleet.aborted);
-        assertEquals(Routing.Ending.CANCELLED, lastClosed().ending());
+    @Override
+    public Routing.Settings settings() {
+      return settings;
     }
 
-    @Test
-    void whatCannotBeStartedNeverRan() {
-        fleet.reachable = false;
-        sending(0);
-        arrive();
-        assertEquals(Routing.Ending.CONNECT_FAILED, lastClosed().ending());
+    @Override
+    public long deadline() {
+      return deadline;
     }
 
-    /** A send for a request that has its answer would be an effect nobody asked for. */
-    @Test
-    void nothingIsSentForARequestThatIsOver() {
-        module = e -> {
-            if (e instanceof Routing.Arrival a) {
-                actions.fail(a.request(), Routing.Why.TOO_LATE);
-                actions.refuse(a.request(), 0, Routing.Why.FULL);
-                actions.send(a.request(), SERVER, 0);
-            }
-        };
-        FakeCall call = arrive();
-        assertEquals(List.of("failed"), call.answers);
-        assertEquals(List.of(), fleet.sent);
-        assertEquals(Routing.Ending.MOOT, lastClosed().ending());
+    @Override
+    public List<Slice> forwarded(long waitMillis) {
+      return List.of();
     }
 
-    @Test
-    void aClientThatLeavesIsWithdrawnOnce() {
-        sending(0);
-        FakeCall call = arrive();
-        host.handle(new Message.Left(call));
-        host.handle(new Message.Left(call));
-        host.handle(new Message.Ended(fleet.sent.get(0), ok("late")));
-        assertEquals(List.of(), call.answers);
-        assertEquals(1, events.stream().filter(Routing.Withdrawn.class::isInstance).count());
+    @Override
+    public void served(Slice answer) {
+      answers.add("served " + answer);
     }
 
-    /** Rule one must hold even against a defect of the module: no request goes without its answer. */
-    @Test
-    void aRequestThatTheModuleForgetsFailsWithinTheSlack() {
-        FakeCall call = arrive();
-        now += 400 * MILLI + settings.rules().answerSlack();
-        host.runDue();
-        assertEquals(List.of("failed"), call.answers);
+    @Override
+    public void refused(long retryAfter) {
+      answers.add("refused " + retryAfter / MILLI);
     }
 
-    @Test
-    void aModuleThatFailsOnAnArrivalFailsThatRequestAlone() {
-        module = e -> {
-            throw new IllegalStateException("defect");
-        };
-        FakeCall call = arrive();
-        assertEquals(List.of("failed"), call.answers);
-        sending(0);
-        FakeCall next = arrive();
-        host.handle(new Message.Ended(fleet.sent.get(0), ok("value")));
-        assertEquals(List.of("served value"), next.answers);
+    @Override
+    public void failed() {
+      answers.add("failed");
     }
+  }
 
-    @Test
-    void timersComeInTheOrderOfTheirTimes() {
-        module = e -> {
-            if (e instanceof Routing.Arrival) {
-                actions.timer(20 * MILLI, 2);
-                actions.timer(10 * MILLI, 1);
-                actions.timer(20 * MILLI, 3);
-            }
-        };
-        arrive();
-        assertEquals(10 * MILLI, host.untilNext(1000 * MILLI));
-        now += 20 * MILLI;
-        host.runDue();
-        assertEquals(List.of(1L, 2L, 3L), events.stream().filter(Routing.Timer.class::isInstance)
-            .map(e -> ((Routing.Timer) e).token()).toList());
-    }
+  private static final class FakeFleet implements Fleet {
+    private final List<Attempt> sent = new ArrayList<>();
+    private final List<Attempt> aborted = new ArrayList<>();
+    private boolean reachable = true;
+    private long bootTime;
 
-    /** At a high rate of large values, what is kept until each deadline fills the heap. */
-    @Test
-    @Timeout(60)
-    void aRequestThatIsOverIsLetGoBeforeItsDeadline() {
-        sending(0);
-        WeakReference<Call> call = new WeakReference<>(arrive());
-        host.handle(new Message.Ended(fleet.sent.remove(0), ok("value")));
-        while (call.get() != null) {
-            System.gc();
-        }
-        assertEquals(0, host.open());
+    @Override
+    public Listed listed(long server) {
+      return new Listed("s" + server, 0, bootTime);
     }
 
-    @Test
-    void afterASwitchOldRequestsAreAnsweredAndNewOnesServedWithoutANewList() {
-        ModuleHost real = real(3);
-        FakeCall before = arrive(real);
-        switchSettings(real);
-        FakeCall after = arrive(real);
-        assertEquals(2, fleet.sent.size());
-        real.handle(new Message.Ended(fleet.sent.get(1), ok("new")));
-        real.handle(new Message.Ended(fleet.sent.get(0), ok("old")));
-        assertEquals(List.of("served old"), before.answers);
-        assertEquals(List.of("served new"), after.answers);
-        assertEquals(0, mayWatch);
+    @Override
+    public boolean send(Attempt attempt) {
+      return reachable && sent.add(attempt);
     }
 
-    @Test
-    void aServerThatDrainsAfterASwitchGetsNothingFromEitherModule() {
-        ModuleHost real = real(2);
-        FakeCall before = arrive(real);
-        Attempt first = last();
-        switchSettings(real);
-        list(real, Routing.ListKind.DELTA, Routing.Health.DRAINING, first.server());
-        real.handle(new Message.Ended(first, Outcome.of(Routing.Ending.FULL, now)));
-        assertEquals(1, before.answers.size());
-        for (int i = 0; i < 20; i++) {
-            now += 10 * MILLI;
-            arrive(real);
-        }
-        assertEquals(0, fleet.sent.stream().filter(a -> a.server() == first.server()).count());
-        assertNotEquals(0, fleet.sent.size());
+    @Override
+    public void abort(Attempt attempt) {
+      aborted.add(attempt);
     }
 
-    @Test
-    void aSickServerIsNotTrustedAnewBecauseSettingsChanged() {
-        ModuleHost real = real(4);
-        arrive(real);
-        long home = last().server();
-        for (int i = 0; i < 20; i++) {
-            now += 20 * MILLI;
-            arrive(real);
-            real.handle(new Message.Ended(last(), last().server() == home
-                ? Outcome.of(Routing.Ending.ERROR, now) : ok("x")));
-        }
-        switchSettings(real);
-        int until = fleet.sent.size();
-        for (int i = 0; i < 20; i++) {
-            arrive(real);
-            real.handle(new Message.Ended(last(), ok("x")));
-        }
-        long toSick = fleet.sent.stream().skip(until).filter(a -> a.server() == home).count();
-        assertTrue(toSick <= 1, "sent to the sick server: " + toSick);
-        assertNotEquals(0, fleet.sent.size() - until);
+    @Override
+    public void closeIdle(long server) {
+      sent.clear();
     }
 
-    /**
-     * What all routers agree on can be what a router began with: requests then went to the module of the
-     * start, which had been replaced, and the one in force heard nothing but news.
-     */
-    @Test
-    void settingsThatComeBackIntoForceAreThoseOfTheLatestModule() {
-        Routing.Settings began =
-            Samples.read("rules.cold", "4000000000", "rules.cold_share", "0.2").routing();
-        mayWatch = 1;
-        ModuleHost real = new ModuleHost(began, 5, () -> now, fleet, new NoList());
-        switchSettings(real);
-        real.handle(new Message.Switched(began, 7));
-        fleet.bootTime = now;
-        real.handle(new Message.News(new ListNews(2, Routing.ListKind.FULL, List.of(new ListNews.Member(
-            new Routing.ServerEntry(1, 0, 0, 0, Routing.Health.READY, 1, now), "", "")))));
-        FakeCall call = new FakeCall(now + 9000 * MILLI);
-        call.settings = began;
-        for (Routing.Standing standing : List.of(Routing.Standing.WARMING, Routing.Standing.IN)) {
-            now += 3000 * MILLI;
-            real.handle(new Message.Arrived(call));
-            assertEquals(Map.of(new Fleet.Listed("s1", 0, fleet.bootTime), standing), real.standings());
-        }
+    @Override
+    public void follow(ListNews news) {
+      sent.clear();
     }
 
-    private static final class FakeCall implements Call {
-        private final long deadline;
-        private final List<String> answers = new ArrayList<>();
-        private Routing.Settings settings;
-
-        FakeCall(long deadline) {
-            this.deadline = deadline;
-        }
-
-        @Override
-        public Ask ask() {
-            return new Ask(0, 1, false, false, 0, 0, 0);
-        }
-
-        @Override
-        public Routing.Settings settings() {
-            return settings;
-        }
-
-        @Override
-        public long deadline() {
-            return deadline;
-        }
-
-        @Override
-        public List<Slice> forwarded(long waitMillis) {
-            return List.of();
-        }
-
-        @Override
-        public void served(Slice answer) {
-            answers.add("served " + answer);
-        }
-
-        @Override
-        public void refused(long retryAfter) {
-            answers.add("refused " + retryAfter / MILLI);
-        }
-
-        @Override
-        public void failed() {
-            answers.add("failed");
-        }
+    @Override
+    public boolean byHand(long server, boolean out, boolean mayCome) {
+      return mayCome || server != 0;
     }
+  }
 
-    private static final class FakeFleet implements Fleet {
-        private final List<Attempt> sent = new ArrayList<>();
-        private final List<Attempt> aborted = new ArrayList<>();
-        private boolean reachable = true;
-        private long bootTime;
-
-        @Override
-        public Listed listed(long server) {
-            return new Listed("s" + server, 0, bootTime);
-        }
-
-        @Override
-        public boolean send(Attempt attempt) {
-            return reachable && sent.add(attempt);
-        }
-
-        @Override
-        public void abort(Attempt attempt) {
-            aborted.add(attempt);
-        }
-
-        @Override
-        public void closeIdle(long server) {
-            sent.clear();
-        }
-
-        @Override
-        public void follow(ListNews news) {
-            sent.clear();
-        }
-
-        @Override
-        public boolean byHand(long server, boolean out, boolean mayCome) {
-            return mayCome || server != 0;
-        }
+  private final class NoList implements ListSource {
+    @Override
+    public void watch(boolean on) {
+      assertTrue(mayWatch-- > 0, "not asked for here");
     }
 
-    private final class NoList implements ListSource {
-        @Override
-        public void watch(boolean on) {
-            assertTrue(mayWatch-- > 0, "not asked for here");
-        }
-
-        @Override
-        public void fetch() {
-            throw new AssertionError("not asked for here");
-        }
+    @Override
+    public void fetch() {
+      throw new AssertionError("not asked for here");
     }
+  }
 }
--- a/src/test/java/beaconturn/core/Samples.java
+++ b/src/test/java/beaconturn/core/Samples.java
@@ -5,48 +5,47 @@
 
 /** Settings for tests, as paths and values. */
 public final class Samples {
-    private Samples() {
-    }
+  private Samples() {}
 
-    /** One safe, one keyed and one unsafe class; the list is asked for. */
-    public static Map<String, String> settings() {
-        Map<String, String> values = new HashMap<>();
-        String[] effects = {"read_like", "idempotency_key", "non_idempotent"};
-        String[] names = {"read", "put", "ack"};
-        values.put("classes.count", "3");
-        for (int i = 0; i < effects.length; i++) {
-            values.put("classes." + i + ".name", names[i]);
-            values.put("classes." + i + ".effect", effects[i]);
-            values.put("classes." + i + ".target", "500000000");
-            values.put("classes." + i + ".hard_limit", "2000000000");
-            values.put("classes." + i + ".window", "3000000000");
-        }
-        values.put("replicas_of_me", "1");
-        values.put("discovery", "ask");
-        values.put("dcs", "east,west");
-        values.put("flavors", "small,large");
-        values.put("rules.answer_slack", "20000000");
-        values.put("rules.ask_within", "1000000000");
-        values.put("permissions.cancel", "true");
-        values.put("permissions.second_copies", "true");
-        values.put("permissions.retry_after", "true");
-        values.put("permissions.max_retry_after", "2000000000");
-        values.put("permissions.most_tries", "3");
-        values.put("permissions.dial_timeout", "250000000");
-        values.put("permissions.conn_idle", "5000000000");
-        return values;
+  /** One safe, one keyed and one unsafe class; the list is asked for. */
+  public static Map<String, String> settings() {
+    Map<String, String> values = new HashMap<>();
+    String[] effects = {"read_like", "idempotency_key", "non_idempotent"};
+    String[] names = {"read", "put", "ack"};
+    values.put("classes.count", "3");
+    for (int i = 0; i < effects.length; i++) {
+      values.put("classes." + i + ".name", names[i]);
+      values.put("classes." + i + ".effect", effects[i]);
+      values.put("classes." + i + ".target", "500000000");
+      values.put("classes." + i + ".hard_limit", "2000000000");
+      values.put("classes." + i + ".window", "3000000000");
     }
+    values.put("replicas_of_me", "1");
+    values.put("discovery", "ask");
+    values.put("dcs", "east,west");
+    values.put("flavors", "small,large");
+    values.put("rules.answer_slack", "20000000");
+    values.put("rules.ask_within", "1000000000");
+    values.put("permissions.cancel", "true");
+    values.put("permissions.second_copies", "true");
+    values.put("permissions.retry_after", "true");
+    values.put("permissions.max_retry_after", "2000000000");
+    values.put("permissions.most_tries", "3");
+    values.put("permissions.dial_timeout", "250000000");
+    values.put("permissions.conn_idle", "5000000000");
+    return values;
+  }
 
-    /** The same settings, read; each path is followed by its value where that is to be another. */
-    public static Settings read(String... changes) {
-        Map<String, String> values = settings();
-        for (int i = 0; i < changes.length; i += 2) {
-            values.put(changes[i], changes[i + 1]);
-        }
-        try {
-            return SettingsReader.read(values);
-        } catch (SettingsException e) {
-            throw new IllegalStateException(e);
-        }
+  /** The same settings, read; each path is followed by its value where that is to be another. */
+  public static Settings read(String... changes) {
+    Map<String, String> values = settings();
+    for (int i = 0; i < changes.length; i += 2) {
+      values.put(changes[i], changes[i + 1]);
+    }
+    try {
+      return SettingsReader.read(values);
+    } catch (SettingsException e) {
+      throw new IllegalStateException(e);
     }
+  }
 }
--- a/src/test/java/beaconturn/core/SettingsReaderTest.java
+++ b/src/test/java/beaconturn/core/SettingsReaderTest.java
@@ -11,46 +11,53 @@
 import org.junit.jupiter.api.Test;
 
 class SettingsReaderTest {
-    @Test
-    void readsWhatTheModuleAndTheWireNeed() {
-        Settings settings = Samples.read();
-        assertEquals(List.of("read", "put", "ack"), settings.classNames());
-        assertEquals(List.of("east", "west"), settings.zones());
-        assertEquals(5_000_000_000L, settings.routing().permissions().connIdle());
-        assertEquals(Routing.Effect.UNSAFE, settings.routing().classes().get(2).effect());
-        assertEquals(3, settings.routing().permissions().maxTries());
-    }
+  @Test
+  void readsWhatTheModuleAndTheWireNeed() {
+    Settings settings = Samples.read();
+    assertEquals(List.of("read", "put", "ack"), settings.classNames());
+    assertEquals(List.of("east", "west"), settings.zones());
+    assertEquals(5_000_000_000L, settings.routing().permissions().connIdle());
+    assertEquals(Routing.Effect.UNSAFE, settings.routing().classes().get(2).effect());
+    assertEquals(3, settings.routing().permissions().maxTries());
+  }
 
-    @Test
-    void namesTheFirstSettingThatIsMissingOrUnreadable() {
-        refused("classes.count", null);
-        refused("classes.1.effect", "sometimes");
-        refused("classes.2.target", "soon");
-        refused("classes.0.key_scope", "town");
-        refused("permissions.second_copies", "perhaps");
-        refused("permissions.conn_idle", "0");
-        refused("family_info.notes", "some");
-    }
+  @Test
+  void namesTheFirstSettingThatIsMissingOrUnreadable() {
+    refused("classes.count", null);
+    refused("classes.1.effect", "sometimes");
+    refused("classes.2.target", "soon");
+    refused("classes.0.key_scope", "town");
+    refused("permissions.second_copies", "perhaps");
+    refused("permissions.conn_idle", "0");
+    refused("family_info.notes", "some");
+  }
 
-    /** What decides at deployments of another shape leaves one that says nothing of it as it was. */
-    @Test
-    void whatIsNotSaidLeavesTheDecisionsAsTheyWere() {
-        assertTrue(Samples.read().routing().origin().tellsHits());
-        Routing.Settings settings = Samples.read("family_info.notes", "none",
-            "permissions.second_copies", "false", "permissions.conn_idle", "7000000000").routing();
-        assertFalse(settings.origin().tellsHits());
-        assertFalse(settings.permissions().secondCopies());
-        assertEquals(7_000_000_000L, settings.permissions().connIdle());
-    }
+  /** What decides at deployments of another shape leaves one that says nothing of it as it was. */
+  @Test
+  void whatIsNotSaidLeavesTheDecisionsAsTheyWere() {
+    assertTrue(Samples.read().routing().origin().tellsHits());
+    Routing.Settings settings =
+        Samples.read(
+                "family_info.notes",
+                "none",
+                "permissions.second_copies",
+                "false",
+                "permissions.conn_idle",
+                "7000000000")
+            .routing();
+    assertFalse(settings.origin().tellsHits());
+    assertFalse(settings.permissions().secondCopies());
+    assertEquals(7_000_000_000L, settings.permissions().connIdle());
+  }
 
-    private static void refused(String path, String value) {
-        Map<String, String> values = Samples.settings();
-        values.put(path, value);
-        if (value == null) {
-            values.remove(path);
-        }
-        String message = assertThrows(SettingsException.class, () -> SettingsReader.read(values))
-            .getMessage();
-        assertEquals("setting " + path, message.substring(0, message.indexOf(':')));
+  private static void refused(String path, String value) {
+    Map<String, String> values = Samples.settings();
+    values.put(path, value);
+    if (value == null) {
+      values.remove(path);
     }
+    String message =
+        assertThrows(SettingsException.class, () -> SettingsReader.read(values)).getMessage();
+    assertEquals("setting " + path, message.substring(0, message.indexOf(':')));
+  }
 }
