--- a/src/test/java/beaconturn/decision/DecisionRulesTest.java
+++ b/src/test/java/beaconturn/decision/DecisionRulesTest.java
@@ -25,56 +25,93 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What decides depends on its settings and its events alone, so that the same events give the same actions.
+ * What decides depends on its settings and its events alone, so that the same events give the same
+ * actions.
  */
 class DecisionRulesTest {
-    private static final JavaClasses CLASSES = new ClassFileImporter()
-        .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("beaconturn.decision");
-    /** Their order is that of hash values, some of which differ from one process to the next. */
-    private static final Set<String> UNORDERED = Set.of(HashMap.class.getName(), HashSet.class.getName(),
-        IdentityHashMap.class.getName(), ConcurrentHashMap.class.getName());
+  private static final JavaClasses CLASSES =
+      new ClassFileImporter()
+          .withImportOption(new ImportOption.DoNotIncludeTests())
+          .importPackages("beaconturn.decision");
 
-    @Test
-    void noMapOrSetHasAnOrderOfChance() {
-        noClasses().should().callConstructorWhere(DescribedPredicate.describe("makes an unordered map or set",
-            call -> UNORDERED.contains(call.getTargetOwner().getName())
-                && !call.getOriginOwner().isAssignableTo(LinkedHashMap.class))).check(CLASSES);
-        noClasses().should().callMethodWhere(DescribedPredicate.describe("makes an unordered map or set",
-            call -> (call.getTargetOwner().isEquivalentTo(Map.class)
-                    || call.getTargetOwner().isEquivalentTo(Set.class))
-                && call.getName().matches("of|ofEntries|copyOf")
-                || call.getName().matches("toSet|toMap|groupingBy|toUnmodifiableSet|toUnmodifiableMap")))
-            .check(CLASSES);
-    }
+  /** Their order is that of hash values, some of which differ from one process to the next. */
+  private static final Set<String> UNORDERED =
+      Set.of(
+          HashMap.class.getName(),
+          HashSet.class.getName(),
+          IdentityHashMap.class.getName(),
+          ConcurrentHashMap.class.getName());
 
-    @Test
-    void nothingIsKeptInStaticState() {
-        fields().that().areStatic().should().beFinal().andShould(holdNoState()).check(CLASSES);
-    }
+  @Test
+  void noMapOrSetHasAnOrderOfChance() {
+    noClasses()
+        .should()
+        .callConstructorWhere(
+            DescribedPredicate.describe(
+                "makes an unordered map or set",
+                call ->
+                    UNORDERED.contains(call.getTargetOwner().getName())
+                        && !call.getOriginOwner().isAssignableTo(LinkedHashMap.class)))
+        .check(CLASSES);
+    noClasses()
+        .should()
+        .callMethodWhere(
+            DescribedPredicate.describe(
+                "makes an unordered map or set",
+                call ->
+                    (call.getTargetOwner().isEquivalentTo(Map.class)
+                                || call.getTargetOwner().isEquivalentTo(Set.class))
+                            && call.getName().matches("of|ofEntries|copyOf")
+                        || call.getName()
+                            .matches("toSet|toMap|groupingBy|toUnmodifiableSet|toUnmodifiableMap")))
+        .check(CLASSES);
+  }
 
-    /** What the compiler adds, such as the values of an enumeration, nobody writes to. */
-    private static ArchCondition<JavaField> holdNoState() {
-        return new ArchCondition<>("hold no array, collection or map") {
-            @Override
-            public void check(JavaField field, ConditionEvents events) {
-                boolean state = field.getRawType().isArray()
-                        && !field.getModifiers().contains(JavaModifier.SYNTHETIC)
-                    || field.getRawType().isAssignableTo(Collection.class)
-                    || field.getRawType().isAssignableTo(Map.class);
-                events.add(new SimpleConditionEvent(field, !state, field.getFullName()));
-            }
-        };
-    }
+  @Test
+  void nothingIsKeptInStaticState() {
+    fields().that().areStatic().should().beFinal().andShould(holdNoState()).check(CLASSES);
+  }
 
-    @Test
-    void chanceComesFromTheSeedAndTimeFromTheHost() {
-        noClasses().should().dependOnClassesThat().areAssignableTo(Random.class)
-            .orShould().dependOnClassesThat().areAssignableTo(ThreadLocalRandom.class)
-            .orShould().dependOnClassesThat().resideInAnyPackage("java.time..", "java.io..", "java.net..",
-                "java.nio..", "java.util.concurrent..", "java.util.logging..")
-            .orShould().callMethod(System.class, "nanoTime")
-            .orShould().callMethod(System.class, "currentTimeMillis")
-            .orShould().callMethod(System.class, "identityHashCode", Object.class)
-            .orShould().callMethod(Math.class, "random").check(CLASSES);
-    }
+  /** What the compiler adds, such as the values of an enumeration, nobody writes to. */
+  private static ArchCondition<JavaField> holdNoState() {
+    return new ArchCondition<>("hold no array, collection or map") {
+      @Override
+      public void check(JavaField field, ConditionEvents events) {
+        boolean state =
+            field.getRawType().isArray() && !field.getModifiers().contains(JavaModifier.SYNTHETIC)
+                || field.getRawType().isAssignableTo(Collection.class)
+                || field.getRawType().isAssignableTo(Map.class);
+        events.add(new SimpleConditionEvent(field, !state, field.getFullName()));
+      }
+    };
+  }
+
+  @Test
+  void chanceComesFromTheSeedAndTimeFromTheHost() {
+    noClasses()
+        .should()
+        .dependOnClassesThat()
+        .areAssignableTo(Random.class)
+        .orShould()
+        .dependOnClassesThat()
+        .areAssignableTo(ThreadLocalRandom.class)
+        .orShould()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "java.time..",
+            "java.io..",
+            "java.net..",
+            "java.nio..",
+            "java.util.concurrent..",
+            "java.util.logging..")
+        .orShould()
+        .callMethod(System.class, "nanoTime")
+        .orShould()
+        .callMethod(System.class, "currentTimeMillis")
+        .orShould()
+        .callMethod(System.class, "identityHashCode", Object.class)
+        .orShould()
+        .callMethod(Math.class, "random")
+        .check(CLASSES);
+  }
 }
--- a/src/test/java/beaconturn/decision/FourRulesTest.java
+++ b/src/test/java/beaconturn/decision/FourRulesTest.java
@@ -18,324 +18,339 @@
 
 /** Each of the four rules, for each effect a class can have. */
 class FourRulesTest {
-    private static Harness through() {
-        Harness h = new Harness(Harness.settings(false));
-        h.caches(6);
-        // Earns some budget for further attempts.
-        for (int i = 1; i <= 30; i++) {
-            h.serve(i, i);
-        }
-        h.sends.clear();
-        return h;
+  private static Harness through() {
+    Harness h = new Harness(Harness.settings(false));
+    h.caches(6);
+    // Earns some budget for further attempts.
+    for (int i = 1; i <= 30; i++) {
+      h.serve(i, i);
     }
+    h.sends.clear();
+    return h;
+  }
 
-    @Test
-    void anUnsafeRequestIsNotSentAgainOnceItMayHaveRun() {
-        for (Ending ending : List.of(Ending.ERROR, Ending.RESET, Ending.TIMEOUT)) {
-            Harness h = through();
-            h.arrive(100, UNSAFE, 5);
-            h.close(h.last(), 0, ending, false);
-            assertEquals(1, h.sends.size());
-            assertEquals(List.of(100L), h.failed);
-        }
+  @Test
+  void anUnsafeRequestIsNotSentAgainOnceItMayHaveRun() {
+    for (Ending ending : List.of(Ending.ERROR, Ending.RESET, Ending.TIMEOUT)) {
+      Harness h = through();
+      h.arrive(100, UNSAFE, 5);
+      h.close(h.last(), 0, ending, false);
+      assertEquals(1, h.sends.size());
+      assertEquals(List.of(100L), h.failed);
     }
+  }
 
-    @Test
-    void anUnsafeRequestThatNeverRanIsSentAgain() {
-        for (Ending ending : List.of(Ending.FULL, Ending.CONNECT_FAILED)) {
-            Harness h = through();
-            h.arrive(100, UNSAFE, 5);
-            h.close(h.last(), 0, ending, false);
-            assertEquals(2, h.sends.size());
-        }
+  @Test
+  void anUnsafeRequestThatNeverRanIsSentAgain() {
+    for (Ending ending : List.of(Ending.FULL, Ending.CONNECT_FAILED)) {
+      Harness h = through();
+      h.arrive(100, UNSAFE, 5);
+      h.close(h.last(), 0, ending, false);
+      assertEquals(2, h.sends.size());
     }
+  }
 
-    @Test
-    void anUnsafeRequestIsNeverHedged() {
-        Harness h = through();
-        h.arrive(100, UNSAFE, 5);
-        h.pass(1500 * MS);
-        assertEquals(1, h.sends.size());
-    }
+  @Test
+  void anUnsafeRequestIsNeverHedged() {
+    Harness h = through();
+    h.arrive(100, UNSAFE, 5);
+    h.pass(1500 * MS);
+    assertEquals(1, h.sends.size());
+  }
 
-    @Test
-    void aKeyedRequestIsResentOnlyWithinItsGroup() {
-        Harness h = through();
-        h.arrive(100, KEYED_ZONE, 5);
-        long first = h.last().server();
-        h.close(h.last(), 0, Ending.RESET, false);
-        assertEquals(2, h.sends.size());
-        assertEquals(first % 2, h.last().server() % 2);
-    }
+  @Test
+  void aKeyedRequestIsResentOnlyWithinItsGroup() {
+    Harness h = through();
+    h.arrive(100, KEYED_ZONE, 5);
+    long first = h.last().server();
+    h.close(h.last(), 0, Ending.RESET, false);
+    assertEquals(2, h.sends.size());
+    assertEquals(first % 2, h.last().server() % 2);
+  }
 
-    @Test
-    void aKeyedRequestIsNotResentPastItsWindow() {
-        Harness h = through();
-        h.arrive(100, KEYED_ALL, 5, 20 * SECOND);
-        h.now += 6 * SECOND;
-        h.close(h.last(), 0, Ending.RESET, false);
-        assertEquals(1, h.sends.size());
-    }
+  @Test
+  void aKeyedRequestIsNotResentPastItsWindow() {
+    Harness h = through();
+    h.arrive(100, KEYED_ALL, 5, 20 * SECOND);
+    h.now += 6 * SECOND;
+    h.close(h.last(), 0, Ending.RESET, false);
+    assertEquals(1, h.sends.size());
+  }
 
-    /**
-     * A repeat is written when its connection is up, 250 ms and a pause of 150 ms later: by then it must be
-     * in time.
-     */
-    @Test
-    void aKeyedRequestIsNotResentWhereItWouldBeWrittenPastItsWindow() {
-        for (long after : new long[] {4550 * MS, 4650 * MS}) {
-            Harness h = through();
-            h.arrive(100, KEYED_ALL, 5, 20 * SECOND);
-            h.now += after;
-            h.close(h.last(), 0, Ending.RESET, false);
-            long sent = h.sends.stream().filter(s -> s.request() == 100).count();
-            assertEquals(after < 4600 * MS ? 2 : 1, sent, "after " + after);
-        }
+  /**
+   * A repeat is written when its connection is up, 250 ms and a pause of 150 ms later: by then it
+   * must be in time.
+   */
+  @Test
+  void aKeyedRequestIsNotResentWhereItWouldBeWrittenPastItsWindow() {
+    for (long after : new long[] {4550 * MS, 4650 * MS}) {
+      Harness h = through();
+      h.arrive(100, KEYED_ALL, 5, 20 * SECOND);
+      h.now += after;
+      h.close(h.last(), 0, Ending.RESET, false);
+      long sent = h.sends.stream().filter(s -> s.request() == 100).count();
+      assertEquals(after < 4600 * MS ? 2 : 1, sent, "after " + after);
     }
+  }
 
-    @Test
-    void aKeyedRequestOfANarrowGroupThatMayHaveRunIsFailedNotRefused() {
-        Harness h = new Harness(Harness.settings(false));
-        h.list(ListKind.CACHED, Harness.cache(1));
-        h.arrive(1, KEYED_ZONE, 5);
-        h.close(h.last(), 0, Ending.ERROR, false);
-        assertEquals(List.of(1L), h.failed);
-        h.arrive(2, KEYED_ALL, 5);
-        h.close(h.last(), 0, Ending.ERROR, false);
-        assertEquals(List.of(2L), h.refused);
-    }
+  @Test
+  void aKeyedRequestOfANarrowGroupThatMayHaveRunIsFailedNotRefused() {
+    Harness h = new Harness(Harness.settings(false));
+    h.list(ListKind.CACHED, Harness.cache(1));
+    h.arrive(1, KEYED_ZONE, 5);
+    h.close(h.last(), 0, Ending.ERROR, false);
+    assertEquals(List.of(1L), h.failed);
+    h.arrive(2, KEYED_ALL, 5);
+    h.close(h.last(), 0, Ending.ERROR, false);
+    assertEquals(List.of(2L), h.refused);
+  }
 
-    @Test
-    void aDrainingCacheGetsNothingNew() {
-        Harness h = through();
-        h.arrive(100, READ, 5);
-        long home = h.last().server();
-        h.close(h.last(), 0, Ending.OK, true);
-        h.list(ListKind.DELTA, Harness.entry(home, Health.DRAINING, 0));
-        for (int i = 0; i < 20; i++) {
-            h.arrive(200 + i, READ, 5);
-            assertTrue(h.last().server() != home);
-        }
+  @Test
+  void aDrainingCacheGetsNothingNew() {
+    Harness h = through();
+    h.arrive(100, READ, 5);
+    long home = h.last().server();
+    h.close(h.last(), 0, Ending.OK, true);
+    h.list(ListKind.DELTA, Harness.entry(home, Health.DRAINING, 0));
+    for (int i = 0; i < 20; i++) {
+      h.arrive(200 + i, READ, 5);
+      assertTrue(h.last().server() != home);
     }
+  }
 
-    /** A list alone is no proof that a cache is gone; with its own silence it is. What drained stays away. */
-    @Test
-    void whereOnlyDrainingBindsALivingCacheThatIsCalledGoneIsUsedUntilItIsSilent() {
-        Harness h = new Harness(Harness.soft(Harness.settings(false)));
-        h.caches(4);
-        long home = h.home(5);
-        h.list(ListKind.FULL, Harness.entry(home % 4 + 1, Health.READY, 0));
-        assertEquals(home, h.home(5), "left out of a full list");
-        h.list(ListKind.DELTA, Harness.entry(home, Health.GONE, 0));
-        assertEquals(home, h.home(5), "called gone");
-        h.arrive(100, READ, 5);
-        h.close(h.last(), 0, Ending.CONNECT_FAILED, false);
-        assertTrue(h.last().server() != home, "called gone, and silent");
-        h.close(h.last(), 1, Ending.OK, true);
-        h.list(ListKind.DELTA, Harness.entry(home, Health.READY, 0));
-        assertEquals(home, h.home(5), "listed again");
-        h.list(ListKind.DELTA, Harness.entry(home, Health.DRAINING, 0));
-        h.list(ListKind.DELTA, Harness.entry(home, Health.GONE, 0));
-        assertTrue(h.home(5) != home, "what drained is gone for good");
-    }
+  /**
+   * A list alone is no proof that a cache is gone; with its own silence it is. What drained stays
+   * away.
+   */
+  @Test
+  void whereOnlyDrainingBindsALivingCacheThatIsCalledGoneIsUsedUntilItIsSilent() {
+    Harness h = new Harness(Harness.soft(Harness.settings(false)));
+    h.caches(4);
+    long home = h.home(5);
+    h.list(ListKind.FULL, Harness.entry(home % 4 + 1, Health.READY, 0));
+    assertEquals(home, h.home(5), "left out of a full list");
+    h.list(ListKind.DELTA, Harness.entry(home, Health.GONE, 0));
+    assertEquals(home, h.home(5), "called gone");
+    h.arrive(100, READ, 5);
+    h.close(h.last(), 0, Ending.CONNECT_FAILED, false);
+    assertTrue(h.last().server() != home, "called gone, and silent");
+    h.close(h.last(), 1, Ending.OK, true);
+    h.list(ListKind.DELTA, Harness.entry(home, Health.READY, 0));
+    assertEquals(home, h.home(5), "listed again");
+    h.list(ListKind.DELTA, Harness.entry(home, Health.DRAINING, 0));
+    h.list(ListKind.DELTA, Harness.entry(home, Health.GONE, 0));
+    assertTrue(h.home(5) != home, "what drained is gone for good");
+  }
 
-    @Test
-    void aCacheThatIsSilentWhenItIsCalledGoneGetsNothingMore() {
-        Harness h = new Harness(Harness.soft(Harness.settings(false)));
-        h.caches(4);
-        long home = h.home(5);
-        h.arrive(100, READ, 5);
-        h.close(h.last(), 0, Ending.RESET, false);
-        h.list(ListKind.DELTA, Harness.entry(home, Health.GONE, 0));
-        assertTrue(h.home(5) != home);
-    }
+  @Test
+  void aCacheThatIsSilentWhenItIsCalledGoneGetsNothingMore() {
+    Harness h = new Harness(Harness.soft(Harness.settings(false)));
+    h.caches(4);
+    long home = h.home(5);
+    h.arrive(100, READ, 5);
+    h.close(h.last(), 0, Ending.RESET, false);
+    h.list(ListKind.DELTA, Harness.entry(home, Health.GONE, 0));
+    assertTrue(h.home(5) != home);
+  }
 
-    /**
-     * Whatever the list says meanwhile: a new boot time, gone and listed again, a whole list. Operators
-     * restart it while it is out: it comes back held to its cold budget, and past whatever had it ejected.
-     * With all of them out a request is refused at once, with a time to come back.
-     */
-    @Test
-    void aCacheThatIsOutByHandGetsNothingUntilItIsCalledBackAndIsColdThen() {
-        Harness h = through();
-        long out = h.home(5);
-        h.reads(200, 300, 10 * MS, (send, attempt) -> h.close(send, attempt,
-            send.server() == out ? Ending.RESET : Ending.OK, send.server() != out));
-        assertEquals(1, h.router.view().avoided());
-        h.byHand(out, true);
-        h.byHand(out, true);
-        assertEquals(1, h.router.view().avoided());
-        h.list(ListKind.DELTA, Harness.entry(out, Health.READY, h.now));
-        h.list(ListKind.DELTA, Harness.entry(out, Health.GONE, 0));
-        h.list(ListKind.DELTA, Harness.entry(out, Health.READY, h.now + 1));
-        h.caches(6);
-        assertEquals(0, h.served(300, 500, 10 * MS, out));
-        h.byHand(out, false);
-        assertEquals(0, h.router.view().avoided());
-        long got = h.served(500, 1500, MS, out);
-        assertTrue(got > 0 && got < 120, got + " of 1000 sends, an even part is 167");
-        LongStream.rangeClosed(1, 6).forEach(i -> h.byHand(i, true));
-        h.arrive(1500, READ, 5);
-        assertTrue(h.actions.get(h.actions.size() - 1).matches("refuse 1500 [1-9][0-9]*"), "all are out");
-    }
+  /**
+   * Whatever the list says meanwhile: a new boot time, gone and listed again, a whole list.
+   * Operators restart it while it is out: it comes back held to its cold budget, and past whatever
+   * had it ejected. With all of them out a request is refused at once, with a time to come back.
+   */
+  @Test
+  void aCacheThatIsOutByHandGetsNothingUntilItIsCalledBackAndIsColdThen() {
+    Harness h = through();
+    long out = h.home(5);
+    h.reads(
+        200,
+        300,
+        10 * MS,
+        (send, attempt) ->
+            h.close(
+                send,
+                attempt,
+                send.server() == out ? Ending.RESET : Ending.OK,
+                send.server() != out));
+    assertEquals(1, h.router.view().avoided());
+    h.byHand(out, true);
+    h.byHand(out, true);
+    assertEquals(1, h.router.view().avoided());
+    h.list(ListKind.DELTA, Harness.entry(out, Health.READY, h.now));
+    h.list(ListKind.DELTA, Harness.entry(out, Health.GONE, 0));
+    h.list(ListKind.DELTA, Harness.entry(out, Health.READY, h.now + 1));
+    h.caches(6);
+    assertEquals(0, h.served(300, 500, 10 * MS, out));
+    h.byHand(out, false);
+    assertEquals(0, h.router.view().avoided());
+    long got = h.served(500, 1500, MS, out);
+    assertTrue(got > 0 && got < 120, got + " of 1000 sends, an even part is 167");
+    LongStream.rangeClosed(1, 6).forEach(i -> h.byHand(i, true));
+    h.arrive(1500, READ, 5);
+    assertTrue(
+        h.actions.get(h.actions.size() - 1).matches("refuse 1500 [1-9][0-9]*"), "all are out");
+  }
 
-    /** The list tells when it was restarted while it was out: it is as warm as that. */
-    @Test
-    void aCacheThatIsBackIsAsOldAsTheListSaysIfItStartedWhileItWasOut() {
-        long[] got = new long[2];
-        for (int listed = 0; listed < 2; listed++) {
-            Harness h = through();
-            long server = h.home(5);
-            h.served(200, 1200, 10 * MS, server);
-            h.byHand(server, true);
-            h.now += SECOND;
-            if (listed == 1) {
-                h.list(ListKind.DELTA, Harness.entry(server, Health.READY, h.now));
-            }
-            h.served(1200, 2200, 10 * MS, server);
-            h.byHand(server, false);
-            got[listed] = h.served(2200, 2500, 10 * MS, server);
-        }
-        assertTrue(got[0] < got[1], got[0] + " and " + got[1]);
+  /** The list tells when it was restarted while it was out: it is as warm as that. */
+  @Test
+  void aCacheThatIsBackIsAsOldAsTheListSaysIfItStartedWhileItWasOut() {
+    long[] got = new long[2];
+    for (int listed = 0; listed < 2; listed++) {
+      Harness h = through();
+      long server = h.home(5);
+      h.served(200, 1200, 10 * MS, server);
+      h.byHand(server, true);
+      h.now += SECOND;
+      if (listed == 1) {
+        h.list(ListKind.DELTA, Harness.entry(server, Health.READY, h.now));
+      }
+      h.served(1200, 2200, 10 * MS, server);
+      h.byHand(server, false);
+      got[listed] = h.served(2200, 2500, 10 * MS, server);
     }
+    assertTrue(got[0] < got[1], got[0] + " and " + got[1]);
+  }
 
-    /** All caches have just started: without what the one before had counted nearly all is refused. */
-    @Test
-    void aRouterThatFollowsAnotherBeginsWithItsPartOfTheColdBudgets() {
-        Harness before = through();
-        before.served(200, 2200, 5 * MS, 0);
-        for (boolean told : new boolean[] {false, true}) {
-            Harness h = new Harness(Harness.settings(false));
-            if (told) {
-                h.router.handle(h.now, new Routing.Begun(before.router.learned()));
-            }
-            LongStream.rangeClosed(1, 6)
-                .forEach(i -> h.list(ListKind.DELTA, Harness.entry(i, Health.READY, h.now)));
-            h.served(1, 401, 5 * MS, 0);
-            assertTrue(told ? h.sends.size() > 120 : h.sends.size() < 60, told + ": " + h.sends.size());
-        }
+  /**
+   * All caches have just started: without what the one before had counted nearly all is refused.
+   */
+  @Test
+  void aRouterThatFollowsAnotherBeginsWithItsPartOfTheColdBudgets() {
+    Harness before = through();
+    before.served(200, 2200, 5 * MS, 0);
+    for (boolean told : new boolean[] {false, true}) {
+      Harness h = new Harness(Harness.settings(false));
+      if (told) {
+        h.router.handle(h.now, new Routing.Begun(before.router.learned()));
+      }
+      LongStream.rangeClosed(1, 6)
+          .forEach(i -> h.list(ListKind.DELTA, Harness.entry(i, Health.READY, h.now)));
+      h.served(1, 401, 5 * MS, 0);
+      assertTrue(told ? h.sends.size() > 120 : h.sends.size() < 60, told + ": " + h.sends.size());
     }
+  }
 
-    /** Told before the first list, as to a new process of the same router. */
-    @Test
-    void whatIsOutBeforeItIsListedStaysOutAndSoItDoesUnderNewSettings() {
-        Harness h = new Harness(Harness.settings(false));
-        h.byHand(1, true);
-        h.caches(2);
-        RingRouter next = new RingRouter(Harness.settings(false), 1, h.now, h, h.router);
-        assertEquals(1, next.view().avoided());
-        for (int key = 1; key < 50; key++) {
-            next.handle(h.now, new Routing.Arrival(key, 0, 0, key, READ, SECOND, false, false, 0));
-        }
-        assertEquals(List.of(), h.sends.stream().filter(s -> s.server() == 1).toList());
-        assertTrue(h.sends.size() > 10);
+  /** Told before the first list, as to a new process of the same router. */
+  @Test
+  void whatIsOutBeforeItIsListedStaysOutAndSoItDoesUnderNewSettings() {
+    Harness h = new Harness(Harness.settings(false));
+    h.byHand(1, true);
+    h.caches(2);
+    RingRouter next = new RingRouter(Harness.settings(false), 1, h.now, h, h.router);
+    assertEquals(1, next.view().avoided());
+    for (int key = 1; key < 50; key++) {
+      next.handle(h.now, new Routing.Arrival(key, 0, 0, key, READ, SECOND, false, false, 0));
     }
+    assertEquals(List.of(), h.sends.stream().filter(s -> s.server() == 1).toList());
+    assertTrue(h.sends.size() > 10);
+  }
 
-    @Test
-    void aWaitingRequestIsNotSentWhereItsObjectIsStoredOnceThatCacheDrains() {
-        Harness h = Harness.aside(2);
-        h.miss(1, 5);
-        long home = h.sends.get(0).server();
-        Harness.Send fetch = h.last();
-        h.arrive(2, READ, 5);
-        h.list(ListKind.DELTA, Harness.entry(home, Health.DRAINING, 0));
-        h.close(fetch, 1, Ending.OK, true);
-        assertEquals(3 - home, h.last().server());
-    }
+  @Test
+  void aWaitingRequestIsNotSentWhereItsObjectIsStoredOnceThatCacheDrains() {
+    Harness h = Harness.aside(2);
+    h.miss(1, 5);
+    long home = h.sends.get(0).server();
+    Harness.Send fetch = h.last();
+    h.arrive(2, READ, 5);
+    h.list(ListKind.DELTA, Harness.entry(home, Health.DRAINING, 0));
+    h.close(fetch, 1, Ending.OK, true);
+    assertEquals(3 - home, h.last().server());
+  }
 
-    @Test
-    void aMissThatArrivesAfterTheDeadlineIsAnsweredAtOnce() {
-        Harness h = Harness.aside(1);
-        h.miss(9, 5);
-        h.arrive(1, READ, 6, 100 * MS);
-        Harness.Send late = h.last();
-        h.now += 104 * MS;
-        h.close(late, 0, Ending.MISS, false);
-        assertEquals(List.of(1L), h.refused);
-    }
+  @Test
+  void aMissThatArrivesAfterTheDeadlineIsAnsweredAtOnce() {
+    Harness h = Harness.aside(1);
+    h.miss(9, 5);
+    h.arrive(1, READ, 6, 100 * MS);
+    Harness.Send late = h.last();
+    h.now += 104 * MS;
+    h.close(late, 0, Ending.MISS, false);
+    assertEquals(List.of(1L), h.refused);
+  }
 
-    @Test
-    void aRequestThatWaitsForAFetchIsAnsweredLongBeforeItsDeadline() {
-        Harness h = Harness.aside(1);
-        h.miss(1, 5);
-        h.arrive(2, READ, 5, SECOND);
-        h.pass(600 * MS);
-        assertEquals(List.of(2L), h.refused);
-    }
+  @Test
+  void aRequestThatWaitsForAFetchIsAnsweredLongBeforeItsDeadline() {
+    Harness h = Harness.aside(1);
+    h.miss(1, 5);
+    h.arrive(2, READ, 5, SECOND);
+    h.pass(600 * MS);
+    assertEquals(List.of(2L), h.refused);
+  }
 
-    @Test
-    void nothingFollowsTheEnd() {
-        Harness h = through();
-        h.arrive(100, KEYED_ALL, 5);
-        h.pass(1100 * MS);
-        assertEquals(2, h.sends.size());
-        Harness.Send first = h.sends.get(0);
-        Harness.Send second = h.sends.get(1);
-        h.close(second, 1, Ending.OK, true);
-        h.actions.clear();
-        h.close(first, 0, Ending.ERROR, true);
-        h.pass(5 * SECOND);
-        assertEquals(List.of(), h.actions);
-    }
+  @Test
+  void nothingFollowsTheEnd() {
+    Harness h = through();
+    h.arrive(100, KEYED_ALL, 5);
+    h.pass(1100 * MS);
+    assertEquals(2, h.sends.size());
+    Harness.Send first = h.sends.get(0);
+    Harness.Send second = h.sends.get(1);
+    h.close(second, 1, Ending.OK, true);
+    h.actions.clear();
+    h.close(first, 0, Ending.ERROR, true);
+    h.pass(5 * SECOND);
+    assertEquals(List.of(), h.actions);
+  }
 
-    @Test
-    void withoutACacheARequestIsRefusedAtOnce() {
-        Harness h = new Harness(Harness.settings(false));
-        h.list(ListKind.CACHED);
-        h.arrive(1, READ, 5);
-        h.arrive(2, UNSAFE, 5);
-        assertEquals(List.of(1L, 2L), h.refused);
-    }
+  @Test
+  void withoutACacheARequestIsRefusedAtOnce() {
+    Harness h = new Harness(Harness.settings(false));
+    h.list(ListKind.CACHED);
+    h.arrive(1, READ, 5);
+    h.arrive(2, UNSAFE, 5);
+    assertEquals(List.of(1L, 2L), h.refused);
+  }
 
-    @Test
-    void noMoreAttemptsThanAllowed() {
-        Harness h = new Harness(Harness.settings(false, 1, List.of(), 2));
-        h.caches(5);
-        for (int i = 1; i <= 50; i++) {
-            h.serve(i, i);
-        }
-        h.arrive(100, READ, 5);
-        h.close(h.last(), 0, Ending.FULL, false);
-        h.close(h.last(), 1, Ending.FULL, false);
-        assertEquals(52, h.sends.size());
-        assertEquals(List.of(100L), h.refused);
+  @Test
+  void noMoreAttemptsThanAllowed() {
+    Harness h = new Harness(Harness.settings(false, 1, List.of(), 2));
+    h.caches(5);
+    for (int i = 1; i <= 50; i++) {
+      h.serve(i, i);
     }
+    h.arrive(100, READ, 5);
+    h.close(h.last(), 0, Ending.FULL, false);
+    h.close(h.last(), 1, Ending.FULL, false);
+    assertEquals(52, h.sends.size());
+    assertEquals(List.of(100L), h.refused);
+  }
 
-    @Test
-    void oddListsEndInAPromptRefusalOrALegalSend() {
-        Harness h = new Harness(Harness.settings(true, 400, List.of()));
-        h.arrive(1, READ, 5);
-        h.list(ListKind.CACHED, Harness.origin(50));
-        h.arrive(2, READ, 5);
-        h.list(ListKind.DELTA);
-        h.list(ListKind.DELTA, Harness.entry(1, Health.DRAINING, 0));
-        h.arrive(3, READ, 5);
-        assertEquals(List.of(1L, 2L, 3L), h.refused);
-        assertEquals(List.of(), h.sends);
-        h.list(ListKind.DELTA, Harness.cache(2));
-        h.list(ListKind.DELTA, Harness.cache(2));
-        h.arrive(4, READ, 5);
-        assertEquals(2L, h.last().server());
-    }
+  @Test
+  void oddListsEndInAPromptRefusalOrALegalSend() {
+    Harness h = new Harness(Harness.settings(true, 400, List.of()));
+    h.arrive(1, READ, 5);
+    h.list(ListKind.CACHED, Harness.origin(50));
+    h.arrive(2, READ, 5);
+    h.list(ListKind.DELTA);
+    h.list(ListKind.DELTA, Harness.entry(1, Health.DRAINING, 0));
+    h.arrive(3, READ, 5);
+    assertEquals(List.of(1L, 2L, 3L), h.refused);
+    assertEquals(List.of(), h.sends);
+    h.list(ListKind.DELTA, Harness.cache(2));
+    h.list(ListKind.DELTA, Harness.cache(2));
+    h.arrive(4, READ, 5);
+    assertEquals(2L, h.last().server());
+  }
 
-    @Test
-    void aNewBootTimeWhileARequestIsOutKeepsItAndHoldsTheCacheToItsBudget() {
-        Harness h = through();
-        h.arrive(100, READ, 5);
-        Harness.Send out = h.last();
-        h.list(ListKind.DELTA, Harness.entry(out.server(), Health.READY, h.now));
-        h.arrive(101, READ, 5);
-        h.close(out, 0, Ending.RESET, false);
-        assertTrue(h.sends.stream().skip(1).noneMatch(s -> s.server() == out.server()), h.sends.toString());
-    }
+  @Test
+  void aNewBootTimeWhileARequestIsOutKeepsItAndHoldsTheCacheToItsBudget() {
+    Harness h = through();
+    h.arrive(100, READ, 5);
+    Harness.Send out = h.last();
+    h.list(ListKind.DELTA, Harness.entry(out.server(), Health.READY, h.now));
+    h.arrive(101, READ, 5);
+    h.close(out, 0, Ending.RESET, false);
+    assertTrue(
+        h.sends.stream().skip(1).noneMatch(s -> s.server() == out.server()), h.sends.toString());
+  }
 
-    @Test
-    void severalHundredCachesEachGetKeys() {
-        Harness h = new Harness(Harness.settings(false, 1, List.of()));
-        h.caches(400);
-        for (int i = 0; i < 8000; i++) {
-            h.serve(i, i + 1);
-        }
-        assertEquals(400, h.sends.stream().map(Harness.Send::server).distinct().count());
+  @Test
+  void severalHundredCachesEachGetKeys() {
+    Harness h = new Harness(Harness.settings(false, 1, List.of()));
+    h.caches(400);
+    for (int i = 0; i < 8000; i++) {
+      h.serve(i, i + 1);
     }
+    assertEquals(400, h.sends.stream().map(Harness.Send::server).distinct().count());
+  }
 }
--- a/src/test/java/beaconturn/decision/Harness.java
+++ b/src/test/java/beaconturn/decision/Harness.java
@@ -11,283 +11,358 @@
 
 /** Drives one module by its interface and keeps what it did, as text, in order. */
 final class Harness implements Routing.Actions {
-    static final long MS = 1_000_000L;
-    static final long SECOND = 1000 * MS;
-    static final int ORIGIN_KIND = 9;
-    static final int READ = 0;
-    static final int KEYED_ALL = 1;
-    static final int KEYED_ZONE = 2;
-    static final int UNSAFE = 3;
-
-    record Send(long request, long server, long allowFor) { }
-
-    final List<String> actions = new ArrayList<>();
-    final List<Send> sends = new ArrayList<>();
-    final List<Long> refused = new ArrayList<>();
-    final List<Long> failed = new ArrayList<>();
-    final List<long[]> timers = new ArrayList<>();
-    final RingRouter router;
-    long now = 100 * SECOND;
-
-    Harness(Routing.Settings settings) {
-        this(settings, 7);
-    }
-
-    Harness(Routing.Settings settings, long seed) {
-        router = new RingRouter(settings, seed, now, this);
-    }
-
-    /** A router in aside mode that knows the given number of caches, and the origin as server 50. */
-    static Harness aside(int caches) {
-        Harness h = new Harness(settings(true));
-        h.caches(caches);
-        h.list(ListKind.DELTA, origin(50));
-        return h;
-    }
-
-    static Routing.Settings settings(boolean aside) {
-        return settings(aside, 1, List.of());
-    }
-
-    static Routing.Settings settings(boolean aside, int routers, List<Routing.Tenant> tenants) {
-        return settings(aside, routers, tenants, 6);
-    }
-
-    static Routing.Settings settings(boolean aside, int routers, List<Routing.Tenant> tenants, int tries) {
-        List<Routing.RequestClass> classes = List.of(type(Effect.SAFE, Scope.ALL),
-            type(Effect.KEYED, Scope.ALL), type(Effect.KEYED, Scope.ZONE), type(Effect.UNSAFE, Scope.ALL));
-        Routing.Rules rules = new Routing.Rules(20 * MS, 10 * SECOND, 0.2, 20 * SECOND, 250 * MS, 3,
-            SECOND, false);
-        Routing.Permissions may = new Routing.Permissions(true, false, false, true, true, tries,
-            2 * SECOND, 32, 250 * MS, 10 * SECOND);
-        return new Routing.Settings(0, routers, 0, true, false, false, 0.1, 5 * MS, classes, tenants, rules,
-            may, new Routing.Origin(aside, aside ? ORIGIN_KIND : -1, false, true, 0, 0), List.of());
-    }
-
-    static Routing.Settings reporting(Routing.Settings s, String name) {
-        return with(s, s.permissions(), s.origin(), List.of(name));
-    }
-
-    /** The same where only the state of draining binds. */
-    static Routing.Settings soft(Routing.Settings s) {
-        Routing.Rules r = s.rules();
-        return new Routing.Settings(s.index(), s.routers(), s.zone(), s.askForList(), s.ratingStable(),
-            s.worthByWork(), s.overShareWorth(), s.tick(), s.classes(), s.tenants(), new Routing.Rules(
-                r.answerSlack(), r.askWithin(), r.coldShare(), r.cold(), r.drainGrace(), r.fallMultiple(),
-                r.overloadFor(), true), s.permissions(), s.origin(), s.reportNames());
-    }
-
-    /** The same where no request may have two attempts out, and where caches that fetch do not say so. */
-    static Routing.Settings alone(Routing.Settings s) {
-        Routing.Permissions may = new Routing.Permissions(true, false, false, true, false, 3, 2 * SECOND, 32,
-            250 * MS, 10 * SECOND);
-        Routing.Origin origin = new Routing.Origin(s.origin().aside(), s.origin().kind(), false, false, 0, 0);
-        return with(s, may, origin, s.reportNames());
-    }
-
-    private static Routing.Settings with(Routing.Settings s, Routing.Permissions may, Routing.Origin origin,
-            List<String> reportNames) {
-        return new Routing.Settings(s.index(), s.routers(), s.zone(), s.askForList(), s.ratingStable(),
-            s.worthByWork(), s.overShareWorth(), s.tick(), s.classes(), s.tenants(), s.rules(), may, origin,
-            reportNames);
-    }
-
-    private static Routing.RequestClass type(Effect effect, Scope scope) {
-        return new Routing.RequestClass(effect, scope, 5 * SECOND, SECOND, 4 * SECOND, 1, 0, false);
-    }
-
-    static Routing.ServerEntry cache(long id) {
-        return entry(id, Health.READY, 0);
-    }
-
-    static Routing.ServerEntry entry(long id, Health health, long bootTime) {
-        return new Routing.ServerEntry(id, (int) (id % 2), 0, (int) (id % 3), health, 1, bootTime);
-    }
-
-    static Routing.ServerEntry origin(long id) {
-        return new Routing.ServerEntry(id, 0, ORIGIN_KIND, 0, Health.READY, 1, 0);
-    }
-
-    void list(ListKind kind, Routing.ServerEntry... entries) {
-        router.handle(now, new Routing.ServerList(1, kind, List.of(entries)));
-    }
-
-    /** The cache that the key goes to first. */
-    long home(long key) {
-        serve(99, key);
-        return last().server();
-    }
-
-    void byHand(long server, boolean out) {
-        router.handle(now, new Routing.ByHand(server, out, now));
-    }
-
-    void caches(int count) {
-        Routing.ServerEntry[] entries = new Routing.ServerEntry[count];
-        for (int i = 0; i < count; i++) {
-            entries[i] = cache(i + 1);
-        }
-        list(ListKind.CACHED, entries);
-    }
-
-    void arrive(long request, int type, long key) {
-        arrive(request, type, key, 2 * SECOND);
-    }
-
-    void arrive(long request, int type, long key, long left) {
-        boolean write = type != READ;
-        router.handle(now, new Routing.Arrival(request, 0, 0, key, type, left, false, write, 0));
-    }
-
-    /** Reads of new keys so far apart; each send, with the attempt's number, is answered as told. */
-    void reads(int from, int to, long apart, ObjIntConsumer<Send> answer) {
-        for (int i = from; i < to; i++) {
-            now += apart;
-            int first = sends.size();
-            arrive(i, READ, 10_000 + i);
-            for (int k = first; k < sends.size(); k++) {
-                answer.accept(sends.get(k), k - first);
-            }
-        }
-    }
-
-    /** Reads of new keys so far apart that are all answered; how many of their sends went to the server. */
-    long served(int from, int to, long apart, long server) {
-        int before = sends.size();
-        reads(from, to, apart, (send, attempt) -> close(send, attempt, Ending.OK, true));
-        return sends.subList(before, sends.size()).stream().filter(s -> s.server() == server).count();
-    }
-
-    /** A read of the given expected work (0: none told), or a client's further try of one. */
-    void read(long request, long key, long hint, boolean again) {
-        router.handle(now, new Routing.Arrival(request, 0, hint, key, READ, 2 * SECOND, again, false, 0));
-    }
-
-    /** A read that its cache answers, of the given expected work; returns when it would have been late. */
-    long sized(long request, long hint) {
-        read(request, 10_000 + request, hint, false);
-        long late = timers.get(timers.size() - 1)[0] - now;
-        close(last(), 0, Ending.OK, true);
-        return late;
-    }
-
-    /** A read that its cache answers. */
-    void serve(long request, long key) {
-        arrive(request, READ, key);
-        close(last(), 0, Ending.OK, true);
-    }
-
-    /** A read that its cache lacks, so that it goes on to the origin. */
-    void miss(long request, long key) {
-        arrive(request, READ, key);
-        close(last(), 0, Ending.MISS, false);
-    }
-
-    void close(Send send, int attempt, Ending ending, boolean closed) {
-        close(send, attempt, ending, closed, 50 * MS);
-    }
-
-    void close(Send send, int attempt, Ending ending, boolean closed, long elapsed) {
-        router.handle(now, new Routing.AttemptClosed(send.request(), elapsed, closed, send.server(), ending,
-            Routing.Note.NONE, attempt, new float[0]));
-    }
-
-    /** The last send is answered from what its cache holds, with a load report. */
-    void hit(long elapsed, float... report) {
-        answered(elapsed, Routing.Note.HIT, report);
-    }
-
-    /** The last send is answered by a fetch of its cache. */
-    void fetched(long elapsed) {
-        answered(elapsed, Routing.Note.MISS);
-    }
-
-    private void answered(long elapsed, Routing.Note note, float... report) {
-        router.handle(now, new Routing.AttemptClosed(last().request(), elapsed, true, last().server(),
-            Ending.OK, note, 0, report));
-    }
-
-    /** Delivers all timers due within the given time, in order, and moves the clock there. */
-    void pass(long time) {
-        long until = now + time;
-        while (true) {
-            long[] next = null;
-            for (long[] t : timers) {
-                next = t[0] <= until && (next == null || t[0] < next[0]) ? t : next;
-            }
-            if (next == null) {
-                now = until;
-                return;
-            }
-            timers.remove(next);
-            now = Math.max(now, next[0]);
-            router.handle(now, new Routing.Timer(next[1]));
-        }
-    }
-
-    Send last() {
-        return sends.get(sends.size() - 1);
-    }
-
-    @Override
-    public void send(long request, long server, long allowFor) {
-        sends.add(new Send(request, server, allowFor));
-        actions.add("send " + request + " " + server + " " + allowFor);
-    }
-
-    @Override
-    public void cancel(long request, int attempt) {
-        actions.add("cancel " + request + " " + attempt);
-    }
-
-    @Override
-    public void refuse(long request, long retryAfter, Routing.Why why) {
-        refused.add(request);
-        actions.add("refuse " + request + " " + retryAfter);
-    }
-
-    @Override
-    public void fail(long request, Routing.Why why) {
-        failed.add(request);
-        actions.add("fail " + request);
-    }
-
-    @Override
-    public void timer(long delay, long token) {
-        if (delay < 0) {
-            throw new IllegalArgumentException("timer in the past");
-        }
-        timers.add(new long[] {now + delay, token});
-        actions.add("timer " + delay + " " + token);
-    }
-
-    @Override
-    public void watch(boolean on) {
-        actions.add("watch " + on);
-    }
-
-    @Override
-    public void fetchList() {
-        actions.add("fetch list");
-    }
-
-    @Override
-    public void probe(long server) {
-        actions.add("probe " + server);
-    }
-
-    @Override
-    public void tell(int peer, byte[] body) {
-        actions.add("tell " + peer);
-    }
-
-    @Override
-    public void closeIdle(long server) {
-        actions.add("close " + server);
-    }
-
-    @Override
-    public void log(String text) {
-        actions.add("log " + text);
-    }
+  static final long MS = 1_000_000L;
+  static final long SECOND = 1000 * MS;
+  static final int ORIGIN_KIND = 9;
+  static final int READ = 0;
+  static final int KEYED_ALL = 1;
+  static final int KEYED_ZONE = 2;
+  static final int UNSAFE = 3;
+
+  record Send(long request, long server, long allowFor) {}
+
+  final List<String> actions = new ArrayList<>();
+  final List<Send> sends = new ArrayList<>();
+  final List<Long> refused = new ArrayList<>();
+  final List<Long> failed = new ArrayList<>();
+  final List<long[]> timers = new ArrayList<>();
+  final RingRouter router;
+  long now = 100 * SECOND;
+
+  Harness(Routing.Settings settings) {
+    this(settings, 7);
+  }
+
+  Harness(Routing.Settings settings, long seed) {
+    router = new RingRouter(settings, seed, now, this);
+  }
+
+  /** A router in aside mode that knows the given number of caches, and the origin as server 50. */
+  static Harness aside(int caches) {
+    Harness h = new Harness(settings(true));
+    h.caches(caches);
+    h.list(ListKind.DELTA, origin(50));
+    return h;
+  }
+
+  static Routing.Settings settings(boolean aside) {
+    return settings(aside, 1, List.of());
+  }
+
+  static Routing.Settings settings(boolean aside, int routers, List<Routing.Tenant> tenants) {
+    return settings(aside, routers, tenants, 6);
+  }
+
+  static Routing.Settings settings(
+      boolean aside, int routers, List<Routing.Tenant> tenants, int tries) {
+    List<Routing.RequestClass> classes =
+        List.of(
+            type(Effect.SAFE, Scope.ALL),
+            type(Effect.KEYED, Scope.ALL),
+            type(Effect.KEYED, Scope.ZONE),
+            type(Effect.UNSAFE, Scope.ALL));
+    Routing.Rules rules =
+        new Routing.Rules(20 * MS, 10 * SECOND, 0.2, 20 * SECOND, 250 * MS, 3, SECOND, false);
+    Routing.Permissions may =
+        new Routing.Permissions(
+            true, false, false, true, true, tries, 2 * SECOND, 32, 250 * MS, 10 * SECOND);
+    return new Routing.Settings(
+        0,
+        routers,
+        0,
+        true,
+        false,
+        false,
+        0.1,
+        5 * MS,
+        classes,
+        tenants,
+        rules,
+        may,
+        new Routing.Origin(aside, aside ? ORIGIN_KIND : -1, false, true, 0, 0),
+        List.of());
+  }
+
+  static Routing.Settings reporting(Routing.Settings s, String name) {
+    return with(s, s.permissions(), s.origin(), List.of(name));
+  }
+
+  /** The same where only the state of draining binds. */
+  static Routing.Settings soft(Routing.Settings s) {
+    Routing.Rules r = s.rules();
+    return new Routing.Settings(
+        s.index(),
+        s.routers(),
+        s.zone(),
+        s.askForList(),
+        s.ratingStable(),
+        s.worthByWork(),
+        s.overShareWorth(),
+        s.tick(),
+        s.classes(),
+        s.tenants(),
+        new Routing.Rules(
+            r.answerSlack(),
+            r.askWithin(),
+            r.coldShare(),
+            r.cold(),
+            r.drainGrace(),
+            r.fallMultiple(),
+            r.overloadFor(),
+            true),
+        s.permissions(),
+        s.origin(),
+        s.reportNames());
+  }
+
+  /**
+   * The same where no request may have two attempts out, and where caches that fetch do not say so.
+   */
+  static Routing.Settings alone(Routing.Settings s) {
+    Routing.Permissions may =
+        new Routing.Permissions(
+            true, false, false, true, false, 3, 2 * SECOND, 32, 250 * MS, 10 * SECOND);
+    Routing.Origin origin =
+        new Routing.Origin(s.origin().aside(), s.origin().kind(), false, false, 0, 0);
+    return with(s, may, origin, s.reportNames());
+  }
+
+  private static Routing.Settings with(
+      Routing.Settings s,
+      Routing.Permissions may,
+      Routing.Origin origin,
+      List<String> reportNames) {
+    return new Routing.Settings(
+        s.index(),
+        s.routers(),
+        s.zone(),
+        s.askForList(),
+        s.ratingStable(),
+        s.worthByWork(),
+        s.overShareWorth(),
+        s.tick(),
+        s.classes(),
+        s.tenants(),
+        s.rules(),
+        may,
+        origin,
+        reportNames);
+  }
+
+  private static Routing.RequestClass type(Effect effect, Scope scope) {
+    return new Routing.RequestClass(effect, scope, 5 * SECOND, SECOND, 4 * SECOND, 1, 0, false);
+  }
+
+  static Routing.ServerEntry cache(long id) {
+    return entry(id, Health.READY, 0);
+  }
+
+  static Routing.ServerEntry entry(long id, Health health, long bootTime) {
+    return new Routing.ServerEntry(id, (int) (id % 2), 0, (int) (id % 3), health, 1, bootTime);
+  }
+
+  static Routing.ServerEntry origin(long id) {
+    return new Routing.ServerEntry(id, 0, ORIGIN_KIND, 0, Health.READY, 1, 0);
+  }
+
+  void list(ListKind kind, Routing.ServerEntry... entries) {
+    router.handle(now, new Routing.ServerList(1, kind, List.of(entries)));
+  }
+
+  /** The cache that the key goes to first. */
+  long home(long key) {
+    serve(99, key);
+    return last().server();
+  }
+
+  void byHand(long server, boolean out) {
+    router.handle(now, new Routing.ByHand(server, out, now));
+  }
+
+  void caches(int count) {
+    Routing.ServerEntry[] entries = new Routing.ServerEntry[count];
+    for (int i = 0; i < count; i++) {
+      entries[i] = cache(i + 1);
+    }
+    list(ListKind.CACHED, entries);
+  }
+
+  void arrive(long request, int type, long key) {
+    arrive(request, type, key, 2 * SECOND);
+  }
+
+  void arrive(long request, int type, long key, long left) {
+    boolean write = type != READ;
+    router.handle(now, new Routing.Arrival(request, 0, 0, key, type, left, false, write, 0));
+  }
+
+  /** Reads of new keys so far apart; each send, with the attempt's number, is answered as told. */
+  void reads(int from, int to, long apart, ObjIntConsumer<Send> answer) {
+    for (int i = from; i < to; i++) {
+      now += apart;
+      int first = sends.size();
+      arrive(i, READ, 10_000 + i);
+      for (int k = first; k < sends.size(); k++) {
+        answer.accept(sends.get(k), k - first);
+      }
+    }
+  }
+
+  /**
+   * Reads of new keys so far apart that are all answered; how many of their sends went to the
+   * server.
+   */
+  long served(int from, int to, long apart, long server) {
+    int before = sends.size();
+    reads(from, to, apart, (send, attempt) -> close(send, attempt, Ending.OK, true));
+    return sends.subList(before, sends.size()).stream().filter(s -> s.server() == server).count();
+  }
+
+  /** A read of the given expected work (0: none told), or a client's further try of one. */
+  void read(long request, long key, long hint, boolean again) {
+    router.handle(
+        now, new Routing.Arrival(request, 0, hint, key, READ, 2 * SECOND, again, false, 0));
+  }
+
+  /**
+   * A read that its cache answers, of the given expected work; returns when it would have been
+   * late.
+   */
+  long sized(long request, long hint) {
+    read(request, 10_000 + request, hint, false);
+    long late = timers.get(timers.size() - 1)[0] - now;
+    close(last(), 0, Ending.OK, true);
+    return late;
+  }
+
+  /** A read that its cache answers. */
+  void serve(long request, long key) {
+    arrive(request, READ, key);
+    close(last(), 0, Ending.OK, true);
+  }
+
+  /** A read that its cache lacks, so that it goes on to the origin. */
+  void miss(long request, long key) {
+    arrive(request, READ, key);
+    close(last(), 0, Ending.MISS, false);
+  }
+
+  void close(Send send, int attempt, Ending ending, boolean closed) {
+    close(send, attempt, ending, closed, 50 * MS);
+  }
+
+  void close(Send send, int attempt, Ending ending, boolean closed, long elapsed) {
+    router.handle(
+        now,
+        new Routing.AttemptClosed(
+            send.request(),
+            elapsed,
+            closed,
+            send.server(),
+            ending,
+            Routing.Note.NONE,
+            attempt,
+            new float[0]));
+  }
+
+  /** The last send is answered from what its cache holds, with a load report. */
+  void hit(long elapsed, float... report) {
+    answered(elapsed, Routing.Note.HIT, report);
+  }
+
+  /** The last send is answered by a fetch of its cache. */
+  void fetched(long elapsed) {
+    answered(elapsed, Routing.Note.MISS);
+  }
+
+  private void answered(long elapsed, Routing.Note note, float... report) {
+    router.handle(
+        now,
+        new Routing.AttemptClosed(
+            last().request(), elapsed, true, last().server(), Ending.OK, note, 0, report));
+  }
+
+  /** Delivers all timers due within the given time, in order, and moves the clock there. */
+  void pass(long time) {
+    long until = now + time;
+    while (true) {
+      long[] next = null;
+      for (long[] t : timers) {
+        next = t[0] <= until && (next == null || t[0] < next[0]) ? t : next;
+      }
+      if (next == null) {
+        now = until;
+        return;
+      }
+      timers.remove(next);
+      now = Math.max(now, next[0]);
+      router.handle(now, new Routing.Timer(next[1]));
+    }
+  }
+
+  Send last() {
+    return sends.get(sends.size() - 1);
+  }
+
+  @Override
+  public void send(long request, long server, long allowFor) {
+    sends.add(new Send(request, server, allowFor));
+    actions.add("send " + request + " " + server + " " + allowFor);
+  }
+
+  @Override
+  public void cancel(long request, int attempt) {
+    actions.add("cancel " + request + " " + attempt);
+  }
+
+  @Override
+  public void refuse(long request, long retryAfter, Routing.Why why) {
+    refused.add(request);
+    actions.add("refuse " + request + " " + retryAfter);
+  }
+
+  @Override
+  public void fail(long request, Routing.Why why) {
+    failed.add(request);
+    actions.add("fail " + request);
+  }
+
+  @Override
+  public void timer(long delay, long token) {
+    if (delay < 0) {
+      throw new IllegalArgumentException("timer in the past");
+    }
+    timers.add(new long[] {now + delay, token});
+    actions.add("timer " + delay + " " + token);
+  }
+
+  @Override
+  public void watch(boolean on) {
+    actions.add("watch " + on);
+  }
+
+  @Override
+  public void fetchList() {
+    actions.add("fetch list");
+  }
+
+  @Override
+  public void probe(long server) {
+    actions.add("probe " + server);
+  }
+
+  @Override
+  public void tell(int peer, byte[] body) {
+    actions.add("tell " + peer);
+  }
+
+  @Override
+  public void closeIdle(long server) {
+    actions.add("close " + server);
+  }
+
+  @Override
+  public void log(String text) {
+    actions.add("log " + text);
+  }
 }
--- a/src/test/java/beaconturn/ledger/PlaceRulesTest.java
+++ b/src/test/java/beaconturn/ledger/PlaceRulesTest.java
@@ -8,120 +8,164 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The rules of places, by accounts that are written here: one router in east, and a cache server in each
- * place.
+ * The rules of places, by accounts that are written here: one router in east, and a cache server in
+ * each place.
  */
 class PlaceRulesTest {
-    private static final long SECOND = 1_000_000_000;
-    private static final Terms TERMS = new Terms(Map.of(), 3, true, 0, 0, 0, 10 * SECOND, 0.2, 10 * SECOND,
-        4, SECOND,
-        SECOND, null, new Terms.Zones(true, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
-    private final List<Entry> lines = new ArrayList<>(List.of(
-        new Entry.Started(0, "c1", "east", 0, 0, 1), new Entry.Started(0, "c2", "west", 0, 0, 1)));
-    private long number;
+  private static final long SECOND = 1_000_000_000;
+  private static final Terms TERMS =
+      new Terms(
+          Map.of(),
+          3,
+          true,
+          0,
+          0,
+          0,
+          10 * SECOND,
+          0.2,
+          10 * SECOND,
+          4,
+          SECOND,
+          SECOND,
+          null,
+          new Terms.Zones(true, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
+  private final List<Entry> lines =
+      new ArrayList<>(
+          List.of(
+              new Entry.Started(0, "c1", "east", 0, 0, 1),
+              new Entry.Started(0, "c2", "west", 0, 0, 1)));
+  private long number;
 
-    /** So many first sends, spread over two seconds from that one on. */
-    private PlaceRulesTest sends(int count, String server, double from) {
-        for (int i = 0; i < count; i++) {
-            long at = (long) (from * SECOND) + i * 2 * SECOND / count;
-            lines.add(new Entry.Sent(at, at, at, ++number, server, 0, number, "id" + number, "read", "key",
-                SECOND / 100));
-        }
-        return this;
+  /** So many first sends, spread over two seconds from that one on. */
+  private PlaceRulesTest sends(int count, String server, double from) {
+    for (int i = 0; i < count; i++) {
+      long at = (long) (from * SECOND) + i * 2 * SECOND / count;
+      lines.add(
+          new Entry.Sent(
+              at, at, at, ++number, server, 0, number, "id" + number, "read", "key", SECOND / 100));
     }
+    return this;
+  }
 
-    private PlaceRulesTest plan(double at, int near, int far) {
-        lines.add(new Entry.Planned((long) (at * SECOND), 1, Map.of("east", Map.of("east", near, "west",
-            far))));
-        return this;
-    }
+  private PlaceRulesTest plan(double at, int near, int far) {
+    lines.add(
+        new Entry.Planned(
+            (long) (at * SECOND), 1, Map.of("east", Map.of("east", near, "west", far))));
+    return this;
+  }
 
-    private void trouble(double at, boolean on) {
-        lines.add(new Entry.Troubled((long) (at * SECOND), on));
-    }
+  private void trouble(double at, boolean on) {
+    lines.add(new Entry.Troubled((long) (at * SECOND), on));
+  }
 
-    private List<String> broken() {
-        return Judge.judge(TERMS, lines).stream().filter(v -> !v.held())
-            .filter(v -> List.of("kept-near", "no-stampede", "one-decision").contains(v.rule()))
-            .map(v -> v.rule() + ": " + v.offences().get(0).what()).toList();
-    }
+  private List<String> broken() {
+    return Judge.judge(TERMS, lines).stream()
+        .filter(v -> !v.held())
+        .filter(v -> List.of("kept-near", "no-stampede", "one-decision").contains(v.rule()))
+        .map(v -> v.rule() + ": " + v.offences().get(0).what())
+        .toList();
+  }
 
-    @Test
-    void whatGoesFarOnACalmDayIsSeen() {
-        sends(100, "c1", 10).sends(2, "c2", 10);
-        assertEquals(List.of(), broken(), "a trial");
-        sends(20, "c2", 10);
-        plan(1, 800, 200);
-        assertEquals(List.of("kept-near: 22 of 122 first sends of five seconds went to other places, though"
-            + " all could be served near"), broken());
-        trouble(2, true);
-        trouble(7.5, false);
-        assertEquals(List.of(), broken(), "not back yet, and need not be");
-        trouble(20, true);
-        lines.removeIf(e -> e instanceof Entry.Troubled t && t.at() < 20 * SECOND);
-        assertEquals(1, broken().size(), "what comes later is no reason");
-    }
+  @Test
+  void whatGoesFarOnACalmDayIsSeen() {
+    sends(100, "c1", 10).sends(2, "c2", 10);
+    assertEquals(List.of(), broken(), "a trial");
+    sends(20, "c2", 10);
+    plan(1, 800, 200);
+    assertEquals(
+        List.of(
+            "kept-near: 22 of 122 first sends of five seconds went to other places, though"
+                + " all could be served near"),
+        broken());
+    trouble(2, true);
+    trouble(7.5, false);
+    assertEquals(List.of(), broken(), "not back yet, and need not be");
+    trouble(20, true);
+    lines.removeIf(e -> e instanceof Entry.Troubled t && t.at() < 20 * SECOND);
+    assertEquals(1, broken().size(), "what comes later is no reason");
+  }
 
-    /** More than four fifths of what a place carries with one of its cache servers gone. */
-    @Test
-    void whatIsTooMuchForItsPlaceMayGoFar() {
-        plan(1, 800, 200);
-        lines.add(new Entry.Started(0, "c3", "east", 0, 0, 1));
-        sends(1500, "c1", 10).sends(60, "c2", 10);
-        assertEquals(1, broken().stream().filter(b -> b.startsWith("kept-near")).count());
-        sends(200, "c1", 10);
-        assertEquals(0, broken().stream().filter(b -> b.startsWith("kept-near")).count());
-    }
+  /** More than four fifths of what a place carries with one of its cache servers gone. */
+  @Test
+  void whatIsTooMuchForItsPlaceMayGoFar() {
+    plan(1, 800, 200);
+    lines.add(new Entry.Started(0, "c3", "east", 0, 0, 1));
+    sends(1500, "c1", 10).sends(60, "c2", 10);
+    assertEquals(1, broken().stream().filter(b -> b.startsWith("kept-near")).count());
+    sends(200, "c1", 10);
+    assertEquals(0, broken().stream().filter(b -> b.startsWith("kept-near")).count());
+  }
 
-    @Test
-    void aPlaceThatIsSentMoreThanItCanDoIsSeen() {
-        trouble(0, true);
-        plan(0, 1000, 0);
-        sends(220, "c1", 2);
-        assertEquals(List.of(), broken(), "1.1 s of work a second");
-        sends(60, "c1", 2);
-        assertEquals(List.of("no-stampede: sent 1.4 times what its cache servers can do in a second"),
-            broken());
-    }
+  @Test
+  void aPlaceThatIsSentMoreThanItCanDoIsSeen() {
+    trouble(0, true);
+    plan(0, 1000, 0);
+    sends(220, "c1", 2);
+    assertEquals(List.of(), broken(), "1.1 s of work a second");
+    sends(60, "c1", 2);
+    assertEquals(
+        List.of("no-stampede: sent 1.4 times what its cache servers can do in a second"), broken());
+  }
 
-    /** By a plan that stands, or did so lately; the stated time is a second here. */
-    @Test
-    void sendingByAnOlderDecisionIsSeen() {
-        trouble(0, true);
-        plan(1, 500, 500).plan(9.5, 1000, 0);
-        sends(50, "c1", 4).sends(50, "c2", 4);
-        assertEquals(List.of(), broken());
-        sends(50, "c1", 10).sends(50, "c2", 10);
-        assertEquals(List.of(), broken(), "within the stated time of the plan before");
-        sends(50, "c1", 12).sends(50, "c2", 12);
-        assertEquals(List.of("one-decision: router 0 sent 50 of 100 there, where plans of the stated time"
-            + " allot 50 of 1000"), broken());
-    }
+  /** By a plan that stands, or did so lately; the stated time is a second here. */
+  @Test
+  void sendingByAnOlderDecisionIsSeen() {
+    trouble(0, true);
+    plan(1, 500, 500).plan(9.5, 1000, 0);
+    sends(50, "c1", 4).sends(50, "c2", 4);
+    assertEquals(List.of(), broken());
+    sends(50, "c1", 10).sends(50, "c2", 10);
+    assertEquals(List.of(), broken(), "within the stated time of the plan before");
+    sends(50, "c1", 12).sends(50, "c2", 12);
+    assertEquals(
+        List.of(
+            "one-decision: router 0 sent 50 of 100 there, where plans of the stated time"
+                + " allot 50 of 1000"),
+        broken());
+  }
 
-    @Test
-    void howFarTrafficWentIsToldInFigures() {
-        sends(99, "c1", 1).sends(1, "c2", 1).sends(150, "c1", 5).sends(50, "c2", 5);
-        trouble(4, true);
-        trouble(7, false);
-        plan(6.5, 750, 250).plan(11, 990, 10);
-        Crossings c = Crossings.of(TERMS, lines);
-        assertEquals(51 / 300.0, c.crossed(), 1e-9);
-        assertEquals(0.01, c.crossedCalm(), 1e-9);
-        assertEquals("east", c.busiest());
-        assertEquals(0.75, c.peak(), 1e-9);
-        assertEquals(2.5 * SECOND, c.decidedAfter());
-        assertEquals(4 * SECOND, c.backAfter());
-        assertEquals(0.75, c.near().get("east").get(5L), 1e-9);
-    }
+  @Test
+  void howFarTrafficWentIsToldInFigures() {
+    sends(99, "c1", 1).sends(1, "c2", 1).sends(150, "c1", 5).sends(50, "c2", 5);
+    trouble(4, true);
+    trouble(7, false);
+    plan(6.5, 750, 250).plan(11, 990, 10);
+    Crossings c = Crossings.of(TERMS, lines);
+    assertEquals(51 / 300.0, c.crossed(), 1e-9);
+    assertEquals(0.01, c.crossedCalm(), 1e-9);
+    assertEquals("east", c.busiest());
+    assertEquals(0.75, c.peak(), 1e-9);
+    assertEquals(2.5 * SECOND, c.decidedAfter());
+    assertEquals(4 * SECOND, c.backAfter());
+    assertEquals(0.75, c.near().get("east").get(5L), 1e-9);
+  }
 
-    /** The same account judged where routers decide nothing in common: nothing of it is promised. */
-    @Test
-    void whereNothingIsDecidedNothingIsJudged() {
-        sends(20, "c2", 10);
-        assertEquals(2, broken().size(), "far without a plan, and without a reason");
-        Terms undecided = new Terms(Map.of(), 3, true, 0, 0, 0, 10 * SECOND, 0.2, 10 * SECOND, 4, SECOND,
-            SECOND, null, new Terms.Zones(false, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
-        assertEquals(0, Judge.judge(undecided, lines).stream().filter(v -> v.rule().equals("kept-near"))
-            .mapToLong(Verdict::checked).sum());
-    }
+  /** The same account judged where routers decide nothing in common: nothing of it is promised. */
+  @Test
+  void whereNothingIsDecidedNothingIsJudged() {
+    sends(20, "c2", 10);
+    assertEquals(2, broken().size(), "far without a plan, and without a reason");
+    Terms undecided =
+        new Terms(
+            Map.of(),
+            3,
+            true,
+            0,
+            0,
+            0,
+            10 * SECOND,
+            0.2,
+            10 * SECOND,
+            4,
+            SECOND,
+            SECOND,
+            null,
+            new Terms.Zones(false, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
+    assertEquals(
+        0,
+        Judge.judge(undecided, lines).stream()
+            .filter(v -> v.rule().equals("kept-near"))
+            .mapToLong(Verdict::checked)
+            .sum());
+  }
 }
--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/BrokenRouter.java
@@ -21,175 +21,208 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Routers with a defect each, put in on purpose: what watches over routers must name every one of them. */
+/**
+ * Routers with a defect each, put in on purpose: what watches over routers must name every one of
+ * them.
+ */
 public final class BrokenRouter implements RouterServer.Hosting {
-    private static final int SOME = 15;
-    private static final long TOO_LONG = 60_000_000_000L;
-    private final Defect defect;
-    private int count;
-    private Slice before;
-
-    /** What is wrong with a router. */
-    public enum Defect {
-        /** Nothing: the same router as it should be. */
-        NONE,
-        /** Now and then a client gets its answer twice. */
-        ANSWERS_TWICE,
-        /** An unsafe request that may have run is sent again. */
-        REPEATS_UNSAFE,
-        /** News of drains are not heard. */
-        IGNORES_DRAINS,
-        /** Now and then a request is forgotten. */
-        LOSES,
-        /** Every cache server is taken for a warm one. */
-        OVERRUNS_COLD,
-        /** Now and then a client gets the answer of another. */
-        SWAPS_ANSWERS,
-        /** A command that is rejected ends its connection, whatever stands behind it. */
-        ENDS_AT_REJECTION,
-        /** Connections are ended over commands that have begun. */
-        ENDS_OVER_COMMANDS
-    }
-
-    private BrokenRouter(Defect defect) {
-        this.defect = defect;
-    }
-
-    /** A router with the defect; not started yet. */
-    public static RouterServer of(Defect defect, RouterConfig config) throws IOException {
-        return new RouterServer(config, () -> config, new Lifecycle(), new BrokenRouter(defect), null, null);
-    }
-
-    @Override
-    public ClientConnection connection(SocketChannel client, ClientConnection.Site site) {
-        return switch (defect) {
-            case ENDS_AT_REJECTION -> new ClientConnection(client, site) {
-                @Override
-                void rejected(String reason) {
-                    malformed(reason);
-                }
-            };
-            case ENDS_OVER_COMMANDS -> new ClientConnection(client, site) {
-                @Override
-                long halfReadSince() {
-                    // Long ago, however soon it is.
-                    return super.halfReadSince() - TOO_LONG;
-                }
-
-                @Override
-                boolean mayEndOverCommand(EndReason reason) {
-                    return true;
-                }
-            };
-            default -> new ClientConnection(client, site);
-        };
-    }
-
-    @Override
-    public Consumer<Message> inbox(Consumer<Message> mailbox) {
-        return message -> {
-            Message passed = spoil(message);
-            if (passed != null) {
-                mailbox.accept(passed);
+  private static final int SOME = 15;
+  private static final long TOO_LONG = 60_000_000_000L;
+  private final Defect defect;
+  private int count;
+  private Slice before;
+
+  /** What is wrong with a router. */
+  public enum Defect {
+    /** Nothing: the same router as it should be. */
+    NONE,
+    /** Now and then a client gets its answer twice. */
+    ANSWERS_TWICE,
+    /** An unsafe request that may have run is sent again. */
+    REPEATS_UNSAFE,
+    /** News of drains are not heard. */
+    IGNORES_DRAINS,
+    /** Now and then a request is forgotten. */
+    LOSES,
+    /** Every cache server is taken for a warm one. */
+    OVERRUNS_COLD,
+    /** Now and then a client gets the answer of another. */
+    SWAPS_ANSWERS,
+    /** A command that is rejected ends its connection, whatever stands behind it. */
+    ENDS_AT_REJECTION,
+    /** Connections are ended over commands that have begun. */
+    ENDS_OVER_COMMANDS
+  }
+
+  private BrokenRouter(Defect defect) {
+    this.defect = defect;
+  }
+
+  /** A router with the defect; not started yet. */
+  public static RouterServer of(Defect defect, RouterConfig config) throws IOException {
+    return new RouterServer(
+        config, () -> config, new Lifecycle(), new BrokenRouter(defect), null, null);
+  }
+
+  @Override
+  public ClientConnection connection(SocketChannel client, ClientConnection.Site site) {
+    return switch (defect) {
+      case ENDS_AT_REJECTION ->
+          new ClientConnection(client, site) {
+            @Override
+            void rejected(String reason) {
+              malformed(reason);
+            }
+          };
+      case ENDS_OVER_COMMANDS ->
+          new ClientConnection(client, site) {
+            @Override
+            long halfReadSince() {
+              // Long ago, however soon it is.
+              return super.halfReadSince() - TOO_LONG;
             }
-        };
-    }
 
-    private synchronized Message spoil(Message message) {
-        if (message instanceof Message.Arrived && defect == Defect.LOSES) {
-            return ++count % SOME == 0 ? null : message;
-        }
-        if (message instanceof Message.News news && defect == Defect.IGNORES_DRAINS) {
-            // The sockets too: they would hold a send back that the module should not have made.
-            return new Message.News(new ListNews(news.news().version(), news.news().kind(),
-                news.news().members().stream().map(BrokenRouter::undrained).toList()));
-        }
-        if (!(message instanceof Message.Ended ended) || ended.outcome().ending() != Routing.Ending.OK) {
-            return message;
-        }
-        Slice answer = ended.outcome().answer();
-        Slice other = before;
-        before = answer;
-        if (++count % SOME != 0 || other == null) {
-            return message;
-        }
-        return switch (defect) {
-            case ANSWERS_TWICE -> new Message.Ended(ended.attempt(), with(ended.outcome(), twice(answer)));
-            case SWAPS_ANSWERS -> new Message.Ended(ended.attempt(), with(ended.outcome(), other));
-            default -> message;
-        };
+            @Override
+            boolean mayEndOverCommand(EndReason reason) {
+              return true;
+            }
+          };
+      default -> new ClientConnection(client, site);
+    };
+  }
+
+  @Override
+  public Consumer<Message> inbox(Consumer<Message> mailbox) {
+    return message -> {
+      Message passed = spoil(message);
+      if (passed != null) {
+        mailbox.accept(passed);
+      }
+    };
+  }
+
+  private synchronized Message spoil(Message message) {
+    if (message instanceof Message.Arrived && defect == Defect.LOSES) {
+      return ++count % SOME == 0 ? null : message;
     }
-
-    private static ListNews.Member undrained(ListNews.Member m) {
-        Routing.ServerEntry e = m.entry();
-        return e.health() != Routing.Health.DRAINING ? m : new ListNews.Member(
-            new Routing.ServerEntry(e.server(), e.zone(), e.kind(), e.cell(), Routing.Health.READY,
-            e.rating(), e.bootTime()), m.host(), m.dial());
+    if (message instanceof Message.News news && defect == Defect.IGNORES_DRAINS) {
+      // The sockets too: they would hold a send back that the module should not have made.
+      return new Message.News(
+          new ListNews(
+              news.news().version(),
+              news.news().kind(),
+              news.news().members().stream().map(BrokenRouter::undrained).toList()));
     }
-
-    private static Outcome with(Outcome outcome, Slice answer) {
-        return new Outcome(outcome.ending(), outcome.at(), outcome.note(), outcome.report(), answer);
+    if (!(message instanceof Message.Ended ended)
+        || ended.outcome().ending() != Routing.Ending.OK) {
+      return message;
     }
-
-    private static Slice twice(Slice answer) {
-        byte[] both = new byte[2 * answer.length()];
-        System.arraycopy(answer.copy(), 0, both, 0, answer.length());
-        System.arraycopy(answer.copy(), 0, both, answer.length(), answer.length());
-        return new Slice(both, 0, both.length);
+    Slice answer = ended.outcome().answer();
+    Slice other = before;
+    before = answer;
+    if (++count % SOME != 0 || other == null) {
+      return message;
     }
-
-    @Override
-    public ModuleHost host(RouterConfig config, Clock clock, Fleet fleet, ListSource list) {
-        Routing.Settings settings = config.settings().routing();
-        return new ModuleHost(settings, clock, fleet, list, out -> {
-            Routing.Router module = new RingRouter(settings, config.seed(), clock.now(), out);
-            return switch (defect) {
-                case OVERRUNS_COLD -> (now, event) -> module.handle(now, warm(event));
-                case REPEATS_UNSAFE -> new Repeater(settings, module, out);
-                default -> module;
-            };
+    return switch (defect) {
+      case ANSWERS_TWICE ->
+          new Message.Ended(ended.attempt(), with(ended.outcome(), twice(answer)));
+      case SWAPS_ANSWERS -> new Message.Ended(ended.attempt(), with(ended.outcome(), other));
+      default -> message;
+    };
+  }
+
+  private static ListNews.Member undrained(ListNews.Member m) {
+    Routing.ServerEntry e = m.entry();
+    return e.health() != Routing.Health.DRAINING
+        ? m
+        : new ListNews.Member(
+            new Routing.ServerEntry(
+                e.server(),
+                e.zone(),
+                e.kind(),
+                e.cell(),
+                Routing.Health.READY,
+                e.rating(),
+                e.bootTime()),
+            m.host(),
+            m.dial());
+  }
+
+  private static Outcome with(Outcome outcome, Slice answer) {
+    return new Outcome(outcome.ending(), outcome.at(), outcome.note(), outcome.report(), answer);
+  }
+
+  private static Slice twice(Slice answer) {
+    byte[] both = new byte[2 * answer.length()];
+    System.arraycopy(answer.copy(), 0, both, 0, answer.length());
+    System.arraycopy(answer.copy(), 0, both, answer.length(), answer.length());
+    return new Slice(both, 0, both.length);
+  }
+
+  @Override
+  public ModuleHost host(RouterConfig config, Clock clock, Fleet fleet, ListSource list) {
+    Routing.Settings settings = config.settings().routing();
+    return new ModuleHost(
+        settings,
+        clock,
+        fleet,
+        list,
+        out -> {
+          Routing.Router module = new RingRouter(settings, config.seed(), clock.now(), out);
+          return switch (defect) {
+            case OVERRUNS_COLD -> (now, event) -> module.handle(now, warm(event));
+            case REPEATS_UNSAFE -> new Repeater(settings, module, out);
+            default -> module;
+          };
         });
-    }
+  }
 
-    private static Routing.Event warm(Routing.Event event) {
-        if (!(event instanceof Routing.ServerList list)) {
-            return event;
-        }
-        List<Routing.ServerEntry> entries = list.entries().stream()
-            .map(e -> new Routing.ServerEntry(e.server(), e.zone(), e.kind(), e.cell(), e.health(),
-            e.rating(), 0)).toList();
-        return new Routing.ServerList(list.version(), list.kind(), entries);
+  private static Routing.Event warm(Routing.Event event) {
+    if (!(event instanceof Routing.ServerList list)) {
+      return event;
+    }
+    List<Routing.ServerEntry> entries =
+        list.entries().stream()
+            .map(
+                e ->
+                    new Routing.ServerEntry(
+                        e.server(), e.zone(), e.kind(), e.cell(), e.health(), e.rating(), 0))
+            .toList();
+    return new Routing.ServerList(list.version(), list.kind(), entries);
+  }
+
+  /** Sends unsafe requests again after a reset, behind the module's back. */
+  private static final class Repeater implements Routing.Router {
+    private final Routing.Settings settings;
+    private final Routing.Router module;
+    private final Routing.Actions out;
+    private final Set<Long> unsafe = new HashSet<>();
+    private final Map<Long, Long> servers = new HashMap<>();
+
+    private Repeater(Routing.Settings settings, Routing.Router module, Routing.Actions out) {
+      this.settings = settings;
+      this.module = module;
+      this.out = out;
     }
 
-    /** Sends unsafe requests again after a reset, behind the module's back. */
-    private static final class Repeater implements Routing.Router {
-        private final Routing.Settings settings;
-        private final Routing.Router module;
-        private final Routing.Actions out;
-        private final Set<Long> unsafe = new HashSet<>();
-        private final Map<Long, Long> servers = new HashMap<>();
-
-        private Repeater(Routing.Settings settings, Routing.Router module, Routing.Actions out) {
-            this.settings = settings;
-            this.module = module;
-            this.out = out;
-        }
-
-        @Override
-        public void handle(long now, Routing.Event event) {
-            if (event instanceof Routing.ServerList list) {
-                list.entries().forEach(e -> servers.put(e.server(), e.server()));
-            } else if (event instanceof Routing.Arrival a
-                    && settings.classes().get(a.requestClass()).effect() == Routing.Effect.UNSAFE) {
-                unsafe.add(a.request());
-            } else if (event instanceof Routing.AttemptClosed e && unsafe.contains(e.request()) && !e.closed()
-                    && e.ending() == Routing.Ending.RESET && e.attempt() == 0) {
-                List<Long> others = new ArrayList<>(servers.keySet());
-                others.remove(e.server());
-                out.send(e.request(), others.get(0), 0);
-                return;
-            }
-            module.handle(now, event);
-        }
+    @Override
+    public void handle(long now, Routing.Event event) {
+      if (event instanceof Routing.ServerList list) {
+        list.entries().forEach(e -> servers.put(e.server(), e.server()));
+      } else if (event instanceof Routing.Arrival a
+          && settings.classes().get(a.requestClass()).effect() == Routing.Effect.UNSAFE) {
+        unsafe.add(a.request());
+      } else if (event instanceof Routing.AttemptClosed e
+          && unsafe.contains(e.request())
+          && !e.closed()
+          && e.ending() == Routing.Ending.RESET
+          && e.attempt() == 0) {
+        List<Long> others = new ArrayList<>(servers.keySet());
+        others.remove(e.server());
+        out.send(e.request(), others.get(0), 0);
+        return;
+      }
+      module.handle(now, event);
     }
+  }
 }
--- a/src/test/java/beaconturn/net/CacheFleetTest.java
+++ b/src/test/java/beaconturn/net/CacheFleetTest.java
@@ -20,74 +20,96 @@
 import org.junit.jupiter.api.Timeout;
 
 class CacheFleetTest {
-    private static final long SECOND = 1_000_000_000;
-    private static final int MANY = 200;
-    private final Clock clock = Clock.system();
-    private final Workers workers = new Workers("fleet-cache", SECOND / 100);
-    private final BlockingQueue<Message> module = new LinkedBlockingQueue<>();
-    private final CacheServer.Site site =
-        CacheServerTest.site(clock, module::add, new Places(9), SECOND / 100, workers);
-    private final CacheFleet fleet = new CacheFleet(site);
+  private static final long SECOND = 1_000_000_000;
+  private static final int MANY = 200;
+  private final Clock clock = Clock.system();
+  private final Workers workers = new Workers("fleet-cache", SECOND / 100);
+  private final BlockingQueue<Message> module = new LinkedBlockingQueue<>();
+  private final CacheServer.Site site =
+      CacheServerTest.site(clock, module::add, new Places(9), SECOND / 100, workers);
+  private final CacheFleet fleet = new CacheFleet(site);
 
-    private static ListNews.Member member(long id, Routing.Health health, Peer peer) {
-        return new ListNews.Member(new Routing.ServerEntry(id, 0, 0, 0, health, 1, 0), "fleet-" + id,
-            peer.dial());
-    }
+  private static ListNews.Member member(long id, Routing.Health health, Peer peer) {
+    return new ListNews.Member(
+        new Routing.ServerEntry(id, 0, 0, 0, health, 1, 0), "fleet-" + id, peer.dial());
+  }
 
-    private Attempt attempt(long server) {
-        Call call = new ClientCall(new Call.Ask(0, 1, false, false, 0, 0, 0), clock.now() + 100 * SECOND,
-            new RequestParser.Parts(Slice.of("$5\r\nC.GET\r\n$1\r\na\r\n$2\r\nid\r\n"), Slice.of("id"),
-                Map.of("d", "1"), null), CacheServerTest.READ, () -> { });
-        return new Attempt(1, 0, server, call, clock.now(), 100 * SECOND);
-    }
+  private Attempt attempt(long server) {
+    Call call =
+        new ClientCall(
+            new Call.Ask(0, 1, false, false, 0, 0, 0),
+            clock.now() + 100 * SECOND,
+            new RequestParser.Parts(
+                Slice.of("$5\r\nC.GET\r\n$1\r\na\r\n$2\r\nid\r\n"),
+                Slice.of("id"),
+                Map.of("d", "1"),
+                null),
+            CacheServerTest.READ,
+            () -> {});
+    return new Attempt(1, 0, server, call, clock.now(), 100 * SECOND);
+  }
 
-    private static Peer cache() {
-        return new Peer(line -> {
-            while (!line.command().equals("end")) {
-                line.write("*3\r\n$2\r\nva\r\n$3\r\nhit\r\n$-1\r\n");
-            }
+  private static Peer cache() {
+    return new Peer(
+        line -> {
+          while (!line.command().equals("end")) {
+            line.write("*3\r\n$2\r\nva\r\n$3\r\nhit\r\n$-1\r\n");
+          }
         });
-    }
+  }
 
-    /** On a long day servers go again and again; the actor of each must go with it, news or not. */
-    @Test
-    @Timeout(60)
-    void theActorOfAServerThatIsGoneEndsWithoutFurtherNews() throws Exception {
-        try (Peer peer = cache()) {
-            fleet.follow(new ListNews(1, Routing.ListKind.FULL, List.of(
-                member(1, Routing.Health.READY, peer), member(2, Routing.Health.READY, peer))));
-            assertTrue(fleet.send(attempt(1)));
-            Peer.until(() -> site.actors().count() == 2);
-            fleet.follow(new ListNews(2, Routing.ListKind.DELTA, List.of(
-                member(1, Routing.Health.GONE, peer))));
-            assertFalse(fleet.send(attempt(1)), "nothing is sent to a server that is gone");
-            Attempt givenUp = attempt(2);
-            givenUp.end(Routing.Ending.CANCELLED);
-            Peer.until(() -> {
-                fleet.send(givenUp);
-                return site.actors().count() == 1;
-            });
-        }
+  /** On a long day servers go again and again; the actor of each must go with it, news or not. */
+  @Test
+  @Timeout(60)
+  void theActorOfAServerThatIsGoneEndsWithoutFurtherNews() throws Exception {
+    try (Peer peer = cache()) {
+      fleet.follow(
+          new ListNews(
+              1,
+              Routing.ListKind.FULL,
+              List.of(
+                  member(1, Routing.Health.READY, peer), member(2, Routing.Health.READY, peer))));
+      assertTrue(fleet.send(attempt(1)));
+      Peer.until(() -> site.actors().count() == 2);
+      fleet.follow(
+          new ListNews(2, Routing.ListKind.DELTA, List.of(member(1, Routing.Health.GONE, peer))));
+      assertFalse(fleet.send(attempt(1)), "nothing is sent to a server that is gone");
+      Attempt givenUp = attempt(2);
+      givenUp.end(Routing.Ending.CANCELLED);
+      Peer.until(
+          () -> {
+            fleet.send(givenUp);
+            return site.actors().count() == 1;
+          });
     }
+  }
 
-    /** Threads cost a start and memory: they go by what is out at once, not by how many servers there are. */
-    @Test
-    @Timeout(60)
-    void threadsGoByWhatIsOutAndAreGivenBack() throws Exception {
-        try (Peer peer = cache()) {
-            fleet.follow(new ListNews(1, Routing.ListKind.FULL, LongStream.range(0, MANY)
-                .mapToObj(id -> member(id, Routing.Health.READY, peer)).toList()));
-            Peer.until(() -> site.actors().count() == MANY);
-            int most = 0;
-            for (long id = 0; id < MANY; id++) {
-                assertTrue(fleet.send(attempt(id)));
-                Message.Ended ended = (Message.Ended) module.take();
-                assertEquals(Routing.Ending.OK, ended.outcome().ending());
-                most = Math.max(most, workers.threads());
-                fleet.closeIdle(id);
-            }
-            assertTrue(most <= 3, most + " threads for one request at a time");
-            Peer.until(() -> workers.threads() == 0);
-        }
+  /**
+   * Threads cost a start and memory: they go by what is out at once, not by how many servers there
+   * are.
+   */
+  @Test
+  @Timeout(60)
+  void threadsGoByWhatIsOutAndAreGivenBack() throws Exception {
+    try (Peer peer = cache()) {
+      fleet.follow(
+          new ListNews(
+              1,
+              Routing.ListKind.FULL,
+              LongStream.range(0, MANY)
+                  .mapToObj(id -> member(id, Routing.Health.READY, peer))
+                  .toList()));
+      Peer.until(() -> site.actors().count() == MANY);
+      int most = 0;
+      for (long id = 0; id < MANY; id++) {
+        assertTrue(fleet.send(attempt(id)));
+        Message.Ended ended = (Message.Ended) module.take();
+        assertEquals(Routing.Ending.OK, ended.outcome().ending());
+        most = Math.max(most, workers.threads());
+        fleet.closeIdle(id);
+      }
+      assertTrue(most <= 3, most + " threads for one request at a time");
+      Peer.until(() -> workers.threads() == 0);
     }
+  }
 }
--- a/src/test/java/beaconturn/net/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/CacheServerTest.java
@@ -28,477 +28,575 @@
 
 /** What comes back from a cache server, outcome by outcome of the protocol's table. */
 class CacheServerTest {
-    private static final long SECOND = 1_000_000_000;
-    private static final String VALUE = "*3\r\n$2\r\nva\r\n$4\r\nmiss\r\n$-1\r\n";
-    private final Clock system = Clock.system();
-    private final AtomicLong passed = new AtomicLong();
-    /** The time at which the clock stands still, or 0 while it goes. */
-    private final AtomicLong still = new AtomicLong();
-    private final Clock clock = () -> still.get() != 0 ? still.get() : system.now() + passed.get();
-    private final BlockingQueue<Message> module = new LinkedBlockingQueue<>();
-    static final ClientCall.Reading READ = new ClientCall.Reading(null, "read", 0, Tally.NONE);
-    private int sent;
-
-    static CacheServer.Site site(Clock clock, Consumer<Message> module, Places places, long idleTime,
-            Workers workers) {
-        CacheActors actors = new CacheActors(idleTime);
-        actors.start();
-        return new CacheServer.Site(clock, module, places, new ReplyReader(Samples.read().routing()), SECOND,
-            idleTime, Tally.NONE, actors, workers, () -> true);
-    }
-
-    private CacheServer server(InetSocketAddress dial, int connections, long idleTime) {
-        CacheServer server = new CacheServer(
-            site(clock, module::add, new Places(connections), idleTime, new Workers("test-cache", SECOND)),
-            "s-1", dial);
-        server.start();
-        return server;
-    }
-
-    private CacheServer server(Peer peer) {
-        return server(peer.address(), 100, 60 * SECOND);
-    }
-
-    private Attempt attempt(Slice value) {
-        String name = "key-" + sent;
-        Call call = new ClientCall(new Call.Ask(0, 1, false, false, 0, 0, 0), clock.now() + 100 * SECOND,
+  private static final long SECOND = 1_000_000_000;
+  private static final String VALUE = "*3\r\n$2\r\nva\r\n$4\r\nmiss\r\n$-1\r\n";
+  private final Clock system = Clock.system();
+  private final AtomicLong passed = new AtomicLong();
+
+  /** The time at which the clock stands still, or 0 while it goes. */
+  private final AtomicLong still = new AtomicLong();
+
+  private final Clock clock = () -> still.get() != 0 ? still.get() : system.now() + passed.get();
+  private final BlockingQueue<Message> module = new LinkedBlockingQueue<>();
+  static final ClientCall.Reading READ = new ClientCall.Reading(null, "read", 0, Tally.NONE);
+  private int sent;
+
+  static CacheServer.Site site(
+      Clock clock, Consumer<Message> module, Places places, long idleTime, Workers workers) {
+    CacheActors actors = new CacheActors(idleTime);
+    actors.start();
+    return new CacheServer.Site(
+        clock,
+        module,
+        places,
+        new ReplyReader(Samples.read().routing()),
+        SECOND,
+        idleTime,
+        Tally.NONE,
+        actors,
+        workers,
+        () -> true);
+  }
+
+  private CacheServer server(InetSocketAddress dial, int connections, long idleTime) {
+    CacheServer server =
+        new CacheServer(
+            site(
+                clock,
+                module::add,
+                new Places(connections),
+                idleTime,
+                new Workers("test-cache", SECOND)),
+            "s-1",
+            dial);
+    server.start();
+    return server;
+  }
+
+  private CacheServer server(Peer peer) {
+    return server(peer.address(), 100, 60 * SECOND);
+  }
+
+  private Attempt attempt(Slice value) {
+    String name = "key-" + sent;
+    Call call =
+        new ClientCall(
+            new Call.Ask(0, 1, false, false, 0, 0, 0),
+            clock.now() + 100 * SECOND,
             new RequestParser.Parts(
-                Slice.of("$5\r\nC.GET\r\n" + RespWriter.bulk(name) + RespWriter.bulk("id")), Slice.of("id"),
-                Map.of("d", "1"), value), READ, () -> { });
-        return new Attempt(++sent, 0, 7, call, clock.now(), 100 * SECOND);
-    }
-
-    /** Sends once the connections of earlier answers have settled. */
-    private Attempt send(CacheServer server) {
-        passed.addAndGet(SECOND);
-        Attempt attempt = attempt(null);
-        assertTrue(server.send(attempt));
-        return attempt;
-    }
-
-    private Outcome outcome(Attempt of) throws InterruptedException {
-        Message.Ended ended = (Message.Ended) module.poll(20, TimeUnit.SECONDS);
-        assertNotNull(ended, "no outcome");
-        assertEquals(of, ended.attempt());
-        return ended.outcome();
-    }
-
-    private void expect(Routing.Ending ending, Peer.Script script) throws InterruptedException {
-        try (Peer peer = new Peer(script)) {
-            assertEquals(ending, outcome(send(server(peer))).ending());
-            assertEquals(1, peer.connections(), "nothing is sent again by itself");
-        }
-    }
-
-    @Test
-    void anArrayIsServedWithItsNoteInHoweverManyPieces() throws InterruptedException {
-        try (Peer peer = new Peer(line -> {
-            line.command();
-            for (char c : VALUE.toCharArray()) {
+                Slice.of("$5\r\nC.GET\r\n" + RespWriter.bulk(name) + RespWriter.bulk("id")),
+                Slice.of("id"),
+                Map.of("d", "1"),
+                value),
+            READ,
+            () -> {});
+    return new Attempt(++sent, 0, 7, call, clock.now(), 100 * SECOND);
+  }
+
+  /** Sends once the connections of earlier answers have settled. */
+  private Attempt send(CacheServer server) {
+    passed.addAndGet(SECOND);
+    Attempt attempt = attempt(null);
+    assertTrue(server.send(attempt));
+    return attempt;
+  }
+
+  private Outcome outcome(Attempt of) throws InterruptedException {
+    Message.Ended ended = (Message.Ended) module.poll(20, TimeUnit.SECONDS);
+    assertNotNull(ended, "no outcome");
+    assertEquals(of, ended.attempt());
+    return ended.outcome();
+  }
+
+  private void expect(Routing.Ending ending, Peer.Script script) throws InterruptedException {
+    try (Peer peer = new Peer(script)) {
+      assertEquals(ending, outcome(send(server(peer))).ending());
+      assertEquals(1, peer.connections(), "nothing is sent again by itself");
+    }
+  }
+
+  @Test
+  void anArrayIsServedWithItsNoteInHoweverManyPieces() throws InterruptedException {
+    try (Peer peer =
+        new Peer(
+            line -> {
+              line.command();
+              for (char c : VALUE.toCharArray()) {
                 line.write(Character.toString(c));
-            }
-            line.command();
-        })) {
-            Outcome outcome = outcome(send(server(peer)));
-            assertEquals(Routing.Ending.OK, outcome.ending());
-            assertEquals(Routing.Note.MISS, outcome.note());
-            assertEquals("$2\r\nva\r\n", outcome.answer().toString());
-        }
-    }
-
-    @Test
-    void anErrorMayHaveRun() throws InterruptedException {
-        expect(Routing.Ending.ERROR, line -> {
-            line.command();
-            line.write("-ERR failed\r\n");
-            line.command();
+              }
+              line.command();
+            })) {
+      Outcome outcome = outcome(send(server(peer)));
+      assertEquals(Routing.Ending.OK, outcome.ending());
+      assertEquals(Routing.Note.MISS, outcome.note());
+      assertEquals("$2\r\nva\r\n", outcome.answer().toString());
+    }
+  }
+
+  @Test
+  void anErrorMayHaveRun() throws InterruptedException {
+    expect(
+        Routing.Ending.ERROR,
+        line -> {
+          line.command();
+          line.write("-ERR failed\r\n");
+          line.command();
         });
-    }
-
-    /** Guards against a send that waited here while its router was told that the server drains. */
-    @Test
-    void whatStillWaitsWhenItsServerDrainsIsNotWritten() throws InterruptedException {
-        try (Peer peer = new Peer(Peer.Line::command)) {
-            CacheServer server = server(peer);
-            server.wanted(false);
-            assertEquals(Routing.Ending.MOOT, outcome(send(server)).ending());
-            assertEquals(0, peer.connections());
-        }
-    }
-
-    /** The client's close reaches the module later than those who write: they look themselves. */
-    @Test
-    void whatNobodyWaitsForIsNotWritten() throws InterruptedException {
-        try (Peer peer = new Peer(Peer.Line::command)) {
-            CacheServer server = server(peer);
-            passed.addAndGet(SECOND);
-            Attempt attempt = attempt(null);
-            ((ClientCall) attempt.call()).abandoned();
-            assertTrue(server.send(attempt));
-            assertEquals(Routing.Ending.MOOT, outcome(attempt).ending());
-            assertEquals(0, peer.connections());
-        }
-    }
-
-    /** Nobody is told of a time that is over, in however small a number. */
-    @Test
-    void whatHasNoTimeLeftIsNotWritten() throws InterruptedException {
-        try (Peer peer = new Peer(Peer.Line::command)) {
-            CacheServer server = server(peer);
-            Attempt attempt = attempt(null);
-            passed.addAndGet(101 * SECOND);
-            assertTrue(server.send(attempt));
-            assertEquals(Routing.Ending.MOOT, outcome(attempt).ending());
-            assertEquals(0, peer.connections());
-        }
-    }
-
-    /** A connection that comes up after its client has gone carries nothing. */
-    @Test
-    void aClientThatLeavesWhileTheConnectionComesUpIsNotWrittenFor() throws Exception {
-        try (Peer peer = new Peer(line -> line.note(line.command()))) {
-            CacheConnection connection = new CacheConnection(peer.address(), SECOND, clock,
-                new ReplyReader(Samples.read().routing()), new Ignoring() {
-                    @Override
-                    public boolean wanted() {
-                        return true;
-                    }
-                });
-            Attempt attempt = attempt(null);
-            ((ClientCall) attempt.call()).abandoned();
-            connection.carry(attempt);
-            assertEquals("end", peer.note());
-        }
-    }
-
-    private abstract static class Ignoring implements CacheConnection.Owner {
-        @Override
-        public void begun(Attempt attempt, long at, Flow flow) { }
-
-        @Override
-        public void ended(CacheConnection connection, Attempt attempt, Outcome outcome, boolean reusable) { }
-
-        @Override
-        public void stale(Attempt attempt) { }
-
-        @Override
-        public void sent() { }
-
-        @Override
-        public void spoilt() { }
-
-        @Override
-        public void closed() { }
-    }
-
-    @Test
-    void busyNeverRan() throws InterruptedException {
-        expect(Routing.Ending.FULL, line -> {
-            line.command();
-            line.write("-BUSY\r\n");
+  }
+
+  /** Guards against a send that waited here while its router was told that the server drains. */
+  @Test
+  void whatStillWaitsWhenItsServerDrainsIsNotWritten() throws InterruptedException {
+    try (Peer peer = new Peer(Peer.Line::command)) {
+      CacheServer server = server(peer);
+      server.wanted(false);
+      assertEquals(Routing.Ending.MOOT, outcome(send(server)).ending());
+      assertEquals(0, peer.connections());
+    }
+  }
+
+  /** The client's close reaches the module later than those who write: they look themselves. */
+  @Test
+  void whatNobodyWaitsForIsNotWritten() throws InterruptedException {
+    try (Peer peer = new Peer(Peer.Line::command)) {
+      CacheServer server = server(peer);
+      passed.addAndGet(SECOND);
+      Attempt attempt = attempt(null);
+      ((ClientCall) attempt.call()).abandoned();
+      assertTrue(server.send(attempt));
+      assertEquals(Routing.Ending.MOOT, outcome(attempt).ending());
+      assertEquals(0, peer.connections());
+    }
+  }
+
+  /** Nobody is told of a time that is over, in however small a number. */
+  @Test
+  void whatHasNoTimeLeftIsNotWritten() throws InterruptedException {
+    try (Peer peer = new Peer(Peer.Line::command)) {
+      CacheServer server = server(peer);
+      Attempt attempt = attempt(null);
+      passed.addAndGet(101 * SECOND);
+      assertTrue(server.send(attempt));
+      assertEquals(Routing.Ending.MOOT, outcome(attempt).ending());
+      assertEquals(0, peer.connections());
+    }
+  }
+
+  /** A connection that comes up after its client has gone carries nothing. */
+  @Test
+  void aClientThatLeavesWhileTheConnectionComesUpIsNotWrittenFor() throws Exception {
+    try (Peer peer = new Peer(line -> line.note(line.command()))) {
+      CacheConnection connection =
+          new CacheConnection(
+              peer.address(),
+              SECOND,
+              clock,
+              new ReplyReader(Samples.read().routing()),
+              new Ignoring() {
+                @Override
+                public boolean wanted() {
+                  return true;
+                }
+              });
+      Attempt attempt = attempt(null);
+      ((ClientCall) attempt.call()).abandoned();
+      connection.carry(attempt);
+      assertEquals("end", peer.note());
+    }
+  }
+
+  private abstract static class Ignoring implements CacheConnection.Owner {
+    @Override
+    public void begun(Attempt attempt, long at, Flow flow) {}
+
+    @Override
+    public void ended(
+        CacheConnection connection, Attempt attempt, Outcome outcome, boolean reusable) {}
+
+    @Override
+    public void stale(Attempt attempt) {}
+
+    @Override
+    public void sent() {}
+
+    @Override
+    public void spoilt() {}
+
+    @Override
+    public void closed() {}
+  }
+
+  @Test
+  void busyNeverRan() throws InterruptedException {
+    expect(
+        Routing.Ending.FULL,
+        line -> {
+          line.command();
+          line.write("-BUSY\r\n");
         });
-    }
-
-    @Test
-    void aConnectionThatEndsAfterTheLastByteIsAReset() throws InterruptedException {
-        expect(Routing.Ending.RESET, Peer.Line::command);
-        expect(Routing.Ending.RESET, line -> {
-            line.command();
-            line.reset();
+  }
+
+  @Test
+  void aConnectionThatEndsAfterTheLastByteIsAReset() throws InterruptedException {
+    expect(Routing.Ending.RESET, Peer.Line::command);
+    expect(
+        Routing.Ending.RESET,
+        line -> {
+          line.command();
+          line.reset();
         });
-        expect(Routing.Ending.RESET, line -> {
-            line.command();
-            line.write(VALUE.substring(0, VALUE.length() - 1));
+    expect(
+        Routing.Ending.RESET,
+        line -> {
+          line.command();
+          line.write(VALUE.substring(0, VALUE.length() - 1));
         });
-    }
-
-    @Test
-    void anAnswerUnlikeTheProtocolIsNoValue() throws InterruptedException {
-        expect(Routing.Ending.RESET, line -> {
-            line.command();
-            line.write("HTTP/1.1 200 OK\r\n");
-            line.command();
+  }
+
+  @Test
+  void anAnswerUnlikeTheProtocolIsNoValue() throws InterruptedException {
+    expect(
+        Routing.Ending.RESET,
+        line -> {
+          line.command();
+          line.write("HTTP/1.1 200 OK\r\n");
+          line.command();
         });
-    }
-
-    /**
-     * It has run, so it is no failed connect; and what else comes on that connection belongs to nothing.
-     */
-    @Test
-    void aSpoiltAnswerMayHaveRunAndItsConnectionIsClosed() throws InterruptedException {
-        for (String spoilt : List.of(":5\r\n", "+OK\r\n", "-NOISE x\r\n", "$2\r\nva\r\n", "*-1\r\n", "*0\r\n",
-                "*1\r\n$2\r\nva\r\n", "*1\r\n$-1\r\n", "*3\r\n:1\r\n$3\r\nhit\r\n$-1\r\n", "*3\r\n$-5\r\n",
-                "*3\r\n$3000000000\r\nvvvv", "*3\r\n$1\r\nva\r\n", "\u0000\u00ff\n", "*99\r\n",
-                "x".repeat(2000))) {
-            try (Peer peer = new Peer(line -> {
+  }
+
+  /**
+   * It has run, so it is no failed connect; and what else comes on that connection belongs to
+   * nothing.
+   */
+  @Test
+  void aSpoiltAnswerMayHaveRunAndItsConnectionIsClosed() throws InterruptedException {
+    for (String spoilt :
+        List.of(
+            ":5\r\n",
+            "+OK\r\n",
+            "-NOISE x\r\n",
+            "$2\r\nva\r\n",
+            "*-1\r\n",
+            "*0\r\n",
+            "*1\r\n$2\r\nva\r\n",
+            "*1\r\n$-1\r\n",
+            "*3\r\n:1\r\n$3\r\nhit\r\n$-1\r\n",
+            "*3\r\n$-5\r\n",
+            "*3\r\n$3000000000\r\nvvvv",
+            "*3\r\n$1\r\nva\r\n",
+            "\u0000\u00ff\n",
+            "*99\r\n",
+            "x".repeat(2000))) {
+      try (Peer peer =
+          new Peer(
+              line -> {
                 line.command();
                 line.write(spoilt);
                 line.note(line.command());
-            })) {
-                assertEquals(Routing.Ending.RESET, outcome(send(server(peer))).ending(), spoilt);
-                assertTrue(List.of("end", "broken").contains(peer.note()), spoilt);
-            }
-        }
-    }
-
-    /** A second copy right behind a good answer must not be taken for the answer of the next request. */
-    @Test
-    void aGoodAnswerWithMoreBehindItIsServedAndItsConnectionClosed() throws InterruptedException {
-        for (String more : List.of(VALUE, VALUE.substring(0, 5), "noise")) {
-            try (Peer peer = new Peer(line -> {
+              })) {
+        assertEquals(Routing.Ending.RESET, outcome(send(server(peer))).ending(), spoilt);
+        assertTrue(List.of("end", "broken").contains(peer.note()), spoilt);
+      }
+    }
+  }
+
+  /**
+   * A second copy right behind a good answer must not be taken for the answer of the next request.
+   */
+  @Test
+  void aGoodAnswerWithMoreBehindItIsServedAndItsConnectionClosed() throws InterruptedException {
+    for (String more : List.of(VALUE, VALUE.substring(0, 5), "noise")) {
+      try (Peer peer =
+          new Peer(
+              line -> {
                 line.command();
                 line.write(VALUE + more);
                 line.note(line.command());
-            })) {
-                CacheServer server = server(peer);
-                assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
-                assertTrue(List.of("end", "broken").contains(peer.note()));
-                assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
-                assertEquals(2, peer.connections());
-            }
-        }
-    }
-
-    /** The same where the rest comes one read later, on a connection that stands idle, whole or in part. */
-    @Test
-    void whatComesOnAnIdleConnectionClosesIt() throws InterruptedException {
-        for (String more : List.of(VALUE, VALUE.substring(0, 5), "n")) {
-            CountDownLatch later = new CountDownLatch(1);
-            try (Peer peer = new Peer(line -> {
+              })) {
+        CacheServer server = server(peer);
+        assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
+        assertTrue(List.of("end", "broken").contains(peer.note()));
+        assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
+        assertEquals(2, peer.connections());
+      }
+    }
+  }
+
+  /**
+   * The same where the rest comes one read later, on a connection that stands idle, whole or in
+   * part.
+   */
+  @Test
+  void whatComesOnAnIdleConnectionClosesIt() throws InterruptedException {
+    for (String more : List.of(VALUE, VALUE.substring(0, 5), "n")) {
+      CountDownLatch later = new CountDownLatch(1);
+      try (Peer peer =
+          new Peer(
+              line -> {
                 line.command();
                 line.write(VALUE);
                 later.await();
                 line.write(more);
                 line.note(line.command());
-            })) {
-                CacheServer server = server(peer);
-                assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
-                later.countDown();
-                assertTrue(List.of("end", "broken").contains(peer.note()));
-                assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
-                assertEquals(2, peer.connections());
-            }
-        }
-    }
-
-    /**
-     * What an answer brings behind itself may still be on its way when the next request wants to go out.
-     */
-    @Test
-    void aConnectionIsNotUsedAgainAtTheMomentOfItsAnswer() throws InterruptedException {
-        try (Peer peer = new Peer(line -> {
-            while (!line.command().equals("end")) {
+              })) {
+        CacheServer server = server(peer);
+        assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
+        later.countDown();
+        assertTrue(List.of("end", "broken").contains(peer.note()));
+        assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
+        assertEquals(2, peer.connections());
+      }
+    }
+  }
+
+  /**
+   * What an answer brings behind itself may still be on its way when the next request wants to go
+   * out.
+   */
+  @Test
+  void aConnectionIsNotUsedAgainAtTheMomentOfItsAnswer() throws InterruptedException {
+    try (Peer peer =
+        new Peer(
+            line -> {
+              while (!line.command().equals("end")) {
                 line.write(VALUE);
-            }
-        })) {
-            CacheServer server = server(peer);
-            outcome(send(server));
-            passed.addAndGet(-system.now() - passed.get());
-            Attempt next = attempt(null);
-            assertTrue(server.send(next));
-            assertEquals(Routing.Ending.OK, outcome(next).ending());
-            assertEquals(2, peer.connections());
-        }
-    }
-
-    @Test
-    void aRefusedConnectionNeverRan() throws InterruptedException {
-        Peer peer = new Peer(Peer.Line::command);
-        peer.close();
-        assertEquals(Routing.Ending.CONNECT_FAILED, outcome(send(server(peer))).ending());
-    }
-
-    @Test
-    void withoutAPlaceForAConnectionNothingRan() throws InterruptedException {
-        CountDownLatch over = new CountDownLatch(1);
-        try (Peer peer = new Peer(line -> over.await())) {
-            CacheServer server = server(peer.address(), 1, 60 * SECOND);
-            send(server);
-            assertEquals(Routing.Ending.UNSENT, outcome(send(server)).ending());
-            over.countDown();
-        }
-    }
-
-    @Test
-    void connectionsAreUsedAgainOneRequestAtATime() throws InterruptedException {
-        try (Peer peer = new Peer(line -> {
-            for (String c = line.command(); !c.equals("end"); c = line.command()) {
+              }
+            })) {
+      CacheServer server = server(peer);
+      outcome(send(server));
+      passed.addAndGet(-system.now() - passed.get());
+      Attempt next = attempt(null);
+      assertTrue(server.send(next));
+      assertEquals(Routing.Ending.OK, outcome(next).ending());
+      assertEquals(2, peer.connections());
+    }
+  }
+
+  @Test
+  void aRefusedConnectionNeverRan() throws InterruptedException {
+    Peer peer = new Peer(Peer.Line::command);
+    peer.close();
+    assertEquals(Routing.Ending.CONNECT_FAILED, outcome(send(server(peer))).ending());
+  }
+
+  @Test
+  void withoutAPlaceForAConnectionNothingRan() throws InterruptedException {
+    CountDownLatch over = new CountDownLatch(1);
+    try (Peer peer = new Peer(line -> over.await())) {
+      CacheServer server = server(peer.address(), 1, 60 * SECOND);
+      send(server);
+      assertEquals(Routing.Ending.UNSENT, outcome(send(server)).ending());
+      over.countDown();
+    }
+  }
+
+  @Test
+  void connectionsAreUsedAgainOneRequestAtATime() throws InterruptedException {
+    try (Peer peer =
+        new Peer(
+            line -> {
+              for (String c = line.command(); !c.equals("end"); c = line.command()) {
                 line.note(c.split(" ")[1]);
                 line.write(VALUE);
-            }
-        })) {
-            CacheServer server = server(peer);
-            for (int i = 0; i < 5; i++) {
-                assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
-                assertEquals("key-" + i, peer.note());
-            }
-            assertEquals(1, peer.connections());
-        }
-    }
-
-    /** A request behind another would wait for it, and giving one up would cut off the other. */
-    @Test
-    void requestsAtOnceGetConnectionsOfTheirOwn() throws InterruptedException {
-        CountDownLatch over = new CountDownLatch(1);
-        try (Peer peer = new Peer(line -> {
-            line.note(line.command());
-            over.await();
-        })) {
-            CacheServer server = server(peer);
-            send(server);
-            send(server);
-            peer.note();
-            peer.note();
-            assertEquals(2, peer.connections());
-            over.countDown();
-        }
-    }
-
-    /**
-     * Nothing proves an attempt over but the end of its connection; and a reset, after which no kernel
-     * goes on to deliver what a cut network holds up.
-     */
-    @Test
-    void anAttemptGivenUpResetsItsConnection() throws InterruptedException {
-        try (Peer peer = new Peer(line -> {
-            line.command();
-            line.note("begun");
-            line.note(line.command());
-        })) {
-            CacheServer server = server(peer);
-            Attempt attempt = send(server);
-            assertEquals("begun", peer.note());
-            server.abort(attempt);
-            assertEquals("broken", peer.note());
-        }
-    }
-
-    /** Connections that have not settled are not used again, and hold no place against a request either. */
-    @Test
-    void answersFasterThanConnectionsSettleFindAPlace() throws InterruptedException {
-        try (Peer peer = new Peer(line -> {
-            line.command();
-            line.write(VALUE);
-            line.note(line.command());
-        })) {
-            CacheServer server = server(peer.address(), 1, 60 * SECOND);
-            // However late the second one is sent: the first connection must not have settled by then.
-            still.set(system.now());
-            for (int i = 0; i < 2; i++) {
-                Attempt attempt = attempt(null);
-                assertTrue(server.send(attempt));
-                assertEquals(Routing.Ending.OK, outcome(attempt).ending());
-            }
-            assertEquals("end", peer.note());
-            assertEquals(2, peer.connections());
-        }
-    }
-
-    /** What was given up on its way must not run: a copy of it may already be out elsewhere. */
-    @Test
-    void anAttemptGivenUpBeforeItWasBegunIsNotWritten() throws InterruptedException {
-        try (Peer peer = new Peer(line -> {
-            for (String c = line.command(); !c.equals("end"); c = line.command()) {
+              }
+            })) {
+      CacheServer server = server(peer);
+      for (int i = 0; i < 5; i++) {
+        assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
+        assertEquals("key-" + i, peer.note());
+      }
+      assertEquals(1, peer.connections());
+    }
+  }
+
+  /** A request behind another would wait for it, and giving one up would cut off the other. */
+  @Test
+  void requestsAtOnceGetConnectionsOfTheirOwn() throws InterruptedException {
+    CountDownLatch over = new CountDownLatch(1);
+    try (Peer peer =
+        new Peer(
+            line -> {
+              line.note(line.command());
+              over.await();
+            })) {
+      CacheServer server = server(peer);
+      send(server);
+      send(server);
+      peer.note();
+      peer.note();
+      assertEquals(2, peer.connections());
+      over.countDown();
+    }
+  }
+
+  /**
+   * Nothing proves an attempt over but the end of its connection; and a reset, after which no
+   * kernel goes on to deliver what a cut network holds up.
+   */
+  @Test
+  void anAttemptGivenUpResetsItsConnection() throws InterruptedException {
+    try (Peer peer =
+        new Peer(
+            line -> {
+              line.command();
+              line.note("begun");
+              line.note(line.command());
+            })) {
+      CacheServer server = server(peer);
+      Attempt attempt = send(server);
+      assertEquals("begun", peer.note());
+      server.abort(attempt);
+      assertEquals("broken", peer.note());
+    }
+  }
+
+  /**
+   * Connections that have not settled are not used again, and hold no place against a request
+   * either.
+   */
+  @Test
+  void answersFasterThanConnectionsSettleFindAPlace() throws InterruptedException {
+    try (Peer peer =
+        new Peer(
+            line -> {
+              line.command();
+              line.write(VALUE);
+              line.note(line.command());
+            })) {
+      CacheServer server = server(peer.address(), 1, 60 * SECOND);
+      // However late the second one is sent: the first connection must not have settled by then.
+      still.set(system.now());
+      for (int i = 0; i < 2; i++) {
+        Attempt attempt = attempt(null);
+        assertTrue(server.send(attempt));
+        assertEquals(Routing.Ending.OK, outcome(attempt).ending());
+      }
+      assertEquals("end", peer.note());
+      assertEquals(2, peer.connections());
+    }
+  }
+
+  /** What was given up on its way must not run: a copy of it may already be out elsewhere. */
+  @Test
+  void anAttemptGivenUpBeforeItWasBegunIsNotWritten() throws InterruptedException {
+    try (Peer peer =
+        new Peer(
+            line -> {
+              for (String c = line.command(); !c.equals("end"); c = line.command()) {
                 line.note(c.split(" ")[1]);
                 line.write(VALUE);
-            }
-        })) {
-            CacheServer server = server(peer);
-            outcome(send(server));
-            Attempt givenUp = attempt(null);
-            givenUp.end(Routing.Ending.CANCELLED);
-            assertTrue(server.send(givenUp));
-            server.abort(givenUp);
-            outcome(send(server));
-            assertEquals("key-0", peer.note());
-            assertEquals("key-2", peer.note());
-            assertEquals(List.of(), peer.notesLeft());
-        }
-    }
-
-    @Test
-    void aConnectionThatThePeerHasClosedIsNotWrittenTo() throws InterruptedException {
-        try (Peer peer = new Peer(line -> {
-            line.command();
-            line.write(VALUE);
-            line.hangUp();
-            line.note("closed");
-        })) {
-            CacheServer server = server(peer);
-            assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
-            peer.note();
-            assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
-            assertEquals(2, peer.connections());
-            peer.note();
-            // Nobody sends any more, and what the peer has closed still gives its place back.
-            awaitQuiet(server);
-        }
-    }
-
-    private static void awaitQuiet(CacheServer server) {
-        while (!server.quiet()) {
-            Thread.onSpinWait();
-        }
-    }
-
-    /** The cache server closes idle connections; a request that crosses that would end as a reset. */
-    @Test
-    void idleConnectionsAreRetiredByTheRouterFirst() throws InterruptedException {
-        try (Peer peer = new Peer(line -> {
-            line.command();
-            line.write(VALUE);
-            line.note(line.command());
-        })) {
-            outcome(send(server(peer.address(), 10, SECOND / 20)));
-            assertEquals("end", peer.note());
-        }
-    }
-
-    @Test
-    void aNewAddressIsUsedFromThenOn() throws InterruptedException {
-        try (Peer old = new Peer(line -> {
-            line.command();
-            line.write(VALUE);
-            line.note(line.command());
-        }); Peer next = new Peer(line -> {
-            line.note(line.command().split(" ")[0]);
-            line.write(VALUE);
-            line.command();
-        })) {
-            CacheServer server = server(old);
-            outcome(send(server));
-            server.dial(next.address());
-            assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
-            assertEquals("C.GET", next.note());
-            assertEquals("end", old.note(), "the idle connection to the old address is closed");
-        }
-    }
-
-    /** A peer that reads nothing must not hold up what is sent to it next, nor what is given up. */
-    @Test
-    void aSilentPeerHoldsUpNothing() throws InterruptedException {
-        CountDownLatch over = new CountDownLatch(1);
-        try (Peer peer = new Peer(line -> {
-            line.note("there");
-            over.await();
-        })) {
-            CacheServer server = server(peer);
-            Slice value = Slice.of("$65536\r\n" + "v".repeat(65536) + "\r\n");
-            Attempt[] attempts = new Attempt[8];
-            for (int i = 0; i < attempts.length; i++) {
-                attempts[i] = attempt(value);
-                assertTrue(server.send(attempts[i]));
-            }
-            for (int i = 0; i < attempts.length; i++) {
-                peer.note();
-            }
-            for (Attempt attempt : attempts) {
-                server.abort(attempt);
-            }
-            awaitQuiet(server);
-            assertNull(module.stream().filter(m -> ((Message.Ended) m).outcome().answer() != null).findAny()
-                .orElse(null));
-            over.countDown();
-        }
-    }
+              }
+            })) {
+      CacheServer server = server(peer);
+      outcome(send(server));
+      Attempt givenUp = attempt(null);
+      givenUp.end(Routing.Ending.CANCELLED);
+      assertTrue(server.send(givenUp));
+      server.abort(givenUp);
+      outcome(send(server));
+      assertEquals("key-0", peer.note());
+      assertEquals("key-2", peer.note());
+      assertEquals(List.of(), peer.notesLeft());
+    }
+  }
+
+  @Test
+  void aConnectionThatThePeerHasClosedIsNotWrittenTo() throws InterruptedException {
+    try (Peer peer =
+        new Peer(
+            line -> {
+              line.command();
+              line.write(VALUE);
+              line.hangUp();
+              line.note("closed");
+            })) {
+      CacheServer server = server(peer);
+      assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
+      peer.note();
+      assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
+      assertEquals(2, peer.connections());
+      peer.note();
+      // Nobody sends any more, and what the peer has closed still gives its place back.
+      awaitQuiet(server);
+    }
+  }
+
+  private static void awaitQuiet(CacheServer server) {
+    while (!server.quiet()) {
+      Thread.onSpinWait();
+    }
+  }
+
+  /** The cache server closes idle connections; a request that crosses that would end as a reset. */
+  @Test
+  void idleConnectionsAreRetiredByTheRouterFirst() throws InterruptedException {
+    try (Peer peer =
+        new Peer(
+            line -> {
+              line.command();
+              line.write(VALUE);
+              line.note(line.command());
+            })) {
+      outcome(send(server(peer.address(), 10, SECOND / 20)));
+      assertEquals("end", peer.note());
+    }
+  }
+
+  @Test
+  void aNewAddressIsUsedFromThenOn() throws InterruptedException {
+    try (Peer old =
+            new Peer(
+                line -> {
+                  line.command();
+                  line.write(VALUE);
+                  line.note(line.command());
+                });
+        Peer next =
+            new Peer(
+                line -> {
+                  line.note(line.command().split(" ")[0]);
+                  line.write(VALUE);
+                  line.command();
+                })) {
+      CacheServer server = server(old);
+      outcome(send(server));
+      server.dial(next.address());
+      assertEquals(Routing.Ending.OK, outcome(send(server)).ending());
+      assertEquals("C.GET", next.note());
+      assertEquals("end", old.note(), "the idle connection to the old address is closed");
+    }
+  }
+
+  /** A peer that reads nothing must not hold up what is sent to it next, nor what is given up. */
+  @Test
+  void aSilentPeerHoldsUpNothing() throws InterruptedException {
+    CountDownLatch over = new CountDownLatch(1);
+    try (Peer peer =
+        new Peer(
+            line -> {
+              line.note("there");
+              over.await();
+            })) {
+      CacheServer server = server(peer);
+      Slice value = Slice.of("$65536\r\n" + "v".repeat(65536) + "\r\n");
+      Attempt[] attempts = new Attempt[8];
+      for (int i = 0; i < attempts.length; i++) {
+        attempts[i] = attempt(value);
+        assertTrue(server.send(attempts[i]));
+      }
+      for (int i = 0; i < attempts.length; i++) {
+        peer.note();
+      }
+      for (Attempt attempt : attempts) {
+        server.abort(attempt);
+      }
+      awaitQuiet(server);
+      assertNull(
+          module.stream()
+              .filter(m -> ((Message.Ended) m).outcome().answer() != null)
+              .findAny()
+              .orElse(null));
+      over.countDown();
+    }
+  }
 }
--- a/src/test/java/beaconturn/net/ClientWriterTest.java
+++ b/src/test/java/beaconturn/net/ClientWriterTest.java
@@ -19,84 +19,91 @@
 import org.junit.jupiter.api.Timeout;
 
 class ClientWriterTest {
-    private static final int LARGE = 32 << 20;
-    private ServerSocketChannel server;
-    private Socket client;
-    private SocketChannel channel;
-    private ClientWriter writer;
+  private static final int LARGE = 32 << 20;
+  private ServerSocketChannel server;
+  private Socket client;
+  private SocketChannel channel;
+  private ClientWriter writer;
 
-    @BeforeEach
-    void connect() throws IOException {
-        server = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        client = new Socket(InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
-        channel = server.accept();
-        channel.configureBlocking(false);
-        writer = new ClientWriter(channel, Clock.system(), quiet -> { });
-    }
+  @BeforeEach
+  void connect() throws IOException {
+    server =
+        ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    client = new Socket(InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
+    channel = server.accept();
+    channel.configureBlocking(false);
+    writer = new ClientWriter(channel, Clock.system(), quiet -> {});
+  }
 
-    @AfterEach
-    void end() throws IOException {
-        client.close();
-        channel.close();
-        server.close();
-    }
+  @AfterEach
+  void end() throws IOException {
+    client.close();
+    channel.close();
+    server.close();
+  }
 
-    private String read(int count) throws IOException {
-        return new String(client.getInputStream().readNBytes(count), StandardCharsets.ISO_8859_1);
-    }
+  private String read(int count) throws IOException {
+    return new String(client.getInputStream().readNBytes(count), StandardCharsets.ISO_8859_1);
+  }
 
-    /** A client that asks on and reads nothing must not have its answers pile up in the router's memory. */
-    @Test
-    @Timeout(60)
-    void behindAWriteThatIsStuckNoMoreRequestsAreTaken() throws Exception {
-        writer.take(Reply.of(new Slice(new byte[LARGE], 0, LARGE)));
-        assertTrue(writer.stuck());
-        writer.take(Reply.of(Slice.of("+b\r\n")));
-        assertTrue(writer.hasRoom());
-        writer.take(Reply.of(Slice.of("+c\r\n")));
-        assertFalse(writer.hasRoom());
-        Thread taker = Threads.start("test-taker", () -> {
-            try {
+  /**
+   * A client that asks on and reads nothing must not have its answers pile up in the router's
+   * memory.
+   */
+  @Test
+  @Timeout(60)
+  void behindAWriteThatIsStuckNoMoreRequestsAreTaken() throws Exception {
+    writer.take(Reply.of(new Slice(new byte[LARGE], 0, LARGE)));
+    assertTrue(writer.stuck());
+    writer.take(Reply.of(Slice.of("+b\r\n")));
+    assertTrue(writer.hasRoom());
+    writer.take(Reply.of(Slice.of("+c\r\n")));
+    assertFalse(writer.hasRoom());
+    Thread taker =
+        Threads.start(
+            "test-taker",
+            () -> {
+              try {
                 client.getInputStream().readNBytes(LARGE);
-            } catch (IOException e) {
+              } catch (IOException e) {
                 Sockets.close(client);
-            }
-        });
-        while (writer.stuck()) {
-            writer.write();
-        }
-        taker.join();
-        assertTrue(writer.hasRoom());
-        assertEquals("+b\r\n+c\r\n", read(8));
+              }
+            });
+    while (writer.stuck()) {
+      writer.write();
     }
+    taker.join();
+    assertTrue(writer.hasRoom());
+    assertEquals("+b\r\n+c\r\n", read(8));
+  }
 
-    /** Whichever answer is there first, the client gets them in the order of its commands. */
-    @Test
-    @Timeout(60)
-    void answersAreWrittenInTheOrderOfTheCommands() throws Exception {
-        Reply first = new Reply();
-        Reply second = new Reply();
-        writer.take(first);
-        writer.take(second);
-        second.fill(Slice.of("+2\r\n"));
-        assertFalse(writer.finishIfQuiet());
-        first.fill(Slice.of("+1\r\n"));
-        first.fill(Slice.of("+never\r\n"));
-        assertTrue(writer.finishIfQuiet());
-        assertFalse(writer.take(Reply.of(Slice.of("+3\r\n"))));
-        assertEquals("+1\r\n+2\r\n", read(99));
-    }
+  /** Whichever answer is there first, the client gets them in the order of its commands. */
+  @Test
+  @Timeout(60)
+  void answersAreWrittenInTheOrderOfTheCommands() throws Exception {
+    Reply first = new Reply();
+    Reply second = new Reply();
+    writer.take(first);
+    writer.take(second);
+    second.fill(Slice.of("+2\r\n"));
+    assertFalse(writer.finishIfQuiet());
+    first.fill(Slice.of("+1\r\n"));
+    first.fill(Slice.of("+never\r\n"));
+    assertTrue(writer.finishIfQuiet());
+    assertFalse(writer.take(Reply.of(Slice.of("+3\r\n"))));
+    assertEquals("+1\r\n+2\r\n", read(99));
+  }
 
-    /** What is owed is written before the connection ends, however late it comes. */
-    @Test
-    @Timeout(60)
-    void theEndComesBehindWhatIsOwed() throws Exception {
-        Reply owed = new Reply();
-        writer.take(owed);
-        writer.finish();
-        assertFalse(writer.take(new Reply()));
-        assertEquals(Long.MAX_VALUE, writer.closingSince());
-        owed.fill(Slice.of("+1\r\n"));
-        assertEquals("+1\r\n", read(99));
-    }
+  /** What is owed is written before the connection ends, however late it comes. */
+  @Test
+  @Timeout(60)
+  void theEndComesBehindWhatIsOwed() throws Exception {
+    Reply owed = new Reply();
+    writer.take(owed);
+    writer.finish();
+    assertFalse(writer.take(new Reply()));
+    assertEquals(Long.MAX_VALUE, writer.closingSince());
+    owed.fill(Slice.of("+1\r\n"));
+    assertEquals("+1\r\n", read(99));
+  }
 }
--- a/src/test/java/beaconturn/net/DiscoveryTest.java
+++ b/src/test/java/beaconturn/net/DiscoveryTest.java
@@ -23,121 +23,148 @@
 /** Watches of the list that fall silent. */
 @Timeout(60)
 class DiscoveryTest {
-    /** In milliseconds: after so long a change counts as told, though its watch has fallen silent. */
-    private static final int COUNTS_AS_TOLD = 6_000;
-    private final BlockingQueue<Message> module = new LinkedBlockingQueue<>();
-    private final CountDownLatch over = new CountDownLatch(1);
+  /** In milliseconds: after so long a change counts as told, though its watch has fallen silent. */
+  private static final int COUNTS_AS_TOLD = 6_000;
 
-    private void watching(Peer registry) {
-        watching(registry, module::add);
-    }
+  private final BlockingQueue<Message> module = new LinkedBlockingQueue<>();
+  private final CountDownLatch over = new CountDownLatch(1);
 
-    private void watching(Peer registry, Consumer<Message> hears) {
-        Discovery discovery = new Discovery(registry.address(), new ListReader(Samples.read()), 4,
-            hears, () -> 0, new WatchTimes(new SplittableRandom(1), 40, 40));
-        discovery.start();
-        discovery.watch(true);
-    }
+  private void watching(Peer registry) {
+    watching(registry, module::add);
+  }
 
-    private ListNews news() throws InterruptedException {
-        return ((Message.News) module.poll(20, TimeUnit.SECONDS)).news();
-    }
+  private void watching(Peer registry, Consumer<Message> hears) {
+    Discovery discovery =
+        new Discovery(
+            registry.address(),
+            new ListReader(Samples.read()),
+            4,
+            hears,
+            () -> 0,
+            new WatchTimes(new SplittableRandom(1), 40, 40));
+    discovery.start();
+    discovery.watch(true);
+  }
+
+  private ListNews news() throws InterruptedException {
+    return ((Message.News) module.poll(20, TimeUnit.SECONDS)).news();
+  }
 
-    /** What it misses counts as told 2 s after its wait: a module that only then backs off asks too late. */
-    @Test
-    void aSilentWatchIsOpenedAnewAtOnceAndIsNoFailure() throws Exception {
-        try (Peer registry = new Peer(line -> {
-            line.note(line.httpHead().split(" ")[1]);
-            if (line.first()) {
+  /**
+   * What it misses counts as told 2 s after its wait: a module that only then backs off asks too
+   * late.
+   */
+  @Test
+  void aSilentWatchIsOpenedAnewAtOnceAndIsNoFailure() throws Exception {
+    try (Peer registry =
+        new Peer(
+            line -> {
+              line.note(line.httpHead().split(" ")[1]);
+              if (line.first()) {
                 over.await();
-            }
-            line.http(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
-            over.await();
-        })) {
-            watching(registry);
-            assertTrue(registry.note().startsWith("/registry/instances?after=4&wait_ms="));
-            assertTrue(registry.note().startsWith("/registry/instances?after=4&wait_ms="));
-            ListNews first = news();
-            assertEquals(Routing.ListKind.DELTA, first.kind());
-            assertEquals(5, first.version());
-        } finally {
-            over.countDown();
-        }
+              }
+              line.http(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
+              over.await();
+            })) {
+      watching(registry);
+      assertTrue(registry.note().startsWith("/registry/instances?after=4&wait_ms="));
+      assertTrue(registry.note().startsWith("/registry/instances?after=4&wait_ms="));
+      ListNews first = news();
+      assertEquals(Routing.ListKind.DELTA, first.kind());
+      assertEquals(5, first.version());
+    } finally {
+      over.countDown();
     }
+  }
 
-    /** What has changed since the list that a router was started with is asked for, not waited for. */
-    @Test
-    void theFirstCallDoesNotWaitForAChange() throws Exception {
-        try (Peer registry = new Peer(line -> {
-            while (true) {
+  /**
+   * What has changed since the list that a router was started with is asked for, not waited for.
+   */
+  @Test
+  void theFirstCallDoesNotWaitForAChange() throws Exception {
+    try (Peer registry =
+        new Peer(
+            line -> {
+              while (true) {
                 String path = line.httpHead().split(" ")[1];
                 line.note(path);
                 line.http(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
-            }
-        })) {
-            watching(registry);
-            assertEquals("/registry/instances?after=4&wait_ms=1", registry.note());
-            String next = registry.note();
-            assertTrue(next.matches("/registry/instances\\?after=5&wait_ms=[34][0-9]"), next);
-        }
+              }
+            })) {
+      watching(registry);
+      assertEquals("/registry/instances?after=4&wait_ms=1", registry.note());
+      String next = registry.note();
+      assertTrue(next.matches("/registry/instances\\?after=5&wait_ms=[34][0-9]"), next);
     }
+  }
 
-    /** A discovery that is gone is left to the module, which waits longer each time. */
-    @Test
-    void aWatchThatIsRefusedIsAFailure() throws Exception {
-        Peer registry = new Peer(line -> { });
-        registry.close();
-        watching(registry);
-        assertEquals(Routing.ListKind.FAILED, news().kind());
-    }
+  /** A discovery that is gone is left to the module, which waits longer each time. */
+  @Test
+  void aWatchThatIsRefusedIsAFailure() throws Exception {
+    Peer registry = new Peer(line -> {});
+    registry.close();
+    watching(registry);
+    assertEquals(Routing.ListKind.FAILED, news().kind());
+  }
 
-    /** Routers that start together must not all call again at once, nor after they count as told. */
-    @Test
-    void waitsAreSpreadAndLeaveTimeToAskAgain() {
-        List<List<Integer>> waits = IntStream.range(0, 50).mapToObj(seed -> {
-            WatchTimes times = WatchTimes.of(seed);
-            return List.of(times.next(), times.next(), times.slack());
-        }).toList();
-        assertTrue(waits.stream().map(w -> w.get(0)).distinct().count() > 45, waits::toString);
-        waits.forEach(w -> {
-            assertNotEquals(w.get(0), w.get(1));
-            assertTrue(w.get(0) >= 1_500 && w.get(0) <= 2_000, w::toString);
-            assertTrue(w.get(0) + w.get(2) <= COUNTS_AS_TOLD / 2 + 100, w::toString);
+  /** Routers that start together must not all call again at once, nor after they count as told. */
+  @Test
+  void waitsAreSpreadAndLeaveTimeToAskAgain() {
+    List<List<Integer>> waits =
+        IntStream.range(0, 50)
+            .mapToObj(
+                seed -> {
+                  WatchTimes times = WatchTimes.of(seed);
+                  return List.of(times.next(), times.next(), times.slack());
+                })
+            .toList();
+    assertTrue(waits.stream().map(w -> w.get(0)).distinct().count() > 45, waits::toString);
+    waits.forEach(
+        w -> {
+          assertNotEquals(w.get(0), w.get(1));
+          assertTrue(w.get(0) >= 1_500 && w.get(0) <= 2_000, w::toString);
+          assertTrue(w.get(0) + w.get(2) <= COUNTS_AS_TOLD / 2 + 100, w::toString);
         });
-    }
+  }
 
-    /** An error in what hears the news must not leave the router on its list for good. */
-    @Test
-    void aWatchGoesOnAfterWhateverItsNewsBreak() throws Exception {
-        AtomicBoolean broke = new AtomicBoolean();
-        try (Peer registry = new Peer(line -> {
-            while (!line.httpHead().isEmpty()) {
+  /** An error in what hears the news must not leave the router on its list for good. */
+  @Test
+  void aWatchGoesOnAfterWhateverItsNewsBreak() throws Exception {
+    AtomicBoolean broke = new AtomicBoolean();
+    try (Peer registry =
+        new Peer(
+            line -> {
+              while (!line.httpHead().isEmpty()) {
                 line.http(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
+              }
+            })) {
+      watching(
+          registry,
+          message -> {
+            if (broke.compareAndSet(false, true)) {
+              throw new OutOfMemoryError("of the test's own");
             }
-        })) {
-            watching(registry, message -> {
-                if (broke.compareAndSet(false, true)) {
-                    throw new OutOfMemoryError("of the test's own");
-                }
-                module.add(message);
-            });
-            assertEquals(5, news().version());
-        }
+            module.add(message);
+          });
+      assertEquals(5, news().version());
     }
+  }
 
-    /**
-     * The same for an answer that breaks its reader: the module hears of a failure and has it asked for
-     * again.
-     */
-    @Test
-    void anAnswerThatBreaksItsReaderIsAFailure() throws Exception {
-        String deep = "[".repeat(200_000);
-        try (Peer registry = new Peer(line -> {
-            line.httpHead();
-            line.http(200, "{\"hosts\":" + deep);
-        })) {
-            watching(registry);
-            assertEquals(Routing.ListKind.FAILED, news().kind());
-        }
+  /**
+   * The same for an answer that breaks its reader: the module hears of a failure and has it asked
+   * for again.
+   */
+  @Test
+  void anAnswerThatBreaksItsReaderIsAFailure() throws Exception {
+    String deep = "[".repeat(200_000);
+    try (Peer registry =
+        new Peer(
+            line -> {
+              line.httpHead();
+              line.http(200, "{\"hosts\":" + deep);
+            })) {
+      watching(registry);
+      assertEquals(Routing.ListKind.FAILED, news().kind());
     }
+  }
 }
--- a/src/test/java/beaconturn/net/ListenerTest.java
+++ b/src/test/java/beaconturn/net/ListenerTest.java
@@ -17,72 +17,81 @@
 /** Accepting clients, up to the end and in spite of failures. */
 @Timeout(60)
 class ListenerTest {
-    private final BlockingQueue<SocketChannel> accepted = new LinkedBlockingQueue<>();
+  private final BlockingQueue<SocketChannel> accepted = new LinkedBlockingQueue<>();
 
-    private static InetSocketAddress anyPort() {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    }
+  private static InetSocketAddress anyPort() {
+    return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+  }
 
-    /**
-     * What the kernel has accepted a client has written to: closing the socket under it would lose a request.
-     */
-    @Test
-    void whatTheKernelHasAcceptedIsAcceptedBeforeTheEnd() throws Exception {
-        CountDownLatch busy = new CountDownLatch(1);
-        CountDownLatch release = new CountDownLatch(1);
-        Listener listener = Listener.bound(anyPort(), channel -> {
-            if (busy.getCount() > 0) {
+  /**
+   * What the kernel has accepted a client has written to: closing the socket under it would lose a
+   * request.
+   */
+  @Test
+  void whatTheKernelHasAcceptedIsAcceptedBeforeTheEnd() throws Exception {
+    CountDownLatch busy = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
+    Listener listener =
+        Listener.bound(
+            anyPort(),
+            channel -> {
+              if (busy.getCount() > 0) {
                 busy.countDown();
                 Peer.await(release);
                 throw new IllegalStateException("of the test's own: accepting stops for a moment");
-            }
-            accepted.add(channel);
-        });
-        listener.start();
-        try (Peer.Line first = Peer.Line.to(listener.address())) {
-            first.write("x");
-            busy.await();
-            try (Peer.Line waits = Peer.Line.to(listener.address())) {
-                waits.write("x");
-                Thread closer = Threads.start("test-close", () -> closeQuietly(listener));
-                Peer.until(() -> closer.getState() == Thread.State.TIMED_WAITING
+              }
+              accepted.add(channel);
+            });
+    listener.start();
+    try (Peer.Line first = Peer.Line.to(listener.address())) {
+      first.write("x");
+      busy.await();
+      try (Peer.Line waits = Peer.Line.to(listener.address())) {
+        waits.write("x");
+        Thread closer = Threads.start("test-close", () -> closeQuietly(listener));
+        Peer.until(
+            () ->
+                closer.getState() == Thread.State.TIMED_WAITING
                     || closer.getState() == Thread.State.TERMINATED);
-                release.countDown();
-                assertNotNull(accepted.poll(20, TimeUnit.SECONDS), "the one in the kernel's queue");
-                closer.join();
-            }
-        }
+        release.countDown();
+        assertNotNull(accepted.poll(20, TimeUnit.SECONDS), "the one in the kernel's queue");
+        closer.join();
+      }
     }
+  }
 
-    private static void closeQuietly(Listener listener) {
-        try {
-            listener.close();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+  private static void closeQuietly(Listener listener) {
+    try {
+      listener.close();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
 
-    /** One client that fails whoever takes it must not keep the others out. */
-    @Test
-    void acceptingGoesOnAfterAFailure() throws Exception {
-        AtomicInteger failures = new AtomicInteger();
-        Listener listener = Listener.bound(anyPort(), channel -> {
-            if (failures.incrementAndGet() <= 3) {
+  /** One client that fails whoever takes it must not keep the others out. */
+  @Test
+  void acceptingGoesOnAfterAFailure() throws Exception {
+    AtomicInteger failures = new AtomicInteger();
+    Listener listener =
+        Listener.bound(
+            anyPort(),
+            channel -> {
+              if (failures.incrementAndGet() <= 3) {
                 throw new OutOfMemoryError("of the test's own");
-            }
-            accepted.add(channel);
-        });
-        listener.start();
-        for (int i = 0; i < 3; i++) {
-            try (Peer.Line failing = Peer.Line.to(listener.address())) {
-                assertEquals("", failing.rest());
-            }
-        }
-        try (Peer.Line client = Peer.Line.to(listener.address())) {
-            client.write("x");
-            accepted.poll(20, TimeUnit.SECONDS).close();
-        } finally {
-            listener.close();
-        }
+              }
+              accepted.add(channel);
+            });
+    listener.start();
+    for (int i = 0; i < 3; i++) {
+      try (Peer.Line failing = Peer.Line.to(listener.address())) {
+        assertEquals("", failing.rest());
+      }
+    }
+    try (Peer.Line client = Peer.Line.to(listener.address())) {
+      client.write("x");
+      accepted.poll(20, TimeUnit.SECONDS).close();
+    } finally {
+      listener.close();
     }
+  }
 }
--- a/src/test/java/beaconturn/net/OperatorsTest.java
+++ b/src/test/java/beaconturn/net/OperatorsTest.java
@@ -23,69 +23,88 @@
 
 /** What operators say of one router, beside what the whole fleet has agreed to leave out. */
 class OperatorsTest {
-    @TempDir
-    private Path folder;
-    private final List<Message> posted = new ArrayList<>();
-    private final Set<String> heldOut = new HashSet<>();
-    private final List<Boolean> known = new ArrayList<>();
-    private Operators operators;
+  @TempDir private Path folder;
+  private final List<Message> posted = new ArrayList<>();
+  private final Set<String> heldOut = new HashSet<>();
+  private final List<Boolean> known = new ArrayList<>();
+  private Operators operators;
 
-    @BeforeEach
-    void bind() throws Exception {
-        InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-        RouterConfig config = new RouterConfig("r1", any, any, 1, 512, 192, null, null,
-            new RouterConfig.Surroundings(any, false, folder), new Json.Nothing());
-        operators = new Operators(config, new Lifecycle(), () -> 0, posted::add, heldOut::contains,
+  @BeforeEach
+  void bind() throws Exception {
+    InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
+    RouterConfig config =
+        new RouterConfig(
+            "r1",
+            any,
+            any,
+            1,
+            512,
+            192,
+            null,
+            null,
+            new RouterConfig.Surroundings(any, false, folder),
+            new Json.Nothing());
+    operators =
+        new Operators(
+            config,
+            new Lifecycle(),
+            () -> 0,
+            posted::add,
+            heldOut::contains,
             new Operators.Figures(new Counters(), null));
-    }
+  }
 
-    @AfterEach
-    void close() {
-        operators.close();
-    }
+  @AfterEach
+  void close() {
+    operators.close();
+  }
 
-    private void say(boolean out) {
-        operators.hand(new Hand("c1", out, 5), true, known::add);
-    }
+  private void say(boolean out) {
+    operators.hand(new Hand("c1", out, 5), true, known::add);
+  }
 
-    @Test
-    void aCallBringsBackWhatACallLeftOut() {
-        say(true);
-        assertTrue(operators.leftOut("c1"));
-        say(false);
-        assertFalse(operators.leftOut("c1"));
-        assertEquals(List.of(true, false), posted.stream().map(m -> ((Message.ByHand) m).out()).toList());
-    }
+  @Test
+  void aCallBringsBackWhatACallLeftOut() {
+    say(true);
+    assertTrue(operators.leftOut("c1"));
+    say(false);
+    assertFalse(operators.leftOut("c1"));
+    assertEquals(
+        List.of(true, false), posted.stream().map(m -> ((Message.ByHand) m).out()).toList());
+  }
 
-    /**
-     * The module reckons from it how warm a cache server is: the wall clock, which may be stepped, has no
-     * say.
-     */
-    @Test
-    void whenSomethingWasSaidIsToldByTheClockOfThisProcess() {
-        operators.hand(new Hand("c1", false, MachineTime.millis() - 5000), true, known::add);
-        long at = ((Message.ByHand) posted.get(0)).at();
-        assertTrue(at <= -5_000_000_000L && at > -60_000_000_000L, () -> "at " + at);
-        operators.hand(new Hand("c1", false, MachineTime.millis() + 3_600_000), true, known::add);
-        assertEquals(0, ((Message.ByHand) posted.get(1)).at(), "nothing was said later than now");
-    }
+  /**
+   * The module reckons from it how warm a cache server is: the wall clock, which may be stepped,
+   * has no say.
+   */
+  @Test
+  void whenSomethingWasSaidIsToldByTheClockOfThisProcess() {
+    operators.hand(new Hand("c1", false, MachineTime.millis() - 5000), true, known::add);
+    long at = ((Message.ByHand) posted.get(0)).at();
+    assertTrue(at <= -5_000_000_000L && at > -60_000_000_000L, () -> "at " + at);
+    operators.hand(new Hand("c1", false, MachineTime.millis() + 3_600_000), true, known::add);
+    assertEquals(0, ((Message.ByHand) posted.get(1)).at(), "nothing was said later than now");
+  }
 
-    /** The call is answered, as it holds once the fleet lets go; until then nobody sends there. */
-    @Test
-    void whatTheFleetHoldsOutNoCallAtOneRouterBringsBack() {
-        heldOut.add("c1");
-        say(false);
-        assertEquals(List.of(), posted);
-        assertEquals(List.of(true), known);
-    }
+  /** The call is answered, as it holds once the fleet lets go; until then nobody sends there. */
+  @Test
+  void whatTheFleetHoldsOutNoCallAtOneRouterBringsBack() {
+    heldOut.add("c1");
+    say(false);
+    assertEquals(List.of(), posted);
+    assertEquals(List.of(true), known);
+  }
 
-    /** It is out for two reasons: the fleet's end of it must not bring back what operators left out here. */
-    @Test
-    void whatOperatorsLeftOutStaysSoWhateverTheFleetHoldsOut() {
-        heldOut.add("c1");
-        say(true);
-        heldOut.clear();
-        assertTrue(operators.leftOut("c1"));
-        assertEquals(1, posted.size());
-    }
+  /**
+   * It is out for two reasons: the fleet's end of it must not bring back what operators left out
+   * here.
+   */
+  @Test
+  void whatOperatorsLeftOutStaysSoWhateverTheFleetHoldsOut() {
+    heldOut.add("c1");
+    say(true);
+    heldOut.clear();
+    assertTrue(operators.leftOut("c1"));
+    assertEquals(1, posted.size());
+  }
 }
--- a/src/test/java/beaconturn/net/PausesTest.java
+++ b/src/test/java/beaconturn/net/PausesTest.java
@@ -7,24 +7,25 @@
 import org.junit.jupiter.api.Test;
 
 class PausesTest {
-    private static final long MILLI = 1_000_000;
+  private static final long MILLI = 1_000_000;
 
-    @Test
-    void aPauseIsToldOnceWithTheProcessorTimeThatWentByInIt() {
-        AtomicLong now = new AtomicLong();
-        AtomicLong used = new AtomicLong(900 * MILLI);
-        Pauses pauses = new Pauses(now::get, used::get);
-        now.addAndGet(60 * MILLI);
-        assertNull(pauses.look());
-        now.addAndGet(2500 * MILLI);
-        used.addAndGet(7 * MILLI);
-        assertEquals("stood still for 2500 ms, with 7 ms of processor time", pauses.look());
-        assertNull(pauses.look());
-    }
+  @Test
+  void aPauseIsToldOnceWithTheProcessorTimeThatWentByInIt() {
+    AtomicLong now = new AtomicLong();
+    AtomicLong used = new AtomicLong(900 * MILLI);
+    Pauses pauses = new Pauses(now::get, used::get);
+    now.addAndGet(60 * MILLI);
+    assertNull(pauses.look());
+    now.addAndGet(2500 * MILLI);
+    used.addAndGet(7 * MILLI);
+    assertEquals("stood still for 2500 ms, with 7 ms of processor time", pauses.look());
+    assertNull(pauses.look());
+  }
 
-    @Test
-    void processorTimeIsUserAndSystemTimeWhateverTheProcessIsCalled() {
-        assertEquals(710 * MILLI, Pauses.processorTime("7 (a) b (c) S 1 7 7 0 -1 4 9 0 0 0 64 7 3 4 20"));
-        assertEquals(0, Pauses.processorTime("7 (java) S 1"));
-    }
+  @Test
+  void processorTimeIsUserAndSystemTimeWhateverTheProcessIsCalled() {
+    assertEquals(
+        710 * MILLI, Pauses.processorTime("7 (a) b (c) S 1 7 7 0 -1 4 9 0 0 0 64 7 3 4 20"));
+    assertEquals(0, Pauses.processorTime("7 (java) S 1"));
+  }
 }
--- a/src/test/java/beaconturn/net/Peer.java
+++ b/src/test/java/beaconturn/net/Peer.java
@@ -25,229 +25,234 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server of the test's own on an ephemeral loopback port; the script says what each connection does. */
+/**
+ * A server of the test's own on an ephemeral loopback port; the script says what each connection
+ * does.
+ */
 public final class Peer implements Closeable {
-    private static final int SECONDS = 20;
-
-    /** What one connection does, on a thread of its own; the connection is closed when it returns. */
-    interface Script {
-        void serve(Line line) throws IOException, ProtocolException, InterruptedException;
+  private static final int SECONDS = 20;
+
+  /** What one connection does, on a thread of its own; the connection is closed when it returns. */
+  interface Script {
+    void serve(Line line) throws IOException, ProtocolException, InterruptedException;
+  }
+
+  private final ServerSocket server;
+  private final Script script;
+  private final Queue<Socket> sockets = new ConcurrentLinkedQueue<>();
+  private final BlockingQueue<String> notes = new LinkedBlockingQueue<>();
+
+  Peer(Script script) {
+    this.script = script;
+    try {
+      this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+    Threads.start("test-peer", this::accept);
+  }
+
+  /** Holds the calling thread until the latch is released, where it may not throw. */
+  static void await(CountDownLatch latch) {
+    try {
+      latch.await();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
+
+  /** Waits for what another thread does. */
+  static void until(Callable<Boolean> done) throws Exception {
+    while (!done.call()) {
+      if (Thread.interrupted()) {
+        throw new InterruptedException("waited in vain");
+      }
+      Thread.onSpinWait();
+    }
+  }
 
-    private final ServerSocket server;
-    private final Script script;
-    private final Queue<Socket> sockets = new ConcurrentLinkedQueue<>();
-    private final BlockingQueue<String> notes = new LinkedBlockingQueue<>();
+  InetSocketAddress address() {
+    return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
+  }
 
-    Peer(Script script) {
-        this.script = script;
-        try {
-            this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        Threads.start("test-peer", this::accept);
-    }
+  String dial() {
+    return "127.0.0.1:" + server.getLocalPort();
+  }
 
-    /** Holds the calling thread until the latch is released, where it may not throw. */
-    static void await(CountDownLatch latch) {
-        try {
-            latch.await();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+  /** The next thing that a script has noted; fails if none comes. */
+  String note() throws InterruptedException {
+    String note = notes.poll(SECONDS, TimeUnit.SECONDS);
+    if (note == null) {
+      throw new AssertionError("the peer saw nothing");
     }
-
-    /** Waits for what another thread does. */
-    static void until(Callable<Boolean> done) throws Exception {
-        while (!done.call()) {
-            if (Thread.interrupted()) {
-                throw new InterruptedException("waited in vain");
-            }
-            Thread.onSpinWait();
-        }
+    return note;
+  }
+
+  List<String> notesLeft() {
+    return List.copyOf(notes);
+  }
+
+  int connections() {
+    return sockets.size();
+  }
+
+  @Override
+  public void close() {
+    Sockets.close(server);
+    sockets.forEach(Sockets::close);
+  }
+
+  private void accept() {
+    try {
+      while (true) {
+        Socket socket = server.accept();
+        socket.setTcpNoDelay(true);
+        sockets.add(socket);
+        boolean first = sockets.size() == 1;
+        Threads.start("test-line", () -> run(socket, first));
+      }
+    } catch (IOException e) {
+      notes.add("closed");
     }
-
-    InetSocketAddress address() {
-        return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
+  }
+
+  private void run(Socket socket, boolean first) {
+    try {
+      script.serve(new Line(socket, notes, first));
+    } catch (IOException | ProtocolException e) {
+      notes.add("broken");
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    } finally {
+      Sockets.close(socket);
     }
-
-    String dial() {
-        return "127.0.0.1:" + server.getLocalPort();
+  }
+
+  /** One connection, from whichever end the test holds. */
+  public static final class Line implements Closeable {
+    private final Socket socket;
+    private final BlockingQueue<String> notes;
+    private final boolean first;
+    private final InputBuffer in = new InputBuffer();
+    private final RespReader reader = new RespReader(1 << 16);
+
+    Line(Socket socket, BlockingQueue<String> notes) {
+      this(socket, notes, true);
     }
 
-    /** The next thing that a script has noted; fails if none comes. */
-    String note() throws InterruptedException {
-        String note = notes.poll(SECONDS, TimeUnit.SECONDS);
-        if (note == null) {
-            throw new AssertionError("the peer saw nothing");
-        }
-        return note;
+    private Line(Socket socket, BlockingQueue<String> notes, boolean first) {
+      this.socket = socket;
+      this.notes = notes;
+      this.first = first;
     }
 
-    List<String> notesLeft() {
-        return List.copyOf(notes);
+    /** Whether this is the first connection to its peer. */
+    boolean first() {
+      return first;
     }
 
-    int connections() {
-        return sockets.size();
+    public static Line to(InetSocketAddress address) throws IOException {
+      Socket socket = new Socket(address.getAddress(), address.getPort());
+      socket.setTcpNoDelay(true);
+      socket.setSoTimeout(SECONDS * 1000);
+      return new Line(socket, new LinkedBlockingQueue<>());
     }
 
-    @Override
-    public void close() {
-        Sockets.close(server);
-        sockets.forEach(Sockets::close);
-    }
-
-    private void accept() {
-        try {
-            while (true) {
-                Socket socket = server.accept();
-                socket.setTcpNoDelay(true);
-                sockets.add(socket);
-                boolean first = sockets.size() == 1;
-                Threads.start("test-line", () -> run(socket, first));
-            }
-        } catch (IOException e) {
-            notes.add("closed");
-        }
+    void note(String text) {
+      notes.add(text);
     }
 
-    private void run(Socket socket, boolean first) {
-        try {
-            script.serve(new Line(socket, notes, first));
-        } catch (IOException | ProtocolException e) {
-            notes.add("broken");
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        } finally {
-            Sockets.close(socket);
-        }
+    public void write(String text) throws IOException {
+      socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** One connection, from whichever end the test holds. */
-    public static final class Line implements Closeable {
-        private final Socket socket;
-        private final BlockingQueue<String> notes;
-        private final boolean first;
-        private final InputBuffer in = new InputBuffer();
-        private final RespReader reader = new RespReader(1 << 16);
-
-        Line(Socket socket, BlockingQueue<String> notes) {
-            this(socket, notes, true);
-        }
-
-        private Line(Socket socket, BlockingQueue<String> notes, boolean first) {
-            this.socket = socket;
-            this.notes = notes;
-            this.first = first;
-        }
-
-        /** Whether this is the first connection to its peer. */
-        boolean first() {
-            return first;
-        }
-
-        public static Line to(InetSocketAddress address) throws IOException {
-            Socket socket = new Socket(address.getAddress(), address.getPort());
-            socket.setTcpNoDelay(true);
-            socket.setSoTimeout(SECONDS * 1000);
-            return new Line(socket, new LinkedBlockingQueue<>());
-        }
-
-        void note(String text) {
-            notes.add(text);
-        }
-
-        public void write(String text) throws IOException {
-            socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-        }
-
-        /** The next value, or null at the end of the stream. */
-        RespValue read() throws IOException, ProtocolException {
-            RespValue value = reader.next(in);
-            while (value == null) {
-                if (!Sockets.read(socket.getInputStream(), in)) {
-                    return null;
-                }
-                value = reader.next(in);
-            }
-            return value;
+    /** The next value, or null at the end of the stream. */
+    RespValue read() throws IOException, ProtocolException {
+      RespValue value = reader.next(in);
+      while (value == null) {
+        if (!Sockets.read(socket.getInputStream(), in)) {
+          return null;
         }
+        value = reader.next(in);
+      }
+      return value;
+    }
 
-        /** Says nothing more, and still listens. */
-        public void endOutput() throws IOException {
-            socket.shutdownOutput();
-        }
+    /** Says nothing more, and still listens. */
+    public void endOutput() throws IOException {
+      socket.shutdownOutput();
+    }
 
-        /** Whether the peer has ended; waits a moment for it. */
-        boolean ended() throws IOException {
-            socket.setSoTimeout(1);
-            try {
-                return socket.getInputStream().read() < 0;
-            } catch (SocketTimeoutException e) {
-                return false;
-            }
-        }
+    /** Whether the peer has ended; waits a moment for it. */
+    boolean ended() throws IOException {
+      socket.setSoTimeout(1);
+      try {
+        return socket.getInputStream().read() < 0;
+      } catch (SocketTimeoutException e) {
+        return false;
+      }
+    }
 
-        /** All that still comes, until the peer ends. */
-        public String rest() throws IOException {
-            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
-        }
+    /** All that still comes, until the peer ends. */
+    public String rest() throws IOException {
+      return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+    }
 
-        /** Reads just so many bytes as the text has, and checks that they are the text. */
-        void expect(String text) throws IOException {
-            byte[] bytes = new byte[text.length()];
-            new DataInputStream(socket.getInputStream()).readFully(bytes);
-            assertEquals(text, new String(bytes, StandardCharsets.ISO_8859_1));
-        }
+    /** Reads just so many bytes as the text has, and checks that they are the text. */
+    void expect(String text) throws IOException {
+      byte[] bytes = new byte[text.length()];
+      new DataInputStream(socket.getInputStream()).readFully(bytes);
+      assertEquals(text, new String(bytes, StandardCharsets.ISO_8859_1));
+    }
 
-        /** The next command's words joined by blanks, or "end". */
-        String command() throws IOException, ProtocolException {
-            RespValue value = read();
-            if (value == null) {
-                return "end";
-            }
-            return String.join(" ", ((RespValue.Array) value).items().stream()
-                .map(item -> ((RespValue.Bulk) item).bytes().toString()).toList());
-        }
+    /** The next command's words joined by blanks, or "end". */
+    String command() throws IOException, ProtocolException {
+      RespValue value = read();
+      if (value == null) {
+        return "end";
+      }
+      return String.join(
+          " ",
+          ((RespValue.Array) value)
+              .items().stream().map(item -> ((RespValue.Bulk) item).bytes().toString()).toList());
+    }
 
-        /** The next answer's bytes without the last line end, or "end". */
-        String answer() throws IOException, ProtocolException {
-            RespValue value = read();
-            return value == null ? "end" : value.frame().toString().trim();
-        }
+    /** The next answer's bytes without the last line end, or "end". */
+    String answer() throws IOException, ProtocolException {
+      RespValue value = read();
+      return value == null ? "end" : value.frame().toString().trim();
+    }
 
-        /** The lines of an HTTP request's head, or an empty text at the end of the stream. */
-        String httpHead() throws IOException {
-            StringBuilder head = new StringBuilder();
-            while (head.indexOf("\r\n\r\n") < 0) {
-                int c = socket.getInputStream().read();
-                if (c < 0) {
-                    return "";
-                }
-                head.append((char) c);
-            }
-            return head.toString();
+    /** The lines of an HTTP request's head, or an empty text at the end of the stream. */
+    String httpHead() throws IOException {
+      StringBuilder head = new StringBuilder();
+      while (head.indexOf("\r\n\r\n") < 0) {
+        int c = socket.getInputStream().read();
+        if (c < 0) {
+          return "";
         }
+        head.append((char) c);
+      }
+      return head.toString();
+    }
 
-        void http(int status, String body) throws IOException {
-            write("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-        }
+    void http(int status, String body) throws IOException {
+      write("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    }
 
-        /** Ends the connection as a process that dies does: the peer sees a reset. */
-        void reset() throws IOException {
-            socket.setSoLinger(true, 0);
-            socket.close();
-        }
+    /** Ends the connection as a process that dies does: the peer sees a reset. */
+    void reset() throws IOException {
+      socket.setSoLinger(true, 0);
+      socket.close();
+    }
 
-        void hangUp() {
-            Sockets.close(socket);
-        }
+    void hangUp() {
+      Sockets.close(socket);
+    }
 
-        @Override
-        public void close() {
-            hangUp();
-        }
+    @Override
+    public void close() {
+      hangUp();
     }
+  }
 }
--- a/src/test/java/beaconturn/net/PlantedAgreement.java
+++ b/src/test/java/beaconturn/net/PlantedAgreement.java
@@ -23,124 +23,129 @@
 
 /** A router's part in the agreement with a defect, put in on purpose: the account must name it. */
 public final class PlantedAgreement implements Agreed {
-    private static final long SECOND = 1_000_000_000;
-    private final Defect defect;
-    private final AgreementSubsystem sound;
-    private final StoreClient store;
-    private Force held;
-    private volatile Force early;
-    private volatile boolean left;
-
-    /** What is wrong with it. */
-    public enum Defect {
-        /** It goes on with the version that it has, whatever becomes of its lease. */
-        IGNORES_LEASE,
-        /** It takes a version into force as soon as it is proposed. */
-        RUNS_AHEAD,
-        /** The same, seen by what it repeats. */
-        REPEATS,
-        /** It claims to have whatever list a version asks for, and takes any. */
-        CLAIMS_LISTS
+  private static final long SECOND = 1_000_000_000;
+  private final Defect defect;
+  private final AgreementSubsystem sound;
+  private final StoreClient store;
+  private Force held;
+  private volatile Force early;
+  private volatile boolean left;
+
+  /** What is wrong with it. */
+  public enum Defect {
+    /** It goes on with the version that it has, whatever becomes of its lease. */
+    IGNORES_LEASE,
+    /** It takes a version into force as soon as it is proposed. */
+    RUNS_AHEAD,
+    /** The same, seen by what it repeats. */
+    REPEATS,
+    /** It claims to have whatever list a version asks for, and takes any. */
+    CLAIMS_LISTS
+  }
+
+  private PlantedAgreement(Defect defect, AgreementSubsystem sound, StoreClient store) {
+    this.defect = defect;
+    this.sound = sound;
+    this.store = store;
+  }
+
+  /** The part of a router as its operators' file has it, with the defect. */
+  public static PlantedAgreement of(Defect defect, Path features, RouterConfig router)
+      throws IOException {
+    Matcher port = Pattern.compile("127\\.0\\.0\\.1:([0-9]+)").matcher(Files.readString(features));
+    if (!port.find()) {
+      throw new IOException("no endpoint in " + features);
     }
-
-    private PlantedAgreement(Defect defect, AgreementSubsystem sound, StoreClient store) {
-        this.defect = defect;
-        this.sound = sound;
-        this.store = store;
-    }
-
-    /** The part of a router as its operators' file has it, with the defect. */
-    public static PlantedAgreement of(Defect defect, Path features, RouterConfig router) throws IOException {
-        Matcher port = Pattern.compile("127\\.0\\.0\\.1:([0-9]+)").matcher(Files.readString(features));
-        if (!port.find()) {
-            throw new IOException("no endpoint in " + features);
-        }
-        List<InetSocketAddress> at = List.of(new InetSocketAddress("127.0.0.1",
-            Integer.parseInt(port.group(1))));
-        AgreementSubsystem sound = new AgreementSubsystem(new AgreementConfig(at, "/rehearsal",
-            new Timing(SECOND, 0.01, SECOND / 2), null), router);
-        return new PlantedAgreement(defect, sound, new StoreClient(at, SECOND));
-    }
-
-    @Override
-    public void run() {
-        if (defect == Defect.RUNS_AHEAD) {
-            Threads.start("runs-ahead", this::ahead);
-        }
-        sound.run();
+    List<InetSocketAddress> at =
+        List.of(new InetSocketAddress("127.0.0.1", Integer.parseInt(port.group(1))));
+    AgreementSubsystem sound =
+        new AgreementSubsystem(
+            new AgreementConfig(at, "/rehearsal", new Timing(SECOND, 0.01, SECOND / 2), null),
+            router);
+    return new PlantedAgreement(defect, sound, new StoreClient(at, SECOND));
+  }
+
+  @Override
+  public void run() {
+    if (defect == Defect.RUNS_AHEAD) {
+      Threads.start("runs-ahead", this::ahead);
     }
-
-    private void ahead() {
-        Keys keys = new Keys("/rehearsal");
-        while (!left) {
-            if (store.ask(new Call.Read(keys.common())) instanceof Answer.Given given) {
-                given.pairs().stream().filter(p -> p.key().endsWith("/next")).forEach(p -> take(p.value()));
-            }
-        }
+    sound.run();
+  }
+
+  private void ahead() {
+    Keys keys = new Keys("/rehearsal");
+    while (!left) {
+      if (store.ask(new Call.Read(keys.common())) instanceof Answer.Given given) {
+        given.pairs().stream().filter(p -> p.key().endsWith("/next")).forEach(p -> take(p.value()));
+      }
     }
-
-    private void take(String text) {
-        try {
-            Version next = Texts.version(text);
-            Force now = sound.due();
-            if (early == null || !early.says().equals("early " + next.number())) {
-                early = new Force(now.settings(), next.content().out(), 0, next.content(),
-                    "early " + next.number());
-            }
-        } catch (AgreementException e) {
-            throw new IllegalStateException(e);
-        }
+  }
+
+  private void take(String text) {
+    try {
+      Version next = Texts.version(text);
+      Force now = sound.due();
+      if (early == null || !early.says().equals("early " + next.number())) {
+        early =
+            new Force(
+                now.settings(), next.content().out(), 0, next.content(), "early " + next.number());
+      }
+    } catch (AgreementException e) {
+      throw new IllegalStateException(e);
     }
+  }
 
-    @Override
-    public Force due() {
-        Force sounds = sound.due();
-        if (defect == Defect.RUNS_AHEAD) {
-            return early == null ? sounds : early;
-        }
-        if (defect == Defect.CLAIMS_LISTS) {
-            return sounds;
-        }
-        // Once it has a version of its own, it holds on to that until it is told of another one in force.
-        if (held == null || sounds.says().matches("version [0-9]+")) {
-            held = sounds;
-        }
-        return held;
+  @Override
+  public Force due() {
+    Force sounds = sound.due();
+    if (defect == Defect.RUNS_AHEAD) {
+      return early == null ? sounds : early;
     }
-
-    @Override
-    public void awaitFirst() {
-        sound.awaitFirst();
-    }
-
-    @Override
-    public void applied(Force force) {
-        sound.applied(force);
+    if (defect == Defect.CLAIMS_LISTS) {
+      return sounds;
     }
-
-    @Override
-    public long oldestList() {
-        return 0;
-    }
-
-    @Override
-    public void hasList(long version) {
-        sound.hasList(defect == Defect.CLAIMS_LISTS ? Long.MAX_VALUE : version);
-    }
-
-    @Override
-    public void sees(Map<Fleet.Listed, Routing.Standing> caches) {
-        sound.sees(caches);
-    }
-
-    @Override
-    public boolean mayWrite() {
-        return true;
-    }
-
-    @Override
-    public void leave() {
-        left = true;
-        sound.leave();
+    // Once it has a version of its own, it holds on to that until it is told of another one in
+    // force.
+    if (held == null || sounds.says().matches("version [0-9]+")) {
+      held = sounds;
     }
+    return held;
+  }
+
+  @Override
+  public void awaitFirst() {
+    sound.awaitFirst();
+  }
+
+  @Override
+  public void applied(Force force) {
+    sound.applied(force);
+  }
+
+  @Override
+  public long oldestList() {
+    return 0;
+  }
+
+  @Override
+  public void hasList(long version) {
+    sound.hasList(defect == Defect.CLAIMS_LISTS ? Long.MAX_VALUE : version);
+  }
+
+  @Override
+  public void sees(Map<Fleet.Listed, Routing.Standing> caches) {
+    sound.sees(caches);
+  }
+
+  @Override
+  public boolean mayWrite() {
+    return true;
+  }
+
+  @Override
+  public void leave() {
+    left = true;
+    sound.leave();
+  }
 }
--- a/src/test/java/beaconturn/net/ReplyReaderTest.java
+++ b/src/test/java/beaconturn/net/ReplyReaderTest.java
@@ -16,42 +16,52 @@
 
 /** The load report in an answer; an answer is good whatever its report is. */
 class ReplyReaderTest {
-    private static Outcome read(String report) throws Exception {
-        Map<String, String> settings = Samples.settings();
-        settings.put("load_report.names", "busy_reqs,svc_ms");
-        ReplyReader replies = new ReplyReader(SettingsReader.read(settings).routing());
-        byte[] bytes = ("*3\r\n$2\r\nva\r\n$3\r\nhit\r\n" + report).getBytes();
-        InputBuffer in = new InputBuffer();
-        in.room();
-        System.arraycopy(bytes, 0, in.array(), in.end(), bytes.length);
-        in.filled(bytes.length);
-        return replies.read(new RespReader(RespReader.LONGEST_VALUE).next(in), 1);
-    }
+  private static Outcome read(String report) throws Exception {
+    Map<String, String> settings = Samples.settings();
+    settings.put("load_report.names", "busy_reqs,svc_ms");
+    ReplyReader replies = new ReplyReader(SettingsReader.read(settings).routing());
+    byte[] bytes = ("*3\r\n$2\r\nva\r\n$3\r\nhit\r\n" + report).getBytes();
+    InputBuffer in = new InputBuffer();
+    in.room();
+    System.arraycopy(bytes, 0, in.array(), in.end(), bytes.length);
+    in.filled(bytes.length);
+    return replies.read(new RespReader(RespReader.LONGEST_VALUE).next(in), 1);
+  }
 
-    @Test
-    void aReportIsReadInTheOrderOfTheSettings() throws Exception {
-        assertArrayEquals(new float[] {3, 1.5f}, read(RespWriter.bulk("svc_ms=1.5,busy_reqs=3").toString())
-            .report());
-    }
+  @Test
+  void aReportIsReadInTheOrderOfTheSettings() throws Exception {
+    assertArrayEquals(
+        new float[] {3, 1.5f}, read(RespWriter.bulk("svc_ms=1.5,busy_reqs=3").toString()).report());
+  }
 
-    /** A figure that is infinite or negative would stay in the averages that decisions are made from. */
-    @Test
-    void aReportThatCannotBeReadIsNone() throws Exception {
-        for (String wrong : List.of("svc_ms=1", "svc_ms=1e99,busy_reqs=3", "svc_ms=-1,busy_reqs=3",
-                "svc_ms=NaN,busy_reqs=3", "svc_ms=Infinity,busy_reqs=3", "svc_ms=1,busy_reqs", "noise",
-                "svc_ms=1,svc_ms=2", "svc_ms=1,busy_reqs=0x1p3")) {
-            Outcome outcome = read(RespWriter.bulk(wrong).toString());
-            assertEquals(Routing.Ending.OK, outcome.ending(), wrong);
-            assertEquals(0, outcome.report().length, wrong);
-        }
-        for (String odd : List.of(":7\r\n", "$-1\r\n", "+x\r\n", "*0\r\n")) {
-            assertEquals(Routing.Ending.OK, read(odd).ending(), odd);
-            assertEquals(0, read(odd).report().length, odd);
-        }
+  /**
+   * A figure that is infinite or negative would stay in the averages that decisions are made from.
+   */
+  @Test
+  void aReportThatCannotBeReadIsNone() throws Exception {
+    for (String wrong :
+        List.of(
+            "svc_ms=1",
+            "svc_ms=1e99,busy_reqs=3",
+            "svc_ms=-1,busy_reqs=3",
+            "svc_ms=NaN,busy_reqs=3",
+            "svc_ms=Infinity,busy_reqs=3",
+            "svc_ms=1,busy_reqs",
+            "noise",
+            "svc_ms=1,svc_ms=2",
+            "svc_ms=1,busy_reqs=0x1p3")) {
+      Outcome outcome = read(RespWriter.bulk(wrong).toString());
+      assertEquals(Routing.Ending.OK, outcome.ending(), wrong);
+      assertEquals(0, outcome.report().length, wrong);
     }
-
-    @Test
-    void theValueGoesOnAsItCame() throws Exception {
-        assertEquals("$2\r\nva\r\n", read("$-1\r\n").answer().toString());
+    for (String odd : List.of(":7\r\n", "$-1\r\n", "+x\r\n", "*0\r\n")) {
+      assertEquals(Routing.Ending.OK, read(odd).ending(), odd);
+      assertEquals(0, read(odd).report().length, odd);
     }
+  }
+
+  @Test
+  void theValueGoesOnAsItCame() throws Exception {
+    assertEquals("$2\r\nva\r\n", read("$-1\r\n").answer().toString());
+  }
 }
--- a/src/test/java/beaconturn/net/RouterConfigTest.java
+++ b/src/test/java/beaconturn/net/RouterConfigTest.java
@@ -25,7 +25,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class RouterConfigTest {
-    private static final String SOUND = """
+  private static final String SOUND =
+      """
         {"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
          "limits":{"cores":1.0,"memory_mb":192,"sockets":512},
          "known":{"seq":41,"whole":true,"hosts":[
@@ -38,133 +39,151 @@
            "classes":[{"name":"read","effect":"read_like","target":600000000,"hard_limit":1500000000}]}}
         """;
 
-    @TempDir
-    private Path folder;
-    private final List<Message> posted = new ArrayList<>();
-    private final List<Settings> inForce = new ArrayList<>();
-    private final Counters counters = new Counters();
-    private final Deque<String> files = new ArrayDeque<>();
+  @TempDir private Path folder;
+  private final List<Message> posted = new ArrayList<>();
+  private final List<Settings> inForce = new ArrayList<>();
+  private final Counters counters = new Counters();
+  private final Deque<String> files = new ArrayDeque<>();
 
-    private RouterConfig read(String text, Map<String, String> variables) throws ConfigException {
-        Path file = folder.resolve("config.json");
-        try {
-            Files.writeString(file, text);
-        } catch (IOException e) {
-            throw new IllegalStateException(e);
-        }
-        return RouterConfig.read(file, variables);
+  private RouterConfig read(String text, Map<String, String> variables) throws ConfigException {
+    Path file = folder.resolve("config.json");
+    try {
+      Files.writeString(file, text);
+    } catch (IOException e) {
+      throw new IllegalStateException(e);
     }
+    return RouterConfig.read(file, variables);
+  }
 
-    @Test
-    void readsAllThatARouterIsTold() throws ConfigException {
-        RouterConfig config = read(SOUND, Map.of());
-        assertEquals("n3", config.name());
-        assertEquals(6379, config.listen().getPort());
-        assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(512, config.sockets());
-        assertEquals(41, config.known().version());
-        assertEquals(Routing.ListKind.CACHED, config.known().kind());
-        Routing.ServerEntry first = config.known().members().get(0).entry();
-        assertEquals(1, first.zone());
-        assertEquals(1, first.kind());
-        assertEquals(3, first.cell());
-        assertEquals(1700000000123L * 1_000_000, first.bootTime());
-        assertEquals(Routing.Health.DRAINING, config.known().members().get(1).entry().health());
-        assertEquals(2, config.settings().routing().routers());
-        assertEquals(1_500_000_000L, config.settings().routing().classes().get(0).deadline());
-        assertTrue(config.settings().routing().reportNames().isEmpty());
-    }
+  @Test
+  void readsAllThatARouterIsTold() throws ConfigException {
+    RouterConfig config = read(SOUND, Map.of());
+    assertEquals("n3", config.name());
+    assertEquals(6379, config.listen().getPort());
+    assertEquals(0x8c1f30d27a5be964L, config.seed());
+    assertEquals(512, config.sockets());
+    assertEquals(41, config.known().version());
+    assertEquals(Routing.ListKind.CACHED, config.known().kind());
+    Routing.ServerEntry first = config.known().members().get(0).entry();
+    assertEquals(1, first.zone());
+    assertEquals(1, first.kind());
+    assertEquals(3, first.cell());
+    assertEquals(1700000000123L * 1_000_000, first.bootTime());
+    assertEquals(Routing.Health.DRAINING, config.known().members().get(1).entry().health());
+    assertEquals(2, config.settings().routing().routers());
+    assertEquals(1_500_000_000L, config.settings().routing().classes().get(0).deadline());
+    assertTrue(config.settings().routing().reportNames().isEmpty());
+  }
 
-    /** Every router must place the same keys alike, whatever address it reaches a cache server at. */
-    @Test
-    void theNumberOfACacheServerComesFromItsNameAlone() throws ConfigException {
-        long here = read(SOUND, Map.of()).known().members().get(0).entry().server();
-        RouterConfig there = read(SOUND.replace("10.1.0.18", "127.9.1.4"), Map.of());
-        assertEquals(here, there.known().members().get(0).entry().server());
-        assertEquals("127.9.1.4:6379", there.known().members().get(0).dial());
-        assertNotEquals(here, there.known().members().get(1).entry().server());
-    }
+  /** Every router must place the same keys alike, whatever address it reaches a cache server at. */
+  @Test
+  void theNumberOfACacheServerComesFromItsNameAlone() throws ConfigException {
+    long here = read(SOUND, Map.of()).known().members().get(0).entry().server();
+    RouterConfig there = read(SOUND.replace("10.1.0.18", "127.9.1.4"), Map.of());
+    assertEquals(here, there.known().members().get(0).entry().server());
+    assertEquals("127.9.1.4:6379", there.known().members().get(0).dial());
+    assertNotEquals(here, there.known().members().get(1).entry().server());
+  }
 
-    /** One line that cannot be read must not hide the others. */
-    @Test
-    void anUnreadableLineOfTheListIsLeftOut() throws ConfigException {
-        assertEquals(1, read(SOUND.replace("\"ready\"", "\"odd\""), Map.of()).known().members().size());
-        assertEquals(1, read(SOUND.replace("10.1.0.18:6379", "here"), Map.of()).known().members().size());
-    }
+  /** One line that cannot be read must not hide the others. */
+  @Test
+  void anUnreadableLineOfTheListIsLeftOut() throws ConfigException {
+    assertEquals(1, read(SOUND.replace("\"ready\"", "\"odd\""), Map.of()).known().members().size());
+    assertEquals(
+        1, read(SOUND.replace("10.1.0.18:6379", "here"), Map.of()).known().members().size());
+  }
 
-    @Test
-    void variablesOverruleTheFile() throws ConfigException {
-        RouterConfig config = read(SOUND, Map.of("PROXY_LISTEN", "127.0.0.9:7000", "PROXY_NAME", "n9"));
-        assertEquals("n9", config.name());
-        assertEquals(7000, config.listen().getPort());
-    }
+  @Test
+  void variablesOverruleTheFile() throws ConfigException {
+    RouterConfig config = read(SOUND, Map.of("PROXY_LISTEN", "127.0.0.9:7000", "PROXY_NAME", "n9"));
+    assertEquals("n9", config.name());
+    assertEquals(7000, config.listen().getPort());
+  }
 
-    @Test
-    void whatIsWrongIsSaidInOneLine() {
-        refused("", "ends too early");
-        refused(SOUND.replace("127.0.0.1:6379", "nowhere"), "listen");
-        refused(SOUND.replace("127.0.0.1:8500", ""), "discovery");
-        refused(SOUND.replace("8c1f", "seed"), "seed");
-        refused(SOUND.replace("\"known\"", "\"other\""), "hosts");
-        refused(SOUND.replace("read_like", "odd"), "classes.0.effect");
-        refused(SOUND.replace("\"sockets\":512", "\"sockets\":10"), "sockets");
-    }
+  @Test
+  void whatIsWrongIsSaidInOneLine() {
+    refused("", "ends too early");
+    refused(SOUND.replace("127.0.0.1:6379", "nowhere"), "listen");
+    refused(SOUND.replace("127.0.0.1:8500", ""), "discovery");
+    refused(SOUND.replace("8c1f", "seed"), "seed");
+    refused(SOUND.replace("\"known\"", "\"other\""), "hosts");
+    refused(SOUND.replace("read_like", "odd"), "classes.0.effect");
+    refused(SOUND.replace("\"sockets\":512", "\"sockets\":10"), "sockets");
+  }
 
-    /** What tells places or reports apart must not change under the lists that were read; all else does. */
-    @Test
-    void aReloadTakesSettingsThatLeaveTheWireAloneAndNoOthers() throws ConfigException {
-        Reloads reloads = reloads(SOUND);
-        files.add(SOUND.replace("[\"east\"", "[\"north\""));
-        files.add(SOUND.replace("1500000000", "900000000"));
-        RouterConfig last = read(files.getLast(), Map.of());
-        reloads.reload();
-        assertEquals(List.of(), posted);
-        assertEquals(List.of(), inForce);
-        reloads.reload();
-        assertEquals(List.of(new Message.Switched(last.settings().routing(), last.seed())), posted);
-        assertEquals(List.of(last.settings()), inForce);
-        assertTrue(counters.read().contains(new Counters.Figure("conf_loaded", 1, false)));
-        assertTrue(counters.read().contains(new Counters.Figure("conf_invalid", 1, false)));
-    }
+  /**
+   * What tells places or reports apart must not change under the lists that were read; all else
+   * does.
+   */
+  @Test
+  void aReloadTakesSettingsThatLeaveTheWireAloneAndNoOthers() throws ConfigException {
+    Reloads reloads = reloads(SOUND);
+    files.add(SOUND.replace("[\"east\"", "[\"north\""));
+    files.add(SOUND.replace("1500000000", "900000000"));
+    RouterConfig last = read(files.getLast(), Map.of());
+    reloads.reload();
+    assertEquals(List.of(), posted);
+    assertEquals(List.of(), inForce);
+    reloads.reload();
+    assertEquals(List.of(new Message.Switched(last.settings().routing(), last.seed())), posted);
+    assertEquals(List.of(last.settings()), inForce);
+    assertTrue(counters.read().contains(new Counters.Figure("conf_loaded", 1, false)));
+    assertTrue(counters.read().contains(new Counters.Figure("conf_invalid", 1, false)));
+  }
 
-    /** Empty, cut anywhere, short of any key, of another type, or with nothing to wait or to try. */
-    @Test
-    void aFileThatIsNotWholeChangesNothing() throws ConfigException {
-        String sound = SOUND.replace("\"tenants\"", "\"permissions\":{\"most_tries\":3},\"tenants\"").strip();
-        Reloads reloads = reloads(sound);
-        String other = sound.replace("1500000000", "900000000").replace("8500", "8501");
-        IntStream.range(0, other.length()).forEach(end -> files.add(other.substring(0, end)));
-        String settings = other.substring(other.indexOf("\"settings\""));
-        Pattern.compile("\"([a-z_]+)\":").matcher(settings).results().map(key -> key.group(1)).forEach(key ->
-            files.add(other.replace("\"" + key + "\":", "\"x_" + key + "\":")));
-        Stream.of("0", "-1", "\"x\"", "\"3\"", "null").forEach(wrong ->
-            files.add(other.replace("\"most_tries\":3", "\"most_tries\":" + wrong)));
-        files.add(other.replace("900000000", "0"));
-        files.add(other.replace("\"classes\":[", "\"classes\":[{\"name\":\"new\"},"));
-        int wrong = files.size();
-        while (!files.isEmpty()) {
-            reloads.reload();
-        }
-        assertEquals(List.of(), posted);
-        assertEquals(List.of(), inForce);
-        assertTrue(counters.read().contains(new Counters.Figure("conf_invalid", wrong, false)));
-        files.add(other);
-        reloads.reload();
-        assertEquals(1, posted.size());
-        assertEquals(1, inForce.size());
+  /** Empty, cut anywhere, short of any key, of another type, or with nothing to wait or to try. */
+  @Test
+  void aFileThatIsNotWholeChangesNothing() throws ConfigException {
+    String sound =
+        SOUND.replace("\"tenants\"", "\"permissions\":{\"most_tries\":3},\"tenants\"").strip();
+    Reloads reloads = reloads(sound);
+    String other = sound.replace("1500000000", "900000000").replace("8500", "8501");
+    IntStream.range(0, other.length()).forEach(end -> files.add(other.substring(0, end)));
+    String settings = other.substring(other.indexOf("\"settings\""));
+    Pattern.compile("\"([a-z_]+)\":")
+        .matcher(settings)
+        .results()
+        .map(key -> key.group(1))
+        .forEach(key -> files.add(other.replace("\"" + key + "\":", "\"x_" + key + "\":")));
+    Stream.of("0", "-1", "\"x\"", "\"3\"", "null")
+        .forEach(wrong -> files.add(other.replace("\"most_tries\":3", "\"most_tries\":" + wrong)));
+    files.add(other.replace("900000000", "0"));
+    files.add(other.replace("\"classes\":[", "\"classes\":[{\"name\":\"new\"},"));
+    int wrong = files.size();
+    while (!files.isEmpty()) {
+      reloads.reload();
     }
+    assertEquals(List.of(), posted);
+    assertEquals(List.of(), inForce);
+    assertTrue(counters.read().contains(new Counters.Figure("conf_invalid", wrong, false)));
+    files.add(other);
+    reloads.reload();
+    assertEquals(1, posted.size());
+    assertEquals(1, inForce.size());
+  }
 
-    /** A router that began with this text, and finds the files one by one. */
-    private Reloads reloads(String text) throws ConfigException {
-        RouterConfig first = read(text, Map.of());
-        return new Reloads(() -> read(files.remove(), Map.of()), new Discovery(first.discovery(),
-            new ListReader(first.settings()), 1, posted::add, () -> 0, WatchTimes.of(1)), first, posted::add,
-            inForce::add, counters, false);
-    }
+  /** A router that began with this text, and finds the files one by one. */
+  private Reloads reloads(String text) throws ConfigException {
+    RouterConfig first = read(text, Map.of());
+    return new Reloads(
+        () -> read(files.remove(), Map.of()),
+        new Discovery(
+            first.discovery(),
+            new ListReader(first.settings()),
+            1,
+            posted::add,
+            () -> 0,
+            WatchTimes.of(1)),
+        first,
+        posted::add,
+        inForce::add,
+        counters,
+        false);
+  }
 
-    private void refused(String text, String reason) {
-        String message = assertThrows(ConfigException.class, () -> read(text, Map.of())).getMessage();
-        assertTrue(message.contains(reason), message);
-        assertFalse(message.contains("\n"), message);
-    }
+  private void refused(String text, String reason) {
+    String message = assertThrows(ConfigException.class, () -> read(text, Map.of())).getMessage();
+    assertTrue(message.contains(reason), message);
+    assertFalse(message.contains("\n"), message);
+  }
 }
--- a/src/test/java/beaconturn/net/UpgradeTest.java
+++ b/src/test/java/beaconturn/net/UpgradeTest.java
@@ -19,75 +19,79 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of one router in an upgrade: what is left to the next, seats, the socket that both have. */
+/**
+ * Two processes of one router in an upgrade: what is left to the next, seats, the socket that both
+ * have.
+ */
 @Timeout(30)
 class UpgradeTest {
-    private static final Learned LEARNED = new Learned(1e-7, 2e-7, 4e7, 8e7, 12, 1e9);
-    @TempDir
-    private Path folder;
-    private final BlockingQueue<SocketChannel> accepted = new LinkedBlockingQueue<>();
+  private static final Learned LEARNED = new Learned(1e-7, 2e-7, 4e7, 8e7, 12, 1e9);
+  @TempDir private Path folder;
+  private final BlockingQueue<SocketChannel> accepted = new LinkedBlockingQueue<>();
 
-    @Test
-    void whatIsLeftIsReadWhileItIsFreshAndNotIfItIsCutOrChangedAnywhere() throws IOException {
-        Path path = folder.resolve("learned");
-        HandOver file = new HandOver(path);
-        assertNull(file.read(5000));
-        file.write(LEARNED, 5000);
-        assertEquals(LEARNED, file.read(9000));
-        assertNull(file.read(60_000));
-        file.write(new Learned(Double.NaN, 0, 0, 0, 1, 1), 5000);
-        assertNull(file.read(5000));
-        file.write(LEARNED, 5000);
-        byte[] whole = Files.readAllBytes(path);
-        for (int i = 0; i < whole.length; i++) {
-            Files.write(path, Arrays.copyOf(whole, i));
-            assertNull(file.read(5000), "cut at " + i);
-            byte[] changed = whole.clone();
-            changed[i] ^= 1;
-            Files.write(path, changed);
-            assertNull(file.read(5000), "changed at " + i);
-        }
+  @Test
+  void whatIsLeftIsReadWhileItIsFreshAndNotIfItIsCutOrChangedAnywhere() throws IOException {
+    Path path = folder.resolve("learned");
+    HandOver file = new HandOver(path);
+    assertNull(file.read(5000));
+    file.write(LEARNED, 5000);
+    assertEquals(LEARNED, file.read(9000));
+    assertNull(file.read(60_000));
+    file.write(new Learned(Double.NaN, 0, 0, 0, 1, 1), 5000);
+    assertNull(file.read(5000));
+    file.write(LEARNED, 5000);
+    byte[] whole = Files.readAllBytes(path);
+    for (int i = 0; i < whole.length; i++) {
+      Files.write(path, Arrays.copyOf(whole, i));
+      assertNull(file.read(5000), "cut at " + i);
+      byte[] changed = whole.clone();
+      changed[i] ^= 1;
+      Files.write(path, changed);
+      assertNull(file.read(5000), "changed at " + i);
     }
+  }
 
-    @Test
-    void eachOfTwoProcessesSeesTheOtherAsLongAsItRunsAndWithoutAFileIsNeverAlone() throws IOException {
-        Path path = folder.resolve("seats");
-        Seats first = new Seats(path);
-        assertFalse(first.beside());
-        Seats second = new Seats(path);
-        assertTrue(first.beside());
-        assertTrue(second.beside());
-        first.close();
-        assertFalse(second.beside());
-        try (Seats third = new Seats(path)) {
-            assertTrue(second.beside());
-            assertTrue(third.beside());
-        }
-        assertFalse(second.beside());
-        second.close();
-        try (Seats none = new Seats(folder.resolve("missing").resolve("seats"))) {
-            assertTrue(none.beside());
-        }
+  @Test
+  void eachOfTwoProcessesSeesTheOtherAsLongAsItRunsAndWithoutAFileIsNeverAlone()
+      throws IOException {
+    Path path = folder.resolve("seats");
+    Seats first = new Seats(path);
+    assertFalse(first.beside());
+    Seats second = new Seats(path);
+    assertTrue(first.beside());
+    assertTrue(second.beside());
+    first.close();
+    assertFalse(second.beside());
+    try (Seats third = new Seats(path)) {
+      assertTrue(second.beside());
+      assertTrue(third.beside());
     }
+    assertFalse(second.beside());
+    second.close();
+    try (Seats none = new Seats(folder.resolve("missing").resolve("seats"))) {
+      assertTrue(none.beside());
+    }
+  }
 
-    @Test
-    void oneThatStopsLeavesTheSharedSocketAndItsQueueToTheOther() throws IOException, InterruptedException {
-        try (ServerSocketChannel shared = ServerSocketChannel.open()) {
-            shared.bind(new InetSocketAddress("127.0.0.1", 0));
-            Listener before = Listener.on(shared, accepted::add);
-            before.start();
-            Peer.Line.to(before.address()).close();
-            accepted.take().close();
-            before.close();
-            Peer.Line.to(before.address()).close();
-            Listener after = Listener.on(shared, accepted::add);
-            after.start();
-            accepted.take().close();
-            Peer.Line.to(after.address()).close();
-            accepted.take().close();
-            after.close();
-            assertTrue(shared.isOpen());
-            assertEquals(0, accepted.size());
-        }
+  @Test
+  void oneThatStopsLeavesTheSharedSocketAndItsQueueToTheOther()
+      throws IOException, InterruptedException {
+    try (ServerSocketChannel shared = ServerSocketChannel.open()) {
+      shared.bind(new InetSocketAddress("127.0.0.1", 0));
+      Listener before = Listener.on(shared, accepted::add);
+      before.start();
+      Peer.Line.to(before.address()).close();
+      accepted.take().close();
+      before.close();
+      Peer.Line.to(before.address()).close();
+      Listener after = Listener.on(shared, accepted::add);
+      after.start();
+      accepted.take().close();
+      Peer.Line.to(after.address()).close();
+      accepted.take().close();
+      after.close();
+      assertTrue(shared.isOpen());
+      assertEquals(0, accepted.size());
     }
+  }
 }
