--- a/src/test/java/beaconturn/net/WorkersTest.java
+++ b/src/test/java/beaconturn/net/WorkersTest.java
@@ -13,55 +13,57 @@
 
 @Timeout(60)
 class WorkersTest {
-    private static final long LONG = 3_600_000_000_000L;
-    private final BlockingQueue<Thread> ran = new LinkedBlockingQueue<>();
+  private static final long LONG = 3_600_000_000_000L;
+  private final BlockingQueue<Thread> ran = new LinkedBlockingQueue<>();
 
-    private Thread run(Workers workers) throws InterruptedException {
-        workers.run(() -> ran.add(Thread.currentThread()));
-        return ran.take();
-    }
+  private Thread run(Workers workers) throws InterruptedException {
+    workers.run(() -> ran.add(Thread.currentThread()));
+    return ran.take();
+  }
 
-    /** Round robin among all would keep each of them busy enough never to end. */
-    @Test
-    void theThreadThatCameBackLastIsUsedFirst() throws Exception {
-        Workers workers = new Workers("test", LONG);
-        CountDownLatch over = new CountDownLatch(1);
-        workers.run(() -> {
-            ran.add(Thread.currentThread());
-            try {
-                over.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
+  /** Round robin among all would keep each of them busy enough never to end. */
+  @Test
+  void theThreadThatCameBackLastIsUsedFirst() throws Exception {
+    Workers workers = new Workers("test", LONG);
+    CountDownLatch over = new CountDownLatch(1);
+    workers.run(
+        () -> {
+          ran.add(Thread.currentThread());
+          try {
+            over.await();
+          } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+          }
         });
-        Thread busy = ran.take();
-        Thread other = run(workers);
-        assertNotSame(busy, other);
-        for (int i = 0; i < 50; i++) {
-            Peer.until(() -> other.getState() == Thread.State.TIMED_WAITING);
-            assertSame(other, run(workers));
-        }
-        assertEquals(2, workers.threads());
-        over.countDown();
+    Thread busy = ran.take();
+    Thread other = run(workers);
+    assertNotSame(busy, other);
+    for (int i = 0; i < 50; i++) {
+      Peer.until(() -> other.getState() == Thread.State.TIMED_WAITING);
+      assertSame(other, run(workers));
     }
+    assertEquals(2, workers.threads());
+    over.countDown();
+  }
 
-    /** Guards against a job given to a thread at the moment when its wait is over. */
-    @Test
-    void noJobIsLostAtTheEndOfAThreadsWait() throws Exception {
-        Workers workers = new Workers("test", 1);
-        for (int i = 0; i < 2000; i++) {
-            run(workers);
-        }
-        Peer.until(() -> workers.threads() == 0);
+  /** Guards against a job given to a thread at the moment when its wait is over. */
+  @Test
+  void noJobIsLostAtTheEndOfAThreadsWait() throws Exception {
+    Workers workers = new Workers("test", 1);
+    for (int i = 0; i < 2000; i++) {
+      run(workers);
     }
+    Peer.until(() -> workers.threads() == 0);
+  }
 
-    @Test
-    void aJobThatFailsEndsNothing() throws Exception {
-        Workers workers = new Workers("test", LONG);
-        workers.run(() -> {
-            throw new IllegalStateException("as the test wants");
+  @Test
+  void aJobThatFailsEndsNothing() throws Exception {
+    Workers workers = new Workers("test", LONG);
+    workers.run(
+        () -> {
+          throw new IllegalStateException("as the test wants");
         });
-        run(workers);
-        assertTrue(workers.threads() <= 2);
-    }
+    run(workers);
+    assertTrue(workers.threads() <= 2);
+  }
 }
--- a/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
+++ b/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
@@ -19,49 +19,51 @@
 
 @Timeout(60)
 class AgreementSubsystemTest {
-    private static final long SECOND = 1_000_000_000;
-    private static final Timing TIMING = new Timing(60 * SECOND, 0.01, SECOND / 2);
+  private static final long SECOND = 1_000_000_000;
+  private static final Timing TIMING = new Timing(60 * SECOND, 0.01, SECOND / 2);
 
-    private static AgreementSubsystem at(InetSocketAddress store) throws Exception {
-        return new AgreementSubsystem(new AgreementConfig(List.of(store), "/f", TIMING, null),
-            RouterConfig.read(Path.of("examples", "config.json"), Map.of()));
-    }
+  private static AgreementSubsystem at(InetSocketAddress store) throws Exception {
+    return new AgreementSubsystem(
+        new AgreementConfig(List.of(store), "/f", TIMING, null),
+        RouterConfig.read(Path.of("examples", "config.json"), Map.of()));
+  }
 
-    /** Whoever serves before it has asked acts on what may be over. */
-    @Test
-    void aStartWaitsUntilTheStoreHasToldWhatIsInForce() throws Exception {
-        try (StoreFront front = new StoreFront(0, 42, System::nanoTime, (at, revision, key, value) -> { })) {
-            front.start();
-            StoreClient client = new StoreClient(List.of(front.address()), 20 * SECOND);
-            new Desk(new Keys("/f"), client).begin("first");
-            client.close();
-            AgreementSubsystem agreed = at(front.address());
-            assertEquals("strict ground", agreed.due().says());
-            Thread thread = new Thread(agreed);
-            thread.start();
-            agreed.awaitFirst();
-            assertTrue(agreed.due().says().startsWith("its own configuration"), agreed.due().says());
-            agreed.leave();
-            thread.join();
-        }
+  /** Whoever serves before it has asked acts on what may be over. */
+  @Test
+  void aStartWaitsUntilTheStoreHasToldWhatIsInForce() throws Exception {
+    try (StoreFront front =
+        new StoreFront(0, 42, System::nanoTime, (at, revision, key, value) -> {})) {
+      front.start();
+      StoreClient client = new StoreClient(List.of(front.address()), 20 * SECOND);
+      new Desk(new Keys("/f"), client).begin("first");
+      client.close();
+      AgreementSubsystem agreed = at(front.address());
+      assertEquals("strict ground", agreed.due().says());
+      Thread thread = new Thread(agreed);
+      thread.start();
+      agreed.awaitFirst();
+      assertTrue(agreed.due().says().startsWith("its own configuration"), agreed.due().says());
+      agreed.leave();
+      thread.join();
     }
+  }
 
-    /** A store that is not there holds no start up: the first call that fails is enough. */
-    @Test
-    void aStartGoesOnWhereNoStoreAnswers() throws Exception {
-        InetSocketAddress nobody = nobody();
-        AgreementSubsystem agreed = at(nobody);
-        Thread thread = new Thread(agreed);
-        thread.start();
-        agreed.awaitFirst();
-        assertEquals("strict ground", agreed.due().says());
-        agreed.leave();
-        thread.join();
-    }
+  /** A store that is not there holds no start up: the first call that fails is enough. */
+  @Test
+  void aStartGoesOnWhereNoStoreAnswers() throws Exception {
+    InetSocketAddress nobody = nobody();
+    AgreementSubsystem agreed = at(nobody);
+    Thread thread = new Thread(agreed);
+    thread.start();
+    agreed.awaitFirst();
+    assertEquals("strict ground", agreed.due().says());
+    agreed.leave();
+    thread.join();
+  }
 
-    private static InetSocketAddress nobody() throws IOException {
-        try (ServerSocket closed = new ServerSocket(0)) {
-            return new InetSocketAddress("127.0.0.1", closed.getLocalPort());
-        }
+  private static InetSocketAddress nobody() throws IOException {
+    try (ServerSocket closed = new ServerSocket(0)) {
+      return new InetSocketAddress("127.0.0.1", closed.getLocalPort());
     }
+  }
 }
--- a/src/test/java/beaconturn/net/control/ControlAddressTest.java
+++ b/src/test/java/beaconturn/net/control/ControlAddressTest.java
@@ -28,207 +28,226 @@
 /** Calls on the second address; the clock is the test's, and so is what the calls reach. */
 @Timeout(30)
 class ControlAddressTest implements Office {
-    private static final long SECOND = 1_000_000_000;
-    private static final Hand OUT = new Hand("s-1", true, 5000);
-    private static final Hand BACK = new Hand("s-2", false, 6000);
-    @TempDir
-    private Path folder;
-    private final AtomicLong now = new AtomicLong(SECOND);
-    private final BlockingQueue<Hand> hands = new LinkedBlockingQueue<>();
-    private volatile String notReady;
-    private final Counters counters = new Counters();
-    private final Map<ControlAddress, CompletableFuture<Void>> open = new HashMap<>();
-    private final List<Peer.Line> callers = new ArrayList<>();
-    private ControlAddress address;
-
-    @Override
-    public String notReady() {
-        return notReady;
-    }
-
-    /** Server {@code s-1} is known; of one that is called {@code s-slow} nothing is heard again. */
-    @Override
-    public void hand(Hand hand, boolean told, Consumer<Boolean> known) {
-        hands.add(hand);
-        if (!hand.id().equals("s-slow")) {
-            known.accept(told || hand.id().equals("s-1"));
-        }
-    }
-
-    private Path file() {
-        return folder.resolve("hand");
-    }
-
-    private ControlAddress open(boolean shared) throws IOException {
-        ControlAddress opened = new ControlAddress(new InetSocketAddress("127.0.0.1", 0),
-            this, counters, new HandFile(file(), shared), now::get);
-        open.put(opened, CompletableFuture.runAsync(opened, task -> new Thread(task).start()));
-        return opened;
-    }
-
-    @BeforeEach
-    void open() throws IOException {
-        address = open(false);
-    }
-
-    @AfterEach
-    void close() {
-        open.keySet().forEach(ControlAddress::close);
-        // Fails if one of them did: a stop ends the callers that are there.
-        open.values().forEach(CompletableFuture::join);
-        callers.forEach(Peer.Line::close);
-    }
-
-    private Peer.Line say(String text) throws IOException {
-        Peer.Line caller = Peer.Line.to(address.address());
-        callers.add(caller);
-        caller.write(text);
-        return caller;
-    }
-
-    private String call(String text) throws IOException {
-        return say(text).rest();
-    }
-
-    @Test
-    void readySaysYesOnceTheRouterServesAndWhyNotBefore() throws IOException {
-        notReady = "starting";
-        assertEquals("NAK starting\n", call("ready\n"));
-        notReady = null;
-        assertEquals("ACK\n", call("ready\r\n"));
-    }
-
-    @Test
-    void aCallInSingleBytesOrEndedByItsCallersEndIsACall() throws IOException {
-        say("half a call");
-        Peer.Line slow = say("");
-        for (String piece : "ready\n".split("")) {
-            slow.write(piece);
-        }
-        assertEquals("ACK\n", slow.rest());
-        Peer.Line ended = say("ready");
-        ended.endOutput();
-        assertEquals("ACK\n", ended.rest());
-    }
-
-    @Test
-    void whatIsNoCallGetsANoWithTheReason() throws IOException {
-        assertEquals("NAK no such call\n", call("\n"));
-        assertEquals("NAK no such call\n", call("GET / HTTP/1.1\n"));
-        assertEquals("NAK an id is missing\n", call("disable-server\n"));
-        assertEquals("NAK more words than the call takes\n", call("enable-server s-1 s-2\n"));
-        assertEquals("NAK more words than the call takes\n", call("ready now\n"));
-        assertEquals("NAK the id is too long or of odd characters\n", call("disable-server "
-            + "x".repeat(200) + "\n"));
-        assertEquals("NAK the call is too long\n", call("x".repeat(512)));
-        assertEquals("NAK no cache server has this id\n", call("disable-server s-2\n"));
-        assertEquals(1, hands.size());
-    }
-
-    @Test
-    void aHundredSilentCallersHoldUpNobody() throws IOException {
-        for (int i = 0; i < 100; i++) {
-            say("r");
-        }
-        assertEquals("ACK\n", call("ready\n"));
-        // The oldest made room long ago.
-        assertEquals("", callers.get(0).rest());
-        now.addAndGet(6 * SECOND);
-        assertEquals("", callers.get(99).rest());
-    }
-
-    @Test
-    void aCallThatTheModuleDoesNotTakeInTimeIsAnsweredAllTheSame() throws Exception {
-        Peer.Line caller = say("disable-server s-slow\n");
-        hands.take();
-        now.addAndGet(SECOND);
-        assertEquals("ACK\n", caller.rest());
-        assertTrue(Files.readString(file()).contains("out s-slow "));
-    }
-
-    @Test
-    void figuresAreLinesThatEndWithTheirMark() throws IOException {
-        counters.names("read");
-        counters.taken();
-        counters.taken();
-        counters.ended("put", Tally.End.DEFERRED);
-        counters.sent();
-        counters.fleet(10, 2);
-        assertEquals(List.of("app.answered.put:0|c", "app.answered.read:0|c", "app.deferred.put:1|c",
-            "app.deferred.read:0|c", "app.errored.put:0|c", "app.errored.read:0|c", "app.sends:1|c",
-            "app.current:1|g", "app.cluster_size:10|g", "app.cluster_unhealthy:2|g", "app.conf_loaded:0|c",
-            "app.conf_invalid:0|c", "--"), call("show-stat\n").lines().toList());
-    }
-
-    @Test
-    void whatOneProcessOfARouterIsToldTheOtherFollows() throws Exception {
-        open(true);
-        assertEquals("ACK\n", call("disable-server s-1\n"));
-        Hand said = hands.take();
-        now.addAndGet(SECOND);
-        assertEquals(said, hands.take());
-        assertEquals("ACK\n", call("enable-server s-1\n"));
-        assertEquals(false, hands.take().out());
-        now.addAndGet(SECOND);
-        assertEquals(false, hands.take().out());
-    }
-
-    private List<Hand> reread() {
-        return new HandFile(file(), false).read();
-    }
-
-    @Test
-    void theNextProcessFindsWhatWasSaidLast() {
-        HandFile first = new HandFile(file(), false);
-        first.put(OUT);
-        first.put(BACK);
-        assertEquals(List.of(OUT, BACK), reread());
-        Hand again = new Hand("s-1", false, 7000);
-        first.put(again);
-        assertEquals(List.of(again, BACK), reread());
-    }
-
-    @Test
-    void twoProcessesKeepEachOthersWords() {
-        HandFile first = new HandFile(file(), true);
-        HandFile second = new HandFile(file(), true);
-        first.put(OUT);
-        second.put(BACK);
-        assertEquals(List.of(OUT, BACK), reread());
-        assertEquals(List.of(BACK), first.changes(0));
-        assertEquals(List.of(OUT), second.changes(0));
-        assertEquals(List.of(), first.changes(1_000_000_000));
-    }
-
-    @Test
-    void aDamagedFileCountsAsFarAsItIsSound() throws IOException {
-        Files.writeString(file(), "beaconturn-hand 2\nout s-1 5000\nout s-3\nodd s-4 1\n"
-            + "back s-2 6000\nout s-5 x");
-        assertEquals(List.of(OUT, BACK), reread());
-        for (String unsound : new String[] {"", "\n", "out s-1 5000\n", "x".repeat(300 * 1024)}) {
-            Files.writeString(file(), unsound);
-            assertEquals(List.of(), reread());
-        }
-    }
-
-    /**
-     * Its times were those of a wall clock, which may have been an hour off: what it says counts as said now.
-     */
-    @Test
-    void aFileOfTheEarlierFormHoldsAndItsTimesDoNot() throws IOException {
-        Files.writeString(file(), "beaconturn-hand 1\nout s-1 99999999999999\n");
-        long before = MachineTime.millis();
-        Hand read = reread().get(0);
-        assertTrue(read.out());
-        assertTrue(read.atMillis() >= before && read.atMillis() <= MachineTime.millis());
-    }
-
-    @Test
-    void aFolderThatCannotBeWrittenCostsOnlyTheKeeping() {
-        folder = folder.resolve("missing");
-        HandFile kept = new HandFile(file(), true);
-        kept.put(OUT);
-        assertEquals(List.of(OUT), kept.read());
-        assertEquals(List.of(), reread());
-    }
+  private static final long SECOND = 1_000_000_000;
+  private static final Hand OUT = new Hand("s-1", true, 5000);
+  private static final Hand BACK = new Hand("s-2", false, 6000);
+  @TempDir private Path folder;
+  private final AtomicLong now = new AtomicLong(SECOND);
+  private final BlockingQueue<Hand> hands = new LinkedBlockingQueue<>();
+  private volatile String notReady;
+  private final Counters counters = new Counters();
+  private final Map<ControlAddress, CompletableFuture<Void>> open = new HashMap<>();
+  private final List<Peer.Line> callers = new ArrayList<>();
+  private ControlAddress address;
+
+  @Override
+  public String notReady() {
+    return notReady;
+  }
+
+  /** Server {@code s-1} is known; of one that is called {@code s-slow} nothing is heard again. */
+  @Override
+  public void hand(Hand hand, boolean told, Consumer<Boolean> known) {
+    hands.add(hand);
+    if (!hand.id().equals("s-slow")) {
+      known.accept(told || hand.id().equals("s-1"));
+    }
+  }
+
+  private Path file() {
+    return folder.resolve("hand");
+  }
+
+  private ControlAddress open(boolean shared) throws IOException {
+    ControlAddress opened =
+        new ControlAddress(
+            new InetSocketAddress("127.0.0.1", 0),
+            this,
+            counters,
+            new HandFile(file(), shared),
+            now::get);
+    open.put(opened, CompletableFuture.runAsync(opened, task -> new Thread(task).start()));
+    return opened;
+  }
+
+  @BeforeEach
+  void open() throws IOException {
+    address = open(false);
+  }
+
+  @AfterEach
+  void close() {
+    open.keySet().forEach(ControlAddress::close);
+    // Fails if one of them did: a stop ends the callers that are there.
+    open.values().forEach(CompletableFuture::join);
+    callers.forEach(Peer.Line::close);
+  }
+
+  private Peer.Line say(String text) throws IOException {
+    Peer.Line caller = Peer.Line.to(address.address());
+    callers.add(caller);
+    caller.write(text);
+    return caller;
+  }
+
+  private String call(String text) throws IOException {
+    return say(text).rest();
+  }
+
+  @Test
+  void readySaysYesOnceTheRouterServesAndWhyNotBefore() throws IOException {
+    notReady = "starting";
+    assertEquals("NAK starting\n", call("ready\n"));
+    notReady = null;
+    assertEquals("ACK\n", call("ready\r\n"));
+  }
+
+  @Test
+  void aCallInSingleBytesOrEndedByItsCallersEndIsACall() throws IOException {
+    say("half a call");
+    Peer.Line slow = say("");
+    for (String piece : "ready\n".split("")) {
+      slow.write(piece);
+    }
+    assertEquals("ACK\n", slow.rest());
+    Peer.Line ended = say("ready");
+    ended.endOutput();
+    assertEquals("ACK\n", ended.rest());
+  }
+
+  @Test
+  void whatIsNoCallGetsANoWithTheReason() throws IOException {
+    assertEquals("NAK no such call\n", call("\n"));
+    assertEquals("NAK no such call\n", call("GET / HTTP/1.1\n"));
+    assertEquals("NAK an id is missing\n", call("disable-server\n"));
+    assertEquals("NAK more words than the call takes\n", call("enable-server s-1 s-2\n"));
+    assertEquals("NAK more words than the call takes\n", call("ready now\n"));
+    assertEquals(
+        "NAK the id is too long or of odd characters\n",
+        call("disable-server " + "x".repeat(200) + "\n"));
+    assertEquals("NAK the call is too long\n", call("x".repeat(512)));
+    assertEquals("NAK no cache server has this id\n", call("disable-server s-2\n"));
+    assertEquals(1, hands.size());
+  }
+
+  @Test
+  void aHundredSilentCallersHoldUpNobody() throws IOException {
+    for (int i = 0; i < 100; i++) {
+      say("r");
+    }
+    assertEquals("ACK\n", call("ready\n"));
+    // The oldest made room long ago.
+    assertEquals("", callers.get(0).rest());
+    now.addAndGet(6 * SECOND);
+    assertEquals("", callers.get(99).rest());
+  }
+
+  @Test
+  void aCallThatTheModuleDoesNotTakeInTimeIsAnsweredAllTheSame() throws Exception {
+    Peer.Line caller = say("disable-server s-slow\n");
+    hands.take();
+    now.addAndGet(SECOND);
+    assertEquals("ACK\n", caller.rest());
+    assertTrue(Files.readString(file()).contains("out s-slow "));
+  }
+
+  @Test
+  void figuresAreLinesThatEndWithTheirMark() throws IOException {
+    counters.names("read");
+    counters.taken();
+    counters.taken();
+    counters.ended("put", Tally.End.DEFERRED);
+    counters.sent();
+    counters.fleet(10, 2);
+    assertEquals(
+        List.of(
+            "app.answered.put:0|c",
+            "app.answered.read:0|c",
+            "app.deferred.put:1|c",
+            "app.deferred.read:0|c",
+            "app.errored.put:0|c",
+            "app.errored.read:0|c",
+            "app.sends:1|c",
+            "app.current:1|g",
+            "app.cluster_size:10|g",
+            "app.cluster_unhealthy:2|g",
+            "app.conf_loaded:0|c",
+            "app.conf_invalid:0|c",
+            "--"),
+        call("show-stat\n").lines().toList());
+  }
+
+  @Test
+  void whatOneProcessOfARouterIsToldTheOtherFollows() throws Exception {
+    open(true);
+    assertEquals("ACK\n", call("disable-server s-1\n"));
+    Hand said = hands.take();
+    now.addAndGet(SECOND);
+    assertEquals(said, hands.take());
+    assertEquals("ACK\n", call("enable-server s-1\n"));
+    assertEquals(false, hands.take().out());
+    now.addAndGet(SECOND);
+    assertEquals(false, hands.take().out());
+  }
+
+  private List<Hand> reread() {
+    return new HandFile(file(), false).read();
+  }
+
+  @Test
+  void theNextProcessFindsWhatWasSaidLast() {
+    HandFile first = new HandFile(file(), false);
+    first.put(OUT);
+    first.put(BACK);
+    assertEquals(List.of(OUT, BACK), reread());
+    Hand again = new Hand("s-1", false, 7000);
+    first.put(again);
+    assertEquals(List.of(again, BACK), reread());
+  }
+
+  @Test
+  void twoProcessesKeepEachOthersWords() {
+    HandFile first = new HandFile(file(), true);
+    HandFile second = new HandFile(file(), true);
+    first.put(OUT);
+    second.put(BACK);
+    assertEquals(List.of(OUT, BACK), reread());
+    assertEquals(List.of(BACK), first.changes(0));
+    assertEquals(List.of(OUT), second.changes(0));
+    assertEquals(List.of(), first.changes(1_000_000_000));
+  }
+
+  @Test
+  void aDamagedFileCountsAsFarAsItIsSound() throws IOException {
+    Files.writeString(
+        file(),
+        "beaconturn-hand 2\nout s-1 5000\nout s-3\nodd s-4 1\n" + "back s-2 6000\nout s-5 x");
+    assertEquals(List.of(OUT, BACK), reread());
+    for (String unsound : new String[] {"", "\n", "out s-1 5000\n", "x".repeat(300 * 1024)}) {
+      Files.writeString(file(), unsound);
+      assertEquals(List.of(), reread());
+    }
+  }
+
+  /**
+   * Its times were those of a wall clock, which may have been an hour off: what it says counts as
+   * said now.
+   */
+  @Test
+  void aFileOfTheEarlierFormHoldsAndItsTimesDoNot() throws IOException {
+    Files.writeString(file(), "beaconturn-hand 1\nout s-1 99999999999999\n");
+    long before = MachineTime.millis();
+    Hand read = reread().get(0);
+    assertTrue(read.out());
+    assertTrue(read.atMillis() >= before && read.atMillis() <= MachineTime.millis());
+  }
+
+  @Test
+  void aFolderThatCannotBeWrittenCostsOnlyTheKeeping() {
+    folder = folder.resolve("missing");
+    HandFile kept = new HandFile(file(), true);
+    kept.put(OUT);
+    assertEquals(List.of(OUT), kept.read());
+    assertEquals(List.of(), reread());
+  }
 }
--- a/src/test/java/beaconturn/protocol/RespReaderTest.java
+++ b/src/test/java/beaconturn/protocol/RespReaderTest.java
@@ -12,84 +12,108 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class RespReaderTest {
-    private static final int LONGEST = 32;
-    private final RespReader reader = new RespReader(LONGEST);
+  private static final int LONGEST = 32;
+  private final RespReader reader = new RespReader(LONGEST);
 
-    @ParameterizedTest
-    @ValueSource(strings = {
-        "+OK\r\n", "-BUSY 20\r\n", ":-12\r\n", "$5\r\na\r\nbc\r\n", "$0\r\n\r\n", "$-1\r\n", "*-1\r\n",
-        "*0\r\n", "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n", "*2\r\n*1\r\n:1\r\n+x\r\n"})
-    void aValueIsReadOnceItsLastByteIsThereAndNotBefore(String text) throws ProtocolException {
-        InputBuffer in = new InputBuffer();
-        for (int i = 0; i < text.length() - 1; i++) {
-            Bytes.feed(in, text.substring(i, i + 1));
-            assertNull(reader.next(in), "whole after " + (i + 1) + " bytes");
-        }
-        Bytes.feed(in, text.substring(text.length() - 1));
-        assertEquals(text, reader.next(in).frame().toString());
-        assertEquals(0, in.size());
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "+OK\r\n",
+        "-BUSY 20\r\n",
+        ":-12\r\n",
+        "$5\r\na\r\nbc\r\n",
+        "$0\r\n\r\n",
+        "$-1\r\n",
+        "*-1\r\n",
+        "*0\r\n",
+        "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n",
+        "*2\r\n*1\r\n:1\r\n+x\r\n"
+      })
+  void aValueIsReadOnceItsLastByteIsThereAndNotBefore(String text) throws ProtocolException {
+    InputBuffer in = new InputBuffer();
+    for (int i = 0; i < text.length() - 1; i++) {
+      Bytes.feed(in, text.substring(i, i + 1));
+      assertNull(reader.next(in), "whole after " + (i + 1) + " bytes");
     }
+    Bytes.feed(in, text.substring(text.length() - 1));
+    assertEquals(text, reader.next(in).frame().toString());
+    assertEquals(0, in.size());
+  }
 
-    @Test
-    void valuesBehindEachOtherAreReadOneByOne() throws ProtocolException {
-        InputBuffer in = Bytes.buffer("+a\r\n:7\r\n$1\r\nb\r\n+c");
-        assertEquals("a", assertInstanceOf(RespValue.Simple.class, reader.next(in)).text().toString());
-        assertEquals(7, assertInstanceOf(RespValue.Whole.class, reader.next(in)).value());
-        assertEquals("b", assertInstanceOf(RespValue.Bulk.class, reader.next(in)).bytes().toString());
-        assertNull(reader.next(in));
-        assertEquals(2, in.size());
-    }
+  @Test
+  void valuesBehindEachOtherAreReadOneByOne() throws ProtocolException {
+    InputBuffer in = Bytes.buffer("+a\r\n:7\r\n$1\r\nb\r\n+c");
+    assertEquals("a", assertInstanceOf(RespValue.Simple.class, reader.next(in)).text().toString());
+    assertEquals(7, assertInstanceOf(RespValue.Whole.class, reader.next(in)).value());
+    assertEquals("b", assertInstanceOf(RespValue.Bulk.class, reader.next(in)).bytes().toString());
+    assertNull(reader.next(in));
+    assertEquals(2, in.size());
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {
-        "GET / HTTP/1.1\r\n", "\r\n", "+no return\n", "$x\r\n", "$\r\n", "$-2\r\n", "$33\r\n",
-        "*65\r\n", "*-2\r\n", "$1\r\nabc",
-        "*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n", "$9999999999999999999\r\n", ":1-\r\n"})
-    void malformedInputAndInputBeyondTheLimitsIsRefused(String text) {
-        assertThrows(ProtocolException.class, () -> reader.next(Bytes.buffer(text)));
-    }
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "GET / HTTP/1.1\r\n",
+        "\r\n",
+        "+no return\n",
+        "$x\r\n",
+        "$\r\n",
+        "$-2\r\n",
+        "$33\r\n",
+        "*65\r\n",
+        "*-2\r\n",
+        "$1\r\nabc",
+        "*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n",
+        "$9999999999999999999\r\n",
+        ":1-\r\n"
+      })
+  void malformedInputAndInputBeyondTheLimitsIsRefused(String text) {
+    assertThrows(ProtocolException.class, () -> reader.next(Bytes.buffer(text)));
+  }
 
-    @Test
-    void aLineWithoutEndIsRefusedBeforeItFillsTheMemory() {
-        InputBuffer in = Bytes.buffer("+" + "x".repeat(2000));
-        assertThrows(ProtocolException.class, () -> reader.next(in));
-    }
+  @Test
+  void aLineWithoutEndIsRefusedBeforeItFillsTheMemory() {
+    InputBuffer in = Bytes.buffer("+" + "x".repeat(2000));
+    assertThrows(ProtocolException.class, () -> reader.next(in));
+  }
 
-    @Test
-    void slicesStayAsTheyWereWhileMoreIsRead() throws ProtocolException {
-        InputBuffer in = Bytes.buffer("$5\r\nfirst\r\n");
-        Slice first = ((RespValue.Bulk) reader.next(in)).bytes();
-        for (int i = 0; i < 2000; i++) {
-            Bytes.feed(in, "$5\r\nother\r\n");
-            reader.next(in);
-        }
-        assertEquals("first", first.toString());
+  @Test
+  void slicesStayAsTheyWereWhileMoreIsRead() throws ProtocolException {
+    InputBuffer in = Bytes.buffer("$5\r\nfirst\r\n");
+    Slice first = ((RespValue.Bulk) reader.next(in)).bytes();
+    for (int i = 0; i < 2000; i++) {
+      Bytes.feed(in, "$5\r\nother\r\n");
+      reader.next(in);
     }
+    assertEquals("first", first.toString());
+  }
 
-    @Test
-    void whatFollowsALargeValueDoesNotDoubleItsArray() throws ProtocolException {
-        InputBuffer in = Bytes.buffer("*2\r\n$60000\r\n");
-        RespReader large = new RespReader(60_000);
-        assertNull(large.next(in));
-        Bytes.feed(in, "v".repeat(60_000) + "\r\n$3\r\nhi");
-        assertNull(large.next(in));
-        assertTrue(in.array().length < 70_000, "array of " + in.array().length);
-        Bytes.feed(in, "t\r\n");
-        assertEquals(2, ((RespValue.Array) large.next(in)).items().size());
-    }
+  @Test
+  void whatFollowsALargeValueDoesNotDoubleItsArray() throws ProtocolException {
+    InputBuffer in = Bytes.buffer("*2\r\n$60000\r\n");
+    RespReader large = new RespReader(60_000);
+    assertNull(large.next(in));
+    Bytes.feed(in, "v".repeat(60_000) + "\r\n$3\r\nhi");
+    assertNull(large.next(in));
+    assertTrue(in.array().length < 70_000, "array of " + in.array().length);
+    Bytes.feed(in, "t\r\n");
+    assertEquals(2, ((RespValue.Array) large.next(in)).items().size());
+  }
 
-    /** Doubling would take twice the memory of a large value, and hundreds of them are held at once. */
-    @Test
-    void aLargeValueGetsAnArrayOfItsOwnSizeWhichIsLetGoWithIt() throws ProtocolException {
-        RespReader large = new RespReader(60_000);
-        InputBuffer in = Bytes.buffer("$60000\r\n" + "v".repeat(1000));
-        assertNull(large.next(in));
-        assertTrue(in.large());
-        Bytes.feed(in, "v".repeat(59_000) + "\r\n");
-        // Behind it there is room for what shows whether the stream has ended.
-        assertEquals(60_000 + 10 + 512, in.array().length);
-        assertEquals(60_000, ((RespValue.Bulk) large.next(in)).bytes().length());
-        assertFalse(in.large());
-        assertEquals(0, in.array().length);
-    }
+  /**
+   * Doubling would take twice the memory of a large value, and hundreds of them are held at once.
+   */
+  @Test
+  void aLargeValueGetsAnArrayOfItsOwnSizeWhichIsLetGoWithIt() throws ProtocolException {
+    RespReader large = new RespReader(60_000);
+    InputBuffer in = Bytes.buffer("$60000\r\n" + "v".repeat(1000));
+    assertNull(large.next(in));
+    assertTrue(in.large());
+    Bytes.feed(in, "v".repeat(59_000) + "\r\n");
+    // Behind it there is room for what shows whether the stream has ended.
+    assertEquals(60_000 + 10 + 512, in.array().length);
+    assertEquals(60_000, ((RespValue.Bulk) large.next(in)).bytes().length());
+    assertFalse(in.large());
+    assertEquals(0, in.array().length);
+  }
 }
--- a/src/test/java/beaconturn/protocol/RespWriterTest.java
+++ b/src/test/java/beaconturn/protocol/RespWriterTest.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.api.Test;
 
 class RespWriterTest {
-    private static RespValue.Bulk read(Slice written) throws ProtocolException {
-        String text = new String(written.copy(), StandardCharsets.ISO_8859_1);
-        return (RespValue.Bulk) new RespReader(100).next(Bytes.buffer(text));
-    }
+  private static RespValue.Bulk read(Slice written) throws ProtocolException {
+    String text = new String(written.copy(), StandardCharsets.ISO_8859_1);
+    return (RespValue.Bulk) new RespReader(100).next(Bytes.buffer(text));
+  }
 
-    @Test
-    void bytesOfAnyKindAreReadAsTheyWereWritten() throws ProtocolException {
-        byte[] odd = {0, '\r', '\n', (byte) 0xff, '$'};
-        assertArrayEquals(odd, read(RespWriter.bulk(odd)).bytes().copy());
-        assertEquals(0, read(RespWriter.bulk(new byte[0])).bytes().length());
-        assertNull(read(RespWriter.bulk((byte[]) null)).bytes());
-    }
+  @Test
+  void bytesOfAnyKindAreReadAsTheyWereWritten() throws ProtocolException {
+    byte[] odd = {0, '\r', '\n', (byte) 0xff, '$'};
+    assertArrayEquals(odd, read(RespWriter.bulk(odd)).bytes().copy());
+    assertEquals(0, read(RespWriter.bulk(new byte[0])).bytes().length());
+    assertNull(read(RespWriter.bulk((byte[]) null)).bytes());
+  }
 }
--- a/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
+++ b/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
@@ -17,9 +17,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** An account that cannot fail is worthless: each defect that is put into a router must break its rule. */
+/**
+ * An account that cannot fail is worthless: each defect that is put into a router must break its
+ * rule.
+ */
 class BrokenRoutersTest {
-    private static final String DAY = """
+  private static final String DAY =
+      """
         length = "3s"
         [fleet]
         caches = 3
@@ -36,27 +40,34 @@
         rate = 200
         keys = 50
         """;
-    private static final String RESETS = """
+  private static final String RESETS =
+      """
         [[fault]]
         kind = "reset"
         on = ["c1", "c2"]
         from = "200ms"
         """;
-    private static final String DRAIN = """
+  private static final String DRAIN =
+      """
         [[fault]]
         kind = "drain"
         on = ["c1", "c2"]
         from = "300ms"
         """;
-    private static final String RESTART = """
+  private static final String RESTART =
+      """
         [[fault]]
         kind = "kill"
         on = ["c1", "c2"]
         from = "300ms"
         to = "600ms"
         """;
-    /** Beside the usual clients others, which send several commands at once and wrong ones among them. */
-    private static final String PIPELINES = """
+
+  /**
+   * Beside the usual clients others, which send several commands at once and wrong ones among them.
+   */
+  private static final String PIPELINES =
+      """
         [[class]]
         name = "level"
         [[clients]]
@@ -64,58 +75,73 @@
         pipeline = 8
         wrong = 0.2
         """;
-    /** Beside the usual clients others, which write in pieces. */
-    private static final String PIECES = """
+
+  /** Beside the usual clients others, which write in pieces. */
+  private static final String PIECES =
+      """
         [[clients]]
         rate = 100
         pieces = 1
         """;
-    @TempDir
-    private Path folder;
 
-    private void play(BrokenRouter.Defect defect, String fault, Consumer<List<String>> broken)
-            throws Exception {
-        Path below = Files.createDirectory(folder.resolve(defect.name()));
-        Plays.of(DAY + fault, launcher(defect), below, (report, logs) -> {
-            assertTrue(report.classes().stream().mapToLong(Tally.Line::served).sum() > 100, report.text());
-            broken.accept(report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule).toList());
+  @TempDir private Path folder;
+
+  private void play(BrokenRouter.Defect defect, String fault, Consumer<List<String>> broken)
+      throws Exception {
+    Path below = Files.createDirectory(folder.resolve(defect.name()));
+    Plays.of(
+        DAY + fault,
+        launcher(defect),
+        below,
+        (report, logs) -> {
+          assertTrue(
+              report.classes().stream().mapToLong(Tally.Line::served).sum() > 100, report.text());
+          broken.accept(
+              report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule).toList());
         });
-    }
+  }
 
-    @ParameterizedTest
-    @CsvSource({"ANSWERS_TWICE, one-answer, none", "LOSES, one-answer, none",
-        "SWAPS_ANSWERS, made-for-it, none",
-        "REPEATS_UNSAFE, no-effect-twice, resets", "IGNORES_DRAINS, drains-kept, drain",
-        "OVERRUNS_COLD, cold-kept, restart", "ENDS_AT_REJECTION, one-answer, pipelines",
-        "ENDS_OVER_COMMANDS, one-answer, pieces"})
-    void theDefectIsNamedAndTheSameDayWithoutItBreaksNothing(BrokenRouter.Defect defect, String rule,
-        String day)
-            throws Exception {
-        String fault = switch (day) {
-            case "resets" -> RESETS;
-            case "drain" -> DRAIN;
-            case "restart" -> RESTART;
-            case "pipelines" -> PIPELINES;
-            case "pieces" -> PIECES;
-            default -> "";
+  @ParameterizedTest
+  @CsvSource({
+    "ANSWERS_TWICE, one-answer, none",
+    "LOSES, one-answer, none",
+    "SWAPS_ANSWERS, made-for-it, none",
+    "REPEATS_UNSAFE, no-effect-twice, resets",
+    "IGNORES_DRAINS, drains-kept, drain",
+    "OVERRUNS_COLD, cold-kept, restart",
+    "ENDS_AT_REJECTION, one-answer, pipelines",
+    "ENDS_OVER_COMMANDS, one-answer, pieces"
+  })
+  void theDefectIsNamedAndTheSameDayWithoutItBreaksNothing(
+      BrokenRouter.Defect defect, String rule, String day) throws Exception {
+    String fault =
+        switch (day) {
+          case "resets" -> RESETS;
+          case "drain" -> DRAIN;
+          case "restart" -> RESTART;
+          case "pipelines" -> PIPELINES;
+          case "pieces" -> PIECES;
+          default -> "";
         };
-        play(defect, fault, broken -> assertTrue(broken.contains(rule), defect + " broke " + broken));
-        if (!fault.isEmpty() || defect == BrokenRouter.Defect.LOSES) {
-            play(BrokenRouter.Defect.NONE, fault, broken -> assertEquals(List.of(), broken));
-        }
+    play(defect, fault, broken -> assertTrue(broken.contains(rule), defect + " broke " + broken));
+    if (!fault.isEmpty() || defect == BrokenRouter.Defect.LOSES) {
+      play(BrokenRouter.Defect.NONE, fault, broken -> assertEquals(List.of(), broken));
     }
+  }
 
-    @Test
-    void aRouterOfThisProcessCannotBeKilled() throws Exception {
-        Scenario scenario = ScenarioReader.read("day.toml", "[[fault]]\nkind = \"router-kill\"\n", null);
-        RouterLauncher launcher = launcher(BrokenRouter.Defect.NONE);
-        IOException e = assertThrows(IOException.class,
-            () -> new Rehearsal(scenario, launcher, folder, text -> { }).play());
-        assertEquals("router-kill needs routers that are processes of their own", e.getMessage());
-    }
+  @Test
+  void aRouterOfThisProcessCannotBeKilled() throws Exception {
+    Scenario scenario =
+        ScenarioReader.read("day.toml", "[[fault]]\nkind = \"router-kill\"\n", null);
+    RouterLauncher launcher = launcher(BrokenRouter.Defect.NONE);
+    IOException e =
+        assertThrows(
+            IOException.class, () -> new Rehearsal(scenario, launcher, folder, text -> {}).play());
+    assertEquals("router-kill needs routers that are processes of their own", e.getMessage());
+  }
 
-    /** Routers of this process with one defect. */
-    private static RouterLauncher launcher(BrokenRouter.Defect defect) {
-        return new EmbeddedLauncher(config -> BrokenRouter.of(defect, config));
-    }
+  /** Routers of this process with one defect. */
+  private static RouterLauncher launcher(BrokenRouter.Defect defect) {
+    return new EmbeddedLauncher(config -> BrokenRouter.of(defect, config));
+  }
 }
--- a/src/test/java/beaconturn/rehearsal/PlacesPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/PlacesPlayTest.java
@@ -34,11 +34,13 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Routers of three places, the store and faults between them, judged by what cache servers and the store saw.
+ * Routers of three places, the store and faults between them, judged by what cache servers and the
+ * store saw.
  */
 @Timeout(120)
 class PlacesPlayTest {
-    private static final String DAY = """
+  private static final String DAY =
+      """
         length = "16s"
         [fleet]
         caches = 9
@@ -60,113 +62,138 @@
         [[clients]]
         rate = 200
         """;
-    private static final String LOST = """
+  private static final String LOST =
+      """
         [[fault]]
         kind = "kill"
         on = ["c1", "c4", "c7"]
         from = "4s"
         """;
-    /** The list of the play comes late, and a machine may be slow. */
-    private static final long MARGIN = 2_500_000_000L;
-    @TempDir
-    private Path folder;
-
-    private static List<Entry.Planned> plans(Report report) {
-        return report.entries().stream().filter(e -> e instanceof Entry.Planned).map(e -> (Entry.Planned) e)
-            .toList();
-    }
 
-    private static List<String> broken(Report report) {
-        return report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule).toList();
-    }
+  /** The list of the play comes late, and a machine may be slow. */
+  private static final long MARGIN = 2_500_000_000L;
+
+  @TempDir private Path folder;
+
+  private static List<Entry.Planned> plans(Report report) {
+    return report.entries().stream()
+        .filter(e -> e instanceof Entry.Planned)
+        .map(e -> (Entry.Planned) e)
+        .toList();
+  }
+
+  private static List<String> broken(Report report) {
+    return report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule).toList();
+  }
+
+  @Test
+  void theKeysOfALostPlaceGoElsewhereInSecondsAndNobodyIsPushedOver() throws Exception {
+    Plays.of(
+        DAY + LOST,
+        ProcessLauncher.own("beaconturn.cli.Main"),
+        folder,
+        (report, logs) -> {
+          assertEquals(List.of(), broken(report), report.text());
+          List<Entry.Planned> plans = plans(report);
+          assertTrue(
+              !plans.isEmpty() && plans.get(0).rows().get("east").get("east") <= 50, report.text());
+          long after = plans.get(0).at() - report.start();
+          assertTrue(after < 9_000_000_000L, "within five seconds: " + after);
+          // The model and the processes say the same of it, or the model is wrong.
+          long twin = Twin.decidedAfter(report.scenario().agreement().timing(), 3, 1, 50);
+          assertTrue(
+              Math.abs(report.crossings().decidedAfter() - twin) < MARGIN,
+              "in the model after " + twin + " ns\n" + report.text());
+        });
+  }
+
+  /** What a router is made to do that it should not. */
+  private enum Defect {
+    IGNORES_SHARES,
+    LIES
+  }
 
-    @Test
-    void theKeysOfALostPlaceGoElsewhereInSecondsAndNobodyIsPushedOver() throws Exception {
-        Plays.of(DAY + LOST, ProcessLauncher.own("beaconturn.cli.Main"), folder, (report, logs) -> {
+  /**
+   * One that ignores what is decided is named; one that finds all places bad, whatever they are,
+   * moves nothing.
+   */
+  @ParameterizedTest
+  @EnumSource(Defect.class)
+  void aPlantedRouterIsNamedOrMovesNothing(Defect defect) throws Exception {
+    Plays.of(
+        DAY.replace("16s", "10s"),
+        new FirstPlanted(features -> config -> planted(defect, features, config)),
+        folder,
+        (report, logs) -> {
+          if (defect == Defect.LIES) {
             assertEquals(List.of(), broken(report), report.text());
-            List<Entry.Planned> plans = plans(report);
-            assertTrue(!plans.isEmpty() && plans.get(0).rows().get("east").get("east") <= 50, report.text());
-            long after = plans.get(0).at() - report.start();
-            assertTrue(after < 9_000_000_000L, "within five seconds: " + after);
-            // The model and the processes say the same of it, or the model is wrong.
-            long twin = Twin.decidedAfter(report.scenario().agreement().timing(), 3, 1, 50);
-            assertTrue(Math.abs(report.crossings().decidedAfter() - twin) < MARGIN, "in the model after "
-                + twin + " ns\n" + report.text());
+            assertEquals(List.of(), plans(report), report.text());
+          } else {
+            assertEquals(List.of("kept-near", "one-decision"), broken(report), report.text());
+            assertTrue(
+                report.verdicts().stream()
+                    .flatMap(v -> v.offences().stream())
+                    .allMatch(
+                        o -> !o.what().startsWith("router") || o.what().startsWith("router 0 ")),
+                report.text());
+          }
         });
+  }
+
+  private static RouterServer planted(Defect defect, Path features, RouterConfig config)
+      throws IOException {
+    Matcher port = Pattern.compile("127\\.0\\.0\\.1:([0-9]+)").matcher(Files.readString(features));
+    assertTrue(port.find());
+    AgreementConfig agreement =
+        new AgreementConfig(
+            List.of(new InetSocketAddress("127.0.0.1", Integer.parseInt(port.group(1)))),
+            "/rehearsal",
+            new Timing(1_000_000_000, 0.01, 500_000_000),
+            null);
+    Geography map =
+        new Geography(new TreeMap<>(Map.of("east", "", "south", "", "west", "")), 150, 1e6, 50);
+    return new RouterServer(
+        config,
+        () -> config,
+        new Lifecycle(),
+        new AgreementSubsystem(agreement, config),
+        new Planted(defect, new PlacesSubsystem(agreement, map, config)));
+  }
+
+  /** Its defect stands between the router and its sound part. */
+  private record Planted(Defect defect, PlacesSubsystem sound) implements Placing {
+    @Override
+    public void run() {
+      sound.run();
     }
 
-    /** What a router is made to do that it should not. */
-    private enum Defect { IGNORES_SHARES, LIES }
-
-    /**
-     * One that ignores what is decided is named; one that finds all places bad, whatever they are, moves
-     * nothing.
-     */
-    @ParameterizedTest
-    @EnumSource(Defect.class)
-    void aPlantedRouterIsNamedOrMovesNothing(Defect defect) throws Exception {
-        Plays.of(DAY.replace("16s", "10s"), new FirstPlanted(
-            features -> config -> planted(defect, features, config)), folder, (report, logs) -> {
-                if (defect == Defect.LIES) {
-                    assertEquals(List.of(), broken(report), report.text());
-                    assertEquals(List.of(), plans(report), report.text());
-                } else {
-                    assertEquals(List.of("kept-near", "one-decision"), broken(report), report.text());
-                    assertTrue(report.verdicts().stream().flatMap(v -> v.offences().stream())
-                        .allMatch(o -> !o.what().startsWith("router") || o.what().startsWith("router 0 ")),
-                            report.text());
-                }
-            });
+    @Override
+    public Routing.Shares due() {
+      return defect == Defect.IGNORES_SHARES ? Routing.Shares.ANYWHERE : sound.due();
     }
 
-    private static RouterServer planted(Defect defect, Path features, RouterConfig config)
-            throws IOException {
-        Matcher port = Pattern.compile("127\\.0\\.0\\.1:([0-9]+)").matcher(Files.readString(features));
-        assertTrue(port.find());
-        AgreementConfig agreement = new AgreementConfig(List.of(new InetSocketAddress("127.0.0.1",
-            Integer.parseInt(port.group(1)))), "/rehearsal", new Timing(1_000_000_000, 0.01, 500_000_000),
-            null);
-        Geography map = new Geography(new TreeMap<>(Map.of("east", "", "south", "", "west", "")), 150, 1e6,
-            50);
-        return new RouterServer(config, () -> config, new Lifecycle(),
-            new AgreementSubsystem(agreement, config),
-            new Planted(defect, new PlacesSubsystem(agreement, map, config)));
+    @Override
+    public void sees(Map<Fleet.Listed, Routing.Standing> caches) {
+      Map<Fleet.Listed, Routing.Standing> told = new HashMap<>(caches);
+      if (defect == Defect.LIES) {
+        told.replaceAll((listed, standing) -> Routing.Standing.EJECTED);
+      }
+      sound.sees(told);
+    }
+
+    @Override
+    public void arrived() {
+      sound.arrived();
+    }
+
+    @Override
+    public void attempt(long server, boolean good, Found found, long took, boolean late) {
+      sound.attempt(server, good, found, took, late);
     }
 
-    /** Its defect stands between the router and its sound part. */
-    private record Planted(Defect defect, PlacesSubsystem sound) implements Placing {
-        @Override
-        public void run() {
-            sound.run();
-        }
-
-        @Override
-        public Routing.Shares due() {
-            return defect == Defect.IGNORES_SHARES ? Routing.Shares.ANYWHERE : sound.due();
-        }
-
-        @Override
-        public void sees(Map<Fleet.Listed, Routing.Standing> caches) {
-            Map<Fleet.Listed, Routing.Standing> told = new HashMap<>(caches);
-            if (defect == Defect.LIES) {
-                told.replaceAll((listed, standing) -> Routing.Standing.EJECTED);
-            }
-            sound.sees(told);
-        }
-
-        @Override
-        public void arrived() {
-            sound.arrived();
-        }
-
-        @Override
-        public void attempt(long server, boolean good, Found found, long took, boolean late) {
-            sound.attempt(server, good, found, took, late);
-        }
-
-        @Override
-        public void leave() {
-            sound.leave();
-        }
+    @Override
+    public void leave() {
+      sound.leave();
     }
+  }
 }
--- a/src/test/java/beaconturn/rehearsal/PlantedAgentsTest.java
+++ b/src/test/java/beaconturn/rehearsal/PlantedAgentsTest.java
@@ -16,7 +16,8 @@
 /** Releases by agents with a defect: the account has to name each. */
 @Timeout(120)
 class PlantedAgentsTest {
-    private static final String PLANTED = """
+  private static final String PLANTED =
+      """
         length = "12s"
         [agreement]
         lease = "1s"
@@ -30,44 +31,54 @@
         samples = 5
         wave = [{parts = ["r1"]}, {parts = ["r2", "r3", "r4"]}]
         """;
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    /** An account that cannot fail is worthless: each defect of the agents breaks its rule. */
-    @ParameterizedTest
-    @CsvSource({"IGNORES_NUMBERS, never-too-many-out, none", "ACTS_WITHOUT_PERMIT, never-too-many-out, none",
-        "COMPARES_WITH_NOTHING, step-once, refuses"})
-    void aPlantedAgentIsNamed(PlantedAgent.Defect defect, String rule, String harm) throws Exception {
-        Plays.of(PLANTED + "harm = \"" + harm + "\"\n", new Planted(defect), folder, (report, logs) -> {
-            Verdict verdict = report.verdicts().stream().filter(v -> v.rule().equals(rule)).findFirst()
-                .orElseThrow();
-            assertTrue(!verdict.held(), report.text());
+  /** An account that cannot fail is worthless: each defect of the agents breaks its rule. */
+  @ParameterizedTest
+  @CsvSource({
+    "IGNORES_NUMBERS, never-too-many-out, none",
+    "ACTS_WITHOUT_PERMIT, never-too-many-out, none",
+    "COMPARES_WITH_NOTHING, step-once, refuses"
+  })
+  void aPlantedAgentIsNamed(PlantedAgent.Defect defect, String rule, String harm) throws Exception {
+    Plays.of(
+        PLANTED + "harm = \"" + harm + "\"\n",
+        new Planted(defect),
+        folder,
+        (report, logs) -> {
+          Verdict verdict =
+              report.verdicts().stream()
+                  .filter(v -> v.rule().equals(rule))
+                  .findFirst()
+                  .orElseThrow();
+          assertTrue(!verdict.held(), report.text());
         });
-    }
+  }
 
-    /** Routers and the store as they should be, and agents with a defect. */
-    private record Planted(PlantedAgent.Defect defect) implements RouterLauncher {
-        private static final ProcessLauncher SOUND = ProcessLauncher.own("beaconturn.cli.Main");
-        private static final ProcessLauncher PLANTED = ProcessLauncher.own(PlantedAgent.class.getName());
+  /** Routers and the store as they should be, and agents with a defect. */
+  private record Planted(PlantedAgent.Defect defect) implements RouterLauncher {
+    private static final ProcessLauncher SOUND = ProcessLauncher.own("beaconturn.cli.Main");
+    private static final ProcessLauncher PLANTED =
+        ProcessLauncher.own(PlantedAgent.class.getName());
 
-        @Override
-        public Running launch(Start start) throws IOException {
-            return SOUND.launch(start);
-        }
+    @Override
+    public Running launch(Start start) throws IOException {
+      return SOUND.launch(start);
+    }
 
-        @Override
-        public List<String> command(List<String> words) {
-            if (words.size() < 2 || !words.get(1).equals("agent")) {
-                return SOUND.command(words);
-            }
-            List<String> all = new ArrayList<>(List.of(defect.name()));
-            all.addAll(words);
-            return PLANTED.command(all);
-        }
+    @Override
+    public List<String> command(List<String> words) {
+      if (words.size() < 2 || !words.get(1).equals("agent")) {
+        return SOUND.command(words);
+      }
+      List<String> all = new ArrayList<>(List.of(defect.name()));
+      all.addAll(words);
+      return PLANTED.command(all);
+    }
 
-        @Override
-        public boolean restarts() {
-            return true;
-        }
+    @Override
+    public boolean restarts() {
+      return true;
     }
+  }
 }
--- a/src/test/java/beaconturn/rehearsal/PlantedAgreementPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/PlantedAgreementPlayTest.java
@@ -15,17 +15,19 @@
 /** A router that does not keep to what was agreed, among routers that do: the account names it. */
 @Timeout(120)
 class PlantedAgreementPlayTest {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    /** What a defect is seen by, where it is not by the servers that versions hold out. */
-    private static String day(PlantedAgreement.Defect defect) {
-        return switch (defect) {
-            case REPEATS -> AgreementPlayTest.DAY.replaceFirst("out = \\[\"c1\", \"c2\"]", "most_tries = 4")
-                .replaceFirst("out = \\[\"c3\", \"c4\"]", "unsafe = [\"level\"]")
-                + "[[fault]]\nkind = \"reset\"\non = [\"c1\", \"c2\", \"c3\"]\npart = 0.2\n"
-                + "from = \"0s\"\n";
-            case CLAIMS_LISTS -> """
+  /** What a defect is seen by, where it is not by the servers that versions hold out. */
+  private static String day(PlantedAgreement.Defect defect) {
+    return switch (defect) {
+      case REPEATS ->
+          AgreementPlayTest.DAY
+                  .replaceFirst("out = \\[\"c1\", \"c2\"]", "most_tries = 4")
+                  .replaceFirst("out = \\[\"c3\", \"c4\"]", "unsafe = [\"level\"]")
+              + "[[fault]]\nkind = \"reset\"\non = [\"c1\", \"c2\", \"c3\"]\npart = 0.2\n"
+              + "from = \"0s\"\n";
+      case CLAIMS_LISTS ->
+          """
                 length = "12s"
                 [agreement]
                 lease = "1s"
@@ -47,19 +49,30 @@
                 at = "3s"
                 newest_list = true
                 """;
-            default -> AgreementPlayTest.DAY;
-        };
-    }
+      default -> AgreementPlayTest.DAY;
+    };
+  }
 
-    /** Such a day with one router that has a defect: it is named, and nobody else. */
-    @ParameterizedTest
-    @EnumSource(PlantedAgreement.Defect.class)
-    void aPlantedRouterIsNamed(PlantedAgreement.Defect defect) throws Exception {
-        Plays.of(day(defect), new FirstPlanted(features -> c -> new RouterServer(c, () -> c,
-            new Lifecycle(), PlantedAgreement.of(defect, features, c), null)), folder, (report, logs) -> {
-                Verdict verdict = AgreementPlayTest.contradiction(report);
-                assertTrue(!verdict.held(), report.text());
-                assertTrue(verdict.offences().get(0).what().contains("router 0 act"), report.text());
-            });
-    }
+  /** Such a day with one router that has a defect: it is named, and nobody else. */
+  @ParameterizedTest
+  @EnumSource(PlantedAgreement.Defect.class)
+  void aPlantedRouterIsNamed(PlantedAgreement.Defect defect) throws Exception {
+    Plays.of(
+        day(defect),
+        new FirstPlanted(
+            features ->
+                c ->
+                    new RouterServer(
+                        c,
+                        () -> c,
+                        new Lifecycle(),
+                        PlantedAgreement.of(defect, features, c),
+                        null)),
+        folder,
+        (report, logs) -> {
+          Verdict verdict = AgreementPlayTest.contradiction(report);
+          assertTrue(!verdict.held(), report.text());
+          assertTrue(verdict.offences().get(0).what().contains("router 0 act"), report.text());
+        });
+  }
 }
--- a/src/test/java/beaconturn/rehearsal/RehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/RehearsalTest.java
@@ -15,23 +15,33 @@
 
 /** Short plays with routers as processes of their own, started as operators start them. */
 class RehearsalTest {
-    private static final String MAIN = "beaconturn.cli.Main";
-    @TempDir
-    private Path folder;
-    private final List<String> progress = new ArrayList<>();
+  private static final String MAIN = "beaconturn.cli.Main";
+  @TempDir private Path folder;
+  private final List<String> progress = new ArrayList<>();
 
-    private void play(String text, Plays.Shows shows) throws Exception {
-        Plays.of(text, ProcessLauncher.own(MAIN), folder, progress::add, (report, logs) -> {
-            assertEquals(List.of(), report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule)
-                .toList(), report.text());
-            shows.in(report, logs);
+  private void play(String text, Plays.Shows shows) throws Exception {
+    Plays.of(
+        text,
+        ProcessLauncher.own(MAIN),
+        folder,
+        progress::add,
+        (report, logs) -> {
+          assertEquals(
+              List.of(),
+              report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule).toList(),
+              report.text());
+          shows.in(report, logs);
         });
-    }
+  }
 
-    /** The hard cases of servers in one play: a stall behind slow answers, a late drain, a cold successor. */
-    @Test
-    void aStallALateDrainAndAReplacementBreakNothing() throws Exception {
-        play("""
+  /**
+   * The hard cases of servers in one play: a stall behind slow answers, a late drain, a cold
+   * successor.
+   */
+  @Test
+  void aStallALateDrainAndAReplacementBreakNothing() throws Exception {
+    play(
+        """
             length = "7s"
             [discovery]
             lag = "300ms"
@@ -59,23 +69,26 @@
             on = ["c5"]
             from = "2s"
             to = "3s"
-            """, (report, logs) -> {
-                Tally.Line levels = report.classes().get(0);
-                assertTrue(levels.served() > levels.wanted() * 9 / 10, report.text());
-                assertTrue(report.text().contains("no-effect-twice  held"), report.text());
-                assertTrue(report.json().contains("\"held\":true"));
-                assertTrue(progress.stream().anyMatch(p -> p.contains("stall c3")), progress.toString());
-                assertTrue(Files.readString(logs.resolve("r1.log")).contains("DRAINING -> STOPPED"));
-            });
-    }
+            """,
+        (report, logs) -> {
+          Tally.Line levels = report.classes().get(0);
+          assertTrue(levels.served() > levels.wanted() * 9 / 10, report.text());
+          assertTrue(report.text().contains("no-effect-twice  held"), report.text());
+          assertTrue(report.json().contains("\"held\":true"));
+          assertTrue(progress.stream().anyMatch(p -> p.contains("stall c3")), progress.toString());
+          assertTrue(Files.readString(logs.resolve("r1.log")).contains("DRAINING -> STOPPED"));
+        });
+  }
 
-    /**
-     * Every cache server goes, one after the other; each successor is cold, at the address of its
-     * predecessor.
-     */
-    @Test
-    void aFleetThatIsReplacedWholeIsNotPushedOverWhileItIsCold() throws Exception {
-        StringBuilder text = new StringBuilder("""
+  /**
+   * Every cache server goes, one after the other; each successor is cold, at the address of its
+   * predecessor.
+   */
+  @Test
+  void aFleetThatIsReplacedWholeIsNotPushedOverWhileItIsCold() throws Exception {
+    StringBuilder text =
+        new StringBuilder(
+            """
             length = "8s"
             [fleet]
             caches = 4
@@ -83,22 +96,34 @@
             [discovery]
             lag = "200ms"
             """);
-        for (int i = 1; i <= 4; i++) {
-            text.append(String.format("[[fault]]%nkind = \"replace\"%non = [\"c%d\"]%nfrom = \"%ds\"%n"
-                + "to = \"%d.5s\"%n", i, i, i));
-        }
-        play(text.toString(), (report, logs) -> {
-            Verdict cold = report.verdicts().stream().filter(v -> v.rule().equals("cold-kept")).findFirst()
-                .orElseThrow();
-            assertTrue(cold.checked() > 50, "cold servers got work in " + cold.checked() + " windows");
-            assertTrue(Files.readString(logs.resolve("r1.log")).contains("cache server c4-2 at"));
-        });
+    for (int i = 1; i <= 4; i++) {
+      text.append(
+          String.format(
+              "[[fault]]%nkind = \"replace\"%non = [\"c%d\"]%nfrom = \"%ds\"%n"
+                  + "to = \"%d.5s\"%n",
+              i, i, i));
     }
+    play(
+        text.toString(),
+        (report, logs) -> {
+          Verdict cold =
+              report.verdicts().stream()
+                  .filter(v -> v.rule().equals("cold-kept"))
+                  .findFirst()
+                  .orElseThrow();
+          assertTrue(
+              cold.checked() > 50, "cold servers got work in " + cold.checked() + " windows");
+          assertTrue(Files.readString(logs.resolve("r1.log")).contains("cache server c4-2 at"));
+        });
+  }
 
-    /** Killed with requests out: what it held is its clients' to retry, and nothing else is excused. */
-    @Test
-    void aRouterThatIsKilledAndOneThatIsRestartedLoseNothingThatWasTaken() throws Exception {
-        play("""
+  /**
+   * Killed with requests out: what it held is its clients' to retry, and nothing else is excused.
+   */
+  @Test
+  void aRouterThatIsKilledAndOneThatIsRestartedLoseNothingThatWasTaken() throws Exception {
+    play(
+        """
             length = "9s"
             [[clients]]
             rate = 150
@@ -113,21 +138,28 @@
             on = ["r2"]
             from = "6s"
             to = "8950ms"
-            """, (report, logs) -> {
-                assertTrue(report.classes().stream().mapToLong(Tally.Line::unreached).sum() > 0,
-                    report.text());
-                assertEquals(2, Files.readString(logs.resolve("r1.log")).lines()
-                    .filter(l -> l.contains("serves on")).count());
-            });
-    }
+            """,
+        (report, logs) -> {
+          assertTrue(
+              report.classes().stream().mapToLong(Tally.Line::unreached).sum() > 0, report.text());
+          assertEquals(
+              2,
+              Files.readString(logs.resolve("r1.log"))
+                  .lines()
+                  .filter(l -> l.contains("serves on"))
+                  .count());
+        });
+  }
 
-    @Test
-    void aRouterThatDoesNotStartIsSaidWithItsLastWord() throws Exception {
-        Path jar = folder.resolve("no.jar");
-        Scenario scenario = ScenarioReader.read("day.toml", "length = \"1s\"", null);
-        IOException e = assertThrows(IOException.class,
+  @Test
+  void aRouterThatDoesNotStartIsSaidWithItsLastWord() throws Exception {
+    Path jar = folder.resolve("no.jar");
+    Scenario scenario = ScenarioReader.read("day.toml", "length = \"1s\"", null);
+    IOException e =
+        assertThrows(
+            IOException.class,
             () -> new Rehearsal(scenario, ProcessLauncher.of(jar), folder, progress::add).play());
-        assertTrue(e.getMessage().startsWith("router r1 did not get ready: "), e.getMessage());
-        assertTrue(e.getMessage().contains("no.jar"), e.getMessage());
-    }
+    assertTrue(e.getMessage().startsWith("router r1 did not get ready: "), e.getMessage());
+    assertTrue(e.getMessage().contains("no.jar"), e.getMessage());
+  }
 }
--- a/src/test/java/beaconturn/rehearsal/ReleasePlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ReleasePlayTest.java
@@ -15,37 +15,52 @@
 /** Releases over routers, agents and the store as processes, with faults between them. */
 @Timeout(120)
 class ReleasePlayTest {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private void play(String text, Plays.Shows shows) throws Exception {
-        Plays.of(text, ProcessLauncher.own("beaconturn.cli.Main"), folder, (report, logs) -> {
-            assertEquals(List.of(), report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule)
-                .toList(), report.text());
-            shows.in(report, logs);
+  private void play(String text, Plays.Shows shows) throws Exception {
+    Plays.of(
+        text,
+        ProcessLauncher.own("beaconturn.cli.Main"),
+        folder,
+        (report, logs) -> {
+          assertEquals(
+              List.of(),
+              report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule).toList(),
+              report.text());
+          shows.in(report, logs);
         });
-    }
+  }
 
-    private static List<Integer> changed(Report report, boolean released) {
-        return report.entries().stream().filter(e -> e instanceof Entry.Changed c && c.released() == released)
-            .map(e -> ((Entry.Changed) e).router()).sorted().toList();
-    }
+  private static List<Integer> changed(Report report, boolean released) {
+    return report.entries().stream()
+        .filter(e -> e instanceof Entry.Changed c && c.released() == released)
+        .map(e -> ((Entry.Changed) e).router())
+        .sorted()
+        .toList();
+  }
 
-    @Test
-    void aReleaseWhoseDriversAreKilledAndPausedRestartsEachRouterOnce() throws Exception {
-        // Four routers where the scenario has six, for the sake of time.
-        play(Plays.shipped("release-rolls").replace("count = 3", "count = 2")
-            .replace("length = \"45s\"", "length = \"32s\""), (report, logs) -> {
-                assertEquals("done", report.ending(), report.text());
-                assertEquals(List.of(0, 1, 2, 3), changed(report, true), report.text());
-                assertEquals(List.of(), changed(report, false));
-            });
-    }
+  @Test
+  void aReleaseWhoseDriversAreKilledAndPausedRestartsEachRouterOnce() throws Exception {
+    // Four routers where the scenario has six, for the sake of time.
+    play(
+        Plays.shipped("release-rolls")
+            .replace("count = 3", "count = 2")
+            .replace("length = \"45s\"", "length = \"32s\""),
+        (report, logs) -> {
+          assertEquals("done", report.ending(), report.text());
+          assertEquals(List.of(0, 1, 2, 3), changed(report, true), report.text());
+          assertEquals(List.of(), changed(report, false));
+        });
+  }
 
-    /** Killed in its step, it is started by its agent; the fault's end finds it running and lets it be. */
-    @Test
-    void whatAnAgentHasStartedIsNotStruckByTheEndOfAnEarlierFault() throws Exception {
-        play("""
+  /**
+   * Killed in its step, it is started by its agent; the fault's end finds it running and lets it
+   * be.
+   */
+  @Test
+  void whatAnAgentHasStartedIsNotStruckByTheEndOfAnEarlierFault() throws Exception {
+    play(
+        """
             length = "16s"
             [agreement]
             lease = "1s"
@@ -64,50 +79,66 @@
             after = "r1 goes out"
             from = "100ms"
             to = "3s"
-            """, (report, logs) -> {
-                assertEquals("done", report.ending(), report.text());
-                assertEquals(2, Files.readString(logs.resolve("r1.log")).split("serves on").length - 1);
-            });
-    }
+            """,
+        (report, logs) -> {
+          assertEquals("done", report.ending(), report.text());
+          assertEquals(2, Files.readString(logs.resolve("r1.log")).split("serves on").length - 1);
+        });
+  }
 
-    /** Two of the scenario's six, for the sake of time. */
-    @Test
-    void cacheServersAreRestartedOneAfterTheOtherAsTheyGetWarm() throws Exception {
-        play(Plays.shipped("release-caches").replace("length = \"50s\"", "length = \"26s\"")
-            .replace("cold_for = \"4s\"", "cold_for = \"2s\"")
-            + "wave = [{parts = [\"c1\", \"c3\"]}]\n", (report, logs) -> {
-                assertEquals("done", report.ending(), report.text());
-                assertEquals(List.of("c1", "c3"), report.entries().stream()
-                    .filter(e -> e instanceof Entry.Changed).map(e -> ((Entry.Changed) e).part()).toList());
-            });
-    }
+  /** Two of the scenario's six, for the sake of time. */
+  @Test
+  void cacheServersAreRestartedOneAfterTheOtherAsTheyGetWarm() throws Exception {
+    play(
+        Plays.shipped("release-caches")
+                .replace("length = \"50s\"", "length = \"26s\"")
+                .replace("cold_for = \"4s\"", "cold_for = \"2s\"")
+            + "wave = [{parts = [\"c1\", \"c3\"]}]\n",
+        (report, logs) -> {
+          assertEquals("done", report.ending(), report.text());
+          assertEquals(
+              List.of("c1", "c3"),
+              report.entries().stream()
+                  .filter(e -> e instanceof Entry.Changed)
+                  .map(e -> ((Entry.Changed) e).part())
+                  .toList());
+        });
+  }
 
-    @Test
-    void settingsComeIntoForceBeforeTheFirstStepAndGoBackWithTheRelease() throws Exception {
-        play(Plays.shipped("release-settings").replace("length = \"30s\"", "length = \"20s\""),
-            (report, logs) -> {
-                assertEquals("back", report.ending(), report.text());
-                List<Passage> versions = report.fleet().passages();
-                long first = report.entries().stream().filter(e -> e instanceof Entry.Changed)
-                    .mapToLong(Entry::at).min().orElseThrow();
-                assertEquals(2, versions.size());
-                assertTrue(versions.get(0).settled() > 0 && versions.get(0).settled() < first, report.text());
-                assertTrue(versions.get(1).inForce() > 0, report.text());
-            });
-    }
+  @Test
+  void settingsComeIntoForceBeforeTheFirstStepAndGoBackWithTheRelease() throws Exception {
+    play(
+        Plays.shipped("release-settings").replace("length = \"30s\"", "length = \"20s\""),
+        (report, logs) -> {
+          assertEquals("back", report.ending(), report.text());
+          List<Passage> versions = report.fleet().passages();
+          long first =
+              report.entries().stream()
+                  .filter(e -> e instanceof Entry.Changed)
+                  .mapToLong(Entry::at)
+                  .min()
+                  .orElseThrow();
+          assertEquals(2, versions.size());
+          assertTrue(
+              versions.get(0).settled() > 0 && versions.get(0).settled() < first, report.text());
+          assertTrue(versions.get(1).inForce() > 0, report.text());
+        });
+  }
 
-    @Test
-    void whatHarmsIsSeenAtTheFirstRouterAndGoesBackByItself() throws Exception {
-        play(Plays.shipped("release-harms"), (report, logs) -> {
-            assertEquals("back", report.ending(), report.text());
-            assertEquals(List.of(0), changed(report, true), report.text());
-            assertEquals(List.of(0), changed(report, false), report.text());
-            // Whichever of the agents drives the release says so.
-            StringBuilder said = new StringBuilder();
-            for (int i = 1; i <= 4; i++) {
-                said.append(Files.readString(logs.resolve("r" + i + ".agent.log")));
-            }
-            assertTrue(said.toString().contains("goes back: r1 does worse"), said.toString());
+  @Test
+  void whatHarmsIsSeenAtTheFirstRouterAndGoesBackByItself() throws Exception {
+    play(
+        Plays.shipped("release-harms"),
+        (report, logs) -> {
+          assertEquals("back", report.ending(), report.text());
+          assertEquals(List.of(0), changed(report, true), report.text());
+          assertEquals(List.of(0), changed(report, false), report.text());
+          // Whichever of the agents drives the release says so.
+          StringBuilder said = new StringBuilder();
+          for (int i = 1; i <= 4; i++) {
+            said.append(Files.readString(logs.resolve("r" + i + ".agent.log")));
+          }
+          assertTrue(said.toString().contains("goes back: r1 does worse"), said.toString());
         });
-    }
+  }
 }
--- a/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
+++ b/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
@@ -19,60 +19,86 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ScenarioReaderTest {
-    private static final long SECOND = 1_000_000_000L;
+  private static final long SECOND = 1_000_000_000L;
 
-    private static Scenario read(String text) throws TomlException {
-        return ScenarioReader.read("s.toml", text, null);
-    }
+  private static Scenario read(String text) throws TomlException {
+    return ScenarioReader.read("s.toml", text, null);
+  }
 
-    @Test
-    void aStormOfASeedIsAlwaysTheSameScenario() throws TomlException {
-        Set<String> kinds = new HashSet<>();
-        for (long seed = 1; seed <= 100; seed++) {
-            for (Storm.About about : Storm.About.values()) {
-                assertEquals(Storm.text(about, seed, 5), Storm.text(about, seed, 5));
-                int routers = Storm.of(about, seed, 5).routers().size();
-                // Storms of clients draw how many routers there are.
-                assertTrue(about == Storm.About.CLIENTS ? routers >= 3 && routers <= 6 : routers == 5);
-            }
-            Storm.of(Storm.About.CLIENTS, seed, 5).faults().forEach(f -> kinds.add("of clients "
-                + f.kind().word()));
-            Scenario release = Storm.of(Storm.About.RELEASES, seed, 5);
-            release.faults().forEach(f -> kinds.add("of release " + f.kind().word()));
-            release.orders().forEach(o -> kinds.add(o.what()));
-            Scenario storm = Storm.of(Storm.About.VERSIONS, seed, 5);
-            for (int i = 1; i < storm.versions().size(); i++) {
-                // One that shares nothing with the version before it contradicts it.
-                assertTrue(storm.versions().get(i - 1).out().stream()
-                    .noneMatch(storm.versions().get(i).out()::contains));
-            }
-            storm.faults().forEach(fault -> kinds.add(fault.kind().word()));
-            Storm.of(Storm.About.PLACES, seed, 5).faults().forEach(f -> kinds.add("of places "
-                + f.kind().word() + " " + f.way()));
-        }
-        assertTrue(kinds.containsAll(List.of("of clients router-reload", "of clients router-term",
-            "of clients router-kill", "of clients router-pause", "of clients drain",
-            "of clients discovery-out")), kinds.toString());
-        assertTrue(kinds.containsAll(List.of("link-cut", "site-cut", "store-empty", "router-pause",
-            "of places unlist ", "of places kill ", "of places answer-lost south",
-            "of release agent-kill", "of release store-back", "drain", "budget", "halt", "back")),
-            kinds.toString());
+  @Test
+  void aStormOfASeedIsAlwaysTheSameScenario() throws TomlException {
+    Set<String> kinds = new HashSet<>();
+    for (long seed = 1; seed <= 100; seed++) {
+      for (Storm.About about : Storm.About.values()) {
+        assertEquals(Storm.text(about, seed, 5), Storm.text(about, seed, 5));
+        int routers = Storm.of(about, seed, 5).routers().size();
+        // Storms of clients draw how many routers there are.
+        assertTrue(about == Storm.About.CLIENTS ? routers >= 3 && routers <= 6 : routers == 5);
+      }
+      Storm.of(Storm.About.CLIENTS, seed, 5)
+          .faults()
+          .forEach(f -> kinds.add("of clients " + f.kind().word()));
+      Scenario release = Storm.of(Storm.About.RELEASES, seed, 5);
+      release.faults().forEach(f -> kinds.add("of release " + f.kind().word()));
+      release.orders().forEach(o -> kinds.add(o.what()));
+      Scenario storm = Storm.of(Storm.About.VERSIONS, seed, 5);
+      for (int i = 1; i < storm.versions().size(); i++) {
+        // One that shares nothing with the version before it contradicts it.
+        assertTrue(
+            storm.versions().get(i - 1).out().stream()
+                .noneMatch(storm.versions().get(i).out()::contains));
+      }
+      storm.faults().forEach(fault -> kinds.add(fault.kind().word()));
+      Storm.of(Storm.About.PLACES, seed, 5)
+          .faults()
+          .forEach(f -> kinds.add("of places " + f.kind().word() + " " + f.way()));
     }
+    assertTrue(
+        kinds.containsAll(
+            List.of(
+                "of clients router-reload",
+                "of clients router-term",
+                "of clients router-kill",
+                "of clients router-pause",
+                "of clients drain",
+                "of clients discovery-out")),
+        kinds.toString());
+    assertTrue(
+        kinds.containsAll(
+            List.of(
+                "link-cut",
+                "site-cut",
+                "store-empty",
+                "router-pause",
+                "of places unlist ",
+                "of places kill ",
+                "of places answer-lost south",
+                "of release agent-kill",
+                "of release store-back",
+                "drain",
+                "budget",
+                "halt",
+                "back")),
+        kinds.toString());
+  }
 
-    @Test
-    void anEmptyFileIsAWholeScenario() throws TomlException {
-        Scenario scenario = read("");
-        assertEquals(20 * SECOND, scenario.length());
-        assertEquals(6, scenario.fleet().caches());
-        assertEquals(List.of("r1", "r2"),
-            scenario.routers().stream().map(Scenario.RouterSpec::name).toList());
-        assertEquals(Set.of(Scenario.Effect.values()), new HashSet<>(scenario.types().stream()
-            .map(Scenario.Type::effect).toList()));
-        assertEquals(1, scenario.clients().size());
-    }
+  @Test
+  void anEmptyFileIsAWholeScenario() throws TomlException {
+    Scenario scenario = read("");
+    assertEquals(20 * SECOND, scenario.length());
+    assertEquals(6, scenario.fleet().caches());
+    assertEquals(
+        List.of("r1", "r2"), scenario.routers().stream().map(Scenario.RouterSpec::name).toList());
+    assertEquals(
+        Set.of(Scenario.Effect.values()),
+        new HashSet<>(scenario.types().stream().map(Scenario.Type::effect).toList()));
+    assertEquals(1, scenario.clients().size());
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "length = 5 | s.toml:1: length: not a time, write for example \"1.5s\" or \"300ms\"",
         "length = \"-5s\" | s.toml:1: length: not a time, write for example \"1.5s\" or \"300ms\"",
         "[fleet];caches = 0 | s.toml:2: fleet.caches: out of range, allowed is 1 to 200",
@@ -94,64 +120,82 @@
         "[agreement];[[version]];[[fault]];kind = \"link-cut\";after = \"version 2 settled\" | s.toml:5:"
             + " fault[0].after: version 2 is not among the 1 that are proposed",
         "[agreement];[[version]];after = \"r9 says yes to version 1\" | s.toml:3: version[0].after:"
-            + " there is no router 'r9'"})
-    void whatIsWrongIsOneLineWithFileLineAndKey(String text, String line) {
-        TomlException e = assertThrows(TomlException.class, () -> read(text.replace(';', '\n')));
-        assertTrue(e.getMessage().startsWith(line), e.getMessage());
-        assertEquals(1, e.getMessage().lines().count());
-    }
+            + " there is no router 'r9'"
+      })
+  void whatIsWrongIsOneLineWithFileLineAndKey(String text, String line) {
+    TomlException e = assertThrows(TomlException.class, () -> read(text.replace(';', '\n')));
+    assertTrue(e.getMessage().startsWith(line), e.getMessage());
+    assertEquals(1, e.getMessage().lines().count());
+  }
 
-    @Test
-    void everyShippedScenarioIsReadTheSameFromItsExplanation() throws TomlException, IOException {
-        List<Path> files = Shipped.files(Path.of("examples", "rehearsals"));
-        Set<Fault.Kind> kinds = new HashSet<>();
-        for (Path file : files) {
-            Scenario scenario = ScenarioReader.read(file.toString(), Files.readString(file), null);
-            assertTrue(Files.readString(file).startsWith("#"), file + " says nothing of what is to be seen");
-            assertEquals(scenario, read(Shipped.explain(scenario)), file.toString());
-            scenario.faults().forEach(fault -> kinds.add(fault.kind()));
-        }
-        assertTrue(files.size() >= 12);
-        assertEquals(Set.of(), Arrays.stream(Fault.Kind.values()).filter(k -> !kinds.contains(k))
-            .collect(java.util.stream.Collectors.toSet()), "kinds of fault that no scenario plays");
+  @Test
+  void everyShippedScenarioIsReadTheSameFromItsExplanation() throws TomlException, IOException {
+    List<Path> files = Shipped.files(Path.of("examples", "rehearsals"));
+    Set<Fault.Kind> kinds = new HashSet<>();
+    for (Path file : files) {
+      Scenario scenario = ScenarioReader.read(file.toString(), Files.readString(file), null);
+      assertTrue(
+          Files.readString(file).startsWith("#"), file + " says nothing of what is to be seen");
+      assertEquals(scenario, read(Shipped.explain(scenario)), file.toString());
+      scenario.faults().forEach(fault -> kinds.add(fault.kind()));
     }
+    assertTrue(files.size() >= 12);
+    assertEquals(
+        Set.of(),
+        Arrays.stream(Fault.Kind.values())
+            .filter(k -> !kinds.contains(k))
+            .collect(java.util.stream.Collectors.toSet()),
+        "kinds of fault that no scenario plays");
+  }
 
-    @Test
-    void aShareOfTheFleetIsChosenByTheSeed() throws TomlException {
-        String text = "[fleet]\ncaches = 40\n[[fault]]\nkind = \"slow\"\nshare = 0.25\n";
-        List<String> chosen = ScenarioReader.read("s", text, 1L).faults().get(0).target();
-        assertEquals(10, chosen.size());
-        assertEquals(chosen, ScenarioReader.read("s", text, 1L).faults().get(0).target());
-        assertNotEquals(chosen, ScenarioReader.read("s", text, 2L).faults().get(0).target());
-    }
+  @Test
+  void aShareOfTheFleetIsChosenByTheSeed() throws TomlException {
+    String text = "[fleet]\ncaches = 40\n[[fault]]\nkind = \"slow\"\nshare = 0.25\n";
+    List<String> chosen = ScenarioReader.read("s", text, 1L).faults().get(0).target();
+    assertEquals(10, chosen.size());
+    assertEquals(chosen, ScenarioReader.read("s", text, 1L).faults().get(0).target());
+    assertNotEquals(chosen, ScenarioReader.read("s", text, 2L).faults().get(0).target());
+  }
 
-    @Test
-    void theSameSeedPlansTheSameRequests() throws TomlException {
-        Scenario scenario = read("length = \"10s\"");
-        List<Planned> plan = Plan.of(scenario);
-        assertEquals(plan, Plan.of(scenario));
-        assertNotEquals(plan, Plan.of(ScenarioReader.read("s", "length = \"10s\"", 2L)));
-        assertTrue(Math.abs(plan.size() - 1000) < 150, plan.size() + " requests where 1000 are expected");
-        long last = 0;
-        for (Planned p : plan) {
-            assertTrue(p.at() >= last && p.at() < 10 * SECOND);
-            last = p.at();
-        }
+  @Test
+  void theSameSeedPlansTheSameRequests() throws TomlException {
+    Scenario scenario = read("length = \"10s\"");
+    List<Planned> plan = Plan.of(scenario);
+    assertEquals(plan, Plan.of(scenario));
+    assertNotEquals(plan, Plan.of(ScenarioReader.read("s", "length = \"10s\"", 2L)));
+    assertTrue(
+        Math.abs(plan.size() - 1000) < 150, plan.size() + " requests where 1000 are expected");
+    long last = 0;
+    for (Planned p : plan) {
+      assertTrue(p.at() >= last && p.at() < 10 * SECOND);
+      last = p.at();
     }
+  }
 
-    @Test
-    void streamsKeepToTheirTimesAndClasses() throws TomlException {
-        List<Planned> plan = Plan.of(read("[[clients]]\nclasses = [\"level\"]\nto = \"5s\"\n"
-            + "[[clients]]\nclasses = [\"alert-ack\"]\nfrom = \"6s\"\nto = \"8s\"\n"));
-        assertTrue(plan.stream().allMatch(p -> p.type().name().equals("level") ? p.at() < 5 * SECOND
-            : p.at() >= 6 * SECOND && p.at() < 8 * SECOND));
-        assertEquals(2, plan.stream().map(p -> p.type().name()).distinct().count());
-    }
+  @Test
+  void streamsKeepToTheirTimesAndClasses() throws TomlException {
+    List<Planned> plan =
+        Plan.of(
+            read(
+                "[[clients]]\nclasses = [\"level\"]\nto = \"5s\"\n"
+                    + "[[clients]]\nclasses = [\"alert-ack\"]\nfrom = \"6s\"\nto = \"8s\"\n"));
+    assertTrue(
+        plan.stream()
+            .allMatch(
+                p ->
+                    p.type().name().equals("level")
+                        ? p.at() < 5 * SECOND
+                        : p.at() >= 6 * SECOND && p.at() < 8 * SECOND));
+    assertEquals(2, plan.stream().map(p -> p.type().name()).distinct().count());
+  }
 
-    /** A site that is named twice has twice the cache servers; clients of a site keep to its routers. */
-    @Test
-    void placesMayBeUnequalAndOfSeveralRegions() throws TomlException {
-        String text = """
+  /**
+   * A site that is named twice has twice the cache servers; clients of a site keep to its routers.
+   */
+  @Test
+  void placesMayBeUnequalAndOfSeveralRegions() throws TomlException {
+    String text =
+        """
             [fleet]
             caches = 6
             sites = ["east", "east", "west"]
@@ -163,16 +207,24 @@
             [[clients]]
             site = "west"
             """;
-        Scenario scenario = read(text);
-        assertEquals(List.of("c1", "c2", "c4", "c5"),
-            scenario.fleet().names().stream().filter(n -> scenario.siteOf(n).equals("east")).toList());
-        assertEquals(List.of("east", "west"), scenario.fleet().places());
-        assertEquals("west", scenario.clients().get(0).site());
-        assertEquals("s.toml:10: clients[0].site: no router stands in 'east', they stand in west",
-            assertThrows(TomlException.class, () -> read(text.replace("[[clients]]\nsite = \"west\"",
-                "[[clients]]\nsite = \"east\""))).getMessage());
-        assertEquals("s.toml:6: zones.regions: 1 of them, allowed is one for each of the sites east, west",
-            assertThrows(TomlException.class, () -> read(text.replace(", \"two\"", ""))).getMessage());
-        assertEquals(scenario, read(Shipped.explain(scenario)));
-    }
+    Scenario scenario = read(text);
+    assertEquals(
+        List.of("c1", "c2", "c4", "c5"),
+        scenario.fleet().names().stream().filter(n -> scenario.siteOf(n).equals("east")).toList());
+    assertEquals(List.of("east", "west"), scenario.fleet().places());
+    assertEquals("west", scenario.clients().get(0).site());
+    assertEquals(
+        "s.toml:10: clients[0].site: no router stands in 'east', they stand in west",
+        assertThrows(
+                TomlException.class,
+                () ->
+                    read(
+                        text.replace(
+                            "[[clients]]\nsite = \"west\"", "[[clients]]\nsite = \"east\"")))
+            .getMessage());
+    assertEquals(
+        "s.toml:6: zones.regions: 1 of them, allowed is one for each of the sites east, west",
+        assertThrows(TomlException.class, () -> read(text.replace(", \"two\"", ""))).getMessage());
+    assertEquals(scenario, read(Shipped.explain(scenario)));
+  }
 }
--- a/src/test/java/beaconturn/release/AbsenceTest.java
+++ b/src/test/java/beaconturn/release/AbsenceTest.java
@@ -17,150 +17,186 @@
 
 /** Who counts as out by what routers see, and releases of cache servers that rest on it. */
 class AbsenceTest {
-    private static final Fleet.Group CACHES = new Fleet.Group(1, 1,
-        new TreeMap<>(Map.of("east", List.of("c1", "c2"))));
-    private static final long LIMIT = 100;
-
-    /** A router's sight, for instance "c1=0 c2:draining". */
-    private static Sight sight(String words) {
-        TreeMap<String, Long> in = new TreeMap<>();
-        TreeMap<String, String> out = new TreeMap<>();
-        for (String word : words.split(" ")) {
-            if (word.contains("=")) {
-                in.put(word.split("=")[0], Long.parseLong(word.split("=")[1]));
-            } else if (!word.isEmpty()) {
-                out.put(word.split(":")[0], word.split(":")[1]);
-            }
-        }
-        return new Sight(in, out);
-    }
-
-    private static Absence seen(String... sights) {
-        return Absence.ofCaches(CACHES, Map.of(), List.of(sights).stream().map(AbsenceTest::sight).toList());
-    }
-
-    @Test
-    void moreThanHalfOfTheRoutersHaveToUseACacheServer() {
-        assertEquals(Map.of(), seen("c1=0 c2=0", "c1=0 c2=0", "c1=0 c2:ejected").out());
-        assertEquals(Map.of("c2", "ejected at 1 of 2 routers"), seen("c1=0 c2=0", "c1=0 c2:ejected").out());
-        assertEquals(Map.of("c2", "draining at 2 of 3 routers"),
-            seen("c1=0 c2=0", "c1=0 c2:draining", "c1=0 c2:draining").out());
-        assertEquals(Map.of("c2", "not listed at 1 of 1 routers"), seen("c1=0").out());
-    }
-
-    /** Silence is no health: with nobody to vouch for the others no step may take the last one out. */
-    @Test
-    void withoutAnyWordAllAreOut() {
-        assertEquals(Set.of("c1", "c2"), seen().out().keySet());
-        assertEquals(Map.of("c1", "held out by version 3"), Absence.ofCaches(CACHES,
-            Map.of("c1", "held out by version 3"), List.of(sight("c1=0 c2=0"))).out());
-    }
-
-    @Test
-    void aSightIsReadAsItWasWritten() throws AgreementException {
-        Sight sight = sight("c1=1796174364825000000 c2:left-out");
-        assertEquals(sight, Sight.of(sight.text()));
-        assertThrows(AgreementException.class, () -> Sight.of("no sight"));
-    }
-
-    private static Board caches() throws AgreementException {
-        Board board = new Board();
-        board.desk().fleet(new Fleet(Map.of(Kind.CACHE, CACHES)));
-        board.desk().start(new Plan(0, Kind.CACHE, List.of(List.of("c1", "c2")), 10, 0,
-            Bounds.of(0), LIMIT, 0, "why",
-            null, ""));
-        return board;
-    }
-
-    private static boolean step(Board board, Driver driver, Absence seen, long now) {
-        Act act = driver.due(board.scene(), seen, now);
-        return act != null && board.held(act);
-    }
-
-    private static void act(Board board, String id) {
-        Agent agent = board.agent(id, "a", LIMIT);
-        assertNotNull(agent.answered(board.held(agent.due(board.scene(), 0)), 0));
-        agent.ended(true, "", 0);
-        assertTrue(board.held(agent.due(board.scene(), 0)));
-    }
-
-    private static Driver driver(Board board) {
-        Driver driver = new Driver(Board.KEYS, "d1", () -> "");
-        assertTrue(board.held(driver.take(board.scene(), 1)));
-        return driver;
-    }
-
-    /** What routers tell may still be of the process before, and then of one that is cold. */
-    @Test
-    void theNextCacheServerGoesOnlyOnceTheOneBeforeIsSeenWarm() throws AgreementException {
-        Board board = caches();
-        Driver driver = driver(board);
-        assertTrue(step(board, driver, seen("c1=5 c2=5", "c1=5 c2=5"), 0));
-        act(board, "c1");
-        assertFalse(step(board, driver, seen("c1=5 c2=5", "c1=5 c2=5"), 1));
-        assertTrue(driver.waits().contains("it waits for c1 (permit 1"), driver.waits());
-        assertFalse(step(board, driver, seen("c1=5 c2=5", "c1:warming c2=5"), 2));
-        assertFalse(step(board, driver, seen("c1=9 c2=5", "c1=5 c2=5"), 3), "only one of two has seen it");
-        assertFalse(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 4));
-        assertTrue(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 14), "it has soaked");
-        assertTrue(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 15));
-        assertEquals(Step.Phase.GRANTED, board.scene().steps().get("c2").phase());
-    }
-
-    /** The way back holds its place too until what it restarted is warm. */
-    @Test
-    void oneThatIsNotSeenBackInItsTimeTakesTheReleaseBack() throws AgreementException {
-        Board board = caches();
-        Driver driver = driver(board);
-        Absence ejected = seen("c1:ejected c2=5", "c1:ejected c2=5");
-        assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
-        act(board, "c1");
-        assertFalse(step(board, driver, ejected, 1));
-        assertFalse(step(board, driver, ejected, 1 + LIMIT));
-        assertTrue(step(board, driver, ejected, 2 + LIMIT));
-        assertEquals("c1 does worse: not seen back: ejected at 2 of 2 routers", board.scene().course().why());
-        assertTrue(step(board, driver, ejected, 3 + LIMIT));
-        act(board, "c1");
-        assertFalse(step(board, driver, seen("c1:warming c2=5"), 4 + LIMIT));
-        assertEquals("c1 is not seen back: warming at 1 of 1 routers", driver.waits());
-        assertEquals(1, board.scene().permits().size());
-        assertTrue(step(board, driver, seen("c1=9 c2=5"), 5 + LIMIT));
-        assertTrue(board.scene().permits().isEmpty());
-    }
-
-    /** A check can be shorter than it takes to see what harms; trouble that all have is not the release's. */
-    @Test
-    void oneThatIsEjectedAfterItsCheckTakesTheReleaseBack() throws AgreementException {
-        Board board = caches();
-        Driver driver = driver(board);
-        assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
-        act(board, "c1");
-        assertFalse(step(board, driver, seen("c1=9 c2=5"), 4));
-        assertTrue(step(board, driver, seen("c1=9 c2=5"), 14), "it has stood the check");
-        assertFalse(step(board, driver, seen("c1:ejected c2:ejected"), 20));
-        assertFalse(step(board, driver, seen("c1:ejected c2:ejected"), 40));
-        assertFalse(step(board, driver, seen("c1:ejected c2=5"), 41));
-        assertFalse(step(board, driver, seen("c1:ejected c2=5"), 41 + LIMIT));
-        assertTrue(step(board, driver, seen("c1:ejected c2=5"), 42 + LIMIT));
-        assertEquals("c1 was ejected after it had stood the check", board.scene().course().why());
-    }
-
-    /** A copy of the store that was put back knows nothing of what has gone out since. */
-    @Test
-    void inAStoreThatWasReplacedNobodyActs() throws AgreementException {
-        Board board = caches();
-        Driver driver = driver(board);
-        assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
-        Agent agent = board.agent("c1", "a", LIMIT);
-        board.cluster = "2";
-        assertNull(agent.due(board.scene(), 0));
-        assertNull(driver.due(board.scene(), seen("c1=5 c2=5"), 0));
-        assertEquals(Scene.REPLACED, driver.waits());
-        assertThrows(AgreementException.class, () -> board.desk().back("no"));
-        board.desk().abandon("seen who runs what");
-        board.desk().start(new Plan(0, Kind.CACHE, List.of(List.of("c1")), 10, 0,
-            Bounds.of(0), LIMIT, 0, "why", null,
-            ""));
-        assertFalse(board.scene().replaced());
+  private static final Fleet.Group CACHES =
+      new Fleet.Group(1, 1, new TreeMap<>(Map.of("east", List.of("c1", "c2"))));
+  private static final long LIMIT = 100;
+
+  /** A router's sight, for instance "c1=0 c2:draining". */
+  private static Sight sight(String words) {
+    TreeMap<String, Long> in = new TreeMap<>();
+    TreeMap<String, String> out = new TreeMap<>();
+    for (String word : words.split(" ")) {
+      if (word.contains("=")) {
+        in.put(word.split("=")[0], Long.parseLong(word.split("=")[1]));
+      } else if (!word.isEmpty()) {
+        out.put(word.split(":")[0], word.split(":")[1]);
+      }
     }
+    return new Sight(in, out);
+  }
+
+  private static Absence seen(String... sights) {
+    return Absence.ofCaches(
+        CACHES, Map.of(), List.of(sights).stream().map(AbsenceTest::sight).toList());
+  }
+
+  @Test
+  void moreThanHalfOfTheRoutersHaveToUseACacheServer() {
+    assertEquals(Map.of(), seen("c1=0 c2=0", "c1=0 c2=0", "c1=0 c2:ejected").out());
+    assertEquals(
+        Map.of("c2", "ejected at 1 of 2 routers"), seen("c1=0 c2=0", "c1=0 c2:ejected").out());
+    assertEquals(
+        Map.of("c2", "draining at 2 of 3 routers"),
+        seen("c1=0 c2=0", "c1=0 c2:draining", "c1=0 c2:draining").out());
+    assertEquals(Map.of("c2", "not listed at 1 of 1 routers"), seen("c1=0").out());
+  }
+
+  /**
+   * Silence is no health: with nobody to vouch for the others no step may take the last one out.
+   */
+  @Test
+  void withoutAnyWordAllAreOut() {
+    assertEquals(Set.of("c1", "c2"), seen().out().keySet());
+    assertEquals(
+        Map.of("c1", "held out by version 3"),
+        Absence.ofCaches(CACHES, Map.of("c1", "held out by version 3"), List.of(sight("c1=0 c2=0")))
+            .out());
+  }
+
+  @Test
+  void aSightIsReadAsItWasWritten() throws AgreementException {
+    Sight sight = sight("c1=1796174364825000000 c2:left-out");
+    assertEquals(sight, Sight.of(sight.text()));
+    assertThrows(AgreementException.class, () -> Sight.of("no sight"));
+  }
+
+  private static Board caches() throws AgreementException {
+    Board board = new Board();
+    board.desk().fleet(new Fleet(Map.of(Kind.CACHE, CACHES)));
+    board
+        .desk()
+        .start(
+            new Plan(
+                0,
+                Kind.CACHE,
+                List.of(List.of("c1", "c2")),
+                10,
+                0,
+                Bounds.of(0),
+                LIMIT,
+                0,
+                "why",
+                null,
+                ""));
+    return board;
+  }
+
+  private static boolean step(Board board, Driver driver, Absence seen, long now) {
+    Act act = driver.due(board.scene(), seen, now);
+    return act != null && board.held(act);
+  }
+
+  private static void act(Board board, String id) {
+    Agent agent = board.agent(id, "a", LIMIT);
+    assertNotNull(agent.answered(board.held(agent.due(board.scene(), 0)), 0));
+    agent.ended(true, "", 0);
+    assertTrue(board.held(agent.due(board.scene(), 0)));
+  }
+
+  private static Driver driver(Board board) {
+    Driver driver = new Driver(Board.KEYS, "d1", () -> "");
+    assertTrue(board.held(driver.take(board.scene(), 1)));
+    return driver;
+  }
+
+  /** What routers tell may still be of the process before, and then of one that is cold. */
+  @Test
+  void theNextCacheServerGoesOnlyOnceTheOneBeforeIsSeenWarm() throws AgreementException {
+    Board board = caches();
+    Driver driver = driver(board);
+    assertTrue(step(board, driver, seen("c1=5 c2=5", "c1=5 c2=5"), 0));
+    act(board, "c1");
+    assertFalse(step(board, driver, seen("c1=5 c2=5", "c1=5 c2=5"), 1));
+    assertTrue(driver.waits().contains("it waits for c1 (permit 1"), driver.waits());
+    assertFalse(step(board, driver, seen("c1=5 c2=5", "c1:warming c2=5"), 2));
+    assertFalse(
+        step(board, driver, seen("c1=9 c2=5", "c1=5 c2=5"), 3), "only one of two has seen it");
+    assertFalse(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 4));
+    assertTrue(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 14), "it has soaked");
+    assertTrue(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 15));
+    assertEquals(Step.Phase.GRANTED, board.scene().steps().get("c2").phase());
+  }
+
+  /** The way back holds its place too until what it restarted is warm. */
+  @Test
+  void oneThatIsNotSeenBackInItsTimeTakesTheReleaseBack() throws AgreementException {
+    Board board = caches();
+    Driver driver = driver(board);
+    Absence ejected = seen("c1:ejected c2=5", "c1:ejected c2=5");
+    assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
+    act(board, "c1");
+    assertFalse(step(board, driver, ejected, 1));
+    assertFalse(step(board, driver, ejected, 1 + LIMIT));
+    assertTrue(step(board, driver, ejected, 2 + LIMIT));
+    assertEquals(
+        "c1 does worse: not seen back: ejected at 2 of 2 routers", board.scene().course().why());
+    assertTrue(step(board, driver, ejected, 3 + LIMIT));
+    act(board, "c1");
+    assertFalse(step(board, driver, seen("c1:warming c2=5"), 4 + LIMIT));
+    assertEquals("c1 is not seen back: warming at 1 of 1 routers", driver.waits());
+    assertEquals(1, board.scene().permits().size());
+    assertTrue(step(board, driver, seen("c1=9 c2=5"), 5 + LIMIT));
+    assertTrue(board.scene().permits().isEmpty());
+  }
+
+  /**
+   * A check can be shorter than it takes to see what harms; trouble that all have is not the
+   * release's.
+   */
+  @Test
+  void oneThatIsEjectedAfterItsCheckTakesTheReleaseBack() throws AgreementException {
+    Board board = caches();
+    Driver driver = driver(board);
+    assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
+    act(board, "c1");
+    assertFalse(step(board, driver, seen("c1=9 c2=5"), 4));
+    assertTrue(step(board, driver, seen("c1=9 c2=5"), 14), "it has stood the check");
+    assertFalse(step(board, driver, seen("c1:ejected c2:ejected"), 20));
+    assertFalse(step(board, driver, seen("c1:ejected c2:ejected"), 40));
+    assertFalse(step(board, driver, seen("c1:ejected c2=5"), 41));
+    assertFalse(step(board, driver, seen("c1:ejected c2=5"), 41 + LIMIT));
+    assertTrue(step(board, driver, seen("c1:ejected c2=5"), 42 + LIMIT));
+    assertEquals("c1 was ejected after it had stood the check", board.scene().course().why());
+  }
+
+  /** A copy of the store that was put back knows nothing of what has gone out since. */
+  @Test
+  void inAStoreThatWasReplacedNobodyActs() throws AgreementException {
+    Board board = caches();
+    Driver driver = driver(board);
+    assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
+    Agent agent = board.agent("c1", "a", LIMIT);
+    board.cluster = "2";
+    assertNull(agent.due(board.scene(), 0));
+    assertNull(driver.due(board.scene(), seen("c1=5 c2=5"), 0));
+    assertEquals(Scene.REPLACED, driver.waits());
+    assertThrows(AgreementException.class, () -> board.desk().back("no"));
+    board.desk().abandon("seen who runs what");
+    board
+        .desk()
+        .start(
+            new Plan(
+                0,
+                Kind.CACHE,
+                List.of(List.of("c1")),
+                10,
+                0,
+                Bounds.of(0),
+                LIMIT,
+                0,
+                "why",
+                null,
+                ""));
+    assertFalse(board.scene().replaced());
+  }
 }
--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -17,295 +17,320 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Every order of the steps of two drivers, the agents of two routers, an agent that takes the place of
- * another, and an operator who halts and drains, up to a bound: what was decided on may be over when it
- * is done. One router may be out at a time.
+ * Every order of the steps of two drivers, the agents of two routers, an agent that takes the place
+ * of another, and an operator who halts and drains, up to a bound: what was decided on may be over
+ * when it is done. One router may be out at a time.
  */
 class ReleaseModelTest {
-    /** In CI; {@code -Dmodel.states=200000} for a longer search. */
-    private static final int MOST_STATES = Integer.getInteger("model.states", 3000);
-    private static final int LONGEST_WALK = 40;
-    private static final List<String> RARE =
-        List.of("halt", "replace", "lease", "wants r2 out", "takes r2 out");
-    private static final long TIMEOUT = 100;
+  /** In CI; {@code -Dmodel.states=200000} for a longer search. */
+  private static final int MOST_STATES = Integer.getInteger("model.states", 3000);
 
-    /** One course of things, replayed from its moves. */
-    private static final class Play {
-        private final Board board;
-        private final Driver[] drivers =
-            {new Driver(Board.KEYS, "d0", () -> ""), new Driver(Board.KEYS, "d1", () -> "")};
-        private final Act[] decided = new Act[2];
-        private final List<Hand> hands = new ArrayList<>();
-        private final String defect;
-        private int leases = 1;
-        private boolean halted;
-        private boolean replaced;
-        private Act drain;
-        private boolean drained;
-        private String offence;
+  private static final int LONGEST_WALK = 40;
+  private static final List<String> RARE =
+      List.of("halt", "replace", "lease", "wants r2 out", "takes r2 out");
+  private static final long TIMEOUT = 100;
 
-        /** An agent and what it has decided. */
-        private static final class Hand {
-            private final String id;
-            private final Agent agent;
-            private Act act;
-            private Variant running;
-            private boolean failed;
-            private boolean dead;
-            /** How the last action ended, until it is told. */
-            private String untold = "";
+  /** One course of things, replayed from its moves. */
+  private static final class Play {
+    private final Board board;
+    private final Driver[] drivers = {
+      new Driver(Board.KEYS, "d0", () -> ""), new Driver(Board.KEYS, "d1", () -> "")
+    };
+    private final Act[] decided = new Act[2];
+    private final List<Hand> hands = new ArrayList<>();
+    private final String defect;
+    private int leases = 1;
+    private boolean halted;
+    private boolean replaced;
+    private Act drain;
+    private boolean drained;
+    private String offence;
 
-            private Hand(Board board, String id, String me) {
-                this.id = id;
-                this.agent = board.agent(id, me, TIMEOUT);
-            }
-        }
+    /** An agent and what it has decided. */
+    private static final class Hand {
+      private final String id;
+      private final Agent agent;
+      private Act act;
+      private Variant running;
+      private boolean failed;
+      private boolean dead;
 
-        Play(String defect) throws AgreementException {
-            this.defect = defect;
-            board = Board.with(1, 1).begin(0, List.of(List.of("r1", "r2")));
-            // With that on the history, which would hold many of the others by itself.
-            board.ignores = key -> !defect.isEmpty() && (key.contains("/release/" + defect)
-                || key.endsWith("/release/told") || defect.equals("course") && key.endsWith("/plan"));
-            hands.add(new Hand(board, "r1", "a"));
-            hands.add(new Hand(board, "r2", "b"));
-        }
+      /** How the last action ended, until it is told. */
+      private String untold = "";
 
-        /** What can happen next. */
-        List<String> moves() {
-            List<String> all = new ArrayList<>();
-            Scene scene = board.scene();
-            for (int i = 0; i < 2; i++) {
-                if (decided[i] != null) {
-                    all.add("drive " + i);
-                } else if (drivers[i].take(scene, 1) != null || drivers[i].due(scene, Absence.of(Map.of()),
-                        0) != null) {
-                    all.add("decide " + i);
-                }
-            }
-            for (int i = 0; i < hands.size(); i++) {
-                Hand hand = hands.get(i);
-                if (hand.dead) {
-                    continue;
-                }
-                if (hand.running != null) {
-                    all.add("ends " + i);
-                    all.add("fails " + i);
-                } else {
-                    all.add((hand.act == null ? "looks " : "acts ") + i);
-                }
-            }
-            if (leases > 0 && !scene.driver().isEmpty()) {
-                all.add("lease");
-            }
-            if (!halted) {
-                all.add("halt");
-            } else if (scene.course().mode() == Course.Mode.HALTED) {
-                all.add("resume");
-            }
-            if (!replaced) {
-                all.add("replace");
-            }
-            if (!drained) {
-                all.add(drain == null ? "wants r2 out" : "takes r2 out");
-            }
-            return all;
+      private Hand(Board board, String id, String me) {
+        this.id = id;
+        this.agent = board.agent(id, me, TIMEOUT);
+      }
+    }
+
+    Play(String defect) throws AgreementException {
+      this.defect = defect;
+      board = Board.with(1, 1).begin(0, List.of(List.of("r1", "r2")));
+      // With that on the history, which would hold many of the others by itself.
+      board.ignores =
+          key ->
+              !defect.isEmpty()
+                  && (key.contains("/release/" + defect)
+                      || key.endsWith("/release/told")
+                      || defect.equals("course") && key.endsWith("/plan"));
+      hands.add(new Hand(board, "r1", "a"));
+      hands.add(new Hand(board, "r2", "b"));
+    }
+
+    /** What can happen next. */
+    List<String> moves() {
+      List<String> all = new ArrayList<>();
+      Scene scene = board.scene();
+      for (int i = 0; i < 2; i++) {
+        if (decided[i] != null) {
+          all.add("drive " + i);
+        } else if (drivers[i].take(scene, 1) != null
+            || drivers[i].due(scene, Absence.of(Map.of()), 0) != null) {
+          all.add("decide " + i);
+        }
+      }
+      for (int i = 0; i < hands.size(); i++) {
+        Hand hand = hands.get(i);
+        if (hand.dead) {
+          continue;
         }
+        if (hand.running != null) {
+          all.add("ends " + i);
+          all.add("fails " + i);
+        } else {
+          all.add((hand.act == null ? "looks " : "acts ") + i);
+        }
+      }
+      if (leases > 0 && !scene.driver().isEmpty()) {
+        all.add("lease");
+      }
+      if (!halted) {
+        all.add("halt");
+      } else if (scene.course().mode() == Course.Mode.HALTED) {
+        all.add("resume");
+      }
+      if (!replaced) {
+        all.add("replace");
+      }
+      if (!drained) {
+        all.add(drain == null ? "wants r2 out" : "takes r2 out");
+      }
+      return all;
+    }
 
-        void move(String name) throws AgreementException {
-            String[] words = name.split(" ");
-            int i = words.length == 2 ? Integer.parseInt(words[1]) : 0;
-            switch (words[0]) {
-                case "decide" -> {
-                    Act take = drivers[i].take(board.scene(), 1);
-                    decided[i] = take != null ? take : drivers[i].due(board.scene(), Absence.of(Map.of()), 0);
-                }
-                case "drive" -> {
-                    board.held(decided[i]);
-                    decided[i] = null;
-                }
-                case "looks" -> hands.get(i).act = hands.get(i).agent.due(board.scene(), 0);
-                case "acts" -> acts(hands.get(i));
-                case "ends", "fails" -> ends(hands.get(i), words[0].equals("ends"));
-                case "lease" -> {
-                    leases--;
-                    board.driverGone();
-                }
-                case "halt" -> {
-                    halted = true;
-                    if (!board.scene().course().over()) {
-                        board.desk().halt("wait");
-                    }
-                }
-                case "resume" -> board.desk().resume("go on");
-                case "replace" -> {
-                    // The agent has died; what it had begun goes on and ends unheard.
-                    replaced = true;
-                    hands.get(0).dead = true;
-                    hands.get(0).running = null;
-                    board.agentGone("r1");
-                    hands.add(new Hand(board, "r1", "c"));
-                }
-                case "wants" -> drain = wish();
-                default -> {
-                    drained = true;
-                    if (drain.swap() != null && board.held(drain)) {
-                        out("r2 by hand");
-                    }
-                }
-            }
+    void move(String name) throws AgreementException {
+      String[] words = name.split(" ");
+      int i = words.length == 2 ? Integer.parseInt(words[1]) : 0;
+      switch (words[0]) {
+        case "decide" -> {
+          Act take = drivers[i].take(board.scene(), 1);
+          decided[i] = take != null ? take : drivers[i].due(board.scene(), Absence.of(Map.of()), 0);
+        }
+        case "drive" -> {
+          board.held(decided[i]);
+          decided[i] = null;
+        }
+        case "looks" -> hands.get(i).act = hands.get(i).agent.due(board.scene(), 0);
+        case "acts" -> acts(hands.get(i));
+        case "ends", "fails" -> ends(hands.get(i), words[0].equals("ends"));
+        case "lease" -> {
+          leases--;
+          board.driverGone();
         }
+        case "halt" -> {
+          halted = true;
+          if (!board.scene().course().over()) {
+            board.desk().halt("wait");
+          }
+        }
+        case "resume" -> board.desk().resume("go on");
+        case "replace" -> {
+          // The agent has died; what it had begun goes on and ends unheard.
+          replaced = true;
+          hands.get(0).dead = true;
+          hands.get(0).running = null;
+          board.agentGone("r1");
+          hands.add(new Hand(board, "r1", "c"));
+        }
+        case "wants" -> drain = wish();
+        default -> {
+          drained = true;
+          if (drain.swap() != null && board.held(drain)) {
+            out("r2 by hand");
+          }
+        }
+      }
+    }
 
-        /** A drain decides on what it reads, and takes its place later. */
-        private Act wish() {
-            List<Act> caught = new ArrayList<>();
-            ReleaseDesk desk = new ReleaseDesk(Board.KEYS, call -> {
+    /** A drain decides on what it reads, and takes its place later. */
+    private Act wish() {
+      List<Act> caught = new ArrayList<>();
+      ReleaseDesk desk =
+          new ReleaseDesk(
+              Board.KEYS,
+              call -> {
                 if (call instanceof Call.Swap swap) {
-                    caught.add(new Act(swap, ""));
-                    return new Answer.Failed("caught");
+                  caught.add(new Act(swap, ""));
+                  return new Answer.Failed("caught");
                 }
                 return board.ask(call);
-            }, "op", () -> "");
-            try {
-                desk.take(Kind.ROUTER, "r2", "by hand", Absence.of(Map.of()));
-            } catch (AgreementException e) {
-                return caught.isEmpty() ? new Act(null, e.getMessage()) : caught.get(0);
-            }
-            throw new IllegalStateException("nothing was caught");
-        }
+              },
+              "op",
+              () -> "");
+      try {
+        desk.take(Kind.ROUTER, "r2", "by hand", Absence.of(Map.of()));
+      } catch (AgreementException e) {
+        return caught.isEmpty() ? new Act(null, e.getMessage()) : caught.get(0);
+      }
+      throw new IllegalStateException("nothing was caught");
+    }
 
-        private void acts(Hand hand) {
-            boolean held = board.held(hand.act);
-            hand.act = null;
-            hand.untold = held ? "" : hand.untold;
-            Course.Mode mode = board.scene().course().mode();
-            hand.running = hand.agent.answered(held || defect.equals("answer"), 0);
-            if (hand.running == null) {
-                return;
-            }
-            if (mode == Course.Mode.HALTED) {
-                offence = hand.id + " begins while all is halted";
-            }
-            if (hands.stream().anyMatch(h -> h != hand && h.id.equals(hand.id) && h.running != null)) {
-                offence = hand.id + " is acted on twice at once";
-            }
-            out(hand.id);
-        }
+    private void acts(Hand hand) {
+      boolean held = board.held(hand.act);
+      hand.act = null;
+      hand.untold = held ? "" : hand.untold;
+      Course.Mode mode = board.scene().course().mode();
+      hand.running = hand.agent.answered(held || defect.equals("answer"), 0);
+      if (hand.running == null) {
+        return;
+      }
+      if (mode == Course.Mode.HALTED) {
+        offence = hand.id + " begins while all is halted";
+      }
+      if (hands.stream().anyMatch(h -> h != hand && h.id.equals(hand.id) && h.running != null)) {
+        offence = hand.id + " is acted on twice at once";
+      }
+      out(hand.id);
+    }
 
-        /** Whatever is acted on or has failed is out, and r2 once it is drained. */
-        private void out(String what) {
-            Set<String> out = new HashSet<>();
-            hands.stream().filter(h -> h.running != null || h.failed).forEach(h -> out.add(h.id));
-            if (what.endsWith("by hand")) {
-                out.add("r2");
-            } else if (drained && board.scene().permits().values().stream()
-                    .anyMatch(p -> p.holder().equals("op"))) {
-                out.add("r2");
-            }
-            if (out.size() > 1) {
-                offence = what + " goes out, and so " + out + " are";
-            }
-        }
+    /** Whatever is acted on or has failed is out, and r2 once it is drained. */
+    private void out(String what) {
+      Set<String> out = new HashSet<>();
+      hands.stream().filter(h -> h.running != null || h.failed).forEach(h -> out.add(h.id));
+      if (what.endsWith("by hand")) {
+        out.add("r2");
+      } else if (drained
+          && board.scene().permits().values().stream().anyMatch(p -> p.holder().equals("op"))) {
+        out.add("r2");
+      }
+      if (out.size() > 1) {
+        offence = what + " goes out, and so " + out + " are";
+      }
+    }
 
-        private void ends(Hand hand, boolean ready) {
-            hand.running = null;
-            hands.stream().filter(h -> h.id.equals(hand.id)).forEach(h -> h.failed = !ready);
-            hand.untold = ready ? "ready" : "failed";
-            hand.agent.ended(ready || defect.equals("lies"), "", 0);
-        }
+    private void ends(Hand hand, boolean ready) {
+      hand.running = null;
+      hands.stream().filter(h -> h.id.equals(hand.id)).forEach(h -> h.failed = !ready);
+      hand.untold = ready ? "ready" : "failed";
+      hand.agent.ended(ready || defect.equals("lies"), "", 0);
+    }
 
-        /** Two courses that say the same here go on the same. */
-        String state() {
-            StringBuilder out = new StringBuilder(board.text());
-            for (Act act : decided) {
-                out.append(act == null ? "-" : act.says()).append(';');
-            }
-            hands.forEach(h -> out.append(h.act == null ? "-" : h.act.says() + h.act.swap().changes())
-                .append(h.running).append(h.failed).append(h.dead).append(h.untold).append(';'));
-            return out.append(leases).append(halted).append(replaced).append(drained)
-                .append(drain == null ? "-" : drain.says() + drain.swap()).toString();
-        }
+    /** Two courses that say the same here go on the same. */
+    String state() {
+      StringBuilder out = new StringBuilder(board.text());
+      for (Act act : decided) {
+        out.append(act == null ? "-" : act.says()).append(';');
+      }
+      hands.forEach(
+          h ->
+              out.append(h.act == null ? "-" : h.act.says() + h.act.swap().changes())
+                  .append(h.running)
+                  .append(h.failed)
+                  .append(h.dead)
+                  .append(h.untold)
+                  .append(';'));
+      return out.append(leases)
+          .append(halted)
+          .append(replaced)
+          .append(drained)
+          .append(drain == null ? "-" : drain.says() + drain.swap())
+          .toString();
     }
+  }
 
-    private record Found(int states, int depth, String offence, List<String> moves) { }
+  private record Found(int states, int depth, String offence, List<String> moves) {}
 
-    private static Found search(String defect) throws AgreementException {
-        Set<String> seen = new HashSet<>();
-        Found walked = walk(defect, seen);
-        if (walked.offence() != null) {
-            return walked;
-        }
-        List<List<String>> open = new ArrayList<>(List.of(List.of()));
-        Random random = new Random(1);
-        int depth = walked.depth();
-        Set<String> expanded = new HashSet<>();
-        while (!open.isEmpty() && expanded.size() < MOST_STATES) {
-            // Short courses, long ones and any: neither breadth nor depth alone finds all within the bound.
-            int which = expanded.size() % 3;
-            List<String> moves = open.remove(which == 0 ? 0 : which == 1 ? open.size() - 1
-                : random.nextInt(open.size()));
-            Play course = replay(moves, defect);
-            if (course.offence != null) {
-                return new Found(seen.size(), depth, course.offence, moves);
-            }
-            seen.add(course.state());
-            if (expanded.add(course.state())) {
-                depth = Math.max(depth, moves.size());
-                for (String next : course.moves()) {
-                    List<String> longer = new ArrayList<>(moves);
-                    longer.add(next);
-                    open.add(longer);
-                }
-            }
-        }
-        return new Found(seen.size(), depth, null, List.of());
+  private static Found search(String defect) throws AgreementException {
+    Set<String> seen = new HashSet<>();
+    Found walked = walk(defect, seen);
+    if (walked.offence() != null) {
+      return walked;
     }
-
-    /** Courses taken at random to their end, which a search from the beginning would not come to. */
-    private static Found walk(String defect, Set<String> seen) throws AgreementException {
-        Random random = new Random(1);
-        for (int i = 0; i < MOST_STATES / 10; i++) {
-            Play course = new Play(defect);
-            List<String> moves = new ArrayList<>();
-            while (moves.size() < LONGEST_WALK && course.offence == null) {
-                List<String> next = course.moves();
-                String chosen = next.get(random.nextInt(next.size()));
-                // What comes from outside comes seldom, else few courses get far.
-                if (RARE.contains(chosen) && random.nextInt(8) > 0) {
-                    continue;
-                }
-                moves.add(chosen);
-                course.move(moves.get(moves.size() - 1));
-                seen.add(course.state());
-            }
-            if (course.offence != null) {
-                return new Found(seen.size(), moves.size(), course.offence, moves);
-            }
+    List<List<String>> open = new ArrayList<>(List.of(List.of()));
+    Random random = new Random(1);
+    int depth = walked.depth();
+    Set<String> expanded = new HashSet<>();
+    while (!open.isEmpty() && expanded.size() < MOST_STATES) {
+      // Short courses, long ones and any: neither breadth nor depth alone finds all within the
+      // bound.
+      int which = expanded.size() % 3;
+      List<String> moves =
+          open.remove(which == 0 ? 0 : which == 1 ? open.size() - 1 : random.nextInt(open.size()));
+      Play course = replay(moves, defect);
+      if (course.offence != null) {
+        return new Found(seen.size(), depth, course.offence, moves);
+      }
+      seen.add(course.state());
+      if (expanded.add(course.state())) {
+        depth = Math.max(depth, moves.size());
+        for (String next : course.moves()) {
+          List<String> longer = new ArrayList<>(moves);
+          longer.add(next);
+          open.add(longer);
         }
-        return new Found(seen.size(), LONGEST_WALK, null, List.of());
+      }
     }
+    return new Found(seen.size(), depth, null, List.of());
+  }
 
-    private static Play replay(List<String> moves, String defect) throws AgreementException {
-        Play course = new Play(defect);
-        for (String move : moves) {
-            course.move(move);
+  /** Courses taken at random to their end, which a search from the beginning would not come to. */
+  private static Found walk(String defect, Set<String> seen) throws AgreementException {
+    Random random = new Random(1);
+    for (int i = 0; i < MOST_STATES / 10; i++) {
+      Play course = new Play(defect);
+      List<String> moves = new ArrayList<>();
+      while (moves.size() < LONGEST_WALK && course.offence == null) {
+        List<String> next = course.moves();
+        String chosen = next.get(random.nextInt(next.size()));
+        // What comes from outside comes seldom, else few courses get far.
+        if (RARE.contains(chosen) && random.nextInt(8) > 0) {
+          continue;
         }
-        return course;
+        moves.add(chosen);
+        course.move(moves.get(moves.size() - 1));
+        seen.add(course.state());
+      }
+      if (course.offence != null) {
+        return new Found(seen.size(), moves.size(), course.offence, moves);
+      }
     }
+    return new Found(seen.size(), LONGEST_WALK, null, List.of());
+  }
 
-    @Test
-    void inNoOrderOfStepsAreTooManyOutOrDoesAnyActTwiceOrAgainstAHalt() throws AgreementException {
-        Found found = search("");
-        assertEquals(null, found.offence(), found.moves().toString());
-        assertTrue(found.states() >= MOST_STATES, found.states() + " states");
-        assertTrue(found.depth() >= 10, "only " + found.depth() + " moves deep");
+  private static Play replay(List<String> moves, String defect) throws AgreementException {
+    Play course = new Play(defect);
+    for (String move : moves) {
+      course.move(move);
     }
+    return course;
+  }
 
-    /** Conditions left out; an agent that acts whatever the answer was; one that takes all for ready. */
-    @ParameterizedTest
-    @ValueSource(strings = {"counter", "course", "answer", "lies"})
-    void aPlantedDefectIsFound(String defect) throws AgreementException {
-        Found found = search(defect);
-        assertTrue(found.offence() != null, defect + " was not found in " + found.states() + " states");
-    }
+  @Test
+  void inNoOrderOfStepsAreTooManyOutOrDoesAnyActTwiceOrAgainstAHalt() throws AgreementException {
+    Found found = search("");
+    assertEquals(null, found.offence(), found.moves().toString());
+    assertTrue(found.states() >= MOST_STATES, found.states() + " states");
+    assertTrue(found.depth() >= 10, "only " + found.depth() + " moves deep");
+  }
+
+  /**
+   * Conditions left out; an agent that acts whatever the answer was; one that takes all for ready.
+   */
+  @ParameterizedTest
+  @ValueSource(strings = {"counter", "course", "answer", "lies"})
+  void aPlantedDefectIsFound(String defect) throws AgreementException {
+    Found found = search(defect);
+    assertTrue(found.offence() != null, defect + " was not found in " + found.states() + " states");
+  }
 }
--- a/src/test/java/beaconturn/standin/Fixture.java
+++ b/src/test/java/beaconturn/standin/Fixture.java
@@ -5,102 +5,130 @@
 
 /** A small world on a clock that the test turns, and lines that keep what they are told. */
 final class Fixture implements Witness {
-    static final long MILLI = 1_000_000;
-    static final long SECOND = 1000 * MILLI;
-    static final CacheShape SHAPE = new CacheShape(1, 2, 2, 10_000, 10 * SECOND, 0.2, 10 * SECOND, 4,
-            SECOND, 3,
-        0, 8, true, true, List.of());
-    final List<String> told = new ArrayList<>();
-    final Agenda agenda = new Agenda(0);
-    final World world;
-    private long turn;
-
-    Fixture(int caches, CacheShape shape) {
-        this(caches, shape, new Origin.Shape(4, 4, 20 * MILLI, 2, SECOND, 2 * SECOND));
+  static final long MILLI = 1_000_000;
+  static final long SECOND = 1000 * MILLI;
+  static final CacheShape SHAPE =
+      new CacheShape(
+          1,
+          2,
+          2,
+          10_000,
+          10 * SECOND,
+          0.2,
+          10 * SECOND,
+          4,
+          SECOND,
+          3,
+          0,
+          8,
+          true,
+          true,
+          List.of());
+  final List<String> told = new ArrayList<>();
+  final Agenda agenda = new Agenda(0);
+  final World world;
+  private long turn;
+
+  Fixture(int caches, CacheShape shape) {
+    this(caches, shape, new Origin.Shape(4, 4, 20 * MILLI, 2, SECOND, 2 * SECOND));
+  }
+
+  Fixture(int caches, CacheShape shape, Origin.Shape origin) {
+    List<World.Member> fleet = new ArrayList<>();
+    for (int i = 0; i < caches; i++) {
+      fleet.add(
+          new World.Member("c" + (i + 1), i % 2 == 0 ? "east" : "west", "kind", i / 2, 1, shape));
     }
-
-    Fixture(int caches, CacheShape shape, Origin.Shape origin) {
-        List<World.Member> fleet = new ArrayList<>();
-        for (int i = 0; i < caches; i++) {
-            fleet.add(new World.Member("c" + (i + 1), i % 2 == 0 ? "east" : "west", "kind", i / 2, 1, shape));
-        }
-        List<Work> works = List.of(new Work("read", 10 * MILLI, 100, false, false, 0, "all"),
+    List<Work> works =
+        List.of(
+            new Work("read", 10 * MILLI, 100, false, false, 0, "all"),
             new Work("put", 10 * MILLI, 100, true, true, 3 * SECOND, "zone"),
             new Work("ack", 10 * MILLI, 100, true, false, 0, "all"));
-        world = new World(agenda, new World.Shape(fleet, origin, works, SECOND, 500 * MILLI), new Seeds(7),
-            this);
+    world =
+        new World(
+            agenda, new World.Shape(fleet, origin, works, SECOND, 500 * MILLI), new Seeds(7), this);
+  }
+
+  /** One connection: what came over it, in order. */
+  final class Connection implements Line {
+    final List<Reply> replies = new ArrayList<>();
+    private final CacheModel.Session session;
+    boolean broken;
+
+    Connection(CacheModel cache) {
+      session = cache.open(this, 0, 1);
     }
 
-    /** One connection: what came over it, in order. */
-    final class Connection implements Line {
-        final List<Reply> replies = new ArrayList<>();
-        private final CacheModel.Session session;
-        boolean broken;
-
-        Connection(CacheModel cache) {
-            session = cache.open(this, 0, 1);
-        }
-
-        @Override
-        public void answer(Reply reply) {
-            replies.add(reply);
-        }
-
-        @Override
-        public void reset() {
-            broken = true;
-            session.ended(++turn);
-        }
-
-        void hangUp() {
-            session.ended(++turn);
-        }
-
-        Connection get(String key, String id) {
-            return command("read", key, id, null, 5 * SECOND);
-        }
-
-        Connection put(String key, String id, String once) {
-            return command("put", key, id, once, 5 * SECOND);
-        }
-
-        Connection command(String type, String key, String id, String once, long patience) {
-            session.command(new Command(world.nextCommand(), key, id, type, !type.equals("read"), once,
-                patience, 0,
-                agenda.now(), ++turn));
-            return this;
-        }
-
-        String kinds() {
-            return String.join(" ", replies.stream().map(Fixture::kind).toList());
-        }
+    @Override
+    public void answer(Reply reply) {
+      replies.add(reply);
     }
 
-    static String kind(Reply reply) {
-        return reply instanceof Reply.Value value ? value.how().name().toLowerCase()
-            : reply.getClass().getSimpleName().toLowerCase();
+    @Override
+    public void reset() {
+      broken = true;
+      session.ended(++turn);
     }
 
-    Connection to(int place) {
-        return new Connection(world.at(place));
+    void hangUp() {
+      session.ended(++turn);
     }
 
-    void pass(long nanos) {
-        agenda.advance(agenda.now() + nanos);
+    Connection get(String key, String id) {
+      return command("read", key, id, null, 5 * SECOND);
     }
 
-    @Override
-    public void collapsed(long at, String server) {
-        told.add(server + " collapsed");
+    Connection put(String key, String id, String once) {
+      return command("put", key, id, once, 5 * SECOND);
     }
 
-    @Override
-    public void executed(long at, Command command, boolean repeat) {
-        told.add(command.id() + (repeat ? " repeated" : " ran"));
+    Connection command(String type, String key, String id, String once, long patience) {
+      session.command(
+          new Command(
+              world.nextCommand(),
+              key,
+              id,
+              type,
+              !type.equals("read"),
+              once,
+              patience,
+              0,
+              agenda.now(),
+              ++turn));
+      return this;
     }
 
-    @Override
-    public void told(long at, int router, String server, Listing.Health health, long born) {
-        told.add("told " + router + " " + server + " " + health);
+    String kinds() {
+      return String.join(" ", replies.stream().map(Fixture::kind).toList());
     }
+  }
+
+  static String kind(Reply reply) {
+    return reply instanceof Reply.Value value
+        ? value.how().name().toLowerCase()
+        : reply.getClass().getSimpleName().toLowerCase();
+  }
+
+  Connection to(int place) {
+    return new Connection(world.at(place));
+  }
+
+  void pass(long nanos) {
+    agenda.advance(agenda.now() + nanos);
+  }
+
+  @Override
+  public void collapsed(long at, String server) {
+    told.add(server + " collapsed");
+  }
+
+  @Override
+  public void executed(long at, Command command, boolean repeat) {
+    told.add(command.id() + (repeat ? " repeated" : " ran"));
+  }
+
+  @Override
+  public void told(long at, int router, String server, Listing.Health health, long born) {
+    told.add("told " + router + " " + server + " " + health);
+  }
 }
--- a/src/test/java/beaconturn/standin/OriginTest.java
+++ b/src/test/java/beaconturn/standin/OriginTest.java
@@ -9,91 +9,94 @@
 import org.junit.jupiter.api.Test;
 
 class OriginTest {
-    private static final long MILLI = 1_000_000;
-    private static final long SECOND = 1000 * MILLI;
-    private final Agenda agenda = new Agenda(0);
-    private final List<Long> answers = new ArrayList<>();
-    private final Origin origin = new Origin(agenda, new Origin.Shape(2, 10, 100 * MILLI, 3, SECOND,
-            2 * SECOND),
-        new Seeds(1).of("origin"), Witness.NONE);
+  private static final long MILLI = 1_000_000;
+  private static final long SECOND = 1000 * MILLI;
+  private final Agenda agenda = new Agenda(0);
+  private final List<Long> answers = new ArrayList<>();
+  private final Origin origin =
+      new Origin(
+          agenda,
+          new Origin.Shape(2, 10, 100 * MILLI, 3, SECOND, 2 * SECOND),
+          new Seeds(1).of("origin"),
+          Witness.NONE);
 
-    private void fetch(int times) {
-        for (int i = 0; i < times; i++) {
-            origin.fetch("c1", false, "k", answers::add);
-        }
+  private void fetch(int times) {
+    for (int i = 0; i < times; i++) {
+      origin.fetch("c1", false, "k", answers::add);
     }
+  }
 
-    private void pass(long nanos) {
-        agenda.advance(agenda.now() + nanos);
-    }
+  private void pass(long nanos) {
+    agenda.advance(agenda.now() + nanos);
+  }
 
-    @Test
-    void itWorksOnSoManyAtOnceAndQueuesTheRest() {
-        fetch(4);
-        assertEquals(4, origin.inside());
-        pass(150 * MILLI);
-        assertTrue(answers.size() < 4);
-        pass(SECOND);
-        assertEquals(List.of(0L, 0L, 0L, 0L), answers);
-        assertEquals(0, origin.inside());
-    }
+  @Test
+  void itWorksOnSoManyAtOnceAndQueuesTheRest() {
+    fetch(4);
+    assertEquals(4, origin.inside());
+    pass(150 * MILLI);
+    assertTrue(answers.size() < 4);
+    pass(SECOND);
+    assertEquals(List.of(0L, 0L, 0L, 0L), answers);
+    assertEquals(0, origin.inside());
+  }
 
-    @Test
-    void beyondItsQueueACallFailsAtOnce() {
-        fetch(13);
-        pass(0);
-        assertEquals(List.of(Origin.NO_ANSWER), answers);
-    }
+  @Test
+  void beyondItsQueueACallFailsAtOnce() {
+    fetch(13);
+    pass(0);
+    assertEquals(List.of(Origin.NO_ANSWER), answers);
+  }
 
-    @Test
-    void pushedPastItsMultipleForLongItFallsOverAndComesBack() {
-        origin.slow(100);
-        fetch(7);
-        pass(999 * MILLI);
-        assertFalse(origin.fallen());
-        pass(2 * MILLI);
-        assertTrue(origin.fallen());
-        assertEquals(7, answers.stream().filter(a -> a == Origin.NO_ANSWER).count());
-        fetch(1);
-        pass(MILLI);
-        assertEquals(8, answers.size(), "it takes nothing while it is down");
-        origin.slow(1);
-        pass(2 * SECOND);
-        fetch(1);
-        pass(SECOND);
-        assertEquals(0L, answers.get(8));
-    }
+  @Test
+  void pushedPastItsMultipleForLongItFallsOverAndComesBack() {
+    origin.slow(100);
+    fetch(7);
+    pass(999 * MILLI);
+    assertFalse(origin.fallen());
+    pass(2 * MILLI);
+    assertTrue(origin.fallen());
+    assertEquals(7, answers.stream().filter(a -> a == Origin.NO_ANSWER).count());
+    fetch(1);
+    pass(MILLI);
+    assertEquals(8, answers.size(), "it takes nothing while it is down");
+    origin.slow(1);
+    pass(2 * SECOND);
+    fetch(1);
+    pass(SECOND);
+    assertEquals(0L, answers.get(8));
+  }
 
-    @Test
-    void aPushThatEndsInTimeDoesNoHarm() {
-        origin.slow(6);
-        fetch(7);
-        pass(950 * MILLI);
-        assertTrue(origin.inside() <= 6);
-        pass(10 * SECOND);
-        assertFalse(origin.fallen());
-        assertEquals(List.of(0L, 0L, 0L, 0L, 0L, 0L, 0L), answers);
-    }
+  @Test
+  void aPushThatEndsInTimeDoesNoHarm() {
+    origin.slow(6);
+    fetch(7);
+    pass(950 * MILLI);
+    assertTrue(origin.inside() <= 6);
+    pass(10 * SECOND);
+    assertFalse(origin.fallen());
+    assertEquals(List.of(0L, 0L, 0L, 0L, 0L, 0L, 0L), answers);
+  }
 
-    @Test
-    void anEffectIsCountedAndRaisesTheVersionOnce() {
-        origin.write("c1", false, "k", "e", answers::add);
-        pass(SECOND);
-        origin.write("c1", false, "k", "e", answers::add);
-        pass(SECOND);
-        assertEquals(List.of(1L, 2L), answers);
-        assertEquals(2, origin.runs("e"));
-        assertEquals(2, origin.version("k"));
-    }
+  @Test
+  void anEffectIsCountedAndRaisesTheVersionOnce() {
+    origin.write("c1", false, "k", "e", answers::add);
+    pass(SECOND);
+    origin.write("c1", false, "k", "e", answers::add);
+    pass(SECOND);
+    assertEquals(List.of(1L, 2L), answers);
+    assertEquals(2, origin.runs("e"));
+    assertEquals(2, origin.version("k"));
+  }
 
-    @Test
-    void stoppedItKeepsWhatItHasAndGoesOnAfterwards() {
-        fetch(3);
-        origin.stop(true);
-        pass(5 * SECOND);
-        assertEquals(List.of(), answers);
-        origin.stop(false);
-        pass(SECOND);
-        assertEquals(3, answers.size());
-    }
+  @Test
+  void stoppedItKeepsWhatItHasAndGoesOnAfterwards() {
+    fetch(3);
+    origin.stop(true);
+    pass(5 * SECOND);
+    assertEquals(List.of(), answers);
+    origin.stop(false);
+    pass(SECOND);
+    assertEquals(3, answers.size());
+  }
 }
--- a/src/test/java/beaconturn/standin/StoreTest.java
+++ b/src/test/java/beaconturn/standin/StoreTest.java
@@ -7,41 +7,41 @@
 import org.junit.jupiter.api.Test;
 
 class StoreTest {
-    private final Store store = new Store(3 * (100 + Store.OVERHEAD), 50);
+  private final Store store = new Store(3 * (100 + Store.OVERHEAD), 50);
 
-    @Test
-    void theLeastRecentlyUsedGoesFirst() {
-        store.put("a", 1, 100, 0);
-        store.put("b", 1, 100, 0);
-        store.put("c", 1, 100, 0);
-        assertNotNull(store.get("a", 1));
-        store.put("d", 1, 100, 2);
-        assertNull(store.get("b", 2));
-        assertNotNull(store.get("a", 2));
-        assertEquals(3, store.count());
-        assertEquals(3 * (100 + Store.OVERHEAD), store.bytes());
-    }
+  @Test
+  void theLeastRecentlyUsedGoesFirst() {
+    store.put("a", 1, 100, 0);
+    store.put("b", 1, 100, 0);
+    store.put("c", 1, 100, 0);
+    assertNotNull(store.get("a", 1));
+    store.put("d", 1, 100, 2);
+    assertNull(store.get("b", 2));
+    assertNotNull(store.get("a", 2));
+    assertEquals(3, store.count());
+    assertEquals(3 * (100 + Store.OVERHEAD), store.bytes());
+  }
 
-    @Test
-    void anObjectEndsWithItsTimeAndGivesItsRoomBack() {
-        store.put("a", 1, 100, 0);
-        assertNotNull(store.get("a", 49));
-        assertNull(store.get("a", 50));
-        assertEquals(0, store.bytes());
-    }
+  @Test
+  void anObjectEndsWithItsTimeAndGivesItsRoomBack() {
+    store.put("a", 1, 100, 0);
+    assertNotNull(store.get("a", 49));
+    assertNull(store.get("a", 50));
+    assertEquals(0, store.bytes());
+  }
 
-    @Test
-    void aNewVersionTakesThePlaceOfTheOld() {
-        store.put("a", 1, 100, 0);
-        store.put("a", 2, 10, 0);
-        assertEquals(2, store.get("a", 1).version());
-        assertEquals(10 + Store.OVERHEAD, store.bytes());
-    }
+  @Test
+  void aNewVersionTakesThePlaceOfTheOld() {
+    store.put("a", 1, 100, 0);
+    store.put("a", 2, 10, 0);
+    assertEquals(2, store.get("a", 1).version());
+    assertEquals(10 + Store.OVERHEAD, store.bytes());
+  }
 
-    @Test
-    void whatIsLargerThanTheStoreIsNotKept() {
-        store.put("a", 1, 10_000, 0);
-        assertEquals(0, store.count());
-        assertEquals(0, store.bytes());
-    }
+  @Test
+  void whatIsLargerThanTheStoreIsNotKept() {
+    store.put("a", 1, 10_000, 0);
+    assertEquals(0, store.count());
+    assertEquals(0, store.bytes());
+  }
 }
--- a/src/test/java/beaconturn/zones/Course.java
+++ b/src/test/java/beaconturn/zones/Course.java
@@ -8,172 +8,198 @@
 import java.util.TreeMap;
 
 /**
- * A course of troubles in the model, each at its time and for as long as it lasts: made of chance by a seed,
- * played, and, if it fails, cut down to the fewest that fail still.
+ * A course of troubles in the model, each at its time and for as long as it lasts: made of chance
+ * by a seed, played, and, if it fails, cut down to the fewest that fail still.
  */
 record Course(long seed, int places, int routers, double inPlace, List<Trouble> troubles) {
-    private static final long SECOND = WorldModel.SECOND;
-    private static final int FULL = 10;
-    private static final long BEGIN = 5 * SECOND;
-    private static final long CALM = 90 * SECOND;
-    /** The end of what is never mended. */
-    static final long NEVER = Long.MAX_VALUE;
+  private static final long SECOND = WorldModel.SECOND;
+  private static final int FULL = 10;
+  private static final long BEGIN = 5 * SECOND;
+  private static final long CALM = 90 * SECOND;
 
-    /** What can go wrong. */
-    enum Kind {
-        /** The cache servers of a place answer nothing. */
-        STALL,
-        /** So many of them are warm still. */
-        COLD,
-        /** One router loses the store. */
-        CUT,
-        /** All routers of a place do. */
-        SITE_CUT,
-        /** One router does not reach its own place. */
-        WAY,
-        /** A router is killed and started again. */
-        KILL
-    }
+  /** The end of what is never mended. */
+  static final long NEVER = Long.MAX_VALUE;
 
-    /** One of them; {@code on} is the number of a place or of a router. */
-    record Trouble(Kind kind, int on, int amount, long from, long to) { }
+  /** What can go wrong. */
+  enum Kind {
+    /** The cache servers of a place answer nothing. */
+    STALL,
+    /** So many of them are warm still. */
+    COLD,
+    /** One router loses the store. */
+    CUT,
+    /** All routers of a place do. */
+    SITE_CUT,
+    /** One router does not reach its own place. */
+    WAY,
+    /** A router is killed and started again. */
+    KILL
+  }
 
-    /** A course made of chance. */
-    static Course of(long seed, int routers) {
-        Random random = new Random(seed);
-        int places = 3 + random.nextInt(6);
-        List<Trouble> troubles = new ArrayList<>();
-        for (int i = 0; i < 8; i++) {
-            Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-            int on = random.nextInt(kind == Kind.STALL || kind == Kind.COLD || kind == Kind.SITE_CUT ? places
-                : places * routers);
-            long from = BEGIN + (long) (random.nextDouble() * 30 * SECOND);
-            troubles.add(new Trouble(kind, on, 1 + random.nextInt(FULL), from, from + SECOND / 2
-                + (long) (random.nextDouble() * 15 * SECOND)));
-        }
-        return new Course(seed, places, routers, 100 + random.nextInt(150), troubles);
-    }
+  /** One of them; {@code on} is the number of a place or of a router. */
+  record Trouble(Kind kind, int on, int amount, long from, long to) {}
 
-    /** What went wrong that must not, or null. */
-    String fails() {
-        Map<String, String> regions = new TreeMap<>();
-        for (int i = 0; i < places; i++) {
-            regions.put("p" + i, i % 2 == 0 ? "a" : "b");
-        }
-        WorldModel world = new WorldModel(seed, regions, routers, inPlace * 3 / routers, 100);
-        for (Trouble t : troubles) {
-            world.agenda.at(t.from(), () -> set(world, t, true));
-            if (t.to() != NEVER) {
-                world.agenda.at(t.to(), () -> set(world, t, false));
-            }
-        }
-        world.run(length());
-        for (String place : world.map.places()) {
-            Row row = world.plan().row(place);
-            if (row.of(place) < Row.WHOLE - Row.TRIAL) {
-                return place + " is not back near: " + row.parts();
-            }
-        }
-        return world.pushed;
+  /** A course made of chance. */
+  static Course of(long seed, int routers) {
+    Random random = new Random(seed);
+    int places = 3 + random.nextInt(6);
+    List<Trouble> troubles = new ArrayList<>();
+    for (int i = 0; i < 8; i++) {
+      Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
+      int on =
+          random.nextInt(
+              kind == Kind.STALL || kind == Kind.COLD || kind == Kind.SITE_CUT
+                  ? places
+                  : places * routers);
+      long from = BEGIN + (long) (random.nextDouble() * 30 * SECOND);
+      troubles.add(
+          new Trouble(
+              kind,
+              on,
+              1 + random.nextInt(FULL),
+              from,
+              from + SECOND / 2 + (long) (random.nextDouble() * 15 * SECOND)));
     }
+    return new Course(seed, places, routers, 100 + random.nextInt(150), troubles);
+  }
 
-    private long length() {
-        return CALM + troubles.stream().mapToLong(t -> t.to() == NEVER ? t.from() : t.to()).max()
-            .orElse(BEGIN);
+  /** What went wrong that must not, or null. */
+  String fails() {
+    Map<String, String> regions = new TreeMap<>();
+    for (int i = 0; i < places; i++) {
+      regions.put("p" + i, i % 2 == 0 ? "a" : "b");
     }
-
-    private static void set(WorldModel world, Trouble t, boolean on) {
-        String place = "p" + t.on() % world.spots.size();
-        WorldModel.Spot spot = world.spots.get(place);
-        WorldModel.Seat seat = world.seats.get(t.on() % world.seats.size());
-        switch (t.kind()) {
-            case STALL -> spot.bad = on;
-            case COLD -> spot.warm = on ? t.amount() : FULL;
-            case CUT -> seat.cut = on;
-            case SITE_CUT -> world.of(place).forEach(s -> s.cut = on);
-            case WAY -> {
-                if (on) {
-                    seat.unreachable.add(seat.home);
-                } else {
-                    seat.unreachable.clear();
-                }
-            }
-            default -> {
-                seat.die();
-                if (!on) {
-                    seat.start();
-                }
-            }
-        }
+    WorldModel world = new WorldModel(seed, regions, routers, inPlace * 3 / routers, 100);
+    for (Trouble t : troubles) {
+      world.agenda.at(t.from(), () -> set(world, t, true));
+      if (t.to() != NEVER) {
+        world.agenda.at(t.to(), () -> set(world, t, false));
+      }
+    }
+    world.run(length());
+    for (String place : world.map.places()) {
+      Row row = world.plan().row(place);
+      if (row.of(place) < Row.WHOLE - Row.TRIAL) {
+        return place + " is not back near: " + row.parts();
+      }
     }
+    return world.pushed;
+  }
 
-    /** The same with the fewest troubles that fail still; itself if it does not fail. */
-    Course shrunk() {
-        if (fails() == null) {
-            return this;
+  private long length() {
+    return CALM
+        + troubles.stream().mapToLong(t -> t.to() == NEVER ? t.from() : t.to()).max().orElse(BEGIN);
+  }
+
+  private static void set(WorldModel world, Trouble t, boolean on) {
+    String place = "p" + t.on() % world.spots.size();
+    WorldModel.Spot spot = world.spots.get(place);
+    WorldModel.Seat seat = world.seats.get(t.on() % world.seats.size());
+    switch (t.kind()) {
+      case STALL -> spot.bad = on;
+      case COLD -> spot.warm = on ? t.amount() : FULL;
+      case CUT -> seat.cut = on;
+      case SITE_CUT -> world.of(place).forEach(s -> s.cut = on);
+      case WAY -> {
+        if (on) {
+          seat.unreachable.add(seat.home);
+        } else {
+          seat.unreachable.clear();
         }
-        Course least = this;
-        for (int i = 0; i < least.troubles.size();) {
-            List<Trouble> fewer = new ArrayList<>(least.troubles);
-            fewer.remove(i);
-            Course tried = new Course(seed, places, routers, inPlace, fewer);
-            if (tried.fails() == null) {
-                i++;
-            } else {
-                least = tried;
-            }
+      }
+      default -> {
+        seat.die();
+        if (!on) {
+          seat.start();
         }
-        return least;
+      }
     }
+  }
 
-    /** As a scenario that {@code rehearse} plays, with ten cache servers in each place. */
-    String scenario() {
-        StringBuilder out = new StringBuilder();
-        List<String> sites = new ArrayList<>();
-        for (int i = 0; i < places; i++) {
-            sites.add("\"p" + i + "\"");
-        }
-        out.append(String.format(Locale.ROOT, "name = \"course-%d\"%nlength = \"%ds\"%n[fleet]%n"
-            + "caches = %d%nsites = [%s]%n[agreement]%nlease = \"2s\"%n[zones]%neach_per_s = 100%n", seed,
-            length() / SECOND, FULL * places, String.join(", ", sites)));
-        for (String site : sites) {
-            out.append(String.format(Locale.ROOT, "[[router]]%nsite = %s%ncount = %d%n[[clients]]%n"
-                + "site = %s%nrate = %.0f%n", site, routers, site, inPlace * 3));
-        }
-        for (Trouble t : troubles) {
-            out.append(String.format(Locale.ROOT, "[[fault]]%nkind = \"%s\"%non = [%s]%n%sfrom = \"%dms\"%n"
-                + "to = \"%dms\"%n", word(t.kind()), String.join(", ", on(t)), t.kind() == Kind.WAY
-                ? "way = " + sites.get(t.on() / routers) + "\n" : "", t.from() / WorldModel.MILLI,
-                Math.min(length(), t.to()) / WorldModel.MILLI));
-        }
-        return out.toString();
+  /** The same with the fewest troubles that fail still; itself if it does not fail. */
+  Course shrunk() {
+    if (fails() == null) {
+      return this;
+    }
+    Course least = this;
+    for (int i = 0; i < least.troubles.size(); ) {
+      List<Trouble> fewer = new ArrayList<>(least.troubles);
+      fewer.remove(i);
+      Course tried = new Course(seed, places, routers, inPlace, fewer);
+      if (tried.fails() == null) {
+        i++;
+      } else {
+        least = tried;
+      }
     }
+    return least;
+  }
 
-    private static String word(Kind kind) {
-        return switch (kind) {
-            case STALL -> "stall";
-            case COLD -> "drain";
-            case CUT, SITE_CUT, WAY -> "link-cut";
-            case KILL -> "router-kill";
-        };
+  /** As a scenario that {@code rehearse} plays, with ten cache servers in each place. */
+  String scenario() {
+    StringBuilder out = new StringBuilder();
+    List<String> sites = new ArrayList<>();
+    for (int i = 0; i < places; i++) {
+      sites.add("\"p" + i + "\"");
     }
+    out.append(
+        String.format(
+            Locale.ROOT,
+            "name = \"course-%d\"%nlength = \"%ds\"%n[fleet]%n"
+                + "caches = %d%nsites = [%s]%n[agreement]%nlease = \"2s\"%n[zones]%neach_per_s = 100%n",
+            seed,
+            length() / SECOND,
+            FULL * places,
+            String.join(", ", sites)));
+    for (String site : sites) {
+      out.append(
+          String.format(
+              Locale.ROOT,
+              "[[router]]%nsite = %s%ncount = %d%n[[clients]]%n" + "site = %s%nrate = %.0f%n",
+              site,
+              routers,
+              site,
+              inPlace * 3));
+    }
+    for (Trouble t : troubles) {
+      out.append(
+          String.format(
+              Locale.ROOT,
+              "[[fault]]%nkind = \"%s\"%non = [%s]%n%sfrom = \"%dms\"%n" + "to = \"%dms\"%n",
+              word(t.kind()),
+              String.join(", ", on(t)),
+              t.kind() == Kind.WAY ? "way = " + sites.get(t.on() / routers) + "\n" : "",
+              t.from() / WorldModel.MILLI,
+              Math.min(length(), t.to()) / WorldModel.MILLI));
+    }
+    return out.toString();
+  }
 
-    /** Cache servers stand in places by turns, routers place by place. */
-    private List<String> on(Trouble t) {
-        List<String> names = new ArrayList<>();
-        switch (t.kind()) {
-            case STALL, COLD -> {
-                for (int i = t.kind() == Kind.COLD ? t.amount() : 0; i < FULL; i++) {
-                    names.add("\"c" + (1 + t.on() + i * places) + "\"");
-                }
-            }
-            case SITE_CUT -> {
-                for (int i = 0; i < routers; i++) {
-                    names.add("\"r" + (1 + t.on() * routers + i) + "\"");
-                }
-            }
-            default -> names.add("\"r" + (1 + t.on()) + "\"");
+  private static String word(Kind kind) {
+    return switch (kind) {
+      case STALL -> "stall";
+      case COLD -> "drain";
+      case CUT, SITE_CUT, WAY -> "link-cut";
+      case KILL -> "router-kill";
+    };
+  }
+
+  /** Cache servers stand in places by turns, routers place by place. */
+  private List<String> on(Trouble t) {
+    List<String> names = new ArrayList<>();
+    switch (t.kind()) {
+      case STALL, COLD -> {
+        for (int i = t.kind() == Kind.COLD ? t.amount() : 0; i < FULL; i++) {
+          names.add("\"c" + (1 + t.on() + i * places) + "\"");
+        }
+      }
+      case SITE_CUT -> {
+        for (int i = 0; i < routers; i++) {
+          names.add("\"r" + (1 + t.on() * routers + i) + "\"");
         }
-        return names;
+      }
+      default -> names.add("\"r" + (1 + t.on()) + "\"");
     }
+    return names;
+  }
 }
--- a/src/test/java/beaconturn/zones/CoursesTest.java
+++ b/src/test/java/beaconturn/zones/CoursesTest.java
@@ -9,49 +9,57 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Courses of chance in virtual time: nobody is ever pushed over by others, and all is near again in the
- * end. A long run: {@code -Dzones.courses=2000 -Dzones.first=100}.
+ * Courses of chance in virtual time: nobody is ever pushed over by others, and all is near again in
+ * the end. A long run: {@code -Dzones.courses=2000 -Dzones.first=100}.
  */
 class CoursesTest {
-    private static final long SECOND = WorldModel.SECOND;
+  private static final long SECOND = WorldModel.SECOND;
 
-    private static void holds(long seed, int routers) throws Exception {
-        Course course = Course.of(seed, routers);
-        if (course.fails() != null) {
-            Course least = course.shrunk();
-            assertNull(least.fails(), "seed " + seed + ", " + least.troubles().size() + " troubles:\n"
-                + least.scenario());
-        }
+  private static void holds(long seed, int routers) throws Exception {
+    Course course = Course.of(seed, routers);
+    if (course.fails() != null) {
+      Course least = course.shrunk();
+      assertNull(
+          least.fails(),
+          "seed " + seed + ", " + least.troubles().size() + " troubles:\n" + least.scenario());
     }
+  }
 
-    @Test
-    void inCoursesOfChanceNoPlaceIsPushedOverAndAllComeBack() throws Exception {
-        long first = Long.getLong("zones.first", 1);
-        for (long seed = first; seed < first + Long.getLong("zones.courses", 6); seed++) {
-            holds(seed, 3);
-        }
+  @Test
+  void inCoursesOfChanceNoPlaceIsPushedOverAndAllComeBack() throws Exception {
+    long first = Long.getLong("zones.first", 1);
+    for (long seed = first; seed < first + Long.getLong("zones.courses", 6); seed++) {
+      holds(seed, 3);
     }
+  }
 
-    /** Hundreds of routers in up to eight places. */
-    @Test
-    void alsoWithHundredsOfRouters() throws Exception {
-        for (long seed = 1; seed <= Long.getLong("zones.large", 1); seed++) {
-            holds(seed, Integer.getInteger("zones.routers", 20));
-        }
+  /** Hundreds of routers in up to eight places. */
+  @Test
+  void alsoWithHundredsOfRouters() throws Exception {
+    for (long seed = 1; seed <= Long.getLong("zones.large", 1); seed++) {
+      holds(seed, Integer.getInteger("zones.routers", 20));
     }
+  }
 
-    /** What fails is cut down to what it takes, and can be played with processes. */
-    @Test
-    void aCourseThatFailsIsCutDownToTheTroubleThatMakesIt() throws Exception {
-        // One that is never mended: its place cannot be near again.
-        Course.Trouble cause = new Course.Trouble(Course.Kind.STALL, 1, 1, 8 * SECOND, Course.NEVER);
-        Course course = new Course(1, 3, 2, 100, List.of(
-            new Course.Trouble(Course.Kind.CUT, 4, 1, 6 * SECOND, 9 * SECOND), cause,
-            new Course.Trouble(Course.Kind.COLD, 2, 7, 10 * SECOND, 12 * SECOND),
-            new Course.Trouble(Course.Kind.KILL, 0, 1, 7 * SECOND, 9 * SECOND)));
-        Course least = course.shrunk();
-        assertEquals(List.of(cause), least.troubles());
-        assertTrue(least.fails().startsWith("p1 is not back near"), least.fails());
-        assertEquals(1, ScenarioReader.read("course.toml", least.scenario(), null).faults().size());
-    }
+  /** What fails is cut down to what it takes, and can be played with processes. */
+  @Test
+  void aCourseThatFailsIsCutDownToTheTroubleThatMakesIt() throws Exception {
+    // One that is never mended: its place cannot be near again.
+    Course.Trouble cause = new Course.Trouble(Course.Kind.STALL, 1, 1, 8 * SECOND, Course.NEVER);
+    Course course =
+        new Course(
+            1,
+            3,
+            2,
+            100,
+            List.of(
+                new Course.Trouble(Course.Kind.CUT, 4, 1, 6 * SECOND, 9 * SECOND),
+                cause,
+                new Course.Trouble(Course.Kind.COLD, 2, 7, 10 * SECOND, 12 * SECOND),
+                new Course.Trouble(Course.Kind.KILL, 0, 1, 7 * SECOND, 9 * SECOND)));
+    Course least = course.shrunk();
+    assertEquals(List.of(cause), least.troubles());
+    assertTrue(least.fails().startsWith("p1 is not back near"), least.fails());
+    assertEquals(1, ScenarioReader.read("course.toml", least.scenario(), null).faults().size());
+  }
 }
--- a/src/test/java/beaconturn/zones/DecisionTest.java
+++ b/src/test/java/beaconturn/zones/DecisionTest.java
@@ -13,373 +13,427 @@
 
 /** Places that fail, come back, flap, are cut off, or are lied about, in virtual time. */
 class DecisionTest {
-    private static final long SECOND = WorldModel.SECOND;
-    private static final Map<String, String> THREE = Map.of("east", "one", "west", "one", "far", "two");
+  private static final long SECOND = WorldModel.SECOND;
+  private static final Map<String, String> THREE =
+      Map.of("east", "one", "west", "one", "far", "two");
 
-    /** Three places, four routers each, at so many requests a second in each place; a place carries 900. */
-    private static WorldModel three(double inPlace) {
-        WorldModel world = new WorldModel(1, THREE, 4, inPlace / 4, 100);
-        world.run(5 * SECOND);
-        return world;
-    }
+  /**
+   * Three places, four routers each, at so many requests a second in each place; a place carries
+   * 900.
+   */
+  private static WorldModel three(double inPlace) {
+    WorldModel world = new WorldModel(1, THREE, 4, inPlace / 4, 100);
+    world.run(5 * SECOND);
+    return world;
+  }
 
-    private static void calm(WorldModel world) {
-        world.plan().rows().forEach((place, row) ->
-            assertTrue(row.of(place) >= Row.WHOLE - Row.TRIAL, place + " " + row.parts() + "\n"
-                + world.said()));
-    }
+  private static void calm(WorldModel world) {
+    world
+        .plan()
+        .rows()
+        .forEach(
+            (place, row) ->
+                assertTrue(
+                    row.of(place) >= Row.WHOLE - Row.TRIAL,
+                    place + " " + row.parts() + "\n" + world.said()));
+  }
 
-    @Test
-    void onCalmDaysOnlyTrialsGoElsewhere() {
-        WorldModel world = three(400);
-        world.run(60 * SECOND);
-        calm(world);
-        assertEquals(0, world.plan().number(), world.said());
-    }
+  @Test
+  void onCalmDaysOnlyTrialsGoElsewhere() {
+    WorldModel world = three(400);
+    world.run(60 * SECOND);
+    calm(world);
+    assertEquals(0, world.plan().number(), world.said());
+  }
 
-    @Test
-    void aPlaceThatIsLostGoesToTheNearestWithinSecondsAndComesBackBySteps() {
-        WorldModel world = three(400);
-        world.spots.get("east").bad = true;
-        world.run(5 * SECOND);
-        assertTrue(world.served("east", SECOND) > 0.9, world.said());
-        assertEquals(Plan.State.FAILED_OVER, world.plan().states().get("east"));
-        assertEquals(Row.WHOLE - Row.NEAR_TRIAL, world.plan().row("east").of("west"),
-            "the near one has the room");
-        assertEquals(0, world.plan().row("east").of("far"));
-        assertTrue(world.peak("west") < 1, "nobody is pushed over");
-        world.spots.get("east").bad = false;
-        while (world.plan().row("east").of("east") == Row.NEAR_TRIAL) {
-            world.run(SECOND / 4);
-            assertTrue(world.agenda.now() < 30 * SECOND, world.said());
-        }
-        int back = world.plan().row("east").of("east");
-        assertTrue(back > Row.NEAR_TRIAL && back < Row.WHOLE / 2, "by steps: " + back + "\n" + world.said());
-        world.run(20 * SECOND);
-        calm(world);
-        assertEquals(Plan.State.NEAR, world.plan().states().get("east"));
+  @Test
+  void aPlaceThatIsLostGoesToTheNearestWithinSecondsAndComesBackBySteps() {
+    WorldModel world = three(400);
+    world.spots.get("east").bad = true;
+    world.run(5 * SECOND);
+    assertTrue(world.served("east", SECOND) > 0.9, world.said());
+    assertEquals(Plan.State.FAILED_OVER, world.plan().states().get("east"));
+    assertEquals(
+        Row.WHOLE - Row.NEAR_TRIAL,
+        world.plan().row("east").of("west"),
+        "the near one has the room");
+    assertEquals(0, world.plan().row("east").of("far"));
+    assertTrue(world.peak("west") < 1, "nobody is pushed over");
+    world.spots.get("east").bad = false;
+    while (world.plan().row("east").of("east") == Row.NEAR_TRIAL) {
+      world.run(SECOND / 4);
+      assertTrue(world.agenda.now() < 30 * SECOND, world.said());
     }
+    int back = world.plan().row("east").of("east");
+    assertTrue(
+        back > Row.NEAR_TRIAL && back < Row.WHOLE / 2, "by steps: " + back + "\n" + world.said());
+    world.run(20 * SECOND);
+    calm(world);
+    assertEquals(Plan.State.NEAR, world.plan().states().get("east"));
+  }
 
-    /** Both others together have room for half of it: that much goes, and the rest is refused at once. */
-    @Test
-    void noMoreGoesThanTheOthersCarryWithOneOfTheirCacheServersGone() {
-        WorldModel world = three(700);
-        world.spots.get("east").bad = true;
-        world.run(10 * SECOND);
-        world.peak("west");
-        world.peak("far");
-        double served = world.served("east", 5 * SECOND);
-        assertTrue(served > 0.45 && served < 0.65, served + "\n" + world.said());
-        assertTrue(world.peak("west") <= 0.95 && world.peak("far") <= 0.95, "with one to spare");
-    }
+  /**
+   * Both others together have room for half of it: that much goes, and the rest is refused at once.
+   */
+  @Test
+  void noMoreGoesThanTheOthersCarryWithOneOfTheirCacheServersGone() {
+    WorldModel world = three(700);
+    world.spots.get("east").bad = true;
+    world.run(10 * SECOND);
+    world.peak("west");
+    world.peak("far");
+    double served = world.served("east", 5 * SECOND);
+    assertTrue(served > 0.45 && served < 0.65, served + "\n" + world.said());
+    assertTrue(world.peak("west") <= 0.95 && world.peak("far") <= 0.95, "with one to spare");
+  }
 
-    @Test
-    void whatAPlaceCannotCarryGoesOnInPartAndTheSameKeysFirst() {
-        WorldModel world = three(400);
-        world.of("east");
-        world.spots.get("east").warm = 4;
-        world.run(10 * SECOND);
-        Row row = world.plan().row("east");
-        assertEquals(Plan.State.SPILLING, world.plan().states().get("east"), world.said());
-        assertTrue(row.of("east") >= 650 && row.of("east") <= 800 && row.of("west") >= 200,
-            row.parts().toString());
-        world.spots.get("east").warm = 10;
-        world.run(20 * SECOND);
-        calm(world);
-    }
+  @Test
+  void whatAPlaceCannotCarryGoesOnInPartAndTheSameKeysFirst() {
+    WorldModel world = three(400);
+    world.of("east");
+    world.spots.get("east").warm = 4;
+    world.run(10 * SECOND);
+    Row row = world.plan().row("east");
+    assertEquals(Plan.State.SPILLING, world.plan().states().get("east"), world.said());
+    assertTrue(
+        row.of("east") >= 650 && row.of("east") <= 800 && row.of("west") >= 200,
+        row.parts().toString());
+    world.spots.get("east").warm = 10;
+    world.run(20 * SECOND);
+    calm(world);
+  }
 
-    /** A spill ends at four fifths of what is carried, or where no more than that is wanted for long. */
-    @Test
-    void aPlaceThatCarriesAllThatIsWantedAgainTakesItsKeysBackInTheEnd() {
-        WorldModel world = three(750);
-        world.spots.get("east").warm = 7;
-        world.run(10 * SECOND);
-        assertEquals(Plan.State.SPILLING, world.plan().states().get("east"), world.said());
-        world.spots.get("east").warm = 10;
-        world.run(30 * SECOND);
-        assertEquals(Plan.State.SPILLING, world.plan().states().get("east"), "not at once\n" + world.said());
-        world.run(60 * SECOND);
-        calm(world);
-    }
+  /**
+   * A spill ends at four fifths of what is carried, or where no more than that is wanted for long.
+   */
+  @Test
+  void aPlaceThatCarriesAllThatIsWantedAgainTakesItsKeysBackInTheEnd() {
+    WorldModel world = three(750);
+    world.spots.get("east").warm = 7;
+    world.run(10 * SECOND);
+    assertEquals(Plan.State.SPILLING, world.plan().states().get("east"), world.said());
+    world.spots.get("east").warm = 10;
+    world.run(30 * SECOND);
+    assertEquals(
+        Plan.State.SPILLING, world.plan().states().get("east"), "not at once\n" + world.said());
+    world.run(60 * SECOND);
+    calm(world);
+  }
 
-    /**
-     * A place that is cut off from the store serves near, also when its reports are gone from there: its room
-     * is not free, neither for who saw it before nor for an office that has never heard it.
-     */
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void thePartOfAPlaceThatIsCutOffIsNotFree(boolean newOffice) throws AgreementException {
-        WorldModel world = three(700);
-        world.of("west").forEach(s -> s.cut = true);
-        world.run(10 * SECOND);
-        if (newOffice) {
-            String office = world.desk().look().office();
-            world.seats.stream().filter(s -> office.startsWith(s.name + "/")).forEach(s -> {
+  /**
+   * A place that is cut off from the store serves near, also when its reports are gone from there:
+   * its room is not free, neither for who saw it before nor for an office that has never heard it.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void thePartOfAPlaceThatIsCutOffIsNotFree(boolean newOffice) throws AgreementException {
+    WorldModel world = three(700);
+    world.of("west").forEach(s -> s.cut = true);
+    world.run(10 * SECOND);
+    if (newOffice) {
+      String office = world.desk().look().office();
+      world.seats.stream()
+          .filter(s -> office.startsWith(s.name + "/"))
+          .forEach(
+              s -> {
                 s.die();
                 s.start();
-            });
-            world.run(5 * SECOND);
-        }
-        world.spots.get("east").bad = true;
-        world.run(20 * SECOND);
-        assertTrue(world.plan().row("east").of("far") > 150, "what is heard takes its part\n" + world.said());
-        world.peak("west");
-        world.run(20 * SECOND);
-        assertTrue(world.peak("west") <= 0.95, "with one to spare\n" + world.said());
-        assertNull(world.pushed);
+              });
+      world.run(5 * SECOND);
     }
+    world.spots.get("east").bad = true;
+    world.run(20 * SECOND);
+    assertTrue(
+        world.plan().row("east").of("far") > 150, "what is heard takes its part\n" + world.said());
+    world.peak("west");
+    world.run(20 * SECOND);
+    assertTrue(world.peak("west") <= 0.95, "with one to spare\n" + world.said());
+    assertNull(world.pushed);
+  }
 
-    /** Nobody knows what a place lists that is cut off: all that are heard say that the other one is gone. */
-    @Test
-    void aPlaceThatNobodyHasInTheListIsLeftAlsoWhileAnotherIsCutOff() {
-        WorldModel world = three(400);
-        world.of("west").forEach(s -> s.cut = true);
-        world.run(10 * SECOND);
-        world.spots.get("east").listed = 0;
-        world.run(6 * SECOND);
-        assertEquals(Row.NEAR_TRIAL, world.plan().row("east").of("east"), world.said());
-    }
+  /**
+   * Nobody knows what a place lists that is cut off: all that are heard say that the other one is
+   * gone.
+   */
+  @Test
+  void aPlaceThatNobodyHasInTheListIsLeftAlsoWhileAnotherIsCutOff() {
+    WorldModel world = three(400);
+    world.of("west").forEach(s -> s.cut = true);
+    world.run(10 * SECOND);
+    world.spots.get("east").listed = 0;
+    world.run(6 * SECOND);
+    assertEquals(Row.NEAR_TRIAL, world.plan().row("east").of("east"), world.said());
+  }
 
-    /**
-     * One that is cut off serves on, also for an office that takes over meanwhile; one that was killed leaves
-     * its clients to the others, and after a while its part is not counted twice.
-     */
-    @Test
-    void whatOneRouterTookThatIsNotHeardIsCountedForAWhile() throws AgreementException {
-        WorldModel world = three(700);
-        world.of("west").get(0).cut = true;
-        world.run(3 * SECOND);
-        String office = world.desk().look().office();
-        world.seats.stream().filter(s -> office.startsWith(s.name + "/")).forEach(WorldModel.Seat::die);
-        world.run(6 * SECOND);
-        world.spots.get("east").bad = true;
-        world.run(10 * SECOND);
-        assertTrue(world.plan().row("east").of("west") < 320, world.said());
-        world.run(90 * SECOND);
-        assertTrue(world.plan().row("east").of("west") > 400, world.said());
-    }
+  /**
+   * One that is cut off serves on, also for an office that takes over meanwhile; one that was
+   * killed leaves its clients to the others, and after a while its part is not counted twice.
+   */
+  @Test
+  void whatOneRouterTookThatIsNotHeardIsCountedForAWhile() throws AgreementException {
+    WorldModel world = three(700);
+    world.of("west").get(0).cut = true;
+    world.run(3 * SECOND);
+    String office = world.desk().look().office();
+    world.seats.stream().filter(s -> office.startsWith(s.name + "/")).forEach(WorldModel.Seat::die);
+    world.run(6 * SECOND);
+    world.spots.get("east").bad = true;
+    world.run(10 * SECOND);
+    assertTrue(world.plan().row("east").of("west") < 320, world.said());
+    world.run(90 * SECOND);
+    assertTrue(world.plan().row("east").of("west") > 400, world.said());
+  }
 
-    /** The origin slow: all places are bad at once, and moving mends nothing. */
-    @Test
-    void whatAllSufferFromMovesNothing() {
-        WorldModel world = three(400);
-        world.spots.values().forEach(s -> s.bad = true);
-        world.run(20 * SECOND);
-        calm(world);
-        world.spots.values().forEach(s -> s.bad = false);
-        world.run(10 * SECOND);
-        assertEquals(0, world.plan().number(), world.said());
-    }
+  /** The origin slow: all places are bad at once, and moving mends nothing. */
+  @Test
+  void whatAllSufferFromMovesNothing() {
+    WorldModel world = three(400);
+    world.spots.values().forEach(s -> s.bad = true);
+    world.run(20 * SECOND);
+    calm(world);
+    world.spots.values().forEach(s -> s.bad = false);
+    world.run(10 * SECOND);
+    assertEquals(0, world.plan().number(), world.said());
+  }
 
-    /** Most places get bad, and good again, some seconds after each other: it is still one cause. */
-    @Test
-    void whatMostSufferFromMovesNothingAlsoWhenItDoesNotEndAtOnce() {
-        WorldModel world = three(400);
-        world.spots.get("east").bad = true;
-        world.run(SECOND / 2);
-        world.spots.get("west").bad = true;
-        world.run(15 * SECOND);
-        calm(world);
-        world.spots.get("west").bad = false;
-        world.run(3 * SECOND);
-        calm(world);
-        world.spots.get("east").bad = false;
-        world.run(10 * SECOND);
-        assertEquals(0, world.plan().number(), world.said());
-    }
+  /** Most places get bad, and good again, some seconds after each other: it is still one cause. */
+  @Test
+  void whatMostSufferFromMovesNothingAlsoWhenItDoesNotEndAtOnce() {
+    WorldModel world = three(400);
+    world.spots.get("east").bad = true;
+    world.run(SECOND / 2);
+    world.spots.get("west").bad = true;
+    world.run(15 * SECOND);
+    calm(world);
+    world.spots.get("west").bad = false;
+    world.run(3 * SECOND);
+    calm(world);
+    world.spots.get("east").bad = false;
+    world.run(10 * SECOND);
+    assertEquals(0, world.plan().number(), world.said());
+  }
 
-    /** A cause that all share makes most attempts fail in one place, and not quite most in the others. */
-    @Test
-    void whatAllSufferFromAboutAlikeMovesNothing() {
-        WorldModel world = three(400);
-        world.spots.get("east").fails = 0.6;
-        world.spots.get("west").fails = 0.45;
-        world.spots.get("far").fails = 0.4;
-        world.run(20 * SECOND);
-        calm(world);
-        assertEquals(0, world.plan().number(), world.said());
-        world.spots.get("west").fails = 0.05;
-        world.run(5 * SECOND);
-        assertTrue(world.plan().row("east").of("west") > 900, "one that is clearly better\n" + world.said());
-    }
+  /**
+   * A cause that all share makes most attempts fail in one place, and not quite most in the others.
+   */
+  @Test
+  void whatAllSufferFromAboutAlikeMovesNothing() {
+    WorldModel world = three(400);
+    world.spots.get("east").fails = 0.6;
+    world.spots.get("west").fails = 0.45;
+    world.spots.get("far").fails = 0.4;
+    world.run(20 * SECOND);
+    calm(world);
+    assertEquals(0, world.plan().number(), world.said());
+    world.spots.get("west").fails = 0.05;
+    world.run(5 * SECOND);
+    assertTrue(
+        world.plan().row("east").of("west") > 900, "one that is clearly better\n" + world.said());
+  }
 
-    /** All get slow, and one fails for it before the others do; nearly dead it would be left all the same. */
-    @Test
-    void wherePlacesAreSlowAndOneFailsFirstNothingMoves() {
-        WorldModel world = three(400);
-        world.run(10 * SECOND);
-        world.spots.values().forEach(s -> s.micros = 4000);
-        world.run(2 * SECOND);
-        world.spots.get("east").fails = 0.7;
-        world.run(10 * SECOND);
-        assertEquals(0, world.plan().number(), world.said());
-        world.spots.get("east").fails = 1;
-        world.run(5 * SECOND);
-        assertTrue(world.plan().row("east").of("west") > 900, world.said());
-    }
+  /**
+   * All get slow, and one fails for it before the others do; nearly dead it would be left all the
+   * same.
+   */
+  @Test
+  void wherePlacesAreSlowAndOneFailsFirstNothingMoves() {
+    WorldModel world = three(400);
+    world.run(10 * SECOND);
+    world.spots.values().forEach(s -> s.micros = 4000);
+    world.run(2 * SECOND);
+    world.spots.get("east").fails = 0.7;
+    world.run(10 * SECOND);
+    assertEquals(0, world.plan().number(), world.said());
+    world.spots.get("east").fails = 1;
+    world.run(5 * SECOND);
+    assertTrue(world.plan().row("east").of("west") > 900, world.said());
+  }
 
-    /**
-     * A region is lost and the other has little room: what differs by chance from one second to the next is
-     * no reason for another plan, and nobody spills while it does not want more than it carries.
-     */
-    @Test
-    void roomThatDiffersByChanceIsNoReasonForPlans() {
-        Map<String, String> regions = Map.of("a", "one", "b", "one", "c", "two", "d", "two");
-        WorldModel world = new WorldModel(4, regions, 2, 30, 8.7);
-        world.byChance = true;
-        world.run(20 * SECOND);
-        assertEquals(0, world.plan().number(), world.said());
-        world.spots.get("a").bad = true;
-        world.run(3 * SECOND);
-        world.spots.get("b").bad = true;
-        world.run(60 * SECOND);
-        assertTrue(world.plan().number() < 30, world.plan().number() + " plans\n" + world.said());
-        assertNull(world.pushed);
-    }
+  /**
+   * A region is lost and the other has little room: what differs by chance from one second to the
+   * next is no reason for another plan, and nobody spills while it does not want more than it
+   * carries.
+   */
+  @Test
+  void roomThatDiffersByChanceIsNoReasonForPlans() {
+    Map<String, String> regions = Map.of("a", "one", "b", "one", "c", "two", "d", "two");
+    WorldModel world = new WorldModel(4, regions, 2, 30, 8.7);
+    world.byChance = true;
+    world.run(20 * SECOND);
+    assertEquals(0, world.plan().number(), world.said());
+    world.spots.get("a").bad = true;
+    world.run(3 * SECOND);
+    world.spots.get("b").bad = true;
+    world.run(60 * SECOND);
+    assertTrue(world.plan().number() < 30, world.plan().number() + " plans\n" + world.said());
+    assertNull(world.pushed);
+  }
 
-    /** One after the other, as the first is away by then. */
-    @Test
-    void wherePlacesThatReceiveFailTooTheirPartGoesOn() {
-        WorldModel world = three(250);
-        world.spots.get("east").bad = true;
-        world.run(8 * SECOND);
-        world.spots.get("west").bad = true;
-        world.run(8 * SECOND);
-        assertTrue(world.served("east", SECOND) > 0.9 && world.served("west", SECOND) > 0.9, world.said());
-    }
+  /** One after the other, as the first is away by then. */
+  @Test
+  void wherePlacesThatReceiveFailTooTheirPartGoesOn() {
+    WorldModel world = three(250);
+    world.spots.get("east").bad = true;
+    world.run(8 * SECOND);
+    world.spots.get("west").bad = true;
+    world.run(8 * SECOND);
+    assertTrue(
+        world.served("east", SECOND) > 0.9 && world.served("west", SECOND) > 0.9, world.said());
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"bad", "good", "stuck"})
-    void oneRouterThatLiesMovesNothingAlone(String lie) {
-        WorldModel world = three(400);
-        world.seats.get(0).lies = lie;
-        world.run(30 * SECOND);
-        calm(world);
-        world.spots.get("east").bad = true;
-        world.run(8 * SECOND);
-        assertTrue(world.served("east", SECOND) > 0.9, "it does not hold a move up either\n" + world.said());
-    }
+  @ParameterizedTest
+  @ValueSource(strings = {"bad", "good", "stuck"})
+  void oneRouterThatLiesMovesNothingAlone(String lie) {
+    WorldModel world = three(400);
+    world.seats.get(0).lies = lie;
+    world.run(30 * SECOND);
+    calm(world);
+    world.spots.get("east").bad = true;
+    world.run(8 * SECOND);
+    assertTrue(
+        world.served("east", SECOND) > 0.9, "it does not hold a move up either\n" + world.said());
+  }
 
-    /** Nobody asks one place, as after its last client, and nobody has tried it of late. */
-    @Test
-    void oneRouterThatFindsAllEjectedMovesNothingWhereNobodyAsks() {
-        WorldModel world = new WorldModel(1, THREE, 2, 10, 100);
-        world.of("west").forEach(s -> s.perSecond = 0);
-        world.seats.get(0).lies = "ejected";
-        world.run(30 * SECOND);
-        assertEquals(0, world.plan().number(), world.said());
-    }
+  /** Nobody asks one place, as after its last client, and nobody has tried it of late. */
+  @Test
+  void oneRouterThatFindsAllEjectedMovesNothingWhereNobodyAsks() {
+    WorldModel world = new WorldModel(1, THREE, 2, 10, 100);
+    world.of("west").forEach(s -> s.perSecond = 0);
+    world.seats.get(0).lies = "ejected";
+    world.run(30 * SECOND);
+    assertEquals(0, world.plan().number(), world.said());
+  }
 
-    /** A zone that is cut off serves near; the others do not take it for granted that its part is free. */
-    @Test
-    void aPlaceThatIsCutOffServesNearAndUsesOnlyItsReserveElsewhere() {
-        WorldModel world = three(400);
-        world.of("east").forEach(s -> {
-            s.cut = true;
-            s.unreachable.add("west");
-            s.unreachable.add("far");
-        });
-        world.run(5 * SECOND);
-        assertTrue(world.served("east", 5 * SECOND) > 0.98);
-        // Its own cache servers fail too, and it reaches west again: it may use what every plan leaves to it.
-        world.of("east").forEach(s -> s.unreachable.clear());
-        world.spots.get("east").bad = true;
-        world.run(6 * SECOND);
-        double served = world.served("east", 5 * SECOND);
-        assertTrue(served > 0.03 && served < 0.07, served + "\n" + world.said());
-        world.of("east").forEach(s -> s.cut = false);
-        world.run(6 * SECOND);
-        assertTrue(world.served("east", SECOND) > 0.9, world.said());
-    }
+  /**
+   * A zone that is cut off serves near; the others do not take it for granted that its part is
+   * free.
+   */
+  @Test
+  void aPlaceThatIsCutOffServesNearAndUsesOnlyItsReserveElsewhere() {
+    WorldModel world = three(400);
+    world
+        .of("east")
+        .forEach(
+            s -> {
+              s.cut = true;
+              s.unreachable.add("west");
+              s.unreachable.add("far");
+            });
+    world.run(5 * SECOND);
+    assertTrue(world.served("east", 5 * SECOND) > 0.98);
+    // Its own cache servers fail too, and it reaches west again: it may use what every plan leaves
+    // to it.
+    world.of("east").forEach(s -> s.unreachable.clear());
+    world.spots.get("east").bad = true;
+    world.run(6 * SECOND);
+    double served = world.served("east", 5 * SECOND);
+    assertTrue(served > 0.03 && served < 0.07, served + "\n" + world.said());
+    world.of("east").forEach(s -> s.cut = false);
+    world.run(6 * SECOND);
+    assertTrue(world.served("east", SECOND) > 0.9, world.said());
+  }
 
-    /** Only its own routers do not reach it: their way is broken, and the others go on with it. */
-    @Test
-    void aBrokenWayIsToldFromABrokenPlace() {
-        WorldModel world = three(400);
-        world.of("east").forEach(s -> s.unreachable.add("east"));
-        world.run(8 * SECOND);
-        assertTrue(world.served("east", SECOND) > 0.9, world.said());
-        assertEquals(Plan.State.SPLIT, world.plan().states().get("east"), world.said());
-    }
+  /** Only its own routers do not reach it: their way is broken, and the others go on with it. */
+  @Test
+  void aBrokenWayIsToldFromABrokenPlace() {
+    WorldModel world = three(400);
+    world.of("east").forEach(s -> s.unreachable.add("east"));
+    world.run(8 * SECOND);
+    assertTrue(world.served("east", SECOND) > 0.9, world.said());
+    assertEquals(Plan.State.SPLIT, world.plan().states().get("east"), world.said());
+  }
 
-    @Test
-    void onePlaceThatFlapsStaysOutLongerEachTime() {
-        WorldModel world = three(400);
-        long before = 0;
-        for (int i = 0; i < 3; i++) {
-            world.spots.get("east").bad = true;
-            world.run(6 * SECOND);
-            world.spots.get("east").bad = false;
-            long since = world.agenda.now();
-            while (world.plan().row("east").of("east") <= Row.NEAR_TRIAL) {
-                world.run(SECOND / 4);
-                assertTrue(world.agenda.now() - since < 70 * SECOND, world.said());
-            }
-            long out = world.agenda.now() - since;
-            assertTrue(out > before, out / SECOND + " s out after " + before / SECOND);
-            before = out;
-            world.run(6 * SECOND);
-        }
+  @Test
+  void onePlaceThatFlapsStaysOutLongerEachTime() {
+    WorldModel world = three(400);
+    long before = 0;
+    for (int i = 0; i < 3; i++) {
+      world.spots.get("east").bad = true;
+      world.run(6 * SECOND);
+      world.spots.get("east").bad = false;
+      long since = world.agenda.now();
+      while (world.plan().row("east").of("east") <= Row.NEAR_TRIAL) {
+        world.run(SECOND / 4);
+        assertTrue(world.agenda.now() - since < 70 * SECOND, world.said());
+      }
+      long out = world.agenda.now() - since;
+      assertTrue(out > before, out / SECOND + " s out after " + before / SECOND);
+      before = out;
+      world.run(6 * SECOND);
     }
+  }
 
-    /** Whoever holds the office dies with its zone: another takes it, with its own evidence. */
-    @Test
-    void theOfficeIsTakenByAnotherWhereItsHolderIsInTheLostPlace() throws AgreementException {
-        WorldModel world = three(400);
-        String office = world.desk().look().office();
-        String home = world.seats.stream().filter(s -> office.startsWith(s.name
-            + "/")).findFirst().orElseThrow()
+  /** Whoever holds the office dies with its zone: another takes it, with its own evidence. */
+  @Test
+  void theOfficeIsTakenByAnotherWhereItsHolderIsInTheLostPlace() throws AgreementException {
+    WorldModel world = three(400);
+    String office = world.desk().look().office();
+    String home =
+        world.seats.stream()
+            .filter(s -> office.startsWith(s.name + "/"))
+            .findFirst()
+            .orElseThrow()
             .home;
-        world.of(home).forEach(WorldModel.Seat::die);
-        world.spots.get(home).bad = true;
-        String other = world.map.others(home).get(0);
-        world.run(6 * SECOND);
-        assertTrue(!world.desk().look().office().equals(office) && !world.desk().look().office().isEmpty());
-        world.spots.get(other).bad = true;
-        world.run(8 * SECOND);
-        assertTrue(world.served(other, SECOND) > 0.9, world.said());
-    }
+    world.of(home).forEach(WorldModel.Seat::die);
+    world.spots.get(home).bad = true;
+    String other = world.map.others(home).get(0);
+    world.run(6 * SECOND);
+    assertTrue(
+        !world.desk().look().office().equals(office) && !world.desk().look().office().isEmpty());
+    world.spots.get(other).bad = true;
+    world.run(8 * SECOND);
+    assertTrue(world.served(other, SECOND) > 0.9, world.said());
+  }
 
-    /** Whoever holds the office is ended, again and again: nothing moves for that, and a lost zone moves. */
-    @Test
-    void anOfficeThatFlapsMovesNothingByItselfAndStillMovesWhatIsLost() throws AgreementException {
-        WorldModel world = three(400);
-        for (int i = 0; i < 12; i++) {
-            world.spots.get("east").bad = i >= 6;
-            String office = world.desk().look().office();
-            WorldModel.Seat holder = world.seats.stream().filter(s -> office.startsWith(s.name + "/"))
-                .findFirst().orElse(world.seats.get(0));
-            holder.die();
-            world.run(2 * SECOND);
-            holder.start();
-            world.run(4 * SECOND);
-            assertTrue(i >= 6 || world.plan().number() == 0, world.said());
-        }
-        assertTrue(world.served("east", SECOND) > 0.9, world.said());
-        assertNull(world.pushed);
+  /**
+   * Whoever holds the office is ended, again and again: nothing moves for that, and a lost zone
+   * moves.
+   */
+  @Test
+  void anOfficeThatFlapsMovesNothingByItselfAndStillMovesWhatIsLost() throws AgreementException {
+    WorldModel world = three(400);
+    for (int i = 0; i < 12; i++) {
+      world.spots.get("east").bad = i >= 6;
+      String office = world.desk().look().office();
+      WorldModel.Seat holder =
+          world.seats.stream()
+              .filter(s -> office.startsWith(s.name + "/"))
+              .findFirst()
+              .orElse(world.seats.get(0));
+      holder.die();
+      world.run(2 * SECOND);
+      holder.start();
+      world.run(4 * SECOND);
+      assertTrue(i >= 6 || world.plan().number() == 0, world.said());
     }
+    assertTrue(world.served("east", SECOND) > 0.9, world.said());
+    assertNull(world.pushed);
+  }
 
-    @Test
-    void whatOperatorsSayWinsAndEndsByItself() throws AgreementException {
-        WorldModel world = three(400);
-        world.desk().give(new Order("east", Order.What.DRAIN, 0, 20 * SECOND, "op", "work on it"));
-        world.run(6 * SECOND);
-        assertEquals(Row.NEAR_TRIAL, world.plan().row("east").of("east"), world.said());
-        assertEquals("one place may be out at once, and out is east (failed over, drained by op: work"
+  @Test
+  void whatOperatorsSayWinsAndEndsByItself() throws AgreementException {
+    WorldModel world = three(400);
+    world.desk().give(new Order("east", Order.What.DRAIN, 0, 20 * SECOND, "op", "work on it"));
+    world.run(6 * SECOND);
+    assertEquals(Row.NEAR_TRIAL, world.plan().row("east").of("east"), world.said());
+    assertEquals(
+        "one place may be out at once, and out is east (failed over, drained by op: work"
             + " on it)",
-            assertThrows(AgreementException.class, () -> world.desk().give(new Order("west",
-                Order.What.DRAIN, 0, 0, "op", "too"))).getMessage());
-        world.run(30 * SECOND);
-        calm(world);
-        world.desk().give(new Order("west", Order.What.WEIGHT, 600, 0, "op", "less"));
-        world.run(6 * SECOND);
-        assertEquals(600, world.plan().row("west").of("west"), world.said());
-        world.desk().give(new Order("west", Order.What.HOLD, 0, 0, "op", "stay"));
-        world.spots.get("west").bad = true;
-        world.run(10 * SECOND);
-        assertEquals(600, world.plan().row("west").of("west"));
-        world.desk().free("west");
-        world.run(6 * SECOND);
-        assertEquals(Row.NEAR_TRIAL, world.plan().row("west").of("west"), world.said());
-    }
+        assertThrows(
+                AgreementException.class,
+                () -> world.desk().give(new Order("west", Order.What.DRAIN, 0, 0, "op", "too")))
+            .getMessage());
+    world.run(30 * SECOND);
+    calm(world);
+    world.desk().give(new Order("west", Order.What.WEIGHT, 600, 0, "op", "less"));
+    world.run(6 * SECOND);
+    assertEquals(600, world.plan().row("west").of("west"), world.said());
+    world.desk().give(new Order("west", Order.What.HOLD, 0, 0, "op", "stay"));
+    world.spots.get("west").bad = true;
+    world.run(10 * SECOND);
+    assertEquals(600, world.plan().row("west").of("west"));
+    world.desk().free("west");
+    world.run(6 * SECOND);
+    assertEquals(Row.NEAR_TRIAL, world.plan().row("west").of("west"), world.said());
+  }
 }
