--- a/src/test/java/beaconturn/zones/WorldModel.java
+++ b/src/test/java/beaconturn/zones/WorldModel.java
@@ -15,199 +15,250 @@
 import java.util.TreeMap;
 
 /**
- * Routers of several places before a store, in virtual time. Each router takes so many requests a second
- * and sends them by the row that is due; what a place makes of them is the test's. Everybody sends all the
- * time, and what all send to a place together is added up.
+ * Routers of several places before a store, in virtual time. Each router takes so many requests a
+ * second and sends them by the row that is due; what a place makes of them is the test's. Everybody
+ * sends all the time, and what all send to a place together is added up.
  */
 final class WorldModel {
-    static final long MILLI = 1_000_000;
-    static final long SECOND = 1000 * MILLI;
-    private static final Timing TIMING = new Timing(2 * SECOND, 0.02, 500 * MILLI);
-    private final Timing timing;
-    private static final ZonesKeys KEYS = new ZonesKeys("/fleet");
-    private static final long ACT_EVERY = 50 * MILLI;
-    /** Who decides for itself looks at what it saw for so long. */
-    private static final long LOOK_EVERY = SECOND;
-    private static final int FULL = 10;
-    final Agenda agenda = new Agenda(0);
-    final Geography map;
-    final SortedMap<String, Spot> spots = new TreeMap<>();
-    final List<Seat> seats = new ArrayList<>();
-    final List<String> log = new ArrayList<>();
-    final Random random;
-    private static final double PUSHED = 1.05;
-    private static final long PUSHED_FOR = 8 * SECOND;
-    Policy policy = Policy.COMMON;
-    /** Whether requests come by chance, and not evenly. */
-    boolean byChance;
-    /** The first time that others pushed a place over, in words, or null. */
-    String pushed;
-    private final StoreModel store;
-
-    /** What routers send by. */
-    enum Policy {
-        /** What is decided in common. */
-        COMMON,
-        /** Each for itself, to the nearest place that it finds good: priority levels. */
-        PRIORITY,
-        /** Each for itself, over all cache servers of places that it finds good: the ring without places. */
-        RING
+  static final long MILLI = 1_000_000;
+  static final long SECOND = 1000 * MILLI;
+  private static final Timing TIMING = new Timing(2 * SECOND, 0.02, 500 * MILLI);
+  private final Timing timing;
+  private static final ZonesKeys KEYS = new ZonesKeys("/fleet");
+  private static final long ACT_EVERY = 50 * MILLI;
+
+  /** Who decides for itself looks at what it saw for so long. */
+  private static final long LOOK_EVERY = SECOND;
+
+  private static final int FULL = 10;
+  final Agenda agenda = new Agenda(0);
+  final Geography map;
+  final SortedMap<String, Spot> spots = new TreeMap<>();
+  final List<Seat> seats = new ArrayList<>();
+  final List<String> log = new ArrayList<>();
+  final Random random;
+  private static final double PUSHED = 1.05;
+  private static final long PUSHED_FOR = 8 * SECOND;
+  Policy policy = Policy.COMMON;
+
+  /** Whether requests come by chance, and not evenly. */
+  boolean byChance;
+
+  /** The first time that others pushed a place over, in words, or null. */
+  String pushed;
+
+  private final StoreModel store;
+
+  /** What routers send by. */
+  enum Policy {
+    /** What is decided in common. */
+    COMMON,
+    /** Each for itself, to the nearest place that it finds good: priority levels. */
+    PRIORITY,
+    /**
+     * Each for itself, over all cache servers of places that it finds good: the ring without
+     * places.
+     */
+    RING
+  }
+
+  /** A place: its cache servers, and how each router finds them. */
+  final class Spot {
+    final String name;
+    int listed;
+    int warm;
+    boolean bad;
+    double each;
+
+    /** Sent there in this step, and the most that was in one of the last second. */
+    double sent;
+
+    double most;
+    private long over;
+
+    /** Up to such a part fails by chance. */
+    double noise;
+
+    /** Such a part fails. */
+    double fails;
+
+    /** What a good answer takes. */
+    long micros = 1000;
+
+    private double part;
+
+    private Spot(String name, int servers, double each) {
+      this.name = name;
+      this.listed = servers;
+      this.warm = servers;
+      this.each = each;
     }
 
-    /** A place: its cache servers, and how each router finds them. */
-    final class Spot {
-        final String name;
-        int listed;
-        int warm;
-        boolean bad;
-        double each;
-        /** Sent there in this step, and the most that was in one of the last second. */
-        double sent;
-        double most;
-        private long over;
-        /** Up to such a part fails by chance. */
-        double noise;
-        /** Such a part fails. */
-        double fails;
-        /** What a good answer takes. */
-        long micros = 1000;
-        private double part;
-
-        private Spot(String name, int servers, double each) {
-            this.name = name;
-            this.listed = servers;
-            this.warm = servers;
-            this.each = each;
-        }
-
-        double capacity() {
-            return bad ? 0 : warm * each;
-        }
-
-        /** What part of what was sent there in this step is served. */
-        private double fine() {
-            double wanted = sent * SECOND / ACT_EVERY;
-            return wanted <= capacity() ? bad ? 0 : 1 - fails - noise * random.nextDouble()
-                : capacity() / wanted;
-        }
+    double capacity() {
+      return bad ? 0 : warm * each;
     }
 
-    /** A router. */
-    final class Seat implements Follower.Router {
-        final String name;
-        final String home;
-        double perSecond;
-        boolean cut;
-        boolean down;
-        /** Finds all bad whatever it is, all good, all ejected, or tells always the same. */
-        String lies = "";
-        final List<String> unreachable = new ArrayList<>();
-        private final SortedMap<String, double[]> counts = new TreeMap<>();
-        private final SortedMap<String, double[]> seen = new TreeMap<>();
-        private final SortedMap<String, Long> took = new TreeMap<>();
-        private final Map<String, Boolean> finds = new TreeMap<>();
-        private final Map<String, Long> badAt = new TreeMap<>();
-        private long lookedAt;
-        private Row row;
-        private double came;
-        private double arrivals;
-        double crossed;
-        double served;
-        double refused;
-        Follower follower;
-        private Report stuck;
-        private int life;
-
-        private Seat(String name, String home, double perSecond) {
-            this.name = name;
-            this.home = home;
-            this.perSecond = perSecond;
-            spots.keySet().forEach(p -> {
+    /** What part of what was sent there in this step is served. */
+    private double fine() {
+      double wanted = sent * SECOND / ACT_EVERY;
+      return wanted <= capacity()
+          ? bad ? 0 : 1 - fails - noise * random.nextDouble()
+          : capacity() / wanted;
+    }
+  }
+
+  /** A router. */
+  final class Seat implements Follower.Router {
+    final String name;
+    final String home;
+    double perSecond;
+    boolean cut;
+    boolean down;
+
+    /** Finds all bad whatever it is, all good, all ejected, or tells always the same. */
+    String lies = "";
+
+    final List<String> unreachable = new ArrayList<>();
+    private final SortedMap<String, double[]> counts = new TreeMap<>();
+    private final SortedMap<String, double[]> seen = new TreeMap<>();
+    private final SortedMap<String, Long> took = new TreeMap<>();
+    private final Map<String, Boolean> finds = new TreeMap<>();
+    private final Map<String, Long> badAt = new TreeMap<>();
+    private long lookedAt;
+    private Row row;
+    private double came;
+    private double arrivals;
+    double crossed;
+    double served;
+    double refused;
+    Follower follower;
+    private Report stuck;
+    private int life;
+
+    private Seat(String name, String home, double perSecond) {
+      this.name = name;
+      this.home = home;
+      this.perSecond = perSecond;
+      spots
+          .keySet()
+          .forEach(
+              p -> {
                 took.put(p, 0L);
                 counts.put(p, new double[2]);
                 seen.put(p, new double[2]);
-            });
-        }
-
-        void start() {
-            int born = ++life;
-            down = false;
-            counts.values().forEach(c -> java.util.Arrays.fill(c, 0));
-            seen.values().forEach(c -> java.util.Arrays.fill(c, 0));
-            follower = new Follower(KEYS, map, timing, home, name + "/" + born, random.nextLong(),
-                agenda.now(), this,
-                line -> log.add(agenda.now() / MILLI + " " + name + " " + line));
-            step(born);
-        }
-
-        void die() {
-            life++;
-            down = true;
-        }
-
-        private void step(int born) {
-            if (born != life) {
-                return;
-            }
-            follower.look(agenda.now());
-            Call call = follower.next(agenda.now());
-            if (call == null) {
-                agenda.in(Math.max(MILLI, Math.min(100 * MILLI, follower.wakeAt() - agenda.now())),
-                    () -> step(born));
-                return;
-            }
-            long way = MILLI + random.nextInt(10) * MILLI;
-            boolean heard = !cut;
-            agenda.in(way, () -> {
-                Answer answer = heard ? Served.of(store, call) : null;
-                agenda.in(heard ? way : timing.callTimeout() - way, () -> {
-                    if (born == life) {
-                        follower.answered(agenda.now(), answer != null && !cut ? answer
-                            : new Answer.Failed("no answer in time"));
-                        step(born);
-                    }
+              });
+    }
+
+    void start() {
+      int born = ++life;
+      down = false;
+      counts.values().forEach(c -> java.util.Arrays.fill(c, 0));
+      seen.values().forEach(c -> java.util.Arrays.fill(c, 0));
+      follower =
+          new Follower(
+              KEYS,
+              map,
+              timing,
+              home,
+              name + "/" + born,
+              random.nextLong(),
+              agenda.now(),
+              this,
+              line -> log.add(agenda.now() / MILLI + " " + name + " " + line));
+      step(born);
+    }
+
+    void die() {
+      life++;
+      down = true;
+    }
+
+    private void step(int born) {
+      if (born != life) {
+        return;
+      }
+      follower.look(agenda.now());
+      Call call = follower.next(agenda.now());
+      if (call == null) {
+        agenda.in(
+            Math.max(MILLI, Math.min(100 * MILLI, follower.wakeAt() - agenda.now())),
+            () -> step(born));
+        return;
+      }
+      long way = MILLI + random.nextInt(10) * MILLI;
+      boolean heard = !cut;
+      agenda.in(
+          way,
+          () -> {
+            Answer answer = heard ? Served.of(store, call) : null;
+            agenda.in(
+                heard ? way : timing.callTimeout() - way,
+                () -> {
+                  if (born == life) {
+                    follower.answered(
+                        agenda.now(),
+                        answer != null && !cut ? answer : new Answer.Failed("no answer in time"));
+                    step(born);
+                  }
                 });
-            });
-        }
-
-        @Override
-        public Report sees(String router, long number, long plan) {
-            SortedMap<String, Seen> places = new TreeMap<>();
-            spots.forEach((p, spot) -> {
-                long good = (long) counts.get(p)[0];
-                long bad = (long) counts.get(p)[1];
-                places.put(p, lies.equals("bad") ? new Seen(0, good + bad, 0, spot.listed, 0, spot.listed)
-                    : lies.equals("good") ? new Seen(good + bad, 0, 0, spot.listed, spot.listed, 0)
-                    : new Seen(good, bad, took.get(p), spot.listed, spot.warm,
-                        lies.equals("ejected") ? spot.listed : 0));
-            });
-            Report report = new Report(router, home, number, plan, (long) arrivals, places);
-            stuck = stuck == null ? report : stuck;
-            return lies.equals("stuck") ? stuck : report;
-        }
-
-        /** Chooses where to, and adds it to what is sent there. */
-        private void send(double seconds) {
-            row = down ? new Row(Map.of()) : switch (policy) {
+          });
+    }
+
+    @Override
+    public Report sees(String router, long number, long plan) {
+      SortedMap<String, Seen> places = new TreeMap<>();
+      spots.forEach(
+          (p, spot) -> {
+            long good = (long) counts.get(p)[0];
+            long bad = (long) counts.get(p)[1];
+            places.put(
+                p,
+                lies.equals("bad")
+                    ? new Seen(0, good + bad, 0, spot.listed, 0, spot.listed)
+                    : lies.equals("good")
+                        ? new Seen(good + bad, 0, 0, spot.listed, spot.listed, 0)
+                        : new Seen(
+                            good,
+                            bad,
+                            took.get(p),
+                            spot.listed,
+                            spot.warm,
+                            lies.equals("ejected") ? spot.listed : 0));
+          });
+      Report report = new Report(router, home, number, plan, (long) arrivals, places);
+      stuck = stuck == null ? report : stuck;
+      return lies.equals("stuck") ? stuck : report;
+    }
+
+    /** Chooses where to, and adds it to what is sent there. */
+    private void send(double seconds) {
+      row =
+          down
+              ? new Row(Map.of())
+              : switch (policy) {
                 case COMMON -> follower.due(agenda.now()).row();
                 case PRIORITY -> priority();
                 case RING -> ring();
-            };
-            came = arrive(perSecond * seconds);
-            row.parts().forEach((p, part) -> {
+              };
+      came = arrive(perSecond * seconds);
+      row.parts()
+          .forEach(
+              (p, part) -> {
                 if (!unreachable.contains(p)) {
-                    spots.get(p).sent += came * part / Row.WHOLE;
+                  spots.get(p).sent += came * part / Row.WHOLE;
                 }
-            });
-        }
-
-        /** Learns what became of it. */
-        private void learn() {
-            if (down) {
-                return;
-            }
-            arrivals += came;
-            row.parts().forEach((p, part) -> {
+              });
+    }
+
+    /** Learns what became of it. */
+    private void learn() {
+      if (down) {
+        return;
+      }
+      arrivals += came;
+      row.parts()
+          .forEach(
+              (p, part) -> {
                 double sent = came * part / Row.WHOLE;
                 Spot spot = spots.get(p);
                 double fine = spot.listed > 0 && !unreachable.contains(p) ? spot.part : 0;
@@ -216,142 +267,168 @@
                 counts.get(p)[1] += spot.listed > 0 ? sent * (1 - fine) : 0;
                 served += sent * fine;
                 crossed += p.equals(home) ? 0 : sent;
+              });
+      refused += came * (Row.WHOLE - row.sum()) / Row.WHOLE;
+      if (agenda.now() - lookedAt >= LOOK_EVERY) {
+        lookedAt = agenda.now();
+        counts.forEach(
+            (p, c) -> {
+              double[] since = {c[0] - seen.get(p)[0], c[1] - seen.get(p)[1]};
+              // What it does not send to it tries again after a while.
+              finds.put(
+                  p,
+                  since[0] + since[1] > 0
+                      ? since[0] >= since[1]
+                      : agenda.now() - badAt.getOrDefault(p, 0L) > 2 * LOOK_EVERY);
+              if (since[1] > since[0]) {
+                badAt.put(p, agenda.now());
+              }
+              seen.put(p, c.clone());
             });
-            refused += came * (Row.WHOLE - row.sum()) / Row.WHOLE;
-            if (agenda.now() - lookedAt >= LOOK_EVERY) {
-                lookedAt = agenda.now();
-                counts.forEach((p, c) -> {
-                    double[] since = {c[0] - seen.get(p)[0], c[1] - seen.get(p)[1]};
-                    // What it does not send to it tries again after a while.
-                    finds.put(p, since[0] + since[1] > 0 ? since[0] >= since[1] : agenda.now()
-                        - badAt.getOrDefault(p, 0L) > 2 * LOOK_EVERY);
-                    if (since[1] > since[0]) {
-                        badAt.put(p, agenda.now());
-                    }
-                    seen.put(p, c.clone());
-                });
-            }
-        }
-
-        private Row priority() {
-            List<String> all = new ArrayList<>(List.of(home));
-            all.addAll(map.others(home));
-            return new Row(Map.of(all.stream().filter(p -> finds.getOrDefault(p, true)).findFirst()
-                .orElse(home), Row.WHOLE));
-        }
-
-        private Row ring() {
-            List<Spot> good = spots.values().stream().filter(s -> finds.getOrDefault(s.name, true)).toList();
-            List<Spot> those = good.isEmpty() ? List.copyOf(spots.values()) : good;
-            int servers = those.stream().mapToInt(s -> s.listed).sum();
-            Map<String, Integer> parts = new java.util.LinkedHashMap<>();
-            those.forEach(s -> parts.put(s.name, Row.WHOLE * s.listed / servers));
-            return new Row(parts);
-        }
+      }
     }
 
-    /**
-     * So many routers in each place, each of which takes so many requests a second; ten cache servers each.
-     */
-    WorldModel(long seed, Map<String, String> regions, int routers, double perSecond, double each) {
-        this(seed, regions, routers, perSecond, each, TIMING);
+    private Row priority() {
+      List<String> all = new ArrayList<>(List.of(home));
+      all.addAll(map.others(home));
+      return new Row(
+          Map.of(
+              all.stream().filter(p -> finds.getOrDefault(p, true)).findFirst().orElse(home),
+              Row.WHOLE));
     }
 
-    WorldModel(long seed, Map<String, String> regions, int routers, double perSecond, double each,
-            Timing timing) {
-        this.timing = timing;
-        this.random = new Random(seed);
-        this.map = new Geography(new TreeMap<>(regions), each, 1e6, 50);
-        this.store = new StoreModel(agenda, 7, (at, revision, key, value) -> { });
-        for (String place : map.places()) {
-            spots.put(place, new Spot(place, FULL, each));
-        }
-        for (String place : map.places()) {
-            for (int i = 0; i < routers; i++) {
-                seats.add(new Seat(place + i, place, perSecond));
-            }
-        }
-        seats.forEach(Seat::start);
-        agenda.in(ACT_EVERY, this::acting);
+    private Row ring() {
+      List<Spot> good =
+          spots.values().stream().filter(s -> finds.getOrDefault(s.name, true)).toList();
+      List<Spot> those = good.isEmpty() ? List.copyOf(spots.values()) : good;
+      int servers = those.stream().mapToInt(s -> s.listed).sum();
+      Map<String, Integer> parts = new java.util.LinkedHashMap<>();
+      those.forEach(s -> parts.put(s.name, Row.WHOLE * s.listed / servers));
+      return new Row(parts);
     }
+  }
+
+  /**
+   * So many routers in each place, each of which takes so many requests a second; ten cache servers
+   * each.
+   */
+  WorldModel(long seed, Map<String, String> regions, int routers, double perSecond, double each) {
+    this(seed, regions, routers, perSecond, each, TIMING);
+  }
 
-    private void acting() {
-        spots.values().forEach(s -> s.sent = 0);
-        seats.forEach(s -> s.send(ACT_EVERY / (double) SECOND));
-        spots.values().forEach(s -> s.part = s.fine());
-        seats.forEach(Seat::learn);
-        spots.values().forEach(this::watch);
-        spots.values().forEach(s -> s.most = Math.max(s.most, s.sent * SECOND / ACT_EVERY));
-        agenda.in(ACT_EVERY, this::acting);
+  WorldModel(
+      long seed,
+      Map<String, String> regions,
+      int routers,
+      double perSecond,
+      double each,
+      Timing timing) {
+    this.timing = timing;
+    this.random = new Random(seed);
+    this.map = new Geography(new TreeMap<>(regions), each, 1e6, 50);
+    this.store = new StoreModel(agenda, 7, (at, revision, key, value) -> {});
+    for (String place : map.places()) {
+      spots.put(place, new Spot(place, FULL, each));
     }
+    for (String place : map.places()) {
+      for (int i = 0; i < routers; i++) {
+        seats.add(new Seat(place + i, place, perSecond));
+      }
+    }
+    seats.forEach(Seat::start);
+    agenda.in(ACT_EVERY, this::acting);
+  }
+
+  private void acting() {
+    spots.values().forEach(s -> s.sent = 0);
+    seats.forEach(s -> s.send(ACT_EVERY / (double) SECOND));
+    spots.values().forEach(s -> s.part = s.fine());
+    seats.forEach(Seat::learn);
+    spots.values().forEach(this::watch);
+    spots.values().forEach(s -> s.most = Math.max(s.most, s.sent * SECOND / ACT_EVERY));
+    agenda.in(ACT_EVERY, this::acting);
+  }
 
-    /** As many as are expected, or, by chance, about as many. */
-    private double arrive(double expected) {
-        if (!byChance) {
-            return expected;
-        }
-        int count = 0;
-        for (double left = -Math.log(1 - random.nextDouble()); left < expected;
-                left -= Math.log(1 - random.nextDouble())) {
-            count++;
-        }
-        return count;
+  /** As many as are expected, or, by chance, about as many. */
+  private double arrive(double expected) {
+    if (!byChance) {
+      return expected;
     }
+    int count = 0;
+    for (double left = -Math.log(1 - random.nextDouble());
+        left < expected;
+        left -= Math.log(1 - random.nextDouble())) {
+      count++;
+    }
+    return count;
+  }
 
-    /**
-     * Whether others push a place over: it could do what its own want, and all together send it more for
-     * longer than it takes to see that and to leave the plan.
-     */
-    private void watch(Spot spot) {
-        double own = of(spot.name).stream().filter(s -> !s.down).mapToDouble(s -> s.perSecond).sum();
-        boolean much = !spot.bad && own <= spot.capacity()
+  /**
+   * Whether others push a place over: it could do what its own want, and all together send it more
+   * for longer than it takes to see that and to leave the plan.
+   */
+  private void watch(Spot spot) {
+    double own = of(spot.name).stream().filter(s -> !s.down).mapToDouble(s -> s.perSecond).sum();
+    boolean much =
+        !spot.bad
+            && own <= spot.capacity()
             && spot.sent * SECOND / ACT_EVERY > PUSHED * spot.capacity();
-        spot.over = much ? spot.over + ACT_EVERY : 0;
-        if (spot.over > PUSHED_FOR && pushed == null) {
-            pushed = spot.name + " was sent " + spot.sent * SECOND / ACT_EVERY + " a second and can do "
-                + spot.capacity() + " at " + agenda.now() / MILLI + " ms";
-        }
+    spot.over = much ? spot.over + ACT_EVERY : 0;
+    if (spot.over > PUSHED_FOR && pushed == null) {
+      pushed =
+          spot.name
+              + " was sent "
+              + spot.sent * SECOND / ACT_EVERY
+              + " a second and can do "
+              + spot.capacity()
+              + " at "
+              + agenda.now() / MILLI
+              + " ms";
     }
+  }
 
-    void run(long time) {
-        agenda.advance(agenda.now() + time);
-    }
+  void run(long time) {
+    agenda.advance(agenda.now() + time);
+  }
 
-    ZonesDesk desk() {
-        return new ZonesDesk(KEYS, map, call -> Served.of(store, call));
-    }
+  ZonesDesk desk() {
+    return new ZonesDesk(KEYS, map, call -> Served.of(store, call));
+  }
 
-    Plan plan() {
-        try {
-            Plan there = desk().look().plan();
-            return there == null ? Plan.first(map) : there;
-        } catch (AgreementException e) {
-            throw new IllegalStateException(e);
-        }
+  Plan plan() {
+    try {
+      Plan there = desk().look().plan();
+      return there == null ? Plan.first(map) : there;
+    } catch (AgreementException e) {
+      throw new IllegalStateException(e);
     }
+  }
 
-    List<Seat> of(String place) {
-        return seats.stream().filter(s -> s.home.equals(place)).toList();
-    }
+  List<Seat> of(String place) {
+    return seats.stream().filter(s -> s.home.equals(place)).toList();
+  }
 
-    /** What part of a place's requests was served while it ran so long. */
-    double served(String place, long time) {
-        double before = of(place).stream().mapToDouble(s -> s.served).sum();
-        double wanted = of(place).stream().filter(s -> !s.down).mapToDouble(s -> s.perSecond).sum() * time
-            / SECOND;
-        run(time);
-        return (of(place).stream().mapToDouble(s -> s.served).sum() - before) / wanted;
-    }
+  /** What part of a place's requests was served while it ran so long. */
+  double served(String place, long time) {
+    double before = of(place).stream().mapToDouble(s -> s.served).sum();
+    double wanted =
+        of(place).stream().filter(s -> !s.down).mapToDouble(s -> s.perSecond).sum() * time / SECOND;
+    run(time);
+    return (of(place).stream().mapToDouble(s -> s.served).sum() - before) / wanted;
+  }
 
-    /** The most that was sent to a place in a step since it was last asked, as a part of what it carries. */
-    double peak(String place) {
-        Spot spot = spots.get(place);
-        double most = spot.most;
-        spot.most = 0;
-        return most / spot.capacity();
-    }
+  /**
+   * The most that was sent to a place in a step since it was last asked, as a part of what it
+   * carries.
+   */
+  double peak(String place) {
+    Spot spot = spots.get(place);
+    double most = spot.most;
+    spot.most = 0;
+    return most / spot.capacity();
+  }
 
-    String said() {
-        return String.join("\n", log);
-    }
+  String said() {
+    return String.join("\n", log);
+  }
 }
