--- a/src/main/java/beaconturn/agreement/Steps.java
+++ b/src/main/java/beaconturn/agreement/Steps.java
@@ -47,7 +47,8 @@
       throw new AgreementException(
           "version "
               + seen.current().number()
-              + " is in force and not settled yet: see 'agreement show' for who does not act on it");
+              + " is in force and not settled yet: see 'agreement show' for who does not"
+              + " act on it");
     }
     Version next = Version.of(number, content, author, reason, atMillis);
     return new Step(
--- a/src/main/java/beaconturn/cli/AgreementCommand.java
+++ b/src/main/java/beaconturn/cli/AgreementCommand.java
@@ -14,8 +14,10 @@
     commandDescription =
         "versions of settings and lists on which routers"
             + " agree: init, propose FILE, show, history, back, withdraw, lost ROUTER, explain;"
-            + " example: agreement propose out.toml --reason \"c3 is replaced\" --features router.toml --wait 20;"
-            + " status 0: done, 1: wrong input or the store does not answer, 3: not now, or turned down")
+            + " example: agreement propose out.toml --reason \"c3 is replaced\" --features"
+            + " router.toml --wait 20;"
+            + " status 0: done, 1: wrong input or the store does not answer, 3: not now, or"
+            + " turned down")
 final class AgreementCommand implements Command {
   @Parameter(description = "ORDER [FILE or ROUTER]")
   private List<String> words = new ArrayList<>();
--- a/src/main/java/beaconturn/cli/AgreementRun.java
+++ b/src/main/java/beaconturn/cli/AgreementRun.java
@@ -208,8 +208,10 @@
         Locale.ROOT,
         "lease        %.1f s, renewed every %.2f s, a call takes %.2f s at most%n"
             + "store lease  %d s: longer than the lease by what two clocks may err (%.1f %%)%n"
-            + "stated time  %.2f s: so long after a version is in force anywhere another router may act "
-            + "on the one before%n             = lease %.2f s by a slow clock + %.2f s to put it in force%n"
+            + "stated time  %.2f s: so long after a version is in force anywhere another"
+            + " router may act "
+            + "on the one before%n             = lease %.2f s by a slow clock + %.2f s to"
+            + " put it in force%n"
             + "calls        %.0f a second at the store for 100 routers, %.0f for 1000%n",
         lease,
         t.renewEvery() / (double) SECOND,
--- a/src/main/java/beaconturn/cli/RehearseCommand.java
+++ b/src/main/java/beaconturn/cli/RehearseCommand.java
@@ -30,7 +30,8 @@
       names = "--router",
       description =
           "a jar whose routers are rehearsed, or 'embedded' for"
-              + " routers inside this process (no router faults then); this program's own where not given")
+              + " routers inside this process (no router faults then); this program's own"
+              + " where not given")
   private String router;
 
   @Parameter(names = "--json", description = "a file for the report as JSON")
@@ -55,7 +56,8 @@
       names = "--storms",
       description =
           "play so many scenarios made of chance instead, a search;"
-              + " those that break a rule are kept in a folder each below --keep-logs; --seed is the first one's")
+              + " those that break a rule are kept in a folder each below --keep-logs;"
+              + " --seed is the first one's")
   private int storms;
 
   @Parameter(
--- a/src/main/java/beaconturn/cli/ReleaseCommand.java
+++ b/src/main/java/beaconturn/cli/ReleaseCommand.java
@@ -10,7 +10,8 @@
     commandNames = "release",
     commandDescription =
         "releases and drains over a whole fleet: fleet FILE,"
-            + " plan PLAN, start PLAN, halt, resume, back, abandon, drain CACHE, undrain CACHE, lost PART, show,"
+            + " plan PLAN, start PLAN, halt, resume, back, abandon, drain CACHE, undrain"
+            + " CACHE, lost PART, show,"
             + " history, report FILE (HTML), agent PART;"
             + " example: release start plan.toml --reason \"build 41\" --features router.toml;"
             + " status 0: done, 1: wrong input or the store does not answer, 3: not now")
@@ -49,7 +50,8 @@
       names = "--apply",
       description =
           "agent: the shell command that has the part run a variant and waits"
-              + " until it is ready; it finds PART and VARIANT (old or new) in its environment, and does nothing"
+              + " until it is ready; it finds PART and VARIANT (old or new) in its"
+              + " environment, and does nothing"
               + " where the part runs that variant already")
   private String apply = "";
 
--- a/src/main/java/beaconturn/cli/ReleaseRun.java
+++ b/src/main/java/beaconturn/cli/ReleaseRun.java
@@ -228,8 +228,10 @@
     System.out.printf(
         Locale.ROOT,
         "goes back by itself: a part that is not ready within %.0f s; one that over %d answers has"
-            + " %.1f %% more refusals and failures than the others, or after %.0f s %.1f %% more late"
-            + " answers,%n  %.1f %% more misses, avoids %.1f %% more of the cache servers, holds %.0f %%"
+            + " %.1f %% more refusals and failures than the others, or after %.0f s %.1f %%"
+            + " more late"
+            + " answers,%n  %.1f %% more misses, avoids %.1f %% more of the cache servers,"
+            + " holds %.0f %%"
             + " more memory, or as a cache server takes %.0f %% longer for hits%n",
         plan.limit() / (double) SECOND,
         plan.samples(),
--- a/src/main/java/beaconturn/cli/StandInCommand.java
+++ b/src/main/java/beaconturn/cli/StandInCommand.java
@@ -10,7 +10,8 @@
     commandNames = "stand-in",
     commandDescription =
         "run only what stands round a router: cache servers,"
-            + " an origin and discovery; lines on standard input or the control port make them fail;"
+            + " an origin and discovery; lines on standard input or the control port make"
+            + " them fail;"
             + " example: stand-in examples/try-out.toml, then: stall c2 for 5s")
 final class StandInCommand implements Command {
   @Parameter(description = "SCENARIO.toml, of which clients and faults are left out")
--- a/src/main/java/beaconturn/cli/StoreStandInCommand.java
+++ b/src/main/java/beaconturn/cli/StoreStandInCommand.java
@@ -8,7 +8,8 @@
     commandNames = "store-stand-in",
     commandDescription =
         "run a stand-in of the coordination store on"
-            + " loopback, for trials of the agreement; lines on standard input make it fail; it keeps nothing;"
+            + " loopback, for trials of the agreement; lines on standard input make it"
+            + " fail; it keeps nothing;"
             + " example: store-stand-in --port 2379, then: slow 3000")
 final class StoreStandInCommand implements Command {
   @Parameter(names = "--port", description = "where it listens, on loopback; 0 takes a free one")
--- a/src/main/java/beaconturn/cli/ZonesCommand.java
+++ b/src/main/java/beaconturn/cli/ZonesCommand.java
@@ -13,7 +13,8 @@
     commandNames = "zones",
     commandDescription =
         "to which zones keys go, decided in common: show, history, drain ZONE, hold ZONE,"
-            + " weight ZONE, free ZONE; example: zones drain east --reason power --for 600 --features router.toml;"
+            + " weight ZONE, free ZONE; example: zones drain east --reason power --for 600"
+            + " --features router.toml;"
             + " status 0: done, 1: wrong input or the store does not answer, 3: not now")
 final class ZonesCommand implements Command {
   private static final List<String> WITH_ZONE = List.of("drain", "hold", "weight", "free");
--- a/src/main/java/beaconturn/ledger/PlaceRules.java
+++ b/src/main/java/beaconturn/ledger/PlaceRules.java
@@ -104,7 +104,8 @@
                 count[1]
                     + " of "
                     + (int) all
-                    + " first sends of five seconds went to other places, though all could be served near");
+                    + " first sends of five seconds went to other places, though all could"
+                    + " be served near");
           });
     }
 
--- a/src/main/java/beaconturn/rehearsal/ClientStorm.java
+++ b/src/main/java/beaconturn/rehearsal/ClientStorm.java
@@ -113,7 +113,8 @@
 
   private void type(String name, String effect, double share, int deadline, int size) {
     line(
-        "[[class]]%nname = \"%s\"%neffect = \"%s\"%nshare = %.2f%naim = \"%dms\"%ndeadline = \"%dms\"%n"
+        "[[class]]%nname = \"%s\"%neffect = \"%s\"%nshare = %.2f%naim = \"%dms\"%ndeadline"
+            + " = \"%dms\"%n"
             + "size = %d",
         name, effect, share, deadline / 2, deadline, size);
   }
--- a/src/main/java/beaconturn/release/ReleaseKeys.java
+++ b/src/main/java/beaconturn/release/ReleaseKeys.java
@@ -15,7 +15,7 @@
  * release/agent/ID    who acts on a part, on a lease
  * release/health/ID   what a part has answered so far, by its agent
  * release/told        how many lines the history has
- * release-curve/N     what became of answers during release N, and who was out; apart for the same reason
+ * release-curve/N     answers during release N, and who was out; apart for the same reason
  * release-history/N   what was done, by whom and why; apart, as nobody who acts needs it
  * </pre>
  */
