--- a/src/main/java/beaconturn/ledger/Evidence.java
+++ b/src/main/java/beaconturn/history/HistoryIndex.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,21 +8,21 @@
 import java.util.Map;
 
 /** An account, sorted for the rules: each request with all that belongs to it. */
-final class Evidence {
-  private final Terms terms;
+final class HistoryIndex {
+  private final InvariantBounds terms;
   private final Map<String, Case> cases = new LinkedHashMap<>();
-  private final Map<Long, Entry.Replied> replies = new HashMap<>();
-  private final Map<Long, Entry.Ran> runs = new HashMap<>();
-  private final Map<Long, Entry.Ended> ends = new HashMap<>();
-  private final Map<Class<?>, List<Entry>> byKind = new HashMap<>();
-  private final List<Entry.Paused> pauses;
+  private final Map<Long, HistoryEvent.Replied> replies = new HashMap<>();
+  private final Map<Long, HistoryEvent.Ran> runs = new HashMap<>();
+  private final Map<Long, HistoryEvent.Ended> ends = new HashMap<>();
+  private final Map<Class<?>, List<HistoryEvent>> byKind = new HashMap<>();
+  private final List<HistoryEvent.Paused> pauses;
 
   /** A request, what its client was told, and the commands that were sent for it in their order. */
   static final class Case {
     private final String id;
-    private final List<Entry.Asked> asked = new ArrayList<>();
-    private final List<Entry.Answered> answers = new ArrayList<>();
-    private final List<Entry.Sent> sends = new ArrayList<>();
+    private final List<HistoryEvent.Asked> asked = new ArrayList<>();
+    private final List<HistoryEvent.Answered> answers = new ArrayList<>();
+    private final List<HistoryEvent.Sent> sends = new ArrayList<>();
     private int crossings;
 
     /** 0 where nothing is said. */
@@ -40,7 +40,7 @@
      * As it was written last, or null if no client did; a request that crossed a close is written
      * twice.
      */
-    Entry.Asked asked() {
+    HistoryEvent.Asked asked() {
       return asked.isEmpty() ? null : asked.get(asked.size() - 1);
     }
 
@@ -52,26 +52,26 @@
     }
 
     /** As it was written first. */
-    Entry.Asked firstAsked() {
+    HistoryEvent.Asked firstAsked() {
       return asked.get(0);
     }
 
-    List<Entry.Answered> answers() {
+    List<HistoryEvent.Answered> answers() {
       return answers;
     }
 
-    List<Entry.Sent> sends() {
+    List<HistoryEvent.Sent> sends() {
       return sends;
     }
 
     /** The final answers, which are values, refusals and failures. */
-    List<Entry.Answered> finals() {
+    List<HistoryEvent.Answered> finals() {
       return answers.stream()
           .filter(
               a ->
-                  a.kind() != Entry.Kind.BROKEN
-                      && a.kind() != Entry.Kind.SILENCE
-                      && a.kind() != Entry.Kind.LEFT)
+                  a.kind() != HistoryEvent.Kind.BROKEN
+                      && a.kind() != HistoryEvent.Kind.SILENCE
+                      && a.kind() != HistoryEvent.Kind.LEFT)
           .toList();
     }
 
@@ -83,32 +83,32 @@
     /** When its client left over it, or {@code Long.MAX_VALUE} if it did not. */
     long leftAt() {
       return answers.stream()
-          .filter(a -> a.kind() == Entry.Kind.LEFT)
-          .mapToLong(Entry.Answered::at)
+          .filter(a -> a.kind() == HistoryEvent.Kind.LEFT)
+          .mapToLong(HistoryEvent.Answered::at)
           .findFirst()
           .orElse(Long.MAX_VALUE);
     }
   }
 
-  Evidence(Terms terms, List<Entry> entries) {
+  HistoryIndex(InvariantBounds terms, List<HistoryEvent> entries) {
     this.terms = terms;
-    for (Entry entry : entries) {
+    for (HistoryEvent entry : entries) {
       byKind.computeIfAbsent(entry.getClass(), kind -> new ArrayList<>()).add(entry);
-      if (entry instanceof Entry.Asked asked) {
+      if (entry instanceof HistoryEvent.Asked asked) {
         of(asked.id()).asked.add(asked);
-      } else if (entry instanceof Entry.Answered answered) {
+      } else if (entry instanceof HistoryEvent.Answered answered) {
         of(answered.id()).answers.add(answered);
-      } else if (entry instanceof Entry.Sent sent) {
+      } else if (entry instanceof HistoryEvent.Sent sent) {
         of(sent.id()).sends.add(sent);
-      } else if (entry instanceof Entry.Crossed crossed) {
+      } else if (entry instanceof HistoryEvent.Crossed crossed) {
         of(crossed.id()).crossings++;
-      } else if (entry instanceof Entry.InFront inFront) {
+      } else if (entry instanceof HistoryEvent.InFront inFront) {
         of(inFront.id()).inFrontUntil = inFront.at();
-      } else if (entry instanceof Entry.Replied replied) {
+      } else if (entry instanceof HistoryEvent.Replied replied) {
         replies.put(replied.number(), replied);
-      } else if (entry instanceof Entry.Ran ran) {
+      } else if (entry instanceof HistoryEvent.Ran ran) {
         runs.putIfAbsent(ran.number(), ran);
-      } else if (entry instanceof Entry.Ended ended) {
+      } else if (entry instanceof HistoryEvent.Ended ended) {
         ends.put(ended.connection(), ended);
       }
     }
@@ -118,20 +118,20 @@
   /**
    * All pauses in their order; those that lie over each other are one, as no moment counts twice.
    */
-  static List<Entry.Paused> pauses(List<Entry> entries) {
-    List<Entry.Paused> sorted =
+  static List<HistoryEvent.Paused> pauses(List<HistoryEvent> entries) {
+    List<HistoryEvent.Paused> sorted =
         entries.stream()
-            .filter(e -> e instanceof Entry.Paused)
-            .map(e -> (Entry.Paused) e)
-            .sorted(Comparator.comparingLong(Entry.Paused::at))
+            .filter(e -> e instanceof HistoryEvent.Paused)
+            .map(e -> (HistoryEvent.Paused) e)
+            .sorted(Comparator.comparingLong(HistoryEvent.Paused::at))
             .toList();
-    List<Entry.Paused> merged = new ArrayList<>();
-    for (Entry.Paused pause : sorted) {
+    List<HistoryEvent.Paused> merged = new ArrayList<>();
+    for (HistoryEvent.Paused pause : sorted) {
       int last = merged.size() - 1;
       if (last >= 0 && merged.get(last).until() >= pause.at()) {
         merged.set(
             last,
-            new Entry.Paused(
+            new HistoryEvent.Paused(
                 merged.get(last).at(), Math.max(merged.get(last).until(), pause.until())));
       } else {
         merged.add(pause);
@@ -144,7 +144,7 @@
     return cases.computeIfAbsent(id, Case::new);
   }
 
-  Terms terms() {
+  InvariantBounds terms() {
     return terms;
   }
 
@@ -160,23 +160,23 @@
 
   /** All lines of a kind in their order. */
   @SuppressWarnings("unchecked")
-  <T extends Entry> List<T> all(Class<T> kind) {
+  <T extends HistoryEvent> List<T> all(Class<T> kind) {
     // Filed under its own class, so each line is of that kind; rules ask for it in their loops.
     return (List<T>) byKind.getOrDefault(kind, List.of());
   }
 
   /** What the command was answered, or null. */
-  Entry.Replied reply(Entry.Sent sent) {
+  HistoryEvent.Replied reply(HistoryEvent.Sent sent) {
     return replies.get(sent.number());
   }
 
   /** How it ran, or null. */
-  Entry.Ran ran(Entry.Sent sent) {
+  HistoryEvent.Ran ran(HistoryEvent.Sent sent) {
     return runs.get(sent.number());
   }
 
   /** How its connection ended, or null. */
-  Entry.Ended end(Entry.Sent sent) {
+  HistoryEvent.Ended end(HistoryEvent.Sent sent) {
     return ends.get(sent.connection());
   }
 
@@ -184,15 +184,15 @@
    * Whether a command that was read whole may have run by the time: only a turn-away before it
    * rules it out.
    */
-  boolean mayHaveRun(Entry.Sent sent, long by) {
-    Entry.Replied reply = reply(sent);
-    return reply == null || reply.made() != Entry.Made.BUSY || reply.at() > by;
+  boolean mayHaveRun(HistoryEvent.Sent sent, long by) {
+    HistoryEvent.Replied reply = reply(sent);
+    return reply == null || reply.made() != HistoryEvent.Made.BUSY || reply.at() > by;
   }
 
   /** How long it was between two times, less what the machine kept the kit from running. */
   long between(long from, long to) {
     long paused = 0;
-    for (Entry.Paused pause : pauses) {
+    for (HistoryEvent.Paused pause : pauses) {
       paused += Math.max(0, Math.min(to, pause.until()) - Math.max(from, pause.at()));
     }
     return to - from - paused;
--- a/src/main/java/beaconturn/ledger/Terms.java
+++ b/src/main/java/beaconturn/history/InvariantBounds.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.List;
 import java.util.Map;
@@ -21,7 +21,7 @@
  * @param release what is promised of a release, or null
  * @param zones what is promised of places, or null
  */
-public record Terms(
+public record InvariantBounds(
     Map<String, Type> types,
     int mostTries,
     boolean secondCopies,
--- a/src/main/java/beaconturn/ledger/Verdict.java
+++ b/src/main/java/beaconturn/history/InvariantResult.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.List;
 
@@ -13,13 +13,13 @@
  * @param offences all breaks in the order of time
  * @param notes what came about without a break, and an operator wants to know
  */
-public record Verdict(
+public record InvariantResult(
     String rule,
     String promise,
     long checked,
     long most,
-    List<Offence> offences,
-    List<Offence> notes) {
+    List<Violation> offences,
+    List<Violation> notes) {
   /** Whether it was kept throughout. */
   public boolean held() {
     return offences.isEmpty();
--- a/src/main/java/beaconturn/ledger/NoContradiction.java
+++ b/src/main/java/beaconturn/history/NoConflictingVersions.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -14,7 +14,7 @@
  * force if that is earlier, the earlier one's effects must end within the stated time; and before
  * it is in force it must have none.
  */
-final class NoContradiction extends Rule {
+final class NoConflictingVersions extends Invariant {
   private record Stage(
       long number,
       long proposed,
@@ -27,14 +27,14 @@
   private final List<Sign> signs = new ArrayList<>();
 
   /** What the earlier of two versions did that the later forbids. */
-  private record Sign(Entry.Sent sent, long joined, String what) {}
+  private record Sign(HistoryEvent.Sent sent, long joined, String what) {}
 
-  NoContradiction() {
+  NoConflictingVersions() {
     super("no-contradiction", "nobody acts on an older version beyond the stated time");
   }
 
   @Override
-  void judge(Evidence evidence) {
+  void judge(HistoryIndex evidence) {
     List<Stage> stages = stages(evidence);
     for (int i = 1; i < stages.size(); i++) {
       long until = i + 1 < stages.size() ? stages.get(i + 1).proposed() : Long.MAX_VALUE;
@@ -43,15 +43,15 @@
   }
 
   /** Versions as they came into force, from the routers' own configuration on. */
-  private static List<Stage> stages(Evidence evidence) {
+  private static List<Stage> stages(HistoryIndex evidence) {
     int base = evidence.terms().mostTries();
     List<Stage> stages =
         new ArrayList<>(
             List.of(new Stage(0, Long.MIN_VALUE, Long.MIN_VALUE, Set.of(), base, Set.of(), false)));
     long last = 0;
-    for (Entry.Versioned v : evidence.all(Entry.Versioned.class)) {
+    for (HistoryEvent.Versioned v : evidence.all(HistoryEvent.Versioned.class)) {
       int tries = v.mostTries() == 0 ? base : v.mostTries();
-      if (v.step() == Entry.Step.PROPOSED) {
+      if (v.step() == HistoryEvent.Step.PROPOSED) {
         // One that never comes into force stays as a stage: acting on it all the same is an
         // offence.
         if (last > 0 && stages.get(stages.size() - 1).inForce() == Long.MAX_VALUE) {
@@ -69,20 +69,20 @@
     return stages;
   }
 
-  private void compare(Evidence evidence, Stage before, Stage after, long until) {
+  private void compare(HistoryIndex evidence, Stage before, Stage after, long until) {
     Set<String> onlyAfter = new TreeSet<>(before.out());
     onlyAfter.removeAll(after.out());
-    Entry.Sent first = null;
+    HistoryEvent.Sent first = null;
     signs.clear();
-    for (Evidence.Case one : evidence.cases()) {
+    for (HistoryIndex.Case one : evidence.cases()) {
       String type = one.asked() == null ? "" : one.asked().type();
       int tries = 0;
-      for (Entry.Sent sent : one.sends()) {
+      for (HistoryEvent.Sent sent : one.sends()) {
         tries++;
         if (sent.firstAt() < after.proposed() || sent.firstAt() >= until) {
           continue;
         }
-        Entry.Member member = member(evidence, sent);
+        HistoryEvent.Member member = member(evidence, sent);
         if (!member.on()) {
           continue;
         }
@@ -106,7 +106,12 @@
 
   /** What of a send only the earlier version allows, in words, or null. */
   private String older(
-      Evidence evidence, Stage before, Stage after, Evidence.Case one, Entry.Sent sent, int tries) {
+      HistoryIndex evidence,
+      Stage before,
+      Stage after,
+      HistoryIndex.Case one,
+      HistoryEvent.Sent sent,
+      int tries) {
     String type = one.asked() == null ? "" : one.asked().type();
     boolean unsafeNow = after.unsafe().contains(type) && !before.unsafe().contains(type);
     if (after.out().contains(sent.server()) && !before.out().contains(sent.server())) {
@@ -132,19 +137,20 @@
   }
 
   /** Whether an earlier send of the request may have run by then. */
-  private static boolean repeats(Evidence evidence, Evidence.Case one, Entry.Sent sent) {
+  private static boolean repeats(
+      HistoryIndex evidence, HistoryIndex.Case one, HistoryEvent.Sent sent) {
     return one.sends().stream()
         .takeWhile(earlier -> earlier != sent)
         .anyMatch(earlier -> evidence.mayHaveRun(earlier, sent.at()));
   }
 
   /** Whether discovery had the server as draining or gone at that time. */
-  private static boolean left(Evidence evidence, String server, long at) {
-    Entry.State state = Entry.State.READY;
-    for (Entry.Listed change : evidence.all(Entry.Listed.class)) {
+  private static boolean left(HistoryIndex evidence, String server, long at) {
+    HistoryEvent.State state = HistoryEvent.State.READY;
+    for (HistoryEvent.Listed change : evidence.all(HistoryEvent.Listed.class)) {
       state = change.server().equals(server) && change.at() <= at ? change.state() : state;
     }
-    return state != Entry.State.READY;
+    return state != HistoryEvent.State.READY;
   }
 
   /**
@@ -152,9 +158,9 @@
    * cannot know what came into force without it. From when it joins it has the stated time. Where
    * nothing is known of a router it counts as asked.
    */
-  private static Entry.Member member(Evidence evidence, Entry.Sent sent) {
-    Entry.Member last = new Entry.Member(Long.MIN_VALUE, sent.router(), true);
-    for (Entry.Member m : evidence.all(Entry.Member.class)) {
+  private static HistoryEvent.Member member(HistoryIndex evidence, HistoryEvent.Sent sent) {
+    HistoryEvent.Member last = new HistoryEvent.Member(Long.MIN_VALUE, sent.router(), true);
+    for (HistoryEvent.Member m : evidence.all(HistoryEvent.Member.class)) {
       // Its line is written again with each yes: what counts is when it came to stand.
       if (m.router() == sent.router() && m.at() <= sent.firstAt() && m.on() != last.on()) {
         last = m;
@@ -164,13 +170,13 @@
   }
 
   /** Whether its router has joined so lately that it may not act on what is in force yet. */
-  private static boolean fresh(Evidence evidence, Entry.Sent sent, long joined) {
+  private static boolean fresh(HistoryIndex evidence, HistoryEvent.Sent sent, long joined) {
     return joined > Long.MIN_VALUE
         && evidence.between(joined, sent.firstAt()) <= evidence.terms().stated();
   }
 
   /** What a stand-in has read was sent before: no later moment can be the one of the send. */
-  private void ahead(Entry.Sent sent, Stage after) {
+  private void ahead(HistoryEvent.Sent sent, Stage after) {
     check(
         sent.at() >= after.inForce(),
         sent.firstAt(),
@@ -185,14 +191,14 @@
                 : " " + millis(after.inForce() - sent.at()) + " before it is in force"));
   }
 
-  private void late(Evidence evidence, Stage before, Stage after, Entry.Sent first) {
+  private void late(HistoryIndex evidence, Stage before, Stage after, HistoryEvent.Sent first) {
     long since = first == null ? after.inForce() : Math.min(first.firstAt(), after.inForce());
     String who =
         first != null && first.firstAt() == since
             ? "router " + first.router() + " acted on version " + after.number()
             : "version " + after.number() + " came into force";
     for (Sign sign : signs) {
-      Entry.Sent sent = sign.sent();
+      HistoryEvent.Sent sent = sign.sent();
       if (sent.firstAt() >= since) {
         long late = evidence.between(Math.max(since, sign.joined()), sent.firstAt());
         seen(late);
--- a/src/main/java/beaconturn/ledger/NoEffectTwice.java
+++ b/src/main/java/beaconturn/history/NoDuplicateEffect.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.Comparator;
 import java.util.HashMap;
@@ -9,32 +9,32 @@
  * A request that may have run is sent again only as its class allows: never where it is unsafe, and
  * where it is keyed only within the group that discards repeats, as long as that remembers.
  */
-final class NoEffectTwice extends Rule {
-  private final Map<String, Entry.Started> servers = new HashMap<>();
+final class NoDuplicateEffect extends Invariant {
+  private final Map<String, HistoryEvent.Started> servers = new HashMap<>();
 
-  NoEffectTwice() {
+  NoDuplicateEffect() {
     super("no-effect-twice", "what may have run is not run again");
   }
 
   @Override
-  void judge(Evidence evidence) {
-    evidence.all(Entry.Started.class).forEach(start -> servers.put(start.server(), start));
-    for (Evidence.Case one : evidence.cases()) {
-      Entry.Asked asked = one.asked();
-      if (asked != null && evidence.terms().effect(asked.type()) != Terms.Effect.SAFE) {
+  void judge(HistoryIndex evidence) {
+    evidence.all(HistoryEvent.Started.class).forEach(start -> servers.put(start.server(), start));
+    for (HistoryIndex.Case one : evidence.cases()) {
+      HistoryEvent.Asked asked = one.asked();
+      if (asked != null && evidence.terms().effect(asked.type()) != InvariantBounds.Effect.SAFE) {
         resends(evidence, one, asked);
         runs(evidence, one);
       }
     }
   }
 
-  private void resends(Evidence evidence, Evidence.Case one, Entry.Asked asked) {
-    boolean unsafe = evidence.terms().effect(asked.type()) == Terms.Effect.UNSAFE;
-    List<Entry.Sent> sends = one.sends();
+  private void resends(HistoryIndex evidence, HistoryIndex.Case one, HistoryEvent.Asked asked) {
+    boolean unsafe = evidence.terms().effect(asked.type()) == InvariantBounds.Effect.UNSAFE;
+    List<HistoryEvent.Sent> sends = one.sends();
     for (int i = 0; i < sends.size(); i++) {
-      Entry.Sent later = sends.get(i);
+      HistoryEvent.Sent later = sends.get(i);
       String wrong = null;
-      for (Entry.Sent earlier : sends.subList(0, i)) {
+      for (HistoryEvent.Sent earlier : sends.subList(0, i)) {
         if (evidence.mayHaveRun(earlier, later.at())) {
           String why =
               unsafe
@@ -48,16 +48,20 @@
   }
 
   /** Why a keyed request must not go there, or null. */
-  private String keyed(Evidence evidence, Entry.Asked asked, Entry.Sent earlier, Entry.Sent later) {
-    Terms.Type type = evidence.terms().types().get(asked.type());
+  private String keyed(
+      HistoryIndex evidence,
+      HistoryEvent.Asked asked,
+      HistoryEvent.Sent earlier,
+      HistoryEvent.Sent later) {
+    InvariantBounds.Type type = evidence.terms().types().get(asked.type());
     long age = evidence.between(earlier.at(), later.firstAt());
     if (age > type.window() + evidence.terms().sendSlack()) {
       return "keyed, "
           + millis(age - type.window())
           + " after its repeats were no longer discarded";
     }
-    Entry.Started a = servers.get(earlier.server());
-    Entry.Started b = servers.get(later.server());
+    HistoryEvent.Started a = servers.get(earlier.server());
+    HistoryEvent.Started b = servers.get(later.server());
     boolean group =
         switch (type.scope()) {
           case "zone" -> a.zone().equals(b.zone());
@@ -72,19 +76,19 @@
    * rule: its first copy stood still somewhere for longer than the window. No router can prevent
    * that, so it is noted only.
    */
-  private void runs(Evidence evidence, Evidence.Case one) {
-    List<Entry.Ran> runs =
+  private void runs(HistoryIndex evidence, HistoryIndex.Case one) {
+    List<HistoryEvent.Ran> runs =
         one.sends().stream()
             .map(evidence::ran)
             .filter(r -> r != null && !r.repeat())
-            .sorted(Comparator.comparingLong(Entry.Ran::at))
+            .sorted(Comparator.comparingLong(HistoryEvent.Ran::at))
             .toList();
     long at = runs.isEmpty() ? 0 : runs.get(runs.size() - 1).at();
-    Terms.Type type = evidence.terms().types().get(one.asked().type());
+    InvariantBounds.Type type = evidence.terms().types().get(one.asked().type());
     boolean forgotten =
         runs.size() > 1
             && type != null
-            && type.effect() == Terms.Effect.KEYED
+            && type.effect() == InvariantBounds.Effect.KEYED
             && runs.get(1).at() - runs.get(0).at() >= type.window();
     check(
         runs.size() <= 1 || forgotten,
--- a/src/main/java/beaconturn/ledger/HarmlessRefusal.java
+++ b/src/main/java/beaconturn/history/RejectionIsSafe.java
@@ -1,23 +1,23 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 /**
  * A refusal promises that trying again is harmless: an unsafe request that may have run is not
  * refused.
  */
-final class HarmlessRefusal extends Rule {
-  HarmlessRefusal() {
+final class RejectionIsSafe extends Invariant {
+  RejectionIsSafe() {
     super("harmless-refusal", "refused only where a new try is harmless");
   }
 
   @Override
-  void judge(Evidence evidence) {
-    for (Evidence.Case one : evidence.cases()) {
-      Entry.Asked asked = one.asked();
+  void judge(HistoryIndex evidence) {
+    for (HistoryIndex.Case one : evidence.cases()) {
+      HistoryEvent.Asked asked = one.asked();
       boolean unsafe =
-          asked != null && evidence.terms().effect(asked.type()) == Terms.Effect.UNSAFE;
-      for (Entry.Answered answer : one.answers()) {
-        if (answer.kind() == Entry.Kind.REFUSED) {
-          Entry.Sent ran =
+          asked != null && evidence.terms().effect(asked.type()) == InvariantBounds.Effect.UNSAFE;
+      for (HistoryEvent.Answered answer : one.answers()) {
+        if (answer.kind() == HistoryEvent.Kind.REFUSED) {
+          HistoryEvent.Sent ran =
               !unsafe
                   ? null
                   : one.sends().stream()
--- a/src/main/java/beaconturn/ledger/Story.java
+++ b/src/main/java/beaconturn/history/RequestTrace.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /** All that an account has on one request, in words: what an offence is read with. */
-public final class Story {
+public final class RequestTrace {
   private static final double SECOND = 1e9;
   private final String id;
   private final long start;
@@ -15,20 +15,20 @@
   private final Set<Long> connections = new HashSet<>();
   private final List<String> lines = new ArrayList<>();
 
-  private Story(String id, long start) {
+  private RequestTrace(String id, long start) {
     this.id = id;
     this.start = start;
   }
 
   /** The lines of a request, in their order; times count from {@code start}. */
-  public static List<String> of(List<Entry> entries, String id, long start) {
-    Story story = new Story(id, start);
+  public static List<String> of(List<HistoryEvent> entries, String id, long start) {
+    RequestTrace story = new RequestTrace(id, start);
     entries.forEach(story::tell);
     return story.lines;
   }
 
-  private void tell(Entry entry) {
-    if (entry instanceof Entry.Asked a && a.id().equals(id)) {
+  private void tell(HistoryEvent entry) {
+    if (entry instanceof HistoryEvent.Asked a && a.id().equals(id)) {
       say(
           a.at(),
           "client asked router "
@@ -40,11 +40,11 @@
               + (a.once() == null ? "" : " once " + a.once())
               + ", until "
               + seconds(a.deadline()));
-    } else if (entry instanceof Entry.Answered a && a.id().equals(id)) {
+    } else if (entry instanceof HistoryEvent.Answered a && a.id().equals(id)) {
       say(a.at(), "client: " + lower(a.kind()));
-    } else if (entry instanceof Entry.Crossed c && c.id().equals(id)) {
+    } else if (entry instanceof HistoryEvent.Crossed c && c.id().equals(id)) {
       say(c.at(), "client found the connection closed, asks once more");
-    } else if (entry instanceof Entry.Sent s && s.id().equals(id)) {
+    } else if (entry instanceof HistoryEvent.Sent s && s.id().equals(id)) {
       commands.add(s.number());
       connections.add(s.connection());
       String since =
@@ -59,11 +59,11 @@
               + " on connection "
               + s.connection()
               + since);
-    } else if (entry instanceof Entry.Replied r && commands.contains(r.number())) {
+    } else if (entry instanceof HistoryEvent.Replied r && commands.contains(r.number())) {
       say(r.at(), "#" + r.number() + " answered: " + lower(r.made()));
-    } else if (entry instanceof Entry.Ran r && commands.contains(r.number())) {
+    } else if (entry instanceof HistoryEvent.Ran r && commands.contains(r.number())) {
       say(r.at(), "#" + r.number() + (r.repeat() ? " discarded as a repeat" : " ran"));
-    } else if (entry instanceof Entry.Ended e && connections.contains(e.connection())) {
+    } else if (entry instanceof HistoryEvent.Ended e && connections.contains(e.connection())) {
       say(e.at(), "connection " + e.connection() + " ended");
     }
   }
--- a/src/main/java/beaconturn/ledger/StepOnce.java
+++ b/src/main/java/beaconturn/history/RolloutStepOnce.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,20 +7,20 @@
  * A part is taken out once for each way that it goes, and what is harmful stays with the first
  * wave.
  */
-final class StepOnce extends Rule {
-  StepOnce() {
+final class RolloutStepOnce extends Invariant {
+  RolloutStepOnce() {
     super("step-once", "each part is changed once, and no more than the first wave to what harms");
   }
 
   @Override
-  void judge(Evidence evidence) {
-    Terms.Release terms = evidence.terms().release();
+  void judge(HistoryIndex evidence) {
+    InvariantBounds.Release terms = evidence.terms().release();
     if (terms == null) {
       return;
     }
-    Map<String, Entry.Changed> last = new HashMap<>();
-    for (Entry.Changed c : evidence.all(Entry.Changed.class)) {
-      Entry.Changed before = last.put(c.part(), c);
+    Map<String, HistoryEvent.Changed> last = new HashMap<>();
+    for (HistoryEvent.Changed c : evidence.all(HistoryEvent.Changed.class)) {
+      HistoryEvent.Changed before = last.put(c.part(), c);
       check(
           before == null || before.released() != c.released() || ended(evidence, before, c),
           c.at(),
@@ -28,7 +28,7 @@
           "",
           c.part() + " was taken out twice for the same step");
       if (terms.harmful() > 0 && c.released()) {
-        long harmed = last.values().stream().filter(Entry.Changed::released).count();
+        long harmed = last.values().stream().filter(HistoryEvent.Changed::released).count();
         check(
             harmed <= terms.harmful(),
             c.at(),
@@ -40,12 +40,13 @@
   }
 
   /** One that ended by itself in between is started again, which is no second step. */
-  private static boolean ended(Evidence evidence, Entry.Changed before, Entry.Changed again) {
+  private static boolean ended(
+      HistoryIndex evidence, HistoryEvent.Changed before, HistoryEvent.Changed again) {
     long from = before.at();
     long to = again.at();
-    return evidence.all(Entry.Died.class).stream()
+    return evidence.all(HistoryEvent.Died.class).stream()
             .anyMatch(d -> d.router() == again.router() && d.at() > from && d.at() <= to)
-        || evidence.all(Entry.Stopped.class).stream()
+        || evidence.all(HistoryEvent.Stopped.class).stream()
             .anyMatch(
                 s -> !s.planned() && s.router() == again.router() && s.at() > from && s.at() <= to);
   }
--- a/src/main/java/beaconturn/ledger/ColdServers.java
+++ b/src/main/java/beaconturn/history/SlowStartLimit.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,23 +11,23 @@
  * All routers together never send a freshly started server so much, for so long, that it is pushed
  * over.
  */
-final class ColdServers extends Rule {
-  ColdServers() {
+final class SlowStartLimit extends Invariant {
+  SlowStartLimit() {
     super("cold-kept", "no freshly started server is pushed over");
   }
 
   @Override
-  void judge(Evidence evidence) {
-    Map<String, List<Entry.Sent>> sends = new HashMap<>();
-    for (Entry.Sent sent : evidence.all(Entry.Sent.class)) {
+  void judge(HistoryIndex evidence) {
+    Map<String, List<HistoryEvent.Sent>> sends = new HashMap<>();
+    for (HistoryEvent.Sent sent : evidence.all(HistoryEvent.Sent.class)) {
       sends.computeIfAbsent(sent.server(), s -> new ArrayList<>()).add(sent);
     }
-    for (Entry.Started start : evidence.all(Entry.Started.class)) {
+    for (HistoryEvent.Started start : evidence.all(HistoryEvent.Started.class)) {
       if (start.born() > 0) {
         windows(evidence.terms(), start, sends.getOrDefault(start.server(), List.of()));
       }
     }
-    for (Entry.Collapsed fall : evidence.all(Entry.Collapsed.class)) {
+    for (HistoryEvent.Collapsed fall : evidence.all(HistoryEvent.Collapsed.class)) {
       if (!fall.server().equals("origin")) {
         check(false, fall.at(), "", fall.server(), "collapsed under its load");
       }
@@ -35,10 +35,11 @@
   }
 
   /** Every window that ends with a command, until the server is warm. */
-  private void windows(Terms terms, Entry.Started start, List<Entry.Sent> sends) {
-    Deque<Entry.Sent> window = new ArrayDeque<>();
+  private void windows(
+      InvariantBounds terms, HistoryEvent.Started start, List<HistoryEvent.Sent> sends) {
+    Deque<HistoryEvent.Sent> window = new ArrayDeque<>();
     long work = 0;
-    for (Entry.Sent sent : sends) {
+    for (HistoryEvent.Sent sent : sends) {
       if (sent.at() < start.born() || sent.at() > start.born() + terms.coldFor()) {
         continue;
       }
--- a/src/main/java/beaconturn/ledger/NeverTooManyOut.java
+++ b/src/main/java/beaconturn/history/UnavailabilityBudget.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.List;
 import java.util.Objects;
@@ -9,25 +9,25 @@
  * ended, stood still and answered again, and from what discovery lists and versions in force hold
  * out, not from what a release says.
  */
-final class NeverTooManyOut extends Rule {
-  NeverTooManyOut() {
+final class UnavailabilityBudget extends Invariant {
+  UnavailabilityBudget() {
     super("never-too-many-out", "no step takes a part out while as many are out as may be");
   }
 
   @Override
-  void judge(Evidence evidence) {
-    Terms.Release terms = evidence.terms().release();
+  void judge(HistoryIndex evidence) {
+    InvariantBounds.Release terms = evidence.terms().release();
     if (terms == null) {
       return;
     }
-    List<Absences.Gone> all = Absences.of(evidence);
-    List<Entry.Changed> steps = evidence.all(Entry.Changed.class);
+    List<UnavailabilityIndex.Gone> all = UnavailabilityIndex.of(evidence);
+    List<HistoryEvent.Changed> steps = evidence.all(HistoryEvent.Changed.class);
     for (int i = 0; i < steps.size(); i++) {
       if (!underTheSamePlace(evidence, steps, i)) {
         judge(evidence, all, steps.get(i).at(), steps.get(i).part());
       }
     }
-    for (Entry.Placed placed : evidence.all(Entry.Placed.class)) {
+    for (HistoryEvent.Placed placed : evidence.all(HistoryEvent.Placed.class)) {
       if (terms.caches() && placed.taken()) {
         judge(evidence, all, placed.at(), placed.server());
       }
@@ -38,16 +38,17 @@
    * One that goes back before it has stood its check never gave its place back: nobody more goes
    * out.
    */
-  private static boolean underTheSamePlace(Evidence evidence, List<Entry.Changed> steps, int at) {
-    Entry.Changed step = steps.get(at);
+  private static boolean underTheSamePlace(
+      HistoryIndex evidence, List<HistoryEvent.Changed> steps, int at) {
+    HistoryEvent.Changed step = steps.get(at);
     long before =
         steps.subList(0, at).stream()
             .filter(s -> s.part().equals(step.part()))
-            .mapToLong(Entry.Changed::at)
+            .mapToLong(HistoryEvent.Changed::at)
             .max()
             .orElse(Long.MAX_VALUE);
     return before != Long.MAX_VALUE
-        && evidence.all(Entry.Permitted.class).stream()
+        && evidence.all(HistoryEvent.Permitted.class).stream()
             .noneMatch(p -> p.part().equals(step.part()) && p.at() > before && p.at() <= step.at());
   }
 
@@ -55,16 +56,17 @@
    * What may be out by what was in force lately: who had decided before the news may act a little
    * later.
    */
-  private static Entry.Budget budget(Evidence evidence, long at) {
-    Terms.Release terms = evidence.terms().release();
-    Entry.Budget now = new Entry.Budget(Long.MIN_VALUE, terms.mostOut(), terms.mostOutOfSite());
-    Entry.Budget most = now;
-    for (Entry.Budget said : evidence.all(Entry.Budget.class)) {
+  private static HistoryEvent.Budget budget(HistoryIndex evidence, long at) {
+    InvariantBounds.Release terms = evidence.terms().release();
+    HistoryEvent.Budget now =
+        new HistoryEvent.Budget(Long.MIN_VALUE, terms.mostOut(), terms.mostOutOfSite());
+    HistoryEvent.Budget most = now;
+    for (HistoryEvent.Budget said : evidence.all(HistoryEvent.Budget.class)) {
       if (said.at() <= at) {
         most =
             said.at() + terms.halt() < at
                 ? said
-                : new Entry.Budget(
+                : new HistoryEvent.Budget(
                     said.at(),
                     Math.max(now.mostOut(), said.mostOut()),
                     Math.max(now.mostOutOfSite(), said.mostOutOfSite()));
@@ -74,9 +76,10 @@
     return most;
   }
 
-  private void judge(Evidence evidence, List<Absences.Gone> all, long at, String part) {
-    Terms.Release terms = evidence.terms().release();
-    Entry.Budget budget = budget(evidence, at);
+  private void judge(
+      HistoryIndex evidence, List<UnavailabilityIndex.Gone> all, long at, String part) {
+    InvariantBounds.Release terms = evidence.terms().release();
+    HistoryEvent.Budget budget = budget(evidence, at);
     List<String> out =
         all.stream()
             .filter(
@@ -84,7 +87,7 @@
                     !g.part().equals(part)
                         && g.from() + (g.planned() ? 0 : terms.seenWithin()) < at
                         && at < g.to())
-            .map(Absences.Gone::part)
+            .map(UnavailabilityIndex.Gone::part)
             .distinct()
             .toList();
     String site = terms.sites().get(part);
--- a/src/main/java/beaconturn/ledger/Absences.java
+++ b/src/main/java/beaconturn/history/UnavailabilityIndex.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,26 +9,26 @@
  * and answered again, from warm-ups, from what discovery listed, and from places that operators
  * held.
  */
-public final class Absences {
-  private Absences() {}
+public final class UnavailabilityIndex {
+  private UnavailabilityIndex() {}
 
   /** A part that is out; one that nobody planned counts only once it can have been seen. */
   public record Gone(String part, long from, long to, boolean planned) {}
 
   /** Of an account; empty where nothing may be released. */
-  public static List<Gone> of(Terms terms, List<Entry> entries) {
-    return of(new Evidence(terms, entries));
+  public static List<Gone> of(InvariantBounds terms, List<HistoryEvent> entries) {
+    return of(new HistoryIndex(terms, entries));
   }
 
-  static List<Gone> of(Evidence evidence) {
-    Terms.Release terms = evidence.terms().release();
+  static List<Gone> of(HistoryIndex evidence) {
+    InvariantBounds.Release terms = evidence.terms().release();
     return terms == null ? List.of() : terms.caches() ? caches(evidence) : routers(evidence);
   }
 
-  private static List<Gone> routers(Evidence evidence) {
+  private static List<Gone> routers(HistoryIndex evidence) {
     List<String> names = List.copyOf(evidence.terms().release().sites().keySet());
     List<Gone> all = new ArrayList<>();
-    for (Entry.Stopped stopped : evidence.all(Entry.Stopped.class)) {
+    for (HistoryEvent.Stopped stopped : evidence.all(HistoryEvent.Stopped.class)) {
       all.add(
           new Gone(
               names.get(stopped.router()),
@@ -36,7 +36,7 @@
               back(evidence, stopped.router(), stopped.at()),
               stopped.planned()));
     }
-    for (Entry.Died died : evidence.all(Entry.Died.class)) {
+    for (HistoryEvent.Died died : evidence.all(HistoryEvent.Died.class)) {
       all.add(
           new Gone(
               names.get(died.router()),
@@ -47,55 +47,55 @@
     return all;
   }
 
-  private static long back(Evidence evidence, int router, long from) {
-    return evidence.all(Entry.Ready.class).stream()
+  private static long back(HistoryIndex evidence, int router, long from) {
+    return evidence.all(HistoryEvent.Ready.class).stream()
         .filter(r -> r.router() == router && r.at() > from)
-        .mapToLong(Entry.Ready::at)
+        .mapToLong(HistoryEvent.Ready::at)
         .min()
         .orElse(Long.MAX_VALUE);
   }
 
-  private static List<Gone> caches(Evidence evidence) {
+  private static List<Gone> caches(HistoryIndex evidence) {
     Set<String> names = evidence.terms().release().sites().keySet();
     List<Gone> all = new ArrayList<>();
     for (String name : names) {
-      for (Entry.Changed changed : evidence.all(Entry.Changed.class)) {
+      for (HistoryEvent.Changed changed : evidence.all(HistoryEvent.Changed.class)) {
         if (changed.part().equals(name)) {
           all.add(new Gone(name, changed.at(), warm(evidence, name, changed.at()), true));
         }
       }
-      for (Entry.Down down : evidence.all(Entry.Down.class)) {
+      for (HistoryEvent.Down down : evidence.all(HistoryEvent.Down.class)) {
         if (down.server().equals(name)) {
           all.add(new Gone(name, down.at(), warm(evidence, name, down.at()), false));
         }
       }
-      for (Entry.Listed listed : evidence.all(Entry.Listed.class)) {
-        if (listed.server().equals(name) && listed.state() != Entry.State.READY) {
+      for (HistoryEvent.Listed listed : evidence.all(HistoryEvent.Listed.class)) {
+        if (listed.server().equals(name) && listed.state() != HistoryEvent.State.READY) {
           all.add(
               new Gone(
                   name,
                   listed.at(),
-                  evidence.all(Entry.Listed.class).stream()
+                  evidence.all(HistoryEvent.Listed.class).stream()
                       .filter(
                           l ->
                               l.server().equals(name)
                                   && l.at() > listed.at()
-                                  && l.state() == Entry.State.READY)
-                      .mapToLong(Entry.Listed::at)
+                                  && l.state() == HistoryEvent.State.READY)
+                      .mapToLong(HistoryEvent.Listed::at)
                       .min()
                       .orElse(Long.MAX_VALUE),
                   false));
         }
       }
-      for (Entry.Placed placed : evidence.all(Entry.Placed.class)) {
+      for (HistoryEvent.Placed placed : evidence.all(HistoryEvent.Placed.class)) {
         if (placed.server().equals(name) && placed.taken()) {
           all.add(
               new Gone(
                   name,
                   placed.at(),
-                  evidence.all(Entry.Placed.class).stream()
+                  evidence.all(HistoryEvent.Placed.class).stream()
                       .filter(p -> p.server().equals(name) && !p.taken() && p.at() > placed.at())
-                      .mapToLong(Entry.Placed::at)
+                      .mapToLong(HistoryEvent.Placed::at)
                       .min()
                       .orElse(Long.MAX_VALUE),
                   true));
@@ -106,8 +106,8 @@
   }
 
   /** When the process that came next was warm. */
-  private static long warm(Evidence evidence, String server, long after) {
-    return evidence.all(Entry.Started.class).stream()
+  private static long warm(HistoryIndex evidence, String server, long after) {
+    return evidence.all(HistoryEvent.Started.class).stream()
         .filter(s -> s.server().equals(server) && s.at() > after)
         .mapToLong(s -> s.at() + evidence.terms().coldFor())
         .min()
--- a/src/main/java/beaconturn/ledger/Offence.java
+++ b/src/main/java/beaconturn/history/Violation.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 /**
  * One break of a rule.
@@ -8,4 +8,4 @@
  * @param server the server's name, or empty
  * @param what what happened, in words
  */
-public record Offence(long at, String request, String server, String what) {}
+public record Violation(long at, String request, String server, String what) {}
--- a/src/main/java/beaconturn/ledger/Crossings.java
+++ b/src/main/java/beaconturn/history/ZoneCrossings.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -20,7 +20,7 @@
  * @param near for each place, by second of the account's clock, the part of its first sends that
  *     stayed there
  */
-public record Crossings(
+public record ZoneCrossings(
     double crossed,
     double crossedCalm,
     String busiest,
@@ -32,16 +32,16 @@
   private static final long SECOND = 1_000_000_000;
 
   /** Of an account in which routers stand in places. */
-  public static Crossings of(Terms terms, List<Entry> entries) {
-    Evidence evidence = new Evidence(terms, entries);
-    Map<String, String> places = PlaceRules.places(evidence);
-    List<Entry.Troubled> troubles = evidence.all(Entry.Troubled.class);
+  public static ZoneCrossings of(InvariantBounds terms, List<HistoryEvent> entries) {
+    HistoryIndex evidence = new HistoryIndex(terms, entries);
+    Map<String, String> places = ZoneInvariants.places(evidence);
+    List<HistoryEvent.Troubled> troubles = evidence.all(HistoryEvent.Troubled.class);
     long first = troubles.isEmpty() ? Long.MAX_VALUE : troubles.get(0).at();
-    List<Entry.Sent> sends = PlaceRules.firsts(evidence);
+    List<HistoryEvent.Sent> sends = ZoneInvariants.firsts(evidence);
     SortedMap<String, SortedMap<Long, List<Boolean>>> stayed = new TreeMap<>();
     List<Boolean> all = new ArrayList<>();
     List<Boolean> calm = new ArrayList<>();
-    for (Entry.Sent sent : sends) {
+    for (HistoryEvent.Sent sent : sends) {
       String home = terms.zones().homes().get(sent.router());
       boolean near = home.equals(places.get(sent.server()));
       all.add(near);
@@ -55,7 +55,7 @@
     }
     String busiest = "";
     double peak = 0;
-    Map<String, SortedMap<Long, Double>> loads = PlaceRules.loads(evidence, places);
+    Map<String, SortedMap<Long, Double>> loads = ZoneInvariants.loads(evidence, places);
     for (String place : loads.keySet()) {
       double most = loads.get(place).values().stream().mapToDouble(d -> d).max().orElse(0);
       busiest = most > peak ? place : busiest;
@@ -68,12 +68,12 @@
           seconds.forEach((second, those) -> parts.put(second, 1 - away(those)));
           near.put(home, parts);
         });
-    return new Crossings(
+    return new ZoneCrossings(
         away(all),
         away(calm),
         busiest,
         peak,
-        evidence.all(Entry.Fetched.class).size(),
+        evidence.all(HistoryEvent.Fetched.class).size(),
         decidedAfter(evidence, first),
         backAfter(evidence),
         near);
@@ -83,24 +83,24 @@
     return near.isEmpty() ? 0 : near.stream().filter(n -> !n).count() / (double) near.size();
   }
 
-  private static long decidedAfter(Evidence evidence, long trouble) {
-    return evidence.all(Entry.Planned.class).stream()
-        .mapToLong(Entry.Planned::at)
+  private static long decidedAfter(HistoryIndex evidence, long trouble) {
+    return evidence.all(HistoryEvent.Planned.class).stream()
+        .mapToLong(HistoryEvent.Planned::at)
         .filter(at -> at > trouble)
         .map(at -> at - trouble)
         .min()
         .orElse(-1);
   }
 
-  private static long backAfter(Evidence evidence) {
+  private static long backAfter(HistoryIndex evidence) {
     long over =
-        evidence.all(Entry.Troubled.class).stream()
+        evidence.all(HistoryEvent.Troubled.class).stream()
             .filter(t -> !t.on())
-            .mapToLong(Entry.Troubled::at)
+            .mapToLong(HistoryEvent.Troubled::at)
             .max()
             .orElse(Long.MAX_VALUE);
-    return evidence.all(Entry.Planned.class).stream()
-        .mapToLong(Entry.Planned::at)
+    return evidence.all(HistoryEvent.Planned.class).stream()
+        .mapToLong(HistoryEvent.Planned::at)
         .filter(at -> at > over)
         .map(at -> at - over)
         .max()
--- a/src/main/java/beaconturn/ledger/PlaceRules.java
+++ b/src/main/java/beaconturn/history/ZoneInvariants.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,22 +10,23 @@
 import java.util.TreeMap;
 
 /** What the rules on places look at: sends by second, the place of each cache server, and plans. */
-final class PlaceRules {
+final class ZoneInvariants {
   private static final long SECOND = 1_000_000_000;
 
-  private PlaceRules() {}
+  private ZoneInvariants() {}
 
   /** A rule that has something to judge only where places are decided on in common. */
-  private abstract static class OfPlaces extends Rule {
+  private abstract static class OfPlaces extends Invariant {
     OfPlaces(String name, String promise) {
       super(name, promise);
     }
 
     /** By what is promised, and the place of each cache server. */
-    abstract void judge(Evidence evidence, Terms.Zones terms, Map<String, String> places);
+    abstract void judge(
+        HistoryIndex evidence, InvariantBounds.Zones terms, Map<String, String> places);
 
     @Override
-    final void judge(Evidence evidence) {
+    final void judge(HistoryIndex evidence) {
       if (evidence.terms().zones() != null && evidence.terms().zones().decided()) {
         judge(evidence, evidence.terms().zones(), places(evidence));
       }
@@ -33,23 +34,24 @@
   }
 
   /** The place of each cache server. */
-  static Map<String, String> places(Evidence evidence) {
+  static Map<String, String> places(HistoryIndex evidence) {
     Map<String, String> places = new HashMap<>();
-    evidence.all(Entry.Started.class).forEach(s -> places.put(s.server(), s.zone()));
+    evidence.all(HistoryEvent.Started.class).forEach(s -> places.put(s.server(), s.zone()));
     return places;
   }
 
   /** What all together send to each place in each second, as a multiple of what it can do. */
-  static Map<String, SortedMap<Long, Double>> loads(Evidence evidence, Map<String, String> places) {
+  static Map<String, SortedMap<Long, Double>> loads(
+      HistoryIndex evidence, Map<String, String> places) {
     Map<String, Double> can = new HashMap<>();
     Set<String> counted = new HashSet<>();
-    for (Entry.Started s : evidence.all(Entry.Started.class)) {
+    for (HistoryEvent.Started s : evidence.all(HistoryEvent.Started.class)) {
       if (counted.add(s.server())) {
         can.merge(s.zone(), s.capacity(), Double::sum);
       }
     }
     Map<String, SortedMap<Long, Double>> loads = new TreeMap<>();
-    for (Entry.Sent sent : evidence.all(Entry.Sent.class)) {
+    for (HistoryEvent.Sent sent : evidence.all(HistoryEvent.Sent.class)) {
       String place = places.get(sent.server());
       loads
           .computeIfAbsent(place, p -> new TreeMap<>())
@@ -61,8 +63,8 @@
   /**
    * The first send of each request, in the order of time, as retries go where the first did not.
    */
-  static List<Entry.Sent> firsts(Evidence evidence) {
-    List<Entry.Sent> all = new ArrayList<>();
+  static List<HistoryEvent.Sent> firsts(HistoryIndex evidence) {
+    List<HistoryEvent.Sent> all = new ArrayList<>();
     evidence.cases().forEach(one -> one.sends().stream().limit(1).forEach(all::add));
     all.sort((a, b) -> Long.compare(a.firstAt(), b.firstAt()));
     return all;
@@ -78,11 +80,11 @@
     }
 
     @Override
-    void judge(Evidence evidence, Terms.Zones terms, Map<String, String> places) {
+    void judge(HistoryIndex evidence, InvariantBounds.Zones terms, Map<String, String> places) {
       SortedMap<Long, int[]> seconds = new TreeMap<>();
-      List<Entry.Sent> firsts = firsts(evidence);
+      List<HistoryEvent.Sent> firsts = firsts(evidence);
       List<Long> much = much(terms, places, firsts);
-      for (Entry.Sent sent : firsts) {
+      for (HistoryEvent.Sent sent : firsts) {
         boolean wanted =
             much.stream()
                 .anyMatch(
@@ -111,12 +113,12 @@
 
     /** Begins of spells in which more is wanted of a place than it carries, by a good part. */
     private static List<Long> much(
-        Terms.Zones terms, Map<String, String> places, List<Entry.Sent> firsts) {
+        InvariantBounds.Zones terms, Map<String, String> places, List<HistoryEvent.Sent> firsts) {
       Map<String, Long> servers = new HashMap<>();
       places.values().forEach(place -> servers.merge(place, 1L, Long::sum));
       Map<String, Long> wanted = new TreeMap<>();
       List<Long> begins = new ArrayList<>();
-      for (Entry.Sent sent : firsts) {
+      for (HistoryEvent.Sent sent : firsts) {
         String home = terms.homes().get(sent.router());
         long begin = sent.firstAt() / OVER * OVER;
         long count = wanted.merge(begin + " " + home, 1L, Long::sum);
@@ -128,10 +130,10 @@
       return begins.stream().distinct().toList();
     }
 
-    private static boolean calm(Evidence evidence, long at, long within) {
+    private static boolean calm(HistoryIndex evidence, long at, long within) {
       int on = 0;
       long since = Long.MIN_VALUE / 2;
-      for (Entry.Troubled t : evidence.all(Entry.Troubled.class)) {
+      for (HistoryEvent.Troubled t : evidence.all(HistoryEvent.Troubled.class)) {
         if (t.at() <= at) {
           on += t.on() ? 1 : -1;
           since = t.at();
@@ -148,7 +150,7 @@
     }
 
     @Override
-    void judge(Evidence evidence, Terms.Zones terms, Map<String, String> places) {
+    void judge(HistoryIndex evidence, InvariantBounds.Zones terms, Map<String, String> places) {
       loads(evidence, places)
           .forEach(
               (place, seconds) ->
@@ -172,11 +174,11 @@
     }
 
     @Override
-    void judge(Evidence evidence, Terms.Zones terms, Map<String, String> places) {
-      List<Entry.Planned> plans = evidence.all(Entry.Planned.class);
+    void judge(HistoryIndex evidence, InvariantBounds.Zones terms, Map<String, String> places) {
+      List<HistoryEvent.Planned> plans = evidence.all(HistoryEvent.Planned.class);
       Map<String, int[]> counts = new TreeMap<>();
       Map<String, Double> allowed = new TreeMap<>();
-      for (Entry.Sent sent : firsts(evidence)) {
+      for (HistoryEvent.Sent sent : firsts(evidence)) {
         String home = terms.homes().get(sent.router());
         String place = places.get(sent.server());
         for (String other : terms.homes().stream().distinct().toList()) {
@@ -215,7 +217,11 @@
 
     /** The most that a plan allots which stands, or stood within the stated time. */
     private static double allotted(
-        Evidence evidence, List<Entry.Planned> plans, String home, String place, long at) {
+        HistoryIndex evidence,
+        List<HistoryEvent.Planned> plans,
+        String home,
+        String place,
+        long at) {
       long from = at - evidence.terms().stated() - evidence.terms().sendSlack();
       // A trial, and what every plan leaves to who has no lease.
       double most = 0.05;
--- a/src/main/java/beaconturn/ledger/package-info.java
+++ b/src/main/java/beaconturn/history/package-info.java
@@ -3,4 +3,4 @@
  * what routers were told of the list; and the rules, judged from it by code with no I/O. It knows
  * nothing of how the events came about.
  */
-package beaconturn.ledger;
+package beaconturn.history;
--- a/src/main/java/beaconturn/net/Flow.java
+++ b/src/main/java/beaconturn/net/BoundedPipe.java
@@ -1,6 +1,6 @@
 package beaconturn.net;
 
-import beaconturn.core.Body;
+import beaconturn.core.StreamingResponse;
 import beaconturn.protocol.Slice;
 import java.io.IOException;
 import java.util.ArrayDeque;
@@ -10,7 +10,7 @@
  * What stands between the thread that reads a large answer and the client that takes it: a few
  * pieces at the most. The reader waits while it is full; whoever writes to the client never waits.
  */
-final class Flow implements Body {
+final class BoundedPipe implements StreamingResponse {
   /** In the place of a piece: all of the answer has been taken. */
   static final Slice END = Slice.of("");
 
--- a/src/main/java/beaconturn/net/CacheConnection.java
+++ b/src/main/java/beaconturn/net/CacheConnection.java
@@ -1,8 +1,8 @@
 package beaconturn.net;
 
-import beaconturn.core.Attempt;
+import beaconturn.core.AttemptResult;
 import beaconturn.core.Clock;
-import beaconturn.core.Outcome;
+import beaconturn.core.OutboundAttempt;
 import beaconturn.decision.Routing;
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.ProtocolException;
@@ -45,16 +45,20 @@
     boolean wanted();
 
     /** The answer has begun at this time and goes on as a flow. */
-    void begun(Attempt attempt, long at, Flow flow);
+    void begun(OutboundAttempt attempt, long at, BoundedPipe flow);
 
     /**
      * The attempt has ended; if {@code reusable} the connection is idle and its actor's from here
      * on.
      */
-    void ended(CacheConnection connection, Attempt attempt, Outcome outcome, boolean reusable);
+    void ended(
+        CacheConnection connection,
+        OutboundAttempt attempt,
+        AttemptResult outcome,
+        boolean reusable);
 
     /** The connection was dead before the attempt was written on it, and is closed. */
-    void stale(Attempt attempt);
+    void stale(OutboundAttempt attempt);
 
     /** An attempt has been written whole. */
     void sent();
@@ -76,7 +80,7 @@
   private final InetSocketAddress address;
   private final long connectTimeout;
   private final Clock clock;
-  private final ReplyReader replies;
+  private final CacheResponseReader replies;
   private final Owner owner;
   private final InputBuffer in = new InputBuffer();
   private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE);
@@ -84,7 +88,7 @@
   private volatile boolean closed;
 
   /** Null while idle; handed on with the connection, from its actor to its thread and back. */
-  private Attempt attempt;
+  private OutboundAttempt attempt;
 
   private boolean written;
 
@@ -95,7 +99,7 @@
       InetSocketAddress address,
       long connectTimeout,
       Clock clock,
-      ReplyReader replies,
+      CacheResponseReader replies,
       Owner owner) {
     this.address = address;
     this.connectTimeout = connectTimeout;
@@ -112,7 +116,7 @@
    * Sends the attempt, connecting first if need be, and reads its answer; on a thread of the
    * workers.
    */
-  void carry(Attempt next) {
+  void carry(OutboundAttempt next) {
     attempt = next;
     written = false;
     unwritten = Routing.Ending.CONNECT_FAILED;
@@ -229,7 +233,7 @@
   private Left read() throws IOException, ProtocolException {
     InputStream from = channel.socket().getInputStream();
     while (Sockets.read(from, in)) {
-      LargeAnswer large = LargeAnswer.at(in);
+      LargeResponseStream large = LargeResponseStream.at(in);
       if (large != null) {
         return passOn(large, from);
       }
@@ -245,13 +249,14 @@
    * Only its connection's thread touches the attempt's answer: nothing else of it can come
    * meanwhile.
    */
-  private Left passOn(LargeAnswer large, InputStream from) throws IOException, ProtocolException {
+  private Left passOn(LargeResponseStream large, InputStream from)
+      throws IOException, ProtocolException {
     long now = clock.now();
-    Flow flow = new Flow();
+    BoundedPipe flow = new BoundedPipe();
     owner.begun(attempt, now, flow);
     channel.socket().setSoTimeout(LONGEST_SILENCE_MILLIS);
     try {
-      Outcome outcome = large.passOn(from, in, replies, flow, now);
+      AttemptResult outcome = large.passOn(from, in, replies, flow, now);
       channel.socket().setSoTimeout(0);
       return answered(outcome);
     } finally {
@@ -260,8 +265,8 @@
   }
 
   /** What stands behind an answer makes it no worse, but ends the connection. */
-  private Left answered(Outcome outcome) throws ProtocolException {
-    Attempt done = attempt;
+  private Left answered(AttemptResult outcome) throws ProtocolException {
+    OutboundAttempt done = attempt;
     attempt = null;
     boolean clean = in.size() == 0;
     owner.ended(this, done, outcome, clean);
@@ -275,7 +280,7 @@
   private void broken() {
     if (attempt != null) {
       Routing.Ending ending = written ? Routing.Ending.RESET : unwritten;
-      owner.ended(this, attempt, Outcome.of(ending, clock.now()), false);
+      owner.ended(this, attempt, AttemptResult.of(ending, clock.now()), false);
     }
   }
 }
--- a/src/main/java/beaconturn/net/ReplyReader.java
+++ b/src/main/java/beaconturn/net/CacheResponseReader.java
@@ -1,6 +1,6 @@
 package beaconturn.net;
 
-import beaconturn.core.Outcome;
+import beaconturn.core.AttemptResult;
 import beaconturn.decision.Routing;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespValue;
@@ -8,13 +8,13 @@
 import java.util.List;
 
 /** Turns what a cache server answers into an outcome. */
-final class ReplyReader {
+final class CacheResponseReader {
   private static final int PARTS = 3;
   private static final int MOST_DIGITS = 32;
   private final List<String> reportNames;
   private final boolean aside;
 
-  ReplyReader(Routing.Settings settings) {
+  CacheResponseReader(Routing.Settings settings) {
     this.reportNames = settings.reportNames();
     this.aside = settings.origin().aside();
   }
@@ -23,36 +23,36 @@
    * The outcome that the answer stands for; what stands for none is spoilt, and so is its
    * connection.
    */
-  Outcome read(RespValue value, long now) throws ProtocolException {
+  AttemptResult read(RespValue value, long now) throws ProtocolException {
     if (value instanceof RespValue.Array array && array.items() != null) {
       return served(array.items(), now);
     }
     if (value instanceof RespValue.Failure failure) {
       String word = failure.text().toString().split(" ", 2)[0];
       if (word.equals("BUSY")) {
-        return Outcome.of(Routing.Ending.FULL, now);
+        return AttemptResult.of(Routing.Ending.FULL, now);
       }
       if (word.equals("ERR")) {
-        return Outcome.of(Routing.Ending.ERROR, now);
+        return AttemptResult.of(Routing.Ending.ERROR, now);
       }
     }
     throw new ProtocolException("an answer that is no value, error or refusal");
   }
 
   /** The outcome of an answer whose value has gone on already. */
-  Outcome served(RespValue how, RespValue report, long at) throws ProtocolException {
+  AttemptResult served(RespValue how, RespValue report, long at) throws ProtocolException {
     if (!(how instanceof RespValue.Bulk word)) {
       throw new ProtocolException(
           "an answer that is not made of a value, a word and a load report");
     }
-    return new Outcome(Routing.Ending.OK, at, note(word), report(report), null);
+    return new AttemptResult(Routing.Ending.OK, at, note(word), report(report), null);
   }
 
   /**
    * The value or receipt, how it went or null, the load report or null; only the last may be
    * anything.
    */
-  private Outcome served(List<RespValue> items, long now) throws ProtocolException {
+  private AttemptResult served(List<RespValue> items, long now) throws ProtocolException {
     if (items.size() != PARTS
         || !(items.get(0) instanceof RespValue.Bulk value)
         || !(items.get(1) instanceof RespValue.Bulk how)) {
@@ -62,9 +62,10 @@
     Routing.Note note = note(how);
     float[] report = report(items.get(2));
     if (value.bytes() != null) {
-      return new Outcome(Routing.Ending.OK, now, note, report, value.frame());
+      return new AttemptResult(Routing.Ending.OK, now, note, report, value.frame());
     }
-    return new Outcome(aside ? Routing.Ending.MISS : Routing.Ending.ERROR, now, note, report, null);
+    return new AttemptResult(
+        aside ? Routing.Ending.MISS : Routing.Ending.ERROR, now, note, report, null);
   }
 
   private static Routing.Note note(RespValue value) {
@@ -80,7 +81,7 @@
   private float[] report(RespValue value) {
     String text = word(value);
     if (text.isEmpty() || reportNames.isEmpty()) {
-      return Outcome.NO_REPORT;
+      return AttemptResult.NO_REPORT;
     }
     float[] figures = new float[reportNames.size()];
     Arrays.fill(figures, -1);
@@ -93,7 +94,7 @@
         found += figures[at] >= 0 ? 1 : 0;
       }
     }
-    return found == figures.length ? figures : Outcome.NO_REPORT;
+    return found == figures.length ? figures : AttemptResult.NO_REPORT;
   }
 
   /**
--- a/src/main/java/beaconturn/net/CacheServer.java
+++ b/src/main/java/beaconturn/net/CacheServer.java
@@ -1,12 +1,12 @@
 package beaconturn.net;
 
-import beaconturn.core.Attempt;
+import beaconturn.core.AttemptResult;
 import beaconturn.core.Clock;
-import beaconturn.core.Message;
-import beaconturn.core.Outcome;
-import beaconturn.core.Spell;
+import beaconturn.core.OutboundAttempt;
+import beaconturn.core.RepeatedEventLog;
+import beaconturn.core.RoutingMessage;
 import beaconturn.decision.Routing;
-import beaconturn.stats.Tally;
+import beaconturn.stats.RequestMetrics;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -29,29 +29,33 @@
   /** What the actor needs of the router round it. */
   record Site(
       Clock clock,
-      Consumer<Message> module,
-      Places places,
-      ReplyReader replies,
+      Consumer<RoutingMessage> module,
+      ConnectionLimit places,
+      CacheResponseReader replies,
       long connectTimeout,
       long idleTime,
-      Tally tally,
-      CacheActors actors,
-      Workers workers,
+      RequestMetrics tally,
+      CacheServerThread actors,
+      WorkerPool workers,
       BooleanSupplier mayWrite) {}
 
   /** What the actor is told. */
   sealed interface Task {
     record Started() implements Task {}
 
-    record Send(Attempt attempt) implements Task {}
+    record Send(OutboundAttempt attempt) implements Task {}
 
-    record Abort(Attempt attempt) implements Task {}
+    record Abort(OutboundAttempt attempt) implements Task {}
 
-    record Ended(CacheConnection connection, Attempt attempt, Outcome outcome, boolean reusable)
+    record Ended(
+        CacheConnection connection,
+        OutboundAttempt attempt,
+        AttemptResult outcome,
+        boolean reusable)
         implements Task {}
 
     /** An idle connection was dead, is closed, and nothing was written on it. */
-    record Stale(Attempt attempt) implements Task {}
+    record Stale(OutboundAttempt attempt) implements Task {}
 
     record Spoilt() implements Task {}
 
@@ -68,11 +72,11 @@
 
   private final Site site;
   private final String host;
-  private final Map<Attempt, CacheConnection> out = new ConcurrentHashMap<>();
+  private final Map<OutboundAttempt, CacheConnection> out = new ConcurrentHashMap<>();
   private final Deque<Idle> idle = new ArrayDeque<>();
   private final CacheConnection.Owner owner = new Reports();
-  private final Spell unanswered;
-  private final Spell spoilt;
+  private final RepeatedEventLog unanswered;
+  private final RepeatedEventLog spoilt;
   private InetSocketAddress dial;
   private volatile int connections;
   private volatile int begun;
@@ -84,8 +88,10 @@
     this.site = site;
     this.host = host;
     this.dial = dial;
-    this.unanswered = new Spell(LOG, "cache server " + host + " leaves attempts unanswered", 3);
-    this.spoilt = new Spell(LOG, "cache server " + host + " sends what cannot be read", 1);
+    this.unanswered =
+        new RepeatedEventLog(LOG, "cache server " + host + " leaves attempts unanswered", 3);
+    this.spoilt =
+        new RepeatedEventLog(LOG, "cache server " + host + " sends what cannot be read", 1);
   }
 
   void start() {
@@ -98,7 +104,7 @@
   }
 
   /** Never waits: the module's thread calls it. */
-  boolean send(Attempt attempt) {
+  boolean send(OutboundAttempt attempt) {
     boolean taken = site.actors().send(this, new Task.Send(attempt));
     posted += taken ? 1 : 0;
     return taken;
@@ -109,7 +115,7 @@
    * it; closing a socket does not wait. An attempt that is not begun yet will not be, as it is
    * over.
    */
-  void abort(Attempt attempt) {
+  void abort(OutboundAttempt attempt) {
     CacheConnection used = out.get(attempt);
     if (used != null) {
       used.giveUp();
@@ -213,7 +219,7 @@
    * Of the settled connections the one used last goes first, so that those too many grow old and
    * close.
    */
-  private void begin(Attempt attempt) {
+  private void begin(OutboundAttempt attempt) {
     if (attempt.over()) {
       return;
     }
@@ -249,7 +255,7 @@
         new CacheConnection(dial, site.connectTimeout(), site.clock(), site.replies(), owner));
   }
 
-  private void carry(Attempt attempt, CacheConnection connection) {
+  private void carry(OutboundAttempt attempt, CacheConnection connection) {
     out.put(attempt, connection);
     try {
       site.workers().run(() -> connection.carry(attempt));
@@ -305,8 +311,9 @@
     idle.clear();
   }
 
-  private void unsent(Attempt attempt, Routing.Ending why) {
-    site.module().accept(new Message.Ended(attempt, Outcome.of(why, site.clock().now())));
+  private void unsent(OutboundAttempt attempt, Routing.Ending why) {
+    site.module()
+        .accept(new RoutingMessage.Ended(attempt, AttemptResult.of(why, site.clock().now())));
   }
 
   /** Runs on the threads of the connections. */
@@ -318,15 +325,18 @@
 
     @Override
     public void ended(
-        CacheConnection connection, Attempt attempt, Outcome outcome, boolean reusable) {
+        CacheConnection connection,
+        OutboundAttempt attempt,
+        AttemptResult outcome,
+        boolean reusable) {
       // The pool first: what the module sends next finds the connection idle.
       post(new Task.Ended(connection, attempt, outcome, reusable));
-      site.module().accept(new Message.Ended(attempt, outcome));
+      site.module().accept(new RoutingMessage.Ended(attempt, outcome));
     }
 
     @Override
-    public void begun(Attempt attempt, long at, Flow flow) {
-      site.module().accept(new Message.FirstBytes(attempt, at, flow));
+    public void begun(OutboundAttempt attempt, long at, BoundedPipe flow) {
+      site.module().accept(new RoutingMessage.FirstBytes(attempt, at, flow));
     }
 
     @Override
@@ -335,7 +345,7 @@
     }
 
     @Override
-    public void stale(Attempt attempt) {
+    public void stale(OutboundAttempt attempt) {
       post(new Task.Stale(attempt));
     }
 
--- a/src/main/java/beaconturn/net/CacheFleet.java
+++ b/src/main/java/beaconturn/net/CacheServerPool.java
@@ -1,8 +1,8 @@
 package beaconturn.net;
 
-import beaconturn.core.Attempt;
-import beaconturn.core.Fleet;
-import beaconturn.core.ListNews;
+import beaconturn.core.CacheServerClients;
+import beaconturn.core.EndpointUpdate;
+import beaconturn.core.OutboundAttempt;
 import beaconturn.decision.Routing;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,8 +13,8 @@
 import java.util.logging.Logger;
 
 /** The actors of the cache servers that the list has named; used by the module's thread alone. */
-final class CacheFleet implements Fleet {
-  private static final Logger LOG = Logger.getLogger(CacheFleet.class.getName());
+final class CacheServerPool implements CacheServerClients {
+  private static final Logger LOG = Logger.getLogger(CacheServerPool.class.getName());
   private final CacheServer.Site site;
   private final Map<Long, Known> servers = new HashMap<>();
 
@@ -27,19 +27,19 @@
   private record Known(
       CacheServer actor, String host, int zone, Routing.Health health, long bootTime) {}
 
-  CacheFleet(CacheServer.Site site) {
+  CacheServerPool(CacheServer.Site site) {
     this.site = site;
   }
 
   @Override
-  public boolean send(Attempt attempt) {
+  public boolean send(OutboundAttempt attempt) {
     dropEnded();
     Known known = servers.get(attempt.server());
     return known != null && known.health() != Routing.Health.GONE && known.actor().send(attempt);
   }
 
   @Override
-  public void abort(Attempt attempt) {
+  public void abort(OutboundAttempt attempt) {
     Known known = servers.get(attempt.server());
     if (known != null) {
       known.actor().abort(attempt);
@@ -55,14 +55,14 @@
   }
 
   @Override
-  public void follow(ListNews news) {
+  public void follow(EndpointUpdate news) {
     if (news.kind() == Routing.ListKind.FAILED) {
       return;
     }
     dropEnded();
     List<String> changes = new ArrayList<>();
     Set<Long> named = new HashSet<>();
-    for (ListNews.Member member : news.members()) {
+    for (EndpointUpdate.Member member : news.members()) {
       named.add(member.entry().server());
       update(member, changes);
     }
@@ -78,7 +78,7 @@
     }
   }
 
-  private void update(ListNews.Member member, List<String> changes) {
+  private void update(EndpointUpdate.Member member, List<String> changes) {
     Routing.ServerEntry entry = member.entry();
     if (entry.health() == Routing.Health.GONE) {
       gone(entry.server(), changes);
@@ -138,7 +138,7 @@
     return known == null ? null : new Listed(known.host(), known.zone(), known.bootTime());
   }
 
-  private CacheServer start(ListNews.Member member) {
+  private CacheServer start(EndpointUpdate.Member member) {
     CacheServer actor = new CacheServer(site, member.host(), Sockets.address(member.dial()));
     actor.start();
     return actor;
@@ -161,7 +161,7 @@
   private void dropEnded() {
     if (leaving > 0) {
       int before = servers.size();
-      servers.values().removeIf(CacheFleet::ended);
+      servers.values().removeIf(CacheServerPool::ended);
       leaving -= before - servers.size();
     }
   }
--- a/src/main/java/beaconturn/net/CacheActors.java
+++ b/src/main/java/beaconturn/net/CacheServerThread.java
@@ -11,8 +11,8 @@
  * them ever waits for a peer, and a thread for each of some hundred cache servers would cost a
  * router that sees little traffic more memory and a longer start than all that it serves.
  */
-final class CacheActors {
-  private static final Logger LOG = Logger.getLogger(CacheActors.class.getName());
+final class CacheServerThread {
+  private static final Logger LOG = Logger.getLogger(CacheServerThread.class.getName());
   private static final int MOST_MESSAGES = 16_384;
   private static final long LONGEST_WAIT = 1_000_000_000;
   private static final long SHORTEST_WAIT = 10_000_000;
@@ -31,7 +31,7 @@
    * Looks after all actors several times in the time that a connection may stay idle, in
    * nanoseconds.
    */
-  CacheActors(long idleTime) {
+  CacheServerThread(long idleTime) {
     this.step = Math.max(SHORTEST_WAIT, Math.min(LONGEST_WAIT, idleTime / 4));
   }
 
--- a/src/main/java/beaconturn/net/ClientConnection.java
+++ b/src/main/java/beaconturn/net/ClientConnection.java
@@ -2,7 +2,7 @@
 
 import beaconturn.core.Clock;
 import beaconturn.core.Lifecycle;
-import beaconturn.core.Message;
+import beaconturn.core.RoutingMessage;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespValue;
 import beaconturn.protocol.RespWriter;
@@ -50,11 +50,11 @@
       Supplier<RequestParser> parser,
       Clock clock,
       Lifecycle lifecycle,
-      Consumer<Message> module,
+      Consumer<RoutingMessage> module,
       ClientPoller poller,
-      OpenIds ids,
+      PendingRequestIds ids,
       Semaphore largeRequests,
-      ClientEvents events,
+      ClientEventLog events,
       Consumer<ClientConnection> whenClosed) {}
 
   private final SocketChannel channel;
@@ -62,7 +62,7 @@
   private final ClientWriter writer;
   private final long number;
   private final long since;
-  private final OpenCalls calls = new OpenCalls();
+  private final PendingRequests calls = new PendingRequests();
   private final PartialCommand partial = new PartialCommand();
   private final AtomicBoolean left = new AtomicBoolean();
   private volatile boolean spoke;
@@ -78,7 +78,7 @@
 
   private int large;
   // For the poller's thread:
-  private final CommandInput in = new CommandInput();
+  private final ClientInputBuffer in = new ClientInputBuffer();
   private SelectionKey key;
   private boolean malformed;
 
@@ -90,14 +90,14 @@
 
   private int discarded;
   private int commands;
-  private final RejectionPace rejections;
+  private final RejectionRateLimit rejections;
 
   ClientConnection(SocketChannel channel, Site site) {
     this.channel = channel;
     this.site = site;
     this.number = site.events().connected();
     this.since = site.clock().now();
-    this.rejections = new RejectionPace(site.clock());
+    this.rejections = new RejectionRateLimit(site.clock());
     this.writer = new ClientWriter(channel, site.clock(), this::written);
   }
 
@@ -219,12 +219,12 @@
     }
     Sockets.close(channel);
     int unwritten = writer.abandon();
-    List<ClientCall> open = calls.unanswered();
+    List<RespClientRequest> open = calls.unanswered();
     site.events().ended(number, reason, open, unwritten, site.clock().now());
-    for (ClientCall call : open) {
+    for (RespClientRequest call : open) {
       // First what the threads that write to cache servers look at.
       call.abandoned();
-      site.module().accept(new Message.Left(call));
+      site.module().accept(new RoutingMessage.Left(call));
     }
     giveBackLarge();
     site.poller().closed(this);
@@ -305,9 +305,9 @@
         close(EndReason.DEFECT);
         return;
       }
-      for (ClientCall call : calls.unanswered()) {
+      for (RespClientRequest call : calls.unanswered()) {
         call.failed();
-        site.module().accept(new Message.Left(call));
+        site.module().accept(new RoutingMessage.Left(call));
       }
       malformed("internal error");
       awaitNext();
@@ -405,7 +405,7 @@
       if (RequestParser.isRequest(name.bytes())) {
         request(site.parser().get().parse(array.items(), in.lastArrivedAt(), site.ids()));
       } else {
-        writer.take(Reply.of(other(name.bytes().toString().toUpperCase(Locale.ROOT))));
+        writer.take(ResponseSlot.of(other(name.bytes().toString().toUpperCase(Locale.ROOT))));
       }
     } catch (InvalidCommandException e) {
       rejections.note();
@@ -416,17 +416,17 @@
 
   /** The command at hand gets an error in its place. */
   void rejected(String reason) {
-    writer.take(Reply.of(RespWriter.failure("ERR " + reason)));
+    writer.take(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
   }
 
-  private void request(ClientCall call) {
+  private void request(RespClientRequest call) {
     if (writer.take(call)) {
       calls.add(call);
       call.taken();
       if (in.lastArrivedAt() > stoppingSince) {
         call.refused(call.settings().permissions().retryAfter() ? RETRY_ELSEWHERE : 0);
       } else {
-        site.module().accept(new Message.Arrived(call));
+        site.module().accept(new RoutingMessage.Arrived(call));
       }
     } else {
       call.fill(ClientWriter.END);
@@ -493,7 +493,7 @@
   final void malformed(String reason) {
     malformed = true;
     site.events().malformed(number, reason, writer.owed(), site.clock().now());
-    writer.take(Reply.of(RespWriter.failure("ERR " + reason)));
+    writer.take(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
     writer.finish();
     // While answers are owed what follows stays unread; after that the sweep closes the connection.
     paused = writer.closingSince() == NEVER;
--- a/src/main/java/beaconturn/net/ClientEvents.java
+++ b/src/main/java/beaconturn/net/ClientEventLog.java
@@ -1,6 +1,6 @@
 package beaconturn.net;
 
-import beaconturn.core.LogBudget;
+import beaconturn.core.RateLimitedLog;
 import beaconturn.protocol.RespValue;
 import java.util.Collection;
 import java.util.EnumMap;
@@ -15,8 +15,8 @@
  * logged, with every id that goes without an answer; other lines are bounded in their rate. Nothing
  * is done for a request that is answered as usual. For any thread.
  */
-final class ClientEvents {
-  private static final Logger LOG = Logger.getLogger(ClientEvents.class.getName());
+final class ClientEventLog {
+  private static final Logger LOG = Logger.getLogger(ClientEventLog.class.getName());
   private static final int BURST = 20;
   private static final double PER_SECOND = 2;
 
@@ -25,15 +25,15 @@
 
   private static final int LONGEST_ID = 32;
   private final AtomicLong connections = new AtomicLong();
-  private final LogBudget rejections = new LogBudget(LOG, BURST, PER_SECOND);
-  private final LogBudget malformed = new LogBudget(LOG, BURST, PER_SECOND);
+  private final RateLimitedLog rejections = new RateLimitedLog(LOG, BURST, PER_SECOND);
+  private final RateLimitedLog malformed = new RateLimitedLog(LOG, BURST, PER_SECOND);
 
   /** A budget for each reason: a crowd that is let go hides no other end. */
-  private final Map<EndReason, LogBudget> ends = new EnumMap<>(EndReason.class);
+  private final Map<EndReason, RateLimitedLog> ends = new EnumMap<>(EndReason.class);
 
-  ClientEvents() {
+  ClientEventLog() {
     for (EndReason reason : EndReason.values()) {
-      ends.put(reason, new LogBudget(LOG, BURST, PER_SECOND));
+      ends.put(reason, new RateLimitedLog(LOG, BURST, PER_SECOND));
     }
   }
 
@@ -85,11 +85,11 @@
   void ended(
       long connection,
       EndReason reason,
-      Collection<ClientCall> unanswered,
+      Collection<RespClientRequest> unanswered,
       int unwritten,
       long now) {
     if (!reason.byClient() && unwritten > 0) {
-      String ids = unanswered.stream().map(ClientCall::id).collect(Collectors.joining(" "));
+      String ids = unanswered.stream().map(RespClientRequest::id).collect(Collectors.joining(" "));
       LOG.warning(
           "connection "
               + connection
--- a/src/main/java/beaconturn/net/CommandInput.java
+++ b/src/main/java/beaconturn/net/ClientInputBuffer.java
@@ -16,7 +16,7 @@
  * the commands in front of it are handled. Remembers when bytes arrived: a command's time runs from
  * its last byte, however long it waits to be handled. For one thread.
  */
-final class CommandInput {
+final class ClientInputBuffer {
   /** So much is read ahead of what is handled; a client that sends on behind it waits. */
   static final int READ_AHEAD = 16 * 1024;
 
--- a/src/main/java/beaconturn/net/ClientWriter.java
+++ b/src/main/java/beaconturn/net/ClientWriter.java
@@ -37,7 +37,7 @@
   private final Clock clock;
   private final Owner owner;
   // Guarded by this:
-  private final Deque<Reply> replies = new ArrayDeque<>(2);
+  private final Deque<ResponseSlot> replies = new ArrayDeque<>(2);
   private ByteBuffer pending;
   private long writingSince = NEVER;
   private int unanswered;
@@ -93,7 +93,7 @@
   }
 
   /** Gives the reply the next place; false if the connection is ending and takes no more. */
-  boolean take(Reply reply) {
+  boolean take(ResponseSlot reply) {
     synchronized (this) {
       if (ending) {
         return false;
@@ -127,7 +127,7 @@
         return;
       }
       ending = true;
-      replies.add(Reply.of(END));
+      replies.add(ResponseSlot.of(END));
     }
     write();
   }
@@ -137,7 +137,7 @@
    */
   synchronized int abandon() {
     ending = true;
-    replies.stream().map(Reply::flow).filter(Objects::nonNull).forEach(Flow::cancel);
+    replies.stream().map(ResponseSlot::flow).filter(Objects::nonNull).forEach(BoundedPipe::cancel);
     replies.clear();
     pending = null;
     writingSince = NEVER;
@@ -216,7 +216,7 @@
       if (piece == null) {
         return false;
       }
-      if (piece == Flow.BROKEN) {
+      if (piece == BoundedPipe.BROKEN) {
         throw new BrokenOffException();
       }
       if (piece == END) {
@@ -224,7 +224,7 @@
         endOutput();
         return false;
       }
-      if (piece != Flow.END) {
+      if (piece != BoundedPipe.END) {
         pending = ByteBuffer.wrap(piece.array(), piece.from(), piece.length());
         return true;
       }
--- a/src/main/java/beaconturn/net/Reloads.java
+++ b/src/main/java/beaconturn/net/ConfigReloader.java
@@ -1,9 +1,9 @@
 package beaconturn.net;
 
 import beaconturn.core.Mailbox;
-import beaconturn.core.Message;
-import beaconturn.core.Settings;
-import beaconturn.stats.Tally;
+import beaconturn.core.RouterSettings;
+import beaconturn.core.RoutingMessage;
+import beaconturn.stats.RequestMetrics;
 import java.util.function.Consumer;
 import java.util.logging.Level;
 import java.util.logging.Logger;
@@ -12,13 +12,13 @@
  * The actor that reads the configuration anew when asked, and moves the router to what may change
  * in it.
  */
-final class Reloads {
-  private static final Logger LOG = Logger.getLogger(Reloads.class.getName());
+final class ConfigReloader {
+  private static final Logger LOG = Logger.getLogger(ConfigReloader.class.getName());
   private final RouterConfig.Source source;
-  private final Discovery discovery;
-  private final Consumer<Message> module;
-  private final Consumer<Settings> inForce;
-  private final Tally tally;
+  private final DiscoveryWatcher discovery;
+  private final Consumer<RoutingMessage> module;
+  private final Consumer<RouterSettings> inForce;
+  private final RequestMetrics tally;
   private final boolean agreed;
   private RouterConfig taken;
 
@@ -29,13 +29,13 @@
    * {@code inForce} hears of new settings right after the module was told; where they are {@code
    * agreed} on with other routers, no file changes them.
    */
-  Reloads(
+  ConfigReloader(
       RouterConfig.Source source,
-      Discovery discovery,
+      DiscoveryWatcher discovery,
       RouterConfig now,
-      Consumer<Message> module,
-      Consumer<Settings> inForce,
-      Tally tally,
+      Consumer<RoutingMessage> module,
+      Consumer<RouterSettings> inForce,
+      RequestMetrics tally,
       boolean agreed) {
     this.source = source;
     this.discovery = discovery;
@@ -80,7 +80,7 @@
     }
     if (!taken.settings().equals(next.settings())) {
       // The module first: it must know the classes of the requests that are read under them.
-      module.accept(new Message.Switched(next.settings().routing(), next.seed()));
+      module.accept(new RoutingMessage.Switched(next.settings().routing(), next.seed()));
       inForce.accept(next.settings());
     }
     taken = next;
--- a/src/main/java/beaconturn/net/Capacity.java
+++ b/src/main/java/beaconturn/net/ConnectionBudget.java
@@ -4,7 +4,7 @@
  * How many connections a router may hold, so that neither its descriptors nor its memory run out: a
  * client takes a few KB, a connection to a cache server a thread.
  */
-record Capacity(int clients, int easyClients, int cacheConnections, int largeRequests) {
+record ConnectionBudget(int clients, int easyClients, int cacheConnections, int largeRequests) {
   /**
    * Descriptors for everything but connections: the jar, the log, discovery, the listener, the
    * JVM's.
@@ -29,7 +29,7 @@
 
   private static final int MOST_LARGE = 96;
 
-  static Capacity of(int sockets, int memoryMb) {
+  static ConnectionBudget of(int sockets, int memoryMb) {
     int forSockets = sockets - SPARE_SOCKETS;
     int heapMb = memoryMb * HEAP_TENTHS / 10;
     int threads = Math.max(FEWEST_THREADS, (memoryMb - heapMb - BASE_MB) * 1024 / THREAD_KB);
@@ -38,6 +38,6 @@
     // One and a seventeenth of the clients' half are for those on their way out.
     int clients = (forSockets / 2 - 1) * 16 / 17;
     // Clients keep a third of the descriptors at most: from a quarter on the quiet ones make room.
-    return new Capacity(clients, sockets / 4, Math.min(forSockets / 2, threads), large);
+    return new ConnectionBudget(clients, sockets / 4, Math.min(forSockets / 2, threads), large);
   }
 }
--- a/src/main/java/beaconturn/net/Places.java
+++ b/src/main/java/beaconturn/net/ConnectionLimit.java
@@ -4,11 +4,11 @@
  * So many connections at once and no more; how many may change, and those over a new bound stay
  * till they end.
  */
-final class Places {
+final class ConnectionLimit {
   private int most;
   private int taken;
 
-  Places(int most) {
+  ConnectionLimit(int most) {
     this.most = most;
   }
 
--- a/src/main/java/beaconturn/net/RegistryClient.java
+++ b/src/main/java/beaconturn/net/DiscoveryClient.java
@@ -17,7 +17,7 @@
  * Calls discovery at one address over one kept connection; for one thread, but for {@link
  * #abandon}.
  */
-final class RegistryClient {
+final class DiscoveryClient {
   private static final int LONGEST_BODY = 1 << 22;
   private static final int CONNECT_MILLIS = 1000;
   private static final int OK = 200;
@@ -27,7 +27,7 @@
   private Socket socket;
   private boolean abandoned;
 
-  RegistryClient(InetSocketAddress address) {
+  DiscoveryClient(InetSocketAddress address) {
     this.address = address;
   }
 
--- a/src/main/java/beaconturn/net/Discovery.java
+++ b/src/main/java/beaconturn/net/DiscoveryWatcher.java
@@ -1,9 +1,9 @@
 package beaconturn.net;
 
-import beaconturn.core.ListNews;
-import beaconturn.core.ListSource;
+import beaconturn.core.EndpointDiscovery;
+import beaconturn.core.EndpointUpdate;
 import beaconturn.core.Mailbox;
-import beaconturn.core.Message;
+import beaconturn.core.RoutingMessage;
 import beaconturn.decision.Routing;
 import beaconturn.protocol.JsonReader;
 import beaconturn.protocol.ProtocolException;
@@ -19,8 +19,8 @@
  * The list's actors: one that watches changes while the module wants it, one that fetches the whole
  * list.
  */
-final class Discovery implements ListSource {
-  private static final Logger LOG = Logger.getLogger(Discovery.class.getName());
+final class DiscoveryWatcher implements EndpointDiscovery {
+  private static final Logger LOG = Logger.getLogger(DiscoveryWatcher.class.getName());
   private static final int MOST_MESSAGES = 64;
 
   /**
@@ -34,16 +34,16 @@
 
   private static final long NO_VERSION = -1;
 
-  private final ListReader reader;
-  private final Consumer<Message> module;
+  private final EndpointListParser reader;
+  private final Consumer<RoutingMessage> module;
   private final LongSupplier oldest;
-  private final WatchTimes times;
+  private final WatchBackoff times;
   private final Mailbox<Boolean> watches = new Mailbox<>(MOST_MESSAGES);
   private final Mailbox<Boolean> fetches = new Mailbox<>(MOST_MESSAGES);
   // Guarded by this:
   private InetSocketAddress address;
-  private RegistryClient watcher;
-  private RegistryClient fetcher;
+  private DiscoveryClient watcher;
+  private DiscoveryClient fetcher;
   private long version;
   // For the watching thread, whose loop may begin anew:
   private boolean watching;
@@ -58,18 +58,18 @@
   /**
    * Lists of versions before {@code oldest} count as no answer; watches wait as the times have it.
    */
-  Discovery(
+  DiscoveryWatcher(
       InetSocketAddress address,
-      ListReader reader,
+      EndpointListParser reader,
       long version,
-      Consumer<Message> module,
+      Consumer<RoutingMessage> module,
       LongSupplier oldest,
-      WatchTimes times) {
+      WatchBackoff times) {
     this.oldest = oldest;
     this.times = times;
     this.address = address;
-    this.watcher = new RegistryClient(address);
-    this.fetcher = new RegistryClient(address);
+    this.watcher = new DiscoveryClient(address);
+    this.fetcher = new DiscoveryClient(address);
     this.reader = reader;
     this.version = version;
     this.module = module;
@@ -94,8 +94,8 @@
     watcher.abandon();
     fetcher.abandon();
     address = to;
-    watcher = new RegistryClient(to);
-    fetcher = new RegistryClient(to);
+    watcher = new DiscoveryClient(to);
+    fetcher = new DiscoveryClient(to);
     version = NO_VERSION;
     watch(true);
   }
@@ -129,7 +129,7 @@
   }
 
   private boolean watchOnce() {
-    RegistryClient client;
+    DiscoveryClient client;
     long after;
     synchronized (this) {
       client = watcher;
@@ -158,7 +158,7 @@
   private void fetchLoop() throws InterruptedException {
     boolean succeeded = true;
     while (fetches.take()) {
-      RegistryClient client;
+      DiscoveryClient client;
       synchronized (this) {
         client = fetcher;
       }
@@ -169,7 +169,7 @@
   /**
    * One call, whose news or failure the module is told; logs where it fails first and works again.
    */
-  private boolean call(RegistryClient client, String path, int timeoutMillis, boolean healthy) {
+  private boolean call(DiscoveryClient client, String path, int timeoutMillis, boolean healthy) {
     try {
       return hear(client, client.get(path, timeoutMillis), healthy);
     } catch (IOException | ProtocolException | RuntimeException | StackOverflowError e) {
@@ -178,9 +178,9 @@
     }
   }
 
-  private boolean hear(RegistryClient client, Slice body, boolean healthy)
+  private boolean hear(DiscoveryClient client, Slice body, boolean healthy)
       throws ProtocolException {
-    ListNews news = reader.read(JsonReader.read(body));
+    EndpointUpdate news = reader.read(JsonReader.read(body));
     if (news.version() < oldest.getAsLong()) {
       throw new ProtocolException(
           "list " + news.version() + " is older than what is agreed on, " + oldest.getAsLong());
@@ -192,8 +192,8 @@
   }
 
   /** Whether to go on all the same: what discovery said before it moved is nothing to stop for. */
-  private boolean failed(RegistryClient client, Throwable why, boolean healthy) {
-    boolean moved = !tell(client, ListNews.failed());
+  private boolean failed(DiscoveryClient client, Throwable why, boolean healthy) {
+    boolean moved = !tell(client, EndpointUpdate.failed());
     if (!moved && healthy) {
       LOG.warning("list: call failed, the list at hand stays in force: " + why.getMessage());
     }
@@ -201,12 +201,12 @@
   }
 
   /** Tells the module; false, and it hears nothing, if discovery has moved since the call began. */
-  private synchronized boolean tell(RegistryClient client, ListNews news) {
+  private synchronized boolean tell(DiscoveryClient client, EndpointUpdate news) {
     if (client != watcher && client != fetcher) {
       return false;
     }
     version = news.kind() == Routing.ListKind.FAILED ? version : news.version();
-    module.accept(new Message.News(news));
+    module.accept(new RoutingMessage.News(news));
     return true;
   }
 }
--- a/src/main/java/beaconturn/net/ListReader.java
+++ b/src/main/java/beaconturn/net/EndpointListParser.java
@@ -1,7 +1,7 @@
 package beaconturn.net;
 
-import beaconturn.core.ListNews;
-import beaconturn.core.Settings;
+import beaconturn.core.EndpointUpdate;
+import beaconturn.core.RouterSettings;
 import beaconturn.decision.Routing;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.ProtocolException;
@@ -10,31 +10,31 @@
 import java.util.logging.Logger;
 
 /** Turns discovery's form of the list into news for the module. */
-final class ListReader {
-  private static final Logger LOG = Logger.getLogger(ListReader.class.getName());
+final class EndpointListParser {
+  private static final Logger LOG = Logger.getLogger(EndpointListParser.class.getName());
   private static final long MILLI = 1_000_000;
-  private final Settings settings;
+  private final RouterSettings settings;
 
-  ListReader(Settings settings) {
+  EndpointListParser(RouterSettings settings) {
     this.settings = settings;
   }
 
   /** The news in an answer of discovery. */
-  ListNews read(Json answer) throws ProtocolException {
+  EndpointUpdate read(Json answer) throws ProtocolException {
     boolean whole = answer.get("whole").word("false").equals("true");
     return read(answer, whole ? Routing.ListKind.FULL : Routing.ListKind.DELTA);
   }
 
   /** The list that the router had before it started; it may be old. */
-  ListNews known(Json answer) throws ProtocolException {
+  EndpointUpdate known(Json answer) throws ProtocolException {
     return read(answer, Routing.ListKind.CACHED);
   }
 
-  private ListNews read(Json answer, Routing.ListKind kind) throws ProtocolException {
+  private EndpointUpdate read(Json answer, Routing.ListKind kind) throws ProtocolException {
     if (!(answer.get("hosts") instanceof Json.Items)) {
       throw new ProtocolException("list without hosts");
     }
-    List<ListNews.Member> members = new ArrayList<>();
+    List<EndpointUpdate.Member> members = new ArrayList<>();
     for (Json line : answer.get("hosts").items()) {
       try {
         members.add(member(line));
@@ -43,10 +43,10 @@
         LOG.warning("list: line left out: " + e.getMessage());
       }
     }
-    return new ListNews((long) number(answer, "seq", 0), kind, List.copyOf(members));
+    return new EndpointUpdate((long) number(answer, "seq", 0), kind, List.copyOf(members));
   }
 
-  private ListNews.Member member(Json line) throws ProtocolException {
+  private EndpointUpdate.Member member(Json line) throws ProtocolException {
     String host = line.get("host").word("");
     Routing.Health health = health(line.get("health").word(""));
     String dial = line.get("dial").word("");
@@ -58,14 +58,14 @@
     }
     Routing.ServerEntry entry =
         new Routing.ServerEntry(
-            NameHash.of(host),
+            Fnv1a.of(host),
             settings.zones().indexOf(line.get("site").word("")),
             settings.kinds().indexOf(line.get("class").word("")),
             (int) number(line, "block", 0),
             health,
             number(line, "share", 1),
             (long) number(line, "born_ms", 0) * MILLI);
-    return new ListNews.Member(entry, host, dial);
+    return new EndpointUpdate.Member(entry, host, dial);
   }
 
   private static void checkAddress(String dial) throws ProtocolException {
--- a/src/main/java/beaconturn/net/Agreed.java
+++ b/src/main/java/beaconturn/net/FleetConfigSource.java
@@ -1,7 +1,7 @@
 package beaconturn.net;
 
-import beaconturn.core.Fleet;
-import beaconturn.core.Settings;
+import beaconturn.core.CacheServerClients;
+import beaconturn.core.RouterSettings;
 import beaconturn.decision.Routing;
 import java.util.Map;
 import java.util.Set;
@@ -10,7 +10,7 @@
  * What is agreed on with other routers, as the rest of a router knows it; it runs on a thread of
  * its own. Not there, and nothing of it loaded, unless the operators' file turns it on.
  */
-public interface Agreed extends Runnable {
+public interface FleetConfigSource extends Runnable {
   /**
    * What is to be in force.
    *
@@ -20,7 +20,8 @@
    * @param content what it was made of, for comparison
    * @param says which version it is, in words
    */
-  record Force(Settings settings, Set<String> out, long oldestList, Object content, String says) {
+  record Force(
+      RouterSettings settings, Set<String> out, long oldestList, Object content, String says) {
     /** Whether it means the same. */
     public boolean means(Object other, String words) {
       return content.equals(other) && says.equals(words);
@@ -58,7 +59,7 @@
    * What this router makes of each cache server, for whoever counts who is out; any thread, no
    * wait.
    */
-  void sees(Map<Fleet.Listed, Routing.Standing> caches);
+  void sees(Map<CacheServerClients.Listed, Routing.Standing> caches);
 
   /** The router ends as planned: nobody need wait for it. Takes a second at the most. */
   void leave();
--- a/src/main/java/beaconturn/net/HealthFigures.java
+++ b/src/main/java/beaconturn/net/HealthMetrics.java
@@ -1,6 +1,6 @@
 package beaconturn.net;
 
-import beaconturn.core.Fleet;
+import beaconturn.core.CacheServerClients;
 import beaconturn.stats.Counters;
 import beaconturn.stats.HealthCounters;
 import java.io.IOException;
@@ -18,7 +18,7 @@
  * What the agents of a release ask of a router beyond the figures that operators know: how late it
  * answers, what it holds, and how each cache server answers it. Only where routers agree.
  */
-final class HealthFigures {
+final class HealthMetrics {
   private static final Path STATUS = Path.of("/proc/self/status");
   private static final String RESIDENT = "VmRSS:";
   private static final int THOUSAND = 1000;
@@ -29,7 +29,7 @@
   private volatile SortedMap<Long, String> names = new TreeMap<>();
 
   /** By the router's clock; of clients so many connections are open, and so many may be. */
-  HealthFigures(LongSupplier clock, IntSupplier connections, IntSupplier mostConnections) {
+  HealthMetrics(LongSupplier clock, IntSupplier connections, IntSupplier mostConnections) {
     this.counters = new HealthCounters(clock);
     this.connections = connections;
     this.mostConnections = mostConnections;
@@ -41,9 +41,9 @@
   }
 
   /** The cache servers that are known now; any thread. */
-  void knows(Collection<Fleet.Listed> servers) {
+  void knows(Collection<CacheServerClients.Listed> servers) {
     SortedMap<Long, String> all = new TreeMap<>();
-    servers.forEach(s -> all.put(NameHash.of(s.name()), s.name()));
+    servers.forEach(s -> all.put(Fnv1a.of(s.name()), s.name()));
     names = all;
   }
 
@@ -51,7 +51,7 @@
   List<Counters.Figure> read() {
     List<Counters.Figure> all = new ArrayList<>(counters.health(names));
     all.add(new Counters.Figure("memory_kb", resident(), true));
-    all.add(new Counters.Figure("cpu_ms", Pauses.ownProcessorTime() / MILLI, false));
+    all.add(new Counters.Figure("cpu_ms", ProcessPauseDetector.ownProcessorTime() / MILLI, false));
     all.add(
         new Counters.Figure(
             "cores_thousandth",
--- a/src/main/java/beaconturn/net/LargeAnswer.java
+++ b/src/main/java/beaconturn/net/LargeResponseStream.java
@@ -1,6 +1,6 @@
 package beaconturn.net;
 
-import beaconturn.core.Outcome;
+import beaconturn.core.AttemptResult;
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespReader;
@@ -14,7 +14,7 @@
  * bytes wait for what stands behind the value, so that an answer that is spoilt there is not whole
  * for the client either.
  */
-final class LargeAnswer {
+final class LargeResponseStream {
   /** The largest value that is passed on, in bytes. */
   static final int LARGEST = 4 << 20;
 
@@ -22,7 +22,7 @@
   private static final String LIST = "*3\r\n$";
   private final int length;
 
-  private LargeAnswer(int length) {
+  private LargeResponseStream(int length) {
     this.length = length;
   }
 
@@ -30,7 +30,7 @@
    * The answer that begins here, whose head is then consumed; null if there is none, or no whole
    * head yet.
    */
-  static LargeAnswer at(InputBuffer in) {
+  static LargeResponseStream at(InputBuffer in) {
     int at = LIST.length();
     for (int i = 0; i < at; i++) {
       if (i >= in.size() || in.at(i) != LIST.charAt(i)) {
@@ -46,14 +46,15 @@
       return null;
     }
     in.consume(at + 2);
-    return new LargeAnswer((int) value);
+    return new LargeResponseStream((int) value);
   }
 
   /**
    * Passes the value on and reads what stands behind it; the outcome is of the time of its first
    * bytes.
    */
-  Outcome passOn(InputStream from, InputBuffer in, ReplyReader replies, Flow flow, long began)
+  AttemptResult passOn(
+      InputStream from, InputBuffer in, CacheResponseReader replies, BoundedPipe flow, long began)
       throws IOException, ProtocolException {
     flow.put(Slice.of("$" + length + "\r\n"));
     int left = length;
@@ -72,7 +73,7 @@
     in.consume(2);
     RespValue how = next(tail, from, in);
     RespValue report = next(tail, from, in);
-    Outcome outcome = replies.served(how, report, began);
+    AttemptResult outcome = replies.served(how, report, began);
     flow.put(Slice.of("\r\n"));
     flow.end();
     return outcome;
--- a/src/main/java/beaconturn/net/Listener.java
+++ b/src/main/java/beaconturn/net/Listener.java
@@ -1,6 +1,6 @@
 package beaconturn.net;
 
-import beaconturn.core.Spell;
+import beaconturn.core.RepeatedEventLog;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -30,7 +30,8 @@
   private final boolean inherited;
   private final Selector selector;
   private final Consumer<SocketChannel> accepted;
-  private final Spell failures = new Spell(LOG, "accepting connections fails", 1);
+  private final RepeatedEventLog failures =
+      new RepeatedEventLog(LOG, "accepting connections fails", 1);
   private volatile boolean closed;
 
   /** Null until it is started. */
--- a/src/main/java/beaconturn/net/Operators.java
+++ b/src/main/java/beaconturn/net/OperatorOverrides.java
@@ -2,12 +2,12 @@
 
 import beaconturn.core.Clock;
 import beaconturn.core.Lifecycle;
-import beaconturn.core.Message;
-import beaconturn.net.control.ControlAddress;
-import beaconturn.net.control.Hand;
-import beaconturn.net.control.HandFile;
-import beaconturn.net.control.MachineTime;
-import beaconturn.net.control.Office;
+import beaconturn.core.RoutingMessage;
+import beaconturn.net.control.AdminOperations;
+import beaconturn.net.control.AdminServer;
+import beaconturn.net.control.MonotonicMillis;
+import beaconturn.net.control.ServerOverride;
+import beaconturn.net.control.ServerOverrideFile;
 import beaconturn.stats.Counters;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,28 +18,28 @@
 import java.util.function.Predicate;
 
 /** What a router has for its operators where a second address is set; else none of it is loaded. */
-final class Operators implements Office {
+final class OperatorOverrides implements AdminOperations {
   private static final long MILLI = 1_000_000;
   private final Figures figures;
   private final Lifecycle lifecycle;
-  private final Consumer<Message> module;
-  private final HandFile file;
-  private final ControlAddress address;
+  private final Consumer<RoutingMessage> module;
+  private final ServerOverrideFile file;
+  private final AdminServer address;
   private final Predicate<String> heldOut;
   private final Clock clock;
   private final Set<String> leftOut = ConcurrentHashMap.newKeySet();
 
   /** What callers may ask for; {@code health} is null where routers do not agree. */
-  record Figures(Counters counters, HealthFigures health) {}
+  record Figures(Counters counters, HealthMetrics health) {}
 
   /**
    * Binds the second address; what all routers have agreed to leave out, no call here brings back.
    */
-  Operators(
+  OperatorOverrides(
       RouterConfig config,
       Lifecycle lifecycle,
       Clock clock,
-      Consumer<Message> module,
+      Consumer<RoutingMessage> module,
       Predicate<String> heldOut,
       Figures figures)
       throws IOException {
@@ -48,8 +48,8 @@
     this.lifecycle = lifecycle;
     this.clock = clock;
     this.module = module;
-    this.file = new HandFile(config.kept("hand"), config.shared());
-    this.address = new ControlAddress(config.control(), this, figures.counters(), file, clock::now);
+    this.file = new ServerOverrideFile(config.kept("hand"), config.shared());
+    this.address = new AdminServer(config.control(), this, figures.counters(), file, clock::now);
   }
 
   /** Answers calls from here on; what operators said before this process began is posted first. */
@@ -86,7 +86,7 @@
   }
 
   @Override
-  public void hand(Hand hand, boolean told, Consumer<Boolean> known) {
+  public void hand(ServerOverride hand, boolean told, Consumer<Boolean> known) {
     if (hand.out()) {
       leftOut.add(hand.id());
     } else {
@@ -97,15 +97,15 @@
       }
     }
     module.accept(
-        new Message.ByHand(NameHash.of(hand.id()), hand.out(), atHere(hand), told, known));
+        new RoutingMessage.ByHand(Fnv1a.of(hand.id()), hand.out(), atHere(hand), told, known));
   }
 
   /**
    * When it was said, on this process's clock; a time that is yet to come was another start of the
    * machine's.
    */
-  private long atHere(Hand hand) {
-    long ago = Math.max(0, MachineTime.millis() - hand.atMillis());
+  private long atHere(ServerOverride hand) {
+    long ago = Math.max(0, MonotonicMillis.millis() - hand.atMillis());
     return clock.now() - ago * MILLI;
   }
 }
--- a/src/main/java/beaconturn/net/OpenIds.java
+++ b/src/main/java/beaconturn/net/PendingRequestIds.java
@@ -10,7 +10,7 @@
  * that is open would be answered in the place of the first, or the first in its; so it is turned
  * away.
  */
-final class OpenIds {
+final class PendingRequestIds {
   private final Set<String> open = ConcurrentHashMap.newKeySet();
 
   /** Opens the id; false if it is open. */
--- a/src/main/java/beaconturn/net/Pauses.java
+++ b/src/main/java/beaconturn/net/ProcessPauseDetector.java
@@ -12,7 +12,7 @@
  * to none says that it was kept from running, much says that the JVM itself was at work. For one
  * thread.
  */
-final class Pauses {
+final class ProcessPauseDetector {
   private static final long MILLI = 1_000_000;
   private static final long WORTH_TELLING = 500 * MILLI;
 
@@ -31,7 +31,7 @@
   private long usedThen;
 
   /** {@code processorTime} is what the process has used so far, in nanoseconds. */
-  Pauses(Clock clock, LongSupplier processorTime) {
+  ProcessPauseDetector(Clock clock, LongSupplier processorTime) {
     this.clock = clock;
     this.processorTime = processorTime;
     this.lookedAt = clock.now();
--- a/src/main/java/beaconturn/net/Seats.java
+++ b/src/main/java/beaconturn/net/ProcessSlots.java
@@ -15,14 +15,14 @@
  * the router counts as never alone, which costs it half of its connections and breaks no limit. For
  * one thread.
  */
-final class Seats implements Closeable {
-  private static final Logger LOG = Logger.getLogger(Seats.class.getName());
+final class ProcessSlots implements Closeable {
+  private static final Logger LOG = Logger.getLogger(ProcessSlots.class.getName());
   private static final int COUNT = 2;
   private FileChannel file;
   private FileLock mine;
 
   /** Takes a seat; the file is made if it is not there. */
-  Seats(Path path) {
+  ProcessSlots(Path path) {
     try {
       file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
       sit();
--- a/src/main/java/beaconturn/net/RejectionPace.java
+++ b/src/main/java/beaconturn/net/RejectionRateLimit.java
@@ -7,7 +7,7 @@
  * as fast as it gets their errors would have the router's processor to itself; beyond the pace its
  * next commands wait. For the poller's thread.
  */
-final class RejectionPace {
+final class RejectionRateLimit {
   /** More than clients send by mistake or by chance. */
   private static final int MOST = 16;
 
@@ -18,7 +18,7 @@
   private long began;
   private int count;
 
-  RejectionPace(Clock clock) {
+  RejectionRateLimit(Clock clock) {
     this.clock = clock;
   }
 
--- a/src/main/java/beaconturn/net/RequestParser.java
+++ b/src/main/java/beaconturn/net/RequestParser.java
@@ -1,11 +1,11 @@
 package beaconturn.net;
 
-import beaconturn.core.Call;
-import beaconturn.core.Settings;
+import beaconturn.core.ClientRequest;
+import beaconturn.core.RouterSettings;
 import beaconturn.decision.Routing;
 import beaconturn.protocol.RespValue;
 import beaconturn.protocol.Slice;
-import beaconturn.stats.Tally;
+import beaconturn.stats.RequestMetrics;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -30,12 +30,12 @@
   /** A wait of more than so many times its class's deadline is a mistake of the client's. */
   private static final double LONGEST_WAIT = 2;
 
-  private final Settings settings;
-  private final Settings before;
-  private final Tally tally;
+  private final RouterSettings settings;
+  private final RouterSettings before;
+  private final RequestMetrics tally;
 
   /** A parser of requests under these settings, which are counted in the tally. */
-  RequestParser(Settings settings, Tally tally) {
+  RequestParser(RouterSettings settings, RequestMetrics tally) {
     this(settings, settings, tally);
   }
 
@@ -43,7 +43,7 @@
    * The same after settings have changed: a request that was sent under those {@code before} may
    * wait for as long as its class allowed then.
    */
-  RequestParser(Settings settings, Settings before, Tally tally) {
+  RequestParser(RouterSettings settings, RouterSettings before, RequestMetrics tally) {
     this.settings = settings;
     this.before = before;
     this.tally = tally;
@@ -72,7 +72,8 @@
    * cache server could not use gets past here, and its id is open from here on until it has its
    * answer.
    */
-  ClientCall parse(List<RespValue> items, long readAt, OpenIds ids) throws InvalidCommandException {
+  RespClientRequest parse(List<RespValue> items, long readAt, PendingRequestIds ids)
+      throws InvalidCommandException {
     boolean write = text(items, 0).is("C.SET");
     if (items.size() != (write ? 5 : 4)) {
       throw new InvalidCommandException("wrong number of arguments");
@@ -98,8 +99,8 @@
     Slice last = items.get(2).frame();
     Slice head = new Slice(first.array(), first.from(), last.from() + last.length() - first.from());
     Slice value = write ? items.get(4).frame() : null;
-    Call.Ask ask =
-        new Call.Ask(
+    ClientRequest.Ask ask =
+        new ClientRequest.Ask(
             requestClass,
             key(key),
             write,
@@ -110,11 +111,12 @@
     if (!ids.open(id)) {
       throw new InvalidCommandException("a request of this id is open");
     }
-    return new ClientCall(
+    return new RespClientRequest(
         ask,
         readAt + (long) wait,
         new Parts(head, id, attributes, value),
-        new ClientCall.Reading(settings.routing(), attributes.get("c"), readAt + type.aim(), tally),
+        new RespClientRequest.Reading(
+            settings.routing(), attributes.get("c"), readAt + type.aim(), tally),
         () -> ids.close(id));
   }
 
@@ -177,6 +179,6 @@
       hex = digit >= 0;
       value = value << 4 | digit;
     }
-    return hex ? value : NameHash.of(key);
+    return hex ? value : Fnv1a.of(key);
   }
 }
--- a/src/main/java/beaconturn/net/ClientCall.java
+++ b/src/main/java/beaconturn/net/RespClientRequest.java
@@ -1,20 +1,20 @@
 package beaconturn.net;
 
-import beaconturn.core.Body;
-import beaconturn.core.Call;
+import beaconturn.core.ClientRequest;
+import beaconturn.core.StreamingResponse;
 import beaconturn.decision.Routing;
 import beaconturn.protocol.RespWriter;
 import beaconturn.protocol.Slice;
-import beaconturn.stats.Tally;
+import beaconturn.stats.RequestMetrics;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
  * A request that came as a RESP2 command, and the place of its answer on the client's connection.
  */
-final class ClientCall extends Reply implements Call {
+final class RespClientRequest extends ResponseSlot implements ClientRequest {
   private static final long MILLI = 1_000_000;
-  private final Call.Ask ask;
+  private final ClientRequest.Ask ask;
   private final long deadline;
   private final RequestParser.Parts parts;
   private final Reading reading;
@@ -24,11 +24,15 @@
    * What it was read under: its class is one of the settings', and it is counted under the class's
    * name; by {@code aim} it is wanted, after that it is late.
    */
-  record Reading(Routing.Settings settings, String className, long aim, Tally tally) {}
+  record Reading(Routing.Settings settings, String className, long aim, RequestMetrics tally) {}
 
   /** A call that says when it has its answer, or nobody waits for one. */
-  ClientCall(
-      Call.Ask ask, long deadline, RequestParser.Parts parts, Reading reading, Runnable whenOver) {
+  RespClientRequest(
+      ClientRequest.Ask ask,
+      long deadline,
+      RequestParser.Parts parts,
+      Reading reading,
+      Runnable whenOver) {
     this.ask = ask;
     this.deadline = deadline;
     this.parts = parts;
@@ -49,19 +53,21 @@
 
   /** Nobody waits for the answer any more. */
   void abandoned() {
-    end(Tally.End.ABANDONED, ClientWriter.END);
+    end(RequestMetrics.End.ABANDONED, ClientWriter.END);
   }
 
   /**
    * What had begun and is not whole is broken off: the client has part of it, and can only fail.
    */
-  private void end(Tally.End how, Slice answer) {
-    boolean part = flow() != null && how != Tally.End.ANSWERED;
+  private void end(RequestMetrics.End how, Slice answer) {
+    boolean part = flow() != null && how != RequestMetrics.End.ANSWERED;
     if (fill(answer)) {
       reading
           .tally()
-          .ended(reading.className(), part && how != Tally.End.ABANDONED ? Tally.End.ERRORED : how);
-      if (how == Tally.End.ANSWERED) {
+          .ended(
+              reading.className(),
+              part && how != RequestMetrics.End.ABANDONED ? RequestMetrics.End.ERRORED : how);
+      if (how == RequestMetrics.End.ANSWERED) {
         reading.tally().served(reading.aim());
       }
       if (part) {
@@ -76,7 +82,7 @@
   }
 
   @Override
-  public Call.Ask ask() {
+  public ClientRequest.Ask ask() {
     return ask;
   }
 
@@ -108,25 +114,25 @@
   }
 
   @Override
-  public void begun(Body body) {
-    flow((Flow) body);
+  public void begun(StreamingResponse body) {
+    flow((BoundedPipe) body);
   }
 
   @Override
   public void served(Slice answer) {
-    end(Tally.End.ANSWERED, answer == null ? ClientWriter.END : answer);
+    end(RequestMetrics.End.ANSWERED, answer == null ? ClientWriter.END : answer);
   }
 
   /** Rounded up, so that no client comes again before it should. */
   @Override
   public void refused(long retryAfter) {
     end(
-        Tally.End.DEFERRED,
+        RequestMetrics.End.DEFERRED,
         RespWriter.failure(retryAfter <= 0 ? "BUSY" : "BUSY " + (retryAfter + MILLI - 1) / MILLI));
   }
 
   @Override
   public void failed() {
-    end(Tally.End.ERRORED, RespWriter.failure("ERR failed"));
+    end(RequestMetrics.End.ERRORED, RespWriter.failure("ERR failed"));
   }
 }
--- a/src/main/java/beaconturn/net/Reply.java
+++ b/src/main/java/beaconturn/net/ResponseSlot.java
@@ -3,20 +3,20 @@
 import beaconturn.protocol.Slice;
 
 /** The place of one answer in the order of a client's connection: filled once, by any thread. */
-class Reply {
+class ResponseSlot {
   private volatile Slice bytes;
-  private volatile Flow flow;
+  private volatile BoundedPipe flow;
   private Runnable next = () -> {};
 
   /** A place whose answer is there from the start. */
-  static Reply of(Slice answer) {
-    Reply reply = new Reply();
+  static ResponseSlot of(Slice answer) {
+    ResponseSlot reply = new ResponseSlot();
     reply.fill(answer);
     return reply;
   }
 
   /** The answer comes by and by; it is over, as before, when it is filled in. */
-  final void flow(Flow begun) {
+  final void flow(BoundedPipe begun) {
     Runnable then;
     synchronized (this) {
       if (bytes != null) {
@@ -31,7 +31,7 @@
   }
 
   /** What the answer comes by, or null if it comes whole. */
-  final Flow flow() {
+  final BoundedPipe flow() {
     return flow;
   }
 
--- a/src/main/java/beaconturn/net/RouterConfig.java
+++ b/src/main/java/beaconturn/net/RouterConfig.java
@@ -1,9 +1,9 @@
 package beaconturn.net;
 
-import beaconturn.core.ListNews;
-import beaconturn.core.Settings;
+import beaconturn.core.EndpointUpdate;
+import beaconturn.core.RouterSettings;
+import beaconturn.core.RouterSettingsReader;
 import beaconturn.core.SettingsException;
-import beaconturn.core.SettingsReader;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonReader;
 import beaconturn.protocol.ProtocolException;
@@ -24,8 +24,8 @@
     long seed,
     int sockets,
     int memoryMb,
-    ListNews known,
-    Settings settings,
+    EndpointUpdate known,
+    RouterSettings settings,
     Surroundings surroundings,
     Json document) {
   private static final int FEWEST_SOCKETS = 64;
@@ -91,7 +91,7 @@
 
   private static RouterConfig of(Json json, Map<String, String> variables)
       throws ProtocolException, SettingsException {
-    Settings settings = SettingsReader.read(flat(json.get("settings")));
+    RouterSettings settings = RouterSettingsReader.read(flat(json.get("settings")));
     Surroundings surroundings = surroundings(json, variables);
     // Two processes of one router keep to its limits together. Memory that is taken is not given
     // back, so
@@ -110,7 +110,7 @@
         seed(json.get("seed").word("0")),
         sockets,
         limit(json, "memory_mb", USUAL_MEMORY) / share,
-        new ListReader(settings).known(json.get("known")),
+        new EndpointListParser(settings).known(json.get("known")),
         settings,
         surroundings,
         json);
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -1,19 +1,19 @@
 package beaconturn.net;
 
+import beaconturn.core.CacheServerClients;
 import beaconturn.core.Clock;
-import beaconturn.core.Fleet;
+import beaconturn.core.EndpointDiscovery;
 import beaconturn.core.Lifecycle;
-import beaconturn.core.ListSource;
-import beaconturn.core.Message;
-import beaconturn.core.ModuleActor;
-import beaconturn.core.ModuleHost;
-import beaconturn.core.Settings;
-import beaconturn.core.Spell;
-import beaconturn.decision.Learned;
+import beaconturn.core.RepeatedEventLog;
+import beaconturn.core.RouterSettings;
+import beaconturn.core.RoutingEngine;
+import beaconturn.core.RoutingMessage;
+import beaconturn.core.RoutingThread;
 import beaconturn.decision.Routing;
+import beaconturn.decision.WarmStartState;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.stats.Counters;
-import beaconturn.stats.Tally;
+import beaconturn.stats.RequestMetrics;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.SocketChannel;
@@ -71,8 +71,9 @@
     Hosting USUAL = new Hosting() {};
 
     /** The host that the module's thread runs. */
-    default ModuleHost host(RouterConfig config, Clock clock, Fleet fleet, ListSource list) {
-      return new ModuleHost(config.settings().routing(), config.seed(), clock, fleet, list);
+    default RoutingEngine host(
+        RouterConfig config, Clock clock, CacheServerClients fleet, EndpointDiscovery list) {
+      return new RoutingEngine(config.settings().routing(), config.seed(), clock, fleet, list);
     }
 
     /** How long a start waits for discovery's first answer, or its failure, in nanoseconds. */
@@ -86,7 +87,7 @@
     }
 
     /** Where clients, cache servers and discovery post. */
-    default Consumer<Message> inbox(Consumer<Message> mailbox) {
+    default Consumer<RoutingMessage> inbox(Consumer<RoutingMessage> mailbox) {
       return mailbox;
     }
   }
@@ -96,44 +97,44 @@
   private final Lifecycle lifecycle;
 
   /** Null where no second address is set. */
-  private final Operators operators;
+  private final OperatorOverrides operators;
 
-  private final Tally tally;
+  private final RequestMetrics tally;
 
   /** Null unless routers agree and a second address is set. */
-  private final HealthFigures health;
+  private final HealthMetrics health;
 
-  private final ModuleActor module;
+  private final RoutingThread module;
   private final ClientConnections clients;
   private final ClientPoller poller = new ClientPoller(clock);
-  private final ClientEvents events = new ClientEvents();
+  private final ClientEventLog events = new ClientEventLog();
   private final ClientConnection.Site site;
 
   /** Null until the router serves. */
   private volatile Listener listener;
 
-  private final Discovery discovery;
-  private final Reloads reloads;
+  private final DiscoveryWatcher discovery;
+  private final ConfigReloader reloads;
 
   /** Null where no other process of this router can run beside this one. */
-  private final Neighbour neighbour;
+  private final PeerProcess neighbour;
 
-  private final Places places;
-  private final CacheActors cacheActors;
-  private volatile Settings settings;
-  private volatile Learned learned;
+  private final ConnectionLimit places;
+  private final CacheServerThread cacheActors;
+  private volatile RouterSettings settings;
+  private volatile WarmStartState learned;
 
   /** Null where routers share nothing. */
-  private final Agreed agreed;
+  private final FleetConfigSource agreed;
 
   /** Null where places are not decided on in common. */
-  private final Placing placing;
+  private final ZoneWeightsSource placing;
 
   /** By what the module places keys; set by its thread. */
   private Routing.Shares shares = Routing.Shares.ANYWHERE;
 
   /** What the module is under; set by its thread. */
-  private volatile Agreed.Force force;
+  private volatile FleetConfigSource.Force force;
 
   private volatile boolean beside;
   private volatile RequestParser parser;
@@ -141,7 +142,8 @@
   private final CountDownLatch listHeard = new CountDownLatch(1);
   private volatile long knownList;
   private long switches;
-  private final Spell turnedAway = new Spell(LOG, "new client connections are turned away", 1);
+  private final RepeatedEventLog turnedAway =
+      new RepeatedEventLog(LOG, "new client connections are turned away", 1);
 
   /** Nothing is bound or served before {@link #start}. A reload reads from the source. */
   public RouterServer(RouterConfig config, RouterConfig.Source source, Lifecycle lifecycle)
@@ -157,8 +159,8 @@
       RouterConfig config,
       RouterConfig.Source source,
       Lifecycle lifecycle,
-      Agreed agreed,
-      Placing placing)
+      FleetConfigSource agreed,
+      ZoneWeightsSource placing)
       throws IOException {
     this(config, source, lifecycle, Hosting.USUAL, agreed, placing);
   }
@@ -169,8 +171,8 @@
       RouterConfig.Source source,
       Lifecycle lifecycle,
       Hosting hosting,
-      Agreed agreed,
-      Placing placing)
+      FleetConfigSource agreed,
+      ZoneWeightsSource placing)
       throws IOException {
     this.config = config;
     this.hosting = hosting;
@@ -180,31 +182,31 @@
     this.health =
         config.control() == null || agreed == null
             ? null
-            : new HealthFigures(clock::now, this::connections, this::mostConnections);
+            : new HealthMetrics(clock::now, this::connections, this::mostConnections);
     Counters counters =
         config.control() == null ? null : health == null ? new Counters() : health.counters();
     this.operators =
         counters == null
             ? null
-            : new Operators(
+            : new OperatorOverrides(
                 config,
                 lifecycle,
                 clock,
                 this::post,
                 this::heldOut,
-                new Operators.Figures(counters, health));
-    this.tally = counters == null ? Tally.NONE : counters;
+                new OperatorOverrides.Figures(counters, health));
+    this.tally = counters == null ? RequestMetrics.NONE : counters;
     this.module =
-        new ModuleActor(
+        new RoutingThread(
             operators == null && !config.shared() && agreed == null ? null : this::look,
             agreed == null ? null : this::agree);
-    this.neighbour = config.shared() ? new Neighbour(config) : null;
+    this.neighbour = config.shared() ? new PeerProcess(config) : null;
     this.beside = neighbour != null && neighbour.beside();
     follow(config.settings());
-    Capacity capacity = capacity();
-    this.places = new Places(capacity.cacheConnections());
+    ConnectionBudget capacity = capacity();
+    this.places = new ConnectionLimit(capacity.cacheConnections());
     this.clients = new ClientConnections(capacity.clients(), capacity.easyClients());
-    Consumer<Message> inbox = hosting.inbox(module::post);
+    Consumer<RoutingMessage> inbox = hosting.inbox(module::post);
     this.site =
         new ClientConnection.Site(
             () -> parser,
@@ -212,14 +214,14 @@
             lifecycle,
             inbox,
             poller,
-            new OpenIds(),
+            new PendingRequestIds(),
             new Semaphore(capacity.largeRequests()),
             events,
             clients::remove);
     this.discovery =
-        new Discovery(
+        new DiscoveryWatcher(
             config.discovery(),
-            new ListReader(config.settings()),
+            new EndpointListParser(config.settings()),
             config.known().version(),
             m -> {
               inbox.accept(m);
@@ -227,32 +229,33 @@
               listHeard.countDown();
             },
             agreed == null ? () -> 0 : agreed::oldestList,
-            WatchTimes.of(config.seed()));
+            WatchBackoff.of(config.seed()));
     this.reloads =
-        new Reloads(source, discovery, config, module::post, this::follow, tally, agreed != null);
+        new ConfigReloader(
+            source, discovery, config, module::post, this::follow, tally, agreed != null);
     Routing.Settings routing = config.settings().routing();
     long idleTime = routing.permissions().connIdle() / 2;
-    this.cacheActors = new CacheActors(idleTime);
-    CacheFleet fleet =
-        new CacheFleet(
+    this.cacheActors = new CacheServerThread(idleTime);
+    CacheServerPool fleet =
+        new CacheServerPool(
             new CacheServer.Site(
                 clock,
                 inbox,
                 places,
-                new ReplyReader(routing),
+                new CacheResponseReader(routing),
                 routing.permissions().connectTimeout(),
                 idleTime,
                 tally,
                 cacheActors,
-                new Workers("cache", KEEP_THREAD),
+                new WorkerPool("cache", KEEP_THREAD),
                 agreed == null ? () -> true : agreed::mayWrite));
-    ModuleHost host = hosting.host(config, clock, fleet, discovery);
+    RoutingEngine host = hosting.host(config, clock, fleet, discovery);
     host.count(counting());
     module.host(host);
   }
 
-  private List<Tally> counting() {
-    List<Tally> all = new ArrayList<>();
+  private List<RequestMetrics> counting() {
+    List<RequestMetrics> all = new ArrayList<>();
     if (health != null) {
       all.add(health.counters());
     }
@@ -262,9 +265,9 @@
     return all;
   }
 
-  private void noteList(Message message) {
+  private void noteList(RoutingMessage message) {
     if (agreed != null
-        && message instanceof Message.News news
+        && message instanceof RoutingMessage.News news
         && news.news().kind() != Routing.ListKind.FAILED) {
       knownList = news.news().version();
       agreed.hasList(knownList);
@@ -310,15 +313,15 @@
     return capacity().clients();
   }
 
-  private Capacity capacity() {
-    return Capacity.of(config.sockets() / (beside ? 2 : 1), config.memoryMb());
+  private ConnectionBudget capacity() {
+    return ConnectionBudget.of(config.sockets() / (beside ? 2 : 1), config.memoryMb());
   }
 
   /** On the module's thread, now and then. */
-  private void look(ModuleHost host) {
+  private void look(RoutingEngine host) {
     host.tell(tally);
     if (agreed != null) {
-      Map<Fleet.Listed, Routing.Standing> standings = host.standings();
+      Map<CacheServerClients.Listed, Routing.Standing> standings = host.standings();
       agreed.sees(standings);
       if (health != null) {
         health.knows(standings.keySet());
@@ -336,21 +339,22 @@
    * On the module's thread, before each step: what was agreed on may have changed, or its lease
    * ended.
    */
-  private void agree(ModuleHost host) {
+  private void agree(RoutingEngine host) {
     Routing.Shares placed = placing == null ? shares : placing.due();
     if (placed != shares) {
       shares = placed;
-      host.handle(new Message.Placed(placed));
+      host.handle(new RoutingMessage.Placed(placed));
     }
-    Agreed.Force due = agreed.due();
+    FleetConfigSource.Force due = agreed.due();
     if (due == force) {
       return;
     }
-    Agreed.Force before = force;
+    FleetConfigSource.Force before = force;
     force = due;
     Set<String> was = before == null ? Set.of() : before.out();
     if (!due.settings().equals(settings)) {
-      host.handle(new Message.Switched(due.settings().routing(), config.seed() + ++switches));
+      host.handle(
+          new RoutingMessage.Switched(due.settings().routing(), config.seed() + ++switches));
       follow(due.settings());
     }
     long now = clock.now();
@@ -365,23 +369,23 @@
     LOG.info("acts on " + due.says());
   }
 
-  private static void hand(ModuleHost host, String server, boolean out, long now) {
-    host.handle(new Message.ByHand(NameHash.of(server), out, now, true, known -> {}));
+  private static void hand(RoutingEngine host, String server, boolean out, long now) {
+    host.handle(new RoutingMessage.ByHand(Fnv1a.of(server), out, now, true, known -> {}));
   }
 
   /** Whether all routers have agreed to leave the cache server out. */
   private boolean heldOut(String server) {
-    Agreed.Force now = force;
+    FleetConfigSource.Force now = force;
     return now != null && now.out().contains(server);
   }
 
-  private void post(Message message) {
+  private void post(RoutingMessage message) {
     module.post(message);
   }
 
   /** Requests are read under these settings from here on. */
-  private void follow(Settings next) {
-    Settings before = settings == null ? next : settings;
+  private void follow(RouterSettings next) {
+    RouterSettings before = settings == null ? next : settings;
     settings = next;
     next.classNames().forEach(tally::names);
     parser = new RequestParser(next, before, tally);
@@ -404,12 +408,12 @@
       }
     }
     cacheActors.start();
-    Message.News known = new Message.News(config.known());
+    RoutingMessage.News known = new RoutingMessage.News(config.known());
     noteList(known);
     module.begin(known);
-    Learned left = neighbour == null ? null : neighbour.left();
+    WarmStartState left = neighbour == null ? null : neighbour.left();
     if (left != null) {
-      module.begin(new Message.Begun(left));
+      module.begin(new RoutingMessage.Begun(left));
     }
     Threads.supervised("module", module::run);
     discovery.start();
@@ -481,7 +485,7 @@
     long longest = Math.min(settings.routing().longestDeadline(), LONGEST_AT_STOP);
     endClients(began + longest + ANSWERED_AFTER);
     int unanswered = clients.count() == 0 ? 0 : module.open();
-    module.post(new Message.Stopping());
+    module.post(new RoutingMessage.Stopping());
     endClients(clock.now() + LAST_ANSWERS);
     LOG.info(
         "drained in "
@@ -514,7 +518,7 @@
   private void warmUp() {
     try {
       long began = clock.now();
-      new WarmUp(config).run();
+      new StartupWarmUp(config).run();
       LOG.info("warmed up in " + (clock.now() - began) / MILLI + " ms");
     } catch (ProtocolException | InvalidCommandException | RuntimeException e) {
       // A router that is slow at first is better than none.
@@ -541,10 +545,10 @@
    */
   private void share() {
     beside = neighbour.beside();
-    Capacity now = capacity();
+    ConnectionBudget now = capacity();
     clients.bounds(now.clients(), now.easyClients());
     places.most(now.cacheConnections());
-    Learned latest = learned;
+    WarmStartState latest = learned;
     learned = null;
     if (beside && latest != null && lifecycle.phase() == Lifecycle.Phase.SERVING) {
       neighbour.leave(latest);
@@ -552,7 +556,8 @@
   }
 
   private void sweep() throws InterruptedException {
-    Pauses pauses = new Pauses(clock, Pauses::ownProcessorTime);
+    ProcessPauseDetector pauses =
+        new ProcessPauseDetector(clock, ProcessPauseDetector::ownProcessorTime);
     while (lifecycle.phase() != Lifecycle.Phase.STOPPED) {
       String pause = pauses.look();
       if (pause != null) {
--- a/src/main/java/beaconturn/net/WarmUp.java
+++ b/src/main/java/beaconturn/net/StartupWarmUp.java
@@ -1,19 +1,19 @@
 package beaconturn.net;
 
-import beaconturn.core.Attempt;
-import beaconturn.core.Fleet;
-import beaconturn.core.ListNews;
-import beaconturn.core.ListSource;
-import beaconturn.core.Message;
-import beaconturn.core.ModuleHost;
-import beaconturn.core.Settings;
+import beaconturn.core.CacheServerClients;
+import beaconturn.core.EndpointDiscovery;
+import beaconturn.core.EndpointUpdate;
+import beaconturn.core.OutboundAttempt;
+import beaconturn.core.RouterSettings;
+import beaconturn.core.RoutingEngine;
+import beaconturn.core.RoutingMessage;
 import beaconturn.decision.Routing;
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespReader;
 import beaconturn.protocol.RespValue;
 import beaconturn.protocol.Slice;
-import beaconturn.stats.Tally;
+import beaconturn.stats.RequestMetrics;
 import java.util.ArrayDeque;
 import java.util.HexFormat;
 import java.util.Queue;
@@ -23,29 +23,30 @@
  * decisions and writers are then compiled when the first client comes. All in memory, nothing is
  * sent to anybody.
  */
-final class WarmUp {
+final class StartupWarmUp {
   private static final int ROUNDS = 120;
   private static final long STEP = 5_000_000;
   private static final long MILLI = 1_000_000;
   private static final int KEYS = 500;
   private static final String ANSWER = "*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n";
 
-  private final Settings settings;
+  private final RouterSettings settings;
   private final RequestParser requests;
-  private final ReplyReader replies;
+  private final CacheResponseReader replies;
   private final RespReader resp = new RespReader(RespReader.LONGEST_VALUE);
-  private final Queue<Attempt> sent = new ArrayDeque<>();
-  private final ModuleHost host;
-  private final OpenIds ids = new OpenIds();
+  private final Queue<OutboundAttempt> sent = new ArrayDeque<>();
+  private final RoutingEngine host;
+  private final PendingRequestIds ids = new PendingRequestIds();
   private long now = 1;
 
-  WarmUp(RouterConfig config) {
+  StartupWarmUp(RouterConfig config) {
     this.settings = config.settings();
-    this.requests = new RequestParser(settings, Tally.NONE);
-    this.replies = new ReplyReader(settings.routing());
+    this.requests = new RequestParser(settings, RequestMetrics.NONE);
+    this.replies = new CacheResponseReader(settings.routing());
     this.host =
-        new ModuleHost(settings.routing(), config.seed(), () -> now, new NoFleet(), new NoList());
-    host.handle(new Message.News(config.known()));
+        new RoutingEngine(
+            settings.routing(), config.seed(), () -> now, new NoFleet(), new NoList());
+    host.handle(new RoutingMessage.News(config.known()));
   }
 
   /** Runs all rounds; each ends with the answers to what was sent two rounds before. */
@@ -53,7 +54,7 @@
     for (int i = 0; i < ROUNDS; i++) {
       now += STEP;
       host.runDue();
-      host.handle(new Message.Arrived(requests.parse(command(i).items(), now, ids)));
+      host.handle(new RoutingMessage.Arrived(requests.parse(command(i).items(), now, ids)));
       while (sent.size() > 2) {
         answer(sent.remove());
       }
@@ -83,9 +84,9 @@
     return HexFormat.of().toHexDigits(number);
   }
 
-  private void answer(Attempt attempt) throws ProtocolException {
+  private void answer(OutboundAttempt attempt) throws ProtocolException {
     attempt.call().forwarded(1);
-    host.handle(new Message.Ended(attempt, replies.read(parse(ANSWER), now)));
+    host.handle(new RoutingMessage.Ended(attempt, replies.read(parse(ANSWER), now)));
   }
 
   private RespValue parse(String text) throws ProtocolException {
@@ -97,14 +98,14 @@
     return resp.next(in);
   }
 
-  private final class NoFleet implements Fleet {
+  private final class NoFleet implements CacheServerClients {
     @Override
-    public boolean send(Attempt attempt) {
+    public boolean send(OutboundAttempt attempt) {
       return sent.add(attempt);
     }
 
     @Override
-    public void abort(Attempt attempt) {
+    public void abort(OutboundAttempt attempt) {
       sent.remove(attempt);
     }
 
@@ -114,7 +115,7 @@
     }
 
     @Override
-    public void follow(ListNews news) {
+    public void follow(EndpointUpdate news) {
       sent.clear();
     }
 
@@ -125,7 +126,7 @@
   }
 
   /** The warm-up's module keeps to the list that it was given. */
-  private static final class NoList implements ListSource {
+  private static final class NoList implements EndpointDiscovery {
     private int calls;
 
     @Override
--- a/src/main/java/beaconturn/net/HandOver.java
+++ b/src/main/java/beaconturn/net/UpgradeState.java
@@ -1,6 +1,6 @@
 package beaconturn.net;
 
-import beaconturn.decision.Learned;
+import beaconturn.decision.WarmStartState;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -16,8 +16,8 @@
  * the machine's monotonic time in milliseconds, and six doubles. It is followed whole or not at
  * all.
  */
-final class HandOver {
-  private static final Logger LOG = Logger.getLogger(HandOver.class.getName());
+final class UpgradeState {
+  private static final Logger LOG = Logger.getLogger(UpgradeState.class.getName());
   private static final long MARK = 0x42544c4541524e32L;
   private static final int FIGURES = 6;
   private static final int LENGTH = 3 * Long.BYTES + FIGURES * Double.BYTES;
@@ -28,12 +28,12 @@
 
   private final Path file;
 
-  HandOver(Path file) {
+  UpgradeState(Path file) {
     this.file = file;
   }
 
   /** Leaves the figures as they are at this time of the machine. */
-  void write(Learned l, long nowMillis) {
+  void write(WarmStartState l, long nowMillis) {
     ByteBuffer out = ByteBuffer.allocate(LENGTH);
     out.putLong(MARK)
         .putLong(0)
@@ -61,7 +61,7 @@
   }
 
   /** What another process left lately, or null. */
-  Learned read(long nowMillis) {
+  WarmStartState read(long nowMillis) {
     try {
       if (Files.size(file) != LENGTH) {
         throw new IOException("of another length");
@@ -75,7 +75,7 @@
     }
   }
 
-  private static Learned parse(byte[] all, long nowMillis) throws IOException {
+  private static WarmStartState parse(byte[] all, long nowMillis) throws IOException {
     ByteBuffer in = ByteBuffer.wrap(all);
     if (in.getLong() != MARK || in.getLong() != checksum(all)) {
       throw new IOException("of another form, or damaged");
@@ -87,7 +87,7 @@
     for (int i = 0; i < FIGURES; i++) {
       f[i] = in.getDouble();
     }
-    Learned learned = new Learned(f[0], f[1], f[2], f[3], f[4], f[5]);
+    WarmStartState learned = new WarmStartState(f[0], f[1], f[2], f[3], f[4], f[5]);
     if (!learned.sound()) {
       throw new IOException("figures that no router has");
     }
--- a/src/main/java/beaconturn/net/Workers.java
+++ b/src/main/java/beaconturn/net/WorkerPool.java
@@ -11,8 +11,8 @@
  * is used first, so that those too many wait in vain and end. Each waits on its own monitor, for
  * the reason that {@link beaconturn.core.Mailbox} gives.
  */
-final class Workers {
-  private static final Logger LOG = Logger.getLogger(Workers.class.getName());
+final class WorkerPool {
+  private static final Logger LOG = Logger.getLogger(WorkerPool.class.getName());
   private final String name;
   private final long keep;
   // Guarded by this:
@@ -20,7 +20,7 @@
   private int threads;
 
   /** Threads of that name that end when they have waited so many nanoseconds for a job. */
-  Workers(String name, long keep) {
+  WorkerPool(String name, long keep) {
     this.name = name;
     this.keep = keep;
   }
--- a/src/main/java/beaconturn/net/Placing.java
+++ b/src/main/java/beaconturn/net/ZoneWeightsSource.java
@@ -1,8 +1,8 @@
 package beaconturn.net;
 
-import beaconturn.core.Fleet;
+import beaconturn.core.CacheServerClients;
 import beaconturn.decision.Routing;
-import beaconturn.stats.Tally;
+import beaconturn.stats.RequestMetrics;
 import java.util.Map;
 
 /**
@@ -10,12 +10,12 @@
  * of attempts as they are counted. Not there, and nothing of it loaded, unless the operators' file
  * turns it on.
  */
-public interface Placing extends Runnable, Tally {
+public interface ZoneWeightsSource extends Runnable, RequestMetrics {
   /** The shares that are due; the same object as long as nothing changes. Any thread, no wait. */
   Routing.Shares due();
 
   /** What this router makes of each cache server; any thread, no wait. */
-  void sees(Map<Fleet.Listed, Routing.Standing> caches);
+  void sees(Map<CacheServerClients.Listed, Routing.Standing> caches);
 
   /** The router ends as planned. */
   void leave();
--- a/src/main/java/beaconturn/net/agreement/AgreementConfig.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementConfig.java
@@ -1,6 +1,6 @@
 package beaconturn.net.agreement;
 
-import beaconturn.agreement.Timing;
+import beaconturn.agreement.AgreementTiming;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
@@ -14,4 +14,4 @@
  * @param folder where versions are kept for a restart, or null
  */
 public record AgreementConfig(
-    List<InetSocketAddress> endpoints, String fleet, Timing timing, Path folder) {}
+    List<InetSocketAddress> endpoints, String fleet, AgreementTiming timing, Path folder) {}
--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -1,18 +1,18 @@
 package beaconturn.net.agreement;
 
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Content;
-import beaconturn.agreement.Ejections;
-import beaconturn.agreement.Ground;
-import beaconturn.agreement.Kept;
-import beaconturn.agreement.Keys;
-import beaconturn.agreement.Member;
-import beaconturn.agreement.Sight;
+import beaconturn.agreement.AgreementKeys;
+import beaconturn.agreement.AgreementMember;
+import beaconturn.agreement.ConfigContent;
+import beaconturn.agreement.EffectiveConfig;
+import beaconturn.agreement.EndpointView;
+import beaconturn.agreement.LastingEjections;
+import beaconturn.agreement.PersistedConfig;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.core.CacheServerClients;
 import beaconturn.core.Clock;
-import beaconturn.core.Fleet;
-import beaconturn.core.Settings;
+import beaconturn.core.RouterSettings;
 import beaconturn.decision.Routing;
-import beaconturn.net.Agreed;
+import beaconturn.net.FleetConfigSource;
 import beaconturn.net.RouterConfig;
 import java.util.Locale;
 import java.util.Map;
@@ -26,7 +26,7 @@
  * A router's part in the agreement, on a thread of its own: the module's thread never waits for the
  * store, it reads what is due from a field.
  */
-public final class AgreementSubsystem implements Agreed, Member.Router {
+public final class AgreementSubsystem implements FleetConfigSource, AgreementMember.Router {
   private static final Logger LOG = Logger.getLogger(AgreementSubsystem.class.getName());
   private static final long LONGEST_LEAVE = 1_000_000_000;
 
@@ -34,17 +34,17 @@
   private static final int FIRST_CALLS = 2;
 
   private final AgreementConfig config;
-  private final Settings configured;
+  private final RouterSettings configured;
   private final Clock clock;
-  private final KeptFile file;
-  private final Member member;
+  private final PersistedConfigFile file;
+  private final AgreementMember member;
   private volatile Forces forces;
   private volatile Force applied;
   private volatile boolean stopped;
-  private volatile Sight sight;
+  private volatile EndpointView sight;
 
   /** Of the thread that tells what it sees. */
-  private final Ejections ejections = new Ejections();
+  private final LastingEjections ejections = new LastingEjections();
 
   private volatile long list = Long.MIN_VALUE;
   private long sightDue = Long.MIN_VALUE;
@@ -63,18 +63,18 @@
     this.config = config;
     this.configured = router.settings();
     this.clock = Clock.system();
-    this.file = new KeptFile(config.folder(), router.name(), LOG::info);
-    Kept kept = file.read();
+    this.file = new PersistedConfigFile(config.folder(), router.name(), LOG::info);
+    PersistedConfig kept = file.read();
     long now = clock.now();
     String incarnation = Long.toHexString(now) + "-" + ProcessHandle.current().pid();
     this.member =
-        new Member(
-            new Keys(config.fleet()),
+        new AgreementMember(
+            new AgreementKeys(config.fleet()),
             config.timing(),
             router.name(),
             incarnation,
             router.shared(),
-            Rules.of(configured),
+            SettingsContentMapper.of(configured),
             kept,
             router.seed() ^ now,
             now,
@@ -87,7 +87,7 @@
     StoreClient store = new StoreClient(config.endpoints(), config.timing().callTimeout());
     try {
       while (!stopped) {
-        Call call = member.next(clock.now());
+        StoreRequest call = member.next(clock.now());
         if (call != null) {
           member.answered(clock.now(), store.ask(call));
           if (!asked && member.hasAsked()) {
@@ -118,8 +118,8 @@
     if (clock.now() < sightAt()) {
       return false;
     }
-    Sight seen = sight;
-    Call call = member.tells(seen);
+    EndpointView seen = sight;
+    StoreRequest call = member.tells(seen);
     sightDue = clock.now() + config.timing().renewEvery();
     if (call != null) {
       member.told(seen, store.ask(call));
@@ -132,7 +132,7 @@
   }
 
   @Override
-  public void sees(Map<Fleet.Listed, Routing.Standing> caches) {
+  public void sees(Map<CacheServerClients.Listed, Routing.Standing> caches) {
     SortedMap<String, Long> in = new TreeMap<>();
     SortedMap<String, String> out = new TreeMap<>();
     ejections.only(
@@ -150,7 +150,7 @@
             out.put(listed.name(), standing.name().toLowerCase(Locale.ROOT).replace('_', ' '));
           }
         });
-    sight = new Sight(in, out);
+    sight = new EndpointView(in, out);
   }
 
   private synchronized void hasAsked() {
@@ -184,7 +184,7 @@
   }
 
   @Override
-  public void ground(Ground ground) {
+  public void ground(EffectiveConfig ground) {
     Forces before = forces;
     Force held = force(ground.held(), ground.heldAs(), before);
     Force after = force(ground.after(), ground.afterAs(), before);
@@ -192,7 +192,7 @@
   }
 
   /** The same object where nothing has changed, so that the router need not compare more. */
-  private Force force(Content content, String says, Forces before) {
+  private Force force(ConfigContent content, String says, Forces before) {
     if (before != null && before.held().means(content, says)) {
       return before.held();
     }
@@ -200,21 +200,25 @@
       return before.after();
     }
     return new Force(
-        Rules.under(configured, content), content.out(), content.oldestList(), content, says);
+        SettingsContentMapper.under(configured, content),
+        content.out(),
+        content.oldestList(),
+        content,
+        says);
   }
 
   @Override
-  public boolean keep(Kept kept) {
+  public boolean keep(PersistedConfig kept) {
     return file.write(kept);
   }
 
   @Override
-  public String objection(Content content) {
-    return Rules.objection(configured, content);
+  public String objection(ConfigContent content) {
+    return SettingsContentMapper.objection(configured, content);
   }
 
   @Override
-  public boolean ready(Content content) {
+  public boolean ready(ConfigContent content) {
     return list >= content.oldestList();
   }
 
--- a/src/main/java/beaconturn/net/agreement/KeptFile.java
+++ b/src/main/java/beaconturn/net/agreement/PersistedConfigFile.java
@@ -1,7 +1,7 @@
 package beaconturn.net.agreement;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Kept;
+import beaconturn.agreement.PersistedConfig;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -16,12 +16,12 @@
  * What a router keeps of the agreement for its next start: written aside, forced, renamed, forced
  * again.
  */
-final class KeptFile {
+final class PersistedConfigFile {
   private final Path file;
   private final Consumer<String> log;
 
   /** The file of a router in the folder; nothing is kept where that is null. */
-  KeptFile(Path folder, String router, Consumer<String> log) {
+  PersistedConfigFile(Path folder, String router, Consumer<String> log) {
     this.file =
         folder == null
             ? null
@@ -30,20 +30,20 @@
   }
 
   /** What was kept; a file that is damaged counts as none, and is said. */
-  Kept read() {
+  PersistedConfig read() {
     if (file == null || !Files.exists(file)) {
-      return Kept.NOTHING;
+      return PersistedConfig.NOTHING;
     }
     try {
-      return Kept.of(Files.readString(file));
+      return PersistedConfig.of(Files.readString(file));
     } catch (IOException | AgreementException e) {
       log.accept("agreement: " + file + " is not followed: " + e.getMessage());
-      return Kept.NOTHING;
+      return PersistedConfig.NOTHING;
     }
   }
 
   /** Whether it will be there after a cut at any moment; true where nothing is to be kept. */
-  boolean write(Kept kept) {
+  boolean write(PersistedConfig kept) {
     if (file == null) {
       return true;
     }
--- a/src/main/java/beaconturn/net/agreement/Rules.java
+++ b/src/main/java/beaconturn/net/agreement/SettingsContentMapper.java
@@ -1,9 +1,9 @@
 package beaconturn.net.agreement;
 
+import beaconturn.agreement.ClassIdempotency;
 import beaconturn.agreement.ClassRule;
-import beaconturn.agreement.Content;
-import beaconturn.agreement.Effect;
-import beaconturn.core.Settings;
+import beaconturn.agreement.ConfigContent;
+import beaconturn.core.RouterSettings;
 import beaconturn.decision.Routing;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,24 +12,25 @@
 import java.util.TreeSet;
 
 /** Between the settings of a router and the contents of versions. */
-final class Rules {
-  private Rules() {}
+final class SettingsContentMapper {
+  private SettingsContentMapper() {}
 
   /** What a router is configured with, as a whole content. */
-  static Content of(Settings settings) {
+  static ConfigContent of(RouterSettings settings) {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
     for (int i = 0; i < settings.classNames().size(); i++) {
       Routing.RequestClass type = settings.routing().classes().get(i);
       classes.put(
           settings.classNames().get(i),
-          new ClassRule(Effect.valueOf(type.effect().name()), type.window(), type.deadline()));
+          new ClassRule(
+              ClassIdempotency.valueOf(type.effect().name()), type.window(), type.deadline()));
     }
     Routing.Permissions may = settings.routing().permissions();
-    return new Content(classes, may.maxTries(), may.secondCopies(), 0, new TreeSet<>());
+    return new ConfigContent(classes, may.maxTries(), may.secondCopies(), 0, new TreeSet<>());
   }
 
   /** Why a router so configured cannot follow the content, or null if it can. */
-  static String objection(Settings configured, Content content) {
+  static String objection(RouterSettings configured, ConfigContent content) {
     for (Map.Entry<String, ClassRule> said : content.classes().entrySet()) {
       int at = configured.classNames().indexOf(said.getKey());
       if (at < 0) {
@@ -44,7 +45,7 @@
   }
 
   /** The settings under a whole content. */
-  static Settings under(Settings configured, Content content) {
+  static RouterSettings under(RouterSettings configured, ConfigContent content) {
     Routing.Settings r = configured.routing();
     List<Routing.RequestClass> classes = new ArrayList<>();
     for (int i = 0; i < r.classes().size(); i++) {
@@ -93,6 +94,7 @@
             r.reportNames());
     return under.equals(r)
         ? configured
-        : new Settings(under, configured.classNames(), configured.zones(), configured.kinds());
+        : new RouterSettings(
+            under, configured.classNames(), configured.zones(), configured.kinds());
   }
 }
--- a/src/main/java/beaconturn/net/agreement/StoreClient.java
+++ b/src/main/java/beaconturn/net/agreement/StoreClient.java
@@ -1,8 +1,8 @@
 package beaconturn.net.agreement;
 
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Desk;
+import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
 import beaconturn.protocol.HttpReader;
 import beaconturn.protocol.HttpResponse;
 import beaconturn.protocol.HttpWriter;
@@ -30,7 +30,7 @@
  * published API reference, v3 (kv, lease), and the mapping of protocol buffers to JSON: bytes in
  * base 64, long numbers as texts, fields that are zero left out.
  */
-public final class StoreClient implements Desk.Store {
+public final class StoreClient implements ConfigAdmin.Store {
   private static final int LONGEST_BODY = 8 << 20;
   private static final int OK = 200;
   private static final long MILLI = 1_000_000;
@@ -47,7 +47,7 @@
   }
 
   @Override
-  public Answer ask(Call call) {
+  public StoreResponse ask(StoreRequest call) {
     try {
       return answer(call, post(path(call), body(call)));
     } catch (SocketTimeoutException e) {
@@ -57,10 +57,10 @@
     }
   }
 
-  private Answer failed(String why) {
+  private StoreResponse failed(String why) {
     close();
     member = (member + 1) % members.size();
-    return new Answer.Failed(why);
+    return new StoreResponse.Failed(why);
   }
 
   /** Ends the connection. */
@@ -125,37 +125,39 @@
     throw new IOException(more ? "no answer in time" : "the connection ended before the answer");
   }
 
-  private static String path(Call call) {
-    return call instanceof Call.Read
+  private static String path(StoreRequest call) {
+    return call instanceof StoreRequest.Read
         ? "/v3/kv/range"
-        : call instanceof Call.Swap
+        : call instanceof StoreRequest.Swap
             ? "/v3/kv/txn"
-            : call instanceof Call.Grant
+            : call instanceof StoreRequest.Grant
                 ? "/v3/lease/grant"
-                : call instanceof Call.KeepAlive ? "/v3/lease/keepalive" : "/v3/lease/revoke";
+                : call instanceof StoreRequest.KeepAlive
+                    ? "/v3/lease/keepalive"
+                    : "/v3/lease/revoke";
   }
 
-  private static Json body(Call call) {
-    if (call instanceof Call.Read read) {
+  private static Json body(StoreRequest call) {
+    if (call instanceof StoreRequest.Read read) {
       return object("key", bytes(read.prefix()), "range_end", bytes(end(read.prefix())));
     }
-    if (call instanceof Call.Grant grant) {
+    if (call instanceof StoreRequest.Grant grant) {
       return object("TTL", Long.toString(grant.seconds()));
     }
-    if (call instanceof Call.KeepAlive alive) {
+    if (call instanceof StoreRequest.KeepAlive alive) {
       return object("ID", Long.toString(alive.lease()));
     }
-    if (call instanceof Call.Revoke revoke) {
+    if (call instanceof StoreRequest.Revoke revoke) {
       return object("ID", Long.toString(revoke.lease()));
     }
-    Call.Swap swap = (Call.Swap) call;
+    StoreRequest.Swap swap = (StoreRequest.Swap) call;
     return object(
         "compare", new Json.Items(swap.conditions().stream().map(StoreClient::compare).toList()),
         "success", new Json.Items(swap.changes().stream().map(StoreClient::change).toList()));
   }
 
-  private static Json compare(Call.Condition condition) {
-    if (condition instanceof Call.Condition.Unchanged same) {
+  private static Json compare(StoreRequest.Condition condition) {
+    if (condition instanceof StoreRequest.Condition.Unchanged same) {
       return object(
           "key",
           bytes(same.key()),
@@ -166,7 +168,7 @@
           "mod_revision",
           Long.toString(same.revision()));
     }
-    if (condition instanceof Call.Condition.Stands stands) {
+    if (condition instanceof StoreRequest.Condition.Stands stands) {
       return object(
           "key",
           bytes(stands.key()),
@@ -177,7 +179,7 @@
           "create_revision",
           "0");
     }
-    Call.Condition.NoneAfter none = (Call.Condition.NoneAfter) condition;
+    StoreRequest.Condition.NoneAfter none = (StoreRequest.Condition.NoneAfter) condition;
     return object(
         "key",
         bytes(none.prefix()),
@@ -191,8 +193,8 @@
         Long.toString(none.revision() + 1));
   }
 
-  private static Json change(Call.Change change) {
-    if (change instanceof Call.Change.Put put) {
+  private static Json change(StoreRequest.Change change) {
+    if (change instanceof StoreRequest.Change.Put put) {
       return object(
           "request_put",
           object(
@@ -204,26 +206,26 @@
               Long.toString(put.lease())));
     }
     return object(
-        "request_delete_range", object("key", bytes(((Call.Change.Delete) change).key())));
+        "request_delete_range", object("key", bytes(((StoreRequest.Change.Delete) change).key())));
   }
 
-  private static Answer answer(Call call, Json json) throws ProtocolException {
-    Json given = call instanceof Call.KeepAlive ? json.get("result") : json;
+  private static StoreResponse answer(StoreRequest call, Json json) throws ProtocolException {
+    Json given = call instanceof StoreRequest.KeepAlive ? json.get("result") : json;
     Json header = given.get("header");
     if (!(header instanceof Json.Members)) {
       throw new ProtocolException("an answer without a header: " + JsonWriter.write(json));
     }
-    List<Answer.Pair> pairs = new ArrayList<>();
+    List<StoreResponse.Pair> pairs = new ArrayList<>();
     for (Json kv : given.get("kvs").items()) {
       pairs.add(
-          new Answer.Pair(
+          new StoreResponse.Pair(
               text(kv.get("key")),
               text(kv.get("value")),
               whole(kv.get("create_revision")),
               whole(kv.get("mod_revision")),
               whole(kv.get("lease"))));
     }
-    return new Answer.Given(
+    return new StoreResponse.Given(
         given.get("succeeded").word("false").equals("true"),
         header.get("cluster_id").word(""),
         whole(header.get("revision")),
--- a/src/main/java/beaconturn/net/agreement/PlacesSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
@@ -1,16 +1,16 @@
 package beaconturn.net.agreement;
 
-import beaconturn.agreement.Call;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.core.CacheServerClients;
 import beaconturn.core.Clock;
-import beaconturn.core.Fleet;
 import beaconturn.decision.Routing;
-import beaconturn.net.NameHash;
-import beaconturn.net.Placing;
+import beaconturn.net.Fnv1a;
 import beaconturn.net.RouterConfig;
-import beaconturn.zones.Follower;
-import beaconturn.zones.Geography;
-import beaconturn.zones.Report;
-import beaconturn.zones.Seen;
+import beaconturn.net.ZoneWeightsSource;
+import beaconturn.zones.ZoneMember;
+import beaconturn.zones.ZoneObservations;
+import beaconturn.zones.ZoneReport;
+import beaconturn.zones.ZoneTopology;
 import beaconturn.zones.ZonesKeys;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,8 +29,8 @@
  * to the store. Attempts are counted by cache server, as they end, and added up by place for each
  * report.
  */
-public final class PlacesSubsystem implements Placing, Follower.Router {
-  private static final Logger LOG = Logger.getLogger(PlacesSubsystem.class.getName());
+public final class ZonesSubsystem implements ZoneWeightsSource, ZoneMember.Router {
+  private static final Logger LOG = Logger.getLogger(ZonesSubsystem.class.getName());
   private static final long MICRO = 1000;
 
   /** A lease that ends is looked for so often at least. */
@@ -41,11 +41,11 @@
   private final String home;
   private final String me;
   private final Clock clock = Clock.system();
-  private final Follower follower;
+  private final ZoneMember follower;
   private final Map<Long, OfServer> servers = new ConcurrentHashMap<>();
   private final LongAdder arrivals = new LongAdder();
   private final Counts counts = new Counts();
-  private volatile Map<Fleet.Listed, Routing.Standing> seen = Map.of();
+  private volatile Map<CacheServerClients.Listed, Routing.Standing> seen = Map.of();
   private volatile Shown shown;
   private volatile boolean stopped;
 
@@ -57,17 +57,17 @@
   }
 
   /** Shares, and what they were made of. */
-  private record Shown(Follower.Due of, Routing.Shares shares) {}
+  private record Shown(ZoneMember.Due of, Routing.Shares shares) {}
 
   /** A part that asks nobody before it is run; its place is the router's zone. */
-  public PlacesSubsystem(AgreementConfig config, Geography map, RouterConfig router) {
+  public ZonesSubsystem(AgreementConfig config, ZoneTopology map, RouterConfig router) {
     this.config = config;
     this.zones = router.settings().zones();
     this.home = zones.get(router.settings().routing().zone());
     long now = clock.now();
     this.me = router.name() + "/" + Long.toHexString(now) + "-" + ProcessHandle.current().pid();
     this.follower =
-        new Follower(
+        new ZoneMember(
             new ZonesKeys(config.fleet()),
             map,
             config.timing(),
@@ -85,7 +85,7 @@
     try {
       while (!stopped) {
         follower.look(clock.now());
-        Call call = follower.next(clock.now());
+        StoreRequest call = follower.next(clock.now());
         if (call != null) {
           follower.answered(clock.now(), store.ask(call));
         } else {
@@ -116,7 +116,7 @@
 
   @Override
   public Routing.Shares due() {
-    Follower.Due due = follower.due(clock.now());
+    ZoneMember.Due due = follower.due(clock.now());
     Shown last = shown;
     if (last == null || !last.of().equals(due)) {
       last = new Shown(due, shares(due));
@@ -125,7 +125,7 @@
     return last.shares();
   }
 
-  private Routing.Shares shares(Follower.Due due) {
+  private Routing.Shares shares(ZoneMember.Due due) {
     List<Integer> places = new ArrayList<>();
     List<Integer> parts = new ArrayList<>();
     due.row()
@@ -141,7 +141,7 @@
   }
 
   @Override
-  public void sees(Map<Fleet.Listed, Routing.Standing> caches) {
+  public void sees(Map<CacheServerClients.Listed, Routing.Standing> caches) {
     seen = caches;
   }
 
@@ -163,9 +163,9 @@
 
   /** Counts of servers that are gone stay in their place's sums: what only grows must not fall. */
   @Override
-  public Report sees(String router, long number, long plan) {
+  public ZoneReport sees(String router, long number, long plan) {
     Map<String, long[]> sums = new HashMap<>();
-    Map<Fleet.Listed, Routing.Standing> now = seen;
+    Map<CacheServerClients.Listed, Routing.Standing> now = seen;
     now.forEach(
         (listed, standing) -> {
           if (listed.zone() < zones.size()) {
@@ -178,15 +178,16 @@
           }
         });
     counts.count(now);
-    SortedMap<String, Seen> places = new TreeMap<>();
+    SortedMap<String, ZoneObservations> places = new TreeMap<>();
     for (String zone : zones) {
       long[] sum = sums.getOrDefault(zone, new long[3]);
       long[] counted = counts.of(zone);
       places.put(
           zone,
-          new Seen(counted[0], counted[1], counted[2], (int) sum[0], (int) sum[1], (int) sum[2]));
+          new ZoneObservations(
+              counted[0], counted[1], counted[2], (int) sum[0], (int) sum[1], (int) sum[2]));
     }
-    return new Report(router, home, number, plan, arrivals.sum(), places);
+    return new ZoneReport(router, home, number, plan, arrivals.sum(), places);
   }
 
   /** Sums by place that only grow, of counts by server; for the one thread that asks. */
@@ -194,11 +195,11 @@
     private final Map<Long, long[]> told = new HashMap<>();
     private final Map<String, long[]> sums = new HashMap<>();
 
-    private void count(Map<Fleet.Listed, Routing.Standing> now) {
+    private void count(Map<CacheServerClients.Listed, Routing.Standing> now) {
       now.keySet()
           .forEach(
               listed -> {
-                long id = NameHash.of(listed.name());
+                long id = Fnv1a.of(listed.name());
                 OfServer of = servers.get(id);
                 if (of != null && listed.zone() < zones.size()) {
                   long[] last = told.computeIfAbsent(id, i -> new long[3]);
--- a/src/main/java/beaconturn/net/control/Call.java
+++ b/src/main/java/beaconturn/net/control/AdminCommand.java
@@ -1,7 +1,7 @@
 package beaconturn.net.control;
 
 /** One line of a caller, understood: the name of the call, and the id that it needs or null. */
-record Call(String name, String id) {
+record AdminCommand(String name, String id) {
   static final String READY = "ready";
   static final String FIGURES = "show-stat";
   static final String HEALTH = "show-health";
@@ -19,7 +19,7 @@
   }
 
   /** The call that a line makes; the line's end is not part of it. */
-  static Call of(String line) throws Wrong {
+  static AdminCommand of(String line) throws Wrong {
     String[] words = line.strip().split("[ \t]+");
     boolean needsId = words[0].equals(OUT) || words[0].equals(BACK);
     if (!needsId
@@ -37,6 +37,6 @@
     if (needsId && !words[1].matches("[!-~]{1," + LONGEST_ID + "}")) {
       throw new Wrong("the id is too long or of odd characters");
     }
-    return new Call(words[0], needsId ? words[1] : null);
+    return new AdminCommand(words[0], needsId ? words[1] : null);
   }
 }
--- a/src/main/java/beaconturn/net/control/Office.java
+++ b/src/main/java/beaconturn/net/control/AdminOperations.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** What the calls reach in the router; nothing here waits, whatever the load. */
-public interface Office {
+public interface AdminOperations {
   /** Null once a request would be served, else in a few words why not. */
   String notReady();
 
@@ -19,5 +19,5 @@
    * held up, whether anybody has that id, once it has taken force. A call that is {@code told} by
    * another process of this router holds even for an id that nobody has yet.
    */
-  void hand(Hand hand, boolean told, Consumer<Boolean> known);
+  void hand(ServerOverride hand, boolean told, Consumer<Boolean> known);
 }
--- a/src/main/java/beaconturn/net/control/ControlAddress.java
+++ b/src/main/java/beaconturn/net/control/AdminServer.java
@@ -24,8 +24,8 @@
  * The second address: one thread serves all callers and waits for none. A call that has to reach
  * the module is answered when the module has taken it, or a little before the answer is due.
  */
-public final class ControlAddress implements Runnable {
-  private static final Logger LOG = Logger.getLogger(ControlAddress.class.getName());
+public final class AdminServer implements Runnable {
+  private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
   private static final long MILLI = 1_000_000;
 
   /** Callers that stay and say nothing must not take the router's descriptors. */
@@ -44,9 +44,9 @@
 
   private final ServerSocketChannel server;
   private final Selector selector;
-  private final Office office;
+  private final AdminOperations office;
   private final Counters counters;
-  private final HandFile file;
+  private final ServerOverrideFile file;
   private final LongSupplier clock;
   private final Queue<Runnable> told = new ConcurrentLinkedQueue<>();
   private final List<Caller> callers = new ArrayList<>();
@@ -57,11 +57,11 @@
    * file keeps what operators said, and is followed where another process of this router writes it
    * too.
    */
-  public ControlAddress(
+  public AdminServer(
       InetSocketAddress address,
-      Office office,
+      AdminOperations office,
       Counters counters,
-      HandFile file,
+      ServerOverrideFile file,
       LongSupplier clock)
       throws IOException {
     this.office = office;
@@ -146,9 +146,9 @@
   /** One connection on the second address, for one call. */
   private final class Caller {
     private final SocketChannel channel;
-    private final LineIn line = new LineIn();
+    private final LineReader line = new LineReader();
     private final long since;
-    private Hand pending;
+    private ServerOverride pending;
     private long waitsUntil = NEVER;
 
     private Caller(SocketChannel channel, long since) {
@@ -165,23 +165,26 @@
           channel.keyFor(selector).interestOps(0);
           take(call);
         }
-      } catch (Call.Wrong e) {
+      } catch (AdminCommand.Wrong e) {
         answer("NAK " + e.getMessage());
       } catch (IOException e) {
         close();
       }
     }
 
-    private void take(String text) throws Call.Wrong {
-      Call call = Call.of(text);
+    private void take(String text) throws AdminCommand.Wrong {
+      AdminCommand call = AdminCommand.of(text);
       switch (call.name()) {
-        case Call.READY -> ready(office.notReady());
-        case Call.FIGURES -> answer(lines(counters.read()));
-        case Call.HEALTH -> {
+        case AdminCommand.READY -> ready(office.notReady());
+        case AdminCommand.FIGURES -> answer(lines(counters.read()));
+        case AdminCommand.HEALTH -> {
           List<Counters.Figure> health = office.health();
           answer(health == null ? "NAK no such call" : lines(health));
         }
-        default -> hand(new Hand(call.id(), call.name().equals(Call.OUT), MachineTime.millis()));
+        default ->
+            hand(
+                new ServerOverride(
+                    call.id(), call.name().equals(AdminCommand.OUT), MonotonicMillis.millis()));
       }
     }
 
@@ -189,7 +192,7 @@
       answer(whyNot == null ? "ACK" : "NAK " + whyNot);
     }
 
-    private void hand(Hand hand) {
+    private void hand(ServerOverride hand) {
       pending = hand;
       waitsUntil = clock.getAsLong() + LONGEST_WAIT;
       office.hand(
@@ -206,7 +209,7 @@
       if (pending == null) {
         return;
       }
-      Hand hand = pending;
+      ServerOverride hand = pending;
       pending = null;
       if (known) {
         file.put(hand);
--- a/src/main/java/beaconturn/net/control/LineIn.java
+++ b/src/main/java/beaconturn/net/control/LineReader.java
@@ -6,13 +6,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** The one line that a caller sends, in whatever pieces it comes. */
-final class LineIn {
+final class LineReader {
   private static final int LONGEST = 512;
   private static final int MOST_DRAINED = 16;
   private final ByteBuffer bytes = ByteBuffer.allocate(LONGEST);
 
   /** The line once it is whole, which the caller's end of sending makes it too; else null. */
-  String read(SocketChannel from) throws IOException, Call.Wrong {
+  String read(SocketChannel from) throws IOException, AdminCommand.Wrong {
     int got = from.read(bytes);
     for (int i = 0; i < bytes.position(); i++) {
       if (bytes.get(i) == '\n') {
@@ -20,7 +20,7 @@
       }
     }
     if (!bytes.hasRemaining()) {
-      throw new Call.Wrong("the call is too long");
+      throw new AdminCommand.Wrong("the call is too long");
     }
     if (got < 0 && bytes.position() == 0) {
       throw new IOException("ended without a call");
--- a/src/main/java/beaconturn/net/control/MachineTime.java
+++ b/src/main/java/beaconturn/net/control/MonotonicMillis.java
@@ -5,10 +5,10 @@
  * correction of the wall clock moves. Begins anew with the machine: of use only between processes
  * that run there one after the other.
  */
-public final class MachineTime {
+public final class MonotonicMillis {
   private static final long MILLI = 1_000_000;
 
-  private MachineTime() {}
+  private MonotonicMillis() {}
 
   /**
    * The time now; Java's monotonic clock is the kernel's, without an origin of the process's own.
--- a/src/main/java/beaconturn/net/control/Hand.java
+++ b/src/main/java/beaconturn/net/control/ServerOverride.java
@@ -2,6 +2,6 @@
 
 /**
  * What operators said last of one cache server: out, or back at {@code atMillis} of {@link
- * MachineTime}.
+ * MonotonicMillis}.
  */
-public record Hand(String id, boolean out, long atMillis) {}
+public record ServerOverride(String id, boolean out, long atMillis) {}
--- a/src/main/java/beaconturn/net/control/HandFile.java
+++ b/src/main/java/beaconturn/net/control/ServerOverrideFile.java
@@ -21,8 +21,8 @@
  * time, written aside and renamed. A file that cannot be written costs only that: the call itself
  * holds in this process. For one thread after the first reading.
  */
-public final class HandFile {
-  private static final Logger LOG = Logger.getLogger(HandFile.class.getName());
+public final class ServerOverrideFile {
+  private static final Logger LOG = Logger.getLogger(ServerOverrideFile.class.getName());
   private static final String HEAD = "beaconturn-hand 2";
 
   /** Its times are those of the wall clock and are not read: what it says counts as said now. */
@@ -39,10 +39,10 @@
 
   private final Path file;
   private final boolean shared;
-  private final Map<String, Hand> hands = new LinkedHashMap<>();
+  private final Map<String, ServerOverride> hands = new LinkedHashMap<>();
 
   /** What the router has been told of them. */
-  private final Map<String, Hand> told = new HashMap<>();
+  private final Map<String, ServerOverride> told = new HashMap<>();
 
   private Object lastSeen;
   private long lookAt;
@@ -51,7 +51,7 @@
    * The file, or null where nothing outlives the process; {@code shared} if another may write it
    * too.
    */
-  public HandFile(Path file, boolean shared) {
+  public ServerOverrideFile(Path file, boolean shared) {
     this.file = file;
     this.shared = shared;
   }
@@ -60,7 +60,7 @@
    * All that is known, in the order of its first being said; a damaged file counts as far as it is
    * sound.
    */
-  public List<Hand> read() {
+  public List<ServerOverride> read() {
     load();
     told.putAll(hands);
     return List.copyOf(hands.values());
@@ -69,7 +69,7 @@
   /**
    * Notes what was said last of a cache server, beside what another process has noted meanwhile.
    */
-  void put(Hand hand) {
+  void put(ServerOverride hand) {
     told.put(hand.id(), hand);
     if (file == null) {
       hands.put(hand.id(), hand);
@@ -94,7 +94,7 @@
   }
 
   /** What another process has noted since the last look; looks now and then only. */
-  List<Hand> changes(long now) {
+  List<ServerOverride> changes(long now) {
     if (!shared || file == null || now < lookAt) {
       return List.of();
     }
@@ -103,7 +103,8 @@
     if (seen != null && !seen.equals(lastSeen)) {
       load();
     }
-    List<Hand> news = hands.values().stream().filter(h -> !h.equals(told.get(h.id()))).toList();
+    List<ServerOverride> news =
+        hands.values().stream().filter(h -> !h.equals(told.get(h.id()))).toList();
     news.forEach(h -> told.put(h.id(), h));
     return news;
   }
@@ -144,9 +145,9 @@
       LOG.warning(file + ": line left out: '" + text + "'");
       return;
     }
-    long at = earlier ? MachineTime.millis() : Long.parseLong(words[2]);
-    Hand hand = new Hand(words[1], words[0].equals("out"), at);
-    Hand before = hands.get(hand.id());
+    long at = earlier ? MonotonicMillis.millis() : Long.parseLong(words[2]);
+    ServerOverride hand = new ServerOverride(words[1], words[0].equals("out"), at);
+    ServerOverride before = hands.get(hand.id());
     if (before == null || before.atMillis() <= hand.atMillis()) {
       hands.put(hand.id(), hand);
     }
--- a/src/main/java/beaconturn/rehearsal/ClientCommands.java
+++ b/src/main/java/beaconturn/rehearsal/ClientCommands.java
@@ -1,7 +1,7 @@
 package beaconturn.rehearsal;
 
-import beaconturn.ledger.Account;
-import beaconturn.ledger.Entry;
+import beaconturn.history.History;
+import beaconturn.history.HistoryEvent;
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.RespValue;
 import beaconturn.protocol.RespWriter;
@@ -17,7 +17,7 @@
   private ClientCommands() {}
 
   /** The command of a try. */
-  static byte[] bytes(ClientLine.Try one) {
+  static byte[] bytes(SequentialClient.Try one) {
     Scenario.Type type = one.planned().type();
     boolean write = type.effect() != Scenario.Effect.SAFE;
     StringBuilder attributes =
@@ -56,20 +56,20 @@
   }
 
   /** What an answer says. */
-  static Entry.Kind kind(RespValue value) {
+  static HistoryEvent.Kind kind(RespValue value) {
     if (value instanceof RespValue.Bulk bulk && bulk.bytes() != null) {
-      return Entry.Kind.SERVED;
+      return HistoryEvent.Kind.SERVED;
     }
     boolean busy =
         value instanceof RespValue.Failure failure
             && failure.text().toString().split(" ", 2)[0].equals("BUSY");
-    return busy ? Entry.Kind.REFUSED : Entry.Kind.FAILED;
+    return busy ? HistoryEvent.Kind.REFUSED : HistoryEvent.Kind.FAILED;
   }
 
   /** By what a value is known in the account; 0 where the answer is none. */
   static long digest(RespValue value) {
     return value instanceof RespValue.Bulk bulk && bulk.bytes() != null
-        ? Account.digest(bulk.bytes().copy())
+        ? History.digest(bulk.bytes().copy())
         : 0;
   }
 
--- a/src/main/java/beaconturn/rehearsal/Tally.java
+++ b/src/main/java/beaconturn/rehearsal/ClientStatistics.java
@@ -1,6 +1,6 @@
 package beaconturn.rehearsal;
 
-import beaconturn.ledger.Entry;
+import beaconturn.history.HistoryEvent;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
@@ -12,7 +12,7 @@
  * What clients felt, by class: tries and their ends, and requests served, counted from when they
  * were wanted.
  */
-final class Tally {
+final class ClientStatistics {
   private static final int DIGITS = 3;
   private static final long LONGEST = 600_000_000_000L;
   private static final double MILLI = 1e6;
@@ -21,7 +21,7 @@
 
   /** The figures of one class. */
   private static final class Row {
-    private final Map<Entry.Kind, Long> ends = new EnumMap<>(Entry.Kind.class);
+    private final Map<HistoryEvent.Kind, Long> ends = new EnumMap<>(HistoryEvent.Kind.class);
     private final Histogram latency = new Histogram(LONGEST, DIGITS);
     private long wanted;
     private long tries;
@@ -47,25 +47,25 @@
       double p99,
       double most) {}
 
-  Tally(Scenario scenario) {
+  ClientStatistics(Scenario scenario) {
     scenario.types().forEach(type -> rows.put(type.name(), new Row()));
   }
 
-  synchronized void sent(ClientLine.Try asked, long late) {
+  synchronized void sent(SequentialClient.Try asked, long late) {
     Row row = rows.get(asked.planned().type().name());
     row.wanted += asked.attempt() == 0 ? 1 : 0;
     row.tries++;
     lateness.recordValue(Math.min(LONGEST, Math.max(0, late)));
   }
 
-  synchronized void done(ClientLine.Result result, long start) {
+  synchronized void done(SequentialClient.Result result, long start) {
     Row row = rows.get(result.asked().planned().type().name());
     if (result.kind() == null) {
       row.unreached++;
       return;
     }
     row.ends.merge(result.kind(), 1L, Long::sum);
-    if (result.kind() == Entry.Kind.SERVED) {
+    if (result.kind() == HistoryEvent.Kind.SERVED) {
       long took = result.at() - start - result.asked().planned().at();
       row.latency.recordValue(Math.min(LONGEST, Math.max(0, took)));
       row.inAim += took <= result.asked().planned().type().aim() ? 1 : 0;
@@ -81,12 +81,12 @@
                     type,
                     row.wanted,
                     row.tries,
-                    count(row, Entry.Kind.SERVED),
-                    count(row, Entry.Kind.REFUSED),
-                    count(row, Entry.Kind.FAILED) + count(row, Entry.Kind.CUT),
-                    count(row, Entry.Kind.SILENCE)
-                        + count(row, Entry.Kind.BROKEN)
-                        + count(row, Entry.Kind.LEFT),
+                    count(row, HistoryEvent.Kind.SERVED),
+                    count(row, HistoryEvent.Kind.REFUSED),
+                    count(row, HistoryEvent.Kind.FAILED) + count(row, HistoryEvent.Kind.CUT),
+                    count(row, HistoryEvent.Kind.SILENCE)
+                        + count(row, HistoryEvent.Kind.BROKEN)
+                        + count(row, HistoryEvent.Kind.LEFT),
                     row.unreached,
                     row.inAim,
                     row.latency.getValueAtPercentile(50) / MILLI,
@@ -95,7 +95,7 @@
     return lines;
   }
 
-  private static long count(Row row, Entry.Kind kind) {
+  private static long count(Row row, HistoryEvent.Kind kind) {
     return row.ends.getOrDefault(kind, 0L);
   }
 
--- a/src/main/java/beaconturn/rehearsal/Orders.java
+++ b/src/main/java/beaconturn/rehearsal/FaultCommands.java
@@ -1,9 +1,9 @@
 package beaconturn.rehearsal;
 
-import beaconturn.standin.CacheModel;
-import beaconturn.standin.Condition;
+import beaconturn.standin.CacheServerModel;
+import beaconturn.standin.EmulatedFleet;
 import beaconturn.standin.Fault;
-import beaconturn.standin.World;
+import beaconturn.standin.FaultState;
 import beaconturn.toml.Units;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -16,23 +16,23 @@
  * Lines by which an operator makes stand-ins fail: {@code KIND [SERVER|all] [AMOUNT] [in TIME] [for
  * TIME]}, {@code heal SERVER|all}, {@code status}, {@code help}. Runs on the model's thread.
  */
-public final class Orders {
+public final class FaultCommands {
   private static final String HELP =
       "KIND [SERVER|all] [AMOUNT] [in TIME] [for TIME], heal SERVER|all,"
           + " status, help; kinds: "
           + kinds()
           + "; for example: stall c3 for 5s, slow c1 8, drain c2 in 4s, errors all 0.5";
   private static final long USUAL_DELAY = 3_000_000_000L;
-  private final World world;
+  private final EmulatedFleet world;
 
   /** Orders to these surroundings. */
-  public Orders(World world) {
+  public FaultCommands(EmulatedFleet world) {
     this.world = world;
   }
 
   private static String kinds() {
     return Arrays.stream(Fault.Kind.values())
-        .filter(Orders::ofStandIns)
+        .filter(FaultCommands::ofStandIns)
         .map(Fault.Kind::word)
         .collect(Collectors.joining(" "));
   }
@@ -180,7 +180,7 @@
   private String status() {
     StringBuilder out = new StringBuilder();
     for (int place = 0; place < world.places(); place++) {
-      CacheModel cache = world.at(place);
+      CacheServerModel cache = world.at(place);
       out.append(
           String.format(
               Locale.ROOT,
@@ -200,11 +200,11 @@
             world.discovery().version());
   }
 
-  private static String state(CacheModel cache) {
+  private static String state(CacheServerModel cache) {
     if (cache.dead()) {
       return "dead";
     }
-    Condition c = cache.condition();
+    FaultState c = cache.condition();
     List<String> words = new ArrayList<>();
     if (c.slow() != 1) {
       words.add("slow " + c.slow());
