--- a/src/main/java/beaconturn/rehearsal/FleetParts.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -1,23 +1,23 @@
 package beaconturn.rehearsal;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Effect;
-import beaconturn.agreement.Keys;
-import beaconturn.agreement.Seat;
-import beaconturn.agreement.Texts;
-import beaconturn.agreement.Version;
+import beaconturn.agreement.AgreementKeys;
+import beaconturn.agreement.ClassIdempotency;
+import beaconturn.agreement.ConfigCodec;
+import beaconturn.agreement.ConfigVersion;
+import beaconturn.agreement.MemberRecord;
 import beaconturn.core.Clock;
-import beaconturn.ledger.Account;
-import beaconturn.ledger.Entry;
+import beaconturn.history.History;
+import beaconturn.history.HistoryEvent;
+import beaconturn.rehearsal.fleet.AgentHook;
 import beaconturn.rehearsal.fleet.AgentProcess;
-import beaconturn.rehearsal.fleet.Children;
-import beaconturn.rehearsal.fleet.Hand;
-import beaconturn.rehearsal.fleet.Link;
+import beaconturn.rehearsal.fleet.ChildProcesses;
+import beaconturn.rehearsal.fleet.FaultProxy;
 import beaconturn.rehearsal.fleet.StoreProcess;
 import beaconturn.standin.Fault;
-import beaconturn.standin.net.Surroundings;
-import beaconturn.zones.Plan;
-import beaconturn.zones.ZonesTexts;
+import beaconturn.standin.net.EmulatedFleetServer;
+import beaconturn.zones.ZonePlan;
+import beaconturn.zones.ZonesCodec;
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -45,7 +45,7 @@
  * router to it and one to discovery, the operators' file of each router, and the operators'
  * commands as processes.
  */
-final class FleetParts implements Closeable {
+final class FleetEnvironment implements Closeable {
   private static final String FLEET = "/rehearsal";
   private static final int COMMAND_SECONDS = 30;
   private static final int MOST_TRIES = 8;
@@ -57,22 +57,22 @@
   private final RouterLauncher launcher;
   private final Path folder;
   private final Clock clock;
-  private final Account account;
+  private final History account;
   private final StoreProcess store;
 
   /** The version of the list that discovery has now. */
   private final LongSupplier newestList;
 
-  private final List<Link> toStore = new ArrayList<>();
-  private final List<Link> toDiscovery = new ArrayList<>();
+  private final List<FaultProxy> toStore = new ArrayList<>();
+  private final List<FaultProxy> toDiscovery = new ArrayList<>();
 
   /** For each router one for each cache server; empty where no fault needs them. */
-  private final List<List<Link>> toCaches = new ArrayList<>();
+  private final List<List<FaultProxy>> toCaches = new ArrayList<>();
 
   private final List<Thread> commands = new ArrayList<>();
 
   /** Null where nothing is released. */
-  private final Hand hand;
+  private final AgentHook hand;
 
   private final List<AgentProcess> agents = new ArrayList<>();
   private final Map<Scenario.FaultSpec, List<AgentProcess>> struck = new HashMap<>();
@@ -85,15 +85,15 @@
   private final Map<String, String> places = new HashMap<>();
 
   /** When the store saw what first. */
-  private final Map<Cue, Long> came = new HashMap<>();
+  private final Map<Trigger, Long> came = new HashMap<>();
 
-  FleetParts(
+  FleetEnvironment(
       Scenario scenario,
       RouterLauncher launcher,
       Path folder,
-      Surroundings surroundings,
+      EmulatedFleetServer surroundings,
       Clock clock,
-      Account account)
+      History account)
       throws IOException, InterruptedException {
     this.scenario = scenario;
     this.launcher = launcher;
@@ -112,8 +112,8 @@
                     folder.resolve("store.log").toString())),
             folder.resolve("store.log"));
     for (int i = 0; i < scenario.routers().size(); i++) {
-      toStore.add(new Link(store.address()));
-      toDiscovery.add(new Link(surroundings.discovery(i)));
+      toStore.add(new FaultProxy(store.address()));
+      toDiscovery.add(new FaultProxy(surroundings.discovery(i)));
       Path kept = folder.resolve("kept-" + i);
       Files.createDirectories(kept);
       features(scenario.routers().get(i).name(), toStore.get(i).address(), kept);
@@ -127,7 +127,7 @@
     if (!said.contains("is begun")) {
       throw new IOException("the agreement was not begun: " + said);
     }
-    hand = scenario.release() == null ? null : new Hand(folder);
+    hand = scenario.release() == null ? null : new AgentHook(folder);
     if (scenario.release() != null) {
       sayFleet(scenario.release().mostOut(), scenario.release().mostOutOfSite());
     }
@@ -168,7 +168,7 @@
                 + ".site]]\nname = \""
                 + site
                 + "\"\nparts = "
-                + Explained.words(here)
+                + ScenarioPrinter.words(here)
                 + "\n");
       }
     }
@@ -227,7 +227,7 @@
   }
 
   /** What agents want done to routers. */
-  List<Hand.Wish> wishes() throws IOException {
+  List<AgentHook.Wish> wishes() throws IOException {
     if (hand == null) {
       return List.of();
     }
@@ -241,7 +241,7 @@
   }
 
   /** Answers one. */
-  void answer(Hand.Wish wish, boolean ready) {
+  void answer(AgentHook.Wish wish, boolean ready) {
     try {
       hand.answer(wish, ready);
     } catch (IOException e) {
@@ -275,7 +275,8 @@
         Files.writeString(settings, "[settings]\nmost_tries = " + r.mostTries() + "\n");
         plan.append("settings = \"" + settings + "\"\n");
       }
-      r.waves().forEach(wave -> plan.append("[[wave]]\nparts = " + Explained.words(wave) + "\n"));
+      r.waves()
+          .forEach(wave -> plan.append("[[wave]]\nparts = " + ScenarioPrinter.words(wave) + "\n"));
       Files.writeString(folder.resolve("plan.toml"), plan);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -378,11 +379,11 @@
     }
   }
 
-  private void linkCaches(Surroundings surroundings) throws IOException {
+  private void linkCaches(EmulatedFleetServer surroundings) throws IOException {
     for (int router = 0; router < scenario.routers().size(); router++) {
-      List<Link> links = new ArrayList<>();
+      List<FaultProxy> links = new ArrayList<>();
       for (int place = 0; place < scenario.fleet().caches(); place++) {
-        links.add(new Link(surroundings.cache(router, place)));
+        links.add(new FaultProxy(surroundings.cache(router, place)));
         surroundings.reachBy(router, place, links.get(place).address());
       }
       toCaches.add(links);
@@ -460,7 +461,7 @@
                   ? "[settings]\nmost_tries = " + version.mostTries() + "\n"
                   : "")
               + "[list]\nout = "
-              + Explained.words(version.out())
+              + ScenarioPrinter.words(version.out())
               + (version.newest() ? "\noldest = " + newestList.getAsLong() : "")
               + "\n");
       inBackground(() -> proposed(number, file, version));
@@ -496,7 +497,7 @@
                   Integer.toString(COMMAND_SECONDS)));
       words.addAll(asOperator(reason));
       Process process =
-          Children.start(
+          ChildProcesses.start(
               new ProcessBuilder(launcher.command(words))
                   .redirectErrorStream(true)
                   .redirectOutput(folder.resolve("proposal-" + number + ".log").toFile()));
@@ -552,24 +553,24 @@
           });
       return;
     }
-    Link.State state =
+    FaultProxy.State state =
         switch (fault.kind()) {
-          case LINK_CUT, SITE_CUT -> Link.State.CUT;
-          case LINK_ONE_WAY -> Link.State.ONE_WAY;
-          case LINK_SLOW -> Link.State.SLOW;
-          case LINK_HOLD -> Link.State.HELD;
-          case LINK_RESET -> Link.State.RESETTING;
-          case LINK_THROTTLE -> Link.State.THROTTLED;
-          case ANSWER_LOST -> Link.State.ANSWER_LOST;
+          case LINK_CUT, SITE_CUT -> FaultProxy.State.CUT;
+          case LINK_ONE_WAY -> FaultProxy.State.ONE_WAY;
+          case LINK_SLOW -> FaultProxy.State.SLOW;
+          case LINK_HOLD -> FaultProxy.State.HELD;
+          case LINK_RESET -> FaultProxy.State.RESETTING;
+          case LINK_THROTTLE -> FaultProxy.State.THROTTLED;
+          case ANSWER_LOST -> FaultProxy.State.ANSWER_LOST;
           default -> throw new IllegalArgumentException(fault.kind().word());
         };
     links(fault).forEach(link -> become(link, state, (long) fault.amount()));
   }
 
-  private void become(Link link, Link.State state, long amount) {
+  private void become(FaultProxy link, FaultProxy.State state, long amount) {
     int router = toDiscovery.indexOf(link);
     if (router >= 0) {
-      account.add(new Entry.Hears(clock.now(), router, state == Link.State.OPEN));
+      account.add(new HistoryEvent.Hears(clock.now(), router, state == FaultProxy.State.OPEN));
     }
     link.become(state, amount);
   }
@@ -582,19 +583,19 @@
       case STORE_STALE -> order("thaw");
       case STORE_EMPTY, STORE_BACK -> {}
       case AGENT_KILL, AGENT_PAUSE -> endAgents(fault);
-      default -> links(fault).forEach(link -> become(link, Link.State.OPEN, 0));
+      default -> links(fault).forEach(link -> become(link, FaultProxy.State.OPEN, 0));
     }
   }
 
   /** Whether a router reaches the cache servers; nothing where no links lead there. */
-  void reachesCaches(int router, Link.State state, long amount) {
+  void reachesCaches(int router, FaultProxy.State state, long amount) {
     if (!toCaches.isEmpty()) {
       toCaches.get(router).forEach(link -> link.become(state, amount));
     }
   }
 
-  private List<Link> links(Scenario.FaultSpec fault) {
-    List<Link> all = new ArrayList<>();
+  private List<FaultProxy> links(Scenario.FaultSpec fault) {
+    List<FaultProxy> all = new ArrayList<>();
     for (int router = 0; router < scenario.routers().size(); router++) {
       Scenario.RouterSpec spec = scenario.routers().get(router);
       if (fault.kind() == Fault.Kind.SITE_CUT) {
@@ -622,8 +623,8 @@
     return all;
   }
 
-  private List<Link> caches(int router, Predicate<String> sites) {
-    List<Link> links = new ArrayList<>();
+  private List<FaultProxy> caches(int router, Predicate<String> sites) {
+    List<FaultProxy> links = new ArrayList<>();
     for (int place = 0; place < scenario.fleet().caches(); place++) {
       if (sites.test(scenario.site(place))) {
         links.add(toCaches.get(router).get(place));
@@ -641,7 +642,7 @@
   }
 
   /** When the store saw it first, or -1 while it has not. */
-  long cameAbout(Cue cue) throws IOException {
+  long cameAbout(Trigger cue) throws IOException {
     look();
     return came.getOrDefault(cue, -1L);
   }
@@ -649,7 +650,7 @@
   /** Takes in what the store saw since the last look, for the account and for cues. */
   private void look() throws IOException {
     long offset = clock.now() - System.nanoTime();
-    Keys keys = new Keys(FLEET);
+    AgreementKeys keys = new AgreementKeys(FLEET);
     String release = FLEET + "/release/";
     for (StoreProcess.Change change : store.news()) {
       long at = change.nanoTime() + offset;
@@ -658,29 +659,30 @@
       }
       if (change.key().startsWith(keys.rosters())) {
         int router = scenario.router(change.key().substring(keys.rosters().length()).split("/")[0]);
-        account.add(new Entry.Member(at, router, change.value() != null));
+        account.add(new HistoryEvent.Member(at, router, change.value() != null));
       }
       String place = places.remove(change.value() == null ? change.key() : "");
       if (place != null) {
-        account.add(new Entry.Placed(at, place, false));
+        account.add(new HistoryEvent.Placed(at, place, false));
       }
       if (change.value() == null) {
         continue;
       }
       try {
         if (change.key().equals(keys.common() + "next")) {
-          saw(at, Cue.What.PROPOSED, Texts.version(change.value()));
+          saw(at, Trigger.What.PROPOSED, ConfigCodec.version(change.value()));
         } else if (change.key().equals(keys.common() + "current")) {
-          saw(at, Cue.What.IN_FORCE, Texts.version(change.value()));
+          saw(at, Trigger.What.IN_FORCE, ConfigCodec.version(change.value()));
         } else if (change.key().equals(keys.common() + "settled")) {
-          came.putIfAbsent(new Cue(Cue.What.SETTLED, Long.parseLong(change.value()), ""), at);
+          came.putIfAbsent(
+              new Trigger(Trigger.What.SETTLED, Long.parseLong(change.value()), ""), at);
         } else if (change.key().equals(FLEET + "/zones/plan")) {
-          planned(at, ZonesTexts.plan(change.value()));
+          planned(at, ZonesCodec.plan(change.value()));
         } else if (change.key().startsWith(release)) {
           ofRelease(at, change.key().substring(release.length()), change.value());
         } else if (change.key().startsWith(keys.rosters())) {
-          Seat seat = Seat.of(change.value());
-          came.putIfAbsent(new Cue(Cue.What.YES, seat.yes(), seat.name()), at);
+          MemberRecord seat = MemberRecord.of(change.value());
+          came.putIfAbsent(new Trigger(Trigger.What.YES, seat.yes(), seat.name()), at);
         }
       } catch (AgreementException e) {
         throw new IOException(
@@ -695,7 +697,7 @@
       seated.add(key);
     } else if (key.equals("course")) {
       String mode = text.replaceAll(".*\"mode\":\"([a-z]+)\".*", "$1");
-      account.add(new Entry.Ordered(at, mode.equals("halted") ? "halt" : mode));
+      account.add(new HistoryEvent.Ordered(at, mode.equals("halted") ? "halt" : mode));
     } else if (key.equals("fleet")) {
       budget(at, text);
     } else if (key.startsWith("permit/")) {
@@ -705,10 +707,10 @@
     }
   }
 
-  private void planned(long at, Plan plan) {
+  private void planned(long at, ZonePlan plan) {
     Map<String, Map<String, Integer>> rows = new TreeMap<>();
     plan.rows().forEach((place, row) -> rows.put(place, row.parts()));
-    account.add(new Entry.Planned(at, plan.number(), rows));
+    account.add(new HistoryEvent.Planned(at, plan.number(), rows));
   }
 
   private void budget(long at, String text) {
@@ -720,7 +722,8 @@
                     + "\",\"most_out\":\"?([0-9]+)\"?,\"most_out_of_site\":\"?([0-9]+)")
             .matcher(text);
     if (m.find()) {
-      account.add(new Entry.Budget(at, Integer.parseInt(m.group(1)), Integer.parseInt(m.group(2))));
+      account.add(
+          new HistoryEvent.Budget(at, Integer.parseInt(m.group(1)), Integer.parseInt(m.group(2))));
     }
   }
 
@@ -735,48 +738,50 @@
         places.put(key, m.group(2));
       }
       account.add(
-          operators ? new Entry.Placed(at, m.group(2), true) : new Entry.Permitted(at, m.group(2)));
+          operators
+              ? new HistoryEvent.Placed(at, m.group(2), true)
+              : new HistoryEvent.Permitted(at, m.group(2)));
     }
   }
 
   private void step(String part, String text, long at) {
     if (text.contains("\"phase\":\"begun\"")) {
-      came.putIfAbsent(new Cue(Cue.What.OUT, 0, part), at);
+      came.putIfAbsent(new Trigger(Trigger.What.OUT, 0, part), at);
     } else if (text.contains("\"phase\":\"up\"")) {
-      came.putIfAbsent(new Cue(Cue.What.UP, 0, part), at);
+      came.putIfAbsent(new Trigger(Trigger.What.UP, 0, part), at);
     }
   }
 
-  private void saw(long at, Cue.What what, Version version) {
-    came.putIfAbsent(new Cue(what, version.number(), ""), at);
+  private void saw(long at, Trigger.What what, ConfigVersion version) {
+    came.putIfAbsent(new Trigger(what, version.number(), ""), at);
     account.add(
-        new Entry.Versioned(
+        new HistoryEvent.Versioned(
             at,
             version.number(),
-            what == Cue.What.PROPOSED ? Entry.Step.PROPOSED : Entry.Step.IN_FORCE,
+            what == Trigger.What.PROPOSED ? HistoryEvent.Step.PROPOSED : HistoryEvent.Step.IN_FORCE,
             version.content().out(),
             version.content().mostTries() == null ? 0 : version.content().mostTries(),
             version.content().classes().entrySet().stream()
-                .filter(c -> c.getValue().effect() == Effect.UNSAFE)
+                .filter(c -> c.getValue().effect() == ClassIdempotency.UNSAFE)
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet()),
             version.content().oldestList() > 0));
   }
 
   /** What became of each version, once all commands have ended. */
-  List<Passage> passages() throws IOException, InterruptedException {
+  List<VersionTimeline> passages() throws IOException, InterruptedException {
     for (Thread thread : commands) {
       thread.join();
     }
     look();
-    List<Passage> all = new ArrayList<>();
-    for (long n = 1; came.containsKey(new Cue(Cue.What.PROPOSED, n, "")); n++) {
+    List<VersionTimeline> all = new ArrayList<>();
+    for (long n = 1; came.containsKey(new Trigger(Trigger.What.PROPOSED, n, "")); n++) {
       all.add(
-          new Passage(
+          new VersionTimeline(
               n,
-              came.get(new Cue(Cue.What.PROPOSED, n, "")),
-              came.getOrDefault(new Cue(Cue.What.IN_FORCE, n, ""), -1L),
-              came.getOrDefault(new Cue(Cue.What.SETTLED, n, ""), -1L)));
+              came.get(new Trigger(Trigger.What.PROPOSED, n, "")),
+              came.getOrDefault(new Trigger(Trigger.What.IN_FORCE, n, ""), -1L),
+              came.getOrDefault(new Trigger(Trigger.What.SETTLED, n, ""), -1L)));
     }
     return List.copyOf(all);
   }
@@ -790,9 +795,9 @@
   @Override
   public void close() {
     agents.forEach(AgentProcess::close);
-    toStore.forEach(Link::close);
-    toDiscovery.forEach(Link::close);
-    toCaches.forEach(links -> links.forEach(Link::close));
+    toStore.forEach(FaultProxy::close);
+    toDiscovery.forEach(FaultProxy::close);
+    toCaches.forEach(links -> links.forEach(FaultProxy::close));
     store.close();
   }
 }
--- /dev/null
+++ b/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
@@ -0,0 +1,121 @@
+package beaconturn.rehearsal;
+
+import beaconturn.history.History;
+import beaconturn.history.HistoryEvent;
+import beaconturn.standin.CacheCommand;
+import beaconturn.standin.CacheResponse;
+import beaconturn.standin.EndpointListing;
+import beaconturn.standin.HistoryRecorder;
+
+/** Writes what the stand-ins see into the account. */
+final class HistoryEventWriter implements HistoryRecorder {
+  private final History account;
+
+  HistoryEventWriter(History account) {
+    this.account = account;
+  }
+
+  @Override
+  public void commanded(
+      long at, String server, int router, long connection, CacheCommand c, long work) {
+    account.add(
+        new HistoryEvent.Sent(
+            at,
+            c.firstAt(),
+            c.turn(),
+            c.number(),
+            server,
+            router,
+            connection,
+            c.id(),
+            c.type(),
+            c.key(),
+            work));
+  }
+
+  @Override
+  public void replied(long at, CacheCommand command, CacheResponse reply) {
+    if (reply instanceof CacheResponse.Value value) {
+      made(at, command, HistoryEvent.Made.VALUE, value);
+    } else if (reply instanceof CacheResponse.Spoilt spoilt) {
+      // What comes before a second copy, noise or an odd report is good and may be passed on.
+      boolean good =
+          switch (spoilt.way()) {
+            case SECOND_COPY, NOISE_BEHIND, ODD_REPORT -> true;
+            default -> false;
+          };
+      made(at, command, good ? HistoryEvent.Made.VALUE : HistoryEvent.Made.SPOILT, spoilt.value());
+    } else {
+      HistoryEvent.Made made =
+          reply instanceof CacheResponse.Busy ? HistoryEvent.Made.BUSY : HistoryEvent.Made.ERROR;
+      account.add(new HistoryEvent.Replied(at, command.number(), made, 0));
+    }
+  }
+
+  private void made(
+      long at, CacheCommand command, HistoryEvent.Made made, CacheResponse.Value value) {
+    account.add(
+        new HistoryEvent.Replied(at, command.number(), made, History.digest(value.bytes())));
+  }
+
+  @Override
+  public void executed(long at, CacheCommand command, boolean repeat) {
+    account.add(new HistoryEvent.Ran(at, command.number(), repeat));
+  }
+
+  @Override
+  public void ended(long at, long turn, long connection) {
+    account.add(new HistoryEvent.Ended(at, turn, connection));
+  }
+
+  @Override
+  public void started(long at, EndpointListing server, double capacity) {
+    account.add(
+        new HistoryEvent.Started(
+            at, server.host(), server.site(), server.block(), server.born(), capacity));
+  }
+
+  @Override
+  public void down(long at, String server) {
+    account.add(new HistoryEvent.Down(at, server));
+  }
+
+  @Override
+  public void collapsed(long at, String server) {
+    account.add(new HistoryEvent.Collapsed(at, server));
+  }
+
+  @Override
+  public void fetched(long at, String server, boolean cold, int inOrigin) {
+    account.add(new HistoryEvent.Fetched(at, server, cold, inOrigin));
+  }
+
+  @Override
+  public void listed(long at, String server, EndpointListing.Health health) {
+    account.add(new HistoryEvent.Listed(at, server, state(health)));
+  }
+
+  @Override
+  public void told(long at, int router, String server, EndpointListing.Health health, long born) {
+    account.add(new HistoryEvent.Told(at, router, server, state(health), born));
+  }
+
+  private static HistoryEvent.State state(EndpointListing.Health health) {
+    return HistoryEvent.State.valueOf(health.name());
+  }
+
+  @Override
+  public void asked(long at, int router) {
+    account.add(new HistoryEvent.Called(at, router));
+  }
+
+  @Override
+  public void discovery(long at, boolean up) {
+    account.add(new HistoryEvent.Reachable(at, up));
+  }
+
+  @Override
+  public void unreadable(long at, String server, int router, String why) {
+    account.add(new HistoryEvent.Unreadable(at, server, router, why));
+  }
+}
--- a/src/main/java/beaconturn/rehearsal/HtmlReport.java
+++ b/src/main/java/beaconturn/rehearsal/HtmlReport.java
@@ -1,9 +1,9 @@
 package beaconturn.rehearsal;
 
-import beaconturn.ledger.Absences;
-import beaconturn.ledger.Crossings;
-import beaconturn.ledger.Entry;
-import beaconturn.ledger.Verdict;
+import beaconturn.history.HistoryEvent;
+import beaconturn.history.InvariantResult;
+import beaconturn.history.UnavailabilityIndex;
+import beaconturn.history.ZoneCrossings;
 import beaconturn.report.Chart;
 import beaconturn.report.Page;
 import java.util.ArrayList;
@@ -21,16 +21,16 @@
   /** Thousandths of a place's keys that go elsewhere at all times. */
   private static final int TRIAL = 10;
 
-  private final Report report;
+  private final RehearsalReport report;
   private final int seconds;
 
-  private HtmlReport(Report report) {
+  private HtmlReport(RehearsalReport report) {
     this.report = report;
     this.seconds = (int) Math.ceil(report.scenario().length() / SECOND);
   }
 
   /** The page. */
-  static String of(Report report) {
+  static String of(RehearsalReport report) {
     return new HtmlReport(report).page();
   }
 
@@ -62,8 +62,8 @@
             "out: blue by a step or an operator, orange by itself");
     served(chart);
     long end = report.start() + report.scenario().length();
-    List<Absences.Gone> gone =
-        Absences.of(report.scenario().terms(0), report.entries()).stream()
+    List<UnavailabilityIndex.Gone> gone =
+        UnavailabilityIndex.of(report.scenario().terms(0), report.entries()).stream()
             .filter(g -> g.from() < end && g.to() > report.start())
             .toList();
     List<String> parts = gone.isEmpty() ? List.of() : report.scenario().parts();
@@ -78,11 +78,11 @@
         chart.row(new Chart.Row(part, spans));
       }
     }
-    for (Entry entry : report.entries()) {
+    for (HistoryEvent entry : report.entries()) {
       String says =
-          entry instanceof Entry.Ordered o
+          entry instanceof HistoryEvent.Ordered o
               ? o.what()
-              : entry instanceof Entry.Budget b ? "budget " + b.mostOut() : "";
+              : entry instanceof HistoryEvent.Budget b ? "budget " + b.mostOut() : "";
       if (!says.isEmpty() && second(entry.at()) >= 0) {
         chart.mark(second(entry.at()), says);
       }
@@ -100,11 +100,11 @@
 
   /** For each place what stayed near, second by second, beside what plans allot elsewhere. */
   private void shares(Page page) {
-    Crossings crossings = report.crossings();
+    ZoneCrossings crossings = report.crossings();
     if (crossings == null) {
       return;
     }
-    List<Entry.Planned> plans = report.plans();
+    List<HistoryEvent.Planned> plans = report.plans();
     crossings
         .near()
         .forEach(
@@ -143,7 +143,7 @@
 
   private void rules(Page page) {
     page.table("rule", "verdict", "checked", "what it says");
-    for (Verdict v : report.verdicts()) {
+    for (InvariantResult v : report.verdicts()) {
       page.row(
           !v.held(),
           List.of(
@@ -157,7 +157,7 @@
 
   private void classes(Page page) {
     page.table("class", "wanted", "served", "refused", "failed", "p99 ms");
-    for (Tally.Line c : report.classes()) {
+    for (ClientStatistics.Line c : report.classes()) {
       page.row(
           false,
           List.of(
--- a/src/main/java/beaconturn/rehearsal/PauseWatch.java
+++ b/src/main/java/beaconturn/rehearsal/MachinePauseDetector.java
@@ -1,8 +1,8 @@
 package beaconturn.rehearsal;
 
 import beaconturn.core.Clock;
-import beaconturn.ledger.Account;
-import beaconturn.ledger.Entry;
+import beaconturn.history.History;
+import beaconturn.history.HistoryEvent;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 
@@ -10,7 +10,7 @@
  * Notes when the machine did not let this process run, when the stand-ins' own thread was behind,
  * and when the host took a processor away: what is then late is not the routers' doing.
  */
-final class PauseWatch {
+final class MachinePauseDetector {
   private static final long MILLI = 1_000_000;
   private static final long STEP = 5 * MILLI;
   private static final long WORTH_NOTING = 5 * MILLI;
@@ -19,14 +19,14 @@
   private static final int LOOK_EVERY = 4;
 
   private final Clock clock;
-  private final Account account;
+  private final History account;
   private final Consumer<Runnable> standIns;
   private final StolenTime stolen = new StolenTime();
   private final AtomicBoolean asked = new AtomicBoolean();
   private volatile boolean over;
 
   /** A watch that has not begun; {@code standIns} runs something on the stand-ins' thread, soon. */
-  PauseWatch(Clock clock, Account account, Consumer<Runnable> standIns) {
+  MachinePauseDetector(Clock clock, History account, Consumer<Runnable> standIns) {
     this.clock = clock;
     this.account = account;
     this.standIns = standIns;
@@ -71,7 +71,7 @@
   /** So long a pause up to a time, which may lie within another. */
   private void note(long pause, long now) {
     if (pause > WORTH_NOTING) {
-      account.add(new Entry.Paused(now - pause, now));
+      account.add(new HistoryEvent.Paused(now - pause, now));
     }
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ClientCrowd.java
+++ b/src/main/java/beaconturn/rehearsal/OpenLoopClients.java
@@ -1,8 +1,8 @@
 package beaconturn.rehearsal;
 
 import beaconturn.core.Clock;
-import beaconturn.ledger.Account;
-import beaconturn.ledger.Entry;
+import beaconturn.history.History;
+import beaconturn.history.HistoryEvent;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
  * answers before it do, tries again as clients do, and goes round a router that the front knows to
  * be down.
  */
-final class ClientCrowd implements ClientLine.Owner {
+final class OpenLoopClients implements SequentialClient.Owner {
   private static final long MILLI = 1_000_000;
   private static final int HASTE_SHIFT = 23;
   private static final int CHANCES = 10_000;
@@ -24,20 +24,20 @@
   private final Scenario scenario;
   private final List<InetSocketAddress> routers;
   private final Clock clock;
-  private final Account account;
-  private final Tally tally;
+  private final History account;
+  private final ClientStatistics tally;
   private final PipelinedClients pipelined;
   private final List<SilentClients> silent = new ArrayList<>();
   // Guarded by this:
   private final PriorityQueue<Due> due = new PriorityQueue<>();
-  private final List<Deque<ClientLine>> idle = new ArrayList<>();
+  private final List<Deque<SequentialClient>> idle = new ArrayList<>();
   private final boolean[] avoided;
   private long started;
   private long lastNumber;
   private int out;
   private boolean over;
 
-  private record Due(long at, long number, ClientLine.Try asked) implements Comparable<Due> {
+  private record Due(long at, long number, SequentialClient.Try asked) implements Comparable<Due> {
     @Override
     public int compareTo(Due other) {
       int byTime = Long.compare(at, other.at);
@@ -45,12 +45,12 @@
     }
   }
 
-  ClientCrowd(
+  OpenLoopClients(
       Scenario scenario,
       List<InetSocketAddress> routers,
       Clock clock,
-      Account account,
-      Tally tally) {
+      History account,
+      ClientStatistics tally) {
     this.scenario = scenario;
     this.routers = routers;
     this.clock = clock;
@@ -62,9 +62,9 @@
   }
 
   /** Begins to send; times of the plan count from {@code start}. */
-  synchronized void start(List<Planned> plan, long start) {
+  synchronized void start(List<ScheduledRequest> plan, long start) {
     started = start;
-    for (Planned planned : plan) {
+    for (ScheduledRequest planned : plan) {
       due.add(new Due(start + planned.at(), ++lastNumber, attempt(planned, 0)));
     }
     int quiet = scenario.clients().stream().mapToInt(c -> c.conduct().silent()).sum();
@@ -77,14 +77,14 @@
     thread.start();
   }
 
-  private ClientLine.Try attempt(Planned planned, int attempt) {
+  private SequentialClient.Try attempt(ScheduledRequest planned, int attempt) {
     Scenario.Clients stream = scenario.clients().get(planned.stream());
     long patience = patience(planned, stream);
     String once =
         planned.type().effect() == Scenario.Effect.KEYED ? planned.once(scenario.seed()) : null;
     List<Integer> near =
         IntStream.range(0, routers.size()).filter(r -> stands(r, stream)).boxed().toList();
-    return new ClientLine.Try(
+    return new SequentialClient.Try(
         planned,
         attempt,
         planned.id(scenario.seed(), attempt),
@@ -94,7 +94,7 @@
   }
 
   /** In whole milliseconds, as the protocol has it. */
-  private static long patience(Planned planned, Scenario.Clients stream) {
+  private static long patience(ScheduledRequest planned, Scenario.Clients stream) {
     int chance = (int) Long.remainderUnsigned(planned.chance() >>> HASTE_SHIFT, CHANCES);
     if (chance < stream.conduct().hasty() * CHANCES) {
       return (1 + chance % LONGEST_HASTY) * MILLI;
@@ -130,14 +130,14 @@
     return null;
   }
 
-  private void send(ClientLine.Try asked) {
-    ClientLine line;
-    ClientLine.Try sent;
+  private void send(SequentialClient.Try asked) {
+    SequentialClient line;
+    SequentialClient.Try sent;
     boolean oneByOne = scenario.clients().get(asked.planned().stream()).conduct().oneByOne();
     synchronized (this) {
       int router = !oneByOne && pipelined.connected(asked) ? asked.router() : up(asked);
       sent =
-          new ClientLine.Try(
+          new SequentialClient.Try(
               asked.planned(), asked.attempt(), asked.id(), router, asked.patience(), asked.once());
       line = oneByOne ? idle.get(router).pollFirst() : null;
     }
@@ -146,7 +146,9 @@
       return;
     }
     if (line == null) {
-      line = new ClientLine(routers.get(sent.router()), clock, account, this, scenario.crowded());
+      line =
+          new SequentialClient(
+              routers.get(sent.router()), clock, account, this, scenario.crowded());
       line.start();
     }
     line.ask(sent);
@@ -161,7 +163,7 @@
    * Its router, or the next that the front goes to; one of the clients' own site while there is
    * one.
    */
-  private int up(ClientLine.Try asked) {
+  private int up(SequentialClient.Try asked) {
     Scenario.Clients stream = scenario.clients().get(asked.planned().stream());
     List<Integer> up =
         IntStream.range(0, avoided.length)
@@ -176,7 +178,7 @@
   }
 
   @Override
-  public void done(ClientLine line, ClientLine.Result result, boolean reusable) {
+  public void done(SequentialClient line, SequentialClient.Result result, boolean reusable) {
     tally.done(result, started);
     synchronized (this) {
       out--;
@@ -185,7 +187,7 @@
       }
       long wait = again(result);
       if (wait >= 0) {
-        ClientLine.Try next = attempt(result.asked().planned(), result.asked().attempt() + 1);
+        SequentialClient.Try next = attempt(result.asked().planned(), result.asked().attempt() + 1);
         due.add(new Due(clock.now() + wait, ++lastNumber, next));
       }
       notifyAll();
@@ -196,11 +198,12 @@
    * How long until the client tries again, or below 0: never a write that may have run and must not
    * twice.
    */
-  private long again(ClientLine.Result result) {
-    Planned planned = result.asked().planned();
+  private long again(SequentialClient.Result result) {
+    ScheduledRequest planned = result.asked().planned();
     Scenario.Clients stream = scenario.clients().get(planned.stream());
-    boolean served = result.kind() == Entry.Kind.SERVED || result.kind() == Entry.Kind.LEFT;
-    boolean doubtful = result.kind() != null && result.kind() != Entry.Kind.REFUSED;
+    boolean served =
+        result.kind() == HistoryEvent.Kind.SERVED || result.kind() == HistoryEvent.Kind.LEFT;
+    boolean doubtful = result.kind() != null && result.kind() != HistoryEvent.Kind.REFUSED;
     boolean unsafe = planned.type().effect() == Scenario.Effect.UNSAFE;
     if (served || doubtful && unsafe || result.asked().attempt() >= stream.retries()) {
       return -1;
@@ -209,7 +212,7 @@
   }
 
   @Override
-  public void crossed(ClientLine.Try again) {
+  public void crossed(SequentialClient.Try again) {
     send(again);
   }
 
@@ -244,8 +247,8 @@
     notifyAll();
     pipelined.finish();
     silent.forEach(SilentClients::finish);
-    for (Deque<ClientLine> lines : idle) {
-      lines.forEach(ClientLine::finish);
+    for (Deque<SequentialClient> lines : idle) {
+      lines.forEach(SequentialClient::finish);
       lines.clear();
     }
   }
--- a/src/main/java/beaconturn/rehearsal/PipelinedLine.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClient.java
@@ -1,13 +1,13 @@
 package beaconturn.rehearsal;
 
 import beaconturn.core.Clock;
-import beaconturn.ledger.Account;
-import beaconturn.ledger.Entry;
+import beaconturn.history.History;
+import beaconturn.history.HistoryEvent;
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespReader;
 import beaconturn.protocol.RespValue;
-import beaconturn.standin.Seeds;
+import beaconturn.standin.RandomSources;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -28,7 +28,7 @@
  * moment before, where nothing before them is owed and none of those written together was answered;
  * for all else that is open it is an offence.
  */
-final class PipelinedLine {
+final class PipelinedClient {
   private static final long MILLI = 1_000_000;
   private static final int CONNECT_MILLIS = 1000;
   private static final int STACK_BYTES = 192 * 1024;
@@ -56,8 +56,8 @@
   private final InetSocketAddress router;
   private final int number;
   private final Clock clock;
-  private final Account account;
-  private final ClientLine.Owner owner;
+  private final History account;
+  private final SequentialClient.Owner owner;
   private final Scenario.Conduct conduct;
   private final boolean crowded;
   private final UniformRandomProvider random;
@@ -68,7 +68,7 @@
 
   private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE);
   // Guarded by this:
-  private final Deque<ClientLine.Try> waiting = new ArrayDeque<>();
+  private final Deque<SequentialClient.Try> waiting = new ArrayDeque<>();
   private final Deque<Command> open = new ArrayDeque<>();
   private Socket socket;
   private boolean over;
@@ -78,7 +78,7 @@
    * A command that has been written, or is being written; {@code asked} is null for a wrong one.
    */
   private static final class Command {
-    private final ClientLine.Try asked;
+    private final SequentialClient.Try asked;
     private final byte[] bytes;
     private boolean written;
     private boolean answered;
@@ -88,7 +88,7 @@
     /** When its own first byte was written, or 0. */
     private long begunAt;
 
-    Command(ClientLine.Try asked, byte[] bytes) {
+    Command(SequentialClient.Try asked, byte[] bytes) {
       this.asked = asked;
       this.bytes = bytes;
     }
@@ -98,12 +98,12 @@
    * A connection to a router, which is the {@code number}th of its play and draws its chance by
    * that; new ones may be shut unread where it is {@code crowded}.
    */
-  PipelinedLine(
+  PipelinedClient(
       InetSocketAddress router,
       int number,
       Clock clock,
-      Account account,
-      ClientLine.Owner owner,
+      History account,
+      SequentialClient.Owner owner,
       Scenario.Conduct conduct,
       boolean crowded,
       long seed) {
@@ -114,7 +114,7 @@
     this.owner = owner;
     this.conduct = conduct;
     this.crowded = crowded;
-    this.random = new Seeds(seed).of("pipeline " + number);
+    this.random = new RandomSources(seed).of("pipeline " + number);
   }
 
   void start() {
@@ -128,7 +128,7 @@
   }
 
   /** Takes a try; false if the connection is over. */
-  synchronized boolean ask(ClientLine.Try one) {
+  synchronized boolean ask(SequentialClient.Try one) {
     if (over || finishing) {
       return false;
     }
@@ -186,7 +186,7 @@
       }
       List<Command> batch = new ArrayList<>();
       while (batch.size() < most && !waiting.isEmpty() && !over) {
-        ClientLine.Try one = waiting.remove();
+        SequentialClient.Try one = waiting.remove();
         addWrong(batch);
         batch.add(new Command(one, ClientCommands.bytes(one)));
         addWrong(batch);
@@ -268,8 +268,8 @@
     return made;
   }
 
-  private void unreached(ClientLine.Try one) {
-    owner.done(null, new ClientLine.Result(one, null, clock.now(), 0), false);
+  private void unreached(SequentialClient.Try one) {
+    owner.done(null, new SequentialClient.Result(one, null, clock.now(), 0), false);
   }
 
   private synchronized void asked(Command one) {
@@ -281,7 +281,7 @@
     if (one.asked != null) {
       long at = clock.now();
       account.add(
-          new Entry.Asked(
+          new HistoryEvent.Asked(
               at,
               one.asked.id(),
               one.asked.planned().type().name(),
@@ -338,13 +338,14 @@
     if (one.asked != null) {
       long at = answeredAt;
       if (inFront != 0) {
-        account.add(new Entry.InFront(inFront, one.asked.id()));
+        account.add(new HistoryEvent.InFront(inFront, one.asked.id()));
       }
-      Entry.Kind kind = ClientCommands.kind(value);
-      account.add(new Entry.Answered(at, one.asked.id(), kind, ClientCommands.digest(value)));
+      HistoryEvent.Kind kind = ClientCommands.kind(value);
+      account.add(
+          new HistoryEvent.Answered(at, one.asked.id(), kind, ClientCommands.digest(value)));
       owner.done(
           null,
-          new ClientLine.Result(one.asked, kind, at, ClientCommands.retryAfter(value)),
+          new SequentialClient.Result(one.asked, kind, at, ClientCommands.retryAfter(value)),
           false);
     }
   }
@@ -375,8 +376,12 @@
     }
     for (Command one : all) {
       if (one.asked != null && one.written) {
-        account.add(new Entry.Answered(clock.now(), one.asked.id(), Entry.Kind.LEFT, 0));
-        owner.done(null, new ClientLine.Result(one.asked, Entry.Kind.LEFT, clock.now(), 0), false);
+        account.add(
+            new HistoryEvent.Answered(clock.now(), one.asked.id(), HistoryEvent.Kind.LEFT, 0));
+        owner.done(
+            null,
+            new SequentialClient.Result(one.asked, HistoryEvent.Kind.LEFT, clock.now(), 0),
+            false);
       } else if (one.asked != null) {
         unreached(one.asked);
       }
@@ -386,7 +391,7 @@
   /** The connection is over; what is open was broken off, or crossed its end. */
   private void ended(boolean byRouter) {
     List<Command> broken;
-    List<ClientLine.Try> unsent;
+    List<SequentialClient.Try> unsent;
     synchronized (this) {
       over = true;
       broken = List.copyOf(open);
@@ -411,11 +416,12 @@
     boolean turnedAway = crossed && crowded && answeredAt == 0;
     if (!one.written && one.begunAt != 0 && !turnedAway) {
       account.add(
-          new Entry.HalfSent(now, one.asked.id(), one.asked.router(), one.begunAt, nothingInFront));
+          new HistoryEvent.HalfSent(
+              now, one.asked.id(), one.asked.router(), one.begunAt, nothingInFront));
     }
     if (crossed) {
       if (one.written) {
-        account.add(new Entry.Crossed(now, one.asked.id(), one.batchBegan));
+        account.add(new HistoryEvent.Crossed(now, one.asked.id(), one.batchBegan));
       }
       if (answeredAt == 0) {
         // Turned away: who comes again at once is turned away again.
@@ -429,8 +435,9 @@
       unreached(one.asked);
       return;
     }
-    account.add(new Entry.Answered(now, one.asked.id(), Entry.Kind.BROKEN, 0));
-    owner.done(null, new ClientLine.Result(one.asked, Entry.Kind.BROKEN, now, 0), false);
+    account.add(new HistoryEvent.Answered(now, one.asked.id(), HistoryEvent.Kind.BROKEN, 0));
+    owner.done(
+        null, new SequentialClient.Result(one.asked, HistoryEvent.Kind.BROKEN, now, 0), false);
   }
 
   private void close() {
--- a/src/main/java/beaconturn/rehearsal/PipelinedClients.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClients.java
@@ -1,7 +1,7 @@
 package beaconturn.rehearsal;
 
 import beaconturn.core.Clock;
-import beaconturn.ledger.Account;
+import beaconturn.history.History;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,10 +19,10 @@
   private final Scenario scenario;
   private final List<InetSocketAddress> routers;
   private final Clock clock;
-  private final Account account;
-  private final ClientLine.Owner owner;
+  private final History account;
+  private final SequentialClient.Owner owner;
   // Guarded by this:
-  private final Map<Place, PipelinedLine> lines = new HashMap<>();
+  private final Map<Place, PipelinedClient> lines = new HashMap<>();
   private int made;
 
   private record Place(int stream, int router, int place) {}
@@ -31,8 +31,8 @@
       Scenario scenario,
       List<InetSocketAddress> routers,
       Clock clock,
-      Account account,
-      ClientLine.Owner owner) {
+      History account,
+      SequentialClient.Owner owner) {
     this.scenario = scenario;
     this.routers = routers;
     this.clock = clock;
@@ -44,17 +44,17 @@
    * Whether the connection for it stands: clients go on using it whatever the front says of the
    * router.
    */
-  synchronized boolean connected(ClientLine.Try one) {
-    PipelinedLine line = lines.get(place(one));
+  synchronized boolean connected(SequentialClient.Try one) {
+    PipelinedClient line = lines.get(place(one));
     return line != null && line.connected();
   }
 
   /** Sends it on its connection, or on a new one where that is over. */
-  synchronized void send(ClientLine.Try one) {
-    PipelinedLine line = lines.get(place(one));
+  synchronized void send(SequentialClient.Try one) {
+    PipelinedClient line = lines.get(place(one));
     if (line == null || !line.ask(one)) {
       line =
-          new PipelinedLine(
+          new PipelinedClient(
               routers.get(one.router()),
               ++made,
               clock,
@@ -69,7 +69,7 @@
     }
   }
 
-  private static Place place(ClientLine.Try one) {
+  private static Place place(SequentialClient.Try one) {
     return new Place(
         one.planned().stream(),
         one.router(),
@@ -78,6 +78,6 @@
 
   /** Ends all connections after what is open on them. */
   synchronized void finish() {
-    new ArrayList<>(lines.values()).forEach(PipelinedLine::finish);
+    new ArrayList<>(lines.values()).forEach(PipelinedClient::finish);
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ProcessLauncher.java
+++ b/src/main/java/beaconturn/rehearsal/ProcessLauncher.java
@@ -1,8 +1,8 @@
 package beaconturn.rehearsal;
 
 import beaconturn.core.Clock;
-import beaconturn.rehearsal.fleet.Children;
-import beaconturn.rehearsal.fleet.Leaking;
+import beaconturn.rehearsal.fleet.ChildProcesses;
+import beaconturn.rehearsal.fleet.MemoryLeakProgram;
 import java.io.File;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -76,7 +76,7 @@
 
   private List<String> leaking(long after) {
     List<String> all = new ArrayList<>(path);
-    all.add(Leaking.class.getName());
+    all.add(MemoryLeakProgram.class.getName());
     all.add(Long.toString(after / MILLI));
     all.addAll(LEAK);
     all.add(main);
@@ -100,7 +100,7 @@
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(start.log().toFile()));
     builder.environment().keySet().removeIf(variable -> variable.startsWith("PROXY_"));
-    return new OfProcess(Children.start(builder));
+    return new OfProcess(ChildProcesses.start(builder));
   }
 
   @Override
@@ -143,12 +143,12 @@
 
     @Override
     public void pause(boolean on) {
-      Children.pause(process, on);
+      ChildProcesses.pause(process, on);
     }
 
     @Override
     public void hangUp() {
-      Children.hangUp(process);
+      ChildProcesses.hangUp(process);
     }
 
     @Override
--- a/src/main/java/beaconturn/rehearsal/Footprint.java
+++ b/src/main/java/beaconturn/rehearsal/ProcessUsage.java
@@ -8,11 +8,11 @@
  * What a process holds, as Linux tells under {@code /proc}: memory in kB and threads; 0 where it is
  * not known.
  */
-record Footprint(long memory, int threads) {
-  private static final Footprint UNKNOWN = new Footprint(0, 0);
+record ProcessUsage(long memory, int threads) {
+  private static final ProcessUsage UNKNOWN = new ProcessUsage(0, 0);
 
   /** Of a process as it is now. */
-  static Footprint of(long pid) {
+  static ProcessUsage of(long pid) {
     Path status = Path.of("/proc/" + pid + "/status");
     if (pid < 0 || !Files.exists(status)) {
       return UNKNOWN;
@@ -31,11 +31,11 @@
       // It has just ended.
       return UNKNOWN;
     }
-    return new Footprint(memory, threads);
+    return new ProcessUsage(memory, threads);
   }
 
   /** The larger figure of both. */
-  Footprint most(Footprint other) {
-    return new Footprint(Math.max(memory, other.memory), Math.max(threads, other.threads));
+  ProcessUsage most(ProcessUsage other) {
+    return new ProcessUsage(Math.max(memory, other.memory), Math.max(threads, other.threads));
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ClientStorm.java
+++ b/src/main/java/beaconturn/rehearsal/RandomClientScenario.java
@@ -1,7 +1,7 @@
 package beaconturn.rehearsal;
 
 import beaconturn.standin.Fault;
-import beaconturn.standin.Seeds;
+import beaconturn.standin.RandomSources;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -15,7 +15,7 @@
  * wrong ones among them, in pieces, with little time, or leave over what is open. A seed always
  * makes the same one.
  */
-final class ClientStorm {
+final class RandomClientScenario {
   private static final int LENGTH_MILLIS = 8000;
   private static final int CALM_MILLIS = 400;
   private static final int LAST_MILLIS = 6500;
@@ -66,13 +66,13 @@
   private final Set<String> struck = new HashSet<>();
   private int routers;
 
-  private ClientStorm(long seed) {
-    this.random = new Seeds(seed).of("client storm");
+  private RandomClientScenario(long seed) {
+    this.random = new RandomSources(seed).of("client storm");
   }
 
   /** The scenario of a seed, as a file. */
   static String text(long seed) {
-    ClientStorm storm = new ClientStorm(seed);
+    RandomClientScenario storm = new RandomClientScenario(seed);
     storm.write(seed);
     return storm.out.toString();
   }
@@ -172,7 +172,7 @@
   private void fault(Fault.Kind kind, int from, int to, String... on) {
     line("[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"", kind.word(), from, to);
     if (on.length > 0) {
-      line("on = %s", Explained.words(List.of(on)));
+      line("on = %s", ScenarioPrinter.words(List.of(on)));
     }
   }
 }
--- a/src/main/java/beaconturn/rehearsal/Storm.java
+++ b/src/main/java/beaconturn/rehearsal/RandomScenario.java
@@ -1,7 +1,7 @@
 package beaconturn.rehearsal;
 
 import beaconturn.standin.Fault;
-import beaconturn.standin.Seeds;
+import beaconturn.standin.RandomSources;
 import beaconturn.toml.TomlException;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -15,7 +15,7 @@
  * one after the other, and faults of links, the store, routers, sites and cache servers at any
  * time, also over each other. A seed always makes the same one.
  */
-public final class Storm {
+public final class RandomScenario {
   private static final long LENGTH_MILLIS = 12_000;
   private static final long CALM_MILLIS = 500;
   private static final int CACHES = 6;
@@ -123,20 +123,20 @@
   private final StringBuilder out = new StringBuilder();
   private final Set<String> gone = new HashSet<>();
 
-  private Storm(long seed, int routers) {
-    this.random = new Seeds(seed).of("storm");
+  private RandomScenario(long seed, int routers) {
+    this.random = new RandomSources(seed).of("storm");
     this.routers = routers;
   }
 
   /** The scenario of a seed, as a file. */
   public static String text(About about, long seed, int routers) {
-    Storm storm = new Storm(seed, routers);
+    RandomScenario storm = new RandomScenario(seed, routers);
     if (about == About.VERSIONS) {
       storm.versions(seed);
     } else if (about == About.RELEASES) {
       storm.release(seed);
     } else if (about == About.CLIENTS) {
-      return ClientStorm.text(seed);
+      return RandomClientScenario.text(seed);
     } else {
       storm.places(seed);
     }
@@ -159,7 +159,7 @@
     out.append(
         String.format(
             "[fleet]%ncaches = %d%nsites = %s%ncold_for = \"2s\"%n",
-            OF_EACH * THREE_SITES.size(), Explained.words(THREE_SITES)));
+            OF_EACH * THREE_SITES.size(), ScenarioPrinter.words(THREE_SITES)));
     // A cache server does more than what all together want of a place.
     out.append(String.format("[zones]%neach_per_s = 100%nback_within = \"12s\"%n"));
     int faults = 2 + random.nextInt(3);
@@ -193,7 +193,7 @@
     out.append(
         String.format(
             "[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"%non = %s%n",
-            kind.word(), from, Math.max(to, from + CALM_MILLIS), Explained.words(names)));
+            kind.word(), from, Math.max(to, from + CALM_MILLIS), ScenarioPrinter.words(names)));
   }
 
   private void head(long seed) {
@@ -256,7 +256,7 @@
     }
   }
 
-  private Storm order(String what, String more, long at) {
+  private RandomScenario order(String what, String more, long at) {
     out.append(String.format("[[order]]%nwhat = \"%s\"%nat = \"%dms\"%n%s", what, at, more));
     return this;
   }
@@ -292,7 +292,7 @@
     out.append(
         String.format(
             "[[version]]%nat = \"%dms\"%nout = %s%nmost_tries = %d%n",
-            at, Explained.words(servers), random.nextInt(4)));
+            at, ScenarioPrinter.words(servers), random.nextInt(4)));
     return servers;
   }
 
@@ -312,23 +312,26 @@
         String.format(
             "[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"%n", kind.word(), from, to));
     switch (kind.target()) {
-      case ROUTER -> out.append(String.format("on = %s%n", Explained.words(List.of(struck))));
+      case ROUTER -> out.append(String.format("on = %s%n", ScenarioPrinter.words(List.of(struck))));
       case AGENT ->
           out.append(
               String.format(
                   "on = %s%n",
-                  Explained.words(List.of(random.nextBoolean() ? ScenarioReader.DRIVER : struck))));
+                  ScenarioPrinter.words(
+                      List.of(random.nextBoolean() ? ScenarioReader.DRIVER : struck))));
       case LINK ->
-          out.append(String.format("on = %s%nway = \"%s\"%n", Explained.words(some()), way()));
+          out.append(
+              String.format("on = %s%nway = \"%s\"%n", ScenarioPrinter.words(some()), way()));
       case SITE ->
           out.append(
               String.format(
-                  "on = %s%n", Explained.words(List.of(sites.get(random.nextInt(sites.size()))))));
+                  "on = %s%n",
+                  ScenarioPrinter.words(List.of(sites.get(random.nextInt(sites.size()))))));
       case CACHE ->
           out.append(
               String.format(
                   "on = %s%n",
-                  Explained.words(List.of(Scenario.cacheName(random.nextInt(CACHES))))));
+                  ScenarioPrinter.words(List.of(Scenario.cacheName(random.nextInt(CACHES))))));
       default -> {}
     }
   }
--- a/src/main/java/beaconturn/rehearsal/Rehearsal.java
+++ b/src/main/java/beaconturn/rehearsal/Rehearsal.java
@@ -1,15 +1,15 @@
 package beaconturn.rehearsal;
 
 import beaconturn.core.Clock;
-import beaconturn.ledger.Account;
-import beaconturn.ledger.Entry;
-import beaconturn.ledger.Judge;
-import beaconturn.rehearsal.fleet.Hand;
-import beaconturn.standin.Agenda;
+import beaconturn.history.History;
+import beaconturn.history.HistoryChecker;
+import beaconturn.history.HistoryEvent;
+import beaconturn.rehearsal.fleet.AgentHook;
+import beaconturn.standin.EmulatedFleet;
+import beaconturn.standin.EventScheduler;
 import beaconturn.standin.Fault;
-import beaconturn.standin.Seeds;
-import beaconturn.standin.World;
-import beaconturn.standin.net.Surroundings;
+import beaconturn.standin.RandomSources;
+import beaconturn.standin.net.EmulatedFleetServer;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
@@ -54,20 +54,20 @@
   private final Path folder;
   private final Consumer<String> progress;
   private final Clock clock = Clock.system();
-  private final Account account = new Account();
-  private final List<RouterSeat> seats = new ArrayList<>();
+  private final History account = new History();
+  private final List<RouterProcess> seats = new ArrayList<>();
   private final PriorityQueue<Step> steps = new PriorityQueue<>();
   private final List<Awaited> awaited = new ArrayList<>();
-  private Surroundings surroundings;
+  private EmulatedFleetServer surroundings;
 
   /** Null where routers share nothing. */
-  private FleetParts parts;
+  private FleetEnvironment parts;
 
-  private ClientCrowd crowd;
+  private OpenLoopClients crowd;
   private final List<Thread> restarts = new ArrayList<>();
 
   /** By name; empty where no cache servers are released. */
-  private final Map<String, CacheSeat> cacheSeats = new HashMap<>();
+  private final Map<String, RestartableCacheServer> cacheSeats = new HashMap<>();
 
   private long start;
   private int stepped;
@@ -82,7 +82,7 @@
   }
 
   /** What is planned once a cue has come about, from that time on. */
-  private record Awaited(Cue cue, LongConsumer plan) {}
+  private record Awaited(Trigger cue, LongConsumer plan) {}
 
   /**
    * A play; nothing happens before {@link #play}.
@@ -99,48 +99,51 @@
   }
 
   /** Plays it; an I/O failure means that it could not be played, not that a rule was broken. */
-  public Report play() throws IOException, InterruptedException {
+  public RehearsalReport play() throws IOException, InterruptedException {
     check();
-    Agenda agenda = new Agenda(clock.now());
-    World world =
-        new World(
-            agenda, scenario.world(), new Seeds(scenario.seed()), new AccountWitness(account));
-    surroundings = new Surroundings(world, clock::now, scenario.routers().size(), 0);
-    PauseWatch pauses = new PauseWatch(clock, account, surroundings::soon);
-    Tally tally = new Tally(scenario);
+    EventScheduler agenda = new EventScheduler(clock.now());
+    EmulatedFleet world =
+        new EmulatedFleet(
+            agenda,
+            scenario.world(),
+            new RandomSources(scenario.seed()),
+            new HistoryEventWriter(account));
+    surroundings = new EmulatedFleetServer(world, clock::now, scenario.routers().size(), 0);
+    MachinePauseDetector pauses = new MachinePauseDetector(clock, account, surroundings::soon);
+    ClientStatistics tally = new ClientStatistics(scenario);
     try {
       surroundings.start();
       if (scenario.agreement() != null) {
-        parts = new FleetParts(scenario, launcher, folder, surroundings, clock, account);
+        parts = new FleetEnvironment(scenario, launcher, folder, surroundings, clock, account);
       }
       startRouters();
       startAgents();
       crowd =
-          new ClientCrowd(
-              scenario, seats.stream().map(RouterSeat::address).toList(), clock, account, tally);
+          new OpenLoopClients(
+              scenario, seats.stream().map(RouterProcess::address).toList(), clock, account, tally);
       long cpu = processCpu();
       pauses.start();
       plan();
-      crowd.start(Plan.of(scenario), start);
+      crowd.start(RequestSchedule.of(scenario), start);
       long calls = parts == null ? 0 : parts.calls();
       run();
       cpu = processCpu() - cpu;
       calls = parts == null ? 0 : parts.calls() - calls;
       settle();
       pauses.stop();
-      Report.Fleet fleet = fleet(calls);
+      RehearsalReport.Fleet fleet = fleet(calls);
       playedWhole();
-      List<Entry> entries = account.entries();
-      return new Report(
+      List<HistoryEvent> entries = account.entries();
+      return new RehearsalReport(
           scenario,
           start,
           entries,
-          Judge.judge(scenario.terms(SOCKET_SLACK), entries),
+          HistoryChecker.judge(scenario.terms(SOCKET_SLACK), entries),
           tally.lines(),
           cpu,
-          seats.stream().mapToLong(RouterSeat::cpu).sum(),
+          seats.stream().mapToLong(RouterProcess::cpu).sum(),
           tally.senderLate(),
-          Judge.paused(entries),
+          HistoryChecker.paused(entries),
           fleet);
     } finally {
       pauses.stop();
@@ -152,13 +155,15 @@
     }
   }
 
-  private Report.Fleet fleet(long calls) throws IOException, InterruptedException {
+  private RehearsalReport.Fleet fleet(long calls) throws IOException, InterruptedException {
     return parts == null
         ? null
-        : new Report.Fleet(
+        : new RehearsalReport.Fleet(
             parts.passages(),
             calls * (double) SECOND / scenario.length(),
-            seats.stream().map(RouterSeat::footprint).reduce(new Footprint(0, 0), Footprint::most));
+            seats.stream()
+                .map(RouterProcess::footprint)
+                .reduce(new ProcessUsage(0, 0), ProcessUsage::most));
   }
 
   /** What the routers at hand cannot play is said before anything is started. */
@@ -181,10 +186,11 @@
   private void startRouters() throws IOException, InterruptedException {
     progress.accept("starting " + scenario.routers().size() + " routers");
     for (int i = 0; i < scenario.routers().size(); i++) {
-      seats.add(new RouterSeat(scenario, i, surroundings, launcher, clock, account, folder, parts));
+      seats.add(
+          new RouterProcess(scenario, i, surroundings, launcher, clock, account, folder, parts));
       seats.get(i).launch();
     }
-    for (RouterSeat seat : seats) {
+    for (RouterProcess seat : seats) {
       seat.awaitReady();
     }
   }
@@ -194,10 +200,12 @@
       scenario
           .parts()
           .forEach(
-              id -> cacheSeats.put(id, new CacheSeat(scenario, id, surroundings, clock, account)));
+              id ->
+                  cacheSeats.put(
+                      id, new RestartableCacheServer(scenario, id, surroundings, clock, account)));
     }
     if (parts != null) {
-      parts.startAgents(seats.stream().map(RouterSeat::control).toList());
+      parts.startAgents(seats.stream().map(RouterProcess::control).toList());
     }
   }
 
@@ -215,7 +223,7 @@
   }
 
   /** Plans from the time of the cue on, or from the start where there is none. */
-  private void on(Cue cue, LongConsumer plan) {
+  private void on(Trigger cue, LongConsumer plan) {
     if (cue == null) {
       plan.accept(start);
     } else {
@@ -227,7 +235,7 @@
     long from = base + fault.from();
     Fault.Target target = fault.kind().target();
     if (scenario.zones() != null) {
-      step(from, () -> account.add(new Entry.Troubled(clock.now(), true)));
+      step(from, () -> account.add(new HistoryEvent.Troubled(clock.now(), true)));
     }
     if (target == Fault.Target.ROUTER) {
       fault.target().forEach(name -> beginRouter(fault, scenario.router(name), from));
@@ -245,7 +253,7 @@
 
   private void end(Scenario.FaultSpec fault, long to) {
     if (scenario.zones() != null) {
-      step(to, () -> account.add(new Entry.Troubled(clock.now(), false)));
+      step(to, () -> account.add(new HistoryEvent.Troubled(clock.now(), false)));
     }
     Fault.Target target = fault.kind().target();
     if (target == Fault.Target.ROUTER) {
@@ -280,7 +288,8 @@
                   () -> {
                     if (order.what().startsWith("zone-")) {
                       account.add(
-                          new Entry.Troubled(clock.now(), order.what().equals("zone-drain")));
+                          new HistoryEvent.Troubled(
+                              clock.now(), order.what().equals("zone-drain")));
                     }
                     parts.release(order);
                   }));
@@ -292,7 +301,7 @@
    * start.
    */
   private void hearWishes() throws IOException {
-    for (Hand.Wish wish : parts.wishes()) {
+    for (AgentHook.Wish wish : parts.wishes()) {
       int router = scenario.router(wish.part());
       Thread thread =
           new Thread(
@@ -318,7 +327,7 @@
 
   /** On the model's thread. */
   private void standIn(Scenario.FaultSpec fault, long at, boolean begins) {
-    World world = surroundings.world();
+    EmulatedFleet world = surroundings.world();
     if (fault.target().isEmpty()) {
       world
           .agenda()
@@ -350,7 +359,7 @@
   }
 
   private void beginRouter(Scenario.FaultSpec fault, int router, long from) {
-    RouterSeat seat = seats.get(router);
+    RouterProcess seat = seats.get(router);
     if (fault.kind() == Fault.Kind.ROUTER_PAUSE) {
       step(from, () -> seat.pause(true));
       return;
@@ -390,7 +399,7 @@
         });
   }
 
-  private void reload(RouterSeat seat) {
+  private void reload(RouterProcess seat) {
     try {
       seat.reload();
     } catch (IOException e) {
@@ -404,12 +413,12 @@
   }
 
   private void restart(int router, boolean planned) {
-    RouterSeat seat = seats.get(router);
+    RouterProcess seat = seats.get(router);
     try {
       seat.startAgain(planned);
       crowd.avoid(router, false);
     } catch (IOException e) {
-      account.add(new Entry.Died(clock.now(), router, e.getMessage()));
+      account.add(new HistoryEvent.Died(clock.now(), router, e.getMessage()));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -426,7 +435,7 @@
       while (!steps.isEmpty() && steps.peek().at() <= clock.now()) {
         steps.remove().body().run();
       }
-      seats.forEach(RouterSeat::look);
+      seats.forEach(RouterProcess::look);
       long second = Math.max(0, clock.now() - start) / SECOND;
       if (second != told) {
         told = second;
@@ -493,9 +502,9 @@
       restart.join();
     }
     surroundings.tell(() -> surroundings.world().healAll());
-    seats.forEach(RouterSeat::look);
-    seats.forEach(RouterSeat::terminate);
-    for (RouterSeat seat : seats) {
+    seats.forEach(RouterProcess::look);
+    seats.forEach(RouterProcess::terminate);
+    for (RouterProcess seat : seats) {
       seat.awaitEnd(END_MILLIS, true);
     }
     // A turn of the stand-ins after the last end, which sees the connections that ended with it.
@@ -517,7 +526,7 @@
   }
 
   private void endRouters() throws InterruptedException {
-    for (RouterSeat seat : seats) {
+    for (RouterProcess seat : seats) {
       seat.awaitEnd(0, false);
       seat.close();
     }
--- a/src/main/java/beaconturn/rehearsal/Report.java
+++ b/src/main/java/beaconturn/rehearsal/RehearsalReport.java
@@ -1,10 +1,10 @@
 package beaconturn.rehearsal;
 
-import beaconturn.ledger.Crossings;
-import beaconturn.ledger.Entry;
-import beaconturn.ledger.Offence;
-import beaconturn.ledger.Story;
-import beaconturn.ledger.Verdict;
+import beaconturn.history.HistoryEvent;
+import beaconturn.history.InvariantResult;
+import beaconturn.history.RequestTrace;
+import beaconturn.history.Violation;
+import beaconturn.history.ZoneCrossings;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 import java.util.ArrayList;
@@ -25,12 +25,12 @@
  * @param paused nanoseconds for which the machine kept the kit from running
  * @param fleet what a fleet that agrees shows beside, or null
  */
-public record Report(
+public record RehearsalReport(
     Scenario scenario,
     long start,
-    List<Entry> entries,
-    List<Verdict> verdicts,
-    List<Tally.Line> classes,
+    List<HistoryEvent> entries,
+    List<InvariantResult> verdicts,
+    List<ClientStatistics.Line> classes,
     long kitCpu,
     long routerCpu,
     double senderLate,
@@ -45,11 +45,11 @@
   /**
    * What became of each version, calls at the store in a second, and the most that a router held.
    */
-  record Fleet(List<Passage> passages, double callsPerSecond, Footprint footprint) {}
+  record Fleet(List<VersionTimeline> passages, double callsPerSecond, ProcessUsage footprint) {}
 
   /** Whether every rule was kept. */
   public boolean held() {
-    return verdicts.stream().allMatch(Verdict::held);
+    return verdicts.stream().allMatch(InvariantResult::held);
   }
 
   /**
@@ -70,7 +70,7 @@
     StringBuilder out = new StringBuilder();
     out.append(
         String.format(Locale.ROOT, "%-16s %-7s %9s  %s%n", "rule", "", "checked", "first offence"));
-    for (Verdict v : verdicts) {
+    for (InvariantResult v : verdicts) {
       out.append(
           String.format(
               Locale.ROOT,
@@ -80,8 +80,8 @@
               v.checked(),
               v.held() ? v.promise() : offence(v)));
     }
-    for (Verdict v : verdicts) {
-      for (Offence note : v.notes()) {
+    for (InvariantResult v : verdicts) {
+      for (Violation note : v.notes()) {
         out.append("noted, ").append(v.rule()).append(": ").append(line(note)).append('\n');
       }
     }
@@ -101,7 +101,7 @@
             "p50 ms",
             "p99 ms",
             "max ms"));
-    for (Tally.Line c : classes) {
+    for (ClientStatistics.Line c : classes) {
       out.append(
           String.format(
               Locale.ROOT,
@@ -147,19 +147,19 @@
   /** What a release came to: the last word on its course, or none. */
   public String ending() {
     return entries.stream()
-        .filter(e -> e instanceof Entry.Ordered)
-        .map(e -> ((Entry.Ordered) e).what())
+        .filter(e -> e instanceof HistoryEvent.Ordered)
+        .map(e -> ((HistoryEvent.Ordered) e).what())
         .reduce("none", (before, last) -> last);
   }
 
   /** In a few words, for a list of many plays. */
   public String summary() {
-    long wanted = classes.stream().mapToLong(Tally.Line::wanted).sum();
-    long served = classes.stream().mapToLong(Tally.Line::served).sum();
+    long wanted = classes.stream().mapToLong(ClientStatistics.Line::wanted).sum();
+    long served = classes.stream().mapToLong(ClientStatistics.Line::served).sum();
     long inForce =
         fleet == null ? 0 : fleet.passages().stream().filter(p -> p.inForce() >= 0).count();
     if (scenario.release() != null) {
-      long steps = entries.stream().filter(e -> e instanceof Entry.Changed).count();
+      long steps = entries.stream().filter(e -> e instanceof HistoryEvent.Changed).count();
       return String.format(
           Locale.ROOT,
           "%d of %d served, %d steps, the release ended as %s",
@@ -179,21 +179,21 @@
   }
 
   /** How far traffic went from its place; null where routers know of no places. */
-  Crossings crossings() {
-    return scenario.zones() == null ? null : Crossings.of(scenario.terms(0), entries);
+  ZoneCrossings crossings() {
+    return scenario.zones() == null ? null : ZoneCrossings.of(scenario.terms(0), entries);
   }
 
   /** What was decided of places, in its order. */
-  List<Entry.Planned> plans() {
+  List<HistoryEvent.Planned> plans() {
     return entries.stream()
-        .filter(e -> e instanceof Entry.Planned)
-        .map(e -> (Entry.Planned) e)
+        .filter(e -> e instanceof HistoryEvent.Planned)
+        .map(e -> (HistoryEvent.Planned) e)
         .toList();
   }
 
   private void places(StringBuilder out) {
-    Crossings c = crossings();
-    for (Entry.Planned plan : plans()) {
+    ZoneCrossings c = crossings();
+    for (HistoryEvent.Planned plan : plans()) {
       out.append(
           String.format(
               Locale.ROOT,
@@ -232,7 +232,7 @@
   }
 
   private void agreed(StringBuilder out) {
-    for (Passage p : fleet.passages()) {
+    for (VersionTimeline p : fleet.passages()) {
       out.append(
           String.format(
               Locale.ROOT,
@@ -242,8 +242,8 @@
               after(p, p.inForce(), "in force"),
               after(p, p.settled(), "settled")));
     }
-    for (Entry entry : entries) {
-      if (entry instanceof Entry.Ordered o) {
+    for (HistoryEvent entry : entries) {
+      if (entry instanceof HistoryEvent.Ordered o) {
         out.append(
             String.format(
                 Locale.ROOT, "release: %s at %.3f s%n", o.what(), (o.at() - start) / SECOND));
@@ -261,22 +261,22 @@
             fleet.footprint().threads()));
   }
 
-  private static String after(Passage p, long at, String what) {
+  private static String after(VersionTimeline p, long at, String what) {
     return at < 0
         ? "not " + what
         : String.format(Locale.ROOT, "%s after %.0f ms", what, (at - p.proposed()) / 1e6);
   }
 
   private long contradiction() {
-    return verdicts.stream().mapToLong(Verdict::most).max().orElse(0);
+    return verdicts.stream().mapToLong(InvariantResult::most).max().orElse(0);
   }
 
-  private String offence(Verdict v) {
+  private String offence(InvariantResult v) {
     int count = v.offences().size();
     return line(v.offences().get(0)) + (count == 1 ? "" : " (" + count + " in all)");
   }
 
-  private String line(Offence one) {
+  private String line(Violation one) {
     return String.format(
         Locale.ROOT,
         "%.3f s%s%s: %s",
@@ -294,9 +294,9 @@
   /** The same as JSON, with every offence. */
   public String json() {
     List<Json> rules = new ArrayList<>();
-    for (Verdict v : verdicts) {
+    for (InvariantResult v : verdicts) {
       rules.add(
-          RouterConfigText.object(
+          RouterConfigWriter.object(
               "rule",
               v.rule(),
               "held",
@@ -309,9 +309,9 @@
               new Json.Items(v.notes().stream().map(this::json).toList())));
     }
     List<Json> rows = new ArrayList<>();
-    for (Tally.Line c : classes) {
+    for (ClientStatistics.Line c : classes) {
       rows.add(
-          RouterConfigText.object(
+          RouterConfigWriter.object(
               "class",
               c.type(),
               "wanted",
@@ -338,7 +338,7 @@
               c.most()));
     }
     return JsonWriter.write(
-            RouterConfigText.object(
+            RouterConfigWriter.object(
                 "scenario",
                 scenario.name(),
                 "seed",
@@ -365,13 +365,13 @@
   }
 
   private Json agreed() {
-    return RouterConfigText.object(
+    return RouterConfigWriter.object(
         "versions",
         new Json.Items(
             fleet.passages().stream()
                 .map(
                     p ->
-                        RouterConfigText.object(
+                        RouterConfigWriter.object(
                             "number",
                             p.number(),
                             "proposed_s",
@@ -393,14 +393,14 @@
         fleet.footprint().threads());
   }
 
-  private static Json took(Passage p, long at) {
+  private static Json took(VersionTimeline p, long at) {
     return at < 0
         ? new Json.Nothing()
         : new Json.Figure(Double.toString((at - p.proposed()) / 1e6));
   }
 
-  private Json json(Offence offence) {
-    return RouterConfigText.object(
+  private Json json(Violation offence) {
+    return RouterConfigWriter.object(
         "at_s",
         (offence.at() - start) / SECOND,
         "request",
@@ -410,7 +410,9 @@
         "what",
         offence.what(),
         "story",
-        RouterConfigText.texts(
-            offence.request().isEmpty() ? List.of() : Story.of(entries, offence.request(), start)));
+        RouterConfigWriter.texts(
+            offence.request().isEmpty()
+                ? List.of()
+                : RequestTrace.of(entries, offence.request(), start)));
   }
 }
--- a/src/main/java/beaconturn/rehearsal/Plan.java
+++ b/src/main/java/beaconturn/rehearsal/RequestSchedule.java
@@ -1,6 +1,6 @@
 package beaconturn.rehearsal;
 
-import beaconturn.standin.Seeds;
+import beaconturn.standin.RandomSources;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -9,32 +9,33 @@
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 
 /** All requests of a play, made ahead of it from the seed: open arrivals that no stall holds up. */
-final class Plan {
+final class RequestSchedule {
   private static final long SPREAD = 0x9e3779b97f4a7c15L;
   private static final double SECOND = 1e9;
   private final Scenario scenario;
-  private final List<Planned> all = new ArrayList<>();
+  private final List<ScheduledRequest> all = new ArrayList<>();
 
-  private Plan(Scenario scenario) {
+  private RequestSchedule(Scenario scenario) {
     this.scenario = scenario;
   }
 
   /** The requests in the order of their times. */
-  static List<Planned> of(Scenario scenario) {
-    Plan plan = new Plan(scenario);
+  static List<ScheduledRequest> of(Scenario scenario) {
+    RequestSchedule plan = new RequestSchedule(scenario);
     for (int stream = 0; stream < scenario.clients().size(); stream++) {
       plan.add(stream, scenario.clients().get(stream));
     }
-    plan.all.sort(Comparator.comparingLong(Planned::at));
-    List<Planned> numbered = new ArrayList<>();
-    for (Planned p : plan.all) {
-      numbered.add(new Planned(numbered.size(), p.at(), p.stream(), p.type(), p.key(), p.chance()));
+    plan.all.sort(Comparator.comparingLong(ScheduledRequest::at));
+    List<ScheduledRequest> numbered = new ArrayList<>();
+    for (ScheduledRequest p : plan.all) {
+      numbered.add(
+          new ScheduledRequest(numbered.size(), p.at(), p.stream(), p.type(), p.key(), p.chance()));
     }
     return List.copyOf(numbered);
   }
 
   private void add(int stream, Scenario.Clients clients) {
-    UniformRandomProvider random = new Seeds(scenario.seed()).of("clients " + stream);
+    UniformRandomProvider random = new RandomSources(scenario.seed()).of("clients " + stream);
     SharedStateDiscreteSampler rank =
         RejectionInversionZipfSampler.of(random, clients.keys(), clients.skew());
     List<Scenario.Type> types =
@@ -49,7 +50,7 @@
       }
       String key = String.format("%016x", rank.sample() * SPREAD);
       all.add(
-          new Planned(
+          new ScheduledRequest(
               0, (long) at, stream, pick(types, random.nextDouble()), key, random.nextLong()));
     }
   }
--- a/src/main/java/beaconturn/rehearsal/CacheSeat.java
+++ b/src/main/java/beaconturn/rehearsal/RestartableCacheServer.java
@@ -1,17 +1,17 @@
 package beaconturn.rehearsal;
 
 import beaconturn.core.Clock;
-import beaconturn.ledger.Account;
-import beaconturn.ledger.Entry;
+import beaconturn.history.History;
+import beaconturn.history.HistoryEvent;
+import beaconturn.standin.EmulatedFleet;
 import beaconturn.standin.Fault;
-import beaconturn.standin.World;
-import beaconturn.standin.net.Surroundings;
+import beaconturn.standin.net.EmulatedFleetServer;
 
 /**
  * A cache server of a play that a release restarts: drained first, as an operator's command would
  * do.
  */
-final class CacheSeat {
+final class RestartableCacheServer {
   private static final long MILLI = 1_000_000;
 
   /** From the end of a process to the begin of the next. */
@@ -22,13 +22,17 @@
   private final Scenario scenario;
   private final String name;
   private final int place;
-  private final Surroundings surroundings;
+  private final EmulatedFleetServer surroundings;
   private final Clock clock;
-  private final Account account;
+  private final History account;
   private boolean released;
 
-  CacheSeat(
-      Scenario scenario, String name, Surroundings surroundings, Clock clock, Account account) {
+  RestartableCacheServer(
+      Scenario scenario,
+      String name,
+      EmulatedFleetServer surroundings,
+      Clock clock,
+      History account) {
     this.scenario = scenario;
     this.name = name;
     this.place = Scenario.place(name);
@@ -39,11 +43,11 @@
 
   /** Has it run what is released, or what was there before; whether it runs then, cold. */
   synchronized boolean change(boolean toReleased) throws InterruptedException {
-    World world = surroundings.world();
+    EmulatedFleet world = surroundings.world();
     if (toReleased == released && !surroundings.ask(() -> world.at(place).dead())) {
       return true;
     }
-    account.add(new Entry.Changed(clock.now(), name, -1, toReleased));
+    account.add(new HistoryEvent.Changed(clock.now(), name, -1, toReleased));
     released = toReleased;
     surroundings.tell(() -> world.begin(Fault.Kind.DRAIN, place, 0));
     Thread.sleep((scenario.listLag() + scenario.rules().drainGrace()) / MILLI);
--- a/src/main/java/beaconturn/rehearsal/RouterConfigText.java
+++ b/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
@@ -2,7 +2,7 @@
 
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
-import beaconturn.standin.CacheShape;
+import beaconturn.standin.CacheServerSpec;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -11,11 +11,11 @@
  * The configuration that a router under rehearsal is started with, in the form that {@code serve}
  * reads.
  */
-final class RouterConfigText {
+final class RouterConfigWriter {
   private static final long TICK = 5_000_000;
   private final Scenario scenario;
 
-  RouterConfigText(Scenario scenario) {
+  RouterConfigWriter(Scenario scenario) {
     this.scenario = scenario;
   }
 
@@ -47,7 +47,7 @@
 
   private Json settings(int router, int reloads) {
     Scenario.Rules r = scenario.rules();
-    CacheShape shape = scenario.fleet().shape();
+    CacheServerSpec shape = scenario.fleet().shape();
     List<String> reports = shape.reports();
     return object(
         "index",
@@ -76,7 +76,7 @@
         new Json.Items(
             scenario.types().stream()
                 .filter(t -> !scenario.routers().get(router).lacks().contains(t.name()))
-                .map(RouterConfigText::type)
+                .map(RouterConfigWriter::type)
                 .toList()),
         "family_info",
         object(
--- a/src/main/java/beaconturn/rehearsal/RouterSeat.java
+++ b/src/main/java/beaconturn/rehearsal/RouterProcess.java
@@ -1,12 +1,12 @@
 package beaconturn.rehearsal;
 
 import beaconturn.core.Clock;
-import beaconturn.ledger.Account;
-import beaconturn.ledger.Entry;
+import beaconturn.history.History;
+import beaconturn.history.HistoryEvent;
 import beaconturn.protocol.Json;
-import beaconturn.rehearsal.fleet.Link;
-import beaconturn.standin.net.Ports;
-import beaconturn.standin.net.Surroundings;
+import beaconturn.rehearsal.fleet.FaultProxy;
+import beaconturn.standin.net.EmulatedFleetServer;
+import beaconturn.standin.net.LoopbackPorts;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -25,8 +25,8 @@
 /**
  * One router of a play: its address, its files, and the process that stands there at the moment.
  */
-final class RouterSeat implements Closeable {
-  private static final Logger LOG = Logger.getLogger(RouterSeat.class.getName());
+final class RouterProcess implements Closeable {
+  private static final Logger LOG = Logger.getLogger(RouterProcess.class.getName());
   private static final int READY_MILLIS = 30_000;
   private static final int KILL_MILLIS = 2000;
   private static final int STEP_MILLIS = 10;
@@ -40,12 +40,12 @@
   private static final String PONG = "+PONG";
   private final Scenario scenario;
   private final int number;
-  private final Surroundings surroundings;
+  private final EmulatedFleetServer surroundings;
   private final RouterLauncher launcher;
   private final Clock clock;
-  private final Account account;
+  private final History account;
   private final Path folder;
-  private final FleetParts parts;
+  private final FleetEnvironment parts;
   private final InetSocketAddress address;
   private final InetSocketAddress control;
   private final List<SocketChannel> holders = new ArrayList<>();
@@ -61,20 +61,20 @@
   private long pausedAt;
   private int starts;
   private int reloads;
-  private RouterConfigText.Addresses configured;
+  private RouterConfigWriter.Addresses configured;
   private Json listed;
-  private Footprint footprint = new Footprint(0, 0);
+  private ProcessUsage footprint = new ProcessUsage(0, 0);
   private long measureAt;
 
-  RouterSeat(
+  RouterProcess(
       Scenario scenario,
       int number,
-      Surroundings surroundings,
+      EmulatedFleetServer surroundings,
       RouterLauncher launcher,
       Clock clock,
-      Account account,
+      History account,
       Path folder,
-      FleetParts parts)
+      FleetEnvironment parts)
       throws IOException {
     this.parts = parts;
     this.scenario = scenario;
@@ -90,7 +90,7 @@
 
   /** Held until the end of the play: nobody takes it between two starts. */
   private InetSocketAddress freeAddress() throws IOException {
-    SocketChannel holder = Ports.take(Ports::hold);
+    SocketChannel holder = LoopbackPorts.take(LoopbackPorts::hold);
     holders.add(holder);
     return (InetSocketAddress) holder.getLocalAddress();
   }
@@ -122,10 +122,10 @@
     // What refuses knows no cache server and hears of none.
     Json known =
         harm == Scenario.Harm.REFUSES
-            ? RouterConfigText.object("seq", 0, "whole", true, "hosts", new Json.Items(List.of()))
+            ? RouterConfigWriter.object("seq", 0, "whole", true, "hosts", new Json.Items(List.of()))
             : surroundings.known(number);
     configured =
-        new RouterConfigText.Addresses(
+        new RouterConfigWriter.Addresses(
             text(harm == Scenario.Harm.MUTE ? freeAddress() : address),
             text(harm == Scenario.Harm.REFUSES ? freeAddress() : discovery),
             control == null ? null : text(control));
@@ -152,7 +152,7 @@
   }
 
   private String configuration() {
-    return new RouterConfigText(scenario)
+    return new RouterConfigWriter(scenario)
         .of(number, configured, listed, scenario.seed() * 1000 + number * 100 + starts, reloads);
   }
 
@@ -199,7 +199,7 @@
         break;
       }
       if (answersPing()) {
-        account.add(new Entry.Ready(clock.now(), number));
+        account.add(new HistoryEvent.Ready(clock.now(), number));
         return;
       }
       Thread.sleep(STEP_MILLIS);
@@ -243,7 +243,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    account.add(new Entry.Stopped(at, clock.now(), number, false));
+    account.add(new HistoryEvent.Stopped(at, clock.now(), number, false));
   }
 
   void terminate() {
@@ -253,7 +253,7 @@
       return;
     }
     terminated = true;
-    account.add(new Entry.Stopped(clock.now(), clock.now(), number, true));
+    account.add(new HistoryEvent.Stopped(clock.now(), clock.now(), number, true));
     running.terminate();
   }
 
@@ -277,10 +277,10 @@
     if (toReleased == released && running != null && running.alive() && answersPing()) {
       return true;
     }
-    account.add(new Entry.Changed(clock.now(), name(), number, toReleased));
+    account.add(new HistoryEvent.Changed(clock.now(), name(), number, toReleased));
     released = toReleased;
     harm = toReleased ? scenario.release().harm() : Scenario.Harm.NONE;
-    parts.reachesCaches(number, Link.State.OPEN, 0);
+    parts.reachesCaches(number, FaultProxy.State.OPEN, 0);
     try {
       boolean alive = running != null && running.alive();
       if (alive) {
@@ -293,7 +293,7 @@
       awaitReady(scenario.release().limit() / MILLI);
       front.accept(false);
       if (harm == Scenario.Harm.FADES || harm == Scenario.Harm.SLOWS) {
-        fade(running, harm == Scenario.Harm.FADES ? Link.State.CUT : Link.State.SLOW);
+        fade(running, harm == Scenario.Harm.FADES ? FaultProxy.State.CUT : FaultProxy.State.SLOW);
       }
       return true;
     } catch (IOException e) {
@@ -302,7 +302,7 @@
   }
 
   /** The process is good for a while, and then reaches cache servers no more, or slowly. */
-  private void fade(RouterLauncher.Running process, Link.State then) {
+  private void fade(RouterLauncher.Running process, FaultProxy.State then) {
     Thread thread =
         new Thread(
             () -> {
@@ -333,8 +333,8 @@
     if (on) {
       pausedAt = clock.now();
     } else if (pausedAt != 0) {
-      account.add(new Entry.Stopped(pausedAt, clock.now(), number, false));
-      account.add(new Entry.Ready(clock.now(), number));
+      account.add(new HistoryEvent.Stopped(pausedAt, clock.now(), number, false));
+      account.add(new HistoryEvent.Ready(clock.now(), number));
       pausedAt = 0;
     }
   }
@@ -344,12 +344,12 @@
     RouterLauncher.Running now = running;
     if (now != null && !told && !now.alive()) {
       told = true;
-      account.add(new Entry.Died(clock.now(), number, "ended by itself"));
+      account.add(new HistoryEvent.Died(clock.now(), number, "ended by itself"));
     } else if (now != null && now.alive()) {
       cpu = Math.max(cpu, now.cpu());
       if (clock.now() >= measureAt) {
         measureAt = clock.now() + MEASURE_EVERY;
-        footprint = footprint.most(Footprint.of(now.pid()));
+        footprint = footprint.most(ProcessUsage.of(now.pid()));
       }
     }
   }
@@ -369,13 +369,13 @@
     }
     if (planned && terminated && status != 0) {
       String how = status < 0 ? "did not end after SIGTERM" : "ended with status " + status;
-      account.add(new Entry.Died(clock.now(), number, how));
+      account.add(new HistoryEvent.Died(clock.now(), number, how));
     }
     running = null;
   }
 
   /** The most that its processes held. */
-  Footprint footprint() {
+  ProcessUsage footprint() {
     return footprint;
   }
 
--- a/src/main/java/beaconturn/rehearsal/Scenario.java
+++ b/src/main/java/beaconturn/rehearsal/Scenario.java
@@ -1,11 +1,11 @@
 package beaconturn.rehearsal;
 
-import beaconturn.agreement.Timing;
-import beaconturn.ledger.Terms;
-import beaconturn.standin.CacheShape;
+import beaconturn.agreement.AgreementTiming;
+import beaconturn.history.InvariantBounds;
+import beaconturn.standin.CacheServerSpec;
+import beaconturn.standin.EmulatedFleet;
 import beaconturn.standin.Fault;
-import beaconturn.standin.Origin;
-import beaconturn.standin.World;
+import beaconturn.standin.OriginModel;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -22,7 +22,7 @@
     long seed,
     long length,
     Fleet fleet,
-    Origin.Shape origin,
+    OriginModel.Shape origin,
     long listLag,
     Rules rules,
     List<Type> types,
@@ -49,11 +49,11 @@
       double peak,
       List<String> regions) {}
 
-  /** How routers agree; the times of {@link Timing}. */
+  /** How routers agree; the times of {@link AgreementTiming}. */
   public record Agreement(long lease, double drift) {
     /** The times of the agreement. */
-    public Timing timing() {
-      return new Timing(lease, drift, APPLY);
+    public AgreementTiming timing() {
+      return new AgreementTiming(lease, drift, APPLY);
     }
   }
 
@@ -65,7 +65,7 @@
    */
   public record VersionSpec(
       long at,
-      Cue after,
+      Trigger after,
       String reason,
       List<String> out,
       int mostTries,
@@ -113,7 +113,7 @@
       boolean caches,
       boolean begins,
       long at,
-      Cue after,
+      Trigger after,
       int mostOut,
       int mostOutOfSite,
       List<List<String>> waves,
@@ -143,7 +143,7 @@
    * An operator's order: halt, resume, back or abandon; drain, undrain or lost, of a part; budget,
    * which has so many out from then on; zone-drain and zone-free, whose part is a site.
    */
-  public record OrderSpec(long at, Cue after, String what, String part, int mostOut) {}
+  public record OrderSpec(long at, Trigger after, String what, String part, int mostOut) {}
 
   /** As the plans of routers have it. */
   private static final double TRIAL = 0.01;
@@ -159,7 +159,7 @@
    * The cache servers: how many, where, and what each can do. They stand in the sites by turns; a
    * site that is named more than once has the more of them.
    */
-  public record Fleet(int caches, List<String> sites, int cell, CacheShape shape) {
+  public record Fleet(int caches, List<String> sites, int cell, CacheServerSpec shape) {
     /** The sites, each once. */
     List<String> places() {
       return sites.stream().distinct().toList();
@@ -277,8 +277,8 @@
       long from,
       long to,
       String way,
-      Cue after,
-      Cue until) {}
+      Trigger after,
+      Trigger until) {}
 
   /** The class of that name. */
   Type type(String wanted) {
@@ -318,14 +318,15 @@
   }
 
   /** The surroundings that the scenario asks for. */
-  public World.Shape world() {
-    List<World.Member> members = new java.util.ArrayList<>();
+  public EmulatedFleet.Shape world() {
+    List<EmulatedFleet.Member> members = new java.util.ArrayList<>();
     for (int place = 0; place < fleet.caches(); place++) {
       String site = site(place);
       int block = place / fleet.sites().size() / fleet.cell();
-      members.add(new World.Member(cacheName(place), site, "standin", block, 1, fleet.shape()));
+      members.add(
+          new EmulatedFleet.Member(cacheName(place), site, "standin", block, 1, fleet.shape()));
     }
-    return new World.Shape(
+    return new EmulatedFleet.Shape(
         List.copyOf(members),
         origin,
         types.stream().map(Scenario::work).toList(),
@@ -333,8 +334,8 @@
         rules.drainGrace());
   }
 
-  private static beaconturn.standin.Work work(Type t) {
-    return new beaconturn.standin.Work(
+  private static beaconturn.standin.WorkCost work(Type t) {
+    return new beaconturn.standin.WorkCost(
         t.name(),
         t.work(),
         t.size(),
@@ -348,15 +349,17 @@
    * What the account is judged by; on sockets each limit is {@code slack} longer, of sends by links
    * three times that.
    */
-  public Terms terms(long slack) {
-    Map<String, Terms.Type> known = new LinkedHashMap<>();
+  public InvariantBounds terms(long slack) {
+    Map<String, InvariantBounds.Type> known = new LinkedHashMap<>();
     for (Type t : types) {
       known.put(
-          t.name(), new Terms.Type(Terms.Effect.valueOf(t.effect().name()), t.scope(), t.window()));
+          t.name(),
+          new InvariantBounds.Type(
+              InvariantBounds.Effect.valueOf(t.effect().name()), t.scope(), t.window()));
     }
-    CacheShape shape = fleet.shape();
+    CacheServerSpec shape = fleet.shape();
     long sendSlack = linksToCaches() ? LINKED * slack : slack;
-    return new Terms(
+    return new InvariantBounds(
         known,
         rules.mostTries(),
         rules.secondCopies(),
@@ -372,7 +375,7 @@
         release == null ? null : releaseTerms(),
         zones == null
             ? null
-            : new Terms.Zones(
+            : new InvariantBounds.Zones(
                 zones.decided(),
                 routers.stream().map(RouterSpec::site).toList(),
                 zones.backWithin(),
@@ -386,8 +389,8 @@
    * read; a halt binds whoever has not begun, and who has begun acts within the time of one call
    * and of a start.
    */
-  private Terms.Release releaseTerms() {
-    Timing timing = agreement.timing();
+  private InvariantBounds.Release releaseTerms() {
+    AgreementTiming timing = agreement.timing();
     int first = release.waves().isEmpty() ? 1 : release.waves().get(0).size();
     Map<String, String> sites = new LinkedHashMap<>();
     parts().forEach(id -> sites.put(id, siteOf(id)));
@@ -397,7 +400,7 @@
         release.caches()
             ? listLag + 2 * timing.renewEvery() + 2 * APPLY
             : timing.storeLeaseSeconds() * SECOND + timing.renewEvery() + APPLY;
-    return new Terms.Release(
+    return new InvariantBounds.Release(
         release.caches(),
         sites,
         release.mostOut(),
--- a/src/main/java/beaconturn/rehearsal/Explained.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
@@ -5,13 +5,13 @@
 import java.util.stream.Collectors;
 
 /** Prints a whole scenario with every default, as a file that would be read the same. */
-final class Explained {
+final class ScenarioPrinter {
   private final StringBuilder out = new StringBuilder();
 
-  private Explained() {}
+  private ScenarioPrinter() {}
 
   static String of(Scenario s) {
-    Explained e = new Explained();
+    ScenarioPrinter e = new ScenarioPrinter();
     e.line("name", text(s.name()))
         .line("about", text(s.about()))
         .line("seed", s.seed())
@@ -203,16 +203,16 @@
         .line("to", time(f.to()));
   }
 
-  private Explained cue(String key, Cue cue) {
+  private ScenarioPrinter cue(String key, Trigger cue) {
     return cue == null ? this : line(key, text(cue.words()));
   }
 
-  private Explained head(String table) {
+  private ScenarioPrinter head(String table) {
     out.append('\n').append(table).append('\n');
     return this;
   }
 
-  private Explained line(String key, Object value) {
+  private ScenarioPrinter line(String key, Object value) {
     out.append(key).append(" = ").append(value).append('\n');
     return this;
   }
@@ -227,7 +227,7 @@
 
   /** A list of texts, as a file has it. */
   static String words(List<String> words) {
-    return words.stream().map(Explained::text).collect(Collectors.joining(", ", "[", "]"));
+    return words.stream().map(ScenarioPrinter::text).collect(Collectors.joining(", ", "[", "]"));
   }
 
   private static String time(long nanos) {
--- a/src/main/java/beaconturn/rehearsal/ScenarioReader.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioReader.java
@@ -1,9 +1,9 @@
 package beaconturn.rehearsal;
 
-import beaconturn.standin.CacheShape;
+import beaconturn.standin.CacheServerSpec;
 import beaconturn.standin.Fault;
-import beaconturn.standin.Origin;
-import beaconturn.standin.Seeds;
+import beaconturn.standin.OriginModel;
+import beaconturn.standin.RandomSources;
 import beaconturn.toml.Section;
 import beaconturn.toml.TomlException;
 import java.util.ArrayList;
@@ -54,7 +54,7 @@
     long ownSeed = file.whole("seed", 1, 0, Integer.MAX_VALUE);
     long length = file.time("length", 20 * SECOND, SECOND);
     Scenario.Fleet fleet = fleet();
-    Origin.Shape origin = origin();
+    OriginModel.Shape origin = origin();
     Section discovery = file.table("discovery");
     long lag = discovery.time("lag", SECOND, 0);
     Scenario.Rules rules = rules();
@@ -105,7 +105,7 @@
       }
       waves.add(parts);
     }
-    Cue after = cue(s, "after", fleet, routers, versions);
+    Trigger after = cue(s, "after", fleet, routers, versions);
     Scenario.Harm harm =
         Scenario.Harm.valueOf(
             s.choice("harm", "none", words(Scenario.Harm.values())).toUpperCase(Locale.ROOT));
@@ -141,7 +141,7 @@
       throws TomlException {
     List<Scenario.OrderSpec> all = new ArrayList<>();
     for (Section s : file.tables("order")) {
-      Cue after = cue(s, "after", fleet, routers, versions);
+      Trigger after = cue(s, "after", fleet, routers, versions);
       String what =
           s.choice(
               "what",
@@ -235,7 +235,7 @@
           throw s.wrong("out", "there is no '" + name + "', there are " + String.join(", ", names));
         }
       }
-      Cue after = cue(s, "after", fleet, routers, proposed.size());
+      Trigger after = cue(s, "after", fleet, routers, proposed.size());
       long at = s.time("at", after == null ? 2 * SECOND : 0, 0);
       if (at > length) {
         throw s.wrong(
@@ -268,8 +268,8 @@
             "report", "unknown '" + report + "', allowed are " + String.join(", ", REPORTS));
       }
     }
-    CacheShape shape =
-        new CacheShape(
+    CacheServerSpec shape =
+        new CacheServerSpec(
             s.number("speed", 1, 0.01, 100),
             s.whole("workers", 4, 1, 1000),
             s.whole("room", 64, 0, 100_000),
@@ -289,9 +289,9 @@
         s.whole("caches", 6, 1, MOST_CACHES), sites, s.whole("cell", 3, 1, 1000), shape);
   }
 
-  private Origin.Shape origin() throws TomlException {
+  private OriginModel.Shape origin() throws TomlException {
     Section s = file.table("origin");
-    return new Origin.Shape(
+    return new OriginModel.Shape(
         s.whole("workers", 16, 1, 10_000),
         s.whole("queue", 2000, 0, 1_000_000),
         s.time("work", 60 * MILLI, 0),
@@ -533,8 +533,8 @@
     for (Section s : file.tables("fault")) {
       String word = s.choice("kind", "", kinds);
       Fault.Kind kind = Fault.Kind.values()[kinds.indexOf(word)];
-      Cue after = cue(s, "after", fleet, routers, versions);
-      Cue until = cue(s, "until", fleet, routers, versions);
+      Trigger after = cue(s, "after", fleet, routers, versions);
+      Trigger until = cue(s, "until", fleet, routers, versions);
       long from = s.time("from", after == null ? 5 * SECOND : 0, 0);
       long to = until == null ? end(s, from, length) : s.time("to", 0, 0);
       List<String> names =
@@ -564,15 +564,15 @@
   }
 
   /** What times are counted from in place of the start, or null. */
-  private static Cue cue(
+  private static Trigger cue(
       Section s, String key, Scenario.Fleet fleet, List<Scenario.RouterSpec> routers, int versions)
       throws TomlException {
     String words = s.word(key, "");
     if (words.isEmpty()) {
       return null;
     }
-    Cue cue =
-        Cue.of(words)
+    Trigger cue =
+        Trigger.of(words)
             .orElseThrow(
                 () ->
                     s.wrong(
@@ -582,7 +582,7 @@
                             + "' is no cue, such as 'version 1"
                             + " proposed', 'version 1 in force', 'version 1 settled' or 'r1"
                             + " says yes to version 1'"));
-    boolean ofVersion = cue.what() != Cue.What.OUT && cue.what() != Cue.What.UP;
+    boolean ofVersion = cue.what() != Trigger.What.OUT && cue.what() != Trigger.What.UP;
     if (!cue.router().isEmpty()
         && routers.stream().noneMatch(r -> r.name().equals(cue.router()))
         && (ofVersion || !fleet.names().contains(cue.router()))) {
@@ -610,7 +610,7 @@
     if (s.has("share")) {
       int count = (int) Math.max(1, Math.round(names.size() * s.number("share", 1, 0.001, 1)));
       List<String> mixed = new ArrayList<>(names);
-      ListSampler.shuffle(new Seeds(seed).of("share"), mixed);
+      ListSampler.shuffle(new RandomSources(seed).of("share"), mixed);
       return mixed.subList(0, count).stream().sorted().toList();
     }
     return on.isEmpty() ? names.subList(0, 1) : on;
--- a/src/main/java/beaconturn/rehearsal/Planned.java
+++ b/src/main/java/beaconturn/rehearsal/ScheduledRequest.java
@@ -11,7 +11,8 @@
  * @param chance decides all that is left to chance while it is played, so that a play can be
  *     repeated
  */
-record Planned(int number, long at, int stream, Scenario.Type type, String key, long chance) {
+record ScheduledRequest(
+    int number, long at, int stream, Scenario.Type type, String key, long chance) {
   private static final int SPREAD = 40;
 
   /** The id of one try. */
--- a/src/main/java/beaconturn/rehearsal/ClientLine.java
+++ b/src/main/java/beaconturn/rehearsal/SequentialClient.java
@@ -1,8 +1,8 @@
 package beaconturn.rehearsal;
 
 import beaconturn.core.Clock;
-import beaconturn.ledger.Account;
-import beaconturn.ledger.Entry;
+import beaconturn.history.History;
+import beaconturn.history.HistoryEvent;
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespReader;
@@ -19,7 +19,7 @@
  * One connection of the clients to a router: a thread that asks one request at a time and reads its
  * answer.
  */
-final class ClientLine {
+final class SequentialClient {
   private static final long MILLI = 1_000_000;
   private static final int CONNECT_MILLIS = 1000;
 
@@ -33,7 +33,7 @@
 
   private final InetSocketAddress router;
   private final Clock clock;
-  private final Account account;
+  private final History account;
   private final Owner owner;
   private final boolean crowded;
   private final BlockingQueue<Try> next = new LinkedBlockingQueue<>();
@@ -44,17 +44,18 @@
   private boolean used;
 
   /** One try of a planned request, on its way to a router. */
-  record Try(Planned planned, int attempt, String id, int router, long patience, String once) {}
+  record Try(
+      ScheduledRequest planned, int attempt, String id, int router, long patience, String once) {}
 
   /**
    * How a try ended; {@code kind} is null where no router took it, {@code retryAfter} 0 where none
    * was told.
    */
-  record Result(Try asked, Entry.Kind kind, long at, long retryAfter) {}
+  record Result(Try asked, HistoryEvent.Kind kind, long at, long retryAfter) {}
 
   /** Who is told how tries end; called on the line's thread. */
   interface Owner {
-    void done(ClientLine line, Result result, boolean reusable);
+    void done(SequentialClient line, Result result, boolean reusable);
 
     /**
      * The connection had been closed between requests: the same try goes out once more on a new
@@ -64,7 +65,8 @@
   }
 
   /** A connection to a router, which may shut new ones unread where it is {@code crowded}. */
-  ClientLine(InetSocketAddress router, Clock clock, Account account, Owner owner, boolean crowded) {
+  SequentialClient(
+      InetSocketAddress router, Clock clock, History account, Owner owner, boolean crowded) {
     this.crowded = crowded;
     this.router = router;
     this.clock = clock;
@@ -123,7 +125,7 @@
       socket.getOutputStream().write(ClientCommands.bytes(one));
       asked = clock.now();
       account.add(
-          new Entry.Asked(
+          new HistoryEvent.Asked(
               asked,
               one.id(),
               one.planned().type().name(),
@@ -147,40 +149,40 @@
   }
 
   private boolean answer(Try one, long asked, boolean reused) {
-    Entry.Kind kind;
+    HistoryEvent.Kind kind;
     RespValue value = null;
     try {
       value = read(asked + one.patience() + PATIENCE);
       kind =
           value != null
               ? ClientCommands.kind(value)
-              : in.size() > 0 ? Entry.Kind.CUT : Entry.Kind.BROKEN;
+              : in.size() > 0 ? HistoryEvent.Kind.CUT : HistoryEvent.Kind.BROKEN;
     } catch (SocketTimeoutException e) {
-      kind = Entry.Kind.SILENCE;
+      kind = HistoryEvent.Kind.SILENCE;
     } catch (IOException e) {
-      kind = in.size() > 0 ? Entry.Kind.CUT : Entry.Kind.BROKEN;
+      kind = in.size() > 0 ? HistoryEvent.Kind.CUT : HistoryEvent.Kind.BROKEN;
     } catch (ProtocolException e) {
-      kind = Entry.Kind.CUT;
+      kind = HistoryEvent.Kind.CUT;
     }
-    if (kind == Entry.Kind.BROKEN && reused) {
+    if (kind == HistoryEvent.Kind.BROKEN && reused) {
       crossed(one);
       return false;
     }
-    if (kind == Entry.Kind.BROKEN && crowded && clock.now() - asked <= TURNED_AWAY) {
-      account.add(new Entry.Crossed(clock.now(), one.id()));
+    if (kind == HistoryEvent.Kind.BROKEN && crowded && clock.now() - asked <= TURNED_AWAY) {
+      account.add(new HistoryEvent.Crossed(clock.now(), one.id()));
       owner.done(this, new Result(one, null, clock.now(), 0), false);
       return false;
     }
     long at = clock.now();
-    account.add(new Entry.Answered(at, one.id(), kind, ClientCommands.digest(value)));
+    account.add(new HistoryEvent.Answered(at, one.id(), kind, ClientCommands.digest(value)));
     boolean keep =
-        value != null && (kind != Entry.Kind.FAILED || value instanceof RespValue.Failure);
+        value != null && (kind != HistoryEvent.Kind.FAILED || value instanceof RespValue.Failure);
     owner.done(this, new Result(one, kind, at, ClientCommands.retryAfter(value)), keep);
     return keep;
   }
 
   private void crossed(Try one) {
-    account.add(new Entry.Crossed(clock.now(), one.id()));
+    account.add(new HistoryEvent.Crossed(clock.now(), one.id()));
     owner.crossed(one);
   }
 
@@ -210,11 +212,11 @@
           return;
         }
         account.add(
-            new Entry.Answered(
+            new HistoryEvent.Answered(
                 clock.now(), lastId, ClientCommands.kind(value), ClientCommands.digest(value)));
       }
     } catch (IOException | ProtocolException e) {
-      account.add(new Entry.Answered(clock.now(), lastId, Entry.Kind.CUT, 0));
+      account.add(new HistoryEvent.Answered(clock.now(), lastId, HistoryEvent.Kind.CUT, 0));
       close();
     }
   }
--- a/src/main/java/beaconturn/rehearsal/ServedBySecond.java
+++ b/src/main/java/beaconturn/rehearsal/ServedBySecond.java
@@ -1,6 +1,6 @@
 package beaconturn.rehearsal;
 
-import beaconturn.ledger.Entry;
+import beaconturn.history.HistoryEvent;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -13,17 +13,17 @@
   private final double[] served;
 
   /** Of an account whose play began at a time and has so many seconds. */
-  ServedBySecond(List<Entry> entries, long start, int seconds) {
+  ServedBySecond(List<HistoryEvent> entries, long start, int seconds) {
     wanted = new double[seconds + 1];
     served = new double[seconds + 1];
     Map<String, Integer> askedIn = new HashMap<>();
-    for (Entry entry : entries) {
-      if (entry instanceof Entry.Asked asked && askedIn.get(wish(asked.id())) == null) {
+    for (HistoryEvent entry : entries) {
+      if (entry instanceof HistoryEvent.Asked asked && askedIn.get(wish(asked.id())) == null) {
         int in = (int) Math.max(0, Math.min(seconds, (asked.at() - start) / SECOND));
         askedIn.put(wish(asked.id()), in);
         wanted[in]++;
-      } else if (entry instanceof Entry.Answered answered
-          && answered.kind() == Entry.Kind.SERVED
+      } else if (entry instanceof HistoryEvent.Answered answered
+          && answered.kind() == HistoryEvent.Kind.SERVED
           && askedIn.getOrDefault(wish(answered.id()), -1) >= 0) {
         served[askedIn.put(wish(answered.id()), -1)]++;
       }
--- a/src/main/java/beaconturn/rehearsal/Shipped.java
+++ b/src/main/java/beaconturn/rehearsal/ShippedScenarios.java
@@ -9,8 +9,8 @@
 import java.util.stream.Stream;
 
 /** Scenario files as the command line shows them. */
-public final class Shipped {
-  private Shipped() {}
+public final class ShippedScenarios {
+  private ShippedScenarios() {}
 
   /** A line for each scenario of a folder: its file and what it is about. */
   public static String list(Path folder) throws IOException, TomlException {
@@ -31,7 +31,7 @@
 
   /** A scenario as a file that names every key. */
   public static String explain(Scenario scenario) {
-    return Explained.of(scenario);
+    return ScenarioPrinter.of(scenario);
   }
 
   /** The logs in a folder of a play. */
--- a/src/main/java/beaconturn/rehearsal/Cue.java
+++ b/src/main/java/beaconturn/rehearsal/Trigger.java
@@ -13,7 +13,7 @@
  * @param version the number of the version, counted from 1
  * @param router whose yes it is, or which is released, else empty
  */
-public record Cue(What what, long version, String router) {
+public record Trigger(What what, long version, String router) {
   private static final Pattern OF_VERSION =
       Pattern.compile("version ([0-9]{1,4}) (proposed|in force|settled)");
   private static final Pattern OF_PART = Pattern.compile("([A-Za-z0-9_-]{1,32}) (goes out|is up)");
@@ -33,23 +33,23 @@
   /**
    * The cue in an operator's words, such as {@code version 2 in force}; nothing where it is none.
    */
-  static Optional<Cue> of(String words) {
+  static Optional<Trigger> of(String words) {
     Matcher m = OF_VERSION.matcher(words);
     if (m.matches()) {
       What what =
           m.group(2).equals("proposed")
               ? What.PROPOSED
               : m.group(2).equals("settled") ? What.SETTLED : What.IN_FORCE;
-      return Optional.of(new Cue(what, Long.parseLong(m.group(1)), ""));
+      return Optional.of(new Trigger(what, Long.parseLong(m.group(1)), ""));
     }
     m = OF_PART.matcher(words);
     if (m.matches()) {
       return Optional.of(
-          new Cue(m.group(2).equals("goes out") ? What.OUT : What.UP, 0, m.group(1)));
+          new Trigger(m.group(2).equals("goes out") ? What.OUT : What.UP, 0, m.group(1)));
     }
     m = OF_ROUTER.matcher(words);
     return m.matches()
-        ? Optional.of(new Cue(What.YES, Long.parseLong(m.group(2)), m.group(1)))
+        ? Optional.of(new Trigger(What.YES, Long.parseLong(m.group(2)), m.group(1)))
         : Optional.empty();
   }
 
--- a/src/main/java/beaconturn/rehearsal/fleet/Hand.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/AgentHook.java
@@ -13,7 +13,7 @@
  * folder and waits until the kit has carried it out, as only the kit can start and stop its
  * routers.
  */
-public final class Hand {
+public final class AgentHook {
   private static final int PARTS = 3;
   private final Path wishes;
   private final Path done;
@@ -26,7 +26,7 @@
   public record Wish(String part, boolean released, String name) {}
 
   /** A hand whose folder lies below. */
-  public Hand(Path folder) throws IOException {
+  public AgentHook(Path folder) throws IOException {
     wishes = Files.createDirectories(folder.resolve("wishes"));
     done = Files.createDirectories(folder.resolve("done"));
     script = folder.resolve("hand.sh");
--- a/src/main/java/beaconturn/rehearsal/fleet/AgentProcess.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/AgentProcess.java
@@ -24,7 +24,7 @@
   /** Starts it, again too. */
   public synchronized void start() throws IOException {
     process =
-        Children.start(
+        ChildProcesses.start(
             new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile())));
@@ -37,7 +37,7 @@
 
   /** Has it stand still, or go on. */
   public synchronized void pause(boolean on) {
-    Children.pause(process, on);
+    ChildProcesses.pause(process, on);
   }
 
   /** Its process id. */
--- a/src/main/java/beaconturn/rehearsal/fleet/Children.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/ChildProcesses.java
@@ -4,8 +4,8 @@
 import java.io.UncheckedIOException;
 
 /** Processes of the kit: they end with it, and can be made to stand still. */
-public final class Children {
-  private Children() {}
+public final class ChildProcesses {
+  private ChildProcesses() {}
 
   /** Starts a process; whoever ends the rehearsal by a signal must not leave it behind. */
   public static Process start(ProcessBuilder builder) throws IOException {
--- a/src/main/java/beaconturn/rehearsal/fleet/Link.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/FaultProxy.java
@@ -1,6 +1,6 @@
 package beaconturn.rehearsal.fleet;
 
-import beaconturn.standin.net.Ports;
+import beaconturn.standin.net.LoopbackPorts;
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.InputStream;
@@ -21,7 +21,7 @@
  * passes here, or does not. While it is cut nothing passes and nothing is told, as on a network
  * that loses every packet: open connections stay open and silent, and new ones never come up.
  */
-public final class Link implements Closeable {
+public final class FaultProxy implements Closeable {
   private static final int CHUNK = 8192;
   private static final int BACKLOG = 512;
   private static final int FILLERS = 4;
@@ -34,7 +34,7 @@
   private final InetSocketAddress address;
 
   /** While the door is shut the kernel gives the port to nobody else. */
-  private final SocketChannel holder = Ports.take(Ports::hold);
+  private final SocketChannel holder = LoopbackPorts.take(LoopbackPorts::hold);
 
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   // Guarded by this:
@@ -70,7 +70,7 @@
   }
 
   /** A link to there; it passes everything. */
-  public Link(InetSocketAddress to) throws IOException {
+  public FaultProxy(InetSocketAddress to) throws IOException {
     this.to = to;
     this.address = (InetSocketAddress) holder.getLocalAddress();
     this.door = new ServerSocket(address.getPort(), BACKLOG, address.getAddress());
@@ -93,7 +93,7 @@
     }
     try {
       close(door);
-      fillers.forEach(Link::close);
+      fillers.forEach(FaultProxy::close);
       fillers.clear();
       // Whoever still waits there holds the address.
       accepting.join();
@@ -123,7 +123,8 @@
   }
 
   private ServerSocket listening(int backlog) throws IOException {
-    return Ports.again(address, at -> new ServerSocket(at.getPort(), backlog, at.getAddress()));
+    return LoopbackPorts.again(
+        address, at -> new ServerSocket(at.getPort(), backlog, at.getAddress()));
   }
 
   private static Thread thread(String name, Runnable body) {
@@ -332,8 +333,8 @@
   public synchronized void close() {
     shut();
     close(door);
-    fillers.forEach(Link::close);
+    fillers.forEach(FaultProxy::close);
     close(holder);
-    open.forEach(Link::close);
+    open.forEach(FaultProxy::close);
   }
 }
--- a/src/main/java/beaconturn/rehearsal/fleet/Leaking.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/MemoryLeakProgram.java
@@ -9,14 +9,14 @@
  * A program that leaks memory beside its work, for rehearsals of a release that does: after so many
  * milliseconds so many kB a second, up to so many, beside the program's own class with its words.
  */
-public final class Leaking {
+public final class MemoryLeakProgram {
   private static final int KILO = 1024;
   private static final int STEPS = 10;
   private static final int MAIN = 3;
   private static final long STEP_MILLIS = 100;
   private static final List<byte[]> LEAKED = new ArrayList<>();
 
-  private Leaking() {}
+  private MemoryLeakProgram() {}
 
   /** Wait, rate, most, class, then the words for it. */
   public static void main(String[] args) throws ReflectiveOperationException {
--- a/src/main/java/beaconturn/release/Agreed.java
+++ b/src/main/java/beaconturn/release/AgreedVersions.java
@@ -1,6 +1,6 @@
 package beaconturn.release;
 
-import beaconturn.agreement.Snapshot;
+import beaconturn.agreement.AgreementSnapshot;
 import java.util.List;
 
 /**
@@ -11,7 +11,8 @@
  * @param waiting whom the step at hand waits for
  * @param atMillis the wall clock, for the version's history
  */
-public record Agreed(Snapshot seen, long nextNumber, List<String> waiting, long atMillis) {
+public record AgreedVersions(
+    AgreementSnapshot seen, long nextNumber, List<String> waiting, long atMillis) {
   /** Whether that version is settled: all routers act on it, or on one after it. */
   boolean settled(long number) {
     return seen.settled() >= number;
--- a/src/main/java/beaconturn/release/Comparison.java
+++ b/src/main/java/beaconturn/release/CanaryComparison.java
@@ -9,7 +9,7 @@
  * would hardly make it; one of means if there are enough readings, as each of them is a mean
  * already.
  */
-final class Comparison {
+final class CanaryComparison {
   /** One in a hundred by chance, of what is looked at until it has stood its check. */
   private static final double ERRORS = 2.33;
 
@@ -22,16 +22,16 @@
 
   private static final long FEWEST_READINGS = 8;
   private static final double MILLION = 1e6;
-  private final Plan plan;
-  private final Sample changed;
-  private final Sample others;
+  private final RolloutPlan plan;
+  private final InstanceSample changed;
+  private final InstanceSample others;
   private final int count;
 
   /** One measure in which the part does worse than it may. */
   private record Worse(String words, boolean certain) {}
 
   /** Beside so many others together. */
-  Comparison(Plan plan, Sample changed, Sample others, int count) {
+  CanaryComparison(RolloutPlan plan, InstanceSample changed, InstanceSample others, int count) {
     this.plan = plan;
     this.changed = changed;
     this.others = others;
@@ -43,7 +43,7 @@
    * Means need readings: a soak that is too short for them does not see them, unless it {@code
    * waits} for them.
    */
-  Health.Word word(boolean soaked, boolean waits) {
+  RolloutHealth.Word word(boolean soaked, boolean waits) {
     String figures =
         String.format(
             Locale.ROOT,
@@ -55,43 +55,64 @@
             count);
     // Silent others are no comparison; a part that has none is held to what the plan allows.
     if (changed.answers() < plan.samples() || count > 0 && others.answers() < plan.samples()) {
-      return new Health.Word(Health.Verdict.WAIT, figures);
+      return new RolloutHealth.Word(RolloutHealth.Verdict.WAIT, figures);
     }
     List<Worse> worse = new ArrayList<>();
     double errors = waits ? WATCHED : ERRORS;
-    share(worse, "", Figure.BAD, changed.answers(), others.answers(), plan.worse().bad(), errors);
+    share(
+        worse,
+        "",
+        InstanceMetrics.BAD,
+        changed.answers(),
+        others.answers(),
+        plan.worse().bad(),
+        errors);
     if (soaked && count > 0) {
       if (waits && (fewReadings(changed) || fewReadings(others))) {
-        return new Health.Word(Health.Verdict.WAIT, figures);
+        return new RolloutHealth.Word(RolloutHealth.Verdict.WAIT, figures);
       }
       share(
           worse,
           "late",
-          Figure.LATE,
-          changed.of(Figure.GOOD),
-          others.of(Figure.GOOD),
+          InstanceMetrics.LATE,
+          changed.of(InstanceMetrics.GOOD),
+          others.of(InstanceMetrics.GOOD),
           plan.worse().late(),
           errors);
       share(
           worse,
           "missed",
-          Figure.MISSES,
-          changed.of(Figure.HITS) + changed.of(Figure.MISSES),
-          others.of(Figure.HITS) + others.of(Figure.MISSES),
+          InstanceMetrics.MISSES,
+          changed.of(InstanceMetrics.HITS) + changed.of(InstanceMetrics.MISSES),
+          others.of(InstanceMetrics.HITS) + others.of(InstanceMetrics.MISSES),
           plan.worse().missed(),
           errors);
       mean(
           worse,
           "of the cache servers avoided",
-          Figure.AVOIDED,
-          Figure.READINGS,
+          InstanceMetrics.AVOIDED,
+          InstanceMetrics.READINGS,
           MILLION,
           plan.worse().avoided(),
           0);
-      mean(worse, "kB of memory", Figure.MEMORY, Figure.READINGS, 1, 0, plan.worse().memory());
-      if (Math.min(changed.of(Figure.HITS), others.of(Figure.HITS))
+      mean(
+          worse,
+          "kB of memory",
+          InstanceMetrics.MEMORY,
+          InstanceMetrics.READINGS,
+          1,
+          0,
+          plan.worse().memory());
+      if (Math.min(changed.of(InstanceMetrics.HITS), others.of(InstanceMetrics.HITS))
           >= Math.max(1, plan.samples())) {
-        mean(worse, "us for a hit", Figure.HIT_MICROS, Figure.HITS, 1, 0, plan.worse().slower());
+        mean(
+            worse,
+            "us for a hit",
+            InstanceMetrics.HIT_MICROS,
+            InstanceMetrics.HITS,
+            1,
+            0,
+            plan.worse().slower());
       }
     }
     Worse first =
@@ -100,21 +121,22 @@
             .findFirst()
             .orElse(worse.isEmpty() ? null : worse.get(0));
     return first == null
-        ? new Health.Word(Health.Verdict.GOOD, figures)
-        : new Health.Word(
-            first.certain() ? Health.Verdict.BAD : Health.Verdict.WAIT, figures + first.words());
+        ? new RolloutHealth.Word(RolloutHealth.Verdict.GOOD, figures)
+        : new RolloutHealth.Word(
+            first.certain() ? RolloutHealth.Verdict.BAD : RolloutHealth.Verdict.WAIT,
+            figures + first.words());
   }
 
   /** An agent that knows more than answers has not asked often enough to tell of a mean. */
-  private static boolean fewReadings(Sample sample) {
-    long readings = sample.of(Figure.READINGS);
+  private static boolean fewReadings(InstanceSample sample) {
+    long readings = sample.of(InstanceMetrics.READINGS);
     return readings > 0 && readings < FEWEST_READINGS;
   }
 
   private void share(
       List<Worse> worse,
       String name,
-      Figure figure,
+      InstanceMetrics figure,
       long ofChanged,
       long ofOthers,
       double bound,
@@ -148,8 +170,8 @@
   private void mean(
       List<Worse> worse,
       String name,
-      Figure sum,
-      Figure over,
+      InstanceMetrics sum,
+      InstanceMetrics over,
       double unit,
       double distance,
       double part) {
--- a/src/main/java/beaconturn/release/Changeover.java
+++ b/src/main/java/beaconturn/release/ConfigChange.java
@@ -1,6 +1,6 @@
 package beaconturn.release;
 
-import beaconturn.agreement.Content;
+import beaconturn.agreement.ConfigContent;
 
 /**
  * The settings that go with a release, once they are proposed.
@@ -9,4 +9,4 @@
  * @param before what was in force before, for the way back
  * @param undone the number of the version that brings that back, or 0
  */
-public record Changeover(long number, Content before, long undone) {}
+public record ConfigChange(long number, ConfigContent before, long undone) {}
--- a/src/main/java/beaconturn/release/Permit.java
+++ b/src/main/java/beaconturn/release/DisruptionPermit.java
@@ -10,4 +10,5 @@
  * @param holder who took it
  * @param reason why, in the holder's words
  */
-public record Permit(long number, Kind kind, String id, String holder, String reason) {}
+public record DisruptionPermit(
+    long number, InstanceKind kind, String id, String holder, String reason) {}
--- a/src/main/java/beaconturn/release/Kind.java
+++ b/src/main/java/beaconturn/release/InstanceKind.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** What a part of the fleet is. */
-public enum Kind {
+public enum InstanceKind {
   /** A router. */
   ROUTER,
   /** A cache server. */
@@ -15,7 +15,7 @@
   }
 
   /** The kind of that word; null where there is none. */
-  public static Kind of(String word) {
+  public static InstanceKind of(String word) {
     return word.equals("router") ? ROUTER : word.equals("cache") ? CACHE : null;
   }
 }
--- a/src/main/java/beaconturn/release/Load.java
+++ b/src/main/java/beaconturn/release/InstanceLoad.java
@@ -11,7 +11,7 @@
  * processor and connections as agents told them last. Whoever takes one out must leave enough for
  * that, and for failures.
  */
-final class Load {
+final class InstanceLoad {
   private static final double SECOND = 1e9;
   private static final double THOUSAND = 1000;
   private static final long SHORTEST = 1_000_000_000;
@@ -23,15 +23,15 @@
   private Window newer;
 
   /** What all had answered at a time. */
-  private record Window(long at, Map<String, Sample> then) {}
+  private record Window(long at, Map<String, InstanceSample> then) {}
 
   /** Those of a site that are left, and what the site carries. */
   private record Site(
       String name,
       List<String> parts,
       long left,
-      Fleet.Capacity capacity,
-      Map<String, Sample> health) {
+      ReleaseFleet.Capacity capacity,
+      Map<String, InstanceSample> health) {
     /** Why those that are left are too few, or null. */
     String tooMuch(double carried, String unit, double each) {
       return left > 0 && carried <= left * each
@@ -47,14 +47,16 @@
               each);
     }
 
-    private double sum(Figure figure) {
-      return parts.stream().mapToLong(p -> health.getOrDefault(p, Sample.NONE).of(figure)).sum();
+    private double sum(InstanceMetrics figure) {
+      return parts.stream()
+          .mapToLong(p -> health.getOrDefault(p, InstanceSample.NONE).of(figure))
+          .sum();
     }
 
     /** Over those that tell it; 0 where none does. */
-    private double mean(Figure figure) {
+    private double mean(InstanceMetrics figure) {
       return parts.stream()
-          .mapToLong(p -> health.getOrDefault(p, Sample.NONE).of(figure))
+          .mapToLong(p -> health.getOrDefault(p, InstanceSample.NONE).of(figure))
           .filter(v -> v > 0)
           .average()
           .orElse(0);
@@ -62,20 +64,21 @@
 
     /** By what their agents told last; nothing is said of what none of them tells. */
     String levels() {
-      double cores = capacity.cores() > 0 ? capacity.cores() : mean(Figure.CORES) / THOUSAND;
+      double cores =
+          capacity.cores() > 0 ? capacity.cores() : mean(InstanceMetrics.CORES) / THOUSAND;
       String busy =
-          cores <= 0 || mean(Figure.CORES) <= 0
+          cores <= 0 || mean(InstanceMetrics.CORES) <= 0
               ? null
-              : tooMuch(sum(Figure.BUSY) / THOUSAND, "cores", cores * BUSY_AT_MOST);
-      double most = mean(Figure.MOST_CONNECTIONS);
+              : tooMuch(sum(InstanceMetrics.BUSY) / THOUSAND, "cores", cores * BUSY_AT_MOST);
+      double most = mean(InstanceMetrics.MOST_CONNECTIONS);
       return busy != null || most <= 0
           ? busy
-          : tooMuch(sum(Figure.CONNECTIONS), "connections", most);
+          : tooMuch(sum(InstanceMetrics.CONNECTIONS), "connections", most);
     }
   }
 
   /** To be told of each scene. */
-  void saw(Scene scene, long now) {
+  void saw(RolloutSnapshot scene, long now) {
     if (newer == null || now - newer.at() >= Math.max(SHORTEST, scene.plan().soak())) {
       older = newer;
       newer = new Window(now, Map.copyOf(scene.health()));
@@ -86,10 +89,10 @@
    * Why the part's site would be left with too little, or null where that is not so or not asked
    * for.
    */
-  String tooMuch(Scene scene, String id, Set<String> out, long now) {
-    Fleet.Group group = scene.fleet().group(scene.plan().kind());
-    Fleet.Capacity capacity = group.capacity();
-    if (capacity.spare() < 0 || scene.plan().kind() != Kind.ROUTER) {
+  String tooMuch(RolloutSnapshot scene, String id, Set<String> out, long now) {
+    ReleaseFleet.Group group = scene.fleet().group(scene.plan().kind());
+    ReleaseFleet.Capacity capacity = group.capacity();
+    if (capacity.spare() < 0 || scene.plan().kind() != InstanceKind.ROUTER) {
       return null;
     }
     if (older == null) {
@@ -108,9 +111,11 @@
     if (capacity.eachPerSecond() > 0) {
       double answers = 0;
       for (String part : parts) {
-        Sample then = older.then().get(part);
+        InstanceSample then = older.then().get(part);
         answers +=
-            then == null ? 0 : scene.health().getOrDefault(part, Sample.NONE).since(then).answers();
+            then == null
+                ? 0
+                : scene.health().getOrDefault(part, InstanceSample.NONE).since(then).answers();
       }
       String full =
           site.tooMuch(
@@ -125,9 +130,9 @@
   /**
    * Why a plan could not keep it by what is carried now, or null; with as many out as it may take.
    */
-  static String objection(Plan plan, Scene scene) {
-    Fleet.Group group = scene.fleet().group(plan.kind());
-    if (group.capacity().spare() < 0 || plan.kind() != Kind.ROUTER) {
+  static String objection(RolloutPlan plan, RolloutSnapshot scene) {
+    ReleaseFleet.Group group = scene.fleet().group(plan.kind());
+    if (group.capacity().spare() < 0 || plan.kind() != InstanceKind.ROUTER) {
       return null;
     }
     Set<String> named = new HashSet<>(plan.parts());
--- a/src/main/java/beaconturn/release/Figure.java
+++ b/src/main/java/beaconturn/release/InstanceMetrics.java
@@ -6,7 +6,7 @@
  * What an agent tells of its part. Counts grow from the begin of a process; levels are as they are
  * now.
  */
-public enum Figure {
+public enum InstanceMetrics {
   /** Answers that served. */
   GOOD,
   /** Refusals and failures. */
@@ -38,11 +38,11 @@
 
   private final boolean level;
 
-  Figure() {
+  InstanceMetrics() {
     this(false);
   }
 
-  Figure(boolean level) {
+  InstanceMetrics(boolean level) {
     this.level = level;
   }
 
--- a/src/main/java/beaconturn/release/Sample.java
+++ b/src/main/java/beaconturn/release/InstanceSample.java
@@ -10,12 +10,12 @@
  * @param process which process it is; another one counts anew
  * @param figures what is known; what is not there is 0
  */
-public record Sample(String process, Map<Figure, Long> figures) {
-  static final Sample NONE = new Sample("", Map.of());
+public record InstanceSample(String process, Map<InstanceMetrics, Long> figures) {
+  static final InstanceSample NONE = new InstanceSample("", Map.of());
 
   /** A sample of its own. */
-  public Sample {
-    Map<Figure, Long> all = new EnumMap<>(Figure.class);
+  public InstanceSample {
+    Map<InstanceMetrics, Long> all = new EnumMap<>(InstanceMetrics.class);
     figures.forEach(
         (figure, value) -> {
           if (value != 0) {
@@ -26,46 +26,47 @@
   }
 
   /** One of which only the answers are known. */
-  public static Sample of(String process, long good, long bad) {
-    return new Sample(process, Map.of(Figure.GOOD, good, Figure.BAD, bad));
+  public static InstanceSample of(String process, long good, long bad) {
+    return new InstanceSample(
+        process, Map.of(InstanceMetrics.GOOD, good, InstanceMetrics.BAD, bad));
   }
 
-  long of(Figure figure) {
+  long of(InstanceMetrics figure) {
     return figures.getOrDefault(figure, 0L);
   }
 
   /** What came since an earlier sample; all of it where the process is another. */
-  Sample since(Sample earlier) {
+  InstanceSample since(InstanceSample earlier) {
     return process.equals(earlier.process) ? with(process, earlier, -1) : this;
   }
 
   /** What both count together; of levels that makes no sense, and they are left out. */
-  Sample plus(Sample other) {
+  InstanceSample plus(InstanceSample other) {
     return with("", other, 1);
   }
 
-  private Sample with(String as, Sample other, int sign) {
-    Map<Figure, Long> all = new EnumMap<>(Figure.class);
-    for (Figure f : Figure.values()) {
+  private InstanceSample with(String as, InstanceSample other, int sign) {
+    Map<InstanceMetrics, Long> all = new EnumMap<>(InstanceMetrics.class);
+    for (InstanceMetrics f : InstanceMetrics.values()) {
       if (!f.level()) {
         all.put(f, of(f) + sign * other.of(f));
       } else if (sign < 0) {
         all.put(f, of(f));
       }
     }
-    return new Sample(as, all);
+    return new InstanceSample(as, all);
   }
 
   long answers() {
-    return of(Figure.GOOD) + of(Figure.BAD);
+    return of(InstanceMetrics.GOOD) + of(InstanceMetrics.BAD);
   }
 
   double badShare() {
-    return share(Figure.BAD, answers());
+    return share(InstanceMetrics.BAD, answers());
   }
 
   /** Its part of so many; 0 of none. */
-  double share(Figure figure, long whole) {
+  double share(InstanceMetrics figure, long whole) {
     return whole == 0 ? 0 : of(figure) / (double) whole;
   }
 }
--- a/src/main/java/beaconturn/release/Variant.java
+++ b/src/main/java/beaconturn/release/InstanceVariant.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** What a part runs, of the two that a release is about. */
-public enum Variant {
+public enum InstanceVariant {
   /** What it ran before. */
   OLD,
   /** What is released. */
--- a/src/main/java/beaconturn/release/Bounds.java
+++ b/src/main/java/beaconturn/release/RegressionBounds.java
@@ -10,13 +10,14 @@
  * @param memory resident memory, as a part of the others'
  * @param slower time that hits take, as a part of the others'
  */
-public record Bounds(
+public record RegressionBounds(
     double bad, double late, double missed, double avoided, double memory, double slower) {
   /** The usual ones. */
-  public static final Bounds USUAL = new Bounds(0.02, 0.05, 0.2, 0.34, 0.3, 1);
+  public static final RegressionBounds USUAL = new RegressionBounds(0.02, 0.05, 0.2, 0.34, 0.3, 1);
 
   /** The usual ones but for refusals and failures. */
-  public static Bounds of(double bad) {
-    return new Bounds(bad, USUAL.late, USUAL.missed, USUAL.avoided, USUAL.memory, USUAL.slower);
+  public static RegressionBounds of(double bad) {
+    return new RegressionBounds(
+        bad, USUAL.late, USUAL.missed, USUAL.avoided, USUAL.memory, USUAL.slower);
   }
 }
--- a/src/main/java/beaconturn/release/Fleet.java
+++ b/src/main/java/beaconturn/release/ReleaseFleet.java
@@ -12,12 +12,12 @@
  *
  * @param groups the parts of each kind; a kind that is not there may not be released
  */
-public record Fleet(Map<Kind, Group> groups) {
+public record ReleaseFleet(Map<InstanceKind, Group> groups) {
   /** No parts, nothing may be out. */
-  public static final Fleet NONE = new Fleet(Map.of());
+  public static final ReleaseFleet NONE = new ReleaseFleet(Map.of());
 
   /** A fleet of its own. */
-  public Fleet {
+  public ReleaseFleet {
     groups = groups.isEmpty() ? Map.of() : Collections.unmodifiableMap(new EnumMap<>(groups));
   }
 
@@ -71,7 +71,7 @@
   }
 
   /** The parts of a kind; none where the fleet has none. */
-  public Group group(Kind kind) {
+  public Group group(InstanceKind kind) {
     return groups.getOrDefault(kind, new Group(0, 0, new TreeMap<>()));
   }
 }
--- a/src/main/java/beaconturn/release/ReleaseDesk.java
+++ b/src/main/java/beaconturn/release/RolloutAdmin.java
@@ -1,9 +1,9 @@
 package beaconturn.release;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Desk;
+import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
@@ -11,39 +11,40 @@
 /**
  * What operators do with releases: each order reads what stands in the store and takes one step.
  */
-public final class ReleaseDesk {
+public final class RolloutAdmin {
   private static final int TRIES = 5;
-  private final ReleaseKeys keys;
-  private final Steps steps;
-  private final Desk.Store store;
+  private final RolloutKeys keys;
+  private final RolloutTransactions steps;
+  private final ConfigAdmin.Store store;
   private final String author;
 
   /** A desk at a store, for one fleet and operator. */
-  public ReleaseDesk(ReleaseKeys keys, Desk.Store store, String author, Supplier<String> when) {
+  public RolloutAdmin(
+      RolloutKeys keys, ConfigAdmin.Store store, String author, Supplier<String> when) {
     this.keys = keys;
-    this.steps = new Steps(keys, when);
+    this.steps = new RolloutTransactions(keys, when);
     this.store = store;
     this.author = author;
   }
 
   /** What is made of what stands there, or null where there is nothing to do. */
   private interface Order {
-    Act on(Scene scene) throws AgreementException;
+    RolloutTransaction on(RolloutSnapshot scene) throws AgreementException;
   }
 
-  private Answer.Given given(Call call) throws AgreementException {
-    return Desk.given(store, call);
+  private StoreResponse.Given given(StoreRequest call) throws AgreementException {
+    return ConfigAdmin.given(store, call);
   }
 
   /** What stands in the store now. */
-  public Scene look() throws AgreementException {
-    return Scene.of(keys, given(new Call.Read(keys.all())));
+  public RolloutSnapshot look() throws AgreementException {
+    return RolloutSnapshot.of(keys, given(new StoreRequest.Read(keys.all())));
   }
 
   /** Somebody else may take a step at the same time: then it looks again. */
   private String carryOut(Order order) throws AgreementException {
     for (int i = 0; i < TRIES; i++) {
-      Act act = order.on(look());
+      RolloutTransaction act = order.on(look());
       if (given(act.swap()).held()) {
         return act.says();
       }
@@ -52,7 +53,7 @@
   }
 
   /** Says who belongs to the fleet and how much may be out; counts from the next step on. */
-  public String fleet(Fleet fleet) throws AgreementException {
+  public String fleet(ReleaseFleet fleet) throws AgreementException {
     return carryOut(
         scene ->
             steps.act(
@@ -60,11 +61,11 @@
                 author,
                 "the fleet and what may be out of it are said anew",
                 List.of(keys.parts()),
-                List.of(Steps.put(keys.parts(), ReleaseTexts.of(fleet)))));
+                List.of(RolloutTransactions.put(keys.parts(), RolloutCodec.of(fleet)))));
   }
 
   /** Begins a release; its number is the one after the last. */
-  public String start(Plan wanted) throws AgreementException {
+  public String start(RolloutPlan wanted) throws AgreementException {
     return carryOut(
         scene -> {
           if (!scene.course().over()) {
@@ -76,15 +77,19 @@
             throw new AgreementException(objection);
           }
           long number = scene.plan() == null ? 1 : scene.plan().number() + 1;
-          Plan plan = wanted.begun(number, scene.cluster());
-          List<Call.Change> changes =
+          RolloutPlan plan = wanted.begun(number, scene.cluster());
+          List<StoreRequest.Change> changes =
               new ArrayList<>(
                   List.of(
-                      Steps.put(keys.plan(), ReleaseTexts.of(plan)),
-                      steps.put(new Course(Course.Mode.RUNNING, plan.reason(), author))));
-          scene.steps().keySet().forEach(id -> changes.add(new Call.Change.Delete(keys.step(id))));
+                      RolloutTransactions.put(keys.plan(), RolloutCodec.of(plan)),
+                      steps.put(
+                          new RolloutState(RolloutState.Mode.RUNNING, plan.reason(), author))));
+          scene
+              .steps()
+              .keySet()
+              .forEach(id -> changes.add(new StoreRequest.Change.Delete(keys.step(id))));
           if (scene.settings() != null) {
-            changes.add(new Call.Change.Delete(keys.settings()));
+            changes.add(new StoreRequest.Change.Delete(keys.settings()));
           }
           return steps.act(
               scene,
@@ -96,30 +101,40 @@
   }
 
   /** Why the release cannot be begun as things are, or null. */
-  public static String objection(Plan wanted, Scene scene) {
+  public static String objection(RolloutPlan wanted, RolloutSnapshot scene) {
     String shape = wanted.objection(scene.fleet());
-    return shape != null ? shape : Load.objection(wanted, scene);
+    return shape != null ? shape : InstanceLoad.objection(wanted, scene);
   }
 
   /** The curve of a release; empty where none was drawn. */
-  public Curve curve(long release) throws AgreementException {
-    List<Answer.Pair> found = given(new Call.Read(keys.curve(release))).pairs();
-    return found.isEmpty() ? Curve.NONE : Curve.of(found.get(0).value());
+  public RolloutTimeSeries curve(long release) throws AgreementException {
+    List<StoreResponse.Pair> found = given(new StoreRequest.Read(keys.curve(release))).pairs();
+    return found.isEmpty() ? RolloutTimeSeries.NONE : RolloutTimeSeries.of(found.get(0).value());
   }
 
   /** Has no step begin from now on. */
   public String halt(String why) throws AgreementException {
-    return turn("halted", why, Course.Mode.HALTED, Course.Mode.RUNNING, Course.Mode.BACKING);
+    return turn(
+        "halted",
+        why,
+        RolloutState.Mode.HALTED,
+        RolloutState.Mode.RUNNING,
+        RolloutState.Mode.BACKING);
   }
 
   /** Goes on where it was halted. */
   public String resume(String why) throws AgreementException {
-    return turn("goes on", why, Course.Mode.RUNNING, Course.Mode.HALTED);
+    return turn("goes on", why, RolloutState.Mode.RUNNING, RolloutState.Mode.HALTED);
   }
 
   /** Undoes all steps in the reverse order. */
   public String back(String why) throws AgreementException {
-    return turn("goes back", why, Course.Mode.BACKING, Course.Mode.RUNNING, Course.Mode.HALTED);
+    return turn(
+        "goes back",
+        why,
+        RolloutState.Mode.BACKING,
+        RolloutState.Mode.RUNNING,
+        RolloutState.Mode.HALTED);
   }
 
   /** Leaves all as it is; permits stay with parts that are out. */
@@ -127,13 +142,13 @@
     return turn(
         "abandoned",
         why,
-        Course.Mode.ABANDONED,
-        Course.Mode.RUNNING,
-        Course.Mode.HALTED,
-        Course.Mode.BACKING);
+        RolloutState.Mode.ABANDONED,
+        RolloutState.Mode.RUNNING,
+        RolloutState.Mode.HALTED,
+        RolloutState.Mode.BACKING);
   }
 
-  private String turn(String says, String why, Course.Mode to, Course.Mode... from)
+  private String turn(String says, String why, RolloutState.Mode to, RolloutState.Mode... from)
       throws AgreementException {
     return carryOut(
         scene -> {
@@ -144,20 +159,22 @@
                         ? "there is no release"
                         : "release " + scene.plan().number() + " " + words(scene.course())));
           }
-          if (scene.replaced() && to != Course.Mode.ABANDONED && to != Course.Mode.HALTED) {
-            throw new AgreementException(Scene.REPLACED);
+          if (scene.replaced()
+              && to != RolloutState.Mode.ABANDONED
+              && to != RolloutState.Mode.HALTED) {
+            throw new AgreementException(RolloutSnapshot.REPLACED);
           }
           return steps.act(
               scene,
               author,
               "release " + scene.plan().number() + " " + says + ": " + why,
               List.of(),
-              List.of(steps.put(new Course(to, why, author))));
+              List.of(steps.put(new RolloutState(to, why, author))));
         });
   }
 
   /** What a release is at, in words. */
-  public static String words(Course course) {
+  public static String words(RolloutState course) {
     return switch (course.mode()) {
       case RUNNING -> "runs";
       case HALTED -> "is halted: " + course.why();
@@ -174,7 +191,8 @@
    *
    * @param seen what is out though nobody planned it
    */
-  public long take(Kind kind, String id, String reason, Absence seen) throws AgreementException {
+  public long take(InstanceKind kind, String id, String reason, Unavailability seen)
+      throws AgreementException {
     carryOut(
         scene -> {
           if (holds(scene, kind, id) != null) {
@@ -192,24 +210,25 @@
               id + " goes out under permit " + number + ": " + reason,
               List.of(keys.counter(), keys.parts()),
               List.of(
-                  steps.counted(number), steps.put(new Permit(number, kind, id, author, reason))));
+                  steps.counted(number),
+                  steps.put(new DisruptionPermit(number, kind, id, author, reason))));
         });
     return holds(look(), kind, id).number();
   }
 
   /** Gives the place of a part back that is seen back, or that an operator knows to be dead. */
-  public String giveBack(Kind kind, String id, String why) throws AgreementException {
+  public String giveBack(InstanceKind kind, String id, String why) throws AgreementException {
     return carryOut(
         scene -> {
-          Permit permit = holds(scene, kind, id);
+          DisruptionPermit permit = holds(scene, kind, id);
           if (permit == null) {
             throw new AgreementException(id + " holds no place");
           }
-          List<Call.Change> changes = new ArrayList<>(List.of(steps.back(permit.number())));
-          Step step = scene.steps().get(id);
+          List<StoreRequest.Change> changes = new ArrayList<>(List.of(steps.back(permit.number())));
+          RolloutStep step = scene.steps().get(id);
           if (step != null && step.permit() == permit.number()) {
             // Whoever holds the old number can do nothing with it any more.
-            changes.add(steps.put(step.to(Step.Phase.UNDONE, "", why)));
+            changes.add(steps.put(step.to(RolloutStep.Phase.UNDONE, "", why)));
           }
           return steps.act(
               scene,
@@ -224,10 +243,10 @@
    * What must hold, and what changes, when a whole site is taken out: no part of another one is out
    * under a permit, and who takes a place at the same time has to look again. Refused in words.
    */
-  public Call.Swap siteOut(String site, String reason) throws AgreementException {
-    Scene scene = look();
+  public StoreRequest.Swap siteOut(String site, String reason) throws AgreementException {
+    RolloutSnapshot scene = look();
     if (scene.fleet().groups().isEmpty()) {
-      return new Call.Swap(List.of(), List.of());
+      return new StoreRequest.Swap(List.of(), List.of());
     }
     List<String> others =
         scene.permits().values().stream()
@@ -257,7 +276,7 @@
         .swap();
   }
 
-  private static Permit holds(Scene scene, Kind kind, String id) {
+  private static DisruptionPermit holds(RolloutSnapshot scene, InstanceKind kind, String id) {
     return scene.permits().values().stream()
         .filter(p -> p.kind() == kind && p.id().equals(id))
         .findFirst()
@@ -266,6 +285,8 @@
 
   /** All that was done, the oldest first. */
   public List<String> history() throws AgreementException {
-    return given(new Call.Read(keys.stories())).pairs().stream().map(Answer.Pair::value).toList();
+    return given(new StoreRequest.Read(keys.stories())).pairs().stream()
+        .map(StoreResponse.Pair::value)
+        .toList();
   }
 }
--- a/src/main/java/beaconturn/release/Agent.java
+++ b/src/main/java/beaconturn/release/RolloutAgent.java
@@ -1,6 +1,6 @@
 package beaconturn.release;
 
-import beaconturn.agreement.Call;
+import beaconturn.agreement.StoreRequest;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
@@ -10,15 +10,15 @@
  * release acts, and acts only where the answer came in time, so that a halt binds also those that
  * were slow, cut off or paused.
  */
-public final class Agent {
-  private final ReleaseKeys keys;
-  private final Steps steps;
+public final class RolloutAgent {
+  private final RolloutKeys keys;
+  private final RolloutTransactions steps;
   private final String id;
   private final String me;
   private final long callTimeout;
 
   /** What it is about to do or does, or null. */
-  private Step doing;
+  private RolloutStep doing;
 
   private long sentAt;
   private boolean running;
@@ -26,14 +26,15 @@
   private Result result;
 
   /** How an action ended. */
-  private record Result(Step step, boolean ready, String why, long at, long took) {}
+  private record Result(RolloutStep step, boolean ready, String why, long at, long took) {}
 
   /**
    * An agent of a part; an answer that took longer than a call may take allows nothing any more.
    */
-  public Agent(ReleaseKeys keys, String id, String me, long callTimeout, Supplier<String> when) {
+  public RolloutAgent(
+      RolloutKeys keys, String id, String me, long callTimeout, Supplier<String> when) {
     this.keys = keys;
-    this.steps = new Steps(keys, when);
+    this.steps = new RolloutTransactions(keys, when);
     this.id = id;
     this.me = me;
     this.callTimeout = callTimeout;
@@ -43,13 +44,13 @@
    * Takes the part's seat, if nobody has it; it hangs on the lease. Null where nothing is to be
    * taken.
    */
-  public Act take(Scene scene, long lease) {
+  public RolloutTransaction take(RolloutSnapshot scene, long lease) {
     return scene.agents().containsKey(id)
         ? null
-        : new Act(
-            new Call.Swap(
-                List.of(new Call.Condition.Unchanged(keys.agent(id), 0)),
-                List.of(new Call.Change.Put(keys.agent(id), me, lease))),
+        : new RolloutTransaction(
+            new StoreRequest.Swap(
+                List.of(new StoreRequest.Condition.Unchanged(keys.agent(id), 0)),
+                List.of(new StoreRequest.Change.Put(keys.agent(id), me, lease))),
             "acts on " + id);
   }
 
@@ -57,8 +58,8 @@
    * The step through the store that is due, or null; to be told of its answer before it is asked
    * again.
    */
-  public Act due(Scene scene, long now) {
-    Step step = scene.steps().get(id);
+  public RolloutTransaction due(RolloutSnapshot scene, long now) {
+    RolloutStep step = scene.steps().get(id);
     if (running || step == null || scene.plan() == null || scene.replaced()) {
       return null;
     }
@@ -72,26 +73,30 @@
     if (!me.equals(scene.agents().get(id))) {
       return null;
     }
-    boolean open = step.phase() == Step.Phase.GRANTED || step.phase() == Step.Phase.BEGUN;
-    Course.Mode mode = scene.course().mode();
-    if (mode == Course.Mode.BACKING
-        && step.phase() == Step.Phase.BEGUN
-        && step.variant() == Variant.NEW) {
+    boolean open =
+        step.phase() == RolloutStep.Phase.GRANTED || step.phase() == RolloutStep.Phase.BEGUN;
+    RolloutState.Mode mode = scene.course().mode();
+    if (mode == RolloutState.Mode.BACKING
+        && step.phase() == RolloutStep.Phase.BEGUN
+        && step.variant() == InstanceVariant.NEW) {
       // Whoever began it acts no more, and nobody is to act on it now: the driver takes it back.
       return steps.act(
           scene,
           me,
           id + " was begun and is not acted on any more",
           List.of(keys.step(id), keys.agent(id)),
-          List.of(steps.put(step.to(Step.Phase.FAILED, me, "not acted on"))));
+          List.of(steps.put(step.to(RolloutStep.Phase.FAILED, me, "not acted on"))));
     }
     if (!open
-        || mode != (step.variant() == Variant.NEW ? Course.Mode.RUNNING : Course.Mode.BACKING)) {
+        || mode
+            != (step.variant() == InstanceVariant.NEW
+                ? RolloutState.Mode.RUNNING
+                : RolloutState.Mode.BACKING)) {
       return null;
     }
     // Begun by itself and not acted on: the answer was lost or late. Begun by another: that one has
     // died.
-    doing = step.to(Step.Phase.BEGUN, me, "");
+    doing = step.to(RolloutStep.Phase.BEGUN, me, "");
     sentAt = now;
     return steps.act(
         scene,
@@ -101,14 +106,14 @@
         List.of(steps.put(doing)));
   }
 
-  private boolean mine(Step step) {
-    return step.phase() == Step.Phase.BEGUN && step.agent().equals(me);
+  private boolean mine(RolloutStep step) {
+    return step.phase() == RolloutStep.Phase.BEGUN && step.agent().equals(me);
   }
 
-  private Act report(Scene scene, Step step) {
-    Step.Phase phase = result.ready() ? Step.Phase.UP : Step.Phase.FAILED;
-    Step now =
-        new Step(
+  private RolloutTransaction report(RolloutSnapshot scene, RolloutStep step) {
+    RolloutStep.Phase phase = result.ready() ? RolloutStep.Phase.UP : RolloutStep.Phase.FAILED;
+    RolloutStep now =
+        new RolloutStep(
             id,
             step.permit(),
             phase,
@@ -117,7 +122,7 @@
             result.why(),
             step.started(),
             result.took());
-    List<Call.Change> changes = new ArrayList<>(List.of(steps.put(now)));
+    List<StoreRequest.Change> changes = new ArrayList<>(List.of(steps.put(now)));
     changes.addAll(
         steps.story(
             scene,
@@ -127,8 +132,8 @@
                 + now.variant().word()
                 + (result.why().isEmpty() ? "" : ": " + result.why())));
     // What has happened is told whatever the release is at: only the part must stand as it was.
-    return new Act(
-        new Call.Swap(
+    return new RolloutTransaction(
+        new StoreRequest.Swap(
             List.of(scene.unchanged(keys.step(id)), scene.unchanged(keys.told())), changes),
         id + (result.ready() ? " is up" : " is not up"));
   }
@@ -139,11 +144,11 @@
    *
    * @param held whether the transaction held; false also where there was no answer
    */
-  public Variant answered(boolean held, long now) {
+  public InstanceVariant answered(boolean held, long now) {
     if (result != null || doing == null) {
       return null;
     }
-    Step begun = doing;
+    RolloutStep begun = doing;
     doing = null;
     if (!held || now - sentAt > callTimeout) {
       return null;
@@ -165,21 +170,30 @@
    * Whether the part is to be brought back now though the store is out of reach: what failed has
    * stood out for so long that the plan wants it back. The variant to go to, or null.
    */
-  public Variant alone(Plan plan, long now) {
+  public InstanceVariant alone(RolloutPlan plan, long now) {
     if (running
         || result == null
         || result.ready()
         || plan == null
         || plan.alone() == 0
-        || result.step().variant() == Variant.OLD
+        || result.step().variant() == InstanceVariant.OLD
         || now - result.at() < plan.alone()) {
       return null;
     }
-    Step step = result.step();
-    doing = new Step(id, step.permit(), Step.Phase.BEGUN, Variant.OLD, me, "", step.started(), 0);
+    RolloutStep step = result.step();
+    doing =
+        new RolloutStep(
+            id,
+            step.permit(),
+            RolloutStep.Phase.BEGUN,
+            InstanceVariant.OLD,
+            me,
+            "",
+            step.started(),
+            0);
     result = null;
     running = true;
     beganAt = now;
-    return Variant.OLD;
+    return InstanceVariant.OLD;
   }
 }
--- a/src/main/java/beaconturn/release/ReleaseTexts.java
+++ b/src/main/java/beaconturn/release/RolloutCodec.java
@@ -1,8 +1,8 @@
 package beaconturn.release;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Content;
-import beaconturn.agreement.Texts;
+import beaconturn.agreement.ConfigCodec;
+import beaconturn.agreement.ConfigContent;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 import java.util.ArrayList;
@@ -14,17 +14,17 @@
 import java.util.TreeMap;
 
 /** What stands in the store of a release, as lines of JSON. */
-public final class ReleaseTexts {
-  private ReleaseTexts() {}
+public final class RolloutCodec {
+  private RolloutCodec() {}
 
-  static String of(Fleet fleet) {
+  static String of(ReleaseFleet fleet) {
     List<Json> groups = new ArrayList<>();
     fleet
         .groups()
         .forEach(
             (kind, group) ->
                 groups.add(
-                    Texts.object(
+                    ConfigCodec.object(
                         "kind",
                         kind.word(),
                         "most_out",
@@ -38,19 +38,22 @@
                         "failures",
                         group.capacity().spare() + 1,
                         "sites",
-                        Texts.list(
+                        ConfigCodec.list(
                             group.sites().entrySet().stream()
                                 .map(
                                     s ->
-                                        Texts.object(
-                                            "site", s.getKey(), "parts", Texts.texts(s.getValue())))
+                                        ConfigCodec.object(
+                                            "site",
+                                            s.getKey(),
+                                            "parts",
+                                            ConfigCodec.texts(s.getValue())))
                                 .toList()))));
-    return JsonWriter.write(Texts.object("groups", Texts.list(groups)));
+    return JsonWriter.write(ConfigCodec.object("groups", ConfigCodec.list(groups)));
   }
 
-  static Fleet fleet(String text) throws AgreementException {
-    Map<Kind, Fleet.Group> groups = new EnumMap<>(Kind.class);
-    for (Json group : Texts.parse(text).get("groups").items()) {
+  static ReleaseFleet fleet(String text) throws AgreementException {
+    Map<InstanceKind, ReleaseFleet.Group> groups = new EnumMap<>(InstanceKind.class);
+    for (Json group : ConfigCodec.parse(text).get("groups").items()) {
       SortedMap<String, List<String>> sites = new TreeMap<>();
       group
           .get("sites")
@@ -58,21 +61,21 @@
           .forEach(s -> sites.put(s.get("site").word(""), words(s.get("parts"))));
       groups.put(
           kind(group),
-          new Fleet.Group(
+          new ReleaseFleet.Group(
               (int) number(group, "most_out"),
               (int) number(group, "most_out_of_site"),
               sites,
-              new Fleet.Capacity(
+              new ReleaseFleet.Capacity(
                   decimal(group, "each_per_s"),
                   decimal(group, "cores"),
                   (int) number(group, "failures") - 1)));
     }
-    return new Fleet(groups);
+    return new ReleaseFleet(groups);
   }
 
-  static String of(Permit p) {
+  static String of(DisruptionPermit p) {
     return JsonWriter.write(
-        Texts.object(
+        ConfigCodec.object(
             "number",
             p.number(),
             "kind",
@@ -85,9 +88,9 @@
             p.reason()));
   }
 
-  static Permit permit(String text) throws AgreementException {
-    Json json = Texts.parse(text);
-    return new Permit(
+  static DisruptionPermit permit(String text) throws AgreementException {
+    Json json = ConfigCodec.parse(text);
+    return new DisruptionPermit(
         number(json, "number"),
         kind(json),
         json.get("id").word(""),
@@ -95,15 +98,15 @@
         json.get("reason").word(""));
   }
 
-  static String of(Plan p) {
+  static String of(RolloutPlan p) {
     return JsonWriter.write(
-        Texts.object(
+        ConfigCodec.object(
             "number",
             p.number(),
             "kind",
             p.kind().word(),
             "waves",
-            Texts.list(p.waves().stream().map(Texts::texts).toList()),
+            ConfigCodec.list(p.waves().stream().map(ConfigCodec::texts).toList()),
             "soak_ns",
             p.soak(),
             "samples",
@@ -117,17 +120,17 @@
             "reason",
             p.reason(),
             "settings",
-            p.settings() == null ? new Json.Nothing() : Texts.json(p.settings()),
+            p.settings() == null ? new Json.Nothing() : ConfigCodec.json(p.settings()),
             "cluster",
             p.cluster()));
   }
 
-  static Plan plan(String text) throws AgreementException {
-    Json json = Texts.parse(text);
-    return new Plan(
+  static RolloutPlan plan(String text) throws AgreementException {
+    Json json = ConfigCodec.parse(text);
+    return new RolloutPlan(
         number(json, "number"),
         kind(json),
-        json.get("waves").items().stream().map(ReleaseTexts::words).toList(),
+        json.get("waves").items().stream().map(RolloutCodec::words).toList(),
         number(json, "soak_ns"),
         number(json, "samples"),
         bounds(json.get("worse")),
@@ -138,8 +141,8 @@
         json.get("cluster").word(""));
   }
 
-  private static Json of(Bounds b) {
-    return Texts.object(
+  private static Json of(RegressionBounds b) {
+    return ConfigCodec.object(
         "bad",
         Double.toString(b.bad()),
         "late",
@@ -154,8 +157,8 @@
         Double.toString(b.slower()));
   }
 
-  private static Bounds bounds(Json json) {
-    return new Bounds(
+  private static RegressionBounds bounds(Json json) {
+    return new RegressionBounds(
         decimal(json, "bad"),
         decimal(json, "late"),
         decimal(json, "missed"),
@@ -168,35 +171,38 @@
     return Double.parseDouble(json.get(key).word("0"));
   }
 
-  static String of(Changeover c) {
+  static String of(ConfigChange c) {
     return JsonWriter.write(
-        Texts.object("number", c.number(), "before", Texts.json(c.before()), "undone", c.undone()));
+        ConfigCodec.object(
+            "number", c.number(), "before", ConfigCodec.json(c.before()), "undone", c.undone()));
   }
 
-  static Changeover changeover(String text) throws AgreementException {
-    Json json = Texts.parse(text);
-    return new Changeover(number(json, "number"), content(json, "before"), number(json, "undone"));
+  static ConfigChange changeover(String text) throws AgreementException {
+    Json json = ConfigCodec.parse(text);
+    return new ConfigChange(
+        number(json, "number"), content(json, "before"), number(json, "undone"));
   }
 
-  private static Content content(Json json, String key) throws AgreementException {
-    return json.get(key) instanceof Json.Members said ? Texts.content(said) : null;
+  private static ConfigContent content(Json json, String key) throws AgreementException {
+    return json.get(key) instanceof Json.Members said ? ConfigCodec.content(said) : null;
   }
 
-  static String of(Course c) {
-    return JsonWriter.write(Texts.object("mode", lower(c.mode()), "why", c.why(), "by", c.by()));
+  static String of(RolloutState c) {
+    return JsonWriter.write(
+        ConfigCodec.object("mode", lower(c.mode()), "why", c.why(), "by", c.by()));
   }
 
-  static Course course(String text) throws AgreementException {
-    Json json = Texts.parse(text);
-    return new Course(
-        Course.Mode.valueOf(upper(json, "mode")),
+  static RolloutState course(String text) throws AgreementException {
+    Json json = ConfigCodec.parse(text);
+    return new RolloutState(
+        RolloutState.Mode.valueOf(upper(json, "mode")),
         json.get("why").word(""),
         json.get("by").word(""));
   }
 
-  static String of(Step s) {
+  static String of(RolloutStep s) {
     return JsonWriter.write(
-        Texts.object(
+        ConfigCodec.object(
             "id",
             s.id(),
             "permit",
@@ -215,13 +221,13 @@
             s.took()));
   }
 
-  static Step step(String text) throws AgreementException {
-    Json json = Texts.parse(text);
-    return new Step(
+  static RolloutStep step(String text) throws AgreementException {
+    Json json = ConfigCodec.parse(text);
+    return new RolloutStep(
         json.get("id").word(""),
         number(json, "permit"),
-        Step.Phase.valueOf(upper(json, "phase")),
-        Variant.valueOf(upper(json, "variant")),
+        RolloutStep.Phase.valueOf(upper(json, "phase")),
+        InstanceVariant.valueOf(upper(json, "variant")),
         json.get("agent").word(""),
         json.get("why").word(""),
         number(json, "started") - 1,
@@ -229,25 +235,25 @@
   }
 
   /** What a part has answered, as its agent tells it. */
-  public static String of(Sample s) {
+  public static String of(InstanceSample s) {
     List<Object> members = new ArrayList<>(List.of("process", s.process()));
     s.figures().forEach((figure, value) -> members.addAll(List.of(figure.word(), value)));
-    return JsonWriter.write(Texts.object(members.toArray()));
+    return JsonWriter.write(ConfigCodec.object(members.toArray()));
   }
 
-  static Sample sample(String text) throws AgreementException {
-    Json json = Texts.parse(text);
-    Map<Figure, Long> figures = new EnumMap<>(Figure.class);
-    for (Figure figure : Figure.values()) {
+  static InstanceSample sample(String text) throws AgreementException {
+    Json json = ConfigCodec.parse(text);
+    Map<InstanceMetrics, Long> figures = new EnumMap<>(InstanceMetrics.class);
+    for (InstanceMetrics figure : InstanceMetrics.values()) {
       if (!json.get(figure.word()).word("").isEmpty()) {
         figures.put(figure, number(json, figure.word()));
       }
     }
-    return new Sample(json.get("process").word(""), figures);
+    return new InstanceSample(json.get("process").word(""), figures);
   }
 
-  private static Kind kind(Json json) throws AgreementException {
-    Kind kind = Kind.of(json.get("kind").word(""));
+  private static InstanceKind kind(Json json) throws AgreementException {
+    InstanceKind kind = InstanceKind.of(json.get("kind").word(""));
     if (kind == null) {
       throw new AgreementException("no kind of part: '" + json.get("kind").word("") + "'");
     }
@@ -255,7 +261,7 @@
   }
 
   private static long number(Json json, String key) throws AgreementException {
-    return Texts.whole(json, key, 0, Long.MAX_VALUE);
+    return ConfigCodec.whole(json, key, 0, Long.MAX_VALUE);
   }
 
   private static List<String> words(Json json) {
--- a/src/main/java/beaconturn/release/Driver.java
+++ b/src/main/java/beaconturn/release/RolloutDriver.java
@@ -1,9 +1,9 @@
 package beaconturn.release;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Content;
-import beaconturn.agreement.Keys;
+import beaconturn.agreement.AgreementKeys;
+import beaconturn.agreement.ConfigContent;
+import beaconturn.agreement.StoreRequest;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashSet;
@@ -19,23 +19,24 @@
  * stands in the store, and each of its steps holds only while its number is the driver's. What it
  * remembers by itself is since when it has watched a part; one that takes over watches anew.
  */
-public final class Driver {
-  private final ReleaseKeys keys;
-  private final Steps steps;
-  private final beaconturn.agreement.Steps agreements;
+public final class RolloutDriver {
+  private final RolloutKeys keys;
+  private final RolloutTransactions steps;
+  private final beaconturn.agreement.AgreementTransactions agreements;
   private final String me;
-  private final Health health = new Health();
-  private final Load load = new Load();
+  private final RolloutHealth health = new RolloutHealth();
+  private final InstanceLoad load = new InstanceLoad();
   private String waits = "";
 
   /** Starts of cache servers as they are known now. */
   private SortedMap<String, Long> starts = new TreeMap<>();
 
   /** A driver of that incarnation. */
-  public Driver(ReleaseKeys keys, String me, Supplier<String> when) {
+  public RolloutDriver(RolloutKeys keys, String me, Supplier<String> when) {
     this.keys = keys;
-    this.steps = new Steps(keys, when);
-    this.agreements = new beaconturn.agreement.Steps(new Keys(keys.fleet()));
+    this.steps = new RolloutTransactions(keys, when);
+    this.agreements =
+        new beaconturn.agreement.AgreementTransactions(new AgreementKeys(keys.fleet()));
     this.me = me;
   }
 
@@ -48,14 +49,14 @@
    * Takes the driver's place, if nobody has it and a release is at hand; the place hangs on the
    * lease.
    */
-  public Act take(Scene scene, long lease) {
+  public RolloutTransaction take(RolloutSnapshot scene, long lease) {
     if (scene.plan() == null || scene.course().over() || !scene.driver().isEmpty()) {
       return null;
     }
-    return new Act(
-        new Call.Swap(
-            List.of(new Call.Condition.Unchanged(keys.driver(), 0)),
-            List.of(new Call.Change.Put(keys.driver(), me, lease))),
+    return new RolloutTransaction(
+        new StoreRequest.Swap(
+            List.of(new StoreRequest.Condition.Unchanged(keys.driver(), 0)),
+            List.of(new StoreRequest.Change.Put(keys.driver(), me, lease))),
         "drives the release");
   }
 
@@ -65,18 +66,19 @@
    * @param seen parts that are out though nobody planned it
    * @param now by a clock that never goes back, in nanoseconds
    */
-  public Act due(Scene scene, Absence seen, long now) {
+  public RolloutTransaction due(RolloutSnapshot scene, Unavailability seen, long now) {
     return due(scene, seen, null, now);
   }
 
   /** The same where settings go with the release; {@code agreed} null where that is not known. */
-  public Act due(Scene scene, Absence seen, Agreed agreed, long now) {
+  public RolloutTransaction due(
+      RolloutSnapshot scene, Unavailability seen, AgreedVersions agreed, long now) {
     waits = "";
     if (scene.plan() == null || !scene.driver().equals(me)) {
       return null;
     }
     if (scene.replaced()) {
-      waits = Scene.REPLACED;
+      waits = RolloutSnapshot.REPLACED;
       return null;
     }
     SortedMap<String, String> gone = seen.during(scene);
@@ -94,31 +96,35 @@
   }
 
   /** Conditions of all that a driver does: it is the driver, and the part stands as it was read. */
-  private Act act(Scene scene, String says, List<String> unchanged, List<Call.Change> changes) {
+  private RolloutTransaction act(
+      RolloutSnapshot scene,
+      String says,
+      List<String> unchanged,
+      List<StoreRequest.Change> changes) {
     List<String> all = new ArrayList<>(unchanged);
     all.add(keys.driver());
     return steps.act(scene, me, says, all, changes);
   }
 
   /** Whether the settings that go with the release are what all routers act on. */
-  private static boolean inForce(Scene scene, Agreed agreed) {
+  private static boolean inForce(RolloutSnapshot scene, AgreedVersions agreed) {
     return scene.settings() != null
         && (agreed == null || agreed.settled(scene.settings().number()));
   }
 
   /** The settings first: what is released may need them, and nothing of it runs yet. */
-  private Act settings(Scene scene, Agreed agreed) {
+  private RolloutTransaction settings(RolloutSnapshot scene, AgreedVersions agreed) {
     if (agreed == null) {
       waits = "what is agreed on is not known";
       return null;
     }
     if (scene.settings() == null) {
-      Content now = agreed.seen().current().content();
+      ConfigContent now = agreed.seen().current().content();
       return propose(
           scene,
           agreed,
           scene.plan().settings().over(now).holding(now),
-          new Changeover(agreed.nextNumber(), now, 0));
+          new ConfigChange(agreed.nextNumber(), now, 0));
     }
     if (agreed.turnedDown(scene.settings().number())) {
       return turn(
@@ -135,9 +141,13 @@
   /**
    * One transaction with the driver's own conditions: a driver that was replaced proposes nothing.
    */
-  private Act propose(Scene scene, Agreed agreed, Content content, Changeover changeover) {
+  private RolloutTransaction propose(
+      RolloutSnapshot scene,
+      AgreedVersions agreed,
+      ConfigContent content,
+      ConfigChange changeover) {
     try {
-      beaconturn.agreement.Steps.Step step =
+      beaconturn.agreement.AgreementTransactions.Step step =
           agreements.propose(
               agreed.seen(),
               agreed.nextNumber(),
@@ -145,12 +155,14 @@
               "release " + scene.plan().number(),
               scene.plan().reason(),
               agreed.atMillis());
-      List<Call.Change> changes = new ArrayList<>(step.swap().changes());
+      List<StoreRequest.Change> changes = new ArrayList<>(step.swap().changes());
       changes.add(steps.put(changeover));
-      Act act = act(scene, "its settings: " + step.says(), List.of(keys.settings()), changes);
-      List<Call.Condition> conditions = new ArrayList<>(act.swap().conditions());
+      RolloutTransaction act =
+          act(scene, "its settings: " + step.says(), List.of(keys.settings()), changes);
+      List<StoreRequest.Condition> conditions = new ArrayList<>(act.swap().conditions());
       conditions.addAll(step.swap().conditions());
-      return new Act(new Call.Swap(conditions, act.swap().changes()), act.says());
+      return new RolloutTransaction(
+          new StoreRequest.Swap(conditions, act.swap().changes()), act.says());
     } catch (AgreementException e) {
       waits = e.getMessage();
       return null;
@@ -158,8 +170,8 @@
   }
 
   /** The settings of before, once no part runs what was released; null once they are in force. */
-  private Act settingsBack(Scene scene, Agreed agreed) {
-    Changeover at = scene.settings();
+  private RolloutTransaction settingsBack(RolloutSnapshot scene, AgreedVersions agreed) {
+    ConfigChange at = scene.settings();
     if (at.undone() != 0 && agreed.settled(at.undone())) {
       return null;
     }
@@ -169,14 +181,14 @@
           scene,
           "its settings never came into force",
           List.of(keys.settings()),
-          List.of(new Call.Change.Delete(keys.settings())));
+          List.of(new StoreRequest.Change.Delete(keys.settings())));
     }
     if (at.undone() == 0 || agreed.turnedDown(at.undone())) {
       return propose(
           scene,
           agreed,
           at.before().holding(agreed.seen().current().content()),
-          new Changeover(at.number(), at.before(), agreed.nextNumber()));
+          new ConfigChange(at.number(), at.before(), agreed.nextNumber()));
     }
     waits =
         "version "
@@ -186,41 +198,45 @@
     return null;
   }
 
-  private Act forward(Scene scene, Absence seen, Map<String, String> gone, long now) {
-    for (Step step : scene.steps().values()) {
-      if (step.phase() == Step.Phase.FAILED) {
+  private RolloutTransaction forward(
+      RolloutSnapshot scene, Unavailability seen, Map<String, String> gone, long now) {
+    for (RolloutStep step : scene.steps().values()) {
+      if (step.phase() == RolloutStep.Phase.FAILED) {
         return turn(scene, step.id() + " did not get ready: " + step.why());
       }
-      if (step.phase() == Step.Phase.GRANTED || step.phase() == Step.Phase.BEGUN) {
+      if (step.phase() == RolloutStep.Phase.GRANTED || step.phase() == RolloutStep.Phase.BEGUN) {
         waits = step.id() + " is acted on";
       }
-      if (step.phase() == Step.Phase.UP && step.variant() == Variant.OLD) {
+      if (step.phase() == RolloutStep.Phase.UP && step.variant() == InstanceVariant.OLD) {
         return turn(scene, step.id() + " was brought back by its agent: " + step.why());
       }
-      if (step.phase() == Step.Phase.UP) {
-        Health.Word word = health.of(scene, step, gone, now);
-        if (word.verdict() == Health.Verdict.BAD) {
+      if (step.phase() == RolloutStep.Phase.UP) {
+        RolloutHealth.Word word = health.of(scene, step, gone, now);
+        if (word.verdict() == RolloutHealth.Verdict.BAD) {
           return turn(scene, step.id() + " does worse: " + word.says());
         }
-        if (word.verdict() == Health.Verdict.GOOD) {
+        if (word.verdict() == RolloutHealth.Verdict.GOOD) {
           return act(
               scene,
               step.id() + " has stood the check: " + word.says(),
               List.of(keys.step(step.id())),
               List.of(
-                  steps.put(step.to(Step.Phase.GOOD, step.agent(), "")),
+                  steps.put(step.to(RolloutStep.Phase.GOOD, step.agent(), "")),
                   steps.back(step.permit())));
         }
         waits = step.id() + " is watched: " + word.says();
       }
     }
-    Health.Word later = health.later(scene, now);
+    RolloutHealth.Word later = health.later(scene, now);
     if (later != null) {
       return turn(scene, later.says());
     }
     for (List<String> wave : scene.plan().waves()) {
       if (!wave.stream()
-          .allMatch(id -> is(scene, id, Step.Phase.GOOD) || is(scene, id, Step.Phase.UNDONE))) {
+          .allMatch(
+              id ->
+                  is(scene, id, RolloutStep.Phase.GOOD)
+                      || is(scene, id, RolloutStep.Phase.UNDONE))) {
         return next(scene, wave, seen, gone, now);
       }
     }
@@ -228,24 +244,30 @@
         scene,
         "all parts run what is released",
         List.of(),
-        List.of(steps.put(new Course(Course.Mode.DONE, "all parts have stood the check", me))));
+        List.of(
+            steps.put(
+                new RolloutState(RolloutState.Mode.DONE, "all parts have stood the check", me))));
   }
 
-  private static boolean is(Scene scene, String id, Step.Phase phase) {
-    Step step = scene.steps().get(id);
+  private static boolean is(RolloutSnapshot scene, String id, RolloutStep.Phase phase) {
+    RolloutStep step = scene.steps().get(id);
     return step != null && step.phase() == phase;
   }
 
-  private Act turn(Scene scene, String why) {
+  private RolloutTransaction turn(RolloutSnapshot scene, String why) {
     return act(
         scene,
         "goes back: " + why,
         List.of(),
-        List.of(steps.put(new Course(Course.Mode.BACKING, why, me))));
+        List.of(steps.put(new RolloutState(RolloutState.Mode.BACKING, why, me))));
   }
 
-  private Act next(
-      Scene scene, List<String> wave, Absence seen, Map<String, String> gone, long now) {
+  private RolloutTransaction next(
+      RolloutSnapshot scene,
+      List<String> wave,
+      Unavailability seen,
+      Map<String, String> gone,
+      long now) {
     for (String id : wave) {
       if (scene.steps().get(id) == null) {
         String full = scene.full(scene.plan().kind(), id, seen, gone);
@@ -253,7 +275,7 @@
           full = load.tooMuch(scene, id, scene.out(scene.plan().kind(), gone).keySet(), now);
         }
         if (full == null) {
-          return grant(scene, id, Variant.NEW, gone);
+          return grant(scene, id, InstanceVariant.NEW, gone);
         }
         waits = id + ": " + full;
       }
@@ -265,15 +287,18 @@
    * Takes a place and has the part go out; the counter holds the place against all who count at the
    * time.
    */
-  private Act grant(Scene scene, String id, Variant variant, Map<String, String> gone) {
+  private RolloutTransaction grant(
+      RolloutSnapshot scene, String id, InstanceVariant variant, Map<String, String> gone) {
     long number = scene.counter() + 1;
-    Permit permit =
-        new Permit(
+    DisruptionPermit permit =
+        new DisruptionPermit(
             number,
             scene.plan().kind(),
             id,
             "release " + scene.plan().number(),
-            variant == Variant.NEW ? scene.plan().reason() : "back: " + scene.course().why());
+            variant == InstanceVariant.NEW
+                ? scene.plan().reason()
+                : "back: " + scene.course().why());
     Set<String> out = new HashSet<>(scene.out(scene.plan().kind(), gone).keySet());
     out.add(id);
     return act(
@@ -283,26 +308,27 @@
         List.of(steps.counted(number), steps.put(permit), steps.put(granted(id, number, variant))));
   }
 
-  private Step granted(String id, long number, Variant variant) {
-    return new Step(
-        id, number, Step.Phase.GRANTED, variant, "", "", starts.getOrDefault(id, -1L), 0);
+  private RolloutStep granted(String id, long number, InstanceVariant variant) {
+    return new RolloutStep(
+        id, number, RolloutStep.Phase.GRANTED, variant, "", "", starts.getOrDefault(id, -1L), 0);
   }
 
   /**
    * Undoes in the reverse order; what was not begun is taken back, what runs the new goes back to
    * the old.
    */
-  private Act back(Scene scene, Map<String, String> gone, Agreed agreed) {
+  private RolloutTransaction back(
+      RolloutSnapshot scene, Map<String, String> gone, AgreedVersions agreed) {
     List<String> order = new ArrayList<>(scene.plan().parts());
     Collections.reverse(order);
     boolean open = false;
     for (String id : order) {
-      Step step = scene.steps().get(id);
-      if (step == null || step.phase() == Step.Phase.UNDONE) {
+      RolloutStep step = scene.steps().get(id);
+      if (step == null || step.phase() == RolloutStep.Phase.UNDONE) {
         continue;
       }
       open = true;
-      Act act = undo(scene, step, gone);
+      RolloutTransaction act = undo(scene, step, gone);
       if (act != null) {
         return act;
       }
@@ -312,7 +338,7 @@
         waits = "what is agreed on is not known";
         return null;
       }
-      Act act = settingsBack(scene, agreed);
+      RolloutTransaction act = settingsBack(scene, agreed);
       if (act != null || !waits.isEmpty()) {
         return act;
       }
@@ -323,39 +349,41 @@
             scene,
             "all parts run again what they ran before",
             List.of(),
-            List.of(steps.put(new Course(Course.Mode.BACK, scene.course().why(), me))));
+            List.of(steps.put(new RolloutState(RolloutState.Mode.BACK, scene.course().why(), me))));
   }
 
-  private Act undo(Scene scene, Step step, Map<String, String> gone) {
+  private RolloutTransaction undo(
+      RolloutSnapshot scene, RolloutStep step, Map<String, String> gone) {
     String key = keys.step(step.id());
     switch (step.phase()) {
       case GRANTED -> {
-        if (step.variant() == Variant.NEW) {
+        if (step.variant() == InstanceVariant.NEW) {
           return act(
               scene,
               step.id() + " was not begun, its place is given back",
               List.of(key),
-              List.of(steps.put(step.to(Step.Phase.UNDONE, "", "")), steps.back(step.permit())));
+              List.of(
+                  steps.put(step.to(RolloutStep.Phase.UNDONE, "", "")), steps.back(step.permit())));
         }
         waits = step.id() + " is to go back";
       }
       case BEGUN -> waits = step.id() + " is acted on";
       case UP, FAILED -> {
-        if (step.variant() == Variant.OLD
-            && step.phase() == Step.Phase.UP
+        if (step.variant() == InstanceVariant.OLD
+            && step.phase() == RolloutStep.Phase.UP
             && gone.containsKey(step.id())) {
           waits = step.id() + " is not seen back: " + gone.get(step.id());
           return null;
         }
-        if (step.variant() == Variant.OLD) {
-          return step.phase() == Step.Phase.FAILED
+        if (step.variant() == InstanceVariant.OLD) {
+          return step.phase() == RolloutStep.Phase.FAILED
               ? stuck(step)
               : act(
                   scene,
                   step.id() + " runs again what it ran before",
                   List.of(key),
                   List.of(
-                      steps.put(step.to(Step.Phase.UNDONE, step.agent(), "")),
+                      steps.put(step.to(RolloutStep.Phase.UNDONE, step.agent(), "")),
                       steps.back(step.permit())));
         }
         // It holds its place still.
@@ -363,12 +391,12 @@
             scene,
             step.id() + " goes back under permit " + step.permit(),
             List.of(key),
-            List.of(steps.put(granted(step.id(), step.permit(), Variant.OLD))));
+            List.of(steps.put(granted(step.id(), step.permit(), InstanceVariant.OLD))));
       }
       default -> {
         String full = scene.full(scene.plan().kind(), step.id(), gone);
         if (full == null) {
-          return grant(scene, step.id(), Variant.OLD, gone);
+          return grant(scene, step.id(), InstanceVariant.OLD, gone);
         }
         waits = step.id() + ": " + full;
       }
@@ -376,7 +404,7 @@
     return null;
   }
 
-  private Act stuck(Step step) {
+  private RolloutTransaction stuck(RolloutStep step) {
     waits = step.id() + " cannot be brought back: " + step.why();
     return null;
   }
--- a/src/main/java/beaconturn/release/Forecast.java
+++ b/src/main/java/beaconturn/release/RolloutForecast.java
@@ -15,7 +15,7 @@
  * @param watched how long a part is watched until it has its answers, in seconds; 0 where no load
  *     is known
  */
-public record Forecast(
+public record RolloutForecast(
     List<Wave> waves, double shortest, double longest, double restart, double watched) {
   private static final double SECOND = 1e9;
 
@@ -30,8 +30,9 @@
   public record Wave(List<String> parts, int atOnce, int rounds, int left) {}
 
   /** Of a plan, as things are; {@code gone} are those that are out though nobody planned it. */
-  public static Forecast of(Plan plan, Scene scene, Map<String, String> gone) {
-    Fleet.Group group = scene.fleet().group(plan.kind());
+  public static RolloutForecast of(
+      RolloutPlan plan, RolloutSnapshot scene, Map<String, String> gone) {
+    ReleaseFleet.Group group = scene.fleet().group(plan.kind());
     int out = scene.out(plan.kind(), gone).size();
     List<Wave> waves = new ArrayList<>();
     int rounds = 0;
@@ -51,14 +52,19 @@
     List<Long> took =
         scene.plan() == null || scene.plan().kind() != plan.kind()
             ? List.of()
-            : scene.steps().values().stream().map(Step::took).filter(t -> t > 0).sorted().toList();
+            : scene.steps().values().stream()
+                .map(RolloutStep::took)
+                .filter(t -> t > 0)
+                .sorted()
+                .toList();
     double rate =
         group.all().stream()
-            .mapToLong(p -> scene.health().getOrDefault(p, Sample.NONE).of(Figure.RATE))
+            .mapToLong(
+                p -> scene.health().getOrDefault(p, InstanceSample.NONE).of(InstanceMetrics.RATE))
             .filter(r -> r > 0)
             .average()
             .orElse(0);
-    return new Forecast(
+    return new RolloutForecast(
         waves,
         rounds * soak,
         rounds * (soak + plan.limit() / SECOND),
--- a/src/main/java/beaconturn/release/Health.java
+++ b/src/main/java/beaconturn/release/RolloutHealth.java
@@ -14,7 +14,7 @@
  * answer, how late, and what that takes. Yesterday's figures say nothing, as load and troubles are
  * today's.
  */
-final class Health {
+final class RolloutHealth {
   /** While others are gone by themselves only what fails more often than not is the release's. */
   private static final double MOSTLY = 0.5;
 
@@ -22,7 +22,8 @@
    * When a part that is up was first seen so, and what all had answered by then; and what they had
    * when it was back and nobody else was gone by itself, from which on they are compared.
    */
-  private record Begun(long at, Map<String, Sample> then, Map<String, Sample> clean) {}
+  private record Begun(
+      long at, Map<String, InstanceSample> then, Map<String, InstanceSample> clean) {}
 
   /** Since when parts that are up are seen in service. */
   private final Map<String, Long> back = new HashMap<>();
@@ -39,7 +40,7 @@
   private final SortedMap<String, Long> ejectedSince = new TreeMap<>();
 
   /** What all had answered when a part that has stood the check was last compared. */
-  private final Map<String, Map<String, Sample>> stood = new HashMap<>();
+  private final Map<String, Map<String, InstanceSample>> stood = new HashMap<>();
 
   /** What is to be thought of a part. */
   enum Verdict {
@@ -52,20 +53,20 @@
   record Word(Verdict verdict, String says) {}
 
   /** Remembers when parts came up; to be told of each scene before it is asked. */
-  void saw(Scene scene, Map<String, String> gone, long now) {
+  void saw(RolloutSnapshot scene, Map<String, String> gone, long now) {
     boolean others =
         gone.keySet().stream()
             .anyMatch(id -> scene.permits().values().stream().noneMatch(p -> p.id().equals(id)));
     ejected(scene, gone, now);
     calmAt = others ? now + scene.plan().soak() : calmAt;
     troubled = others || now < calmAt;
-    Map<String, Sample> health = Map.copyOf(scene.health());
-    for (Step step : scene.steps().values()) {
-      boolean up = step.phase() == Step.Phase.UP && step.variant() == Variant.NEW;
+    Map<String, InstanceSample> health = Map.copyOf(scene.health());
+    for (RolloutStep step : scene.steps().values()) {
+      boolean up = step.phase() == RolloutStep.Phase.UP && step.variant() == InstanceVariant.NEW;
       String key = key(step);
       if (up) {
         Begun before = begun.computeIfAbsent(key, k -> new Begun(now, health, health));
-        Sample base = before.clean().get(step.id());
+        InstanceSample base = before.clean().get(step.id());
         // What a process has answered before anybody was told of it is of another time.
         boolean another =
             base != null
@@ -85,25 +86,25 @@
     }
   }
 
-  private static String key(Step step) {
+  private static String key(RolloutStep step) {
     return step.id() + "#" + step.permit();
   }
 
   /** Whether the part has stood the check. */
-  Word of(Scene scene, Step step, Map<String, String> gone, long now) {
+  Word of(RolloutSnapshot scene, RolloutStep step, Map<String, String> gone, long now) {
     Begun since = begun.get(key(step));
     if (since == null) {
       return new Word(Verdict.WAIT, "just up");
     }
-    Plan plan = scene.plan();
+    RolloutPlan plan = scene.plan();
     Long inService = back.get(key(step));
     if (inService == null) {
       // A router waits for its lease; a cache server is to be warm within its limit.
-      boolean late = plan.kind() == Kind.CACHE && now - since.at() > plan.limit();
+      boolean late = plan.kind() == InstanceKind.CACHE && now - since.at() > plan.limit();
       return new Word(late ? Verdict.BAD : Verdict.WAIT, "not seen back: " + gone.get(step.id()));
     }
     boolean soaked = now - inService >= plan.soak();
-    if (plan.kind() == Kind.CACHE && !scene.health().containsKey(step.id())) {
+    if (plan.kind() == InstanceKind.CACHE && !scene.health().containsKey(step.id())) {
       return new Word(soaked ? Verdict.GOOD : Verdict.WAIT, "in service at most routers");
     }
     if (troubled) {
@@ -121,11 +122,11 @@
    * Since when cache servers that have stood the check are ejected by most routers, and none of
    * those that are not changed is: what all suffer from is not the release's.
    */
-  private void ejected(Scene scene, Map<String, String> gone, long now) {
+  private void ejected(RolloutSnapshot scene, Map<String, String> gone, long now) {
     Set<String> ejected = new TreeSet<>();
     gone.forEach(
         (id, why) -> {
-          if (why.startsWith(Absence.EJECTED)) {
+          if (why.startsWith(Unavailability.EJECTED)) {
             ejected.add(id);
           }
         });
@@ -134,7 +135,7 @@
         id ->
             all
                 || !scene.steps().containsKey(id)
-                || scene.steps().get(id).phase() != Step.Phase.GOOD);
+                || scene.steps().get(id).phase() != RolloutStep.Phase.GOOD);
     ejectedSince.keySet().retainAll(ejected);
     ejected.forEach(id -> ejectedSince.putIfAbsent(id, now));
   }
@@ -143,7 +144,7 @@
    * Whether one of those that have stood the check does worse by now, which is watched as long as
    * there are parts to compare it with: what harms may take minutes to do so. Null where none does.
    */
-  Word later(Scene scene, long now) {
+  Word later(RolloutSnapshot scene, long now) {
     for (Map.Entry<String, Long> ejected : ejectedSince.entrySet()) {
       if (now - ejected.getValue() > scene.plan().limit()) {
         return new Word(
@@ -151,13 +152,14 @@
       }
     }
     Set<String> told = told(scene);
-    for (Step step : scene.steps().values()) {
-      if (step.phase() != Step.Phase.GOOD
+    for (RolloutStep step : scene.steps().values()) {
+      if (step.phase() != RolloutStep.Phase.GOOD
           || !told.contains(step.id())
           || scene.steps().keySet().containsAll(told)) {
         continue;
       }
-      Map<String, Sample> then = stood.computeIfAbsent(key(step), k -> Map.copyOf(scene.health()));
+      Map<String, InstanceSample> then =
+          stood.computeIfAbsent(key(step), k -> Map.copyOf(scene.health()));
       Word word = compared(scene, step.id(), then, true, true);
       if (word.verdict() == Verdict.BAD) {
         return new Word(
@@ -171,7 +173,7 @@
   }
 
   /** Parts of the kind at hand that tell how they do. */
-  private static Set<String> told(Scene scene) {
+  private static Set<String> told(RolloutSnapshot scene) {
     Set<String> all = new TreeSet<>(scene.health().keySet());
     all.retainAll(scene.fleet().group(scene.plan().kind()).all());
     return all;
@@ -179,25 +181,36 @@
 
   /** With the parts not yet changed; where all are, with those that have stood the check. */
   private static Word compared(
-      Scene scene, String id, Map<String, Sample> then, boolean soaked, boolean waits) {
-    Plan plan = scene.plan();
+      RolloutSnapshot scene,
+      String id,
+      Map<String, InstanceSample> then,
+      boolean soaked,
+      boolean waits) {
+    RolloutPlan plan = scene.plan();
     List<String> with = new ArrayList<>(told(scene));
     with.remove(id);
     List<String> unchanged = with.stream().filter(o -> scene.steps().get(o) == null).toList();
     with =
         unchanged.isEmpty()
-            ? with.stream().filter(o -> scene.steps().get(o).phase() == Step.Phase.GOOD).toList()
+            ? with.stream()
+                .filter(o -> scene.steps().get(o).phase() == RolloutStep.Phase.GOOD)
+                .toList()
             : unchanged;
-    Sample changed = since(scene, id, then);
-    Sample others = Sample.NONE;
+    InstanceSample changed = since(scene, id, then);
+    InstanceSample others = InstanceSample.NONE;
     for (String other : with) {
       // Of one that has come since, nobody knows over which time its answers are.
-      others = others.plus(then.containsKey(other) ? since(scene, other, then) : Sample.NONE);
+      others =
+          others.plus(then.containsKey(other) ? since(scene, other, then) : InstanceSample.NONE);
     }
-    return new Comparison(plan, changed, others, with.size()).word(soaked, waits);
+    return new CanaryComparison(plan, changed, others, with.size()).word(soaked, waits);
   }
 
-  private static Sample since(Scene scene, String id, Map<String, Sample> then) {
-    return scene.health().getOrDefault(id, Sample.NONE).since(then.getOrDefault(id, Sample.NONE));
+  private static InstanceSample since(
+      RolloutSnapshot scene, String id, Map<String, InstanceSample> then) {
+    return scene
+        .health()
+        .getOrDefault(id, InstanceSample.NONE)
+        .since(then.getOrDefault(id, InstanceSample.NONE));
   }
 }
--- a/src/main/java/beaconturn/release/ReleaseKeys.java
+++ b/src/main/java/beaconturn/release/RolloutKeys.java
@@ -19,7 +19,7 @@
  * release-history/N   what was done, by whom and why; apart, as nobody who acts needs it
  * </pre>
  */
-public record ReleaseKeys(String fleet) {
+public record RolloutKeys(String fleet) {
   /** All of it. */
   public String all() {
     return fleet + "/release/";
--- a/src/main/java/beaconturn/release/Plan.java
+++ b/src/main/java/beaconturn/release/RolloutPlan.java
@@ -1,6 +1,6 @@
 package beaconturn.release;
 
-import beaconturn.agreement.Content;
+import beaconturn.agreement.ConfigContent;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -23,26 +23,27 @@
  * @param settings that come into force before the first wave and go back last, or null
  * @param cluster the store that it was begun in, empty before; in another one nobody acts on it
  */
-public record Plan(
+public record RolloutPlan(
     long number,
-    Kind kind,
+    InstanceKind kind,
     List<List<String>> waves,
     long soak,
     long samples,
-    Bounds worse,
+    RegressionBounds worse,
     long limit,
     long alone,
     String reason,
-    Content settings,
+    ConfigContent settings,
     String cluster) {
   /** A plan of its own. */
-  public Plan {
+  public RolloutPlan {
     waves = waves.stream().map(List::copyOf).toList();
   }
 
   /** The same, begun as that number in that store. */
-  Plan begun(long as, String in) {
-    return new Plan(as, kind, waves, soak, samples, worse, limit, alone, reason, settings, in);
+  RolloutPlan begun(long as, String in) {
+    return new RolloutPlan(
+        as, kind, waves, soak, samples, worse, limit, alone, reason, settings, in);
   }
 
   /** All parts, in their order. */
@@ -51,8 +52,8 @@
   }
 
   /** What is wrong with it for a fleet, in words, or null. */
-  public String objection(Fleet fleet) {
-    Fleet.Group group = fleet.group(kind);
+  public String objection(ReleaseFleet fleet) {
+    ReleaseFleet.Group group = fleet.group(kind);
     Set<String> named = new HashSet<>();
     for (String id : parts()) {
       if (group.siteOf(id) == null) {
@@ -90,7 +91,7 @@
   }
 
   /** One part, a tenth of the others, one site, the rest: the usual waves over a group. */
-  public static List<List<String>> usual(Fleet.Group group) {
+  public static List<List<String>> usual(ReleaseFleet.Group group) {
     List<String> left = new ArrayList<>(group.all());
     List<List<String>> waves = new ArrayList<>();
     take(waves, left, left.subList(0, Math.min(1, left.size())));
