--- a/src/main/java/beaconturn/release/Recorder.java
+++ b/src/main/java/beaconturn/release/RolloutRecorder.java
@@ -1,6 +1,6 @@
 package beaconturn.release;
 
-import beaconturn.agreement.Call;
+import beaconturn.agreement.StoreRequest;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -9,14 +9,14 @@
  * Draws the curve of a release while its driver drives it; one that takes over goes on with the one
  * that stands in the store.
  */
-public final class Recorder {
-  private final ReleaseKeys keys;
+public final class RolloutRecorder {
+  private final RolloutKeys keys;
   private final long release;
-  private Curve curve;
-  private Map<String, Sample> then;
+  private RolloutTimeSeries curve;
+  private Map<String, InstanceSample> then;
 
   /** A recorder of that release, from the curve that stands there. */
-  public Recorder(ReleaseKeys keys, long release, Curve curve) {
+  public RolloutRecorder(RolloutKeys keys, long release, RolloutTimeSeries curve) {
     this.keys = keys;
     this.release = release;
     this.curve = curve;
@@ -30,18 +30,18 @@
   /**
    * The next point, or null while none is due; it holds only where the driver is still the same.
    */
-  public Act due(Scene scene, Absence seen, long atMillis) {
-    Map<String, Sample> now = Map.copyOf(scene.health());
+  public RolloutTransaction due(RolloutSnapshot scene, Unavailability seen, long atMillis) {
+    Map<String, InstanceSample> now = Map.copyOf(scene.health());
     if (then == null) {
       then = now;
     }
     if (!curve.due(atMillis)) {
       return null;
     }
-    Kind kind = scene.plan().kind();
-    Sample all = Sample.NONE;
+    InstanceKind kind = scene.plan().kind();
+    InstanceSample all = InstanceSample.NONE;
     for (String id : scene.fleet().group(kind).all()) {
-      Sample before = then.get(id);
+      InstanceSample before = then.get(id);
       if (before != null && now.containsKey(id)) {
         all = all.plus(now.get(id).since(before));
       }
@@ -52,17 +52,17 @@
         (int) seen.during(scene).keySet().stream().filter(id -> !planned.contains(id)).count();
     curve =
         curve.with(
-            new Curve.Point(
+            new RolloutTimeSeries.Point(
                 atMillis,
-                all.of(Figure.GOOD),
-                all.of(Figure.BAD),
-                all.of(Figure.LATE),
+                all.of(InstanceMetrics.GOOD),
+                all.of(InstanceMetrics.BAD),
+                all.of(InstanceMetrics.LATE),
                 planned.size(),
                 gone));
-    return new Act(
-        new Call.Swap(
+    return new RolloutTransaction(
+        new StoreRequest.Swap(
             List.of(scene.unchanged(keys.driver())),
-            List.of(Steps.put(keys.curve(release), curve.text()))),
+            List.of(RolloutTransactions.put(keys.curve(release), curve.text()))),
         "");
   }
 }
--- a/src/main/java/beaconturn/release/Scene.java
+++ b/src/main/java/beaconturn/release/RolloutSnapshot.java
@@ -1,8 +1,8 @@
 package beaconturn.release;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -28,60 +28,61 @@
  * @param health what parts have answered
  * @param changed when each key was last changed
  */
-public record Scene(
+public record RolloutSnapshot(
     String cluster,
-    Fleet fleet,
-    Plan plan,
-    Course course,
-    SortedMap<String, Step> steps,
-    Changeover settings,
-    SortedMap<Long, Permit> permits,
+    ReleaseFleet fleet,
+    RolloutPlan plan,
+    RolloutState course,
+    SortedMap<String, RolloutStep> steps,
+    ConfigChange settings,
+    SortedMap<Long, DisruptionPermit> permits,
     String driver,
     SortedMap<String, String> agents,
     long counter,
     long stories,
-    SortedMap<String, Sample> health,
+    SortedMap<String, InstanceSample> health,
     Map<String, Long> changed) {
   static final String REPLACED =
       "the store was restored or replaced since the release began: what it says"
           + " of parts may be old; abandon the release, see who runs what, and begin another";
 
   /** Reads what a call for all keys of a release was given. */
-  public static Scene of(ReleaseKeys keys, Answer.Given given) throws AgreementException {
+  public static RolloutSnapshot of(RolloutKeys keys, StoreResponse.Given given)
+      throws AgreementException {
     Map<String, String> values = new HashMap<>();
     Map<String, Long> changed = new HashMap<>();
-    SortedMap<String, Step> steps = new TreeMap<>();
-    SortedMap<Long, Permit> permits = new TreeMap<>();
-    SortedMap<String, Sample> health = new TreeMap<>();
+    SortedMap<String, RolloutStep> steps = new TreeMap<>();
+    SortedMap<Long, DisruptionPermit> permits = new TreeMap<>();
+    SortedMap<String, InstanceSample> health = new TreeMap<>();
     SortedMap<String, String> agents = new TreeMap<>();
     try {
-      for (Answer.Pair pair : given.pairs()) {
+      for (StoreResponse.Pair pair : given.pairs()) {
         String key = pair.key();
         values.put(key, pair.value());
         changed.put(key, pair.changed());
         if (key.startsWith(keys.steps())) {
-          Step step = ReleaseTexts.step(pair.value());
+          RolloutStep step = RolloutCodec.step(pair.value());
           steps.put(step.id(), step);
         } else if (key.startsWith(keys.permits())) {
-          Permit permit = ReleaseTexts.permit(pair.value());
+          DisruptionPermit permit = RolloutCodec.permit(pair.value());
           permits.put(permit.number(), permit);
         } else if (key.startsWith(keys.agents())) {
           agents.put(key.substring(keys.agents().length()), pair.value());
         } else if (key.startsWith(keys.healths())) {
-          health.put(key.substring(keys.healths().length()), ReleaseTexts.sample(pair.value()));
+          health.put(key.substring(keys.healths().length()), RolloutCodec.sample(pair.value()));
         }
       }
       String fleet = values.get(keys.parts());
       String plan = values.get(keys.plan());
       String course = values.get(keys.course());
       String settings = values.get(keys.settings());
-      return new Scene(
+      return new RolloutSnapshot(
           given.cluster(),
-          fleet == null ? Fleet.NONE : ReleaseTexts.fleet(fleet),
-          plan == null ? null : ReleaseTexts.plan(plan),
-          course == null ? Course.NONE : ReleaseTexts.course(course),
+          fleet == null ? ReleaseFleet.NONE : RolloutCodec.fleet(fleet),
+          plan == null ? null : RolloutCodec.plan(plan),
+          course == null ? RolloutState.NONE : RolloutCodec.course(course),
           steps,
-          settings == null ? null : ReleaseTexts.changeover(settings),
+          settings == null ? null : RolloutCodec.changeover(settings),
           permits,
           values.getOrDefault(keys.driver(), ""),
           agents,
@@ -100,8 +101,8 @@
   }
 
   /** The condition that the key is as it was read here. */
-  Call.Condition unchanged(String key) {
-    return new Call.Condition.Unchanged(key, changed.getOrDefault(key, 0L));
+  StoreRequest.Condition unchanged(String key) {
+    return new StoreRequest.Condition.Unchanged(key, changed.getOrDefault(key, 0L));
   }
 
   /**
@@ -110,7 +111,7 @@
    *
    * @param gone parts of that kind that are out though nobody planned it, by what is seen of them
    */
-  public SortedMap<String, String> out(Kind kind, Map<String, String> gone) {
+  public SortedMap<String, String> out(InstanceKind kind, Map<String, String> gone) {
     SortedMap<String, String> out = new TreeMap<>(gone);
     permits.values().stream()
         .filter(p -> p.kind() == kind)
@@ -123,8 +124,8 @@
    * Why no place is free for the part, which is whom it waits for; null where it may go out. A part
    * that is out already takes no further place.
    */
-  public String full(Kind kind, String id, Map<String, String> gone) {
-    Fleet.Group group = fleet.group(kind);
+  public String full(InstanceKind kind, String id, Map<String, String> gone) {
+    ReleaseFleet.Group group = fleet.group(kind);
     String site = group.siteOf(id);
     if (site == null) {
       return "there is no " + kind.word() + " '" + id + "' in the fleet";
@@ -141,7 +142,7 @@
   }
 
   /** The same, and why none may begin there while another site is out as a whole. */
-  String full(Kind kind, String id, Absence seen, Map<String, String> gone) {
+  String full(InstanceKind kind, String id, Unavailability seen, Map<String, String> gone) {
     String full = full(kind, id, gone);
     return full == null ? seen.elsewhere(fleet.group(kind).siteOf(id)) : full;
   }
--- a/src/main/java/beaconturn/release/Course.java
+++ b/src/main/java/beaconturn/release/RolloutState.java
@@ -7,9 +7,9 @@
  * @param why it is so
  * @param by who said so
  */
-public record Course(Mode mode, String why, String by) {
+public record RolloutState(Mode mode, String why, String by) {
   /** No release was ever begun. */
-  public static final Course NONE = new Course(Mode.DONE, "", "");
+  public static final RolloutState NONE = new RolloutState(Mode.DONE, "", "");
 
   /** Whether steps are taken, and which way. */
   public enum Mode {
--- a/src/main/java/beaconturn/release/Step.java
+++ b/src/main/java/beaconturn/release/RolloutStep.java
@@ -12,11 +12,11 @@
  * @param started its last start that any router knew of when the step was granted, or -1
  * @param took how long it took to get ready, in nanoseconds; 0 where it is not known
  */
-public record Step(
+public record RolloutStep(
     String id,
     long permit,
     Phase phase,
-    Variant variant,
+    InstanceVariant variant,
     String agent,
     String why,
     long started,
@@ -37,7 +37,7 @@
     UNDONE
   }
 
-  Step to(Phase next, String agentNow, String reason) {
-    return new Step(id, permit, next, variant, agentNow, reason, started, took);
+  RolloutStep to(Phase next, String agentNow, String reason) {
+    return new RolloutStep(id, permit, next, variant, agentNow, reason, started, took);
   }
 }
--- a/src/main/java/beaconturn/release/Curve.java
+++ b/src/main/java/beaconturn/release/RolloutTimeSeries.java
@@ -1,7 +1,7 @@
 package beaconturn.release;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Texts;
+import beaconturn.agreement.ConfigCodec;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 import java.util.ArrayList;
@@ -14,12 +14,12 @@
  * @param every how long a point stands for, in milliseconds
  * @param points the oldest first
  */
-public record Curve(long every, List<Point> points) {
+public record RolloutTimeSeries(long every, List<Point> points) {
   private static final int MOST_POINTS = 240;
   private static final long SECOND_MILLIS = 1000;
 
   /** Nothing yet, a point a second. */
-  public static final Curve NONE = new Curve(SECOND_MILLIS, List.of());
+  public static final RolloutTimeSeries NONE = new RolloutTimeSeries(SECOND_MILLIS, List.of());
 
   /**
    * One stretch of time.
@@ -44,7 +44,7 @@
   }
 
   /** A curve of its own. */
-  public Curve {
+  public RolloutTimeSeries {
     points = List.copyOf(points);
   }
 
@@ -53,31 +53,31 @@
     return points.isEmpty() || atMillis - points.get(points.size() - 1).atMillis() >= every;
   }
 
-  Curve with(Point point) {
+  RolloutTimeSeries with(Point point) {
     List<Point> all = new ArrayList<>(points);
     all.add(point);
     if (all.size() <= MOST_POINTS) {
-      return new Curve(every, all);
+      return new RolloutTimeSeries(every, all);
     }
     List<Point> half = new ArrayList<>();
     for (int i = 0; i < all.size(); i += 2) {
       half.add(i + 1 < all.size() ? all.get(i).with(all.get(i + 1)) : all.get(i));
     }
-    return new Curve(2 * every, half);
+    return new RolloutTimeSeries(2 * every, half);
   }
 
   /** As it stands in the store. */
   String text() {
     return JsonWriter.write(
-        Texts.object(
+        ConfigCodec.object(
             "every_ms",
             every,
             "points",
-            Texts.list(
+            ConfigCodec.list(
                 points.stream()
                     .map(
                         p ->
-                            Texts.object(
+                            ConfigCodec.object(
                                 "at",
                                 p.atMillis(),
                                 "good",
@@ -94,8 +94,8 @@
   }
 
   /** Of a text in the store. */
-  static Curve of(String text) throws AgreementException {
-    Json json = Texts.parse(text);
+  static RolloutTimeSeries of(String text) throws AgreementException {
+    Json json = ConfigCodec.parse(text);
     List<Point> points = new ArrayList<>();
     for (Json p : json.get("points").items()) {
       points.add(
@@ -107,10 +107,10 @@
               (int) number(p, "planned"),
               (int) number(p, "gone")));
     }
-    return new Curve(Texts.whole(json, "every_ms", 1, Integer.MAX_VALUE), points);
+    return new RolloutTimeSeries(ConfigCodec.whole(json, "every_ms", 1, Integer.MAX_VALUE), points);
   }
 
   private static long number(Json json, String key) throws AgreementException {
-    return Texts.whole(json, key, 0, Long.MAX_VALUE);
+    return ConfigCodec.whole(json, key, 0, Long.MAX_VALUE);
   }
 }
--- a/src/main/java/beaconturn/release/Absence.java
+++ b/src/main/java/beaconturn/release/Unavailability.java
@@ -1,6 +1,6 @@
 package beaconturn.release;
 
-import beaconturn.agreement.Sight;
+import beaconturn.agreement.EndpointView;
 import java.util.Collection;
 import java.util.Collections;
 import java.util.Comparator;
@@ -19,7 +19,7 @@
  * @param atMost the latest start that more than half of the routers know of, of those in service
  * @param sites sites whose traffic is served elsewhere, and why
  */
-public record Absence(
+public record Unavailability(
     SortedMap<String, String> out,
     SortedMap<String, Long> latest,
     SortedMap<String, Long> atMost,
@@ -28,7 +28,7 @@
   static final String EJECTED = "ejected";
 
   /** A sight of its own. */
-  public Absence {
+  public Unavailability {
     out = Collections.unmodifiableSortedMap(new TreeMap<>(out));
     latest = Collections.unmodifiableSortedMap(new TreeMap<>(latest));
     atMost = Collections.unmodifiableSortedMap(new TreeMap<>(atMost));
@@ -36,8 +36,8 @@
   }
 
   /** The same where the traffic of these sites is served elsewhere. */
-  public Absence whileOut(Map<String, String> whole) {
-    return new Absence(out, latest, atMost, new TreeMap<>(whole));
+  public Unavailability whileOut(Map<String, String> whole) {
+    return new Unavailability(out, latest, atMost, new TreeMap<>(whole));
   }
 
   /**
@@ -54,14 +54,15 @@
   }
 
   /** These are out, and no start is known. */
-  static Absence of(Map<String, String> out) {
-    return new Absence(new TreeMap<>(out), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
+  static Unavailability of(Map<String, String> out) {
+    return new Unavailability(
+        new TreeMap<>(out), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
   }
 
   /**
    * Routers of the fleet that hold no lease: those that ended, hang, or are cut off from the store.
    */
-  public static Absence ofRouters(Fleet.Group group, Set<String> alive) {
+  public static Unavailability ofRouters(ReleaseFleet.Group group, Set<String> alive) {
     SortedMap<String, String> out = new TreeMap<>();
     group.all().stream()
         .filter(id -> !alive.contains(id))
@@ -75,8 +76,8 @@
    *
    * @param heldOut by the version in force, with its number in words
    */
-  public static Absence ofCaches(
-      Fleet.Group group, Map<String, String> heldOut, Collection<Sight> sights) {
+  public static Unavailability ofCaches(
+      ReleaseFleet.Group group, Map<String, String> heldOut, Collection<EndpointView> sights) {
     SortedMap<String, String> out = new TreeMap<>();
     SortedMap<String, Long> latest = new TreeMap<>();
     SortedMap<String, Long> atMost = new TreeMap<>();
@@ -108,13 +109,13 @@
                 + " routers");
       }
     }
-    return new Absence(out, latest, atMost, new TreeMap<>());
+    return new Unavailability(out, latest, atMost, new TreeMap<>());
   }
 
   /**
    * What most of those say that do not use it; the first in the alphabet where as many say another.
    */
-  private static String why(String id, Collection<Sight> sights) {
+  private static String why(String id, Collection<EndpointView> sights) {
     SortedMap<String, Integer> counts = new TreeMap<>();
     sights.stream()
         .filter(s -> !s.in().containsKey(id))
@@ -130,13 +131,14 @@
    * The same for a release: a cache server that was acted on is out until it is seen with another
    * start, as what routers tell may still be of the process before.
    */
-  SortedMap<String, String> during(Scene scene) {
-    if (scene.plan().kind() == Kind.ROUTER) {
+  SortedMap<String, String> during(RolloutSnapshot scene) {
+    if (scene.plan().kind() == InstanceKind.ROUTER) {
       return out;
     }
     SortedMap<String, String> all = new TreeMap<>(out);
-    for (Step step : scene.steps().values()) {
-      if (step.phase() == Step.Phase.UP && atMost.getOrDefault(step.id(), -1L) <= step.started()) {
+    for (RolloutStep step : scene.steps().values()) {
+      if (step.phase() == RolloutStep.Phase.UP
+          && atMost.getOrDefault(step.id(), -1L) <= step.started()) {
         all.putIfAbsent(step.id(), "not seen since it was restarted");
       }
     }
--- a/src/main/java/beaconturn/sim/ReplyWriter.java
+++ b/src/main/java/beaconturn/sim/ActionWriter.java
@@ -9,16 +9,16 @@
 /**
  * Collects the actions of one reply; each run of actions is headed by the instance that takes them.
  */
-final class ReplyWriter {
+final class ActionWriter {
   private static final int LONGEST_TEXT = 400;
-  private ByteBuffer out = Wire.little(new byte[1 << 16]);
+  private ByteBuffer out = SimulatorCodec.little(new byte[1 << 16]);
   private int records;
   private int current = -1;
 
   /** Starts an empty reply. */
   void begin() {
     out.clear();
-    out.position(Wire.REPLY_HEADER);
+    out.position(SimulatorCodec.REPLY_HEADER);
     records = 0;
     current = -1;
   }
@@ -26,7 +26,7 @@
   /** Completes the reply's header and writes it out. */
   void finish(OutputStream to) throws IOException {
     out.putInt(0, records);
-    out.putInt(4, out.position() - Wire.REPLY_HEADER);
+    out.putInt(4, out.position() - SimulatorCodec.REPLY_HEADER);
     to.write(out.array(), 0, out.position());
     to.flush();
   }
@@ -38,20 +38,20 @@
 
   /** Reports that the instance's decisions failed. */
   void fault(int instance, String text) {
-    record(instance, Wire.GIVE_IN, LONGEST_TEXT + 2);
+    record(instance, SimulatorCodec.GIVE_IN, LONGEST_TEXT + 2);
     text(text);
   }
 
   private void record(int instance, int code, int room) {
     if (out.remaining() < room + 6) {
       int size = Math.max(out.capacity() * 2, out.position() + room + 6);
-      ByteBuffer larger = Wire.little(new byte[size]);
+      ByteBuffer larger = SimulatorCodec.little(new byte[size]);
       out.flip();
       larger.put(out);
       out = larger;
     }
     if (instance != current) {
-      out.put((byte) Wire.AT).putInt(instance);
+      out.put((byte) SimulatorCodec.AT).putInt(instance);
       current = instance;
       records++;
     }
@@ -74,70 +74,70 @@
 
     @Override
     public void send(long request, long server, long allowFor) {
-      record(instance, Wire.SEND, 18);
+      record(instance, SimulatorCodec.SEND, 18);
       out.putInt((int) request);
-      Wire.putServer(out, server);
+      SimulatorCodec.putServer(out, server);
       out.putLong(allowFor);
     }
 
     @Override
     public void cancel(long request, int attempt) {
-      record(instance, Wire.WITHDRAW, 6);
+      record(instance, SimulatorCodec.WITHDRAW, 6);
       out.putInt((int) request).putShort((short) attempt);
     }
 
     @Override
     public void refuse(long request, long retryAfter, Routing.Why why) {
-      record(instance, Wire.OVERLOAD_REPLY, 12);
+      record(instance, SimulatorCodec.OVERLOAD_REPLY, 12);
       out.putInt((int) request).putLong(retryAfter);
     }
 
     @Override
     public void fail(long request, Routing.Why why) {
-      record(instance, Wire.GIVE_UP, 4);
+      record(instance, SimulatorCodec.GIVE_UP, 4);
       out.putInt((int) request);
     }
 
     @Override
     public void timer(long delay, long token) {
-      record(instance, Wire.REMIND, 16);
+      record(instance, SimulatorCodec.REMIND, 16);
       out.putLong(delay).putLong(token);
     }
 
     @Override
     public void watch(boolean on) {
-      record(instance, Wire.STREAM_CHANGES, 1);
+      record(instance, SimulatorCodec.STREAM_CHANGES, 1);
       out.put((byte) (on ? 1 : 0));
     }
 
     @Override
     public void fetchList() {
-      record(instance, Wire.SNAPSHOT, 0);
+      record(instance, SimulatorCodec.SNAPSHOT, 0);
     }
 
     @Override
     public void probe(long server) {
-      record(instance, Wire.TEST, 6);
-      Wire.putServer(out, server);
+      record(instance, SimulatorCodec.TEST, 6);
+      SimulatorCodec.putServer(out, server);
     }
 
     @Override
     public void tell(int peer, byte[] body) {
-      record(instance, Wire.SHARE, 4 + body.length);
-      out.putShort((short) (peer < 0 ? Wire.EVERY_PEER : peer))
+      record(instance, SimulatorCodec.SHARE, 4 + body.length);
+      out.putShort((short) (peer < 0 ? SimulatorCodec.EVERY_PEER : peer))
           .putShort((short) body.length)
           .put(body);
     }
 
     @Override
     public void closeIdle(long server) {
-      record(instance, Wire.CLOSE, 6);
-      Wire.putServer(out, server);
+      record(instance, SimulatorCodec.CLOSE, 6);
+      SimulatorCodec.putServer(out, server);
     }
 
     @Override
     public void log(String text) {
-      record(instance, Wire.RECORD, LONGEST_TEXT + 2);
+      record(instance, SimulatorCodec.RECORD, LONGEST_TEXT + 2);
       text(text);
     }
   }
--- a/src/main/java/beaconturn/sim/Wire.java
+++ b/src/main/java/beaconturn/sim/SimulatorCodec.java
@@ -1,7 +1,7 @@
 package beaconturn.sim;
 
+import beaconturn.core.RouterSettingsReader;
 import beaconturn.core.SettingsException;
-import beaconturn.core.SettingsReader;
 import beaconturn.decision.Routing;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -13,7 +13,7 @@
 import java.util.Map;
 
 /** The codes of the simulator's wire, and how its records become the decision module's events. */
-final class Wire {
+final class SimulatorCodec {
   static final int BATCH_HEADER = 16;
   static final int REPLY_HEADER = 8;
   static final int LIST_ENTRY = 23;
@@ -70,10 +70,10 @@
   /** How an instance begins: its random seed and its settings. */
   record Up(long seed, Routing.Settings settings) {}
 
-  private Wire() {}
+  private SimulatorCodec() {}
 
   static Routing.Event event(int code, ByteBuffer in, Routing.Settings settings)
-      throws WireException {
+      throws SimulatorProtocolException {
     return switch (code) {
       case ROSTER_CHANGE -> serverList(in);
       case ARRIVAL -> arrival(in, settings);
@@ -83,17 +83,17 @@
       case RING -> new Routing.Timer(in.getLong());
       case PROBED -> probed(in);
       case HEARD -> new Routing.PeerMessage(u16(in), bytes(in, u16(in)));
-      default -> throw new WireException("unknown event code " + code);
+      default -> throw new SimulatorProtocolException("unknown event code " + code);
     };
   }
 
-  static Up up(ByteBuffer in) throws WireException {
+  static Up up(ByteBuffer in) throws SimulatorProtocolException {
     long seed = in.getLong();
     byte[] text = bytes(in, in.getInt());
     return new Up(seed, settings(new String(text, StandardCharsets.UTF_8)));
   }
 
-  private static Routing.Settings settings(String text) throws WireException {
+  private static Routing.Settings settings(String text) throws SimulatorProtocolException {
     Map<String, String> values = new HashMap<>();
     for (String line : text.split("\n")) {
       int equals = line.indexOf('=');
@@ -102,18 +102,19 @@
       }
     }
     try {
-      return SettingsReader.read(values).routing();
+      return RouterSettingsReader.read(values).routing();
     } catch (SettingsException e) {
-      throw new WireException(e.getMessage());
+      throw new SimulatorProtocolException(e.getMessage());
     }
   }
 
-  private static Routing.ServerList serverList(ByteBuffer in) throws WireException {
+  private static Routing.ServerList serverList(ByteBuffer in) throws SimulatorProtocolException {
     long version = in.getLong();
     Routing.ListKind kind = pick(LIST_KINDS, u8(in), "list mode");
     int count = in.getInt();
     if (count < 0 || count > in.remaining() / LIST_ENTRY) {
-      throw new WireException("server list of " + count + " entries does not fit its batch");
+      throw new SimulatorProtocolException(
+          "server list of " + count + " entries does not fit its batch");
     }
     List<Routing.ServerEntry> entries = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
@@ -131,7 +132,7 @@
   }
 
   private static Routing.Arrival arrival(ByteBuffer in, Routing.Settings settings)
-      throws WireException {
+      throws SimulatorProtocolException {
     long request = request(in);
     int tenant = in.getInt();
     long hint = in.getLong();
@@ -141,10 +142,10 @@
     int options = u16(in);
     double size = in.getFloat();
     if (requestClass >= settings.classes().size()) {
-      throw new WireException("class " + requestClass + " out of range");
+      throw new SimulatorProtocolException("class " + requestClass + " out of range");
     }
     if (tenant != 0 && (tenant < 0 || tenant >= settings.tenants().size())) {
-      throw new WireException("tenant " + tenant + " out of range");
+      throw new SimulatorProtocolException("tenant " + tenant + " out of range");
     }
     return new Routing.Arrival(
         request,
@@ -158,7 +159,8 @@
         size);
   }
 
-  private static Routing.AttemptClosed closedAttempt(ByteBuffer in) throws WireException {
+  private static Routing.AttemptClosed closedAttempt(ByteBuffer in)
+      throws SimulatorProtocolException {
     return new Routing.AttemptClosed(
         request(in),
         in.getLong(),
@@ -170,14 +172,14 @@
         report(in));
   }
 
-  private static Routing.Probed probed(ByteBuffer in) throws WireException {
+  private static Routing.Probed probed(ByteBuffer in) throws SimulatorProtocolException {
     return new Routing.Probed(
         server(in), pick(ENDINGS, u8(in), "probe state"), in.getLong(), report(in));
   }
 
-  private static <T> T pick(T[] from, int index, String what) throws WireException {
+  private static <T> T pick(T[] from, int index, String what) throws SimulatorProtocolException {
     if (index >= from.length) {
-      throw new WireException("unknown " + what + " " + index);
+      throw new SimulatorProtocolException("unknown " + what + " " + index);
     }
     return from[index];
   }
--- a/src/main/java/beaconturn/sim/SimHost.java
+++ b/src/main/java/beaconturn/sim/SimulatorHost.java
@@ -11,13 +11,13 @@
 import java.util.Map;
 
 /** Reads batches, hands each event to its instance, and answers every batch with one reply. */
-public final class SimHost {
+public final class SimulatorHost {
   private final InputStream in;
   private final OutputStream out;
-  private final ReplyWriter reply = new ReplyWriter();
+  private final ActionWriter reply = new ActionWriter();
   private final Map<Integer, Instance> instances = new HashMap<>();
-  private final byte[] headerBytes = new byte[Wire.BATCH_HEADER];
-  private final ByteBuffer header = Wire.little(headerBytes);
+  private final byte[] headerBytes = new byte[SimulatorCodec.BATCH_HEADER];
+  private final ByteBuffer header = SimulatorCodec.little(headerBytes);
   private byte[] body = new byte[1 << 16];
   private long batches;
 
@@ -25,13 +25,13 @@
   private record Instance(Routing.Settings settings, Routing.Router router) {}
 
   /** A host on the given streams. */
-  public SimHost(InputStream in, OutputStream out) {
+  public SimulatorHost(InputStream in, OutputStream out) {
     this.in = in;
     this.out = out;
   }
 
   /** Serves until the input ends between two frames. */
-  public void run() throws IOException, WireException {
+  public void run() throws IOException, SimulatorProtocolException {
     while (readBatch()) {
       reply.begin();
       batch(header.getLong(0), header.getInt(8), header.getInt(12));
@@ -40,29 +40,29 @@
     }
   }
 
-  private boolean readBatch() throws IOException, WireException {
-    int got = in.readNBytes(headerBytes, 0, Wire.BATCH_HEADER);
+  private boolean readBatch() throws IOException, SimulatorProtocolException {
+    int got = in.readNBytes(headerBytes, 0, SimulatorCodec.BATCH_HEADER);
     if (got == 0) {
       return false;
     }
     int length = header.getInt(8);
-    if (got < Wire.BATCH_HEADER) {
-      throw new WireException("batch " + batches + ": input ends inside the header");
+    if (got < SimulatorCodec.BATCH_HEADER) {
+      throw new SimulatorProtocolException("batch " + batches + ": input ends inside the header");
     }
     if (length < 0) {
-      throw new WireException("batch " + batches + ": unreadable length " + length);
+      throw new SimulatorProtocolException("batch " + batches + ": unreadable length " + length);
     }
     if (length > body.length) {
       body = new byte[length + length / 2];
     }
     if (in.readNBytes(body, 0, length) < length) {
-      throw new WireException("batch " + batches + ": input ends inside the records");
+      throw new SimulatorProtocolException("batch " + batches + ": input ends inside the records");
     }
     return true;
   }
 
-  private void batch(long now, int length, int count) throws WireException {
-    ByteBuffer records = Wire.little(body);
+  private void batch(long now, int length, int count) throws SimulatorProtocolException {
+    ByteBuffer records = SimulatorCodec.little(body);
     records.limit(length);
     int instance = -1;
     int at = 0;
@@ -70,7 +70,7 @@
       for (int i = 0; i < count; i++) {
         at = records.position();
         int code = records.get() & 0xff;
-        if (code == Wire.ON) {
+        if (code == SimulatorCodec.ON) {
           instance = records.getInt();
         } else {
           event(now, instance, code, records);
@@ -78,12 +78,14 @@
       }
       at = records.position();
     } catch (BufferUnderflowException e) {
-      throw new WireException("batch " + batches + ", byte " + at + ": record runs past the end");
-    } catch (WireException e) {
-      throw new WireException("batch " + batches + ", byte " + at + ": " + e.getMessage());
+      throw new SimulatorProtocolException(
+          "batch " + batches + ", byte " + at + ": record runs past the end");
+    } catch (SimulatorProtocolException e) {
+      throw new SimulatorProtocolException(
+          "batch " + batches + ", byte " + at + ": " + e.getMessage());
     }
     if (records.hasRemaining()) {
-      throw new WireException(
+      throw new SimulatorProtocolException(
           "batch "
               + batches
               + ", byte "
@@ -96,22 +98,24 @@
     }
   }
 
-  private void event(long now, int id, int code, ByteBuffer records) throws WireException {
-    if (code == Wire.UP) {
-      Wire.Up up = Wire.up(records);
+  private void event(long now, int id, int code, ByteBuffer records)
+      throws SimulatorProtocolException {
+    if (code == SimulatorCodec.UP) {
+      SimulatorCodec.Up up = SimulatorCodec.up(records);
       Routing.Router router = new RingRouter(up.settings(), up.seed(), now, reply.sink(id));
       instances.put(id, new Instance(up.settings(), router));
       return;
     }
     Instance instance = instances.get(id);
     if (instance == null) {
-      throw new WireException("event " + code + " for instance " + id + ", which is not up");
+      throw new SimulatorProtocolException(
+          "event " + code + " for instance " + id + ", which is not up");
     }
-    if (code == Wire.EXIT) {
+    if (code == SimulatorCodec.EXIT) {
       instances.remove(id);
       return;
     }
-    deliver(now, id, instance, Wire.event(code, records, instance.settings()));
+    deliver(now, id, instance, SimulatorCodec.event(code, records, instance.settings()));
   }
 
   private void deliver(long now, int id, Instance instance, Routing.Event event) {
--- a/src/main/java/beaconturn/standin/Command.java
+++ b/src/main/java/beaconturn/standin/CacheCommand.java
@@ -16,7 +16,7 @@
  * @param firstAt when its first byte came, on the model's clock
  * @param turn the driver's turn in which its last byte was read
  */
-public record Command(
+public record CacheCommand(
     long number,
     String key,
     String id,
@@ -28,7 +28,7 @@
     long firstAt,
     long turn) {
   /** Checks what every protocol has to give. */
-  public Command {
+  public CacheCommand {
     Objects.requireNonNull(key);
     Objects.requireNonNull(id);
     Objects.requireNonNull(type);
--- a/src/main/java/beaconturn/standin/Reply.java
+++ b/src/main/java/beaconturn/standin/CacheResponse.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** What a cache server answers to a command; how it looks on the wire is the front's matter. */
-public sealed interface Reply {
+public sealed interface CacheResponse {
   /** How a read went. */
   enum How {
     HIT,
@@ -27,7 +27,7 @@
    * The value or the receipt, made for this request alone; {@code report} is the load report or
    * null.
    */
-  record Value(byte[] bytes, How how, String report) implements Reply {
+  record Value(byte[] bytes, How how, String report) implements CacheResponse {
     /** The value as text; for logs. */
     @Override
     public String toString() {
@@ -36,11 +36,11 @@
   }
 
   /** A value of which the front makes something spoilt. */
-  record Spoilt(Value value, Spoiling way) implements Reply {}
+  record Spoilt(Value value, Spoiling way) implements CacheResponse {}
 
   /** Turned away: the command has not run and never will. */
-  record Busy(String why) implements Reply {}
+  record Busy(String why) implements CacheResponse {}
 
   /** Failed: the command may have run. */
-  record Failed(String why) implements Reply {}
+  record Failed(String why) implements CacheResponse {}
 }
--- a/src/main/java/beaconturn/standin/CacheModel.java
+++ b/src/main/java/beaconturn/standin/CacheServerModel.java
@@ -20,15 +20,15 @@
  * when it is pushed over. It reads through: what it lacks comes from the origin. Not to be used any
  * more once it is dead.
  */
-public final class CacheModel {
-  private static final Reply.Spoiling[] WAYS = Reply.Spoiling.values();
+public final class CacheServerModel {
+  private static final CacheResponse.Spoiling[] WAYS = CacheResponse.Spoiling.values();
   private final Site site;
-  private final Listing listing;
-  private final CacheShape shape;
+  private final EndpointListing listing;
+  private final CacheServerSpec shape;
   private final UniformRandomProvider random;
-  private final Condition condition = new Condition();
-  private final Store store;
-  private final Load load;
+  private final FaultState condition = new FaultState();
+  private final ObjectCache store;
+  private final WorkWindow load;
   private final Set<Session> sessions = new LinkedHashSet<>();
   private final Queue<Job> waiting = new ArrayDeque<>();
   private final Map<String, List<LongConsumer>> fetches = new HashMap<>();
@@ -43,20 +43,21 @@
    * elsewhere.
    */
   record Site(
-      Agenda agenda,
-      Origin origin,
-      Repeats repeats,
-      List<Work> works,
-      Witness witness,
+      EventScheduler agenda,
+      OriginModel origin,
+      DeduplicationLog repeats,
+      List<WorkCost> works,
+      HistoryRecorder witness,
       Consumer<String> voided) {}
 
-  CacheModel(Site site, Listing listing, CacheShape shape, UniformRandomProvider random) {
+  CacheServerModel(
+      Site site, EndpointListing listing, CacheServerSpec shape, UniformRandomProvider random) {
     this.site = site;
     this.listing = listing;
     this.shape = shape;
     this.random = random;
-    this.store = new Store(shape.capacity(), shape.timeToLive());
-    this.load = new Load(shape.fallAfter());
+    this.store = new ObjectCache(shape.capacity(), shape.timeToLive());
+    this.load = new WorkWindow(shape.fallAfter());
     site.witness().started(now(), listing, shape.workers() * shape.speed());
   }
 
@@ -65,7 +66,7 @@
     private final Slot slot;
     private final long work;
     private final long came = now();
-    private Agenda.Task end;
+    private EventScheduler.Task end;
 
     private Job(Slot slot, long work) {
       this.slot = slot;
@@ -76,13 +77,13 @@
   /** A command's place in the order of answers. */
   private static final class Slot {
     private final Session session;
-    private final Command command;
+    private final CacheCommand command;
     private final long work;
     private boolean begun;
-    private Reply reply;
+    private CacheResponse reply;
     private Job job;
 
-    private Slot(Session session, Command command, long work) {
+    private Slot(Session session, CacheCommand command, long work) {
       this.session = session;
       this.command = command;
       this.work = work;
@@ -91,7 +92,7 @@
 
   /** One connection; a front tells it what was read and when it has ended. */
   public final class Session {
-    private final Line line;
+    private final CacheServerConnection line;
     private final int router;
     private final long number;
     private final boolean over;
@@ -100,7 +101,7 @@
     private int begun;
     private boolean ended;
 
-    private Session(Line line, int router, long number, boolean over) {
+    private Session(CacheServerConnection line, int router, long number, boolean over) {
       this.line = line;
       this.router = router;
       this.number = number;
@@ -108,12 +109,12 @@
     }
 
     /** A command has come whole. */
-    public void command(Command command) {
+    public void command(CacheCommand command) {
       if (ended) {
         return;
       }
       long work =
-          (long) (Work.of(site.works(), command.type()).work() * (0.5 + random.nextDouble()));
+          (long) (WorkCost.of(site.works(), command.type()).work() * (0.5 + random.nextDouble()));
       site.witness().commanded(now(), listing.host(), router, number, command, work);
       Slot slot = new Slot(this, command, work);
       slots.add(slot);
@@ -152,7 +153,7 @@
   }
 
   /** A new connection of a router; the numbers are for the account. */
-  public Session open(Line line, int router, long number) {
+  public Session open(CacheServerConnection line, int router, long number) {
     Session session = new Session(line, router, number, sessions.size() >= shape.connections());
     sessions.add(session);
     if (!session.over && shape.connectWork() > 0) {
@@ -166,15 +167,15 @@
     slot.session.begun++;
     held++;
     if (condition.draining()) {
-      settle(slot, new Reply.Busy("draining"));
+      settle(slot, new CacheResponse.Busy("draining"));
     } else if (slot.session.over) {
-      settle(slot, new Reply.Busy("too many connections"));
+      settle(slot, new CacheResponse.Busy("too many connections"));
     } else if (waiting.size() >= shape.room() && busy >= shape.workers()) {
-      settle(slot, new Reply.Busy("queue full"));
+      settle(slot, new CacheResponse.Busy("queue full"));
     } else if (random.nextDouble() < condition.resets()) {
       slot.session.line.reset();
     } else if (random.nextDouble() < condition.errors()) {
-      settle(slot, new Reply.Failed("failed"));
+      settle(slot, new CacheResponse.Failed("failed"));
     } else {
       slot.job = new Job(slot, slot.work);
       enqueue(slot.job);
@@ -190,7 +191,7 @@
     while (!dead && !condition.stalled() && busy < shape.workers() && !waiting.isEmpty()) {
       Job next = waiting.remove();
       if (next.slot != null && next.came + next.slot.command.patience() < now()) {
-        settle(next.slot, new Reply.Busy("over"));
+        settle(next.slot, new CacheResponse.Busy("over"));
         continue;
       }
       busy++;
@@ -222,14 +223,14 @@
   }
 
   private void read(Slot slot) {
-    Command c = slot.command;
-    Store.Item found = store.get(c.key(), now());
+    CacheCommand c = slot.command;
+    ObjectCache.Item found = store.get(c.key(), now());
     if (found != null) {
-      served(slot, found.version(), Reply.How.HIT, found.size());
+      served(slot, found.version(), CacheResponse.How.HIT, found.size());
       return;
     }
     boolean pending = fetches.containsKey(c.key());
-    Reply.How how = pending ? Reply.How.PENDING : Reply.How.MISS;
+    CacheResponse.How how = pending ? CacheResponse.How.PENDING : CacheResponse.How.MISS;
     LongConsumer done = version -> thawed(() -> fetched(slot, version, how));
     List<LongConsumer> sharing = fetches.computeIfAbsent(c.key(), k -> new ArrayList<>());
     sharing.add(done);
@@ -241,25 +242,25 @@
     }
   }
 
-  private void arrived(Command c, List<LongConsumer> sharing, long version) {
+  private void arrived(CacheCommand c, List<LongConsumer> sharing, long version) {
     fetches.remove(c.key());
-    if (!dead && version != Origin.NO_ANSWER) {
+    if (!dead && version != OriginModel.NO_ANSWER) {
       store.put(c.key(), version, size(c), now());
     }
     sharing.forEach(one -> one.accept(version));
   }
 
-  private void fetched(Slot slot, long version, Reply.How how) {
-    if (version == Origin.NO_ANSWER) {
-      settle(slot, new Reply.Failed("origin"));
+  private void fetched(Slot slot, long version, CacheResponse.How how) {
+    if (version == OriginModel.NO_ANSWER) {
+      settle(slot, new CacheResponse.Failed("origin"));
     } else {
       served(slot, version, how, size(slot.command));
     }
   }
 
   private void write(Slot slot) {
-    Command c = slot.command;
-    Work type = Work.of(site.works(), c.type());
+    CacheCommand c = slot.command;
+    WorkCost type = WorkCost.of(site.works(), c.type());
     boolean keyed = type.keyed() && c.once() != null;
     if (keyed && !site.repeats().first(group(type.scope()), c.once(), type.window(), now())) {
       site.witness().executed(now(), c, true);
@@ -274,11 +275,11 @@
             c.key(),
             effect,
             version -> {
-              if (version == Origin.NO_ANSWER) {
+              if (version == OriginModel.NO_ANSWER) {
                 if (keyed) {
                   site.repeats().forget(group(type.scope()), c.once());
                 }
-                thawed(() -> settle(slot, new Reply.Failed("origin")));
+                thawed(() -> settle(slot, new CacheResponse.Failed("origin")));
                 return;
               }
               site.witness().executed(now(), c, false);
@@ -295,18 +296,18 @@
     };
   }
 
-  private void served(Slot slot, long version, Reply.How how, int size) {
+  private void served(Slot slot, long version, CacheResponse.How how, int size) {
     site.witness().executed(now(), slot.command, false);
     value(slot, version, how, size);
   }
 
   private void receipt(Slot slot, long version) {
-    value(slot, version, Reply.How.WRITTEN, 0);
+    value(slot, version, CacheResponse.How.WRITTEN, 0);
   }
 
   /** Made for this request alone, so that an account can tell whose answer it is. */
-  private void value(Slot slot, long version, Reply.How how, int size) {
-    Command c = slot.command;
+  private void value(Slot slot, long version, CacheResponse.How how, int size) {
+    CacheCommand c = slot.command;
     byte[] made =
         (c.key()
                 + " v"
@@ -321,9 +322,10 @@
             .getBytes(StandardCharsets.ISO_8859_1);
     byte[] bytes = Arrays.copyOf(made, Math.max(size, made.length));
     Arrays.fill(bytes, made.length, bytes.length, (byte) '.');
-    Reply.Value value = new Reply.Value(bytes, how, report());
+    CacheResponse.Value value = new CacheResponse.Value(bytes, how, report());
     boolean spoil = random.nextDouble() < condition.spoils();
-    settle(slot, spoil ? new Reply.Spoilt(value, WAYS[random.nextInt(WAYS.length)]) : value);
+    settle(
+        slot, spoil ? new CacheResponse.Spoilt(value, WAYS[random.nextInt(WAYS.length)]) : value);
   }
 
   private String report() {
@@ -343,7 +345,7 @@
     return String.join(",", pairs);
   }
 
-  private void settle(Slot slot, Reply reply) {
+  private void settle(Slot slot, CacheResponse reply) {
     if (slot.reply != null || slot.session.ended) {
       return;
     }
@@ -438,8 +440,8 @@
     return shape.warmth(listing.born(), now());
   }
 
-  private int size(Command c) {
-    return Work.of(site.works(), c.type()).size();
+  private int size(CacheCommand c) {
+    return WorkCost.of(site.works(), c.type()).size();
   }
 
   private long now() {
@@ -447,12 +449,12 @@
   }
 
   /** How it is listed. */
-  public Listing listing() {
+  public EndpointListing listing() {
     return listing;
   }
 
   /** What is wrong with it. */
-  public Condition condition() {
+  public FaultState condition() {
     return condition;
   }
 
--- a/src/main/java/beaconturn/standin/CacheShape.java
+++ b/src/main/java/beaconturn/standin/CacheServerSpec.java
@@ -20,7 +20,7 @@
  * @param reports names of the load report's figures: inflight, qps, latency_ms, x0; none for no
  *     report
  */
-public record CacheShape(
+public record CacheServerSpec(
     double speed,
     int workers,
     int room,
--- a/src/main/java/beaconturn/standin/Repeats.java
+++ b/src/main/java/beaconturn/standin/DeduplicationLog.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** What groups of cache servers remember of keyed writes, so that a repeat has no second effect. */
-public final class Repeats {
+public final class DeduplicationLog {
   private final Map<String, Map<String, Long>> groups = new HashMap<>();
 
   /**
--- a/src/main/java/beaconturn/standin/Discovery.java
+++ b/src/main/java/beaconturn/standin/DiscoveryModel.java
@@ -13,14 +13,14 @@
  * has happened and makes a new version. Answers the whole list at once, and a watch when there is
  * something newer.
  */
-public final class Discovery {
+public final class DiscoveryModel {
   /** The latest change of each cache server that the list has heard of. */
   private final Map<String, Long> heardOf = new HashMap<>();
 
   private long changes;
-  private final Agenda agenda;
-  private final Witness witness;
-  private final Map<String, Listing> truth = new LinkedHashMap<>();
+  private final EventScheduler agenda;
+  private final HistoryRecorder witness;
+  private final Map<String, EndpointListing> truth = new LinkedHashMap<>();
   private final TreeMap<Long, Version> versions = new TreeMap<>();
   private final Set<Call> watches = new LinkedHashSet<>();
   private final Map<Integer, Set<String>> toldTo = new LinkedHashMap<>();
@@ -29,10 +29,10 @@
   private long back;
 
   /** A version: when it was made, the entry that changed, and all that are listed. */
-  private record Version(long at, Listing changed, Map<String, Listing> all) {}
+  private record Version(long at, EndpointListing changed, Map<String, EndpointListing> all) {}
 
   /** What discovery says: the version, whether it is the whole list, and its entries. */
-  public record News(long version, boolean whole, List<Listing> entries) {}
+  public record News(long version, boolean whole, List<EndpointListing> entries) {}
 
   /** Where an answer goes; exactly one of the two is called. */
   public interface Asker {
@@ -48,7 +48,7 @@
     private final int router;
     private final long after;
     private final Asker asker;
-    private Agenda.Task end;
+    private EventScheduler.Task end;
     private boolean over;
 
     private Call(int router, long after, Asker asker) {
@@ -95,7 +95,7 @@
   }
 
   /** A discovery that knows nobody yet; its first version is 1. */
-  public Discovery(Agenda agenda, Witness witness) {
+  public DiscoveryModel(EventScheduler agenda, HistoryRecorder witness) {
     this.agenda = agenda;
     this.witness = witness;
     versions.put(1L, new Version(agenda.now(), null, Map.of()));
@@ -106,7 +106,7 @@
    * A cache server changes now; the list follows after the lag, in nanoseconds, unless it has heard
    * of a later change by then: a drain that was called off before it was known is never listed.
    */
-  void change(Listing entry, long lag) {
+  void change(EndpointListing entry, long lag) {
     long number = ++changes;
     if (lag <= 0) {
       publish(entry, number);
@@ -115,13 +115,13 @@
     }
   }
 
-  private void publish(Listing entry, long number) {
+  private void publish(EndpointListing entry, long number) {
     if (number < heardOf.getOrDefault(entry.host(), 0L)) {
       return;
     }
     heardOf.put(entry.host(), number);
     witness.listed(agenda.now(), entry.host(), entry.health());
-    if (entry.health() == Listing.Health.GONE) {
+    if (entry.health() == EndpointListing.Health.GONE) {
       truth.remove(entry.host());
     } else {
       truth.put(entry.host(), entry);
@@ -194,7 +194,7 @@
     if (after > view || !versions.containsKey(after)) {
       return wholeList();
     }
-    Map<String, Listing> changed = new LinkedHashMap<>();
+    Map<String, EndpointListing> changed = new LinkedHashMap<>();
     versions
         .subMap(after, false, view, true)
         .values()
@@ -209,14 +209,15 @@
   private void record(int router, News news) {
     Set<String> known = toldTo.computeIfAbsent(router, r -> new LinkedHashSet<>());
     Set<String> named = new LinkedHashSet<>();
-    for (Listing entry : news.entries()) {
+    for (EndpointListing entry : news.entries()) {
       named.add(entry.host());
       witness.told(agenda.now(), router, entry.host(), entry.health(), entry.born());
     }
     if (news.whole()) {
       known.stream()
           .filter(host -> !named.contains(host))
-          .forEach(host -> witness.told(agenda.now(), router, host, Listing.Health.GONE, 0));
+          .forEach(
+              host -> witness.told(agenda.now(), router, host, EndpointListing.Health.GONE, 0));
       known.retainAll(named);
     }
     known.addAll(named);
@@ -252,7 +253,7 @@
   }
 
   /** How a cache server is listed at last, or null. */
-  public Listing listed(String host) {
+  public EndpointListing listed(String host) {
     return truth.get(host);
   }
 
--- a/src/main/java/beaconturn/standin/World.java
+++ b/src/main/java/beaconturn/standin/EmulatedFleet.java
@@ -9,15 +9,15 @@
  * the faults that happen to them. A place is an address; the process there may die and another
  * come.
  */
-public final class World {
-  private final Agenda agenda;
+public final class EmulatedFleet {
+  private final EventScheduler agenda;
   private final Shape shape;
-  private final Witness witness;
-  private final Seeds seeds;
-  private final Origin origin;
-  private final Discovery discovery;
-  private final CacheModel.Site site;
-  private final List<CacheModel> caches = new ArrayList<>();
+  private final HistoryRecorder witness;
+  private final RandomSources seeds;
+  private final OriginModel origin;
+  private final DiscoveryModel discovery;
+  private final CacheServerModel.Site site;
+  private final List<CacheServerModel> caches = new ArrayList<>();
   private IntConsumer changed = place -> {};
   private int starts;
   private long commands;
@@ -32,22 +32,24 @@
    * @param grace how long after the news a draining server still takes work, in nanoseconds
    */
   public record Shape(
-      List<Member> fleet, Origin.Shape origin, List<Work> works, long lag, long grace) {}
+      List<Member> fleet, OriginModel.Shape origin, List<WorkCost> works, long lag, long grace) {}
 
   /** One place of the fleet and the process that stands there at first. */
   public record Member(
-      String host, String site, String kind, int block, double share, CacheShape shape) {}
+      String host, String site, String kind, int block, double share, CacheServerSpec shape) {}
 
   /** Surroundings in which all is well and everybody is warm. */
-  public World(Agenda agenda, Shape shape, Seeds seeds, Witness witness) {
+  public EmulatedFleet(
+      EventScheduler agenda, Shape shape, RandomSources seeds, HistoryRecorder witness) {
     this.agenda = agenda;
     this.shape = shape;
     this.witness = witness;
     this.seeds = seeds;
-    this.origin = new Origin(agenda, shape.origin(), seeds.of("origin"), witness);
-    this.discovery = new Discovery(agenda, witness);
+    this.origin = new OriginModel(agenda, shape.origin(), seeds.of("origin"), witness);
+    this.discovery = new DiscoveryModel(agenda, witness);
     this.site =
-        new CacheModel.Site(agenda, origin, new Repeats(), shape.works(), witness, this::voided);
+        new CacheServerModel.Site(
+            agenda, origin, new DeduplicationLog(), shape.works(), witness, this::voided);
     for (int place = 0; place < shape.fleet().size(); place++) {
       caches.add(start(place, shape.fleet().get(place).host(), 0));
       discovery.change(caches.get(place).listing(), 0);
@@ -59,19 +61,19 @@
     changed = placeChanged;
   }
 
-  private CacheModel start(int place, String host, long born) {
+  private CacheServerModel start(int place, String host, long born) {
     Member member = shape.fleet().get(place);
-    Listing listing =
-        new Listing(
+    EndpointListing listing =
+        new EndpointListing(
             host,
             place,
             member.site(),
             member.kind(),
             member.block(),
-            Listing.Health.READY,
+            EndpointListing.Health.READY,
             member.share(),
             born);
-    return new CacheModel(site, listing, member.shape(), seeds.of(host + " " + ++starts));
+    return new CacheServerModel(site, listing, member.shape(), seeds.of(host + " " + ++starts));
   }
 
   private void voided(String key) {
@@ -83,13 +85,13 @@
    * it.
    */
   public void begin(Fault.Kind kind, int place, double amount) {
-    CacheModel cache = caches.get(place);
+    CacheServerModel cache = caches.get(place);
     switch (kind) {
       case KILL, REPLACE -> {
         kill(cache);
       }
       case DRAIN -> {
-        discovery.change(cache.listing().with(Listing.Health.DRAINING), shape.lag());
+        discovery.change(cache.listing().with(EndpointListing.Health.DRAINING), shape.lag());
         agenda.in(
             shape.lag() + shape.grace(),
             () -> {
@@ -100,9 +102,9 @@
       }
       case DRAIN_LATE -> {
         cache.set(kind, 1);
-        discovery.change(cache.listing().with(Listing.Health.DRAINING), (long) amount);
+        discovery.change(cache.listing().with(EndpointListing.Health.DRAINING), (long) amount);
       }
-      case UNLIST -> discovery.change(cache.listing().with(Listing.Health.GONE), 0);
+      case UNLIST -> discovery.change(cache.listing().with(EndpointListing.Health.GONE), 0);
       default -> cache.set(kind, amount == 0 ? 1 : amount);
     }
     changed.accept(place);
@@ -110,7 +112,7 @@
 
   /** Ends a fault at a place. */
   public void end(Fault.Kind kind, int place) {
-    CacheModel cache = caches.get(place);
+    CacheServerModel cache = caches.get(place);
     switch (kind) {
       case KILL -> restart(place, cache.listing().host());
       case REPLACE -> restart(place, nextName(cache.listing().host()));
@@ -124,21 +126,21 @@
     changed.accept(place);
   }
 
-  private boolean listedDraining(CacheModel cache) {
-    Listing listed = discovery.listed(cache.listing().host());
-    return listed != null && listed.health() == Listing.Health.DRAINING;
+  private boolean listedDraining(CacheServerModel cache) {
+    EndpointListing listed = discovery.listed(cache.listing().host());
+    return listed != null && listed.health() == EndpointListing.Health.DRAINING;
   }
 
-  private void kill(CacheModel cache) {
+  private void kill(CacheServerModel cache) {
     if (!cache.dead()) {
       cache.die();
       witness.down(agenda.now(), cache.listing().host());
     }
-    discovery.change(cache.listing().with(Listing.Health.GONE), shape.lag());
+    discovery.change(cache.listing().with(EndpointListing.Health.GONE), shape.lag());
   }
 
   private void restart(int place, String host) {
-    CacheModel fresh = start(place, host, agenda.now());
+    CacheServerModel fresh = start(place, host, agenda.now());
     caches.set(place, fresh);
     discovery.change(fresh.listing(), shape.lag());
   }
@@ -188,7 +190,7 @@
 
   /** Ends all that is wrong at a place; a dead process starts again, cold. */
   public void heal(int place) {
-    CacheModel cache = caches.get(place);
+    CacheServerModel cache = caches.get(place);
     if (cache.dead()) {
       restart(place, cache.listing().host());
     } else {
@@ -202,7 +204,7 @@
   }
 
   /** The process at the place, perhaps dead. */
-  public CacheModel at(int place) {
+  public CacheServerModel at(int place) {
     return caches.get(place);
   }
 
@@ -227,22 +229,22 @@
   }
 
   /** The origin. */
-  public Origin origin() {
+  public OriginModel origin() {
     return origin;
   }
 
   /** Discovery. */
-  public Discovery discovery() {
+  public DiscoveryModel discovery() {
     return discovery;
   }
 
   /** The clock of it all. */
-  public Agenda agenda() {
+  public EventScheduler agenda() {
     return agenda;
   }
 
   /** Who is told of everything. */
-  public Witness witness() {
+  public HistoryRecorder witness() {
     return witness;
   }
 }
--- a/src/main/java/beaconturn/standin/Listing.java
+++ b/src/main/java/beaconturn/standin/EndpointListing.java
@@ -12,7 +12,7 @@
  * @param share its rating
  * @param born when it last started, in nanoseconds of the model's clock; 0 for long ago
  */
-public record Listing(
+public record EndpointListing(
     String host,
     int place,
     String site,
@@ -29,7 +29,7 @@
   }
 
   /** The same with another state. */
-  public Listing with(Health other) {
-    return new Listing(host, place, site, kind, block, other, share, born);
+  public EndpointListing with(Health other) {
+    return new EndpointListing(host, place, site, kind, block, other, share, born);
   }
 }
--- a/src/main/java/beaconturn/standin/Agenda.java
+++ b/src/main/java/beaconturn/standin/EventScheduler.java
@@ -8,13 +8,13 @@
  * time it likes. A task that is run late still sees the time it was due at, so that the modelled
  * work keeps its length when the driver lags.
  */
-public final class Agenda {
+public final class EventScheduler {
   private final PriorityQueue<Task> tasks = new PriorityQueue<>();
   private long now;
   private long lastNumber;
 
   /** An agenda whose time begins there. */
-  public Agenda(long start) {
+  public EventScheduler(long start) {
     now = start;
   }
 
--- a/src/main/java/beaconturn/standin/Condition.java
+++ b/src/main/java/beaconturn/standin/FaultState.java
@@ -3,7 +3,7 @@
 /**
  * What is wrong with a cache server at the moment; set by faults, read by the model and by fronts.
  */
-public final class Condition {
+public final class FaultState {
   private double slow = 1;
   private boolean stalled;
   private boolean draining;
--- a/src/main/java/beaconturn/standin/Witness.java
+++ b/src/main/java/beaconturn/standin/HistoryRecorder.java
@@ -4,31 +4,31 @@
  * Told of everything that an account of a rehearsal needs; called on the model's thread, times in
  * its clock.
  */
-public interface Witness {
+public interface HistoryRecorder {
   /** Keeps no account. */
-  Witness NONE = new Witness() {};
+  HistoryRecorder NONE = new HistoryRecorder() {};
 
   /**
    * A command has come whole; {@code work} is what it asks of a warm server at rated speed, in
    * nanoseconds.
    */
   default void commanded(
-      long at, String server, int router, long connection, Command command, long work) {}
+      long at, String server, int router, long connection, CacheCommand command, long work) {}
 
   /** A command was answered; {@code reply} is what went out. */
-  default void replied(long at, Command command, Reply reply) {}
+  default void replied(long at, CacheCommand command, CacheResponse reply) {}
 
   /**
    * A command has taken effect or has made its value; {@code repeat} says that the effect was
    * discarded.
    */
-  default void executed(long at, Command command, boolean repeat) {}
+  default void executed(long at, CacheCommand command, boolean repeat) {}
 
   /** A connection to a cache server has ended, in a turn of the driver, from whichever side. */
   default void ended(long at, long turn, long connection) {}
 
   /** A cache server process begins; it does so many nanoseconds of work in one when it is warm. */
-  default void started(long at, Listing server, double capacity) {}
+  default void started(long at, EndpointListing server, double capacity) {}
 
   /** A cache server process has ended. */
   default void down(long at, String server) {}
@@ -42,10 +42,10 @@
   default void fetched(long at, String server, boolean cold, int inOrigin) {}
 
   /** The list has changed in truth, as discovery will tell it. */
-  default void listed(long at, String server, Listing.Health health) {}
+  default void listed(long at, String server, EndpointListing.Health health) {}
 
   /** A router was told of a cache server's state. */
-  default void told(long at, int router, String server, Listing.Health health, long born) {}
+  default void told(long at, int router, String server, EndpointListing.Health health, long born) {}
 
   /** A router has called discovery or ends waiting on it. */
   default void asked(long at, int router) {}
--- a/src/main/java/beaconturn/standin/Store.java
+++ b/src/main/java/beaconturn/standin/ObjectCache.java
@@ -7,7 +7,7 @@
  * The objects that a cache server holds: bounded by bytes, the least recently used go first, and
  * each lives for a time. Expired ones are found when they are asked for.
  */
-final class Store {
+final class ObjectCache {
   /** What an object takes beside its value, so that many small ones are not free. */
   static final int OVERHEAD = 64;
 
@@ -20,7 +20,7 @@
   record Item(long version, int size, long until) {}
 
   /** A store of so many bytes whose objects live so many nanoseconds. */
-  Store(long capacity, long timeToLive) {
+  ObjectCache(long capacity, long timeToLive) {
     this.capacity = capacity;
     this.timeToLive = timeToLive;
   }
--- a/src/main/java/beaconturn/standin/Origin.java
+++ b/src/main/java/beaconturn/standin/OriginModel.java
@@ -14,19 +14,19 @@
  * how often each effect has run. Held over a multiple of what it works on at once for a time, it
  * falls over: all that is in it fails, and it takes nothing for a while.
  */
-public final class Origin {
+public final class OriginModel {
   /** A call that the origin has failed or not taken. */
   public static final long NO_ANSWER = -1;
 
-  private final Agenda agenda;
+  private final EventScheduler agenda;
   private final Shape shape;
   private final UniformRandomProvider random;
-  private final Witness witness;
+  private final HistoryRecorder witness;
   private final Map<String, Long> versions = new HashMap<>();
   private final Map<String, Integer> runs = new HashMap<>();
   private final List<Call> working = new ArrayList<>();
   private final Queue<Call> waiting = new ArrayDeque<>();
-  private Agenda.Task fall;
+  private EventScheduler.Task fall;
   private double slow = 1;
   private boolean stopped;
   private boolean fallen;
@@ -49,7 +49,7 @@
     private final String key;
     private final String effect;
     private final LongConsumer done;
-    private Agenda.Task end;
+    private EventScheduler.Task end;
 
     private Call(String key, String effect, LongConsumer done) {
       this.key = key;
@@ -59,7 +59,8 @@
   }
 
   /** An origin that is up and holds version 0 of every key. */
-  public Origin(Agenda agenda, Shape shape, UniformRandomProvider random, Witness witness) {
+  public OriginModel(
+      EventScheduler agenda, Shape shape, UniformRandomProvider random, HistoryRecorder witness) {
     this.agenda = agenda;
     this.shape = shape;
     this.random = random;
--- a/src/main/java/beaconturn/standin/Seeds.java
+++ b/src/main/java/beaconturn/standin/RandomSources.java
@@ -4,11 +4,11 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** Independent sources of chance from one seed, so that one part's draws do not move another's. */
-public final class Seeds {
+public final class RandomSources {
   private final long seed;
 
   /** All sources of one seed. */
-  public Seeds(long seed) {
+  public RandomSources(long seed) {
     this.seed = seed;
   }
 
--- a/src/main/java/beaconturn/standin/Work.java
+++ b/src/main/java/beaconturn/standin/WorkCost.java
@@ -14,10 +14,10 @@
  * @param window how long they are, in nanoseconds
  * @param scope which servers discard them together: all, zone or cell
  */
-public record Work(
+public record WorkCost(
     String type, long work, int size, boolean write, boolean keyed, long window, String scope) {
   /** The class of that name; the first one for a name that is unknown. */
-  static Work of(List<Work> all, String type) {
+  static WorkCost of(List<WorkCost> all, String type) {
     return all.stream().filter(w -> w.type().equals(type)).findFirst().orElse(all.get(0));
   }
 }
--- a/src/main/java/beaconturn/standin/Load.java
+++ b/src/main/java/beaconturn/standin/WorkWindow.java
@@ -4,12 +4,12 @@
 import java.util.Deque;
 
 /** The work that was sent within a sliding time, in nanoseconds of a warm worker. */
-final class Load {
+final class WorkWindow {
   private final long window;
   private final Deque<long[]> sent = new ArrayDeque<>();
   private long sum;
 
-  Load(long window) {
+  WorkWindow(long window) {
     this.window = window;
   }
 
--- a/src/main/java/beaconturn/standin/net/Places.java
+++ b/src/main/java/beaconturn/standin/net/CacheServerListeners.java
@@ -1,8 +1,8 @@
 package beaconturn.standin.net;
 
-import beaconturn.standin.CacheModel;
-import beaconturn.standin.Condition;
-import beaconturn.standin.World;
+import beaconturn.standin.CacheServerModel;
+import beaconturn.standin.EmulatedFleet;
+import beaconturn.standin.FaultState;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -19,8 +19,8 @@
  * knows who speaks. An address outlives the process behind it; it listens, refuses, or says nothing
  * at all as the process and its condition have it.
  */
-final class Places {
-  private static final Logger LOG = Logger.getLogger(Places.class.getName());
+final class CacheServerListeners {
+  private static final Logger LOG = Logger.getLogger(CacheServerListeners.class.getName());
   private static final int BACKLOG = 512;
 
   /** The kernel takes one more than it is told; then connections no longer come up. */
@@ -31,12 +31,12 @@
   /** So long after silence at least what was sent before it may come up. */
   private static final long RESENT = 1_000_000_000;
 
-  private final Loop loop;
-  private final World world;
+  private final EventLoop loop;
+  private final EmulatedFleet world;
   private final List<Door> doors = new ArrayList<>();
   private long connections;
 
-  Places(Loop loop, World world) {
+  CacheServerListeners(EventLoop loop, EmulatedFleet world) {
     this.loop = loop;
     this.world = world;
   }
@@ -76,7 +76,7 @@
     SILENT
   }
 
-  private final class Door implements Loop.Ready {
+  private final class Door implements EventLoop.Ready {
     private final int place;
     private final int router;
     private final InetSocketAddress address;
@@ -110,7 +110,7 @@
           session.sentSince(silentFrom);
         }
         session.begin();
-        Condition condition = world.at(place).condition();
+        FaultState condition = world.at(place).condition();
         session.mute(condition.mute());
         session.hear(condition.unread(), condition.vanished());
         sessions.add(session);
@@ -127,9 +127,9 @@
 
     /** Goes along with the process and its condition. */
     private void follow() {
-      CacheModel cache = world.at(place);
-      Condition condition = cache.condition();
-      sessions.removeIf(Wire::ended);
+      CacheServerModel cache = world.at(place);
+      FaultState condition = cache.condition();
+      sessions.removeIf(NonBlockingConnection::ended);
       for (RespSession session : sessions) {
         session.mute(session.muted() && condition.mute());
         session.hear(condition.unread(), condition.vanished());
@@ -149,7 +149,7 @@
      */
     private void move(State wanted) {
       close(listener);
-      holders.forEach(Places::close);
+      holders.forEach(CacheServerListeners::close);
       holders.clear();
       silentUntil = state == State.SILENT ? loop.agenda().now() : silentUntil;
       silentFrom = wanted == State.SILENT ? loop.agenda().now() : silentFrom;
@@ -164,8 +164,9 @@
       moving = false;
       try {
         switch (state) {
-          case LISTENS -> listener = Ports.again(address, at -> loop.listen(at, BACKLOG, this));
-          case REFUSES -> holders.add(Ports.again(address, Ports::hold));
+          case LISTENS ->
+              listener = LoopbackPorts.again(address, at -> loop.listen(at, BACKLOG, this));
+          case REFUSES -> holders.add(LoopbackPorts.again(address, LoopbackPorts::hold));
           default -> silence();
         }
       } catch (IOException e) {
@@ -178,7 +179,7 @@
      */
     private void silence() throws IOException {
       listener = ServerSocketChannel.open();
-      Ports.again(address, at -> listener.bind(at, FULL_BACKLOG));
+      LoopbackPorts.again(address, at -> listener.bind(at, FULL_BACKLOG));
       for (int i = 0; i < FILLERS; i++) {
         SocketChannel filler = SocketChannel.open();
         holders.add(filler);
--- a/src/main/java/beaconturn/standin/net/RegistrySession.java
+++ b/src/main/java/beaconturn/standin/net/DiscoverySession.java
@@ -7,31 +7,31 @@
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 import beaconturn.protocol.ProtocolException;
-import beaconturn.standin.Discovery;
+import beaconturn.standin.DiscoveryModel;
 import java.nio.channels.SocketChannel;
 import java.util.function.Function;
 
 /** One connection of a router to discovery, in HTTP/1.1; one call at a time, as routers do it. */
-final class RegistrySession extends Wire implements Discovery.Asker {
+final class DiscoverySession extends NonBlockingConnection implements DiscoveryModel.Asker {
   private static final int LONGEST_BODY = 4096;
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
   private static final int UNAVAILABLE = 503;
   private static final long MILLI = 1_000_000;
   private static final long LONGEST_WAIT_MILLIS = 60_000;
-  private final Discovery discovery;
+  private final DiscoveryModel discovery;
   private final int router;
-  private final Function<Discovery.News, Json> form;
+  private final Function<DiscoveryModel.News, Json> form;
   private final HttpReader reader = new HttpReader(LONGEST_BODY);
-  private Discovery.Call call;
+  private DiscoveryModel.Call call;
 
   /** The form is how a list looks to this router, whose addresses are its own. */
-  RegistrySession(
-      Loop loop,
+  DiscoverySession(
+      EventLoop loop,
       SocketChannel channel,
-      Discovery discovery,
+      DiscoveryModel discovery,
       int router,
-      Function<Discovery.News, Json> form) {
+      Function<DiscoveryModel.News, Json> form) {
     super(loop, channel);
     this.discovery = discovery;
     this.router = router;
@@ -67,7 +67,7 @@
   }
 
   @Override
-  public void news(Discovery.News news) {
+  public void news(DiscoveryModel.News news) {
     write(HttpWriter.answer(OK, JsonWriter.write(form.apply(news))));
   }
 
--- a/src/main/java/beaconturn/standin/net/Surroundings.java
+++ b/src/main/java/beaconturn/standin/net/EmulatedFleetServer.java
@@ -1,9 +1,9 @@
 package beaconturn.standin.net;
 
 import beaconturn.protocol.Json;
-import beaconturn.standin.Discovery;
-import beaconturn.standin.Listing;
-import beaconturn.standin.World;
+import beaconturn.standin.DiscoveryModel;
+import beaconturn.standin.EmulatedFleet;
+import beaconturn.standin.EndpointListing;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -27,13 +27,13 @@
  * A whole model on loopback sockets: cache servers, the origin behind them, and discovery for each
  * router.
  */
-public final class Surroundings implements Closeable {
-  private static final Logger LOG = Logger.getLogger(Surroundings.class.getName());
+public final class EmulatedFleetServer implements Closeable {
+  private static final Logger LOG = Logger.getLogger(EmulatedFleetServer.class.getName());
   private static final int BACKLOG = 64;
   private static final long MILLI = 1_000_000;
-  private final World world;
-  private final Loop loop;
-  private final Places places;
+  private final EmulatedFleet world;
+  private final EventLoop loop;
+  private final CacheServerListeners places;
   private final List<ServerSocketChannel> registries = new ArrayList<>();
   private final Map<InetSocketAddress, InetSocketAddress> ways = new ConcurrentHashMap<>();
 
@@ -44,11 +44,11 @@
    * @param firstPort where addresses begin, discovery's first, one for each router; 0 for any free
    *     ones
    */
-  public Surroundings(World world, LongSupplier clock, int routers, int firstPort)
+  public EmulatedFleetServer(EmulatedFleet world, LongSupplier clock, int routers, int firstPort)
       throws IOException {
     this.world = world;
-    this.loop = new Loop("stand-ins", world.agenda(), clock);
-    this.places = new Places(loop, world);
+    this.loop = new EventLoop("stand-ins", world.agenda(), clock);
+    this.places = new CacheServerListeners(loop, world);
     for (int router = 0; router < routers; router++) {
       int port = firstPort == 0 ? 0 : firstPort + router;
       registries.add(
@@ -58,10 +58,10 @@
   }
 
   private Acceptor registry(int router) {
-    Function<Discovery.News, Json> form = news -> form(router, news);
+    Function<DiscoveryModel.News, Json> form = news -> form(router, news);
     return new Acceptor(
         "discovery",
-        channel -> new RegistrySession(loop, channel, world.discovery(), router, form));
+        channel -> new DiscoverySession(loop, channel, world.discovery(), router, form));
   }
 
   /**
@@ -73,7 +73,7 @@
         loop.listen(
             new InetSocketAddress("127.0.0.1", port),
             BACKLOG,
-            new Acceptor("control", channel -> new ControlSession(loop, channel, orders)));
+            new Acceptor("control", channel -> new FaultControlSession(loop, channel, orders)));
     return (InetSocketAddress) listener.getLocalAddress();
   }
 
@@ -105,7 +105,7 @@
   }
 
   /** The model; to be touched on its own thread only. */
-  public World world() {
+  public EmulatedFleet world() {
     return world;
   }
 
@@ -135,7 +135,7 @@
     return loop.call(() -> form(router, world.discovery().known(router)));
   }
 
-  private Json form(int router, Discovery.News news) {
+  private Json form(int router, DiscoveryModel.News news) {
     Map<String, Json> members = new LinkedHashMap<>();
     members.put("seq", new Json.Figure(Long.toString(news.version())));
     members.put("whole", new Json.Flag(news.whole()));
@@ -144,7 +144,7 @@
     return new Json.Members(members);
   }
 
-  private Json form(int router, Listing entry) {
+  private Json form(int router, EndpointListing entry) {
     InetSocketAddress direct = places.address(router, entry.place());
     InetSocketAddress dial = ways.getOrDefault(direct, direct);
     Map<String, Json> line = new LinkedHashMap<>();
@@ -165,7 +165,8 @@
   }
 
   /** Takes connections for sessions that need to know nothing of each other. */
-  record Acceptor(String what, Function<SocketChannel, Wire> sessions) implements Loop.Ready {
+  record Acceptor(String what, Function<SocketChannel, NonBlockingConnection> sessions)
+      implements EventLoop.Ready {
     @Override
     public void ready(SelectionKey key) throws IOException {
       ServerSocketChannel listener = (ServerSocketChannel) key.channel();
--- a/src/main/java/beaconturn/standin/net/Loop.java
+++ b/src/main/java/beaconturn/standin/net/EventLoop.java
@@ -1,6 +1,6 @@
 package beaconturn.standin.net;
 
-import beaconturn.standin.Agenda;
+import beaconturn.standin.EventScheduler;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -24,11 +24,11 @@
  * reads all that the kernel had when it began, so that what a peer did before something else is
  * seen a turn later at most.
  */
-public final class Loop implements Closeable {
-  private static final Logger LOG = Logger.getLogger(Loop.class.getName());
+public final class EventLoop implements Closeable {
+  private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
   private static final long MILLI = 1_000_000;
   private static final long LONGEST_WAIT_MILLIS = 1000;
-  private final Agenda agenda;
+  private final EventScheduler agenda;
   private final LongSupplier clock;
   private final Selector selector;
   private final Queue<Runnable> errands = new ConcurrentLinkedQueue<>();
@@ -49,7 +49,7 @@
    * A loop on the agenda whose time the clock tells, in nanoseconds; it runs from {@link #start}
    * on.
    */
-  public Loop(String name, Agenda agenda, LongSupplier clock) throws IOException {
+  public EventLoop(String name, EventScheduler agenda, LongSupplier clock) throws IOException {
     this.agenda = agenda;
     this.clock = clock;
     this.selector = Selector.open();
@@ -102,7 +102,7 @@
     return turn;
   }
 
-  Agenda agenda() {
+  EventScheduler agenda() {
     return agenda;
   }
 
@@ -117,7 +117,7 @@
     ServerSocketChannel channel = ServerSocketChannel.open();
     try {
       if (address.getPort() == 0) {
-        Ports.take(at -> channel.bind(at, backlog));
+        LoopbackPorts.take(at -> channel.bind(at, backlog));
       } else {
         channel.bind(address, backlog);
       }
--- a/src/main/java/beaconturn/standin/net/ControlSession.java
+++ b/src/main/java/beaconturn/standin/net/FaultControlSession.java
@@ -7,11 +7,11 @@
 import java.util.function.UnaryOperator;
 
 /** One connection to the control port: a line in, its answer out, an empty line behind it. */
-final class ControlSession extends Wire {
+final class FaultControlSession extends NonBlockingConnection {
   private static final int LONGEST_LINE = 1024;
   private final UnaryOperator<String> orders;
 
-  ControlSession(Loop loop, SocketChannel channel, UnaryOperator<String> orders) {
+  FaultControlSession(EventLoop loop, SocketChannel channel, UnaryOperator<String> orders) {
     super(loop, channel);
     this.orders = orders;
   }
--- a/src/main/java/beaconturn/standin/net/Ports.java
+++ b/src/main/java/beaconturn/standin/net/LoopbackPorts.java
@@ -16,7 +16,7 @@
  * the one that had it before, a router whose discovery is gone for instance, would be taken for a
  * router that sends rubbish.
  */
-public final class Ports {
+public final class LoopbackPorts {
   private static final int FIRST = 15_000;
 
   /** Up to where the kernel's own begin on any usual system. */
@@ -35,7 +35,7 @@
     T at(InetSocketAddress address) throws IOException;
   }
 
-  private Ports() {}
+  private LoopbackPorts() {}
 
   /**
    * Bound and never listening: the kernel refuses who connects, and gives the port to nobody else.
--- a/src/main/java/beaconturn/standin/net/Wire.java
+++ b/src/main/java/beaconturn/standin/net/NonBlockingConnection.java
@@ -16,10 +16,10 @@
  * the rest. It can be made deaf (nothing is read) and cut off (nothing is read or written), as
  * faults need it.
  */
-abstract class Wire implements Loop.Ready {
+abstract class NonBlockingConnection implements EventLoop.Ready {
   private static final int MOST_READS = 64;
   private static final int FOR_PLACES = 2048;
-  protected final Loop loop;
+  protected final EventLoop loop;
   private final SocketChannel channel;
   private final InputBuffer in = new InputBuffer();
   private final Queue<ByteBuffer> out = new ArrayDeque<>();
@@ -34,7 +34,7 @@
   private boolean closing;
   private boolean ended;
 
-  Wire(Loop loop, SocketChannel channel) {
+  NonBlockingConnection(EventLoop loop, SocketChannel channel) {
     this.loop = loop;
     this.channel = channel;
   }
@@ -195,7 +195,7 @@
       return;
     }
     ended = true;
-    Places.close(channel);
+    CacheServerListeners.close(channel);
     gone();
   }
 
--- a/src/main/java/beaconturn/standin/net/RespSession.java
+++ b/src/main/java/beaconturn/standin/net/RespSession.java
@@ -6,11 +6,11 @@
 import beaconturn.protocol.RespValue;
 import beaconturn.protocol.RespWriter;
 import beaconturn.protocol.Slice;
-import beaconturn.standin.CacheModel;
-import beaconturn.standin.Command;
-import beaconturn.standin.Line;
-import beaconturn.standin.Reply;
-import beaconturn.standin.World;
+import beaconturn.standin.CacheCommand;
+import beaconturn.standin.CacheResponse;
+import beaconturn.standin.CacheServerConnection;
+import beaconturn.standin.CacheServerModel;
+import beaconturn.standin.EmulatedFleet;
 import java.io.ByteArrayOutputStream;
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
@@ -20,25 +20,25 @@
 import java.util.Map;
 
 /** One connection of a router to a stand-in cache server, in RESP2. */
-final class RespSession extends Wire implements Line {
+final class RespSession extends NonBlockingConnection implements CacheServerConnection {
   private static final long MILLI = 1_000_000;
   private static final int READ_PARTS = 4;
   private static final int LONG_LINE = 4096;
-  private final World world;
+  private final EmulatedFleet world;
   private final long number;
   private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE);
-  private CacheModel.Session session;
-  private CacheModel cache;
+  private CacheServerModel.Session session;
+  private CacheServerModel cache;
   private int router;
   private boolean mute;
 
-  RespSession(Loop loop, SocketChannel channel, World world, long number) {
+  RespSession(EventLoop loop, SocketChannel channel, EmulatedFleet world, long number) {
     super(loop, channel);
     this.world = world;
     this.number = number;
   }
 
-  void attach(CacheModel to, int from) {
+  void attach(CacheServerModel to, int from) {
     cache = to;
     router = from;
     session = to.open(this, from, number);
@@ -94,7 +94,7 @@
       throw new ProtocolException("class or wait is missing");
     }
     session.command(
-        new Command(
+        new CacheCommand(
             world.nextCommand(),
             text(items.get(1)),
             text(items.get(2)),
@@ -137,31 +137,33 @@
   }
 
   @Override
-  public void answer(Reply reply) {
-    if (reply instanceof Reply.Value value) {
+  public void answer(CacheResponse reply) {
+    if (reply instanceof CacheResponse.Value value) {
       write(value(value, value.report()));
-    } else if (reply instanceof Reply.Spoilt spoilt) {
+    } else if (reply instanceof CacheResponse.Spoilt spoilt) {
       write(spoilt(spoilt));
-    } else if (reply instanceof Reply.Busy) {
+    } else if (reply instanceof CacheResponse.Busy) {
       write(RespWriter.failure("BUSY"));
     } else {
       write(RespWriter.failure("ERR failed"));
     }
   }
 
-  private static Slice value(Reply.Value value, String report) {
+  private static Slice value(CacheResponse.Value value, String report) {
     ByteArrayOutputStream all = gather();
     add(all, RespWriter.listOf(3));
     add(all, RespWriter.bulk(value.bytes()));
     String how =
-        value.how() == Reply.How.WRITTEN ? null : value.how().name().toLowerCase(Locale.ROOT);
+        value.how() == CacheResponse.How.WRITTEN
+            ? null
+            : value.how().name().toLowerCase(Locale.ROOT);
     add(all, RespWriter.bulk(how == null ? null : how.getBytes(StandardCharsets.US_ASCII)));
     add(all, RespWriter.bulk(report == null ? null : report.getBytes(StandardCharsets.US_ASCII)));
     return new Slice(all.toByteArray(), 0, all.size());
   }
 
   /** The forms that spoilt answers have been seen in. */
-  private static Slice spoilt(Reply.Spoilt spoilt) {
+  private static Slice spoilt(CacheResponse.Spoilt spoilt) {
     Slice good = value(spoilt.value(), spoilt.value().report());
     String size = Integer.toString(spoilt.value().bytes().length);
     return switch (spoilt.way()) {
--- a/src/main/java/beaconturn/standin/net/StoreFront.java
+++ b/src/main/java/beaconturn/standin/net/StoreServer.java
@@ -1,6 +1,6 @@
 package beaconturn.standin.net;
 
-import beaconturn.standin.Agenda;
+import beaconturn.standin.EventScheduler;
 import beaconturn.standin.store.StoreModel;
 import java.io.Closeable;
 import java.io.IOException;
@@ -9,12 +9,12 @@
 import java.util.function.LongSupplier;
 
 /** The coordination store's stand-in on loopback, and lines by which it is made to fail. */
-public final class StoreFront implements Closeable {
+public final class StoreServer implements Closeable {
   private static final int BACKLOG = 512;
   private static final long MILLI = 1_000_000;
   private static final String HELP =
       "down, up, slow MILLIS, lose COUNT, freeze, thaw, empty, rewind REVISIONS, status";
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreModel model;
   private final ServerSocketChannel listener;
   private long delay;
@@ -23,16 +23,17 @@
   private long calls;
 
   /** Opens the port, 0 for any free one; nobody is served before {@link #start}. */
-  public StoreFront(int port, long cluster, LongSupplier clock, StoreModel.Watcher watcher)
+  public StoreServer(int port, long cluster, LongSupplier clock, StoreModel.Watcher watcher)
       throws IOException {
-    Agenda agenda = new Agenda(clock.getAsLong());
-    this.loop = new Loop("store", agenda, clock);
+    EventScheduler agenda = new EventScheduler(clock.getAsLong());
+    this.loop = new EventLoop("store", agenda, clock);
     this.model = new StoreModel(agenda, cluster, watcher);
     this.listener =
         loop.listen(
             new InetSocketAddress("127.0.0.1", port),
             BACKLOG,
-            new Surroundings.Acceptor("store", channel -> new StoreSession(loop, channel, this)));
+            new EmulatedFleetServer.Acceptor(
+                "store", channel -> new StoreSession(loop, channel, this)));
   }
 
   /** Begins to serve on a thread of its own. */
--- a/src/main/java/beaconturn/standin/net/StoreSession.java
+++ b/src/main/java/beaconturn/standin/net/StoreSession.java
@@ -19,16 +19,16 @@
 import java.util.Map;
 
 /** One connection to the store's stand-in: etcd's HTTP/JSON gateway, as far as routers use it. */
-final class StoreSession extends Wire {
+final class StoreSession extends NonBlockingConnection {
   private static final int LONGEST_BODY = 1 << 20;
   private static final int OK = 200;
   private static final int BAD = 400;
   private static final int NOT_FOUND = 404;
   private final StoreModel model;
-  private final StoreFront front;
+  private final StoreServer front;
   private final HttpReader reader = new HttpReader(LONGEST_BODY);
 
-  StoreSession(Loop loop, SocketChannel channel, StoreFront front) {
+  StoreSession(EventLoop loop, SocketChannel channel, StoreServer front) {
     super(loop, channel);
     this.front = front;
     this.model = front.model();
--- a/src/main/java/beaconturn/standin/store/StoreModel.java
+++ b/src/main/java/beaconturn/standin/store/StoreModel.java
@@ -1,6 +1,6 @@
 package beaconturn.standin.store;
 
-import beaconturn.standin.Agenda;
+import beaconturn.standin.EventScheduler;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -14,7 +14,7 @@
 public final class StoreModel {
   private static final long SECOND = 1_000_000_000;
   private static final int MOST_KEPT = 4096;
-  private final Agenda agenda;
+  private final EventScheduler agenda;
   private final Watcher watcher;
 
   /**
@@ -72,7 +72,7 @@
 
   private static final class Lease {
     private final long seconds;
-    private Agenda.Task end;
+    private EventScheduler.Task end;
 
     private Lease(long seconds) {
       this.seconds = seconds;
@@ -80,7 +80,7 @@
   }
 
   /** An empty store. */
-  public StoreModel(Agenda agenda, long cluster, Watcher watcher) {
+  public StoreModel(EventScheduler agenda, long cluster, Watcher watcher) {
     this.agenda = agenda;
     this.cluster = cluster;
     this.watcher = watcher;
--- a/src/main/java/beaconturn/stats/Counters.java
+++ b/src/main/java/beaconturn/stats/Counters.java
@@ -11,7 +11,7 @@
  * The counts of one process from its start on. What a class that is named no more had counted stays
  * counted.
  */
-public class Counters implements Tally {
+public class Counters implements RequestMetrics {
   /** One figure as it is now; a count only grows, a level does not. */
   public record Figure(String name, long value, boolean level) {}
 
--- a/src/main/java/beaconturn/stats/Tally.java
+++ b/src/main/java/beaconturn/stats/RequestMetrics.java
@@ -1,9 +1,9 @@
 package beaconturn.stats;
 
 /** Where the work of one process is counted; any thread may call, and no call waits. */
-public interface Tally {
+public interface RequestMetrics {
   /** Counts nothing: for a router whose figures nobody can ask for. */
-  Tally NONE = new Tally() {};
+  RequestMetrics NONE = new RequestMetrics() {};
 
   /** How a request ended, each in exactly one way. */
   enum End {
--- a/src/main/java/beaconturn/zones/Pool.java
+++ b/src/main/java/beaconturn/zones/EvidenceAggregator.java
@@ -15,12 +15,12 @@
  * have seen: one that lies is outvoted, one that is stuck is not heard, one that finds all places
  * bad while its neighbours do not is itself what is broken.
  */
-final class Pool {
+final class EvidenceAggregator {
   /** So many attempts of a window at least tell something. */
   private static final long FEWEST = 4;
 
   private static final double MOST_BAD = 0.5;
-  private final Geography map;
+  private final ZoneTopology map;
 
   /** What is compared is what came since about so long ago. */
   private final long window;
@@ -39,24 +39,24 @@
   /** Each router by its name, as it was heard last; it may serve on, cut off. */
   private final SortedMap<String, Voice> latest = new TreeMap<>();
 
-  private final SortedMap<String, SortedMap<String, Verdict>> ways = new TreeMap<>();
-  private final SortedMap<String, Verdict> places = new TreeMap<>();
+  private final SortedMap<String, SortedMap<String, ZoneHealth>> ways = new TreeMap<>();
+  private final SortedMap<String, ZoneHealth> places = new TreeMap<>();
   private final SortedMap<String, String> says = new TreeMap<>();
   private final SortedSet<String> broken = new TreeSet<>();
 
   /** What one router has told, and what it had told a window ago and two. */
   private static final class Voice {
-    private Report last;
+    private ZoneReport last;
     private long grewAt;
-    private Report older;
-    private Report newer;
+    private ZoneReport older;
+    private ZoneReport newer;
     private long newerAt;
     private long olderAt;
 
     /** Requests a second by what it told last, or less than 0 until it has told twice. */
     private double perSecond = -1;
 
-    private void hears(Report report, long now, long window) {
+    private void hears(ZoneReport report, long now, long window) {
       if (last == null || report.number() > last.number()) {
         last = report;
         grewAt = now;
@@ -72,9 +72,9 @@
       }
     }
 
-    private Seen seen(String place) {
-      Seen now = last.places().getOrDefault(place, Seen.NONE);
-      return now.since(older.places().getOrDefault(place, Seen.NONE));
+    private ZoneObservations seen(String place) {
+      ZoneObservations now = last.places().getOrDefault(place, ZoneObservations.NONE);
+      return now.since(older.places().getOrDefault(place, ZoneObservations.NONE));
     }
 
     /** Of the router itself, without the number of its start. */
@@ -83,7 +83,7 @@
     }
   }
 
-  Pool(Geography map, long window, long stale, long longest, long left) {
+  EvidenceAggregator(ZoneTopology map, long window, long stale, long longest, long left) {
     this.map = map;
     this.window = window;
     this.stale = stale;
@@ -92,9 +92,9 @@
   }
 
   /** Takes in what stands there now and judges. */
-  void hears(Collection<Report> reports, long now) {
+  void hears(Collection<ZoneReport> reports, long now) {
     Set<String> there = new TreeSet<>();
-    for (Report report : reports) {
+    for (ZoneReport report : reports) {
       if (map.regions().containsKey(report.home())) {
         there.add(report.router());
         voices.computeIfAbsent(report.router(), r -> new Voice()).hears(report, now, window);
@@ -121,22 +121,24 @@
   }
 
   /** What one router makes of one place. */
-  static Verdict view(Seen seen) {
+  static ZoneHealth view(ZoneObservations seen) {
     if (seen.listed() == 0) {
-      return Verdict.NOT_LISTED;
+      return ZoneHealth.NOT_LISTED;
     }
     long all = seen.good() + seen.bad();
     if (all >= FEWEST && seen.bad() > MOST_BAD * all) {
-      return Verdict.BROKEN;
+      return ZoneHealth.BROKEN;
     }
     if (seen.good() > seen.bad()) {
       // Also where servers are ejected still: by trials alone they come back late, and answers are
       // newer.
-      return Verdict.GOOD;
+      return ZoneHealth.GOOD;
     }
     // What nobody has tried is not known to be bad: without traffic an ejection only tells what
     // once was.
-    return seen.bad() > 0 && 2 * seen.ejected() >= seen.listed() ? Verdict.BROKEN : Verdict.UNKNOWN;
+    return seen.bad() > 0 && 2 * seen.ejected() >= seen.listed()
+        ? ZoneHealth.BROKEN
+        : ZoneHealth.UNKNOWN;
   }
 
   private void judge(long now) {
@@ -148,7 +150,7 @@
     }
     ways.clear();
     for (String home : map.places()) {
-      SortedMap<String, Verdict> row = new TreeMap<>();
+      SortedMap<String, ZoneHealth> row = new TreeMap<>();
       List<Voice> heard = heard(home, now);
       if (heard.isEmpty()) {
         // Of a place that is cut off nobody knows what it finds.
@@ -168,13 +170,13 @@
 
   /** Whether a router finds nothing good while most of its neighbours find their own place good. */
   private boolean alone(Voice voice, long now) {
-    List<Verdict> own = map.places().stream().map(p -> view(voice.seen(p))).toList();
+    List<ZoneHealth> own = map.places().stream().map(p -> view(voice.seen(p))).toList();
     List<Voice> neighbours =
         heard(voice.last.home(), now).stream().filter(v -> v != voice).toList();
     long good =
-        neighbours.stream().filter(v -> view(v.seen(v.last.home())) == Verdict.GOOD).count();
-    return own.contains(Verdict.BROKEN)
-        && !own.contains(Verdict.GOOD)
+        neighbours.stream().filter(v -> view(v.seen(v.last.home())) == ZoneHealth.GOOD).count();
+    return own.contains(ZoneHealth.BROKEN)
+        && !own.contains(ZoneHealth.GOOD)
         && good > 0
         && 2 * good >= neighbours.size();
   }
@@ -184,54 +186,56 @@
    * there are three or more, one of them finds nothing bad alone, also if the others have seen
    * nothing.
    */
-  private static Verdict majority(List<Verdict> views) {
-    if (!views.isEmpty() && views.stream().allMatch(v -> v == Verdict.NOT_LISTED)) {
-      return Verdict.NOT_LISTED;
+  private static ZoneHealth majority(List<ZoneHealth> views) {
+    if (!views.isEmpty() && views.stream().allMatch(v -> v == ZoneHealth.NOT_LISTED)) {
+      return ZoneHealth.NOT_LISTED;
     }
-    long bad = views.stream().filter(v -> v == Verdict.BROKEN).count();
-    long good = views.stream().filter(v -> v == Verdict.GOOD).count();
+    long bad = views.stream().filter(v -> v == ZoneHealth.BROKEN).count();
+    long good = views.stream().filter(v -> v == ZoneHealth.GOOD).count();
     if (bad > good && (bad > 1 || views.size() <= 2)) {
-      return Verdict.BROKEN;
+      return ZoneHealth.BROKEN;
     }
-    return good > 0 && good >= bad ? Verdict.GOOD : Verdict.UNKNOWN;
+    return good > 0 && good >= bad ? ZoneHealth.GOOD : ZoneHealth.UNKNOWN;
   }
 
-  private Verdict judge(String place) {
-    List<Verdict> all = new ArrayList<>();
+  private ZoneHealth judge(String place) {
+    List<ZoneHealth> all = new ArrayList<>();
     List<String> bad = new ArrayList<>();
     ways.forEach(
         (home, row) -> {
           all.add(row.get(place));
-          if (row.get(place) == Verdict.BROKEN) {
+          if (row.get(place) == ZoneHealth.BROKEN) {
             bad.add(home);
           }
         });
-    boolean anyGood = all.contains(Verdict.GOOD);
-    if (!all.isEmpty() && all.stream().allMatch(v -> v == Verdict.NOT_LISTED)) {
-      return said(place, Verdict.NOT_LISTED, "nobody has it in the list");
+    boolean anyGood = all.contains(ZoneHealth.GOOD);
+    if (!all.isEmpty() && all.stream().allMatch(v -> v == ZoneHealth.NOT_LISTED)) {
+      return said(place, ZoneHealth.NOT_LISTED, "nobody has it in the list");
     }
     if (!bad.isEmpty() && !anyGood) {
       // Before lists are looked at: those of a place that has gone change here and there by and by.
-      return said(place, Verdict.BROKEN, "found bad from " + String.join(", ", bad));
+      return said(place, ZoneHealth.BROKEN, "found bad from " + String.join(", ", bad));
     }
-    if (all.contains(Verdict.NOT_LISTED)) {
-      return said(place, Verdict.LATE_LIST, "some have it in the list and others do not");
+    if (all.contains(ZoneHealth.NOT_LISTED)) {
+      return said(place, ZoneHealth.LATE_LIST, "some have it in the list and others do not");
     }
     if (!bad.isEmpty()) {
-      return said(place, Verdict.LINK, "found bad from " + String.join(", ", bad) + " alone");
+      return said(place, ZoneHealth.LINK, "found bad from " + String.join(", ", bad) + " alone");
     }
     return said(
-        place, anyGood ? Verdict.GOOD : Verdict.UNKNOWN, anyGood ? "serves" : "too little is seen");
+        place,
+        anyGood ? ZoneHealth.GOOD : ZoneHealth.UNKNOWN,
+        anyGood ? "serves" : "too little is seen");
   }
 
-  private Verdict said(String place, Verdict verdict, String words) {
+  private ZoneHealth said(String place, ZoneHealth verdict, String words) {
     says.put(place, words);
     return verdict;
   }
 
   /** What all of them say of a place. */
-  Verdict of(String place) {
-    return places.getOrDefault(place, Verdict.UNKNOWN);
+  ZoneHealth of(String place) {
+    return places.getOrDefault(place, ZoneHealth.UNKNOWN);
   }
 
   /** In words, with its evidence. */
@@ -244,8 +248,8 @@
    * are told.
    */
   double badShare(String place) {
-    long good = own(place).mapToLong(Seen::good).sum();
-    long bad = own(place).mapToLong(Seen::bad).sum();
+    long good = own(place).mapToLong(ZoneObservations::good).sum();
+    long bad = own(place).mapToLong(ZoneObservations::bad).sum();
     return good + bad == 0 ? 0 : bad / (double) (good + bad);
   }
 
@@ -254,12 +258,12 @@
    * none.
    */
   double micros(String place) {
-    long good = own(place).mapToLong(Seen::good).sum();
-    return good == 0 ? 0 : own(place).mapToLong(Seen::micros).sum() / (double) good;
+    long good = own(place).mapToLong(ZoneObservations::good).sum();
+    return good == 0 ? 0 : own(place).mapToLong(ZoneObservations::micros).sum() / (double) good;
   }
 
   /** What a place's own routers have lately seen of it. */
-  private Stream<Seen> own(String place) {
+  private Stream<ZoneObservations> own(String place) {
     return voices.values().stream()
         .filter(v -> v.last.home().equals(place) && !broken.contains(v.last.router()))
         .map(v -> v.seen(place));
@@ -267,16 +271,16 @@
 
   /** Whether those of one place find another, or their own, bad. */
   boolean bad(String home, String place) {
-    return way(home, place) == Verdict.BROKEN;
+    return way(home, place) == ZoneHealth.BROKEN;
   }
 
   /** Whether those of one place find it good. */
   boolean good(String home, String place) {
-    return way(home, place) == Verdict.GOOD;
+    return way(home, place) == ZoneHealth.GOOD;
   }
 
-  private Verdict way(String home, String place) {
-    return ways.containsKey(home) ? ways.get(home).get(place) : Verdict.UNKNOWN;
+  private ZoneHealth way(String home, String place) {
+    return ways.containsKey(home) ? ways.get(home).get(place) : ZoneHealth.UNKNOWN;
   }
 
   /** Routers that find nothing good while their neighbours do. */
@@ -320,14 +324,14 @@
     List<Integer> all =
         growing(now)
             .filter(v -> !broken.contains(v.last.router()))
-            .map(v -> v.last.places().getOrDefault(place, Seen.NONE).warm())
+            .map(v -> v.last.places().getOrDefault(place, ZoneObservations.NONE).warm())
             .sorted()
             .toList();
     return all.isEmpty() ? 0 : all.get(all.size() / 2);
   }
 
   /** Routers that are heard. */
-  Collection<Report> reports(long now) {
+  Collection<ZoneReport> reports(long now) {
     return growing(now).map(v -> v.last).toList();
   }
 }
--- a/src/main/java/beaconturn/zones/Decision.java
+++ b/src/main/java/beaconturn/zones/FailoverPlanner.java
@@ -14,12 +14,12 @@
  * plan, or none. What it remembers by itself is evidence and since when it has stood; one that
  * takes over waits for its own.
  */
-public final class Decision {
+public final class FailoverPlanner {
   /** So large a part of a place's keys is a large move, of which there is one at a time. */
   private static final int LARGE = 200;
 
   /** A return goes by such parts. */
-  private static final int QUARTER = Row.WHOLE / 4;
+  private static final int QUARTER = ZoneAllocation.WHOLE / 4;
 
   /**
    * A spill ends once so much of what is carried is wanted, or no more than is carried for long.
@@ -51,9 +51,9 @@
   /** Nanoseconds over which a rate is evened out. */
   private static final double EVENED = 8e9;
 
-  private final Geography map;
-  private final Pace pace;
-  private final Pool pool;
+  private final ZoneTopology map;
+  private final FailoverTiming pace;
+  private final EvidenceAggregator pool;
   private final long window;
   private boolean shared;
   private long sharedUntil = Long.MIN_VALUE;
@@ -83,11 +83,12 @@
    * A decision over these places; {@code stale} is when a router that tells nothing new is not
    * heard, and a report that is gone sooner than {@code left} after it grew was taken back.
    */
-  public Decision(Geography map, Pace pace, long window, long stale, long left) {
+  public FailoverPlanner(
+      ZoneTopology map, FailoverTiming pace, long window, long stale, long left) {
     this.map = map;
     this.pace = pace;
     this.window = window;
-    this.pool = new Pool(map, window, stale, pace.longest(), left);
+    this.pool = new EvidenceAggregator(map, window, stale, pace.longest(), left);
   }
 
   /** What it waits for, in words; empty where it does not. */
@@ -115,8 +116,12 @@
   }
 
   /** The next plan, or null while nothing is to change. */
-  public Plan next(
-      Plan plan, Collection<Report> reports, Collection<Order> orders, String me, long now) {
+  public ZonePlan next(
+      ZonePlan plan,
+      Collection<ZoneReport> reports,
+      Collection<ZoneOverride> orders,
+      String me,
+      long now) {
     waits = "";
     pool.hears(reports, now);
     if (plan.number() != planSeen) {
@@ -148,19 +153,19 @@
   /**
    * Whether more than half of the places that are served near, and two at least, are bad at once.
    */
-  private boolean shared(Plan plan) {
-    List<Verdict> near =
+  private boolean shared(ZonePlan plan) {
+    List<ZoneHealth> near =
         map.places().stream()
             .filter(p -> !away(plan.states().get(p)))
             .map(pool::of)
-            .filter(v -> v != Verdict.UNKNOWN)
+            .filter(v -> v != ZoneHealth.UNKNOWN)
             .toList();
-    long bad = near.stream().filter(v -> v == Verdict.BROKEN).count();
+    long bad = near.stream().filter(v -> v == ZoneHealth.BROKEN).count();
     return bad > 1 && 2 * bad > near.size();
   }
 
-  private static boolean away(Plan.State state) {
-    return state == Plan.State.FAILED_OVER || state == Plan.State.SPLIT;
+  private static boolean away(ZonePlan.State state) {
+    return state == ZonePlan.State.FAILED_OVER || state == ZonePlan.State.SPLIT;
   }
 
   /**
@@ -206,8 +211,10 @@
 
   /** Whether its own routers cannot use it. */
   private boolean lost(String place) {
-    Verdict verdict = pool.of(place);
-    return verdict == Verdict.BROKEN || verdict == Verdict.NOT_LISTED || pool.bad(place, place);
+    ZoneHealth verdict = pool.of(place);
+    return verdict == ZoneHealth.BROKEN
+        || verdict == ZoneHealth.NOT_LISTED
+        || pool.bad(place, place);
   }
 
   /** Whether a place that has been bad may be used again by its own. */
@@ -220,7 +227,7 @@
    * How long a router may still act on the plan before: until all that are heard say that they act
    * on this.
    */
-  private boolean settled(Plan plan, long now) {
+  private boolean settled(ZonePlan plan, long now) {
     return now - planAt > pace.stated()
         || pool.reports(now).stream().allMatch(r -> r.plan() >= plan.number());
   }
@@ -238,15 +245,15 @@
 
   /** A plan in the making. */
   private final class Draft {
-    private final Plan plan;
+    private final ZonePlan plan;
     private final long now;
-    private final SortedMap<String, Row> rows;
-    private final SortedMap<String, Plan.State> states;
+    private final SortedMap<String, ZoneAllocation> rows;
+    private final SortedMap<String, ZonePlan.State> states;
     private final SortedMap<String, Integer> flaps;
     private final List<String> why = new ArrayList<>();
     private boolean large;
 
-    private Draft(Plan plan, long now) {
+    private Draft(ZonePlan plan, long now) {
       this.plan = plan;
       this.now = now;
       this.rows = new TreeMap<>(plan.rows());
@@ -254,22 +261,22 @@
       this.flaps = new TreeMap<>(plan.flaps());
     }
 
-    private void decide(String home, Order order, Collection<Order> orders) {
-      Plan.State state = states.getOrDefault(home, Plan.State.NEAR);
-      Row row = plan.row(home);
-      boolean drained = order != null && order.what() == Order.What.DRAIN;
-      if (order != null && order.what() == Order.What.HOLD) {
+    private void decide(String home, ZoneOverride order, Collection<ZoneOverride> orders) {
+      ZonePlan.State state = states.getOrDefault(home, ZonePlan.State.NEAR);
+      ZoneAllocation row = plan.row(home);
+      boolean drained = order != null && order.what() == ZoneOverride.What.DRAIN;
+      if (order != null && order.what() == ZoneOverride.What.HOLD) {
         return;
       }
       boolean gone = badSince.containsKey(home) && now - badSince.get(home) >= pace.confirm();
       int near = near(home, row, state, gone || drained);
-      if (order != null && order.what() == Order.What.WEIGHT) {
+      if (order != null && order.what() == ZoneOverride.What.WEIGHT) {
         near = Math.min(near, order.weight());
       }
       boolean back =
           away(state)
               ? back(home, flaps.getOrDefault(home, 0), now)
-              : state != Plan.State.RETURNING || pool.good(home, home);
+              : state != ZonePlan.State.RETURNING || pool.good(home, home);
       if (near > row.of(home) && !drained && !back) {
         waits = home + " has to be good for longer before its keys come back";
         near = row.of(home);
@@ -280,9 +287,10 @@
         }
         near = Math.min(near, row.of(home) + QUARTER);
       }
-      Row wanted = wanted(home, near, row, orders);
+      ZoneAllocation wanted = wanted(home, near, row, orders);
       if (near == row.of(home)
-          && (wanted.movedFrom(row) <= Row.TRIAL || aboutTheSame(home, wanted, row, orders))) {
+          && (wanted.movedFrom(row) <= ZoneAllocation.TRIAL
+              || aboutTheSame(home, wanted, row, orders))) {
         // Another place for the trials is no reason for a plan, nor is room that differs by chance.
         return;
       }
@@ -290,21 +298,23 @@
     }
 
     /** Whether other places have about the room that they had by the row. */
-    private boolean aboutTheSame(String home, Row wanted, Row row, Collection<Order> orders) {
+    private boolean aboutTheSame(
+        String home, ZoneAllocation wanted, ZoneAllocation row, Collection<ZoneOverride> orders) {
       double wants = Math.max(1, rates.get(home));
       return map.others(home).stream()
           .allMatch(
               other -> {
                 double chance = Math.min(map.eachPerSecond() / 2, chance(rates.get(other)));
-                double moved = Math.abs(wanted.of(other) - row.of(other)) * wants / Row.WHOLE;
+                double moved =
+                    Math.abs(wanted.of(other) - row.of(other)) * wants / ZoneAllocation.WHOLE;
                 return moved <= chance && !(row.of(other) > 0 && closed(home, other, orders));
               });
     }
 
     /** How many of its keys a place can serve itself. */
-    private int near(String home, Row row, Plan.State state, boolean gone) {
+    private int near(String home, ZoneAllocation row, ZonePlan.State state, boolean gone) {
       if (gone) {
-        return Row.NEAR_TRIAL;
+        return ZoneAllocation.NEAR_TRIAL;
       }
       if (badSince.containsKey(home)) {
         // Not for long enough yet.
@@ -312,11 +322,15 @@
       }
       double wants = rates.get(home);
       double carries = carries(home, now);
-      if (wants <= 0 || carries <= 0 && pool.of(home) != Verdict.GOOD) {
+      if (wants <= 0 || carries <= 0 && pool.of(home) != ZoneHealth.GOOD) {
         return row.of(home);
       }
-      int most = Row.WHOLE - trial(home);
-      int whole = (int) Math.max(Row.NEAR_TRIAL, Math.min(most, Row.WHOLE * carries / wants));
+      int most = ZoneAllocation.WHOLE - trial(home);
+      int whole =
+          (int)
+              Math.max(
+                  ZoneAllocation.NEAR_TRIAL,
+                  Math.min(most, ZoneAllocation.WHOLE * carries / wants));
       if (wants - chance(wants) > carries) {
         overSince.putIfAbsent(home, now);
       } else {
@@ -329,33 +343,35 @@
       }
       boolean under =
           wants <= ENOUGH * carries || now - underSince.getOrDefault(home, now) >= pace.longest();
-      if (state == Plan.State.NEAR) {
+      if (state == ZonePlan.State.NEAR) {
         // Entered where for a while more is wanted than is carried, left well below that.
         return now - overSince.getOrDefault(home, now) >= pace.confirm() ? whole : row.of(home);
       }
-      boolean little = Math.abs(whole - row.of(home)) < Row.NEAR_TRIAL && whole < most;
-      return little || state == Plan.State.SPILLING && whole > row.of(home) && !under
+      boolean little = Math.abs(whole - row.of(home)) < ZoneAllocation.NEAR_TRIAL && whole < most;
+      return little || state == ZonePlan.State.SPILLING && whole > row.of(home) && !under
           ? row.of(home)
           : whole;
     }
 
     private int trial(String home) {
-      return map.others(home).isEmpty() ? 0 : Row.TRIAL;
+      return map.others(home).isEmpty() ? 0 : ZoneAllocation.TRIAL;
     }
 
     /** What of it goes elsewhere, to the nearest that have room; what none has is refused. */
-    private Row wanted(String home, int near, Row row, Collection<Order> orders) {
+    private ZoneAllocation wanted(
+        String home, int near, ZoneAllocation row, Collection<ZoneOverride> orders) {
       Map<String, Integer> parts = new LinkedHashMap<>();
       parts.put(home, near);
       double wants = Math.max(1, rates.get(home));
-      int rest = Row.WHOLE - near;
+      int rest = ZoneAllocation.WHOLE - near;
       for (String other : map.others(home)) {
         if (rest <= 0) {
           break;
         }
         boolean closed = closed(home, other, orders);
-        int most = closed ? 0 : (int) Math.max(0, Row.WHOLE * room(home, other) / wants);
-        int part = Math.min(rest, Math.max(most, rest <= Row.TRIAL && !closed ? rest : 0));
+        int most = closed ? 0 : (int) Math.max(0, ZoneAllocation.WHOLE * room(home, other) / wants);
+        int part =
+            Math.min(rest, Math.max(most, rest <= ZoneAllocation.TRIAL && !closed ? rest : 0));
         if (part > 0) {
           parts.put(other, part);
           rest -= part;
@@ -365,14 +381,15 @@
         // Nobody takes any of it: it stays where it is, and what cannot be served is refused there.
         return row;
       }
-      return new Row(parts);
+      return new ZoneAllocation(parts);
     }
 
-    private boolean closed(String home, String other, Collection<Order> orders) {
+    private boolean closed(String home, String other, Collection<ZoneOverride> orders) {
       return lost(other)
           || pool.bad(home, other)
           || noBetter(home, other)
-          || orders.stream().anyMatch(o -> o.place().equals(other) && o.what() == Order.What.DRAIN);
+          || orders.stream()
+              .anyMatch(o -> o.place().equals(other) && o.what() == ZoneOverride.What.DRAIN);
     }
 
     /**
@@ -384,7 +401,7 @@
       double there = pool.badShare(other);
       double here = pool.badShare(home);
       boolean slow =
-          plan.row(home).of(other) <= Row.TRIAL
+          plan.row(home).of(other) <= ZoneAllocation.TRIAL
               && here < NEARLY_ALL
               && pool.micros(other) > SLOWED * usual.getOrDefault(other, Double.MAX_VALUE);
       return there > SUFFERS && 2 * there > here || here > SUFFERS && slow;
@@ -403,36 +420,39 @@
         if (!other.equals(home)) {
           // Routers of the plan before may still be on their old rows.
           int part = Math.max(plan.row(other).of(place), rows.get(other).of(place));
-          int alone = Plan.floor(map, other).of(place);
-          taken += rates.get(other) * Math.max(part, alone) / Row.WHOLE;
-          taken += other.equals(place) ? 0 : pool.unheardPerSecond(other, now) * alone / Row.WHOLE;
+          int alone = ZonePlan.floor(map, other).of(place);
+          taken += rates.get(other) * Math.max(part, alone) / ZoneAllocation.WHOLE;
+          taken +=
+              other.equals(place)
+                  ? 0
+                  : pool.unheardPerSecond(other, now) * alone / ZoneAllocation.WHOLE;
         }
       }
       return carries(place, now) - taken;
     }
 
-    private void move(String home, Row row, Row wanted, boolean gone) {
+    private void move(String home, ZoneAllocation row, ZoneAllocation wanted, boolean gone) {
       int moved = wanted.movedFrom(row);
       if (moved >= LARGE && (large || now - largeAt < pace.step())) {
         waits = home + " waits for another large move";
         return;
       }
       double wants = Math.max(1, rates.get(home));
-      int most = (int) Math.max(QUARTER / 2, Row.WHOLE * map.fetchesPerSecond() / wants);
-      Row step = moved > most ? part(row, wanted, most / (double) moved) : wanted;
+      int most = (int) Math.max(QUARTER / 2, ZoneAllocation.WHOLE * map.fetchesPerSecond() / wants);
+      ZoneAllocation step = moved > most ? part(row, wanted, most / (double) moved) : wanted;
       if (step.equals(row)) {
         return;
       }
       large |= step.movedFrom(row) >= LARGE;
       rows.put(home, step);
       steppedAt.put(home, now);
-      Plan.State before = states.getOrDefault(home, Plan.State.NEAR);
-      Plan.State next = state(home, before, step, gone);
+      ZonePlan.State before = states.getOrDefault(home, ZonePlan.State.NEAR);
+      ZonePlan.State next = state(home, before, step, gone);
       if (away(next) && !away(before)) {
         boolean longNear = nearAt.containsKey(home) && now - nearAt.get(home) >= pace.longest();
         flaps.put(home, longNear ? 0 : flaps.getOrDefault(home, -1) + 1);
       }
-      if (next == Plan.State.NEAR) {
+      if (next == ZonePlan.State.NEAR) {
         nearAt.putIfAbsent(home, now);
       } else {
         nearAt.remove(home);
@@ -450,25 +470,26 @@
               + pool.says(home));
     }
 
-    private Plan.State state(String home, Plan.State before, Row step, boolean gone) {
+    private ZonePlan.State state(
+        String home, ZonePlan.State before, ZoneAllocation step, boolean gone) {
       if (gone) {
-        return pool.of(home) == Verdict.LINK ? Plan.State.SPLIT : Plan.State.FAILED_OVER;
+        return pool.of(home) == ZoneHealth.LINK ? ZonePlan.State.SPLIT : ZonePlan.State.FAILED_OVER;
       }
-      if (step.of(home) >= Row.WHOLE - trial(home)) {
-        return Plan.State.NEAR;
+      if (step.of(home) >= ZoneAllocation.WHOLE - trial(home)) {
+        return ZonePlan.State.NEAR;
       }
-      if (away(before) && step.of(home) <= Row.NEAR_TRIAL) {
+      if (away(before) && step.of(home) <= ZoneAllocation.NEAR_TRIAL) {
         // Little is seen of a place that is only tried: that it is not found bad brings nothing
         // back.
         return before;
       }
-      return away(before) || before == Plan.State.RETURNING
-          ? Plan.State.RETURNING
-          : Plan.State.SPILLING;
+      return away(before) || before == ZonePlan.State.RETURNING
+          ? ZonePlan.State.RETURNING
+          : ZonePlan.State.SPILLING;
     }
 
     /** A part of the way from one row to another. */
-    private static Row part(Row from, Row to, double share) {
+    private static ZoneAllocation part(ZoneAllocation from, ZoneAllocation to, double share) {
       Map<String, Integer> parts = new LinkedHashMap<>();
       List<String> names = new ArrayList<>(to.places());
       from.places().stream().filter(p -> !names.contains(p)).forEach(names::add);
@@ -478,14 +499,14 @@
           parts.put(place, part);
         }
       }
-      return new Row(parts);
+      return new ZoneAllocation(parts);
     }
 
     /**
      * Null where nothing changes, or where more would go somewhere before all have left the plan
      * before.
      */
-    private Plan done(String me, long at) {
+    private ZonePlan done(String me, long at) {
       if (rows.equals(plan.rows()) && states.equals(plan.states())) {
         return null;
       }
@@ -494,7 +515,7 @@
         return null;
       }
       largeAt = large ? at : largeAt;
-      return new Plan(plan.number() + 1, rows, states, flaps, String.join("; ", why), me);
+      return new ZonePlan(plan.number() + 1, rows, states, flaps, String.join("; ", why), me);
     }
   }
 }
--- a/src/main/java/beaconturn/zones/Pace.java
+++ b/src/main/java/beaconturn/zones/FailoverTiming.java
@@ -9,11 +9,11 @@
  * @param step from one step of a return or a spill to the next
  * @param stated how long routers may act on a plan after the next one, from their leases
  */
-public record Pace(long confirm, long calm, long longest, long step, long stated) {
+public record FailoverTiming(long confirm, long calm, long longest, long step, long stated) {
   private static final long SECOND = 1_000_000_000;
 
   /** The usual ones with that stated time. */
-  public static Pace usual(long stated) {
-    return new Pace(SECOND, 3 * SECOND, 60 * SECOND, SECOND, stated);
+  public static FailoverTiming usual(long stated) {
+    return new FailoverTiming(SECOND, 3 * SECOND, 60 * SECOND, SECOND, stated);
   }
 }
--- a/src/main/java/beaconturn/zones/Distances.java
+++ b/src/main/java/beaconturn/zones/RegionDistanceCheck.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 
 /** Whether the regions that operators name agree with the times that routers measure. */
-public final class Distances {
+public final class RegionDistanceCheck {
   /** So many good answers tell how far a place is. */
   private static final long ENOUGH = 50;
 
@@ -15,13 +15,13 @@
 
   private static final double MILLI = 1000;
 
-  private Distances() {}
+  private RegionDistanceCheck() {}
 
   /**
    * For each place what its routers measure against the order in which its keys go on: a place that
    * is named before another and takes clearly longer. In words, empty where nothing is wrong.
    */
-  public static List<String> doubts(Geography map, Collection<Report> reports) {
+  public static List<String> doubts(ZoneTopology map, Collection<ZoneReport> reports) {
     List<String> doubts = new ArrayList<>();
     for (String home : map.places()) {
       List<String> others = map.others(home);
@@ -53,11 +53,11 @@
   }
 
   /** What good answers took the routers of one place from another; 0 where too few are known. */
-  private static double micros(String home, String place, Collection<Report> reports) {
+  private static double micros(String home, String place, Collection<ZoneReport> reports) {
     long good = 0;
     long took = 0;
-    for (Report report : reports) {
-      Seen seen = report.places().getOrDefault(place, Seen.NONE);
+    for (ZoneReport report : reports) {
+      ZoneObservations seen = report.places().getOrDefault(place, ZoneObservations.NONE);
       good += report.home().equals(home) ? seen.good() : 0;
       took += report.home().equals(home) ? seen.micros() : 0;
     }
--- a/src/main/java/beaconturn/zones/Row.java
+++ b/src/main/java/beaconturn/zones/ZoneAllocation.java
@@ -13,7 +13,7 @@
  *
  * @param parts of each place, the place itself first
  */
-public record Row(Map<String, Integer> parts) {
+public record ZoneAllocation(Map<String, Integer> parts) {
   /** All keys. */
   public static final int WHOLE = 1000;
 
@@ -30,13 +30,13 @@
   public static final int NEAR_TRIAL = 50;
 
   /** A row of its own. */
-  public Row {
+  public ZoneAllocation {
     parts = Collections.unmodifiableMap(new LinkedHashMap<>(parts));
   }
 
   /** All of it at home. */
-  static Row near(String home) {
-    return new Row(Map.of(home, WHOLE));
+  static ZoneAllocation near(String home) {
+    return new ZoneAllocation(Map.of(home, WHOLE));
   }
 
   int of(String place) {
@@ -53,7 +53,7 @@
   }
 
   /** How much of the keys goes elsewhere than by another row. */
-  int movedFrom(Row other) {
+  int movedFrom(ZoneAllocation other) {
     int moved = 0;
     for (Map.Entry<String, Integer> e : parts.entrySet()) {
       moved += Math.max(0, e.getValue() - other.of(e.getKey()));
--- a/src/main/java/beaconturn/zones/Verdict.java
+++ b/src/main/java/beaconturn/zones/ZoneHealth.java
@@ -1,7 +1,7 @@
 package beaconturn.zones;
 
 /** What the pooled evidence says of a place, or of a way to it. */
-public enum Verdict {
+public enum ZoneHealth {
   /** It serves. */
   GOOD,
   /** Too little is seen of it. */
--- a/src/main/java/beaconturn/zones/Follower.java
+++ b/src/main/java/beaconturn/zones/ZoneMember.java
@@ -1,9 +1,9 @@
 package beaconturn.zones;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Timing;
+import beaconturn.agreement.AgreementTiming;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -14,7 +14,7 @@
  * nobody does. Driven by one thread, which asks {@link #next} for the call to make and brings its
  * answer to {@link #answered}.
  */
-public final class Follower {
+public final class ZoneMember {
   private static final long SECOND = 1_000_000_000;
   private static final long TICK = SECOND / 4;
 
@@ -41,14 +41,14 @@
   /** What the follower asks of the router. */
   public interface Router {
     /** What it sees of each place, with that number and plan; the counts of its process. */
-    Report sees(String router, long number, long plan);
+    ZoneReport sees(String router, long number, long plan);
   }
 
   /**
    * Which row is due, and whether another place of it than its own may take what its own part has
    * no room for.
    */
-  public record Due(Row row, boolean overflow, String says) {}
+  public record Due(ZoneAllocation row, boolean overflow, String says) {}
 
   /** What is due until a time and from then on. */
   private record Held(long until, Due in, Due after) {}
@@ -66,14 +66,14 @@
   }
 
   private final ZonesKeys keys;
-  private final Geography map;
-  private final Timing timing;
+  private final ZoneTopology map;
+  private final AgreementTiming timing;
   private final String home;
   private final String me;
   private final Router router;
   private final Consumer<String> log;
   private final SplittableRandom random;
-  private final Decision decision;
+  private final FailoverPlanner decision;
   private Aim aim;
   private long sentAt;
   private long waitUntil;
@@ -84,7 +84,7 @@
   private long tellAt;
   private long number;
   private boolean read;
-  private Plan plan;
+  private ZonePlan plan;
   private long planRevision;
   private long leaseUntil = Long.MIN_VALUE;
   private long lookAt;
@@ -92,20 +92,20 @@
   private long officeLease;
   private long officeRenewAt;
   private long decideAt;
-  private Plan step;
-  private Call.Swap swap;
+  private ZonePlan step;
+  private StoreRequest.Swap swap;
   private String says = "";
-  private Report before;
+  private ZoneReport before;
   private long beforeAt;
   private boolean nearBad;
   private volatile Held held;
   private Due now;
 
   /** A follower at a place; {@code me} is its name and incarnation with a slash between. */
-  public Follower(
+  public ZoneMember(
       ZonesKeys keys,
-      Geography map,
-      Timing timing,
+      ZoneTopology map,
+      AgreementTiming timing,
       String home,
       String me,
       long seed,
@@ -121,13 +121,13 @@
     this.log = log;
     this.random = new SplittableRandom(seed);
     this.decision =
-        new Decision(
+        new FailoverPlanner(
             map,
-            Pace.usual(timing.stated()),
+            FailoverTiming.usual(timing.stated()),
             WINDOW,
             STALE_RENEWALS * timing.renewEvery(),
             REPORT_SECONDS * SECOND / 2);
-    this.plan = Plan.first(map);
+    this.plan = ZonePlan.first(map);
     this.renewAt = start;
     this.lookAt = start + spread(TICK);
     hold();
@@ -150,20 +150,22 @@
             new Due(plan.row(home), true, "plan " + plan.number()),
             nearBad
                 ? new Due(
-                    Plan.floor(map, home), false, "its own evidence: its place is bad, no lease")
-                : new Due(Plan.calm(map, home), false, "no lease: near"));
+                    ZonePlan.floor(map, home),
+                    false,
+                    "its own evidence: its place is bad, no lease")
+                : new Due(ZonePlan.calm(map, home), false, "no lease: near"));
   }
 
   /** To be called before each step and now and then: looks at its own evidence and its lease. */
   public void look(long at) {
     if (before == null || at - beforeAt >= WINDOW) {
-      Report last = router.sees(me, number, at < leaseUntil ? plan.number() : 0);
+      ZoneReport last = router.sees(me, number, at < leaseUntil ? plan.number() : 0);
       if (before != null) {
-        Seen seen =
+        ZoneObservations seen =
             last.places()
-                .getOrDefault(home, Seen.NONE)
-                .since(before.places().getOrDefault(home, Seen.NONE));
-        nearBad = Pool.view(seen) == Verdict.BROKEN || seen.listed() == 0;
+                .getOrDefault(home, ZoneObservations.NONE)
+                .since(before.places().getOrDefault(home, ZoneObservations.NONE));
+        nearBad = EvidenceAggregator.view(seen) == ZoneHealth.BROKEN || seen.listed() == 0;
       }
       before = last;
       beforeAt = at;
@@ -177,48 +179,49 @@
   }
 
   /** The call to make now, or null while there is none before {@link #wakeAt}; one at a time. */
-  public Call next(long at) {
+  public StoreRequest next(long at) {
     if (aim != null || at < waitUntil) {
       return null;
     }
     sentAt = at;
     if (lease == 0) {
-      return out(Aim.LEASE, new Call.Grant(Math.max(REPORT_SECONDS, timing.storeLeaseSeconds())));
+      return out(
+          Aim.LEASE, new StoreRequest.Grant(Math.max(REPORT_SECONDS, timing.storeLeaseSeconds())));
     }
     if (at >= renewAt) {
-      return out(Aim.RENEW, new Call.KeepAlive(lease));
+      return out(Aim.RENEW, new StoreRequest.KeepAlive(lease));
     }
     if (!read) {
-      return out(Aim.READ, new Call.Read(keys.plan()));
+      return out(Aim.READ, new StoreRequest.Read(keys.plan()));
     }
     if (at >= tellAt) {
       number++;
-      Report report = router.sees(me, number, plan.number());
+      ZoneReport report = router.sees(me, number, plan.number());
       return out(
           Aim.TELL,
-          new Call.Swap(
-              List.of(new Call.Condition.Unchanged(keys.plan(), planRevision)),
-              List.of(new Call.Change.Put(keys.report(me), ZonesTexts.of(report), lease))));
+          new StoreRequest.Swap(
+              List.of(new StoreRequest.Condition.Unchanged(keys.plan(), planRevision)),
+              List.of(new StoreRequest.Change.Put(keys.report(me), ZonesCodec.of(report), lease))));
     }
     return office
         ? official(at)
-        : at >= lookAt ? out(Aim.LOOK, new Call.Read(keys.office())) : null;
+        : at >= lookAt ? out(Aim.LOOK, new StoreRequest.Read(keys.office())) : null;
   }
 
-  private Call official(long at) {
+  private StoreRequest official(long at) {
     if (officeLease == 0) {
-      return out(Aim.OFFICE_LEASE, new Call.Grant(OFFICE_SECONDS));
+      return out(Aim.OFFICE_LEASE, new StoreRequest.Grant(OFFICE_SECONDS));
     }
     if (at >= officeRenewAt) {
-      return out(Aim.OFFICE_RENEW, new Call.KeepAlive(officeLease));
+      return out(Aim.OFFICE_RENEW, new StoreRequest.KeepAlive(officeLease));
     }
     if (swap != null) {
       return out(Aim.STEP, swap);
     }
-    return at >= decideAt ? out(Aim.DECIDE, new Call.Read(keys.all())) : null;
+    return at >= decideAt ? out(Aim.DECIDE, new StoreRequest.Read(keys.all())) : null;
   }
 
-  private Call out(Aim what, Call call) {
+  private StoreRequest out(Aim what, StoreRequest call) {
     aim = what;
     return call;
   }
@@ -231,11 +234,11 @@
   }
 
   /** What became of the call. */
-  public void answered(long at, Answer answer) {
+  public void answered(long at, StoreResponse answer) {
     Aim was = aim;
     aim = null;
-    if (!(answer instanceof Answer.Given given)) {
-      failed(at, was, ((Answer.Failed) answer).why());
+    if (!(answer instanceof StoreResponse.Given given)) {
+      failed(at, was, ((StoreResponse.Failed) answer).why());
       return;
     }
     failures = 0;
@@ -261,7 +264,7 @@
     look(at);
   }
 
-  private void take(long at, Aim was, Answer.Given given) throws AgreementException {
+  private void take(long at, Aim was, StoreResponse.Given given) throws AgreementException {
     switch (was) {
       case LEASE -> {
         lease = given.lease();
@@ -293,10 +296,10 @@
     }
   }
 
-  private void knows(Answer.Given given) throws AgreementException {
-    for (Answer.Pair pair : given.pairs()) {
+  private void knows(StoreResponse.Given given) throws AgreementException {
+    for (StoreResponse.Pair pair : given.pairs()) {
       if (pair.key().equals(keys.plan())) {
-        Plan there = ZonesTexts.plan(pair.value());
+        ZonePlan there = ZonesCodec.plan(pair.value());
         if (there.number() < plan.number()) {
           throw new AgreementException(
               "plan "
@@ -323,7 +326,7 @@
    * What was read is still so: the lease counts from before the earlier of the two calls that it
    * rests on.
    */
-  private void told(Answer.Given given) {
+  private void told(StoreResponse.Given given) {
     if (given.held()) {
       leaseUntil = Math.min(sentAt, aliveSince) + timing.lease();
       tellAt = sentAt + spread(timing.renewEvery() / 2);
@@ -332,8 +335,8 @@
     }
   }
 
-  private void decide(long at, Answer.Given given) throws AgreementException {
-    Scene scene = Scene.of(keys, given);
+  private void decide(long at, StoreResponse.Given given) throws AgreementException {
+    ZonesSnapshot scene = ZonesSnapshot.of(keys, given);
     decideAt = at + TICK;
     if (!scene.office().equals(me)) {
       if (!scene.office().isEmpty()) {
@@ -341,25 +344,26 @@
         return;
       }
       swap =
-          new Call.Swap(
+          new StoreRequest.Swap(
               List.of(scene.unchanged(keys.office())),
-              List.of(new Call.Change.Put(keys.office(), me, officeLease)));
+              List.of(new StoreRequest.Change.Put(keys.office(), me, officeLease)));
       step = null;
       return;
     }
-    Plan there = scene.plan() == null ? Plan.first(map) : scene.plan();
+    ZonePlan there = scene.plan() == null ? ZonePlan.first(map) : scene.plan();
     step = decision.next(there, scene.reports(), scene.orders(), me, at);
     tellEvidence();
     if (step != null) {
-      List<Call.Condition> conditions =
+      List<StoreRequest.Condition> conditions =
           new ArrayList<>(List.of(scene.unchanged(keys.office()), scene.unchanged(keys.plan())));
       map.places().forEach(p -> conditions.add(scene.unchanged(keys.order(p))));
       swap =
-          new Call.Swap(
+          new StoreRequest.Swap(
               conditions,
               List.of(
-                  new Call.Change.Put(keys.plan(), ZonesTexts.of(step), 0),
-                  new Call.Change.Put(keys.history(step.number()), ZonesTexts.of(step), 0)));
+                  new StoreRequest.Change.Put(keys.plan(), ZonesCodec.of(step), 0),
+                  new StoreRequest.Change.Put(
+                      keys.history(step.number()), ZonesCodec.of(step), 0)));
     }
   }
 
@@ -373,7 +377,7 @@
     }
   }
 
-  private void stepped(Answer.Given given) {
+  private void stepped(StoreResponse.Given given) {
     if (given.held()) {
       log.accept(
           step == null
@@ -392,12 +396,12 @@
   }
 
   /** What to ask the store at a planned end. */
-  public List<Call> leave() {
+  public List<StoreRequest> leave() {
     return lease == 0
         ? List.of()
         : officeLease == 0
-            ? List.of(new Call.Revoke(lease))
-            : List.of(new Call.Revoke(officeLease), new Call.Revoke(lease));
+            ? List.of(new StoreRequest.Revoke(lease))
+            : List.of(new StoreRequest.Revoke(officeLease), new StoreRequest.Revoke(lease));
   }
 
   /** Spread by chance, so that many routers do not call in step. */
--- a/src/main/java/beaconturn/zones/Seen.java
+++ b/src/main/java/beaconturn/zones/ZoneObservations.java
@@ -11,13 +11,14 @@
  * @param warm of these, those in service and warmed up
  * @param ejected of these, those that it passes over
  */
-public record Seen(long good, long bad, long micros, int listed, int warm, int ejected) {
+public record ZoneObservations(
+    long good, long bad, long micros, int listed, int warm, int ejected) {
   /** Nothing. */
-  public static final Seen NONE = new Seen(0, 0, 0, 0, 0, 0);
+  public static final ZoneObservations NONE = new ZoneObservations(0, 0, 0, 0, 0, 0);
 
   /** What came since an earlier one of the same process. */
-  Seen since(Seen earlier) {
-    return new Seen(
+  ZoneObservations since(ZoneObservations earlier) {
+    return new ZoneObservations(
         good - earlier.good, bad - earlier.bad, micros - earlier.micros, listed, warm, ejected);
   }
 }
--- a/src/main/java/beaconturn/zones/Order.java
+++ b/src/main/java/beaconturn/zones/ZoneOverride.java
@@ -10,7 +10,8 @@
  * @param by who said so
  * @param reason why
  */
-public record Order(String place, What what, int weight, long leftNanos, String by, String reason) {
+public record ZoneOverride(
+    String place, What what, int weight, long leftNanos, String by, String reason) {
   /** What is to be. */
   public enum What {
     /** Nothing goes there, but for the trial part. */
--- a/src/main/java/beaconturn/zones/Plan.java
+++ b/src/main/java/beaconturn/zones/ZonePlan.java
@@ -18,9 +18,9 @@
  * @param why what the last change was for
  * @param by the incarnation of the office that made it
  */
-public record Plan(
+public record ZonePlan(
     long number,
-    SortedMap<String, Row> rows,
+    SortedMap<String, ZoneAllocation> rows,
     SortedMap<String, State> states,
     SortedMap<String, Integer> flaps,
     String why,
@@ -40,48 +40,48 @@
   }
 
   /** A plan of its own. */
-  public Plan {
+  public ZonePlan {
     rows = Collections.unmodifiableSortedMap(new TreeMap<>(rows));
     states = Collections.unmodifiableSortedMap(new TreeMap<>(states));
     flaps = Collections.unmodifiableSortedMap(new TreeMap<>(flaps));
   }
 
   /** The plan before any: all near. */
-  public static Plan first(Geography map) {
-    SortedMap<String, Row> rows = new TreeMap<>();
+  public static ZonePlan first(ZoneTopology map) {
+    SortedMap<String, ZoneAllocation> rows = new TreeMap<>();
     SortedMap<String, State> states = new TreeMap<>();
     for (String place : map.places()) {
       rows.put(place, calm(map, place));
       states.put(place, State.NEAR);
     }
-    return new Plan(0, rows, states, new TreeMap<>(), "", "");
+    return new ZonePlan(0, rows, states, new TreeMap<>(), "", "");
   }
 
   /** All near but a trial part at the nearest other place, which keeps evidence of it. */
-  public static Row calm(Geography map, String place) {
-    return with(map, place, Row.TRIAL);
+  public static ZoneAllocation calm(ZoneTopology map, String place) {
+    return with(map, place, ZoneAllocation.TRIAL);
   }
 
   /**
    * What a router may do that holds no lease on a plan and finds its own place bad: its reserve at
    * the nearest other place, which every plan leaves to it.
    */
-  public static Row floor(Geography map, String place) {
-    return with(map, place, Math.max(Row.TRIAL, map.reserve()));
+  public static ZoneAllocation floor(ZoneTopology map, String place) {
+    return with(map, place, Math.max(ZoneAllocation.TRIAL, map.reserve()));
   }
 
-  private static Row with(Geography map, String place, int far) {
+  private static ZoneAllocation with(ZoneTopology map, String place, int far) {
     Map<String, Integer> parts = new LinkedHashMap<>();
     List<String> others = map.others(place);
-    parts.put(place, others.isEmpty() ? Row.WHOLE : Row.WHOLE - far);
+    parts.put(place, others.isEmpty() ? ZoneAllocation.WHOLE : ZoneAllocation.WHOLE - far);
     if (!others.isEmpty()) {
       parts.put(others.get(0), far);
     }
-    return new Row(parts);
+    return new ZoneAllocation(parts);
   }
 
   /** The row of a place; near where the plan does not know it. */
-  public Row row(String place) {
-    return rows.getOrDefault(place, Row.near(place));
+  public ZoneAllocation row(String place) {
+    return rows.getOrDefault(place, ZoneAllocation.near(place));
   }
 }
--- a/src/main/java/beaconturn/zones/Report.java
+++ b/src/main/java/beaconturn/zones/ZoneReport.java
@@ -14,15 +14,15 @@
  * @param arrivals requests that it has taken since its start
  * @param places what it sees of each place
  */
-public record Report(
+public record ZoneReport(
     String router,
     String home,
     long number,
     long plan,
     long arrivals,
-    SortedMap<String, Seen> places) {
+    SortedMap<String, ZoneObservations> places) {
   /** A report of its own. */
-  public Report {
+  public ZoneReport {
     places = Collections.unmodifiableSortedMap(new TreeMap<>(places));
   }
 }
--- a/src/main/java/beaconturn/zones/Geography.java
+++ b/src/main/java/beaconturn/zones/ZoneTopology.java
@@ -17,10 +17,10 @@
  * @param reserve thousandths of a place's keys that its routers may send to the nearest other place
  *     by themselves
  */
-public record Geography(
+public record ZoneTopology(
     SortedMap<String, String> regions, double eachPerSecond, double fetchesPerSecond, int reserve) {
   /** A geography of its own. */
-  public Geography {
+  public ZoneTopology {
     regions = Collections.unmodifiableSortedMap(new TreeMap<>(regions));
   }
 
--- a/src/main/java/beaconturn/zones/ZonesDesk.java
+++ b/src/main/java/beaconturn/zones/ZonesAdmin.java
@@ -1,45 +1,45 @@
 package beaconturn.zones;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Desk;
+import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
 import java.util.ArrayList;
 import java.util.List;
 
 /** What operators do with places: each order reads what stands in the store and takes one step. */
-public final class ZonesDesk {
+public final class ZonesAdmin {
   private static final long SECOND = 1_000_000_000;
   private final ZonesKeys keys;
-  private final Geography map;
-  private final Desk.Store store;
+  private final ZoneTopology map;
+  private final ConfigAdmin.Store store;
 
   /** A desk at a store, for one fleet. */
-  public ZonesDesk(ZonesKeys keys, Geography map, Desk.Store store) {
+  public ZonesAdmin(ZonesKeys keys, ZoneTopology map, ConfigAdmin.Store store) {
     this.keys = keys;
     this.map = map;
     this.store = store;
   }
 
-  private Answer.Given given(Call call) throws AgreementException {
-    return Desk.given(store, call);
+  private StoreResponse.Given given(StoreRequest call) throws AgreementException {
+    return ConfigAdmin.given(store, call);
   }
 
   /** What stands in the store now. */
-  public Scene look() throws AgreementException {
-    return Scene.of(keys, given(new Call.Read(keys.all())));
+  public ZonesSnapshot look() throws AgreementException {
+    return ZonesSnapshot.of(keys, given(new StoreRequest.Read(keys.all())));
   }
 
   /**
    * Gives an order; one that is to end by itself hangs on a lease of the store, which nobody
    * renews. Refused while another place is drained, or is not served near: one at a time.
    */
-  public String give(Order order) throws AgreementException {
-    return give(order, new Call.Swap(List.of(), List.of()));
+  public String give(ZoneOverride order) throws AgreementException {
+    return give(order, new StoreRequest.Swap(List.of(), List.of()));
   }
 
   /** The same, in one transaction with something else. */
-  public String give(Order order, Call.Swap with) throws AgreementException {
+  public String give(ZoneOverride order, StoreRequest.Swap with) throws AgreementException {
     if (!map.regions().containsKey(order.place())) {
       throw new AgreementException(
           "there is no place '"
@@ -47,8 +47,8 @@
               + "', there are "
               + String.join(", ", map.places()));
     }
-    Scene scene = look();
-    if (order.what() == Order.What.DRAIN) {
+    ZonesSnapshot scene = look();
+    if (order.what() == ZoneOverride.What.DRAIN) {
       List<String> out = new ArrayList<>();
       scene
           .out()
@@ -66,12 +66,13 @@
     long lease =
         order.leftNanos() == 0
             ? 0
-            : given(new Call.Grant((order.leftNanos() + SECOND - 1) / SECOND)).lease();
-    List<Call.Condition> conditions = new ArrayList<>(with.conditions());
+            : given(new StoreRequest.Grant((order.leftNanos() + SECOND - 1) / SECOND)).lease();
+    List<StoreRequest.Condition> conditions = new ArrayList<>(with.conditions());
     conditions.add(scene.unchanged(keys.order(order.place())));
-    List<Call.Change> changes = new ArrayList<>(with.changes());
-    changes.add(new Call.Change.Put(keys.order(order.place()), ZonesTexts.of(order), lease));
-    if (!given(new Call.Swap(conditions, changes)).held()) {
+    List<StoreRequest.Change> changes = new ArrayList<>(with.changes());
+    changes.add(
+        new StoreRequest.Change.Put(keys.order(order.place()), ZonesCodec.of(order), lease));
+    if (!given(new StoreRequest.Swap(conditions, changes)).held()) {
       throw new AgreementException("not done, things have changed meanwhile: look again");
     }
     return order.place()
@@ -85,22 +86,22 @@
 
   /** Takes back what was said of a place. */
   public String free(String place) throws AgreementException {
-    Scene scene = look();
+    ZonesSnapshot scene = look();
     if (scene.orders().stream().noneMatch(o -> o.place().equals(place))) {
       throw new AgreementException("nothing is said of '" + place + "'");
     }
     given(
-        new Call.Swap(
+        new StoreRequest.Swap(
             List.of(scene.unchanged(keys.order(place))),
-            List.of(new Call.Change.Delete(keys.order(place)))));
+            List.of(new StoreRequest.Change.Delete(keys.order(place)))));
     return place + " goes by evidence again";
   }
 
   /** All plans, the oldest first. */
-  public List<Plan> history() throws AgreementException {
-    List<Plan> all = new ArrayList<>();
-    for (Answer.Pair pair : given(new Call.Read(keys.histories())).pairs()) {
-      all.add(ZonesTexts.plan(pair.value()));
+  public List<ZonePlan> history() throws AgreementException {
+    List<ZonePlan> all = new ArrayList<>();
+    for (StoreResponse.Pair pair : given(new StoreRequest.Read(keys.histories())).pairs()) {
+      all.add(ZonesCodec.plan(pair.value()));
     }
     return all;
   }
--- a/src/main/java/beaconturn/zones/ZonesTexts.java
+++ b/src/main/java/beaconturn/zones/ZonesCodec.java
@@ -1,7 +1,7 @@
 package beaconturn.zones;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Texts;
+import beaconturn.agreement.ConfigCodec;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 import java.util.ArrayList;
@@ -13,16 +13,16 @@
 import java.util.TreeMap;
 
 /** What stands in the store of places, as lines of JSON. */
-public final class ZonesTexts {
-  private ZonesTexts() {}
+public final class ZonesCodec {
+  private ZonesCodec() {}
 
-  static String of(Report r) {
+  static String of(ZoneReport r) {
     List<Json> places = new ArrayList<>();
     r.places()
         .forEach(
             (place, s) ->
                 places.add(
-                    Texts.object(
+                    ConfigCodec.object(
                         "place",
                         place,
                         "good",
@@ -38,7 +38,7 @@
                         "ejected",
                         s.ejected())));
     return JsonWriter.write(
-        Texts.object(
+        ConfigCodec.object(
             "router",
             r.router(),
             "home",
@@ -50,16 +50,16 @@
             "arrivals",
             r.arrivals(),
             "places",
-            Texts.list(places)));
+            ConfigCodec.list(places)));
   }
 
-  static Report report(String text) throws AgreementException {
-    Json json = Texts.parse(text);
-    SortedMap<String, Seen> places = new TreeMap<>();
+  static ZoneReport report(String text) throws AgreementException {
+    Json json = ConfigCodec.parse(text);
+    SortedMap<String, ZoneObservations> places = new TreeMap<>();
     for (Json p : json.get("places").items()) {
       places.put(
           p.get("place").word(""),
-          new Seen(
+          new ZoneObservations(
               number(p, "good"),
               number(p, "bad"),
               number(p, "micros"),
@@ -67,7 +67,7 @@
               (int) number(p, "warm"),
               (int) number(p, "ejected")));
     }
-    return new Report(
+    return new ZoneReport(
         json.get("router").word(""),
         json.get("home").word(""),
         number(json, "number"),
@@ -77,55 +77,59 @@
   }
 
   /** A plan, as it stands there and in the history. */
-  public static String of(Plan p) {
+  public static String of(ZonePlan p) {
     List<Json> rows = new ArrayList<>();
     p.rows()
         .forEach(
             (place, row) -> {
               List<Json> parts = new ArrayList<>();
-              row.parts().forEach((to, part) -> parts.add(Texts.object("to", to, "part", part)));
+              row.parts()
+                  .forEach((to, part) -> parts.add(ConfigCodec.object("to", to, "part", part)));
               rows.add(
-                  Texts.object(
+                  ConfigCodec.object(
                       "place",
                       place,
                       "state",
                       p.states()
-                          .getOrDefault(place, Plan.State.NEAR)
+                          .getOrDefault(place, ZonePlan.State.NEAR)
                           .name()
                           .toLowerCase(Locale.ROOT),
                       "flaps",
                       p.flaps().getOrDefault(place, -1) + 1,
                       "parts",
-                      Texts.list(parts)));
+                      ConfigCodec.list(parts)));
             });
     return JsonWriter.write(
-        Texts.object("number", p.number(), "rows", Texts.list(rows), "why", p.why(), "by", p.by()));
+        ConfigCodec.object(
+            "number", p.number(), "rows", ConfigCodec.list(rows), "why", p.why(), "by", p.by()));
   }
 
   /** The same, read. */
-  public static Plan plan(String text) throws AgreementException {
-    Json json = Texts.parse(text);
-    SortedMap<String, Row> rows = new TreeMap<>();
-    SortedMap<String, Plan.State> states = new TreeMap<>();
+  public static ZonePlan plan(String text) throws AgreementException {
+    Json json = ConfigCodec.parse(text);
+    SortedMap<String, ZoneAllocation> rows = new TreeMap<>();
+    SortedMap<String, ZonePlan.State> states = new TreeMap<>();
     SortedMap<String, Integer> flaps = new TreeMap<>();
     for (Json row : json.get("rows").items()) {
       Map<String, Integer> parts = new LinkedHashMap<>();
       for (Json part : row.get("parts").items()) {
-        parts.put(part.get("to").word(""), (int) Texts.whole(part, "part", 0, Row.WHOLE));
+        parts.put(
+            part.get("to").word(""),
+            (int) ConfigCodec.whole(part, "part", 0, ZoneAllocation.WHOLE));
       }
       String place = row.get("place").word("");
       if (parts.isEmpty()
-          || parts.values().stream().mapToInt(Integer::intValue).sum() > Row.WHOLE) {
+          || parts.values().stream().mapToInt(Integer::intValue).sum() > ZoneAllocation.WHOLE) {
         throw new AgreementException("the row of '" + place + "' is empty or more than a whole");
       }
-      rows.put(place, new Row(parts));
+      rows.put(place, new ZoneAllocation(parts));
       states.put(place, state(row.get("state").word("")));
-      int flapped = (int) Texts.whole(row, "flaps", 0, Integer.MAX_VALUE) - 1;
+      int flapped = (int) ConfigCodec.whole(row, "flaps", 0, Integer.MAX_VALUE) - 1;
       if (flapped >= 0) {
         flaps.put(place, flapped);
       }
     }
-    return new Plan(
+    return new ZonePlan(
         number(json, "number"),
         rows,
         states,
@@ -134,8 +138,8 @@
         json.get("by").word(""));
   }
 
-  private static Plan.State state(String word) throws AgreementException {
-    for (Plan.State state : Plan.State.values()) {
+  private static ZonePlan.State state(String word) throws AgreementException {
+    for (ZonePlan.State state : ZonePlan.State.values()) {
       if (state.name().toLowerCase(Locale.ROOT).equals(word)) {
         return state;
       }
@@ -143,9 +147,9 @@
     throw new AgreementException("no state: '" + word + "'");
   }
 
-  static String of(Order o) {
+  static String of(ZoneOverride o) {
     return JsonWriter.write(
-        Texts.object(
+        ConfigCodec.object(
             "place",
             o.place(),
             "what",
@@ -160,12 +164,12 @@
             o.reason()));
   }
 
-  static Order order(String text) throws AgreementException {
-    Json json = Texts.parse(text);
+  static ZoneOverride order(String text) throws AgreementException {
+    Json json = ConfigCodec.parse(text);
     String word = json.get("what").word("");
-    for (Order.What what : Order.What.values()) {
+    for (ZoneOverride.What what : ZoneOverride.What.values()) {
       if (what.name().toLowerCase(Locale.ROOT).equals(word)) {
-        return new Order(
+        return new ZoneOverride(
             json.get("place").word(""),
             what,
             (int) number(json, "weight"),
@@ -178,6 +182,6 @@
   }
 
   private static long number(Json json, String key) throws AgreementException {
-    return Texts.whole(json, key, 0, Long.MAX_VALUE);
+    return ConfigCodec.whole(json, key, 0, Long.MAX_VALUE);
   }
 }
--- a/src/main/java/beaconturn/zones/Scene.java
+++ b/src/main/java/beaconturn/zones/ZonesSnapshot.java
@@ -1,8 +1,8 @@
 package beaconturn.zones;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -20,28 +20,33 @@
  * @param orders of operators
  * @param changed when each key was last changed
  */
-public record Scene(
-    Plan plan, String office, List<Report> reports, List<Order> orders, Map<String, Long> changed) {
+public record ZonesSnapshot(
+    ZonePlan plan,
+    String office,
+    List<ZoneReport> reports,
+    List<ZoneOverride> orders,
+    Map<String, Long> changed) {
   /** Reads what a call for all of it was given; a report that cannot be read is nobody's. */
-  public static Scene of(ZonesKeys keys, Answer.Given given) throws AgreementException {
-    Plan plan = null;
+  public static ZonesSnapshot of(ZonesKeys keys, StoreResponse.Given given)
+      throws AgreementException {
+    ZonePlan plan = null;
     String office = "";
-    List<Report> reports = new ArrayList<>();
-    List<Order> orders = new ArrayList<>();
+    List<ZoneReport> reports = new ArrayList<>();
+    List<ZoneOverride> orders = new ArrayList<>();
     Map<String, Long> changed = new HashMap<>();
-    for (Answer.Pair pair : given.pairs()) {
+    for (StoreResponse.Pair pair : given.pairs()) {
       changed.put(pair.key(), pair.changed());
       if (pair.key().equals(keys.plan())) {
-        plan = ZonesTexts.plan(pair.value());
+        plan = ZonesCodec.plan(pair.value());
       } else if (pair.key().equals(keys.office())) {
         office = pair.value();
       } else if (pair.key().startsWith(keys.orders())) {
-        orders.add(ZonesTexts.order(pair.value()));
+        orders.add(ZonesCodec.order(pair.value()));
       } else if (pair.key().startsWith(keys.reports())) {
-        reports.add(ZonesTexts.report(pair.value()));
+        reports.add(ZonesCodec.report(pair.value()));
       }
     }
-    return new Scene(plan, office, reports, orders, changed);
+    return new ZonesSnapshot(plan, office, reports, orders, changed);
   }
 
   /** Places whose traffic is served elsewhere, or is to be, and why. */
@@ -51,13 +56,13 @@
       plan.states()
           .forEach(
               (place, state) -> {
-                if (state != Plan.State.NEAR && state != Plan.State.SPILLING) {
+                if (state != ZonePlan.State.NEAR && state != ZonePlan.State.SPILLING) {
                   out.put(place, state.name().toLowerCase(Locale.ROOT).replace('_', ' '));
                 }
               });
     }
     orders.stream()
-        .filter(o -> o.what() == Order.What.DRAIN)
+        .filter(o -> o.what() == ZoneOverride.What.DRAIN)
         .forEach(
             o ->
                 out.merge(
@@ -68,7 +73,7 @@
   }
 
   /** The condition that the key is as it was read here. */
-  Call.Condition unchanged(String key) {
-    return new Call.Condition.Unchanged(key, changed.getOrDefault(key, 0L));
+  StoreRequest.Condition unchanged(String key) {
+    return new StoreRequest.Condition.Unchanged(key, changed.getOrDefault(key, 0L));
   }
 }
--- a/src/test/java/beaconturn/LayoutTest.java
+++ b/src/test/java/beaconturn/LayoutTest.java
@@ -29,7 +29,7 @@
     "beaconturn.agreement..",
     "beaconturn.release..",
     "beaconturn.zones..",
-    "beaconturn.ledger..",
+    "beaconturn.history..",
     "beaconturn.toml..",
     "beaconturn.stats..",
     "beaconturn.report.."
@@ -56,7 +56,7 @@
             "beaconturn.net..",
             "beaconturn.sim..",
             "beaconturn.standin..",
-            "beaconturn.ledger..",
+            "beaconturn.history..",
             "beaconturn.core..",
             "beaconturn.decision..",
             "beaconturn.protocol..",
@@ -102,20 +102,20 @@
         "beaconturn.core..",
         "beaconturn.decision..",
         "beaconturn.standin..",
-        "beaconturn.ledger..");
+        "beaconturn.history..");
     none(
         at("beaconturn.release.."),
         "beaconturn.core..",
         "beaconturn.decision..",
         "beaconturn.standin..",
-        "beaconturn.ledger..",
+        "beaconturn.history..",
         "beaconturn.toml..");
     none(
         at("beaconturn.zones.."),
         "beaconturn.core..",
         "beaconturn.decision..",
         "beaconturn.standin..",
-        "beaconturn.ledger..",
+        "beaconturn.history..",
         "beaconturn.toml..",
         "beaconturn.release..");
     none(
@@ -128,25 +128,25 @@
         at("beaconturn.decision.."),
         "beaconturn.core..",
         "beaconturn.protocol..",
-        "beaconturn.ledger..",
+        "beaconturn.history..",
         "beaconturn.standin..");
     none(
         at("beaconturn.protocol..", "beaconturn.toml.."),
         "beaconturn.core..",
         "beaconturn.decision..",
         "beaconturn.standin..",
-        "beaconturn.ledger..");
+        "beaconturn.history..");
   }
 
   @Test
   void theModelAndTheAccountDoNotKnowEachOtherNorTheRouter() {
     none(
         at("beaconturn.standin"),
-        "beaconturn.ledger..",
+        "beaconturn.history..",
         "beaconturn.core..",
         "beaconturn.decision..");
     none(
-        at("beaconturn.ledger.."),
+        at("beaconturn.history.."),
         "beaconturn.standin..",
         "beaconturn.core..",
         "beaconturn.decision..");
@@ -162,7 +162,7 @@
             "beaconturn.release..",
             "beaconturn.zones..",
             "beaconturn.standin",
-            "beaconturn.ledger.."),
+            "beaconturn.history.."),
         "java.time..");
     noClasses()
         .that()
@@ -174,7 +174,7 @@
             "beaconturn.zones..",
             "beaconturn.standin.store..",
             "beaconturn.standin",
-            "beaconturn.ledger..")
+            "beaconturn.history..")
         .should()
         .callMethod(System.class, "nanoTime")
         .orShould()
--- a/src/test/java/beaconturn/agreement/MemberTest.java
+++ b/src/test/java/beaconturn/agreement/AgreementMemberTest.java
@@ -15,38 +15,39 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The hard cases of the agreement, each caused in virtual time. */
-class MemberTest {
-  private static final long SECOND = FleetModel.SECOND;
-  private static final long LEASE = FleetModel.TIMING.lease();
+class AgreementMemberTest {
+  private static final long SECOND = SimulatedAgreement.SECOND;
+  private static final long LEASE = SimulatedAgreement.TIMING.lease();
 
-  private static Content out(String... servers) {
-    return new Content(new TreeMap<>(), null, null, 0, new TreeSet<>(List.of(servers)));
+  private static ConfigContent out(String... servers) {
+    return new ConfigContent(new TreeMap<>(), null, null, 0, new TreeSet<>(List.of(servers)));
   }
 
-  private static long propose(FleetModel fleet, String... servers) throws AgreementException {
+  private static long propose(SimulatedAgreement fleet, String... servers)
+      throws AgreementException {
     return fleet.desk().propose(now -> out(servers), "op", "why", 0);
   }
 
-  private static FleetModel begun(int routers) throws AgreementException {
-    FleetModel fleet = new FleetModel(routers, routers);
+  private static SimulatedAgreement begun(int routers) throws AgreementException {
+    SimulatedAgreement fleet = new SimulatedAgreement(routers, routers);
     fleet.begin();
     assertEquals(routers, fleet.desk().view().seats().size());
     return fleet;
   }
 
-  private static void clean(FleetModel fleet) {
+  private static void clean(SimulatedAgreement fleet) {
     assertEquals(List.of(), fleet.offences);
     assertTrue(fleet.acts > 100);
   }
 
-  private static String acts(FleetModel fleet, int router) {
-    FleetModel.Seat seat = fleet.seats.get(router);
+  private static String acts(SimulatedAgreement fleet, int router) {
+    SimulatedAgreement.SimulatedMember seat = fleet.seats.get(router);
     return seat.ground.says(seat.now());
   }
 
   @Test
   void aVersionComesIntoForceOnlyWithTheYesOfAllAndSettles() throws AgreementException {
-    FleetModel fleet = begun(5);
+    SimulatedAgreement fleet = begun(5);
     fleet.seats.get(3).cut = true;
     long first = propose(fleet, "c1");
     fleet.run(20 * LEASE);
@@ -62,14 +63,14 @@
   /** The cut falls between its yes and the version's coming into force: it goes to safe ground. */
   @Test
   void whoIsCutOffAfterItsYesStandsBetweenTheTwo() throws AgreementException {
-    FleetModel fleet = begun(6);
+    SimulatedAgreement fleet = begun(6);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
     fleet.seats.get(0).cut = true;
     long second = propose(fleet, "c2");
     fleet.run(LEASE);
     fleet.seats.get(0).cut = false;
     while (fleet.seats.get(0).kept.next() == null) {
-      fleet.run(FleetModel.MILLI);
+      fleet.run(SimulatedAgreement.MILLI);
     }
     fleet.seats.get(0).cut = true;
     fleet.run(10 * LEASE);
@@ -87,7 +88,7 @@
 
   @Test
   void aNoStopsItAndSaysWhoAndWhy() throws AgreementException {
-    FleetModel fleet = begun(3);
+    SimulatedAgreement fleet = begun(3);
     propose(fleet, "c1", "c2", "c3");
     fleet.run(10 * SECOND);
     assertTrue(fleet.inForce.isEmpty());
@@ -104,14 +105,15 @@
    */
   @Test
   void aRouterThatHasAnOlderListSaysNeitherYesNorNoUntilItHasTheNewer() throws AgreementException {
-    FleetModel fleet = begun(3);
+    SimulatedAgreement fleet = begun(3);
     fleet.seats.get(1).list = 6;
     long number =
         fleet
             .desk()
             .propose(
                 now ->
-                    new Content(now.classes(), now.mostTries(), now.secondCopies(), 7, now.out()),
+                    new ConfigContent(
+                        now.classes(), now.mostTries(), now.secondCopies(), 7, now.out()),
                 "op",
                 "why",
                 0);
@@ -125,7 +127,7 @@
 
   @Test
   void twoThatProposeAtOnceAreOneAndOneIsToldSo() throws AgreementException {
-    FleetModel fleet = begun(3);
+    SimulatedAgreement fleet = begun(3);
     propose(fleet, "c1");
     assertEquals(
         "version 1 is proposed and not in force yet",
@@ -134,7 +136,7 @@
 
   @Test
   void aStepWhoseAnswerIsLostIsDoneOnce() throws AgreementException {
-    FleetModel fleet = begun(3);
+    SimulatedAgreement fleet = begun(3);
     fleet.loseNext = 1;
     assertEquals(1, propose(fleet, "c1"));
     assertEquals(1, fleet.desk().history().size());
@@ -148,14 +150,14 @@
 
   @Test
   void whoeverWakesFromALongPauseActsOnNothingOlder() throws AgreementException {
-    FleetModel fleet = begun(4);
+    SimulatedAgreement fleet = begun(4);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
     propose(fleet, "c2");
     while (fleet.seats.get(1).kept.next() == null) {
-      fleet.run(FleetModel.MILLI);
+      fleet.run(SimulatedAgreement.MILLI);
     }
     fleet.seats.get(1).pausedUntil = fleet.agenda.now() + 20 * LEASE;
-    fleet.run(20 * LEASE - FleetModel.MILLI);
+    fleet.run(20 * LEASE - SimulatedAgreement.MILLI);
     assertEquals(2, fleet.inForce.size());
     fleet.run(2 * LEASE);
     clean(fleet);
@@ -164,7 +166,7 @@
   @Test
   void aRouterThatDiesAfterItsYesIsWaitedForUntilItIsBackOrDeclaredLost()
       throws AgreementException {
-    FleetModel fleet = begun(3);
+    SimulatedAgreement fleet = begun(3);
     fleet.seats.get(2).die();
     propose(fleet, "c1");
     assertEquals(
@@ -188,7 +190,7 @@
 
   @Test
   void aStartWithoutAStoreIsOnWhatWasKeptOrRepeatsNothing() throws AgreementException {
-    FleetModel fleet = begun(3);
+    SimulatedAgreement fleet = begun(3);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
     for (int i : new int[] {0, 1}) {
       fleet.seats.get(i).die();
@@ -211,9 +213,9 @@
    */
   @Test
   void whoLeftAsPlannedDoesNotStartOnWhatItKept() throws AgreementException {
-    FleetModel fleet = begun(3);
+    SimulatedAgreement fleet = begun(3);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
-    FleetModel.Seat seat = fleet.seats.get(1);
+    SimulatedAgreement.SimulatedMember seat = fleet.seats.get(1);
     seat.member.leave().forEach(fleet::serve);
     seat.die();
     assertTrue(fleet.settles(propose(fleet, "c2"), 10 * SECOND));
@@ -233,13 +235,13 @@
    */
   @Test
   void aStartHoldsOutWhatWasKeptUntilItHasAsked() throws AgreementException {
-    FleetModel fleet = begun(3);
+    SimulatedAgreement fleet = begun(3);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
     fleet.seats.get(2).cut = true;
     propose(fleet, "c2");
-    FleetModel.Seat seat = fleet.seats.get(1);
+    SimulatedAgreement.SimulatedMember seat = fleet.seats.get(1);
     while (seat.kept.next() == null) {
-      fleet.run(FleetModel.MILLI);
+      fleet.run(SimulatedAgreement.MILLI);
     }
     seat.die();
     seat.start();
@@ -255,7 +257,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"empty", "older"})
   void nobodyFollowsAReplacedStore(String how) throws AgreementException {
-    FleetModel fleet = begun(3);
+    SimulatedAgreement fleet = begun(3);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
     assertTrue(fleet.settles(propose(fleet, "c2"), 10 * SECOND));
     if (how.equals("empty")) {
@@ -277,11 +279,11 @@
    */
   @Test
   void aStoreThatForgetsWhatCameIntoForceIsFollowedByNobody() throws AgreementException {
-    FleetModel fleet = begun(5);
+    SimulatedAgreement fleet = begun(5);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
     propose(fleet, "c2");
     while (fleet.inForce.size() < 2) {
-      fleet.run(FleetModel.MILLI);
+      fleet.run(SimulatedAgreement.MILLI);
     }
     fleet.store.rewind(1);
     fleet.run(20 * LEASE);
@@ -296,11 +298,11 @@
 
   @Test
   void anOfficeThatDiesIsTakenByAnother() throws AgreementException {
-    FleetModel fleet = begun(4);
+    SimulatedAgreement fleet = begun(4);
     propose(fleet, "c1");
     String holder = "";
     while (holder.isEmpty()) {
-      fleet.run(FleetModel.MILLI);
+      fleet.run(SimulatedAgreement.MILLI);
       holder = fleet.desk().view().seen().office();
     }
     int dead = Integer.parseInt(holder.substring(1, holder.indexOf('.')));
@@ -314,17 +316,18 @@
   /**
    * Faults by chance, and at the end all is well again: no offence, and the fleet can still agree.
    */
-  private static FleetModel storm(long seed, boolean planted) throws AgreementException {
-    FleetModel fleet = new FleetModel(seed, 5);
+  private static SimulatedAgreement storm(long seed, boolean planted) throws AgreementException {
+    SimulatedAgreement fleet = new SimulatedAgreement(seed, 5);
     fleet.begin();
     fleet.seats.get(0).ignoresLease = planted;
     Random random = new Random(seed);
     for (int i = 0; i < 60; i++) {
-      FleetModel.Seat seat = fleet.seats.get(random.nextInt(5));
+      SimulatedAgreement.SimulatedMember seat = fleet.seats.get(random.nextInt(5));
       switch (random.nextInt(8)) {
         case 0 -> seat.cut = !seat.cut;
         case 1 -> seat.oneWay = !seat.oneWay;
-        case 2 -> seat.pausedUntil = fleet.agenda.now() + random.nextInt(6000) * FleetModel.MILLI;
+        case 2 ->
+            seat.pausedUntil = fleet.agenda.now() + random.nextInt(6000) * SimulatedAgreement.MILLI;
         case 3 -> {
           seat.die();
           seat.start();
@@ -332,7 +335,7 @@
         case 4 -> fleet.store.freeze(random.nextBoolean());
         default -> proposeAny(fleet, random);
       }
-      fleet.run(random.nextInt(3000) * FleetModel.MILLI);
+      fleet.run(random.nextInt(3000) * SimulatedAgreement.MILLI);
     }
     fleet.store.freeze(false);
     fleet.seats.forEach(
@@ -344,10 +347,10 @@
     return fleet;
   }
 
-  private static void proposeAny(FleetModel fleet, Random random) {
+  private static void proposeAny(SimulatedAgreement fleet, Random random) {
     try {
       fleet.loseNext = random.nextInt(2);
-      Content content = SafeGroundTest.any(random);
+      ConfigContent content = StrictestCommonConfigTest.any(random);
       fleet.desk().propose(now -> content, "op", "why", 0);
     } catch (AgreementException e) {
       // Somebody is still waited for, as it should be.
@@ -359,9 +362,9 @@
   void inAnyStormNobodyActsAgainstWhatIsInForceBeyondTheStatedTime() throws AgreementException {
     long versions = 0;
     for (long seed = 1; seed <= Long.getLong("storms", 60); seed++) {
-      FleetModel fleet = storm(seed, false);
+      SimulatedAgreement fleet = storm(seed, false);
       assertEquals(List.of(), fleet.offences, "seed " + seed);
-      Snapshot seen = fleet.desk().view().seen();
+      AgreementSnapshot seen = fleet.desk().view().seen();
       assertFalse(seen.open(), () -> "still open: " + seen);
       assertNull(seen.next());
       versions += fleet.inForce.size();
--- a/src/test/java/beaconturn/agreement/EjectionsTest.java
+++ b/src/test/java/beaconturn/agreement/LastingEjectionsTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class EjectionsTest {
+class LastingEjectionsTest {
   private static final long SECOND = 1_000_000_000;
-  private final Ejections ejections = new Ejections();
+  private final LastingEjections ejections = new LastingEjections();
 
   /** Ejected, back after a trial, and ejected again: each counts from its own begin. */
   @Test
--- a/src/test/java/beaconturn/agreement/FleetModel.java
+++ b/src/test/java/beaconturn/agreement/SimulatedAgreement.java
@@ -1,6 +1,6 @@
 package beaconturn.agreement;
 
-import beaconturn.standin.Agenda;
+import beaconturn.standin.EventScheduler;
 import beaconturn.standin.store.StoreModel;
 import java.util.ArrayList;
 import java.util.List;
@@ -11,15 +11,15 @@
  * processes stand still, die and come again, and each clock runs at its own pace. Everybody acts
  * all the time, and each act is checked against what was in force.
  */
-final class FleetModel {
+final class SimulatedAgreement {
   static final long MILLI = 1_000_000;
   static final long SECOND = 1000 * MILLI;
-  static final Timing TIMING = new Timing(2 * SECOND, 0.02, 50 * MILLI);
-  static final Content BASE = SafeGroundTest.any(new Random(99));
-  private static final Keys KEYS = new Keys("/fleet");
+  static final AgreementTiming TIMING = new AgreementTiming(2 * SECOND, 0.02, 50 * MILLI);
+  static final ConfigContent BASE = StrictestCommonConfigTest.any(new Random(99));
+  private static final AgreementKeys KEYS = new AgreementKeys("/fleet");
   private static final long ACT_EVERY = 20 * MILLI;
-  final Agenda agenda = new Agenda(0);
-  final List<Seat> seats = new ArrayList<>();
+  final EventScheduler agenda = new EventScheduler(0);
+  final List<SimulatedMember> seats = new ArrayList<>();
   final List<String> offences = new ArrayList<>();
   final List<InForce> inForce = new ArrayList<>();
   final Random random;
@@ -27,10 +27,10 @@
   long acts;
   int loseNext;
 
-  record InForce(long at, Version version) {}
+  record InForce(long at, ConfigVersion version) {}
 
   /** One router: what stands between it and the store, and the process that lives at the moment. */
-  final class Seat implements Member.Router {
+  final class SimulatedMember implements AgreementMember.Router {
     final String name;
     final double pace;
     boolean cut;
@@ -39,12 +39,12 @@
     boolean keeps = true;
     long list = Long.MAX_VALUE;
     long pausedUntil;
-    Kept kept = Kept.NOTHING;
-    Member member;
-    Ground ground;
+    PersistedConfig kept = PersistedConfig.NOTHING;
+    AgreementMember member;
+    EffectiveConfig ground;
     int life;
 
-    private Seat(String name, double pace) {
+    private SimulatedMember(String name, double pace) {
       this.name = name;
       this.pace = pace;
     }
@@ -57,14 +57,14 @@
     void start() {
       int born = ++life;
       member =
-          new Member(
+          new AgreementMember(
               KEYS,
               TIMING,
               name,
               name + "." + born,
               false,
               BASE,
-              keeps ? kept : Kept.NOTHING,
+              keeps ? kept : PersistedConfig.NOTHING,
               random.nextLong(),
               now(),
               this,
@@ -86,7 +86,7 @@
         agenda.at(pausedUntil, () -> step(born));
         return;
       }
-      Call call = member.next(now());
+      StoreRequest call = member.next(now());
       if (call == null) {
         long wait = (long) ((member.wakeAt() - now()) / pace);
         agenda.in(Math.max(MILLI, wait), () -> step(born));
@@ -98,17 +98,19 @@
       agenda.in(
           way,
           () -> {
-            Answer answer = hears ? serve(call) : null;
+            StoreResponse answer = hears ? serve(call) : null;
             agenda.in(
                 told ? way : TIMING.callTimeout() - way,
                 () ->
                     heard(
                         born,
-                        told && !cut && !oneWay ? answer : new Answer.Failed("no answer in time")));
+                        told && !cut && !oneWay
+                            ? answer
+                            : new StoreResponse.Failed("no answer in time")));
           });
     }
 
-    private void heard(int born, Answer answer) {
+    private void heard(int born, StoreResponse answer) {
       if (born != life) {
         return;
       }
@@ -128,28 +130,28 @@
     }
 
     @Override
-    public void ground(Ground next) {
+    public void ground(EffectiveConfig next) {
       ground = next;
     }
 
     @Override
-    public boolean keep(Kept next) {
+    public boolean keep(PersistedConfig next) {
       kept = next;
       return true;
     }
 
     @Override
-    public boolean ready(Content content) {
+    public boolean ready(ConfigContent content) {
       return list >= content.oldestList();
     }
 
     @Override
-    public String objection(Content content) {
+    public String objection(ConfigContent content) {
       return content.out().containsAll(List.of("c1", "c2", "c3")) ? "too few are left" : null;
     }
   }
 
-  FleetModel(long seed, int routers) {
+  SimulatedAgreement(long seed, int routers) {
     this.random = new Random(seed);
     this.store =
         new StoreModel(
@@ -161,35 +163,35 @@
               }
             });
     for (int i = 0; i < routers; i++) {
-      seats.add(new Seat("r" + i, 1 + (random.nextDouble() - 0.5) * TIMING.drift()));
+      seats.add(new SimulatedMember("r" + i, 1 + (random.nextDouble() - 0.5) * TIMING.drift()));
     }
     agenda.in(0, this::acting);
   }
 
   private void cameIntoForce(String text) {
     try {
-      inForce.add(new InForce(agenda.now(), Texts.version(text)));
+      inForce.add(new InForce(agenda.now(), ConfigCodec.version(text)));
     } catch (AgreementException e) {
       throw new IllegalStateException(e);
     }
   }
 
   private void acting() {
-    seats.forEach(Seat::act);
+    seats.forEach(SimulatedMember::act);
     agenda.in(ACT_EVERY, this::acting);
   }
 
   /**
    * What is acted on must be allowed by a version that is in force, or was within the stated time.
    */
-  private void check(Seat seat, Content acting) {
+  private void check(SimulatedMember seat, ConfigContent acting) {
     boolean allowed =
         inForce.isEmpty()
             || agenda.now() - inForce.get(0).at() <= TIMING.stated()
-                && Contradiction.breaks(acting, Content.UNSAID.over(BASE)).isEmpty();
+                && ConfigConflicts.breaks(acting, ConfigContent.UNSAID.over(BASE)).isEmpty();
     List<String> breaks = List.of();
     for (int i = inForce.size() - 1; i >= 0 && !allowed; i--) {
-      breaks = Contradiction.breaks(acting, inForce.get(i).version().content().over(BASE));
+      breaks = ConfigConflicts.breaks(acting, inForce.get(i).version().content().over(BASE));
       allowed = breaks.isEmpty();
       if (agenda.now() - inForce.get(i).at() > TIMING.stated()) {
         break;
@@ -208,25 +210,28 @@
   }
 
   /** Who does not know what is in force holds out what it knew to be out; it repeats nothing. */
-  private static boolean strict(List<String> breaks, Content acting) {
+  private static boolean strict(List<String> breaks, ConfigContent acting) {
     return acting.mostTries() == 1
         && !acting.secondCopies()
-        && acting.classes().values().stream().allMatch(rule -> rule.effect() == Effect.UNSAFE)
+        && acting.classes().values().stream()
+            .allMatch(rule -> rule.effect() == ClassIdempotency.UNSAFE)
         && breaks.stream().allMatch(f -> f.startsWith("out.") || f.equals("oldest_list"));
   }
 
   /** What operators see, at once; the answer to a swap may be lost. */
-  Desk desk() {
-    return new Desk(
+  ConfigAdmin desk() {
+    return new ConfigAdmin(
         KEYS,
         call -> {
-          Answer answer = serve(call);
-          return call instanceof Call.Swap && loseNext-- > 0 ? new Answer.Failed("lost") : answer;
+          StoreResponse answer = serve(call);
+          return call instanceof StoreRequest.Swap && loseNext-- > 0
+              ? new StoreResponse.Failed("lost")
+              : answer;
         });
   }
 
-  Answer serve(Call call) {
-    return Served.of(store, call);
+  StoreResponse serve(StoreRequest call) {
+    return StoreModelClient.of(store, call);
   }
 
   void run(long time) {
@@ -236,7 +241,7 @@
   /** Begins the agreement and has all routers join. */
   void begin() throws AgreementException {
     desk().begin("first");
-    seats.forEach(Seat::start);
+    seats.forEach(SimulatedMember::start);
     run(5 * SECOND);
   }
 
--- a/src/test/java/beaconturn/agreement/SafeGroundTest.java
+++ b/src/test/java/beaconturn/agreement/StrictestCommonConfigTest.java
@@ -11,17 +11,17 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-class SafeGroundTest {
+class StrictestCommonConfigTest {
   private static final int PAIRS = 20_000;
 
   /** Any whole content over two classes and four servers. */
-  static Content any(Random random) {
+  static ConfigContent any(Random random) {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
     for (String name : List.of("read", "write")) {
       classes.put(
           name,
           new ClassRule(
-              Effect.values()[random.nextInt(3)],
+              ClassIdempotency.values()[random.nextInt(3)],
               1_000_000L * random.nextInt(4),
               1_000_000L * random.nextInt(4)));
     }
@@ -31,7 +31,7 @@
         out.add(server);
       }
     }
-    return new Content(
+    return new ConfigContent(
         classes, 1 + random.nextInt(4), random.nextBoolean(), random.nextInt(3), out);
   }
 
@@ -40,15 +40,16 @@
     Random random = new Random(1);
     int contradicting = 0;
     for (int i = 0; i < PAIRS; i++) {
-      Content one = any(random);
-      Content other = any(random);
-      Content between = SafeGround.between(one, other);
-      assertEquals(List.of(), Contradiction.breaks(between, one), () -> between + " under " + one);
+      ConfigContent one = any(random);
+      ConfigContent other = any(random);
+      ConfigContent between = StrictestCommonConfig.between(one, other);
       assertEquals(
-          List.of(), Contradiction.breaks(between, other), () -> between + " under " + other);
-      assertEquals(between, SafeGround.between(other, one));
-      assertEquals(one, SafeGround.between(one, one));
-      contradicting += Contradiction.between(one, other).isEmpty() ? 0 : 1;
+          List.of(), ConfigConflicts.breaks(between, one), () -> between + " under " + one);
+      assertEquals(
+          List.of(), ConfigConflicts.breaks(between, other), () -> between + " under " + other);
+      assertEquals(between, StrictestCommonConfig.between(other, one));
+      assertEquals(one, StrictestCommonConfig.between(one, one));
+      contradicting += ConfigConflicts.between(one, other).isEmpty() ? 0 : 1;
     }
     assertTrue(contradicting > PAIRS / 2, "few of the pairs contradict: " + contradicting);
   }
@@ -58,8 +59,8 @@
   void strictGroundRepeatsNothingWhateverIsInForce() {
     Random random = new Random(2);
     for (int i = 0; i < PAIRS; i++) {
-      Content rule = any(random);
-      for (String field : Contradiction.breaks(SafeGround.strict(any(random)), rule)) {
+      ConfigContent rule = any(random);
+      for (String field : ConfigConflicts.breaks(StrictestCommonConfig.strict(any(random)), rule)) {
         assertTrue(field.startsWith("out.") || field.equals("oldest_list"), field);
       }
     }
@@ -69,18 +70,19 @@
   void aVersionIsReadAsItWasWrittenAndNothingElseIsTaken() throws AgreementException {
     Random random = new Random(3);
     for (int i = 0; i < 500; i++) {
-      Version version = Version.of(1 + i, any(random), "who", "why \"so\"", 1_700_000_000_000L);
-      String text = Texts.of(version);
-      assertEquals(version, Texts.version(text));
+      ConfigVersion version =
+          ConfigVersion.of(1 + i, any(random), "who", "why \"so\"", 1_700_000_000_000L);
+      String text = ConfigCodec.of(version);
+      assertEquals(version, ConfigCodec.version(text));
       String spoilt = text.replace("\"number\":" + (1 + i), "\"number\":" + (2 + i));
       assertFalse(spoilt.equals(text));
-      assertThrows(AgreementException.class, () -> Texts.version(spoilt));
+      assertThrows(AgreementException.class, () -> ConfigCodec.version(spoilt));
     }
     String newer =
-        Texts.of(Version.of(1, Content.UNSAID, "a", "b", 0))
+        ConfigCodec.of(ConfigVersion.of(1, ConfigContent.UNSAID, "a", "b", 0))
             .replace("\"content\":{}", "\"content\":{\"most_hops\":3}");
     assertEquals(
         "content: this build does not know 'most_hops'",
-        assertThrows(AgreementException.class, () -> Texts.version(newer)).getMessage());
+        assertThrows(AgreementException.class, () -> ConfigCodec.version(newer)).getMessage());
   }
 }
--- a/src/test/java/beaconturn/cli/PartFiguresTest.java
+++ b/src/test/java/beaconturn/cli/InstanceMetricsReaderTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import beaconturn.net.control.ControlAddress;
-import beaconturn.net.control.Hand;
-import beaconturn.net.control.HandFile;
-import beaconturn.net.control.Office;
-import beaconturn.release.Figure;
-import beaconturn.release.Sample;
+import beaconturn.net.control.AdminOperations;
+import beaconturn.net.control.AdminServer;
+import beaconturn.net.control.ServerOverride;
+import beaconturn.net.control.ServerOverrideFile;
+import beaconturn.release.InstanceMetrics;
+import beaconturn.release.InstanceSample;
 import beaconturn.stats.Counters;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -21,7 +21,7 @@
 
 /** What agents make of second addresses, which show what the test has them show. */
 @Timeout(30)
-class PartFiguresTest {
+class InstanceMetricsReaderTest {
   private final AtomicReference<String> stat = new AtomicReference<>("");
   private final AtomicReference<String> health = new AtomicReference<>("");
 
@@ -35,11 +35,11 @@
             .toList();
   }
 
-  private ControlAddress router(AtomicReference<String> healthOf) throws IOException {
-    ControlAddress opened =
-        new ControlAddress(
+  private AdminServer router(AtomicReference<String> healthOf) throws IOException {
+    AdminServer opened =
+        new AdminServer(
             new InetSocketAddress("127.0.0.1", 0),
-            new Office() {
+            new AdminOperations() {
               @Override
               public String notReady() {
                 return null;
@@ -51,17 +51,17 @@
               }
 
               @Override
-              public void hand(Hand hand, boolean told, Consumer<Boolean> known) {
+              public void hand(ServerOverride hand, boolean told, Consumer<Boolean> known) {
                 known.accept(false);
               }
             },
             new Counters() {
               @Override
-              public List<Figure> read() {
+              public List<Counters.Figure> read() {
                 return figures(stat.get());
               }
             },
-            new HandFile(null, false),
+            new ServerOverrideFile(null, false),
             System::nanoTime);
     Thread thread = new Thread(opened, "router");
     thread.setDaemon(true);
@@ -69,42 +69,42 @@
     return opened;
   }
 
-  private static String at(ControlAddress router) {
+  private static String at(AdminServer router) {
     return "127.0.0.1:" + router.address().getPort();
   }
 
-  private static long of(Sample sample, Figure figure) {
+  private static long of(InstanceSample sample, InstanceMetrics figure) {
     return sample.figures().getOrDefault(figure, 0L);
   }
 
   @Test
   void aRoutersFiguresGrowUntilItsProcessIsAnother() throws IOException {
-    ControlAddress router = router(health);
+    AdminServer router = router(health);
     try {
-      PartFigures figures = new PartFigures("r1", false, List.of(at(router)));
+      InstanceMetricsReader figures = new InstanceMetricsReader("r1", false, List.of(at(router)));
       stat.set(
           "answered.a=10 answered.b.c=5 deferred.a=1 errored.a=2 cluster_size=4"
               + " cluster_unhealthy=1");
       health.set("late=3 memory_kb=500 cpu_ms=100 connections=7");
-      Sample first = figures.ask();
-      assertEquals(15, of(first, Figure.GOOD));
-      assertEquals(3, of(first, Figure.BAD));
-      assertEquals(3, of(first, Figure.LATE));
-      assertEquals(7, of(first, Figure.CONNECTIONS));
-      Sample second = figures.ask();
+      InstanceSample first = figures.ask();
+      assertEquals(15, of(first, InstanceMetrics.GOOD));
+      assertEquals(3, of(first, InstanceMetrics.BAD));
+      assertEquals(3, of(first, InstanceMetrics.LATE));
+      assertEquals(7, of(first, InstanceMetrics.CONNECTIONS));
+      InstanceSample second = figures.ask();
       assertEquals(first.process(), second.process());
-      assertEquals(2, of(second, Figure.READINGS));
-      assertEquals(500_000, of(second, Figure.AVOIDED), "a quarter, twice");
-      assertEquals(1000, of(second, Figure.MEMORY));
+      assertEquals(2, of(second, InstanceMetrics.READINGS));
+      assertEquals(500_000, of(second, InstanceMetrics.AVOIDED), "a quarter, twice");
+      assertEquals(1000, of(second, InstanceMetrics.MEMORY));
       // As many answers as before, and less processor time: it was restarted.
       health.set("late=0 memory_kb=400 cpu_ms=50");
-      Sample third = figures.ask();
-      assertEquals(1, of(third, Figure.READINGS));
-      assertEquals(400, of(third, Figure.MEMORY));
+      InstanceSample third = figures.ask();
+      assertEquals(1, of(third, InstanceMetrics.READINGS));
+      assertEquals(400, of(third, InstanceMetrics.MEMORY));
       assertEquals(false, third.process().equals(second.process()));
       // A router that knows no such call, as it does not agree.
       health.set(null);
-      assertEquals(15, of(figures.ask(), Figure.GOOD));
+      assertEquals(15, of(figures.ask(), InstanceMetrics.GOOD));
     } finally {
       router.close();
     }
@@ -113,32 +113,34 @@
   @Test
   void aCacheServerIsWhatTheRoutersMakeOfItInSum() throws IOException {
     AtomicReference<String> other = new AtomicReference<>("");
-    ControlAddress router = router(health);
-    ControlAddress gone = router(other);
+    AdminServer router = router(health);
+    AdminServer gone = router(other);
     String noMore = at(gone);
     try {
-      PartFigures figures = new PartFigures("c.1", true, List.of(at(router), at(gone)));
+      InstanceMetricsReader figures =
+          new InstanceMetricsReader("c.1", true, List.of(at(router), at(gone)));
       health.set("cache_good.c.1=100 cache_bad.c.1=3 cache_good.c.10=9");
       other.set("cache_good.c.1=50");
-      assertEquals(0, of(figures.ask(), Figure.GOOD), "counted from when it was first asked");
+      assertEquals(
+          0, of(figures.ask(), InstanceMetrics.GOOD), "counted from when it was first asked");
       health.set("cache_good.c.1=110 cache_bad.c.1=5");
       other.set("cache_good.c.1=8");
-      Sample grown = figures.ask();
-      assertEquals(10 + 8, of(grown, Figure.GOOD), "the other router was restarted");
-      assertEquals(2, of(grown, Figure.BAD));
+      InstanceSample grown = figures.ask();
+      assertEquals(10 + 8, of(grown, InstanceMetrics.GOOD), "the other router was restarted");
+      assertEquals(2, of(grown, InstanceMetrics.BAD));
       gone.close();
       awaitEnd(noMore);
       health.set("cache_good.c.1=111 cache_bad.c.1=5");
-      assertEquals(19, of(figures.ask(), Figure.GOOD));
+      assertEquals(19, of(figures.ask(), InstanceMetrics.GOOD));
     } finally {
       router.close();
     }
-    PartFigures nobody = new PartFigures("c.1", true, List.of(noMore));
+    InstanceMetricsReader nobody = new InstanceMetricsReader("c.1", true, List.of(noMore));
     assertThrows(IOException.class, nobody::ask);
   }
 
   private static void awaitEnd(String address) {
-    PartFigures probe = new PartFigures("r1", false, List.of(address));
+    InstanceMetricsReader probe = new InstanceMetricsReader("r1", false, List.of(address));
     try {
       while (true) {
         probe.ask();
--- a/src/test/java/beaconturn/cli/PlantedAgent.java
+++ b/src/test/java/beaconturn/cli/PlantedAgent.java
@@ -1,8 +1,8 @@
 package beaconturn.cli;
 
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Desk;
+import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
 import java.util.List;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
@@ -21,11 +21,11 @@
   private PlantedAgent() {}
 
   /** What is wrong with it. */
-  public enum Defect implements UnaryOperator<Desk.Store> {
+  public enum Defect implements UnaryOperator<ConfigAdmin.Store> {
     /** Whoever drives sees no permit of anybody, and takes places without counting them. */
     IGNORES_NUMBERS {
       @Override
-      Answer ask(Desk.Store store, Call call) {
+      StoreResponse ask(ConfigAdmin.Store store, StoreRequest call) {
         return read(
             store.ask(call), pairs -> pairs.filter(p -> !p.key().contains("/release/permit/")));
       }
@@ -33,15 +33,15 @@
     /** Acts on its part as soon as there is a release, whatever stands there. */
     ACTS_WITHOUT_PERMIT {
       @Override
-      Answer ask(Desk.Store store, Call call) {
-        if (call instanceof Call.Swap swap
+      StoreResponse ask(ConfigAdmin.Store store, StoreRequest call) {
+        if (call instanceof StoreRequest.Swap swap
             && swap.changes().stream()
                 .anyMatch(
                     c ->
-                        c instanceof Call.Change.Put put
+                        c instanceof StoreRequest.Change.Put put
                             && put.key().contains(STEP)
                             && put.value().contains("\"begun\""))) {
-          return new Answer.Given(true, "", 0, List.of(), 0, 0);
+          return new StoreResponse.Given(true, "", 0, List.of(), 0, 0);
         }
         return read(
             store.ask(call),
@@ -56,13 +56,13 @@
     /** Whatever the others answer, a part stands its check. */
     COMPARES_WITH_NOTHING {
       @Override
-      Answer ask(Desk.Store store, Call call) {
+      StoreResponse ask(ConfigAdmin.Store store, StoreRequest call) {
         return read(
             store.ask(call),
             pairs ->
                 pairs.map(
                     p ->
-                        new Answer.Pair(
+                        new StoreResponse.Pair(
                             p.key(),
                             p.value().replaceAll("\":\"[0-9]+\\.[0-9]+\"", "\":\"1000.0\""),
                             p.made(),
@@ -74,8 +74,8 @@
     private static String part;
 
     /** A step that nobody has granted. */
-    private static Answer.Pair granted(String agentsKey) {
-      return new Answer.Pair(
+    private static StoreResponse.Pair granted(String agentsKey) {
+      return new StoreResponse.Pair(
           agentsKey.replace("/agent/", "/step/"),
           "{\"id\":\""
               + part
@@ -87,17 +87,18 @@
           0);
     }
 
-    abstract Answer ask(Desk.Store store, Call call);
+    abstract StoreResponse ask(ConfigAdmin.Store store, StoreRequest call);
 
     @Override
-    public Desk.Store apply(Desk.Store store) {
+    public ConfigAdmin.Store apply(ConfigAdmin.Store store) {
       return call -> ask(store, call);
     }
 
-    private static Answer read(Answer answer, UnaryOperator<Stream<Answer.Pair>> spoilt) {
-      return !(answer instanceof Answer.Given g)
+    private static StoreResponse read(
+        StoreResponse answer, UnaryOperator<Stream<StoreResponse.Pair>> spoilt) {
+      return !(answer instanceof StoreResponse.Given g)
           ? answer
-          : new Answer.Given(
+          : new StoreResponse.Given(
               g.held(),
               g.cluster(),
               g.revision(),
@@ -112,12 +113,12 @@
     Defect defect = Defect.valueOf(args[0]);
     Defect.part = args[PART];
     System.exit(
-        new AgentRun(
+        new AgentRunner(
                 args[FEATURES],
                 args[PART],
                 args[APPLY],
                 args.length > FIGURES
-                    ? new PartFigures(args[PART], false, List.of(args[FIGURES]))
+                    ? new InstanceMetricsReader(args[PART], false, List.of(args[FIGURES]))
                     : null,
                 defect)
             .run());
--- a/src/test/java/beaconturn/cli/ReleaseFilesTest.java
+++ b/src/test/java/beaconturn/cli/ReleaseFilesTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.net.ConfigException;
-import beaconturn.release.Fleet;
-import beaconturn.release.Kind;
-import beaconturn.release.Plan;
+import beaconturn.release.InstanceKind;
+import beaconturn.release.ReleaseFleet;
+import beaconturn.release.RolloutPlan;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -23,11 +23,11 @@
 
   @Test
   void theShippedFilesMakeARelease() throws ConfigException {
-    Fleet fleet = ReleaseFiles.fleet("examples/releases/fleet.toml");
-    assertEquals(2, fleet.group(Kind.ROUTER).mostOut());
-    assertEquals(1, fleet.group(Kind.CACHE).mostOut(), "a quarter of four");
-    assertEquals("west", fleet.group(Kind.ROUTER).siteOf("r4"));
-    Plan plan = ReleaseFiles.plan("examples/releases/plan.toml", "why", fleet);
+    ReleaseFleet fleet = ReleaseFiles.fleet("examples/releases/fleet.toml");
+    assertEquals(2, fleet.group(InstanceKind.ROUTER).mostOut());
+    assertEquals(1, fleet.group(InstanceKind.CACHE).mostOut(), "a quarter of four");
+    assertEquals("west", fleet.group(InstanceKind.ROUTER).siteOf("r4"));
+    RolloutPlan plan = ReleaseFiles.plan("examples/releases/plan.toml", "why", fleet);
     assertNull(plan.objection(fleet));
     assertEquals(
         List.of(List.of("r1"), List.of("r2"), List.of("r3"), List.of("r4", "r5")), plan.waves());
--- a/src/test/java/beaconturn/cli/ServeLoadsNothingElseTest.java
+++ b/src/test/java/beaconturn/cli/ServeLoadsNothingElseTest.java
@@ -4,6 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import beaconturn.net.FleetConfigSource;
+import beaconturn.net.OperatorOverrides;
+import beaconturn.stats.Counters;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -24,19 +27,19 @@
   private static final List<String> OFF =
       List.of(
           "beaconturn.standin.",
-          "beaconturn.ledger.",
+          "beaconturn.history.",
           "beaconturn.rehearsal.",
           "beaconturn.toml.",
           "beaconturn.agreement.",
           "beaconturn.release.",
           "beaconturn.net.agreement.",
-          "beaconturn.net.Agreed",
+          FleetConfigSource.class.getName(),
           "com.fasterxml.",
           "org.apache.commons.",
           "org.HdrHistogram.",
           "beaconturn.net.control.",
-          "beaconturn.net.Operators",
-          "beaconturn.stats.Counters",
+          OperatorOverrides.class.getName(),
+          Counters.class.getName(),
           " java.util.Formatter ");
   @TempDir private Path folder;
 
--- a/src/test/java/beaconturn/core/SpellTest.java
+++ b/src/test/java/beaconturn/core/RepeatedEventLogTest.java
@@ -9,13 +9,13 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
 
-class SpellTest {
+class RepeatedEventLogTest {
   private static final long SECOND = 1_000_000_000;
   private final List<String> lines = new ArrayList<>();
   private final Logger log = Logger.getAnonymousLogger();
-  private final Spell spell = new Spell(log, "it rains", 3);
+  private final RepeatedEventLog spell = new RepeatedEventLog(log, "it rains", 3);
 
-  SpellTest() {
+  RepeatedEventLogTest() {
     log.setUseParentHandlers(false);
     log.addHandler(
         new Handler() {
