--- a/src/test/java/beaconturn/core/SettingsReaderTest.java
+++ b/src/test/java/beaconturn/core/RouterSettingsReaderTest.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class SettingsReaderTest {
+class RouterSettingsReaderTest {
   @Test
   void readsWhatTheModuleAndTheWireNeed() {
-    Settings settings = Samples.read();
+    RouterSettings settings = Samples.read();
     assertEquals(List.of("read", "put", "ack"), settings.classNames());
     assertEquals(List.of("east", "west"), settings.zones());
     assertEquals(5_000_000_000L, settings.routing().permissions().connIdle());
@@ -57,7 +57,7 @@
       values.remove(path);
     }
     String message =
-        assertThrows(SettingsException.class, () -> SettingsReader.read(values)).getMessage();
+        assertThrows(SettingsException.class, () -> RouterSettingsReader.read(values)).getMessage();
     assertEquals("setting " + path, message.substring(0, message.indexOf(':')));
   }
 }
--- a/src/test/java/beaconturn/core/ModuleHostTest.java
+++ b/src/test/java/beaconturn/core/RoutingEngineTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /** The host between module and sockets, with a module that does what the test says. */
-class ModuleHostTest {
+class RoutingEngineTest {
   private static final long MILLI = 1_000_000;
   private static final long SERVER = 7;
   private final Routing.Settings settings = Samples.read().routing();
@@ -29,8 +29,8 @@
   private Consumer<Routing.Event> module = e -> {};
   private Routing.Actions actions;
   private long now = 1000 * MILLI;
-  private final ModuleHost host =
-      new ModuleHost(
+  private final RoutingEngine host =
+      new RoutingEngine(
           settings,
           () -> now,
           fleet,
@@ -57,20 +57,20 @@
     return arrive(host);
   }
 
-  private FakeCall arrive(ModuleHost at) {
+  private FakeCall arrive(RoutingEngine at) {
     FakeCall call = new FakeCall(now + 400 * MILLI);
-    at.handle(new Message.Arrived(call));
+    at.handle(new RoutingMessage.Arrived(call));
     return call;
   }
 
-  private Attempt last() {
+  private OutboundAttempt last() {
     return fleet.sent.get(fleet.sent.size() - 1);
   }
 
   /** A host of the real module, which knows this many servers. */
-  private ModuleHost real(int servers) {
+  private RoutingEngine real(int servers) {
     mayWatch = 1;
-    ModuleHost real = new ModuleHost(settings, 5, () -> now, fleet, new NoList());
+    RoutingEngine real = new RoutingEngine(settings, 5, () -> now, fleet, new NoList());
     list(
         real,
         Routing.ListKind.FULL,
@@ -80,27 +80,29 @@
   }
 
   private static void list(
-      ModuleHost to, Routing.ListKind kind, Routing.Health health, long... servers) {
+      RoutingEngine to, Routing.ListKind kind, Routing.Health health, long... servers) {
     to.handle(
-        new Message.News(
-            new ListNews(
+        new RoutingMessage.News(
+            new EndpointUpdate(
                 1,
                 kind,
                 LongStream.of(servers)
                     .mapToObj(
                         id ->
-                            new ListNews.Member(
+                            new EndpointUpdate.Member(
                                 new Routing.ServerEntry(id, 0, 0, 0, health, 1, 0), "", ""))
                     .toList())));
   }
 
-  private static void switchSettings(ModuleHost of) {
+  private static void switchSettings(RoutingEngine of) {
     of.handle(
-        new Message.Switched(Samples.read("permissions.second_copies", "false").routing(), 6));
+        new RoutingMessage.Switched(
+            Samples.read("permissions.second_copies", "false").routing(), 6));
   }
 
-  private Outcome ok(String answer) {
-    return new Outcome(Routing.Ending.OK, now, Routing.Note.HIT, new float[0], Slice.of(answer));
+  private AttemptResult ok(String answer) {
+    return new AttemptResult(
+        Routing.Ending.OK, now, Routing.Note.HIT, new float[0], Slice.of(answer));
   }
 
   private Routing.AttemptClosed lastClosed() {
@@ -112,7 +114,7 @@
     sending(0);
     FakeCall call = arrive();
     now += 30 * MILLI;
-    host.handle(new Message.Ended(fleet.sent.get(0), ok("value")));
+    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("value")));
     assertEquals(List.of("served value"), call.answers);
     assertEquals(30 * MILLI, lastClosed().elapsed());
     assertTrue(lastClosed().closed());
@@ -124,7 +126,7 @@
   void whatIsOpenAtTheEndIsAnsweredAndCalledOff() {
     sending(0);
     FakeCall open = arrive();
-    host.handle(new Message.Stopping());
+    host.handle(new RoutingMessage.Stopping());
     assertEquals(List.of("failed"), open.answers);
     assertEquals(0, host.open());
     assertTrue(events.get(events.size() - 1) instanceof Routing.Withdrawn);
@@ -142,7 +144,7 @@
     sending(0);
     FakeCall late = new FakeCall(now + 400 * MILLI);
     late.settings = Samples.read("classes.0.effect", "non_idempotent").routing();
-    host.handle(new Message.Arrived(late));
+    host.handle(new RoutingMessage.Arrived(late));
     assertEquals(List.of("refused 0"), late.answers);
     assertEquals(List.of(), fleet.sent);
   }
@@ -157,9 +159,9 @@
           }
         };
     FakeCall call = arrive();
-    host.handle(new Message.Ended(fleet.sent.get(1), ok("one")));
-    host.handle(new Message.Ended(fleet.sent.get(0), ok("two")));
-    host.handle(new Message.Ended(fleet.sent.get(0), ok("three")));
+    host.handle(new RoutingMessage.Ended(fleet.sent.get(1), ok("one")));
+    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("two")));
+    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("three")));
     assertEquals(List.of("served one"), call.answers);
     assertEquals(3, events.size(), "each attempt ends once");
   }
@@ -227,9 +229,9 @@
   void aClientThatLeavesIsWithdrawnOnce() {
     sending(0);
     FakeCall call = arrive();
-    host.handle(new Message.Left(call));
-    host.handle(new Message.Left(call));
-    host.handle(new Message.Ended(fleet.sent.get(0), ok("late")));
+    host.handle(new RoutingMessage.Left(call));
+    host.handle(new RoutingMessage.Left(call));
+    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("late")));
     assertEquals(List.of(), call.answers);
     assertEquals(1, events.stream().filter(Routing.Withdrawn.class::isInstance).count());
   }
@@ -253,7 +255,7 @@
     assertEquals(List.of("failed"), call.answers);
     sending(0);
     FakeCall next = arrive();
-    host.handle(new Message.Ended(fleet.sent.get(0), ok("value")));
+    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("value")));
     assertEquals(List.of("served value"), next.answers);
   }
 
@@ -284,8 +286,8 @@
   @Timeout(60)
   void aRequestThatIsOverIsLetGoBeforeItsDeadline() {
     sending(0);
-    WeakReference<Call> call = new WeakReference<>(arrive());
-    host.handle(new Message.Ended(fleet.sent.remove(0), ok("value")));
+    WeakReference<ClientRequest> call = new WeakReference<>(arrive());
+    host.handle(new RoutingMessage.Ended(fleet.sent.remove(0), ok("value")));
     while (call.get() != null) {
       System.gc();
     }
@@ -294,13 +296,13 @@
 
   @Test
   void afterASwitchOldRequestsAreAnsweredAndNewOnesServedWithoutANewList() {
-    ModuleHost real = real(3);
+    RoutingEngine real = real(3);
     FakeCall before = arrive(real);
     switchSettings(real);
     FakeCall after = arrive(real);
     assertEquals(2, fleet.sent.size());
-    real.handle(new Message.Ended(fleet.sent.get(1), ok("new")));
-    real.handle(new Message.Ended(fleet.sent.get(0), ok("old")));
+    real.handle(new RoutingMessage.Ended(fleet.sent.get(1), ok("new")));
+    real.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("old")));
     assertEquals(List.of("served old"), before.answers);
     assertEquals(List.of("served new"), after.answers);
     assertEquals(0, mayWatch);
@@ -308,12 +310,12 @@
 
   @Test
   void aServerThatDrainsAfterASwitchGetsNothingFromEitherModule() {
-    ModuleHost real = real(2);
+    RoutingEngine real = real(2);
     FakeCall before = arrive(real);
-    Attempt first = last();
+    OutboundAttempt first = last();
     switchSettings(real);
     list(real, Routing.ListKind.DELTA, Routing.Health.DRAINING, first.server());
-    real.handle(new Message.Ended(first, Outcome.of(Routing.Ending.FULL, now)));
+    real.handle(new RoutingMessage.Ended(first, AttemptResult.of(Routing.Ending.FULL, now)));
     assertEquals(1, before.answers.size());
     for (int i = 0; i < 20; i++) {
       now += 10 * MILLI;
@@ -325,21 +327,22 @@
 
   @Test
   void aSickServerIsNotTrustedAnewBecauseSettingsChanged() {
-    ModuleHost real = real(4);
+    RoutingEngine real = real(4);
     arrive(real);
     long home = last().server();
     for (int i = 0; i < 20; i++) {
       now += 20 * MILLI;
       arrive(real);
       real.handle(
-          new Message.Ended(
-              last(), last().server() == home ? Outcome.of(Routing.Ending.ERROR, now) : ok("x")));
+          new RoutingMessage.Ended(
+              last(),
+              last().server() == home ? AttemptResult.of(Routing.Ending.ERROR, now) : ok("x")));
     }
     switchSettings(real);
     int until = fleet.sent.size();
     for (int i = 0; i < 20; i++) {
       arrive(real);
-      real.handle(new Message.Ended(last(), ok("x")));
+      real.handle(new RoutingMessage.Ended(last(), ok("x")));
     }
     long toSick = fleet.sent.stream().skip(until).filter(a -> a.server() == home).count();
     assertTrue(toSick <= 1, "sent to the sick server: " + toSick);
@@ -355,17 +358,17 @@
     Routing.Settings began =
         Samples.read("rules.cold", "4000000000", "rules.cold_share", "0.2").routing();
     mayWatch = 1;
-    ModuleHost real = new ModuleHost(began, 5, () -> now, fleet, new NoList());
+    RoutingEngine real = new RoutingEngine(began, 5, () -> now, fleet, new NoList());
     switchSettings(real);
-    real.handle(new Message.Switched(began, 7));
+    real.handle(new RoutingMessage.Switched(began, 7));
     fleet.bootTime = now;
     real.handle(
-        new Message.News(
-            new ListNews(
+        new RoutingMessage.News(
+            new EndpointUpdate(
                 2,
                 Routing.ListKind.FULL,
                 List.of(
-                    new ListNews.Member(
+                    new EndpointUpdate.Member(
                         new Routing.ServerEntry(1, 0, 0, 0, Routing.Health.READY, 1, now),
                         "",
                         "")))));
@@ -373,12 +376,14 @@
     call.settings = began;
     for (Routing.Standing standing : List.of(Routing.Standing.WARMING, Routing.Standing.IN)) {
       now += 3000 * MILLI;
-      real.handle(new Message.Arrived(call));
-      assertEquals(Map.of(new Fleet.Listed("s1", 0, fleet.bootTime), standing), real.standings());
+      real.handle(new RoutingMessage.Arrived(call));
+      assertEquals(
+          Map.of(new CacheServerClients.Listed("s1", 0, fleet.bootTime), standing),
+          real.standings());
     }
   }
 
-  private static final class FakeCall implements Call {
+  private static final class FakeCall implements ClientRequest {
     private final long deadline;
     private final List<String> answers = new ArrayList<>();
     private Routing.Settings settings;
@@ -423,9 +428,9 @@
     }
   }
 
-  private static final class FakeFleet implements Fleet {
-    private final List<Attempt> sent = new ArrayList<>();
-    private final List<Attempt> aborted = new ArrayList<>();
+  private static final class FakeFleet implements CacheServerClients {
+    private final List<OutboundAttempt> sent = new ArrayList<>();
+    private final List<OutboundAttempt> aborted = new ArrayList<>();
     private boolean reachable = true;
     private long bootTime;
 
@@ -435,12 +440,12 @@
     }
 
     @Override
-    public boolean send(Attempt attempt) {
+    public boolean send(OutboundAttempt attempt) {
       return reachable && sent.add(attempt);
     }
 
     @Override
-    public void abort(Attempt attempt) {
+    public void abort(OutboundAttempt attempt) {
       aborted.add(attempt);
     }
 
@@ -450,7 +455,7 @@
     }
 
     @Override
-    public void follow(ListNews news) {
+    public void follow(EndpointUpdate news) {
       sent.clear();
     }
 
@@ -460,7 +465,7 @@
     }
   }
 
-  private final class NoList implements ListSource {
+  private final class NoList implements EndpointDiscovery {
     @Override
     public void watch(boolean on) {
       assertTrue(mayWatch-- > 0, "not asked for here");
--- a/src/test/java/beaconturn/core/Samples.java
+++ b/src/test/java/beaconturn/core/Samples.java
@@ -37,13 +37,13 @@
   }
 
   /** The same settings, read; each path is followed by its value where that is to be another. */
-  public static Settings read(String... changes) {
+  public static RouterSettings read(String... changes) {
     Map<String, String> values = settings();
     for (int i = 0; i < changes.length; i += 2) {
       values.put(changes[i], changes[i + 1]);
     }
     try {
-      return SettingsReader.read(values);
+      return RouterSettingsReader.read(values);
     } catch (SettingsException e) {
       throw new IllegalStateException(e);
     }
--- a/src/test/java/beaconturn/decision/SharesTest.java
+++ b/src/test/java/beaconturn/decision/ZoneWeightsTest.java
@@ -11,7 +11,7 @@
 /**
  * Keys go to places by the shares that are told; cache servers of even numbers stand in place 0.
  */
-class SharesTest {
+class ZoneWeightsTest {
   private static final int KEYS = 2000;
 
   private static Routing.Shares shares(int near, int far, boolean overflow) {
--- a/src/test/java/beaconturn/ledger/JudgeTest.java
+++ b/src/test/java/beaconturn/history/HistoryCheckerTest.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,22 +10,22 @@
 import org.junit.jupiter.api.Test;
 
 /** Each rule, kept and broken, on accounts written by hand. */
-class JudgeTest {
+class HistoryCheckerTest {
   private static final long MILLI = 1_000_000;
   private static final long SECOND = 1000 * MILLI;
-  private static final Terms TERMS = terms(true);
-  private final List<Entry> lines = new ArrayList<>();
-  private Terms terms = TERMS;
+  private static final InvariantBounds TERMS = terms(true);
+  private final List<HistoryEvent> lines = new ArrayList<>();
+  private InvariantBounds terms = TERMS;
 
-  private static Terms terms(boolean secondCopies) {
-    return new Terms(
+  private static InvariantBounds terms(boolean secondCopies) {
+    return new InvariantBounds(
         Map.of(
             "read",
-            new Terms.Type(Terms.Effect.SAFE, "all", 0),
+            new InvariantBounds.Type(InvariantBounds.Effect.SAFE, "all", 0),
             "put",
-            new Terms.Type(Terms.Effect.KEYED, "cell", 2 * SECOND),
+            new InvariantBounds.Type(InvariantBounds.Effect.KEYED, "cell", 2 * SECOND),
             "ack",
-            new Terms.Type(Terms.Effect.UNSAFE, "all", 0)),
+            new InvariantBounds.Type(InvariantBounds.Effect.UNSAFE, "all", 0)),
         3,
         secondCopies,
         20 * MILLI,
@@ -37,7 +37,7 @@
         4,
         SECOND,
         2 * SECOND,
-        new Terms.Release(
+        new InvariantBounds.Release(
             false,
             new TreeMap<>(Map.of("r0", "east", "r1", "east", "r2", "west", "r3", "west")),
             2,
@@ -48,29 +48,31 @@
         null);
   }
 
-  JudgeTest() {
+  HistoryCheckerTest() {
     for (String server : List.of("c1", "c2", "c3")) {
-      lines.add(new Entry.Started(0, server, "east", server.equals("c3") ? 1 : 0, 0, 2));
-      lines.add(new Entry.Told(0, 0, server, Entry.State.READY, 0));
+      lines.add(new HistoryEvent.Started(0, server, "east", server.equals("c3") ? 1 : 0, 0, 2));
+      lines.add(new HistoryEvent.Told(0, 0, server, HistoryEvent.State.READY, 0));
     }
-    lines.add(new Entry.Called(MILLI, 0));
+    lines.add(new HistoryEvent.Called(MILLI, 0));
   }
 
-  private JudgeTest asked(String type, long millis) {
-    lines.add(new Entry.Asked(millis * MILLI, "id", type, "key", null, 0, (millis + 1000) * MILLI));
+  private HistoryCheckerTest asked(String type, long millis) {
+    lines.add(
+        new HistoryEvent.Asked(
+            millis * MILLI, "id", type, "key", null, 0, (millis + 1000) * MILLI));
     return this;
   }
 
   /** A command read whole; each has a connection of its own, of its number. */
-  private JudgeTest sent(long number, String server, long millis) {
+  private HistoryCheckerTest sent(long number, String server, long millis) {
     String type =
         lines.stream()
-            .filter(e -> e instanceof Entry.Asked)
-            .map(e -> ((Entry.Asked) e).type())
+            .filter(e -> e instanceof HistoryEvent.Asked)
+            .map(e -> ((HistoryEvent.Asked) e).type())
             .findFirst()
             .orElse("read");
     lines.add(
-        new Entry.Sent(
+        new HistoryEvent.Sent(
             millis * MILLI,
             millis * MILLI,
             millis,
@@ -85,22 +87,22 @@
     return this;
   }
 
-  private JudgeTest made(long number, Entry.Made made, long millis) {
-    lines.add(new Entry.Replied(millis * MILLI, number, made, number));
+  private HistoryCheckerTest made(long number, HistoryEvent.Made made, long millis) {
+    lines.add(new HistoryEvent.Replied(millis * MILLI, number, made, number));
     return this;
   }
 
-  private JudgeTest ended(long number, long millis) {
-    lines.add(new Entry.Ended(millis * MILLI, millis, number));
+  private HistoryCheckerTest ended(long number, long millis) {
+    lines.add(new HistoryEvent.Ended(millis * MILLI, millis, number));
     return this;
   }
 
-  private JudgeTest told(Entry.Kind kind, long millis, long digest) {
-    lines.add(new Entry.Answered(millis * MILLI, "id", kind, digest));
+  private HistoryCheckerTest told(HistoryEvent.Kind kind, long millis, long digest) {
+    lines.add(new HistoryEvent.Answered(millis * MILLI, "id", kind, digest));
     return this;
   }
 
-  private JudgeTest line(Entry entry) {
+  private HistoryCheckerTest line(HistoryEvent entry) {
     lines.add(entry);
     return this;
   }
@@ -108,12 +110,15 @@
   /** The names of the broken rules, with the first offence's server. */
   private void breaks(String... rules) {
     List<String> broken =
-        Judge.judge(terms, lines).stream().filter(v -> !v.held()).map(Verdict::rule).toList();
+        HistoryChecker.judge(terms, lines).stream()
+            .filter(v -> !v.held())
+            .map(InvariantResult::rule)
+            .toList();
     assertEquals(List.of(rules), broken);
   }
 
   private String firstOffence() {
-    return Judge.judge(terms, lines).stream()
+    return HistoryChecker.judge(terms, lines).stream()
         .filter(v -> !v.held())
         .findFirst()
         .orElseThrow()
@@ -122,11 +127,11 @@
         .what();
   }
 
-  private JudgeTest served(String type) {
+  private HistoryCheckerTest served(String type) {
     return asked(type, 1000)
         .sent(1, "c1", 1010)
-        .made(1, Entry.Made.VALUE, 1030)
-        .told(Entry.Kind.SERVED, 1040, 1);
+        .made(1, HistoryEvent.Made.VALUE, 1030)
+        .told(HistoryEvent.Kind.SERVED, 1040, 1);
   }
 
   @Test
@@ -136,77 +141,78 @@
 
   @Test
   void aSecondAnswerIsOneTooMany() {
-    served("read").told(Entry.Kind.SERVED, 1041, 1).breaks("one-answer");
+    served("read").told(HistoryEvent.Kind.SERVED, 1041, 1).breaks("one-answer");
     assertEquals("2 final answers", firstOffence());
   }
 
   @Test
   void aRequestWithoutAnAnswerIsLost() {
-    asked("read", 1000).told(Entry.Kind.SILENCE, 2300, 0).breaks("one-answer");
+    asked("read", 1000).told(HistoryEvent.Kind.SILENCE, 2300, 0).breaks("one-answer");
   }
 
   @Test
   void aConnectionThatEndsWithARequestOutLosesItUnlessItsRouterWasKilled() {
-    asked("read", 1000).told(Entry.Kind.BROKEN, 1500, 0).breaks("one-answer");
-    line(new Entry.Stopped(1500 * MILLI, 1500 * MILLI, 0, false)).breaks();
+    asked("read", 1000).told(HistoryEvent.Kind.BROKEN, 1500, 0).breaks("one-answer");
+    line(new HistoryEvent.Stopped(1500 * MILLI, 1500 * MILLI, 0, false)).breaks();
   }
 
   @Test
   void aPlannedStopExcusesNothing() {
     asked("read", 1000)
-        .told(Entry.Kind.BROKEN, 1500, 0)
-        .line(new Entry.Stopped(1200 * MILLI, 1200 * MILLI, 0, true))
+        .told(HistoryEvent.Kind.BROKEN, 1500, 0)
+        .line(new HistoryEvent.Stopped(1200 * MILLI, 1200 * MILLI, 0, true))
         .breaks("one-answer");
   }
 
   @Test
   void aKillOfAnotherRouterOrBeforeTheRequestExcusesNothing() {
     asked("read", 1000)
-        .told(Entry.Kind.BROKEN, 1500, 0)
-        .line(new Entry.Stopped(1200 * MILLI, 1200 * MILLI, 1, false))
-        .line(new Entry.Stopped(900 * MILLI, 900 * MILLI, 0, false))
+        .told(HistoryEvent.Kind.BROKEN, 1500, 0)
+        .line(new HistoryEvent.Stopped(1200 * MILLI, 1200 * MILLI, 1, false))
+        .line(new HistoryEvent.Stopped(900 * MILLI, 900 * MILLI, 0, false))
         .breaks("one-answer");
   }
 
   @Test
   void anAnswerMayComeAsMuchLaterAsTheSlackAndAsTheMachineStoodStill() {
-    asked("read", 1000).told(Entry.Kind.FAILED, 2020, 0).breaks();
+    asked("read", 1000).told(HistoryEvent.Kind.FAILED, 2020, 0).breaks();
   }
 
   /** Answers on a connection come in the order of its commands. */
   @Test
   void whatAnAnswerWaitsForThoseInFrontOfItDoesNotCount() {
-    asked("read", 1000).told(Entry.Kind.FAILED, 2500, 0).breaks("one-answer");
-    line(new Entry.InFront(2495 * MILLI, "id")).breaks();
+    asked("read", 1000).told(HistoryEvent.Kind.FAILED, 2500, 0).breaks("one-answer");
+    line(new HistoryEvent.InFront(2495 * MILLI, "id")).breaks();
   }
 
   @Test
   void anAnswerIsLateAlsoAfterThoseInFrontOfIt() {
     asked("read", 1000)
-        .told(Entry.Kind.FAILED, 2525, 0)
-        .line(new Entry.InFront(2495 * MILLI, "id"))
+        .told(HistoryEvent.Kind.FAILED, 2525, 0)
+        .line(new HistoryEvent.InFront(2495 * MILLI, "id"))
         .breaks("one-answer");
   }
 
   @Test
   void aCommandThatHasBegunIsLetComeUnlessItsRouterStops() {
-    line(new Entry.HalfSent(1500 * MILLI, "id", 0, 1450 * MILLI, true)).breaks("one-answer");
+    line(new HistoryEvent.HalfSent(1500 * MILLI, "id", 0, 1450 * MILLI, true)).breaks("one-answer");
     assertEquals("its connection ended over a command that had begun", firstOffence());
-    line(new Entry.Stopped(1600 * MILLI, 1600 * MILLI, 0, true)).breaks("one-answer");
-    line(new Entry.Stopped(1400 * MILLI, 1400 * MILLI, 0, true)).breaks();
+    line(new HistoryEvent.Stopped(1600 * MILLI, 1600 * MILLI, 0, true)).breaks("one-answer");
+    line(new HistoryEvent.Stopped(1400 * MILLI, 1400 * MILLI, 0, true)).breaks();
   }
 
   @Test
   void anEndLongAfterCommandsHadBegunDoesNotCrossThem() {
-    asked("read", 1000).line(new Entry.Crossed(1145 * MILLI, "id", 1000 * MILLI)).breaks();
-    line(new Entry.Crossed(1155 * MILLI, "id", 1000 * MILLI)).breaks("one-answer");
-    line(new Entry.Paused(1100 * MILLI, 1110 * MILLI)).breaks();
+    asked("read", 1000).line(new HistoryEvent.Crossed(1145 * MILLI, "id", 1000 * MILLI)).breaks();
+    line(new HistoryEvent.Crossed(1155 * MILLI, "id", 1000 * MILLI)).breaks("one-answer");
+    line(new HistoryEvent.Paused(1100 * MILLI, 1110 * MILLI)).breaks();
   }
 
   @Test
   void aCommandMayCrossTheEndOfARestingConnectionOnly() {
-    line(new Entry.HalfSent(1500 * MILLI, "id", 0, 1490 * MILLI, true)).breaks();
-    line(new Entry.HalfSent(1500 * MILLI, "id", 0, 1490 * MILLI, false)).breaks("one-answer");
+    line(new HistoryEvent.HalfSent(1500 * MILLI, "id", 0, 1490 * MILLI, true)).breaks();
+    line(new HistoryEvent.HalfSent(1500 * MILLI, "id", 0, 1490 * MILLI, false))
+        .breaks("one-answer");
   }
 
   /**
@@ -214,30 +220,30 @@
    */
   @Test
   void nothingIsSentForAClientThatHasLeft() {
-    asked("read", 1000).told(Entry.Kind.LEFT, 1010, 0).breaks();
-    sent(1, "c1", 1100).made(1, Entry.Made.VALUE, 1120).breaks();
-    sent(2, "c2", 1400).made(2, Entry.Made.VALUE, 1420).breaks("nothing-after");
+    asked("read", 1000).told(HistoryEvent.Kind.LEFT, 1010, 0).breaks();
+    sent(1, "c1", 1100).made(1, HistoryEvent.Made.VALUE, 1120).breaks();
+    sent(2, "c2", 1400).made(2, HistoryEvent.Made.VALUE, 1420).breaks("nothing-after");
   }
 
   @Test
   void aLateAnswerIsLate() {
-    asked("read", 1000).told(Entry.Kind.FAILED, 2025, 0).breaks("one-answer");
-    line(new Entry.Paused(1500 * MILLI, 1503 * MILLI))
-        .line(new Entry.Paused(1501 * MILLI, 1504 * MILLI))
+    asked("read", 1000).told(HistoryEvent.Kind.FAILED, 2025, 0).breaks("one-answer");
+    line(new HistoryEvent.Paused(1500 * MILLI, 1503 * MILLI))
+        .line(new HistoryEvent.Paused(1501 * MILLI, 1504 * MILLI))
         .breaks("one-answer");
-    line(new Entry.Paused(1506 * MILLI, 1510 * MILLI)).breaks();
+    line(new HistoryEvent.Paused(1506 * MILLI, 1510 * MILLI)).breaks();
   }
 
   @Test
   void aCloseThatCrossesARequestIsNoLossUnlessItHadBeenTaken() {
     asked("read", 1000)
-        .line(new Entry.Crossed(1005 * MILLI, "id"))
+        .line(new HistoryEvent.Crossed(1005 * MILLI, "id"))
         .asked("read", 1006)
         .sent(1, "c1", 1010)
-        .made(1, Entry.Made.VALUE, 1030)
-        .told(Entry.Kind.SERVED, 1040, 1)
+        .made(1, HistoryEvent.Made.VALUE, 1030)
+        .told(HistoryEvent.Kind.SERVED, 1040, 1)
         .breaks();
-    line(new Entry.Crossed(1050 * MILLI, "id")).breaks("one-answer");
+    line(new HistoryEvent.Crossed(1050 * MILLI, "id")).breaks("one-answer");
   }
 
   /**
@@ -246,17 +252,17 @@
    */
   @Test
   void aKillExcusesWhatCameBetweenTheSignalAndTheEnd() {
-    line(new Entry.Stopped(990 * MILLI, 1005 * MILLI, 0, false));
-    asked("read", 1000).told(Entry.Kind.BROKEN, 1003, 0).breaks();
-    sent(1, "c1", 1001).ended(1, 1003).line(new Entry.Crossed(1004 * MILLI, "id")).breaks();
+    line(new HistoryEvent.Stopped(990 * MILLI, 1005 * MILLI, 0, false));
+    asked("read", 1000).told(HistoryEvent.Kind.BROKEN, 1003, 0).breaks();
+    sent(1, "c1", 1001).ended(1, 1003).line(new HistoryEvent.Crossed(1004 * MILLI, "id")).breaks();
   }
 
   @Test
   void aValueThatWasMadeForAnotherRequestIsNotItsOwn() {
     asked("read", 1000)
         .sent(1, "c1", 1010)
-        .made(1, Entry.Made.VALUE, 1030)
-        .told(Entry.Kind.SERVED, 1040, 77)
+        .made(1, HistoryEvent.Made.VALUE, 1030)
+        .told(HistoryEvent.Kind.SERVED, 1040, 77)
         .breaks("made-for-it");
   }
 
@@ -264,8 +270,8 @@
   void aSpoiltValueMustNotBeServed() {
     asked("read", 1000)
         .sent(1, "c1", 1010)
-        .made(1, Entry.Made.SPOILT, 1030)
-        .told(Entry.Kind.SERVED, 1040, 1)
+        .made(1, HistoryEvent.Made.SPOILT, 1030)
+        .told(HistoryEvent.Kind.SERVED, 1040, 1)
         .breaks("made-for-it");
   }
 
@@ -273,10 +279,10 @@
   void anUnsafeRequestGoesAgainOnlyAfterATurnAway() {
     asked("ack", 1000)
         .sent(1, "c1", 1010)
-        .made(1, Entry.Made.BUSY, 1020)
+        .made(1, HistoryEvent.Made.BUSY, 1020)
         .sent(2, "c2", 1030)
-        .made(2, Entry.Made.VALUE, 1040)
-        .told(Entry.Kind.SERVED, 1050, 2)
+        .made(2, HistoryEvent.Made.VALUE, 1040)
+        .told(HistoryEvent.Kind.SERVED, 1050, 2)
         .breaks();
   }
 
@@ -286,8 +292,8 @@
         .sent(1, "c1", 1010)
         .ended(1, 1020)
         .sent(2, "c2", 1030)
-        .made(2, Entry.Made.VALUE, 1040)
-        .told(Entry.Kind.SERVED, 1050, 2)
+        .made(2, HistoryEvent.Made.VALUE, 1040)
+        .told(HistoryEvent.Kind.SERVED, 1050, 2)
         .breaks("no-effect-twice");
   }
 
@@ -296,9 +302,9 @@
     asked("ack", 1000)
         .sent(1, "c1", 1010)
         .sent(2, "c2", 1030)
-        .made(1, Entry.Made.BUSY, 1035)
-        .made(2, Entry.Made.VALUE, 1040)
-        .told(Entry.Kind.SERVED, 1050, 2)
+        .made(1, HistoryEvent.Made.BUSY, 1035)
+        .made(2, HistoryEvent.Made.VALUE, 1040)
+        .told(HistoryEvent.Kind.SERVED, 1050, 2)
         .breaks("no-effect-twice");
   }
 
@@ -308,10 +314,10 @@
         .sent(1, "c1", 1010)
         .ended(1, 1020)
         .sent(2, "c2", 1030)
-        .made(2, Entry.Made.VALUE, 1040)
-        .line(new Entry.Ran(1015 * MILLI, 1, false))
-        .line(new Entry.Ran(1035 * MILLI, 2, true))
-        .told(Entry.Kind.SERVED, 1050, 2)
+        .made(2, HistoryEvent.Made.VALUE, 1040)
+        .line(new HistoryEvent.Ran(1015 * MILLI, 1, false))
+        .line(new HistoryEvent.Ran(1035 * MILLI, 2, true))
+        .told(HistoryEvent.Kind.SERVED, 1050, 2)
         .breaks();
   }
 
@@ -321,19 +327,19 @@
         .sent(1, "c1", 1010)
         .ended(1, 1020)
         .sent(2, "c3", 1030)
-        .made(2, Entry.Made.VALUE, 1040)
-        .told(Entry.Kind.SERVED, 1050, 2)
+        .made(2, HistoryEvent.Made.VALUE, 1040)
+        .told(HistoryEvent.Kind.SERVED, 1050, 2)
         .breaks("no-effect-twice");
   }
 
   @Test
   void aKeyedRequestMustNotGoAgainAfterItsWindow() {
-    lines.add(new Entry.Asked(1000 * MILLI, "id", "put", "key", null, 0, 9000 * MILLI));
+    lines.add(new HistoryEvent.Asked(1000 * MILLI, "id", "put", "key", null, 0, 9000 * MILLI));
     sent(1, "c1", 1010)
         .ended(1, 1020)
         .sent(2, "c2", 3070)
-        .made(2, Entry.Made.VALUE, 3080)
-        .told(Entry.Kind.SERVED, 3090, 2)
+        .made(2, HistoryEvent.Made.VALUE, 3080)
+        .told(HistoryEvent.Kind.SERVED, 3090, 2)
         .breaks("no-effect-twice");
   }
 
@@ -343,10 +349,10 @@
         .sent(1, "c1", 1010)
         .ended(1, 1020)
         .sent(2, "c2", 1030)
-        .made(2, Entry.Made.VALUE, 1040)
-        .line(new Entry.Ran(1015 * MILLI, 1, false))
-        .line(new Entry.Ran(1035 * MILLI, 2, false))
-        .told(Entry.Kind.SERVED, 1050, 2)
+        .made(2, HistoryEvent.Made.VALUE, 1040)
+        .line(new HistoryEvent.Ran(1015 * MILLI, 1, false))
+        .line(new HistoryEvent.Ran(1035 * MILLI, 2, false))
+        .told(HistoryEvent.Kind.SERVED, 1050, 2)
         .breaks("no-effect-twice");
   }
 
@@ -360,18 +366,19 @@
         .sent(1, "c1", 1010)
         .ended(1, 1020)
         .sent(2, "c2", 1030)
-        .made(2, Entry.Made.VALUE, 1040)
-        .line(new Entry.Ran(1035 * MILLI, 2, false))
-        .line(new Entry.Ran(3035 * MILLI, 1, false))
-        .told(Entry.Kind.SERVED, 1050, 2)
+        .made(2, HistoryEvent.Made.VALUE, 1040)
+        .line(new HistoryEvent.Ran(1035 * MILLI, 2, false))
+        .line(new HistoryEvent.Ran(3035 * MILLI, 1, false))
+        .told(HistoryEvent.Kind.SERVED, 1050, 2)
         .breaks();
-    assertEquals(1, Judge.judge(terms, lines).stream().mapToInt(v -> v.notes().size()).sum());
+    assertEquals(
+        1, HistoryChecker.judge(terms, lines).stream().mapToInt(v -> v.notes().size()).sum());
   }
 
   @Test
   void theStoryOfARequestHasAllThatBelongsToIt() {
-    served("read").ended(1, 1050).line(new Entry.Ran(1020 * MILLI, 1, false));
-    lines.add(new Entry.Answered(900 * MILLI, "other", Entry.Kind.FAILED, 0));
+    served("read").ended(1, 1050).line(new HistoryEvent.Ran(1020 * MILLI, 1, false));
+    lines.add(new HistoryEvent.Answered(900 * MILLI, "other", HistoryEvent.Kind.FAILED, 0));
     assertEquals(
         List.of(
             "0.0000 s client asked router 0: read key, until 1.0000 s",
@@ -380,7 +387,7 @@
             "0.0400 s client: served",
             "0.0500 s connection 1 ended",
             "0.0200 s #1 ran"),
-        Story.of(lines, "id", 1000 * MILLI));
+        RequestTrace.of(lines, "id", 1000 * MILLI));
   }
 
   @Test
@@ -389,9 +396,9 @@
     asked("read", 1000)
         .sent(1, "c1", 1010)
         .sent(2, "c2", 1030)
-        .made(2, Entry.Made.VALUE, 1040)
+        .made(2, HistoryEvent.Made.VALUE, 1040)
         .ended(1, 1041)
-        .told(Entry.Kind.SERVED, 1045, 2)
+        .told(HistoryEvent.Kind.SERVED, 1045, 2)
         .breaks("second-copies");
     terms = TERMS;
     breaks();
@@ -404,8 +411,8 @@
         .sent(1, "c1", 1010)
         .sent(2, "c2", 1030)
         .ended(1, 1031)
-        .made(2, Entry.Made.VALUE, 1040)
-        .told(Entry.Kind.SERVED, 1045, 2)
+        .made(2, HistoryEvent.Made.VALUE, 1040)
+        .told(HistoryEvent.Kind.SERVED, 1045, 2)
         .breaks();
   }
 
@@ -413,9 +420,9 @@
   void attemptsAreCounted() {
     asked("read", 1000);
     for (int i = 1; i <= 4; i++) {
-      sent(i, "c1", 1000 + 10 * i).made(i, Entry.Made.ERROR, 1005 + 10 * i);
+      sent(i, "c1", 1000 + 10 * i).made(i, HistoryEvent.Made.ERROR, 1005 + 10 * i);
     }
-    told(Entry.Kind.FAILED, 1100, 0).breaks("attempts");
+    told(HistoryEvent.Kind.FAILED, 1100, 0).breaks("attempts");
   }
 
   @Test
@@ -423,7 +430,7 @@
     asked("ack", 1000)
         .sent(1, "c1", 1010)
         .ended(1, 1020)
-        .told(Entry.Kind.REFUSED, 1030, 0)
+        .told(HistoryEvent.Kind.REFUSED, 1030, 0)
         .breaks("harmless-refusal");
   }
 
@@ -432,13 +439,13 @@
     asked("read", 1000)
         .sent(1, "c1", 1010)
         .ended(1, 1020)
-        .told(Entry.Kind.REFUSED, 1030, 0)
+        .told(HistoryEvent.Kind.REFUSED, 1030, 0)
         .breaks();
-    lines.removeIf(e -> !(e instanceof Entry.Started || e instanceof Entry.Told));
+    lines.removeIf(e -> !(e instanceof HistoryEvent.Started || e instanceof HistoryEvent.Told));
     asked("ack", 1000)
         .sent(1, "c1", 1010)
-        .made(1, Entry.Made.BUSY, 1020)
-        .told(Entry.Kind.REFUSED, 1030, 0)
+        .made(1, HistoryEvent.Made.BUSY, 1020)
+        .told(HistoryEvent.Kind.REFUSED, 1030, 0)
         .breaks();
   }
 
@@ -450,18 +457,23 @@
 
   @Test
   void aCommandThatNoClientAskedForIsSeen() {
-    sent(1, "c1", 1010).made(1, Entry.Made.VALUE, 1020).breaks("passed-on");
+    sent(1, "c1", 1010).made(1, HistoryEvent.Made.VALUE, 1020).breaks("passed-on");
   }
 
   @Test
   void whatCannotBeReadIsSeen() {
-    served("read").line(new Entry.Unreadable(1010 * MILLI, "c1", 0, "noise")).breaks("passed-on");
+    served("read")
+        .line(new HistoryEvent.Unreadable(1010 * MILLI, "c1", 0, "noise"))
+        .breaks("passed-on");
   }
 
   @Test
   void workAfterTheGraceOfADrainIsSeen() {
-    line(new Entry.Told(500 * MILLI, 0, "c1", Entry.State.DRAINING, 0)).served("read").breaks();
-    line(new Entry.Told(400 * MILLI, 0, "c1", Entry.State.DRAINING, 0)).breaks("drains-kept");
+    line(new HistoryEvent.Told(500 * MILLI, 0, "c1", HistoryEvent.State.DRAINING, 0))
+        .served("read")
+        .breaks();
+    line(new HistoryEvent.Told(400 * MILLI, 0, "c1", HistoryEvent.State.DRAINING, 0))
+        .breaks("drains-kept");
   }
 
   /**
@@ -469,54 +481,58 @@
    */
   @Test
   void aSendThatWasBegunInTimeMayEndAfterTheGrace() {
-    line(new Entry.Told(400 * MILLI, 0, "c1", Entry.State.DRAINING, 0)).asked("read", 800);
-    line(new Entry.Sent(1800 * MILLI, 900 * MILLI, 1, 1, "c1", 0, 1, "id", "read", "key", MILLI))
-        .made(1, Entry.Made.BUSY, 1801)
-        .told(Entry.Kind.REFUSED, 1801, 0)
+    line(new HistoryEvent.Told(400 * MILLI, 0, "c1", HistoryEvent.State.DRAINING, 0))
+        .asked("read", 800);
+    line(new HistoryEvent.Sent(
+            1800 * MILLI, 900 * MILLI, 1, 1, "c1", 0, 1, "id", "read", "key", MILLI))
+        .made(1, HistoryEvent.Made.BUSY, 1801)
+        .told(HistoryEvent.Kind.REFUSED, 1801, 0)
         .breaks();
   }
 
   @Test
   void aServerThatIsGoneAfterItsDrainCountsFromTheDrain() {
-    line(new Entry.Told(400 * MILLI, 0, "c1", Entry.State.DRAINING, 0))
-        .line(new Entry.Told(900 * MILLI, 0, "c1", Entry.State.GONE, 0))
+    line(new HistoryEvent.Told(400 * MILLI, 0, "c1", HistoryEvent.State.DRAINING, 0))
+        .line(new HistoryEvent.Told(900 * MILLI, 0, "c1", HistoryEvent.State.GONE, 0))
         .served("read")
         .breaks("drains-kept");
   }
 
   @Test
   void aServerThatIsBackMayHaveWork() {
-    line(new Entry.Told(400 * MILLI, 0, "c1", Entry.State.DRAINING, 0))
-        .line(new Entry.Told(900 * MILLI, 0, "c1", Entry.State.READY, 0))
+    line(new HistoryEvent.Told(400 * MILLI, 0, "c1", HistoryEvent.State.DRAINING, 0))
+        .line(new HistoryEvent.Told(900 * MILLI, 0, "c1", HistoryEvent.State.READY, 0))
         .served("read")
         .breaks();
   }
 
   @Test
   void anotherRoutersNewsDoNotBindThisOne() {
-    line(new Entry.Told(100 * MILLI, 1, "c1", Entry.State.GONE, 0)).served("read").breaks();
+    line(new HistoryEvent.Told(100 * MILLI, 1, "c1", HistoryEvent.State.GONE, 0))
+        .served("read")
+        .breaks();
   }
 
   @Test
   void aRouterThatNeverAskedCountsAsTold() {
-    line(new Entry.Listed(2 * MILLI, "c1", Entry.State.GONE));
+    line(new HistoryEvent.Listed(2 * MILLI, "c1", HistoryEvent.State.GONE));
     asked("read", 20_000)
         .sent(1, "c1", 20_010)
-        .made(1, Entry.Made.VALUE, 20_020)
-        .told(Entry.Kind.SERVED, 20_030, 1)
+        .made(1, HistoryEvent.Made.VALUE, 20_020)
+        .told(HistoryEvent.Kind.SERVED, 20_030, 1)
         .breaks();
-    lines.removeIf(e -> e instanceof Entry.Called);
+    lines.removeIf(e -> e instanceof HistoryEvent.Called);
     breaks("drains-kept");
-    line(new Entry.Reachable(SECOND, false)).breaks();
+    line(new HistoryEvent.Reachable(SECOND, false)).breaks();
   }
 
   @Test
   void aColdServerOverItsBudgetInAnyWindowIsSeen() {
-    line(new Entry.Started(SECOND, "c1", "east", 0, SECOND, 2));
+    line(new HistoryEvent.Started(SECOND, "c1", "east", 0, SECOND, 2));
     for (int i = 1; i <= 170; i++) {
-      lines.add(new Entry.Asked(SECOND, "id" + i, "read", "key", null, 0, 2 * SECOND));
+      lines.add(new HistoryEvent.Asked(SECOND, "id" + i, "read", "key", null, 0, 2 * SECOND));
       lines.add(
-          new Entry.Sent(
+          new HistoryEvent.Sent(
               SECOND + i * MILLI,
               SECOND + i * MILLI,
               i,
@@ -528,8 +544,10 @@
               "read",
               "key",
               10 * MILLI));
-      made(i, Entry.Made.VALUE, 1300)
-          .line(new Entry.Answered(SECOND + 400 * MILLI, "id" + i, Entry.Kind.SERVED, i));
+      made(i, HistoryEvent.Made.VALUE, 1300)
+          .line(
+              new HistoryEvent.Answered(
+                  SECOND + 400 * MILLI, "id" + i, HistoryEvent.Kind.SERVED, i));
     }
     breaks();
     for (int i = 171; i <= 180; i++) {
@@ -540,45 +558,47 @@
 
   @Test
   void aCollapseOfAServerIsSeen() {
-    line(new Entry.Collapsed(SECOND, "c2")).breaks("cold-kept");
+    line(new HistoryEvent.Collapsed(SECOND, "c2")).breaks("cold-kept");
   }
 
   @Test
   void theOriginsFallIsPutDownToColdServersOnlyWhereTheyAskedMost() {
-    line(new Entry.Fetched(900 * MILLI, "c1", false, 5))
-        .line(new Entry.Fetched(910 * MILLI, "c1", false, 6))
-        .line(new Entry.Fetched(950 * MILLI, "c2", true, 7))
-        .line(new Entry.Collapsed(SECOND, "origin"));
+    line(new HistoryEvent.Fetched(900 * MILLI, "c1", false, 5))
+        .line(new HistoryEvent.Fetched(910 * MILLI, "c1", false, 6))
+        .line(new HistoryEvent.Fetched(950 * MILLI, "c2", true, 7))
+        .line(new HistoryEvent.Collapsed(SECOND, "origin"));
     breaks();
-    line(new Entry.Fetched(960 * MILLI, "c2", true, 8)).breaks("origin-kept");
+    line(new HistoryEvent.Fetched(960 * MILLI, "c2", true, 8)).breaks("origin-kept");
   }
 
   @Test
   void whatIsStillOutAtTheEndIsSeen() {
     asked("read", 1000)
         .sent(1, "c1", 1010)
-        .told(Entry.Kind.FAILED, 1500, 0)
+        .told(HistoryEvent.Kind.FAILED, 1500, 0)
         .breaks("books-balance");
     ended(1, 1510).breaks();
   }
 
   @Test
   void anAnswerWithoutARequestIsSeen() {
-    told(Entry.Kind.SERVED, 1500, 0).breaks("made-for-it", "books-balance");
+    told(HistoryEvent.Kind.SERVED, 1500, 0).breaks("made-for-it", "books-balance");
   }
 
   @Test
   void aRouterThatEndsByItselfIsSeen() {
-    line(new Entry.Died(SECOND, 0, "ended by itself")).breaks("routers-run");
+    line(new HistoryEvent.Died(SECOND, 0, "ended by itself")).breaks("routers-run");
   }
 
-  private JudgeTest version(long number, Entry.Step step, long millis, String out) {
+  private HistoryCheckerTest version(long number, HistoryEvent.Step step, long millis, String out) {
     return version(number, step, millis, out, 0);
   }
 
-  private JudgeTest version(long number, Entry.Step step, long millis, String out, int mostTries) {
+  private HistoryCheckerTest version(
+      long number, HistoryEvent.Step step, long millis, String out, int mostTries) {
     return line(
-        new Entry.Versioned(millis * MILLI, number, step, Set.of(out), mostTries, Set.of(), false));
+        new HistoryEvent.Versioned(
+            millis * MILLI, number, step, Set.of(out), mostTries, Set.of(), false));
   }
 
   /**
@@ -586,8 +606,10 @@
    */
   @Test
   void actingOnAnOlderVersionBeyondTheStatedTimeIsSeen() {
-    version(1, Entry.Step.PROPOSED, 100, "c1").version(1, Entry.Step.IN_FORCE, 200, "c1");
-    version(2, Entry.Step.PROPOSED, 1000, "c2").version(2, Entry.Step.IN_FORCE, 1500, "c2");
+    version(1, HistoryEvent.Step.PROPOSED, 100, "c1")
+        .version(1, HistoryEvent.Step.IN_FORCE, 200, "c1");
+    version(2, HistoryEvent.Step.PROPOSED, 1000, "c2")
+        .version(2, HistoryEvent.Step.IN_FORCE, 1500, "c2");
     sent(1, "c2", 3500);
     assertEquals(List.of(), contradictions());
     sent(2, "c1", 1300);
@@ -602,7 +624,7 @@
     assertEquals(
         List.of("router 0 acts on version 1 2100.0 ms after version 2 came into force"),
         contradictions());
-    version(3, Entry.Step.PROPOSED, 3590, "c1");
+    version(3, HistoryEvent.Step.PROPOSED, 3590, "c1");
     assertEquals(
         List.of("router 0 acts on version 3, which never came into force"), contradictions());
   }
@@ -610,10 +632,11 @@
   /** Who is not on the roster was not asked for its yes. */
   @Test
   void whoHasLeftContradictsNobody() {
-    version(1, Entry.Step.PROPOSED, 100, "c1").version(1, Entry.Step.IN_FORCE, 200, "c1");
-    line(new Entry.Member(150 * MILLI, 0, false)).sent(1, "c1", 4000);
+    version(1, HistoryEvent.Step.PROPOSED, 100, "c1")
+        .version(1, HistoryEvent.Step.IN_FORCE, 200, "c1");
+    line(new HistoryEvent.Member(150 * MILLI, 0, false)).sent(1, "c1", 4000);
     assertEquals(List.of(), contradictions());
-    line(new Entry.Member(4100 * MILLI, 0, true)).sent(2, "c1", 4200);
+    line(new HistoryEvent.Member(4100 * MILLI, 0, true)).sent(2, "c1", 4200);
     assertEquals(List.of(), contradictions(), "it has the stated time from when it joined");
     sent(3, "c1", 6200);
     assertEquals(
@@ -624,8 +647,10 @@
   /** Sends beyond the number that the later of two versions allows. */
   @Test
   void sendingAsOftenAsAnOlderVersionAllowedIsSeen() {
-    version(1, Entry.Step.PROPOSED, 100, "c9", 3).version(1, Entry.Step.IN_FORCE, 200, "c9", 3);
-    version(2, Entry.Step.PROPOSED, 1000, "c9", 1).version(2, Entry.Step.IN_FORCE, 1500, "c9", 1);
+    version(1, HistoryEvent.Step.PROPOSED, 100, "c9", 3)
+        .version(1, HistoryEvent.Step.IN_FORCE, 200, "c9", 3);
+    version(2, HistoryEvent.Step.PROPOSED, 1000, "c9", 1)
+        .version(2, HistoryEvent.Step.IN_FORCE, 1500, "c9", 1);
     sent(1, "c1", 3300).sent(2, "c1", 3400);
     assertEquals(List.of(), contradictions());
     sent(3, "c1", 3700);
@@ -636,16 +661,18 @@
         contradictions());
   }
 
-  private JudgeTest rule(
-      long number, Entry.Step step, long millis, Set<String> unsafe, boolean lists) {
-    return line(new Entry.Versioned(millis * MILLI, number, step, Set.of(), 0, unsafe, lists));
+  private HistoryCheckerTest rule(
+      long number, HistoryEvent.Step step, long millis, Set<String> unsafe, boolean lists) {
+    return line(
+        new HistoryEvent.Versioned(millis * MILLI, number, step, Set.of(), 0, unsafe, lists));
   }
 
   /** A class that is unsafe in the later version is repeated; one that is no more, too early. */
   @Test
   void repeatingWhatAnotherVersionForbidsIsSeen() {
     Set<String> read = Set.of("read");
-    rule(1, Entry.Step.PROPOSED, 100, read, false).rule(1, Entry.Step.IN_FORCE, 200, read, false);
+    rule(1, HistoryEvent.Step.PROPOSED, 100, read, false)
+        .rule(1, HistoryEvent.Step.IN_FORCE, 200, read, false);
     asked("read", 2000).sent(1, "c1", 2100).sent(2, "c2", 2150);
     assertEquals(List.of(), contradictions());
     sent(3, "c1", 2300);
@@ -654,11 +681,11 @@
             "router 0 acts on version 0 with a repeat of what is unsafe by then 2100.0 ms"
                 + " after version 1 came into force"),
         contradictions());
-    lines.removeIf(e -> e instanceof Entry.Sent);
-    sent(1, "c1", 2300).made(1, Entry.Made.BUSY, 2310).sent(2, "c2", 2320);
+    lines.removeIf(e -> e instanceof HistoryEvent.Sent);
+    sent(1, "c1", 2300).made(1, HistoryEvent.Made.BUSY, 2310).sent(2, "c2", 2320);
     assertEquals(List.of(), contradictions(), "a turn-away never ran");
-    rule(2, Entry.Step.PROPOSED, 3000, Set.of(), false);
-    rule(2, Entry.Step.IN_FORCE, 4000, Set.of(), false);
+    rule(2, HistoryEvent.Step.PROPOSED, 3000, Set.of(), false);
+    rule(2, HistoryEvent.Step.IN_FORCE, 4000, Set.of(), false);
     sent(3, "c1", 3400);
     assertEquals(
         List.of("router 0 acts on version 2 600.0 ms before it is in force"), contradictions());
@@ -667,10 +694,10 @@
   /** Of a version of the list each send to what had left it counts, until that is listed again. */
   @Test
   void actingOnAnOlderListThanTheVersionsIsSeen() {
-    line(new Entry.Listed(500 * MILLI, "c1", Entry.State.DRAINING));
-    rule(1, Entry.Step.PROPOSED, 1000, Set.of(), true);
-    rule(1, Entry.Step.IN_FORCE, 1500, Set.of(), true);
-    line(new Entry.Listed(2000 * MILLI, "c2", Entry.State.DRAINING));
+    line(new HistoryEvent.Listed(500 * MILLI, "c1", HistoryEvent.State.DRAINING));
+    rule(1, HistoryEvent.Step.PROPOSED, 1000, Set.of(), true);
+    rule(1, HistoryEvent.Step.IN_FORCE, 1500, Set.of(), true);
+    line(new HistoryEvent.Listed(2000 * MILLI, "c2", HistoryEvent.State.DRAINING));
     sent(1, "c1", 3400).sent(2, "c2", 4000).sent(3, "c3", 4000);
     assertEquals(List.of(), contradictions(), "c2 left later");
     sent(4, "c1", 3600);
@@ -679,19 +706,19 @@
             "router 0 acts on version 0's list, of before its server left it, 2100.0 ms"
                 + " after version 1 came into force"),
         contradictions());
-    line(new Entry.Listed(3500 * MILLI, "c1", Entry.State.READY));
+    line(new HistoryEvent.Listed(3500 * MILLI, "c1", HistoryEvent.State.READY));
     assertEquals(List.of(), contradictions());
   }
 
-  private Verdict contradiction() {
-    return Judge.judge(terms, lines).stream()
+  private InvariantResult contradiction() {
+    return HistoryChecker.judge(terms, lines).stream()
         .filter(v -> v.rule().equals("no-contradiction"))
         .findFirst()
         .orElseThrow();
   }
 
   private List<String> contradictions() {
-    return contradiction().offences().stream().map(Offence::what).toList();
+    return contradiction().offences().stream().map(Violation::what).toList();
   }
 
   /**
@@ -699,24 +726,24 @@
    */
   @Test
   void newsOnALinkThatPassesNothingAreHeardWhenItDoes() {
-    line(new Entry.Hears(900 * MILLI, 0, false));
-    line(new Entry.Told(1000 * MILLI, 0, "c1", Entry.State.DRAINING, 0));
-    line(new Entry.Hears(3000 * MILLI, 0, true));
+    line(new HistoryEvent.Hears(900 * MILLI, 0, false));
+    line(new HistoryEvent.Told(1000 * MILLI, 0, "c1", HistoryEvent.State.DRAINING, 0));
+    line(new HistoryEvent.Hears(3000 * MILLI, 0, true));
     asked("read", 3300)
         .sent(1, "c1", 3310)
-        .made(1, Entry.Made.VALUE, 3330)
-        .told(Entry.Kind.SERVED, 3340, 1)
+        .made(1, HistoryEvent.Made.VALUE, 3330)
+        .told(HistoryEvent.Kind.SERVED, 3340, 1)
         .breaks();
-    lines.removeIf(e -> e instanceof Entry.Hears);
+    lines.removeIf(e -> e instanceof HistoryEvent.Hears);
     breaks("drains-kept");
   }
 
   @Test
   void theFirstOffenceIsTheEarliest() {
-    asked("read", 1000).told(Entry.Kind.FAILED, 2500, 0);
-    lines.add(new Entry.Asked(500 * MILLI, "early", "read", "key", null, 0, 700 * MILLI));
-    lines.add(new Entry.Answered(900 * MILLI, "early", Entry.Kind.FAILED, 0));
-    Verdict one = Judge.judge(terms, lines).get(0);
+    asked("read", 1000).told(HistoryEvent.Kind.FAILED, 2500, 0);
+    lines.add(new HistoryEvent.Asked(500 * MILLI, "early", "read", "key", null, 0, 700 * MILLI));
+    lines.add(new HistoryEvent.Answered(900 * MILLI, "early", HistoryEvent.Kind.FAILED, 0));
+    InvariantResult one = HistoryChecker.judge(terms, lines).get(0);
     assertEquals(2, one.offences().size());
     assertEquals("early", one.offences().get(0).request());
     assertEquals("answered 200.0 ms after its deadline", one.offences().get(0).what());
--- a/src/test/java/beaconturn/ledger/PlaceRulesTest.java
+++ b/src/test/java/beaconturn/history/ZoneInvariantsTest.java
@@ -1,4 +1,4 @@
-package beaconturn.ledger;
+package beaconturn.history;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -11,10 +11,10 @@
  * The rules of places, by accounts that are written here: one router in east, and a cache server in
  * each place.
  */
-class PlaceRulesTest {
+class ZoneInvariantsTest {
   private static final long SECOND = 1_000_000_000;
-  private static final Terms TERMS =
-      new Terms(
+  private static final InvariantBounds TERMS =
+      new InvariantBounds(
           Map.of(),
           3,
           true,
@@ -28,38 +28,38 @@
           SECOND,
           SECOND,
           null,
-          new Terms.Zones(true, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
-  private final List<Entry> lines =
+          new InvariantBounds.Zones(true, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
+  private final List<HistoryEvent> lines =
       new ArrayList<>(
           List.of(
-              new Entry.Started(0, "c1", "east", 0, 0, 1),
-              new Entry.Started(0, "c2", "west", 0, 0, 1)));
+              new HistoryEvent.Started(0, "c1", "east", 0, 0, 1),
+              new HistoryEvent.Started(0, "c2", "west", 0, 0, 1)));
   private long number;
 
   /** So many first sends, spread over two seconds from that one on. */
-  private PlaceRulesTest sends(int count, String server, double from) {
+  private ZoneInvariantsTest sends(int count, String server, double from) {
     for (int i = 0; i < count; i++) {
       long at = (long) (from * SECOND) + i * 2 * SECOND / count;
       lines.add(
-          new Entry.Sent(
+          new HistoryEvent.Sent(
               at, at, at, ++number, server, 0, number, "id" + number, "read", "key", SECOND / 100));
     }
     return this;
   }
 
-  private PlaceRulesTest plan(double at, int near, int far) {
+  private ZoneInvariantsTest plan(double at, int near, int far) {
     lines.add(
-        new Entry.Planned(
+        new HistoryEvent.Planned(
             (long) (at * SECOND), 1, Map.of("east", Map.of("east", near, "west", far))));
     return this;
   }
 
   private void trouble(double at, boolean on) {
-    lines.add(new Entry.Troubled((long) (at * SECOND), on));
+    lines.add(new HistoryEvent.Troubled((long) (at * SECOND), on));
   }
 
   private List<String> broken() {
-    return Judge.judge(TERMS, lines).stream()
+    return HistoryChecker.judge(TERMS, lines).stream()
         .filter(v -> !v.held())
         .filter(v -> List.of("kept-near", "no-stampede", "one-decision").contains(v.rule()))
         .map(v -> v.rule() + ": " + v.offences().get(0).what())
@@ -81,7 +81,7 @@
     trouble(7.5, false);
     assertEquals(List.of(), broken(), "not back yet, and need not be");
     trouble(20, true);
-    lines.removeIf(e -> e instanceof Entry.Troubled t && t.at() < 20 * SECOND);
+    lines.removeIf(e -> e instanceof HistoryEvent.Troubled t && t.at() < 20 * SECOND);
     assertEquals(1, broken().size(), "what comes later is no reason");
   }
 
@@ -89,7 +89,7 @@
   @Test
   void whatIsTooMuchForItsPlaceMayGoFar() {
     plan(1, 800, 200);
-    lines.add(new Entry.Started(0, "c3", "east", 0, 0, 1));
+    lines.add(new HistoryEvent.Started(0, "c3", "east", 0, 0, 1));
     sends(1500, "c1", 10).sends(60, "c2", 10);
     assertEquals(1, broken().stream().filter(b -> b.startsWith("kept-near")).count());
     sends(200, "c1", 10);
@@ -130,7 +130,7 @@
     trouble(4, true);
     trouble(7, false);
     plan(6.5, 750, 250).plan(11, 990, 10);
-    Crossings c = Crossings.of(TERMS, lines);
+    ZoneCrossings c = ZoneCrossings.of(TERMS, lines);
     assertEquals(51 / 300.0, c.crossed(), 1e-9);
     assertEquals(0.01, c.crossedCalm(), 1e-9);
     assertEquals("east", c.busiest());
@@ -145,8 +145,8 @@
   void whereNothingIsDecidedNothingIsJudged() {
     sends(20, "c2", 10);
     assertEquals(2, broken().size(), "far without a plan, and without a reason");
-    Terms undecided =
-        new Terms(
+    InvariantBounds undecided =
+        new InvariantBounds(
             Map.of(),
             3,
             true,
@@ -160,12 +160,12 @@
             SECOND,
             SECOND,
             null,
-            new Terms.Zones(false, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
+            new InvariantBounds.Zones(false, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
     assertEquals(
         0,
-        Judge.judge(undecided, lines).stream()
+        HistoryChecker.judge(undecided, lines).stream()
             .filter(v -> v.rule().equals("kept-near"))
-            .mapToLong(Verdict::checked)
+            .mapToLong(InvariantResult::checked)
             .sum());
   }
 }
--- a/src/test/java/beaconturn/ledger/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Tests. */
-package beaconturn.ledger;
--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/BrokenRouter.java
@@ -1,13 +1,13 @@
 package beaconturn.net;
 
+import beaconturn.core.AttemptResult;
+import beaconturn.core.CacheServerClients;
 import beaconturn.core.Clock;
-import beaconturn.core.Fleet;
+import beaconturn.core.EndpointDiscovery;
+import beaconturn.core.EndpointUpdate;
 import beaconturn.core.Lifecycle;
-import beaconturn.core.ListNews;
-import beaconturn.core.ListSource;
-import beaconturn.core.Message;
-import beaconturn.core.ModuleHost;
-import beaconturn.core.Outcome;
+import beaconturn.core.RoutingEngine;
+import beaconturn.core.RoutingMessage;
 import beaconturn.decision.RingRouter;
 import beaconturn.decision.Routing;
 import beaconturn.protocol.Slice;
@@ -92,28 +92,28 @@
   }
 
   @Override
-  public Consumer<Message> inbox(Consumer<Message> mailbox) {
+  public Consumer<RoutingMessage> inbox(Consumer<RoutingMessage> mailbox) {
     return message -> {
-      Message passed = spoil(message);
+      RoutingMessage passed = spoil(message);
       if (passed != null) {
         mailbox.accept(passed);
       }
     };
   }
 
-  private synchronized Message spoil(Message message) {
-    if (message instanceof Message.Arrived && defect == Defect.LOSES) {
+  private synchronized RoutingMessage spoil(RoutingMessage message) {
+    if (message instanceof RoutingMessage.Arrived && defect == Defect.LOSES) {
       return ++count % SOME == 0 ? null : message;
     }
-    if (message instanceof Message.News news && defect == Defect.IGNORES_DRAINS) {
+    if (message instanceof RoutingMessage.News news && defect == Defect.IGNORES_DRAINS) {
       // The sockets too: they would hold a send back that the module should not have made.
-      return new Message.News(
-          new ListNews(
+      return new RoutingMessage.News(
+          new EndpointUpdate(
               news.news().version(),
               news.news().kind(),
               news.news().members().stream().map(BrokenRouter::undrained).toList()));
     }
-    if (!(message instanceof Message.Ended ended)
+    if (!(message instanceof RoutingMessage.Ended ended)
         || ended.outcome().ending() != Routing.Ending.OK) {
       return message;
     }
@@ -125,17 +125,17 @@
     }
     return switch (defect) {
       case ANSWERS_TWICE ->
-          new Message.Ended(ended.attempt(), with(ended.outcome(), twice(answer)));
-      case SWAPS_ANSWERS -> new Message.Ended(ended.attempt(), with(ended.outcome(), other));
+          new RoutingMessage.Ended(ended.attempt(), with(ended.outcome(), twice(answer)));
+      case SWAPS_ANSWERS -> new RoutingMessage.Ended(ended.attempt(), with(ended.outcome(), other));
       default -> message;
     };
   }
 
-  private static ListNews.Member undrained(ListNews.Member m) {
+  private static EndpointUpdate.Member undrained(EndpointUpdate.Member m) {
     Routing.ServerEntry e = m.entry();
     return e.health() != Routing.Health.DRAINING
         ? m
-        : new ListNews.Member(
+        : new EndpointUpdate.Member(
             new Routing.ServerEntry(
                 e.server(),
                 e.zone(),
@@ -148,8 +148,9 @@
             m.dial());
   }
 
-  private static Outcome with(Outcome outcome, Slice answer) {
-    return new Outcome(outcome.ending(), outcome.at(), outcome.note(), outcome.report(), answer);
+  private static AttemptResult with(AttemptResult outcome, Slice answer) {
+    return new AttemptResult(
+        outcome.ending(), outcome.at(), outcome.note(), outcome.report(), answer);
   }
 
   private static Slice twice(Slice answer) {
@@ -160,9 +161,10 @@
   }
 
   @Override
-  public ModuleHost host(RouterConfig config, Clock clock, Fleet fleet, ListSource list) {
+  public RoutingEngine host(
+      RouterConfig config, Clock clock, CacheServerClients fleet, EndpointDiscovery list) {
     Routing.Settings settings = config.settings().routing();
-    return new ModuleHost(
+    return new RoutingEngine(
         settings,
         clock,
         fleet,
--- a/src/test/java/beaconturn/net/ReplyReaderTest.java
+++ b/src/test/java/beaconturn/net/CacheResponseReaderTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import beaconturn.core.Outcome;
+import beaconturn.core.AttemptResult;
+import beaconturn.core.RouterSettingsReader;
 import beaconturn.core.Samples;
-import beaconturn.core.SettingsReader;
 import beaconturn.decision.Routing;
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.RespReader;
@@ -15,11 +15,12 @@
 import org.junit.jupiter.api.Test;
 
 /** The load report in an answer; an answer is good whatever its report is. */
-class ReplyReaderTest {
-  private static Outcome read(String report) throws Exception {
+class CacheResponseReaderTest {
+  private static AttemptResult read(String report) throws Exception {
     Map<String, String> settings = Samples.settings();
     settings.put("load_report.names", "busy_reqs,svc_ms");
-    ReplyReader replies = new ReplyReader(SettingsReader.read(settings).routing());
+    CacheResponseReader replies =
+        new CacheResponseReader(RouterSettingsReader.read(settings).routing());
     byte[] bytes = ("*3\r\n$2\r\nva\r\n$3\r\nhit\r\n" + report).getBytes();
     InputBuffer in = new InputBuffer();
     in.room();
@@ -50,7 +51,7 @@
             "noise",
             "svc_ms=1,svc_ms=2",
             "svc_ms=1,busy_reqs=0x1p3")) {
-      Outcome outcome = read(RespWriter.bulk(wrong).toString());
+      AttemptResult outcome = read(RespWriter.bulk(wrong).toString());
       assertEquals(Routing.Ending.OK, outcome.ending(), wrong);
       assertEquals(0, outcome.report().length, wrong);
     }
--- a/src/test/java/beaconturn/net/CacheFleetTest.java
+++ b/src/test/java/beaconturn/net/CacheServerPoolTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.core.Attempt;
-import beaconturn.core.Call;
+import beaconturn.core.ClientRequest;
 import beaconturn.core.Clock;
-import beaconturn.core.ListNews;
-import beaconturn.core.Message;
+import beaconturn.core.EndpointUpdate;
+import beaconturn.core.OutboundAttempt;
+import beaconturn.core.RoutingMessage;
 import beaconturn.decision.Routing;
 import beaconturn.protocol.Slice;
 import java.util.List;
@@ -19,25 +19,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-class CacheFleetTest {
+class CacheServerPoolTest {
   private static final long SECOND = 1_000_000_000;
   private static final int MANY = 200;
   private final Clock clock = Clock.system();
-  private final Workers workers = new Workers("fleet-cache", SECOND / 100);
-  private final BlockingQueue<Message> module = new LinkedBlockingQueue<>();
+  private final WorkerPool workers = new WorkerPool("fleet-cache", SECOND / 100);
+  private final BlockingQueue<RoutingMessage> module = new LinkedBlockingQueue<>();
   private final CacheServer.Site site =
-      CacheServerTest.site(clock, module::add, new Places(9), SECOND / 100, workers);
-  private final CacheFleet fleet = new CacheFleet(site);
+      CacheServerTest.site(clock, module::add, new ConnectionLimit(9), SECOND / 100, workers);
+  private final CacheServerPool fleet = new CacheServerPool(site);
 
-  private static ListNews.Member member(long id, Routing.Health health, Peer peer) {
-    return new ListNews.Member(
+  private static EndpointUpdate.Member member(long id, Routing.Health health, Peer peer) {
+    return new EndpointUpdate.Member(
         new Routing.ServerEntry(id, 0, 0, 0, health, 1, 0), "fleet-" + id, peer.dial());
   }
 
-  private Attempt attempt(long server) {
-    Call call =
-        new ClientCall(
-            new Call.Ask(0, 1, false, false, 0, 0, 0),
+  private OutboundAttempt attempt(long server) {
+    ClientRequest call =
+        new RespClientRequest(
+            new ClientRequest.Ask(0, 1, false, false, 0, 0, 0),
             clock.now() + 100 * SECOND,
             new RequestParser.Parts(
                 Slice.of("$5\r\nC.GET\r\n$1\r\na\r\n$2\r\nid\r\n"),
@@ -46,7 +46,7 @@
                 null),
             CacheServerTest.READ,
             () -> {});
-    return new Attempt(1, 0, server, call, clock.now(), 100 * SECOND);
+    return new OutboundAttempt(1, 0, server, call, clock.now(), 100 * SECOND);
   }
 
   private static Peer cache() {
@@ -64,7 +64,7 @@
   void theActorOfAServerThatIsGoneEndsWithoutFurtherNews() throws Exception {
     try (Peer peer = cache()) {
       fleet.follow(
-          new ListNews(
+          new EndpointUpdate(
               1,
               Routing.ListKind.FULL,
               List.of(
@@ -72,9 +72,10 @@
       assertTrue(fleet.send(attempt(1)));
       Peer.until(() -> site.actors().count() == 2);
       fleet.follow(
-          new ListNews(2, Routing.ListKind.DELTA, List.of(member(1, Routing.Health.GONE, peer))));
+          new EndpointUpdate(
+              2, Routing.ListKind.DELTA, List.of(member(1, Routing.Health.GONE, peer))));
       assertFalse(fleet.send(attempt(1)), "nothing is sent to a server that is gone");
-      Attempt givenUp = attempt(2);
+      OutboundAttempt givenUp = attempt(2);
       givenUp.end(Routing.Ending.CANCELLED);
       Peer.until(
           () -> {
@@ -93,7 +94,7 @@
   void threadsGoByWhatIsOutAndAreGivenBack() throws Exception {
     try (Peer peer = cache()) {
       fleet.follow(
-          new ListNews(
+          new EndpointUpdate(
               1,
               Routing.ListKind.FULL,
               LongStream.range(0, MANY)
@@ -103,7 +104,7 @@
       int most = 0;
       for (long id = 0; id < MANY; id++) {
         assertTrue(fleet.send(attempt(id)));
-        Message.Ended ended = (Message.Ended) module.take();
+        RoutingMessage.Ended ended = (RoutingMessage.Ended) module.take();
         assertEquals(Routing.Ending.OK, ended.outcome().ending());
         most = Math.max(most, workers.threads());
         fleet.closeIdle(id);
--- a/src/test/java/beaconturn/net/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/CacheServerTest.java
@@ -5,16 +5,16 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.core.Attempt;
-import beaconturn.core.Call;
+import beaconturn.core.AttemptResult;
+import beaconturn.core.ClientRequest;
 import beaconturn.core.Clock;
-import beaconturn.core.Message;
-import beaconturn.core.Outcome;
+import beaconturn.core.OutboundAttempt;
+import beaconturn.core.RoutingMessage;
 import beaconturn.core.Samples;
 import beaconturn.decision.Routing;
 import beaconturn.protocol.RespWriter;
 import beaconturn.protocol.Slice;
-import beaconturn.stats.Tally;
+import beaconturn.stats.RequestMetrics;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
@@ -37,22 +37,27 @@
   private final AtomicLong still = new AtomicLong();
 
   private final Clock clock = () -> still.get() != 0 ? still.get() : system.now() + passed.get();
-  private final BlockingQueue<Message> module = new LinkedBlockingQueue<>();
-  static final ClientCall.Reading READ = new ClientCall.Reading(null, "read", 0, Tally.NONE);
+  private final BlockingQueue<RoutingMessage> module = new LinkedBlockingQueue<>();
+  static final RespClientRequest.Reading READ =
+      new RespClientRequest.Reading(null, "read", 0, RequestMetrics.NONE);
   private int sent;
 
   static CacheServer.Site site(
-      Clock clock, Consumer<Message> module, Places places, long idleTime, Workers workers) {
-    CacheActors actors = new CacheActors(idleTime);
+      Clock clock,
+      Consumer<RoutingMessage> module,
+      ConnectionLimit places,
+      long idleTime,
+      WorkerPool workers) {
+    CacheServerThread actors = new CacheServerThread(idleTime);
     actors.start();
     return new CacheServer.Site(
         clock,
         module,
         places,
-        new ReplyReader(Samples.read().routing()),
+        new CacheResponseReader(Samples.read().routing()),
         SECOND,
         idleTime,
-        Tally.NONE,
+        RequestMetrics.NONE,
         actors,
         workers,
         () -> true);
@@ -64,9 +69,9 @@
             site(
                 clock,
                 module::add,
-                new Places(connections),
+                new ConnectionLimit(connections),
                 idleTime,
-                new Workers("test-cache", SECOND)),
+                new WorkerPool("test-cache", SECOND)),
             "s-1",
             dial);
     server.start();
@@ -77,11 +82,11 @@
     return server(peer.address(), 100, 60 * SECOND);
   }
 
-  private Attempt attempt(Slice value) {
+  private OutboundAttempt attempt(Slice value) {
     String name = "key-" + sent;
-    Call call =
-        new ClientCall(
-            new Call.Ask(0, 1, false, false, 0, 0, 0),
+    ClientRequest call =
+        new RespClientRequest(
+            new ClientRequest.Ask(0, 1, false, false, 0, 0, 0),
             clock.now() + 100 * SECOND,
             new RequestParser.Parts(
                 Slice.of("$5\r\nC.GET\r\n" + RespWriter.bulk(name) + RespWriter.bulk("id")),
@@ -90,19 +95,19 @@
                 value),
             READ,
             () -> {});
-    return new Attempt(++sent, 0, 7, call, clock.now(), 100 * SECOND);
+    return new OutboundAttempt(++sent, 0, 7, call, clock.now(), 100 * SECOND);
   }
 
   /** Sends once the connections of earlier answers have settled. */
-  private Attempt send(CacheServer server) {
+  private OutboundAttempt send(CacheServer server) {
     passed.addAndGet(SECOND);
-    Attempt attempt = attempt(null);
+    OutboundAttempt attempt = attempt(null);
     assertTrue(server.send(attempt));
     return attempt;
   }
 
-  private Outcome outcome(Attempt of) throws InterruptedException {
-    Message.Ended ended = (Message.Ended) module.poll(20, TimeUnit.SECONDS);
+  private AttemptResult outcome(OutboundAttempt of) throws InterruptedException {
+    RoutingMessage.Ended ended = (RoutingMessage.Ended) module.poll(20, TimeUnit.SECONDS);
     assertNotNull(ended, "no outcome");
     assertEquals(of, ended.attempt());
     return ended.outcome();
@@ -126,7 +131,7 @@
               }
               line.command();
             })) {
-      Outcome outcome = outcome(send(server(peer)));
+      AttemptResult outcome = outcome(send(server(peer)));
       assertEquals(Routing.Ending.OK, outcome.ending());
       assertEquals(Routing.Note.MISS, outcome.note());
       assertEquals("$2\r\nva\r\n", outcome.answer().toString());
@@ -161,8 +166,8 @@
     try (Peer peer = new Peer(Peer.Line::command)) {
       CacheServer server = server(peer);
       passed.addAndGet(SECOND);
-      Attempt attempt = attempt(null);
-      ((ClientCall) attempt.call()).abandoned();
+      OutboundAttempt attempt = attempt(null);
+      ((RespClientRequest) attempt.call()).abandoned();
       assertTrue(server.send(attempt));
       assertEquals(Routing.Ending.MOOT, outcome(attempt).ending());
       assertEquals(0, peer.connections());
@@ -174,7 +179,7 @@
   void whatHasNoTimeLeftIsNotWritten() throws InterruptedException {
     try (Peer peer = new Peer(Peer.Line::command)) {
       CacheServer server = server(peer);
-      Attempt attempt = attempt(null);
+      OutboundAttempt attempt = attempt(null);
       passed.addAndGet(101 * SECOND);
       assertTrue(server.send(attempt));
       assertEquals(Routing.Ending.MOOT, outcome(attempt).ending());
@@ -191,15 +196,15 @@
               peer.address(),
               SECOND,
               clock,
-              new ReplyReader(Samples.read().routing()),
+              new CacheResponseReader(Samples.read().routing()),
               new Ignoring() {
                 @Override
                 public boolean wanted() {
                   return true;
                 }
               });
-      Attempt attempt = attempt(null);
-      ((ClientCall) attempt.call()).abandoned();
+      OutboundAttempt attempt = attempt(null);
+      ((RespClientRequest) attempt.call()).abandoned();
       connection.carry(attempt);
       assertEquals("end", peer.note());
     }
@@ -207,14 +212,17 @@
 
   private abstract static class Ignoring implements CacheConnection.Owner {
     @Override
-    public void begun(Attempt attempt, long at, Flow flow) {}
+    public void begun(OutboundAttempt attempt, long at, BoundedPipe flow) {}
 
     @Override
     public void ended(
-        CacheConnection connection, Attempt attempt, Outcome outcome, boolean reusable) {}
+        CacheConnection connection,
+        OutboundAttempt attempt,
+        AttemptResult outcome,
+        boolean reusable) {}
 
     @Override
-    public void stale(Attempt attempt) {}
+    public void stale(OutboundAttempt attempt) {}
 
     @Override
     public void sent() {}
@@ -365,7 +373,7 @@
       CacheServer server = server(peer);
       outcome(send(server));
       passed.addAndGet(-system.now() - passed.get());
-      Attempt next = attempt(null);
+      OutboundAttempt next = attempt(null);
       assertTrue(server.send(next));
       assertEquals(Routing.Ending.OK, outcome(next).ending());
       assertEquals(2, peer.connections());
@@ -443,7 +451,7 @@
               line.note(line.command());
             })) {
       CacheServer server = server(peer);
-      Attempt attempt = send(server);
+      OutboundAttempt attempt = send(server);
       assertEquals("begun", peer.note());
       server.abort(attempt);
       assertEquals("broken", peer.note());
@@ -467,7 +475,7 @@
       // However late the second one is sent: the first connection must not have settled by then.
       still.set(system.now());
       for (int i = 0; i < 2; i++) {
-        Attempt attempt = attempt(null);
+        OutboundAttempt attempt = attempt(null);
         assertTrue(server.send(attempt));
         assertEquals(Routing.Ending.OK, outcome(attempt).ending());
       }
@@ -489,7 +497,7 @@
             })) {
       CacheServer server = server(peer);
       outcome(send(server));
-      Attempt givenUp = attempt(null);
+      OutboundAttempt givenUp = attempt(null);
       givenUp.end(Routing.Ending.CANCELLED);
       assertTrue(server.send(givenUp));
       server.abort(givenUp);
@@ -579,7 +587,7 @@
             })) {
       CacheServer server = server(peer);
       Slice value = Slice.of("$65536\r\n" + "v".repeat(65536) + "\r\n");
-      Attempt[] attempts = new Attempt[8];
+      OutboundAttempt[] attempts = new OutboundAttempt[8];
       for (int i = 0; i < attempts.length; i++) {
         attempts[i] = attempt(value);
         assertTrue(server.send(attempts[i]));
@@ -587,13 +595,13 @@
       for (int i = 0; i < attempts.length; i++) {
         peer.note();
       }
-      for (Attempt attempt : attempts) {
+      for (OutboundAttempt attempt : attempts) {
         server.abort(attempt);
       }
       awaitQuiet(server);
       assertNull(
           module.stream()
-              .filter(m -> ((Message.Ended) m).outcome().answer() != null)
+              .filter(m -> ((RoutingMessage.Ended) m).outcome().answer() != null)
               .findAny()
               .orElse(null));
       over.countDown();
--- a/src/test/java/beaconturn/net/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/ClientConnectionsTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.core.Call;
+import beaconturn.core.ClientRequest;
 import beaconturn.core.Clock;
 import beaconturn.core.Lifecycle;
-import beaconturn.core.Message;
+import beaconturn.core.RoutingMessage;
 import beaconturn.core.Samples;
 import beaconturn.protocol.Slice;
-import beaconturn.stats.Tally;
+import beaconturn.stats.RequestMetrics;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -38,9 +38,9 @@
       "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$2\r\nid\r\n$13\r\nc=read,d=1500\r\n";
   private final AtomicLong now = new AtomicLong(SECOND);
   private Clock clock = now::get;
-  private final BlockingQueue<Message> module = new LinkedBlockingQueue<>();
-  private Consumer<Message> toModule = module::add;
-  private final OpenIds ids = new OpenIds();
+  private final BlockingQueue<RoutingMessage> module = new LinkedBlockingQueue<>();
+  private Consumer<RoutingMessage> toModule = module::add;
+  private final PendingRequestIds ids = new PendingRequestIds();
   private final ClientConnections connections = new ClientConnections(1, 1);
   private ServerSocketChannel server;
   private ClientPoller poller;
@@ -66,14 +66,14 @@
         new ClientConnection(
             accepted,
             new ClientConnection.Site(
-                () -> new RequestParser(Samples.read(), Tally.NONE),
+                () -> new RequestParser(Samples.read(), RequestMetrics.NONE),
                 () -> clock.now(),
                 new Lifecycle(),
                 message -> toModule.accept(message),
                 reads,
                 ids,
                 new Semaphore(9),
-                new ClientEvents(),
+                new ClientEventLog(),
                 connections::remove));
     connections.add(connection);
     connection.start();
@@ -85,8 +85,8 @@
     server.close();
   }
 
-  private Call arrived() throws InterruptedException {
-    return ((Message.Arrived) module.poll(20, TimeUnit.SECONDS)).call();
+  private ClientRequest arrived() throws InterruptedException {
+    return ((RoutingMessage.Arrived) module.poll(20, TimeUnit.SECONDS)).call();
   }
 
   private void awaitHalfRead() throws Exception {
@@ -182,7 +182,7 @@
   @Test
   void aRequestThatIsOutKeepsItsConnectionOpen() throws Exception {
     client.write(GET + "*4\r\n$5\r\n");
-    Call call = arrived();
+    ClientRequest call = arrived();
     awaitHalfRead();
     now.addAndGet(3 * SECOND);
     connections.sweep(now.get());
@@ -224,7 +224,7 @@
     ClientConnections crowded = new ClientConnections(9, 0);
     crowded.add(connection);
     client.write(GET);
-    Call call = arrived();
+    ClientRequest call = arrived();
     now.addAndGet(SECOND / 2);
     crowded.sweep(now.get());
     call.served(Slice.of("+v\r\n"));
@@ -276,7 +276,7 @@
     }
     client.hangUp();
     for (int i = 0; i < open; i++) {
-      assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof Message.Left, "number " + i);
+      assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.Left, "number " + i);
     }
     Peer.until(() -> connections.count() == 0);
     assertEquals(0, module.size());
@@ -353,7 +353,7 @@
     for (int i = 0; i < 33; i++) {
       client.write(get("id" + i));
     }
-    Call first = arrived();
+    ClientRequest first = arrived();
     for (int i = 1; i < 33; i++) {
       arrived();
     }
@@ -388,7 +388,7 @@
   void atAPlannedStopWhatComesLateIsRefusedAndTheConnectionEndsAfterTheLastAnswer()
       throws Exception {
     client.write(get("early"));
-    Call early = arrived();
+    ClientRequest early = arrived();
     connections.stop();
     now.addAndGet(SECOND / 10);
     client.write(get("late"));
@@ -408,7 +408,7 @@
   @Test
   void atAPlannedStopTheEndFollowsTheLastAnswerByItself() throws Exception {
     client.write(GET);
-    Call call = arrived();
+    ClientRequest call = arrived();
     connections.stop();
     call.served(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
@@ -438,14 +438,14 @@
   @Test
   void anIdIsForgottenWithItsAnswer() throws Exception {
     client.write(GET);
-    Call call = arrived();
+    ClientRequest call = arrived();
     assertEquals(1, ids.count());
     call.refused(0);
     assertEquals(0, ids.count());
     client.write(GET);
     arrived();
     client.hangUp();
-    assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof Message.Left);
+    assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.Left);
     Peer.until(() -> ids.count() == 0);
   }
 
@@ -475,7 +475,7 @@
             + get("first")
             + "*1\r\n:5\r\n"
             + get("last"));
-    Call first = arrived();
+    ClientRequest first = arrived();
     arrived().served(Slice.of("+last\r\n"));
     first.served(Slice.of("+first\r\n"));
     assertEquals("+first", client.answer());
@@ -571,7 +571,7 @@
     arrived();
     toModule =
         message -> {
-          if (message instanceof Message.Arrived) {
+          if (message instanceof RoutingMessage.Arrived) {
             throw new IllegalStateException("put in by the test");
           }
         };
--- a/src/test/java/beaconturn/net/ClientEventsTest.java
+++ b/src/test/java/beaconturn/net/ClientEventLogTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.core.Call;
+import beaconturn.core.ClientRequest;
 import beaconturn.protocol.RespValue;
 import beaconturn.protocol.Slice;
 import java.util.ArrayList;
@@ -19,11 +19,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What is said of clients' connections, and that a flood of lines hides no lost answer. */
-class ClientEventsTest {
+class ClientEventLogTest {
   private static final long SECOND = 1_000_000_000;
-  private final Logger log = Logger.getLogger(ClientEvents.class.getName());
+  private final Logger log = Logger.getLogger(ClientEventLog.class.getName());
   private final List<LogRecord> lines = new ArrayList<>();
-  private final ClientEvents events = new ClientEvents();
+  private final ClientEventLog events = new ClientEventLog();
   private final Handler kept =
       new Handler() {
         @Override
@@ -92,9 +92,9 @@
             .toList());
   }
 
-  private static ClientCall call(String id) {
-    return new ClientCall(
-        new Call.Ask(0, 1, false, false, 0, 0, 0),
+  private static RespClientRequest call(String id) {
+    return new RespClientRequest(
+        new ClientRequest.Ask(0, 1, false, false, 0, 0, 0),
         SECOND,
         new RequestParser.Parts(Slice.of(id), Slice.of(id), Map.of(), null),
         CacheServerTest.READ,
--- a/src/test/java/beaconturn/net/ClientWriterTest.java
+++ b/src/test/java/beaconturn/net/ClientWriterTest.java
@@ -53,11 +53,11 @@
   @Test
   @Timeout(60)
   void behindAWriteThatIsStuckNoMoreRequestsAreTaken() throws Exception {
-    writer.take(Reply.of(new Slice(new byte[LARGE], 0, LARGE)));
+    writer.take(ResponseSlot.of(new Slice(new byte[LARGE], 0, LARGE)));
     assertTrue(writer.stuck());
-    writer.take(Reply.of(Slice.of("+b\r\n")));
+    writer.take(ResponseSlot.of(Slice.of("+b\r\n")));
     assertTrue(writer.hasRoom());
-    writer.take(Reply.of(Slice.of("+c\r\n")));
+    writer.take(ResponseSlot.of(Slice.of("+c\r\n")));
     assertFalse(writer.hasRoom());
     Thread taker =
         Threads.start(
@@ -81,8 +81,8 @@
   @Test
   @Timeout(60)
   void answersAreWrittenInTheOrderOfTheCommands() throws Exception {
-    Reply first = new Reply();
-    Reply second = new Reply();
+    ResponseSlot first = new ResponseSlot();
+    ResponseSlot second = new ResponseSlot();
     writer.take(first);
     writer.take(second);
     second.fill(Slice.of("+2\r\n"));
@@ -90,7 +90,7 @@
     first.fill(Slice.of("+1\r\n"));
     first.fill(Slice.of("+never\r\n"));
     assertTrue(writer.finishIfQuiet());
-    assertFalse(writer.take(Reply.of(Slice.of("+3\r\n"))));
+    assertFalse(writer.take(ResponseSlot.of(Slice.of("+3\r\n"))));
     assertEquals("+1\r\n+2\r\n", read(99));
   }
 
@@ -98,10 +98,10 @@
   @Test
   @Timeout(60)
   void theEndComesBehindWhatIsOwed() throws Exception {
-    Reply owed = new Reply();
+    ResponseSlot owed = new ResponseSlot();
     writer.take(owed);
     writer.finish();
-    assertFalse(writer.take(new Reply()));
+    assertFalse(writer.take(new ResponseSlot()));
     assertEquals(Long.MAX_VALUE, writer.closingSince());
     owed.fill(Slice.of("+1\r\n"));
     assertEquals("+1\r\n", read(99));
--- a/src/test/java/beaconturn/net/CapacityTest.java
+++ b/src/test/java/beaconturn/net/ConnectionBudgetTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class CapacityTest {
+class ConnectionBudgetTest {
   /**
    * With all connections in use neither the descriptors nor the memory of a thread each may run
    * out.
@@ -13,7 +13,7 @@
   @ParameterizedTest
   @CsvSource({"1024, 192", "1024, 128", "256, 192", "64, 64", "256, 32", "4096, 2048"})
   void allConnectionsTogetherStayWithinTheLimits(int sockets, int memoryMb) {
-    Capacity capacity = Capacity.of(sockets, memoryMb);
+    ConnectionBudget capacity = ConnectionBudget.of(sockets, memoryMb);
     assertTrue(capacity.clients() > 0 && capacity.cacheConnections() > 0);
     int ending = 1 + capacity.clients() / 16;
     assertTrue(capacity.clients() + ending + capacity.cacheConnections() < sockets - 20);
--- a/src/test/java/beaconturn/net/DiscoveryTest.java
+++ b/src/test/java/beaconturn/net/DiscoveryWatcherTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.core.ListNews;
-import beaconturn.core.Message;
+import beaconturn.core.EndpointUpdate;
+import beaconturn.core.RoutingMessage;
 import beaconturn.core.Samples;
 import beaconturn.decision.Routing;
 import java.util.List;
@@ -22,32 +22,32 @@
 
 /** Watches of the list that fall silent. */
 @Timeout(60)
-class DiscoveryTest {
+class DiscoveryWatcherTest {
   /** In milliseconds: after so long a change counts as told, though its watch has fallen silent. */
   private static final int COUNTS_AS_TOLD = 6_000;
 
-  private final BlockingQueue<Message> module = new LinkedBlockingQueue<>();
+  private final BlockingQueue<RoutingMessage> module = new LinkedBlockingQueue<>();
   private final CountDownLatch over = new CountDownLatch(1);
 
   private void watching(Peer registry) {
     watching(registry, module::add);
   }
 
-  private void watching(Peer registry, Consumer<Message> hears) {
-    Discovery discovery =
-        new Discovery(
+  private void watching(Peer registry, Consumer<RoutingMessage> hears) {
+    DiscoveryWatcher discovery =
+        new DiscoveryWatcher(
             registry.address(),
-            new ListReader(Samples.read()),
+            new EndpointListParser(Samples.read()),
             4,
             hears,
             () -> 0,
-            new WatchTimes(new SplittableRandom(1), 40, 40));
+            new WatchBackoff(new SplittableRandom(1), 40, 40));
     discovery.start();
     discovery.watch(true);
   }
 
-  private ListNews news() throws InterruptedException {
-    return ((Message.News) module.poll(20, TimeUnit.SECONDS)).news();
+  private EndpointUpdate news() throws InterruptedException {
+    return ((RoutingMessage.News) module.poll(20, TimeUnit.SECONDS)).news();
   }
 
   /**
@@ -69,7 +69,7 @@
       watching(registry);
       assertTrue(registry.note().startsWith("/registry/instances?after=4&wait_ms="));
       assertTrue(registry.note().startsWith("/registry/instances?after=4&wait_ms="));
-      ListNews first = news();
+      EndpointUpdate first = news();
       assertEquals(Routing.ListKind.DELTA, first.kind());
       assertEquals(5, first.version());
     } finally {
@@ -114,7 +114,7 @@
         IntStream.range(0, 50)
             .mapToObj(
                 seed -> {
-                  WatchTimes times = WatchTimes.of(seed);
+                  WatchBackoff times = WatchBackoff.of(seed);
                   return List.of(times.next(), times.next(), times.slack());
                 })
             .toList();
--- a/src/test/java/beaconturn/net/OperatorsTest.java
+++ b/src/test/java/beaconturn/net/OperatorOverridesTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.core.Lifecycle;
-import beaconturn.core.Message;
-import beaconturn.net.control.Hand;
-import beaconturn.net.control.MachineTime;
+import beaconturn.core.RoutingMessage;
+import beaconturn.net.control.MonotonicMillis;
+import beaconturn.net.control.ServerOverride;
 import beaconturn.protocol.Json;
 import beaconturn.stats.Counters;
 import java.net.InetSocketAddress;
@@ -22,12 +22,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What operators say of one router, beside what the whole fleet has agreed to leave out. */
-class OperatorsTest {
+class OperatorOverridesTest {
   @TempDir private Path folder;
-  private final List<Message> posted = new ArrayList<>();
+  private final List<RoutingMessage> posted = new ArrayList<>();
   private final Set<String> heldOut = new HashSet<>();
   private final List<Boolean> known = new ArrayList<>();
-  private Operators operators;
+  private OperatorOverrides operators;
 
   @BeforeEach
   void bind() throws Exception {
@@ -45,13 +45,13 @@
             new RouterConfig.Surroundings(any, false, folder),
             new Json.Nothing());
     operators =
-        new Operators(
+        new OperatorOverrides(
             config,
             new Lifecycle(),
             () -> 0,
             posted::add,
             heldOut::contains,
-            new Operators.Figures(new Counters(), null));
+            new OperatorOverrides.Figures(new Counters(), null));
   }
 
   @AfterEach
@@ -60,7 +60,7 @@
   }
 
   private void say(boolean out) {
-    operators.hand(new Hand("c1", out, 5), true, known::add);
+    operators.hand(new ServerOverride("c1", out, 5), true, known::add);
   }
 
   @Test
@@ -70,7 +70,7 @@
     say(false);
     assertFalse(operators.leftOut("c1"));
     assertEquals(
-        List.of(true, false), posted.stream().map(m -> ((Message.ByHand) m).out()).toList());
+        List.of(true, false), posted.stream().map(m -> ((RoutingMessage.ByHand) m).out()).toList());
   }
 
   /**
@@ -79,11 +79,14 @@
    */
   @Test
   void whenSomethingWasSaidIsToldByTheClockOfThisProcess() {
-    operators.hand(new Hand("c1", false, MachineTime.millis() - 5000), true, known::add);
-    long at = ((Message.ByHand) posted.get(0)).at();
+    operators.hand(
+        new ServerOverride("c1", false, MonotonicMillis.millis() - 5000), true, known::add);
+    long at = ((RoutingMessage.ByHand) posted.get(0)).at();
     assertTrue(at <= -5_000_000_000L && at > -60_000_000_000L, () -> "at " + at);
-    operators.hand(new Hand("c1", false, MachineTime.millis() + 3_600_000), true, known::add);
-    assertEquals(0, ((Message.ByHand) posted.get(1)).at(), "nothing was said later than now");
+    operators.hand(
+        new ServerOverride("c1", false, MonotonicMillis.millis() + 3_600_000), true, known::add);
+    assertEquals(
+        0, ((RoutingMessage.ByHand) posted.get(1)).at(), "nothing was said later than now");
   }
 
   /** The call is answered, as it holds once the fleet lets go; until then nobody sends there. */
--- a/src/test/java/beaconturn/net/PlantedAgreement.java
+++ b/src/test/java/beaconturn/net/PlantedAgreement.java
@@ -1,13 +1,13 @@
 package beaconturn.net;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Keys;
-import beaconturn.agreement.Texts;
-import beaconturn.agreement.Timing;
-import beaconturn.agreement.Version;
-import beaconturn.core.Fleet;
+import beaconturn.agreement.AgreementKeys;
+import beaconturn.agreement.AgreementTiming;
+import beaconturn.agreement.ConfigCodec;
+import beaconturn.agreement.ConfigVersion;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
+import beaconturn.core.CacheServerClients;
 import beaconturn.decision.Routing;
 import beaconturn.net.agreement.AgreementConfig;
 import beaconturn.net.agreement.AgreementSubsystem;
@@ -22,7 +22,7 @@
 import java.util.regex.Pattern;
 
 /** A router's part in the agreement with a defect, put in on purpose: the account must name it. */
-public final class PlantedAgreement implements Agreed {
+public final class PlantedAgreement implements FleetConfigSource {
   private static final long SECOND = 1_000_000_000;
   private final Defect defect;
   private final AgreementSubsystem sound;
@@ -60,7 +60,8 @@
         List.of(new InetSocketAddress("127.0.0.1", Integer.parseInt(port.group(1))));
     AgreementSubsystem sound =
         new AgreementSubsystem(
-            new AgreementConfig(at, "/rehearsal", new Timing(SECOND, 0.01, SECOND / 2), null),
+            new AgreementConfig(
+                at, "/rehearsal", new AgreementTiming(SECOND, 0.01, SECOND / 2), null),
             router);
     return new PlantedAgreement(defect, sound, new StoreClient(at, SECOND));
   }
@@ -74,9 +75,9 @@
   }
 
   private void ahead() {
-    Keys keys = new Keys("/rehearsal");
+    AgreementKeys keys = new AgreementKeys("/rehearsal");
     while (!left) {
-      if (store.ask(new Call.Read(keys.common())) instanceof Answer.Given given) {
+      if (store.ask(new StoreRequest.Read(keys.common())) instanceof StoreResponse.Given given) {
         given.pairs().stream().filter(p -> p.key().endsWith("/next")).forEach(p -> take(p.value()));
       }
     }
@@ -84,7 +85,7 @@
 
   private void take(String text) {
     try {
-      Version next = Texts.version(text);
+      ConfigVersion next = ConfigCodec.version(text);
       Force now = sound.due();
       if (early == null || !early.says().equals("early " + next.number())) {
         early =
@@ -134,7 +135,7 @@
   }
 
   @Override
-  public void sees(Map<Fleet.Listed, Routing.Standing> caches) {
+  public void sees(Map<CacheServerClients.Listed, Routing.Standing> caches) {
     sound.sees(caches);
   }
 
--- a/src/test/java/beaconturn/net/PausesTest.java
+++ b/src/test/java/beaconturn/net/ProcessPauseDetectorTest.java
@@ -6,14 +6,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-class PausesTest {
+class ProcessPauseDetectorTest {
   private static final long MILLI = 1_000_000;
 
   @Test
   void aPauseIsToldOnceWithTheProcessorTimeThatWentByInIt() {
     AtomicLong now = new AtomicLong();
     AtomicLong used = new AtomicLong(900 * MILLI);
-    Pauses pauses = new Pauses(now::get, used::get);
+    ProcessPauseDetector pauses = new ProcessPauseDetector(now::get, used::get);
     now.addAndGet(60 * MILLI);
     assertNull(pauses.look());
     now.addAndGet(2500 * MILLI);
@@ -25,7 +25,8 @@
   @Test
   void processorTimeIsUserAndSystemTimeWhateverTheProcessIsCalled() {
     assertEquals(
-        710 * MILLI, Pauses.processorTime("7 (a) b (c) S 1 7 7 0 -1 4 9 0 0 0 64 7 3 4 20"));
-    assertEquals(0, Pauses.processorTime("7 (java) S 1"));
+        710 * MILLI,
+        ProcessPauseDetector.processorTime("7 (a) b (c) S 1 7 7 0 -1 4 9 0 0 0 64 7 3 4 20"));
+    assertEquals(0, ProcessPauseDetector.processorTime("7 (java) S 1"));
   }
 }
--- a/src/test/java/beaconturn/net/RouterConfigTest.java
+++ b/src/test/java/beaconturn/net/RouterConfigTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.core.Message;
-import beaconturn.core.Settings;
+import beaconturn.core.RouterSettings;
+import beaconturn.core.RoutingMessage;
 import beaconturn.decision.Routing;
 import beaconturn.stats.Counters;
 import java.io.IOException;
@@ -43,8 +43,8 @@
         """;
 
   @TempDir private Path folder;
-  private final List<Message> posted = new ArrayList<>();
-  private final List<Settings> inForce = new ArrayList<>();
+  private final List<RoutingMessage> posted = new ArrayList<>();
+  private final List<RouterSettings> inForce = new ArrayList<>();
   private final Counters counters = new Counters();
   private final Deque<String> files = new ArrayDeque<>();
 
@@ -120,7 +120,7 @@
    */
   @Test
   void aReloadTakesSettingsThatLeaveTheWireAloneAndNoOthers() throws ConfigException {
-    Reloads reloads = reloads(SOUND);
+    ConfigReloader reloads = reloads(SOUND);
     files.add(SOUND.replace("[\"east\"", "[\"north\""));
     files.add(SOUND.replace("1500000000", "900000000"));
     RouterConfig last = read(files.getLast(), Map.of());
@@ -128,7 +128,8 @@
     assertEquals(List.of(), posted);
     assertEquals(List.of(), inForce);
     reloads.reload();
-    assertEquals(List.of(new Message.Switched(last.settings().routing(), last.seed())), posted);
+    assertEquals(
+        List.of(new RoutingMessage.Switched(last.settings().routing(), last.seed())), posted);
     assertEquals(List.of(last.settings()), inForce);
     assertTrue(counters.read().contains(new Counters.Figure("conf_loaded", 1, false)));
     assertTrue(counters.read().contains(new Counters.Figure("conf_invalid", 1, false)));
@@ -139,7 +140,7 @@
   void aFileThatIsNotWholeChangesNothing() throws ConfigException {
     String sound =
         SOUND.replace("\"tenants\"", "\"permissions\":{\"most_tries\":3},\"tenants\"").strip();
-    Reloads reloads = reloads(sound);
+    ConfigReloader reloads = reloads(sound);
     String other = sound.replace("1500000000", "900000000").replace("8500", "8501");
     IntStream.range(0, other.length()).forEach(end -> files.add(other.substring(0, end)));
     String settings = other.substring(other.indexOf("\"settings\""));
@@ -166,17 +167,17 @@
   }
 
   /** A router that began with this text, and finds the files one by one. */
-  private Reloads reloads(String text) throws ConfigException {
+  private ConfigReloader reloads(String text) throws ConfigException {
     RouterConfig first = read(text, Map.of());
-    return new Reloads(
+    return new ConfigReloader(
         () -> read(files.remove(), Map.of()),
-        new Discovery(
+        new DiscoveryWatcher(
             first.discovery(),
-            new ListReader(first.settings()),
+            new EndpointListParser(first.settings()),
             1,
             posted::add,
             () -> 0,
-            WatchTimes.of(1)),
+            WatchBackoff.of(1)),
         first,
         posted::add,
         inForce::add,
--- a/src/test/java/beaconturn/net/RouterServerTest.java
+++ b/src/test/java/beaconturn/net/RouterServerTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import beaconturn.core.EndpointUpdate;
 import beaconturn.core.Lifecycle;
-import beaconturn.core.ListNews;
+import beaconturn.core.RouterSettings;
 import beaconturn.core.Samples;
-import beaconturn.core.Settings;
 import beaconturn.protocol.Bytes;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonReader;
@@ -53,7 +53,7 @@
           });
   private final BlockingQueue<RouterConfig> newConfigs = new LinkedBlockingQueue<>();
   private RouterConfig.Surroundings surroundings = RouterConfig.Surroundings.NONE;
-  private Settings settings = Samples.read();
+  private RouterSettings settings = Samples.read();
   private RouterServer router;
 
   @AfterEach
@@ -93,8 +93,9 @@
 
   private RouterConfig config(InetSocketAddress listen, Peer cache, Peer registry)
       throws ProtocolException {
-    ListNews known =
-        new ListReader(settings).known(JsonReader.read(Slice.of(list(4, true, cache, "ready"))));
+    EndpointUpdate known =
+        new EndpointListParser(settings)
+            .known(JsonReader.read(Slice.of(list(4, true, cache, "ready"))));
     return new RouterConfig(
         "r1",
         listen,
@@ -518,7 +519,7 @@
         Peer.Line first = start(cache, silentRegistry)) {
       first.hangUp();
       List<Peer.Line> half = new ArrayList<>();
-      for (int i = 0; i < 2 * Capacity.of(SOCKETS, MEMORY_MB).clients(); i++) {
+      for (int i = 0; i < 2 * ConnectionBudget.of(SOCKETS, MEMORY_MB).clients(); i++) {
         Peer.Line line = Peer.Line.to(router.address());
         half.add(line);
         line.write("*4\r\n$5\r\nC.G");
@@ -729,7 +730,7 @@
       first.write(GET);
       assertEquals("$2\r\nva", first.answer());
       List<Peer.Line> more = new ArrayList<>();
-      for (int i = 0; i < Capacity.of(SOCKETS, MEMORY_MB).clients() + 5; i++) {
+      for (int i = 0; i < ConnectionBudget.of(SOCKETS, MEMORY_MB).clients() + 5; i++) {
         Peer.Line line = Peer.Line.to(router.address());
         more.add(line);
         line.write("*1\r\n$4\r\nPING\r\n");
@@ -863,9 +864,9 @@
     void aHeadIsKnownInPiecesAndTakesNoMemoryForWhatItDeclares() {
       String head = "*3\r\n" + HEAD;
       for (int i = 0; i < head.length(); i++) {
-        assertNull(LargeAnswer.at(Bytes.buffer(head.substring(0, i))));
+        assertNull(LargeResponseStream.at(Bytes.buffer(head.substring(0, i))));
       }
-      assertNotNull(LargeAnswer.at(Bytes.buffer(head)));
+      assertNotNull(LargeResponseStream.at(Bytes.buffer(head)));
       for (String none :
           new String[] {
             "*3\r\n$65536\r\n",
@@ -876,7 +877,7 @@
             "*3\r\n$-1\r\n",
             "*3\r\n$70000\n\n"
           }) {
-        assertNull(LargeAnswer.at(Bytes.buffer(none)), none);
+        assertNull(LargeResponseStream.at(Bytes.buffer(none)), none);
       }
     }
   }
--- a/src/test/java/beaconturn/net/UpgradeTest.java
+++ b/src/test/java/beaconturn/net/UpgradeTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.decision.Learned;
+import beaconturn.decision.WarmStartState;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
@@ -25,19 +25,19 @@
  */
 @Timeout(30)
 class UpgradeTest {
-  private static final Learned LEARNED = new Learned(1e-7, 2e-7, 4e7, 8e7, 12, 1e9);
+  private static final WarmStartState LEARNED = new WarmStartState(1e-7, 2e-7, 4e7, 8e7, 12, 1e9);
   @TempDir private Path folder;
   private final BlockingQueue<SocketChannel> accepted = new LinkedBlockingQueue<>();
 
   @Test
   void whatIsLeftIsReadWhileItIsFreshAndNotIfItIsCutOrChangedAnywhere() throws IOException {
     Path path = folder.resolve("learned");
-    HandOver file = new HandOver(path);
+    UpgradeState file = new UpgradeState(path);
     assertNull(file.read(5000));
     file.write(LEARNED, 5000);
     assertEquals(LEARNED, file.read(9000));
     assertNull(file.read(60_000));
-    file.write(new Learned(Double.NaN, 0, 0, 0, 1, 1), 5000);
+    file.write(new WarmStartState(Double.NaN, 0, 0, 0, 1, 1), 5000);
     assertNull(file.read(5000));
     file.write(LEARNED, 5000);
     byte[] whole = Files.readAllBytes(path);
@@ -55,20 +55,20 @@
   void eachOfTwoProcessesSeesTheOtherAsLongAsItRunsAndWithoutAFileIsNeverAlone()
       throws IOException {
     Path path = folder.resolve("seats");
-    Seats first = new Seats(path);
+    ProcessSlots first = new ProcessSlots(path);
     assertFalse(first.beside());
-    Seats second = new Seats(path);
+    ProcessSlots second = new ProcessSlots(path);
     assertTrue(first.beside());
     assertTrue(second.beside());
     first.close();
     assertFalse(second.beside());
-    try (Seats third = new Seats(path)) {
+    try (ProcessSlots third = new ProcessSlots(path)) {
       assertTrue(second.beside());
       assertTrue(third.beside());
     }
     assertFalse(second.beside());
     second.close();
-    try (Seats none = new Seats(folder.resolve("missing").resolve("seats"))) {
+    try (ProcessSlots none = new ProcessSlots(folder.resolve("missing").resolve("seats"))) {
       assertTrue(none.beside());
     }
   }
--- a/src/test/java/beaconturn/net/WorkersTest.java
+++ b/src/test/java/beaconturn/net/WorkerPoolTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class WorkersTest {
+class WorkerPoolTest {
   private static final long LONG = 3_600_000_000_000L;
   private final BlockingQueue<Thread> ran = new LinkedBlockingQueue<>();
 
-  private Thread run(Workers workers) throws InterruptedException {
+  private Thread run(WorkerPool workers) throws InterruptedException {
     workers.run(() -> ran.add(Thread.currentThread()));
     return ran.take();
   }
@@ -24,7 +24,7 @@
   /** Round robin among all would keep each of them busy enough never to end. */
   @Test
   void theThreadThatCameBackLastIsUsedFirst() throws Exception {
-    Workers workers = new Workers("test", LONG);
+    WorkerPool workers = new WorkerPool("test", LONG);
     CountDownLatch over = new CountDownLatch(1);
     workers.run(
         () -> {
@@ -49,7 +49,7 @@
   /** Guards against a job given to a thread at the moment when its wait is over. */
   @Test
   void noJobIsLostAtTheEndOfAThreadsWait() throws Exception {
-    Workers workers = new Workers("test", 1);
+    WorkerPool workers = new WorkerPool("test", 1);
     for (int i = 0; i < 2000; i++) {
       run(workers);
     }
@@ -58,7 +58,7 @@
 
   @Test
   void aJobThatFailsEndsNothing() throws Exception {
-    Workers workers = new Workers("test", LONG);
+    WorkerPool workers = new WorkerPool("test", LONG);
     workers.run(
         () -> {
           throw new IllegalStateException("as the test wants");
--- a/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
+++ b/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.agreement.Desk;
-import beaconturn.agreement.Keys;
-import beaconturn.agreement.Timing;
+import beaconturn.agreement.AgreementKeys;
+import beaconturn.agreement.AgreementTiming;
+import beaconturn.agreement.ConfigAdmin;
 import beaconturn.net.RouterConfig;
-import beaconturn.standin.net.StoreFront;
+import beaconturn.standin.net.StoreServer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -20,7 +20,7 @@
 @Timeout(60)
 class AgreementSubsystemTest {
   private static final long SECOND = 1_000_000_000;
-  private static final Timing TIMING = new Timing(60 * SECOND, 0.01, SECOND / 2);
+  private static final AgreementTiming TIMING = new AgreementTiming(60 * SECOND, 0.01, SECOND / 2);
 
   private static AgreementSubsystem at(InetSocketAddress store) throws Exception {
     return new AgreementSubsystem(
@@ -31,11 +31,11 @@
   /** Whoever serves before it has asked acts on what may be over. */
   @Test
   void aStartWaitsUntilTheStoreHasToldWhatIsInForce() throws Exception {
-    try (StoreFront front =
-        new StoreFront(0, 42, System::nanoTime, (at, revision, key, value) -> {})) {
+    try (StoreServer front =
+        new StoreServer(0, 42, System::nanoTime, (at, revision, key, value) -> {})) {
       front.start();
       StoreClient client = new StoreClient(List.of(front.address()), 20 * SECOND);
-      new Desk(new Keys("/f"), client).begin("first");
+      new ConfigAdmin(new AgreementKeys("/f"), client).begin("first");
       client.close();
       AgreementSubsystem agreed = at(front.address());
       assertEquals("strict ground", agreed.due().says());
--- a/src/test/java/beaconturn/net/agreement/StoreClientTest.java
+++ b/src/test/java/beaconturn/net/agreement/StoreClientTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Content;
-import beaconturn.agreement.Kept;
-import beaconturn.agreement.Version;
-import beaconturn.standin.net.StoreFront;
+import beaconturn.agreement.ConfigContent;
+import beaconturn.agreement.ConfigVersion;
+import beaconturn.agreement.PersistedConfig;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
+import beaconturn.standin.net.StoreServer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -27,13 +27,13 @@
 @Timeout(60)
 class StoreClientTest {
   private static final long SECOND = 1_000_000_000;
-  private StoreFront front;
+  private StoreServer front;
   private StoreClient client;
   @TempDir private Path folder;
 
   @BeforeEach
   void open() throws IOException {
-    front = new StoreFront(0, 42, System::nanoTime, (at, revision, key, value) -> {});
+    front = new StoreServer(0, 42, System::nanoTime, (at, revision, key, value) -> {});
     front.start();
     client = new StoreClient(List.of(front.address()), 20 * SECOND);
   }
@@ -44,12 +44,15 @@
     front.close();
   }
 
-  private Answer.Given given(Call call) {
-    return assertInstanceOf(Answer.Given.class, client.ask(call), () -> "no answer to " + call);
+  private StoreResponse.Given given(StoreRequest call) {
+    return assertInstanceOf(
+        StoreResponse.Given.class, client.ask(call), () -> "no answer to " + call);
   }
 
-  private static Call.Swap put(String key, String value, long lease, Call.Condition... conditions) {
-    return new Call.Swap(List.of(conditions), List.of(new Call.Change.Put(key, value, lease)));
+  private static StoreRequest.Swap put(
+      String key, String value, long lease, StoreRequest.Condition... conditions) {
+    return new StoreRequest.Swap(
+        List.of(conditions), List.of(new StoreRequest.Change.Put(key, value, lease)));
   }
 
   @Test
@@ -57,52 +60,53 @@
     assertTrue(given(put("/f/a/x", "1 \u00e9", 0)).held());
     assertTrue(given(put("/f/a/x", "2 \u00e9", 0)).held());
     assertTrue(given(put("/f/b/y", "3", 0)).held());
-    Answer.Given read = given(new Call.Read("/f/a/"));
-    assertEquals(List.of(new Answer.Pair("/f/a/x", "2 \u00e9", 2, 3, 0)), read.pairs());
+    StoreResponse.Given read = given(new StoreRequest.Read("/f/a/"));
+    assertEquals(List.of(new StoreResponse.Pair("/f/a/x", "2 \u00e9", 2, 3, 0)), read.pairs());
     assertEquals(4, read.revision());
     assertEquals("42", read.cluster());
   }
 
   @Test
   void aSwapHoldsOnlyWhereAllItsConditionsDo() {
-    assertTrue(given(put("/f/x", "1", 0, new Call.Condition.Unchanged("/f/x", 0))).held());
-    assertFalse(given(put("/f/x", "2", 0, new Call.Condition.Unchanged("/f/x", 0))).held());
-    assertTrue(given(put("/f/x", "2", 0, new Call.Condition.Unchanged("/f/x", 2))).held());
-    assertTrue(given(put("/f/z", "1", 0, new Call.Condition.Stands("/f/x"))).held());
-    assertFalse(given(put("/f/z", "2", 0, new Call.Condition.Stands("/f/y"))).held());
-    assertTrue(given(put("/g", "1", 0, new Call.Condition.NoneAfter("/f/", 4))).held());
-    assertFalse(given(put("/g", "2", 0, new Call.Condition.NoneAfter("/f/", 3))).held());
-    assertTrue(given(put("/g", "2", 0, new Call.Condition.NoneAfter("/h/", 1))).held());
+    assertTrue(given(put("/f/x", "1", 0, new StoreRequest.Condition.Unchanged("/f/x", 0))).held());
+    assertFalse(given(put("/f/x", "2", 0, new StoreRequest.Condition.Unchanged("/f/x", 0))).held());
+    assertTrue(given(put("/f/x", "2", 0, new StoreRequest.Condition.Unchanged("/f/x", 2))).held());
+    assertTrue(given(put("/f/z", "1", 0, new StoreRequest.Condition.Stands("/f/x"))).held());
+    assertFalse(given(put("/f/z", "2", 0, new StoreRequest.Condition.Stands("/f/y"))).held());
+    assertTrue(given(put("/g", "1", 0, new StoreRequest.Condition.NoneAfter("/f/", 4))).held());
+    assertFalse(given(put("/g", "2", 0, new StoreRequest.Condition.NoneAfter("/f/", 3))).held());
+    assertTrue(given(put("/g", "2", 0, new StoreRequest.Condition.NoneAfter("/h/", 1))).held());
   }
 
   @Test
   void aLeaseTakesItsKeysWithIt() {
-    long lease = given(new Call.Grant(30)).lease();
+    long lease = given(new StoreRequest.Grant(30)).lease();
     assertTrue(given(put("/f/x", "", lease)).held());
-    assertEquals(30, given(new Call.KeepAlive(lease)).seconds());
-    given(new Call.Revoke(lease));
-    assertEquals(List.of(), given(new Call.Read("/f/")).pairs());
-    assertEquals(0, given(new Call.KeepAlive(lease)).seconds());
-    assertInstanceOf(Answer.Failed.class, client.ask(put("/f/x", "", lease)));
+    assertEquals(30, given(new StoreRequest.KeepAlive(lease)).seconds());
+    given(new StoreRequest.Revoke(lease));
+    assertEquals(List.of(), given(new StoreRequest.Read("/f/")).pairs());
+    assertEquals(0, given(new StoreRequest.KeepAlive(lease)).seconds());
+    assertInstanceOf(StoreResponse.Failed.class, client.ask(put("/f/x", "", lease)));
   }
 
   @Test
   void anAnswerThatIsLostIsAFailureAndTheChangeHasComeAbout() {
     front.run("lose 1");
-    assertInstanceOf(Answer.Failed.class, client.ask(put("/f/x", "1", 0)));
-    assertEquals(1, given(new Call.Read("/f/")).pairs().size());
+    assertInstanceOf(StoreResponse.Failed.class, client.ask(put("/f/x", "1", 0)));
+    assertEquals(1, given(new StoreRequest.Read("/f/")).pairs().size());
   }
 
   @Test
   void aSlowStoreIsNotWaitedForAndAnotherMemberIsAskedNext() throws IOException {
     front.run("slow 30000");
-    try (StoreFront other =
-        new StoreFront(0, 42, System::nanoTime, (at, revision, key, value) -> {})) {
+    try (StoreServer other =
+        new StoreServer(0, 42, System::nanoTime, (at, revision, key, value) -> {})) {
       other.start();
       List<InetSocketAddress> members = new ArrayList<>(List.of(front.address(), other.address()));
       StoreClient two = new StoreClient(members, SECOND / 5);
-      assertEquals(new Answer.Failed("no answer in time"), two.ask(new Call.Read("/f/")));
-      assertInstanceOf(Answer.Given.class, two.ask(new Call.Read("/f/")));
+      assertEquals(
+          new StoreResponse.Failed("no answer in time"), two.ask(new StoreRequest.Read("/f/")));
+      assertInstanceOf(StoreResponse.Given.class, two.ask(new StoreRequest.Read("/f/")));
       two.close();
     }
   }
@@ -111,24 +115,26 @@
   void aStoreThatIsDownFailsAndComesBackWithWhatItHeld() {
     given(put("/f/x", "1", 0));
     front.run("down");
-    assertInstanceOf(Answer.Failed.class, client.ask(new Call.Read("/f/")));
+    assertInstanceOf(StoreResponse.Failed.class, client.ask(new StoreRequest.Read("/f/")));
     front.run("up");
-    assertEquals(1, given(new Call.Read("/f/")).pairs().size());
+    assertEquals(1, given(new StoreRequest.Read("/f/")).pairs().size());
     front.run("empty");
-    assertEquals("43", given(new Call.Read("/f/")).cluster());
+    assertEquals("43", given(new StoreRequest.Read("/f/")).cluster());
   }
 
   @Test
   void whatIsKeptIsReadAgainAndADamagedFileCountsAsNone() throws IOException {
     List<String> said = new ArrayList<>();
-    Version acting = Version.of(3, Content.UNSAID, "a", "b", 5);
-    Kept kept = new Kept("id", "42", 17, true, acting, Version.of(4, Content.UNSAID, "a", "c", 6));
-    assertTrue(new KeptFile(folder, "r/1", said::add).write(kept));
-    assertEquals(kept, new KeptFile(folder, "r/1", said::add).read());
+    ConfigVersion acting = ConfigVersion.of(3, ConfigContent.UNSAID, "a", "b", 5);
+    PersistedConfig kept =
+        new PersistedConfig(
+            "id", "42", 17, true, acting, ConfigVersion.of(4, ConfigContent.UNSAID, "a", "c", 6));
+    assertTrue(new PersistedConfigFile(folder, "r/1", said::add).write(kept));
+    assertEquals(kept, new PersistedConfigFile(folder, "r/1", said::add).read());
     Path file = folder.resolve("beaconturn-r_1.agreed");
     Files.writeString(file, Files.readString(file).replace("\\\"number\\\":3", "\\\"number\\\":2"));
-    assertEquals(Kept.NOTHING, new KeptFile(folder, "r/1", said::add).read());
+    assertEquals(PersistedConfig.NOTHING, new PersistedConfigFile(folder, "r/1", said::add).read());
     assertTrue(said.get(0).contains("is not followed: version 2 has digest"), said.toString());
-    assertFalse(new KeptFile(folder.resolve("gone"), "r1", said::add).write(kept));
+    assertFalse(new PersistedConfigFile(folder.resolve("gone"), "r1", said::add).write(kept));
   }
 }
--- a/src/test/java/beaconturn/net/control/ControlAddressTest.java
+++ b/src/test/java/beaconturn/net/control/AdminServerTest.java
@@ -5,7 +5,7 @@
 
 import beaconturn.net.Peer;
 import beaconturn.stats.Counters;
-import beaconturn.stats.Tally;
+import beaconturn.stats.RequestMetrics;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -27,18 +27,18 @@
 
 /** Calls on the second address; the clock is the test's, and so is what the calls reach. */
 @Timeout(30)
-class ControlAddressTest implements Office {
+class AdminServerTest implements AdminOperations {
   private static final long SECOND = 1_000_000_000;
-  private static final Hand OUT = new Hand("s-1", true, 5000);
-  private static final Hand BACK = new Hand("s-2", false, 6000);
+  private static final ServerOverride OUT = new ServerOverride("s-1", true, 5000);
+  private static final ServerOverride BACK = new ServerOverride("s-2", false, 6000);
   @TempDir private Path folder;
   private final AtomicLong now = new AtomicLong(SECOND);
-  private final BlockingQueue<Hand> hands = new LinkedBlockingQueue<>();
+  private final BlockingQueue<ServerOverride> hands = new LinkedBlockingQueue<>();
   private volatile String notReady;
   private final Counters counters = new Counters();
-  private final Map<ControlAddress, CompletableFuture<Void>> open = new HashMap<>();
+  private final Map<AdminServer, CompletableFuture<Void>> open = new HashMap<>();
   private final List<Peer.Line> callers = new ArrayList<>();
-  private ControlAddress address;
+  private AdminServer address;
 
   @Override
   public String notReady() {
@@ -47,7 +47,7 @@
 
   /** Server {@code s-1} is known; of one that is called {@code s-slow} nothing is heard again. */
   @Override
-  public void hand(Hand hand, boolean told, Consumer<Boolean> known) {
+  public void hand(ServerOverride hand, boolean told, Consumer<Boolean> known) {
     hands.add(hand);
     if (!hand.id().equals("s-slow")) {
       known.accept(told || hand.id().equals("s-1"));
@@ -58,13 +58,13 @@
     return folder.resolve("hand");
   }
 
-  private ControlAddress open(boolean shared) throws IOException {
-    ControlAddress opened =
-        new ControlAddress(
+  private AdminServer open(boolean shared) throws IOException {
+    AdminServer opened =
+        new AdminServer(
             new InetSocketAddress("127.0.0.1", 0),
             this,
             counters,
-            new HandFile(file(), shared),
+            new ServerOverrideFile(file(), shared),
             now::get);
     open.put(opened, CompletableFuture.runAsync(opened, task -> new Thread(task).start()));
     return opened;
@@ -77,7 +77,7 @@
 
   @AfterEach
   void close() {
-    open.keySet().forEach(ControlAddress::close);
+    open.keySet().forEach(AdminServer::close);
     // Fails if one of them did: a stop ends the callers that are there.
     open.values().forEach(CompletableFuture::join);
     callers.forEach(Peer.Line::close);
@@ -156,7 +156,7 @@
     counters.names("read");
     counters.taken();
     counters.taken();
-    counters.ended("put", Tally.End.DEFERRED);
+    counters.ended("put", RequestMetrics.End.DEFERRED);
     counters.sent();
     counters.fleet(10, 2);
     assertEquals(
@@ -181,7 +181,7 @@
   void whatOneProcessOfARouterIsToldTheOtherFollows() throws Exception {
     open(true);
     assertEquals("ACK\n", call("disable-server s-1\n"));
-    Hand said = hands.take();
+    ServerOverride said = hands.take();
     now.addAndGet(SECOND);
     assertEquals(said, hands.take());
     assertEquals("ACK\n", call("enable-server s-1\n"));
@@ -190,25 +190,25 @@
     assertEquals(false, hands.take().out());
   }
 
-  private List<Hand> reread() {
-    return new HandFile(file(), false).read();
+  private List<ServerOverride> reread() {
+    return new ServerOverrideFile(file(), false).read();
   }
 
   @Test
   void theNextProcessFindsWhatWasSaidLast() {
-    HandFile first = new HandFile(file(), false);
+    ServerOverrideFile first = new ServerOverrideFile(file(), false);
     first.put(OUT);
     first.put(BACK);
     assertEquals(List.of(OUT, BACK), reread());
-    Hand again = new Hand("s-1", false, 7000);
+    ServerOverride again = new ServerOverride("s-1", false, 7000);
     first.put(again);
     assertEquals(List.of(again, BACK), reread());
   }
 
   @Test
   void twoProcessesKeepEachOthersWords() {
-    HandFile first = new HandFile(file(), true);
-    HandFile second = new HandFile(file(), true);
+    ServerOverrideFile first = new ServerOverrideFile(file(), true);
+    ServerOverrideFile second = new ServerOverrideFile(file(), true);
     first.put(OUT);
     second.put(BACK);
     assertEquals(List.of(OUT, BACK), reread());
@@ -236,16 +236,16 @@
   @Test
   void aFileOfTheEarlierFormHoldsAndItsTimesDoNot() throws IOException {
     Files.writeString(file(), "beaconturn-hand 1\nout s-1 99999999999999\n");
-    long before = MachineTime.millis();
-    Hand read = reread().get(0);
+    long before = MonotonicMillis.millis();
+    ServerOverride read = reread().get(0);
     assertTrue(read.out());
-    assertTrue(read.atMillis() >= before && read.atMillis() <= MachineTime.millis());
+    assertTrue(read.atMillis() >= before && read.atMillis() <= MonotonicMillis.millis());
   }
 
   @Test
   void aFolderThatCannotBeWrittenCostsOnlyTheKeeping() {
     folder = folder.resolve("missing");
-    HandFile kept = new HandFile(file(), true);
+    ServerOverrideFile kept = new ServerOverrideFile(file(), true);
     kept.put(OUT);
     assertEquals(List.of(OUT), kept.read());
     assertEquals(List.of(), reread());
--- a/src/test/java/beaconturn/rehearsal/AgreementPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/AgreementPlayTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.ledger.Verdict;
+import beaconturn.history.InvariantResult;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -57,11 +57,11 @@
 
   @TempDir private Path folder;
 
-  private static List<String> broken(Report report) {
-    return report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule).toList();
+  private static List<String> broken(RehearsalReport report) {
+    return report.verdicts().stream().filter(v -> !v.held()).map(InvariantResult::rule).toList();
   }
 
-  static Verdict contradiction(Report report) {
+  static InvariantResult contradiction(RehearsalReport report) {
     return report.verdicts().stream()
         .filter(v -> v.rule().equals("no-contradiction"))
         .findFirst()
@@ -79,7 +79,7 @@
           assertTrue(contradiction(report).checked() > 0, report.text());
           String log = Files.readString(logs.resolve("r1.log"));
           assertTrue(log.contains("acts on safe ground between version 1 and version 2"), log);
-          Tally.Line levels = report.classes().get(0);
+          ClientStatistics.Line levels = report.classes().get(0);
           assertTrue(levels.served() > levels.wanted() * 9 / 10, report.text());
         });
   }
@@ -90,7 +90,7 @@
     shipped(
         "agreement-killed",
         (report, logs) -> {
-          Passage second = report.fleet().passages().get(1);
+          VersionTimeline second = report.fleet().passages().get(1);
           assertTrue(second.inForce() > second.proposed() + 4_000_000_000L, report.text());
           assertTrue(
               Files.readString(logs.resolve("r2.log")).split("agreement: joined as r2/").length
@@ -133,7 +133,7 @@
     shipped(
         "agreement-lists",
         (report, logs) -> {
-          Passage version = report.fleet().passages().get(0);
+          VersionTimeline version = report.fleet().passages().get(0);
           assertTrue(version.inForce() > version.proposed() + 2_000_000_000L, "it waits for r3");
           String log = Files.readString(logs.resolve("r3.log"));
           assertTrue(log.contains("has not the list yet that version 1 asks for"), log);
@@ -151,7 +151,7 @@
     shipped(
         "agreement-effects",
         (report, logs) -> {
-          List<Passage> versions = report.fleet().passages();
+          List<VersionTimeline> versions = report.fleet().passages();
           assertTrue(versions.get(0).inForce() < 0, "nobody acts on it");
           assertTrue(versions.get(1).inForce() > 0);
           String log = Files.readString(logs.resolve("store.log"));
--- a/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
+++ b/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.cli.EmbeddedLauncher;
-import beaconturn.ledger.Verdict;
+import beaconturn.history.InvariantResult;
 import beaconturn.net.BrokenRouter;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -95,9 +95,13 @@
         below,
         (report, logs) -> {
           assertTrue(
-              report.classes().stream().mapToLong(Tally.Line::served).sum() > 100, report.text());
+              report.classes().stream().mapToLong(ClientStatistics.Line::served).sum() > 100,
+              report.text());
           broken.accept(
-              report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule).toList());
+              report.verdicts().stream()
+                  .filter(v -> !v.held())
+                  .map(InvariantResult::rule)
+                  .toList());
         });
   }
 
--- a/src/test/java/beaconturn/rehearsal/OrdersTest.java
+++ b/src/test/java/beaconturn/rehearsal/FaultCommandsTest.java
@@ -4,29 +4,29 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.standin.Agenda;
-import beaconturn.standin.Seeds;
-import beaconturn.standin.Witness;
-import beaconturn.standin.World;
+import beaconturn.standin.EmulatedFleet;
+import beaconturn.standin.EventScheduler;
+import beaconturn.standin.HistoryRecorder;
+import beaconturn.standin.RandomSources;
 import beaconturn.toml.TomlException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class OrdersTest {
+class FaultCommandsTest {
   private static final long SECOND = 1_000_000_000L;
-  private final Agenda agenda = new Agenda(0);
-  private final World world;
-  private final Orders orders;
+  private final EventScheduler agenda = new EventScheduler(0);
+  private final EmulatedFleet world;
+  private final FaultCommands orders;
 
-  OrdersTest() throws TomlException {
+  FaultCommandsTest() throws TomlException {
     world =
-        new World(
+        new EmulatedFleet(
             agenda,
             ScenarioReader.read("s", "[fleet]\ncaches = 3", null).world(),
-            new Seeds(1),
-            Witness.NONE);
-    orders = new Orders(world);
+            new RandomSources(1),
+            HistoryRecorder.NONE);
+    orders = new FaultCommands(world);
   }
 
   private void pass(long nanos) {
--- a/src/test/java/beaconturn/rehearsal/FirstPlanted.java
+++ b/src/test/java/beaconturn/rehearsal/FirstRouterDefective.java
@@ -12,7 +12,8 @@
  *
  * @param first makes it, by the operators' file
  */
-record FirstPlanted(Function<Path, EmbeddedLauncher.Maker> first) implements RouterLauncher {
+record FirstRouterDefective(Function<Path, EmbeddedLauncher.Maker> first)
+    implements RouterLauncher {
   private static final ProcessLauncher PROCESSES = ProcessLauncher.own("beaconturn.cli.Main");
 
   @Override
--- a/src/test/java/beaconturn/rehearsal/PlantedAgentsTest.java
+++ b/src/test/java/beaconturn/rehearsal/PlantedAgentsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.cli.PlantedAgent;
-import beaconturn.ledger.Verdict;
+import beaconturn.history.InvariantResult;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -46,7 +46,7 @@
         new Planted(defect),
         folder,
         (report, logs) -> {
-          Verdict verdict =
+          InvariantResult verdict =
               report.verdicts().stream()
                   .filter(v -> v.rule().equals(rule))
                   .findFirst()
--- a/src/test/java/beaconturn/rehearsal/PlantedAgreementPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/PlantedAgreementPlayTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.core.Lifecycle;
-import beaconturn.ledger.Verdict;
+import beaconturn.history.InvariantResult;
 import beaconturn.net.PlantedAgreement;
 import beaconturn.net.RouterServer;
 import java.nio.file.Path;
@@ -59,7 +59,7 @@
   void aPlantedRouterIsNamed(PlantedAgreement.Defect defect) throws Exception {
     Plays.of(
         day(defect),
-        new FirstPlanted(
+        new FirstRouterDefective(
             features ->
                 c ->
                     new RouterServer(
@@ -70,7 +70,7 @@
                         null)),
         folder,
         (report, logs) -> {
-          Verdict verdict = AgreementPlayTest.contradiction(report);
+          InvariantResult verdict = AgreementPlayTest.contradiction(report);
           assertTrue(!verdict.held(), report.text());
           assertTrue(verdict.offences().get(0).what().contains("router 0 act"), report.text());
         });
--- a/src/test/java/beaconturn/rehearsal/Plays.java
+++ b/src/test/java/beaconturn/rehearsal/Plays.java
@@ -17,7 +17,7 @@
   /** What a play has to show; throws an {@link AssertionError} where it does not. */
   interface Shows {
     /** By the report and the folder with the logs of that play. */
-    void in(Report report, Path folder) throws Exception;
+    void in(RehearsalReport report, Path folder) throws Exception;
   }
 
   private Plays() {}
@@ -34,7 +34,7 @@
     Scenario scenario = ScenarioReader.read("day.toml", text, null);
     for (int i = 1; ; i++) {
       Path folder = Files.createDirectory(below.resolve("play-" + i));
-      Report report = null;
+      RehearsalReport report = null;
       try {
         report = new Rehearsal(scenario, launcher, folder, progress).play();
         shows.in(report, folder);
--- a/src/test/java/beaconturn/rehearsal/RehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/RehearsalTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.ledger.Verdict;
+import beaconturn.history.InvariantResult;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -28,7 +28,7 @@
         (report, logs) -> {
           assertEquals(
               List.of(),
-              report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule).toList(),
+              report.verdicts().stream().filter(v -> !v.held()).map(InvariantResult::rule).toList(),
               report.text());
           shows.in(report, logs);
         });
@@ -71,7 +71,7 @@
             to = "3s"
             """,
         (report, logs) -> {
-          Tally.Line levels = report.classes().get(0);
+          ClientStatistics.Line levels = report.classes().get(0);
           assertTrue(levels.served() > levels.wanted() * 9 / 10, report.text());
           assertTrue(report.text().contains("no-effect-twice  held"), report.text());
           assertTrue(report.json().contains("\"held\":true"));
@@ -106,7 +106,7 @@
     play(
         text.toString(),
         (report, logs) -> {
-          Verdict cold =
+          InvariantResult cold =
               report.verdicts().stream()
                   .filter(v -> v.rule().equals("cold-kept"))
                   .findFirst()
@@ -141,7 +141,8 @@
             """,
         (report, logs) -> {
           assertTrue(
-              report.classes().stream().mapToLong(Tally.Line::unreached).sum() > 0, report.text());
+              report.classes().stream().mapToLong(ClientStatistics.Line::unreached).sum() > 0,
+              report.text());
           assertEquals(
               2,
               Files.readString(logs.resolve("r1.log"))
--- a/src/test/java/beaconturn/rehearsal/ReleasePlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ReleasePlayTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.ledger.Entry;
-import beaconturn.ledger.Verdict;
+import beaconturn.history.HistoryEvent;
+import beaconturn.history.InvariantResult;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -25,16 +25,16 @@
         (report, logs) -> {
           assertEquals(
               List.of(),
-              report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule).toList(),
+              report.verdicts().stream().filter(v -> !v.held()).map(InvariantResult::rule).toList(),
               report.text());
           shows.in(report, logs);
         });
   }
 
-  private static List<Integer> changed(Report report, boolean released) {
+  private static List<Integer> changed(RehearsalReport report, boolean released) {
     return report.entries().stream()
-        .filter(e -> e instanceof Entry.Changed c && c.released() == released)
-        .map(e -> ((Entry.Changed) e).router())
+        .filter(e -> e instanceof HistoryEvent.Changed c && c.released() == released)
+        .map(e -> ((HistoryEvent.Changed) e).router())
         .sorted()
         .toList();
   }
@@ -99,8 +99,8 @@
           assertEquals(
               List.of("c1", "c3"),
               report.entries().stream()
-                  .filter(e -> e instanceof Entry.Changed)
-                  .map(e -> ((Entry.Changed) e).part())
+                  .filter(e -> e instanceof HistoryEvent.Changed)
+                  .map(e -> ((HistoryEvent.Changed) e).part())
                   .toList());
         });
   }
@@ -111,11 +111,11 @@
         Plays.shipped("release-settings").replace("length = \"30s\"", "length = \"20s\""),
         (report, logs) -> {
           assertEquals("back", report.ending(), report.text());
-          List<Passage> versions = report.fleet().passages();
+          List<VersionTimeline> versions = report.fleet().passages();
           long first =
               report.entries().stream()
-                  .filter(e -> e instanceof Entry.Changed)
-                  .mapToLong(Entry::at)
+                  .filter(e -> e instanceof HistoryEvent.Changed)
+                  .mapToLong(HistoryEvent::at)
                   .min()
                   .orElseThrow();
           assertEquals(2, versions.size());
--- a/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
+++ b/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
@@ -29,19 +29,20 @@
   void aStormOfASeedIsAlwaysTheSameScenario() throws TomlException {
     Set<String> kinds = new HashSet<>();
     for (long seed = 1; seed <= 100; seed++) {
-      for (Storm.About about : Storm.About.values()) {
-        assertEquals(Storm.text(about, seed, 5), Storm.text(about, seed, 5));
-        int routers = Storm.of(about, seed, 5).routers().size();
+      for (RandomScenario.About about : RandomScenario.About.values()) {
+        assertEquals(RandomScenario.text(about, seed, 5), RandomScenario.text(about, seed, 5));
+        int routers = RandomScenario.of(about, seed, 5).routers().size();
         // Storms of clients draw how many routers there are.
-        assertTrue(about == Storm.About.CLIENTS ? routers >= 3 && routers <= 6 : routers == 5);
+        assertTrue(
+            about == RandomScenario.About.CLIENTS ? routers >= 3 && routers <= 6 : routers == 5);
       }
-      Storm.of(Storm.About.CLIENTS, seed, 5)
+      RandomScenario.of(RandomScenario.About.CLIENTS, seed, 5)
           .faults()
           .forEach(f -> kinds.add("of clients " + f.kind().word()));
-      Scenario release = Storm.of(Storm.About.RELEASES, seed, 5);
+      Scenario release = RandomScenario.of(RandomScenario.About.RELEASES, seed, 5);
       release.faults().forEach(f -> kinds.add("of release " + f.kind().word()));
       release.orders().forEach(o -> kinds.add(o.what()));
-      Scenario storm = Storm.of(Storm.About.VERSIONS, seed, 5);
+      Scenario storm = RandomScenario.of(RandomScenario.About.VERSIONS, seed, 5);
       for (int i = 1; i < storm.versions().size(); i++) {
         // One that shares nothing with the version before it contradicts it.
         assertTrue(
@@ -49,7 +50,7 @@
                 .noneMatch(storm.versions().get(i).out()::contains));
       }
       storm.faults().forEach(fault -> kinds.add(fault.kind().word()));
-      Storm.of(Storm.About.PLACES, seed, 5)
+      RandomScenario.of(RandomScenario.About.PLACES, seed, 5)
           .faults()
           .forEach(f -> kinds.add("of places " + f.kind().word() + " " + f.way()));
     }
@@ -138,13 +139,13 @@
 
   @Test
   void everyShippedScenarioIsReadTheSameFromItsExplanation() throws TomlException, IOException {
-    List<Path> files = Shipped.files(Path.of("examples", "rehearsals"));
+    List<Path> files = ShippedScenarios.files(Path.of("examples", "rehearsals"));
     Set<Fault.Kind> kinds = new HashSet<>();
     for (Path file : files) {
       Scenario scenario = ScenarioReader.read(file.toString(), Files.readString(file), null);
       assertTrue(
           Files.readString(file).startsWith("#"), file + " says nothing of what is to be seen");
-      assertEquals(scenario, read(Shipped.explain(scenario)), file.toString());
+      assertEquals(scenario, read(ShippedScenarios.explain(scenario)), file.toString());
       scenario.faults().forEach(fault -> kinds.add(fault.kind()));
     }
     assertTrue(files.size() >= 12);
@@ -168,13 +169,13 @@
   @Test
   void theSameSeedPlansTheSameRequests() throws TomlException {
     Scenario scenario = read("length = \"10s\"");
-    List<Planned> plan = Plan.of(scenario);
-    assertEquals(plan, Plan.of(scenario));
-    assertNotEquals(plan, Plan.of(ScenarioReader.read("s", "length = \"10s\"", 2L)));
+    List<ScheduledRequest> plan = RequestSchedule.of(scenario);
+    assertEquals(plan, RequestSchedule.of(scenario));
+    assertNotEquals(plan, RequestSchedule.of(ScenarioReader.read("s", "length = \"10s\"", 2L)));
     assertTrue(
         Math.abs(plan.size() - 1000) < 150, plan.size() + " requests where 1000 are expected");
     long last = 0;
-    for (Planned p : plan) {
+    for (ScheduledRequest p : plan) {
       assertTrue(p.at() >= last && p.at() < 10 * SECOND);
       last = p.at();
     }
@@ -182,8 +183,8 @@
 
   @Test
   void streamsKeepToTheirTimesAndClasses() throws TomlException {
-    List<Planned> plan =
-        Plan.of(
+    List<ScheduledRequest> plan =
+        RequestSchedule.of(
             read(
                 "[[clients]]\nclasses = [\"level\"]\nto = \"5s\"\n"
                     + "[[clients]]\nclasses = [\"alert-ack\"]\nfrom = \"6s\"\nto = \"8s\"\n"));
@@ -233,6 +234,6 @@
     assertEquals(
         "s.toml:6: zones.regions: 1 of them, allowed is one for each of the sites east, west",
         assertThrows(TomlException.class, () -> read(text.replace(", \"two\"", ""))).getMessage());
-    assertEquals(scenario, read(Shipped.explain(scenario)));
+    assertEquals(scenario, read(ShippedScenarios.explain(scenario)));
   }
 }
--- a/src/test/java/beaconturn/rehearsal/PlacesPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
@@ -3,20 +3,20 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.agreement.Timing;
-import beaconturn.core.Fleet;
+import beaconturn.agreement.AgreementTiming;
+import beaconturn.core.CacheServerClients;
 import beaconturn.core.Lifecycle;
 import beaconturn.decision.Routing;
-import beaconturn.ledger.Entry;
-import beaconturn.ledger.Verdict;
-import beaconturn.net.Placing;
+import beaconturn.history.HistoryEvent;
+import beaconturn.history.InvariantResult;
 import beaconturn.net.RouterConfig;
 import beaconturn.net.RouterServer;
+import beaconturn.net.ZoneWeightsSource;
 import beaconturn.net.agreement.AgreementConfig;
 import beaconturn.net.agreement.AgreementSubsystem;
-import beaconturn.net.agreement.PlacesSubsystem;
-import beaconturn.zones.Geography;
-import beaconturn.zones.Twin;
+import beaconturn.net.agreement.ZonesSubsystem;
+import beaconturn.zones.SimulatedFailover;
+import beaconturn.zones.ZoneTopology;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -38,7 +38,7 @@
  * store saw.
  */
 @Timeout(120)
-class PlacesPlayTest {
+class ZonesPlayTest {
   private static final String DAY =
       """
         length = "16s"
@@ -75,15 +75,15 @@
 
   @TempDir private Path folder;
 
-  private static List<Entry.Planned> plans(Report report) {
+  private static List<HistoryEvent.Planned> plans(RehearsalReport report) {
     return report.entries().stream()
-        .filter(e -> e instanceof Entry.Planned)
-        .map(e -> (Entry.Planned) e)
+        .filter(e -> e instanceof HistoryEvent.Planned)
+        .map(e -> (HistoryEvent.Planned) e)
         .toList();
   }
 
-  private static List<String> broken(Report report) {
-    return report.verdicts().stream().filter(v -> !v.held()).map(Verdict::rule).toList();
+  private static List<String> broken(RehearsalReport report) {
+    return report.verdicts().stream().filter(v -> !v.held()).map(InvariantResult::rule).toList();
   }
 
   @Test
@@ -94,13 +94,14 @@
         folder,
         (report, logs) -> {
           assertEquals(List.of(), broken(report), report.text());
-          List<Entry.Planned> plans = plans(report);
+          List<HistoryEvent.Planned> plans = plans(report);
           assertTrue(
               !plans.isEmpty() && plans.get(0).rows().get("east").get("east") <= 50, report.text());
           long after = plans.get(0).at() - report.start();
           assertTrue(after < 9_000_000_000L, "within five seconds: " + after);
           // The model and the processes say the same of it, or the model is wrong.
-          long twin = Twin.decidedAfter(report.scenario().agreement().timing(), 3, 1, 50);
+          long twin =
+              SimulatedFailover.decidedAfter(report.scenario().agreement().timing(), 3, 1, 50);
           assertTrue(
               Math.abs(report.crossings().decidedAfter() - twin) < MARGIN,
               "in the model after " + twin + " ns\n" + report.text());
@@ -122,7 +123,7 @@
   void aPlantedRouterIsNamedOrMovesNothing(Defect defect) throws Exception {
     Plays.of(
         DAY.replace("16s", "10s"),
-        new FirstPlanted(features -> config -> planted(defect, features, config)),
+        new FirstRouterDefective(features -> config -> planted(defect, features, config)),
         folder,
         (report, logs) -> {
           if (defect == Defect.LIES) {
@@ -148,20 +149,20 @@
         new AgreementConfig(
             List.of(new InetSocketAddress("127.0.0.1", Integer.parseInt(port.group(1)))),
             "/rehearsal",
-            new Timing(1_000_000_000, 0.01, 500_000_000),
+            new AgreementTiming(1_000_000_000, 0.01, 500_000_000),
             null);
-    Geography map =
-        new Geography(new TreeMap<>(Map.of("east", "", "south", "", "west", "")), 150, 1e6, 50);
+    ZoneTopology map =
+        new ZoneTopology(new TreeMap<>(Map.of("east", "", "south", "", "west", "")), 150, 1e6, 50);
     return new RouterServer(
         config,
         () -> config,
         new Lifecycle(),
         new AgreementSubsystem(agreement, config),
-        new Planted(defect, new PlacesSubsystem(agreement, map, config)));
+        new Planted(defect, new ZonesSubsystem(agreement, map, config)));
   }
 
   /** Its defect stands between the router and its sound part. */
-  private record Planted(Defect defect, PlacesSubsystem sound) implements Placing {
+  private record Planted(Defect defect, ZonesSubsystem sound) implements ZoneWeightsSource {
     @Override
     public void run() {
       sound.run();
@@ -173,8 +174,8 @@
     }
 
     @Override
-    public void sees(Map<Fleet.Listed, Routing.Standing> caches) {
-      Map<Fleet.Listed, Routing.Standing> told = new HashMap<>(caches);
+    public void sees(Map<CacheServerClients.Listed, Routing.Standing> caches) {
+      Map<CacheServerClients.Listed, Routing.Standing> told = new HashMap<>(caches);
       if (defect == Defect.LIES) {
         told.replaceAll((listed, standing) -> Routing.Standing.EJECTED);
       }
--- a/src/test/java/beaconturn/release/ComparisonTest.java
+++ b/src/test/java/beaconturn/release/CanaryComparisonTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Call;
+import beaconturn.agreement.StoreRequest;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
@@ -18,15 +18,15 @@
  * What is compared beside failures, what a site carries, and what is foretold and recorded of a
  * release.
  */
-class ComparisonTest {
-  private static final Plan PLAN =
-      new Plan(
+class CanaryComparisonTest {
+  private static final RolloutPlan PLAN =
+      new RolloutPlan(
           1,
-          Kind.ROUTER,
+          InstanceKind.ROUTER,
           List.of(List.of("r1"), List.of("r2", "r3")),
           2_000_000_000,
           20,
-          Bounds.USUAL,
+          RegressionBounds.USUAL,
           9_000_000_000L,
           0,
           "why",
@@ -34,14 +34,15 @@
           "");
 
   /** A sample of words such as {@code good=100 late=3}. */
-  private static Sample sample(String words) {
-    Map<Figure, Long> figures = new EnumMap<>(Figure.class);
+  private static InstanceSample sample(String words) {
+    Map<InstanceMetrics, Long> figures = new EnumMap<>(InstanceMetrics.class);
     for (String word : words.split(" ")) {
       String[] pair = word.split("=");
       figures.put(
-          Figure.valueOf(pair[0].toUpperCase(java.util.Locale.ROOT)), Long.parseLong(pair[1]));
+          InstanceMetrics.valueOf(pair[0].toUpperCase(java.util.Locale.ROOT)),
+          Long.parseLong(pair[1]));
     }
-    return new Sample("", figures);
+    return new InstanceSample("", figures);
   }
 
   @ParameterizedTest
@@ -66,28 +67,29 @@
         "good=19 late=19 | good=400 | WAIT | ''"
       })
   void eachMeasureCountsOnceThereIsEnoughOfIt(
-      String changed, String others, Health.Verdict verdict, String says) {
-    Comparison comparison = new Comparison(PLAN, sample(changed), sample(others), 2);
-    Health.Word word = comparison.word(true, true);
+      String changed, String others, RolloutHealth.Verdict verdict, String says) {
+    CanaryComparison comparison = new CanaryComparison(PLAN, sample(changed), sample(others), 2);
+    RolloutHealth.Word word = comparison.word(true, true);
     assertEquals(verdict, word.verdict(), word.says());
     assertTrue(word.says().endsWith(says.isEmpty() ? "others" : says), word.says());
-    if (verdict == Health.Verdict.BAD) {
-      assertEquals(Health.Verdict.GOOD, comparison.word(false, true).verdict(), "just started");
+    if (verdict == RolloutHealth.Verdict.BAD) {
+      assertEquals(
+          RolloutHealth.Verdict.GOOD, comparison.word(false, true).verdict(), "just started");
     }
   }
 
   /** By chance it comes about once in some thousand looks, which forty parts have in minutes. */
   @Test
   void whatIsWatchedForLongNeedsMoreThanWhatIsCheckedOnce() {
-    Comparison chance =
-        new Comparison(
+    CanaryComparison chance =
+        new CanaryComparison(
             PLAN, sample("good=20 hits=8 misses=12"), sample("good=210 hits=170 misses=40"), 13);
-    assertEquals(Health.Verdict.BAD, chance.word(true, false).verdict());
-    assertEquals(Health.Verdict.WAIT, chance.word(true, true).verdict());
-    Comparison goesOn =
-        new Comparison(
+    assertEquals(RolloutHealth.Verdict.BAD, chance.word(true, false).verdict());
+    assertEquals(RolloutHealth.Verdict.WAIT, chance.word(true, true).verdict());
+    CanaryComparison goesOn =
+        new CanaryComparison(
             PLAN, sample("good=40 hits=16 misses=24"), sample("good=420 hits=340 misses=80"), 13);
-    assertEquals(Health.Verdict.BAD, goesOn.word(true, true).verdict());
+    assertEquals(RolloutHealth.Verdict.BAD, goesOn.word(true, true).verdict());
   }
 
   /**
@@ -96,25 +98,25 @@
    */
   @Test
   void meansOfFewReadingsCountForNothing() {
-    Comparison few =
-        new Comparison(
+    CanaryComparison few =
+        new CanaryComparison(
             PLAN,
             sample("good=100 readings=7 memory=1400"),
             sample("good=400 readings=30 memory=3000"),
             2);
-    assertEquals(Health.Verdict.GOOD, few.word(true, false).verdict());
-    assertEquals(Health.Verdict.WAIT, few.word(true, true).verdict());
+    assertEquals(RolloutHealth.Verdict.GOOD, few.word(true, false).verdict());
+    assertEquals(RolloutHealth.Verdict.WAIT, few.word(true, true).verdict());
   }
 
-  private static Board board(Fleet.Capacity capacity) throws AgreementException {
-    Board board = new Board();
+  private static InMemoryStore board(ReleaseFleet.Capacity capacity) throws AgreementException {
+    InMemoryStore board = new InMemoryStore();
     board
         .desk()
         .fleet(
-            new Fleet(
+            new ReleaseFleet(
                 Map.of(
-                    Kind.ROUTER,
-                    new Fleet.Group(
+                    InstanceKind.ROUTER,
+                    new ReleaseFleet.Group(
                         1,
                         1,
                         new TreeMap<>(Map.of("east", List.of("r1", "r2", "r3"))),
@@ -122,16 +124,18 @@
     return board;
   }
 
-  private static void tell(Board board, String words) {
+  private static void tell(InMemoryStore board, String words) {
     List.of("r1", "r2", "r3")
         .forEach(
             id ->
                 board.ask(
-                    new Call.Swap(
+                    new StoreRequest.Swap(
                         List.of(),
                         List.of(
-                            new Call.Change.Put(
-                                Board.KEYS.health(id), ReleaseTexts.of(sample(words)), 0)))));
+                            new StoreRequest.Change.Put(
+                                InMemoryStore.KEYS.health(id),
+                                RolloutCodec.of(sample(words)),
+                                0)))));
   }
 
   /**
@@ -154,53 +158,54 @@
       })
   void aPlanIsHeldToWhatItsSitesCarry(int spare, String each, String objection)
       throws AgreementException {
-    Board board = board(new Fleet.Capacity(0, 0, spare));
+    InMemoryStore board = board(new ReleaseFleet.Capacity(0, 0, spare));
     tell(board, each);
-    assertEquals(objection, ReleaseDesk.objection(PLAN, board.scene()));
+    assertEquals(objection, RolloutAdmin.objection(PLAN, board.scene()));
   }
 
   @Test
   void aStepWaitsWhileProcessorsAreShort() throws AgreementException {
-    Board board = board(new Fleet.Capacity(0, 0.5, 1));
+    InMemoryStore board = board(new ReleaseFleet.Capacity(0, 0.5, 1));
     tell(board, "busy=10 cores=8000");
     board.begin(0, List.of(List.of("r1")));
-    Driver driver = new Driver(Board.KEYS, "d1", () -> "");
+    RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
     assertTrue(board.held(driver.take(board.scene(), 1)));
-    assertNull(driver.due(board.scene(), Absence.of(Map.of()), 0), "measured first");
+    assertNull(driver.due(board.scene(), Unavailability.of(Map.of()), 0), "measured first");
     tell(board, "busy=200 cores=8000");
-    assertNull(driver.due(board.scene(), Absence.of(Map.of()), 1_000_000_000));
+    assertNull(driver.due(board.scene(), Unavailability.of(Map.of()), 1_000_000_000));
     assertEquals(
         "r1: east carries 0.6 cores, and 1 routers would be left with 1 that fail, for 0.4 each",
         driver.waits(),
         "what operators say they may use goes before what they see");
     tell(board, "busy=100 cores=8000");
-    Act act = driver.due(board.scene(), Absence.of(Map.of()), 1_000_000_000);
+    RolloutTransaction act = driver.due(board.scene(), Unavailability.of(Map.of()), 1_000_000_000);
     assertTrue(act.says().startsWith("r1 goes"), act.says());
   }
 
   @Test
   void whatIsForetoldRestsOnTheLastReleaseAndOnTheLoad() throws AgreementException {
-    Board board = Board.with(2, 1).begin(0, List.of(List.of("r1")));
-    assertEquals(0, Forecast.of(PLAN, board.scene(), Map.of()).likely(), "nothing is known");
-    Driver driver = new Driver(Board.KEYS, "d1", () -> "");
+    InMemoryStore board = InMemoryStore.with(2, 1).begin(0, List.of(List.of("r1")));
+    assertEquals(0, RolloutForecast.of(PLAN, board.scene(), Map.of()).likely(), "nothing is known");
+    RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
     assertTrue(board.held(driver.take(board.scene(), 1)));
-    assertTrue(board.held(driver.due(board.scene(), Absence.of(Map.of()), 0)));
-    Agent agent = board.agent("r1", "a", 1);
+    assertTrue(board.held(driver.due(board.scene(), Unavailability.of(Map.of()), 0)));
+    RolloutAgent agent = board.agent("r1", "a", 1);
     agent.answered(board.held(agent.due(board.scene(), 0)), 0);
     agent.ended(true, "", 3_000_000_000L);
     assertTrue(board.held(agent.due(board.scene(), 0)));
     board.ask(
-        new Call.Swap(
+        new StoreRequest.Swap(
             List.of(),
             List.of(
-                new Call.Change.Put(
-                    Board.KEYS.health("r2"), ReleaseTexts.of(sample("rate=4")), 0))));
-    Forecast forecast = Forecast.of(PLAN, board.scene(), Map.of("r4", "holds no lease"));
+                new StoreRequest.Change.Put(
+                    InMemoryStore.KEYS.health("r2"), RolloutCodec.of(sample("rate=4")), 0))));
+    RolloutForecast forecast =
+        RolloutForecast.of(PLAN, board.scene(), Map.of("r4", "holds no lease"));
     // r2 and r3 are of two sites; r1 holds a place still and r4 is gone.
     assertEquals(
         List.of(
-            new Forecast.Wave(List.of("r1"), 1, 1, 0),
-            new Forecast.Wave(List.of("r2", "r3"), 2, 1, 0)),
+            new RolloutForecast.Wave(List.of("r1"), 1, 1, 0),
+            new RolloutForecast.Wave(List.of("r2", "r3"), 2, 1, 0)),
         forecast.waves());
     assertEquals(
         2 * (3 + 5), forecast.likely(), "3 s for a restart, 5 s for 20 answers at 4 a second");
@@ -210,35 +215,39 @@
 
   @Test
   void aCurveGoesOnWithAnotherDriverAndStaysSmall() throws AgreementException {
-    Board board = Board.with(1, 1).begin(0, List.of(List.of("r1")));
-    assertTrue(board.held(new Driver(Board.KEYS, "d1", () -> "").take(board.scene(), 1)));
+    InMemoryStore board = InMemoryStore.with(1, 1).begin(0, List.of(List.of("r1")));
+    assertTrue(
+        board.held(new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "").take(board.scene(), 1)));
     long sum = 0;
     for (int second = 0; second < 600; second++) {
       // Another driver takes over every 100 seconds, and counts from what it sees first.
       if (second % 100 == 0) {
-        recorder = new Recorder(Board.KEYS, 1, board.desk().curve(1));
+        recorder = new RolloutRecorder(InMemoryStore.KEYS, 1, board.desk().curve(1));
       } else {
         sum += 10;
       }
       board.health("r1", 10 * second + 1, 0);
-      Act point =
-          recorder.due(board.scene(), Absence.of(Map.of("r3", "gone")), 1000L * second + 1000);
+      RolloutTransaction point =
+          recorder.due(
+              board.scene(), Unavailability.of(Map.of("r3", "gone")), 1000L * second + 1000);
       if (point != null) {
         assertTrue(board.held(point));
       }
     }
-    Curve curve = board.desk().curve(1);
+    RolloutTimeSeries curve = board.desk().curve(1);
     assertTrue(curve.points().size() <= 240, curve.points().size() + " points");
     assertEquals(4000, curve.every());
     assertEquals(1, curve.points().get(0).gone());
-    long told = curve.points().stream().mapToLong(Curve.Point::good).sum();
+    long told = curve.points().stream().mapToLong(RolloutTimeSeries.Point::good).sum();
     // What came since the last point before a change of drivers, and since the last of all, is in
     // none.
     assertTrue(told <= sum && told > sum - 6 * 40, told + " of " + sum);
-    Act late = new Recorder(Board.KEYS, 1, Curve.NONE).due(board.scene(), Absence.of(Map.of()), 1);
+    RolloutTransaction late =
+        new RolloutRecorder(InMemoryStore.KEYS, 1, RolloutTimeSeries.NONE)
+            .due(board.scene(), Unavailability.of(Map.of()), 1);
     board.driverGone();
     assertTrue(!board.held(late), "only who drives draws it");
   }
 
-  private Recorder recorder;
+  private RolloutRecorder recorder;
 }
--- a/src/test/java/beaconturn/release/Board.java
+++ b/src/test/java/beaconturn/release/InMemoryStore.java
@@ -1,9 +1,9 @@
 package beaconturn.release;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Desk;
+import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -12,9 +12,9 @@
 import java.util.function.Predicate;
 
 /** A store for releases in memory: transactions with their conditions, and a count of revisions. */
-final class Board implements Desk.Store {
-  static final ReleaseKeys KEYS = new ReleaseKeys("/f");
-  private final SortedMap<String, Answer.Pair> pairs = new TreeMap<>();
+final class InMemoryStore implements ConfigAdmin.Store {
+  static final RolloutKeys KEYS = new RolloutKeys("/f");
+  private final SortedMap<String, StoreResponse.Pair> pairs = new TreeMap<>();
   private long revision = 1;
   String cluster = "1";
 
@@ -22,9 +22,9 @@
   Predicate<String> ignores = key -> false;
 
   @Override
-  public Answer ask(Call call) {
-    if (call instanceof Call.Read read) {
-      return new Answer.Given(
+  public StoreResponse ask(StoreRequest call) {
+    if (call instanceof StoreRequest.Read read) {
+      return new StoreResponse.Given(
           true,
           cluster,
           revision,
@@ -32,37 +32,38 @@
           0,
           0);
     }
-    Call.Swap swap = (Call.Swap) call;
+    StoreRequest.Swap swap = (StoreRequest.Swap) call;
     boolean held = swap.conditions().stream().allMatch(this::holds);
     if (held && !swap.changes().isEmpty()) {
       revision++;
       swap.changes().forEach(this::change);
     }
-    return new Answer.Given(held, cluster, revision, List.of(), 0, 0);
+    return new StoreResponse.Given(held, cluster, revision, List.of(), 0, 0);
   }
 
-  boolean held(Act act) {
-    return ((Answer.Given) ask(act.swap())).held();
+  boolean held(RolloutTransaction act) {
+    return ((StoreResponse.Given) ask(act.swap())).held();
   }
 
-  private boolean holds(Call.Condition condition) {
-    Call.Condition.Unchanged u = (Call.Condition.Unchanged) condition;
-    Answer.Pair pair = pairs.get(u.key());
+  private boolean holds(StoreRequest.Condition condition) {
+    StoreRequest.Condition.Unchanged u = (StoreRequest.Condition.Unchanged) condition;
+    StoreResponse.Pair pair = pairs.get(u.key());
     return ignores.test(u.key()) || (pair == null ? 0 : pair.changed()) == u.revision();
   }
 
-  private void change(Call.Change change) {
-    if (change instanceof Call.Change.Put put) {
+  private void change(StoreRequest.Change change) {
+    if (change instanceof StoreRequest.Change.Put put) {
       pairs.put(
-          put.key(), new Answer.Pair(put.key(), put.value(), revision, revision, put.lease()));
+          put.key(),
+          new StoreResponse.Pair(put.key(), put.value(), revision, revision, put.lease()));
     } else {
-      pairs.remove(((Call.Change.Delete) change).key());
+      pairs.remove(((StoreRequest.Change.Delete) change).key());
     }
   }
 
-  Scene scene() {
+  RolloutSnapshot scene() {
     try {
-      return Scene.of(KEYS, (Answer.Given) ask(new Call.Read(KEYS.all())));
+      return RolloutSnapshot.of(KEYS, (StoreResponse.Given) ask(new StoreRequest.Read(KEYS.all())));
     } catch (AgreementException e) {
       throw new IllegalStateException(e);
     }
@@ -70,13 +71,13 @@
 
   /** The seat of an agent whose lease has ended. */
   void agentGone(String id) {
-    ask(new Call.Swap(List.of(), List.of(new Call.Change.Delete(KEYS.agent(id)))));
+    ask(new StoreRequest.Swap(List.of(), List.of(new StoreRequest.Change.Delete(KEYS.agent(id)))));
   }
 
   /** An agent that has its part's seat. */
-  Agent agent(String id, String me, long timeout) {
-    Agent agent = new Agent(KEYS, id, me, timeout, () -> "");
-    Act seat = agent.take(scene(), 1);
+  RolloutAgent agent(String id, String me, long timeout) {
+    RolloutAgent agent = new RolloutAgent(KEYS, id, me, timeout, () -> "");
+    RolloutTransaction seat = agent.take(scene(), 1);
     if (seat != null) {
       held(seat);
     }
@@ -85,7 +86,7 @@
 
   /** The place of a driver whose lease has ended. */
   void driverGone() {
-    ask(new Call.Swap(List.of(), List.of(new Call.Change.Delete(KEYS.driver()))));
+    ask(new StoreRequest.Swap(List.of(), List.of(new StoreRequest.Change.Delete(KEYS.driver()))));
   }
 
   /** What part has answered so far. */
@@ -96,11 +97,11 @@
   /** The same of a process. */
   void health(String id, String process, long good, long bad) {
     ask(
-        new Call.Swap(
+        new StoreRequest.Swap(
             List.of(),
             List.of(
-                new Call.Change.Put(
-                    KEYS.health(id), ReleaseTexts.of(Sample.of(process, good, bad)), 0))));
+                new StoreRequest.Change.Put(
+                    KEYS.health(id), RolloutCodec.of(InstanceSample.of(process, good, bad)), 0))));
   }
 
   /**
@@ -114,20 +115,20 @@
     return out.toString();
   }
 
-  ReleaseDesk desk() {
-    return new ReleaseDesk(KEYS, this, "op", () -> "");
+  RolloutAdmin desk() {
+    return new RolloutAdmin(KEYS, this, "op", () -> "");
   }
 
   /** Four routers in two sites, of which so many may be out. */
-  static Board with(int mostOut, int ofSite) throws AgreementException {
-    Board board = new Board();
+  static InMemoryStore with(int mostOut, int ofSite) throws AgreementException {
+    InMemoryStore board = new InMemoryStore();
     board
         .desk()
         .fleet(
-            new Fleet(
+            new ReleaseFleet(
                 Map.of(
-                    Kind.ROUTER,
-                    new Fleet.Group(
+                    InstanceKind.ROUTER,
+                    new ReleaseFleet.Group(
                         mostOut,
                         ofSite,
                         new TreeMap<>(
@@ -136,9 +137,21 @@
   }
 
   /** Begins a release in these waves, watched for no time and compared by so many answers. */
-  Board begin(int samples, List<List<String>> waves) throws AgreementException {
+  InMemoryStore begin(int samples, List<List<String>> waves) throws AgreementException {
     desk()
-        .start(new Plan(0, Kind.ROUTER, waves, 0, samples, Bounds.of(0.1), 1, 0, "why", null, ""));
+        .start(
+            new RolloutPlan(
+                0,
+                InstanceKind.ROUTER,
+                waves,
+                0,
+                samples,
+                RegressionBounds.of(0.1),
+                1,
+                0,
+                "why",
+                null,
+                ""));
     return this;
   }
 }
--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -32,33 +32,34 @@
 
   /** One course of things, replayed from its moves. */
   private static final class Play {
-    private final Board board;
-    private final Driver[] drivers = {
-      new Driver(Board.KEYS, "d0", () -> ""), new Driver(Board.KEYS, "d1", () -> "")
+    private final InMemoryStore board;
+    private final RolloutDriver[] drivers = {
+      new RolloutDriver(InMemoryStore.KEYS, "d0", () -> ""),
+      new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "")
     };
-    private final Act[] decided = new Act[2];
+    private final RolloutTransaction[] decided = new RolloutTransaction[2];
     private final List<Hand> hands = new ArrayList<>();
     private final String defect;
     private int leases = 1;
     private boolean halted;
     private boolean replaced;
-    private Act drain;
+    private RolloutTransaction drain;
     private boolean drained;
     private String offence;
 
     /** An agent and what it has decided. */
     private static final class Hand {
       private final String id;
-      private final Agent agent;
-      private Act act;
-      private Variant running;
+      private final RolloutAgent agent;
+      private RolloutTransaction act;
+      private InstanceVariant running;
       private boolean failed;
       private boolean dead;
 
       /** How the last action ended, until it is told. */
       private String untold = "";
 
-      private Hand(Board board, String id, String me) {
+      private Hand(InMemoryStore board, String id, String me) {
         this.id = id;
         this.agent = board.agent(id, me, TIMEOUT);
       }
@@ -66,7 +67,7 @@
 
     Play(String defect) throws AgreementException {
       this.defect = defect;
-      board = Board.with(1, 1).begin(0, List.of(List.of("r1", "r2")));
+      board = InMemoryStore.with(1, 1).begin(0, List.of(List.of("r1", "r2")));
       // With that on the history, which would hold many of the others by itself.
       board.ignores =
           key ->
@@ -81,12 +82,12 @@
     /** What can happen next. */
     List<String> moves() {
       List<String> all = new ArrayList<>();
-      Scene scene = board.scene();
+      RolloutSnapshot scene = board.scene();
       for (int i = 0; i < 2; i++) {
         if (decided[i] != null) {
           all.add("drive " + i);
         } else if (drivers[i].take(scene, 1) != null
-            || drivers[i].due(scene, Absence.of(Map.of()), 0) != null) {
+            || drivers[i].due(scene, Unavailability.of(Map.of()), 0) != null) {
           all.add("decide " + i);
         }
       }
@@ -107,7 +108,7 @@
       }
       if (!halted) {
         all.add("halt");
-      } else if (scene.course().mode() == Course.Mode.HALTED) {
+      } else if (scene.course().mode() == RolloutState.Mode.HALTED) {
         all.add("resume");
       }
       if (!replaced) {
@@ -124,8 +125,9 @@
       int i = words.length == 2 ? Integer.parseInt(words[1]) : 0;
       switch (words[0]) {
         case "decide" -> {
-          Act take = drivers[i].take(board.scene(), 1);
-          decided[i] = take != null ? take : drivers[i].due(board.scene(), Absence.of(Map.of()), 0);
+          RolloutTransaction take = drivers[i].take(board.scene(), 1);
+          decided[i] =
+              take != null ? take : drivers[i].due(board.scene(), Unavailability.of(Map.of()), 0);
         }
         case "drive" -> {
           board.held(decided[i]);
@@ -164,24 +166,24 @@
     }
 
     /** A drain decides on what it reads, and takes its place later. */
-    private Act wish() {
-      List<Act> caught = new ArrayList<>();
-      ReleaseDesk desk =
-          new ReleaseDesk(
-              Board.KEYS,
+    private RolloutTransaction wish() {
+      List<RolloutTransaction> caught = new ArrayList<>();
+      RolloutAdmin desk =
+          new RolloutAdmin(
+              InMemoryStore.KEYS,
               call -> {
-                if (call instanceof Call.Swap swap) {
-                  caught.add(new Act(swap, ""));
-                  return new Answer.Failed("caught");
+                if (call instanceof StoreRequest.Swap swap) {
+                  caught.add(new RolloutTransaction(swap, ""));
+                  return new StoreResponse.Failed("caught");
                 }
                 return board.ask(call);
               },
               "op",
               () -> "");
       try {
-        desk.take(Kind.ROUTER, "r2", "by hand", Absence.of(Map.of()));
+        desk.take(InstanceKind.ROUTER, "r2", "by hand", Unavailability.of(Map.of()));
       } catch (AgreementException e) {
-        return caught.isEmpty() ? new Act(null, e.getMessage()) : caught.get(0);
+        return caught.isEmpty() ? new RolloutTransaction(null, e.getMessage()) : caught.get(0);
       }
       throw new IllegalStateException("nothing was caught");
     }
@@ -190,12 +192,12 @@
       boolean held = board.held(hand.act);
       hand.act = null;
       hand.untold = held ? "" : hand.untold;
-      Course.Mode mode = board.scene().course().mode();
+      RolloutState.Mode mode = board.scene().course().mode();
       hand.running = hand.agent.answered(held || defect.equals("answer"), 0);
       if (hand.running == null) {
         return;
       }
-      if (mode == Course.Mode.HALTED) {
+      if (mode == RolloutState.Mode.HALTED) {
         offence = hand.id + " begins while all is halted";
       }
       if (hands.stream().anyMatch(h -> h != hand && h.id.equals(hand.id) && h.running != null)) {
@@ -229,7 +231,7 @@
     /** Two courses that say the same here go on the same. */
     String state() {
       StringBuilder out = new StringBuilder(board.text());
-      for (Act act : decided) {
+      for (RolloutTransaction act : decided) {
         out.append(act == null ? "-" : act.says()).append(';');
       }
       hands.forEach(
--- a/src/test/java/beaconturn/release/ReleaseSettingsTest.java
+++ b/src/test/java/beaconturn/release/ReleaseSettingsTest.java
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Content;
-import beaconturn.agreement.Desk;
-import beaconturn.agreement.Keys;
-import beaconturn.agreement.Snapshot;
+import beaconturn.agreement.AgreementKeys;
+import beaconturn.agreement.AgreementSnapshot;
+import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.ConfigContent;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -21,20 +21,21 @@
 
 /** Settings that come into force with a release, and go back with it. */
 class ReleaseSettingsTest {
-  private static final Keys KEYS = new Keys("/f");
-  private static final Content TWICE = new Content(new TreeMap<>(), 2, null, 0, new TreeSet<>());
-  private final Driver driver = new Driver(Board.KEYS, "d1", () -> "");
-  private Board board;
-  private Desk agreement;
+  private static final AgreementKeys KEYS = new AgreementKeys("/f");
+  private static final ConfigContent TWICE =
+      new ConfigContent(new TreeMap<>(), 2, null, 0, new TreeSet<>());
+  private final RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
+  private InMemoryStore board;
+  private ConfigAdmin agreement;
 
   @BeforeEach
   void begin() throws AgreementException {
-    board = Board.with(1, 1);
-    agreement = new Desk(KEYS, board);
+    board = InMemoryStore.with(1, 1);
+    agreement = new ConfigAdmin(KEYS, board);
     agreement.begin("i");
     long drained =
         agreement.propose(
-            now -> new Content(now.classes(), 3, null, 0, new TreeSet<>(List.of("c1"))),
+            now -> new ConfigContent(now.classes(), 3, null, 0, new TreeSet<>(List.of("c1"))),
             "op",
             "drained",
             0);
@@ -42,13 +43,13 @@
     board
         .desk()
         .start(
-            new Plan(
+            new RolloutPlan(
                 0,
-                Kind.ROUTER,
+                InstanceKind.ROUTER,
                 List.of(List.of("r1")),
                 0,
                 0,
-                Bounds.of(0),
+                RegressionBounds.of(0),
                 1,
                 0,
                 "why",
@@ -57,26 +58,30 @@
     assertTrue(board.held(driver.take(board.scene(), 1)));
   }
 
-  private Snapshot seen() throws AgreementException {
-    return Snapshot.of(KEYS, (Answer.Given) board.ask(new Call.Read(KEYS.common())));
+  private AgreementSnapshot seen() throws AgreementException {
+    return AgreementSnapshot.of(
+        KEYS, (StoreResponse.Given) board.ask(new StoreRequest.Read(KEYS.common())));
   }
 
   /** All routers act on what is proposed. */
   private void settle(long number) throws AgreementException {
     String next =
-        ((Answer.Given) board.ask(new Call.Read(KEYS.common() + "next"))).pairs().get(0).value();
+        ((StoreResponse.Given) board.ask(new StoreRequest.Read(KEYS.common() + "next")))
+            .pairs()
+            .get(0)
+            .value();
     board.ask(
-        new Call.Swap(
+        new StoreRequest.Swap(
             List.of(),
             List.of(
-                new Call.Change.Put(KEYS.common() + "current", next, 0),
-                new Call.Change.Delete(KEYS.common() + "next"),
-                new Call.Change.Put(KEYS.common() + "settled", Long.toString(number), 0))));
+                new StoreRequest.Change.Put(KEYS.common() + "current", next, 0),
+                new StoreRequest.Change.Delete(KEYS.common() + "next"),
+                new StoreRequest.Change.Put(KEYS.common() + "settled", Long.toString(number), 0))));
   }
 
   private String drive() throws AgreementException {
-    Agreed agreed = new Agreed(seen(), agreement.nextNumber(), List.of("r9"), 0);
-    Act act = driver.due(board.scene(), Absence.of(Map.of()), agreed, 0);
+    AgreedVersions agreed = new AgreedVersions(seen(), agreement.nextNumber(), List.of("r9"), 0);
+    RolloutTransaction act = driver.due(board.scene(), Unavailability.of(Map.of()), agreed, 0);
     if (act == null) {
       return "waits: " + driver.waits();
     }
@@ -103,7 +108,7 @@
     long drained =
         agreement.propose(
             now ->
-                new Content(
+                new ConfigContent(
                     now.classes(), now.mostTries(), null, 0, new TreeSet<>(List.of("c1", "c2"))),
             "op",
             "drained too",
@@ -132,11 +137,15 @@
   /** The proposal is one transaction with the driver's own conditions. */
   @Test
   void aDriverThatWasReplacedProposesNothing() throws AgreementException {
-    Act act =
-        driver.due(board.scene(), Absence.of(Map.of()), new Agreed(seen(), 2, List.of(), 0), 0);
+    RolloutTransaction act =
+        driver.due(
+            board.scene(),
+            Unavailability.of(Map.of()),
+            new AgreedVersions(seen(), 2, List.of(), 0),
+            0);
     board.driverGone();
     assertFalse(board.held(act));
     assertEquals(0, seen().nextNumber());
-    assertNull(driver.due(board.scene(), Absence.of(Map.of()), null, 0));
+    assertNull(driver.due(board.scene(), Unavailability.of(Map.of()), null, 0));
   }
 }
--- a/src/test/java/beaconturn/release/DriverTest.java
+++ b/src/test/java/beaconturn/release/RolloutDriverTest.java
@@ -8,27 +8,27 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Answer;
+import beaconturn.agreement.StoreResponse;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
 /** Budget, waves, checks, halt and way back, step by step. */
-class DriverTest {
+class RolloutDriverTest {
   private static final List<List<String>> WAVES = List.of(List.of("r1"), List.of("r2", "r3", "r4"));
   private static final long TIMEOUT = 100;
-  private final Driver driver = new Driver(Board.KEYS, "d1", () -> "");
-  private Board board;
+  private final RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
+  private InMemoryStore board;
 
   private void begin(int mostOut, int ofSite, int samples) throws AgreementException {
-    board = Board.with(mostOut, ofSite).begin(samples, WAVES);
+    board = InMemoryStore.with(mostOut, ofSite).begin(samples, WAVES);
     assertTrue(board.held(driver.take(board.scene(), 1)));
   }
 
   /** What the driver does next, done; null where it waits. */
   private String drive(long now, Map<String, String> gone) {
-    Act act = driver.due(board.scene(), Absence.of(gone), now);
+    RolloutTransaction act = driver.due(board.scene(), Unavailability.of(gone), now);
     if (act == null) {
       return null;
     }
@@ -44,14 +44,14 @@
 
   /** The part's agent goes through the step at hand. */
   private void act(String id, boolean ready) {
-    Agent agent = board.agent(id, "a", TIMEOUT);
+    RolloutAgent agent = board.agent(id, "a", TIMEOUT);
     assertNotNull(agent.answered(board.held(agent.due(board.scene(), 0)), 0), id);
     agent.ended(ready, ready ? "" : "status 1", 0);
     assertTrue(board.held(agent.due(board.scene(), 0)));
   }
 
-  private Step.Phase phase(String id) {
-    Step step = board.scene().steps().get(id);
+  private RolloutStep.Phase phase(String id) {
+    RolloutStep step = board.scene().steps().get(id);
     return step == null ? null : step.phase();
   }
 
@@ -62,21 +62,21 @@
     assertEquals(List.of("r1"), List.copyOf(board.scene().steps().keySet()));
     act("r1", true);
     all(0);
-    assertEquals(Step.Phase.GOOD, phase("r1"));
+    assertEquals(RolloutStep.Phase.GOOD, phase("r1"));
     // One of a site at a time: r4 waits for r3.
-    assertEquals(Step.Phase.GRANTED, phase("r2"));
-    assertEquals(Step.Phase.GRANTED, phase("r3"));
+    assertEquals(RolloutStep.Phase.GRANTED, phase("r2"));
+    assertEquals(RolloutStep.Phase.GRANTED, phase("r3"));
     assertNull(phase("r4"));
     assertEquals(
         "r4: at most 1 of west may be out, it waits for r3 (permit 3 of release 1: why)",
         driver.waits());
     act("r3", true);
     all(0);
-    assertEquals(Step.Phase.GRANTED, phase("r4"));
+    assertEquals(RolloutStep.Phase.GRANTED, phase("r4"));
     act("r2", true);
     act("r4", true);
     all(0);
-    assertEquals(Course.Mode.DONE, board.scene().course().mode());
+    assertEquals(RolloutState.Mode.DONE, board.scene().course().mode());
     assertTrue(board.scene().permits().isEmpty());
     assertEquals(4, board.scene().counter());
   }
@@ -98,25 +98,26 @@
   @Test
   void whileASiteIsOutNoStepBeginsElsewhere() throws AgreementException {
     begin(2, 2, 0);
-    Absence west = Absence.of(Map.of()).whileOut(Map.of("west", "failed over"));
+    Unavailability west = Unavailability.of(Map.of()).whileOut(Map.of("west", "failed over"));
     assertNull(driver.due(board.scene(), west, 0));
     assertEquals("r1: site west is out: failed over", driver.waits());
     assertTrue(
         assertThrows(
                 AgreementException.class,
-                () -> board.desk().take(Kind.ROUTER, "r1", "by hand", west))
+                () -> board.desk().take(InstanceKind.ROUTER, "r1", "by hand", west))
             .getMessage()
             .contains("site west is out"));
     assertNotNull(
-        driver.due(board.scene(), Absence.of(Map.of()).whileOut(Map.of("east", "drained")), 0));
+        driver.due(
+            board.scene(), Unavailability.of(Map.of()).whileOut(Map.of("east", "drained")), 0));
   }
 
   /** One after the other: whoever takes a place at the same time has to look again. */
   @Test
   void aSiteIsNotTakenOutWhilePartsOfAnotherAre() throws AgreementException {
     begin(2, 2, 0);
-    Act step = driver.due(board.scene(), Absence.of(Map.of()), 0);
-    assertTrue(((Answer.Given) board.ask(board.desk().siteOut("west", "power"))).held());
+    RolloutTransaction step = driver.due(board.scene(), Unavailability.of(Map.of()), 0);
+    assertTrue(((StoreResponse.Given) board.ask(board.desk().siteOut("west", "power"))).held());
     assertFalse(board.held(step), "it was decided on before the site went");
     drive(0, Map.of());
     assertEquals(
@@ -124,20 +125,25 @@
         assertThrows(AgreementException.class, () -> board.desk().siteOut("west", "power"))
             .getMessage());
     assertEquals(5, board.desk().siteOut("east", "it is its own").conditions().size());
-    assertEquals(List.of(), new Board().desk().siteOut("west", "no fleet is said").changes());
+    assertEquals(
+        List.of(), new InMemoryStore().desk().siteOut("west", "no fleet is said").changes());
   }
 
   @Test
   void aDrainByHandTakesFromTheSameBudget() throws AgreementException {
     begin(1, 1, 0);
-    assertEquals(1, board.desk().take(Kind.ROUTER, "r4", "by hand", Absence.of(Map.of())));
+    assertEquals(
+        1, board.desk().take(InstanceKind.ROUTER, "r4", "by hand", Unavailability.of(Map.of())));
     assertNull(drive(0, Map.of()));
     AgreementException e =
         assertThrows(
             AgreementException.class,
-            () -> board.desk().take(Kind.ROUTER, "r3", "by hand too", Absence.of(Map.of())));
+            () ->
+                board
+                    .desk()
+                    .take(InstanceKind.ROUTER, "r3", "by hand too", Unavailability.of(Map.of())));
     assertTrue(e.getMessage().startsWith("no place is free: at most 1 of west"), e.getMessage());
-    board.desk().giveBack(Kind.ROUTER, "r4", "done");
+    board.desk().giveBack(InstanceKind.ROUTER, "r4", "done");
     assertNotNull(drive(0, Map.of()));
     assertEquals(2, board.scene().counter(), "a number is never given again");
   }
@@ -150,16 +156,16 @@
     all(0);
     act("r2", false);
     all(0);
-    assertEquals(Course.Mode.BACKING, board.scene().course().mode());
+    assertEquals(RolloutState.Mode.BACKING, board.scene().course().mode());
     assertEquals("r2 did not get ready: status 1", board.scene().course().why());
     // In the reverse order: what was not begun at once, then what runs the new.
-    assertEquals(Step.Phase.UNDONE, phase("r3"));
-    assertEquals(Variant.OLD, board.scene().steps().get("r2").variant());
-    assertEquals(Variant.OLD, board.scene().steps().get("r1").variant());
+    assertEquals(RolloutStep.Phase.UNDONE, phase("r3"));
+    assertEquals(InstanceVariant.OLD, board.scene().steps().get("r2").variant());
+    assertEquals(InstanceVariant.OLD, board.scene().steps().get("r1").variant());
     act("r2", true);
     act("r1", true);
     all(0);
-    assertEquals(Course.Mode.BACK, board.scene().course().mode());
+    assertEquals(RolloutState.Mode.BACK, board.scene().course().mode());
     assertTrue(board.scene().permits().isEmpty());
   }
 
@@ -285,14 +291,14 @@
    */
   @Test
   void aStepWaitsWhileItsSiteCouldNotCarryItsLoad() throws AgreementException {
-    board = new Board();
-    Fleet.Group group =
-        new Fleet.Group(
+    board = new InMemoryStore();
+    ReleaseFleet.Group group =
+        new ReleaseFleet.Group(
             1,
             1,
             new TreeMap<>(Map.of("east", List.of("r1", "r2", "r3"), "west", List.of("r4", "r5"))),
-            new Fleet.Capacity(100, 0, 1));
-    board.desk().fleet(new Fleet(Map.of(Kind.ROUTER, group)));
+            new ReleaseFleet.Capacity(100, 0, 1));
+    board.desk().fleet(new ReleaseFleet(Map.of(InstanceKind.ROUTER, group)));
     AgreementException e =
         assertThrows(AgreementException.class, () -> board.begin(0, List.of(List.of("r4"))));
     assertEquals("west has 2 routers: with 1 out and 1 that fail none is left", e.getMessage());
@@ -345,8 +351,8 @@
   void aHaltBindsAgentsThatHaveNotBegunAndItsEndLetsThemGoOn() throws AgreementException {
     begin(1, 1, 0);
     all(0);
-    Agent agent = board.agent("r1", "a", TIMEOUT);
-    Act late = agent.due(board.scene(), 0);
+    RolloutAgent agent = board.agent("r1", "a", TIMEOUT);
+    RolloutTransaction late = agent.due(board.scene(), 0);
     board.desk().halt("wait");
     assertFalse(board.held(late), "what was decided before the halt holds no more");
     assertNull(agent.answered(false, 0));
@@ -362,10 +368,10 @@
   void onlyOneAgentActsOnAPart() throws AgreementException {
     begin(1, 1, 0);
     all(0);
-    Agent first = board.agent("r1", "a", TIMEOUT);
-    Agent second = board.agent("r1", "b", TIMEOUT);
+    RolloutAgent first = board.agent("r1", "a", TIMEOUT);
+    RolloutAgent second = board.agent("r1", "b", TIMEOUT);
     assertNull(second.due(board.scene(), 0));
-    Act begins = first.due(board.scene(), 0);
+    RolloutTransaction begins = first.due(board.scene(), 0);
     board.agentGone("r1");
     assertTrue(board.held(second.take(board.scene(), 1)));
     assertFalse(board.held(begins), "its seat is another's");
@@ -377,27 +383,27 @@
   void anAnswerThatComesLateAllowsNothing() throws AgreementException {
     begin(1, 1, 0);
     all(0);
-    Agent agent = board.agent("r1", "a", TIMEOUT);
+    RolloutAgent agent = board.agent("r1", "a", TIMEOUT);
     assertNull(agent.answered(board.held(agent.due(board.scene(), 0)), TIMEOUT + 1));
-    assertEquals(Step.Phase.BEGUN, phase("r1"));
+    assertEquals(RolloutStep.Phase.BEGUN, phase("r1"));
     board.desk().halt("wait");
     assertNull(agent.due(board.scene(), TIMEOUT + 2));
     board.desk().resume("on");
     assertEquals(
-        Variant.NEW,
+        InstanceVariant.NEW,
         agent.answered(board.held(agent.due(board.scene(), TIMEOUT + 3)), TIMEOUT + 4));
   }
 
   @Test
   void aDriverThatWasReplacedCanDoNothingWithWhatItKnew() throws AgreementException {
     begin(1, 1, 0);
-    Act old = driver.due(board.scene(), Absence.of(Map.of()), 0);
+    RolloutTransaction old = driver.due(board.scene(), Unavailability.of(Map.of()), 0);
     board.driverGone();
-    Driver next = new Driver(Board.KEYS, "d2", () -> "");
+    RolloutDriver next = new RolloutDriver(InMemoryStore.KEYS, "d2", () -> "");
     assertTrue(board.held(next.take(board.scene(), 2)));
     assertFalse(board.held(old));
-    assertNull(driver.due(board.scene(), Absence.of(Map.of()), 0));
-    assertNotNull(next.due(board.scene(), Absence.of(Map.of()), 0));
+    assertNull(driver.due(board.scene(), Unavailability.of(Map.of()), 0));
+    assertNotNull(next.due(board.scene(), Unavailability.of(Map.of()), 0));
   }
 
   /** With the store out of reach what failed is brought back by its agent, if the plan says so. */
@@ -405,37 +411,39 @@
   void anAgentAloneBringsBackWhatFailed() throws AgreementException {
     begin(1, 1, 0);
     all(0);
-    Agent agent = board.agent("r1", "a", TIMEOUT);
+    RolloutAgent agent = board.agent("r1", "a", TIMEOUT);
     assertNotNull(agent.answered(board.held(agent.due(board.scene(), 0)), 0));
     agent.ended(false, "status 1", 10);
-    Plan plan = new Plan(1, Kind.ROUTER, WAVES, 0, 0, Bounds.of(0), 1, 50, "", null, "");
+    RolloutPlan plan =
+        new RolloutPlan(
+            1, InstanceKind.ROUTER, WAVES, 0, 0, RegressionBounds.of(0), 1, 50, "", null, "");
     assertNull(agent.alone(plan, 59));
-    assertEquals(Variant.OLD, agent.alone(plan, 60));
+    assertEquals(InstanceVariant.OLD, agent.alone(plan, 60));
     agent.ended(true, "", 70);
     assertTrue(board.held(agent.due(board.scene(), 80)));
     assertEquals("goes back: r1 was brought back by its agent: ", drive(90, Map.of()));
     all(90);
-    assertEquals(Course.Mode.BACK, board.scene().course().mode());
+    assertEquals(RolloutState.Mode.BACK, board.scene().course().mode());
   }
 
   @Test
   void aPartThatIsDeclaredLostGivesItsPlaceBackAndItsAgentCanDoNothing() throws AgreementException {
     begin(1, 1, 0);
     all(0);
-    Agent agent = board.agent("r1", "a", TIMEOUT);
-    Act begins = agent.due(board.scene(), 0);
-    board.desk().giveBack(Kind.ROUTER, "r1", "its machine burnt");
+    RolloutAgent agent = board.agent("r1", "a", TIMEOUT);
+    RolloutTransaction begins = agent.due(board.scene(), 0);
+    board.desk().giveBack(InstanceKind.ROUTER, "r1", "its machine burnt");
     assertFalse(board.held(begins));
     assertTrue(board.scene().permits().isEmpty());
   }
 
   @Test
   void whatCannotBeReleasedIsSaidBeforeItBegins() throws AgreementException {
-    Board none = Board.with(0, 0);
+    InMemoryStore none = InMemoryStore.with(0, 0);
     assertEquals(
         "no router may be out at all",
         assertThrows(AgreementException.class, () -> none.begin(0, WAVES)).getMessage());
-    Board some = Board.with(1, 1);
+    InMemoryStore some = InMemoryStore.with(1, 1);
     assertEquals(
         "there is no router 'r9' in the fleet",
         assertThrows(AgreementException.class, () -> some.begin(0, List.of(List.of("r9"))))
@@ -446,6 +454,6 @@
         assertThrows(AgreementException.class, () -> some.begin(0, WAVES)).getMessage());
     assertEquals(
         List.of(List.of("r1"), List.of("r2"), List.of("r3", "r4")),
-        Plan.usual(some.scene().fleet().group(Kind.ROUTER)));
+        RolloutPlan.usual(some.scene().fleet().group(InstanceKind.ROUTER)));
   }
 }
--- a/src/test/java/beaconturn/release/AbsenceTest.java
+++ b/src/test/java/beaconturn/release/UnavailabilityTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Sight;
+import beaconturn.agreement.EndpointView;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Who counts as out by what routers see, and releases of cache servers that rest on it. */
-class AbsenceTest {
-  private static final Fleet.Group CACHES =
-      new Fleet.Group(1, 1, new TreeMap<>(Map.of("east", List.of("c1", "c2"))));
+class UnavailabilityTest {
+  private static final ReleaseFleet.Group CACHES =
+      new ReleaseFleet.Group(1, 1, new TreeMap<>(Map.of("east", List.of("c1", "c2"))));
   private static final long LIMIT = 100;
 
   /** A router's sight, for instance "c1=0 c2:draining". */
-  private static Sight sight(String words) {
+  private static EndpointView sight(String words) {
     TreeMap<String, Long> in = new TreeMap<>();
     TreeMap<String, String> out = new TreeMap<>();
     for (String word : words.split(" ")) {
@@ -32,12 +32,12 @@
         out.put(word.split(":")[0], word.split(":")[1]);
       }
     }
-    return new Sight(in, out);
+    return new EndpointView(in, out);
   }
 
-  private static Absence seen(String... sights) {
-    return Absence.ofCaches(
-        CACHES, Map.of(), List.of(sights).stream().map(AbsenceTest::sight).toList());
+  private static Unavailability seen(String... sights) {
+    return Unavailability.ofCaches(
+        CACHES, Map.of(), List.of(sights).stream().map(UnavailabilityTest::sight).toList());
   }
 
   @Test
@@ -59,30 +59,31 @@
     assertEquals(Set.of("c1", "c2"), seen().out().keySet());
     assertEquals(
         Map.of("c1", "held out by version 3"),
-        Absence.ofCaches(CACHES, Map.of("c1", "held out by version 3"), List.of(sight("c1=0 c2=0")))
+        Unavailability.ofCaches(
+                CACHES, Map.of("c1", "held out by version 3"), List.of(sight("c1=0 c2=0")))
             .out());
   }
 
   @Test
   void aSightIsReadAsItWasWritten() throws AgreementException {
-    Sight sight = sight("c1=1796174364825000000 c2:left-out");
-    assertEquals(sight, Sight.of(sight.text()));
-    assertThrows(AgreementException.class, () -> Sight.of("no sight"));
+    EndpointView sight = sight("c1=1796174364825000000 c2:left-out");
+    assertEquals(sight, EndpointView.of(sight.text()));
+    assertThrows(AgreementException.class, () -> EndpointView.of("no sight"));
   }
 
-  private static Board caches() throws AgreementException {
-    Board board = new Board();
-    board.desk().fleet(new Fleet(Map.of(Kind.CACHE, CACHES)));
+  private static InMemoryStore caches() throws AgreementException {
+    InMemoryStore board = new InMemoryStore();
+    board.desk().fleet(new ReleaseFleet(Map.of(InstanceKind.CACHE, CACHES)));
     board
         .desk()
         .start(
-            new Plan(
+            new RolloutPlan(
                 0,
-                Kind.CACHE,
+                InstanceKind.CACHE,
                 List.of(List.of("c1", "c2")),
                 10,
                 0,
-                Bounds.of(0),
+                RegressionBounds.of(0),
                 LIMIT,
                 0,
                 "why",
@@ -91,20 +92,21 @@
     return board;
   }
 
-  private static boolean step(Board board, Driver driver, Absence seen, long now) {
-    Act act = driver.due(board.scene(), seen, now);
+  private static boolean step(
+      InMemoryStore board, RolloutDriver driver, Unavailability seen, long now) {
+    RolloutTransaction act = driver.due(board.scene(), seen, now);
     return act != null && board.held(act);
   }
 
-  private static void act(Board board, String id) {
-    Agent agent = board.agent(id, "a", LIMIT);
+  private static void act(InMemoryStore board, String id) {
+    RolloutAgent agent = board.agent(id, "a", LIMIT);
     assertNotNull(agent.answered(board.held(agent.due(board.scene(), 0)), 0));
     agent.ended(true, "", 0);
     assertTrue(board.held(agent.due(board.scene(), 0)));
   }
 
-  private static Driver driver(Board board) {
-    Driver driver = new Driver(Board.KEYS, "d1", () -> "");
+  private static RolloutDriver driver(InMemoryStore board) {
+    RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
     assertTrue(board.held(driver.take(board.scene(), 1)));
     return driver;
   }
@@ -112,8 +114,8 @@
   /** What routers tell may still be of the process before, and then of one that is cold. */
   @Test
   void theNextCacheServerGoesOnlyOnceTheOneBeforeIsSeenWarm() throws AgreementException {
-    Board board = caches();
-    Driver driver = driver(board);
+    InMemoryStore board = caches();
+    RolloutDriver driver = driver(board);
     assertTrue(step(board, driver, seen("c1=5 c2=5", "c1=5 c2=5"), 0));
     act(board, "c1");
     assertFalse(step(board, driver, seen("c1=5 c2=5", "c1=5 c2=5"), 1));
@@ -124,15 +126,15 @@
     assertFalse(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 4));
     assertTrue(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 14), "it has soaked");
     assertTrue(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 15));
-    assertEquals(Step.Phase.GRANTED, board.scene().steps().get("c2").phase());
+    assertEquals(RolloutStep.Phase.GRANTED, board.scene().steps().get("c2").phase());
   }
 
   /** The way back holds its place too until what it restarted is warm. */
   @Test
   void oneThatIsNotSeenBackInItsTimeTakesTheReleaseBack() throws AgreementException {
-    Board board = caches();
-    Driver driver = driver(board);
-    Absence ejected = seen("c1:ejected c2=5", "c1:ejected c2=5");
+    InMemoryStore board = caches();
+    RolloutDriver driver = driver(board);
+    Unavailability ejected = seen("c1:ejected c2=5", "c1:ejected c2=5");
     assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
     act(board, "c1");
     assertFalse(step(board, driver, ejected, 1));
@@ -155,8 +157,8 @@
    */
   @Test
   void oneThatIsEjectedAfterItsCheckTakesTheReleaseBack() throws AgreementException {
-    Board board = caches();
-    Driver driver = driver(board);
+    InMemoryStore board = caches();
+    RolloutDriver driver = driver(board);
     assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
     act(board, "c1");
     assertFalse(step(board, driver, seen("c1=9 c2=5"), 4));
@@ -172,26 +174,26 @@
   /** A copy of the store that was put back knows nothing of what has gone out since. */
   @Test
   void inAStoreThatWasReplacedNobodyActs() throws AgreementException {
-    Board board = caches();
-    Driver driver = driver(board);
+    InMemoryStore board = caches();
+    RolloutDriver driver = driver(board);
     assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
-    Agent agent = board.agent("c1", "a", LIMIT);
+    RolloutAgent agent = board.agent("c1", "a", LIMIT);
     board.cluster = "2";
     assertNull(agent.due(board.scene(), 0));
     assertNull(driver.due(board.scene(), seen("c1=5 c2=5"), 0));
-    assertEquals(Scene.REPLACED, driver.waits());
+    assertEquals(RolloutSnapshot.REPLACED, driver.waits());
     assertThrows(AgreementException.class, () -> board.desk().back("no"));
     board.desk().abandon("seen who runs what");
     board
         .desk()
         .start(
-            new Plan(
+            new RolloutPlan(
                 0,
-                Kind.CACHE,
+                InstanceKind.CACHE,
                 List.of(List.of("c1")),
                 10,
                 0,
-                Bounds.of(0),
+                RegressionBounds.of(0),
                 LIMIT,
                 0,
                 "why",
--- a/src/test/java/beaconturn/sim/SimHostTest.java
+++ b/src/test/java/beaconturn/sim/SimulatorHostTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The wire, against bytes composed by hand from its tables. */
-class SimHostTest {
+class SimulatorHostTest {
   private static final String NOW = "90bf68f501000000";
   private static final String ON = "0b03000000";
   private static final String CONF =
@@ -56,14 +56,14 @@
     return NOW + le(records.length() / 2) + le(count) + records;
   }
 
-  private static byte[] run(String hex) throws IOException, WireException {
+  private static byte[] run(String hex) throws IOException, SimulatorProtocolException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new SimHost(new ByteArrayInputStream(HexFormat.of().parseHex(hex)), out).run();
+    new SimulatorHost(new ByteArrayInputStream(HexFormat.of().parseHex(hex)), out).run();
     return out.toByteArray();
   }
 
   private static String refusal(String hex) {
-    return assertThrows(WireException.class, () -> run(hex)).getMessage();
+    return assertThrows(SimulatorProtocolException.class, () -> run(hex)).getMessage();
   }
 
   @Test
--- a/src/test/java/beaconturn/standin/CacheModelTest.java
+++ b/src/test/java/beaconturn/standin/CacheServerModelTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class CacheModelTest {
+class CacheServerModelTest {
   private static final long MILLI = Fixture.MILLI;
   private static final long SECOND = Fixture.SECOND;
   private final Fixture at = new Fixture(3, Fixture.SHAPE);
@@ -222,7 +222,7 @@
     Fixture costly =
         new Fixture(
             1,
-            new CacheShape(
+            new CacheServerSpec(
                 1,
                 1,
                 2,
@@ -243,7 +243,7 @@
     assertEquals("", c.kinds(), "the first request waits for the connection's own work");
     costly.pass(SECOND);
     assertEquals("miss", c.kinds());
-    assertEquals("inflight=1.0", ((Reply.Value) c.replies.get(0)).report());
+    assertEquals("inflight=1.0", ((CacheResponse.Value) c.replies.get(0)).report());
   }
 
   @Test
--- a/src/test/java/beaconturn/standin/DiscoveryTest.java
+++ b/src/test/java/beaconturn/standin/DiscoveryModelTest.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class DiscoveryTest {
+class DiscoveryModelTest {
   private static final long SECOND = Fixture.SECOND;
   private final Fixture at = new Fixture(2, Fixture.SHAPE);
-  private final Discovery discovery = at.world.discovery();
+  private final DiscoveryModel discovery = at.world.discovery();
   private final List<String> heard = new ArrayList<>();
-  private final Discovery.Asker asker =
-      new Discovery.Asker() {
+  private final DiscoveryModel.Asker asker =
+      new DiscoveryModel.Asker() {
         @Override
-        public void news(Discovery.News news) {
+        public void news(DiscoveryModel.News news) {
           heard.add(
               (news.whole() ? "whole " : "changes ")
                   + String.join(
@@ -129,7 +129,7 @@
   void slowItAnswersLaterAndWhatHasLeftIsNotTold() {
     at.world.begin(Fault.Kind.DISCOVERY_SLOW, 2.0 * SECOND);
     discovery.whole(0, asker);
-    Discovery.Call left = discovery.whole(1, asker);
+    DiscoveryModel.Call left = discovery.whole(1, asker);
     at.pass(SECOND);
     left.cancel();
     assertEquals(List.of(), heard);
--- a/src/test/java/beaconturn/standin/AgendaTest.java
+++ b/src/test/java/beaconturn/standin/EventSchedulerTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class AgendaTest {
-  private final Agenda agenda = new Agenda(100);
+class EventSchedulerTest {
+  private final EventScheduler agenda = new EventScheduler(100);
   private final List<String> done = new ArrayList<>();
 
   @Test
