--- a/src/test/java/beaconturn/standin/Fixture.java
+++ b/src/test/java/beaconturn/standin/Fixture.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /** A small world on a clock that the test turns, and lines that keep what they are told. */
-final class Fixture implements Witness {
+final class Fixture implements HistoryRecorder {
   static final long MILLI = 1_000_000;
   static final long SECOND = 1000 * MILLI;
-  static final CacheShape SHAPE =
-      new CacheShape(
+  static final CacheServerSpec SHAPE =
+      new CacheServerSpec(
           1,
           2,
           2,
@@ -25,42 +25,46 @@
           true,
           List.of());
   final List<String> told = new ArrayList<>();
-  final Agenda agenda = new Agenda(0);
-  final World world;
+  final EventScheduler agenda = new EventScheduler(0);
+  final EmulatedFleet world;
   private long turn;
 
-  Fixture(int caches, CacheShape shape) {
-    this(caches, shape, new Origin.Shape(4, 4, 20 * MILLI, 2, SECOND, 2 * SECOND));
+  Fixture(int caches, CacheServerSpec shape) {
+    this(caches, shape, new OriginModel.Shape(4, 4, 20 * MILLI, 2, SECOND, 2 * SECOND));
   }
 
-  Fixture(int caches, CacheShape shape, Origin.Shape origin) {
-    List<World.Member> fleet = new ArrayList<>();
+  Fixture(int caches, CacheServerSpec shape, OriginModel.Shape origin) {
+    List<EmulatedFleet.Member> fleet = new ArrayList<>();
     for (int i = 0; i < caches; i++) {
       fleet.add(
-          new World.Member("c" + (i + 1), i % 2 == 0 ? "east" : "west", "kind", i / 2, 1, shape));
+          new EmulatedFleet.Member(
+              "c" + (i + 1), i % 2 == 0 ? "east" : "west", "kind", i / 2, 1, shape));
     }
-    List<Work> works =
+    List<WorkCost> works =
         List.of(
-            new Work("read", 10 * MILLI, 100, false, false, 0, "all"),
-            new Work("put", 10 * MILLI, 100, true, true, 3 * SECOND, "zone"),
-            new Work("ack", 10 * MILLI, 100, true, false, 0, "all"));
+            new WorkCost("read", 10 * MILLI, 100, false, false, 0, "all"),
+            new WorkCost("put", 10 * MILLI, 100, true, true, 3 * SECOND, "zone"),
+            new WorkCost("ack", 10 * MILLI, 100, true, false, 0, "all"));
     world =
-        new World(
-            agenda, new World.Shape(fleet, origin, works, SECOND, 500 * MILLI), new Seeds(7), this);
+        new EmulatedFleet(
+            agenda,
+            new EmulatedFleet.Shape(fleet, origin, works, SECOND, 500 * MILLI),
+            new RandomSources(7),
+            this);
   }
 
   /** One connection: what came over it, in order. */
-  final class Connection implements Line {
-    final List<Reply> replies = new ArrayList<>();
-    private final CacheModel.Session session;
+  final class Connection implements CacheServerConnection {
+    final List<CacheResponse> replies = new ArrayList<>();
+    private final CacheServerModel.Session session;
     boolean broken;
 
-    Connection(CacheModel cache) {
+    Connection(CacheServerModel cache) {
       session = cache.open(this, 0, 1);
     }
 
     @Override
-    public void answer(Reply reply) {
+    public void answer(CacheResponse reply) {
       replies.add(reply);
     }
 
@@ -84,7 +88,7 @@
 
     Connection command(String type, String key, String id, String once, long patience) {
       session.command(
-          new Command(
+          new CacheCommand(
               world.nextCommand(),
               key,
               id,
@@ -103,8 +107,8 @@
     }
   }
 
-  static String kind(Reply reply) {
-    return reply instanceof Reply.Value value
+  static String kind(CacheResponse reply) {
+    return reply instanceof CacheResponse.Value value
         ? value.how().name().toLowerCase()
         : reply.getClass().getSimpleName().toLowerCase();
   }
@@ -123,12 +127,12 @@
   }
 
   @Override
-  public void executed(long at, Command command, boolean repeat) {
+  public void executed(long at, CacheCommand command, boolean repeat) {
     told.add(command.id() + (repeat ? " repeated" : " ran"));
   }
 
   @Override
-  public void told(long at, int router, String server, Listing.Health health, long born) {
+  public void told(long at, int router, String server, EndpointListing.Health health, long born) {
     told.add("told " + router + " " + server + " " + health);
   }
 }
--- a/src/test/java/beaconturn/standin/OriginTest.java
+++ b/src/test/java/beaconturn/standin/OriginModelTest.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class OriginTest {
+class OriginModelTest {
   private static final long MILLI = 1_000_000;
   private static final long SECOND = 1000 * MILLI;
-  private final Agenda agenda = new Agenda(0);
+  private final EventScheduler agenda = new EventScheduler(0);
   private final List<Long> answers = new ArrayList<>();
-  private final Origin origin =
-      new Origin(
+  private final OriginModel origin =
+      new OriginModel(
           agenda,
-          new Origin.Shape(2, 10, 100 * MILLI, 3, SECOND, 2 * SECOND),
-          new Seeds(1).of("origin"),
-          Witness.NONE);
+          new OriginModel.Shape(2, 10, 100 * MILLI, 3, SECOND, 2 * SECOND),
+          new RandomSources(1).of("origin"),
+          HistoryRecorder.NONE);
 
   private void fetch(int times) {
     for (int i = 0; i < times; i++) {
@@ -45,7 +45,7 @@
   void beyondItsQueueACallFailsAtOnce() {
     fetch(13);
     pass(0);
-    assertEquals(List.of(Origin.NO_ANSWER), answers);
+    assertEquals(List.of(OriginModel.NO_ANSWER), answers);
   }
 
   @Test
@@ -56,7 +56,7 @@
     assertFalse(origin.fallen());
     pass(2 * MILLI);
     assertTrue(origin.fallen());
-    assertEquals(7, answers.stream().filter(a -> a == Origin.NO_ANSWER).count());
+    assertEquals(7, answers.stream().filter(a -> a == OriginModel.NO_ANSWER).count());
     fetch(1);
     pass(MILLI);
     assertEquals(8, answers.size(), "it takes nothing while it is down");
--- a/src/test/java/beaconturn/standin/StandInMemory.java
+++ b/src/test/java/beaconturn/standin/StandInMemory.java
@@ -18,16 +18,16 @@
     int servers = Integer.parseInt(args[0]);
     int objects = Integer.parseInt(args[1]);
     long before = used();
-    List<Store> stores = new ArrayList<>();
+    List<ObjectCache> stores = new ArrayList<>();
     for (int i = 0; i < servers; i++) {
-      Store store = new Store(FOR_GOOD, FOR_GOOD);
+      ObjectCache store = new ObjectCache(FOR_GOOD, FOR_GOOD);
       for (int k = 0; k < objects; k++) {
         // A string of its own for each, as each command brings one.
         store.put(String.format("%016x", k), 0, 400, 0);
       }
       stores.add(store);
     }
-    long count = stores.stream().mapToLong(Store::count).sum();
+    long count = stores.stream().mapToLong(ObjectCache::count).sum();
     double bytes = used() - before;
     Reference.reachabilityFence(stores);
     System.out.println(
--- a/src/test/java/beaconturn/standin/StoreModelTest.java
+++ b/src/test/java/beaconturn/standin/StoreModelTest.java
@@ -12,7 +12,7 @@
   private final List<String> told = new ArrayList<>();
   private final StoreModel store =
       new StoreModel(
-          new Agenda(0),
+          new EventScheduler(0),
           7,
           (at, revision, key, value) -> told.add(revision + " " + key + "=" + value));
 
--- a/src/test/java/beaconturn/standin/net/SurroundingsTest.java
+++ b/src/test/java/beaconturn/standin/net/EmulatedFleetServerTest.java
@@ -15,15 +15,15 @@
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespReader;
 import beaconturn.protocol.RespValue;
-import beaconturn.standin.Agenda;
-import beaconturn.standin.CacheShape;
-import beaconturn.standin.Command;
+import beaconturn.standin.CacheCommand;
+import beaconturn.standin.CacheServerSpec;
+import beaconturn.standin.EmulatedFleet;
+import beaconturn.standin.EventScheduler;
 import beaconturn.standin.Fault;
-import beaconturn.standin.Origin;
-import beaconturn.standin.Seeds;
-import beaconturn.standin.Witness;
-import beaconturn.standin.Work;
-import beaconturn.standin.World;
+import beaconturn.standin.HistoryRecorder;
+import beaconturn.standin.OriginModel;
+import beaconturn.standin.RandomSources;
+import beaconturn.standin.WorkCost;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.ConnectException;
@@ -41,7 +41,7 @@
 
 /** The stand-ins on real loopback sockets, as a router meets them. */
 @Timeout(60)
-class SurroundingsTest {
+class EmulatedFleetServerTest {
   private static final long MILLI = 1_000_000;
   private static final long SECOND = 1000 * MILLI;
   private static final int PATIENCE_MILLIS = 20_000;
@@ -51,12 +51,12 @@
   private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
   private final BlockingQueue<Long> firstAt = new LinkedBlockingQueue<>();
   private final Clock clock = Clock.system();
-  private final World world;
-  private final Surroundings surroundings;
+  private final EmulatedFleet world;
+  private final EmulatedFleetServer surroundings;
 
-  SurroundingsTest() throws IOException {
-    CacheShape shape =
-        new CacheShape(
+  EmulatedFleetServerTest() throws IOException {
+    CacheServerSpec shape =
+        new CacheServerSpec(
             1,
             4,
             8,
@@ -72,20 +72,20 @@
             true,
             true,
             List.of("inflight"));
-    World.Shape parts =
-        new World.Shape(
+    EmulatedFleet.Shape parts =
+        new EmulatedFleet.Shape(
             List.of(
-                new World.Member("c1", "east", "kind", 0, 1, shape),
-                new World.Member("c2", "east", "kind", 0, 1, shape)),
-            new Origin.Shape(4, 100, MILLI, 8, SECOND, SECOND),
-            List.of(new Work("read", MILLI, 20, false, false, 0, "all")),
+                new EmulatedFleet.Member("c1", "east", "kind", 0, 1, shape),
+                new EmulatedFleet.Member("c2", "east", "kind", 0, 1, shape)),
+            new OriginModel.Shape(4, 100, MILLI, 8, SECOND, SECOND),
+            List.of(new WorkCost("read", MILLI, 20, false, false, 0, "all")),
             0,
             100 * MILLI);
-    Witness witness =
-        new Witness() {
+    HistoryRecorder witness =
+        new HistoryRecorder() {
           @Override
           public void commanded(
-              long at, String server, int router, long number, Command c, long work) {
+              long at, String server, int router, long number, CacheCommand c, long work) {
             seen.add(server + " " + router + " " + c.id());
             firstAt.add(c.firstAt());
           }
@@ -100,8 +100,9 @@
             seen.add("unreadable");
           }
         };
-    world = new World(new Agenda(clock.now()), parts, new Seeds(1), witness);
-    surroundings = new Surroundings(world, clock::now, 2, 0);
+    world =
+        new EmulatedFleet(new EventScheduler(clock.now()), parts, new RandomSources(1), witness);
+    surroundings = new EmulatedFleetServer(world, clock::now, 2, 0);
     surroundings.start();
   }
 
--- a/src/test/java/beaconturn/standin/net/PortsTest.java
+++ b/src/test/java/beaconturn/standin/net/LoopbackPortsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.rehearsal.fleet.Link;
+import beaconturn.rehearsal.fleet.FaultProxy;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetSocketAddress;
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Who still calls a port's last owner must not be met by the kit. */
-class PortsTest {
+class LoopbackPortsTest {
   private static final int MANY = 300;
   private static final int KERNELS = 32_768;
 
   private static int closedAgain() throws IOException {
-    return Ports.take(
+    return LoopbackPorts.take(
         at -> {
           try (ServerSocket socket = new ServerSocket()) {
             socket.bind(at);
@@ -42,7 +42,7 @@
   void whatIsAnothersIsPassedOver() throws IOException {
     List<InetSocketAddress> tried = new ArrayList<>();
     InetSocketAddress taken =
-        Ports.take(
+        LoopbackPorts.take(
             at -> {
               tried.add(at);
               if (tried.size() < 3) {
@@ -61,7 +61,7 @@
     InetSocketAddress own = new InetSocketAddress("127.0.0.1", 1);
     assertEquals(
         own,
-        Ports.again(
+        LoopbackPorts.again(
             own,
             at -> {
               tried.add(at);
@@ -75,7 +75,7 @@
 
   @Test
   void linksAreReachedThere() throws IOException {
-    try (Link link = new Link(new InetSocketAddress("127.0.0.1", 1))) {
+    try (FaultProxy link = new FaultProxy(new InetSocketAddress("127.0.0.1", 1))) {
       assertTrue(link.address().getPort() < KERNELS, link.address()::toString);
     }
   }
--- a/src/test/java/beaconturn/standin/net/StandInSpeed.java
+++ b/src/test/java/beaconturn/standin/net/StandInSpeed.java
@@ -2,13 +2,13 @@
 
 import beaconturn.core.Clock;
 import beaconturn.protocol.RespWriter;
-import beaconturn.standin.Agenda;
-import beaconturn.standin.CacheShape;
-import beaconturn.standin.Origin;
-import beaconturn.standin.Seeds;
-import beaconturn.standin.Witness;
-import beaconturn.standin.Work;
-import beaconturn.standin.World;
+import beaconturn.standin.CacheServerSpec;
+import beaconturn.standin.EmulatedFleet;
+import beaconturn.standin.EventScheduler;
+import beaconturn.standin.HistoryRecorder;
+import beaconturn.standin.OriginModel;
+import beaconturn.standin.RandomSources;
+import beaconturn.standin.WorkCost;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
@@ -44,8 +44,8 @@
     int rate = Integer.parseInt(args[0]);
     int connections = Integer.parseInt(args[1]);
     int seconds = Integer.parseInt(args[2]);
-    CacheShape shape =
-        new CacheShape(
+    CacheServerSpec shape =
+        new CacheServerSpec(
             1,
             64,
             1000,
@@ -61,29 +61,29 @@
             true,
             true,
             List.of());
-    List<World.Member> fleet = new ArrayList<>();
+    List<EmulatedFleet.Member> fleet = new ArrayList<>();
     for (int i = 0; i < CACHES; i++) {
-      fleet.add(new World.Member("c" + i, "east", "kind", 0, 1, shape));
+      fleet.add(new EmulatedFleet.Member("c" + i, "east", "kind", 0, 1, shape));
     }
     Clock clock = Clock.system();
-    World world =
-        new World(
-            new Agenda(clock.now()),
-            new World.Shape(
+    EmulatedFleet world =
+        new EmulatedFleet(
+            new EventScheduler(clock.now()),
+            new EmulatedFleet.Shape(
                 fleet,
-                new Origin.Shape(64, 10_000, MILLI, 100, SECOND, SECOND),
-                List.of(new Work("read", MILLI, 400, false, false, 0, "all")),
+                new OriginModel.Shape(64, 10_000, MILLI, 100, SECOND, SECOND),
+                List.of(new WorkCost("read", MILLI, 400, false, false, 0, "all")),
                 0,
                 0),
-            new Seeds(1),
-            Witness.NONE);
-    try (Surroundings surroundings = new Surroundings(world, clock::now, 1, 0)) {
+            new RandomSources(1),
+            HistoryRecorder.NONE);
+    try (EmulatedFleetServer surroundings = new EmulatedFleetServer(world, clock::now, 1, 0)) {
       surroundings.start();
       new StandInSpeed().run(surroundings, rate, connections, seconds);
     }
   }
 
-  private void run(Surroundings surroundings, int rate, int connections, int seconds)
+  private void run(EmulatedFleetServer surroundings, int rate, int connections, int seconds)
       throws InterruptedException {
     List<Thread> threads = new ArrayList<>();
     long start = System.nanoTime() + SECOND;
@@ -121,7 +121,7 @@
             latency.getMaxValue() / 1e6));
   }
 
-  private void ask(Surroundings surroundings, int line, long first, long gap, long end) {
+  private void ask(EmulatedFleetServer surroundings, int line, long first, long gap, long end) {
     byte[] answer = new byte[4096];
     try (Socket socket = new Socket()) {
       socket.setTcpNoDelay(true);
--- a/src/test/java/beaconturn/zones/DecisionTest.java
+++ b/src/test/java/beaconturn/zones/FailoverPlannerTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Places that fail, come back, flap, are cut off, or are lied about, in virtual time. */
-class DecisionTest {
-  private static final long SECOND = WorldModel.SECOND;
+class FailoverPlannerTest {
+  private static final long SECOND = SimulatedZones.SECOND;
   private static final Map<String, String> THREE =
       Map.of("east", "one", "west", "one", "far", "two");
 
@@ -21,26 +21,26 @@
    * Three places, four routers each, at so many requests a second in each place; a place carries
    * 900.
    */
-  private static WorldModel three(double inPlace) {
-    WorldModel world = new WorldModel(1, THREE, 4, inPlace / 4, 100);
+  private static SimulatedZones three(double inPlace) {
+    SimulatedZones world = new SimulatedZones(1, THREE, 4, inPlace / 4, 100);
     world.run(5 * SECOND);
     return world;
   }
 
-  private static void calm(WorldModel world) {
+  private static void calm(SimulatedZones world) {
     world
         .plan()
         .rows()
         .forEach(
             (place, row) ->
                 assertTrue(
-                    row.of(place) >= Row.WHOLE - Row.TRIAL,
+                    row.of(place) >= ZoneAllocation.WHOLE - ZoneAllocation.TRIAL,
                     place + " " + row.parts() + "\n" + world.said()));
   }
 
   @Test
   void onCalmDaysOnlyTrialsGoElsewhere() {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     world.run(60 * SECOND);
     calm(world);
     assertEquals(0, world.plan().number(), world.said());
@@ -48,28 +48,29 @@
 
   @Test
   void aPlaceThatIsLostGoesToTheNearestWithinSecondsAndComesBackBySteps() {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     world.spots.get("east").bad = true;
     world.run(5 * SECOND);
     assertTrue(world.served("east", SECOND) > 0.9, world.said());
-    assertEquals(Plan.State.FAILED_OVER, world.plan().states().get("east"));
+    assertEquals(ZonePlan.State.FAILED_OVER, world.plan().states().get("east"));
     assertEquals(
-        Row.WHOLE - Row.NEAR_TRIAL,
+        ZoneAllocation.WHOLE - ZoneAllocation.NEAR_TRIAL,
         world.plan().row("east").of("west"),
         "the near one has the room");
     assertEquals(0, world.plan().row("east").of("far"));
     assertTrue(world.peak("west") < 1, "nobody is pushed over");
     world.spots.get("east").bad = false;
-    while (world.plan().row("east").of("east") == Row.NEAR_TRIAL) {
+    while (world.plan().row("east").of("east") == ZoneAllocation.NEAR_TRIAL) {
       world.run(SECOND / 4);
       assertTrue(world.agenda.now() < 30 * SECOND, world.said());
     }
     int back = world.plan().row("east").of("east");
     assertTrue(
-        back > Row.NEAR_TRIAL && back < Row.WHOLE / 2, "by steps: " + back + "\n" + world.said());
+        back > ZoneAllocation.NEAR_TRIAL && back < ZoneAllocation.WHOLE / 2,
+        "by steps: " + back + "\n" + world.said());
     world.run(20 * SECOND);
     calm(world);
-    assertEquals(Plan.State.NEAR, world.plan().states().get("east"));
+    assertEquals(ZonePlan.State.NEAR, world.plan().states().get("east"));
   }
 
   /**
@@ -77,7 +78,7 @@
    */
   @Test
   void noMoreGoesThanTheOthersCarryWithOneOfTheirCacheServersGone() {
-    WorldModel world = three(700);
+    SimulatedZones world = three(700);
     world.spots.get("east").bad = true;
     world.run(10 * SECOND);
     world.peak("west");
@@ -89,12 +90,12 @@
 
   @Test
   void whatAPlaceCannotCarryGoesOnInPartAndTheSameKeysFirst() {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     world.of("east");
     world.spots.get("east").warm = 4;
     world.run(10 * SECOND);
-    Row row = world.plan().row("east");
-    assertEquals(Plan.State.SPILLING, world.plan().states().get("east"), world.said());
+    ZoneAllocation row = world.plan().row("east");
+    assertEquals(ZonePlan.State.SPILLING, world.plan().states().get("east"), world.said());
     assertTrue(
         row.of("east") >= 650 && row.of("east") <= 800 && row.of("west") >= 200,
         row.parts().toString());
@@ -108,14 +109,14 @@
    */
   @Test
   void aPlaceThatCarriesAllThatIsWantedAgainTakesItsKeysBackInTheEnd() {
-    WorldModel world = three(750);
+    SimulatedZones world = three(750);
     world.spots.get("east").warm = 7;
     world.run(10 * SECOND);
-    assertEquals(Plan.State.SPILLING, world.plan().states().get("east"), world.said());
+    assertEquals(ZonePlan.State.SPILLING, world.plan().states().get("east"), world.said());
     world.spots.get("east").warm = 10;
     world.run(30 * SECOND);
     assertEquals(
-        Plan.State.SPILLING, world.plan().states().get("east"), "not at once\n" + world.said());
+        ZonePlan.State.SPILLING, world.plan().states().get("east"), "not at once\n" + world.said());
     world.run(60 * SECOND);
     calm(world);
   }
@@ -127,7 +128,7 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void thePartOfAPlaceThatIsCutOffIsNotFree(boolean newOffice) throws AgreementException {
-    WorldModel world = three(700);
+    SimulatedZones world = three(700);
     world.of("west").forEach(s -> s.cut = true);
     world.run(10 * SECOND);
     if (newOffice) {
@@ -157,12 +158,12 @@
    */
   @Test
   void aPlaceThatNobodyHasInTheListIsLeftAlsoWhileAnotherIsCutOff() {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     world.of("west").forEach(s -> s.cut = true);
     world.run(10 * SECOND);
     world.spots.get("east").listed = 0;
     world.run(6 * SECOND);
-    assertEquals(Row.NEAR_TRIAL, world.plan().row("east").of("east"), world.said());
+    assertEquals(ZoneAllocation.NEAR_TRIAL, world.plan().row("east").of("east"), world.said());
   }
 
   /**
@@ -171,11 +172,13 @@
    */
   @Test
   void whatOneRouterTookThatIsNotHeardIsCountedForAWhile() throws AgreementException {
-    WorldModel world = three(700);
+    SimulatedZones world = three(700);
     world.of("west").get(0).cut = true;
     world.run(3 * SECOND);
     String office = world.desk().look().office();
-    world.seats.stream().filter(s -> office.startsWith(s.name + "/")).forEach(WorldModel.Seat::die);
+    world.seats.stream()
+        .filter(s -> office.startsWith(s.name + "/"))
+        .forEach(SimulatedZones.Seat::die);
     world.run(6 * SECOND);
     world.spots.get("east").bad = true;
     world.run(10 * SECOND);
@@ -187,7 +190,7 @@
   /** The origin slow: all places are bad at once, and moving mends nothing. */
   @Test
   void whatAllSufferFromMovesNothing() {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     world.spots.values().forEach(s -> s.bad = true);
     world.run(20 * SECOND);
     calm(world);
@@ -199,7 +202,7 @@
   /** Most places get bad, and good again, some seconds after each other: it is still one cause. */
   @Test
   void whatMostSufferFromMovesNothingAlsoWhenItDoesNotEndAtOnce() {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     world.spots.get("east").bad = true;
     world.run(SECOND / 2);
     world.spots.get("west").bad = true;
@@ -218,7 +221,7 @@
    */
   @Test
   void whatAllSufferFromAboutAlikeMovesNothing() {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     world.spots.get("east").fails = 0.6;
     world.spots.get("west").fails = 0.45;
     world.spots.get("far").fails = 0.4;
@@ -237,7 +240,7 @@
    */
   @Test
   void wherePlacesAreSlowAndOneFailsFirstNothingMoves() {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     world.run(10 * SECOND);
     world.spots.values().forEach(s -> s.micros = 4000);
     world.run(2 * SECOND);
@@ -257,7 +260,7 @@
   @Test
   void roomThatDiffersByChanceIsNoReasonForPlans() {
     Map<String, String> regions = Map.of("a", "one", "b", "one", "c", "two", "d", "two");
-    WorldModel world = new WorldModel(4, regions, 2, 30, 8.7);
+    SimulatedZones world = new SimulatedZones(4, regions, 2, 30, 8.7);
     world.byChance = true;
     world.run(20 * SECOND);
     assertEquals(0, world.plan().number(), world.said());
@@ -272,7 +275,7 @@
   /** One after the other, as the first is away by then. */
   @Test
   void wherePlacesThatReceiveFailTooTheirPartGoesOn() {
-    WorldModel world = three(250);
+    SimulatedZones world = three(250);
     world.spots.get("east").bad = true;
     world.run(8 * SECOND);
     world.spots.get("west").bad = true;
@@ -284,7 +287,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"bad", "good", "stuck"})
   void oneRouterThatLiesMovesNothingAlone(String lie) {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     world.seats.get(0).lies = lie;
     world.run(30 * SECOND);
     calm(world);
@@ -297,7 +300,7 @@
   /** Nobody asks one place, as after its last client, and nobody has tried it of late. */
   @Test
   void oneRouterThatFindsAllEjectedMovesNothingWhereNobodyAsks() {
-    WorldModel world = new WorldModel(1, THREE, 2, 10, 100);
+    SimulatedZones world = new SimulatedZones(1, THREE, 2, 10, 100);
     world.of("west").forEach(s -> s.perSecond = 0);
     world.seats.get(0).lies = "ejected";
     world.run(30 * SECOND);
@@ -310,7 +313,7 @@
    */
   @Test
   void aPlaceThatIsCutOffServesNearAndUsesOnlyItsReserveElsewhere() {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     world
         .of("east")
         .forEach(
@@ -336,23 +339,23 @@
   /** Only its own routers do not reach it: their way is broken, and the others go on with it. */
   @Test
   void aBrokenWayIsToldFromABrokenPlace() {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     world.of("east").forEach(s -> s.unreachable.add("east"));
     world.run(8 * SECOND);
     assertTrue(world.served("east", SECOND) > 0.9, world.said());
-    assertEquals(Plan.State.SPLIT, world.plan().states().get("east"), world.said());
+    assertEquals(ZonePlan.State.SPLIT, world.plan().states().get("east"), world.said());
   }
 
   @Test
   void onePlaceThatFlapsStaysOutLongerEachTime() {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     long before = 0;
     for (int i = 0; i < 3; i++) {
       world.spots.get("east").bad = true;
       world.run(6 * SECOND);
       world.spots.get("east").bad = false;
       long since = world.agenda.now();
-      while (world.plan().row("east").of("east") <= Row.NEAR_TRIAL) {
+      while (world.plan().row("east").of("east") <= ZoneAllocation.NEAR_TRIAL) {
         world.run(SECOND / 4);
         assertTrue(world.agenda.now() - since < 70 * SECOND, world.said());
       }
@@ -366,7 +369,7 @@
   /** Whoever holds the office dies with its zone: another takes it, with its own evidence. */
   @Test
   void theOfficeIsTakenByAnotherWhereItsHolderIsInTheLostPlace() throws AgreementException {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     String office = world.desk().look().office();
     String home =
         world.seats.stream()
@@ -374,7 +377,7 @@
             .findFirst()
             .orElseThrow()
             .home;
-    world.of(home).forEach(WorldModel.Seat::die);
+    world.of(home).forEach(SimulatedZones.Seat::die);
     world.spots.get(home).bad = true;
     String other = world.map.others(home).get(0);
     world.run(6 * SECOND);
@@ -391,11 +394,11 @@
    */
   @Test
   void anOfficeThatFlapsMovesNothingByItselfAndStillMovesWhatIsLost() throws AgreementException {
-    WorldModel world = three(400);
+    SimulatedZones world = three(400);
     for (int i = 0; i < 12; i++) {
       world.spots.get("east").bad = i >= 6;
       String office = world.desk().look().office();
-      WorldModel.Seat holder =
+      SimulatedZones.Seat holder =
           world.seats.stream()
               .filter(s -> office.startsWith(s.name + "/"))
               .findFirst()
@@ -412,28 +415,34 @@
 
   @Test
   void whatOperatorsSayWinsAndEndsByItself() throws AgreementException {
-    WorldModel world = three(400);
-    world.desk().give(new Order("east", Order.What.DRAIN, 0, 20 * SECOND, "op", "work on it"));
+    SimulatedZones world = three(400);
+    world
+        .desk()
+        .give(
+            new ZoneOverride("east", ZoneOverride.What.DRAIN, 0, 20 * SECOND, "op", "work on it"));
     world.run(6 * SECOND);
-    assertEquals(Row.NEAR_TRIAL, world.plan().row("east").of("east"), world.said());
+    assertEquals(ZoneAllocation.NEAR_TRIAL, world.plan().row("east").of("east"), world.said());
     assertEquals(
         "one place may be out at once, and out is east (failed over, drained by op: work"
             + " on it)",
         assertThrows(
                 AgreementException.class,
-                () -> world.desk().give(new Order("west", Order.What.DRAIN, 0, 0, "op", "too")))
+                () ->
+                    world
+                        .desk()
+                        .give(new ZoneOverride("west", ZoneOverride.What.DRAIN, 0, 0, "op", "too")))
             .getMessage());
     world.run(30 * SECOND);
     calm(world);
-    world.desk().give(new Order("west", Order.What.WEIGHT, 600, 0, "op", "less"));
+    world.desk().give(new ZoneOverride("west", ZoneOverride.What.WEIGHT, 600, 0, "op", "less"));
     world.run(6 * SECOND);
     assertEquals(600, world.plan().row("west").of("west"), world.said());
-    world.desk().give(new Order("west", Order.What.HOLD, 0, 0, "op", "stay"));
+    world.desk().give(new ZoneOverride("west", ZoneOverride.What.HOLD, 0, 0, "op", "stay"));
     world.spots.get("west").bad = true;
     world.run(10 * SECOND);
     assertEquals(600, world.plan().row("west").of("west"));
     world.desk().free("west");
     world.run(6 * SECOND);
-    assertEquals(Row.NEAR_TRIAL, world.plan().row("west").of("west"), world.said());
+    assertEquals(ZoneAllocation.NEAR_TRIAL, world.plan().row("west").of("west"), world.said());
   }
 }
--- a/src/test/java/beaconturn/zones/PoliciesTest.java
+++ b/src/test/java/beaconturn/zones/PoliciesTest.java
@@ -14,7 +14,7 @@
  * go to the log.
  */
 class PoliciesTest {
-  private static final long SECOND = WorldModel.SECOND;
+  private static final long SECOND = SimulatedZones.SECOND;
   private static final Map<String, String> FOUR =
       Map.of("a", "one", "b", "one", "c", "two", "d", "two");
 
@@ -22,8 +22,8 @@
       double calmCrossed, double served, double worst, double peak, double crossed) {}
 
   /** A place is lost for 20 s while each wants so much. */
-  private static Figures lost(WorldModel.Policy policy, double inPlace) {
-    WorldModel world = new WorldModel(3, FOUR, 6, inPlace / 6, 100);
+  private static Figures lost(SimulatedZones.Policy policy, double inPlace) {
+    SimulatedZones world = new SimulatedZones(3, FOUR, 6, inPlace / 6, 100);
     world.policy = policy;
     world.run(20 * SECOND);
     double crossed = world.seats.stream().mapToDouble(s -> s.crossed).sum() / (4 * inPlace * 20);
@@ -52,15 +52,15 @@
     return new Figures(crossed, all, worst, peak, crossedThen);
   }
 
-  private static double before(WorldModel world, String place) {
+  private static double before(SimulatedZones world, String place) {
     return world.of(place).stream().mapToDouble(s -> s.served).sum();
   }
 
   @ParameterizedTest
   @CsvSource({"400", "550", "800"})
   void nobodyIsPushedOverAndWhatThereIsRoomForIsServed(double inPlace) {
-    Map<WorldModel.Policy, Figures> all = new java.util.EnumMap<>(WorldModel.Policy.class);
-    for (WorldModel.Policy policy : WorldModel.Policy.values()) {
+    Map<SimulatedZones.Policy, Figures> all = new java.util.EnumMap<>(SimulatedZones.Policy.class);
+    for (SimulatedZones.Policy policy : SimulatedZones.Policy.values()) {
       Figures f = lost(policy, inPlace);
       all.put(policy, f);
       System.out.printf(
@@ -74,21 +74,21 @@
           f.worst(),
           f.peak());
     }
-    Figures common = all.get(WorldModel.Policy.COMMON);
+    Figures common = all.get(SimulatedZones.Policy.COMMON);
     // Three of four places have room for 900 each, with one cache server to spare.
     double room = Math.min(1, 3 * 900 / (4 * inPlace));
     assertTrue(common.calmCrossed() <= 0.0101 && common.peak() < 1.2, common.toString());
     assertTrue(common.served() > 0.9 * room, common.toString());
-    assertTrue(all.get(WorldModel.Policy.RING).calmCrossed() > 0.7);
+    assertTrue(all.get(SimulatedZones.Policy.RING).calmCrossed() > 0.7);
     assertTrue(
-        inPlace < 550 || all.get(WorldModel.Policy.PRIORITY).peak() > common.peak(),
+        inPlace < 550 || all.get(SimulatedZones.Policy.PRIORITY).peak() > common.peak(),
         all.toString());
   }
 
   /** A tenth and more of all attempts fails by chance, in all places alike and in turns. */
   @Test
   void noiseMovesNothing() {
-    WorldModel world = new WorldModel(5, FOUR, 6, 50, 100);
+    SimulatedZones world = new SimulatedZones(5, FOUR, 6, 50, 100);
     world.spots.values().forEach(s -> s.noise = 0.3);
     world.run(240 * SECOND);
     assertTrue(world.plan().number() == 0, world.said());
--- a/src/test/java/beaconturn/zones/Course.java
+++ b/src/test/java/beaconturn/zones/RandomFailoverScenario.java
@@ -11,8 +11,9 @@
  * A course of troubles in the model, each at its time and for as long as it lasts: made of chance
  * by a seed, played, and, if it fails, cut down to the fewest that fail still.
  */
-record Course(long seed, int places, int routers, double inPlace, List<Trouble> troubles) {
-  private static final long SECOND = WorldModel.SECOND;
+record RandomFailoverScenario(
+    long seed, int places, int routers, double inPlace, List<Trouble> troubles) {
+  private static final long SECOND = SimulatedZones.SECOND;
   private static final int FULL = 10;
   private static final long BEGIN = 5 * SECOND;
   private static final long CALM = 90 * SECOND;
@@ -40,7 +41,7 @@
   record Trouble(Kind kind, int on, int amount, long from, long to) {}
 
   /** A course made of chance. */
-  static Course of(long seed, int routers) {
+  static RandomFailoverScenario of(long seed, int routers) {
     Random random = new Random(seed);
     int places = 3 + random.nextInt(6);
     List<Trouble> troubles = new ArrayList<>();
@@ -60,7 +61,7 @@
               from,
               from + SECOND / 2 + (long) (random.nextDouble() * 15 * SECOND)));
     }
-    return new Course(seed, places, routers, 100 + random.nextInt(150), troubles);
+    return new RandomFailoverScenario(seed, places, routers, 100 + random.nextInt(150), troubles);
   }
 
   /** What went wrong that must not, or null. */
@@ -69,7 +70,7 @@
     for (int i = 0; i < places; i++) {
       regions.put("p" + i, i % 2 == 0 ? "a" : "b");
     }
-    WorldModel world = new WorldModel(seed, regions, routers, inPlace * 3 / routers, 100);
+    SimulatedZones world = new SimulatedZones(seed, regions, routers, inPlace * 3 / routers, 100);
     for (Trouble t : troubles) {
       world.agenda.at(t.from(), () -> set(world, t, true));
       if (t.to() != NEVER) {
@@ -78,8 +79,8 @@
     }
     world.run(length());
     for (String place : world.map.places()) {
-      Row row = world.plan().row(place);
-      if (row.of(place) < Row.WHOLE - Row.TRIAL) {
+      ZoneAllocation row = world.plan().row(place);
+      if (row.of(place) < ZoneAllocation.WHOLE - ZoneAllocation.TRIAL) {
         return place + " is not back near: " + row.parts();
       }
     }
@@ -91,10 +92,10 @@
         + troubles.stream().mapToLong(t -> t.to() == NEVER ? t.from() : t.to()).max().orElse(BEGIN);
   }
 
-  private static void set(WorldModel world, Trouble t, boolean on) {
+  private static void set(SimulatedZones world, Trouble t, boolean on) {
     String place = "p" + t.on() % world.spots.size();
-    WorldModel.Spot spot = world.spots.get(place);
-    WorldModel.Seat seat = world.seats.get(t.on() % world.seats.size());
+    SimulatedZones.Spot spot = world.spots.get(place);
+    SimulatedZones.Seat seat = world.seats.get(t.on() % world.seats.size());
     switch (t.kind()) {
       case STALL -> spot.bad = on;
       case COLD -> spot.warm = on ? t.amount() : FULL;
@@ -117,15 +118,16 @@
   }
 
   /** The same with the fewest troubles that fail still; itself if it does not fail. */
-  Course shrunk() {
+  RandomFailoverScenario shrunk() {
     if (fails() == null) {
       return this;
     }
-    Course least = this;
+    RandomFailoverScenario least = this;
     for (int i = 0; i < least.troubles.size(); ) {
       List<Trouble> fewer = new ArrayList<>(least.troubles);
       fewer.remove(i);
-      Course tried = new Course(seed, places, routers, inPlace, fewer);
+      RandomFailoverScenario tried =
+          new RandomFailoverScenario(seed, places, routers, inPlace, fewer);
       if (tried.fails() == null) {
         i++;
       } else {
@@ -170,8 +172,8 @@
               word(t.kind()),
               String.join(", ", on(t)),
               t.kind() == Kind.WAY ? "way = " + sites.get(t.on() / routers) + "\n" : "",
-              t.from() / WorldModel.MILLI,
-              Math.min(length(), t.to()) / WorldModel.MILLI));
+              t.from() / SimulatedZones.MILLI,
+              Math.min(length(), t.to()) / SimulatedZones.MILLI));
     }
     return out.toString();
   }
--- a/src/test/java/beaconturn/zones/CoursesTest.java
+++ b/src/test/java/beaconturn/zones/RandomFailoverTest.java
@@ -12,13 +12,13 @@
  * Courses of chance in virtual time: nobody is ever pushed over by others, and all is near again in
  * the end. A long run: {@code -Dzones.courses=2000 -Dzones.first=100}.
  */
-class CoursesTest {
-  private static final long SECOND = WorldModel.SECOND;
+class RandomFailoverTest {
+  private static final long SECOND = SimulatedZones.SECOND;
 
   private static void holds(long seed, int routers) throws Exception {
-    Course course = Course.of(seed, routers);
+    RandomFailoverScenario course = RandomFailoverScenario.of(seed, routers);
     if (course.fails() != null) {
-      Course least = course.shrunk();
+      RandomFailoverScenario least = course.shrunk();
       assertNull(
           least.fails(),
           "seed " + seed + ", " + least.troubles().size() + " troubles:\n" + least.scenario());
@@ -45,19 +45,24 @@
   @Test
   void aCourseThatFailsIsCutDownToTheTroubleThatMakesIt() throws Exception {
     // One that is never mended: its place cannot be near again.
-    Course.Trouble cause = new Course.Trouble(Course.Kind.STALL, 1, 1, 8 * SECOND, Course.NEVER);
-    Course course =
-        new Course(
+    RandomFailoverScenario.Trouble cause =
+        new RandomFailoverScenario.Trouble(
+            RandomFailoverScenario.Kind.STALL, 1, 1, 8 * SECOND, RandomFailoverScenario.NEVER);
+    RandomFailoverScenario course =
+        new RandomFailoverScenario(
             1,
             3,
             2,
             100,
             List.of(
-                new Course.Trouble(Course.Kind.CUT, 4, 1, 6 * SECOND, 9 * SECOND),
+                new RandomFailoverScenario.Trouble(
+                    RandomFailoverScenario.Kind.CUT, 4, 1, 6 * SECOND, 9 * SECOND),
                 cause,
-                new Course.Trouble(Course.Kind.COLD, 2, 7, 10 * SECOND, 12 * SECOND),
-                new Course.Trouble(Course.Kind.KILL, 0, 1, 7 * SECOND, 9 * SECOND)));
-    Course least = course.shrunk();
+                new RandomFailoverScenario.Trouble(
+                    RandomFailoverScenario.Kind.COLD, 2, 7, 10 * SECOND, 12 * SECOND),
+                new RandomFailoverScenario.Trouble(
+                    RandomFailoverScenario.Kind.KILL, 0, 1, 7 * SECOND, 9 * SECOND)));
+    RandomFailoverScenario least = course.shrunk();
     assertEquals(List.of(cause), least.troubles());
     assertTrue(least.fails().startsWith("p1 is not back near"), least.fails());
     assertEquals(1, ScenarioReader.read("course.toml", least.scenario(), null).faults().size());
--- a/src/test/java/beaconturn/zones/Twin.java
+++ b/src/test/java/beaconturn/zones/SimulatedFailover.java
@@ -1,16 +1,16 @@
 package beaconturn.zones;
 
-import beaconturn.agreement.Timing;
+import beaconturn.agreement.AgreementTiming;
 import java.util.Map;
 import java.util.TreeMap;
 
 /** The same troubles in the model as in a play of processes. */
-public final class Twin {
+public final class SimulatedFailover {
   private static final long SECOND = 1_000_000_000;
   private static final long STEP = SECOND / 20;
   private static final long LOST = 5 * SECOND;
 
-  private Twin() {}
+  private SimulatedFailover() {}
 
   /**
    * How long after a place of several loses its cache servers its keys go elsewhere, in
@@ -18,12 +18,13 @@
    *
    * @param perSecond requests that each router takes
    */
-  public static long decidedAfter(Timing timing, int places, int routers, double perSecond) {
+  public static long decidedAfter(
+      AgreementTiming timing, int places, int routers, double perSecond) {
     Map<String, String> regions = new TreeMap<>();
     for (int i = 0; i < places; i++) {
       regions.put("p" + i, "");
     }
-    WorldModel world = new WorldModel(1, regions, routers, perSecond, 1000, timing);
+    SimulatedZones world = new SimulatedZones(1, regions, routers, perSecond, 1000, timing);
     world.byChance = true;
     world.run(LOST);
     world.spots.get("p0").bad = true;
--- a/src/test/java/beaconturn/zones/WorldModel.java
+++ b/src/test/java/beaconturn/zones/SimulatedZones.java
@@ -1,11 +1,11 @@
 package beaconturn.zones;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.Answer;
-import beaconturn.agreement.Call;
-import beaconturn.agreement.Served;
-import beaconturn.agreement.Timing;
-import beaconturn.standin.Agenda;
+import beaconturn.agreement.AgreementTiming;
+import beaconturn.agreement.StoreModelClient;
+import beaconturn.agreement.StoreRequest;
+import beaconturn.agreement.StoreResponse;
+import beaconturn.standin.EventScheduler;
 import beaconturn.standin.store.StoreModel;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,11 +19,11 @@
  * second and sends them by the row that is due; what a place makes of them is the test's. Everybody
  * sends all the time, and what all send to a place together is added up.
  */
-final class WorldModel {
+final class SimulatedZones {
   static final long MILLI = 1_000_000;
   static final long SECOND = 1000 * MILLI;
-  private static final Timing TIMING = new Timing(2 * SECOND, 0.02, 500 * MILLI);
-  private final Timing timing;
+  private static final AgreementTiming TIMING = new AgreementTiming(2 * SECOND, 0.02, 500 * MILLI);
+  private final AgreementTiming timing;
   private static final ZonesKeys KEYS = new ZonesKeys("/fleet");
   private static final long ACT_EVERY = 50 * MILLI;
 
@@ -31,8 +31,8 @@
   private static final long LOOK_EVERY = SECOND;
 
   private static final int FULL = 10;
-  final Agenda agenda = new Agenda(0);
-  final Geography map;
+  final EventScheduler agenda = new EventScheduler(0);
+  final ZoneTopology map;
   final SortedMap<String, Spot> spots = new TreeMap<>();
   final List<Seat> seats = new ArrayList<>();
   final List<String> log = new ArrayList<>();
@@ -108,7 +108,7 @@
   }
 
   /** A router. */
-  final class Seat implements Follower.Router {
+  final class Seat implements ZoneMember.Router {
     final String name;
     final String home;
     double perSecond;
@@ -125,14 +125,14 @@
     private final Map<String, Boolean> finds = new TreeMap<>();
     private final Map<String, Long> badAt = new TreeMap<>();
     private long lookedAt;
-    private Row row;
+    private ZoneAllocation row;
     private double came;
     private double arrivals;
     double crossed;
     double served;
     double refused;
-    Follower follower;
-    private Report stuck;
+    ZoneMember follower;
+    private ZoneReport stuck;
     private int life;
 
     private Seat(String name, String home, double perSecond) {
@@ -155,7 +155,7 @@
       counts.values().forEach(c -> java.util.Arrays.fill(c, 0));
       seen.values().forEach(c -> java.util.Arrays.fill(c, 0));
       follower =
-          new Follower(
+          new ZoneMember(
               KEYS,
               map,
               timing,
@@ -178,7 +178,7 @@
         return;
       }
       follower.look(agenda.now());
-      Call call = follower.next(agenda.now());
+      StoreRequest call = follower.next(agenda.now());
       if (call == null) {
         agenda.in(
             Math.max(MILLI, Math.min(100 * MILLI, follower.wakeAt() - agenda.now())),
@@ -190,14 +190,16 @@
       agenda.in(
           way,
           () -> {
-            Answer answer = heard ? Served.of(store, call) : null;
+            StoreResponse answer = heard ? StoreModelClient.of(store, call) : null;
             agenda.in(
                 heard ? way : timing.callTimeout() - way,
                 () -> {
                   if (born == life) {
                     follower.answered(
                         agenda.now(),
-                        answer != null && !cut ? answer : new Answer.Failed("no answer in time"));
+                        answer != null && !cut
+                            ? answer
+                            : new StoreResponse.Failed("no answer in time"));
                     step(born);
                   }
                 });
@@ -205,8 +207,8 @@
     }
 
     @Override
-    public Report sees(String router, long number, long plan) {
-      SortedMap<String, Seen> places = new TreeMap<>();
+    public ZoneReport sees(String router, long number, long plan) {
+      SortedMap<String, ZoneObservations> places = new TreeMap<>();
       spots.forEach(
           (p, spot) -> {
             long good = (long) counts.get(p)[0];
@@ -214,10 +216,10 @@
             places.put(
                 p,
                 lies.equals("bad")
-                    ? new Seen(0, good + bad, 0, spot.listed, 0, spot.listed)
+                    ? new ZoneObservations(0, good + bad, 0, spot.listed, 0, spot.listed)
                     : lies.equals("good")
-                        ? new Seen(good + bad, 0, 0, spot.listed, spot.listed, 0)
-                        : new Seen(
+                        ? new ZoneObservations(good + bad, 0, 0, spot.listed, spot.listed, 0)
+                        : new ZoneObservations(
                             good,
                             bad,
                             took.get(p),
@@ -225,7 +227,7 @@
                             spot.warm,
                             lies.equals("ejected") ? spot.listed : 0));
           });
-      Report report = new Report(router, home, number, plan, (long) arrivals, places);
+      ZoneReport report = new ZoneReport(router, home, number, plan, (long) arrivals, places);
       stuck = stuck == null ? report : stuck;
       return lies.equals("stuck") ? stuck : report;
     }
@@ -234,7 +236,7 @@
     private void send(double seconds) {
       row =
           down
-              ? new Row(Map.of())
+              ? new ZoneAllocation(Map.of())
               : switch (policy) {
                 case COMMON -> follower.due(agenda.now()).row();
                 case PRIORITY -> priority();
@@ -245,7 +247,7 @@
           .forEach(
               (p, part) -> {
                 if (!unreachable.contains(p)) {
-                  spots.get(p).sent += came * part / Row.WHOLE;
+                  spots.get(p).sent += came * part / ZoneAllocation.WHOLE;
                 }
               });
     }
@@ -259,7 +261,7 @@
       row.parts()
           .forEach(
               (p, part) -> {
-                double sent = came * part / Row.WHOLE;
+                double sent = came * part / ZoneAllocation.WHOLE;
                 Spot spot = spots.get(p);
                 double fine = spot.listed > 0 && !unreachable.contains(p) ? spot.part : 0;
                 counts.get(p)[0] += spot.listed > 0 ? sent * fine : 0;
@@ -268,7 +270,7 @@
                 served += sent * fine;
                 crossed += p.equals(home) ? 0 : sent;
               });
-      refused += came * (Row.WHOLE - row.sum()) / Row.WHOLE;
+      refused += came * (ZoneAllocation.WHOLE - row.sum()) / ZoneAllocation.WHOLE;
       if (agenda.now() - lookedAt >= LOOK_EVERY) {
         lookedAt = agenda.now();
         counts.forEach(
@@ -288,23 +290,23 @@
       }
     }
 
-    private Row priority() {
+    private ZoneAllocation priority() {
       List<String> all = new ArrayList<>(List.of(home));
       all.addAll(map.others(home));
-      return new Row(
+      return new ZoneAllocation(
           Map.of(
               all.stream().filter(p -> finds.getOrDefault(p, true)).findFirst().orElse(home),
-              Row.WHOLE));
+              ZoneAllocation.WHOLE));
     }
 
-    private Row ring() {
+    private ZoneAllocation ring() {
       List<Spot> good =
           spots.values().stream().filter(s -> finds.getOrDefault(s.name, true)).toList();
       List<Spot> those = good.isEmpty() ? List.copyOf(spots.values()) : good;
       int servers = those.stream().mapToInt(s -> s.listed).sum();
       Map<String, Integer> parts = new java.util.LinkedHashMap<>();
-      those.forEach(s -> parts.put(s.name, Row.WHOLE * s.listed / servers));
-      return new Row(parts);
+      those.forEach(s -> parts.put(s.name, ZoneAllocation.WHOLE * s.listed / servers));
+      return new ZoneAllocation(parts);
     }
   }
 
@@ -312,20 +314,21 @@
    * So many routers in each place, each of which takes so many requests a second; ten cache servers
    * each.
    */
-  WorldModel(long seed, Map<String, String> regions, int routers, double perSecond, double each) {
+  SimulatedZones(
+      long seed, Map<String, String> regions, int routers, double perSecond, double each) {
     this(seed, regions, routers, perSecond, each, TIMING);
   }
 
-  WorldModel(
+  SimulatedZones(
       long seed,
       Map<String, String> regions,
       int routers,
       double perSecond,
       double each,
-      Timing timing) {
+      AgreementTiming timing) {
     this.timing = timing;
     this.random = new Random(seed);
-    this.map = new Geography(new TreeMap<>(regions), each, 1e6, 50);
+    this.map = new ZoneTopology(new TreeMap<>(regions), each, 1e6, 50);
     this.store = new StoreModel(agenda, 7, (at, revision, key, value) -> {});
     for (String place : map.places()) {
       spots.put(place, new Spot(place, FULL, each));
@@ -391,14 +394,14 @@
     agenda.advance(agenda.now() + time);
   }
 
-  ZonesDesk desk() {
-    return new ZonesDesk(KEYS, map, call -> Served.of(store, call));
+  ZonesAdmin desk() {
+    return new ZonesAdmin(KEYS, map, call -> StoreModelClient.of(store, call));
   }
 
-  Plan plan() {
+  ZonePlan plan() {
     try {
-      Plan there = desk().look().plan();
-      return there == null ? Plan.first(map) : there;
+      ZonePlan there = desk().look().plan();
+      return there == null ? ZonePlan.first(map) : there;
     } catch (AgreementException e) {
       throw new IllegalStateException(e);
     }
