--- a/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
@@ -6,7 +6,8 @@
 import beaconturn.agreement.AgreementTiming;
 import beaconturn.core.CacheServerClients;
 import beaconturn.core.Lifecycle;
-import beaconturn.decision.Routing;
+import beaconturn.decision.ServerStatus;
+import beaconturn.decision.ZoneWeights;
 import beaconturn.history.HistoryEvent;
 import beaconturn.history.InvariantResult;
 import beaconturn.net.RouterConfig;
@@ -169,15 +170,15 @@
     }
 
     @Override
-    public Routing.Shares due() {
-      return defect == Defect.IGNORES_SHARES ? Routing.Shares.ANYWHERE : sound.due();
+    public ZoneWeights due() {
+      return defect == Defect.IGNORES_SHARES ? ZoneWeights.ANYWHERE : sound.due();
     }
 
     @Override
-    public void sees(Map<CacheServerClients.Listed, Routing.Standing> caches) {
-      Map<CacheServerClients.Listed, Routing.Standing> told = new HashMap<>(caches);
+    public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
+      Map<CacheServerClients.Listed, ServerStatus> told = new HashMap<>(caches);
       if (defect == Defect.LIES) {
-        told.replaceAll((listed, standing) -> Routing.Standing.EJECTED);
+        told.replaceAll((listed, standing) -> ServerStatus.EJECTED);
       }
       sound.sees(told);
     }
