--- a/src/main/java/beaconturn/net/ConfigReloader.java
+++ b/src/main/java/beaconturn/net/ConfigReloader.java
@@ -3,6 +3,8 @@
 import beaconturn.core.Mailbox;
 import beaconturn.core.RouterSettings;
 import beaconturn.core.RoutingMessage;
+import beaconturn.net.discovery.DiscoveryWatcher;
+import beaconturn.net.io.Threads;
 import beaconturn.stats.RequestMetrics;
 import java.util.function.Consumer;
 import java.util.logging.Level;
--- a/src/main/java/beaconturn/net/HealthMetrics.java
+++ b/src/main/java/beaconturn/net/HealthMetrics.java
@@ -1,6 +1,7 @@
 package beaconturn.net;
 
 import beaconturn.core.CacheServerClients;
+import beaconturn.net.io.Fnv1a;
 import beaconturn.stats.Counters;
 import beaconturn.stats.HealthCounters;
 import java.io.IOException;
--- a/src/main/java/beaconturn/net/OperatorOverrides.java
+++ b/src/main/java/beaconturn/net/OperatorOverrides.java
@@ -8,6 +8,8 @@
 import beaconturn.net.control.MonotonicMillis;
 import beaconturn.net.control.ServerOverride;
 import beaconturn.net.control.ServerOverrideFile;
+import beaconturn.net.io.Fnv1a;
+import beaconturn.net.io.Threads;
 import beaconturn.stats.Counters;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/beaconturn/net/RouterConfig.java
+++ b/src/main/java/beaconturn/net/RouterConfig.java
@@ -4,6 +4,8 @@
 import beaconturn.core.RouterSettings;
 import beaconturn.core.RouterSettingsReader;
 import beaconturn.core.SettingsException;
+import beaconturn.net.discovery.EndpointListParser;
+import beaconturn.net.io.Sockets;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonReader;
 import beaconturn.protocol.ProtocolException;
--- a/src/main/java/beaconturn/net/ClientConnection.java
+++ b/src/main/java/beaconturn/net/client/ClientConnection.java
@@ -1,8 +1,9 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import beaconturn.core.Clock;
 import beaconturn.core.Lifecycle;
 import beaconturn.core.RoutingMessage;
+import beaconturn.net.io.Sockets;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespValue;
 import beaconturn.protocol.RespWriter;
@@ -26,7 +27,7 @@
  * One client: reads commands as the poller says that bytes are there, and hands the requests to the
  * module. Reading goes on while requests are out, so that a client's close is seen at once.
  */
-class ClientConnection {
+public class ClientConnection {
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
 
   /** How long a client may take to close its end of a connection that the router has ended. */
@@ -46,7 +47,7 @@
   private static final long NEVER = Long.MAX_VALUE;
 
   /** What a connection needs of the router round it. */
-  record Site(
+  public record Site(
       Supplier<RequestParser> parser,
       Clock clock,
       Lifecycle lifecycle,
@@ -92,7 +93,7 @@
   private int commands;
   private final RejectionRateLimit rejections;
 
-  ClientConnection(SocketChannel channel, Site site) {
+  public ClientConnection(SocketChannel channel, Site site) {
     this.channel = channel;
     this.site = site;
     this.number = site.events().connected();
@@ -101,7 +102,7 @@
     this.writer = new ClientWriter(channel, site.clock(), this::written);
   }
 
-  void start() {
+  public void start() {
     site.poller().call(this);
   }
 
@@ -114,7 +115,7 @@
    * Since when half a command waits for the rest, or {@code Long.MAX_VALUE} if none does. It counts
    * from the first byte: a client that sends one now and then would else hold its place for ever.
    */
-  long halfReadSince() {
+  public long halfReadSince() {
     return partial.since();
   }
 
@@ -183,7 +184,7 @@
   }
 
   /** Whether the command that is half read is the one for which the end was chosen. */
-  boolean mayEndOverCommand(EndReason reason) {
+  protected boolean mayEndOverCommand(EndReason reason) {
     return partial.isReason(reason);
   }
 
@@ -415,7 +416,7 @@
   }
 
   /** The command at hand gets an error in its place. */
-  void rejected(String reason) {
+  protected void rejected(String reason) {
     writer.take(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
   }
 
@@ -490,7 +491,7 @@
    * Input that cannot be split into commands: what came before it is answered, then one error, then
    * the connection ends.
    */
-  final void malformed(String reason) {
+  protected final void malformed(String reason) {
     malformed = true;
     site.events().malformed(number, reason, writer.owed(), site.clock().now());
     writer.take(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
--- a/src/main/java/beaconturn/net/ClientConnections.java
+++ b/src/main/java/beaconturn/net/client/ClientConnections.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import java.util.Comparator;
 import java.util.Optional;
@@ -8,7 +8,7 @@
 import java.util.function.ToLongFunction;
 
 /** The open connections of clients: how many there may be, and which are closed when. */
-final class ClientConnections {
+public final class ClientConnections {
   private static final long MILLI = 1_000_000;
 
   /** A client that takes no byte for so long is not coming back for its answer. */
@@ -50,26 +50,26 @@
   private record Quiet(ClientConnection connection, long since) {}
 
   /** There may be so many, and over {@code easy} those that are quiet are let go sooner. */
-  ClientConnections(int most, int easy) {
+  public ClientConnections(int most, int easy) {
     this.most = most;
     this.easy = easy;
   }
 
   /** Other bounds from here on. */
-  void bounds(int nowMost, int nowEasy) {
+  public void bounds(int nowMost, int nowEasy) {
     most = nowMost;
     easy = nowEasy;
   }
 
-  void add(ClientConnection connection) {
+  public void add(ClientConnection connection) {
     open.add(connection);
   }
 
-  void remove(ClientConnection connection) {
+  public void remove(ClientConnection connection) {
     open.remove(connection);
   }
 
-  int count() {
+  public int count() {
     return open.size();
   }
 
@@ -81,7 +81,7 @@
    * free, so a few more than the most may be open meanwhile; beyond that the poller is waited for,
    * some milliseconds. Where the most has been lowered, one goes for one that comes.
    */
-  boolean makeRoom(long now) {
+  public boolean makeRoom(long now) {
     if (open.size() < most) {
       return true;
     }
@@ -129,7 +129,7 @@
   }
 
   /** Ends the connections as soon as nothing is owed on them; to be called again and again. */
-  void stop() {
+  public void stop() {
     open.forEach(ClientConnection::stop);
   }
 
@@ -137,7 +137,7 @@
    * Closes the connections whose clients have stopped reading or writing, or do not close their
    * end.
    */
-  void sweep(long now) {
+  public void sweep(long now) {
     open.stream()
         .filter(c -> c.writingSince() < now - LONGEST_WRITE)
         .forEach(c -> c.close(EndReason.ANSWER_NOT_TAKEN));
--- a/src/main/java/beaconturn/net/ClientEventLog.java
+++ b/src/main/java/beaconturn/net/client/ClientEventLog.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import beaconturn.core.RateLimitedLog;
 import beaconturn.protocol.RespValue;
@@ -15,7 +15,7 @@
  * logged, with every id that goes without an answer; other lines are bounded in their rate. Nothing
  * is done for a request that is answered as usual. For any thread.
  */
-final class ClientEventLog {
+public final class ClientEventLog {
   private static final Logger LOG = Logger.getLogger(ClientEventLog.class.getName());
   private static final int BURST = 20;
   private static final double PER_SECOND = 2;
@@ -31,7 +31,7 @@
   /** A budget for each reason: a crowd that is let go hides no other end. */
   private final Map<EndReason, RateLimitedLog> ends = new EnumMap<>(EndReason.class);
 
-  ClientEventLog() {
+  public ClientEventLog() {
     for (EndReason reason : EndReason.values()) {
       ends.put(reason, new RateLimitedLog(LOG, BURST, PER_SECOND));
     }
--- a/src/main/java/beaconturn/net/ClientInputBuffer.java
+++ b/src/main/java/beaconturn/net/client/ClientInputBuffer.java
@@ -1,5 +1,6 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
+import beaconturn.net.io.Sockets;
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespReader;
--- a/src/main/java/beaconturn/net/ClientPoller.java
+++ b/src/main/java/beaconturn/net/client/ClientPoller.java
@@ -1,6 +1,7 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import beaconturn.core.Clock;
+import beaconturn.net.io.Threads;
 import java.io.IOException;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
@@ -17,7 +18,7 @@
  * idle at any time: a blocked thread for each is memory, and work each time that a limit on the
  * processor stops and continues the router, whether the client speaks or not.
  */
-final class ClientPoller {
+public final class ClientPoller {
   private static final long NOT_YET = Long.MIN_VALUE;
   private static final Logger LOG = Logger.getLogger(ClientPoller.class.getName());
 
@@ -44,7 +45,7 @@
   private long lookedAt;
   private long arrivedAt;
 
-  ClientPoller(Clock clock) throws IOException {
+  public ClientPoller(Clock clock) throws IOException {
     this(clock, LONGEST_WAIT_MILLIS);
   }
 
@@ -52,14 +53,14 @@
    * A poller that waits for so many milliseconds at the most; 0 is without end, for a clock that
    * jumps.
    */
-  ClientPoller(Clock clock, long longestWaitMillis) throws IOException {
+  public ClientPoller(Clock clock, long longestWaitMillis) throws IOException {
     this.clock = clock;
     this.longestWaitMillis = longestWaitMillis;
     this.selector = Selector.open();
     this.lookedAt = clock.now();
   }
 
-  void start() {
+  public void start() {
     Threads.supervised("clients", this::run);
   }
 
--- a/src/main/java/beaconturn/net/ClientWriter.java
+++ b/src/main/java/beaconturn/net/client/ClientWriter.java
@@ -1,6 +1,8 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import beaconturn.core.Clock;
+import beaconturn.net.io.BoundedPipe;
+import beaconturn.net.io.Sockets;
 import beaconturn.protocol.Slice;
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/main/java/beaconturn/net/EndReason.java
+++ b/src/main/java/beaconturn/net/client/EndReason.java
@@ -1,7 +1,7 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 /** Why a client's connection ends. */
-enum EndReason {
+public enum EndReason {
   /** The client closed it, or its end failed. */
   CLIENT_LEFT("the client left"),
   /** Nothing came on a new connection. */
--- a/src/main/java/beaconturn/net/Listener.java
+++ b/src/main/java/beaconturn/net/client/Listener.java
@@ -1,6 +1,8 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import beaconturn.core.RepeatedEventLog;
+import beaconturn.net.io.Sockets;
+import beaconturn.net.io.Threads;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -19,7 +21,7 @@
  * theirs. It never blocks, as blocking is a property of the socket itself, and the other process
  * may take what woke this one.
  */
-final class Listener {
+public final class Listener {
   private static final Logger LOG = Logger.getLogger(Listener.class.getName());
   private static final int BACKLOG = 1024;
   private static final long PAUSE_MILLIS = 10;
@@ -48,7 +50,7 @@
   }
 
   /** Binds the address; connections wait in the kernel until {@link #start}. */
-  static Listener bound(InetSocketAddress address, Consumer<SocketChannel> accepted)
+  public static Listener bound(InetSocketAddress address, Consumer<SocketChannel> accepted)
       throws IOException {
     ServerSocketChannel server = ServerSocketChannel.open();
     server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -57,7 +59,7 @@
   }
 
   /** Accepts on the listening socket that came as descriptor 0. */
-  static Listener inherited(Consumer<SocketChannel> accepted) throws IOException {
+  public static Listener inherited(Consumer<SocketChannel> accepted) throws IOException {
     Channel channel = System.inheritedChannel();
     if (!(channel instanceof ServerSocketChannel server)) {
       throw new IOException("descriptor 0 is no listening socket");
@@ -66,16 +68,16 @@
   }
 
   /** Accepts on a listening socket that others hold too. */
-  static Listener on(ServerSocketChannel shared, Consumer<SocketChannel> accepted)
+  public static Listener on(ServerSocketChannel shared, Consumer<SocketChannel> accepted)
       throws IOException {
     return new Listener(shared, true, accepted);
   }
 
-  InetSocketAddress address() {
+  public InetSocketAddress address() {
     return (InetSocketAddress) server.socket().getLocalSocketAddress();
   }
 
-  void start() {
+  public void start() {
     accepting = Threads.supervised("listener", this::accept);
   }
 
@@ -83,7 +85,7 @@
    * Accepts nothing more, but for what the kernel has accepted by now: whoever wrote a request
    * there would lose it. Returns when that is done.
    */
-  void close() throws InterruptedException {
+  public void close() throws InterruptedException {
     closed = true;
     selector.wakeup();
     if (accepting != null) {
--- a/src/main/java/beaconturn/net/PartialCommand.java
+++ b/src/main/java/beaconturn/net/client/PartialCommand.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 /**
  * The command of a connection that has begun to arrive and is not whole: since when, and when bytes
--- a/src/main/java/beaconturn/net/PendingRequestIds.java
+++ b/src/main/java/beaconturn/net/client/PendingRequestIds.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import beaconturn.protocol.Slice;
 import java.nio.charset.StandardCharsets;
@@ -10,7 +10,7 @@
  * that is open would be answered in the place of the first, or the first in its; so it is turned
  * away.
  */
-final class PendingRequestIds {
+public final class PendingRequestIds {
   private final Set<String> open = ConcurrentHashMap.newKeySet();
 
   /** Opens the id; false if it is open. */
--- a/src/main/java/beaconturn/net/PendingRequests.java
+++ b/src/main/java/beaconturn/net/client/PendingRequests.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/beaconturn/net/RejectionRateLimit.java
+++ b/src/main/java/beaconturn/net/client/RejectionRateLimit.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import beaconturn.core.Clock;
 
--- a/src/main/java/beaconturn/net/RequestParser.java
+++ b/src/main/java/beaconturn/net/client/RequestParser.java
@@ -1,9 +1,10 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import beaconturn.core.ClientRequest;
 import beaconturn.core.RouterSettings;
 import beaconturn.decision.Idempotency;
 import beaconturn.decision.RequestClass;
+import beaconturn.net.io.Fnv1a;
 import beaconturn.protocol.RespValue;
 import beaconturn.protocol.Slice;
 import beaconturn.stats.RequestMetrics;
@@ -14,7 +15,7 @@
 import java.util.regex.Pattern;
 
 /** Turns commands of clients into requests: key, id and a list of names and values. */
-final class RequestParser {
+public final class RequestParser {
   private static final long MILLI = 1_000_000;
   private static final int KEY_DIGITS = 16;
   private static final int LONGEST_NAME = 128;
@@ -36,7 +37,7 @@
   private final RequestMetrics tally;
 
   /** A parser of requests under these settings, which are counted in the tally. */
-  RequestParser(RouterSettings settings, RequestMetrics tally) {
+  public RequestParser(RouterSettings settings, RequestMetrics tally) {
     this(settings, settings, tally);
   }
 
@@ -44,7 +45,7 @@
    * The same after settings have changed: a request that was sent under those {@code before} may
    * wait for as long as its class allowed then.
    */
-  RequestParser(RouterSettings settings, RouterSettings before, RequestMetrics tally) {
+  public RequestParser(RouterSettings settings, RouterSettings before, RequestMetrics tally) {
     this.settings = settings;
     this.before = before;
     this.tally = tally;
@@ -54,7 +55,7 @@
    * The parts that go on to a cache server: {@code head} is the command, the key and the id as
    * read.
    */
-  record Parts(Slice head, Slice id, Map<String, String> attributes, Slice value) {
+  public record Parts(Slice head, Slice id, Map<String, String> attributes, Slice value) {
     String attributesWith(long waitMillis) {
       StringJoiner out = new StringJoiner(",");
       attributes.forEach(
@@ -73,7 +74,7 @@
    * cache server could not use gets past here, and its id is open from here on until it has its
    * answer.
    */
-  RespClientRequest parse(List<RespValue> items, long readAt, PendingRequestIds ids)
+  public RespClientRequest parse(List<RespValue> items, long readAt, PendingRequestIds ids)
       throws InvalidCommandException {
     boolean write = text(items, 0).is("C.SET");
     if (items.size() != (write ? 5 : 4)) {
--- a/src/main/java/beaconturn/net/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -1,8 +1,9 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import beaconturn.core.ClientRequest;
 import beaconturn.core.StreamingResponse;
 import beaconturn.decision.RoutingSettings;
+import beaconturn.net.io.BoundedPipe;
 import beaconturn.protocol.RespWriter;
 import beaconturn.protocol.Slice;
 import beaconturn.stats.RequestMetrics;
@@ -12,7 +13,7 @@
 /**
  * A request that came as a RESP2 command, and the place of its answer on the client's connection.
  */
-final class RespClientRequest extends ResponseSlot implements ClientRequest {
+public final class RespClientRequest extends ResponseSlot implements ClientRequest {
   private static final long MILLI = 1_000_000;
   private final ClientRequest.Ask ask;
   private final long deadline;
@@ -24,10 +25,11 @@
    * What it was read under: its class is one of the settings', and it is counted under the class's
    * name; by {@code aim} it is wanted, after that it is late.
    */
-  record Reading(RoutingSettings settings, String className, long aim, RequestMetrics tally) {}
+  public record Reading(
+      RoutingSettings settings, String className, long aim, RequestMetrics tally) {}
 
   /** A call that says when it has its answer, or nobody waits for one. */
-  RespClientRequest(
+  public RespClientRequest(
       ClientRequest.Ask ask,
       long deadline,
       RequestParser.Parts parts,
@@ -52,7 +54,7 @@
   }
 
   /** Nobody waits for the answer any more. */
-  void abandoned() {
+  public void abandoned() {
     end(RequestMetrics.End.ABANDONED, ClientWriter.END);
   }
 
--- a/src/main/java/beaconturn/net/ResponseSlot.java
+++ b/src/main/java/beaconturn/net/client/ResponseSlot.java
@@ -1,5 +1,6 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
+import beaconturn.net.io.BoundedPipe;
 import beaconturn.protocol.Slice;
 
 /** The place of one answer in the order of a client's connection: filled once, by any thread. */
--- a/src/main/java/beaconturn/net/DiscoveryClient.java
+++ b/src/main/java/beaconturn/net/discovery/DiscoveryClient.java
@@ -1,5 +1,6 @@
-package beaconturn.net;
+package beaconturn.net.discovery;
 
+import beaconturn.net.io.Sockets;
 import beaconturn.protocol.HttpReader;
 import beaconturn.protocol.HttpResponse;
 import beaconturn.protocol.HttpWriter;
--- a/src/main/java/beaconturn/net/DiscoveryWatcher.java
+++ b/src/main/java/beaconturn/net/discovery/DiscoveryWatcher.java
@@ -1,10 +1,11 @@
-package beaconturn.net;
+package beaconturn.net.discovery;
 
 import beaconturn.core.EndpointDiscovery;
 import beaconturn.core.EndpointUpdate;
 import beaconturn.core.Mailbox;
 import beaconturn.core.RoutingMessage;
 import beaconturn.decision.EndpointListKind;
+import beaconturn.net.io.Threads;
 import beaconturn.protocol.JsonReader;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.Slice;
@@ -19,7 +20,7 @@
  * The list's actors: one that watches changes while the module wants it, one that fetches the whole
  * list.
  */
-final class DiscoveryWatcher implements EndpointDiscovery {
+public final class DiscoveryWatcher implements EndpointDiscovery {
   private static final Logger LOG = Logger.getLogger(DiscoveryWatcher.class.getName());
   private static final int MOST_MESSAGES = 64;
 
@@ -58,7 +59,7 @@
   /**
    * Lists of versions before {@code oldest} count as no answer; watches wait as the times have it.
    */
-  DiscoveryWatcher(
+  public DiscoveryWatcher(
       InetSocketAddress address,
       EndpointListParser reader,
       long version,
@@ -75,7 +76,7 @@
     this.module = module;
   }
 
-  void start() {
+  public void start() {
     Threads.supervised("list-watch", this::watchLoop);
     Threads.supervised("list-fetch", this::fetchLoop);
   }
@@ -85,7 +86,7 @@
    * any more. The versions there may be others, so the watch begins with the whole list, and at
    * once: a router that waits is taken to know what it was not told.
    */
-  synchronized void move(InetSocketAddress to) {
+  public synchronized void move(InetSocketAddress to) {
     if (to.equals(address)) {
       LOG.info("list: discovery stays at " + to);
       return;
--- a/src/main/java/beaconturn/net/EndpointListParser.java
+++ b/src/main/java/beaconturn/net/discovery/EndpointListParser.java
@@ -1,10 +1,12 @@
-package beaconturn.net;
+package beaconturn.net.discovery;
 
 import beaconturn.core.EndpointUpdate;
 import beaconturn.core.RouterSettings;
 import beaconturn.decision.Endpoint;
 import beaconturn.decision.EndpointHealth;
 import beaconturn.decision.EndpointListKind;
+import beaconturn.net.io.Fnv1a;
+import beaconturn.net.io.Sockets;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.ProtocolException;
 import java.util.ArrayList;
@@ -12,12 +14,12 @@
 import java.util.logging.Logger;
 
 /** Turns discovery's form of the list into news for the module. */
-final class EndpointListParser {
+public final class EndpointListParser {
   private static final Logger LOG = Logger.getLogger(EndpointListParser.class.getName());
   private static final long MILLI = 1_000_000;
   private final RouterSettings settings;
 
-  EndpointListParser(RouterSettings settings) {
+  public EndpointListParser(RouterSettings settings) {
     this.settings = settings;
   }
 
@@ -28,7 +30,7 @@
   }
 
   /** The list that the router had before it started; it may be old. */
-  EndpointUpdate known(Json answer) throws ProtocolException {
+  public EndpointUpdate known(Json answer) throws ProtocolException {
     return read(answer, EndpointListKind.CACHED);
   }
 
--- a/src/main/java/beaconturn/net/WatchBackoff.java
+++ b/src/main/java/beaconturn/net/discovery/WatchBackoff.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.discovery;
 
 import java.util.SplittableRandom;
 
@@ -9,7 +9,7 @@
  * @param longest wait
  * @param slack beyond its wait a watch with no answer has fallen silent
  */
-record WatchBackoff(SplittableRandom random, int longest, int slack) {
+public record WatchBackoff(SplittableRandom random, int longest, int slack) {
   /**
    * A change counts as told 6 s after discovery had it, whether or not the watch has fallen silent.
    * From the beginning of a silent watch to that of the next one pass at most this wait and the
@@ -25,7 +25,7 @@
   private static final int SLACK = 1_100;
 
   /** The usual times, drawn from the seed. */
-  static WatchBackoff of(long seed) {
+  public static WatchBackoff of(long seed) {
     return new WatchBackoff(new SplittableRandom(seed), LONGEST, SLACK);
   }
 
--- a/src/main/java/beaconturn/net/BoundedPipe.java
+++ b/src/main/java/beaconturn/net/io/BoundedPipe.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.io;
 
 import beaconturn.core.StreamingResponse;
 import beaconturn.protocol.Slice;
@@ -10,12 +10,12 @@
  * What stands between the thread that reads a large answer and the client that takes it: a few
  * pieces at the most. The reader waits while it is full; whoever writes to the client never waits.
  */
-final class BoundedPipe implements StreamingResponse {
+public final class BoundedPipe implements StreamingResponse {
   /** In the place of a piece: all of the answer has been taken. */
-  static final Slice END = Slice.of("");
+  public static final Slice END = Slice.of("");
 
   /** In the place of a piece: the answer broke off. */
-  static final Slice BROKEN = Slice.of("");
+  public static final Slice BROKEN = Slice.of("");
 
   private static final int MOST = 32 * 1024;
 
@@ -26,12 +26,12 @@
   private Runnable taker = () -> {};
 
   /** Says what to do whenever a piece has come; some may be there already. */
-  synchronized void whenMore(Runnable action) {
+  public synchronized void whenMore(Runnable action) {
     taker = action;
   }
 
   /** Adds a piece, waiting for room; fails once nobody wants it. For the one producer. */
-  void put(Slice piece) throws IOException {
+  public void put(Slice piece) throws IOException {
     synchronized (this) {
       try {
         while (held >= MOST && !cancelled) {
@@ -51,12 +51,12 @@
   }
 
   /** All pieces have been put. */
-  void end() {
+  public void end() {
     finish(END);
   }
 
   /** No further piece will come, though the answer is not whole. */
-  void breakOff() {
+  public void breakOff() {
     finish(BROKEN);
   }
 
@@ -76,7 +76,7 @@
   }
 
   /** The next piece, {@link #END}, {@link #BROKEN}, or null if none is there yet. */
-  synchronized Slice next() {
+  public synchronized Slice next() {
     Slice piece = pieces.poll();
     if (piece == null) {
       return last;
--- a/src/main/java/beaconturn/net/ConnectionLimit.java
+++ b/src/main/java/beaconturn/net/io/ConnectionLimit.java
@@ -1,18 +1,18 @@
-package beaconturn.net;
+package beaconturn.net.io;
 
 /**
  * So many connections at once and no more; how many may change, and those over a new bound stay
  * till they end.
  */
-final class ConnectionLimit {
+public final class ConnectionLimit {
   private int most;
   private int taken;
 
-  ConnectionLimit(int most) {
+  public ConnectionLimit(int most) {
     this.most = most;
   }
 
-  synchronized boolean tryAcquire() {
+  public synchronized boolean tryAcquire() {
     if (taken >= most) {
       return false;
     }
@@ -20,11 +20,11 @@
     return true;
   }
 
-  synchronized void release() {
+  public synchronized void release() {
     taken--;
   }
 
-  synchronized void most(int now) {
+  public synchronized void most(int now) {
     most = now;
   }
 }
--- a/src/main/java/beaconturn/net/Fnv1a.java
+++ b/src/main/java/beaconturn/net/io/Fnv1a.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.io;
 
 import beaconturn.protocol.Slice;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +19,7 @@
     return of(new Slice(name, 0, name.length));
   }
 
-  static long of(Slice name) {
+  public static long of(Slice name) {
     long hash = BASIS;
     for (int i = 0; i < name.length(); i++) {
       hash = (hash ^ name.at(i) & 0xff) * PRIME;
--- a/src/main/java/beaconturn/net/Sockets.java
+++ b/src/main/java/beaconturn/net/io/Sockets.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.io;
 
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.Slice;
@@ -13,16 +13,16 @@
 import java.util.List;
 
 /** Small helpers that all connections share. */
-final class Sockets {
+public final class Sockets {
   private static final int COALESCED = 2048;
 
   /** Each thread keeps a buffer outside the heap as large as its largest read or write. */
-  static final int LARGEST_STEP = 8 * 1024;
+  public static final int LARGEST_STEP = 8 * 1024;
 
   private Sockets() {}
 
   /** Reads what is there, waiting for the first byte; false at the end of the stream. */
-  static boolean read(InputStream from, InputBuffer into) throws IOException {
+  public static boolean read(InputStream from, InputBuffer into) throws IOException {
     int room = Math.min(LARGEST_STEP, into.room());
     int got = from.read(into.array(), into.end(), room);
     if (got < 0) {
@@ -33,7 +33,7 @@
   }
 
   /** Writes small pieces as one, so that a message of many of them is one packet. */
-  static void write(OutputStream to, List<Slice> pieces) throws IOException {
+  public static void write(OutputStream to, List<Slice> pieces) throws IOException {
     BufferedOutputStream out = new BufferedOutputStream(to, COALESCED);
     for (Slice piece : pieces) {
       for (int done = 0; done < piece.length(); done += LARGEST_STEP) {
@@ -45,7 +45,7 @@
   }
 
   /** Writes as much as the peer takes without waiting; true once all is written. */
-  static boolean writeSome(SocketChannel to, ByteBuffer bytes) throws IOException {
+  public static boolean writeSome(SocketChannel to, ByteBuffer bytes) throws IOException {
     int end = bytes.limit();
     int written = 1;
     while (bytes.position() < end && written > 0) {
@@ -57,7 +57,7 @@
   }
 
   /** Closes without waiting; a socket that is closed already stays so. */
-  static void close(Closeable socket) {
+  public static void close(Closeable socket) {
     try {
       socket.close();
     } catch (IOException e) {
@@ -67,7 +67,7 @@
   }
 
   /** An address written as host:port, without asking any name service. */
-  static InetSocketAddress address(String text) {
+  public static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0
         || !text.substring(colon + 1).matches("[0-9]{1,5}")
--- a/src/main/java/beaconturn/net/Threads.java
+++ b/src/main/java/beaconturn/net/io/Threads.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.io;
 
 import java.util.logging.Level;
 import java.util.logging.Logger;
@@ -7,7 +7,7 @@
  * Makes the platform threads: daemons with small stacks, whose failures are logged and end nothing
  * else.
  */
-final class Threads {
+public final class Threads {
   private static final Logger LOG = Logger.getLogger(Threads.class.getName());
   private static final long STACK_BYTES = 192 * 1024;
 
@@ -19,7 +19,7 @@
   private Threads() {}
 
   /** What a thread does until it is interrupted. */
-  interface Loop {
+  public interface Loop {
     void run() throws InterruptedException;
   }
 
@@ -27,7 +27,7 @@
    * A thread that the router cannot do without: whatever its loop throws is logged, and the loop
    * begins anew after a pause. It ends when the loop returns or is interrupted.
    */
-  static Thread supervised(String name, Loop loop) {
+  public static Thread supervised(String name, Loop loop) {
     return start(name, () -> supervise(name, loop));
   }
 
@@ -61,7 +61,7 @@
     }
   }
 
-  static Thread start(String name, Runnable body) {
+  public static Thread start(String name, Runnable body) {
     Thread thread = new Thread(null, body, name, STACK_BYTES);
     thread.setDaemon(true);
     thread.setUncaughtExceptionHandler((t, e) -> LOG.log(Level.SEVERE, "thread " + t.getName(), e));
--- a/src/main/java/beaconturn/net/CacheConnection.java
+++ b/src/main/java/beaconturn/net/server/CacheConnection.java
@@ -1,9 +1,11 @@
-package beaconturn.net;
+package beaconturn.net.server;
 
 import beaconturn.core.AttemptResult;
 import beaconturn.core.Clock;
 import beaconturn.core.OutboundAttempt;
 import beaconturn.decision.AttemptOutcome;
+import beaconturn.net.io.BoundedPipe;
+import beaconturn.net.io.Sockets;
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespReader;
--- a/src/main/java/beaconturn/net/CacheResponseReader.java
+++ b/src/main/java/beaconturn/net/server/CacheResponseReader.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.server;
 
 import beaconturn.core.AttemptResult;
 import beaconturn.decision.AttemptOutcome;
@@ -10,13 +10,13 @@
 import java.util.List;
 
 /** Turns what a cache server answers into an outcome. */
-final class CacheResponseReader {
+public final class CacheResponseReader {
   private static final int PARTS = 3;
   private static final int MOST_DIGITS = 32;
   private final List<String> reportNames;
   private final boolean aside;
 
-  CacheResponseReader(RoutingSettings settings) {
+  public CacheResponseReader(RoutingSettings settings) {
     this.reportNames = settings.loadReportFields();
     this.aside = settings.origin().aside();
   }
@@ -25,7 +25,7 @@
    * The outcome that the answer stands for; what stands for none is spoilt, and so is its
    * connection.
    */
-  AttemptResult read(RespValue value, long now) throws ProtocolException {
+  public AttemptResult read(RespValue value, long now) throws ProtocolException {
     if (value instanceof RespValue.Array array && array.items() != null) {
       return served(array.items(), now);
     }
--- a/src/main/java/beaconturn/net/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.server;
 
 import beaconturn.core.AttemptResult;
 import beaconturn.core.Clock;
@@ -6,6 +6,8 @@
 import beaconturn.core.RepeatedEventLog;
 import beaconturn.core.RoutingMessage;
 import beaconturn.decision.AttemptOutcome;
+import beaconturn.net.io.BoundedPipe;
+import beaconturn.net.io.ConnectionLimit;
 import beaconturn.stats.RequestMetrics;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -18,7 +20,7 @@
 import java.util.logging.Logger;
 
 /** One cache server: an actor that owns the connections to it. It never waits for the peer. */
-final class CacheServer {
+public final class CacheServer {
   private static final Logger LOG = Logger.getLogger(CacheServer.class.getName());
 
   /**
@@ -27,7 +29,7 @@
   private static final long SETTLED = 5_000_000;
 
   /** What the actor needs of the router round it. */
-  record Site(
+  public record Site(
       Clock clock,
       Consumer<RoutingMessage> module,
       ConnectionLimit places,
--- a/src/main/java/beaconturn/net/CacheServerPool.java
+++ b/src/main/java/beaconturn/net/server/CacheServerPool.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.server;
 
 import beaconturn.core.CacheServerClients;
 import beaconturn.core.EndpointUpdate;
@@ -6,6 +6,7 @@
 import beaconturn.decision.Endpoint;
 import beaconturn.decision.EndpointHealth;
 import beaconturn.decision.EndpointListKind;
+import beaconturn.net.io.Sockets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -15,7 +16,7 @@
 import java.util.logging.Logger;
 
 /** The actors of the cache servers that the list has named; used by the module's thread alone. */
-final class CacheServerPool implements CacheServerClients {
+public final class CacheServerPool implements CacheServerClients {
   private static final Logger LOG = Logger.getLogger(CacheServerPool.class.getName());
   private final CacheServer.Site site;
   private final Map<Long, Known> servers = new HashMap<>();
@@ -29,7 +30,7 @@
   private record Known(
       CacheServer actor, String host, int zone, EndpointHealth health, long bootTime) {}
 
-  CacheServerPool(CacheServer.Site site) {
+  public CacheServerPool(CacheServer.Site site) {
     this.site = site;
   }
 
--- a/src/main/java/beaconturn/net/CacheServerThread.java
+++ b/src/main/java/beaconturn/net/server/CacheServerThread.java
@@ -1,6 +1,7 @@
-package beaconturn.net;
+package beaconturn.net.server;
 
 import beaconturn.core.Mailbox;
+import beaconturn.net.io.Threads;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.logging.Level;
@@ -11,7 +12,7 @@
  * them ever waits for a peer, and a thread for each of some hundred cache servers would cost a
  * router that sees little traffic more memory and a longer start than all that it serves.
  */
-final class CacheServerThread {
+public final class CacheServerThread {
   private static final Logger LOG = Logger.getLogger(CacheServerThread.class.getName());
   private static final int MOST_MESSAGES = 16_384;
   private static final long LONGEST_WAIT = 1_000_000_000;
@@ -31,11 +32,11 @@
    * Looks after all actors several times in the time that a connection may stay idle, in
    * nanoseconds.
    */
-  CacheServerThread(long idleTime) {
+  public CacheServerThread(long idleTime) {
     this.step = Math.max(SHORTEST_WAIT, Math.min(LONGEST_WAIT, idleTime / 4));
   }
 
-  void start() {
+  public void start() {
     Threads.supervised("cache-servers", this::run);
   }
 
--- a/src/main/java/beaconturn/net/LargeResponseStream.java
+++ b/src/main/java/beaconturn/net/server/LargeResponseStream.java
@@ -1,6 +1,8 @@
-package beaconturn.net;
+package beaconturn.net.server;
 
 import beaconturn.core.AttemptResult;
+import beaconturn.net.io.BoundedPipe;
+import beaconturn.net.io.Sockets;
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespReader;
@@ -14,7 +16,7 @@
  * bytes wait for what stands behind the value, so that an answer that is spoilt there is not whole
  * for the client either.
  */
-final class LargeResponseStream {
+public final class LargeResponseStream {
   /** The largest value that is passed on, in bytes. */
   static final int LARGEST = 4 << 20;
 
@@ -30,7 +32,7 @@
    * The answer that begins here, whose head is then consumed; null if there is none, or no whole
    * head yet.
    */
-  static LargeResponseStream at(InputBuffer in) {
+  public static LargeResponseStream at(InputBuffer in) {
     int at = LIST.length();
     for (int i = 0; i < at; i++) {
       if (i >= in.size() || in.at(i) != LIST.charAt(i)) {
--- a/src/main/java/beaconturn/net/WorkerPool.java
+++ b/src/main/java/beaconturn/net/server/WorkerPool.java
@@ -1,5 +1,6 @@
-package beaconturn.net;
+package beaconturn.net.server;
 
+import beaconturn.net.io.Threads;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
@@ -11,7 +12,7 @@
  * is used first, so that those too many wait in vain and end. Each waits on its own monitor, for
  * the reason that {@link beaconturn.core.Mailbox} gives.
  */
-final class WorkerPool {
+public final class WorkerPool {
   private static final Logger LOG = Logger.getLogger(WorkerPool.class.getName());
   private final String name;
   private final long keep;
@@ -20,7 +21,7 @@
   private int threads;
 
   /** Threads of that name that end when they have waited so many nanoseconds for a job. */
-  WorkerPool(String name, long keep) {
+  public WorkerPool(String name, long keep) {
     this.name = name;
     this.keep = keep;
   }
--- a/src/test/java/beaconturn/LayoutTest.java
+++ b/src/test/java/beaconturn/LayoutTest.java
@@ -77,6 +77,11 @@
     none(
         at("beaconturn.net.control.."),
         "beaconturn.net",
+        "beaconturn.net.client..",
+        "beaconturn.net.server..",
+        "beaconturn.net.discovery..",
+        "beaconturn.net.io..",
+        "beaconturn.net.agreement..",
         "beaconturn.core..",
         "beaconturn.decision..",
         "beaconturn.protocol..");
@@ -93,6 +98,21 @@
         "beaconturn.decision..");
   }
 
+  @Test
+  void sidesOfARouterMeetOnlyInItsAssembly() {
+    String[] others = {"beaconturn.net", "beaconturn.net.agreement..", "beaconturn.net.control.."};
+    none(at("beaconturn.net.client..", "beaconturn.net.server.."), others);
+    none(at("beaconturn.net.discovery..", "beaconturn.net.io.."), others);
+    none(at("beaconturn.net.client.."), "beaconturn.net.server..", "beaconturn.net.discovery..");
+    none(at("beaconturn.net.server.."), "beaconturn.net.client..", "beaconturn.net.discovery..");
+    none(at("beaconturn.net.discovery.."), "beaconturn.net.client..", "beaconturn.net.server..");
+    none(
+        at("beaconturn.net.io.."),
+        "beaconturn.net.client..",
+        "beaconturn.net.server..",
+        "beaconturn.net.discovery..");
+  }
+
   @Test
   void decisionsFiguresAndFormatsStandOnTheirOwn() {
     none(
--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/BrokenRouter.java
@@ -17,6 +17,8 @@
 import beaconturn.decision.RoutingEvent;
 import beaconturn.decision.RoutingPolicy;
 import beaconturn.decision.RoutingSettings;
+import beaconturn.net.client.ClientConnection;
+import beaconturn.net.client.EndReason;
 import beaconturn.protocol.Slice;
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
@@ -77,20 +79,20 @@
       case ENDS_AT_REJECTION ->
           new ClientConnection(client, site) {
             @Override
-            void rejected(String reason) {
+            protected void rejected(String reason) {
               malformed(reason);
             }
           };
       case ENDS_OVER_COMMANDS ->
           new ClientConnection(client, site) {
             @Override
-            long halfReadSince() {
+            public long halfReadSince() {
               // Long ago, however soon it is.
               return super.halfReadSince() - TOO_LONG;
             }
 
             @Override
-            boolean mayEndOverCommand(EndReason reason) {
+            protected boolean mayEndOverCommand(EndReason reason) {
               return true;
             }
           };
--- a/src/test/java/beaconturn/net/PlantedAgreement.java
+++ b/src/test/java/beaconturn/net/PlantedAgreement.java
@@ -12,6 +12,7 @@
 import beaconturn.net.agreement.AgreementConfig;
 import beaconturn.net.agreement.AgreementSubsystem;
 import beaconturn.net.agreement.StoreClient;
+import beaconturn.net.io.Threads;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/test/java/beaconturn/net/RouterServerTest.java
+++ b/src/test/java/beaconturn/net/RouterServerTest.java
@@ -10,6 +10,9 @@
 import beaconturn.core.Lifecycle;
 import beaconturn.core.RouterSettings;
 import beaconturn.core.Samples;
+import beaconturn.net.discovery.EndpointListParser;
+import beaconturn.net.io.Threads;
+import beaconturn.net.server.LargeResponseStream;
 import beaconturn.protocol.Bytes;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonReader;
@@ -45,8 +48,8 @@
   private static final int MEMORY_MB = 192;
   private final CountDownLatch over = new CountDownLatch(1);
   private final Lifecycle lifecycle = new Lifecycle();
-  private final Peer silentRegistry =
-      new Peer(
+  private final TestPeer silentRegistry =
+      new TestPeer(
           line -> {
             line.httpHead();
             over.await();
@@ -75,7 +78,7 @@
     return drain;
   }
 
-  private static String list(int version, boolean whole, Peer cache, String health) {
+  private static String list(int version, boolean whole, TestPeer cache, String health) {
     return "{\"seq\":"
         + version
         + ",\"whole\":"
@@ -87,11 +90,11 @@
         + "\",\"share\":1.0,\"born_ms\":0}]}";
   }
 
-  private RouterConfig config(Peer cache, Peer registry) throws ProtocolException {
+  private RouterConfig config(TestPeer cache, TestPeer registry) throws ProtocolException {
     return config(new InetSocketAddress("127.0.0.1", 0), cache, registry);
   }
 
-  private RouterConfig config(InetSocketAddress listen, Peer cache, Peer registry)
+  private RouterConfig config(InetSocketAddress listen, TestPeer cache, TestPeer registry)
       throws ProtocolException {
     EndpointUpdate known =
         new EndpointListParser(settings)
@@ -135,11 +138,11 @@
   @Test
   void aRouterThatIsToldToStopWhileItStartsAcceptsNobody() throws Exception {
     InetSocketAddress address = freeAddress();
-    try (Peer cache = answering()) {
+    try (TestPeer cache = answering()) {
       router = new RouterServer(config(address, cache, silentRegistry), this::reread, lifecycle);
       router.drain();
       router.start();
-      assertThrows(ConnectException.class, () -> Peer.Line.to(address));
+      assertThrows(ConnectException.class, () -> TestPeer.Line.to(address));
     }
   }
 
@@ -150,11 +153,11 @@
   @Test
   void nobodyIsAcceptedBeforeTheRouterServes() throws Exception {
     InetSocketAddress address = freeAddress();
-    try (Peer cache = answering()) {
+    try (TestPeer cache = answering()) {
       router = new RouterServer(config(address, cache, silentRegistry), this::reread, lifecycle);
-      assertThrows(ConnectException.class, () -> Peer.Line.to(address));
+      assertThrows(ConnectException.class, () -> TestPeer.Line.to(address));
       router.start();
-      try (Peer.Line client = Peer.Line.to(address)) {
+      try (TestPeer.Line client = TestPeer.Line.to(address)) {
         client.write("*1\r\n$4\r\nPING\r\n");
         assertEquals("+PONG", client.answer());
         client.write(GET);
@@ -170,16 +173,16 @@
   @Test
   void aDrainIsHeardAlsoWhereSettingsSayThatListsArePushed() throws Exception {
     settings = Samples.read("discovery", "push");
-    try (Peer cache = answering();
-        Peer registry =
-            new Peer(
+    try (TestPeer cache = answering();
+        TestPeer registry =
+            new TestPeer(
                 line -> {
                   line.note(line.httpHead().split(" ")[1]);
                   line.http(200, list(5, false, cache, "draining"));
                   line.httpHead();
                   over.await();
                 });
-        Peer.Line client = start(cache, registry)) {
+        TestPeer.Line client = start(cache, registry)) {
       assertEquals("/registry/instances?after=4&wait_ms=1", registry.note());
       client.write(GET);
       assertTrue(client.answer().startsWith("-BUSY"));
@@ -194,12 +197,12 @@
   @Test
   void nobodyIsAcceptedBeforeDiscoveryHasBeenHeard() throws Exception {
     InetSocketAddress address = freeAddress();
-    try (Peer cache = answering();
-        Peer registry =
-            new Peer(
+    try (TestPeer cache = answering();
+        TestPeer registry =
+            new TestPeer(
                 line -> {
                   line.httpHead();
-                  try (Peer.Line early = Peer.Line.to(address)) {
+                  try (TestPeer.Line early = TestPeer.Line.to(address)) {
                     early.write("x");
                     line.note("accepted before discovery was heard");
                   } catch (ConnectException e) {
@@ -227,15 +230,16 @@
     }
   }
 
-  private Peer.Line start(Peer cache, Peer registry) throws IOException, ProtocolException {
+  private TestPeer.Line start(TestPeer cache, TestPeer registry)
+      throws IOException, ProtocolException {
     RouterConfig config = config(cache, registry);
     router = new RouterServer(config, this::reread, lifecycle);
     router.start();
-    return Peer.Line.to(router.address());
+    return TestPeer.Line.to(router.address());
   }
 
-  private static Peer answering() {
-    return new Peer(
+  private static TestPeer answering() {
+    return new TestPeer(
         line -> {
           for (String c = line.command(); !c.equals("end"); c = line.command()) {
             line.note(c);
@@ -245,8 +249,8 @@
         });
   }
 
-  private static Peer answeringAfter(CountDownLatch slow) {
-    return new Peer(
+  private static TestPeer answeringAfter(CountDownLatch slow) {
+    return new TestPeer(
         line -> {
           line.command();
           line.note("begun");
@@ -258,8 +262,8 @@
 
   @Test
   void aRequestGoesToTheCacheServerAndItsAnswerToTheClient() throws Exception {
-    try (Peer cache = answering();
-        Peer.Line client = start(cache, silentRegistry)) {
+    try (TestPeer cache = answering();
+        TestPeer.Line client = start(cache, silentRegistry)) {
       client.write("*1\r\n$4\r\nPING\r\n");
       assertEquals("+PONG", client.answer());
       client.write(
@@ -277,8 +281,8 @@
   @Test
   void answersComeInTheOrderOfTheCommands() throws Exception {
     CountDownLatch slow = new CountDownLatch(1);
-    try (Peer cache = answeringAfter(slow);
-        Peer.Line client = start(cache, silentRegistry)) {
+    try (TestPeer cache = answeringAfter(slow);
+        TestPeer.Line client = start(cache, silentRegistry)) {
       client.write(
           GET + "*1\r\n$4\r\nPING\r\n*1\r\n$5\r\nHELLO\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n");
       cache.note();
@@ -292,14 +296,14 @@
 
   @Test
   void aClientThatLeavesCallsItsRequestOff() throws Exception {
-    try (Peer cache =
-            new Peer(
+    try (TestPeer cache =
+            new TestPeer(
                 line -> {
                   line.command();
                   line.note("begun");
                   line.note(line.command());
                 });
-        Peer.Line client = start(cache, silentRegistry)) {
+        TestPeer.Line client = start(cache, silentRegistry)) {
       client.write(GET);
       assertEquals("begun", cache.note());
       client.hangUp();
@@ -309,8 +313,8 @@
 
   @Test
   void malformedInputGetsOneErrorAfterWhatCameBeforeItAndEnds() throws Exception {
-    try (Peer cache = answering();
-        Peer.Line client = start(cache, silentRegistry)) {
+    try (TestPeer cache = answering();
+        TestPeer.Line client = start(cache, silentRegistry)) {
       client.write(GET + "GET / HTTP/1.1\r\nHost: x\r\n\r\n" + GET);
       assertEquals("$2\r\nva", client.answer());
       assertTrue(client.answer().startsWith("-ERR "));
@@ -320,8 +324,8 @@
 
   @Test
   void requestsThatLackWhatTheyNeedAreRejectedInTheirPlace() throws Exception {
-    try (Peer cache = answering();
-        Peer.Line first = start(cache, silentRegistry)) {
+    try (TestPeer cache = answering();
+        TestPeer.Line first = start(cache, silentRegistry)) {
       first.hangUp();
       for (String wrong :
           new String[] {
@@ -352,7 +356,7 @@
 
   /** One error in its place, and what stands behind it is answered. */
   private void rejected(String key, String id, String attributes) throws Exception {
-    try (Peer.Line client = Peer.Line.to(router.address())) {
+    try (TestPeer.Line client = TestPeer.Line.to(router.address())) {
       client.write(
           "*4\r\n$5\r\nC.GET\r\n"
               + RespWriter.bulk(key)
@@ -367,8 +371,8 @@
   /** A cache server turns such names away, and its errors would be held against it. */
   @Test
   void keysAndIdsThatNoCacheServerCouldUseReachNone() throws Exception {
-    try (Peer cache = answering();
-        Peer.Line first = start(cache, silentRegistry)) {
+    try (TestPeer cache = answering();
+        TestPeer.Line first = start(cache, silentRegistry)) {
       first.hangUp();
       for (String wrong : new String[] {"", "a b", "a\u0001b", "x".repeat(200), "a\u007f"}) {
         rejected(wrong, "id", "c=read,d=100");
@@ -385,8 +389,8 @@
   @Test
   void everyRequestEndsInOneOfTheFigures() throws Exception {
     surroundings = OPERATED;
-    try (Peer cache =
-            new Peer(
+    try (TestPeer cache =
+            new TestPeer(
                 line -> {
                   for (String c = line.command(); !c.equals("end"); c = line.command()) {
                     if (c.contains(" hang ")) {
@@ -396,7 +400,7 @@
                     line.write(c.contains(" bad ") ? "-ERR failed\r\n" : VALUE);
                   }
                 });
-        Peer.Line client = start(cache, silentRegistry)) {
+        TestPeer.Line client = start(cache, silentRegistry)) {
       client.write(GET + write("bad") + GET.replace("id", "i2"));
       assertEquals("$2\r\nva", client.answer());
       assertEquals("-ERR failed", client.answer());
@@ -408,12 +412,12 @@
       assertEquals("broken", cache.note());
       rejected("a", "id", "c=none,d=100");
       assertEquals("ACK\n", call("disable-server s-1"));
-      try (Peer.Line other = Peer.Line.to(router.address())) {
+      try (TestPeer.Line other = TestPeer.Line.to(router.address())) {
         other.write(GET);
         assertTrue(other.answer().startsWith("-BUSY"));
       }
       // A request is counted once its answer is written: the client may have it before.
-      Peer.until(
+      TestPeer.until(
           () ->
               figures(
                       "answered.read",
@@ -424,7 +428,7 @@
                       "current",
                       "cluster_size")
                   .equals("2 1 0 1 4 0 1"));
-      Peer.until(() -> figures("cluster_unhealthy").equals("1"));
+      TestPeer.until(() -> figures("cluster_unhealthy").equals("1"));
       assertEquals("NAK no cache server has this id\n", call("disable-server s-2"));
     }
   }
@@ -437,19 +441,19 @@
   void aClassThatIsDroppedKeepsItsOpenRequestsAndItsFigures() throws Exception {
     surroundings = OPERATED;
     CountDownLatch slow = new CountDownLatch(1);
-    try (Peer cache = answeringAfter(slow);
-        Peer.Line client = start(cache, silentRegistry)) {
+    try (TestPeer cache = answeringAfter(slow);
+        TestPeer.Line client = start(cache, silentRegistry)) {
       client.write(GET);
       assertEquals("begun", cache.note());
       settings = Samples.read("classes.0.name", "fresh");
       newConfigs.add(config(cache, silentRegistry));
       router.reload();
-      Peer.until(() -> figures("conf_loaded").equals("1"));
+      TestPeer.until(() -> figures("conf_loaded").equals("1"));
       rejected("a", "i2", "c=read,d=100");
       slow.countDown();
       assertEquals("$2\r\nva", client.answer());
       // It is counted once it is written: the client may have it before.
-      Peer.until(() -> figures("answered.read", "answered.fresh").equals("1 0"));
+      TestPeer.until(() -> figures("answered.read", "answered.fresh").equals("1 0"));
     }
   }
 
@@ -457,12 +461,12 @@
   @Test
   void aWaitOfTheSettingsBeforeIsStillInRange() throws Exception {
     surroundings = OPERATED;
-    try (Peer cache = answering();
-        Peer.Line client = start(cache, silentRegistry)) {
+    try (TestPeer cache = answering();
+        TestPeer.Line client = start(cache, silentRegistry)) {
       settings = Samples.read("classes.0.hard_limit", "500000000");
       newConfigs.add(config(cache, silentRegistry));
       router.reload();
-      Peer.until(() -> figures("conf_loaded").equals("1"));
+      TestPeer.until(() -> figures("conf_loaded").equals("1"));
       client.write(GET);
       assertEquals("$2\r\nva", client.answer());
       rejected("a", "i2", "c=read,d=4001");
@@ -476,7 +480,7 @@
   }
 
   private String call(String line) throws IOException {
-    try (Peer.Line caller = Peer.Line.to(router.control())) {
+    try (TestPeer.Line caller = TestPeer.Line.to(router.control())) {
       caller.write(line + "\n");
       return caller.rest();
     }
@@ -496,9 +500,9 @@
   @Test
   void anIdThatIsOpenIsTurnedAwayAndTheFirstKeepsItsAnswer() throws Exception {
     CountDownLatch slow = new CountDownLatch(1);
-    try (Peer cache = answeringAfter(slow);
-        Peer.Line client = start(cache, silentRegistry);
-        Peer.Line other = Peer.Line.to(router.address())) {
+    try (TestPeer cache = answeringAfter(slow);
+        TestPeer.Line client = start(cache, silentRegistry);
+        TestPeer.Line other = TestPeer.Line.to(router.address())) {
       client.write(GET);
       cache.note();
       other.write(GET + "*1\r\n$4\r\nPING\r\n");
@@ -515,17 +519,17 @@
    */
   @Test
   void manyHalfSentCommandsDoNotKeepOtherClientsOut() throws Exception {
-    try (Peer cache = answering();
-        Peer.Line first = start(cache, silentRegistry)) {
+    try (TestPeer cache = answering();
+        TestPeer.Line first = start(cache, silentRegistry)) {
       first.hangUp();
-      List<Peer.Line> half = new ArrayList<>();
+      List<TestPeer.Line> half = new ArrayList<>();
       for (int i = 0; i < 2 * ConnectionBudget.of(SOCKETS, MEMORY_MB).clients(); i++) {
-        Peer.Line line = Peer.Line.to(router.address());
+        TestPeer.Line line = TestPeer.Line.to(router.address());
         half.add(line);
         line.write("*4\r\n$5\r\nC.G");
       }
       assertEquals("$2\r\nva", answerOnSomeConnection());
-      half.forEach(Peer.Line::hangUp);
+      half.forEach(TestPeer.Line::hangUp);
     }
   }
 
@@ -533,7 +537,7 @@
   private String answerOnSomeConnection() throws Exception {
     String answer = "end";
     while (answer.equals("end")) {
-      try (Peer.Line client = Peer.Line.to(router.address())) {
+      try (TestPeer.Line client = TestPeer.Line.to(router.address())) {
         client.write(GET);
         answer = client.answer();
       } catch (IOException e) {
@@ -545,13 +549,13 @@
 
   @Test
   void whenNothingAnswersTheClientIsToldInItsTime() throws Exception {
-    try (Peer cache =
-            new Peer(
+    try (TestPeer cache =
+            new TestPeer(
                 line -> {
                   line.command();
                   over.await();
                 });
-        Peer.Line client = start(cache, silentRegistry)) {
+        TestPeer.Line client = start(cache, silentRegistry)) {
       client.write(GET.replace("d=1500", "d=0150"));
       assertTrue(client.answer().startsWith("-BUSY"));
     }
@@ -560,16 +564,16 @@
   /** Discovery counts a watch as broken if the next call comes late, and the version must go on. */
   @Test
   void aWatchGoesOnFromTheVersionItHasHeardOf() throws Exception {
-    Peer[] cache = {answering()};
-    try (Peer registry =
-            new Peer(
+    TestPeer[] cache = {answering()};
+    try (TestPeer registry =
+            new TestPeer(
                 line -> {
                   line.note(line.httpHead().split(" ")[1]);
                   line.http(200, list(5, false, cache[0], "draining"));
                   line.note(line.httpHead().split(" ")[1]);
                   over.await();
                 });
-        Peer.Line client = start(cache[0], registry)) {
+        TestPeer.Line client = start(cache[0], registry)) {
       assertTrue(registry.note().startsWith("/registry/instances?after=4&wait_ms="));
       assertTrue(registry.note().startsWith("/registry/instances?after=5&wait_ms="));
       client.write(GET);
@@ -582,14 +586,14 @@
 
   @Test
   void aWatchThatFailsIsBegunAgainAndTheListStaysInForce() throws Exception {
-    try (Peer cache = answering();
-        Peer registry =
-            new Peer(
+    try (TestPeer cache = answering();
+        TestPeer registry =
+            new TestPeer(
                 line -> {
                   line.note(line.httpHead().split("&wait_ms=")[0]);
                   line.http(503, "");
                 });
-        Peer.Line client = start(cache, registry)) {
+        TestPeer.Line client = start(cache, registry)) {
       String first = registry.note();
       assertEquals(first, registry.note());
       assertEquals(first, registry.note());
@@ -605,26 +609,26 @@
    */
   @Test
   void aReloadMovesTheWatchToTheNewAddressAgainAndAgain() throws Exception {
-    Peer[] cache = {answering()};
-    Peer.Script serving =
+    TestPeer[] cache = {answering()};
+    TestPeer.Script serving =
         line -> {
           line.note(line.httpHead().split(" ")[1]);
           line.http(200, list(1, true, cache[0], "draining"));
           line.note(line.httpHead().split(" ")[1]);
           line.note(line.httpHead().isEmpty() ? "dropped" : "asked again");
         };
-    try (Peer old =
-            new Peer(
+    try (TestPeer old =
+            new TestPeer(
                 line -> {
                   line.note(line.httpHead().split(" ")[1]);
                   line.note(line.httpHead().isEmpty() ? "dropped" : "asked again");
                   line.http(200, list(9, true, cache[0], "ready"));
                 });
-        Peer second = new Peer(serving);
-        Peer third = new Peer(serving);
-        Peer.Line client = start(cache[0], old)) {
+        TestPeer second = new TestPeer(serving);
+        TestPeer third = new TestPeer(serving);
+        TestPeer.Line client = start(cache[0], old)) {
       assertTrue(old.note().startsWith("/registry/instances?after=4&wait_ms="));
-      for (Peer next : List.of(second, third)) {
+      for (TestPeer next : List.of(second, third)) {
         newConfigs.add(config(cache[0], next));
         router.reload();
         assertEquals("/registry/instances", next.note());
@@ -644,17 +648,17 @@
   /** A file that cannot be read must neither stop the router nor end the watch that it has. */
   @Test
   void aReloadThatFindsNothingReadableLeavesEverythingAsItIs() throws Exception {
-    Peer[] caches = {answering()};
-    try (Peer cache = caches[0];
-        Peer registry =
-            new Peer(
+    TestPeer[] caches = {answering()};
+    try (TestPeer cache = caches[0];
+        TestPeer registry =
+            new TestPeer(
                 line -> {
                   line.note(line.httpHead().split(" ")[1]);
                   over.await();
                   line.http(200, list(5, false, caches[0], "ready"));
                   line.note(line.httpHead().split(" ")[1]);
                 });
-        Peer.Line client = start(cache, registry)) {
+        TestPeer.Line client = start(cache, registry)) {
       assertTrue(registry.note().startsWith("/registry/instances?after=4&wait_ms="));
       router.reload();
       over.await();
@@ -672,15 +676,15 @@
   @Test
   void aDrainAnswersWhatItHasTakenAndClosesBetweenRequests() throws Exception {
     CountDownLatch slow = new CountDownLatch(1);
-    try (Peer cache = answeringAfter(slow);
-        Peer.Line client = start(cache, silentRegistry);
-        Peer.Line idle = Peer.Line.to(router.address())) {
+    try (TestPeer cache = answeringAfter(slow);
+        TestPeer.Line client = start(cache, silentRegistry);
+        TestPeer.Line idle = TestPeer.Line.to(router.address())) {
       idle.write("*1\r\n$4\r\nPING\r\n");
       assertEquals("+PONG", idle.answer());
       client.write(GET);
       cache.note();
       FutureTask<Void> drain = drain();
-      try (Peer.Line late = Peer.Line.to(router.address())) {
+      try (TestPeer.Line late = TestPeer.Line.to(router.address())) {
         late.write("*1\r\n$4\r\nPING\r\n");
         assertEquals("+PONG", late.answer(), "new connections still come after the announcement");
         assertEquals("end", late.answer());
@@ -693,7 +697,7 @@
       client.hangUp();
       drain.get();
       assertEquals(Lifecycle.Phase.STOPPED, lifecycle.phase());
-      assertThrows(IOException.class, () -> Peer.Line.to(router.address()));
+      assertThrows(IOException.class, () -> TestPeer.Line.to(router.address()));
     }
   }
 
@@ -704,14 +708,14 @@
   @Test
   void aDrainWaitsForNoLongerThanTheProcessLives() throws Exception {
     settings = Samples.read("classes.0.hard_limit", "60000000000");
-    try (Peer cache =
-            new Peer(
+    try (TestPeer cache =
+            new TestPeer(
                 line -> {
                   line.command();
                   line.note("begun");
                   over.await();
                 });
-        Peer.Line client = start(cache, silentRegistry)) {
+        TestPeer.Line client = start(cache, silentRegistry)) {
       client.write(GET.replace("$13\r\nc=read,d=1500", "$14\r\nc=read,d=60000"));
       assertEquals("begun", cache.note());
       FutureTask<Void> drain = drain();
@@ -725,34 +729,34 @@
   /** At the most connections a new client takes the place of one that is between requests. */
   @Test
   void quietConnectionsMakeRoomForNewOnes() throws Exception {
-    try (Peer cache = answering();
-        Peer.Line first = start(cache, silentRegistry)) {
+    try (TestPeer cache = answering();
+        TestPeer.Line first = start(cache, silentRegistry)) {
       first.write(GET);
       assertEquals("$2\r\nva", first.answer());
-      List<Peer.Line> more = new ArrayList<>();
+      List<TestPeer.Line> more = new ArrayList<>();
       for (int i = 0; i < ConnectionBudget.of(SOCKETS, MEMORY_MB).clients() + 5; i++) {
-        Peer.Line line = Peer.Line.to(router.address());
+        TestPeer.Line line = TestPeer.Line.to(router.address());
         more.add(line);
         line.write("*1\r\n$4\r\nPING\r\n");
         assertEquals("+PONG", line.answer());
       }
       assertEquals("end", first.answer());
-      more.forEach(Peer.Line::hangUp);
+      more.forEach(TestPeer.Line::hangUp);
     }
   }
 
   @Test
   void largeValuesGoThroughWholeInBothDirections() throws Exception {
     String value = "v".repeat(1 << 16);
-    try (Peer cache =
-            new Peer(
+    try (TestPeer cache =
+            new TestPeer(
                 line -> {
                   for (String c = line.command(); !c.equals("end"); c = line.command()) {
                     line.note(c.endsWith(" " + value) ? "whole" : "cut");
                     line.write("*3\r\n$65536\r\n" + value + "\r\n$3\r\nhit\r\n$-1\r\n");
                   }
                 });
-        Peer.Line client = start(cache, silentRegistry)) {
+        TestPeer.Line client = start(cache, silentRegistry)) {
       for (int i = 0; i < 3; i++) {
         client.write(
             "*5\r\n$5\r\nC.SET\r\n$1\r\na\r\n$2\r\nid\r\n"
@@ -772,8 +776,8 @@
     private static final String HALF = "x".repeat(2 << 20);
     private static final String LARGE = GET.replace("a1", "b2").replace("id", "xl");
     private final CountDownLatch goOn = new CountDownLatch(1);
-    private final Peer cache =
-        new Peer(
+    private final TestPeer cache =
+        new TestPeer(
             line -> {
               for (String c = line.command(); !c.equals("end"); c = line.command()) {
                 if (c.contains(" xl ")) {
@@ -794,8 +798,8 @@
     /**
      * A client that has the first half of an answer before its cache server has written the second.
      */
-    private Peer.Line halfWay() throws IOException, ProtocolException {
-      Peer.Line client = start(cache, silentRegistry);
+    private TestPeer.Line halfWay() throws IOException, ProtocolException {
+      TestPeer.Line client = start(cache, silentRegistry);
       client.write(LARGE);
       client.expect(HEAD + HALF);
       return client;
@@ -803,7 +807,7 @@
 
     @Test
     void theFirstHalfGoesOnBeforeTheSecondHasComeAndTheConnectionServesOn() throws Exception {
-      try (Peer.Line client = halfWay()) {
+      try (TestPeer.Line client = halfWay()) {
         goOn.countDown();
         client.expect(HALF + "\r\n");
         client.write(GET);
@@ -819,8 +823,8 @@
     @Test
     void aClientThatStopsReadingHoldsUpNobodyElse() throws Exception {
       goOn.countDown();
-      try (Peer.Line slow = start(cache, silentRegistry);
-          Peer.Line other = Peer.Line.to(router.address())) {
+      try (TestPeer.Line slow = start(cache, silentRegistry);
+          TestPeer.Line other = TestPeer.Line.to(router.address())) {
         slow.write(LARGE);
         slow.expect(HEAD);
         for (int i = 0; i < 50; i++) {
@@ -834,13 +838,13 @@
     @Test
     void anAnswerThatBreaksOffEndsItsClientsConnection() throws Exception {
       for (String rest : new String[] {"", HALF + "xx", HALF + "\r\n+odd\r\n"}) {
-        try (Peer breaking =
-                new Peer(
+        try (TestPeer breaking =
+                new TestPeer(
                     line -> {
                       line.command();
                       line.write("*3\r\n" + HEAD + HALF + rest);
                     });
-            Peer.Line client = start(breaking, silentRegistry)) {
+            TestPeer.Line client = start(breaking, silentRegistry)) {
           client.write(LARGE);
           assertThrows(EOFException.class, () -> client.expect(HEAD + HALF + HALF + "\r\n"), rest);
         }
@@ -849,7 +853,7 @@
 
     @Test
     void aStopWaitsForWhatIsBeingPassedOn() throws Exception {
-      try (Peer.Line client = halfWay()) {
+      try (TestPeer.Line client = halfWay()) {
         FutureTask<Void> stop = drain();
         goOn.countDown();
         client.expect(HALF + "\r\n");
--- a/src/test/java/beaconturn/net/Peer.java
+++ b/src/test/java/beaconturn/net/TestPeer.java
@@ -2,6 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import beaconturn.net.io.Sockets;
+import beaconturn.net.io.Threads;
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespReader;
@@ -29,11 +31,11 @@
  * A server of the test's own on an ephemeral loopback port; the script says what each connection
  * does.
  */
-public final class Peer implements Closeable {
+public final class TestPeer implements Closeable {
   private static final int SECONDS = 20;
 
   /** What one connection does, on a thread of its own; the connection is closed when it returns. */
-  interface Script {
+  public interface Script {
     void serve(Line line) throws IOException, ProtocolException, InterruptedException;
   }
 
@@ -42,7 +44,7 @@
   private final Queue<Socket> sockets = new ConcurrentLinkedQueue<>();
   private final BlockingQueue<String> notes = new LinkedBlockingQueue<>();
 
-  Peer(Script script) {
+  public TestPeer(Script script) {
     this.script = script;
     try {
       this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -53,7 +55,7 @@
   }
 
   /** Holds the calling thread until the latch is released, where it may not throw. */
-  static void await(CountDownLatch latch) {
+  public static void await(CountDownLatch latch) {
     try {
       latch.await();
     } catch (InterruptedException e) {
@@ -62,7 +64,7 @@
   }
 
   /** Waits for what another thread does. */
-  static void until(Callable<Boolean> done) throws Exception {
+  public static void until(Callable<Boolean> done) throws Exception {
     while (!done.call()) {
       if (Thread.interrupted()) {
         throw new InterruptedException("waited in vain");
@@ -71,16 +73,16 @@
     }
   }
 
-  InetSocketAddress address() {
+  public InetSocketAddress address() {
     return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
   }
 
-  String dial() {
+  public String dial() {
     return "127.0.0.1:" + server.getLocalPort();
   }
 
   /** The next thing that a script has noted; fails if none comes. */
-  String note() throws InterruptedException {
+  public String note() throws InterruptedException {
     String note = notes.poll(SECONDS, TimeUnit.SECONDS);
     if (note == null) {
       throw new AssertionError("the peer saw nothing");
@@ -88,11 +90,11 @@
     return note;
   }
 
-  List<String> notesLeft() {
+  public List<String> notesLeft() {
     return List.copyOf(notes);
   }
 
-  int connections() {
+  public int connections() {
     return sockets.size();
   }
 
@@ -136,7 +138,7 @@
     private final InputBuffer in = new InputBuffer();
     private final RespReader reader = new RespReader(1 << 16);
 
-    Line(Socket socket, BlockingQueue<String> notes) {
+    public Line(Socket socket, BlockingQueue<String> notes) {
       this(socket, notes, true);
     }
 
@@ -147,7 +149,7 @@
     }
 
     /** Whether this is the first connection to its peer. */
-    boolean first() {
+    public boolean first() {
       return first;
     }
 
@@ -158,7 +160,7 @@
       return new Line(socket, new LinkedBlockingQueue<>());
     }
 
-    void note(String text) {
+    public void note(String text) {
       notes.add(text);
     }
 
@@ -184,7 +186,7 @@
     }
 
     /** Whether the peer has ended; waits a moment for it. */
-    boolean ended() throws IOException {
+    public boolean ended() throws IOException {
       socket.setSoTimeout(1);
       try {
         return socket.getInputStream().read() < 0;
@@ -206,7 +208,7 @@
     }
 
     /** The next command's words joined by blanks, or "end". */
-    String command() throws IOException, ProtocolException {
+    public String command() throws IOException, ProtocolException {
       RespValue value = read();
       if (value == null) {
         return "end";
@@ -218,13 +220,13 @@
     }
 
     /** The next answer's bytes without the last line end, or "end". */
-    String answer() throws IOException, ProtocolException {
+    public String answer() throws IOException, ProtocolException {
       RespValue value = read();
       return value == null ? "end" : value.frame().toString().trim();
     }
 
     /** The lines of an HTTP request's head, or an empty text at the end of the stream. */
-    String httpHead() throws IOException {
+    public String httpHead() throws IOException {
       StringBuilder head = new StringBuilder();
       while (head.indexOf("\r\n\r\n") < 0) {
         int c = socket.getInputStream().read();
@@ -236,17 +238,17 @@
       return head.toString();
     }
 
-    void http(int status, String body) throws IOException {
+    public void http(int status, String body) throws IOException {
       write("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     /** Ends the connection as a process that dies does: the peer sees a reset. */
-    void reset() throws IOException {
+    public void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
     }
 
-    void hangUp() {
+    public void hangUp() {
       Sockets.close(socket);
     }
 
--- a/src/test/java/beaconturn/net/UpgradeTest.java
+++ b/src/test/java/beaconturn/net/UpgradeTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.decision.WarmStartState;
+import beaconturn.net.client.Listener;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
@@ -80,14 +81,14 @@
       shared.bind(new InetSocketAddress("127.0.0.1", 0));
       Listener before = Listener.on(shared, accepted::add);
       before.start();
-      Peer.Line.to(before.address()).close();
+      TestPeer.Line.to(before.address()).close();
       accepted.take().close();
       before.close();
-      Peer.Line.to(before.address()).close();
+      TestPeer.Line.to(before.address()).close();
       Listener after = Listener.on(shared, accepted::add);
       after.start();
       accepted.take().close();
-      Peer.Line.to(after.address()).close();
+      TestPeer.Line.to(after.address()).close();
       accepted.take().close();
       after.close();
       assertTrue(shared.isOpen());
--- a/src/test/java/beaconturn/net/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,6 +10,7 @@
 import beaconturn.core.Lifecycle;
 import beaconturn.core.RoutingMessage;
 import beaconturn.core.Samples;
+import beaconturn.net.TestPeer;
 import beaconturn.protocol.Slice;
 import beaconturn.stats.RequestMetrics;
 import java.io.IOException;
@@ -44,7 +45,7 @@
   private final ClientConnections connections = new ClientConnections(1, 1);
   private ServerSocketChannel server;
   private ClientPoller poller;
-  private Peer.Line client;
+  private TestPeer.Line client;
   private ClientConnection connection;
 
   @BeforeEach
@@ -59,7 +60,7 @@
   private void connect(ClientPoller reads) throws IOException {
     Socket from = new Socket(InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
     from.setSoTimeout(20_000);
-    client = new Peer.Line(from, new LinkedBlockingQueue<>());
+    client = new TestPeer.Line(from, new LinkedBlockingQueue<>());
     SocketChannel accepted = server.accept();
     accepted.configureBlocking(false);
     connection =
@@ -90,7 +91,7 @@
   }
 
   private void awaitHalfRead() throws Exception {
-    Peer.until(() -> connection.halfReadSince() < Long.MAX_VALUE);
+    TestPeer.until(() -> connection.halfReadSince() < Long.MAX_VALUE);
   }
 
   /** Silence for ever, and half a command renewed byte by byte, would hold a place for ever. */
@@ -109,7 +110,7 @@
 
   /** A sweep while the poller reads passes the connection by; the next one does not. */
   private void awaitSwept() throws Exception {
-    Peer.until(
+    TestPeer.until(
         () -> {
           connections.sweep(now.get());
           return connections.count() == 0;
@@ -139,7 +140,7 @@
     arrived().served(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     awaitQuiet();
-    Peer.Line first = client;
+    TestPeer.Line first = client;
     connect(poller);
     connect(poller);
     assertEquals(3, connections.count());
@@ -147,7 +148,7 @@
     assertTrue(connections.makeRoom(now.get()));
     assertTrue(connections.makeRoom(now.get()));
     // One at which the poller has not looked yet may have been chosen twice.
-    Peer.until(() -> connections.makeRoom(now.get()) && first.ended());
+    TestPeer.until(() -> connections.makeRoom(now.get()) && first.ended());
   }
 
   /**
@@ -160,7 +161,7 @@
     connection.close(EndReason.CLIENT_LEFT);
     assertEquals(2, connections.count());
     late.start();
-    Peer.until(() -> connections.count() == 1);
+    TestPeer.until(() -> connections.count() == 1);
   }
 
   /** The same for half a command on a connection that has been of use before. */
@@ -195,7 +196,7 @@
    * left.
    */
   private void awaitQuiet() throws Exception {
-    Peer.until(() -> connection.quietSince() < Long.MAX_VALUE);
+    TestPeer.until(() -> connection.quietSince() < Long.MAX_VALUE);
   }
 
   /**
@@ -254,7 +255,7 @@
     client.write(GET);
     client.hangUp();
     late.start();
-    Peer.until(() -> connections.count() == 1);
+    TestPeer.until(() -> connections.count() == 1);
     assertEquals(0, module.size());
   }
 
@@ -278,7 +279,7 @@
     for (int i = 0; i < open; i++) {
       assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.Left, "number " + i);
     }
-    Peer.until(() -> connections.count() == 0);
+    TestPeer.until(() -> connections.count() == 0);
     assertEquals(0, module.size());
     assertEquals(0, ids.count());
   }
@@ -288,7 +289,7 @@
     toModule =
         message -> {
           busy.countDown();
-          Peer.await(release);
+          TestPeer.await(release);
         };
     connect(poller);
     client.write(get("other"));
@@ -302,7 +303,7 @@
   @Test
   void aDeadlineRunsWhileItsRequestLiesInTheKernel() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    Peer.Line waits = client;
+    TestPeer.Line waits = client;
     awaitRegistered();
     whileThePollerIsBusy(new CountDownLatch(1), release);
     long before = now.get();
@@ -369,7 +370,7 @@
   @Test
   void aRestingConnectionIsNotEndedOverARequestThatLiesInTheKernel() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    Peer.Line rests = client;
+    TestPeer.Line rests = client;
     awaitRegistered();
     whileThePollerIsBusy(new CountDownLatch(1), release);
     rests.write(GET);
@@ -392,11 +393,11 @@
     connections.stop();
     now.addAndGet(SECOND / 10);
     client.write(get("late"));
-    Peer.until(() -> ids.count() == 1 && connection.halfReadSince() == Long.MAX_VALUE);
+    TestPeer.until(() -> ids.count() == 1 && connection.halfReadSince() == Long.MAX_VALUE);
     early.served(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     assertEquals("-BUSY 50", client.answer());
-    Peer.until(
+    TestPeer.until(
         () -> {
           connections.stop();
           return client.ended();
@@ -421,7 +422,7 @@
   @Test
   void afterAPlannedStopHasEndedAConnectionNothingMoreIsReadOnIt() throws Exception {
     awaitRegistered();
-    Peer.until(
+    TestPeer.until(
         () -> {
           connections.stop();
           return connection.closingSince() < Long.MAX_VALUE;
@@ -446,7 +447,7 @@
     arrived();
     client.hangUp();
     assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.Left);
-    Peer.until(() -> ids.count() == 0);
+    TestPeer.until(() -> ids.count() == 0);
   }
 
   private static String get(String id, String wait) {
@@ -497,7 +498,7 @@
     client.write(GET.substring(0, 9));
     awaitHalfRead();
     now.addAndGet(SECOND / 10);
-    Peer.Line begun = client;
+    TestPeer.Line begun = client;
     connections.makeRoom(now.get());
     connections.makeRoom(now.get());
     begun.write(GET.substring(9));
@@ -511,7 +512,7 @@
    */
   @Test
   void anEndThatWasChosenBeforeACommandBeganIsCalledOff() throws Exception {
-    Peer.Line rests = client;
+    TestPeer.Line rests = client;
     ClientConnection resting = connection;
     awaitRegistered();
     CountDownLatch busy = new CountDownLatch(1);
@@ -522,7 +523,7 @@
     toModule =
         message -> {
           busyAgain.countDown();
-          Peer.await(releaseAgain);
+          TestPeer.await(releaseAgain);
         };
     // One look of the poller finds both, in this order, and is held up at the first.
     client.write(get("again"));
@@ -532,7 +533,7 @@
     toModule = module::add;
     resting.endIfQuiet(EndReason.IDLE);
     releaseAgain.countDown();
-    Peer.until(() -> resting.halfReadSince() < Long.MAX_VALUE || resting.leaving());
+    TestPeer.until(() -> resting.halfReadSince() < Long.MAX_VALUE || resting.leaving());
     awaitPollerRound();
     rests.write(GET.substring(9));
     arrived().served(Slice.of("+v\r\n"));
@@ -594,7 +595,7 @@
     now.addAndGet(SECOND * 2 / 5);
     assertFalse(connections.makeRoom(now.get()));
     client.write(GET.substring(9, 12));
-    Peer.until(() -> connection.stalledSince() == now.get());
+    TestPeer.until(() -> connection.stalledSince() == now.get());
     now.addAndGet(SECOND * 2 / 5);
     assertFalse(connections.makeRoom(now.get()));
     now.addAndGet(SECOND / 5);
--- a/src/test/java/beaconturn/net/ClientEventLogTest.java
+++ b/src/test/java/beaconturn/net/client/ClientEventLogTest.java
@@ -1,9 +1,10 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.core.ClientRequest;
+import beaconturn.net.server.CacheServerTest;
 import beaconturn.protocol.RespValue;
 import beaconturn.protocol.Slice;
 import java.util.ArrayList;
--- a/src/test/java/beaconturn/net/ClientWriterTest.java
+++ b/src/test/java/beaconturn/net/client/ClientWriterTest.java
@@ -1,10 +1,12 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.core.Clock;
+import beaconturn.net.io.Sockets;
+import beaconturn.net.io.Threads;
 import beaconturn.protocol.Slice;
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/test/java/beaconturn/net/ListenerTest.java
+++ b/src/test/java/beaconturn/net/client/ListenerTest.java
@@ -1,8 +1,10 @@
-package beaconturn.net;
+package beaconturn.net.client;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
+import beaconturn.net.TestPeer;
+import beaconturn.net.io.Threads;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.channels.SocketChannel;
@@ -37,19 +39,19 @@
             channel -> {
               if (busy.getCount() > 0) {
                 busy.countDown();
-                Peer.await(release);
+                TestPeer.await(release);
                 throw new IllegalStateException("of the test's own: accepting stops for a moment");
               }
               accepted.add(channel);
             });
     listener.start();
-    try (Peer.Line first = Peer.Line.to(listener.address())) {
+    try (TestPeer.Line first = TestPeer.Line.to(listener.address())) {
       first.write("x");
       busy.await();
-      try (Peer.Line waits = Peer.Line.to(listener.address())) {
+      try (TestPeer.Line waits = TestPeer.Line.to(listener.address())) {
         waits.write("x");
         Thread closer = Threads.start("test-close", () -> closeQuietly(listener));
-        Peer.until(
+        TestPeer.until(
             () ->
                 closer.getState() == Thread.State.TIMED_WAITING
                     || closer.getState() == Thread.State.TERMINATED);
@@ -83,11 +85,11 @@
             });
     listener.start();
     for (int i = 0; i < 3; i++) {
-      try (Peer.Line failing = Peer.Line.to(listener.address())) {
+      try (TestPeer.Line failing = TestPeer.Line.to(listener.address())) {
         assertEquals("", failing.rest());
       }
     }
-    try (Peer.Line client = Peer.Line.to(listener.address())) {
+    try (TestPeer.Line client = TestPeer.Line.to(listener.address())) {
       client.write("x");
       accepted.poll(20, TimeUnit.SECONDS).close();
     } finally {
--- /dev/null
+++ b/src/test/java/beaconturn/net/client/package-info.java
@@ -0,0 +1,2 @@
+/** Tests. */
+package beaconturn.net.client;
--- a/src/test/java/beaconturn/net/control/AdminServerTest.java
+++ b/src/test/java/beaconturn/net/control/AdminServerTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.net.Peer;
+import beaconturn.net.TestPeer;
 import beaconturn.stats.Counters;
 import beaconturn.stats.RequestMetrics;
 import java.io.IOException;
@@ -37,7 +37,7 @@
   private volatile String notReady;
   private final Counters counters = new Counters();
   private final Map<AdminServer, CompletableFuture<Void>> open = new HashMap<>();
-  private final List<Peer.Line> callers = new ArrayList<>();
+  private final List<TestPeer.Line> callers = new ArrayList<>();
   private AdminServer address;
 
   @Override
@@ -80,11 +80,11 @@
     open.keySet().forEach(AdminServer::close);
     // Fails if one of them did: a stop ends the callers that are there.
     open.values().forEach(CompletableFuture::join);
-    callers.forEach(Peer.Line::close);
+    callers.forEach(TestPeer.Line::close);
   }
 
-  private Peer.Line say(String text) throws IOException {
-    Peer.Line caller = Peer.Line.to(address.address());
+  private TestPeer.Line say(String text) throws IOException {
+    TestPeer.Line caller = TestPeer.Line.to(address.address());
     callers.add(caller);
     caller.write(text);
     return caller;
@@ -105,12 +105,12 @@
   @Test
   void aCallInSingleBytesOrEndedByItsCallersEndIsACall() throws IOException {
     say("half a call");
-    Peer.Line slow = say("");
+    TestPeer.Line slow = say("");
     for (String piece : "ready\n".split("")) {
       slow.write(piece);
     }
     assertEquals("ACK\n", slow.rest());
-    Peer.Line ended = say("ready");
+    TestPeer.Line ended = say("ready");
     ended.endOutput();
     assertEquals("ACK\n", ended.rest());
   }
@@ -144,7 +144,7 @@
 
   @Test
   void aCallThatTheModuleDoesNotTakeInTimeIsAnsweredAllTheSame() throws Exception {
-    Peer.Line caller = say("disable-server s-slow\n");
+    TestPeer.Line caller = say("disable-server s-slow\n");
     hands.take();
     now.addAndGet(SECOND);
     assertEquals("ACK\n", caller.rest());
--- a/src/test/java/beaconturn/net/DiscoveryWatcherTest.java
+++ b/src/test/java/beaconturn/net/discovery/DiscoveryWatcherTest.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -8,6 +8,7 @@
 import beaconturn.core.RoutingMessage;
 import beaconturn.core.Samples;
 import beaconturn.decision.EndpointListKind;
+import beaconturn.net.TestPeer;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.BlockingQueue;
@@ -29,11 +30,11 @@
   private final BlockingQueue<RoutingMessage> module = new LinkedBlockingQueue<>();
   private final CountDownLatch over = new CountDownLatch(1);
 
-  private void watching(Peer registry) {
+  private void watching(TestPeer registry) {
     watching(registry, module::add);
   }
 
-  private void watching(Peer registry, Consumer<RoutingMessage> hears) {
+  private void watching(TestPeer registry, Consumer<RoutingMessage> hears) {
     DiscoveryWatcher discovery =
         new DiscoveryWatcher(
             registry.address(),
@@ -56,8 +57,8 @@
    */
   @Test
   void aSilentWatchIsOpenedAnewAtOnceAndIsNoFailure() throws Exception {
-    try (Peer registry =
-        new Peer(
+    try (TestPeer registry =
+        new TestPeer(
             line -> {
               line.note(line.httpHead().split(" ")[1]);
               if (line.first()) {
@@ -82,8 +83,8 @@
    */
   @Test
   void theFirstCallDoesNotWaitForAChange() throws Exception {
-    try (Peer registry =
-        new Peer(
+    try (TestPeer registry =
+        new TestPeer(
             line -> {
               while (true) {
                 String path = line.httpHead().split(" ")[1];
@@ -101,7 +102,7 @@
   /** A discovery that is gone is left to the module, which waits longer each time. */
   @Test
   void aWatchThatIsRefusedIsAFailure() throws Exception {
-    Peer registry = new Peer(line -> {});
+    TestPeer registry = new TestPeer(line -> {});
     registry.close();
     watching(registry);
     assertEquals(EndpointListKind.FAILED, news().kind());
@@ -131,8 +132,8 @@
   @Test
   void aWatchGoesOnAfterWhateverItsNewsBreak() throws Exception {
     AtomicBoolean broke = new AtomicBoolean();
-    try (Peer registry =
-        new Peer(
+    try (TestPeer registry =
+        new TestPeer(
             line -> {
               while (!line.httpHead().isEmpty()) {
                 line.http(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
@@ -157,8 +158,8 @@
   @Test
   void anAnswerThatBreaksItsReaderIsAFailure() throws Exception {
     String deep = "[".repeat(200_000);
-    try (Peer registry =
-        new Peer(
+    try (TestPeer registry =
+        new TestPeer(
             line -> {
               line.httpHead();
               line.http(200, "{\"hosts\":" + deep);
--- a/src/test/java/beaconturn/net/ThreadsTest.java
+++ b/src/test/java/beaconturn/net/io/ThreadsTest.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.io;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/beaconturn/net/CacheResponseReaderTest.java
+++ b/src/test/java/beaconturn/net/server/CacheResponseReaderTest.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.server;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/beaconturn/net/CacheServerPoolTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,6 +13,10 @@
 import beaconturn.decision.Endpoint;
 import beaconturn.decision.EndpointHealth;
 import beaconturn.decision.EndpointListKind;
+import beaconturn.net.TestPeer;
+import beaconturn.net.client.RequestParser;
+import beaconturn.net.client.RespClientRequest;
+import beaconturn.net.io.ConnectionLimit;
 import beaconturn.protocol.Slice;
 import java.util.List;
 import java.util.Map;
@@ -32,7 +36,7 @@
       CacheServerTest.site(clock, module::add, new ConnectionLimit(9), SECOND / 100, workers);
   private final CacheServerPool fleet = new CacheServerPool(site);
 
-  private static EndpointUpdate.Member member(long id, EndpointHealth health, Peer peer) {
+  private static EndpointUpdate.Member member(long id, EndpointHealth health, TestPeer peer) {
     return new EndpointUpdate.Member(
         new Endpoint(id, 0, 0, 0, health, 1, 0), "fleet-" + id, peer.dial());
   }
@@ -52,8 +56,8 @@
     return new OutboundAttempt(1, 0, server, call, clock.now(), 100 * SECOND);
   }
 
-  private static Peer cache() {
-    return new Peer(
+  private static TestPeer cache() {
+    return new TestPeer(
         line -> {
           while (!line.command().equals("end")) {
             line.write("*3\r\n$2\r\nva\r\n$3\r\nhit\r\n$-1\r\n");
@@ -65,7 +69,7 @@
   @Test
   @Timeout(60)
   void theActorOfAServerThatIsGoneEndsWithoutFurtherNews() throws Exception {
-    try (Peer peer = cache()) {
+    try (TestPeer peer = cache()) {
       fleet.follow(
           new EndpointUpdate(
               1,
@@ -73,14 +77,14 @@
               List.of(
                   member(1, EndpointHealth.READY, peer), member(2, EndpointHealth.READY, peer))));
       assertTrue(fleet.send(attempt(1)));
-      Peer.until(() -> site.actors().count() == 2);
+      TestPeer.until(() -> site.actors().count() == 2);
       fleet.follow(
           new EndpointUpdate(
               2, EndpointListKind.DELTA, List.of(member(1, EndpointHealth.GONE, peer))));
       assertFalse(fleet.send(attempt(1)), "nothing is sent to a server that is gone");
       OutboundAttempt givenUp = attempt(2);
       givenUp.end(AttemptOutcome.CANCELLED);
-      Peer.until(
+      TestPeer.until(
           () -> {
             fleet.send(givenUp);
             return site.actors().count() == 1;
@@ -95,7 +99,7 @@
   @Test
   @Timeout(60)
   void threadsGoByWhatIsOutAndAreGivenBack() throws Exception {
-    try (Peer peer = cache()) {
+    try (TestPeer peer = cache()) {
       fleet.follow(
           new EndpointUpdate(
               1,
@@ -103,7 +107,7 @@
               LongStream.range(0, MANY)
                   .mapToObj(id -> member(id, EndpointHealth.READY, peer))
                   .toList()));
-      Peer.until(() -> site.actors().count() == MANY);
+      TestPeer.until(() -> site.actors().count() == MANY);
       int most = 0;
       for (long id = 0; id < MANY; id++) {
         assertTrue(fleet.send(attempt(id)));
@@ -113,7 +117,7 @@
         fleet.closeIdle(id);
       }
       assertTrue(most <= 3, most + " threads for one request at a time");
-      Peer.until(() -> workers.threads() == 0);
+      TestPeer.until(() -> workers.threads() == 0);
     }
   }
 }
--- a/src/test/java/beaconturn/net/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerTest.java
@@ -1,4 +1,4 @@
-package beaconturn.net;
+package beaconturn.net.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -13,6 +13,11 @@
 import beaconturn.core.Samples;
 import beaconturn.decision.AttemptOutcome;
 import beaconturn.decision.CacheStatus;
+import beaconturn.net.TestPeer;
+import beaconturn.net.client.RequestParser;
+import beaconturn.net.client.RespClientRequest;
+import beaconturn.net.io.BoundedPipe;
+import beaconturn.net.io.ConnectionLimit;
 import beaconturn.protocol.RespWriter;
 import beaconturn.protocol.Slice;
 import beaconturn.stats.RequestMetrics;
@@ -28,7 +33,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What comes back from a cache server, outcome by outcome of the protocol's table. */
-class CacheServerTest {
+public class CacheServerTest {
   private static final long SECOND = 1_000_000_000;
   private static final String VALUE = "*3\r\n$2\r\nva\r\n$4\r\nmiss\r\n$-1\r\n";
   private final Clock system = Clock.system();
@@ -39,7 +44,7 @@
 
   private final Clock clock = () -> still.get() != 0 ? still.get() : system.now() + passed.get();
   private final BlockingQueue<RoutingMessage> module = new LinkedBlockingQueue<>();
-  static final RespClientRequest.Reading READ =
+  public static final RespClientRequest.Reading READ =
       new RespClientRequest.Reading(null, "read", 0, RequestMetrics.NONE);
   private int sent;
 
@@ -79,7 +84,7 @@
     return server;
   }
 
-  private CacheServer server(Peer peer) {
+  private CacheServer server(TestPeer peer) {
     return server(peer.address(), 100, 60 * SECOND);
   }
 
@@ -114,8 +119,8 @@
     return ended.outcome();
   }
 
-  private void expect(AttemptOutcome ending, Peer.Script script) throws InterruptedException {
-    try (Peer peer = new Peer(script)) {
+  private void expect(AttemptOutcome ending, TestPeer.Script script) throws InterruptedException {
+    try (TestPeer peer = new TestPeer(script)) {
       assertEquals(ending, outcome(send(server(peer))).ending());
       assertEquals(1, peer.connections(), "nothing is sent again by itself");
     }
@@ -123,8 +128,8 @@
 
   @Test
   void anArrayIsServedWithItsNoteInHoweverManyPieces() throws InterruptedException {
-    try (Peer peer =
-        new Peer(
+    try (TestPeer peer =
+        new TestPeer(
             line -> {
               line.command();
               for (char c : VALUE.toCharArray()) {
@@ -153,7 +158,7 @@
   /** Guards against a send that waited here while its router was told that the server drains. */
   @Test
   void whatStillWaitsWhenItsServerDrainsIsNotWritten() throws InterruptedException {
-    try (Peer peer = new Peer(Peer.Line::command)) {
+    try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
       CacheServer server = server(peer);
       server.wanted(false);
       assertEquals(AttemptOutcome.SUPERSEDED, outcome(send(server)).ending());
@@ -164,7 +169,7 @@
   /** The client's close reaches the module later than those who write: they look themselves. */
   @Test
   void whatNobodyWaitsForIsNotWritten() throws InterruptedException {
-    try (Peer peer = new Peer(Peer.Line::command)) {
+    try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
       CacheServer server = server(peer);
       passed.addAndGet(SECOND);
       OutboundAttempt attempt = attempt(null);
@@ -178,7 +183,7 @@
   /** Nobody is told of a time that is over, in however small a number. */
   @Test
   void whatHasNoTimeLeftIsNotWritten() throws InterruptedException {
-    try (Peer peer = new Peer(Peer.Line::command)) {
+    try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
       CacheServer server = server(peer);
       OutboundAttempt attempt = attempt(null);
       passed.addAndGet(101 * SECOND);
@@ -191,7 +196,7 @@
   /** A connection that comes up after its client has gone carries nothing. */
   @Test
   void aClientThatLeavesWhileTheConnectionComesUpIsNotWrittenFor() throws Exception {
-    try (Peer peer = new Peer(line -> line.note(line.command()))) {
+    try (TestPeer peer = new TestPeer(line -> line.note(line.command()))) {
       CacheConnection connection =
           new CacheConnection(
               peer.address(),
@@ -247,7 +252,7 @@
 
   @Test
   void aConnectionThatEndsAfterTheLastByteIsAReset() throws InterruptedException {
-    expect(AttemptOutcome.RESET, Peer.Line::command);
+    expect(AttemptOutcome.RESET, TestPeer.Line::command);
     expect(
         AttemptOutcome.RESET,
         line -> {
@@ -296,8 +301,8 @@
             "\u0000\u00ff\n",
             "*99\r\n",
             "x".repeat(2000))) {
-      try (Peer peer =
-          new Peer(
+      try (TestPeer peer =
+          new TestPeer(
               line -> {
                 line.command();
                 line.write(spoilt);
@@ -315,8 +320,8 @@
   @Test
   void aGoodAnswerWithMoreBehindItIsServedAndItsConnectionClosed() throws InterruptedException {
     for (String more : List.of(VALUE, VALUE.substring(0, 5), "noise")) {
-      try (Peer peer =
-          new Peer(
+      try (TestPeer peer =
+          new TestPeer(
               line -> {
                 line.command();
                 line.write(VALUE + more);
@@ -339,8 +344,8 @@
   void whatComesOnAnIdleConnectionClosesIt() throws InterruptedException {
     for (String more : List.of(VALUE, VALUE.substring(0, 5), "n")) {
       CountDownLatch later = new CountDownLatch(1);
-      try (Peer peer =
-          new Peer(
+      try (TestPeer peer =
+          new TestPeer(
               line -> {
                 line.command();
                 line.write(VALUE);
@@ -364,8 +369,8 @@
    */
   @Test
   void aConnectionIsNotUsedAgainAtTheMomentOfItsAnswer() throws InterruptedException {
-    try (Peer peer =
-        new Peer(
+    try (TestPeer peer =
+        new TestPeer(
             line -> {
               while (!line.command().equals("end")) {
                 line.write(VALUE);
@@ -383,7 +388,7 @@
 
   @Test
   void aRefusedConnectionNeverRan() throws InterruptedException {
-    Peer peer = new Peer(Peer.Line::command);
+    TestPeer peer = new TestPeer(TestPeer.Line::command);
     peer.close();
     assertEquals(AttemptOutcome.CONNECT_FAILED, outcome(send(server(peer))).ending());
   }
@@ -391,7 +396,7 @@
   @Test
   void withoutAPlaceForAConnectionNothingRan() throws InterruptedException {
     CountDownLatch over = new CountDownLatch(1);
-    try (Peer peer = new Peer(line -> over.await())) {
+    try (TestPeer peer = new TestPeer(line -> over.await())) {
       CacheServer server = server(peer.address(), 1, 60 * SECOND);
       send(server);
       assertEquals(AttemptOutcome.NOT_SENT, outcome(send(server)).ending());
@@ -401,8 +406,8 @@
 
   @Test
   void connectionsAreUsedAgainOneRequestAtATime() throws InterruptedException {
-    try (Peer peer =
-        new Peer(
+    try (TestPeer peer =
+        new TestPeer(
             line -> {
               for (String c = line.command(); !c.equals("end"); c = line.command()) {
                 line.note(c.split(" ")[1]);
@@ -422,8 +427,8 @@
   @Test
   void requestsAtOnceGetConnectionsOfTheirOwn() throws InterruptedException {
     CountDownLatch over = new CountDownLatch(1);
-    try (Peer peer =
-        new Peer(
+    try (TestPeer peer =
+        new TestPeer(
             line -> {
               line.note(line.command());
               over.await();
@@ -444,8 +449,8 @@
    */
   @Test
   void anAttemptGivenUpResetsItsConnection() throws InterruptedException {
-    try (Peer peer =
-        new Peer(
+    try (TestPeer peer =
+        new TestPeer(
             line -> {
               line.command();
               line.note("begun");
@@ -465,8 +470,8 @@
    */
   @Test
   void answersFasterThanConnectionsSettleFindAPlace() throws InterruptedException {
-    try (Peer peer =
-        new Peer(
+    try (TestPeer peer =
+        new TestPeer(
             line -> {
               line.command();
               line.write(VALUE);
@@ -488,8 +493,8 @@
   /** What was given up on its way must not run: a copy of it may already be out elsewhere. */
   @Test
   void anAttemptGivenUpBeforeItWasBegunIsNotWritten() throws InterruptedException {
-    try (Peer peer =
-        new Peer(
+    try (TestPeer peer =
+        new TestPeer(
             line -> {
               for (String c = line.command(); !c.equals("end"); c = line.command()) {
                 line.note(c.split(" ")[1]);
@@ -511,8 +516,8 @@
 
   @Test
   void aConnectionThatThePeerHasClosedIsNotWrittenTo() throws InterruptedException {
-    try (Peer peer =
-        new Peer(
+    try (TestPeer peer =
+        new TestPeer(
             line -> {
               line.command();
               line.write(VALUE);
@@ -539,8 +544,8 @@
   /** The cache server closes idle connections; a request that crosses that would end as a reset. */
   @Test
   void idleConnectionsAreRetiredByTheRouterFirst() throws InterruptedException {
-    try (Peer peer =
-        new Peer(
+    try (TestPeer peer =
+        new TestPeer(
             line -> {
               line.command();
               line.write(VALUE);
@@ -553,15 +558,15 @@
 
   @Test
   void aNewAddressIsUsedFromThenOn() throws InterruptedException {
-    try (Peer old =
-            new Peer(
+    try (TestPeer old =
+            new TestPeer(
                 line -> {
                   line.command();
                   line.write(VALUE);
                   line.note(line.command());
                 });
-        Peer next =
-            new Peer(
+        TestPeer next =
+            new TestPeer(
                 line -> {
                   line.note(line.command().split(" ")[0]);
                   line.write(VALUE);
@@ -580,8 +585,8 @@
   @Test
   void aSilentPeerHoldsUpNothing() throws InterruptedException {
     CountDownLatch over = new CountDownLatch(1);
-    try (Peer peer =
-        new Peer(
+    try (TestPeer peer =
+        new TestPeer(
             line -> {
               line.note("there");
               over.await();
--- a/src/test/java/beaconturn/net/WorkerPoolTest.java
+++ b/src/test/java/beaconturn/net/server/WorkerPoolTest.java
@@ -1,10 +1,11 @@
-package beaconturn.net;
+package beaconturn.net.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import beaconturn.net.TestPeer;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -39,7 +40,7 @@
     Thread other = run(workers);
     assertNotSame(busy, other);
     for (int i = 0; i < 50; i++) {
-      Peer.until(() -> other.getState() == Thread.State.TIMED_WAITING);
+      TestPeer.until(() -> other.getState() == Thread.State.TIMED_WAITING);
       assertSame(other, run(workers));
     }
     assertEquals(2, workers.threads());
@@ -53,7 +54,7 @@
     for (int i = 0; i < 2000; i++) {
       run(workers);
     }
-    Peer.until(() -> workers.threads() == 0);
+    TestPeer.until(() -> workers.threads() == 0);
   }
 
   @Test
