--- a/src/main/java/beaconturn/agreement/AgreementMember.java
+++ b/src/main/java/beaconturn/agreement/AgreementMember.java
@@ -163,7 +163,7 @@
     if (now >= renewAt) {
       return out(Aim.RENEW, new StoreRequest.KeepAlive(lease));
     }
-    if (!looked || now >= lookAt && (seen.open() || seen.identity().isEmpty())) {
+    if (!looked || (now >= lookAt && (seen.open() || seen.identity().isEmpty()))) {
       return out(Aim.LOOK, new StoreRequest.Read(keys.common()));
     }
     if (seen.identity().isEmpty()) {
@@ -240,7 +240,7 @@
 
   /** Who holds the office looks at the roster at each round, while a step is open. */
   private StoreRequest lookAfter(long now) {
-    if (!mine() || step == null && roster == null && now < officeAt) {
+    if (!mine() || (step == null && roster == null && now < officeAt)) {
       return null;
     }
     if (seen.office().isEmpty()) {
@@ -441,7 +441,7 @@
     }
     ConfigVersion acting = kept.acting();
     if (news.current().number() < acting.number()
-        || news.current().number() == acting.number() && !news.current().same(acting)) {
+        || (news.current().number() == acting.number() && !news.current().same(acting))) {
       return "it has version "
           + news.current().number()
           + " in force, and "
@@ -452,6 +452,7 @@
   }
 
   /** Goes along with what is in force, and says what it thinks of what is proposed. */
+  @SuppressWarnings("ReferenceEquality") // The very version, not one alike.
   private void follow(AgreementSnapshot news) {
     PersistedConfig before = kept;
     ConfigVersion acting = news.current();
--- a/src/main/java/beaconturn/agreement/StrictestCommonConfig.java
+++ b/src/main/java/beaconturn/agreement/StrictestCommonConfig.java
@@ -24,7 +24,7 @@
     return new ConfigContent(
         classes,
         least(one.mostTries(), other.mostTries()),
-        one.secondCopies() == null || other.secondCopies() == null
+        (one.secondCopies() == null || other.secondCopies() == null)
             ? first(one.secondCopies(), other.secondCopies())
             : one.secondCopies() && other.secondCopies(),
         Math.max(one.oldestList(), other.oldestList()),
--- a/src/main/java/beaconturn/cli/AgentRunner.java
+++ b/src/main/java/beaconturn/cli/AgentRunner.java
@@ -180,7 +180,7 @@
     long now = System.nanoTime();
     ReleaseFleet.Group routers = scene.fleet().group(InstanceKind.ROUTER);
     boolean over = scene.course().over();
-    if (figures == null || now < healthAt || over && routers.capacity().spare() < 0) {
+    if (figures == null || now < healthAt || (over && routers.capacity().spare() < 0)) {
       return;
     }
     healthAt =
--- a/src/main/java/beaconturn/core/RoutingEngine.java
+++ b/src/main/java/beaconturn/core/RoutingEngine.java
@@ -229,6 +229,7 @@
    * was replaced. Null if it has been let go: under other settings the same number may be another
    * class.
    */
+  @SuppressWarnings("ReferenceEquality") // Settings of that very reload.
   private Hosted of(ClientRequest call) {
     if (call.settings() == null) {
       return modules.getLast();
--- a/src/main/java/beaconturn/decision/RingRouter.java
+++ b/src/main/java/beaconturn/decision/RingRouter.java
@@ -423,6 +423,7 @@
 
   // ---- ordinary path: ring, bounded loads, clockwise walk
 
+  @SuppressWarnings("ReferenceEquality") // One constant stands for no weights.
   private ServerState pick(RequestState r) {
     return shares == ZoneWeights.ANYWHERE
         ? pick(r, -1)
@@ -454,16 +455,16 @@
       }
       s.walk = walk;
       seen++;
-      if (place >= 0 && s.zone != place || !legal(r, s) || r.tried(s) || !coldBudgetLeft(s)) {
+      if ((place >= 0 && s.zone != place) || !legal(r, s) || r.tried(s) || !coldBudgetLeft(s)) {
         continue;
       }
       if (passedOver(s, r)
-          || !mayDial && now >= s.openUntil && s.dialFails(now, may.connectionIdleNanos())) {
+          || (!mayDial && now >= s.openUntil && s.dialFails(now, may.connectionIdleNanos()))) {
         lastResort = ServerState.lessLoaded(lastResort, s);
       } else if (s.inFlight < cap && !crowded(s)) {
         int nearer = chosen == null ? 1 : s.nearer(chosen, aside ? settings.zone() : -1);
         alike = nearer > 0 ? 1 : alike + nearer + 1;
-        chosen = nearer > 0 || nearer == 0 && random.nextInt(alike) == 0 ? s : chosen;
+        chosen = nearer > 0 || (nearer == 0 && random.nextInt(alike) == 0) ? s : chosen;
         most--;
       } else {
         leastLoaded = ServerState.lessLoaded(leastLoaded, s);
@@ -487,7 +488,7 @@
     double even = (double) LEAST_CAP / settings.routerCount();
     double mean = aside ? 0 : all.settle(now, smoothing()) / ServerState.over(ring, shares);
     return full
-        || s.inFlight > 0 && s.settle(now, smoothing()) > (1 + epsilon) * Math.max(even, mean);
+        || (s.inFlight > 0 && s.settle(now, smoothing()) > (1 + epsilon) * Math.max(even, mean));
   }
 
   /**
@@ -536,7 +537,7 @@
       double size = ring.get(i).rating / unit / pace;
       long count = Math.round(POINTS * Math.max(0.25, Math.min(4, size)));
       for (int k = 0; k < count; k++) {
-        all[at++] = KeyHash.mix(ring.get(i).id * 4099 + k) & -0x10000L | i;
+        all[at++] = (KeyHash.mix(ring.get(i).id * 4099 + k) & -0x10000L) | i;
       }
     }
     points = Arrays.copyOf(all, at);
@@ -711,7 +712,7 @@
     boolean missed = e.cacheStatus() == CacheStatus.MISS && !aside;
     // The fetch was presumed; a hit says there was none. At many routers most hits are on keys new
     // here.
-    boolean fetched = missed || a.fetches && e.cacheStatus() != CacheStatus.HIT;
+    boolean fetched = missed || (a.fetches && e.cacheStatus() != CacheStatus.HIT);
     boolean late = e.elapsedNanos() > lateAfter(r, fetched);
     if (loadField >= 0 && loadField < e.loadReport().length) {
       a.server.reported = e.loadReport()[loadField];
@@ -729,7 +730,7 @@
       usual.add(e.elapsedNanos());
       answerTime.add(e.elapsedNanos());
     }
-    if (!failures.explain(r.key, ending) && (!a.judged || answered && fetched && !late)) {
+    if (!failures.explain(r.key, ending) && (!a.judged || (answered && fetched && !late))) {
       judge(a.server, !answered || late);
     }
     // Where no second copy may race it, what is lost on its way ends as a time-out: no sign of a
@@ -748,7 +749,7 @@
   /** Whether connections can be had: from this cache, and from any at all on this machine. */
   private void learnOfDials(AttemptState a, AttemptOutcome ending) {
     boolean refused = ending == AttemptOutcome.CONNECT_FAILED || ending == AttemptOutcome.NOT_SENT;
-    if (refused || a.dials && !ending.endedLocally()) {
+    if (refused || (a.dials && !ending.endedLocally())) {
       dialsFailing += NEWEST * ((refused ? 1 : 0) - dialsFailing);
     }
     if (refused) {
@@ -784,7 +785,7 @@
     if (!furtherAttemptEarned()
         || r.openCount() > 1
         || r.type.idempotency() == Idempotency.NON_IDEMPOTENT
-        || a.fetches && !a.unheard()) {
+        || (a.fetches && !a.unheard())) {
       return;
     }
     ServerState s = may.hedging() ? pick(r) : null;
@@ -827,8 +828,8 @@
     boolean harmless =
         r.type.idempotency() == Idempotency.IDEMPOTENT
             || r.firstMaybeRun() == null
-            || r.type.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                && r.type.deduplicationScope() == DeduplicationScope.ALL;
+            || (r.type.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                && r.type.deduplicationScope() == DeduplicationScope.ALL);
     if (harmless) {
       out.refuse(r.id, may.retryAfter() ? retryAfter(r) : 0, why);
     } else {
@@ -871,7 +872,7 @@
    */
   private boolean willFetch(RequestState r, ServerState s) {
     return !aside
-        && (r.write || settings.origin().reportsCacheHits() && !held.holds(r.key, s.id, now));
+        && (r.write || (settings.origin().reportsCacheHits() && !held.holds(r.key, s.id, now)));
   }
 
   /** The first request for a key that is not held asks the origin, later ones wait until it is. */
@@ -941,11 +942,12 @@
     for (int i = 0; cache == null && i < origins.size(); i++) {
       s = ServerState.lessLoaded(s, origins.get(i));
     }
+    long halfOfTimeLeft = (r.deadline - now) / 2;
     if (s == null || noRoomToSpare(r, origin)) {
       giveUp(r, s == null ? GiveUpReason.NO_SERVER : GiveUpReason.OVERLOADED);
     } else if (origin.inFlight < origin.limit) {
       send(r, s, true);
-    } else if (fetchTime.mean * (fetchQueue.size() + 1) / origin.limit < (r.deadline - now) / 2) {
+    } else if (fetchTime.mean * (fetchQueue.size() + 1) / origin.limit < halfOfTimeLeft) {
       fetchQueue.add(r);
       hold(r);
     } else {
--- a/src/main/java/beaconturn/decision/ServerState.java
+++ b/src/main/java/beaconturn/decision/ServerState.java
@@ -128,7 +128,7 @@
     heard += ending.serverResponded() ? 1 : 0;
     silent = ending.endedLocally() ? silent : !ending.serverResponded();
     health = doubted && silent ? EndpointHealth.GONE : health;
-    return doubted && silent || forgotten();
+    return (doubted && silent) || forgotten();
   }
 
   /**
--- a/src/main/java/beaconturn/decision/ZoneWeights.java
+++ b/src/main/java/beaconturn/decision/ZoneWeights.java
@@ -24,7 +24,7 @@
 
   /** Whether more than trials go there. */
   boolean uses(int place) {
-    return zones.isEmpty() || zones.contains(place) && weights.get(zones.indexOf(place)) > TRIAL;
+    return zones.isEmpty() || (zones.contains(place) && weights.get(zones.indexOf(place)) > TRIAL);
   }
 
   /**
--- a/src/main/java/beaconturn/history/DrainGrace.java
+++ b/src/main/java/beaconturn/history/DrainGrace.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.TreeMap;
 
 /**
@@ -67,7 +68,7 @@
 
   /** Since when it has not been ready, through draining and gone. */
   private static long leftSince(
-      TreeMap<Long, HistoryEvent.State> news, Map.Entry<Long, HistoryEvent.State> last) {
+      NavigableMap<Long, HistoryEvent.State> news, Map.Entry<Long, HistoryEvent.State> last) {
     long since = last.getKey();
     for (Map.Entry<Long, HistoryEvent.State> e = last;
         e != null && e.getValue() != HistoryEvent.State.READY;
--- a/src/main/java/beaconturn/history/ExactlyOneAnswer.java
+++ b/src/main/java/beaconturn/history/ExactlyOneAnswer.java
@@ -27,7 +27,7 @@
       HistoryEvent.Asked asked = one.asked();
       List<HistoryEvent.Answered> finals = one.finals();
       boolean left = one.leftAt() < Long.MAX_VALUE;
-      if (asked == null || finals.isEmpty() && (one.untaken() || left)) {
+      if (asked == null || (finals.isEmpty() && (one.untaken() || left))) {
         continue;
       }
       if (finals.isEmpty()) {
--- a/src/main/java/beaconturn/history/NoConflictingVersions.java
+++ b/src/main/java/beaconturn/history/NoConflictingVersions.java
@@ -88,9 +88,9 @@
         }
         boolean allowedByAfter =
             onlyAfter.contains(sent.server())
-                || before.unsafe().contains(type)
+                || (before.unsafe().contains(type)
                     && !after.unsafe().contains(type)
-                    && repeats(evidence, one, sent);
+                    && repeats(evidence, one, sent));
         if (allowedByAfter && !fresh(evidence, sent, member.at())) {
           first = first == null || sent.firstAt() < first.firstAt() ? sent : first;
           ahead(sent, after);
@@ -129,7 +129,7 @@
     if (tries > after.mostTries() && tries <= before.mostTries()) {
       return " with send " + tries + " of a request";
     }
-    if (unsafeNow || after.lists() && sent.firstAt() >= after.inForce()) {
+    if (unsafeNow || (after.lists() && sent.firstAt() >= after.inForce())) {
       // Each send could have been a repeat, or to what had left the list.
       check(true, sent.firstAt(), sent.id(), sent.server(), "");
     }
@@ -137,6 +137,7 @@
   }
 
   /** Whether an earlier send of the request may have run by then. */
+  @SuppressWarnings("ReferenceEquality") // Events are told apart by object.
   private static boolean repeats(
       HistoryIndex evidence, HistoryIndex.Case one, HistoryEvent.Sent sent) {
     return one.sends().stream()
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -362,6 +362,7 @@
    * On the module's thread, before each step: what was agreed on may have changed, or its lease
    * ended.
    */
+  @SuppressWarnings("ReferenceEquality") // Another object means news.
   private void agree(RoutingEngine host) {
     ZoneWeights placed = placing == null ? shares : placing.due();
     if (placed != shares) {
--- a/src/main/java/beaconturn/net/StartupWarmUp.java
+++ b/src/main/java/beaconturn/net/StartupWarmUp.java
@@ -130,16 +130,14 @@
 
   /** The warm-up's module keeps to the list that it was given. */
   private static final class NoList implements EndpointDiscovery {
-    private int calls;
-
     @Override
     public void watch(boolean on) {
-      calls++;
+      // The list stays as it is.
     }
 
     @Override
     public void fetch() {
-      calls++;
+      // Nor is it asked for whole.
     }
   }
 }
--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -256,12 +256,13 @@
   }
 
   @Override
+  @SuppressWarnings("ReferenceEquality") // A shortcut before the comparison.
   public boolean mayWrite() {
     Forces now = forces;
     Force in = applied;
     return clock.now() < now.until()
         || in == now.after()
-        || in != null && in.content().equals(now.after().content());
+        || (in != null && in.content().equals(now.after().content()));
   }
 
   /**
--- a/src/main/java/beaconturn/net/client/ClientConnection.java
+++ b/src/main/java/beaconturn/net/client/ClientConnection.java
@@ -475,7 +475,10 @@
     }
     // At a planned stop the end follows the last answer at once: what came between would be
     // refused.
-    if (paused || writer.stuck() || writer.brokenBy() != null || quiet && stoppingSince != NEVER) {
+    if (paused
+        || writer.stuck()
+        || writer.brokenBy() != null
+        || (quiet && stoppingSince != NEVER)) {
       site.poller().call(this);
     }
   }
--- a/src/main/java/beaconturn/net/client/ClientInputBuffer.java
+++ b/src/main/java/beaconturn/net/client/ClientInputBuffer.java
@@ -65,7 +65,7 @@
    * large command.
    */
   boolean wantsMore(boolean large) {
-    return in.size() < READ_AHEAD || large && in.size() <= in.expected();
+    return in.size() < READ_AHEAD || (large && in.size() <= in.expected());
   }
 
   /** Takes the next command that is whole, or returns null. */
--- a/src/main/java/beaconturn/net/client/RequestParser.java
+++ b/src/main/java/beaconturn/net/client/RequestParser.java
@@ -88,8 +88,8 @@
     RequestClass type = settings.routing().classes().get(requestClass);
     double wait = number(attributes, "d", 0) * MILLI;
     if (wait < 1
-        || wait > LONGEST_WAIT * type.deadlineNanos()
-            && wait > LONGEST_WAIT * deadlineBefore(attributes.get("c"))) {
+        || (wait > LONGEST_WAIT * type.deadlineNanos()
+            && wait > LONGEST_WAIT * deadlineBefore(attributes.get("c")))) {
       throw new InvalidCommandException("d is missing or out of range");
     }
     if (write
--- a/src/main/java/beaconturn/net/control/ServerOverrideFile.java
+++ b/src/main/java/beaconturn/net/control/ServerOverrideFile.java
@@ -130,7 +130,7 @@
       }
       List<String> lines = Files.readAllLines(file, StandardCharsets.UTF_8);
       boolean earlier = !lines.isEmpty() && lines.get(0).equals(EARLIER_HEAD);
-      if (lines.isEmpty() || !earlier && !lines.get(0).equals(HEAD)) {
+      if (lines.isEmpty() || (!earlier && !lines.get(0).equals(HEAD))) {
         throw new IOException("does not begin with '" + HEAD + "'");
       }
       lines.subList(1, lines.size()).forEach(text -> line(text, earlier));
--- a/src/main/java/beaconturn/net/discovery/EndpointListParser.java
+++ b/src/main/java/beaconturn/net/discovery/EndpointListParser.java
@@ -68,7 +68,7 @@
             (int) number(line, "block", 0),
             health,
             number(line, "share", 1),
-            (long) number(line, "born_ms", 0) * MILLI);
+            ((long) number(line, "born_ms", 0)) * MILLI);
     return new EndpointUpdate.Member(entry, host, dial);
   }
 
--- a/src/main/java/beaconturn/net/io/Fnv1a.java
+++ b/src/main/java/beaconturn/net/io/Fnv1a.java
@@ -22,7 +22,7 @@
   public static long of(Slice name) {
     long hash = BASIS;
     for (int i = 0; i < name.length(); i++) {
-      hash = (hash ^ name.at(i) & 0xff) * PRIME;
+      hash = (hash ^ (name.at(i) & 0xff)) * PRIME;
     }
     return hash;
   }
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -180,6 +180,7 @@
     spoilt.check(site.clock().now());
   }
 
+  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actors' thread alone.
   void handle(Task task) {
     if (task instanceof Task.Send send) {
       try {
@@ -221,6 +222,7 @@
    * Of the settled connections the one used last goes first, so that those too many grow old and
    * close.
    */
+  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actors' thread alone.
   private void begin(OutboundAttempt attempt) {
     if (attempt.over()) {
       return;
@@ -271,6 +273,7 @@
     }
   }
 
+  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actors' thread alone.
   private void closed() {
     connections--;
     site.places().release();
--- a/src/main/java/beaconturn/protocol/HttpReader.java
+++ b/src/main/java/beaconturn/protocol/HttpReader.java
@@ -101,7 +101,7 @@
     } else if (name.equals("transfer-encoding")) {
       chunked = value.endsWith("chunked");
     } else if (name.equals("connection")) {
-      keepAlive = value.contains("keep-alive") || keepAlive && !value.contains("close");
+      keepAlive = value.contains("keep-alive") || (keepAlive && !value.contains("close"));
     }
   }
 
@@ -110,7 +110,7 @@
     if (whole > longestBody) {
       throw new ProtocolException("HTTP body too long");
     }
-    if (length == UNTIL_CLOSE && !ended || in.size() - at < whole) {
+    if ((length == UNTIL_CLOSE && !ended) || in.size() - at < whole) {
       return null;
     }
     Slice body = in.slice(at, whole);
--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -342,8 +342,8 @@
     List<AgentProcess> all = new ArrayList<>();
     for (int i = 0; i < agents.size(); i++) {
       if (fault.target().contains(scenario.parts().get(i))
-          || fault.target().contains(ScenarioReader.DRIVER)
-              && driver.endsWith("-" + agents.get(i).pid())) {
+          || (fault.target().contains(ScenarioReader.DRIVER)
+              && driver.endsWith("-" + agents.get(i).pid()))) {
         all.add(agents.get(i));
       }
     }
@@ -609,7 +609,7 @@
                 router,
                 site ->
                     fault.target().contains(site) != inside
-                        || inside && !site.equals(spec.site())));
+                        || (inside && !site.equals(spec.site()))));
       } else if (fault.target().contains(spec.name())) {
         switch (fault.way()) {
           case "store" -> all.add(toStore.get(router));
--- a/src/main/java/beaconturn/rehearsal/OpenLoopClients.java
+++ b/src/main/java/beaconturn/rehearsal/OpenLoopClients.java
@@ -205,7 +205,7 @@
         result.kind() == HistoryEvent.Kind.SERVED || result.kind() == HistoryEvent.Kind.LEFT;
     boolean doubtful = result.kind() != null && result.kind() != HistoryEvent.Kind.REFUSED;
     boolean unsafe = planned.type().effect() == Scenario.Effect.UNSAFE;
-    if (served || doubtful && unsafe || result.asked().attempt() >= stream.retries()) {
+    if (served || (doubtful && unsafe) || result.asked().attempt() >= stream.retries()) {
       return -1;
     }
     return Math.max(stream.backoff(), result.retryAfter());
--- a/src/main/java/beaconturn/rehearsal/PipelinedClient.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClient.java
@@ -329,7 +329,7 @@
   }
 
   private void answered(Command one, RespValue value) throws ProtocolException {
-    if (one == null || one.asked == null && !(value instanceof RespValue.Failure)) {
+    if (one == null || (one.asked == null && !(value instanceof RespValue.Failure))) {
       // From here on nobody can tell which answer belongs to which command.
       throw new ProtocolException("an answer that nobody asked for");
     }
--- a/src/main/java/beaconturn/rehearsal/RouterProcess.java
+++ b/src/main/java/beaconturn/rehearsal/RouterProcess.java
@@ -153,7 +153,7 @@
 
   private String configuration() {
     return new RouterConfigWriter(scenario)
-        .of(number, configured, listed, scenario.seed() * 1000 + number * 100 + starts, reloads);
+        .of(number, configured, listed, scenario.seed() * 1000 + number * 100L + starts, reloads);
   }
 
   /** Writes settings that differ from those in force, and has the router read them. */
--- a/src/main/java/beaconturn/rehearsal/Scenario.java
+++ b/src/main/java/beaconturn/rehearsal/Scenario.java
@@ -302,14 +302,14 @@
 
   /** Whether routers are to reach cache servers by links, as a fault cuts some. */
   boolean linksToCaches() {
-    return release != null && release.spoilsLinks()
+    return (release != null && release.spoilsLinks())
         || faults.stream()
             .anyMatch(
                 f ->
                     f.kind() == Fault.Kind.SITE_CUT
-                        || f.kind().target() == Fault.Target.LINK
+                        || (f.kind().target() == Fault.Target.LINK
                             && !f.way().equals("store")
-                            && !f.way().equals("discovery"));
+                            && !f.way().equals("discovery")));
   }
 
   /** The name of the cache server at a place. */
--- a/src/main/java/beaconturn/rehearsal/fleet/ChildProcesses.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/ChildProcesses.java
@@ -12,7 +12,7 @@
     Process process = builder.start();
     Thread hook = new Thread(process::destroyForcibly);
     Runtime.getRuntime().addShutdownHook(hook);
-    process.onExit().thenRun(() -> forget(hook));
+    var unused = process.onExit().thenRun(() -> forget(hook));
     return process;
   }
 
--- a/src/main/java/beaconturn/release/CanaryComparison.java
+++ b/src/main/java/beaconturn/release/CanaryComparison.java
@@ -54,7 +54,7 @@
             others.answers(),
             count);
     // Silent others are no comparison; a part that has none is held to what the plan allows.
-    if (changed.answers() < plan.samples() || count > 0 && others.answers() < plan.samples()) {
+    if (changed.answers() < plan.samples() || (count > 0 && others.answers() < plan.samples())) {
       return new RolloutHealth.Word(RolloutHealth.Verdict.WAIT, figures);
     }
     List<Worse> worse = new ArrayList<>();
@@ -145,7 +145,7 @@
     double there = others.share(figure, ofOthers);
     if (here <= there + bound
         || ofChanged < plan.samples()
-        || count > 0 && ofOthers < plan.samples()) {
+        || (count > 0 && ofOthers < plan.samples())) {
       return;
     }
     double both = (changed.of(figure) + others.of(figure)) / (double) (ofChanged + ofOthers);
--- a/src/main/java/beaconturn/standin/net/FaultControlSession.java
+++ b/src/main/java/beaconturn/standin/net/FaultControlSession.java
@@ -45,6 +45,5 @@
   @Override
   protected void gone() {
     // Nothing is kept for a connection that gives orders.
-    return;
   }
 }
--- a/src/main/java/beaconturn/standin/net/LoopbackPorts.java
+++ b/src/main/java/beaconturn/standin/net/LoopbackPorts.java
@@ -83,7 +83,6 @@
         return binding.at(at);
       } catch (BindException e) {
         // Another's: the next one.
-        continue;
       }
     }
     throw new IOException("no free port from " + FIRST + " to " + (FIRST + COUNT - 1));
--- a/src/main/java/beaconturn/zones/FailoverPlanner.java
+++ b/src/main/java/beaconturn/zones/FailoverPlanner.java
@@ -322,7 +322,7 @@
       }
       double wants = rates.get(home);
       double carries = carries(home, now);
-      if (wants <= 0 || carries <= 0 && pool.of(home) != ZoneHealth.GOOD) {
+      if (wants <= 0 || (carries <= 0 && pool.of(home) != ZoneHealth.GOOD)) {
         return row.of(home);
       }
       int most = ZoneAllocation.WHOLE - trial(home);
@@ -348,7 +348,7 @@
         return now - overSince.getOrDefault(home, now) >= pace.confirm() ? whole : row.of(home);
       }
       boolean little = Math.abs(whole - row.of(home)) < ZoneAllocation.NEAR_TRIAL && whole < most;
-      return little || state == ZonePlan.State.SPILLING && whole > row.of(home) && !under
+      return little || (state == ZonePlan.State.SPILLING && whole > row.of(home) && !under)
           ? row.of(home)
           : whole;
     }
@@ -404,7 +404,7 @@
           plan.row(home).of(other) <= ZoneAllocation.TRIAL
               && here < NEARLY_ALL
               && pool.micros(other) > SLOWED * usual.getOrDefault(other, Double.MAX_VALUE);
-      return there > SUFFERS && 2 * there > here || here > SUFFERS && slow;
+      return (there > SUFFERS && 2 * there > here) || (here > SUFFERS && slow);
     }
 
     /**
--- a/src/test/java/beaconturn/LayoutTest.java
+++ b/src/test/java/beaconturn/LayoutTest.java
@@ -245,10 +245,10 @@
                 "may copy in the kernel or start a program",
                 call ->
                     call.getName().matches("exec")
-                        || call.getTargetOwner().isAssignableTo(FileChannel.class)
-                            && call.getName().matches("transferTo|transferFrom")
-                        || call.getTargetOwner().isEquivalentTo(Files.class)
-                            && call.getName().equals("copy")))
+                        || (call.getTargetOwner().isAssignableTo(FileChannel.class)
+                            && call.getName().matches("transferTo|transferFrom"))
+                        || (call.getTargetOwner().isEquivalentTo(Files.class)
+                            && call.getName().equals("copy"))))
         .check(CLASSES);
   }
 
--- a/src/test/java/beaconturn/agreement/SimulatedAgreement.java
+++ b/src/test/java/beaconturn/agreement/SimulatedAgreement.java
@@ -187,8 +187,8 @@
   private void check(SimulatedMember seat, ConfigContent acting) {
     boolean allowed =
         inForce.isEmpty()
-            || agenda.now() - inForce.get(0).at() <= TIMING.stated()
-                && ConfigConflicts.breaks(acting, ConfigContent.UNSAID.over(BASE)).isEmpty();
+            || (agenda.now() - inForce.get(0).at() <= TIMING.stated()
+                && ConfigConflicts.breaks(acting, ConfigContent.UNSAID.over(BASE)).isEmpty());
     List<String> breaks = List.of();
     for (int i = inForce.size() - 1; i >= 0 && !allowed; i--) {
       breaks = ConfigConflicts.breaks(acting, inForce.get(i).version().content().over(BASE));
--- a/src/test/java/beaconturn/cli/LineHandlerTest.java
+++ b/src/test/java/beaconturn/cli/LineHandlerTest.java
@@ -6,6 +6,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
@@ -26,7 +27,7 @@
     handler.publish(record("one"));
     handler.publish(record("two"));
     handler.close();
-    String[] lines = out.toString().split("\n");
+    String[] lines = out.toString(StandardCharsets.UTF_8).split("\n");
     assertEquals(2, lines.length);
     assertTrue(lines[0].endsWith(" INFO Some: one"), lines[0]);
     assertTrue(lines[1].endsWith(" INFO Some: two"), lines[1]);
@@ -56,9 +57,9 @@
       handler.publish(record("line " + i));
     }
     read.countDown();
-    while (!out.toString().contains("lines left out")) {
+    while (!out.toString(StandardCharsets.UTF_8).contains("lines left out")) {
       Thread.onSpinWait();
     }
-    assertTrue(out.toString().contains("Some: line 0\n"));
+    assertTrue(out.toString(StandardCharsets.UTF_8).contains("Some: line 0\n"));
   }
 }
--- a/src/test/java/beaconturn/core/RepeatedEventLogTest.java
+++ b/src/test/java/beaconturn/core/RepeatedEventLogTest.java
@@ -53,7 +53,7 @@
   @Test
   void whatHappensSeldomIsNotLogged() {
     for (int i = 0; i < 10; i++) {
-      spell.note(i * 11 * SECOND);
+      spell.note(i * 11L * SECOND);
     }
     spell.end();
     assertEquals(List.of(), lines);
--- a/src/test/java/beaconturn/decision/DecisionRulesTest.java
+++ b/src/test/java/beaconturn/decision/DecisionRulesTest.java
@@ -59,9 +59,9 @@
             DescribedPredicate.describe(
                 "makes an unordered map or set",
                 call ->
-                    (call.getTargetOwner().isEquivalentTo(Map.class)
+                    ((call.getTargetOwner().isEquivalentTo(Map.class)
                                 || call.getTargetOwner().isEquivalentTo(Set.class))
-                            && call.getName().matches("of|ofEntries|copyOf")
+                            && call.getName().matches("of|ofEntries|copyOf"))
                         || call.getName()
                             .matches("toSet|toMap|groupingBy|toUnmodifiableSet|toUnmodifiableMap")))
         .check(CLASSES);
@@ -78,7 +78,7 @@
       @Override
       public void check(JavaField field, ConditionEvents events) {
         boolean state =
-            field.getRawType().isArray() && !field.getModifiers().contains(JavaModifier.SYNTHETIC)
+            (field.getRawType().isArray() && !field.getModifiers().contains(JavaModifier.SYNTHETIC))
                 || field.getRawType().isAssignableTo(Collection.class)
                 || field.getRawType().isAssignableTo(Map.class);
         events.add(new SimpleConditionEvent(field, !state, field.getFullName()));
--- a/src/test/java/beaconturn/decision/RingRouterTest.java
+++ b/src/test/java/beaconturn/decision/RingRouterTest.java
@@ -152,6 +152,7 @@
     assertEquals(50L, h.last().server());
   }
 
+  @SuppressWarnings("ReferenceEquality") // Two sends may be alike.
   @Test
   void quickErrorsDoNotKeepTheirKeys() {
     Harness h = new Harness(Harness.settings(false));
@@ -524,18 +525,18 @@
     h.caches(8);
     homes(h, 30);
     for (int i = 1; i <= 60; i++) {
-      h.arrive(100 + i, READ, (i % 30 + 1) * 7919);
+      h.arrive(100 + i, READ, (i % 30 + 1) * 7919L);
       h.now += 50 * MS;
       h.hit(900 * MS);
     }
     for (int i = 1; i <= 60; i++) {
-      h.arrive(200 + i, READ, (further + i % 30 + 1) * 7919);
+      h.arrive(200 + i, READ, (further + i % 30 + 1) * 7919L);
       h.now += 20 * MS;
       h.hit(20 * MS);
     }
     h.refused.clear();
     for (int i = 1; i <= 30; i++) {
-      h.arrive(300 + i, READ, i * 7919);
+      h.arrive(300 + i, READ, i * 7919L);
     }
     return h.refused;
   }
--- a/src/test/java/beaconturn/history/ZoneInvariantsTest.java
+++ b/src/test/java/beaconturn/history/ZoneInvariantsTest.java
@@ -39,7 +39,7 @@
   /** So many first sends, spread over two seconds from that one on. */
   private ZoneInvariantsTest sends(int count, String server, double from) {
     for (int i = 0; i < count; i++) {
-      long at = (long) (from * SECOND) + i * 2 * SECOND / count;
+      long at = (long) (from * SECOND) + i * 2L * SECOND / count;
       lines.add(
           new HistoryEvent.Sent(
               at, at, at, ++number, server, 0, number, "id" + number, "read", "key", SECOND / 100));
--- a/src/test/java/beaconturn/net/server/CacheResponseReaderTest.java
+++ b/src/test/java/beaconturn/net/server/CacheResponseReaderTest.java
@@ -10,6 +10,7 @@
 import beaconturn.protocol.InputBuffer;
 import beaconturn.protocol.RespReader;
 import beaconturn.protocol.RespWriter;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -21,7 +22,7 @@
     settings.put("load_report.names", "busy_reqs,svc_ms");
     CacheResponseReader replies =
         new CacheResponseReader(RouterSettingsReader.read(settings).routing());
-    byte[] bytes = ("*3\r\n$2\r\nva\r\n$3\r\nhit\r\n" + report).getBytes();
+    byte[] bytes = ("*3\r\n$2\r\nva\r\n$3\r\nhit\r\n" + report).getBytes(StandardCharsets.UTF_8);
     InputBuffer in = new InputBuffer();
     in.room();
     System.arraycopy(bytes, 0, in.array(), in.end(), bytes.length);
--- a/src/test/java/beaconturn/net/server/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerTest.java
@@ -132,8 +132,8 @@
         new TestPeer(
             line -> {
               line.command();
-              for (char c : VALUE.toCharArray()) {
-                line.write(Character.toString(c));
+              for (int i = 0; i < VALUE.length(); i++) {
+                line.write(VALUE.substring(i, i + 1));
               }
               line.command();
             })) {
--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -74,7 +74,7 @@
               !defect.isEmpty()
                   && (key.contains("/release/" + defect)
                       || key.endsWith("/release/told")
-                      || defect.equals("course") && key.endsWith("/plan"));
+                      || (defect.equals("course") && key.endsWith("/plan")));
       hands.add(new Hand(board, "r1", "a"));
       hands.add(new Hand(board, "r2", "b"));
     }
--- a/src/test/java/beaconturn/standin/Fixture.java
+++ b/src/test/java/beaconturn/standin/Fixture.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 
 /** A small world on a clock that the test turns, and lines that keep what they are told. */
 final class Fixture implements HistoryRecorder {
@@ -109,8 +110,8 @@
 
   static String kind(CacheResponse reply) {
     return reply instanceof CacheResponse.Value value
-        ? value.how().name().toLowerCase()
-        : reply.getClass().getSimpleName().toLowerCase();
+        ? value.how().name().toLowerCase(Locale.ROOT)
+        : reply.getClass().getSimpleName().toLowerCase(Locale.ROOT);
   }
 
   Connection to(int place) {
