--- a/src/main/java/beaconturn/cli/ContentFile.java
+++ b/src/main/java/beaconturn/cli/ContentFile.java
@@ -4,8 +4,8 @@
 import beaconturn.agreement.ClassRule;
 import beaconturn.agreement.ConfigContent;
 import beaconturn.net.ConfigException;
-import beaconturn.toml.Section;
 import beaconturn.toml.TomlException;
+import beaconturn.toml.TomlSection;
 import java.util.List;
 import java.util.Locale;
 import java.util.TreeMap;
@@ -22,38 +22,38 @@
     return OperatorsFile.read(file, ContentFile::content);
   }
 
-  private static ConfigContent content(Section all) throws TomlException {
+  private static ConfigContent content(TomlSection all) throws TomlException {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
-    for (Section s : all.tables("class")) {
-      String name = s.word("name", "");
+    for (TomlSection s : all.tables("class")) {
+      String name = s.text("name", "");
       if (name.isEmpty() || classes.containsKey(name)) {
-        throw s.wrong("name", "missing or given twice: '" + name + "'");
+        throw s.invalid("name", "missing or given twice: '" + name + "'");
       }
       classes.put(name, rule(s));
     }
-    Section settings = all.table("settings");
+    TomlSection settings = all.table("settings");
     Integer tries =
         settings.has("most_tries")
-            ? (Integer) settings.whole("most_tries", 1, 1, MOST_TRIES)
+            ? (Integer) settings.integer("most_tries", 1, 1, MOST_TRIES)
             : null;
     Boolean copies =
-        settings.has("second_copies") ? (Boolean) settings.flag("second_copies", false) : null;
-    Section list = all.table("list");
+        settings.has("second_copies") ? (Boolean) settings.bool("second_copies", false) : null;
+    TomlSection list = all.table("list");
     return new ConfigContent(
         classes,
         tries,
         copies,
-        list.whole("oldest", 0, 0, Integer.MAX_VALUE),
-        new TreeSet<>(list.words("out", List.of())));
+        list.integer("oldest", 0, 0, Integer.MAX_VALUE),
+        new TreeSet<>(list.texts("out", List.of())));
   }
 
-  private static ClassRule rule(Section s) throws TomlException {
+  private static ClassRule rule(TomlSection s) throws TomlException {
     List<String> effects = List.of("safe", "keyed", "unsafe");
     return new ClassRule(
         s.has("effect")
             ? ClassIdempotency.valueOf(s.choice("effect", "", effects).toUpperCase(Locale.ROOT))
             : null,
-        s.has("window") ? (Long) s.time("window", 0, 0) : null,
-        s.has("deadline") ? (Long) s.time("deadline", 0, MILLI) : null);
+        s.has("window") ? (Long) s.durationNanos("window", 0, 0) : null,
+        s.has("deadline") ? (Long) s.durationNanos("deadline", 0, MILLI) : null);
   }
 }
--- a/src/main/java/beaconturn/cli/FeaturesFile.java
+++ b/src/main/java/beaconturn/cli/FeaturesFile.java
@@ -9,8 +9,8 @@
 import beaconturn.net.agreement.AgreementConfig;
 import beaconturn.net.agreement.AgreementSubsystem;
 import beaconturn.net.agreement.ZonesSubsystem;
-import beaconturn.toml.Section;
 import beaconturn.toml.TomlException;
+import beaconturn.toml.TomlSection;
 import beaconturn.zones.ZoneTopology;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -88,41 +88,42 @@
         all -> {
           AgreementConfig agreement =
               all.has("agreement") ? agreement(all.table("agreement")) : null;
-          Section zones = all.has("zones") ? all.table("zones") : null;
+          TomlSection zones = all.has("zones") ? all.table("zones") : null;
           if (zones != null && agreement == null) {
-            throw zones.wrong("", "needs the [agreement] section");
+            throw zones.invalid("", "needs the [agreement] section");
           }
           return new Features(agreement, zones == null ? null : places(zones));
         });
   }
 
-  private static ZoneTopology places(Section s) throws TomlException {
+  private static ZoneTopology places(TomlSection s) throws TomlException {
     SortedMap<String, String> regions = new TreeMap<>();
-    for (Section place : s.tables("place")) {
-      String name = place.word("name", "");
-      if (!name.matches("[!-.0-~]{1,64}") || regions.put(name, place.word("region", "")) != null) {
-        throw place.wrong("name", "'" + name + "' is empty, odd or given twice");
+    for (TomlSection place : s.tables("place")) {
+      String name = place.text("name", "");
+      if (!name.matches("[!-.0-~]{1,64}") || regions.put(name, place.text("region", "")) != null) {
+        throw place.invalid("name", "'" + name + "' is empty, odd or given twice");
       }
     }
     if (regions.size() < 2) {
-      throw s.wrong("place", "at least two places are needed");
+      throw s.invalid("place", "at least two places are needed");
     }
     if (!s.has("each_per_s")) {
-      throw s.wrong("each_per_s", "missing: requests a second that one cache server carries");
+      throw s.invalid("each_per_s", "missing: requests a second that one cache server carries");
     }
     return new ZoneTopology(
         regions,
         s.number("each_per_s", 1, 0.001, 1e9),
         s.number("fetches_per_s", 1e9, 1, 1e9),
-        s.whole("reserve", MOST_RESERVE, 0, MOST_RESERVE));
+        s.integer("reserve", MOST_RESERVE, 0, MOST_RESERVE));
   }
 
-  private static AgreementConfig agreement(Section s) throws TomlException {
+  private static AgreementConfig agreement(TomlSection s) throws TomlException {
     List<InetSocketAddress> endpoints = new ArrayList<>();
-    for (String text : s.words("endpoints", List.of())) {
+    for (String text : s.texts("endpoints", List.of())) {
       if (!text.matches("[0-9.]+:[0-9]{1,5}")
           || Integer.parseInt(text.substring(text.indexOf(':') + 1)) > MOST_PORT) {
-        throw s.wrong("endpoints", "'" + text + "' is no address and port, such as 127.0.0.1:2379");
+        throw s.invalid(
+            "endpoints", "'" + text + "' is no address and port, such as 127.0.0.1:2379");
       }
       endpoints.add(
           new InetSocketAddress(
@@ -130,18 +131,18 @@
               Integer.parseInt(text.substring(text.indexOf(':') + 1))));
     }
     if (endpoints.isEmpty()) {
-      throw s.wrong("endpoints", "none is given, at least one member of the store is needed");
+      throw s.invalid("endpoints", "none is given, at least one member of the store is needed");
     }
-    String fleet = s.word("fleet", "/beaconturn");
+    String fleet = s.text("fleet", "/beaconturn");
     if (!fleet.matches("(/[A-Za-z0-9._-]+)+")) {
-      throw s.wrong("fleet", "'" + fleet + "' is no prefix such as /beaconturn/rain");
+      throw s.invalid("fleet", "'" + fleet + "' is no prefix such as /beaconturn/rain");
     }
     AgreementTiming timing =
         new AgreementTiming(
-            s.time("lease", 6 * SECOND, SECOND), s.number("drift", 0.01, 0, 0.2), APPLY);
-    String folder = s.word("folder", "");
+            s.durationNanos("lease", 6 * SECOND, SECOND), s.number("drift", 0.01, 0, 0.2), APPLY);
+    String folder = s.text("folder", "");
     if (!folder.isEmpty() && !Files.isDirectory(Path.of(folder))) {
-      throw s.wrong("folder", "'" + folder + "' is no folder");
+      throw s.invalid("folder", "'" + folder + "' is no folder");
     }
     return new AgreementConfig(
         List.copyOf(endpoints), fleet, timing, folder.isEmpty() ? null : Path.of(folder));
--- a/src/main/java/beaconturn/cli/OperatorsFile.java
+++ b/src/main/java/beaconturn/cli/OperatorsFile.java
@@ -1,8 +1,8 @@
 package beaconturn.cli;
 
 import beaconturn.net.ConfigException;
-import beaconturn.toml.Section;
 import beaconturn.toml.TomlException;
+import beaconturn.toml.TomlSection;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,14 +15,14 @@
 
   /** What is made of a file. */
   interface Form<T> {
-    T of(Section all) throws TomlException;
+    T of(TomlSection all) throws TomlException;
   }
 
   static <T> T read(String file, Form<T> form) throws ConfigException {
     try {
-      Section all = Section.read(file, Files.readString(Path.of(file)));
+      TomlSection all = TomlSection.read(file, Files.readString(Path.of(file)));
       T made = form.of(all);
-      all.end();
+      all.rejectUnknownKeys();
       return made;
     } catch (IOException e) {
       throw new ConfigException(file + ": cannot be read: " + e.getClass().getSimpleName());
--- a/src/main/java/beaconturn/cli/ReleaseFiles.java
+++ b/src/main/java/beaconturn/cli/ReleaseFiles.java
@@ -6,8 +6,8 @@
 import beaconturn.release.RegressionBounds;
 import beaconturn.release.ReleaseFleet;
 import beaconturn.release.RolloutPlan;
-import beaconturn.toml.Section;
 import beaconturn.toml.TomlException;
+import beaconturn.toml.TomlSection;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
@@ -34,35 +34,35 @@
             }
           }
           if (groups.isEmpty()) {
-            throw all.wrong("routers", "neither [routers] nor [caches] is given");
+            throw all.invalid("routers", "neither [routers] nor [caches] is given");
           }
           return new ReleaseFleet(groups);
         });
   }
 
-  private static ReleaseFleet.Group group(Section s) throws TomlException {
+  private static ReleaseFleet.Group group(TomlSection s) throws TomlException {
     SortedMap<String, List<String>> sites = new TreeMap<>();
     int parts = 0;
-    for (Section site : s.tables("site")) {
-      String name = site.word("name", "");
-      List<String> ids = site.words("parts", List.of());
+    for (TomlSection site : s.tables("site")) {
+      String name = site.text("name", "");
+      List<String> ids = site.texts("parts", List.of());
       if (name.isEmpty() || sites.containsKey(name)) {
-        throw site.wrong("name", "'" + name + "' is empty or given twice");
+        throw site.invalid("name", "'" + name + "' is empty or given twice");
       }
       if (ids.isEmpty()) {
-        throw site.wrong("parts", "empty, at least one is needed");
+        throw site.invalid("parts", "empty, at least one is needed");
       }
       for (String id : ids) {
         if (!id.matches("[!-.0-~]{1,64}")
             || sites.values().stream().anyMatch(l -> l.contains(id))) {
-          throw site.wrong("parts", "'" + id + "' is odd or given twice");
+          throw site.invalid("parts", "'" + id + "' is odd or given twice");
         }
       }
       parts += ids.size();
       sites.put(name, ids);
     }
     if (sites.isEmpty()) {
-      throw s.wrong("site", "none is given, at least one site is needed");
+      throw s.invalid("site", "none is given, at least one site is needed");
     }
     return new ReleaseFleet.Group(
         most(s, "most_out", "share_out", parts),
@@ -71,40 +71,41 @@
         new ReleaseFleet.Capacity(
             s.number("each_per_s", 0, 0, 1e9),
             s.number("cores", 0, 0, 4096),
-            s.whole("spare", s.has("each_per_s") ? 1 : -1, -1, MOST_PARTS)));
+            s.integer("spare", s.has("each_per_s") ? 1 : -1, -1, MOST_PARTS)));
   }
 
   /** A number, or the whole part of a share. */
-  private static int most(Section s, String number, String share, int parts) throws TomlException {
+  private static int most(TomlSection s, String number, String share, int parts)
+      throws TomlException {
     if (s.has(number) && s.has(share)) {
-      throw s.wrong(share, "given beside " + number + ", allowed is one of them");
+      throw s.invalid(share, "given beside " + number + ", allowed is one of them");
     }
     return s.has(share)
         ? (int) (parts * s.number(share, 0, 0, 1))
-        : s.whole(number, 1, 0, MOST_PARTS);
+        : s.integer(number, 1, 0, MOST_PARTS);
   }
 
   /**
    * Settings that go with it, in the form of a version's file; what is held out is no matter of
    * theirs.
    */
-  private static ConfigContent settings(Section all) throws TomlException {
-    String file = all.word("settings", "");
+  private static ConfigContent settings(TomlSection all) throws TomlException {
+    String file = all.text("settings", "");
     if (file.isEmpty()) {
       return null;
     }
     try {
       ConfigContent said = ContentFile.read(file);
       if (!said.out().isEmpty()) {
-        throw all.wrong("settings", file + " holds cache servers out, which a release does not");
+        throw all.invalid("settings", file + " holds cache servers out, which a release does not");
       }
       return said;
     } catch (ConfigException e) {
-      throw all.wrong("settings", e.getMessage());
+      throw all.invalid("settings", e.getMessage());
     }
   }
 
-  private static RegressionBounds bounds(Section all) throws TomlException {
+  private static RegressionBounds bounds(TomlSection all) throws TomlException {
     RegressionBounds usual = RegressionBounds.USUAL;
     return new RegressionBounds(
         all.number("worse", usual.bad(), 0, 1),
@@ -123,18 +124,18 @@
           InstanceKind kind =
               InstanceKind.of(all.choice("kind", "router", List.of("router", "cache")));
           List<List<String>> waves = new ArrayList<>();
-          for (Section wave : all.tables("wave")) {
-            waves.add(wave.words("parts", List.of()));
+          for (TomlSection wave : all.tables("wave")) {
+            waves.add(wave.texts("parts", List.of()));
           }
           return new RolloutPlan(
               0,
               kind,
               waves.isEmpty() ? RolloutPlan.usual(fleet.group(kind)) : waves,
-              all.time("soak", 60 * SECOND, 0),
-              all.whole("samples", 200, 0, 1_000_000),
+              all.durationNanos("soak", 60 * SECOND, 0),
+              all.integer("samples", 200, 0, 1_000_000),
               bounds(all),
-              all.time("limit", 60 * SECOND, SECOND),
-              all.time("alone", 0, 0),
+              all.durationNanos("limit", 60 * SECOND, SECOND),
+              all.durationNanos("alone", 0, 0),
               reason,
               settings(all),
               "");
--- a/src/main/java/beaconturn/cli/ReleaseReport.java
+++ b/src/main/java/beaconturn/cli/ReleaseReport.java
@@ -5,8 +5,8 @@
 import beaconturn.release.RolloutSnapshot;
 import beaconturn.release.RolloutStep;
 import beaconturn.release.RolloutTimeSeries;
-import beaconturn.report.Chart;
-import beaconturn.report.Page;
+import beaconturn.report.HtmlPage;
+import beaconturn.report.TimelineChart;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -27,7 +27,7 @@
     if (scene.plan() == null) {
       throw new AgreementException("there is no release");
     }
-    Page page = new Page("release " + scene.plan().number()).text(scene.plan().reason());
+    HtmlPage page = new HtmlPage("release " + scene.plan().number()).text(scene.plan().reason());
     page.text(
         "It " + RolloutAdmin.words(scene.course()) + "; said by " + scene.course().by() + ".");
     RolloutTimeSeries curve = desk.curve(scene.plan().number());
@@ -53,17 +53,17 @@
     return page.end().html();
   }
 
-  private static Chart picture(RolloutTimeSeries curve) {
+  private static TimelineChart picture(RolloutTimeSeries curve) {
     List<RolloutTimeSeries.Point> points = curve.points();
     long start = points.get(0).atMillis() - curve.every();
     double seconds = (points.get(points.size() - 1).atMillis() - start) / MILLIS;
-    Chart chart =
-        new Chart(
+    TimelineChart chart =
+        new TimelineChart(
             seconds,
             "served of all answers, in %; late ones in the second line below",
             "out: blue by a permit, orange by itself; late: over a tenth of what was served");
-    List<Chart.Span> out = new ArrayList<>();
-    List<Chart.Span> late = new ArrayList<>();
+    List<TimelineChart.Span> out = new ArrayList<>();
+    List<TimelineChart.Span> late = new ArrayList<>();
     long before = start;
     for (RolloutTimeSeries.Point p : points) {
       double from = (before - start) / MILLIS;
@@ -73,15 +73,15 @@
         chart.share(from, to, p.good() / (double) answers);
       }
       if (p.planned() + p.gone() > 0) {
-        out.add(new Chart.Span(from, to, p.gone() == 0));
+        out.add(new TimelineChart.Span(from, to, p.gone() == 0));
       }
       if (10 * p.late() > p.good()) {
-        late.add(new Chart.Span(from, to, false));
+        late.add(new TimelineChart.Span(from, to, false));
       }
       before = p.atMillis();
     }
-    chart.row(new Chart.Row("out", out));
-    chart.row(new Chart.Row("late", late));
+    chart.row(new TimelineChart.Row("out", out));
+    chart.row(new TimelineChart.Row("late", late));
     return chart;
   }
 }
--- a/src/main/java/beaconturn/rehearsal/HtmlReport.java
+++ b/src/main/java/beaconturn/rehearsal/HtmlReport.java
@@ -4,8 +4,8 @@
 import beaconturn.history.InvariantResult;
 import beaconturn.history.UnavailabilityIndex;
 import beaconturn.history.ZoneCrossings;
-import beaconturn.report.Chart;
-import beaconturn.report.Page;
+import beaconturn.report.HtmlPage;
+import beaconturn.report.TimelineChart;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -36,7 +36,7 @@
 
   private String page() {
     Scenario s = report.scenario();
-    Page page = new Page(s.name()).text(s.about());
+    HtmlPage page = new HtmlPage(s.name()).text(s.about());
     String play = String.format(Locale.ROOT, "seed %d, %.0f s.", s.seed(), s.length() / SECOND);
     if (report.held()) {
       page.text("Every rule held; " + play);
@@ -54,9 +54,9 @@
     return (at - report.start()) / SECOND;
   }
 
-  private Chart picture() {
-    Chart chart =
-        new Chart(
+  private TimelineChart picture() {
+    TimelineChart chart =
+        new TimelineChart(
             seconds,
             "served of what was wanted in each second, in %",
             "out: blue by a step or an operator, orange by itself");
@@ -68,14 +68,16 @@
             .toList();
     List<String> parts = gone.isEmpty() ? List.of() : report.scenario().parts();
     for (String part : parts) {
-      List<Chart.Span> spans =
+      List<TimelineChart.Span> spans =
           gone.stream()
               .filter(g -> g.part().equals(part))
               .map(
-                  g -> new Chart.Span(second(g.from()), second(Math.min(g.to(), end)), g.planned()))
+                  g ->
+                      new TimelineChart.Span(
+                          second(g.from()), second(Math.min(g.to(), end)), g.planned()))
               .toList();
       if (!spans.isEmpty()) {
-        chart.row(new Chart.Row(part, spans));
+        chart.row(new TimelineChart.Row(part, spans));
       }
     }
     for (HistoryEvent entry : report.entries()) {
@@ -91,7 +93,7 @@
   }
 
   /** Of what clients first asked for in each second, the part that was served in the end. */
-  private void served(Chart chart) {
+  private void served(TimelineChart chart) {
     ServedBySecond served = new ServedBySecond(report.entries(), report.start(), seconds);
     for (int i = 0; i < seconds; i++) {
       chart.share(i, i + 1, served.share(i));
@@ -99,7 +101,7 @@
   }
 
   /** For each place what stayed near, second by second, beside what plans allot elsewhere. */
-  private void shares(Page page) {
+  private void shares(HtmlPage page) {
     ZoneCrossings crossings = report.crossings();
     if (crossings == null) {
       return;
@@ -109,8 +111,8 @@
         .near()
         .forEach(
             (home, parts) -> {
-              Chart chart =
-                  new Chart(
+              TimelineChart chart =
+                  new TimelineChart(
                       seconds,
                       home + ": first sends that stayed there in each second, in %",
                       "to which places plans allot more than a trial of its keys");
@@ -120,20 +122,20 @@
                     chart.share(Math.max(0, at), Math.max(0, at + 1), part);
                   });
               for (String other : crossings.near().keySet()) {
-                List<Chart.Span> spans = new ArrayList<>();
+                List<TimelineChart.Span> spans = new ArrayList<>();
                 for (int i = 0; i < plans.size(); i++) {
                   if (!other.equals(home)
                       && plans.get(i).rows().getOrDefault(home, Map.of()).getOrDefault(other, 0)
                           > TRIAL) {
                     spans.add(
-                        new Chart.Span(
+                        new TimelineChart.Span(
                             second(plans.get(i).at()),
                             i + 1 < plans.size() ? second(plans.get(i + 1).at()) : seconds,
                             true));
                   }
                 }
                 if (!spans.isEmpty()) {
-                  chart.row(new Chart.Row(other, spans));
+                  chart.row(new TimelineChart.Row(other, spans));
                 }
               }
               plans.forEach(p -> chart.mark(second(p.at()), Long.toString(p.number())));
@@ -141,7 +143,7 @@
             });
   }
 
-  private void rules(Page page) {
+  private void rules(HtmlPage page) {
     page.table("rule", "verdict", "checked", "what it says");
     for (InvariantResult v : report.verdicts()) {
       page.row(
@@ -155,7 +157,7 @@
     page.end();
   }
 
-  private void classes(Page page) {
+  private void classes(HtmlPage page) {
     page.table("class", "wanted", "served", "refused", "failed", "p99 ms");
     for (ClientStatistics.Line c : report.classes()) {
       page.row(
--- a/src/main/java/beaconturn/rehearsal/ScenarioReader.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioReader.java
@@ -4,8 +4,8 @@
 import beaconturn.standin.Fault;
 import beaconturn.standin.OriginModel;
 import beaconturn.standin.RandomSources;
-import beaconturn.toml.Section;
 import beaconturn.toml.TomlException;
+import beaconturn.toml.TomlSection;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -33,10 +33,10 @@
 
   private static final double MOST_RATE = 20_000;
   private static final List<String> REPORTS = List.of("inflight", "latency_ms", "qps");
-  private final Section file;
+  private final TomlSection file;
   private final Long seed;
 
-  private ScenarioReader(Section file, Long seed) {
+  private ScenarioReader(TomlSection file, Long seed) {
     this.file = file;
     this.seed = seed;
   }
@@ -45,36 +45,36 @@
    * The scenario of a text; {@code name} is the file's in messages, {@code seed} overrules its own.
    */
   public static Scenario read(String name, String text, Long seed) throws TomlException {
-    return new ScenarioReader(Section.read(name, text), seed).scenario();
+    return new ScenarioReader(TomlSection.read(name, text), seed).scenario();
   }
 
   private Scenario scenario() throws TomlException {
-    String name = file.word("name", "rehearsal");
-    String about = file.word("about", "");
-    long ownSeed = file.whole("seed", 1, 0, Integer.MAX_VALUE);
-    long length = file.time("length", 20 * SECOND, SECOND);
+    String name = file.text("name", "rehearsal");
+    String about = file.text("about", "");
+    long ownSeed = file.integer("seed", 1, 0, Integer.MAX_VALUE);
+    long length = file.durationNanos("length", 20 * SECOND, SECOND);
     Scenario.Fleet fleet = fleet();
     OriginModel.Shape origin = origin();
-    Section discovery = file.table("discovery");
-    long lag = discovery.time("lag", SECOND, 0);
+    TomlSection discovery = file.table("discovery");
+    long lag = discovery.durationNanos("lag", SECOND, 0);
     Scenario.Rules rules = rules();
     List<Scenario.Type> types = types();
     List<Scenario.RouterSpec> routers = routers(fleet.places());
     List<Scenario.Clients> clients = clients(types, routers, length);
     long chosen = seed == null ? ownSeed : seed;
     Scenario.Agreement agreement = agreement();
-    List<Section> proposed = file.tables("version");
+    List<TomlSection> proposed = file.tables("version");
     List<Scenario.VersionSpec> versions = versions(proposed, agreement, fleet, routers, length);
     List<Scenario.FaultSpec> faults = faults(fleet, routers, versions.size(), length, chosen);
     for (Scenario.FaultSpec fault : faults) {
       if (fault.kind().needsAgreement() && agreement == null) {
-        throw file.wrong("fault", fault.kind().word() + " needs an [agreement] table");
+        throw file.invalid("fault", fault.kind().word() + " needs an [agreement] table");
       }
     }
     Scenario.ReleaseSpec release = release(agreement, fleet, routers, proposed.size());
     List<Scenario.OrderSpec> orders = orders(release, fleet, routers, proposed.size());
     Scenario.ZonesSpec zones = zones(agreement, fleet);
-    file.end();
+    file.rejectUnknownKeys();
     return new Scenario(
         name, about, chosen, length, fleet, origin, lag, rules, types, routers, clients, faults,
         agreement, versions, release, orders, zones);
@@ -89,18 +89,18 @@
     if (!file.has("release")) {
       return null;
     }
-    Section s = file.table("release");
+    TomlSection s = file.table("release");
     if (agreement == null) {
-      throw s.wrong("", "needs an [agreement] table");
+      throw s.invalid("", "needs an [agreement] table");
     }
     boolean caches = s.choice("kind", "router", List.of("router", "cache")).equals("cache");
     List<String> names =
         caches ? fleet.names() : routers.stream().map(Scenario.RouterSpec::name).toList();
     List<List<String>> waves = new ArrayList<>();
-    for (Section wave : s.tables("wave")) {
-      List<String> parts = wave.words("parts", List.of());
+    for (TomlSection wave : s.tables("wave")) {
+      List<String> parts = wave.texts("parts", List.of());
       if (parts.isEmpty() || !names.containsAll(parts)) {
-        throw wave.wrong(
+        throw wave.invalid(
             "parts", parts + " are not to be released, there are " + String.join(", ", names));
       }
       waves.add(parts);
@@ -110,25 +110,25 @@
         Scenario.Harm.valueOf(
             s.choice("harm", "none", words(Scenario.Harm.values())).toUpperCase(Locale.ROOT));
     if (caches && (harm == Scenario.Harm.FADES || harm == Scenario.Harm.LEAKS)) {
-      throw s.wrong("harm", "'" + harm.name().toLowerCase(Locale.ROOT) + "' is of routers only");
+      throw s.invalid("harm", "'" + harm.name().toLowerCase(Locale.ROOT) + "' is of routers only");
     }
     return new Scenario.ReleaseSpec(
         caches,
-        s.flag("begins", true),
-        s.time("at", after == null ? 2 * SECOND : 0, 0),
+        s.bool("begins", true),
+        s.durationNanos("at", after == null ? 2 * SECOND : 0, 0),
         after,
-        s.whole("most_out", 1, 1, MOST_ROUTERS),
-        s.whole("most_out_of_site", 1, 1, MOST_ROUTERS),
+        s.integer("most_out", 1, 1, MOST_ROUTERS),
+        s.integer("most_out_of_site", 1, 1, MOST_ROUTERS),
         waves,
-        s.time("soak", SECOND, 0),
-        s.whole("samples", 20, 0, 1_000_000),
+        s.durationNanos("soak", SECOND, 0),
+        s.integer("samples", 20, 0, 1_000_000),
         s.number("worse", 0.05, 0, 1),
-        s.time("limit", 10 * SECOND, SECOND),
-        s.time("alone", 0, 0),
+        s.durationNanos("limit", 10 * SECOND, SECOND),
+        s.durationNanos("alone", 0, 0),
         harm,
-        s.time("good_for", harm.goodFor(), 0),
-        s.whole("most_tries", 0, 0, 64),
-        s.whole("spare", -1, -1, MOST_ROUTERS),
+        s.durationNanos("good_for", harm.goodFor(), 0),
+        s.integer("most_tries", 0, 0, 64),
+        s.integer("spare", -1, -1, MOST_ROUTERS),
         s.number("cores", 0, 0, 1000),
         s.number("worse_missed", 0.4, 0, 1));
   }
@@ -140,7 +140,7 @@
       int versions)
       throws TomlException {
     List<Scenario.OrderSpec> all = new ArrayList<>();
-    for (Section s : file.tables("order")) {
+    for (TomlSection s : file.tables("order")) {
       Trigger after = cue(s, "after", fleet, routers, versions);
       String what =
           s.choice(
@@ -159,7 +159,7 @@
                   "zone-free"));
       boolean ofZone = what.startsWith("zone-");
       if (ofZone ? !file.has("zones") : release == null) {
-        throw s.wrong("", "needs a " + (ofZone ? "[zones]" : "[release]") + " table");
+        throw s.invalid("", "needs a " + (ofZone ? "[zones]" : "[release]") + " table");
       }
       List<String> parts =
           new ArrayList<>(
@@ -171,11 +171,11 @@
       String part = OF_PART.contains(what) ? s.choice("part", parts.get(0), parts) : "";
       all.add(
           new Scenario.OrderSpec(
-              s.time("at", after == null ? 5 * SECOND : 0, 0),
+              s.durationNanos("at", after == null ? 5 * SECOND : 0, 0),
               after,
               what,
               part,
-              what.equals("budget") ? s.whole("most_out", 1, 0, MOST_ROUTERS) : 0));
+              what.equals("budget") ? s.integer("most_out", 1, 0, MOST_ROUTERS) : 0));
     }
     return List.copyOf(all);
   }
@@ -184,9 +184,9 @@
     if (!file.has("agreement")) {
       return null;
     }
-    Section s = file.table("agreement");
+    TomlSection s = file.table("agreement");
     return new Scenario.Agreement(
-        s.time("lease", 2 * SECOND, SECOND), s.number("drift", 0.01, 0, 0.2));
+        s.durationNanos("lease", 2 * SECOND, SECOND), s.number("drift", 0.01, 0, 0.2));
   }
 
   private Scenario.ZonesSpec zones(Scenario.Agreement agreement, Scenario.Fleet fleet)
@@ -194,30 +194,30 @@
     if (!file.has("zones")) {
       return null;
     }
-    Section s = file.table("zones");
+    TomlSection s = file.table("zones");
     if (agreement == null || fleet.places().size() < 2) {
-      throw s.wrong("", "needs an [agreement] table and two sites at least");
+      throw s.invalid("", "needs an [agreement] table and two sites at least");
     }
-    List<String> regions = s.words("regions", List.of());
+    List<String> regions = s.texts("regions", List.of());
     if (!regions.isEmpty() && regions.size() != fleet.places().size()) {
-      throw s.wrong(
+      throw s.invalid(
           "regions",
           regions.size()
               + " of them, allowed is one for each of the sites "
               + String.join(", ", fleet.places()));
     }
     return new Scenario.ZonesSpec(
-        s.flag("decided", true),
+        s.bool("decided", true),
         s.number("each_per_s", 100, 0.1, 1e6),
         s.number("fetches_per_s", 1e6, 1, 1e6),
-        s.whole("reserve", 50, 0, 50),
-        s.time("back_within", 30 * SECOND, 0),
+        s.integer("reserve", 50, 0, 50),
+        s.durationNanos("back_within", 30 * SECOND, 0),
         s.number("peak", 1.2, 0.1, 100),
         regions);
   }
 
   private static List<Scenario.VersionSpec> versions(
-      List<Section> proposed,
+      List<TomlSection> proposed,
       Scenario.Agreement agreement,
       Scenario.Fleet fleet,
       List<Scenario.RouterSpec> routers,
@@ -225,99 +225,100 @@
       throws TomlException {
     List<Scenario.VersionSpec> all = new ArrayList<>();
     List<String> names = fleet.names();
-    for (Section s : proposed) {
+    for (TomlSection s : proposed) {
       if (agreement == null) {
-        throw s.wrong("", "needs an [agreement] table");
+        throw s.invalid("", "needs an [agreement] table");
       }
-      List<String> out = s.words("out", List.of());
+      List<String> out = s.texts("out", List.of());
       for (String name : out) {
         if (!names.contains(name)) {
-          throw s.wrong("out", "there is no '" + name + "', there are " + String.join(", ", names));
+          throw s.invalid(
+              "out", "there is no '" + name + "', there are " + String.join(", ", names));
         }
       }
       Trigger after = cue(s, "after", fleet, routers, proposed.size());
-      long at = s.time("at", after == null ? 2 * SECOND : 0, 0);
+      long at = s.durationNanos("at", after == null ? 2 * SECOND : 0, 0);
       if (at > length) {
-        throw s.wrong(
+        throw s.invalid(
             "at", "after the end, allowed is up to the length of " + length / MILLI + "ms");
       }
       all.add(
           new Scenario.VersionSpec(
               at,
               after,
-              s.word("reason", "as the scenario has it"),
+              s.text("reason", "as the scenario has it"),
               out,
-              s.whole("most_tries", 0, 0, 64),
-              s.words("unsafe", List.of()),
-              s.flag("newest_list", false),
-              s.flag("dies", false)));
+              s.integer("most_tries", 0, 0, 64),
+              s.texts("unsafe", List.of()),
+              s.bool("newest_list", false),
+              s.bool("dies", false)));
     }
     return List.copyOf(all);
   }
 
   private Scenario.Fleet fleet() throws TomlException {
-    Section s = file.table("fleet");
-    List<String> sites = s.words("sites", List.of("east", "west"));
+    TomlSection s = file.table("fleet");
+    List<String> sites = s.texts("sites", List.of("east", "west"));
     if (sites.isEmpty()) {
-      throw s.wrong("sites", "empty, at least one is needed");
+      throw s.invalid("sites", "empty, at least one is needed");
     }
-    List<String> reports = s.words("report", List.of());
+    List<String> reports = s.texts("report", List.of());
     for (String report : reports) {
       if (!REPORTS.contains(report)) {
-        throw s.wrong(
+        throw s.invalid(
             "report", "unknown '" + report + "', allowed are " + String.join(", ", REPORTS));
       }
     }
     CacheServerSpec shape =
         new CacheServerSpec(
             s.number("speed", 1, 0.01, 100),
-            s.whole("workers", 4, 1, 1000),
-            s.whole("room", 64, 0, 100_000),
-            s.size("capacity", 64L << 20, 1024),
-            s.time("ttl", 60 * SECOND, MILLI),
+            s.integer("workers", 4, 1, 1000),
+            s.integer("room", 64, 0, 100_000),
+            s.sizeBytes("capacity", 64L << 20, 1024),
+            s.durationNanos("ttl", 60 * SECOND, MILLI),
             s.number("cold_share", 0.2, 0.01, 1),
-            s.time("cold_for", 10 * SECOND, 0),
+            s.durationNanos("cold_for", 10 * SECOND, 0),
             s.number("fall_multiple", 4, 1, 1000),
-            s.time("fall_after", SECOND, 100 * MILLI),
-            s.whole("connections", 1000, 1, 100_000),
-            s.time("connect_work", MILLI, 0),
-            s.whole("multiplex", 1, 1, 1000),
-            s.flag("share_fetch", true),
-            s.flag("cancel", true),
+            s.durationNanos("fall_after", SECOND, 100 * MILLI),
+            s.integer("connections", 1000, 1, 100_000),
+            s.durationNanos("connect_work", MILLI, 0),
+            s.integer("multiplex", 1, 1, 1000),
+            s.bool("share_fetch", true),
+            s.bool("cancel", true),
             reports);
     return new Scenario.Fleet(
-        s.whole("caches", 6, 1, MOST_CACHES), sites, s.whole("cell", 3, 1, 1000), shape);
+        s.integer("caches", 6, 1, MOST_CACHES), sites, s.integer("cell", 3, 1, 1000), shape);
   }
 
   private OriginModel.Shape origin() throws TomlException {
-    Section s = file.table("origin");
+    TomlSection s = file.table("origin");
     return new OriginModel.Shape(
-        s.whole("workers", 16, 1, 10_000),
-        s.whole("queue", 2000, 0, 1_000_000),
-        s.time("work", 60 * MILLI, 0),
+        s.integer("workers", 16, 1, 10_000),
+        s.integer("queue", 2000, 0, 1_000_000),
+        s.durationNanos("work", 60 * MILLI, 0),
         s.number("fall_multiple", 8, 1, 10_000),
-        s.time("fall_after", 3 * SECOND, 0),
-        s.time("fall_for", 5 * SECOND, 0));
+        s.durationNanos("fall_after", 3 * SECOND, 0),
+        s.durationNanos("fall_for", 5 * SECOND, 0));
   }
 
   private Scenario.Rules rules() throws TomlException {
-    Section s = file.table("settings");
+    TomlSection s = file.table("settings");
     return new Scenario.Rules(
-        s.whole("most_tries", 4, 1, 16),
-        s.flag("second_copies", true),
-        s.flag("cancel", true),
-        s.time("most_retry_after", 2 * SECOND, 0),
-        s.time("dial_timeout", 250 * MILLI, MILLI),
-        s.time("conn_idle", 5 * SECOND, 100 * MILLI),
-        s.time("drain_grace", 500 * MILLI, 0),
-        s.time("answer_slack", 20 * MILLI, 0),
-        s.time("ask_within", 10 * SECOND, MILLI));
+        s.integer("most_tries", 4, 1, 16),
+        s.bool("second_copies", true),
+        s.bool("cancel", true),
+        s.durationNanos("most_retry_after", 2 * SECOND, 0),
+        s.durationNanos("dial_timeout", 250 * MILLI, MILLI),
+        s.durationNanos("conn_idle", 5 * SECOND, 100 * MILLI),
+        s.durationNanos("drain_grace", 500 * MILLI, 0),
+        s.durationNanos("answer_slack", 20 * MILLI, 0),
+        s.durationNanos("ask_within", 10 * SECOND, MILLI));
   }
 
   private List<Scenario.Type> types() throws TomlException {
     List<Scenario.Type> types = new ArrayList<>();
-    for (Section s : file.tables("class")) {
-      String name = s.word("name", "class" + types.size());
+    for (TomlSection s : file.tables("class")) {
+      String name = s.text("name", "class" + types.size());
       checkName(s, name, types.stream().map(Scenario.Type::name).toList());
       types.add(type(s, name));
     }
@@ -360,29 +361,31 @@
             "all"));
   }
 
-  private Scenario.Type type(Section s, String name) throws TomlException {
+  private Scenario.Type type(TomlSection s, String name) throws TomlException {
     String effect = s.choice("effect", "safe", words(Scenario.Effect.values()));
-    long aim = s.time("aim", 400 * MILLI, MILLI);
-    long deadline = s.time("deadline", 1500 * MILLI, MILLI);
+    long aim = s.durationNanos("aim", 400 * MILLI, MILLI);
+    long deadline = s.durationNanos("deadline", 1500 * MILLI, MILLI);
     if (deadline < aim) {
-      throw s.wrong("deadline", "before the aim, allowed is " + aim / MILLI + "ms or later");
+      throw s.invalid("deadline", "before the aim, allowed is " + aim / MILLI + "ms or later");
     }
     return new Scenario.Type(
         name,
         Scenario.Effect.valueOf(effect.toUpperCase(Locale.ROOT)),
         s.number("share", 1, 0, 1000),
-        s.time("work", 8 * MILLI, 0),
-        s.whole("size", 400, 0, 65_000),
+        s.durationNanos("work", 8 * MILLI, 0),
+        s.integer("size", 400, 0, 65_000),
         aim,
         deadline,
         s.number("worth", 1, 0, 1000),
-        s.time("window", 4 * SECOND, 0),
+        s.durationNanos("window", 4 * SECOND, 0),
         s.choice("scope", "all", List.of("all", "zone", "cell")));
   }
 
-  private static void checkName(Section s, String name, List<String> taken) throws TomlException {
+  private static void checkName(TomlSection s, String name, List<String> taken)
+      throws TomlException {
     if (!name.matches("[A-Za-z0-9_-]{1,32}") || taken.contains(name)) {
-      throw s.wrong("name", "'" + name + "' is taken or odd, allowed are letters, digits, - and _");
+      throw s.invalid(
+          "name", "'" + name + "' is taken or odd, allowed are letters, digits, - and _");
     }
   }
 
@@ -392,17 +395,17 @@
 
   private List<Scenario.RouterSpec> routers(List<String> sites) throws TomlException {
     List<Scenario.RouterSpec> routers = new ArrayList<>();
-    for (Section s : file.tables("router")) {
-      int count = s.whole("count", 1, 1, MOST_ROUTERS);
+    for (TomlSection s : file.tables("router")) {
+      int count = s.integer("count", 1, 1, MOST_ROUTERS);
       if (count > 1 && s.has("name")) {
-        throw s.wrong("name", "given beside count, allowed is one of them");
+        throw s.invalid("name", "given beside count, allowed is one of them");
       }
       for (int i = 0; i < count; i++) {
         routers.add(router(s, routers, sites));
       }
     }
     if (routers.size() > MOST_ROUTERS) {
-      throw file.wrong("router", "too many, allowed are " + MOST_ROUTERS);
+      throw file.invalid("router", "too many, allowed are " + MOST_ROUTERS);
     }
     return routers.isEmpty()
         ? List.of(
@@ -412,35 +415,35 @@
   }
 
   private static Scenario.RouterSpec router(
-      Section s, List<Scenario.RouterSpec> before, List<String> sites) throws TomlException {
-    String name = s.word("name", "r" + (before.size() + 1));
+      TomlSection s, List<Scenario.RouterSpec> before, List<String> sites) throws TomlException {
+    String name = s.text("name", "r" + (before.size() + 1));
     checkName(s, name, before.stream().map(Scenario.RouterSpec::name).toList());
     return new Scenario.RouterSpec(
         name,
-        s.whole("memory_mb", 192, 32, 4096),
-        s.whole("sockets", 1024, 64, 65_536),
+        s.integer("memory_mb", 192, 32, 4096),
+        s.integer("sockets", 1024, 64, 65_536),
         s.choice("site", sites.get(0), sites),
         clockOff(s),
-        s.words("lacks", List.of()));
+        s.texts("lacks", List.of()));
   }
 
   /** Fast or slow by a time; one of both. */
-  private static long clockOff(Section s) throws TomlException {
+  private static long clockOff(TomlSection s) throws TomlException {
     if (s.has("clock_fast") && s.has("clock_slow")) {
-      throw s.wrong("clock_slow", "given beside clock_fast, allowed is one of them");
+      throw s.invalid("clock_slow", "given beside clock_fast, allowed is one of them");
     }
-    return s.time("clock_fast", 0, 0) - s.time("clock_slow", 0, 0);
+    return s.durationNanos("clock_fast", 0, 0) - s.durationNanos("clock_slow", 0, 0);
   }
 
   private List<Scenario.Clients> clients(
       List<Scenario.Type> types, List<Scenario.RouterSpec> routers, long length)
       throws TomlException {
     List<Scenario.Clients> all = new ArrayList<>();
-    for (Section s : file.tables("clients")) {
-      List<String> classes = s.words("classes", List.of());
+    for (TomlSection s : file.tables("clients")) {
+      List<String> classes = s.texts("classes", List.of());
       for (String name : classes) {
         if (types.stream().noneMatch(t -> t.name().equals(name))) {
-          throw s.wrong(
+          throw s.invalid(
               "classes",
               "no class '"
                   + name
@@ -448,18 +451,18 @@
                   + String.join(", ", types.stream().map(Scenario.Type::name).toList()));
         }
       }
-      long from = s.time("from", 0, 0);
+      long from = s.durationNanos("from", 0, 0);
       long to = end(s, from, length);
       all.add(
           new Scenario.Clients(
               s.number("rate", 100, 0.1, MOST_RATE),
               classes,
-              s.whole("keys", 400, 1, 10_000_000),
+              s.integer("keys", 400, 1, 10_000_000),
               s.number("skew", 0.9, 0, 3),
-              s.whole("retries", 2, 0, 10),
-              s.time("backoff", 100 * MILLI, 0),
+              s.integer("retries", 2, 0, 10),
+              s.durationNanos("backoff", 100 * MILLI, 0),
               s.number("try_share", 0.6, 0.05, 1),
-              s.time("notice", 1500 * MILLI, 0),
+              s.durationNanos("notice", 1500 * MILLI, 0),
               from,
               to,
               site(s, routers),
@@ -483,31 +486,32 @@
         : List.copyOf(all);
   }
 
-  private static Scenario.Conduct conduct(Section s) throws TomlException {
+  private static Scenario.Conduct conduct(TomlSection s) throws TomlException {
     return new Scenario.Conduct(
-        s.whole("pipeline", 1, 1, MOST_PIPELINED),
+        s.integer("pipeline", 1, 1, MOST_PIPELINED),
         s.number("wrong", 0, 0, 1),
         s.number("pieces", 0, 0, 1),
         s.number("hasty", 0, 0, 1),
         s.number("leaves", 0, 0, 1),
-        s.whole("silent", 0, 0, MOST_SILENT));
+        s.integer("silent", 0, 0, MOST_SILENT));
   }
 
   /** A site that has routers, or none. */
-  private static String site(Section s, List<Scenario.RouterSpec> routers) throws TomlException {
-    String site = s.word("site", "");
+  private static String site(TomlSection s, List<Scenario.RouterSpec> routers)
+      throws TomlException {
+    String site = s.text("site", "");
     List<String> sites = routers.stream().map(Scenario.RouterSpec::site).distinct().toList();
     if (!site.isEmpty() && !sites.contains(site)) {
-      throw s.wrong(
+      throw s.invalid(
           "site", "no router stands in '" + site + "', they stand in " + String.join(", ", sites));
     }
     return site;
   }
 
-  private static long end(Section s, long from, long length) throws TomlException {
-    long to = s.time("to", length, 0);
+  private static long end(TomlSection s, long from, long length) throws TomlException {
+    long to = s.durationNanos("to", length, 0);
     if (to <= from) {
-      throw s.wrong(
+      throw s.invalid(
           s.has("to") ? "to" : "from",
           "ends before it begins, allowed is after "
               + from / MILLI
@@ -516,7 +520,8 @@
               + "ms");
     }
     if (to > length) {
-      throw s.wrong("to", "after the end, allowed is up to the length of " + length / MILLI + "ms");
+      throw s.invalid(
+          "to", "after the end, allowed is up to the length of " + length / MILLI + "ms");
     }
     return to;
   }
@@ -530,13 +535,13 @@
       throws TomlException {
     List<Scenario.FaultSpec> faults = new ArrayList<>();
     List<String> kinds = Arrays.stream(Fault.Kind.values()).map(Fault.Kind::word).toList();
-    for (Section s : file.tables("fault")) {
+    for (TomlSection s : file.tables("fault")) {
       String word = s.choice("kind", "", kinds);
       Fault.Kind kind = Fault.Kind.values()[kinds.indexOf(word)];
       Trigger after = cue(s, "after", fleet, routers, versions);
       Trigger until = cue(s, "until", fleet, routers, versions);
-      long from = s.time("from", after == null ? 5 * SECOND : 0, 0);
-      long to = until == null ? end(s, from, length) : s.time("to", 0, 0);
+      long from = s.durationNanos("from", after == null ? 5 * SECOND : 0, 0);
+      long to = until == null ? end(s, from, length) : s.durationNanos("to", 0, 0);
       List<String> names =
           switch (kind.target()) {
             case CACHE -> fleet.names();
@@ -565,9 +570,13 @@
 
   /** What times are counted from in place of the start, or null. */
   private static Trigger cue(
-      Section s, String key, Scenario.Fleet fleet, List<Scenario.RouterSpec> routers, int versions)
+      TomlSection s,
+      String key,
+      Scenario.Fleet fleet,
+      List<Scenario.RouterSpec> routers,
+      int versions)
       throws TomlException {
-    String words = s.word(key, "");
+    String words = s.text(key, "");
     if (words.isEmpty()) {
       return null;
     }
@@ -575,7 +584,7 @@
         Trigger.of(words)
             .orElseThrow(
                 () ->
-                    s.wrong(
+                    s.invalid(
                         key,
                         "'"
                             + words
@@ -586,26 +595,26 @@
     if (!cue.router().isEmpty()
         && routers.stream().noneMatch(r -> r.name().equals(cue.router()))
         && (ofVersion || !fleet.names().contains(cue.router()))) {
-      throw s.wrong(key, "there is no router '" + cue.router() + "'");
+      throw s.invalid(key, "there is no router '" + cue.router() + "'");
     }
     if (ofVersion && (cue.version() < 1 || cue.version() > versions)) {
-      throw s.wrong(
+      throw s.invalid(
           key, "version " + cue.version() + " is not among the " + versions + " that are proposed");
     }
     return cue;
   }
 
   /** Those named, or a share of all chosen by the seed, or the first one. */
-  private static List<String> target(Section s, List<String> names, long seed)
+  private static List<String> target(TomlSection s, List<String> names, long seed)
       throws TomlException {
-    List<String> on = s.words("on", List.of());
+    List<String> on = s.texts("on", List.of());
     for (String name : on) {
       if (!names.contains(name)) {
-        throw s.wrong("on", "there is no '" + name + "', there are " + String.join(", ", names));
+        throw s.invalid("on", "there is no '" + name + "', there are " + String.join(", ", names));
       }
     }
     if (s.has("share") && s.has("on")) {
-      throw s.wrong("share", "given beside on, allowed is one of them");
+      throw s.invalid("share", "given beside on, allowed is one of them");
     }
     if (s.has("share")) {
       int count = (int) Math.max(1, Math.round(names.size() * s.number("share", 1, 0.001, 1)));
@@ -617,17 +626,17 @@
   }
 
   /** The factor, the part or the time that the kind goes by. */
-  private static double amount(Section s, Fault.Kind kind) throws TomlException {
+  private static double amount(TomlSection s, Fault.Kind kind) throws TomlException {
     return switch (kind) {
       case SLOW, ORIGIN_SLOW -> s.number("factor", 5, 0.01, 10_000);
       case ERRORS, SPOIL, RESET -> s.number("part", 0.5, 0.001, 1);
-      case DRAIN_LATE -> s.time("delay", 3 * SECOND, 0);
-      case DISCOVERY_SLOW -> s.time("delay", 2 * SECOND, 0);
-      case DISCOVERY_BACK -> s.time("delay", 10 * SECOND, 0);
-      case LINK_SLOW -> s.time("delay", 500 * MILLI, 0);
-      case LINK_THROTTLE -> s.whole("bytes_per_second", 2000, 1, 1_000_000_000);
-      case STORE_SLOW -> s.time("delay", 3 * SECOND, 0);
-      case STORE_BACK -> s.whole("revisions", 1, 1, 1000);
+      case DRAIN_LATE -> s.durationNanos("delay", 3 * SECOND, 0);
+      case DISCOVERY_SLOW -> s.durationNanos("delay", 2 * SECOND, 0);
+      case DISCOVERY_BACK -> s.durationNanos("delay", 10 * SECOND, 0);
+      case LINK_SLOW -> s.durationNanos("delay", 500 * MILLI, 0);
+      case LINK_THROTTLE -> s.integer("bytes_per_second", 2000, 1, 1_000_000_000);
+      case STORE_SLOW -> s.durationNanos("delay", 3 * SECOND, 0);
+      case STORE_BACK -> s.integer("revisions", 1, 1, 1000);
       default -> 1;
     };
   }
--- a/src/main/java/beaconturn/report/Page.java
+++ b/src/main/java/beaconturn/report/HtmlPage.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 
-/** A page of HTML, written from its top to its end. */
-public final class Page {
+/** An HTML page, written from its top to its end. */
+public final class HtmlPage {
   private static final String STYLE =
       "body{font:14px sans-serif;margin:2em;max-width:70em}"
           + "td,th{padding:2px 10px;text-align:left}.broken{color:#b00;font-weight:bold}"
@@ -11,7 +11,7 @@
   private final StringBuilder out = new StringBuilder();
 
   /** A page of that title. */
-  public Page(String title) {
+  public HtmlPage(String title) {
     out.append("<!DOCTYPE html><html lang=\"en\"><meta charset=\"utf-8\"><title>")
         .append(safe(title))
         .append("</title><style>")
@@ -22,28 +22,28 @@
   }
 
   /** A paragraph. */
-  public Page text(String words) {
+  public HtmlPage text(String words) {
     return paragraph("<p>", words);
   }
 
   /** A paragraph that must not be overlooked. */
-  public Page warning(String words) {
+  public HtmlPage warning(String words) {
     return paragraph("<p class=\"broken\">", words);
   }
 
-  private Page paragraph(String begin, String words) {
+  private HtmlPage paragraph(String begin, String words) {
     out.append(begin).append(safe(words)).append("</p>");
     return this;
   }
 
-  /** A picture. */
-  public Page chart(Chart chart) {
+  /** A chart. */
+  public HtmlPage chart(TimelineChart chart) {
     out.append(chart.svg());
     return this;
   }
 
   /** Begins a table with these heads. */
-  public Page table(String... heads) {
+  public HtmlPage table(String... heads) {
     out.append("<table><tr>");
     for (String head : heads) {
       out.append("<th>").append(safe(head));
@@ -52,14 +52,14 @@
   }
 
   /** A row of the table that was begun last. */
-  public Page row(boolean broken, List<String> cells) {
+  public HtmlPage row(boolean broken, List<String> cells) {
     out.append(broken ? "<tr class=\"broken\">" : "<tr>");
     cells.forEach(cell -> out.append("<td>").append(safe(cell)));
     return this;
   }
 
   /** Ends the table. */
-  public Page end() {
+  public HtmlPage end() {
     out.append("</table>");
     return this;
   }
--- a/src/main/java/beaconturn/toml/Lines.java
+++ b/src/main/java/beaconturn/toml/KeyPositions.java
@@ -5,16 +5,16 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Where each key of a TOML text stands, as the parser keeps no positions. */
-final class Lines {
+/** Line numbers of the keys of a TOML text, which the parser does not keep. */
+final class KeyPositions {
   private static final Pattern TABLE = Pattern.compile("\\s*\\[\\s*([^\\[\\]]+?)\\s*]\\s*(#.*)?");
   private static final Pattern ITEM =
       Pattern.compile("\\s*\\[\\[\\s*([^\\[\\]]+?)\\s*]]\\s*(#.*)?");
   private static final Pattern KEY = Pattern.compile("\\s*([A-Za-z0-9_.\\-\"']+)\\s*=.*");
-  private final Map<String, Integer> lines = new HashMap<>();
-  private final Map<String, Integer> counts = new HashMap<>();
+  private final Map<String, Integer> lineByPath = new HashMap<>();
+  private final Map<String, Integer> itemCounts = new HashMap<>();
 
-  Lines(String text) {
+  KeyPositions(String text) {
     String table = "";
     int number = 0;
     for (String line : text.split("\n", -1)) {
@@ -23,25 +23,25 @@
       Matcher head = TABLE.matcher(line);
       Matcher key = KEY.matcher(line);
       if (item.matches()) {
-        int index = counts.merge(item.group(1), 1, Integer::sum) - 1;
+        int index = itemCounts.merge(item.group(1), 1, Integer::sum) - 1;
         table = item.group(1) + "[" + index + "]";
-        lines.putIfAbsent(item.group(1), number);
-        lines.put(table, number);
+        lineByPath.putIfAbsent(item.group(1), number);
+        lineByPath.put(table, number);
       } else if (head.matches()) {
         table = head.group(1);
-        lines.putIfAbsent(table, number);
+        lineByPath.putIfAbsent(table, number);
       } else if (key.matches()) {
         String name = key.group(1).replaceAll("[\"']", "");
-        lines.putIfAbsent(table.isEmpty() ? name : table + "." + name, number);
+        lineByPath.putIfAbsent(table.isEmpty() ? name : table + "." + name, number);
       }
     }
   }
 
-  /** The line of the key, or of the nearest thing round it that has one; 1 at least. */
-  int of(String path) {
+  /** Returns the line of the key, or of the nearest enclosing table that has one; 1 at least. */
+  int lineOf(String path) {
     String at = path;
     while (!at.isEmpty()) {
-      Integer line = lines.get(at);
+      Integer line = lineByPath.get(at);
       if (line != null) {
         return line;
       }
--- a/src/main/java/beaconturn/toml/TomlException.java
+++ b/src/main/java/beaconturn/toml/TomlException.java
@@ -1,8 +1,6 @@
 package beaconturn.toml;
 
-/**
- * A file that is wrong; the message is one line: FILE:LINE: KEY: what is wrong, what is allowed.
- */
+/** An invalid file; the message is one line: FILE:LINE: KEY: what is wrong, what is allowed. */
 public final class TomlException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/beaconturn/toml/Units.java
+++ b/src/main/java/beaconturn/toml/Units.java
@@ -5,14 +5,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Numbers with units, as operators write them in files and on lines. */
+/** Parsers of durations and sizes with units, as operators write them in files and commands. */
 public final class Units {
   private static final Pattern TIME = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*(us|ms|s|min|h)");
   private static final Pattern SIZE = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*(B|KB|MB|GB)");
 
   private Units() {}
 
-  /** The nanoseconds of a time such as "1.5s" or "300ms"; nothing where it is none. */
+  /** Returns the nanoseconds of a duration such as "1.5s" or "300ms"; nothing where it is none. */
   public static OptionalLong time(String text) {
     Matcher m = TIME.matcher(text.trim());
     if (!m.matches()) {
@@ -29,7 +29,7 @@
     return OptionalLong.of(Math.round(Double.parseDouble(m.group(1)) * unit));
   }
 
-  /** The bytes of a size such as "64MB"; nothing where it is none. */
+  /** Returns the bytes of a size such as "64MB"; nothing where it is none. */
   public static OptionalLong size(String text) {
     Matcher m = SIZE.matcher(text.trim());
     if (!m.matches()) {
