--- a/src/main/java/beaconturn/rehearsal/FaultCommands.java
+++ b/src/main/java/beaconturn/rehearsal/FaultCommands.java
@@ -62,10 +62,10 @@
 
   private String heal(List<String> words) {
     if (words.equals(List.of("all"))) {
-      world.healAll();
+      world.recoverAll();
       return "ok: all is well";
     }
-    places(words, "heal").forEach(world::heal);
+    places(words, "heal").forEach(world::recover);
     return "ok: healed";
   }
 
@@ -83,9 +83,9 @@
     if (!words.isEmpty()) {
       throw new IllegalArgumentException("not understood: '" + String.join(" ", words) + "'");
     }
-    world.agenda().in(Math.max(0, wait), () -> begin(kind, places, amount));
+    world.scheduler().in(Math.max(0, wait), () -> begin(kind, places, amount));
     if (lasts >= 0) {
-      world.agenda().in(Math.max(0, wait) + lasts, () -> end(kind, places));
+      world.scheduler().in(Math.max(0, wait) + lasts, () -> end(kind, places));
     }
     return "ok: "
         + order
@@ -188,15 +188,15 @@
               cache.listing().host(),
               state(cache),
               cache.connections(),
-              cache.held(),
+              cache.inFlight(),
               cache.objects()));
     }
     return out
         + String.format(
             Locale.ROOT,
             "origin   %d calls inside%s; list version %d",
-            world.origin().inside(),
-            world.origin().fallen() ? ", fallen over" : "",
+            world.origin().pending(),
+            world.origin().overloaded() ? ", fallen over" : "",
             world.discovery().version());
   }
 
@@ -204,7 +204,7 @@
     if (cache.dead()) {
       return "dead";
     }
-    FaultState c = cache.condition();
+    FaultState c = cache.faults();
     List<String> words = new ArrayList<>();
     if (c.slow() != 1) {
       words.add("slow " + c.slow());
--- a/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
+++ b/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
@@ -21,14 +21,14 @@
     account.add(
         new HistoryEvent.Sent(
             at,
-            c.firstAt(),
+            c.firstByteAt(),
             c.turn(),
             c.number(),
             server,
             router,
             connection,
             c.id(),
-            c.type(),
+            c.requestClass(),
             c.key(),
             work));
   }
--- a/src/main/java/beaconturn/rehearsal/Rehearsal.java
+++ b/src/main/java/beaconturn/rehearsal/Rehearsal.java
@@ -330,7 +330,7 @@
     EmulatedFleet world = surroundings.world();
     if (fault.target().isEmpty()) {
       world
-          .agenda()
+          .scheduler()
           .at(
               at,
               () -> {
@@ -345,7 +345,7 @@
     for (String name : fault.target()) {
       int place = world.placeOf(name);
       world
-          .agenda()
+          .scheduler()
           .at(
               at,
               () -> {
@@ -501,7 +501,7 @@
     for (Thread restart : restarts) {
       restart.join();
     }
-    surroundings.tell(() -> surroundings.world().healAll());
+    surroundings.tell(() -> surroundings.world().recoverAll());
     seats.forEach(RouterProcess::look);
     seats.forEach(RouterProcess::terminate);
     for (RouterProcess seat : seats) {
--- a/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
+++ b/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
@@ -48,7 +48,7 @@
   private Json settings(int router, int reloads) {
     Scenario.Rules r = scenario.rules();
     CacheServerSpec shape = scenario.fleet().shape();
-    List<String> reports = shape.reports();
+    List<String> reports = shape.loadReportFields();
     return object(
         "index",
         router,
@@ -121,15 +121,15 @@
             "ask_within",
             r.askWithin(),
             "cold_share",
-            shape.coldShare(),
+            shape.coldSpeedShare(),
             "cold",
-            shape.coldFor(),
+            shape.warmUpNanos(),
             "drain_grace",
             r.drainGrace(),
             "fall_multiple",
-            shape.fallMultiple(),
+            shape.overloadMultiple(),
             "overload_for",
-            shape.fallAfter()));
+            shape.overloadNanos()));
   }
 
   private static Json type(Scenario.Type t) {
--- a/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
@@ -114,19 +114,19 @@
         .line("cell", f.cell())
         .line("speed", f.shape().speed())
         .line("workers", f.shape().workers())
-        .line("room", f.shape().room())
-        .line("capacity", text(f.shape().capacity() + "B"))
-        .line("ttl", time(f.shape().timeToLive()))
-        .line("cold_share", f.shape().coldShare())
-        .line("cold_for", time(f.shape().coldFor()))
-        .line("fall_multiple", f.shape().fallMultiple())
-        .line("fall_after", time(f.shape().fallAfter()))
-        .line("connections", f.shape().connections())
-        .line("connect_work", time(f.shape().connectWork()))
+        .line("room", f.shape().queueCapacity())
+        .line("capacity", text(f.shape().capacityBytes() + "B"))
+        .line("ttl", time(f.shape().timeToLiveNanos()))
+        .line("cold_share", f.shape().coldSpeedShare())
+        .line("cold_for", time(f.shape().warmUpNanos()))
+        .line("fall_multiple", f.shape().overloadMultiple())
+        .line("fall_after", time(f.shape().overloadNanos()))
+        .line("connections", f.shape().maxConnections())
+        .line("connect_work", time(f.shape().connectWorkNanos()))
         .line("multiplex", f.shape().multiplex())
-        .line("share_fetch", f.shape().shareFetch())
-        .line("cancel", f.shape().cancel())
-        .line("report", words(f.shape().reports()));
+        .line("share_fetch", f.shape().sharesFetches())
+        .line("cancel", f.shape().cancelsRunningWork())
+        .line("report", words(f.shape().loadReportFields()));
   }
 
   private void rules(Scenario.Rules r) {
--- a/src/main/java/beaconturn/standin/CacheServerModel.java
+++ b/src/main/java/beaconturn/standin/CacheServerModel.java
@@ -21,21 +21,21 @@
  * more once it is dead.
  */
 public final class CacheServerModel {
-  private static final CacheResponse.Spoiling[] WAYS = CacheResponse.Spoiling.values();
-  private final Site site;
+  private static final CacheResponse.Spoiling[] CORRUPTIONS = CacheResponse.Spoiling.values();
+  private final Site shared;
   private final EndpointListing listing;
-  private final CacheServerSpec shape;
+  private final CacheServerSpec spec;
   private final UniformRandomProvider random;
-  private final FaultState condition = new FaultState();
-  private final ObjectCache store;
+  private final FaultState faults = new FaultState();
+  private final ObjectCache objects;
   private final WorkWindow load;
   private final Set<Session> sessions = new LinkedHashSet<>();
-  private final Queue<Job> waiting = new ArrayDeque<>();
+  private final Queue<Job> queue = new ArrayDeque<>();
   private final Map<String, List<LongConsumer>> fetches = new HashMap<>();
-  private final List<Runnable> frozen = new ArrayList<>();
+  private final List<Runnable> stalledSteps = new ArrayList<>();
   private int busy;
-  private int held;
-  private double latency;
+  private int inFlight;
+  private double meanLatencyNanos;
   private boolean dead;
 
   /**
@@ -43,22 +43,22 @@
    * elsewhere.
    */
   record Site(
-      EventScheduler agenda,
+      EventScheduler scheduler,
       OriginModel origin,
-      DeduplicationLog repeats,
-      List<WorkCost> works,
-      HistoryRecorder witness,
-      Consumer<String> voided) {}
+      DeduplicationLog deduplication,
+      List<WorkCost> costs,
+      HistoryRecorder recorder,
+      Consumer<String> invalidateElsewhere) {}
 
   CacheServerModel(
-      Site site, EndpointListing listing, CacheServerSpec shape, UniformRandomProvider random) {
-    this.site = site;
+      Site shared, EndpointListing listing, CacheServerSpec spec, UniformRandomProvider random) {
+    this.shared = shared;
     this.listing = listing;
-    this.shape = shape;
+    this.spec = spec;
     this.random = random;
-    this.store = new ObjectCache(shape.capacity(), shape.timeToLive());
-    this.load = new WorkWindow(shape.fallAfter());
-    site.witness().started(now(), listing, shape.workers() * shape.speed());
+    this.objects = new ObjectCache(spec.capacityBytes(), spec.timeToLiveNanos());
+    this.load = new WorkWindow(spec.overloadNanos());
+    shared.recorder().started(now(), listing, spec.workers() * spec.speed());
   }
 
   /** Work on a command or on a new connection, from the waiting room to its end. */
@@ -114,12 +114,14 @@
         return;
       }
       long work =
-          (long) (WorkCost.of(site.works(), command.type()).work() * (0.5 + random.nextDouble()));
-      site.witness().commanded(now(), listing.host(), router, number, command, work);
+          (long)
+              (WorkCost.of(shared.costs(), command.requestClass()).workNanos()
+                  * (0.5 + random.nextDouble()));
+      shared.recorder().commanded(now(), listing.host(), router, number, command, work);
       Slot slot = new Slot(this, command, work);
       slots.add(slot);
       unbegun.add(slot);
-      pushed(work);
+      countOfferedWork(work);
       next();
     }
 
@@ -130,23 +132,23 @@
       }
       ended = true;
       sessions.remove(this);
-      site.witness().ended(now(), turn, number);
+      shared.recorder().ended(now(), turn, number);
       for (Slot slot : slots) {
         abandon(slot);
       }
     }
 
     private void next() {
-      while (!ended && !unbegun.isEmpty() && begun < shape.multiplex()) {
+      while (!ended && !unbegun.isEmpty() && begun < spec.multiplex()) {
         begin(unbegun.remove());
       }
     }
 
     /** Sends the answers whose turn has come; one that is not ready holds up those behind it. */
     private void flush() {
-      while (!ended && !condition.stalled() && !slots.isEmpty() && slots.peek().reply != null) {
+      while (!ended && !faults.stalled() && !slots.isEmpty() && slots.peek().reply != null) {
         Slot first = slots.remove();
-        site.witness().replied(now(), first.command, first.reply);
+        shared.recorder().replied(now(), first.command, first.reply);
         line.answer(first.reply);
       }
     }
@@ -154,10 +156,10 @@
 
   /** A new connection of a router; the numbers are for the account. */
   public Session open(CacheServerConnection line, int router, long number) {
-    Session session = new Session(line, router, number, sessions.size() >= shape.connections());
+    Session session = new Session(line, router, number, sessions.size() >= spec.maxConnections());
     sessions.add(session);
-    if (!session.over && shape.connectWork() > 0) {
-      enqueue(new Job(null, shape.connectWork()));
+    if (!session.over && spec.connectWorkNanos() > 0) {
+      enqueue(new Job(null, spec.connectWorkNanos()));
     }
     return session;
   }
@@ -165,17 +167,17 @@
   private void begin(Slot slot) {
     slot.begun = true;
     slot.session.begun++;
-    held++;
-    if (condition.draining()) {
-      settle(slot, new CacheResponse.Busy("draining"));
+    inFlight++;
+    if (faults.draining()) {
+      respond(slot, new CacheResponse.Busy("draining"));
     } else if (slot.session.over) {
-      settle(slot, new CacheResponse.Busy("too many connections"));
-    } else if (waiting.size() >= shape.room() && busy >= shape.workers()) {
-      settle(slot, new CacheResponse.Busy("queue full"));
-    } else if (random.nextDouble() < condition.resets()) {
+      respond(slot, new CacheResponse.Busy("too many connections"));
+    } else if (queue.size() >= spec.queueCapacity() && busy >= spec.workers()) {
+      respond(slot, new CacheResponse.Busy("queue full"));
+    } else if (random.nextDouble() < faults.resets()) {
       slot.session.line.reset();
-    } else if (random.nextDouble() < condition.errors()) {
-      settle(slot, new CacheResponse.Failed("failed"));
+    } else if (random.nextDouble() < faults.errors()) {
+      respond(slot, new CacheResponse.Failed("failed"));
     } else {
       slot.job = new Job(slot, slot.work);
       enqueue(slot.job);
@@ -183,33 +185,33 @@
   }
 
   private void enqueue(Job job) {
-    waiting.add(job);
+    queue.add(job);
     work();
   }
 
   private void work() {
-    while (!dead && !condition.stalled() && busy < shape.workers() && !waiting.isEmpty()) {
-      Job next = waiting.remove();
-      if (next.slot != null && next.came + next.slot.command.patience() < now()) {
-        settle(next.slot, new CacheResponse.Busy("over"));
+    while (!dead && !faults.stalled() && busy < spec.workers() && !queue.isEmpty()) {
+      Job next = queue.remove();
+      if (next.slot != null && next.came + next.slot.command.timeoutNanos() < now()) {
+        respond(next.slot, new CacheResponse.Busy("over"));
         continue;
       }
       busy++;
-      long time = (long) (next.work * condition.slow() / (shape.speed() * warmth()));
-      next.end = site.agenda().in(time, () -> thawed(() -> worked(next)));
+      long time = (long) (next.work * faults.slow() / (spec.speed() * warmth()));
+      next.end = shared.scheduler().in(time, () -> whenNotStalled(() -> jobDone(next)));
     }
   }
 
   /** Runs it, or once the server is no longer stalled. */
-  private void thawed(Runnable step) {
-    if (condition.stalled()) {
-      frozen.add(step);
+  private void whenNotStalled(Runnable step) {
+    if (faults.stalled()) {
+      stalledSteps.add(step);
     } else if (!dead) {
       step.run();
     }
   }
 
-  private void worked(Job job) {
+  private void jobDone(Job job) {
     job.end = null;
     busy--;
     if (job.slot != null) {
@@ -224,35 +226,37 @@
 
   private void read(Slot slot) {
     CacheCommand c = slot.command;
-    ObjectCache.Item found = store.get(c.key(), now());
+    ObjectCache.Item found = objects.get(c.key(), now());
     if (found != null) {
       served(slot, found.version(), CacheResponse.How.HIT, found.size());
       return;
     }
     boolean pending = fetches.containsKey(c.key());
     CacheResponse.How how = pending ? CacheResponse.How.PENDING : CacheResponse.How.MISS;
-    LongConsumer done = version -> thawed(() -> fetched(slot, version, how));
+    LongConsumer done = version -> whenNotStalled(() -> fetched(slot, version, how));
     List<LongConsumer> sharing = fetches.computeIfAbsent(c.key(), k -> new ArrayList<>());
     sharing.add(done);
     if (!pending) {
-      site.origin().fetch(listing.host(), cold(), c.key(), version -> arrived(c, sharing, version));
-    } else if (!shape.shareFetch()) {
+      shared
+          .origin()
+          .fetch(listing.host(), cold(), c.key(), version -> arrived(c, sharing, version));
+    } else if (!spec.sharesFetches()) {
       sharing.remove(done);
-      site.origin().fetch(listing.host(), cold(), c.key(), done);
+      shared.origin().fetch(listing.host(), cold(), c.key(), done);
     }
   }
 
   private void arrived(CacheCommand c, List<LongConsumer> sharing, long version) {
     fetches.remove(c.key());
     if (!dead && version != OriginModel.NO_ANSWER) {
-      store.put(c.key(), version, size(c), now());
+      objects.put(c.key(), version, size(c), now());
     }
     sharing.forEach(one -> one.accept(version));
   }
 
   private void fetched(Slot slot, long version, CacheResponse.How how) {
     if (version == OriginModel.NO_ANSWER) {
-      settle(slot, new CacheResponse.Failed("origin"));
+      respond(slot, new CacheResponse.Failed("origin"));
     } else {
       served(slot, version, how, size(slot.command));
     }
@@ -260,15 +264,23 @@
 
   private void write(Slot slot) {
     CacheCommand c = slot.command;
-    WorkCost type = WorkCost.of(site.works(), c.type());
-    boolean keyed = type.keyed() && c.once() != null;
-    if (keyed && !site.repeats().first(group(type.scope()), c.once(), type.window(), now())) {
-      site.witness().executed(now(), c, true);
-      receipt(slot, site.origin().version(c.key()));
+    WorkCost type = WorkCost.of(shared.costs(), c.requestClass());
+    boolean keyed = type.idempotencyKeys() && c.idempotencyKey() != null;
+    if (keyed
+        && !shared
+            .deduplication()
+            .first(
+                group(type.deduplicationScope()),
+                c.idempotencyKey(),
+                type.deduplicationWindowNanos(),
+                now())) {
+      shared.recorder().executed(now(), c, true);
+      respondWritten(slot, shared.origin().version(c.key()));
       return;
     }
-    String effect = keyed ? c.once() : c.id();
-    site.origin()
+    String effect = keyed ? c.idempotencyKey() : c.id();
+    shared
+        .origin()
         .write(
             listing.host(),
             cold(),
@@ -277,14 +289,16 @@
             version -> {
               if (version == OriginModel.NO_ANSWER) {
                 if (keyed) {
-                  site.repeats().forget(group(type.scope()), c.once());
+                  shared
+                      .deduplication()
+                      .forget(group(type.deduplicationScope()), c.idempotencyKey());
                 }
-                thawed(() -> settle(slot, new CacheResponse.Failed("origin")));
+                whenNotStalled(() -> respond(slot, new CacheResponse.Failed("origin")));
                 return;
               }
-              site.witness().executed(now(), c, false);
-              site.voided().accept(c.key());
-              thawed(() -> receipt(slot, version));
+              shared.recorder().executed(now(), c, false);
+              shared.invalidateElsewhere().accept(c.key());
+              whenNotStalled(() -> respondWritten(slot, version));
             });
   }
 
@@ -297,11 +311,11 @@
   }
 
   private void served(Slot slot, long version, CacheResponse.How how, int size) {
-    site.witness().executed(now(), slot.command, false);
+    shared.recorder().executed(now(), slot.command, false);
     value(slot, version, how, size);
   }
 
-  private void receipt(Slot slot, long version) {
+  private void respondWritten(Slot slot, long version) {
     value(slot, version, CacheResponse.How.WRITTEN, 0);
   }
 
@@ -323,21 +337,24 @@
     byte[] bytes = Arrays.copyOf(made, Math.max(size, made.length));
     Arrays.fill(bytes, made.length, bytes.length, (byte) '.');
     CacheResponse.Value value = new CacheResponse.Value(bytes, how, report());
-    boolean spoil = random.nextDouble() < condition.spoils();
-    settle(
-        slot, spoil ? new CacheResponse.Spoilt(value, WAYS[random.nextInt(WAYS.length)]) : value);
+    boolean spoil = random.nextDouble() < faults.spoils();
+    respond(
+        slot,
+        spoil
+            ? new CacheResponse.Spoilt(value, CORRUPTIONS[random.nextInt(CORRUPTIONS.length)])
+            : value);
   }
 
   private String report() {
-    if (shape.reports().isEmpty()) {
+    if (spec.loadReportFields().isEmpty()) {
       return null;
     }
     List<String> pairs = new ArrayList<>();
-    for (String name : shape.reports()) {
+    for (String name : spec.loadReportFields()) {
       double figure =
           switch (name) {
-            case "inflight" -> held;
-            case "latency_ms" -> latency / 1e6;
+            case "inflight" -> inFlight;
+            case "latency_ms" -> meanLatencyNanos / 1e6;
             default -> busy;
           };
       pairs.add(name + "=" + Math.round(figure * 100) / 100.0);
@@ -345,15 +362,15 @@
     return String.join(",", pairs);
   }
 
-  private void settle(Slot slot, CacheResponse reply) {
+  private void respond(Slot slot, CacheResponse reply) {
     if (slot.reply != null || slot.session.ended) {
       return;
     }
     slot.reply = reply;
-    held--;
+    inFlight--;
     slot.session.begun--;
     if (slot.job != null) {
-      latency += 0.05 * (now() - slot.job.came - latency);
+      meanLatencyNanos += 0.05 * (now() - slot.job.came - meanLatencyNanos);
     }
     slot.session.flush();
     slot.session.next();
@@ -364,11 +381,11 @@
    */
   private void abandon(Slot slot) {
     Job job = slot.job;
-    held -= slot.begun && slot.reply == null ? 1 : 0;
-    if (job == null || slot.reply != null || waiting.remove(job)) {
+    inFlight -= slot.begun && slot.reply == null ? 1 : 0;
+    if (job == null || slot.reply != null || queue.remove(job)) {
       return;
     }
-    if (job.end != null && shape.cancel() && !condition.stalled()) {
+    if (job.end != null && spec.cancelsRunningWork() && !faults.stalled()) {
       job.end.cancel();
       job.end = null;
       busy--;
@@ -377,17 +394,17 @@
   }
 
   /** Counts work that was sent, done or not, against what the server can do at this moment. */
-  private void pushed(long work) {
+  private void countOfferedWork(long work) {
     long sent = load.add(now(), work);
     if (!dead
         && cold()
         && sent
-            > shape.fallMultiple()
+            > spec.overloadMultiple()
                 * warmth()
-                * shape.workers()
-                * shape.speed()
-                * shape.fallAfter()) {
-      site.witness().collapsed(now(), listing.host());
+                * spec.workers()
+                * spec.speed()
+                * spec.overloadNanos()) {
+      shared.recorder().collapsed(now(), listing.host());
       die();
     }
   }
@@ -396,14 +413,14 @@
   void die() {
     dead = true;
     List.copyOf(sessions).forEach(session -> session.line.reset());
-    waiting.clear();
-    frozen.clear();
-    store.clear();
+    queue.clear();
+    stalledSteps.clear();
+    objects.clear();
   }
 
   /** Changes its condition and acts on it. */
   void set(Fault.Kind kind, double amount) {
-    condition.set(kind, amount);
+    faults.set(kind, amount);
     changed();
     if (kind == Fault.Kind.RESET && amount > 0) {
       List.copyOf(sessions).forEach(session -> session.line.reset());
@@ -411,15 +428,15 @@
   }
 
   /** Ends all that is wrong with it, but a death. */
-  void heal() {
-    condition.clear();
+  void recover() {
+    faults.clear();
     changed();
   }
 
   private void changed() {
-    if (!condition.stalled() && !dead) {
-      List<Runnable> due = List.copyOf(frozen);
-      frozen.clear();
+    if (!faults.stalled() && !dead) {
+      List<Runnable> due = List.copyOf(stalledSteps);
+      stalledSteps.clear();
       due.forEach(Runnable::run);
       List.copyOf(sessions).forEach(Session::flush);
       work();
@@ -427,8 +444,8 @@
   }
 
   /** Another server has passed on a write of the key: the copy here is no longer good. */
-  void drop(String key) {
-    store.drop(key);
+  void invalidate(String key) {
+    objects.drop(key);
   }
 
   /** Whether it has not yet warmed up. */
@@ -437,15 +454,15 @@
   }
 
   private double warmth() {
-    return shape.warmth(listing.born(), now());
+    return spec.warmth(listing.born(), now());
   }
 
   private int size(CacheCommand c) {
-    return WorkCost.of(site.works(), c.type()).size();
+    return WorkCost.of(shared.costs(), c.requestClass()).valueBytes();
   }
 
   private long now() {
-    return site.agenda().now();
+    return shared.scheduler().now();
   }
 
   /** How it is listed. */
@@ -454,8 +471,8 @@
   }
 
   /** What is wrong with it. */
-  public FaultState condition() {
-    return condition;
+  public FaultState faults() {
+    return faults;
   }
 
   /** Whether the process has ended, killed or collapsed. */
@@ -469,17 +486,17 @@
   }
 
   /** Commands that it has begun and not answered. */
-  public int held() {
-    return held;
+  public int inFlight() {
+    return inFlight;
   }
 
   /** Objects that it holds. */
   public int objects() {
-    return store.count();
+    return objects.count();
   }
 
   /** Bytes of them, with a small part for each beside its value. */
   public long bytes() {
-    return store.bytes();
+    return objects.bytes();
   }
 }
--- a/src/main/java/beaconturn/standin/DiscoveryModel.java
+++ b/src/main/java/beaconturn/standin/DiscoveryModel.java
@@ -15,18 +15,18 @@
  */
 public final class DiscoveryModel {
   /** The latest change of each cache server that the list has heard of. */
-  private final Map<String, Long> heardOf = new HashMap<>();
+  private final Map<String, Long> latestChange = new HashMap<>();
 
   private long changes;
-  private final EventScheduler agenda;
-  private final HistoryRecorder witness;
-  private final Map<String, EndpointListing> truth = new LinkedHashMap<>();
+  private final EventScheduler scheduler;
+  private final HistoryRecorder recorder;
+  private final Map<String, EndpointListing> listings = new LinkedHashMap<>();
   private final TreeMap<Long, Version> versions = new TreeMap<>();
   private final Set<Call> watches = new LinkedHashSet<>();
-  private final Map<Integer, Set<String>> toldTo = new LinkedHashMap<>();
-  private boolean out;
-  private long delay;
-  private long back;
+  private final Map<Integer, Set<String>> notifiedByRouter = new LinkedHashMap<>();
+  private boolean unavailable;
+  private long delayNanos;
+  private long lagNanos;
 
   /** A version: when it was made, the entry that changed, and all that are listed. */
   private record Version(long at, EndpointListing changed, Map<String, EndpointListing> all) {}
@@ -67,19 +67,19 @@
     private void answer(boolean whole) {
       watches.remove(this);
       end.cancel();
-      end = agenda.in(delay, () -> tell(whole));
+      end = scheduler.in(delayNanos, () -> respond(whole));
     }
 
-    private void tell(boolean whole) {
+    private void respond(boolean whole) {
       if (over) {
         return;
       }
       over = true;
-      if (out) {
+      if (unavailable) {
         asker.failed();
         return;
       }
-      News news = whole ? wholeList() : since(after);
+      News news = whole ? completeList() : changesSince(after);
       record(router, news);
       asker.news(news);
     }
@@ -95,11 +95,11 @@
   }
 
   /** A discovery that knows nobody yet; its first version is 1. */
-  public DiscoveryModel(EventScheduler agenda, HistoryRecorder witness) {
-    this.agenda = agenda;
-    this.witness = witness;
-    versions.put(1L, new Version(agenda.now(), null, Map.of()));
-    witness.discovery(agenda.now(), true);
+  public DiscoveryModel(EventScheduler scheduler, HistoryRecorder recorder) {
+    this.scheduler = scheduler;
+    this.recorder = recorder;
+    versions.put(1L, new Version(scheduler.now(), null, Map.of()));
+    recorder.discovery(scheduler.now(), true);
   }
 
   /**
@@ -111,39 +111,41 @@
     if (lag <= 0) {
       publish(entry, number);
     } else {
-      agenda.in(lag, () -> publish(entry, number));
+      scheduler.in(lag, () -> publish(entry, number));
     }
   }
 
   private void publish(EndpointListing entry, long number) {
-    if (number < heardOf.getOrDefault(entry.host(), 0L)) {
+    if (number < latestChange.getOrDefault(entry.host(), 0L)) {
       return;
     }
-    heardOf.put(entry.host(), number);
-    witness.listed(agenda.now(), entry.host(), entry.health());
+    latestChange.put(entry.host(), number);
+    recorder.listed(scheduler.now(), entry.host(), entry.health());
     if (entry.health() == EndpointListing.Health.GONE) {
-      truth.remove(entry.host());
+      listings.remove(entry.host());
     } else {
-      truth.put(entry.host(), entry);
+      listings.put(entry.host(), entry);
     }
     versions.put(
-        versions.lastKey() + 1, new Version(agenda.now(), entry, new LinkedHashMap<>(truth)));
+        versions.lastKey() + 1, new Version(scheduler.now(), entry, new LinkedHashMap<>(listings)));
     List.copyOf(watches).forEach(this::wake);
   }
 
   private void wake(Call watch) {
-    if (watch.after < view()) {
+    if (watch.after < visibleVersion()) {
       watch.answer(false);
     }
   }
 
   /** The version that it tells: the last one, or one of some time ago while it is back in time. */
-  private long view() {
-    long view = versions.lastKey();
-    while (back > 0 && view > 1 && versions.get(view).at() > agenda.now() - back) {
-      view--;
+  private long visibleVersion() {
+    long visibleVersion = versions.lastKey();
+    while (lagNanos > 0
+        && visibleVersion > 1
+        && versions.get(visibleVersion).at() > scheduler.now() - lagNanos) {
+      visibleVersion--;
     }
-    return view;
+    return visibleVersion;
   }
 
   /** A router asks for the whole list. */
@@ -162,62 +164,62 @@
       return call;
     }
     // A version that was never given out or lies ahead tells nothing of what the router has.
-    if (after > view() || !versions.containsKey(after)) {
+    if (after > visibleVersion() || !versions.containsKey(after)) {
       call.answer(true);
-    } else if (after < view()) {
+    } else if (after < visibleVersion()) {
       call.answer(false);
     } else {
       watches.add(call);
-      call.end = agenda.in(wait, () -> call.answer(false));
+      call.end = scheduler.in(wait, () -> call.answer(false));
     }
     return call;
   }
 
   private Call called(int router, long after, Asker asker) {
-    witness.asked(agenda.now(), router);
+    recorder.asked(scheduler.now(), router);
     Call call = new Call(router, after, asker);
-    call.end = agenda.in(0, () -> {});
-    if (out) {
+    call.end = scheduler.in(0, () -> {});
+    if (unavailable) {
       call.fail();
     }
     return call;
   }
 
-  private News wholeList() {
-    long view = view();
-    return new News(view, true, List.copyOf(versions.get(view).all().values()));
+  private News completeList() {
+    long visibleVersion = visibleVersion();
+    return new News(visibleVersion, true, List.copyOf(versions.get(visibleVersion).all().values()));
   }
 
   /** What changed since; each cache server once, as it is now. */
-  private News since(long after) {
-    long view = view();
-    if (after > view || !versions.containsKey(after)) {
-      return wholeList();
+  private News changesSince(long after) {
+    long visibleVersion = visibleVersion();
+    if (after > visibleVersion || !versions.containsKey(after)) {
+      return completeList();
     }
     Map<String, EndpointListing> changed = new LinkedHashMap<>();
     versions
-        .subMap(after, false, view, true)
+        .subMap(after, false, visibleVersion, true)
         .values()
         .forEach(
             version -> {
               changed.remove(version.changed().host());
               changed.put(version.changed().host(), version.changed());
             });
-    return new News(view, false, List.copyOf(changed.values()));
+    return new News(visibleVersion, false, List.copyOf(changed.values()));
   }
 
   private void record(int router, News news) {
-    Set<String> known = toldTo.computeIfAbsent(router, r -> new LinkedHashSet<>());
+    Set<String> known = notifiedByRouter.computeIfAbsent(router, r -> new LinkedHashSet<>());
     Set<String> named = new LinkedHashSet<>();
     for (EndpointListing entry : news.entries()) {
       named.add(entry.host());
-      witness.told(agenda.now(), router, entry.host(), entry.health(), entry.born());
+      recorder.told(scheduler.now(), router, entry.host(), entry.health(), entry.born());
     }
     if (news.whole()) {
       known.stream()
           .filter(host -> !named.contains(host))
           .forEach(
-              host -> witness.told(agenda.now(), router, host, EndpointListing.Health.GONE, 0));
+              host -> recorder.told(scheduler.now(), router, host, EndpointListing.Health.GONE, 0));
       known.retainAll(named);
     }
     known.addAll(named);
@@ -225,17 +227,17 @@
 
   /** The list as a router has it before its start: the account counts it as told. */
   public News known(int router) {
-    News news = wholeList();
+    News news = completeList();
     record(router, news);
     return news;
   }
 
   /** Out: calls fail and watches break; or back. */
-  void out(boolean on) {
-    if (out != on) {
-      witness.discovery(agenda.now(), !on);
+  void unavailable(boolean on) {
+    if (unavailable != on) {
+      recorder.discovery(scheduler.now(), !on);
     }
-    out = on;
+    unavailable = on;
     if (on) {
       List.copyOf(watches).forEach(Call::fail);
     }
@@ -243,18 +245,18 @@
 
   /** Every answer takes so many nanoseconds longer. */
   void slow(long nanos) {
-    delay = nanos;
+    delayNanos = nanos;
   }
 
   /** It tells the list as it was so many nanoseconds ago; 0 for as it is. */
-  void back(long nanos) {
-    back = nanos;
+  void lagNanos(long nanos) {
+    lagNanos = nanos;
     List.copyOf(watches).forEach(this::wake);
   }
 
   /** How a cache server is listed at last, or null. */
   public EndpointListing listed(String host) {
-    return truth.get(host);
+    return listings.get(host);
   }
 
   /** The last version. */
--- a/src/main/java/beaconturn/standin/EmulatedFleet.java
+++ b/src/main/java/beaconturn/standin/EmulatedFleet.java
@@ -10,15 +10,15 @@
  * come.
  */
 public final class EmulatedFleet {
-  private final EventScheduler agenda;
+  private final EventScheduler scheduler;
   private final Shape shape;
-  private final HistoryRecorder witness;
-  private final RandomSources seeds;
+  private final HistoryRecorder recorder;
+  private final RandomSources randomSources;
   private final OriginModel origin;
   private final DiscoveryModel discovery;
-  private final CacheServerModel.Site site;
-  private final List<CacheServerModel> caches = new ArrayList<>();
-  private IntConsumer changed = place -> {};
+  private final CacheServerModel.Site sharedParts;
+  private final List<CacheServerModel> servers = new ArrayList<>();
+  private IntConsumer changeListener = place -> {};
   private int starts;
   private long commands;
 
@@ -40,25 +40,28 @@
 
   /** Surroundings in which all is well and everybody is warm. */
   public EmulatedFleet(
-      EventScheduler agenda, Shape shape, RandomSources seeds, HistoryRecorder witness) {
-    this.agenda = agenda;
+      EventScheduler scheduler,
+      Shape shape,
+      RandomSources randomSources,
+      HistoryRecorder recorder) {
+    this.scheduler = scheduler;
     this.shape = shape;
-    this.witness = witness;
-    this.seeds = seeds;
-    this.origin = new OriginModel(agenda, shape.origin(), seeds.of("origin"), witness);
-    this.discovery = new DiscoveryModel(agenda, witness);
-    this.site =
+    this.recorder = recorder;
+    this.randomSources = randomSources;
+    this.origin = new OriginModel(scheduler, shape.origin(), randomSources.of("origin"), recorder);
+    this.discovery = new DiscoveryModel(scheduler, recorder);
+    this.sharedParts =
         new CacheServerModel.Site(
-            agenda, origin, new DeduplicationLog(), shape.works(), witness, this::voided);
+            scheduler, origin, new DeduplicationLog(), shape.works(), recorder, this::invalidate);
     for (int place = 0; place < shape.fleet().size(); place++) {
-      caches.add(start(place, shape.fleet().get(place).host(), 0));
-      discovery.change(caches.get(place).listing(), 0);
+      servers.add(start(place, shape.fleet().get(place).host(), 0));
+      discovery.change(servers.get(place).listing(), 0);
     }
   }
 
   /** Who wants to know of every change of a place's process or condition. */
-  public void watch(IntConsumer placeChanged) {
-    changed = placeChanged;
+  public void onChange(IntConsumer placeChanged) {
+    changeListener = placeChanged;
   }
 
   private CacheServerModel start(int place, String host, long born) {
@@ -73,11 +76,12 @@
             EndpointListing.Health.READY,
             member.share(),
             born);
-    return new CacheServerModel(site, listing, member.shape(), seeds.of(host + " " + ++starts));
+    return new CacheServerModel(
+        sharedParts, listing, member.shape(), randomSources.of(host + " " + ++starts));
   }
 
-  private void voided(String key) {
-    caches.forEach(cache -> cache.drop(key));
+  private void invalidate(String key) {
+    servers.forEach(cache -> cache.invalidate(key));
   }
 
   /**
@@ -85,14 +89,14 @@
    * it.
    */
   public void begin(Fault.Kind kind, int place, double amount) {
-    CacheServerModel cache = caches.get(place);
+    CacheServerModel cache = servers.get(place);
     switch (kind) {
       case KILL, REPLACE -> {
         kill(cache);
       }
       case DRAIN -> {
         discovery.change(cache.listing().with(EndpointListing.Health.DRAINING), shape.lag());
-        agenda.in(
+        scheduler.in(
             shape.lag() + shape.grace(),
             () -> {
               if (listedDraining(cache)) {
@@ -107,12 +111,12 @@
       case UNLIST -> discovery.change(cache.listing().with(EndpointListing.Health.GONE), 0);
       default -> cache.set(kind, amount == 0 ? 1 : amount);
     }
-    changed.accept(place);
+    changeListener.accept(place);
   }
 
   /** Ends a fault at a place. */
   public void end(Fault.Kind kind, int place) {
-    CacheServerModel cache = caches.get(place);
+    CacheServerModel cache = servers.get(place);
     switch (kind) {
       case KILL -> restart(place, cache.listing().host());
       case REPLACE -> restart(place, nextName(cache.listing().host()));
@@ -123,7 +127,7 @@
       case UNLIST -> discovery.change(cache.listing(), 0);
       default -> cache.set(kind, 0);
     }
-    changed.accept(place);
+    changeListener.accept(place);
   }
 
   private boolean listedDraining(CacheServerModel cache) {
@@ -134,14 +138,14 @@
   private void kill(CacheServerModel cache) {
     if (!cache.dead()) {
       cache.die();
-      witness.down(agenda.now(), cache.listing().host());
+      recorder.down(scheduler.now(), cache.listing().host());
     }
     discovery.change(cache.listing().with(EndpointListing.Health.GONE), shape.lag());
   }
 
   private void restart(int place, String host) {
-    CacheServerModel fresh = start(place, host, agenda.now());
-    caches.set(place, fresh);
+    CacheServerModel fresh = start(place, host, scheduler.now());
+    servers.set(place, fresh);
     discovery.change(fresh.listing(), shape.lag());
   }
 
@@ -157,9 +161,9 @@
     switch (kind) {
       case ORIGIN_SLOW -> origin.slow(amount);
       case ORIGIN_STOP -> origin.stop(true);
-      case DISCOVERY_OUT -> discovery.out(true);
+      case DISCOVERY_OUT -> discovery.unavailable(true);
       case DISCOVERY_SLOW -> discovery.slow((long) amount);
-      case DISCOVERY_BACK -> discovery.back((long) amount);
+      case DISCOVERY_BACK -> discovery.lagNanos((long) amount);
       default -> throw new IllegalArgumentException(kind + " needs a cache server or a router");
     }
   }
@@ -169,17 +173,17 @@
     switch (kind) {
       case ORIGIN_SLOW -> origin.slow(1);
       case ORIGIN_STOP -> origin.stop(false);
-      case DISCOVERY_OUT -> discovery.out(false);
+      case DISCOVERY_OUT -> discovery.unavailable(false);
       case DISCOVERY_SLOW -> discovery.slow(0);
-      case DISCOVERY_BACK -> discovery.back(0);
+      case DISCOVERY_BACK -> discovery.lagNanos(0);
       default -> throw new IllegalArgumentException(kind + " needs a cache server or a router");
     }
   }
 
   /** Ends all that is wrong with anybody; dead processes start again. */
-  public void healAll() {
-    for (int place = 0; place < caches.size(); place++) {
-      heal(place);
+  public void recoverAll() {
+    for (int place = 0; place < servers.size(); place++) {
+      recover(place);
     }
     for (Fault.Kind kind : Fault.Kind.values()) {
       if (kind.target() == Fault.Target.ORIGIN || kind.target() == Fault.Target.DISCOVERY) {
@@ -189,34 +193,34 @@
   }
 
   /** Ends all that is wrong at a place; a dead process starts again, cold. */
-  public void heal(int place) {
-    CacheServerModel cache = caches.get(place);
+  public void recover(int place) {
+    CacheServerModel cache = servers.get(place);
     if (cache.dead()) {
       restart(place, cache.listing().host());
     } else {
       boolean listed = discovery.listed(cache.listing().host()) != null && !listedDraining(cache);
-      cache.heal();
+      cache.recover();
       if (!listed) {
         discovery.change(cache.listing(), 0);
       }
     }
-    changed.accept(place);
+    changeListener.accept(place);
   }
 
   /** The process at the place, perhaps dead. */
   public CacheServerModel at(int place) {
-    return caches.get(place);
+    return servers.get(place);
   }
 
   /** How many places there are. */
   public int places() {
-    return caches.size();
+    return servers.size();
   }
 
   /** Where the process of that name stands; -1 if nowhere. */
   public int placeOf(String host) {
-    for (int place = 0; place < caches.size(); place++) {
-      if (caches.get(place).listing().host().equals(host)) {
+    for (int place = 0; place < servers.size(); place++) {
+      if (servers.get(place).listing().host().equals(host)) {
         return place;
       }
     }
@@ -239,12 +243,12 @@
   }
 
   /** The clock of it all. */
-  public EventScheduler agenda() {
-    return agenda;
+  public EventScheduler scheduler() {
+    return scheduler;
   }
 
   /** Who is told of everything. */
-  public HistoryRecorder witness() {
-    return witness;
+  public HistoryRecorder recorder() {
+    return recorder;
   }
 }
--- a/src/main/java/beaconturn/standin/EventScheduler.java
+++ b/src/main/java/beaconturn/standin/EventScheduler.java
@@ -68,17 +68,17 @@
    */
   public void advance(long to) {
     while (!tasks.isEmpty() && tasks.peek().at <= to) {
-      Task next = tasks.remove();
-      now = Math.max(now, next.at);
-      if (next.body != null) {
-        next.body.run();
+      Task nextDueAt = tasks.remove();
+      now = Math.max(now, nextDueAt.at);
+      if (nextDueAt.body != null) {
+        nextDueAt.body.run();
       }
     }
     now = Math.max(now, to);
   }
 
   /** When the next task is due; {@link Long#MAX_VALUE} with none. */
-  public long next() {
+  public long nextDueAt() {
     while (!tasks.isEmpty() && tasks.peek().body == null) {
       tasks.remove();
     }
--- a/src/main/java/beaconturn/standin/ObjectCache.java
+++ b/src/main/java/beaconturn/standin/ObjectCache.java
@@ -9,20 +9,20 @@
  */
 final class ObjectCache {
   /** What an object takes beside its value, so that many small ones are not free. */
-  static final int OVERHEAD = 64;
+  static final int OVERHEAD_BYTES = 64;
 
-  private final long capacity;
-  private final long timeToLive;
+  private final long capacityBytes;
+  private final long timeToLiveNanos;
   private final Map<String, Item> items = new LinkedHashMap<>(16, 0.75f, true);
-  private long held;
+  private long usedBytes;
 
   /** One object: the origin's version of its key, its bytes, and when it is no longer served. */
   record Item(long version, int size, long until) {}
 
   /** A store of so many bytes whose objects live so many nanoseconds. */
-  ObjectCache(long capacity, long timeToLive) {
-    this.capacity = capacity;
-    this.timeToLive = timeToLive;
+  ObjectCache(long capacityBytes, long timeToLiveNanos) {
+    this.capacityBytes = capacityBytes;
+    this.timeToLiveNanos = timeToLiveNanos;
   }
 
   /** The object of the key if it is there and still alive, else null. */
@@ -37,21 +37,21 @@
 
   void put(String key, long version, int size, long now) {
     drop(key);
-    items.put(key, new Item(version, size, now + timeToLive));
-    held += size + OVERHEAD;
-    while (held > capacity && !items.isEmpty()) {
+    items.put(key, new Item(version, size, now + timeToLiveNanos));
+    usedBytes += size + OVERHEAD_BYTES;
+    while (usedBytes > capacityBytes && !items.isEmpty()) {
       drop(items.keySet().iterator().next());
     }
   }
 
   void drop(String key) {
     Item old = items.remove(key);
-    held -= old == null ? 0 : old.size() + OVERHEAD;
+    usedBytes -= old == null ? 0 : old.size() + OVERHEAD_BYTES;
   }
 
   void clear() {
     items.clear();
-    held = 0;
+    usedBytes = 0;
   }
 
   int count() {
@@ -59,6 +59,6 @@
   }
 
   long bytes() {
-    return held;
+    return usedBytes;
   }
 }
--- a/src/main/java/beaconturn/standin/OriginModel.java
+++ b/src/main/java/beaconturn/standin/OriginModel.java
@@ -18,10 +18,10 @@
   /** A call that the origin has failed or not taken. */
   public static final long NO_ANSWER = -1;
 
-  private final EventScheduler agenda;
+  private final EventScheduler scheduler;
   private final Shape shape;
   private final UniformRandomProvider random;
-  private final HistoryRecorder witness;
+  private final HistoryRecorder recorder;
   private final Map<String, Long> versions = new HashMap<>();
   private final Map<String, Integer> runs = new HashMap<>();
   private final List<Call> working = new ArrayList<>();
@@ -29,7 +29,7 @@
   private EventScheduler.Task fall;
   private double slow = 1;
   private boolean stopped;
-  private boolean fallen;
+  private boolean overloaded;
 
   /**
    * What an origin can do.
@@ -60,11 +60,14 @@
 
   /** An origin that is up and holds version 0 of every key. */
   public OriginModel(
-      EventScheduler agenda, Shape shape, UniformRandomProvider random, HistoryRecorder witness) {
-    this.agenda = agenda;
+      EventScheduler scheduler,
+      Shape shape,
+      UniformRandomProvider random,
+      HistoryRecorder recorder) {
+    this.scheduler = scheduler;
     this.shape = shape;
     this.random = random;
-    this.witness = witness;
+    this.recorder = recorder;
   }
 
   /** Reads a key; {@code done} gets its version or {@link #NO_ANSWER}. */
@@ -80,9 +83,9 @@
   }
 
   private void take(String from, boolean cold, Call call) {
-    witness.fetched(agenda.now(), from, cold, inside() + 1);
-    if (fallen || waiting.size() >= shape.queue()) {
-      agenda.in(0, () -> call.done.accept(NO_ANSWER));
+    recorder.fetched(scheduler.now(), from, cold, pending() + 1);
+    if (overloaded || waiting.size() >= shape.queue()) {
+      scheduler.in(0, () -> call.done.accept(NO_ANSWER));
       return;
     }
     waiting.add(call);
@@ -95,14 +98,14 @@
       Call next = waiting.remove();
       working.add(next);
       long time = (long) (shape.work() * slow * (0.5 + random.nextDouble()));
-      next.end = agenda.in(time, () -> finish(next));
+      next.end = scheduler.in(time, () -> finish(next));
     }
   }
 
   private void finish(Call call) {
     if (stopped) {
       // Nothing ends while it stands still; what was due goes on where it stopped.
-      call.end = agenda.in(shape.work(), () -> finish(call));
+      call.end = scheduler.in(shape.work(), () -> finish(call));
       return;
     }
     working.remove(call);
@@ -118,9 +121,9 @@
 
   /** Starts or ends the time that it has been pushed too far. */
   private void watch() {
-    boolean pushed = inside() > shape.fallMultiple() * shape.workers();
+    boolean pushed = pending() > shape.fallMultiple() * shape.workers();
     if (pushed && fall == null) {
-      fall = agenda.in(shape.fallAfter(), this::fallOver);
+      fall = scheduler.in(shape.fallAfter(), this::fallOver);
     } else if (!pushed && fall != null) {
       fall.cancel();
       fall = null;
@@ -129,8 +132,8 @@
 
   private void fallOver() {
     fall = null;
-    fallen = true;
-    witness.collapsed(agenda.now(), "origin");
+    overloaded = true;
+    recorder.collapsed(scheduler.now(), "origin");
     List<Call> lost = new ArrayList<>(working);
     lost.addAll(waiting);
     working.clear();
@@ -141,7 +144,7 @@
       }
       call.done.accept(NO_ANSWER);
     }
-    agenda.in(shape.fallFor(), () -> fallen = false);
+    scheduler.in(shape.fallFor(), () -> overloaded = false);
   }
 
   /** Its work takes so many times as long from now on. */
@@ -158,13 +161,13 @@
   }
 
   /** Calls that it works on or that wait. */
-  public int inside() {
+  public int pending() {
     return working.size() + waiting.size();
   }
 
   /** Whether it has fallen over and is not back. */
-  public boolean fallen() {
-    return fallen;
+  public boolean overloaded() {
+    return overloaded;
   }
 
   /** The version of the key, which each effect raises by one. */
--- a/src/main/java/beaconturn/standin/WorkWindow.java
+++ b/src/main/java/beaconturn/standin/WorkWindow.java
@@ -5,21 +5,21 @@
 
 /** The work that was sent within a sliding time, in nanoseconds of a warm worker. */
 final class WorkWindow {
-  private final long window;
-  private final Deque<long[]> sent = new ArrayDeque<>();
-  private long sum;
+  private final long windowNanos;
+  private final Deque<long[]> samples = new ArrayDeque<>();
+  private long totalNanos;
 
-  WorkWindow(long window) {
-    this.window = window;
+  WorkWindow(long windowNanos) {
+    this.windowNanos = windowNanos;
   }
 
   /** Adds work and returns all of it within the window that ends now. */
   long add(long now, long work) {
-    sent.add(new long[] {now, work});
-    sum += work;
-    while (!sent.isEmpty() && sent.peek()[0] <= now - window) {
-      sum -= sent.remove()[1];
+    samples.add(new long[] {now, work});
+    totalNanos += work;
+    while (!samples.isEmpty() && samples.peek()[0] <= now - windowNanos) {
+      totalNanos -= samples.remove()[1];
     }
-    return sum;
+    return totalNanos;
   }
 }
--- a/src/main/java/beaconturn/standin/net/CacheServerListeners.java
+++ b/src/main/java/beaconturn/standin/net/CacheServerListeners.java
@@ -49,7 +49,8 @@
         doors.add(new Door(place, router, port));
       }
     }
-    world.watch(place -> doors.stream().filter(door -> door.place == place).forEach(Door::follow));
+    world.onChange(
+        place -> doors.stream().filter(door -> door.place == place).forEach(Door::follow));
   }
 
   /** Where a router connects for a place. */
@@ -110,7 +111,7 @@
           session.sentSince(silentFrom);
         }
         session.begin();
-        FaultState condition = world.at(place).condition();
+        FaultState condition = world.at(place).faults();
         session.mute(condition.mute());
         session.hear(condition.unread(), condition.vanished());
         sessions.add(session);
@@ -128,7 +129,7 @@
     /** Goes along with the process and its condition. */
     private void follow() {
       CacheServerModel cache = world.at(place);
-      FaultState condition = cache.condition();
+      FaultState condition = cache.faults();
       sessions.removeIf(NonBlockingConnection::ended);
       for (RespSession session : sessions) {
         session.mute(session.muted() && condition.mute());
--- a/src/main/java/beaconturn/standin/net/EmulatedFleetServer.java
+++ b/src/main/java/beaconturn/standin/net/EmulatedFleetServer.java
@@ -47,7 +47,7 @@
   public EmulatedFleetServer(EmulatedFleet world, LongSupplier clock, int routers, int firstPort)
       throws IOException {
     this.world = world;
-    this.loop = new EventLoop("stand-ins", world.agenda(), clock);
+    this.loop = new EventLoop("stand-ins", world.scheduler(), clock);
     this.places = new CacheServerListeners(loop, world);
     for (int router = 0; router < routers; router++) {
       int port = firstPort == 0 ? 0 : firstPort + router;
--- a/src/main/java/beaconturn/standin/net/EventLoop.java
+++ b/src/main/java/beaconturn/standin/net/EventLoop.java
@@ -156,7 +156,7 @@
   }
 
   private void step() throws IOException {
-    long wait = agenda.next() - clock.getAsLong();
+    long wait = agenda.nextDueAt() - clock.getAsLong();
     if (wait <= 0 || !errands.isEmpty() || !afterTurn.isEmpty()) {
       selector.selectNow();
     } else {
--- a/src/main/java/beaconturn/standin/net/RespSession.java
+++ b/src/main/java/beaconturn/standin/net/RespSession.java
@@ -127,7 +127,7 @@
 
   @Override
   protected void unreadable(String why) {
-    world.witness().unreadable(loop.agenda().now(), cache.listing().host(), router, why);
+    world.recorder().unreadable(loop.agenda().now(), cache.listing().host(), router, why);
     write(RespWriter.failure("SYNTAX " + why));
   }
 
--- a/src/test/java/beaconturn/rehearsal/FaultCommandsTest.java
+++ b/src/test/java/beaconturn/rehearsal/FaultCommandsTest.java
@@ -42,12 +42,12 @@
     assertEquals(
         "ok: stall at 1 cache servers in 4000 ms for 2000 ms", orders.run("stall c2 in 4s for 2s"));
     pass(4 * SECOND - 1);
-    assertFalse(world.at(1).condition().stalled());
+    assertFalse(world.at(1).faults().stalled());
     pass(1);
-    assertTrue(world.at(1).condition().stalled());
-    assertFalse(world.at(0).condition().stalled());
+    assertTrue(world.at(1).faults().stalled());
+    assertFalse(world.at(0).faults().stalled());
     pass(2 * SECOND);
-    assertFalse(world.at(1).condition().stalled());
+    assertFalse(world.at(1).faults().stalled());
   }
 
   @Test
--- a/src/test/java/beaconturn/standin/CacheServerModelTest.java
+++ b/src/test/java/beaconturn/standin/CacheServerModelTest.java
@@ -150,7 +150,7 @@
     at.world.end(Fault.Kind.STALL, 0);
     at.pass(SECOND);
     assertEquals("", c.kinds());
-    assertEquals(0, at.world.at(0).held());
+    assertEquals(0, at.world.at(0).inFlight());
   }
 
   @Test
@@ -163,7 +163,7 @@
     c.hangUp();
     at.pass(SECOND);
     assertEquals(List.of(), at.told);
-    assertEquals(0, at.world.at(0).held());
+    assertEquals(0, at.world.at(0).inFlight());
     Fixture.Connection next = at.to(0).get("k", "1");
     at.pass(SECOND);
     assertEquals("miss", next.kinds(), "its workers are free again");
--- a/src/test/java/beaconturn/standin/ObjectCacheTest.java
+++ b/src/test/java/beaconturn/standin/ObjectCacheTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class ObjectCacheTest {
-  private final ObjectCache store = new ObjectCache(3 * (100 + ObjectCache.OVERHEAD), 50);
+  private final ObjectCache store = new ObjectCache(3 * (100 + ObjectCache.OVERHEAD_BYTES), 50);
 
   @Test
   void theLeastRecentlyUsedGoesFirst() {
@@ -19,7 +19,7 @@
     assertNull(store.get("b", 2));
     assertNotNull(store.get("a", 2));
     assertEquals(3, store.count());
-    assertEquals(3 * (100 + ObjectCache.OVERHEAD), store.bytes());
+    assertEquals(3 * (100 + ObjectCache.OVERHEAD_BYTES), store.bytes());
   }
 
   @Test
@@ -35,7 +35,7 @@
     store.put("a", 1, 100, 0);
     store.put("a", 2, 10, 0);
     assertEquals(2, store.get("a", 1).version());
-    assertEquals(10 + ObjectCache.OVERHEAD, store.bytes());
+    assertEquals(10 + ObjectCache.OVERHEAD_BYTES, store.bytes());
   }
 
   @Test
--- a/src/test/java/beaconturn/standin/OriginModelTest.java
+++ b/src/test/java/beaconturn/standin/OriginModelTest.java
@@ -33,12 +33,12 @@
   @Test
   void itWorksOnSoManyAtOnceAndQueuesTheRest() {
     fetch(4);
-    assertEquals(4, origin.inside());
+    assertEquals(4, origin.pending());
     pass(150 * MILLI);
     assertTrue(answers.size() < 4);
     pass(SECOND);
     assertEquals(List.of(0L, 0L, 0L, 0L), answers);
-    assertEquals(0, origin.inside());
+    assertEquals(0, origin.pending());
   }
 
   @Test
@@ -53,9 +53,9 @@
     origin.slow(100);
     fetch(7);
     pass(999 * MILLI);
-    assertFalse(origin.fallen());
+    assertFalse(origin.overloaded());
     pass(2 * MILLI);
-    assertTrue(origin.fallen());
+    assertTrue(origin.overloaded());
     assertEquals(7, answers.stream().filter(a -> a == OriginModel.NO_ANSWER).count());
     fetch(1);
     pass(MILLI);
@@ -72,9 +72,9 @@
     origin.slow(6);
     fetch(7);
     pass(950 * MILLI);
-    assertTrue(origin.inside() <= 6);
+    assertTrue(origin.pending() <= 6);
     pass(10 * SECOND);
-    assertFalse(origin.fallen());
+    assertFalse(origin.overloaded());
     assertEquals(List.of(0L, 0L, 0L, 0L, 0L, 0L, 0L), answers);
   }
 
