--- a/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
+++ b/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
@@ -3,177 +3,139 @@
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 import beaconturn.standin.CacheServerSpec;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 
-/**
- * The configuration that a router under rehearsal is started with, in the form that {@code serve}
- * reads.
- */
+/** The writer of the configuration files that routers under rehearsal are started with. */
 final class RouterConfigWriter {
-  private static final long TICK = 5_000_000;
+  private static final long TICK_NANOS = 5_000_000;
   private final Scenario scenario;
 
   RouterConfigWriter(Scenario scenario) {
     this.scenario = scenario;
   }
 
-  /** Where a router stands and asks; {@code control} is its second address, or null. */
+  /** The addresses of a router; {@code control} is its admin address, or null. */
   record Addresses(String listen, String discovery, String control) {}
 
-  /** The text for one router; each of so many {@code reloads} has settings of its own. */
-  String of(int router, Addresses at, Json known, long seed, int reloads) {
+  /**
+   * Returns the configuration of one router as JSON text.
+   *
+   * @param router its index in the scenario
+   * @param known the endpoint list that it starts with
+   * @param reloads how often it was reloaded; each reload has settings of its own
+   */
+  String configOf(int router, Addresses addresses, Json known, long seed, int reloads) {
     Scenario.RouterSpec spec = scenario.routers().get(router);
+    Json limits =
+        new JsonObjectBuilder()
+            .put("cores", 1.0)
+            .put("memory_mb", spec.memoryMb())
+            .put("sockets", spec.sockets())
+            .build();
+    Json control =
+        addresses.control() == null ? new Json.Nothing() : new Json.Text(addresses.control());
     return JsonWriter.write(
-        object(
-            "name",
-            spec.name(),
-            "listen",
-            at.listen(),
-            "discovery",
-            at.discovery(),
-            "control",
-            at.control() == null ? new Json.Nothing() : at.control(),
-            "seed",
-            String.format("%016x", seed),
-            "limits",
-            object("cores", 1.0, "memory_mb", spec.memoryMb(), "sockets", spec.sockets()),
-            "known",
-            known,
-            "settings",
-            settings(router, reloads)));
+        new JsonObjectBuilder()
+            .put("name", spec.name())
+            .put("listen", addresses.listen())
+            .put("discovery", addresses.discovery())
+            .put("control", control)
+            .put("seed", String.format("%016x", seed))
+            .put("limits", limits)
+            .put("known", known)
+            .put("settings", settings(router, reloads))
+            .build());
   }
 
   private Json settings(int router, int reloads) {
-    Scenario.Rules r = scenario.rules();
-    CacheServerSpec shape = scenario.fleet().shape();
-    List<String> reports = shape.loadReportFields();
-    return object(
-        "index",
-        router,
-        "replicas_of_me",
-        scenario.routers().size(),
-        "zone",
-        scenario.fleet().places().indexOf(scenario.routers().get(router).site()),
-        "dcs",
-        texts(scenario.fleet().places()),
-        "flavors",
-        texts(List.of("standin")),
-        "discovery",
-        "ask",
-        "counted_by",
-        "request",
-        "over_share_worth",
-        1.0,
-        "weights",
-        "none",
-        "tick",
-        TICK,
-        "tenants",
-        new Json.Items(List.of()),
-        "classes",
-        new Json.Items(
-            scenario.types().stream()
-                .filter(t -> !scenario.routers().get(router).lacks().contains(t.name()))
-                .map(RouterConfigWriter::type)
-                .toList()),
-        "family_info",
-        object(
-            "mode",
-            "through",
-            "ordered",
-            true,
-            "origin_kind",
-            -1,
-            "origin_fall",
-            scenario.origin().fallAfter(),
-            "origin_fall_multiple",
-            scenario.origin().fallMultiple()),
-        "load_report",
-        object("how", reports.isEmpty() ? "none" : "each", "names", texts(reports)),
-        "permissions",
-        object(
-            "cancel",
-            r.cancel(),
-            "peers",
-            false,
-            "probes",
-            false,
-            "retry_after",
-            true,
-            "second_copies",
-            r.secondCopies(),
-            "most_tries",
-            r.mostTries(),
-            "max_retry_after",
-            r.mostRetryAfter() + reloads,
-            "multiplex",
-            shape.multiplex(),
-            "dial_timeout",
-            r.dialTimeout(),
-            "conn_idle",
-            r.idle()),
-        "rules",
-        object(
-            "answer_slack",
-            r.answerSlack(),
-            "ask_within",
-            r.askWithin(),
-            "cold_share",
-            shape.coldSpeedShare(),
-            "cold",
-            shape.warmUpNanos(),
-            "drain_grace",
-            r.drainGrace(),
-            "fall_multiple",
-            shape.overloadMultiple(),
-            "overload_for",
-            shape.overloadNanos()));
+    List<String> zones = scenario.fleet().places();
+    return new JsonObjectBuilder()
+        .put("index", router)
+        .put("replicas_of_me", scenario.routers().size())
+        .put("zone", zones.indexOf(scenario.routers().get(router).site()))
+        .putStrings("dcs", zones)
+        .putStrings("flavors", List.of("standin"))
+        .put("discovery", "ask")
+        .put("counted_by", "request")
+        .put("over_share_worth", 1.0)
+        .put("weights", "none")
+        .put("tick", TICK_NANOS)
+        .put("tenants", List.of())
+        .put("classes", classes(router))
+        .put("family_info", originSettings())
+        .put("load_report", loadReport())
+        .put("permissions", permissions(reloads))
+        .put("rules", safetyLimits())
+        .build();
   }
 
-  private static Json type(Scenario.Type t) {
-    return object(
-        "name",
-        t.name(),
-        "effect",
-        t.effect().setting(),
-        "key_scope",
-        t.scope(),
-        "window",
-        t.window(),
-        "target",
-        t.aim(),
-        "hard_limit",
-        t.deadline(),
-        "worth",
-        t.worth(),
-        "late_worth",
-        0.0,
-        "stream",
-        false);
+  private List<Json> classes(int router) {
+    List<String> unknown = scenario.routers().get(router).lacks();
+    return scenario.types().stream()
+        .filter(type -> !unknown.contains(type.name()))
+        .map(RouterConfigWriter::requestClass)
+        .toList();
   }
 
-  /** A list of texts. */
-  static Json texts(List<String> words) {
-    return new Json.Items(words.stream().map(w -> (Json) new Json.Text(w)).toList());
+  private static Json requestClass(Scenario.Type type) {
+    return new JsonObjectBuilder()
+        .put("name", type.name())
+        .put("effect", type.effect().setting())
+        .put("key_scope", type.scope())
+        .put("window", type.window())
+        .put("target", type.aim())
+        .put("hard_limit", type.deadline())
+        .put("worth", type.worth())
+        .put("late_worth", 0.0)
+        .put("stream", false)
+        .build();
   }
 
-  /** An object of names and values by turns; texts, numbers, flags or values of JSON. */
-  static Json object(Object... pairs) {
-    Map<String, Json> members = new LinkedHashMap<>();
-    for (int i = 0; i < pairs.length; i += 2) {
-      Object value = pairs[i + 1];
-      Json json =
-          value instanceof Json whole
-              ? whole
-              : value instanceof Boolean flag
-                  ? new Json.Flag(flag)
-                  : value instanceof Number figure
-                      ? new Json.Figure(figure.toString())
-                      : new Json.Text(value.toString());
-      members.put(pairs[i].toString(), json);
-    }
-    return new Json.Members(members);
+  private Json originSettings() {
+    return new JsonObjectBuilder()
+        .put("mode", "through")
+        .put("ordered", true)
+        .put("origin_kind", -1)
+        .put("origin_fall", scenario.origin().fallAfter())
+        .put("origin_fall_multiple", scenario.origin().fallMultiple())
+        .build();
+  }
+
+  private Json loadReport() {
+    List<String> fields = scenario.fleet().shape().loadReportFields();
+    return new JsonObjectBuilder()
+        .put("how", fields.isEmpty() ? "none" : "each")
+        .putStrings("names", fields)
+        .build();
+  }
+
+  private Json permissions(int reloads) {
+    Scenario.Rules rules = scenario.rules();
+    return new JsonObjectBuilder()
+        .put("cancel", rules.cancel())
+        .put("peers", false)
+        .put("probes", false)
+        .put("retry_after", true)
+        .put("second_copies", rules.secondCopies())
+        .put("most_tries", rules.mostTries())
+        .put("max_retry_after", rules.mostRetryAfter() + reloads)
+        .put("multiplex", scenario.fleet().shape().multiplex())
+        .put("dial_timeout", rules.dialTimeout())
+        .put("conn_idle", rules.idle())
+        .build();
+  }
+
+  private Json safetyLimits() {
+    Scenario.Rules rules = scenario.rules();
+    CacheServerSpec spec = scenario.fleet().shape();
+    return new JsonObjectBuilder()
+        .put("answer_slack", rules.answerSlack())
+        .put("ask_within", rules.askWithin())
+        .put("cold_share", spec.coldSpeedShare())
+        .put("cold", spec.warmUpNanos())
+        .put("drain_grace", rules.drainGrace())
+        .put("fall_multiple", spec.overloadMultiple())
+        .put("overload_for", spec.overloadNanos())
+        .build();
   }
 }
--- a/src/main/java/beaconturn/rehearsal/RouterProcess.java
+++ b/src/main/java/beaconturn/rehearsal/RouterProcess.java
@@ -122,7 +122,11 @@
     // What refuses knows no cache server and hears of none.
     Json known =
         harm == Scenario.Harm.REFUSES
-            ? RouterConfigWriter.object("seq", 0, "whole", true, "hosts", new Json.Items(List.of()))
+            ? new JsonObjectBuilder()
+                .put("seq", 0)
+                .put("whole", true)
+                .put("hosts", List.of())
+                .build()
             : surroundings.known(number);
     configured =
         new RouterConfigWriter.Addresses(
@@ -153,7 +157,8 @@
 
   private String configuration() {
     return new RouterConfigWriter(scenario)
-        .of(number, configured, listed, scenario.seed() * 1000 + number * 100L + starts, reloads);
+        .configOf(
+            number, configured, listed, scenario.seed() * 1000 + number * 100L + starts, reloads);
   }
 
   /** Writes settings that differ from those in force, and has the router read them. */
--- /dev/null
+++ b/src/main/java/beaconturn/rehearsal/TextReport.java
@@ -0,0 +1,194 @@
+package beaconturn.rehearsal;
+
+import beaconturn.history.HistoryEvent;
+import beaconturn.history.InvariantResult;
+import beaconturn.history.Violation;
+import beaconturn.history.ZoneCrossings;
+import java.util.Locale;
+
+/**
+ * A rehearsal's report as plain text: invariants, request classes, and what the fleet agreed on.
+ */
+final class TextReport {
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final double KB_PER_MB = 1024;
+  private final RehearsalReport report;
+  private final StringBuilder out = new StringBuilder();
+
+  TextReport(RehearsalReport report) {
+    this.report = report;
+  }
+
+  /** Returns the whole text. */
+  String write() {
+    writeInvariants();
+    writeNotes();
+    writeClasses();
+    writeTotals();
+    if (report.fleet() != null) {
+      writeVersions();
+      writeRollout();
+      writeFleetTotals();
+    }
+    if (report.scenario().zones() != null) {
+      writeZonePlans();
+      writeZoneCrossings();
+    }
+    return out.toString();
+  }
+
+  private void append(String format, Object... values) {
+    out.append(String.format(Locale.ROOT, format, values));
+  }
+
+  private double secondsFromStart(long at) {
+    return (at - report.start()) / NANOS_PER_SECOND;
+  }
+
+  private void writeInvariants() {
+    append("%-16s %-7s %9s  %s%n", "rule", "", "checked", "first offence");
+    for (InvariantResult result : report.verdicts()) {
+      append(
+          "%-16s %-7s %9d  %s%n",
+          result.rule(),
+          result.held() ? "held" : "BROKEN",
+          result.checked(),
+          result.held() ? result.promise() : firstViolation(result));
+    }
+  }
+
+  private String firstViolation(InvariantResult result) {
+    int count = result.offences().size();
+    String first = line(result.offences().get(0));
+    return count == 1 ? first : first + " (" + count + " in all)";
+  }
+
+  private String line(Violation violation) {
+    return String.format(
+        Locale.ROOT,
+        "%.3f s%s%s: %s",
+        secondsFromStart(violation.at()),
+        violation.request().isEmpty() ? "" : ", request " + violation.request(),
+        violation.server().isEmpty() ? "" : ", " + violation.server(),
+        violation.what());
+  }
+
+  private void writeNotes() {
+    for (InvariantResult result : report.verdicts()) {
+      for (Violation note : result.notes()) {
+        append("noted, %s: %s\n", result.rule(), line(note));
+      }
+    }
+  }
+
+  private void writeClasses() {
+    append(
+        "%n%-14s %7s %7s %7s %7s %7s %7s %7s %7s %9s %9s %9s%n",
+        "class", "wanted", "tries", "served", "refused", "failed", "no end", "no way", "in aim",
+        "p50 ms", "p99 ms", "max ms");
+    for (ClientStatistics.Line line : report.classes()) {
+      append(
+          "%-14s %7d %7d %7d %7d %7d %7d %7d %7d %9.1f %9.1f %9.1f%n",
+          line.type(),
+          line.wanted(),
+          line.tries(),
+          line.served(),
+          line.refused(),
+          line.failed(),
+          line.unanswered(),
+          line.unreached(),
+          line.inAim(),
+          line.median(),
+          line.p99(),
+          line.most());
+    }
+  }
+
+  private void writeTotals() {
+    append(
+        "%nseed %d, %.1f s played; processor time: kit %.2f s, "
+            + "routers %.2f s; requests sent late by %.1f ms (p99); %s%n",
+        report.scenario().seed(),
+        report.scenario().length() / NANOS_PER_SECOND,
+        report.kitCpu() / NANOS_PER_SECOND,
+        report.routerCpu() / NANOS_PER_SECOND,
+        report.senderLate(),
+        report.stoodStill());
+    if (!report.held() && report.disturbed()) {
+      out.append(
+          "which is over a fifth of the play: what was broken may be the"
+              + " machine's doing, play it again\n");
+    }
+  }
+
+  private void writeVersions() {
+    for (VersionTimeline version : report.fleet().passages()) {
+      append(
+          "version %d proposed at %.3f s, %s, %s%n",
+          version.number(),
+          secondsFromStart(version.proposed()),
+          delay(version, version.inForce(), "in force"),
+          delay(version, version.settled(), "settled"));
+    }
+  }
+
+  private static String delay(VersionTimeline version, long at, String what) {
+    if (at < 0) {
+      return "not " + what;
+    }
+    double millis = (at - version.proposed()) / NANOS_PER_MILLI;
+    return String.format(Locale.ROOT, "%s after %.0f ms", what, millis);
+  }
+
+  private void writeRollout() {
+    for (HistoryEvent event : report.entries()) {
+      if (event instanceof HistoryEvent.Ordered order) {
+        append("release: %s at %.3f s%n", order.what(), secondsFromStart(order.at()));
+      }
+    }
+  }
+
+  private void writeFleetTotals() {
+    append(
+        "longest contradiction %.0f ms of %.0f ms stated; %.1f calls a"
+            + " second at the store; a router held %.1f MB and %d threads at most%n",
+        report.contradiction() / NANOS_PER_MILLI,
+        report.scenario().agreement().timing().stated() / NANOS_PER_MILLI,
+        report.fleet().callsPerSecond(),
+        report.fleet().footprint().memory() / KB_PER_MB,
+        report.fleet().footprint().threads());
+  }
+
+  private void writeZonePlans() {
+    for (HistoryEvent.Planned plan : report.plans()) {
+      append("plan %d at %.1f s: %s%n", plan.number(), secondsFromStart(plan.at()), plan.rows());
+    }
+  }
+
+  private void writeZoneCrossings() {
+    ZoneCrossings crossings = report.crossings();
+    int seconds = (int) Math.ceil(report.scenario().length() / NANOS_PER_SECOND);
+    double worst = new ServedBySecond(report.entries(), report.start(), seconds).worst();
+    append(
+        "places: %.1f %% of first sends went to others, %.1f %% before"
+            + " the first trouble; at most %.2f times what its cache servers can do in"
+            + " a second (%s); %d"
+            + " calls at the origin; worst ten seconds %.1f %% served",
+        100 * crossings.crossed(),
+        100 * crossings.crossedCalm(),
+        crossings.peak(),
+        crossings.busiest(),
+        crossings.fetches(),
+        100 * worst);
+    if (crossings.decidedAfter() >= 0) {
+      append(
+          "; the first plan %.1f s after the trouble", crossings.decidedAfter() / NANOS_PER_SECOND);
+    }
+    if (crossings.backAfter() >= 0) {
+      append("; the last %.1f s after its end%n", crossings.backAfter() / NANOS_PER_SECOND);
+    } else {
+      out.append('\n');
+    }
+  }
+}
