--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -18,6 +18,7 @@
 import beaconturn.net.client.ClientConnections;
 import beaconturn.net.client.ClientEventLog;
 import beaconturn.net.client.ClientPoller;
+import beaconturn.net.client.ConnectionContext;
 import beaconturn.net.client.InvalidCommandException;
 import beaconturn.net.client.Listener;
 import beaconturn.net.client.PendingRequestIds;
@@ -105,7 +106,7 @@
     }
 
     /** How a client's connection is served. */
-    default ClientConnection connection(SocketChannel client, ClientConnection.Site site) {
+    default ClientConnection connection(SocketChannel client, ConnectionContext site) {
       return new ClientConnection(client, site);
     }
 
@@ -131,7 +132,7 @@
   private final ClientConnections clients;
   private final ClientPoller poller = new ClientPoller(clock);
   private final ClientEventLog events = new ClientEventLog();
-  private final ClientConnection.Site site;
+  private final ConnectionContext site;
 
   /** Null until the router serves. */
   private volatile Listener listener;
@@ -231,7 +232,7 @@
     this.clients = new ClientConnections(capacity.clients(), capacity.easyClients());
     Consumer<RoutingMessage> inbox = hosting.inbox(module::post);
     this.site =
-        new ClientConnection.Site(
+        new ConnectionContext(
             () -> parser,
             clock,
             lifecycle,
@@ -462,7 +463,7 @@
     listener =
         config.shared()
             ? Listener.inherited(this::accepted)
-            : Listener.bound(config.listen(), this::accepted);
+            : Listener.bind(config.listen(), this::accepted);
     listener.start();
     LOG.info(
         config.name()
@@ -570,8 +571,8 @@
   private void share() {
     beside = neighbour.beside();
     ConnectionBudget now = capacity();
-    clients.bounds(now.clients(), now.easyClients());
-    places.most(now.cacheConnections());
+    clients.setLimits(now.clients(), now.easyClients());
+    places.setLimit(now.cacheConnections());
     WarmStartState latest = learned;
     learned = null;
     if (beside && latest != null && lifecycle.phase() == Lifecycle.Phase.SERVING) {
--- a/src/main/java/beaconturn/net/client/ClientConnection.java
+++ b/src/main/java/beaconturn/net/client/ClientConnection.java
@@ -1,273 +1,254 @@
 package beaconturn.net.client;
 
-import beaconturn.core.Clock;
-import beaconturn.core.Lifecycle;
-import beaconturn.core.RoutingMessage;
+import beaconturn.net.client.ConnectionState.EndProposal;
 import beaconturn.net.io.Sockets;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespValue;
 import beaconturn.protocol.RespWriter;
-import beaconturn.protocol.Slice;
 import java.io.IOException;
-import java.nio.ByteBuffer;
 import java.nio.channels.CancelledKeyException;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
 import java.nio.channels.SocketChannel;
 import java.util.List;
-import java.util.Locale;
-import java.util.concurrent.Semaphore;
-import java.util.concurrent.atomic.AtomicBoolean;
-import java.util.function.Consumer;
-import java.util.function.Supplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
 /**
- * One client: reads commands as the poller says that bytes are there, and hands the requests to the
- * module. Reading goes on while requests are out, so that a client's close is seen at once.
+ * One client's connection: what happens on it in which order, and how it ends. {@link
+ * ConnectionState} says how far it is, {@link CommandReader} reads its commands, {@link
+ * CommandDispatcher} hands the requests over, {@link ClientWriter} writes the answers.
+ *
+ * <p>The poller's thread reads and takes commands. The sweeper and the listener propose ends, and
+ * threads that have an answer write it; so each method says who may call it.
  */
 public class ClientConnection {
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
 
   /** How long a client may take to close its end of a connection that the router has ended. */
-  static final int LINGER_MILLIS = 250;
+  static final long LINGER_NANOS = 250_000_000;
 
-  /** How much of what follows malformed input is read, so that the error before it can arrive. */
-  private static final int MOST_DISCARDED = 32 * 1024;
-
-  /** So long a planned stop waits for the rest of a command that has begun. */
-  private static final long LONGEST_HALF_AT_STOP = 1_000_000_000;
-
-  /**
-   * When a client that is refused at a planned stop may come again: another router answers it then.
-   */
-  private static final long RETRY_ELSEWHERE = 50_000_000;
+  /** How long a planned stop waits for the rest of a command that has begun. */
+  private static final long PARTIAL_COMMAND_AT_STOP_NANOS = 1_000_000_000;
 
   private static final long NEVER = Long.MAX_VALUE;
 
-  /** What a connection needs of the router round it. */
-  public record Site(
-      Supplier<RequestParser> parser,
-      Clock clock,
-      Lifecycle lifecycle,
-      Consumer<RoutingMessage> module,
-      ClientPoller poller,
-      PendingRequestIds ids,
-      Semaphore largeRequests,
-      ClientEventLog events,
-      Consumer<ClientConnection> whenClosed) {}
-
+  // For any thread.
   private final SocketChannel channel;
-  private final Site site;
+  private final ConnectionContext context;
+  private final ConnectionState state = new ConnectionState();
   private final ClientWriter writer;
+  private final LargeRequestPermits largePermits;
+  private final CommandDispatcher dispatcher;
   private final long number;
-  private final long since;
-  private final PendingRequests calls = new PendingRequests();
-  private final PartialCommand partial = new PartialCommand();
-  private final AtomicBoolean left = new AtomicBoolean();
-  private volatile boolean spoke;
-  private volatile boolean paused;
+  private final long openedAtNanos;
 
-  /** Why it is to end, or null. */
-  private volatile EndReason toEnd;
+  // Poller thread only, but for what the reader's methods allow to others.
+  private final CommandReader reader;
 
-  private volatile boolean largeInHand;
-
-  /** Since when the router has been stopping, or {@code Long.MAX_VALUE} if it has not. */
-  private volatile long stoppingSince = NEVER;
-
-  private int large;
-  // For the poller's thread:
-  private final ClientInputBuffer in = new ClientInputBuffer();
+  /** Poller thread only. Null until the poller has turned to the connection first. */
   private SelectionKey key;
-  private boolean malformed;
 
-  /**
-   * Its sending has been ended: what comes now stays unread, so that the client knows that nobody
-   * has it.
-   */
-  private boolean finished;
-
-  private int discarded;
-  private int commands;
-  private final RejectionRateLimit rejections;
-
-  public ClientConnection(SocketChannel channel, Site site) {
+  /** A connection that has been accepted; nothing is read before {@link #start}. */
+  public ClientConnection(SocketChannel channel, ConnectionContext context) {
     this.channel = channel;
-    this.site = site;
-    this.number = site.events().connected();
-    this.since = site.clock().now();
-    this.rejections = new RejectionRateLimit(site.clock());
-    this.writer = new ClientWriter(channel, site.clock(), this::written);
-  }
-
+    this.context = context;
+    this.number = context.eventLog().connectionOpened();
+    this.openedAtNanos = context.clock().now();
+    this.writer = new ClientWriter(channel, context.clock(), this::answersWritten);
+    this.largePermits = new LargeRequestPermits(context.largeRequests());
+    this.dispatcher = new CommandDispatcher(context, state, writer);
+    this.reader =
+        new CommandReader(
+            channel, context.clock(), state, writer, largePermits, this::handleCommand);
+  }
+
+  /** Has the poller read from the connection from now on. For the thread that accepted it. */
   public void start() {
-    site.poller().call(this);
+    context.poller().schedule(this);
   }
 
+  // What the sweeper and the listener look at. For any thread.
+
   /** Since when no request is out and none half read, or {@code Long.MAX_VALUE} if one is. */
-  long quietSince() {
-    return !partial.exists() && toEnd == null ? writer.quietSince() : NEVER;
+  long idleSinceNanos() {
+    return reader.partial().exists() || state.hasProposal() ? NEVER : writer.idleSinceNanos();
   }
 
   /**
    * Since when half a command waits for the rest, or {@code Long.MAX_VALUE} if none does. It counts
    * from the first byte: a client that sends one now and then would else hold its place for ever.
    */
-  public long halfReadSince() {
-    return partial.since();
+  public long partialCommandSinceNanos() {
+    return reader.partial().beganAtNanos();
   }
 
   /** Since when the client has sent nothing at all, or {@code Long.MAX_VALUE} if it has. */
-  long silentSince() {
-    return spoke || partial.exists() || leaving() || closingSince() != NEVER ? NEVER : since;
+  long silentSinceNanos() {
+    boolean hasSent = reader.commandSeen() || reader.partial().exists();
+    return hasSent || isLeaving() || outputEndedAtNanos() != NEVER ? NEVER : openedAtNanos;
   }
 
   /**
    * Since when nothing more has come of half a command, or {@code Long.MAX_VALUE} if none waits.
    */
-  long stalledSince() {
-    boolean stalled = partial.exists() && toEnd == null && !paused && writer.quietSince() != NEVER;
-    return stalled ? partial.heardAt() : NEVER;
+  long stalledSinceNanos() {
+    boolean stalled =
+        reader.partial().exists()
+            && !state.hasProposal()
+            && !reader.waitsForRoom()
+            && writer.idleSinceNanos() != NEVER;
+    return stalled ? reader.partial().lastBytesAtNanos() : NEVER;
   }
 
   /** Since when an answer is being written, or {@code Long.MAX_VALUE} if none is. */
-  long writingSince() {
-    return writer.writingSince();
+  long writingSinceNanos() {
+    return writer.writingSinceNanos();
   }
 
   /** Since when the client is awaited to close its end, or {@code Long.MAX_VALUE} if it is not. */
-  long closingSince() {
-    return writer.closingSince();
+  long outputEndedAtNanos() {
+    return writer.outputEndedAtNanos();
+  }
+
+  /** Whether it is about to be closed, or is and still has its descriptor. */
+  boolean isLeaving() {
+    return state.hasProposal() || state.isClosed();
   }
 
+  // How it ends.
+
   /**
    * Closes the connection unless an answer is owed or more has come meanwhile. A command that has
-   * begun keeps it open, unless the reason is that very command.
+   * begun keeps it open, unless the reason is that very command. For any thread.
    */
   void endIfQuiet(EndReason reason) {
-    if (writer.quietSince() != NEVER && !paused) {
-      partial.chosen(reason);
-      toEnd = reason;
-      site.poller().call(this);
+    if (writer.idleSinceNanos() != NEVER
+        && !reader.waitsForRoom()
+        && state.propose(reader.partial().proposeEnd(reason))) {
+      context.poller().schedule(this);
     }
   }
 
   /**
    * Ends the connection as soon as nothing is owed on it: what has come by now is served, what
-   * comes later is refused at once, so that a client that always has something out does not keep it
-   * open. To be called again and again.
+   * comes later is rejected at once, so that a client that always has something out does not keep
+   * it open. To be called again and again, by any thread.
    */
   void stop() {
-    if (stoppingSince == NEVER) {
-      stoppingSince = site.clock().now();
-    }
-    if (writer.quietSince() != NEVER) {
-      site.poller().call(this);
+    state.drain(context.clock().now());
+    if (writer.idleSinceNanos() != NEVER) {
+      context.poller().schedule(this);
     }
   }
 
   /**
-   * A last look before the end: what the kernel holds may be a whole command that a poller with too
-   * much to do has not read, and whoever wrote it would lose it. One that begins now gets its time;
-   * no other does.
+   * Takes up the end that was proposed, after a last look. Poller thread only.
+   *
+   * <p>Guard against a request that is lost with its connection: what the kernel holds may be a
+   * whole command that a poller with too much to do has not read, and its client would see only the
+   * end. It holds because the look and the close follow each other on the one thread that reads:
+   * what comes between them stays unread, and the client learns from the reset that nobody has it.
+   * A command that begins at the last look gets its time; no other does.
    */
   private void endUnlessMoreCame() throws IOException {
-    EndReason reason = toEnd;
-    toEnd = null;
+    EndProposal proposal = state.takeProposal();
+    PartialCommand partial = reader.partial();
     if (nothingCame()
-        && (!partial.exists() || mayEndOverCommand(reason))
-        && writer.finishIfQuiet()) {
-      close(reason);
+        && (!partial.exists() || mayEndOverCommand(partial.isReasonOf(proposal)))
+        && writer.finishIfIdle()) {
+      close(proposal.reason());
     }
   }
 
-  /** Whether the command that is half read is the one for which the end was chosen. */
-  protected boolean mayEndOverCommand(EndReason reason) {
-    return partial.isReason(reason);
+  /**
+   * Whether the connection may end over the command that is half read. Poller thread only.
+   *
+   * @param commandIsReason whether that command is the reason for the end
+   */
+  protected boolean mayEndOverCommand(boolean commandIsReason) {
+    return commandIsReason;
   }
 
   /**
-   * The same at a planned stop, where the last answer may still be on its way: its connection is
-   * only half closed.
+   * Ends the sending at a planned stop, after a last look. Poller thread only.
+   *
+   * <p>Guard against a last answer that is cut off by a reset, and against a request that is read
+   * and cannot be answered: the connection is only half closed, as the answer may still be on its
+   * way, and from then on nothing is read, so that the client knows that nobody has what it sent.
    */
   private void finishUnlessMoreCame() throws IOException {
-    boolean late =
+    PartialCommand partial = reader.partial();
+    boolean tooLate =
         partial.exists()
-            && site.clock().now() - Math.max(partial.since(), stoppingSince) > LONGEST_HALF_AT_STOP;
-    if (nothingCame() && (late || !partial.exists()) && writer.finishIfQuiet()) {
-      finished = true;
+            && context.clock().now() - Math.max(partial.beganAtNanos(), state.drainingSinceNanos())
+                > PARTIAL_COMMAND_AT_STOP_NANOS;
+    if (nothingCame() && (tooLate || !partial.exists()) && writer.finishIfIdle()) {
+      state.end(EndReason.PLANNED_STOP);
     }
   }
 
-  /** Reads once more; whether no whole command has come or waits. */
+  /** Reads once more; whether no whole command has come or waits. Poller thread only. */
   private boolean nothingCame() throws IOException {
-    int before = commands;
-    if (!paused) {
-      read(site.poller().lookedAt());
+    int before = reader.commandsTaken();
+    if (!reader.waitsForRoom()) {
+      read(context.poller().lookedAtNanos());
     }
-    return !left.get() && !paused && commands == before;
+    return !state.isClosed() && !reader.waitsForRoom() && reader.commandsTaken() == before;
   }
 
   /**
-   * Closes at once, whatever is out: nobody waits for what it still had. Not for the module's
-   * thread.
+   * Closes at once, whatever is out: nobody waits for what it still had. For any thread but the
+   * routing thread.
    */
   void close(EndReason reason) {
-    if (!left.compareAndSet(false, true)) {
+    if (!state.close(reason)) {
       return;
     }
     Sockets.close(channel);
     int unwritten = writer.abandon();
-    List<RespClientRequest> open = calls.unanswered();
-    site.events().ended(number, reason, open, unwritten, site.clock().now());
-    for (RespClientRequest call : open) {
-      // First what the threads that write to cache servers look at.
-      call.abandoned();
-      site.module().accept(new RoutingMessage.Left(call));
-    }
-    giveBackLarge();
-    site.poller().closed(this);
+    List<RespClientRequest> unanswered = dispatcher.unanswered();
+    context.eventLog().ended(number, reason, unanswered, unwritten, context.clock().now());
+    dispatcher.abandon(unanswered);
+    largePermits.releaseAll();
+    context.poller().releaseClosed(this);
   }
 
-  /** Whether it is about to be closed, or is and still has its descriptor. */
-  boolean leaving() {
-    return toEnd != null || left.get();
+  /** Its descriptor can be used by another. Poller thread only. */
+  void released() {
+    context.whenReleased().accept(this);
   }
 
-  /** Its descriptor can be used by another. */
-  void freed() {
-    site.whenClosed().accept(this);
-  }
+  // What the poller calls. Poller thread only.
 
   /**
-   * The poller's word that bytes can be read or written; what can be read came at that time or
-   * later.
+   * Reads and writes what can be.
+   *
+   * @param arrivedAtNanos the earliest time at which what can be read can have come
    */
-  void ready(SelectionKey told, long arrivedAt) {
+  void onReady(SelectionKey readyKey, long arrivedAtNanos) {
     guarded(
         () -> {
-          if (told.isWritable()) {
+          if (readyKey.isWritable()) {
             writer.write();
           }
-          if (told.isReadable()) {
-            read(arrivedAt);
+          if (readyKey.isReadable()) {
+            read(arrivedAtNanos);
           }
         });
   }
 
   /** Takes up what has been put off; the first time, the connection is made known to the poller. */
-  void proceed(Selector selector) {
+  void onScheduled(Selector selector) {
     guarded(
         () -> {
           if (key == null) {
             key = channel.register(selector, SelectionKey.OP_READ, this);
           }
-          parse();
-          if (toEnd != null) {
+          handOverCommands();
+          if (state.hasProposal()) {
             endUnlessMoreCame();
-          } else if (stoppingSince != NEVER && !finished && !malformed) {
+          } else if (state.phase() == ConnectionState.Phase.DRAINING) {
             finishUnlessMoreCame();
           }
         });
@@ -280,7 +261,7 @@
   /** One connection's failure must not touch the others on the poller's thread. */
   private void guarded(Step step) {
     try {
-      if (!left.get()) {
+      if (!state.isClosed()) {
         step.run();
         awaitNext();
       }
@@ -302,14 +283,11 @@
   private void failed(Throwable failure) {
     LOG.log(Level.WARNING, "client connection " + number + " failed and ends", failure);
     try {
-      if (malformed || finished) {
+      if (state.isEnding()) {
         close(EndReason.DEFECT);
         return;
       }
-      for (RespClientRequest call : calls.unanswered()) {
-        call.failed();
-        site.module().accept(new RoutingMessage.Left(call));
-      }
+      dispatcher.failAll();
       malformed("internal error");
       awaitNext();
     } catch (RuntimeException | Error e) {
@@ -322,197 +300,94 @@
     EndReason broken = writer.brokenBy();
     if (broken != null) {
       close(broken);
-    } else if (!left.get()) {
-      int ops = (reads() ? SelectionKey.OP_READ : 0) | (writer.stuck() ? SelectionKey.OP_WRITE : 0);
-      if (key.interestOps() != ops) {
-        key.interestOps(ops);
+    } else if (!state.isClosed()) {
+      int read = reader.wantsToRead() ? SelectionKey.OP_READ : 0;
+      int write = writer.isBlocked() ? SelectionKey.OP_WRITE : 0;
+      if (key.interestOps() != (read | write)) {
+        key.interestOps(read | write);
       }
     }
   }
 
-  /**
-   * Whether bytes are to be read. While commands wait for room reading goes on ahead, to see a
-   * client's close.
-   */
-  private boolean reads() {
-    if (malformed) {
-      return !paused;
-    }
-    return !finished && in.wantsMore(largeInHand);
-  }
-
-  private void read(long arrivedAt) throws IOException {
-    if (malformed) {
-      discard();
+  private void read(long arrivedAtNanos) throws IOException {
+    if (state.isEnding()) {
+      if (reader.discards() && !reader.discard()) {
+        close(EndReason.MALFORMED);
+      }
       return;
     }
-    int got = in.fill(channel, arrivedAt, largeInHand);
-    if (got < 0) {
+    int bytes = reader.fill(arrivedAtNanos);
+    if (bytes < 0) {
       // What came just before the end is not handled: nobody waits for it.
       close(EndReason.CLIENT_LEFT);
-    } else if (got > 0) {
-      partial.heard(site.clock().now());
-      parse();
+    } else if (bytes > 0) {
+      handOverCommands();
     }
   }
 
-  /** Handles the commands that are whole, as far as there is room for their answers. */
-  private void parse() {
+  private void handOverCommands() {
     try {
-      RespValue next = nextCommand();
-      while (next != null) {
-        commands++;
-        command(next);
-        if (in.isEmpty()) {
-          partial.taken();
-        } else {
-          partial.takenBefore(site.clock().now());
-        }
-        next = nextCommand();
-      }
-      if (in.large() && !largeInHand && !malformed) {
-        takeLarge();
-      }
+      reader.handOverCommands();
     } catch (ProtocolException e) {
       malformed(e.getMessage());
     }
   }
 
-  private RespValue nextCommand() throws ProtocolException {
-    if (malformed) {
-      return null;
-    }
-    // Set before it is asked: who writes the answer that makes room must see that it is waited for.
-    paused = true;
-    if (!writer.hasRoom() || rejections.exhausted()) {
-      return null;
-    }
-    paused = false;
-    return in.next();
-  }
-
   /** Whatever is wrong with one whole command is answered in its place and concerns no other. */
-  private void command(RespValue value) {
-    spoke = true;
-    largeInHand = false;
+  private void handleCommand(RespValue command) {
     try {
-      if (!(value instanceof RespValue.Array array)
-          || array.items() == null
-          || array.items().isEmpty()
-          || !(array.items().get(0) instanceof RespValue.Bulk name)
-          || name.bytes() == null) {
-        throw new InvalidCommandException("expected a command");
-      }
-      if (RequestParser.isRequest(name.bytes())) {
-        request(site.parser().get().parse(array.items(), in.lastArrivedAt(), site.ids()));
-      } else {
-        writer.take(ResponseSlot.of(other(name.bytes().toString().toUpperCase(Locale.ROOT))));
-      }
+      dispatcher.dispatch(command, reader.lastArrivedAtNanos());
     } catch (InvalidCommandException e) {
-      rejections.note();
-      site.events().rejected(number, value, e.getMessage(), site.clock().now());
+      reader.noteRejection();
+      context.eventLog().rejected(number, command, e.getMessage(), context.clock().now());
       rejected(e.getMessage());
     }
   }
 
-  /** The command at hand gets an error in its place. */
+  /** Answers the command at hand with an error in its place. Poller thread only. */
   protected void rejected(String reason) {
     writer.take(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
   }
 
-  private void request(RespClientRequest call) {
-    if (writer.take(call)) {
-      calls.add(call);
-      call.taken();
-      if (in.lastArrivedAt() > stoppingSince) {
-        call.refused(call.settings().permissions().retryAfter() ? RETRY_ELSEWHERE : 0);
-      } else {
-        site.module().accept(new RoutingMessage.Arrived(call));
-      }
-    } else {
-      call.fill(ClientWriter.END);
-    }
-  }
-
-  private Slice other(String name) {
-    return switch (name) {
-      case "PING" ->
-          site.lifecycle().ready() ? RespWriter.simple("PONG") : RespWriter.failure("ERR starting");
-      case "CLIENT", "SELECT" -> RespWriter.simple("OK");
-      default -> RespWriter.failure("ERR unknown command");
-    };
-  }
-
   /**
-   * Large requests are held in memory till they are answered: so many at once, the others wait
-   * unread until the poller calls them again; the time for a command does not run meanwhile.
+   * Input that cannot be split into commands: what came before it is answered, then one error, then
+   * the connection ends. Poller thread only.
    */
-  private void takeLarge() {
-    if (!site.largeRequests().tryAcquire()) {
-      paused = true;
-      return;
-    }
-    largeInHand = true;
-    synchronized (this) {
-      large++;
-    }
+  protected final void malformed(String reason) {
+    state.end(EndReason.MALFORMED);
+    context.eventLog().malformed(number, reason, writer.owed(), context.clock().now());
+    writer.take(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
+    writer.finish();
+    reader.inputEnded(writer.outputEndedAtNanos() == NEVER);
   }
 
-  private synchronized void giveBackLarge() {
-    site.largeRequests().release(large);
-    large = 0;
-  }
+  // What follows from answers that have been written.
 
   /**
    * Answers have been written; when all are, nothing of them is kept while the connection is idle.
+   * For any thread.
    */
-  private void written(boolean quiet) {
-    if (quiet) {
-      calls.forgetAnswered();
-      if (!largeInHand) {
-        giveBackLarge();
+  private void answersWritten(boolean idle) {
+    if (idle) {
+      dispatcher.forgetAnswered();
+      if (!largePermits.forCommandAtHand()) {
+        largePermits.releaseAll();
       }
     }
     // At a planned stop the end follows the last answer at once: what came between would be
-    // refused.
-    if (paused
-        || writer.stuck()
+    // rejected.
+    if (reader.waitsForRoom()
+        || writer.isBlocked()
         || writer.brokenBy() != null
-        || (quiet && stoppingSince != NEVER)) {
-      site.poller().call(this);
-    }
-  }
-
-  /** Has a connection that waits for room look again. */
-  void retry() {
-    if (paused) {
-      site.poller().call(this);
+        || (idle && state.isDraining())) {
+      context.poller().schedule(this);
     }
   }
 
-  /**
-   * Input that cannot be split into commands: what came before it is answered, then one error, then
-   * the connection ends.
-   */
-  protected final void malformed(String reason) {
-    malformed = true;
-    site.events().malformed(number, reason, writer.owed(), site.clock().now());
-    writer.take(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
-    writer.finish();
-    // While answers are owed what follows stays unread; after that the sweep closes the connection.
-    paused = writer.closingSince() == NEVER;
-  }
-
-  /**
-   * Reads on a little without looking: unread bytes would reset the error on its way. Not to the
-   * end, which clients that send without end or 60 MB don't reach: they would have the processor to
-   * themselves.
-   */
-  private void discard() throws IOException {
-    int got = channel.read(ByteBuffer.allocate(Sockets.LARGEST_STEP));
-    discarded += got;
-    if (got < 0 || discarded >= MOST_DISCARDED) {
-      close(EndReason.MALFORMED);
+  /** Has a connection whose commands wait for room look again. For any thread. */
+  void retryWaiting() {
+    if (reader.waitsForRoom()) {
+      context.poller().schedule(this);
     }
   }
 }
--- a/src/main/java/beaconturn/net/client/ClientConnections.java
+++ b/src/main/java/beaconturn/net/client/ClientConnections.java
@@ -7,154 +7,184 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.ToLongFunction;
 
-/** The open connections of clients: how many there may be, and which are closed when. */
+/**
+ * The open connections of clients: how many there may be, and which are ended when. Any thread may
+ * call; the listener's makes room, the sweeper's sweeps and stops.
+ */
 public final class ClientConnections {
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** A client that takes no byte for so long is not coming back for its answer. */
-  private static final long LONGEST_WRITE = 10_000 * MILLI;
+  private static final long WRITE_TIMEOUT_NANOS = 10_000 * NANOS_PER_MILLI;
 
   /**
    * How long a command may take from its first byte: 2 s, and what the way here and a busy poller
    * add.
    */
-  private static final long LONGEST_COMMAND = 2_500 * MILLI;
+  private static final long COMMAND_TIMEOUT_NANOS = 2_500 * NANOS_PER_MILLI;
 
   /** How long a new client may take to its first byte. */
-  private static final long LONGEST_SILENCE = 1_000 * MILLI;
+  private static final long FIRST_BYTE_TIMEOUT_NANOS = 1_000 * NANOS_PER_MILLI;
 
-  /** A connection with nothing open is let go after so long: it has a descriptor. */
-  private static final long LONGEST_QUIET = 2_100 * MILLI;
+  /** A connection with nothing open is ended after so long: it has a descriptor. */
+  private static final long IDLE_TIMEOUT_NANOS = 2_100 * NANOS_PER_MILLI;
 
   /** The first request of a client that has just connected should arrive before it makes room. */
-  private static final long SETTLED = 30 * MILLI;
+  private static final long NEW_CLIENT_GRACE_NANOS = 30 * NANOS_PER_MILLI;
 
   /** Clients that write in pieces send the next one sooner. */
-  private static final long STALLED = 500 * MILLI;
+  private static final long STALLED_COMMAND_NANOS = 500 * NANOS_PER_MILLI;
 
-  /** Where connections run short, one may be let go when it has been quiet for so long. */
-  private static final long SHORT_QUIET = 100 * MILLI;
+  /** Where connections run short, one may be ended when it has been idle for so long. */
+  private static final long IDLE_TIMEOUT_WHEN_CROWDED_NANOS = 100 * NANOS_PER_MILLI;
 
   /**
-   * This part of the most, and one, may be over it while those that make room are on their way out.
+   * One connection, and this part of the limit, may be over it while those that make room are on
+   * their way out.
    */
-  private static final int OVER_THE_MOST = 16;
+  private static final int LEAVING_DIVISOR = 16;
 
-  /** The poller goes round far sooner; beyond this who comes is turned away. */
-  private static final int MOST_ROUNDS = 20;
+  /** How often the poller is waited for; it goes round far sooner than all of them together. */
+  private static final int POLLER_WAIT_ROUNDS = 20;
 
-  private final Set<ClientConnection> open = ConcurrentHashMap.newKeySet();
-  private volatile int most;
-  private volatile int easy;
+  private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
+  private volatile int limit;
+  private volatile int crowdedAbove;
 
-  private record Quiet(ClientConnection connection, long since) {}
+  private record IdleConnection(ClientConnection connection, long sinceNanos) {}
 
-  /** There may be so many, and over {@code easy} those that are quiet are let go sooner. */
-  public ClientConnections(int most, int easy) {
-    this.most = most;
-    this.easy = easy;
+  /**
+   * No connections yet.
+   *
+   * @param limit how many there may be
+   * @param crowdedAbove above how many those that are idle are ended sooner
+   */
+  public ClientConnections(int limit, int crowdedAbove) {
+    this.limit = limit;
+    this.crowdedAbove = crowdedAbove;
   }
 
-  /** Other bounds from here on. */
-  public void bounds(int nowMost, int nowEasy) {
-    most = nowMost;
-    easy = nowEasy;
+  /** Sets other limits from here on; see the constructor. */
+  public void setLimits(int newLimit, int newCrowdedAbove) {
+    limit = newLimit;
+    crowdedAbove = newCrowdedAbove;
   }
 
+  /** Counts a connection that has been accepted. */
   public void add(ClientConnection connection) {
-    open.add(connection);
+    connections.add(connection);
   }
 
+  /** Forgets a connection whose descriptor is free. */
   public void remove(ClientConnection connection) {
-    open.remove(connection);
+    connections.remove(connection);
   }
 
+  /** How many connections have a descriptor. */
   public int count() {
-    return open.size();
+    return connections.size();
   }
 
   /**
    * Makes room for one more; false if all are at work. Those that have sent nothing at all go
    * first, the oldest before others: many that connect and say nothing must not cost the usual
-   * clients theirs. Then the one that has been quiet longest, and last one whose command has stood
+   * clients theirs. Then the one that has been idle longest, and last one whose command has stood
    * still for a while: a client that writes slowly goes on. Each counts until its descriptor is
-   * free, so a few more than the most may be open meanwhile; beyond that the poller is waited for,
-   * some milliseconds. Where the most has been lowered, one goes for one that comes.
+   * free, so a few more than the limit may be open meanwhile; beyond that the poller is waited for,
+   * some milliseconds. Where the limit has been lowered, one goes for one that comes.
    */
-  public boolean makeRoom(long now) {
-    if (open.size() < most) {
+  public boolean makeRoom(long nowNanos) {
+    if (connections.size() < limit) {
       return true;
     }
-    Optional<ClientConnection> goes =
-        oldest(ClientConnection::silentSince, now - SETTLED)
-            .or(() -> oldest(ClientConnection::quietSince, now));
-    goes.ifPresent(c -> c.endIfQuiet(EndReason.MAKES_ROOM));
-    if (goes.isEmpty()) {
-      goes = oldest(ClientConnection::stalledSince, now - STALLED);
-      goes.ifPresent(c -> c.endIfQuiet(EndReason.STALLED_COMMAND));
+    return endOneFor(nowNanos) && fewAreLeaving();
+  }
+
+  private boolean endOneFor(long nowNanos) {
+    Optional<ClientConnection> unused =
+        oldest(ClientConnection::silentSinceNanos, nowNanos - NEW_CLIENT_GRACE_NANOS)
+            .or(() -> oldest(ClientConnection::idleSinceNanos, nowNanos));
+    if (unused.isPresent()) {
+      unused.get().endIfQuiet(EndReason.MAKES_ROOM);
+      return true;
     }
-    return goes.isPresent() && fewLeave();
+    Optional<ClientConnection> stalled =
+        oldest(ClientConnection::stalledSinceNanos, nowNanos - STALLED_COMMAND_NANOS);
+    stalled.ifPresent(c -> c.endIfQuiet(EndReason.STALLED_COMMAND));
+    return stalled.isPresent();
   }
 
-  private boolean fewLeave() {
-    for (int i = 0; i < MOST_ROUNDS; i++) {
-      if (open.stream().filter(ClientConnection::leaving).count() <= 1 + most / OVER_THE_MOST) {
+  private boolean fewAreLeaving() {
+    for (int round = 0; round < POLLER_WAIT_ROUNDS; round++) {
+      long leaving = connections.stream().filter(ClientConnection::isLeaving).count();
+      if (leaving <= 1 + limit / LEAVING_DIVISOR) {
         return true;
       }
-      LockSupport.parkNanos(MILLI);
+      LockSupport.parkNanos(NANOS_PER_MILLI);
     }
     return false;
   }
 
-  /**
-   * Closes so many of those that are quiet, the longest first. Clients have a bound of their own on
-   * the connections that they keep: where each asks once and stays, they reach it before the most
-   * here.
-   */
-  private void letGo(int count, long before) {
-    if (count > 0) {
-      open.stream()
-          .map(c -> new Quiet(c, c.quietSince()))
-          .filter(q -> q.since() < before)
-          .sorted(Comparator.comparingLong(Quiet::since))
-          .limit(count)
-          .forEach(q -> q.connection().endIfQuiet(EndReason.MAKES_ROOM));
-    }
-  }
-
-  private Optional<ClientConnection> oldest(ToLongFunction<ClientConnection> since, long before) {
-    return open.stream()
-        .filter(c -> since.applyAsLong(c) < before)
-        .min(Comparator.comparingLong(since));
+  private Optional<ClientConnection> oldest(
+      ToLongFunction<ClientConnection> sinceNanos, long beforeNanos) {
+    return connections.stream()
+        .filter(c -> sinceNanos.applyAsLong(c) < beforeNanos)
+        .min(Comparator.comparingLong(sinceNanos));
   }
 
   /** Ends the connections as soon as nothing is owed on them; to be called again and again. */
   public void stop() {
-    open.forEach(ClientConnection::stop);
+    connections.forEach(ClientConnection::stop);
   }
 
   /**
-   * Closes the connections whose clients have stopped reading or writing, or do not close their
-   * end.
+   * Ends the connections whose clients have stopped reading or writing, do not close their end, or
+   * have been idle for too long, and has those that wait for room look again. To be called again
+   * and again.
    */
-  public void sweep(long now) {
-    open.stream()
-        .filter(c -> c.writingSince() < now - LONGEST_WRITE)
+  public void sweep(long nowNanos) {
+    closeUnresponsive(nowNanos);
+    endSlowAndIdle(nowNanos);
+    endLongestIdle(connections.size() - crowdedAbove, nowNanos - IDLE_TIMEOUT_WHEN_CROWDED_NANOS);
+    connections.forEach(ClientConnection::retryWaiting);
+  }
+
+  private void closeUnresponsive(long nowNanos) {
+    connections.stream()
+        .filter(c -> c.writingSinceNanos() < nowNanos - WRITE_TIMEOUT_NANOS)
         .forEach(c -> c.close(EndReason.ANSWER_NOT_TAKEN));
-    open.stream()
-        .filter(c -> c.closingSince() < now - ClientConnection.LINGER_MILLIS * MILLI)
+    connections.stream()
+        .filter(c -> c.outputEndedAtNanos() < nowNanos - ClientConnection.LINGER_NANOS)
         .forEach(c -> c.close(EndReason.LINGERED));
-    // Not while a request is out: the others on its connection are owed their answers first.
-    open.stream()
-        .filter(c -> c.halfReadSince() < now - LONGEST_COMMAND)
+  }
+
+  /** Not while a request is out: the others on its connection are owed their answers first. */
+  private void endSlowAndIdle(long nowNanos) {
+    connections.stream()
+        .filter(c -> c.partialCommandSinceNanos() < nowNanos - COMMAND_TIMEOUT_NANOS)
         .forEach(c -> c.endIfQuiet(EndReason.SLOW_COMMAND));
-    open.stream()
-        .filter(c -> c.silentSince() < now - LONGEST_SILENCE && c.halfReadSince() == Long.MAX_VALUE)
+    connections.stream()
+        .filter(c -> c.silentSinceNanos() < nowNanos - FIRST_BYTE_TIMEOUT_NANOS)
+        .filter(c -> c.partialCommandSinceNanos() == Long.MAX_VALUE)
         .forEach(c -> c.endIfQuiet(EndReason.SILENT));
-    open.stream()
-        .filter(c -> c.quietSince() < now - LONGEST_QUIET)
+    connections.stream()
+        .filter(c -> c.idleSinceNanos() < nowNanos - IDLE_TIMEOUT_NANOS)
         .forEach(c -> c.endIfQuiet(EndReason.IDLE));
-    letGo(open.size() - easy, now - SHORT_QUIET);
-    open.forEach(ClientConnection::retry);
+  }
+
+  /**
+   * Ends so many of those that are idle, the longest first. Clients have a limit of their own on
+   * the connections that they keep: where each asks once and stays, they reach it before the limit
+   * here.
+   */
+  private void endLongestIdle(int count, long beforeNanos) {
+    if (count > 0) {
+      connections.stream()
+          .map(c -> new IdleConnection(c, c.idleSinceNanos()))
+          .filter(idle -> idle.sinceNanos() < beforeNanos)
+          .sorted(Comparator.comparingLong(IdleConnection::sinceNanos))
+          .limit(count)
+          .forEach(idle -> idle.connection().endIfQuiet(EndReason.MAKES_ROOM));
+    }
   }
 }
--- a/src/main/java/beaconturn/net/client/ClientEventLog.java
+++ b/src/main/java/beaconturn/net/client/ClientEventLog.java
@@ -17,60 +17,71 @@
  */
 public final class ClientEventLog {
   private static final Logger LOG = Logger.getLogger(ClientEventLog.class.getName());
-  private static final int BURST = 20;
-  private static final double PER_SECOND = 2;
+  private static final int BURST_LINES = 20;
+  private static final double LINES_PER_SECOND = 2;
 
   /** Where a request's id stands among the words of its command. */
-  private static final int ID = 2;
+  private static final int ID_INDEX = 2;
 
-  private static final int LONGEST_ID = 32;
-  private final AtomicLong connections = new AtomicLong();
-  private final RateLimitedLog rejections = new RateLimitedLog(LOG, BURST, PER_SECOND);
-  private final RateLimitedLog malformed = new RateLimitedLog(LOG, BURST, PER_SECOND);
+  private static final int MAX_ID_LENGTH = 32;
+  private final AtomicLong connectionCount = new AtomicLong();
+  private final RateLimitedLog rejectionLog =
+      new RateLimitedLog(LOG, BURST_LINES, LINES_PER_SECOND);
+  private final RateLimitedLog malformedLog =
+      new RateLimitedLog(LOG, BURST_LINES, LINES_PER_SECOND);
 
-  /** A budget for each reason: a crowd that is let go hides no other end. */
-  private final Map<EndReason, RateLimitedLog> ends = new EnumMap<>(EndReason.class);
+  /** A budget for each reason: many idle connections that are ended hide no other end. */
+  private final Map<EndReason, RateLimitedLog> endLogs = new EnumMap<>(EndReason.class);
 
+  /** A log with all its budgets untouched. */
   public ClientEventLog() {
     for (EndReason reason : EndReason.values()) {
-      ends.put(reason, new RateLimitedLog(LOG, BURST, PER_SECOND));
+      endLogs.put(reason, new RateLimitedLog(LOG, BURST_LINES, LINES_PER_SECOND));
     }
   }
 
-  /** The number of a new connection, from 1. */
-  long connected() {
-    return connections.incrementAndGet();
+  /** Gives a new connection its number, from 1. */
+  long connectionOpened() {
+    return connectionCount.incrementAndGet();
   }
 
   /** A whole command got an error in its place. */
-  void rejected(long connection, RespValue command, String why, long now) {
-    rejections.log(
-        now, () -> "connection " + connection + ": command " + id(command) + " rejected: " + why);
+  void rejected(long connectionNumber, RespValue command, String cause, long nowNanos) {
+    rejectionLog.log(
+        nowNanos,
+        () ->
+            "connection "
+                + connectionNumber
+                + ": command "
+                + idOf(command)
+                + " rejected: "
+                + cause);
   }
 
-  private static String id(RespValue command) {
+  private static String idOf(RespValue command) {
     boolean named =
         command instanceof RespValue.Array array
             && array.items() != null
-            && array.items().size() > ID
-            && array.items().get(ID) instanceof RespValue.Bulk id
+            && array.items().size() > ID_INDEX
+            && array.items().get(ID_INDEX) instanceof RespValue.Bulk id
             && id.bytes() != null;
     if (!named) {
       return "without an id";
     }
-    String text = ((RespValue.Bulk) ((RespValue.Array) command).items().get(ID)).bytes().toString();
-    return text.substring(0, Math.min(LONGEST_ID, text.length())).replaceAll("[^!-~]", "?");
+    String text =
+        ((RespValue.Bulk) ((RespValue.Array) command).items().get(ID_INDEX)).bytes().toString();
+    return text.substring(0, Math.min(MAX_ID_LENGTH, text.length())).replaceAll("[^!-~]", "?");
   }
 
   /** What came on a connection cannot be split into commands; it ends after so many answers. */
-  void malformed(long connection, String why, int owed, long now) {
-    malformed.log(
-        now,
+  void malformed(long connectionNumber, String cause, int owed, long nowNanos) {
+    malformedLog.log(
+        nowNanos,
         () ->
             "connection "
-                + connection
+                + connectionNumber
                 + ": malformed input: "
-                + why
+                + cause
                 + "; ends after "
                 + owed
                 + " answers");
@@ -83,24 +94,26 @@
    * @param unwritten how many answers, of these or others, were not written whole
    */
   void ended(
-      long connection,
+      long connectionNumber,
       EndReason reason,
       Collection<RespClientRequest> unanswered,
       int unwritten,
-      long now) {
-    if (!reason.byClient() && unwritten > 0) {
+      long nowNanos) {
+    if (!reason.isByClient() && unwritten > 0) {
       String ids = unanswered.stream().map(RespClientRequest::id).collect(Collectors.joining(" "));
       LOG.warning(
           "connection "
-              + connection
+              + connectionNumber
               + " ends with "
               + unwritten
               + " answers owed: "
               + reason
               + "; unanswered: "
               + ids);
-    } else if (reason.notable()) {
-      ends.get(reason).log(now, () -> "connection " + connection + " ends: " + reason);
+    } else if (reason.isNotable()) {
+      endLogs
+          .get(reason)
+          .log(nowNanos, () -> "connection " + connectionNumber + " ends: " + reason);
     }
   }
 }
--- a/src/main/java/beaconturn/net/client/ClientInputBuffer.java
+++ b/src/main/java/beaconturn/net/client/ClientInputBuffer.java
@@ -12,88 +12,88 @@
 import java.util.Deque;
 
 /**
- * What a client has sent and nobody has handled yet. All that the kernel holds is read before a
+ * The input of one client that nobody has handled yet. All that the kernel holds is read before a
  * command is taken from it, as far as there is room, so that the end of the stream is seen before
  * the commands in front of it are handled. Remembers when bytes arrived: a command's time runs from
- * its last byte, however long it waits to be handled. For one thread.
+ * its last byte, however long it waits to be handled. Poller thread only.
  */
 final class ClientInputBuffer {
   /** So much is read ahead of what is handled; a client that sends on behind it waits. */
-  static final int READ_AHEAD = 16 * 1024;
+  static final int READ_AHEAD_BYTES = 16 * 1024;
 
-  private record Arrival(long upTo, long at) {}
+  private record Arrival(long upToByte, long atNanos) {}
 
-  private final InputBuffer in = new InputBuffer();
+  private final InputBuffer buffer = new InputBuffer();
   private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE);
   private final Deque<Arrival> arrivals = new ArrayDeque<>(2);
-  private long received;
-  private long lastArrivedAt;
+  private long receivedBytes;
+  private long lastArrivedAtNanos;
 
   /** Whether all that is here is a part of one command: its last byte is yet to come. */
-  private boolean partial = true;
+  private boolean onlyPartial = true;
 
   /**
    * Reads what is there.
    *
-   * @param arrivedAt the earliest time at which the bytes can have come
-   * @param large whether a large command may be read whole
+   * @param arrivedAtNanos the earliest time at which the bytes can have come
+   * @param largeAllowed whether a large command may be read whole
    * @return how many bytes came, or less than none if the client has ended its sending
    */
-  int fill(SocketChannel from, long arrivedAt, boolean large) throws IOException {
-    int all = 0;
-    int got = 1;
-    while (got > 0 && wantsMore(large)) {
-      int room = Math.min(Sockets.LARGEST_STEP, in.room());
-      got = from.read(ByteBuffer.wrap(in.array(), in.end(), room));
-      if (got > 0) {
-        in.filled(got);
-        all += got;
+  int fill(SocketChannel from, long arrivedAtNanos, boolean largeAllowed) throws IOException {
+    int total = 0;
+    int bytes = 1;
+    while (bytes > 0 && wantsMore(largeAllowed)) {
+      int room = Math.min(Sockets.MAX_TRANSFER_BYTES, buffer.room());
+      bytes = from.read(ByteBuffer.wrap(buffer.array(), buffer.end(), room));
+      if (bytes > 0) {
+        buffer.filled(bytes);
+        total += bytes;
       }
     }
-    if (all > 0) {
-      received += all;
-      if (partial) {
+    if (total > 0) {
+      receivedBytes += total;
+      if (onlyPartial) {
         arrivals.clear();
       }
-      arrivals.add(new Arrival(received, arrivedAt));
+      arrivals.add(new Arrival(receivedBytes, arrivedAtNanos));
     }
-    return got < 0 ? got : all;
+    return bytes < 0 ? bytes : total;
   }
 
   /**
    * Whether there is room for more, or the end of the stream is still to be looked for behind a
    * large command.
    */
-  boolean wantsMore(boolean large) {
-    return in.size() < READ_AHEAD || (large && in.size() <= in.expected());
+  boolean wantsMore(boolean largeAllowed) {
+    return buffer.size() < READ_AHEAD_BYTES || (largeAllowed && buffer.size() <= buffer.expected());
   }
 
   /** Takes the next command that is whole, or returns null. */
   RespValue next() throws ProtocolException {
-    RespValue command = reader.next(in);
-    partial = command == null;
+    RespValue command = reader.next(buffer);
+    onlyPartial = command == null;
     if (command != null) {
-      long handled = received - in.size();
-      while (arrivals.peek().upTo() < handled) {
+      long handledBytes = receivedBytes - buffer.size();
+      while (arrivals.peek().upToByte() < handledBytes) {
         arrivals.remove();
       }
-      lastArrivedAt = arrivals.peek().at();
+      lastArrivedAtNanos = arrivals.peek().atNanos();
     }
     return command;
   }
 
   /** When the last byte of the command taken last arrived. */
-  long lastArrivedAt() {
-    return lastArrivedAt;
+  long lastArrivedAtNanos() {
+    return lastArrivedAtNanos;
   }
 
   /** Whether nothing is left. */
   boolean isEmpty() {
-    return in.size() == 0;
+    return buffer.size() == 0;
   }
 
   /** Whether the command at hand is known to be a large one. */
-  boolean large() {
-    return in.large();
+  boolean holdsLargeCommand() {
+    return buffer.large();
   }
 }
--- a/src/main/java/beaconturn/net/client/ClientWriter.java
+++ b/src/main/java/beaconturn/net/client/ClientWriter.java
@@ -12,64 +12,65 @@
 import java.util.Objects;
 
 /**
- * Writes a client's answers in the order of the commands, on whatever thread has the next one.
- * Never waits: what the client does not take yet is written when the poller says that it can be.
+ * Writes a client's answers in the order of the commands, on whatever thread has the next one. Any
+ * thread may call any method; none waits: what the client does not take yet is written when the
+ * poller says that it can be.
  */
 final class ClientWriter {
   /** In the place of an answer: nothing more is written. */
   static final Slice END = Slice.of("");
 
-  private static final int MOST_PIPELINED = 32;
+  private static final int MAX_PIPELINED = 32;
 
   /**
    * Answers may be this many behind one that its client is slow to take; else they would fill the
    * heap.
    */
-  private static final int MOST_BEHIND = 2;
+  private static final int MAX_PIPELINED_BEHIND_BLOCKED = 2;
 
   private static final long NEVER = Long.MAX_VALUE;
 
-  /** What a writer tells its connection; called without a lock, on any thread. */
+  /** Told of what a writer has done; called without a lock, on any thread. */
   interface Owner {
-    /** Some answers have been written, or could not be; {@code quiet} if none is owed any more. */
-    void written(boolean quiet);
+    /** Some answers have been written, or could not be; {@code idle} if none is owed any more. */
+    void answersWritten(boolean idle);
   }
 
   private final SocketChannel channel;
   private final Clock clock;
   private final Owner owner;
-  // Guarded by this:
-  private final Deque<ResponseSlot> replies = new ArrayDeque<>(2);
+  // Guarded by this.
+  private final Deque<ResponseSlot> slots = new ArrayDeque<>(2);
   private ByteBuffer pending;
-  private long writingSince = NEVER;
+  private long writingSinceNanos = NEVER;
   private int unanswered;
   private boolean ending;
   private EndReason brokenBy;
-  private long quietSince;
-  private long closingSince = NEVER;
+  private long idleSinceNanos;
+  private long outputEndedAtNanos = NEVER;
 
   ClientWriter(SocketChannel channel, Clock clock, Owner owner) {
     this.channel = channel;
     this.clock = clock;
     this.owner = owner;
-    this.quietSince = clock.now();
+    this.idleSinceNanos = clock.now();
   }
 
   /**
    * Since when no answer is owed, or {@code Long.MAX_VALUE} if one is, or the connection is ending.
    */
-  synchronized long quietSince() {
-    return unanswered == 0 && !ending ? quietSince : NEVER;
+  synchronized long idleSinceNanos() {
+    return unanswered == 0 && !ending ? idleSinceNanos : NEVER;
   }
 
   /** Since when an answer is being written, or {@code Long.MAX_VALUE} if none is. */
-  synchronized long writingSince() {
-    return writingSince;
+  synchronized long writingSinceNanos() {
+    return writingSinceNanos;
   }
 
   /** Since when the client is awaited to close its end, or {@code Long.MAX_VALUE} if it is not. */
-  synchronized long closingSince() {
-    return closingSince;
+  synchronized long outputEndedAtNanos() {
+    return outputEndedAtNanos;
   }
 
   /** How many answers are owed. */
@@ -78,7 +79,7 @@
   }
 
   /** Whether an answer waits for its client to take more. */
-  synchronized boolean stuck() {
+  synchronized boolean isBlocked() {
     return pending != null;
   }
 
@@ -91,19 +92,20 @@
    * Whether the next command may be read; if not, the owner hears of it when something is written.
    */
   synchronized boolean hasRoom() {
-    return unanswered <= MOST_PIPELINED && (pending == null || unanswered <= MOST_BEHIND);
+    return unanswered <= MAX_PIPELINED
+        && (pending == null || unanswered <= MAX_PIPELINED_BEHIND_BLOCKED);
   }
 
-  /** Gives the reply the next place; false if the connection is ending and takes no more. */
-  boolean take(ResponseSlot reply) {
+  /** Gives the slot the next place; false if the connection is ending and takes no more. */
+  boolean take(ResponseSlot slot) {
     synchronized (this) {
       if (ending) {
         return false;
       }
       unanswered++;
-      replies.add(reply);
+      slots.add(slot);
     }
-    reply.whenFilled(this::write);
+    slot.whenFilled(this::write);
     return true;
   }
 
@@ -111,9 +113,9 @@
    * Ends the connection if no answer is owed; false if one is. Only its sending: closing all of it
    * would reset it under a request that crosses, and with it the last answer on its way.
    */
-  boolean finishIfQuiet() {
+  boolean finishIfIdle() {
     synchronized (this) {
-      if (quietSince() == NEVER) {
+      if (idleSinceNanos() == NEVER) {
         return false;
       }
       ending = true;
@@ -129,51 +131,53 @@
         return;
       }
       ending = true;
-      replies.add(ResponseSlot.of(END));
+      slots.add(ResponseSlot.of(END));
     }
     write();
   }
 
   /**
-   * The connection is closed: nothing of what waits will be written. How many answers that were.
+   * Drops all that waits to be written, as the connection is closed.
+   *
+   * @return how many answers that were
    */
   synchronized int abandon() {
     ending = true;
-    replies.stream().map(ResponseSlot::flow).filter(Objects::nonNull).forEach(BoundedPipe::cancel);
-    replies.clear();
+    slots.stream().map(ResponseSlot::stream).filter(Objects::nonNull).forEach(BoundedPipe::cancel);
+    slots.clear();
     pending = null;
-    writingSince = NEVER;
+    writingSinceNanos = NEVER;
     return unanswered;
   }
 
   /** Writes what there is of the answers, up to the first that is not there yet. */
   void write() {
-    int before;
-    int after;
-    boolean tell;
+    int owedBefore;
+    int owedAfter;
+    boolean notifyOwner;
     synchronized (this) {
-      before = unanswered;
+      owedBefore = unanswered;
       try {
         flush();
       } catch (BrokenOffException e) {
-        fail(EndReason.ANSWER_BROKE_OFF);
+        breakUnder(EndReason.ANSWER_BROKE_OFF);
       } catch (IOException e) {
-        fail(EndReason.CLIENT_LEFT);
+        breakUnder(EndReason.CLIENT_LEFT);
       }
-      after = unanswered;
-      tell = brokenBy != null || pending != null || after < before;
+      owedAfter = unanswered;
+      notifyOwner = brokenBy != null || pending != null || owedAfter < owedBefore;
     }
-    if (tell) {
-      owner.written(after == 0 && before > 0);
+    if (notifyOwner) {
+      owner.answersWritten(owedAfter == 0 && owedBefore > 0);
     }
   }
 
-  private void fail(EndReason reason) {
+  private void breakUnder(EndReason reason) {
     brokenBy = reason;
     abandon();
   }
 
-  /** What had begun to go out will not be whole. */
+  /** Thrown where an answer that has begun to go out will not be whole. */
   private static final class BrokenOffException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -185,36 +189,37 @@
   private void flush() throws IOException {
     while (pending != null || nextPiece()) {
       int from = pending.position();
-      boolean all = Sockets.writeSome(channel, pending);
+      boolean writtenWhole = Sockets.writeSome(channel, pending);
       // From the last byte that the client took: a large answer may take long as long as it goes
       // on.
-      writingSince =
-          pending.position() > from || writingSince == NEVER ? clock.now() : writingSince;
-      if (!all) {
+      if (pending.position() > from || writingSinceNanos == NEVER) {
+        writingSinceNanos = clock.now();
+      }
+      if (!writtenWhole) {
         return;
       }
       pending = null;
-      writingSince = NEVER;
-      if (replies.peek().flow() == null) {
-        answered();
+      writingSinceNanos = NEVER;
+      if (slots.peek().stream() == null) {
+        completeFirst();
       }
     }
   }
 
-  /** The first answer has gone out whole. */
-  private void answered() {
-    replies.poll();
+  /** Notes that the first answer has gone out whole. */
+  private void completeFirst() {
+    slots.poll();
     unanswered--;
-    quietSince = clock.now();
+    idleSinceNanos = clock.now();
   }
 
   /**
-   * Takes what is to be written next, if it is there; answers that come by and by give a piece at a
+   * Takes what is to be written next, if it is there; answers that are streamed give a piece at a
    * time.
    */
   private boolean nextPiece() throws IOException {
-    while (!replies.isEmpty()) {
-      Slice piece = replies.peek().nextPiece();
+    while (!slots.isEmpty()) {
+      Slice piece = slots.peek().nextPiece();
       if (piece == null) {
         return false;
       }
@@ -222,7 +227,7 @@
         throw new BrokenOffException();
       }
       if (piece == END) {
-        replies.poll();
+        slots.poll();
         endOutput();
         return false;
       }
@@ -230,14 +235,14 @@
         pending = ByteBuffer.wrap(piece.array(), piece.from(), piece.length());
         return true;
       }
-      answered();
+      completeFirst();
     }
     return false;
   }
 
   private void endOutput() {
     synchronized (this) {
-      closingSince = Math.min(closingSince, clock.now());
+      outputEndedAtNanos = Math.min(outputEndedAtNanos, clock.now());
     }
     try {
       channel.shutdownOutput();
--- a/src/main/java/beaconturn/net/client/EndReason.java
+++ b/src/main/java/beaconturn/net/client/EndReason.java
@@ -18,6 +18,8 @@
   ANSWER_NOT_TAKEN("an answer was not taken"),
   /** Its sending had been ended, and the client did not close its end. */
   LINGERED("the client did not close its end"),
+  /** The router stops as planned, and nothing was owed on the connection any more. */
+  PLANNED_STOP("a planned stop"),
   /** What came cannot be split into commands. */
   MALFORMED("malformed input"),
   /** An answer that had begun broke off at its cache server. */
@@ -32,12 +34,12 @@
   }
 
   /** Whether the client itself has given up what was open. */
-  boolean byClient() {
+  boolean isByClient() {
     return this == CLIENT_LEFT || this == ANSWER_NOT_TAKEN;
   }
 
   /** Whether it is worth a line: not where clients leave or rest as they always do. */
-  boolean notable() {
+  boolean isNotable() {
     return this == MAKES_ROOM
         || this == SLOW_COMMAND
         || this == STALLED_COMMAND
--- a/src/main/java/beaconturn/net/client/Listener.java
+++ b/src/main/java/beaconturn/net/client/Listener.java
@@ -24,61 +24,63 @@
 public final class Listener {
   private static final Logger LOG = Logger.getLogger(Listener.class.getName());
   private static final int BACKLOG = 1024;
-  private static final long PAUSE_MILLIS = 10;
-  private static final long LONGEST_CLOSE_MILLIS = 1_000;
-  private static final int MOST_LAST_TRIES = 20;
+  private static final long FAILURE_PAUSE_MILLIS = 10;
+  private static final long MAX_CLOSE_MILLIS = 1_000;
+  private static final int MAX_LAST_TRIES = 20;
 
   private final ServerSocketChannel server;
-  private final boolean inherited;
+  private final boolean shared;
   private final Selector selector;
-  private final Consumer<SocketChannel> accepted;
+  private final Consumer<SocketChannel> onAccepted;
   private final RepeatedEventLog failures =
       new RepeatedEventLog(LOG, "accepting connections fails", 1);
   private volatile boolean closed;
 
   /** Null until it is started. */
-  private Thread accepting;
+  private Thread acceptingThread;
 
-  private Listener(ServerSocketChannel server, boolean inherited, Consumer<SocketChannel> accepted)
+  private Listener(ServerSocketChannel server, boolean shared, Consumer<SocketChannel> onAccepted)
       throws IOException {
-    this.accepted = accepted;
+    this.onAccepted = onAccepted;
     this.server = server;
-    this.inherited = inherited;
+    this.shared = shared;
     this.selector = Selector.open();
     server.configureBlocking(false);
     server.register(selector, SelectionKey.OP_ACCEPT);
   }
 
   /** Binds the address; connections wait in the kernel until {@link #start}. */
-  public static Listener bound(InetSocketAddress address, Consumer<SocketChannel> accepted)
+  public static Listener bind(InetSocketAddress address, Consumer<SocketChannel> onAccepted)
       throws IOException {
     ServerSocketChannel server = ServerSocketChannel.open();
     server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     server.bind(address, BACKLOG);
-    return new Listener(server, false, accepted);
+    return new Listener(server, false, onAccepted);
   }
 
   /** Accepts on the listening socket that came as descriptor 0. */
-  public static Listener inherited(Consumer<SocketChannel> accepted) throws IOException {
+  public static Listener inherited(Consumer<SocketChannel> onAccepted) throws IOException {
     Channel channel = System.inheritedChannel();
     if (!(channel instanceof ServerSocketChannel server)) {
       throw new IOException("descriptor 0 is no listening socket");
     }
-    return on(server, accepted);
+    return sharing(server, onAccepted);
   }
 
   /** Accepts on a listening socket that others hold too. */
-  public static Listener on(ServerSocketChannel shared, Consumer<SocketChannel> accepted)
+  public static Listener sharing(ServerSocketChannel socket, Consumer<SocketChannel> onAccepted)
       throws IOException {
-    return new Listener(shared, true, accepted);
+    return new Listener(socket, true, onAccepted);
   }
 
+  /** The address that is listened on. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.socket().getLocalSocketAddress();
   }
 
+  /** Begins to accept. */
   public void start() {
-    accepting = Threads.supervised("listener", this::accept);
+    acceptingThread = Threads.supervised("listener", this::acceptUntilClosed);
   }
 
   /**
@@ -88,34 +90,34 @@
   public void close() throws InterruptedException {
     closed = true;
     selector.wakeup();
-    if (accepting != null) {
-      accepting.join(LONGEST_CLOSE_MILLIS);
+    if (acceptingThread != null) {
+      acceptingThread.join(MAX_CLOSE_MILLIS);
     }
-    if (!inherited) {
+    if (!shared) {
       Sockets.close(server);
     }
   }
 
-  private void accept() throws InterruptedException {
+  private void acceptUntilClosed() throws InterruptedException {
     while (!closed) {
       try {
         selector.select();
         selector.selectedKeys().clear();
-        takeAll();
+        acceptAll();
       } catch (IOException | RuntimeException | Error e) {
         // Out of descriptors, or a client gone while it waited: the next one may do better.
         failures.note(System.nanoTime(), e.toString());
-        Thread.sleep(PAUSE_MILLIS);
+        Thread.sleep(FAILURE_PAUSE_MILLIS);
       }
     }
-    takeLast();
+    acceptLast();
     // A closed channel's descriptor is freed when the selector lets go of it.
     Sockets.close(selector);
   }
 
-  private void takeAll() throws IOException {
-    for (SocketChannel client = next(); client != null; client = next()) {
-      take(client);
+  private void acceptAll() throws IOException {
+    for (SocketChannel client = nextClient(); client != null; client = nextClient()) {
+      handOver(client);
     }
   }
 
@@ -123,29 +125,29 @@
    * What waits in the queue of a socket that is shared, another process takes once this one is
    * closed.
    */
-  private SocketChannel next() throws IOException {
-    return closed && inherited ? null : server.accept();
+  private SocketChannel nextClient() throws IOException {
+    return closed && shared ? null : server.accept();
   }
 
-  private void takeLast() throws InterruptedException {
+  private void acceptLast() throws InterruptedException {
     boolean done = false;
-    for (int tries = 0; !done && tries < MOST_LAST_TRIES; tries++) {
+    for (int tries = 0; !done && tries < MAX_LAST_TRIES; tries++) {
       try {
-        takeAll();
+        acceptAll();
         done = true;
       } catch (IOException | RuntimeException | Error e) {
         LOG.log(Level.WARNING, "accept failed at the end: " + e);
-        Thread.sleep(PAUSE_MILLIS);
+        Thread.sleep(FAILURE_PAUSE_MILLIS);
       }
     }
   }
 
   /** What fails here is closed: a channel that nobody knows keeps its descriptor for good. */
-  private void take(SocketChannel client) throws IOException {
+  private void handOver(SocketChannel client) throws IOException {
     try {
       client.setOption(StandardSocketOptions.TCP_NODELAY, true);
       client.configureBlocking(false);
-      accepted.accept(client);
+      onAccepted.accept(client);
     } catch (IOException | RuntimeException | Error e) {
       Sockets.close(client);
       throw e;
--- a/src/main/java/beaconturn/net/client/PartialCommand.java
+++ b/src/main/java/beaconturn/net/client/PartialCommand.java
@@ -1,57 +1,60 @@
 package beaconturn.net.client;
 
+import beaconturn.net.client.ConnectionState.EndProposal;
+
 /**
  * The command of a connection that has begun to arrive and is not whole: since when, and when bytes
- * came last. An end that is chosen for it holds only as long as it is still that command and, where
- * it stood still, no more of it has come. Written by the poller's thread, read by any.
+ * came last. Written by the poller's thread, read by any.
  */
 final class PartialCommand {
   private static final long NEVER = Long.MAX_VALUE;
-  private volatile long since = NEVER;
-  private volatile long heardAt;
-  private volatile long chosenAt = NEVER;
+  private volatile long beganAtNanos = NEVER;
+  private volatile long lastBytesAtNanos;
 
-  /** Bytes have come. */
-  void heard(long now) {
-    heardAt = now;
-    since = Math.min(since, now);
+  /** Notes that bytes have come. */
+  void bytesArrived(long nowNanos) {
+    lastBytesAtNanos = nowNanos;
+    beganAtNanos = Math.min(beganAtNanos, nowNanos);
   }
 
-  /** A whole command has been taken, and nothing is there behind it. */
-  void taken() {
-    since = NEVER;
+  /** Notes that a whole command has been taken, and nothing is there behind it. */
+  void completed() {
+    beganAtNanos = NEVER;
   }
 
-  /** A whole command has been taken, and bytes of another are there already. */
-  void takenBefore(long now) {
-    since = now;
+  /** Notes that a whole command has been taken, and bytes of another are there already. */
+  void completedBeforeNext(long nowNanos) {
+    beganAtNanos = nowNanos;
   }
 
   /** Whether there is one. */
   boolean exists() {
-    return since != NEVER;
+    return beganAtNanos != NEVER;
   }
 
   /** Since when it has been arriving, or {@code Long.MAX_VALUE} if there is none. */
-  long since() {
-    return since;
+  long beganAtNanos() {
+    return beganAtNanos;
   }
 
   /** When bytes came last. */
-  long heardAt() {
-    return heardAt;
+  long lastBytesAtNanos() {
+    return lastBytesAtNanos;
   }
 
-  /** Its connection has been chosen to end, for a reason that may be this command. */
-  void chosen(EndReason reason) {
-    chosenAt = reason == EndReason.SLOW_COMMAND ? since : heardAt;
+  /** A proposal to end the connection that names this command as it is now. */
+  EndProposal proposeEnd(EndReason reason) {
+    return new EndProposal(reason, beganAtNanos, lastBytesAtNanos);
   }
 
-  /** Whether the reason for the end is the command that is here now. */
-  boolean isReason(EndReason reason) {
-    return switch (reason) {
-      case SLOW_COMMAND -> since == chosenAt;
-      case STALLED_COMMAND -> heardAt == chosenAt;
+  /**
+   * Whether the proposal is about the command that is here now, and, where that stood still, no
+   * more of it has come since.
+   */
+  boolean isReasonOf(EndProposal proposal) {
+    return switch (proposal.reason()) {
+      case SLOW_COMMAND -> beganAtNanos == proposal.beganAtNanos();
+      case STALLED_COMMAND -> lastBytesAtNanos == proposal.lastBytesAtNanos();
       default -> false;
     };
   }
--- a/src/main/java/beaconturn/net/client/PendingRequestIds.java
+++ b/src/main/java/beaconturn/net/client/PendingRequestIds.java
@@ -7,8 +7,8 @@
 
 /**
  * The ids of the requests that wait for their answer, of all clients. A second request under an id
- * that is open would be answered in the place of the first, or the first in its; so it is turned
- * away.
+ * that is open would be answered in the place of the first, or the first in its; so it is rejected.
+ * For any thread.
  */
 public final class PendingRequestIds {
   private final Set<String> open = ConcurrentHashMap.newKeySet();
@@ -18,10 +18,12 @@
     return open.add(text(id));
   }
 
+  /** Frees the id. */
   void close(Slice id) {
     open.remove(text(id));
   }
 
+  /** How many ids are open. */
   int count() {
     return open.size();
   }
--- a/src/main/java/beaconturn/net/client/PendingRequests.java
+++ b/src/main/java/beaconturn/net/client/PendingRequests.java
@@ -5,20 +5,22 @@
 
 /** The requests of one connection that may have no answer yet. For any thread. */
 final class PendingRequests {
-  // Guarded by this:
-  private final List<RespClientRequest> calls = new ArrayList<>(2);
+  // Guarded by this.
+  private final List<RespClientRequest> requests = new ArrayList<>(2);
 
-  synchronized void add(RespClientRequest call) {
+  /** Adds a request that waits for its answer. */
+  synchronized void add(RespClientRequest request) {
     forgetAnswered();
-    calls.add(call);
+    requests.add(request);
   }
 
-  /** Nothing is kept of a request that has its answer. */
+  /** Keeps nothing of the requests that have their answers. */
   synchronized void forgetAnswered() {
-    calls.removeIf(ResponseSlot::isFilled);
+    requests.removeIf(ResponseSlot::isFilled);
   }
 
+  /** The requests that have no answer as of now. */
   synchronized List<RespClientRequest> unanswered() {
-    return calls.stream().filter(call -> !call.isFilled()).toList();
+    return requests.stream().filter(request -> !request.isFilled()).toList();
   }
 }
--- a/src/main/java/beaconturn/net/client/RequestParser.java
+++ b/src/main/java/beaconturn/net/client/RequestParser.java
@@ -14,12 +14,25 @@
 import java.util.StringJoiner;
 import java.util.regex.Pattern;
 
-/** Turns commands of clients into requests: key, id and a list of names and values. */
+/**
+ * Parser of clients' commands into requests: key, id and a list of names and values. The words of
+ * the wire are mapped here once. Any thread may call.
+ */
 public final class RequestParser {
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int KEY_DIGITS = 16;
-  private static final int LONGEST_NAME = 128;
-  private static final int MOST_ATTRIBUTES = 16;
+  private static final int MAX_NAME_LENGTH = 128;
+  private static final int MAX_ATTRIBUTES = 16;
+
+  /** Where the words of a command stand. */
+  private static final int COMMAND = 0;
+
+  private static final int KEY = 1;
+  private static final int ID = 2;
+  private static final int ATTRIBUTES = 3;
+  private static final int VALUE = 4;
+  private static final int GET_WORDS = 4;
+  private static final int SET_WORDS = 5;
 
   /**
    * Plain decimals only: what Java takes besides, such as 5d, 0x1p3 or NaN, no cache server can
@@ -30,30 +43,35 @@
   private static final Pattern ATTRIBUTE = Pattern.compile("[A-Za-z0-9_]{1,32}=[!-+\\--~]{1,256}");
 
   /** A wait of more than so many times its class's deadline is a mistake of the client's. */
-  private static final double LONGEST_WAIT = 2;
+  private static final double MAX_WAIT_PER_DEADLINE = 2;
 
   private final RouterSettings settings;
-  private final RouterSettings before;
-  private final RequestMetrics tally;
+  private final RouterSettings settingsBefore;
+  private final RequestMetrics metrics;
 
-  /** A parser of requests under these settings, which are counted in the tally. */
-  public RequestParser(RouterSettings settings, RequestMetrics tally) {
-    this(settings, settings, tally);
+  /** A parser of requests under these settings, which are counted in the metrics. */
+  public RequestParser(RouterSettings settings, RequestMetrics metrics) {
+    this(settings, settings, metrics);
   }
 
   /**
-   * The same after settings have changed: a request that was sent under those {@code before} may
+   * The same after settings have changed: a request that was sent under {@code settingsBefore} may
    * wait for as long as its class allowed then.
    */
-  public RequestParser(RouterSettings settings, RouterSettings before, RequestMetrics tally) {
+  public RequestParser(
+      RouterSettings settings, RouterSettings settingsBefore, RequestMetrics metrics) {
     this.settings = settings;
-    this.before = before;
-    this.tally = tally;
+    this.settingsBefore = settingsBefore;
+    this.metrics = metrics;
   }
 
   /**
-   * The parts that go on to a cache server: {@code head} is the command, the key and the id as
-   * read.
+   * The parts that go on to a cache server.
+   *
+   * @param head the command, the key and the id as read
+   * @param id the request's id
+   * @param attributes names and values, in the order in which they came
+   * @param value what a write writes, as read, or null
    */
   public record Parts(Slice head, Slice id, Map<String, String> attributes, Slice value) {
     String attributesWith(long waitMillis) {
@@ -65,76 +83,95 @@
     }
   }
 
+  /** Whether a command of this name is a request, and not one that the router answers itself. */
   static boolean isRequest(Slice command) {
     return command.is("C.GET") || command.is("C.SET");
   }
 
   /**
-   * The request that a command makes; {@code readAt} is when its last byte was read. Nothing that a
-   * cache server could not use gets past here, and its id is open from here on until it has its
-   * answer.
+   * Makes a request of a command. Nothing that a cache server could not use gets past here, and its
+   * id is open from here on until it has its answer.
+   *
+   * @param words the command's words
+   * @param readAtNanos when its last byte was read
+   * @param ids the ids that are open
+   * @throws InvalidCommandException if a word or a value is wrong, or the id is open
    */
-  public RespClientRequest parse(List<RespValue> items, long readAt, PendingRequestIds ids)
+  public RespClientRequest parse(List<RespValue> words, long readAtNanos, PendingRequestIds ids)
       throws InvalidCommandException {
-    boolean write = text(items, 0).is("C.SET");
-    if (items.size() != (write ? 5 : 4)) {
+    boolean write = text(words, COMMAND).is("C.SET");
+    if (words.size() != (write ? SET_WORDS : GET_WORDS)) {
       throw new InvalidCommandException("wrong number of arguments");
     }
-    Map<String, String> attributes = attributes(text(items, 3).toString());
-    int requestClass = settings.classNames().indexOf(attributes.get("c"));
-    if (requestClass < 0) {
-      throw new InvalidCommandException("c names no class of the settings");
-    }
-    RequestClass type = settings.routing().classes().get(requestClass);
-    double wait = number(attributes, "d", 0) * MILLI;
-    if (wait < 1
-        || (wait > LONGEST_WAIT * type.deadlineNanos()
-            && wait > LONGEST_WAIT * deadlineBefore(attributes.get("c")))) {
-      throw new InvalidCommandException("d is missing or out of range");
-    }
+    Map<String, String> attributes = attributes(text(words, ATTRIBUTES).toString());
+    int classIndex = classIndex(attributes);
+    RequestClass requestClass = settings.routing().classes().get(classIndex);
+    long waitNanos = waitNanos(attributes, requestClass);
     if (write
-        && type.idempotency() == Idempotency.IDEMPOTENCY_KEY
+        && requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
         && !attributes.containsKey("k")) {
       throw new InvalidCommandException("k is missing");
     }
-    Slice key = name(items, 1, "key");
-    Slice id = name(items, 2, "id");
-    Slice first = items.get(0).frame();
-    Slice last = items.get(2).frame();
-    Slice head = new Slice(first.array(), first.from(), last.from() + last.length() - first.from());
-    Slice value = write ? items.get(4).frame() : null;
-    ClientRequest.Ask ask =
-        new ClientRequest.Ask(
-            requestClass,
-            key(key),
-            write,
-            "1".equals(attributes.get("r")),
-            0,
-            0,
-            number(attributes, "size", 0));
+    long key = keyNumber(name(words, KEY, "key"));
+    Slice id = name(words, ID, "id");
+    Parts parts = new Parts(head(words), id, attributes, write ? words.get(VALUE).frame() : null);
+    ClientRequest.Ask ask = ask(classIndex, key, write, attributes);
     if (!ids.open(id)) {
       throw new InvalidCommandException("a request of this id is open");
     }
-    return new RespClientRequest(
-        ask,
-        readAt + (long) wait,
-        new Parts(head, id, attributes, value),
+    long objectiveAtNanos = readAtNanos + requestClass.latencyObjectiveNanos();
+    RespClientRequest.Reading reading =
         new RespClientRequest.Reading(
-            settings.routing(), attributes.get("c"), readAt + type.latencyObjectiveNanos(), tally),
-        () -> ids.close(id));
+            settings.routing(), attributes.get("c"), objectiveAtNanos, metrics);
+    return new RespClientRequest(ask, readAtNanos + waitNanos, parts, reading, () -> ids.close(id));
+  }
+
+  private int classIndex(Map<String, String> attributes) throws InvalidCommandException {
+    int index = settings.classNames().indexOf(attributes.get("c"));
+    if (index < 0) {
+      throw new InvalidCommandException("c names no class of the settings");
+    }
+    return index;
+  }
+
+  /** How long the client waits for its answer. */
+  private long waitNanos(Map<String, String> attributes, RequestClass requestClass)
+      throws InvalidCommandException {
+    double wait = number(attributes, "d", 0) * NANOS_PER_MILLI;
+    boolean tooLong =
+        wait > MAX_WAIT_PER_DEADLINE * requestClass.deadlineNanos()
+            && wait > MAX_WAIT_PER_DEADLINE * deadlineBeforeNanos(attributes.get("c"));
+    if (wait < 1 || tooLong) {
+      throw new InvalidCommandException("d is missing or out of range");
+    }
+    return (long) wait;
+  }
+
+  private static Slice head(List<RespValue> words) {
+    Slice first = words.get(COMMAND).frame();
+    Slice last = words.get(ID).frame();
+    return new Slice(first.array(), first.from(), last.from() + last.length() - first.from());
+  }
+
+  private static ClientRequest.Ask ask(
+      int classIndex, long key, boolean write, Map<String, String> attributes)
+      throws InvalidCommandException {
+    boolean clientRetry = "1".equals(attributes.get("r"));
+    return new ClientRequest.Ask(
+        classIndex, key, write, clientRetry, 0, 0, number(attributes, "size", 0));
   }
 
   /** The deadline of the class under the settings before; 0 where they did not have it. */
-  private long deadlineBefore(String className) {
-    int earlier = before.classNames().indexOf(className);
-    return earlier < 0 ? 0 : before.routing().classes().get(earlier).deadlineNanos();
+  private long deadlineBeforeNanos(String className) {
+    int earlier = settingsBefore.classNames().indexOf(className);
+    return earlier < 0 ? 0 : settingsBefore.routing().classes().get(earlier).deadlineNanos();
   }
 
   /** A key or an id: not empty, not endless, and of bytes that can be seen. */
-  private static Slice name(List<RespValue> items, int index, String what)
+  private static Slice name(List<RespValue> words, int index, String what)
       throws InvalidCommandException {
-    Slice name = text(items, index);
-    boolean sound = name.length() > 0 && name.length() <= LONGEST_NAME;
+    Slice name = text(words, index);
+    boolean sound = name.length() > 0 && name.length() <= MAX_NAME_LENGTH;
     for (int i = 0; sound && i < name.length(); i++) {
       sound = name.at(i) > ' ' && name.at(i) <= '~';
     }
@@ -144,8 +181,8 @@
     return name;
   }
 
-  private static Slice text(List<RespValue> items, int index) throws InvalidCommandException {
-    if (items.get(index) instanceof RespValue.Bulk bulk && bulk.bytes() != null) {
+  private static Slice text(List<RespValue> words, int index) throws InvalidCommandException {
+    if (words.get(index) instanceof RespValue.Bulk bulk && bulk.bytes() != null) {
       return bulk.bytes();
     }
     throw new InvalidCommandException("command with an argument that is no string");
@@ -153,8 +190,8 @@
 
   private static Map<String, String> attributes(String text) throws InvalidCommandException {
     Map<String, String> found = new LinkedHashMap<>();
-    for (String pair : text.split(",", MOST_ATTRIBUTES + 1)) {
-      if (!ATTRIBUTE.matcher(pair).matches() || found.size() == MOST_ATTRIBUTES) {
+    for (String pair : text.split(",", MAX_ATTRIBUTES + 1)) {
+      if (!ATTRIBUTE.matcher(pair).matches() || found.size() == MAX_ATTRIBUTES) {
         throw new InvalidCommandException("attributes that are no list of names and values");
       }
       int equals = pair.indexOf('=');
@@ -175,7 +212,7 @@
   }
 
   /** Keys are 16 hexadecimal digits; any other is hashed, alike at every router. */
-  private static long key(Slice key) {
+  private static long keyNumber(Slice key) {
     long value = 0;
     boolean hex = key.length() == KEY_DIGITS;
     for (int i = 0; hex && i < key.length(); i++) {
--- a/src/main/java/beaconturn/net/client/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -12,34 +12,40 @@
 
 /**
  * A request that came as a RESP2 command, and the place of its answer on the client's connection.
+ * Any thread may call any method.
  */
 public final class RespClientRequest extends ResponseSlot implements ClientRequest {
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
   private final ClientRequest.Ask ask;
   private final long deadline;
   private final RequestParser.Parts parts;
   private final Reading reading;
-  private final Runnable whenOver;
+  private final Runnable whenFilled;
 
   /**
-   * What it was read under: its class is one of the settings', and it is counted under the class's
-   * name; by {@code aim} it is wanted, after that it is late.
+   * What a request was read under.
+   *
+   * @param settings the settings in force then; its class is one of theirs
+   * @param className the name of its class, under which it is counted
+   * @param objectiveAtNanos when the client wants its answer; after that it is late
+   * @param metrics where it is counted
    */
   public record Reading(
-      RoutingSettings settings, String className, long aim, RequestMetrics tally) {}
+      RoutingSettings settings, String className, long objectiveAtNanos, RequestMetrics metrics) {}
 
-  /** A call that says when it has its answer, or nobody waits for one. */
+  /** A request without an answer; {@code whenFilled} runs once it has one, or is abandoned. */
   public RespClientRequest(
       ClientRequest.Ask ask,
       long deadline,
       RequestParser.Parts parts,
       Reading reading,
-      Runnable whenOver) {
+      Runnable whenFilled) {
     this.ask = ask;
     this.deadline = deadline;
     this.parts = parts;
     this.reading = reading;
-    this.whenOver = whenOver;
+    this.whenFilled = whenFilled;
   }
 
   /** The request's id, as its client gave it. */
@@ -48,12 +54,12 @@
     return parts.id().toString();
   }
 
-  /** From now on an answer is owed. */
+  /** Counts the request: from now on an answer is owed. */
   void taken() {
-    reading.tally().taken();
+    reading.metrics().taken();
   }
 
-  /** Nobody waits for the answer any more. */
+  /** Ends the request without an answer, as nobody waits for one any more. */
   public void abandoned() {
     end(RequestMetrics.End.ABANDONED, ClientWriter.END);
   }
@@ -61,26 +67,24 @@
   /**
    * What had begun and is not whole is broken off: the client has part of it, and can only fail.
    */
-  private void end(RequestMetrics.End how, Slice answer) {
-    boolean part = flow() != null && how != RequestMetrics.End.ANSWERED;
-    if (fill(answer)) {
-      reading
-          .tally()
-          .ended(
-              reading.className(),
-              part && how != RequestMetrics.End.ABANDONED ? RequestMetrics.End.ERRORED : how);
-      if (how == RequestMetrics.End.ANSWERED) {
-        reading.tally().served(reading.aim());
-      }
-      if (part) {
-        flow().breakOff();
-      }
+  private void end(RequestMetrics.End end, Slice answer) {
+    boolean brokenOff = stream() != null && end != RequestMetrics.End.ANSWERED;
+    if (!fill(answer)) {
+      return;
+    }
+    boolean countsAsError = brokenOff && end != RequestMetrics.End.ABANDONED;
+    reading.metrics().ended(reading.className(), countsAsError ? RequestMetrics.End.ERRORED : end);
+    if (end == RequestMetrics.End.ANSWERED) {
+      reading.metrics().served(reading.objectiveAtNanos());
+    }
+    if (brokenOff) {
+      stream().breakOff();
     }
   }
 
   @Override
-  void over() {
-    whenOver.run();
+  void onFilled() {
+    whenFilled.run();
   }
 
   @Override
@@ -117,7 +121,7 @@
 
   @Override
   public void begun(StreamingResponse body) {
-    flow((BoundedPipe) body);
+    startStream((BoundedPipe) body);
   }
 
   @Override
@@ -130,7 +134,10 @@
   public void refused(long retryAfter) {
     end(
         RequestMetrics.End.DEFERRED,
-        RespWriter.failure(retryAfter <= 0 ? "BUSY" : "BUSY " + (retryAfter + MILLI - 1) / MILLI));
+        RespWriter.failure(
+            retryAfter <= 0
+                ? "BUSY"
+                : "BUSY " + (retryAfter + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI));
   }
 
   @Override
--- a/src/main/java/beaconturn/net/client/ResponseSlot.java
+++ b/src/main/java/beaconturn/net/client/ResponseSlot.java
@@ -3,58 +3,66 @@
 import beaconturn.net.io.BoundedPipe;
 import beaconturn.protocol.Slice;
 
-/** The place of one answer in the order of a client's connection: filled once, by any thread. */
+/**
+ * The place of one answer in the order of a client's connection. It is filled once; any thread may
+ * call any method.
+ */
 class ResponseSlot {
+  /** The answer, or null as long as there is none. Written under this object's lock. */
   private volatile Slice bytes;
-  private volatile BoundedPipe flow;
-  private Runnable next = () -> {};
+
+  /** What the answer comes by piece by piece, or null. Written under this object's lock. */
+  private volatile BoundedPipe stream;
+
+  /** Guarded by this. */
+  private Runnable whenMore = () -> {};
 
   /** A place whose answer is there from the start. */
   static ResponseSlot of(Slice answer) {
-    ResponseSlot reply = new ResponseSlot();
-    reply.fill(answer);
-    return reply;
+    ResponseSlot slot = new ResponseSlot();
+    slot.fill(answer);
+    return slot;
   }
 
-  /** The answer comes by and by; it is over, as before, when it is filled in. */
-  final void flow(BoundedPipe begun) {
-    Runnable then;
+  /** Has the answer come piece by piece; it is over, as any other, when it is filled in. */
+  final void startStream(BoundedPipe started) {
+    Runnable action;
     synchronized (this) {
       if (bytes != null) {
-        begun.cancel();
+        started.cancel();
         return;
       }
-      flow = begun;
-      then = next;
+      stream = started;
+      action = whenMore;
     }
-    begun.whenMore(then);
-    then.run();
+    started.whenMore(action);
+    action.run();
   }
 
   /** What the answer comes by, or null if it comes whole. */
-  final BoundedPipe flow() {
-    return flow;
+  final BoundedPipe stream() {
+    return stream;
   }
 
-  /** What of it goes out next: all of it, or a piece of its flow; null if that is not there yet. */
+  /** What goes out next: the answer, or a piece of its stream; null if that is not there yet. */
   final Slice nextPiece() {
-    // In this order: an answer that comes by and by has its flow before it is filled in.
+    // In this order: an answer that is streamed has its stream before it is filled in.
     Slice whole = bytes;
-    return flow != null ? flow.next() : whole;
+    return stream != null ? stream.next() : whole;
   }
 
   /** Fills in the answer; false for one that comes second, which is dropped. */
   final boolean fill(Slice answer) {
-    Runnable then;
+    Runnable action;
     synchronized (this) {
       if (bytes != null) {
         return false;
       }
-      over();
+      onFilled();
       bytes = answer;
-      then = next;
+      action = whenMore;
     }
-    then.run();
+    action.run();
     return true;
   }
 
@@ -62,7 +70,7 @@
   final void whenFilled(Runnable action) {
     synchronized (this) {
       if (bytes == null) {
-        next = action;
+        whenMore = action;
         return;
       }
     }
@@ -70,8 +78,9 @@
   }
 
   /** Called once, before the answer can be seen. */
-  void over() {}
+  void onFilled() {}
 
+  /** Whether it has its answer. */
   final boolean isFilled() {
     return bytes != null;
   }
--- a/src/main/java/beaconturn/net/io/BoundedPipe.java
+++ b/src/main/java/beaconturn/net/io/BoundedPipe.java
@@ -7,8 +7,9 @@
 import java.util.Deque;
 
 /**
- * What stands between the thread that reads a large answer and the client that takes it: a few
- * pieces at the most. The reader waits while it is full; whoever writes to the client never waits.
+ * A bounded buffer between the thread that reads a large answer and those that write it to its
+ * client: a few pieces at the most. The reader waits while it is full; whoever writes to the client
+ * never waits.
  */
 public final class BoundedPipe implements StreamingResponse {
   /** In the place of a piece: all of the answer has been taken. */
@@ -17,24 +18,32 @@
   /** In the place of a piece: the answer broke off. */
   public static final Slice BROKEN = Slice.of("");
 
-  private static final int MOST = 32 * 1024;
+  private static final int CAPACITY_BYTES = 32 * 1024;
 
+  // Guarded by this.
   private final Deque<Slice> pieces = new ArrayDeque<>();
-  private int held;
-  private Slice last;
+  private int heldBytes;
+
+  /** {@link #END} or {@link #BROKEN} once no further piece will come, else null. */
+  private Slice terminator;
+
   private boolean cancelled;
-  private Runnable taker = () -> {};
+  private Runnable whenMore = () -> {};
 
-  /** Says what to do whenever a piece has come; some may be there already. */
+  /** Sets what to do whenever a piece has come; some may be there already. For any thread. */
   public synchronized void whenMore(Runnable action) {
-    taker = action;
+    whenMore = action;
   }
 
-  /** Adds a piece, waiting for room; fails once nobody wants it. For the one producer. */
+  /**
+   * Adds a piece, waiting for room. For the one producer.
+   *
+   * @throws IOException if nobody wants the answer any more
+   */
   public void put(Slice piece) throws IOException {
     synchronized (this) {
       try {
-        while (held >= MOST && !cancelled) {
+        while (heldBytes >= CAPACITY_BYTES && !cancelled) {
           wait();
         }
       } catch (InterruptedException e) {
@@ -45,43 +54,45 @@
         throw new IOException("nobody takes this answer any more");
       }
       pieces.add(piece);
-      held += piece.length();
+      heldBytes += piece.length();
     }
-    tell();
+    notifyTaker();
   }
 
-  /** All pieces have been put. */
+  /** Marks the answer as whole: all pieces have been put. */
   public void end() {
     finish(END);
   }
 
-  /** No further piece will come, though the answer is not whole. */
+  /** Marks the answer as broken off: no further piece will come, though it is not whole. */
   public void breakOff() {
     finish(BROKEN);
   }
 
   private void finish(Slice how) {
     synchronized (this) {
-      last = last == null ? how : last;
+      if (terminator == null) {
+        terminator = how;
+      }
     }
-    tell();
+    notifyTaker();
   }
 
-  private void tell() {
-    Runnable then;
+  private void notifyTaker() {
+    Runnable action;
     synchronized (this) {
-      then = taker;
+      action = whenMore;
     }
-    then.run();
+    action.run();
   }
 
-  /** The next piece, {@link #END}, {@link #BROKEN}, or null if none is there yet. */
+  /** Takes the next piece, {@link #END}, {@link #BROKEN}, or null if none is there yet. */
   public synchronized Slice next() {
     Slice piece = pieces.poll();
     if (piece == null) {
-      return last;
+      return terminator;
     }
-    held -= piece.length();
+    heldBytes -= piece.length();
     notifyAll();
     return piece;
   }
--- a/src/main/java/beaconturn/net/io/ConnectionLimit.java
+++ b/src/main/java/beaconturn/net/io/ConnectionLimit.java
@@ -1,30 +1,34 @@
 package beaconturn.net.io;
 
 /**
- * So many connections at once and no more; how many may change, and those over a new bound stay
- * till they end.
+ * A limit on how many connections there are at once. It may change; those over a new limit stay
+ * until they end. Any thread may call.
  */
 public final class ConnectionLimit {
-  private int most;
-  private int taken;
+  private int limit;
+  private int count;
 
-  public ConnectionLimit(int most) {
-    this.most = most;
+  /** A limit of so many, of which none is taken. */
+  public ConnectionLimit(int limit) {
+    this.limit = limit;
   }
 
+  /** Counts one more connection; false, and without effect, if there are as many as may be. */
   public synchronized boolean tryAcquire() {
-    if (taken >= most) {
+    if (count >= limit) {
       return false;
     }
-    taken++;
+    count++;
     return true;
   }
 
+  /** Counts one connection less. */
   public synchronized void release() {
-    taken--;
+    count--;
   }
 
-  public synchronized void most(int now) {
-    most = now;
+  /** Sets another limit. */
+  public synchronized void setLimit(int newLimit) {
+    limit = newLimit;
   }
 }
--- a/src/main/java/beaconturn/net/io/Fnv1a.java
+++ b/src/main/java/beaconturn/net/io/Fnv1a.java
@@ -4,23 +4,24 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The number that stands for a name; FNV-1a, so that every router and every start finds the same
- * one.
+ * The 64-bit FNV-1a hash, which gives a name its number: the same at every router and after every
+ * start. Any thread may call.
  */
 public final class Fnv1a {
-  private static final long BASIS = 0xcbf29ce484222325L;
+  private static final long OFFSET_BASIS = 0xcbf29ce484222325L;
   private static final long PRIME = 0x100000001b3L;
 
   private Fnv1a() {}
 
-  /** The number of a cache server comes from its name, which is the same at every router. */
-  public static long of(String host) {
-    byte[] name = host.getBytes(StandardCharsets.UTF_8);
-    return of(new Slice(name, 0, name.length));
+  /** The number of a cache server, from its name, which is the same at every router. */
+  public static long of(String name) {
+    byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
+    return of(new Slice(bytes, 0, bytes.length));
   }
 
+  /** The number of a name in bytes. */
   public static long of(Slice name) {
-    long hash = BASIS;
+    long hash = OFFSET_BASIS;
     for (int i = 0; i < name.length(); i++) {
       hash = (hash ^ (name.at(i) & 0xff)) * PRIME;
     }
--- a/src/main/java/beaconturn/net/io/Sockets.java
+++ b/src/main/java/beaconturn/net/io/Sockets.java
@@ -12,33 +12,33 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** Small helpers that all connections share. */
+/** Reads and writes that all connections share. Any thread may call. */
 public final class Sockets {
-  private static final int COALESCED = 2048;
+  private static final int WRITE_BUFFER_BYTES = 2048;
 
   /** Each thread keeps a buffer outside the heap as large as its largest read or write. */
-  public static final int LARGEST_STEP = 8 * 1024;
+  public static final int MAX_TRANSFER_BYTES = 8 * 1024;
 
   private Sockets() {}
 
   /** Reads what is there, waiting for the first byte; false at the end of the stream. */
   public static boolean read(InputStream from, InputBuffer into) throws IOException {
-    int room = Math.min(LARGEST_STEP, into.room());
-    int got = from.read(into.array(), into.end(), room);
-    if (got < 0) {
+    int room = Math.min(MAX_TRANSFER_BYTES, into.room());
+    int bytes = from.read(into.array(), into.end(), room);
+    if (bytes < 0) {
       return false;
     }
-    into.filled(got);
+    into.filled(bytes);
     return true;
   }
 
   /** Writes small pieces as one, so that a message of many of them is one packet. */
   public static void write(OutputStream to, List<Slice> pieces) throws IOException {
-    BufferedOutputStream out = new BufferedOutputStream(to, COALESCED);
+    BufferedOutputStream out = new BufferedOutputStream(to, WRITE_BUFFER_BYTES);
     for (Slice piece : pieces) {
-      for (int done = 0; done < piece.length(); done += LARGEST_STEP) {
-        int step = Math.min(LARGEST_STEP, piece.length() - done);
-        out.write(piece.array(), piece.from() + done, step);
+      for (int written = 0; written < piece.length(); written += MAX_TRANSFER_BYTES) {
+        int length = Math.min(MAX_TRANSFER_BYTES, piece.length() - written);
+        out.write(piece.array(), piece.from() + written, length);
       }
     }
     out.flush();
@@ -49,7 +49,7 @@
     int end = bytes.limit();
     int written = 1;
     while (bytes.position() < end && written > 0) {
-      bytes.limit(Math.min(end, bytes.position() + LARGEST_STEP));
+      bytes.limit(Math.min(end, bytes.position() + MAX_TRANSFER_BYTES));
       written = to.write(bytes);
       bytes.limit(end);
     }
@@ -66,7 +66,11 @@
     }
   }
 
-  /** An address written as host:port, without asking any name service. */
+  /**
+   * The address that a text names as host:port, without asking any name service.
+   *
+   * @throws IllegalArgumentException if the text is none
+   */
   public static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0
--- a/src/main/java/beaconturn/net/io/Threads.java
+++ b/src/main/java/beaconturn/net/io/Threads.java
@@ -4,8 +4,8 @@
 import java.util.logging.Logger;
 
 /**
- * Makes the platform threads: daemons with small stacks, whose failures are logged and end nothing
- * else.
+ * Factory of the platform threads: daemons with small stacks, whose failures are logged and end
+ * nothing else. Any thread may call.
  */
 public final class Threads {
   private static final Logger LOG = Logger.getLogger(Threads.class.getName());
@@ -14,18 +14,19 @@
   /**
    * Between a failure of a supervised loop and its next beginning: a lasting failure must not spin.
    */
-  private static final long PAUSE_MILLIS = 10;
+  private static final long RESTART_PAUSE_MILLIS = 10;
 
   private Threads() {}
 
-  /** What a thread does until it is interrupted. */
+  /** The body of a thread that runs until it is interrupted. */
   public interface Loop {
+    /** Runs until there is nothing left to do, or the thread is interrupted. */
     void run() throws InterruptedException;
   }
 
   /**
-   * A thread that the router cannot do without: whatever its loop throws is logged, and the loop
-   * begins anew after a pause. It ends when the loop returns or is interrupted.
+   * Starts a thread that the router cannot do without: whatever its loop throws is logged, and the
+   * loop begins anew after a pause. It ends when the loop returns or is interrupted.
    */
   public static Thread supervised(String name, Loop loop) {
     return start(name, () -> supervise(name, loop));
@@ -34,7 +35,7 @@
   private static void supervise(String name, Loop loop) {
     try {
       while (!finished(name, loop)) {
-        Thread.sleep(PAUSE_MILLIS);
+        Thread.sleep(RESTART_PAUSE_MILLIS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -61,6 +62,7 @@
     }
   }
 
+  /** Starts a thread whose failure ends only itself. */
   public static Thread start(String name, Runnable body) {
     Thread thread = new Thread(null, body, name, STACK_BYTES);
     thread.setDaemon(true);
--- a/src/main/java/beaconturn/net/server/LargeResponseStream.java
+++ b/src/main/java/beaconturn/net/server/LargeResponseStream.java
@@ -89,7 +89,7 @@
   }
 
   private static Slice read(InputStream from, int most) throws IOException {
-    byte[] bytes = new byte[Math.min(Sockets.LARGEST_STEP, most)];
+    byte[] bytes = new byte[Math.min(Sockets.MAX_TRANSFER_BYTES, most)];
     int got = from.read(bytes);
     if (got < 0) {
       throw new IOException("ended in the middle of a value");
--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/BrokenRouter.java
@@ -18,7 +18,7 @@
 import beaconturn.decision.RoutingPolicy;
 import beaconturn.decision.RoutingSettings;
 import beaconturn.net.client.ClientConnection;
-import beaconturn.net.client.EndReason;
+import beaconturn.net.client.ConnectionContext;
 import beaconturn.protocol.Slice;
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
@@ -74,7 +74,7 @@
   }
 
   @Override
-  public ClientConnection connection(SocketChannel client, ClientConnection.Site site) {
+  public ClientConnection connection(SocketChannel client, ConnectionContext site) {
     return switch (defect) {
       case ENDS_AT_REJECTION ->
           new ClientConnection(client, site) {
@@ -86,13 +86,13 @@
       case ENDS_OVER_COMMANDS ->
           new ClientConnection(client, site) {
             @Override
-            public long halfReadSince() {
+            public long partialCommandSinceNanos() {
               // Long ago, however soon it is.
-              return super.halfReadSince() - TOO_LONG;
+              return super.partialCommandSinceNanos() - TOO_LONG;
             }
 
             @Override
-            protected boolean mayEndOverCommand(EndReason reason) {
+            protected boolean mayEndOverCommand(boolean commandIsReason) {
               return true;
             }
           };
--- a/src/test/java/beaconturn/net/UpgradeTest.java
+++ b/src/test/java/beaconturn/net/UpgradeTest.java
@@ -79,13 +79,13 @@
       throws IOException, InterruptedException {
     try (ServerSocketChannel shared = ServerSocketChannel.open()) {
       shared.bind(new InetSocketAddress("127.0.0.1", 0));
-      Listener before = Listener.on(shared, accepted::add);
+      Listener before = Listener.sharing(shared, accepted::add);
       before.start();
       TestPeer.Line.to(before.address()).close();
       accepted.take().close();
       before.close();
       TestPeer.Line.to(before.address()).close();
-      Listener after = Listener.on(shared, accepted::add);
+      Listener after = Listener.sharing(shared, accepted::add);
       after.start();
       accepted.take().close();
       TestPeer.Line.to(after.address()).close();
--- a/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
@@ -66,7 +66,7 @@
     connection =
         new ClientConnection(
             accepted,
-            new ClientConnection.Site(
+            new ConnectionContext(
                 () -> new RequestParser(Samples.read(), RequestMetrics.NONE),
                 () -> clock.now(),
                 new Lifecycle(),
@@ -91,7 +91,7 @@
   }
 
   private void awaitHalfRead() throws Exception {
-    TestPeer.until(() -> connection.halfReadSince() < Long.MAX_VALUE);
+    TestPeer.until(() -> connection.partialCommandSinceNanos() < Long.MAX_VALUE);
   }
 
   /** Silence for ever, and half a command renewed byte by byte, would hold a place for ever. */
@@ -196,7 +196,7 @@
    * left.
    */
   private void awaitQuiet() throws Exception {
-    TestPeer.until(() -> connection.quietSince() < Long.MAX_VALUE);
+    TestPeer.until(() -> connection.idleSinceNanos() < Long.MAX_VALUE);
   }
 
   /**
@@ -393,7 +393,8 @@
     connections.stop();
     now.addAndGet(SECOND / 10);
     client.write(get("late"));
-    TestPeer.until(() -> ids.count() == 1 && connection.halfReadSince() == Long.MAX_VALUE);
+    TestPeer.until(
+        () -> ids.count() == 1 && connection.partialCommandSinceNanos() == Long.MAX_VALUE);
     early.served(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     assertEquals("-BUSY 50", client.answer());
@@ -425,7 +426,7 @@
     TestPeer.until(
         () -> {
           connections.stop();
-          return connection.closingSince() < Long.MAX_VALUE;
+          return connection.outputEndedAtNanos() < Long.MAX_VALUE;
         });
     client.write(GET);
     now.addAndGet(SECOND);
@@ -533,7 +534,8 @@
     toModule = module::add;
     resting.endIfQuiet(EndReason.IDLE);
     releaseAgain.countDown();
-    TestPeer.until(() -> resting.halfReadSince() < Long.MAX_VALUE || resting.leaving());
+    TestPeer.until(
+        () -> resting.partialCommandSinceNanos() < Long.MAX_VALUE || resting.isLeaving());
     awaitPollerRound();
     rests.write(GET.substring(9));
     arrived().served(Slice.of("+v\r\n"));
@@ -595,7 +597,7 @@
     now.addAndGet(SECOND * 2 / 5);
     assertFalse(connections.makeRoom(now.get()));
     client.write(GET.substring(9, 12));
-    TestPeer.until(() -> connection.stalledSince() == now.get());
+    TestPeer.until(() -> connection.stalledSinceNanos() == now.get());
     now.addAndGet(SECOND * 2 / 5);
     assertFalse(connections.makeRoom(now.get()));
     now.addAndGet(SECOND / 5);
--- a/src/test/java/beaconturn/net/client/ClientWriterTest.java
+++ b/src/test/java/beaconturn/net/client/ClientWriterTest.java
@@ -56,7 +56,7 @@
   @Timeout(60)
   void behindAWriteThatIsStuckNoMoreRequestsAreTaken() throws Exception {
     writer.take(ResponseSlot.of(new Slice(new byte[LARGE], 0, LARGE)));
-    assertTrue(writer.stuck());
+    assertTrue(writer.isBlocked());
     writer.take(ResponseSlot.of(Slice.of("+b\r\n")));
     assertTrue(writer.hasRoom());
     writer.take(ResponseSlot.of(Slice.of("+c\r\n")));
@@ -71,7 +71,7 @@
                 Sockets.close(client);
               }
             });
-    while (writer.stuck()) {
+    while (writer.isBlocked()) {
       writer.write();
     }
     taker.join();
@@ -88,10 +88,10 @@
     writer.take(first);
     writer.take(second);
     second.fill(Slice.of("+2\r\n"));
-    assertFalse(writer.finishIfQuiet());
+    assertFalse(writer.finishIfIdle());
     first.fill(Slice.of("+1\r\n"));
     first.fill(Slice.of("+never\r\n"));
-    assertTrue(writer.finishIfQuiet());
+    assertTrue(writer.finishIfIdle());
     assertFalse(writer.take(ResponseSlot.of(Slice.of("+3\r\n"))));
     assertEquals("+1\r\n+2\r\n", read(99));
   }
@@ -104,7 +104,7 @@
     writer.take(owed);
     writer.finish();
     assertFalse(writer.take(new ResponseSlot()));
-    assertEquals(Long.MAX_VALUE, writer.closingSince());
+    assertEquals(Long.MAX_VALUE, writer.outputEndedAtNanos());
     owed.fill(Slice.of("+1\r\n"));
     assertEquals("+1\r\n", read(99));
   }
--- a/src/test/java/beaconturn/net/client/ListenerTest.java
+++ b/src/test/java/beaconturn/net/client/ListenerTest.java
@@ -34,7 +34,7 @@
     CountDownLatch busy = new CountDownLatch(1);
     CountDownLatch release = new CountDownLatch(1);
     Listener listener =
-        Listener.bound(
+        Listener.bind(
             anyPort(),
             channel -> {
               if (busy.getCount() > 0) {
@@ -75,7 +75,7 @@
   void acceptingGoesOnAfterAFailure() throws Exception {
     AtomicInteger failures = new AtomicInteger();
     Listener listener =
-        Listener.bound(
+        Listener.bind(
             anyPort(),
             channel -> {
               if (failures.incrementAndGet() <= 3) {
