--- /dev/null
+++ b/src/main/java/beaconturn/rehearsal/AgreementSectionReader.java
@@ -0,0 +1,94 @@
+package beaconturn.rehearsal;
+
+import beaconturn.toml.TomlException;
+import beaconturn.toml.TomlSection;
+import java.util.ArrayList;
+import java.util.List;
+
+/** The reader of a scenario's agreement, configuration versions and zones. */
+final class AgreementSectionReader {
+  private static final long MILLI_NANOS = 1_000_000;
+  private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
+  private final TomlSection file;
+
+  AgreementSectionReader(TomlSection file) {
+    this.file = file;
+  }
+
+  /** Reads the table {@code [agreement]}; null where there is none. */
+  Scenario.Agreement readAgreement() throws TomlException {
+    if (!file.has("agreement")) {
+      return null;
+    }
+    TomlSection section = file.table("agreement");
+    return new Scenario.Agreement(
+        section.durationNanos("lease", 2 * SECOND_NANOS, SECOND_NANOS),
+        section.number("drift", 0.01, 0, 0.2));
+  }
+
+  /** Reads the tables {@code [[version]]}. */
+  static List<Scenario.VersionSpec> readVersions(
+      List<TomlSection> proposed, Scenario.Agreement agreement, ScenarioOutline outline)
+      throws TomlException {
+    List<Scenario.VersionSpec> all = new ArrayList<>();
+    for (TomlSection section : proposed) {
+      if (agreement == null) {
+        throw section.invalid("", "needs an [agreement] table");
+      }
+      all.add(readVersion(section, outline));
+    }
+    return List.copyOf(all);
+  }
+
+  private static Scenario.VersionSpec readVersion(TomlSection section, ScenarioOutline outline)
+      throws TomlException {
+    List<String> names = outline.fleet().names();
+    List<String> out = section.texts("out", List.of());
+    for (String name : out) {
+      if (!names.contains(name)) {
+        throw section.invalid(
+            "out", "there is no '" + name + "', there are " + String.join(", ", names));
+      }
+    }
+    Trigger after = outline.readTrigger(section, "after");
+    long atNanos = section.durationNanos("at", after == null ? 2 * SECOND_NANOS : 0, 0);
+    outline.checkWithinPlay(section, "at", atNanos);
+    return new Scenario.VersionSpec(
+        atNanos,
+        after,
+        section.text("reason", "as the scenario has it"),
+        out,
+        section.integer("most_tries", 0, 0, 64),
+        section.texts("unsafe", List.of()),
+        section.bool("newest_list", false),
+        section.bool("dies", false));
+  }
+
+  /** Reads the table {@code [zones]}; null where there is none. */
+  Scenario.ZonesSpec readZones(Scenario.Agreement agreement, Scenario.Fleet fleet)
+      throws TomlException {
+    if (!file.has("zones")) {
+      return null;
+    }
+    TomlSection section = file.table("zones");
+    if (agreement == null || fleet.places().size() < 2) {
+      throw section.invalid("", "needs an [agreement] table and two sites at least");
+    }
+    List<String> regions = section.texts("regions", List.of());
+    if (!regions.isEmpty() && regions.size() != fleet.places().size()) {
+      throw section.invalid(
+          "regions",
+          regions.size()
+              + " of them, allowed is one for each of the sites "
+              + String.join(", ", fleet.places()));
+    }
+    return new Scenario.ZonesSpec(
+        section.bool("decided", true),
+        section.number("each_per_s", 100, 0.1, 1e6),
+        section.number("fetches_per_s", 1e6, 1, 1e6),
+        section.integer("reserve", 50, 0, 50),
+        section.durationNanos("back_within", 30 * SECOND_NANOS, 0),
+        section.number("peak", 1.2, 0.1, 100),
+        regions);
+  }
+}
--- /dev/null
+++ b/src/main/java/beaconturn/rehearsal/FleetSectionReader.java
@@ -0,0 +1,84 @@
+package beaconturn.rehearsal;
+
+import beaconturn.standin.CacheServerSpec;
+import beaconturn.standin.OriginModel;
+import beaconturn.toml.TomlException;
+import beaconturn.toml.TomlSection;
+import java.util.List;
+
+/** The reader of a scenario's cache servers, origin and routing settings. */
+final class FleetSectionReader {
+  private static final long MILLI_NANOS = 1_000_000;
+  private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
+  private static final int MOST_CACHE_SERVERS = 200;
+  private static final List<String> LOAD_REPORT_FIELDS = List.of("inflight", "latency_ms", "qps");
+
+  private FleetSectionReader() {}
+
+  /** Reads the cache servers of the table {@code [fleet]}. */
+  static Scenario.Fleet readFleet(TomlSection section) throws TomlException {
+    List<String> sites = section.texts("sites", List.of("east", "west"));
+    if (sites.isEmpty()) {
+      throw section.invalid("sites", "empty, at least one is needed");
+    }
+    List<String> reports = section.texts("report", List.of());
+    for (String report : reports) {
+      if (!LOAD_REPORT_FIELDS.contains(report)) {
+        throw section.invalid(
+            "report",
+            "unknown '" + report + "', allowed are " + String.join(", ", LOAD_REPORT_FIELDS));
+      }
+    }
+    CacheServerSpec spec = readSpec(section, reports);
+    return new Scenario.Fleet(
+        section.integer("caches", 6, 1, MOST_CACHE_SERVERS),
+        sites,
+        section.integer("cell", 3, 1, 1000),
+        spec);
+  }
+
+  private static CacheServerSpec readSpec(TomlSection section, List<String> reports)
+      throws TomlException {
+    return new CacheServerSpec(
+        section.number("speed", 1, 0.01, 100),
+        section.integer("workers", 4, 1, 1000),
+        section.integer("room", 64, 0, 100_000),
+        section.sizeBytes("capacity", 64L << 20, 1024),
+        section.durationNanos("ttl", 60 * SECOND_NANOS, MILLI_NANOS),
+        section.number("cold_share", 0.2, 0.01, 1),
+        section.durationNanos("cold_for", 10 * SECOND_NANOS, 0),
+        section.number("fall_multiple", 4, 1, 1000),
+        section.durationNanos("fall_after", SECOND_NANOS, 100 * MILLI_NANOS),
+        section.integer("connections", 1000, 1, 100_000),
+        section.durationNanos("connect_work", MILLI_NANOS, 0),
+        section.integer("multiplex", 1, 1, 1000),
+        section.bool("share_fetch", true),
+        section.bool("cancel", true),
+        reports);
+  }
+
+  /** Reads the origin of the table {@code [origin]}. */
+  static OriginModel.Shape readOrigin(TomlSection section) throws TomlException {
+    return new OriginModel.Shape(
+        section.integer("workers", 16, 1, 10_000),
+        section.integer("queue", 2000, 0, 1_000_000),
+        section.durationNanos("work", 60 * MILLI_NANOS, 0),
+        section.number("fall_multiple", 8, 1, 10_000),
+        section.durationNanos("fall_after", 3 * SECOND_NANOS, 0),
+        section.durationNanos("fall_for", 5 * SECOND_NANOS, 0));
+  }
+
+  /** Reads the routing settings of the table {@code [settings]}. */
+  static Scenario.Rules readRules(TomlSection section) throws TomlException {
+    return new Scenario.Rules(
+        section.integer("most_tries", 4, 1, 16),
+        section.bool("second_copies", true),
+        section.bool("cancel", true),
+        section.durationNanos("most_retry_after", 2 * SECOND_NANOS, 0),
+        section.durationNanos("dial_timeout", 250 * MILLI_NANOS, MILLI_NANOS),
+        section.durationNanos("conn_idle", 5 * SECOND_NANOS, 100 * MILLI_NANOS),
+        section.durationNanos("drain_grace", 500 * MILLI_NANOS, 0),
+        section.durationNanos("answer_slack", 20 * MILLI_NANOS, 0),
+        section.durationNanos("ask_within", 10 * SECOND_NANOS, MILLI_NANOS));
+  }
+}
