--- /dev/null
+++ b/src/test/java/beaconturn/decision/RoutingCharacterizationTest.java
@@ -0,0 +1,168 @@
+package beaconturn.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/**
+ * All decisions of a router, bit for bit: several thousand seeded events a setting, and the digest
+ * of every action in order. A digest that changes says that a decision has changed, or the order of
+ * random draws: where that is not meant, the change is at fault and not the digest.
+ */
+class RoutingCharacterizationTest {
+  private static final long MS = 1_000_000L;
+  private static final long SECOND = 1000 * MS;
+  private static final int ARRIVALS = 5000;
+
+  private static final RoutingPermissions HEDGED = permissions(true, true, true, 4);
+  private static final RoutingPermissions ALONE = permissions(true, true, false, 3);
+  private static final RoutingPermissions BARE = permissions(false, false, true, 2);
+
+  private static RoutingPermissions permissions(
+      boolean cancel, boolean retryAfter, boolean hedging, int maxAttempts) {
+    return new RoutingPermissions(
+        cancel, false, false, retryAfter, hedging, maxAttempts, 300 * MS, 32, 30 * MS, 800 * MS);
+  }
+
+  private static List<RequestClass> classes() {
+    return List.of(
+        type(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 1, 0, false),
+        type(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 4, 2, false),
+        type(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 2, 1, false),
+        type(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 2, 0, false),
+        type(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 1, 1, false),
+        type(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 3, 1, false),
+        type(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 1, 1, true));
+  }
+
+  private static RequestClass type(
+      Idempotency idempotency,
+      DeduplicationScope scope,
+      double weight,
+      double lateWeight,
+      boolean streamed) {
+    return new RequestClass(
+        idempotency, scope, 230 * MS, 90 * MS, 600 * MS, weight, lateWeight, streamed);
+  }
+
+  private static RoutingSettings settings(
+      boolean aside, int routers, RoutingPermissions permissions, boolean other) {
+    SafetyLimits limits =
+        new SafetyLimits(20 * MS, 2 * SECOND, 0.2, 3 * SECOND, 250 * MS, 3, SECOND, other);
+    OriginSettings origin =
+        new OriginSettings(
+            aside, aside ? SeededTraffic.ORIGIN_KIND : -1, false, permissions.hedging(), 0, 0);
+    return new RoutingSettings(
+        0,
+        routers,
+        1,
+        !other,
+        other,
+        false,
+        0.1,
+        5 * MS,
+        classes(),
+        List.of(new Tenant(0, 0.5), new Tenant(40 * routers, 0.1), new Tenant(60 * routers, 0.4)),
+        limits,
+        permissions,
+        origin,
+        other ? List.of("queue", "busy_reqs") : List.of());
+  }
+
+  private static SeededTraffic play(SeededTraffic.Shape shape, String digest) {
+    SeededTraffic traffic = new SeededTraffic(shape, 4711);
+    String played = traffic.play();
+    Map<String, Integer> counts = traffic.counts();
+    assertEquals(0, traffic.unanswered(), counts::toString);
+    assertEquals(digest, played, counts::toString);
+    return traffic;
+  }
+
+  private static void assertTaken(SeededTraffic traffic, String... kinds) {
+    assertTrue(traffic.counts().keySet().containsAll(Set.of(kinds)), traffic.counts()::toString);
+  }
+
+  @Test
+  void asideWithHedging() {
+    SeededTraffic traffic =
+        play(
+            new SeededTraffic.Shape(
+                settings(true, 1, HEDGED, false), ARRIVALS, 8, 6 * MS, false, false, null),
+            "c5a49f5cb86273b268365dfbe3d54f142f9bb9c935b9cb6f087bcd392a660856");
+    assertTaken(traffic, "send", "cancel", "timer", "watch", "refuse FAILING_KEY");
+  }
+
+  @Test
+  void asideWithoutHedging() {
+    SeededTraffic traffic =
+        play(
+            new SeededTraffic.Shape(
+                settings(true, 4, ALONE, false),
+                ARRIVALS,
+                6,
+                8 * MS,
+                false,
+                true,
+                settings(true, 3, ALONE, false)),
+            "a40124cfc980f37f89cdb2de1bacbae6599c071233bac60f8abf78894b9c098a");
+    assertTaken(traffic, "refuse OVERLOADED", "refuse TOO_LATE");
+  }
+
+  @Test
+  void asideInZonesWithLoadReports() {
+    SeededTraffic traffic =
+        play(
+            new SeededTraffic.Shape(
+                settings(true, 2, BARE, true),
+                ARRIVALS,
+                9,
+                2 * MS,
+                true,
+                false,
+                settings(true, 2, BARE, false)),
+            "8c4afd658fc5c9ac8561bf527c261c557193c020b2b6be170977840c62a2c8ab");
+    assertTaken(traffic, "fail RETRY_NOT_EARNED");
+  }
+
+  @Test
+  void throughWithHedging() {
+    SeededTraffic traffic =
+        play(
+            new SeededTraffic.Shape(
+                settings(false, 12, HEDGED, false),
+                ARRIVALS,
+                8,
+                5 * MS,
+                false,
+                true,
+                settings(false, 12, HEDGED, true)),
+            "1ac0a950c13f11835df7560df25fccc10dd7cacff745bc505f0d78cb978d9035");
+    assertTaken(traffic, "refuse QUEUE_TIMEOUT");
+  }
+
+  @Test
+  void throughWithoutHedging() {
+    play(
+        new SeededTraffic.Shape(
+            settings(false, 3, ALONE, true), ARRIVALS, 5, 5 * MS, false, false, null),
+        "34fb6aad4f614857ccbbba8758c59dc357c1c58dcd3b2ea0f1e073b54f2f74ba");
+  }
+
+  @Test
+  void throughInZonesWithLoadReports() {
+    play(
+        new SeededTraffic.Shape(
+            settings(false, 30, HEDGED, true),
+            ARRIVALS,
+            9,
+            2 * MS,
+            true,
+            false,
+            settings(false, 30, BARE, true)),
+        "26f742fe9c6abf7c86a38e201113ef4f96293c337fae3b1ded0ba98eaf417386");
+  }
+}
