--- a/src/main/java/beaconturn/cli/ConfigFile.java
+++ b/src/main/java/beaconturn/cli/ConfigFile.java
@@ -2,6 +2,7 @@
 
 import beaconturn.net.ConfigException;
 import beaconturn.net.RouterConfig;
+import beaconturn.net.RouterConfigReader;
 import com.beust.jcommander.Parameter;
 import java.nio.file.Path;
 import java.util.Map;
@@ -30,6 +31,6 @@
     if (path == null) {
       throw new ConfigException("no configuration: neither --config nor PROXY_CONFIG is given");
     }
-    return RouterConfig.read(Path.of(path), variables);
+    return RouterConfigReader.read(Path.of(path), variables);
   }
 }
--- a/src/main/java/beaconturn/cli/EmbeddedLauncher.java
+++ b/src/main/java/beaconturn/cli/EmbeddedLauncher.java
@@ -3,6 +3,7 @@
 import beaconturn.core.Lifecycle;
 import beaconturn.net.ConfigException;
 import beaconturn.net.RouterConfig;
+import beaconturn.net.RouterConfigReader;
 import beaconturn.net.RouterServer;
 import beaconturn.rehearsal.RouterLauncher;
 import java.io.IOException;
@@ -38,7 +39,7 @@
   @Override
   public Running launch(Start start) throws IOException {
     try {
-      RouterServer server = maker.make(RouterConfig.read(start.config(), Map.of()));
+      RouterServer server = maker.make(RouterConfigReader.read(start.config(), Map.of()));
       server.start();
       return new Embedded(server);
     } catch (ConfigException e) {
--- a/src/main/java/beaconturn/net/ConfigReloader.java
+++ b/src/main/java/beaconturn/net/ConfigReloader.java
@@ -11,96 +11,97 @@
 import java.util.logging.Logger;
 
 /**
- * The actor that reads the configuration anew when asked, and moves the router to what may change
- * in it.
+ * The actor that reads the configuration anew when asked, and brings what may change in a running
+ * router into force: settings, unless routers agree on them, and discovery's address.
  */
 final class ConfigReloader {
   private static final Logger LOG = Logger.getLogger(ConfigReloader.class.getName());
-  private final RouterConfig.Source source;
+
+  private final RouterInputs inputs;
   private final DiscoveryWatcher discovery;
-  private final Consumer<RoutingMessage> module;
-  private final Consumer<RouterSettings> inForce;
-  private final RequestMetrics tally;
-  private final boolean agreed;
-  private RouterConfig taken;
+  private final Consumer<RoutingMessage> routingThread;
+  private final Consumer<RouterSettings> activate;
+  private final RequestMetrics metrics;
+
+  /** The configuration in force; for the reloading thread alone. */
+  private RouterConfig inForce;
 
-  /** One reading that is yet to begin covers all that ask for it. */
-  private final Mailbox<Boolean> asked = new Mailbox<>(1);
+  /** Holds one request: a reading that is yet to begin covers all that ask for it. */
+  private final Mailbox<Boolean> requests = new Mailbox<>(1);
 
-  /**
-   * {@code inForce} hears of new settings right after the module was told; where they are {@code
-   * agreed} on with other routers, no file changes them.
-   */
+  /** {@code activate} gets new settings right after the routing thread. */
   ConfigReloader(
-      RouterConfig.Source source,
+      RouterInputs inputs,
       DiscoveryWatcher discovery,
-      RouterConfig now,
-      Consumer<RoutingMessage> module,
-      Consumer<RouterSettings> inForce,
-      RequestMetrics tally,
-      boolean agreed) {
-    this.source = source;
+      Consumer<RoutingMessage> routingThread,
+      Consumer<RouterSettings> activate,
+      RequestMetrics metrics) {
+    this.inputs = inputs;
+    this.inForce = inputs.config();
     this.discovery = discovery;
-    this.taken = now;
-    this.module = module;
-    this.inForce = inForce;
-    this.tally = tally;
-    this.agreed = agreed;
+    this.routingThread = routingThread;
+    this.activate = activate;
+    this.metrics = metrics;
   }
 
+  /** Starts the reloading thread. */
   void start() {
     Threads.supervised("reload", this::run);
   }
 
-  /** Never waits. */
-  void ask() {
-    asked.offer(true);
+  /** Asks for a reload without waiting; any thread. */
+  void requestReload() {
+    requests.offer(true);
   }
 
   private void run() throws InterruptedException {
-    while (asked.take()) {
+    while (requests.take()) {
       reload();
     }
   }
 
-  /** All of a file or nothing: it is checked whole before any of it is in force. */
-  private void take(RouterConfig next) throws ConfigException {
-    String missing = next.lacks(taken);
+  /** Reads the configuration anew and applies it; on the reloading thread. */
+  void reload() {
+    try {
+      RouterConfig next = inputs.source().read();
+      apply(next);
+      discovery.move(next.discovery());
+      metrics.reloaded(true);
+    } catch (ConfigException e) {
+      metrics.reloaded(false);
+      LOG.warning("new configuration not taken, the old one stays in force: " + e.getMessage());
+    } catch (RuntimeException | Error e) {
+      metrics.reloaded(false);
+      LOG.log(Level.SEVERE, "reading the new configuration failed, the old one stays in force", e);
+    }
+  }
+
+  /** All of a configuration or nothing: it is checked whole before any of it is in force. */
+  private void apply(RouterConfig next) throws ConfigException {
+    check(next);
+    if (!inForce.settings().equals(next.settings())) {
+      // The routing thread first: it must know the classes of the requests that are read next.
+      routingThread.accept(new RoutingMessage.Switched(next.settings().routing(), next.seed()));
+      activate.accept(next.settings());
+    }
+    inForce = next;
+  }
+
+  private void check(RouterConfig next) throws ConfigException {
+    String missing = next.lacks(inForce);
     if (missing != null) {
       throw new ConfigException(
           missing + ": is missing, or of another type than in the file in force");
     }
-    if (!taken.settings().sameWire(next.settings())) {
+    if (!inForce.settings().sameWire(next.settings())) {
       throw new ConfigException(
           "settings: tenants, reports, places or times of connections have "
               + "changed, which needs a restart");
     }
-    if (agreed && !taken.settings().equals(next.settings())) {
+    if (inputs.hasFleetConfig() && !inForce.settings().equals(next.settings())) {
       throw new ConfigException(
           "settings: have changed, and are agreed on with other routers: see "
               + "'agreement propose'");
     }
-    if (!taken.settings().equals(next.settings())) {
-      // The module first: it must know the classes of the requests that are read under them.
-      module.accept(new RoutingMessage.Switched(next.settings().routing(), next.seed()));
-      inForce.accept(next.settings());
-    }
-    taken = next;
-  }
-
-  /** Reads the configuration anew and takes what may change; on the thread that asks. */
-  void reload() {
-    try {
-      RouterConfig next = source.read();
-      take(next);
-      discovery.move(next.discovery());
-      tally.reloaded(true);
-    } catch (ConfigException e) {
-      tally.reloaded(false);
-      LOG.warning("new configuration not taken, the old one stays in force: " + e.getMessage());
-    } catch (RuntimeException | Error e) {
-      tally.reloaded(false);
-      LOG.log(Level.SEVERE, "reading the new configuration failed, the old one stays in force", e);
-    }
   }
 }
--- a/src/main/java/beaconturn/net/ConnectionBudget.java
+++ b/src/main/java/beaconturn/net/ConnectionBudget.java
@@ -3,41 +3,73 @@
 /**
  * How many connections a router may hold, so that neither its descriptors nor its memory run out: a
  * client takes a few KB, a connection to a cache server a thread.
+ *
+ * @param clients open connections of clients at most
+ * @param clientsBeforeReclaim above so many, quiet connections of clients are closed sooner
+ * @param cacheConnections open connections to cache servers at most, each of which may need a
+ *     thread
+ * @param largeRequests requests of the largest size that are held at once
  */
-record ConnectionBudget(int clients, int easyClients, int cacheConnections, int largeRequests) {
+record ConnectionBudget(
+    int clients, int clientsBeforeReclaim, int cacheConnections, int largeRequests) {
   /**
    * Descriptors for everything but connections: the jar, the log, discovery, the listener, the
    * JVM's.
    */
-  private static final int SPARE_SOCKETS = 48;
+  private static final int OTHER_DESCRIPTORS = 48;
+
+  private static final int KB_PER_MB = 1024;
 
   /** The part of the memory that the start command gives the heap, in tenths. */
   private static final int HEAP_TENTHS = 3;
 
   /** What the JVM takes beside its heap with no connection open. */
-  private static final int BASE_MB = 40;
+  private static final int JVM_BASE_MB = 40;
 
-  /** Measured at 45 KB with the shadow pages that the start command sets. */
+  /** Stack and bookkeeping of a thread, with the shadow pages that the start command sets. */
   private static final int THREAD_KB = 56;
 
   private static final int FEWEST_THREADS = 64;
 
+  /** Heap that a request of the largest size takes until it is answered. */
+  private static final int LARGE_REQUEST_KB = 66;
+
   /**
-   * A request of the largest size takes 66 KB of the heap until it is answered; so many at most.
+   * Large requests get one part in so many of the heap: values go out and come in, and the
+   * collector needs room to move them.
    */
-  private static final int LARGE_KB = 66;
-
-  private static final int MOST_LARGE = 96;
-
-  static ConnectionBudget of(int sockets, int memoryMb) {
-    int forSockets = sockets - SPARE_SOCKETS;
-    int heapMb = memoryMb * HEAP_TENTHS / 10;
-    int threads = Math.max(FEWEST_THREADS, (memoryMb - heapMb - BASE_MB) * 1024 / THREAD_KB);
-    // A sixth of the heap, as values go out and come in, and the collector needs room to move them.
-    int large = Math.max(1, Math.min(MOST_LARGE, heapMb * 1024 / 6 / LARGE_KB));
-    // One and a seventeenth of the clients' half are for those on their way out.
-    int clients = (forSockets / 2 - 1) * 16 / 17;
-    // Clients keep a third of the descriptors at most: from a quarter on the quiet ones make room.
-    return new ConnectionBudget(clients, sockets / 4, Math.min(forSockets / 2, threads), large);
+  private static final int HEAP_PARTS = 6;
+
+  private static final int MOST_LARGE_REQUESTS = 96;
+
+  /** Clients' descriptors come in 17 parts: 16 for open ones, one for those on their way out. */
+  private static final int CLIENT_PARTS = 17;
+
+  private static final int OPEN_CLIENT_PARTS = 16;
+
+  /** From this part of the descriptors on, quiet clients make room. */
+  private static final int RECLAIM_PART = 4;
+
+  /** The budget of a process that may have so many descriptors and so much memory. */
+  static ConnectionBudget of(int descriptors, int memoryMb) {
+    int forConnections = descriptors - OTHER_DESCRIPTORS;
+    int clients = (forConnections / 2 - 1) * OPEN_CLIENT_PARTS / CLIENT_PARTS;
+    int cacheConnections = Math.min(forConnections / 2, threads(memoryMb));
+    return new ConnectionBudget(
+        clients, descriptors / RECLAIM_PART, cacheConnections, largeRequests(memoryMb));
+  }
+
+  private static int heapMb(int memoryMb) {
+    return memoryMb * HEAP_TENTHS / 10;
+  }
+
+  private static int threads(int memoryMb) {
+    int forThreadsMb = memoryMb - heapMb(memoryMb) - JVM_BASE_MB;
+    return Math.max(FEWEST_THREADS, forThreadsMb * KB_PER_MB / THREAD_KB);
+  }
+
+  private static int largeRequests(int memoryMb) {
+    int fitting = heapMb(memoryMb) * KB_PER_MB / HEAP_PARTS / LARGE_REQUEST_KB;
+    return Math.max(1, Math.min(MOST_LARGE_REQUESTS, fitting));
   }
 }
--- /dev/null
+++ b/src/main/java/beaconturn/net/FleetConfigApplier.java
@@ -0,0 +1,120 @@
+package beaconturn.net;
+
+import beaconturn.core.Clock;
+import beaconturn.core.RoutingEngine;
+import beaconturn.core.RoutingMessage;
+import beaconturn.decision.ZoneWeights;
+import beaconturn.net.io.Fnv1a;
+import java.util.Set;
+import java.util.function.Predicate;
+import java.util.logging.Logger;
+
+/**
+ * Brings what routers have agreed on into force. {@link #beforeStep} runs on the routing thread,
+ * which owns all fields that are not marked otherwise.
+ */
+final class FleetConfigApplier {
+  private static final Logger LOG = Logger.getLogger(FleetConfigApplier.class.getName());
+
+  private final RouterInputs inputs;
+  private final Clock clock;
+  private final ActiveSettings settings;
+  private final Runnable fetchEndpointList;
+  private final Predicate<String> excludedByOperators;
+  private ZoneWeights zoneWeights = ZoneWeights.ANYWHERE;
+  private long settingsSwitches;
+
+  /**
+   * What the engine is under, null before the first; written by the routing thread, read by any.
+   */
+  private volatile FleetConfigSource.Force applied;
+
+  /**
+   * Nothing is in force yet.
+   *
+   * @param fetchEndpointList asks discovery for the whole list, without waiting
+   * @param excludedByOperators servers that stay out when the fleet lets go of them
+   */
+  FleetConfigApplier(
+      RouterInputs inputs,
+      Clock clock,
+      ActiveSettings settings,
+      Runnable fetchEndpointList,
+      Predicate<String> excludedByOperators) {
+    this.inputs = inputs;
+    this.clock = clock;
+    this.settings = settings;
+    this.fetchEndpointList = fetchEndpointList;
+    this.excludedByOperators = excludedByOperators;
+  }
+
+  /** Whether all routers have agreed to leave the cache server out; any thread. */
+  boolean isExcluded(String server) {
+    FleetConfigSource.Force now = applied;
+    return now != null && now.out().contains(server);
+  }
+
+  /**
+   * Looks whether something else is due. Called before each step of the engine: an agreed
+   * configuration may have changed, or its lease ended while the thread was kept from running, and
+   * no decision may be made under one that is over.
+   */
+  void beforeStep(RoutingEngine engine) {
+    applyZoneWeights(engine);
+    applyConfig(engine);
+  }
+
+  @SuppressWarnings("ReferenceEquality") // The source hands out another object for a change.
+  private void applyZoneWeights(RoutingEngine engine) {
+    ZoneWeightsSource source = inputs.zoneWeights();
+    ZoneWeights due = source == null ? zoneWeights : source.due();
+    if (due != zoneWeights) {
+      zoneWeights = due;
+      engine.handle(new RoutingMessage.Placed(due));
+    }
+  }
+
+  @SuppressWarnings("ReferenceEquality") // The source hands out another object for a change.
+  private void applyConfig(RoutingEngine engine) {
+    FleetConfigSource.Force due = inputs.fleetConfig().due();
+    if (due == applied) {
+      return;
+    }
+    FleetConfigSource.Force before = applied;
+    applied = due;
+    switchSettings(engine, due);
+    Set<String> excludedBefore = before == null ? Set.of() : before.out();
+    updateExcluded(engine, excludedBefore, due.out());
+    long oldestListBefore = before == null ? 0 : before.oldestList();
+    if (due.oldestList() > oldestListBefore) {
+      fetchEndpointList.run();
+    }
+    inputs.fleetConfig().applied(due);
+    LOG.info("acts on " + due.says());
+  }
+
+  private void switchSettings(RoutingEngine engine, FleetConfigSource.Force due) {
+    if (due.settings().equals(settings.current())) {
+      return;
+    }
+    settingsSwitches++;
+    engine.handle(
+        new RoutingMessage.Switched(
+            due.settings().routing(), inputs.config().seed() + settingsSwitches));
+    settings.activate(due.settings());
+  }
+
+  private void updateExcluded(RoutingEngine engine, Set<String> before, Set<String> due) {
+    long nowNanos = clock.now();
+    due.stream()
+        .filter(server -> !before.contains(server))
+        .forEach(server -> exclude(engine, server, true, nowNanos));
+    before.stream()
+        .filter(server -> !due.contains(server) && !excludedByOperators.test(server))
+        .forEach(server -> exclude(engine, server, false, nowNanos));
+  }
+
+  private static void exclude(RoutingEngine engine, String server, boolean out, long nowNanos) {
+    engine.handle(new RoutingMessage.ByHand(Fnv1a.of(server), out, nowNanos, true, known -> {}));
+  }
+}
--- a/src/main/java/beaconturn/net/HealthMetrics.java
+++ b/src/main/java/beaconturn/net/HealthMetrics.java
@@ -16,59 +16,68 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the agents of a release ask of a router beyond the figures that operators know: how late it
- * answers, what it holds, and how each cache server answers it. Only where routers agree.
+ * The health metrics that agents of a release ask a router for beyond those that operators know:
+ * how late it answers, what resources it holds, and how each cache server answers it. Only where
+ * routers agree. Safe for any thread.
  */
 final class HealthMetrics {
-  private static final Path STATUS = Path.of("/proc/self/status");
-  private static final String RESIDENT = "VmRSS:";
-  private static final int THOUSAND = 1000;
-  private static final long MILLI = 1_000_000;
+  private static final Path PROCESS_STATUS = Path.of("/proc/self/status");
+  private static final String RESIDENT_MEMORY = "VmRSS:";
+  private static final int THOUSANDTHS = 1000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
   private final HealthCounters counters;
   private final IntSupplier connections;
   private final IntSupplier mostConnections;
-  private volatile SortedMap<Long, String> names = new TreeMap<>();
 
-  /** By the router's clock; of clients so many connections are open, and so many may be. */
+  /** Names of the cache servers by their ids; replaced as a whole. */
+  private volatile SortedMap<Long, String> serverNames = new TreeMap<>();
+
+  /**
+   * Metrics with nothing counted.
+   *
+   * @param clock the router's, in nanoseconds
+   * @param connections open connections of clients
+   * @param mostConnections how many there may be
+   */
   HealthMetrics(LongSupplier clock, IntSupplier connections, IntSupplier mostConnections) {
     this.counters = new HealthCounters(clock);
     this.connections = connections;
     this.mostConnections = mostConnections;
   }
 
-  /** Where they are counted, and what operators know beside them. */
+  /** Where requests and attempts are counted. */
   Counters counters() {
     return counters;
   }
 
-  /** The cache servers that are known now; any thread. */
-  void knows(Collection<CacheServerClients.Listed> servers) {
-    SortedMap<Long, String> all = new TreeMap<>();
-    servers.forEach(s -> all.put(Fnv1a.of(s.name()), s.name()));
-    names = all;
+  /** Sets the cache servers that are known now. */
+  void servers(Collection<CacheServerClients.Listed> servers) {
+    SortedMap<Long, String> names = new TreeMap<>();
+    servers.forEach(server -> names.put(Fnv1a.of(server.name()), server.name()));
+    serverNames = names;
   }
 
   /** All of them as they are now. */
   List<Counters.Figure> read() {
-    List<Counters.Figure> all = new ArrayList<>(counters.health(names));
-    all.add(new Counters.Figure("memory_kb", resident(), true));
-    all.add(new Counters.Figure("cpu_ms", ProcessPauseDetector.ownProcessorTime() / MILLI, false));
+    List<Counters.Figure> all = new ArrayList<>(counters.health(serverNames));
+    long cores = Runtime.getRuntime().availableProcessors();
+    all.add(new Counters.Figure("memory_kb", residentKb(), true));
     all.add(
         new Counters.Figure(
-            "cores_thousandth",
-            (long) Runtime.getRuntime().availableProcessors() * THOUSAND,
-            true));
+            "cpu_ms", ProcessPauseDetector.processorTimeNanos() / NANOS_PER_MILLI, false));
+    all.add(new Counters.Figure("cores_thousandth", cores * THOUSANDTHS, true));
     all.add(new Counters.Figure("connections", connections.getAsInt(), true));
     all.add(new Counters.Figure("most_connections", mostConnections.getAsInt(), true));
     return all;
   }
 
-  /** Resident memory in kB, as the kernel accounts for it (proc(5)); 0 where it does not tell. */
-  private static long resident() {
+  /** Resident memory as the kernel accounts for it (proc(5)); 0 where it does not tell. */
+  private static long residentKb() {
     try {
-      return Files.readAllLines(STATUS).stream()
-          .filter(l -> l.startsWith(RESIDENT))
-          .mapToLong(l -> Long.parseLong(l.replaceAll("[^0-9]", "")))
+      return Files.readAllLines(PROCESS_STATUS).stream()
+          .filter(line -> line.startsWith(RESIDENT_MEMORY))
+          .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")))
           .findFirst()
           .orElse(0);
     } catch (IOException e) {
--- a/src/main/java/beaconturn/net/OperatorOverrides.java
+++ b/src/main/java/beaconturn/net/OperatorOverrides.java
@@ -19,58 +19,66 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** What a router has for its operators where a second address is set; else none of it is loaded. */
+/**
+ * What operators may do to a router: the admin address, and the cache servers that they have
+ * excluded. Only where a second address is set; else none of it is loaded. Calls come on the admin
+ * server's thread; {@link #isExcluded} is for any thread.
+ */
 final class OperatorOverrides implements AdminOperations {
-  private static final long MILLI = 1_000_000;
-  private final Figures figures;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final String OVERRIDE_FILE = "hand";
+
+  private final RouterMetrics metrics;
   private final Lifecycle lifecycle;
-  private final Consumer<RoutingMessage> module;
-  private final ServerOverrideFile file;
-  private final AdminServer address;
-  private final Predicate<String> heldOut;
   private final Clock clock;
-  private final Set<String> leftOut = ConcurrentHashMap.newKeySet();
-
-  /** What callers may ask for; {@code health} is null where routers do not agree. */
-  record Figures(Counters counters, HealthMetrics health) {}
+  private final Consumer<RoutingMessage> routingThread;
+  private final Predicate<String> excludedByFleet;
+  private final ServerOverrideFile file;
+  private final AdminServer adminServer;
+  private final Set<String> excluded = ConcurrentHashMap.newKeySet();
 
   /**
-   * Binds the second address; what all routers have agreed to leave out, no call here brings back.
+   * Binds the admin address.
+   *
+   * @param excludedByFleet servers that all routers have agreed to leave out, which no call here
+   *     brings back
+   * @throws IOException if the address cannot be bound
    */
   OperatorOverrides(
       RouterConfig config,
       Lifecycle lifecycle,
       Clock clock,
-      Consumer<RoutingMessage> module,
-      Predicate<String> heldOut,
-      Figures figures)
+      Consumer<RoutingMessage> routingThread,
+      Predicate<String> excludedByFleet,
+      RouterMetrics metrics)
       throws IOException {
-    this.figures = figures;
-    this.heldOut = heldOut;
+    this.metrics = metrics;
     this.lifecycle = lifecycle;
     this.clock = clock;
-    this.module = module;
-    this.file = new ServerOverrideFile(config.kept("hand"), config.shared());
-    this.address = new AdminServer(config.control(), this, figures.counters(), file, clock::now);
+    this.routingThread = routingThread;
+    this.excludedByFleet = excludedByFleet;
+    this.file = new ServerOverrideFile(config.kept(OVERRIDE_FILE), config.shared());
+    this.adminServer =
+        new AdminServer(config.control(), this, metrics.counters(), file, clock::now);
   }
 
   /** Answers calls from here on; what operators said before this process began is posted first. */
   void start() {
-    file.read().forEach(h -> hand(h, true, known -> {}));
-    Threads.start("operators", address);
+    file.read().forEach(override -> hand(override, true, known -> {}));
+    Threads.start("operators", adminServer);
   }
 
-  /** Whether operators have left the cache server out at this router. */
-  boolean leftOut(String server) {
-    return leftOut.contains(server);
+  /** Whether operators have excluded the cache server at this router. */
+  boolean isExcluded(String server) {
+    return excluded.contains(server);
   }
 
   InetSocketAddress address() {
-    return address.address();
+    return adminServer.address();
   }
 
   void close() {
-    address.close();
+    adminServer.close();
   }
 
   @Override
@@ -84,30 +92,32 @@
 
   @Override
   public List<Counters.Figure> health() {
-    return figures.health() == null ? null : figures.health().read();
+    return metrics.health() == null ? null : metrics.health().read();
   }
 
   @Override
-  public void hand(ServerOverride hand, boolean told, Consumer<Boolean> known) {
-    if (hand.out()) {
-      leftOut.add(hand.id());
+  public void hand(ServerOverride override, boolean told, Consumer<Boolean> known) {
+    if (override.out()) {
+      excluded.add(override.id());
     } else {
-      leftOut.remove(hand.id());
-      if (heldOut.test(hand.id())) {
+      excluded.remove(override.id());
+      if (excludedByFleet.test(override.id())) {
+        // Back as far as this router's operators go; it takes force once the fleet lets go.
         known.accept(true);
         return;
       }
     }
-    module.accept(
-        new RoutingMessage.ByHand(Fnv1a.of(hand.id()), hand.out(), atHere(hand), told, known));
+    routingThread.accept(
+        new RoutingMessage.ByHand(
+            Fnv1a.of(override.id()), override.out(), atNanos(override), told, known));
   }
 
   /**
-   * When it was said, on this process's clock; a time that is yet to come was another start of the
-   * machine's.
+   * When it was said, on this process's clock. The file outlives a start of the machine, at which
+   * its monotonic clock begins anew: a time that is yet to come counts as now.
    */
-  private long atHere(ServerOverride hand) {
-    long ago = Math.max(0, MonotonicMillis.millis() - hand.atMillis());
-    return clock.now() - ago * MILLI;
+  private long atNanos(ServerOverride override) {
+    long agoMillis = Math.max(0, MonotonicMillis.millis() - override.atMillis());
+    return clock.now() - agoMillis * NANOS_PER_MILLI;
   }
 }
--- a/src/main/java/beaconturn/net/PeerProcess.java
+++ b/src/main/java/beaconturn/net/PeerProcess.java
@@ -5,29 +5,32 @@
 
 /**
  * The other process of this router during an upgrade, known by the files in the folder that both
- * have.
+ * have. {@link #isRunning} is for one thread at a time.
  */
 final class PeerProcess {
-  private final ProcessSlots seats;
-  private final UpgradeState handOver;
+  private static final String SLOTS_FILE = "seats";
+  private static final String STATE_FILE = "learned";
+
+  private final ProcessSlots slots;
+  private final UpgradeState upgradeState;
 
   PeerProcess(RouterConfig config) {
-    this.seats = new ProcessSlots(config.kept("seats"));
-    this.handOver = new UpgradeState(config.kept("learned"));
+    this.slots = new ProcessSlots(config.kept(SLOTS_FILE));
+    this.upgradeState = new UpgradeState(config.kept(STATE_FILE));
   }
 
   /** Whether it runs now. */
-  boolean beside() {
-    return seats.beside();
+  boolean isRunning() {
+    return slots.isOtherTaken();
   }
 
   /** What it has left for this process, or null. */
-  WarmStartState left() {
-    return handOver.read(MonotonicMillis.millis());
+  WarmStartState warmStart() {
+    return upgradeState.read(MonotonicMillis.millis());
   }
 
   /** Leaves it what this one has learned. */
   void leave(WarmStartState learned) {
-    handOver.write(learned, MonotonicMillis.millis());
+    upgradeState.write(learned, MonotonicMillis.millis());
   }
 }
--- a/src/main/java/beaconturn/net/StartupWarmUp.java
+++ b/src/main/java/beaconturn/net/StartupWarmUp.java
@@ -23,53 +23,65 @@
 import java.util.Queue;
 
 /**
- * Runs requests through a module of its own before the router says that it is ready: parsers,
- * decisions and writers are then compiled when the first client comes. All in memory, nothing is
- * sent to anybody.
+ * Runs requests through a routing engine of its own before the router serves: parsers, decisions
+ * and writers are then compiled when the first client comes. All in memory, nothing is sent to
+ * anybody. For the thread that starts the router.
  */
 final class StartupWarmUp {
   private static final int ROUNDS = 120;
-  private static final long STEP = 5_000_000;
-  private static final long MILLI = 1_000_000;
+  private static final long ROUND_NANOS = 5_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int KEYS = 500;
-  private static final String ANSWER = "*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n";
+
+  /** Attempts that stay out while the next request comes, as in service. */
+  private static final int ATTEMPTS_LEFT_OUT = 2;
+
+  private static final String RESPONSE = "*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n";
 
   private final RouterSettings settings;
-  private final RequestParser requests;
-  private final CacheResponseReader replies;
-  private final RespReader resp = new RespReader(RespReader.LONGEST_VALUE);
-  private final Queue<OutboundAttempt> sent = new ArrayDeque<>();
-  private final RoutingEngine host;
-  private final PendingRequestIds ids = new PendingRequestIds();
-  private long now = 1;
+  private final RequestParser requestParser;
+  private final CacheResponseReader responseReader;
+  private final RespReader respReader = new RespReader(RespReader.LONGEST_VALUE);
+  private final Queue<OutboundAttempt> attemptsOut = new ArrayDeque<>();
+  private final RoutingEngine engine;
+  private final PendingRequestIds pendingIds = new PendingRequestIds();
+  private long nowNanos = 1;
 
   StartupWarmUp(RouterConfig config) {
     this.settings = config.settings();
-    this.requests = new RequestParser(settings, RequestMetrics.NONE);
-    this.replies = new CacheResponseReader(settings.routing());
-    this.host =
+    this.requestParser = new RequestParser(settings, RequestMetrics.NONE);
+    this.responseReader = new CacheResponseReader(settings.routing());
+    this.engine =
         new RoutingEngine(
-            settings.routing(), config.seed(), () -> now, new NoFleet(), new NoList());
-    host.handle(new RoutingMessage.News(config.known()));
+            settings.routing(),
+            config.seed(),
+            () -> nowNanos,
+            new InMemoryCacheServers(),
+            new UnchangingDiscovery());
+    engine.handle(new RoutingMessage.News(config.known()));
   }
 
-  /** Runs all rounds; each ends with the answers to what was sent two rounds before. */
+  /**
+   * Runs all rounds; each ends with the answers to what was sent two rounds before.
+   *
+   * @throws ProtocolException never, as long as what is written here can be read
+   * @throws InvalidCommandException never, as long as the settings name a class
+   */
   void run() throws ProtocolException, InvalidCommandException {
-    for (int i = 0; i < ROUNDS; i++) {
-      now += STEP;
-      host.runDue();
-      host.handle(new RoutingMessage.Arrived(requests.parse(command(i).items(), now, ids)));
-      while (sent.size() > 2) {
-        answer(sent.remove());
+    for (int round = 0; round < ROUNDS; round++) {
+      nowNanos += ROUND_NANOS;
+      engine.runDue();
+      engine.handle(
+          new RoutingMessage.Arrived(
+              requestParser.parse(command(round).items(), nowNanos, pendingIds)));
+      while (attemptsOut.size() > ATTEMPTS_LEFT_OUT) {
+        answer(attemptsOut.remove());
       }
     }
   }
 
   private RespValue.Array command(int round) throws ProtocolException {
-    String name = settings.classNames().get(round % settings.classNames().size());
-    RequestClass type = settings.routing().classes().get(round % settings.classNames().size());
-    String attributes =
-        "c=" + name + ",k=" + round + ",d=" + Math.max(1, type.deadlineNanos() / MILLI / 2);
+    String attributes = attributes(round);
     return (RespValue.Array)
         parse(
             "*4\r\n$5\r\nC.GET\r\n$16\r\n"
@@ -83,53 +95,63 @@
                 + "\r\n");
   }
 
+  private String attributes(int round) {
+    int classIndex = round % settings.classNames().size();
+    String className = settings.classNames().get(classIndex);
+    RequestClass requestClass = settings.routing().classes().get(classIndex);
+    long deadlineMillis = Math.max(1, requestClass.deadlineNanos() / NANOS_PER_MILLI / 2);
+    return "c=" + className + ",k=" + round + ",d=" + deadlineMillis;
+  }
+
   private static String hex(long number) {
     return HexFormat.of().toHexDigits(number);
   }
 
   private void answer(OutboundAttempt attempt) throws ProtocolException {
     attempt.call().forwarded(1);
-    host.handle(new RoutingMessage.Ended(attempt, replies.read(parse(ANSWER), now)));
+    engine.handle(
+        new RoutingMessage.Ended(attempt, responseReader.read(parse(RESPONSE), nowNanos)));
   }
 
   private RespValue parse(String text) throws ProtocolException {
-    InputBuffer in = new InputBuffer();
+    InputBuffer input = new InputBuffer();
     Slice bytes = Slice.of(text);
-    in.room();
-    System.arraycopy(bytes.array(), 0, in.array(), in.end(), bytes.length());
-    in.filled(bytes.length());
-    return resp.next(in);
+    input.room();
+    System.arraycopy(bytes.array(), 0, input.array(), input.end(), bytes.length());
+    input.filled(bytes.length());
+    return respReader.next(input);
   }
 
-  private final class NoFleet implements CacheServerClients {
+  /** Cache servers that hold every attempt until it is answered here. */
+  private final class InMemoryCacheServers implements CacheServerClients {
     @Override
     public boolean send(OutboundAttempt attempt) {
-      return sent.add(attempt);
+      return attemptsOut.add(attempt);
     }
 
     @Override
     public void abort(OutboundAttempt attempt) {
-      sent.remove(attempt);
+      attemptsOut.remove(attempt);
     }
 
     @Override
-    public void closeIdle(long server) {
-      sent.removeIf(a -> a.server() == server);
+    public void closeIdle(long serverId) {
+      attemptsOut.removeIf(attempt -> attempt.server() == serverId);
     }
 
     @Override
-    public void follow(EndpointUpdate news) {
-      sent.clear();
+    public void follow(EndpointUpdate update) {
+      attemptsOut.clear();
     }
 
     @Override
-    public boolean byHand(long server, boolean out, boolean mayCome) {
+    public boolean byHand(long serverId, boolean out, boolean mayCome) {
       return mayCome;
     }
   }
 
-  /** The warm-up's module keeps to the list that it was given. */
-  private static final class NoList implements EndpointDiscovery {
+  /** The warm-up's engine keeps to the list that it was given. */
+  private static final class UnchangingDiscovery implements EndpointDiscovery {
     @Override
     public void watch(boolean on) {
       // The list stays as it is.
--- a/src/main/java/beaconturn/net/server/CacheConnection.java
+++ b/src/main/java/beaconturn/net/server/CacheConnection.java
@@ -15,274 +15,220 @@
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.net.NoRouteToHostException;
-import java.net.Socket;
 import java.net.SocketTimeoutException;
-import java.net.StandardSocketOptions;
-import java.nio.ByteBuffer;
-import java.nio.channels.SocketChannel;
 import java.util.logging.Logger;
 
 /**
- * One connection to a cache server, which carries one request at a time: answers come in order, so
- * a second request would wait for the first, and giving one up would cut off the other. It has a
- * thread while a request is out and none while it is idle: whether the peer has closed it, or has
- * said what nobody asked for, is looked at before the next request is written, and now and then.
+ * One connection to a cache server, which carries one request at a time: responses come in order,
+ * so a second request would wait for the first, and giving one up would cut off the other.
+ *
+ * <p>It belongs to a worker thread from the begin of {@link #carry} until the listener hears that
+ * the attempt has ended and the connection is reusable; while it is idle it belongs to the {@link
+ * CacheServer}. Its input buffer goes with it; slices of the buffer that a result holds stay valid,
+ * as the buffer never overwrites bytes. {@link #close} and {@link #reset} may come from any thread.
  */
 final class CacheConnection {
   private static final Logger LOG = Logger.getLogger(CacheConnection.class.getName());
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long SHORTEST_CONNECT_TIMEOUT_MILLIS = 1;
+  private static final long SHORTEST_DEADLINE_MILLIS = 1;
 
-  /**
-   * A whole request fits into the kernel's buffer, so that writing one to a silent peer never
-   * blocks.
-   */
-  private static final int SEND_BUFFER = 128 * 1024;
-
-  /** A cache server that says nothing for so long in the middle of an answer will not end it. */
-  private static final int LONGEST_SILENCE_MILLIS = 10_000;
-
-  /** What a connection tells its actor, on the thread it has, and what it asks of it, on any. */
-  interface Owner {
-    /** Whether the server still takes requests, as far as the list says. */
-    boolean wanted();
-
-    /** The answer has begun at this time and goes on as a flow. */
-    void begun(OutboundAttempt attempt, long at, BoundedPipe flow);
-
-    /**
-     * The attempt has ended; if {@code reusable} the connection is idle and its actor's from here
-     * on.
-     */
-    void ended(
-        CacheConnection connection,
-        OutboundAttempt attempt,
-        AttemptResult outcome,
-        boolean reusable);
-
-    /** The connection was dead before the attempt was written on it, and is closed. */
-    void stale(OutboundAttempt attempt);
-
-    /** An attempt has been written whole. */
-    void sent();
-
-    /** What came is no answer, or came with none asked for. */
-    void spoilt();
+  /** A server that sends nothing for so long in the middle of a response will not complete it. */
+  private static final int RESPONSE_SILENCE_TIMEOUT_MILLIS = 10_000;
 
-    /** The connection has ended while it had a thread. */
-    void closed();
-  }
+  private static final int NO_READ_TIMEOUT = 0;
 
-  /** What is left of a connection once its thread has gone. */
-  private enum Left {
+  /** How a connection stands when its worker thread lets go of it. */
+  private enum StateAfterAttempt {
+    /** Handed over to the listener, which may have given it to another thread already. */
     IDLE,
+    /** Found dead before anything was written. */
     STALE,
-    ENDED
+    /** Failed while the attempt was out on it. */
+    BROKEN
   }
 
-  private final InetSocketAddress address;
-  private final long connectTimeout;
+  private final CacheSocket socket;
+  private final long connectTimeoutNanos;
   private final Clock clock;
-  private final CacheResponseReader replies;
-  private final Owner owner;
-  private final InputBuffer in = new InputBuffer();
-  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE);
-  private volatile SocketChannel channel;
-  private volatile boolean closed;
+  private final CacheResponseReader responseReader;
+  private final CacheConnectionListener listener;
+  private final InputBuffer input = new InputBuffer();
+  private final RespReader respReader = new RespReader(RespReader.LONGEST_VALUE);
 
-  /** Null while idle; handed on with the connection, from its actor to its thread and back. */
+  /** Null while idle. */
   private OutboundAttempt attempt;
 
-  private boolean written;
+  private boolean requestWritten;
 
-  /** How the attempt ends if the connection does before all of it is written. */
-  private AttemptOutcome unwritten;
+  /** How the attempt ends if the connection does before all of the request is written. */
+  private AttemptOutcome outcomeIfUnwritten;
 
   CacheConnection(
       InetSocketAddress address,
-      long connectTimeout,
-      Clock clock,
-      CacheResponseReader replies,
-      Owner owner) {
-    this.address = address;
-    this.connectTimeout = connectTimeout;
-    this.clock = clock;
-    this.replies = replies;
-    this.owner = owner;
+      CacheServerEnvironment environment,
+      CacheConnectionListener listener) {
+    this.socket = new CacheSocket(address);
+    this.connectTimeoutNanos = environment.connectTimeoutNanos();
+    this.clock = environment.clock();
+    this.responseReader = environment.responseReader();
+    this.listener = listener;
   }
 
   InetSocketAddress address() {
-    return address;
+    return socket.address();
   }
 
   /**
-   * Sends the attempt, connecting first if need be, and reads its answer; on a thread of the
-   * workers.
+   * Writes the attempt, connecting first if need be, and reads its response; on a worker thread.
    */
   void carry(OutboundAttempt next) {
     attempt = next;
-    written = false;
-    unwritten = AttemptOutcome.CONNECT_FAILED;
-    Left left = Left.ENDED;
+    requestWritten = false;
+    outcomeIfUnwritten = AttemptOutcome.CONNECT_FAILED;
+    StateAfterAttempt state = StateAfterAttempt.BROKEN;
     try {
-      if (channel == null) {
-        connect();
-      } else if (!alive()) {
-        left = Left.STALE;
-      }
-      if (left != Left.STALE) {
-        transmit();
-        left = read();
-      }
+      state = exchange();
     } catch (ProtocolException e) {
-      LOG.finer("cache server at " + address + ": " + e.getMessage());
-      owner.spoilt();
+      LOG.finer("cache server at " + address() + ": " + e.getMessage());
+      listener.unreadableResponse();
     } catch (IOException e) {
-      LOG.finer("connection to " + address + " ended: " + e.getMessage());
+      LOG.finer("connection to " + address() + " ended: " + e.getMessage());
     } finally {
-      if (left != Left.IDLE) {
-        close();
-      }
-      if (left == Left.STALE) {
-        owner.stale(next);
-      } else if (left == Left.ENDED) {
-        broken();
-        owner.closed();
-      }
+      leave(state, next);
     }
   }
 
-  /**
-   * Whether the idle connection can carry a request: the peer has not closed it, and no bytes wait
-   * unread, as what came behind an answer would be taken for the next one. For whoever has it;
-   * never waits.
-   */
-  boolean alive() {
-    try {
-      channel.configureBlocking(false);
-      int got = channel.read(ByteBuffer.allocate(1));
-      channel.configureBlocking(true);
-      if (got > 0) {
-        owner.spoilt();
-      }
-      return got == 0;
-    } catch (IOException e) {
-      return false;
+  private StateAfterAttempt exchange() throws IOException, ProtocolException {
+    if (!socket.isOpened()) {
+      connect();
+    } else if (!isAlive()) {
+      return StateAfterAttempt.STALE;
     }
+    writeRequest();
+    return readResponse();
   }
 
-  /** Ends the connection, and with it whatever is out on it; takes no lock that a writer holds. */
-  void close() {
-    closed = true;
-    SocketChannel open = channel;
-    if (open != null) {
-      Sockets.close(open);
+  /** The last step of the worker thread; an idle connection is another thread's by now. */
+  private void leave(StateAfterAttempt state, OutboundAttempt carried) {
+    if (state == StateAfterAttempt.IDLE) {
+      return;
+    }
+    close();
+    if (state == StateAfterAttempt.STALE) {
+      listener.connectionStale(carried);
+    } else {
+      endBrokenAttempt();
+      listener.connectionClosed();
     }
   }
 
   /**
-   * Gives up what is out by a reset, and not by an orderly end: behind a network that was cut the
-   * kernel would go on for minutes to deliver what it still holds, and a request given up long ago
-   * would run then.
+   * Whether the idle connection can carry a request: the peer has not closed it, and no bytes wait
+   * unread, as what came behind a response would be taken for the next one. For the thread that has
+   * the connection; never waits for the peer.
    */
-  void giveUp() {
-    SocketChannel open = channel;
-    if (open != null) {
-      try {
-        open.setOption(StandardSocketOptions.SO_LINGER, 0);
-      } catch (IOException e) {
-        LOG.finer("connection to " + address + " has ended by itself: " + e.getMessage());
-      }
+  boolean isAlive() {
+    int unasked = socket.readWithoutWaiting();
+    if (unasked > 0) {
+      listener.unreadableResponse();
     }
-    close();
+    return unasked == 0;
+  }
+
+  /** Ends the connection in order, and with it whatever is out on it. Any thread, no wait. */
+  void close() {
+    socket.close();
+  }
+
+  /** Gives up what is out by a reset, so that no kernel delivers it later. Any thread, no wait. */
+  void reset() {
+    socket.reset();
   }
 
   private void connect() throws IOException {
-    long wait = Math.min(connectTimeout, attempt.until() - clock.now());
+    long timeoutNanos = Math.min(connectTimeoutNanos, attempt.until() - clock.now());
     // What fails before the peer could have a say, for want of a descriptor or a port, is this
-    // machine's
-    // failure.
-    unwritten = AttemptOutcome.NOT_SENT;
-    channel = SocketChannel.open();
-    if (closed) {
-      // Closed before there was anything to close.
-      throw new IOException("given up");
-    }
-    Socket socket = channel.socket();
-    socket.setTcpNoDelay(true);
-    socket.setSendBufferSize(SEND_BUFFER);
+    // machine's failure and must not count against the server.
+    outcomeIfUnwritten = AttemptOutcome.NOT_SENT;
+    socket.open();
     try {
-      socket.connect(address, (int) Math.max(1, wait / MILLI));
+      socket.connect(
+          (int) Math.max(SHORTEST_CONNECT_TIMEOUT_MILLIS, timeoutNanos / NANOS_PER_MILLI));
     } catch (ConnectException | NoRouteToHostException | SocketTimeoutException e) {
-      unwritten = AttemptOutcome.CONNECT_FAILED;
+      outcomeIfUnwritten = AttemptOutcome.CONNECT_FAILED;
       throw e;
     }
-    unwritten = AttemptOutcome.CONNECT_FAILED;
+    outcomeIfUnwritten = AttemptOutcome.CONNECT_FAILED;
   }
 
-  private void transmit() throws IOException {
-    long now = clock.now();
-    if (!attempt.wanted(now) || !owner.wanted()) {
-      // Given up, or the server drains, since it was sent off: it must not reach the cache server.
-      unwritten = AttemptOutcome.SUPERSEDED;
+  /**
+   * Looks once more whether the request is to be written at all: while it waited for its thread or
+   * connection it may have been given up, its client may have gone, or the server may have begun to
+   * drain, and then it must not reach the server.
+   */
+  private void writeRequest() throws IOException {
+    long nowNanos = clock.now();
+    if (!attempt.wanted(nowNanos) || !listener.mayWrite()) {
+      outcomeIfUnwritten = AttemptOutcome.SUPERSEDED;
       throw new IOException("not wanted any more");
     }
-    long wait = Math.max(1, (attempt.until() - now) / MILLI);
-    Sockets.write(channel.socket().getOutputStream(), attempt.call().forwarded(wait));
-    written = true;
-    owner.sent();
+    long deadlineMillis =
+        Math.max(SHORTEST_DEADLINE_MILLIS, (attempt.until() - nowNanos) / NANOS_PER_MILLI);
+    Sockets.write(socket.socket().getOutputStream(), attempt.call().forwarded(deadlineMillis));
+    requestWritten = true;
+    listener.requestWritten();
   }
 
-  private Left read() throws IOException, ProtocolException {
-    InputStream from = channel.socket().getInputStream();
-    while (Sockets.read(from, in)) {
-      LargeResponseStream large = LargeResponseStream.at(in);
+  private StateAfterAttempt readResponse() throws IOException, ProtocolException {
+    InputStream from = socket.socket().getInputStream();
+    while (Sockets.read(from, input)) {
+      LargeResponseStream large = LargeResponseStream.at(input);
       if (large != null) {
-        return passOn(large, from);
+        return streamResponse(large, from);
       }
-      RespValue value = reader.next(in);
+      RespValue value = respReader.next(input);
       if (value != null) {
-        return answered(replies.read(value, clock.now()));
+        return endAttempt(responseReader.read(value, clock.now()));
       }
     }
-    return Left.ENDED;
+    return StateAfterAttempt.BROKEN;
   }
 
-  /**
-   * Only its connection's thread touches the attempt's answer: nothing else of it can come
-   * meanwhile.
-   */
-  private Left passOn(LargeResponseStream large, InputStream from)
+  /** Whatever goes wrong, the pipe is ended: its client's connection waits for the rest. */
+  private StateAfterAttempt streamResponse(LargeResponseStream large, InputStream from)
       throws IOException, ProtocolException {
-    long now = clock.now();
-    BoundedPipe flow = new BoundedPipe();
-    owner.begun(attempt, now, flow);
-    channel.socket().setSoTimeout(LONGEST_SILENCE_MILLIS);
+    long nowNanos = clock.now();
+    BoundedPipe pipe = new BoundedPipe();
+    listener.responseBegun(attempt, nowNanos, pipe);
+    socket.socket().setSoTimeout(RESPONSE_SILENCE_TIMEOUT_MILLIS);
     try {
-      AttemptResult outcome = large.passOn(from, in, replies, flow, now);
-      channel.socket().setSoTimeout(0);
-      return answered(outcome);
+      AttemptResult result = large.stream(from, input, responseReader, pipe, nowNanos);
+      socket.socket().setSoTimeout(NO_READ_TIMEOUT);
+      return endAttempt(result);
     } finally {
-      flow.breakOff();
+      pipe.breakOff();
     }
   }
 
-  /** What stands behind an answer makes it no worse, but ends the connection. */
-  private Left answered(AttemptResult outcome) throws ProtocolException {
-    OutboundAttempt done = attempt;
+  /** Bytes behind a response make it no worse, but end the connection. */
+  private StateAfterAttempt endAttempt(AttemptResult result) throws ProtocolException {
+    OutboundAttempt ended = attempt;
     attempt = null;
-    boolean clean = in.size() == 0;
-    owner.ended(this, done, outcome, clean);
-    if (!clean) {
+    boolean reusable = input.size() == 0;
+    listener.attemptEnded(this, ended, result, reusable);
+    if (!reusable) {
       throw new ProtocolException("more behind an answer");
     }
-    return Left.IDLE;
+    return StateAfterAttempt.IDLE;
   }
 
   /** The connection broke: whether its request may have run depends on its last byte. */
-  private void broken() {
-    if (attempt != null) {
-      AttemptOutcome ending = written ? AttemptOutcome.RESET : unwritten;
-      owner.ended(this, attempt, AttemptResult.of(ending, clock.now()), false);
+  private void endBrokenAttempt() {
+    if (attempt == null) {
+      return;
     }
+    AttemptOutcome outcome = requestWritten ? AttemptOutcome.RESET : outcomeIfUnwritten;
+    listener.attemptEnded(this, attempt, AttemptResult.of(outcome, clock.now()), false);
   }
 }
--- a/src/main/java/beaconturn/net/server/CacheResponseReader.java
+++ b/src/main/java/beaconturn/net/server/CacheResponseReader.java
@@ -9,69 +9,79 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Turns what a cache server answers into an outcome. */
+/** Maps responses of cache servers to attempt results. Immutable; for any thread. */
 public final class CacheResponseReader {
-  private static final int PARTS = 3;
-  private static final int MOST_DIGITS = 32;
-  private final List<String> reportNames;
-  private final boolean aside;
+  private static final int RESPONSE_ITEMS = 3;
+  private static final int LONGEST_NUMBER_CHARS = 32;
+  private static final float NO_VALUE = -1;
+  private static final String MALFORMED_RESPONSE =
+      "an answer that is not made of a value, a word and a load report";
 
+  private final List<String> loadReportFields;
+  private final boolean cacheAside;
+
+  /** A reader of responses under these settings. */
   public CacheResponseReader(RoutingSettings settings) {
-    this.reportNames = settings.loadReportFields();
-    this.aside = settings.origin().aside();
+    this.loadReportFields = settings.loadReportFields();
+    this.cacheAside = settings.origin().aside();
   }
 
   /**
-   * The outcome that the answer stands for; what stands for none is spoilt, and so is its
-   * connection.
+   * The result that the response stands for.
+   *
+   * @throws ProtocolException if it stands for none; its connection cannot be used any further
    */
-  public AttemptResult read(RespValue value, long now) throws ProtocolException {
-    if (value instanceof RespValue.Array array && array.items() != null) {
-      return served(array.items(), now);
+  public AttemptResult read(RespValue response, long nowNanos) throws ProtocolException {
+    if (response instanceof RespValue.Array array && array.items() != null) {
+      return readServed(array.items(), nowNanos);
     }
-    if (value instanceof RespValue.Failure failure) {
-      String word = failure.text().toString().split(" ", 2)[0];
-      if (word.equals("BUSY")) {
-        return AttemptResult.of(AttemptOutcome.REJECTED, now);
+    if (response instanceof RespValue.Failure failure) {
+      String code = failure.text().toString().split(" ", 2)[0];
+      if (code.equals("BUSY")) {
+        return AttemptResult.of(AttemptOutcome.REJECTED, nowNanos);
       }
-      if (word.equals("ERR")) {
-        return AttemptResult.of(AttemptOutcome.ERROR, now);
+      if (code.equals("ERR")) {
+        return AttemptResult.of(AttemptOutcome.ERROR, nowNanos);
       }
     }
     throw new ProtocolException("an answer that is no value, error or refusal");
   }
 
-  /** The outcome of an answer whose value has gone on already. */
-  AttemptResult served(RespValue how, RespValue report, long at) throws ProtocolException {
-    if (!(how instanceof RespValue.Bulk word)) {
-      throw new ProtocolException(
-          "an answer that is not made of a value, a word and a load report");
+  /**
+   * The result of a response whose value has been streamed to the client already.
+   *
+   * @throws ProtocolException if the cache status is not a string
+   */
+  AttemptResult readStreamed(RespValue status, RespValue report, long atNanos)
+      throws ProtocolException {
+    if (!(status instanceof RespValue.Bulk word)) {
+      throw new ProtocolException(MALFORMED_RESPONSE);
     }
-    return new AttemptResult(AttemptOutcome.OK, at, note(word), report(report), null);
+    return new AttemptResult(
+        AttemptOutcome.OK, atNanos, cacheStatus(word), loadReport(report), null);
   }
 
   /**
-   * The value or receipt, how it went or null, the load report or null; only the last may be
-   * anything.
+   * Three items: the value or receipt, the cache status, and the load report. The first two are
+   * strings, perhaps null; only the report may be anything.
    */
-  private AttemptResult served(List<RespValue> items, long now) throws ProtocolException {
-    if (items.size() != PARTS
+  private AttemptResult readServed(List<RespValue> items, long nowNanos) throws ProtocolException {
+    if (items.size() != RESPONSE_ITEMS
         || !(items.get(0) instanceof RespValue.Bulk value)
-        || !(items.get(1) instanceof RespValue.Bulk how)) {
-      throw new ProtocolException(
-          "an answer that is not made of a value, a word and a load report");
+        || !(items.get(1) instanceof RespValue.Bulk status)) {
+      throw new ProtocolException(MALFORMED_RESPONSE);
     }
-    CacheStatus note = note(how);
-    float[] report = report(items.get(2));
+    CacheStatus cacheStatus = cacheStatus(status);
+    float[] report = loadReport(items.get(2));
     if (value.bytes() != null) {
-      return new AttemptResult(AttemptOutcome.OK, now, note, report, value.frame());
+      return new AttemptResult(AttemptOutcome.OK, nowNanos, cacheStatus, report, value.frame());
     }
-    return new AttemptResult(
-        aside ? AttemptOutcome.MISS : AttemptOutcome.ERROR, now, note, report, null);
+    AttemptOutcome withoutValue = cacheAside ? AttemptOutcome.MISS : AttemptOutcome.ERROR;
+    return new AttemptResult(withoutValue, nowNanos, cacheStatus, report, null);
   }
 
-  private static CacheStatus note(RespValue value) {
-    return switch (word(value)) {
+  private static CacheStatus cacheStatus(RespValue status) {
+    return switch (text(status)) {
       case "hit" -> CacheStatus.HIT;
       case "miss" -> CacheStatus.MISS;
       case "pending" -> CacheStatus.MISS_FETCHING;
@@ -79,37 +89,50 @@
     };
   }
 
-  /** Name and value pairs, in the order of the settings; a report that lacks one is none. */
-  private float[] report(RespValue value) {
-    String text = word(value);
-    if (text.isEmpty() || reportNames.isEmpty()) {
+  /**
+   * The figures of a load report in the order of the settings. A report that lacks one counts as
+   * none: averages must not be made of some servers' figures and not others'.
+   */
+  private float[] loadReport(RespValue report) {
+    String text = text(report);
+    if (text.isEmpty() || loadReportFields.isEmpty()) {
       return AttemptResult.NO_REPORT;
     }
-    float[] figures = new float[reportNames.size()];
-    Arrays.fill(figures, -1);
+    float[] figures = new float[loadReportFields.size()];
+    Arrays.fill(figures, NO_VALUE);
     int found = 0;
     for (String pair : text.split("[,; ]+")) {
-      int equals = pair.indexOf('=');
-      int at = equals < 0 ? -1 : reportNames.indexOf(pair.substring(0, equals));
-      if (at >= 0 && figures[at] < 0) {
-        figures[at] = figure(pair.substring(equals + 1));
-        found += figures[at] >= 0 ? 1 : 0;
+      if (readFigure(pair, figures)) {
+        found++;
       }
     }
     return found == figures.length ? figures : AttemptResult.NO_REPORT;
   }
 
+  /** Reads {@code NAME=NUMBER} into its place; false if it is none that is still wanted. */
+  private boolean readFigure(String pair, float[] figures) {
+    int equals = pair.indexOf('=');
+    int index = equals < 0 ? -1 : loadReportFields.indexOf(pair.substring(0, equals));
+    if (index < 0 || figures[index] >= 0) {
+      return false;
+    }
+    figures[index] = number(pair.substring(equals + 1));
+    return figures[index] >= 0;
+  }
+
   /**
-   * A figure of a load report; below 0 if it is none: not a number, negative, or beyond all bounds.
+   * A number of a load report; {@link #NO_VALUE} if it is none, negative or infinite, as such a
+   * figure would stay in the averages that decisions are made from.
    */
-  private static float figure(String digits) {
+  private static float number(String digits) {
     boolean readable =
-        digits.length() <= MOST_DIGITS && digits.matches("[0-9]+(\\.[0-9]+)?([eE][-+]?[0-9]+)?");
-    float value = readable ? Float.parseFloat(digits) : -1;
-    return Float.isInfinite(value) ? -1 : value;
+        digits.length() <= LONGEST_NUMBER_CHARS
+            && digits.matches("[0-9]+(\\.[0-9]+)?([eE][-+]?[0-9]+)?");
+    float value = readable ? Float.parseFloat(digits) : NO_VALUE;
+    return Float.isInfinite(value) ? NO_VALUE : value;
   }
 
-  private static String word(RespValue value) {
+  private static String text(RespValue value) {
     return value instanceof RespValue.Bulk bulk && bulk.bytes() != null
         ? bulk.bytes().toString()
         : "";
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -1,103 +1,71 @@
 package beaconturn.net.server;
 
 import beaconturn.core.AttemptResult;
-import beaconturn.core.Clock;
 import beaconturn.core.OutboundAttempt;
 import beaconturn.core.RepeatedEventLog;
 import beaconturn.core.RoutingMessage;
 import beaconturn.decision.AttemptOutcome;
 import beaconturn.net.io.BoundedPipe;
-import beaconturn.net.io.ConnectionLimit;
-import beaconturn.stats.RequestMetrics;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
-import java.util.Deque;
-import java.util.Iterator;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
 import java.util.logging.Logger;
 
-/** One cache server: an actor that owns the connections to it. It never waits for the peer. */
-public final class CacheServer {
+/**
+ * One cache server: an actor that owns the connections to it and never waits for the peer.
+ *
+ * <p>Three kinds of threads meet here. The routing thread calls {@link #send}, {@link #abort} and
+ * the other methods that post a {@link CacheServerTask}. The {@link CacheServerThread} runs the
+ * tasks and owns all fields that are not marked otherwise. Worker threads run one connection each
+ * and report through {@link ConnectionReports}. A connection, with its buffers, belongs to the
+ * worker that carries an attempt on it, and to this actor while it is idle.
+ */
+final class CacheServer {
   private static final Logger LOG = Logger.getLogger(CacheServer.class.getName());
+  private static final int UNANSWERED_TO_LOG = 3;
+  private static final int UNREADABLE_TO_LOG = 1;
 
-  /**
-   * What an answer brings behind itself has come by then: a connection is not used again sooner.
-   */
-  private static final long SETTLED = 5_000_000;
-
-  /** What the actor needs of the router round it. */
-  public record Site(
-      Clock clock,
-      Consumer<RoutingMessage> module,
-      ConnectionLimit places,
-      CacheResponseReader replies,
-      long connectTimeout,
-      long idleTime,
-      RequestMetrics tally,
-      CacheServerThread actors,
-      WorkerPool workers,
-      BooleanSupplier mayWrite) {}
-
-  /** What the actor is told. */
-  sealed interface Task {
-    record Started() implements Task {}
-
-    record Send(OutboundAttempt attempt) implements Task {}
-
-    record Abort(OutboundAttempt attempt) implements Task {}
-
-    record Ended(
-        CacheConnection connection,
-        OutboundAttempt attempt,
-        AttemptResult outcome,
-        boolean reusable)
-        implements Task {}
-
-    /** An idle connection was dead, is closed, and nothing was written on it. */
-    record Stale(OutboundAttempt attempt) implements Task {}
-
-    record Spoilt() implements Task {}
+  private final CacheServerEnvironment environment;
+  private final String host;
 
-    record Closed() implements Task {}
+  /** The connections in use; written by the actor, read by the routing thread to abort. */
+  private final Map<OutboundAttempt, CacheConnection> inUse = new ConcurrentHashMap<>();
 
-    record Dial(InetSocketAddress address) implements Task {}
+  private final IdleConnections idle;
+  private final CacheConnectionListener connectionListener = new ConnectionReports();
+  private final RepeatedEventLog unanswered;
+  private final RepeatedEventLog unreadable;
+  private InetSocketAddress address;
+  private boolean retired;
 
-    record CloseIdle() implements Task {}
+  /** Open connections, idle ones included; written by the actor, read by the routing thread. */
+  private volatile int connectionCount;
 
-    record Retire() implements Task {}
-  }
+  /** Sends that the actor has handled; written by the actor, read by the routing thread. */
+  private volatile int sendsHandled;
 
-  private record Idle(CacheConnection connection, long since) {}
+  /** Sends that were posted to the actor; for the routing thread alone. */
+  private int sendsPosted;
 
-  private final Site site;
-  private final String host;
-  private final Map<OutboundAttempt, CacheConnection> out = new ConcurrentHashMap<>();
-  private final Deque<Idle> idle = new ArrayDeque<>();
-  private final CacheConnection.Owner owner = new Reports();
-  private final RepeatedEventLog unanswered;
-  private final RepeatedEventLog spoilt;
-  private InetSocketAddress dial;
-  private volatile int connections;
-  private volatile int begun;
-  private volatile boolean wanted = true;
-  private int posted;
-  private boolean retired;
+  /** Set by the routing thread, read by all. */
+  private volatile boolean acceptsRequests = true;
 
-  CacheServer(Site site, String host, InetSocketAddress dial) {
-    this.site = site;
+  CacheServer(CacheServerEnvironment environment, String host, InetSocketAddress address) {
+    this.environment = environment;
     this.host = host;
-    this.dial = dial;
+    this.address = address;
+    this.idle = new IdleConnections(environment.idleTimeoutNanos(), this::onConnectionClosed);
     this.unanswered =
-        new RepeatedEventLog(LOG, "cache server " + host + " leaves attempts unanswered", 3);
-    this.spoilt =
-        new RepeatedEventLog(LOG, "cache server " + host + " sends what cannot be read", 1);
+        new RepeatedEventLog(
+            LOG, "cache server " + host + " leaves attempts unanswered", UNANSWERED_TO_LOG);
+    this.unreadable =
+        new RepeatedEventLog(
+            LOG, "cache server " + host + " sends what cannot be read", UNREADABLE_TO_LOG);
   }
 
+  /** Makes the actor known to its thread; called once, before anything else. */
   void start() {
-    tell(new Task.Started());
+    tell(new CacheServerTask.JoinThread());
   }
 
   @Override
@@ -105,267 +73,259 @@
     return host;
   }
 
-  /** Never waits: the module's thread calls it. */
+  /** Posts an attempt without waiting; false if there is no room. For the routing thread. */
   boolean send(OutboundAttempt attempt) {
-    boolean taken = site.actors().send(this, new Task.Send(attempt));
-    posted += taken ? 1 : 0;
-    return taken;
+    boolean posted =
+        environment.thread().offerLeavingRoom(this, new CacheServerTask.SendAttempt(attempt));
+    if (posted) {
+      sendsPosted++;
+    }
+    return posted;
   }
 
   /**
    * Ends the attempt's connection before it returns, so that a copy sent elsewhere next never meets
    * it; closing a socket does not wait. An attempt that is not begun yet will not be, as it is
-   * over.
+   * over. For the routing thread.
    */
   void abort(OutboundAttempt attempt) {
-    CacheConnection used = out.get(attempt);
+    CacheConnection used = inUse.get(attempt);
     if (used != null) {
-      used.giveUp();
+      used.reset();
     }
-    tell(new Task.Abort(attempt));
+    tell(new CacheServerTask.AbortAttempt(attempt));
   }
 
   /**
-   * Whether the server takes new requests; if not, a send that still waits here or for its
-   * connection ends as never run. Any thread may call it.
+   * Sets whether the server takes new requests; if not, a send that still waits here or for its
+   * connection ends as superseded: the failure guarded against is a request that reaches a server
+   * after the router was notified that it drains. Any thread may call it.
    */
-  void wanted(boolean yes) {
-    wanted = yes;
+  void acceptsRequests(boolean accepts) {
+    acceptsRequests = accepts;
   }
 
   void closeIdle() {
-    tell(new Task.CloseIdle());
+    tell(new CacheServerTask.CloseIdle());
   }
 
-  void dial(InetSocketAddress address) {
-    tell(new Task.Dial(address));
+  /** Has new connections go to that address, and closes idle ones to another. */
+  void address(InetSocketAddress newAddress) {
+    tell(new CacheServerTask.ChangeAddress(newAddress));
   }
 
   /**
-   * Whether no connection is open and no send waits to be begun: an actor dropped before that could
-   * not be told any more that the attempt is given up. Asked by the thread that sends.
+   * Whether no connection is open and no send waits to be handled: an actor dropped before that
+   * could no longer be told that an attempt is given up. For the routing thread.
    */
-  boolean quiet() {
-    return begun == posted && connections == 0;
+  boolean isQuiet() {
+    return sendsHandled == sendsPosted && connectionCount == 0;
   }
 
-  /** Ends the actor once nothing is out any more. */
+  /** Ends the actor once its last connection is closed. */
   void retire() {
-    tell(new Task.Retire());
+    tell(new CacheServerTask.RetireServer());
   }
 
-  private void tell(Task task) {
-    site.actors().tell(this, task);
+  private void tell(CacheServerTask task) {
+    environment.thread().tell(this, task);
   }
 
-  /**
-   * Whether it was retired and nothing is out any more; for the actors' thread, as all that
-   * follows.
-   */
-  boolean ended() {
-    return retired && connections == 0;
+  /** Whether it was retired and no connection is open. For the actor's thread, as all below. */
+  boolean hasEnded() {
+    return retired && connectionCount == 0;
   }
 
-  /** Lets go of what is idle too long or dead, and says what has ended. */
-  void look() {
-    dropOld();
-    for (Iterator<Idle> all = idle.iterator(); all.hasNext(); ) {
-      Idle next = all.next();
-      if (!next.connection().alive()) {
-        all.remove();
-        drop(next);
-      }
-    }
-    unanswered.check(site.clock().now());
-    spoilt.check(site.clock().now());
+  /** Closes connections that are idle for too long or dead, and logs what has ended. */
+  void maintain() {
+    idle.closeExpired(now());
+    idle.closeDead();
+    unanswered.check(now());
+    unreadable.check(now());
   }
 
-  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actors' thread alone.
-  void handle(Task task) {
-    if (task instanceof Task.Send send) {
-      try {
-        begin(send.attempt());
-      } finally {
-        begun = begun + 1;
-      }
-    } else if (task instanceof Task.Abort abort) {
-      out.remove(abort.attempt());
-      if (site.clock().now() >= abort.attempt().until()) {
-        unanswered.note(site.clock().now());
-      }
-    } else if (task instanceof Task.Ended ended) {
-      settle(ended);
-    } else if (task instanceof Task.Spoilt) {
-      spoilt.note(site.clock().now());
-    } else if (task instanceof Task.Stale stale) {
-      closed();
-      if (out.remove(stale.attempt()) != null) {
-        begin(stale.attempt());
-      }
-    } else if (task instanceof Task.Closed) {
-      closed();
-    } else if (task instanceof Task.Dial changed) {
-      if (!changed.address().equals(dial)) {
-        LOG.info(host + ": address changes from " + dial + " to " + changed.address());
-        dial = changed.address();
-        dropIdle();
-      }
-    } else if (task instanceof Task.CloseIdle) {
-      dropIdle();
-    } else if (task instanceof Task.Retire) {
-      retired = true;
-      dropIdle();
+  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actor's thread alone.
+  void onSend(OutboundAttempt attempt) {
+    try {
+      begin(attempt);
+    } finally {
+      sendsHandled = sendsHandled + 1;
     }
   }
 
-  /**
-   * Of the settled connections the one used last goes first, so that those too many grow old and
-   * close.
-   */
-  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actors' thread alone.
-  private void begin(OutboundAttempt attempt) {
-    if (attempt.over()) {
-      return;
-    }
-    if (!wanted || !attempt.wanted(site.clock().now())) {
-      unsent(attempt, AttemptOutcome.SUPERSEDED);
-      return;
-    }
-    dropOld();
-    long settled = site.clock().now() - SETTLED;
-    for (Iterator<Idle> all = idle.iterator(); all.hasNext(); ) {
-      Idle next = all.next();
-      if (next.since() > settled) {
-        continue;
-      }
-      all.remove();
-      carry(attempt, next.connection());
-      return;
+  void onAbort(OutboundAttempt attempt) {
+    inUse.remove(attempt);
+    if (now() >= attempt.until()) {
+      unanswered.note(now());
     }
-    if (!site.places().tryAcquire()) {
-      // Answers that come faster than connections settle take a new one each: the idlest makes
-      // room.
-      if (!idle.isEmpty()) {
-        drop(idle.pollLast());
-      }
-      if (!site.places().tryAcquire()) {
-        unsent(attempt, AttemptOutcome.NOT_SENT);
-        return;
-      }
+  }
+
+  void onConnectionStale(OutboundAttempt attempt) {
+    onConnectionClosed();
+    if (inUse.remove(attempt) != null) {
+      begin(attempt);
     }
-    connections++;
-    carry(
-        attempt,
-        new CacheConnection(dial, site.connectTimeout(), site.clock(), site.replies(), owner));
   }
 
-  private void carry(OutboundAttempt attempt, CacheConnection connection) {
-    out.put(attempt, connection);
-    try {
-      site.workers().run(() -> connection.carry(attempt));
-    } catch (OutOfMemoryError e) {
-      // No thread could be had for it: nothing was written, and the place is free again.
-      LOG.warning(host + ": no thread for a connection");
-      out.remove(attempt);
-      connection.close();
-      closed();
-      unsent(attempt, AttemptOutcome.NOT_SENT);
+  void onUnreadableResponse() {
+    unreadable.note(now());
+  }
+
+  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actor's thread alone.
+  void onConnectionClosed() {
+    connectionCount--;
+    environment.connectionLimit().release();
+  }
+
+  void onAddress(InetSocketAddress newAddress) {
+    if (!newAddress.equals(address)) {
+      LOG.info(host + ": address changes from " + address + " to " + newAddress);
+      address = newAddress;
+      idle.closeAll();
     }
   }
 
-  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actors' thread alone.
-  private void closed() {
-    connections--;
-    site.places().release();
+  void onCloseIdle() {
+    idle.closeAll();
+  }
+
+  void onRetire() {
+    retired = true;
+    idle.closeAll();
   }
 
-  private void settle(Task.Ended ended) {
-    boolean wanted = out.remove(ended.attempt()) != null;
-    AttemptOutcome ending = ended.outcome().ending();
-    boolean broke = ending == AttemptOutcome.CONNECT_FAILED || ending == AttemptOutcome.RESET;
-    if (wanted && broke) {
-      unanswered.note(site.clock().now());
-    } else if (ending.serverResponded()) {
+  void onAttemptEnded(CacheServerTask.AttemptEnded ended) {
+    boolean wasInUse = inUse.remove(ended.attempt()) != null;
+    AttemptOutcome outcome = ended.result().ending();
+    if (wasInUse && isConnectionFailure(outcome)) {
+      unanswered.note(now());
+    } else if (outcome.serverResponded()) {
       unanswered.end();
     }
     if (ended.reusable()) {
-      Idle left = new Idle(ended.connection(), ended.outcome().at());
-      if (wanted && !retired && left.connection().address().equals(dial)) {
-        idle.push(left);
-      } else {
-        drop(left);
-      }
+      keepOrClose(ended.connection(), wasInUse, ended.result().at());
+    }
+  }
+
+  private static boolean isConnectionFailure(AttemptOutcome outcome) {
+    return outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.RESET;
+  }
+
+  /** A connection whose attempt was aborted meanwhile is closed, as is one to an old address. */
+  private void keepOrClose(CacheConnection connection, boolean wasInUse, long idleSinceNanos) {
+    if (wasInUse && !retired && connection.address().equals(address)) {
+      idle.add(connection, idleSinceNanos);
+    } else {
+      idle.close(connection);
+    }
+  }
+
+  private void begin(OutboundAttempt attempt) {
+    if (attempt.over()) {
+      return;
+    }
+    if (!acceptsRequests || !attempt.wanted(now())) {
+      endUnsent(attempt, AttemptOutcome.SUPERSEDED);
+      return;
+    }
+    idle.closeExpired(now());
+    CacheConnection settled = idle.takeSettled(now());
+    if (settled != null) {
+      carry(attempt, settled);
+    } else if (acquireConnection()) {
+      carry(attempt, newConnection());
+    } else {
+      endUnsent(attempt, AttemptOutcome.NOT_SENT);
+    }
+  }
+
+  /**
+   * Responses that come faster than connections settle take a new connection each: the one idle for
+   * longest makes room.
+   */
+  private boolean acquireConnection() {
+    if (environment.connectionLimit().tryAcquire()) {
+      return true;
     }
+    idle.closeOldest();
+    return environment.connectionLimit().tryAcquire();
   }
 
-  /** Nobody reads from an idle connection: who closes it counts it. */
-  private void drop(Idle left) {
-    left.connection().close();
-    closed();
+  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actor's thread alone.
+  private CacheConnection newConnection() {
+    connectionCount++;
+    return new CacheConnection(address, environment, connectionListener);
   }
 
-  private void dropOld() {
-    long oldest = site.clock().now() - site.idleTime();
-    while (!idle.isEmpty() && idle.peekLast().since() < oldest) {
-      drop(idle.pollLast());
+  private void carry(OutboundAttempt attempt, CacheConnection connection) {
+    inUse.put(attempt, connection);
+    try {
+      environment.workers().run(() -> connection.carry(attempt));
+    } catch (OutOfMemoryError e) {
+      // No thread could be had for it: nothing was written, and the connection is given back.
+      LOG.warning(host + ": no thread for a connection");
+      inUse.remove(attempt);
+      connection.close();
+      onConnectionClosed();
+      endUnsent(attempt, AttemptOutcome.NOT_SENT);
     }
   }
 
-  private void dropIdle() {
-    idle.forEach(this::drop);
-    idle.clear();
+  private void endUnsent(OutboundAttempt attempt, AttemptOutcome outcome) {
+    environment
+        .routingThread()
+        .accept(new RoutingMessage.Ended(attempt, AttemptResult.of(outcome, now())));
   }
 
-  private void unsent(OutboundAttempt attempt, AttemptOutcome why) {
-    site.module()
-        .accept(new RoutingMessage.Ended(attempt, AttemptResult.of(why, site.clock().now())));
+  private long now() {
+    return environment.clock().now();
   }
 
-  /** Runs on the threads of the connections. */
-  private final class Reports implements CacheConnection.Owner {
+  /** Hands on what happens on connections; runs on worker threads, which may wait for room. */
+  private final class ConnectionReports implements CacheConnectionListener {
     @Override
-    public boolean wanted() {
-      return wanted && site.mayWrite().getAsBoolean();
+    public boolean mayWrite() {
+      return acceptsRequests && environment.mayWrite().getAsBoolean();
     }
 
     @Override
-    public void ended(
+    public void attemptEnded(
         CacheConnection connection,
         OutboundAttempt attempt,
-        AttemptResult outcome,
+        AttemptResult result,
         boolean reusable) {
-      // The pool first: what the module sends next finds the connection idle.
-      post(new Task.Ended(connection, attempt, outcome, reusable));
-      site.module().accept(new RoutingMessage.Ended(attempt, outcome));
+      // The actor first: what the routing thread sends next finds the connection idle.
+      post(new CacheServerTask.AttemptEnded(connection, attempt, result, reusable));
+      environment.routingThread().accept(new RoutingMessage.Ended(attempt, result));
     }
 
     @Override
-    public void begun(OutboundAttempt attempt, long at, BoundedPipe flow) {
-      site.module().accept(new RoutingMessage.FirstBytes(attempt, at, flow));
+    public void responseBegun(OutboundAttempt attempt, long atNanos, BoundedPipe pipe) {
+      environment.routingThread().accept(new RoutingMessage.FirstBytes(attempt, atNanos, pipe));
     }
 
     @Override
-    public void sent() {
-      site.tally().sent();
+    public void requestWritten() {
+      environment.metrics().sent();
     }
 
     @Override
-    public void stale(OutboundAttempt attempt) {
-      post(new Task.Stale(attempt));
+    public void connectionStale(OutboundAttempt attempt) {
+      post(new CacheServerTask.ConnectionStale(attempt));
     }
 
     @Override
-    public void spoilt() {
-      post(new Task.Spoilt());
+    public void unreadableResponse() {
+      post(new CacheServerTask.UnreadableResponse());
     }
 
     @Override
-    public void closed() {
-      post(new Task.Closed());
+    public void connectionClosed() {
+      post(new CacheServerTask.ConnectionClosed());
     }
 
-    private void post(Task task) {
-      site.actors().post(CacheServer.this, task);
+    private void post(CacheServerTask task) {
+      environment.thread().post(CacheServer.this, task);
     }
   }
 }
--- a/src/main/java/beaconturn/net/server/CacheServerPool.java
+++ b/src/main/java/beaconturn/net/server/CacheServerPool.java
@@ -15,166 +15,199 @@
 import java.util.Set;
 import java.util.logging.Logger;
 
-/** The actors of the cache servers that the list has named; used by the module's thread alone. */
+/**
+ * The cache servers of the endpoint list, each with its actor; keeps up with endpoint updates and
+ * operator overrides. For the routing thread alone.
+ */
 public final class CacheServerPool implements CacheServerClients {
   private static final Logger LOG = Logger.getLogger(CacheServerPool.class.getName());
-  private final CacheServer.Site site;
-  private final Map<Long, Known> servers = new HashMap<>();
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Those that operators have left out, listed or not. */
-  private final Set<Long> out = new HashSet<>();
+  /** A cache server as the endpoint list has it, and its actor. */
+  private record PooledServer(
+      CacheServer actor, String host, int zone, EndpointHealth health, long bootTimeNanos) {
+    boolean isGone() {
+      return health == EndpointHealth.GONE;
+    }
+
+    /** Whether the list says the same of the server as it does now. */
+    boolean sameState(Endpoint entry) {
+      return health == entry.health() && bootTimeNanos == entry.bootTimeNanos();
+    }
+  }
 
-  /** How many are gone but still have attempts or connections out. */
-  private int leaving;
+  private final CacheServerEnvironment environment;
+  private final Map<Long, PooledServer> servers = new HashMap<>();
 
-  private record Known(
-      CacheServer actor, String host, int zone, EndpointHealth health, long bootTime) {}
+  /** Servers that operators have excluded, by id, whether or not they are on the list. */
+  private final Set<Long> excluded = new HashSet<>();
 
-  public CacheServerPool(CacheServer.Site site) {
-    this.site = site;
+  /** How many in {@link #servers} are gone but may still have attempts or connections out. */
+  private int goneCount;
+
+  /** An empty pool. */
+  public CacheServerPool(CacheServerEnvironment environment) {
+    this.environment = environment;
   }
 
   @Override
   public boolean send(OutboundAttempt attempt) {
     dropEnded();
-    Known known = servers.get(attempt.server());
-    return known != null && known.health() != EndpointHealth.GONE && known.actor().send(attempt);
+    PooledServer server = servers.get(attempt.server());
+    return server != null && !server.isGone() && server.actor().send(attempt);
   }
 
   @Override
   public void abort(OutboundAttempt attempt) {
-    Known known = servers.get(attempt.server());
-    if (known != null) {
-      known.actor().abort(attempt);
+    PooledServer server = servers.get(attempt.server());
+    if (server != null) {
+      server.actor().abort(attempt);
     }
   }
 
   @Override
-  public void closeIdle(long server) {
-    Known known = servers.get(server);
-    if (known != null) {
-      known.actor().closeIdle();
+  public void closeIdle(long serverId) {
+    PooledServer server = servers.get(serverId);
+    if (server != null) {
+      server.actor().closeIdle();
     }
   }
 
   @Override
-  public void follow(EndpointUpdate news) {
-    if (news.kind() == EndpointListKind.FAILED) {
+  public void follow(EndpointUpdate update) {
+    if (update.kind() == EndpointListKind.FAILED) {
       return;
     }
     dropEnded();
     List<String> changes = new ArrayList<>();
-    Set<Long> named = new HashSet<>();
-    for (EndpointUpdate.Member member : news.members()) {
-      named.add(member.entry().serverId());
-      update(member, changes);
+    Set<Long> listed = new HashSet<>();
+    for (EndpointUpdate.Member member : update.members()) {
+      listed.add(member.entry().serverId());
+      followMember(member, changes);
     }
-    if (news.kind() != EndpointListKind.DELTA) {
-      Set<Long> missing = new HashSet<>(servers.keySet());
-      missing.removeAll(named);
-      missing.forEach(server -> gone(server, changes));
+    if (update.kind() != EndpointListKind.DELTA) {
+      removeAllBut(listed, changes);
     }
     if (!changes.isEmpty()) {
-      // One line: in a large fleet a line a server costs the module's thread more than the news
-      // itself.
-      LOG.info("list " + news.version() + ": " + String.join("; ", changes));
+      // One line: in a large fleet a line for each server costs the routing thread more than the
+      // update itself.
+      LOG.info("list " + update.version() + ": " + String.join("; ", changes));
     }
   }
 
-  private void update(EndpointUpdate.Member member, List<String> changes) {
+  private void removeAllBut(Set<Long> listed, List<String> changes) {
+    Set<Long> missing = new HashSet<>(servers.keySet());
+    missing.removeAll(listed);
+    missing.forEach(serverId -> remove(serverId, changes));
+  }
+
+  private void followMember(EndpointUpdate.Member member, List<String> changes) {
     Endpoint entry = member.entry();
     if (entry.health() == EndpointHealth.GONE) {
-      gone(entry.serverId(), changes);
+      remove(entry.serverId(), changes);
       return;
     }
-    Known old = servers.get(entry.serverId());
-    CacheServer actor = old == null ? start(member) : old.actor();
-    if (old == null || old.health() != entry.health() || old.bootTime() != entry.bootTimeNanos()) {
-      changes.add(
-          "cache server "
-              + member.host()
-              + " at "
-              + member.dial()
-              + " is "
-              + entry.health()
-              + (entry.bootTimeNanos() == 0
-                  ? ""
-                  : ", started " + entry.bootTimeNanos() / 1_000_000));
-    }
-    if (old != null) {
-      leaving -= old.health() == EndpointHealth.GONE ? 1 : 0;
-      actor.dial(Sockets.address(member.dial()));
-    }
-    if (old != null && old.bootTime() != entry.bootTimeNanos()) {
-      // What was connected before the restart is dead, even where the peer's end was never heard
-      // of.
-      actor.closeIdle();
+    PooledServer old = servers.get(entry.serverId());
+    if (old == null || !old.sameState(entry)) {
+      changes.add(describe(member));
     }
+    CacheServer actor = old == null ? startActor(member) : followKnown(old, member);
     servers.put(
         entry.serverId(),
-        new Known(actor, member.host(), entry.zone(), entry.health(), entry.bootTimeNanos()));
-    want(entry.serverId());
+        new PooledServer(
+            actor, member.host(), entry.zone(), entry.health(), entry.bootTimeNanos()));
+    updateAcceptance(entry.serverId());
   }
 
-  private void want(long server) {
-    Known known = servers.get(server);
-    known.actor().wanted(known.health() == EndpointHealth.READY && !out.contains(server));
+  private static String describe(EndpointUpdate.Member member) {
+    Endpoint entry = member.entry();
+    String state =
+        "cache server " + member.host() + " at " + member.dial() + " is " + entry.health();
+    if (entry.bootTimeNanos() == 0) {
+      return state;
+    }
+    return state + ", started " + entry.bootTimeNanos() / NANOS_PER_MILLI;
+  }
+
+  private CacheServer startActor(EndpointUpdate.Member member) {
+    CacheServer actor = new CacheServer(environment, member.host(), Sockets.address(member.dial()));
+    actor.start();
+    return actor;
+  }
+
+  private CacheServer followKnown(PooledServer old, EndpointUpdate.Member member) {
+    if (old.isGone()) {
+      goneCount--;
+    }
+    old.actor().address(Sockets.address(member.dial()));
+    if (old.bootTimeNanos() != member.entry().bootTimeNanos()) {
+      // A connection from before the restart is dead, even where the peer's end never arrived: a
+      // request written to it would be lost.
+      old.actor().closeIdle();
+    }
+    return old.actor();
+  }
+
+  private void updateAcceptance(long serverId) {
+    PooledServer server = servers.get(serverId);
+    server
+        .actor()
+        .acceptsRequests(server.health() == EndpointHealth.READY && !excluded.contains(serverId));
   }
 
   @Override
-  public boolean byHand(long server, boolean leftOut, boolean mayCome) {
-    boolean listed =
-        servers.containsKey(server) && servers.get(server).health() != EndpointHealth.GONE;
-    if (!listed && !mayCome && !out.contains(server)) {
+  public boolean byHand(long serverId, boolean out, boolean mayCome) {
+    PooledServer server = servers.get(serverId);
+    boolean listed = server != null && !server.isGone();
+    if (!listed && !mayCome && !excluded.contains(serverId)) {
       return false;
     }
-    boolean changes = leftOut ? out.add(server) : out.remove(server);
-    if (changes && listed) {
-      // Operators restart it while it is out: what is connected now does not live until its return.
-      servers.get(server).actor().closeIdle();
-      want(server);
+    boolean changed = out ? excluded.add(serverId) : excluded.remove(serverId);
+    if (changed && listed) {
+      // Operators restart a server while it is out: what is connected now is dead at its return.
+      server.actor().closeIdle();
+      updateAcceptance(serverId);
     }
     return true;
   }
 
   @Override
-  public Listed listed(long server) {
-    Known known = servers.get(server);
-    return known == null ? null : new Listed(known.host(), known.zone(), known.bootTime());
+  public Listed listed(long serverId) {
+    PooledServer server = servers.get(serverId);
+    return server == null ? null : new Listed(server.host(), server.zone(), server.bootTimeNanos());
   }
 
-  private CacheServer start(EndpointUpdate.Member member) {
-    CacheServer actor = new CacheServer(site, member.host(), Sockets.address(member.dial()));
-    actor.start();
-    return actor;
-  }
-
-  /** It keeps its actor while attempts are out: they may still be answered or called off. */
-  private void gone(long server, List<String> changes) {
-    Known known = servers.get(server);
-    if (known != null && known.health() != EndpointHealth.GONE) {
-      changes.add("cache server " + known.host() + " is gone");
-      known.actor().wanted(false);
-      known.actor().closeIdle();
-      servers.put(
-          server, new Known(known.actor(), known.host(), known.zone(), EndpointHealth.GONE, 0));
-      leaving++;
+  /** It keeps its actor while attempts are out: they may still be answered or given up. */
+  private void remove(long serverId, List<String> changes) {
+    PooledServer server = servers.get(serverId);
+    if (server == null || server.isGone()) {
+      return;
     }
+    changes.add("cache server " + server.host() + " is gone");
+    server.actor().acceptsRequests(false);
+    server.actor().closeIdle();
+    servers.put(
+        serverId,
+        new PooledServer(server.actor(), server.host(), server.zone(), EndpointHealth.GONE, 0));
+    goneCount++;
   }
 
-  /** Not only at news, which may be long in coming: a thread is kept for each until then. */
+  /**
+   * Retires the actors of servers that are gone and have nothing out. Not only at endpoint updates,
+   * which may be long in coming.
+   */
   private void dropEnded() {
-    if (leaving > 0) {
+    if (goneCount > 0) {
       int before = servers.size();
-      servers.values().removeIf(CacheServerPool::ended);
-      leaving -= before - servers.size();
+      servers.values().removeIf(CacheServerPool::retireIfQuiet);
+      goneCount -= before - servers.size();
     }
   }
 
-  private static boolean ended(Known known) {
-    boolean over = known.health() == EndpointHealth.GONE && known.actor().quiet();
+  private static boolean retireIfQuiet(PooledServer server) {
+    boolean over = server.isGone() && server.actor().isQuiet();
     if (over) {
-      known.actor().retire();
+      server.actor().retire();
     }
     return over;
   }
--- a/src/main/java/beaconturn/net/server/CacheServerThread.java
+++ b/src/main/java/beaconturn/net/server/CacheServerThread.java
@@ -8,87 +8,102 @@
 import java.util.logging.Logger;
 
 /**
- * The one thread on which the actors of all cache servers take turns, message by message: none of
- * them ever waits for a peer, and a thread for each of some hundred cache servers would cost a
- * router that sees little traffic more memory and a longer start than all that it serves.
+ * The one thread on which the actors of all cache servers take turns, task by task: none of them
+ * ever waits for a peer, and a thread for each of some hundred cache servers would cost a router
+ * that sees little traffic more memory and a longer start than all that it serves.
  */
 public final class CacheServerThread {
   private static final Logger LOG = Logger.getLogger(CacheServerThread.class.getName());
-  private static final int MOST_MESSAGES = 16_384;
-  private static final long LONGEST_WAIT = 1_000_000_000;
-  private static final long SHORTEST_WAIT = 10_000_000;
+  private static final int MAILBOX_CAPACITY = 16_384;
 
-  private record Turn(CacheServer server, CacheServer.Task task) {}
+  /** Left free by sends, for what must not be lost: aborts, ends and closes. */
+  private static final int RESERVED_CAPACITY = MAILBOX_CAPACITY / 2;
 
-  private final Mailbox<Turn> mailbox = new Mailbox<>(MOST_MESSAGES);
-  private final long step;
+  private static final long LONGEST_MAINTENANCE_INTERVAL_NANOS = 1_000_000_000;
+  private static final long SHORTEST_MAINTENANCE_INTERVAL_NANOS = 10_000_000;
+  private static final int MAINTENANCES_PER_IDLE_TIMEOUT = 4;
 
-  /** Those whose actors have not ended; for the thread of the actors. */
+  private record AddressedTask(CacheServer server, CacheServerTask task) {}
+
+  private final Mailbox<AddressedTask> mailbox = new Mailbox<>(MAILBOX_CAPACITY);
+  private final long maintenanceIntervalNanos;
+
+  /** Those whose actors have not ended; for this thread alone. */
   private final Set<CacheServer> servers = new LinkedHashSet<>();
 
-  private volatile int count;
+  /** Written by this thread alone. */
+  private volatile int serverCount;
 
   /**
-   * Looks after all actors several times in the time that a connection may stay idle, in
-   * nanoseconds.
+   * A thread that looks after all actors several times in the time that a connection may stay idle.
    */
-  public CacheServerThread(long idleTime) {
-    this.step = Math.max(SHORTEST_WAIT, Math.min(LONGEST_WAIT, idleTime / 4));
+  public CacheServerThread(long idleTimeoutNanos) {
+    this.maintenanceIntervalNanos =
+        Math.max(
+            SHORTEST_MAINTENANCE_INTERVAL_NANOS,
+            Math.min(
+                LONGEST_MAINTENANCE_INTERVAL_NANOS,
+                idleTimeoutNanos / MAINTENANCES_PER_IDLE_TIMEOUT));
   }
 
+  /** Starts the thread; called once. */
   public void start() {
     Threads.supervised("cache-servers", this::run);
   }
 
-  /** How many cache servers have an actor. */
-  int count() {
-    return count;
+  /** How many cache servers have an actor; any thread. */
+  int serverCount() {
+    return serverCount;
   }
 
   /**
-   * Never waits. Half of the mailbox is kept for what must not be lost; false if there is no room.
+   * Posts without waiting; false if that would leave no room for what must not be lost. Any thread.
    */
-  boolean send(CacheServer server, CacheServer.Task task) {
-    return mailbox.offerLeaving(MOST_MESSAGES / 2, new Turn(server, task));
+  boolean offerLeavingRoom(CacheServer server, CacheServerTask task) {
+    return mailbox.offerLeaving(RESERVED_CAPACITY, new AddressedTask(server, task));
   }
 
-  /** Never waits: the module's thread calls it. */
-  void tell(CacheServer server, CacheServer.Task task) {
-    if (!mailbox.offer(new Turn(server, task))) {
+  /** Posts without waiting: for the routing thread. */
+  void tell(CacheServer server, CacheServerTask task) {
+    if (!mailbox.offer(new AddressedTask(server, task))) {
       LOG.severe(server + ": mailbox full, lost " + task);
     }
   }
 
-  /** Waits for room: for the threads of connections. */
-  void post(CacheServer server, CacheServer.Task task) {
+  /** Posts, waiting for room: for the worker threads. */
+  void post(CacheServer server, CacheServerTask task) {
     try {
-      mailbox.put(new Turn(server, task));
+      mailbox.put(new AddressedTask(server, task));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   private void run() throws InterruptedException {
-    long lookedAt = System.nanoTime();
+    long maintainedAtNanos = System.nanoTime();
     while (true) {
-      Turn turn = mailbox.poll(Math.max(0, step - (System.nanoTime() - lookedAt)));
-      if (turn != null) {
-        take(turn);
+      long waitNanos = maintenanceIntervalNanos - (System.nanoTime() - maintainedAtNanos);
+      AddressedTask next = mailbox.poll(Math.max(0, waitNanos));
+      if (next != null) {
+        handle(next);
       }
-      if (System.nanoTime() - lookedAt >= step) {
-        lookedAt = System.nanoTime();
-        servers.forEach(s -> guarded(s, s::look));
+      if (System.nanoTime() - maintainedAtNanos >= maintenanceIntervalNanos) {
+        maintainedAtNanos = System.nanoTime();
+        servers.forEach(server -> guarded(server, server::maintain));
       }
     }
   }
 
-  private void take(Turn turn) {
-    guarded(turn.server(), () -> turn.server().handle(turn.task()));
-    if (turn.server().ended() ? servers.remove(turn.server()) : servers.add(turn.server())) {
-      count = servers.size();
+  private void handle(AddressedTask addressed) {
+    CacheServer server = addressed.server();
+    guarded(server, () -> addressed.task().applyTo(server));
+    boolean changed = server.hasEnded() ? servers.remove(server) : servers.add(server);
+    if (changed) {
+      serverCount = servers.size();
     }
   }
 
+  /** A defect that shows at one cache server must not end the thread of all. */
   private static void guarded(CacheServer server, Runnable step) {
     try {
       step.run();
--- a/src/main/java/beaconturn/net/server/LargeResponseStream.java
+++ b/src/main/java/beaconturn/net/server/LargeResponseStream.java
@@ -12,103 +12,143 @@
 import java.io.InputStream;
 
 /**
- * An answer whose value is too large to be held whole: it is passed on as it comes. Its last two
- * bytes wait for what stands behind the value, so that an answer that is spoilt there is not whole
- * for the client either.
+ * A response whose value is too large to be held whole: it is streamed to the client as it comes.
+ * The last two bytes of the value are held back until what stands behind it has been read: if that
+ * is malformed, the client must not get a response that looks complete.
+ *
+ * <p>For the worker thread that has the connection; pieces handed to the pipe are not written to
+ * afterwards.
  */
 public final class LargeResponseStream {
-  /** The largest value that is passed on, in bytes. */
-  static final int LARGEST = 4 << 20;
+  /** The largest value that is streamed. */
+  static final int LARGEST_VALUE_BYTES = 4 << 20;
 
-  private static final int LONGEST_HEAD = 32;
-  private static final String LIST = "*3\r\n$";
-  private final int length;
+  private static final int LONGEST_HEAD_BYTES = 32;
+  private static final int LINE_END_BYTES = 2;
+  private static final String HEAD_START = "*3\r\n$";
 
-  private LargeResponseStream(int length) {
-    this.length = length;
+  private final int valueBytes;
+
+  private LargeResponseStream(int valueBytes) {
+    this.valueBytes = valueBytes;
   }
 
   /**
-   * The answer that begins here, whose head is then consumed; null if there is none, or no whole
-   * head yet.
+   * The large response that begins here, whose head is then consumed; null if none begins here or
+   * its head is incomplete.
    */
-  public static LargeResponseStream at(InputBuffer in) {
-    int at = LIST.length();
-    for (int i = 0; i < at; i++) {
-      if (i >= in.size() || in.at(i) != LIST.charAt(i)) {
-        return null;
-      }
+  public static LargeResponseStream at(InputBuffer input) {
+    if (!startsLikeHead(input)) {
+      return null;
     }
-    long value = 0;
-    while (at < in.size() && at < LONGEST_HEAD && in.at(at) >= '0' && in.at(at) <= '9') {
-      value = value * 10 + in.at(at++) - '0';
+    int position = HEAD_START.length();
+    long size = 0;
+    while (position < LONGEST_HEAD_BYTES && isDigit(input, position)) {
+      size = size * 10 + input.at(position) - '0';
+      position++;
     }
-    boolean whole = at + 1 < in.size() && in.at(at) == '\r' && in.at(at + 1) == '\n';
-    if (!whole || value <= RespReader.LONGEST_VALUE || value > LARGEST) {
+    if (!isLineEnd(input, position)
+        || size <= RespReader.LONGEST_VALUE
+        || size > LARGEST_VALUE_BYTES) {
       return null;
     }
-    in.consume(at + 2);
-    return new LargeResponseStream((int) value);
+    input.consume(position + LINE_END_BYTES);
+    return new LargeResponseStream((int) size);
+  }
+
+  private static boolean startsLikeHead(InputBuffer input) {
+    for (int i = 0; i < HEAD_START.length(); i++) {
+      if (i >= input.size() || input.at(i) != HEAD_START.charAt(i)) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  private static boolean isDigit(InputBuffer input, int position) {
+    return position < input.size() && input.at(position) >= '0' && input.at(position) <= '9';
+  }
+
+  private static boolean isLineEnd(InputBuffer input, int position) {
+    return position + 1 < input.size()
+        && input.at(position) == '\r'
+        && input.at(position + 1) == '\n';
   }
 
   /**
-   * Passes the value on and reads what stands behind it; the outcome is of the time of its first
-   * bytes.
+   * Streams the value into the pipe and reads what stands behind it.
+   *
+   * @param beganAtNanos when the first bytes came, which is the time of the result
    */
-  AttemptResult passOn(
-      InputStream from, InputBuffer in, CacheResponseReader replies, BoundedPipe flow, long began)
+  AttemptResult stream(
+      InputStream from,
+      InputBuffer input,
+      CacheResponseReader responseReader,
+      BoundedPipe pipe,
+      long beganAtNanos)
       throws IOException, ProtocolException {
-    flow.put(Slice.of("$" + length + "\r\n"));
-    int left = length;
-    while (left > 0) {
-      Slice piece = in.size() > 0 ? taken(in, left) : read(from, left);
-      flow.put(piece);
-      left -= piece.length();
-    }
-    RespReader tail = new RespReader(RespReader.LONGEST_VALUE);
-    while (in.size() < 2) {
-      more(from, in);
-    }
-    if (in.at(0) != '\r' || in.at(1) != '\n') {
-      throw new ProtocolException("string not ended where it said");
+    pipe.put(Slice.of("$" + valueBytes + "\r\n"));
+    streamValue(from, input, pipe);
+    readLineEnd(from, input);
+    RespReader rest = new RespReader(RespReader.LONGEST_VALUE);
+    RespValue status = readValue(rest, from, input);
+    RespValue report = readValue(rest, from, input);
+    AttemptResult result = responseReader.readStreamed(status, report, beganAtNanos);
+    pipe.put(Slice.of("\r\n"));
+    pipe.end();
+    return result;
+  }
+
+  private void streamValue(InputStream from, InputBuffer input, BoundedPipe pipe)
+      throws IOException {
+    int remainingBytes = valueBytes;
+    while (remainingBytes > 0) {
+      Slice piece =
+          input.size() > 0 ? takeBuffered(input, remainingBytes) : read(from, remainingBytes);
+      pipe.put(piece);
+      remainingBytes -= piece.length();
     }
-    in.consume(2);
-    RespValue how = next(tail, from, in);
-    RespValue report = next(tail, from, in);
-    AttemptResult outcome = replies.served(how, report, began);
-    flow.put(Slice.of("\r\n"));
-    flow.end();
-    return outcome;
   }
 
-  private static Slice taken(InputBuffer in, int most) {
-    int size = Math.min(in.size(), most);
-    Slice piece = in.slice(0, size);
-    in.consume(size);
+  private static Slice takeBuffered(InputBuffer input, int mostBytes) {
+    int size = Math.min(input.size(), mostBytes);
+    Slice piece = input.slice(0, size);
+    input.consume(size);
     return piece;
   }
 
-  private static Slice read(InputStream from, int most) throws IOException {
-    byte[] bytes = new byte[Math.min(Sockets.LARGEST_STEP, most)];
-    int got = from.read(bytes);
-    if (got < 0) {
+  private static Slice read(InputStream from, int mostBytes) throws IOException {
+    byte[] bytes = new byte[Math.min(Sockets.LARGEST_STEP, mostBytes)];
+    int count = from.read(bytes);
+    if (count < 0) {
       throw new IOException("ended in the middle of a value");
     }
-    return new Slice(bytes, 0, got);
+    return new Slice(bytes, 0, count);
+  }
+
+  private static void readLineEnd(InputStream from, InputBuffer input)
+      throws IOException, ProtocolException {
+    while (input.size() < LINE_END_BYTES) {
+      readMore(from, input);
+    }
+    if (!isLineEnd(input, 0)) {
+      throw new ProtocolException("string not ended where it said");
+    }
+    input.consume(LINE_END_BYTES);
   }
 
-  private static RespValue next(RespReader reader, InputStream from, InputBuffer in)
+  private static RespValue readValue(RespReader reader, InputStream from, InputBuffer input)
       throws IOException, ProtocolException {
-    RespValue value = reader.next(in);
+    RespValue value = reader.next(input);
     while (value == null) {
-      more(from, in);
-      value = reader.next(in);
+      readMore(from, input);
+      value = reader.next(input);
     }
     return value;
   }
 
-  private static void more(InputStream from, InputBuffer in) throws IOException {
-    if (!Sockets.read(from, in)) {
+  private static void readMore(InputStream from, InputBuffer input) throws IOException {
+    if (!Sockets.read(from, input)) {
       throw new IOException("ended in the middle of an answer");
     }
   }
--- a/src/main/java/beaconturn/net/server/WorkerPool.java
+++ b/src/main/java/beaconturn/net/server/WorkerPool.java
@@ -8,122 +8,136 @@
 import java.util.logging.Logger;
 
 /**
- * Threads that carry one job at a time and wait a while for the next. The one that came back last
- * is used first, so that those too many wait in vain and end. Each waits on its own monitor, for
- * the reason that {@link beaconturn.core.Mailbox} gives.
+ * Threads that run one job at a time and wait a while for the next; safe for any thread. The one
+ * that came back last is used first, so that those too many wait in vain and end. Each waits on its
+ * own monitor, for the reason that {@link beaconturn.core.Mailbox} gives.
  */
 public final class WorkerPool {
   private static final Logger LOG = Logger.getLogger(WorkerPool.class.getName());
-  private final String name;
-  private final long keep;
+  private final String threadName;
+  private final long keepAliveNanos;
   // Guarded by this:
-  private final Deque<Worker> idle = new ArrayDeque<>();
-  private int threads;
+  private final Deque<PooledThread> idle = new ArrayDeque<>();
+  private int threadCount;
 
-  /** Threads of that name that end when they have waited so many nanoseconds for a job. */
-  public WorkerPool(String name, long keep) {
-    this.name = name;
-    this.keep = keep;
+  /** Threads of that name that end when they have waited so long for a job. */
+  public WorkerPool(String threadName, long keepAliveNanos) {
+    this.threadName = threadName;
+    this.keepAliveNanos = keepAliveNanos;
   }
 
   /**
-   * Runs the job on a thread that waits, or on a new one; an OutOfMemoryError if none can be had.
+   * Runs the job on a thread that waits, or on a new one.
+   *
+   * @throws OutOfMemoryError if no thread can be had; the job will not run
    */
   void run(Runnable job) {
-    Worker waiting;
-    synchronized (this) {
-      waiting = idle.pollFirst();
-      threads += waiting == null ? 1 : 0;
-    }
+    PooledThread waiting = takeIdleOrCountNew();
     if (waiting != null) {
-      waiting.take(job);
+      waiting.assign(job);
       return;
     }
     boolean started = false;
     try {
-      Threads.start(name, new Worker(job));
+      Threads.start(threadName, new PooledThread(job));
       started = true;
     } finally {
       if (!started) {
-        ended();
+        threadEnded();
       }
     }
   }
 
   /** How many threads there are, at work or waiting. */
-  synchronized int threads() {
-    return threads;
+  synchronized int threadCount() {
+    return threadCount;
+  }
+
+  /** Null if none waits; the one that the caller then starts is counted already. */
+  private synchronized PooledThread takeIdleOrCountNew() {
+    PooledThread waiting = idle.pollFirst();
+    if (waiting == null) {
+      threadCount++;
+    }
+    return waiting;
   }
 
-  private synchronized void ended() {
-    threads--;
+  private synchronized void threadEnded() {
+    threadCount--;
   }
 
-  private synchronized void waits(Worker worker) {
-    idle.addFirst(worker);
+  private synchronized void addIdle(PooledThread thread) {
+    idle.addFirst(thread);
   }
 
-  private synchronized boolean leaves(Worker worker) {
-    return idle.remove(worker);
+  /** False if the thread was chosen for a job meanwhile. */
+  private synchronized boolean removeIdle(PooledThread thread) {
+    return idle.remove(thread);
   }
 
-  private final class Worker implements Runnable {
+  private final class PooledThread implements Runnable {
     // Guarded by this:
-    private Runnable job;
+    private Runnable assigned;
 
-    Worker(Runnable first) {
-      this.job = first;
+    PooledThread(Runnable firstJob) {
+      this.assigned = firstJob;
     }
 
     @Override
     public void run() {
       try {
-        for (Runnable next = taken(); next != null; next = next()) {
-          perform(next);
+        for (Runnable job = takeAssigned(); job != null; job = awaitNext()) {
+          perform(job);
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       } finally {
-        ended();
+        threadEnded();
       }
     }
 
-    private void perform(Runnable next) {
+    private void perform(Runnable job) {
       try {
-        next.run();
+        job.run();
       } catch (RuntimeException | Error e) {
-        LOG.log(Level.SEVERE, name + ": a job failed, and its thread goes on", e);
+        LOG.log(Level.SEVERE, threadName + ": a job failed, and its thread goes on", e);
       }
     }
 
-    private synchronized void take(Runnable next) {
-      job = next;
+    private synchronized void assign(Runnable job) {
+      assigned = job;
       notifyAll();
     }
 
-    private synchronized Runnable taken() {
-      Runnable next = job;
-      job = null;
-      return next;
+    private synchronized Runnable takeAssigned() {
+      Runnable job = assigned;
+      assigned = null;
+      return job;
     }
 
-    /** Null once it has waited long enough and nobody has chosen it meanwhile. */
-    private Runnable next() throws InterruptedException {
-      waits(this);
-      if (!waited(keep) && leaves(this)) {
+    /**
+     * The next job, or null once this thread has waited long enough and nobody has chosen it. A job
+     * could be lost where it is assigned just as the wait ends: whoever was chosen is not idle any
+     * more, and waits on for the job that is on its way.
+     */
+    private Runnable awaitNext() throws InterruptedException {
+      addIdle(this);
+      if (!awaitAssigned(keepAliveNanos) && removeIdle(this)) {
         return null;
       }
-      waited(Long.MAX_VALUE);
-      return taken();
+      awaitAssigned(Long.MAX_VALUE);
+      return takeAssigned();
     }
 
-    /** Waits for a job so many nanoseconds; whether there is one. */
-    private synchronized boolean waited(long nanos) throws InterruptedException {
-      long began = System.nanoTime();
-      for (long left = nanos; job == null && left > 0; left = nanos - (System.nanoTime() - began)) {
-        TimeUnit.NANOSECONDS.timedWait(this, left);
+    /** Waits for a job for so long; whether there is one. */
+    private synchronized boolean awaitAssigned(long timeoutNanos) throws InterruptedException {
+      long beganNanos = System.nanoTime();
+      long leftNanos = timeoutNanos;
+      while (assigned == null && leftNanos > 0) {
+        TimeUnit.NANOSECONDS.timedWait(this, leftNanos);
+        leftNanos = timeoutNanos - (System.nanoTime() - beganNanos);
       }
-      return job != null;
+      return assigned != null;
     }
   }
 }
--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/BrokenRouter.java
@@ -34,7 +34,7 @@
  * Routers with a defect each, put in on purpose: what watches over routers must name every one of
  * them.
  */
-public final class BrokenRouter implements RouterServer.Hosting {
+public final class BrokenRouter implements RouterCustomization {
   private static final int SOME = 15;
   private static final long TOO_LONG = 60_000_000_000L;
   private final Defect defect;
@@ -70,7 +70,8 @@
   /** A router with the defect; not started yet. */
   public static RouterServer of(Defect defect, RouterConfig config) throws IOException {
     return new RouterServer(
-        config, () -> config, new Lifecycle(), new BrokenRouter(defect), null, null);
+        new RouterInputs(
+            config, () -> config, new Lifecycle(), new BrokenRouter(defect), null, null));
   }
 
   @Override
@@ -170,7 +171,7 @@
   }
 
   @Override
-  public RoutingEngine host(
+  public RoutingEngine engine(
       RouterConfig config, Clock clock, CacheServerClients fleet, EndpointDiscovery list) {
     RoutingSettings settings = config.settings().routing();
     return new RoutingEngine(
--- a/src/test/java/beaconturn/net/OperatorOverridesTest.java
+++ b/src/test/java/beaconturn/net/OperatorOverridesTest.java
@@ -42,7 +42,7 @@
             192,
             null,
             null,
-            new RouterConfig.Surroundings(any, false, folder),
+            new ProcessEnvironment(any, false, folder),
             new Json.Nothing());
     operators =
         new OperatorOverrides(
@@ -51,7 +51,7 @@
             () -> 0,
             posted::add,
             heldOut::contains,
-            new OperatorOverrides.Figures(new Counters(), null));
+            new RouterMetrics(new Counters(), null));
   }
 
   @AfterEach
@@ -66,9 +66,9 @@
   @Test
   void aCallBringsBackWhatACallLeftOut() {
     say(true);
-    assertTrue(operators.leftOut("c1"));
+    assertTrue(operators.isExcluded("c1"));
     say(false);
-    assertFalse(operators.leftOut("c1"));
+    assertFalse(operators.isExcluded("c1"));
     assertEquals(
         List.of(true, false), posted.stream().map(m -> ((RoutingMessage.ByHand) m).out()).toList());
   }
@@ -107,7 +107,7 @@
     heldOut.add("c1");
     say(true);
     heldOut.clear();
-    assertTrue(operators.leftOut("c1"));
+    assertTrue(operators.isExcluded("c1"));
     assertEquals(1, posted.size());
   }
 }
--- a/src/test/java/beaconturn/net/RouterConfigTest.java
+++ b/src/test/java/beaconturn/net/RouterConfigTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import beaconturn.core.Lifecycle;
 import beaconturn.core.RouterSettings;
 import beaconturn.core.RoutingMessage;
 import beaconturn.decision.Endpoint;
@@ -60,7 +61,7 @@
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
-    return RouterConfig.read(file, variables);
+    return RouterConfigReader.read(file, variables);
   }
 
   @Test
@@ -175,7 +176,13 @@
   private ConfigReloader reloads(String text) throws ConfigException {
     RouterConfig first = read(text, Map.of());
     return new ConfigReloader(
-        () -> read(files.remove(), Map.of()),
+        new RouterInputs(
+            first,
+            () -> read(files.remove(), Map.of()),
+            new Lifecycle(),
+            RouterCustomization.NONE,
+            null,
+            null),
         new DiscoveryWatcher(
             first.discovery(),
             new EndpointListParser(first.settings()),
@@ -183,11 +190,9 @@
             posted::add,
             () -> 0,
             WatchBackoff.of(1)),
-        first,
         posted::add,
         inForce::add,
-        counters,
-        false);
+        counters);
   }
 
   private void refused(String text, String reason) {
--- a/src/test/java/beaconturn/net/RouterServerTest.java
+++ b/src/test/java/beaconturn/net/RouterServerTest.java
@@ -42,8 +42,8 @@
   private static final String VALUE = "*3\r\n$2\r\nva\r\n$3\r\nhit\r\n$-1\r\n";
   private static final String GET =
       "*4\r\n$5\r\nC.GET\r\n$16\r\n00000000000000a1\r\n$2\r\nid\r\n$13\r\n" + "c=read,d=1500\r\n";
-  private static final RouterConfig.Surroundings OPERATED =
-      new RouterConfig.Surroundings(new InetSocketAddress("127.0.0.1", 0), false, null);
+  private static final ProcessEnvironment OPERATED =
+      new ProcessEnvironment(new InetSocketAddress("127.0.0.1", 0), false, null);
   private static final int SOCKETS = 100;
   private static final int MEMORY_MB = 192;
   private final CountDownLatch over = new CountDownLatch(1);
@@ -55,7 +55,7 @@
             over.await();
           });
   private final BlockingQueue<RouterConfig> newConfigs = new LinkedBlockingQueue<>();
-  private RouterConfig.Surroundings surroundings = RouterConfig.Surroundings.NONE;
+  private ProcessEnvironment surroundings = ProcessEnvironment.NONE;
   private RouterSettings settings = Samples.read();
   private RouterServer router;
 
@@ -214,17 +214,18 @@
                 })) {
       router =
           new RouterServer(
-              config(address, cache, registry),
-              this::reread,
-              lifecycle,
-              new RouterServer.Hosting() {
-                @Override
-                public long firstListWithin() {
-                  return 20_000_000_000L;
-                }
-              },
-              null,
-              null);
+              new RouterInputs(
+                  config(address, cache, registry),
+                  this::reread,
+                  lifecycle,
+                  new RouterCustomization() {
+                    @Override
+                    public long firstListTimeoutNanos() {
+                      return 20_000_000_000L;
+                    }
+                  },
+                  null,
+                  null));
       router.start();
       assertEquals("nobody is accepted yet", registry.note());
     }
--- a/src/test/java/beaconturn/net/UpgradeTest.java
+++ b/src/test/java/beaconturn/net/UpgradeTest.java
@@ -1,5 +1,6 @@
 package beaconturn.net;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -14,6 +15,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
+import java.util.HexFormat;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
@@ -27,6 +29,19 @@
 @Timeout(30)
 class UpgradeTest {
   private static final WarmStartState LEARNED = new WarmStartState(1e-7, 2e-7, 4e7, 8e7, 12, 1e9);
+
+  /** As the first build with this form wrote it. */
+  private static final String LEARNED_AT_5000_MILLIS =
+      "42544c4541524e32"
+          + "00000000d721de5e"
+          + "0000000000001388"
+          + "3e7ad7f29abcaf48"
+          + "3e8ad7f29abcaf48"
+          + "418312d000000000"
+          + "419312d000000000"
+          + "4028000000000000"
+          + "41cdcd6500000000";
+
   @TempDir private Path folder;
   private final BlockingQueue<SocketChannel> accepted = new LinkedBlockingQueue<>();
 
@@ -52,25 +67,41 @@
     }
   }
 
+  /**
+   * At an upgrade the process of the build before leaves the file and that of this build reads it,
+   * or the other way round after a roll-back: its bytes are the same in both.
+   */
+  @Test
+  void aFileOfTheBuildBeforeIsReadAndWrittenByteForByte() throws IOException {
+    Path path = folder.resolve("learned");
+    byte[] before = HexFormat.of().parseHex(LEARNED_AT_5000_MILLIS);
+    Files.write(path, before);
+    UpgradeState file = new UpgradeState(path);
+    assertEquals(LEARNED, file.read(9000));
+    Files.delete(path);
+    file.write(LEARNED, 5000);
+    assertArrayEquals(before, Files.readAllBytes(path));
+  }
+
   @Test
   void eachOfTwoProcessesSeesTheOtherAsLongAsItRunsAndWithoutAFileIsNeverAlone()
       throws IOException {
     Path path = folder.resolve("seats");
     ProcessSlots first = new ProcessSlots(path);
-    assertFalse(first.beside());
+    assertFalse(first.isOtherTaken());
     ProcessSlots second = new ProcessSlots(path);
-    assertTrue(first.beside());
-    assertTrue(second.beside());
+    assertTrue(first.isOtherTaken());
+    assertTrue(second.isOtherTaken());
     first.close();
-    assertFalse(second.beside());
+    assertFalse(second.isOtherTaken());
     try (ProcessSlots third = new ProcessSlots(path)) {
-      assertTrue(second.beside());
-      assertTrue(third.beside());
+      assertTrue(second.isOtherTaken());
+      assertTrue(third.isOtherTaken());
     }
-    assertFalse(second.beside());
+    assertFalse(second.isOtherTaken());
     second.close();
     try (ProcessSlots none = new ProcessSlots(folder.resolve("missing").resolve("seats"))) {
-      assertTrue(none.beside());
+      assertTrue(none.isOtherTaken());
     }
   }
 
--- a/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
+++ b/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
@@ -6,7 +6,7 @@
 import beaconturn.agreement.AgreementKeys;
 import beaconturn.agreement.AgreementTiming;
 import beaconturn.agreement.ConfigAdmin;
-import beaconturn.net.RouterConfig;
+import beaconturn.net.RouterConfigReader;
 import beaconturn.standin.net.StoreServer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -25,7 +25,7 @@
   private static AgreementSubsystem at(InetSocketAddress store) throws Exception {
     return new AgreementSubsystem(
         new AgreementConfig(List.of(store), "/f", TIMING, null),
-        RouterConfig.read(Path.of("examples", "config.json"), Map.of()));
+        RouterConfigReader.read(Path.of("examples", "config.json"), Map.of()));
   }
 
   /** Whoever serves before it has asked acts on what may be over. */
--- a/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
@@ -32,9 +32,10 @@
   private final Clock clock = Clock.system();
   private final WorkerPool workers = new WorkerPool("fleet-cache", SECOND / 100);
   private final BlockingQueue<RoutingMessage> module = new LinkedBlockingQueue<>();
-  private final CacheServer.Site site =
-      CacheServerTest.site(clock, module::add, new ConnectionLimit(9), SECOND / 100, workers);
-  private final CacheServerPool fleet = new CacheServerPool(site);
+  private final CacheServerEnvironment environment =
+      CacheServerTest.environment(
+          clock, module::add, new ConnectionLimit(9), SECOND / 100, workers);
+  private final CacheServerPool pool = new CacheServerPool(environment);
 
   private static EndpointUpdate.Member member(long id, EndpointHealth health, TestPeer peer) {
     return new EndpointUpdate.Member(
@@ -70,24 +71,24 @@
   @Timeout(60)
   void theActorOfAServerThatIsGoneEndsWithoutFurtherNews() throws Exception {
     try (TestPeer peer = cache()) {
-      fleet.follow(
+      pool.follow(
           new EndpointUpdate(
               1,
               EndpointListKind.FULL,
               List.of(
                   member(1, EndpointHealth.READY, peer), member(2, EndpointHealth.READY, peer))));
-      assertTrue(fleet.send(attempt(1)));
-      TestPeer.until(() -> site.actors().count() == 2);
-      fleet.follow(
+      assertTrue(pool.send(attempt(1)));
+      TestPeer.until(() -> environment.thread().serverCount() == 2);
+      pool.follow(
           new EndpointUpdate(
               2, EndpointListKind.DELTA, List.of(member(1, EndpointHealth.GONE, peer))));
-      assertFalse(fleet.send(attempt(1)), "nothing is sent to a server that is gone");
+      assertFalse(pool.send(attempt(1)), "nothing is sent to a server that is gone");
       OutboundAttempt givenUp = attempt(2);
       givenUp.end(AttemptOutcome.CANCELLED);
       TestPeer.until(
           () -> {
-            fleet.send(givenUp);
-            return site.actors().count() == 1;
+            pool.send(givenUp);
+            return environment.thread().serverCount() == 1;
           });
     }
   }
@@ -100,24 +101,24 @@
   @Timeout(60)
   void threadsGoByWhatIsOutAndAreGivenBack() throws Exception {
     try (TestPeer peer = cache()) {
-      fleet.follow(
+      pool.follow(
           new EndpointUpdate(
               1,
               EndpointListKind.FULL,
               LongStream.range(0, MANY)
                   .mapToObj(id -> member(id, EndpointHealth.READY, peer))
                   .toList()));
-      TestPeer.until(() -> site.actors().count() == MANY);
+      TestPeer.until(() -> environment.thread().serverCount() == MANY);
       int most = 0;
       for (long id = 0; id < MANY; id++) {
-        assertTrue(fleet.send(attempt(id)));
+        assertTrue(pool.send(attempt(id)));
         RoutingMessage.Ended ended = (RoutingMessage.Ended) module.take();
         assertEquals(AttemptOutcome.OK, ended.outcome().ending());
-        most = Math.max(most, workers.threads());
-        fleet.closeIdle(id);
+        most = Math.max(most, workers.threadCount());
+        pool.closeIdle(id);
       }
       assertTrue(most <= 3, most + " threads for one request at a time");
-      TestPeer.until(() -> workers.threads() == 0);
+      TestPeer.until(() -> workers.threadCount() == 0);
     }
   }
 }
--- a/src/test/java/beaconturn/net/server/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerTest.java
@@ -48,7 +48,7 @@
       new RespClientRequest.Reading(null, "read", 0, RequestMetrics.NONE);
   private int sent;
 
-  static CacheServer.Site site(
+  static CacheServerEnvironment environment(
       Clock clock,
       Consumer<RoutingMessage> module,
       ConnectionLimit places,
@@ -56,7 +56,7 @@
       WorkerPool workers) {
     CacheServerThread actors = new CacheServerThread(idleTime);
     actors.start();
-    return new CacheServer.Site(
+    return new CacheServerEnvironment(
         clock,
         module,
         places,
@@ -72,7 +72,7 @@
   private CacheServer server(InetSocketAddress dial, int connections, long idleTime) {
     CacheServer server =
         new CacheServer(
-            site(
+            environment(
                 clock,
                 module::add,
                 new ConnectionLimit(connections),
@@ -160,7 +160,7 @@
   void whatStillWaitsWhenItsServerDrainsIsNotWritten() throws InterruptedException {
     try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
       CacheServer server = server(peer);
-      server.wanted(false);
+      server.acceptsRequests(false);
       assertEquals(AttemptOutcome.SUPERSEDED, outcome(send(server)).ending());
       assertEquals(0, peer.connections());
     }
@@ -200,15 +200,13 @@
       CacheConnection connection =
           new CacheConnection(
               peer.address(),
-              SECOND,
-              clock,
-              new CacheResponseReader(Samples.read().routing()),
-              new Ignoring() {
-                @Override
-                public boolean wanted() {
-                  return true;
-                }
-              });
+              environment(
+                  clock,
+                  module::add,
+                  new ConnectionLimit(1),
+                  60 * SECOND,
+                  new WorkerPool("test-cache", SECOND)),
+              new IgnoringListener());
       OutboundAttempt attempt = attempt(null);
       ((RespClientRequest) attempt.call()).abandoned();
       connection.carry(attempt);
@@ -216,28 +214,34 @@
     }
   }
 
-  private abstract static class Ignoring implements CacheConnection.Owner {
+  /** Permits every write and hears nothing. */
+  private static final class IgnoringListener implements CacheConnectionListener {
     @Override
-    public void begun(OutboundAttempt attempt, long at, BoundedPipe flow) {}
+    public boolean mayWrite() {
+      return true;
+    }
+
+    @Override
+    public void responseBegun(OutboundAttempt attempt, long atNanos, BoundedPipe pipe) {}
 
     @Override
-    public void ended(
+    public void attemptEnded(
         CacheConnection connection,
         OutboundAttempt attempt,
-        AttemptResult outcome,
+        AttemptResult result,
         boolean reusable) {}
 
     @Override
-    public void stale(OutboundAttempt attempt) {}
+    public void connectionStale(OutboundAttempt attempt) {}
 
     @Override
-    public void sent() {}
+    public void requestWritten() {}
 
     @Override
-    public void spoilt() {}
+    public void unreadableResponse() {}
 
     @Override
-    public void closed() {}
+    public void connectionClosed() {}
   }
 
   @Test
@@ -536,7 +540,7 @@
   }
 
   private static void awaitQuiet(CacheServer server) {
-    while (!server.quiet()) {
+    while (!server.isQuiet()) {
       Thread.onSpinWait();
     }
   }
@@ -574,7 +578,7 @@
                 })) {
       CacheServer server = server(old);
       outcome(send(server));
-      server.dial(next.address());
+      server.address(next.address());
       assertEquals(AttemptOutcome.OK, outcome(send(server)).ending());
       assertEquals("C.GET", next.note());
       assertEquals("end", old.note(), "the idle connection to the old address is closed");
--- a/src/test/java/beaconturn/net/server/WorkerPoolTest.java
+++ b/src/test/java/beaconturn/net/server/WorkerPoolTest.java
@@ -43,7 +43,7 @@
       TestPeer.until(() -> other.getState() == Thread.State.TIMED_WAITING);
       assertSame(other, run(workers));
     }
-    assertEquals(2, workers.threads());
+    assertEquals(2, workers.threadCount());
     over.countDown();
   }
 
@@ -54,7 +54,7 @@
     for (int i = 0; i < 2000; i++) {
       run(workers);
     }
-    TestPeer.until(() -> workers.threads() == 0);
+    TestPeer.until(() -> workers.threadCount() == 0);
   }
 
   @Test
@@ -65,6 +65,6 @@
           throw new IllegalStateException("as the test wants");
         });
     run(workers);
-    assertTrue(workers.threads() <= 2);
+    assertTrue(workers.threadCount() <= 2);
   }
 }
