--- a/src/main/java/beaconturn/net/ClientAcceptor.java
+++ b/src/main/java/beaconturn/net/ClientAcceptor.java
@@ -4,6 +4,7 @@
 import beaconturn.core.RepeatedEventLog;
 import beaconturn.net.client.ClientConnection;
 import beaconturn.net.client.ClientConnections;
+import beaconturn.net.client.ConnectionContext;
 import beaconturn.net.io.Sockets;
 import java.nio.channels.SocketChannel;
 import java.util.logging.Logger;
@@ -13,7 +14,7 @@
   private static final Logger LOG = Logger.getLogger(ClientAcceptor.class.getName());
 
   private final ClientConnections connections;
-  private final ClientConnection.Site site;
+  private final ConnectionContext context;
   private final RouterCustomization customization;
   private final Clock clock;
   private final RepeatedEventLog turnedAway =
@@ -21,11 +22,11 @@
 
   ClientAcceptor(
       ClientConnections connections,
-      ClientConnection.Site site,
+      ConnectionContext context,
       RouterCustomization customization,
       Clock clock) {
     this.connections = connections;
-    this.site = site;
+    this.context = context;
     this.customization = customization;
     this.clock = clock;
   }
@@ -36,7 +37,7 @@
    */
   void accept(SocketChannel channel) {
     if (connections.makeRoom(clock.now())) {
-      ClientConnection connection = customization.connection(channel, site);
+      ClientConnection connection = customization.connection(channel, context);
       connections.add(connection);
       connection.start();
     } else {
--- a/src/main/java/beaconturn/net/ProcessHandover.java
+++ b/src/main/java/beaconturn/net/ProcessHandover.java
@@ -59,8 +59,8 @@
     }
     peerRunning = peer.isRunning();
     ConnectionBudget budget = budget();
-    clients.bounds(budget.clients(), budget.clientsBeforeReclaim());
-    cacheConnections.most(budget.cacheConnections());
+    clients.setLimits(budget.clients(), budget.clientsBeforeReclaim());
+    cacheConnections.setLimit(budget.cacheConnections());
     WarmStartState latest = learned;
     learned = null;
     if (peerRunning && latest != null && lifecycle.phase() == Lifecycle.Phase.SERVING) {
--- a/src/main/java/beaconturn/net/RouterAssembly.java
+++ b/src/main/java/beaconturn/net/RouterAssembly.java
@@ -5,10 +5,10 @@
 import beaconturn.core.RoutingMessage;
 import beaconturn.core.RoutingThread;
 import beaconturn.decision.RoutingSettings;
-import beaconturn.net.client.ClientConnection;
 import beaconturn.net.client.ClientConnections;
 import beaconturn.net.client.ClientEventLog;
 import beaconturn.net.client.ClientPoller;
+import beaconturn.net.client.ConnectionContext;
 import beaconturn.net.client.PendingRequestIds;
 import beaconturn.net.discovery.DiscoveryWatcher;
 import beaconturn.net.discovery.EndpointListParser;
@@ -102,8 +102,8 @@
   }
 
   private ClientAcceptor buildAcceptor(Consumer<RoutingMessage> inbox, ConnectionBudget budget) {
-    ClientConnection.Site site =
-        new ClientConnection.Site(
+    ConnectionContext context =
+        new ConnectionContext(
             settings::parser,
             clock,
             inputs.lifecycle(),
@@ -113,7 +113,7 @@
             new Semaphore(budget.largeRequests()),
             new ClientEventLog(),
             clients::remove);
-    return new ClientAcceptor(clients, site, inputs.customization(), clock);
+    return new ClientAcceptor(clients, context, inputs.customization(), clock);
   }
 
   private DiscoveryWatcher buildDiscovery(Consumer<RoutingMessage> inbox) {
--- a/src/main/java/beaconturn/net/RouterCustomization.java
+++ b/src/main/java/beaconturn/net/RouterCustomization.java
@@ -6,6 +6,7 @@
 import beaconturn.core.RoutingEngine;
 import beaconturn.core.RoutingMessage;
 import beaconturn.net.client.ClientConnection;
+import beaconturn.net.client.ConnectionContext;
 import java.nio.channels.SocketChannel;
 import java.util.function.Consumer;
 
@@ -36,8 +37,8 @@
   }
 
   /** How a client's connection is served. */
-  default ClientConnection connection(SocketChannel channel, ClientConnection.Site site) {
-    return new ClientConnection(channel, site);
+  default ClientConnection connection(SocketChannel channel, ConnectionContext context) {
+    return new ClientConnection(channel, context);
   }
 
   /** Where clients, cache servers and discovery post their messages. */
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -147,7 +147,7 @@
     listener =
         config.shared()
             ? Listener.inherited(parts.acceptor()::accept)
-            : Listener.bound(config.listen(), parts.acceptor()::accept);
+            : Listener.bind(config.listen(), parts.acceptor()::accept);
     listener.start();
     LOG.info(
         config.name()
--- a/src/main/java/beaconturn/net/server/LargeResponseStream.java
+++ b/src/main/java/beaconturn/net/server/LargeResponseStream.java
@@ -118,7 +118,7 @@
   }
 
   private static Slice read(InputStream from, int mostBytes) throws IOException {
-    byte[] bytes = new byte[Math.min(Sockets.LARGEST_STEP, mostBytes)];
+    byte[] bytes = new byte[Math.min(Sockets.MAX_TRANSFER_BYTES, mostBytes)];
     int count = from.read(bytes);
     if (count < 0) {
       throw new IOException("ended in the middle of a value");
