--- a/src/test/java/beaconturn/agreement/SimulatedAgreement.java
+++ b/src/test/java/beaconturn/agreement/SimulatedAgreement.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
+import java.util.function.Consumer;
 
 /**
  * Members before a store, in virtual time: calls take a while, get lost on the way there or back,
@@ -22,6 +23,10 @@
   final List<SimulatedMember> seats = new ArrayList<>();
   final List<String> offences = new ArrayList<>();
   final List<InForce> inForce = new ArrayList<>();
+
+  /** Hears each request, answer, callback and log line of every member, as text. */
+  Consumer<String> trace = line -> {};
+
   final Random random;
   final StoreModel store;
   long acts;
@@ -37,6 +42,10 @@
     boolean oneWay;
     boolean ignoresLease;
     boolean keeps = true;
+
+    /** False where the disk is full: what is written is never there. */
+    boolean keepsAnything = true;
+
     long list = Long.MAX_VALUE;
     long pausedUntil;
     PersistedConfig kept = PersistedConfig.NOTHING;
@@ -68,7 +77,7 @@
               random.nextLong(),
               now(),
               this,
-              line -> {});
+              line -> trace.accept(name + " logs " + line));
       step(born);
     }
 
@@ -87,7 +96,9 @@
         return;
       }
       StoreRequest call = member.next(now());
+      trace.accept(agenda.now() + " " + name + " asks " + TraceText.of(call));
       if (call == null) {
+        trace.accept("until " + member.wakeAt());
         long wait = (long) ((member.wakeAt() - now()) / pace);
         agenda.in(Math.max(MILLI, wait), () -> step(born));
         return;
@@ -118,6 +129,7 @@
         agenda.at(pausedUntil, () -> heard(born, answer));
         return;
       }
+      trace.accept(agenda.now() + " " + name + " hears " + TraceText.of(answer));
       member.answered(now(), answer);
       step(born);
     }
@@ -132,12 +144,14 @@
     @Override
     public void ground(EffectiveConfig next) {
       ground = next;
+      trace.accept(name + " acts on " + TraceText.of(next));
     }
 
     @Override
     public boolean keep(PersistedConfig next) {
       kept = next;
-      return true;
+      trace.accept(name + " keeps " + next.text());
+      return keepsAnything;
     }
 
     @Override
--- /dev/null
+++ b/src/test/java/beaconturn/agreement/TraceText.java
@@ -0,0 +1,83 @@
+package beaconturn.agreement;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Requests, responses and effective configurations as texts that stay the same when types and
+ * members are renamed, for digests of what members do.
+ */
+public final class TraceText {
+  private TraceText() {}
+
+  /** A request, or that there is none. */
+  public static String of(StoreRequest request) {
+    if (request instanceof StoreRequest.Grant grant) {
+      return "grant " + grant.seconds();
+    }
+    if (request instanceof StoreRequest.KeepAlive keepAlive) {
+      return "keep alive " + keepAlive.lease();
+    }
+    if (request instanceof StoreRequest.Revoke revoke) {
+      return "revoke " + revoke.lease();
+    }
+    if (request instanceof StoreRequest.Read read) {
+      return "read " + read.prefix();
+    }
+    if (request instanceof StoreRequest.Swap swap) {
+      List<String> texts = new ArrayList<>();
+      swap.conditions().forEach(condition -> texts.add(condition(condition)));
+      swap.changes().forEach(change -> texts.add(change(change)));
+      return "swap " + texts;
+    }
+    return "nothing";
+  }
+
+  private static String condition(StoreRequest.Condition condition) {
+    if (condition instanceof StoreRequest.Condition.Unchanged unchanged) {
+      return "unchanged " + unchanged.key() + " " + unchanged.revision();
+    }
+    if (condition instanceof StoreRequest.Condition.NoneAfter noneAfter) {
+      return "none after " + noneAfter.prefix() + " " + noneAfter.revision();
+    }
+    return "stands " + ((StoreRequest.Condition.Stands) condition).key();
+  }
+
+  private static String change(StoreRequest.Change change) {
+    if (change instanceof StoreRequest.Change.Put put) {
+      return "put " + put.key() + " " + put.value() + " " + put.lease();
+    }
+    return "delete " + ((StoreRequest.Change.Delete) change).key();
+  }
+
+  /** A response, but for what was read. */
+  public static String of(StoreResponse response) {
+    if (response instanceof StoreResponse.Given given) {
+      return given.held()
+          + " "
+          + given.cluster()
+          + " "
+          + given.revision()
+          + " "
+          + given.pairs().size()
+          + " "
+          + given.lease()
+          + " "
+          + given.seconds();
+    }
+    return response instanceof StoreResponse.Failed failed ? "failure " + failed.why() : "nothing";
+  }
+
+  /** An effective configuration. */
+  public static String of(EffectiveConfig config) {
+    return config.until()
+        + " "
+        + config.heldAs()
+        + " "
+        + ConfigCodec.json(config.held())
+        + " "
+        + config.afterAs()
+        + " "
+        + ConfigCodec.json(config.after());
+  }
+}
--- a/src/test/java/beaconturn/zones/RandomFailoverScenario.java
+++ b/src/test/java/beaconturn/zones/RandomFailoverScenario.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 
 /**
  * A course of troubles in the model, each at its time and for as long as it lasts: made of chance
@@ -66,11 +67,17 @@
 
   /** What went wrong that must not, or null. */
   String fails() {
+    return fails(world -> {});
+  }
+
+  /** The same, with something done to the world before it runs. */
+  String fails(Consumer<SimulatedZones> prepare) {
     Map<String, String> regions = new TreeMap<>();
     for (int i = 0; i < places; i++) {
       regions.put("p" + i, i % 2 == 0 ? "a" : "b");
     }
     SimulatedZones world = new SimulatedZones(seed, regions, routers, inPlace * 3 / routers, 100);
+    prepare.accept(world);
     for (Trouble t : troubles) {
       world.agenda.at(t.from(), () -> set(world, t, true));
       if (t.to() != NEVER) {
--- a/src/test/java/beaconturn/zones/SimulatedZones.java
+++ b/src/test/java/beaconturn/zones/SimulatedZones.java
@@ -5,6 +5,7 @@
 import beaconturn.agreement.StoreModelClient;
 import beaconturn.agreement.StoreRequest;
 import beaconturn.agreement.StoreResponse;
+import beaconturn.agreement.TraceText;
 import beaconturn.standin.EventScheduler;
 import beaconturn.standin.store.StoreModel;
 import java.util.ArrayList;
@@ -13,6 +14,7 @@
 import java.util.Random;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 
 /**
  * Routers of several places before a store, in virtual time. Each router takes so many requests a
@@ -36,6 +38,10 @@
   final SortedMap<String, Spot> spots = new TreeMap<>();
   final List<Seat> seats = new ArrayList<>();
   final List<String> log = new ArrayList<>();
+
+  /** Hears each request and answer of every member, as text. */
+  Consumer<String> trace = line -> {};
+
   final Random random;
   private static final double PUSHED = 1.05;
   private static final long PUSHED_FOR = 8 * SECOND;
@@ -179,7 +185,9 @@
       }
       follower.look(agenda.now());
       StoreRequest call = follower.next(agenda.now());
+      trace.accept(agenda.now() + " " + name + " asks " + TraceText.of(call));
       if (call == null) {
+        trace.accept("until " + follower.wakeAt());
         agenda.in(
             Math.max(MILLI, Math.min(100 * MILLI, follower.wakeAt() - agenda.now())),
             () -> step(born));
@@ -195,6 +203,7 @@
                 heard ? way : timing.callTimeout() - way,
                 () -> {
                   if (born == life) {
+                    trace.accept(agenda.now() + " " + name + " hears " + TraceText.of(answer));
                     follower.answered(
                         agenda.now(),
                         answer != null && !cut
--- /dev/null
+++ b/src/test/java/beaconturn/zones/ZonesCodecTest.java
@@ -0,0 +1,94 @@
+package beaconturn.zones;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import beaconturn.agreement.AgreementException;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Routers of two builds share one store while a release is under way: each has to read the plans,
+ * reports and orders of the other. The constants are texts that an earlier build has written.
+ */
+class ZonesCodecTest {
+  private static final String PLAN =
+      """
+          {"number":7,"rows":[{"place":"z0","state":"near","flaps":0,"part\
+          s":[{"to":"z0","part":950},{"to":"b","part":30},{"to":"a","part"\
+          :20}]},{"place":"z1","state":"spilling","flaps":1,"parts":[{"to"\
+          :"z1","part":949},{"to":"b","part":30},{"to":"a","part":20}]},{"\
+          place":"z2","state":"failed_over","flaps":2,"parts":[{"to":"z2",\
+          "part":948},{"to":"b","part":30},{"to":"a","part":20}]},{"place"\
+          :"z3","state":"returning","flaps":3,"parts":[{"to":"z3","part":9\
+          47},{"to":"b","part":30},{"to":"a","part":20}]},{"place":"z4","s\
+          tate":"split","flaps":4,"parts":[{"to":"z4","part":946},{"to":"b\
+          ","part":30},{"to":"a","part":20}]}],"why":"z1: answers fail","b\
+          y":"1f-77"}""";
+  private static final String REPORT =
+      """
+          {"router":"r1/1f-77","home":"east","number":9,"plan":7,"arrivals\
+          ":123456789012,"places":[{"place":"east","good":1000000,"bad":20\
+          ,"micros":333333333333,"listed":12,"warm":11,"ejected":1},{"plac\
+          e":"west","good":0,"bad":0,"micros":0,"listed":0,"warm":0,"eject\
+          ed":0}]}""";
+  private static final String ORDER =
+      """
+          {"place":"east","what":"WORD","weight":500,"for_ns":60000000000,\
+          "by":"op","reason":"power \\"work\\""}""";
+
+  private static ZonePlan plan() {
+    TreeMap<String, ZoneAllocation> rows = new TreeMap<>();
+    TreeMap<String, ZonePlan.State> states = new TreeMap<>();
+    TreeMap<String, Integer> flaps = new TreeMap<>();
+    int i = 0;
+    for (ZonePlan.State state : ZonePlan.State.values()) {
+      String zone = "z" + i;
+      Map<String, Integer> parts = new LinkedHashMap<>();
+      parts.put(zone, 950 - i);
+      parts.put("b", 30);
+      parts.put("a", 20);
+      rows.put(zone, new ZoneAllocation(parts));
+      states.put(zone, state);
+      if (i > 0) {
+        flaps.put(zone, i - 1);
+      }
+      i++;
+    }
+    return new ZonePlan(7, rows, states, flaps, "z1: answers fail", "1f-77");
+  }
+
+  private static ZoneReport report() {
+    TreeMap<String, ZoneObservations> zones = new TreeMap<>();
+    zones.put("east", new ZoneObservations(1_000_000, 20, 333_333_333_333L, 12, 11, 1));
+    zones.put("west", ZoneObservations.NONE);
+    return new ZoneReport("r1/1f-77", "east", 9, 7, 123_456_789_012L, zones);
+  }
+
+  private static ZoneOverride override(ZoneOverride.What what) {
+    return new ZoneOverride("east", what, 500, 60_000_000_000L, "op", "power \"work\"");
+  }
+
+  @Test
+  void aPlanIsWrittenAndReadAsByTheBuildBefore() throws AgreementException {
+    assertEquals(PLAN, ZonesCodec.of(plan()));
+    assertEquals(plan(), ZonesCodec.plan(PLAN));
+  }
+
+  @Test
+  void aReportIsWrittenAndReadAsByTheBuildBefore() throws AgreementException {
+    assertEquals(REPORT, ZonesCodec.of(report()));
+    assertEquals(report(), ZonesCodec.report(REPORT));
+  }
+
+  @Test
+  void anOrderIsWrittenAndReadAsByTheBuildBefore() throws AgreementException {
+    String[] words = {"drain", "hold", "weight"};
+    for (ZoneOverride.What what : ZoneOverride.What.values()) {
+      String text = ORDER.replace("WORD", words[what.ordinal()]);
+      assertEquals(text, ZonesCodec.of(override(what)));
+      assertEquals(override(what), ZonesCodec.order(text));
+    }
+  }
+}
