--- /dev/null
+++ b/src/main/java/beaconturn/cli/CacheDrain.java
@@ -0,0 +1,104 @@
+package beaconturn.cli;
+
+import beaconturn.agreement.AgreementException;
+import beaconturn.agreement.AgreementSnapshot;
+import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.ConfigContent;
+import beaconturn.release.DisruptionPermitAdmin;
+import beaconturn.release.InstanceKind;
+import beaconturn.release.Unavailability;
+import java.util.TreeSet;
+
+/**
+ * Drains a cache server outside of a release: a disruption permit first, then a configuration
+ * version that excludes it. Done when all routers act on that version.
+ *
+ * @param author who, for the history
+ * @param reason why, for the history
+ * @param waitSeconds how long to wait until all routers act on the version
+ */
+record CacheDrain(
+    ConfigAdmin agreement,
+    DisruptionPermitAdmin permits,
+    String author,
+    String reason,
+    int waitSeconds) {
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
+  private static final long POLL_MILLIS = 100;
+
+  /** Drains a cache server; the exit status. */
+  int drain(String server, Unavailability observed)
+      throws AgreementException, InterruptedException {
+    long permit = permits.takePermit(InstanceKind.CACHE, server, reason, observed);
+    System.out.println(server + " is out under permit " + permit);
+    return exclude(server, true);
+  }
+
+  /** Takes a drained cache server back into service; the exit status. */
+  int undrain(String server) throws AgreementException, InterruptedException {
+    int status = exclude(server, false);
+    if (status == 0) {
+      System.out.println(permits.returnPermit(InstanceKind.CACHE, server, reason));
+    }
+    return status;
+  }
+
+  private int exclude(String server, boolean excluded)
+      throws AgreementException, InterruptedException {
+    long deadlineNanos = System.nanoTime() + waitSeconds * NANOS_PER_SECOND;
+    long version = propose(server, excluded, deadlineNanos);
+    while (System.nanoTime() < deadlineNanos) {
+      if (agreement.view().seen().settled() >= version) {
+        String routers = excluded ? "nobody sends to %s any more" : "all may send to %s";
+        System.out.println(routers.replace("%s", server) + ": version " + version + " is settled");
+        return 0;
+      }
+      Thread.sleep(POLL_MILLIS);
+    }
+    System.err.println(
+        "version "
+            + version
+            + " is not settled yet, it waits for "
+            + String.join(", ", agreement.view().waiting()));
+    return ReleaseRunner.NOT_NOW;
+  }
+
+  /**
+   * Proposes the version, or finds that the one in force is as wanted. While another version is on
+   * its way this one waits for it; the number of the version.
+   */
+  private long propose(String server, boolean excluded, long deadlineNanos)
+      throws AgreementException, InterruptedException {
+    while (true) {
+      AgreementSnapshot snapshot = agreement.view().seen();
+      boolean asWanted = snapshot.current().content().out().contains(server) == excluded;
+      if (!snapshot.open() && asWanted) {
+        return snapshot.current().number();
+      }
+      try {
+        return agreement.propose(
+            content -> withExcluded(content, server, excluded),
+            author,
+            reason,
+            System.currentTimeMillis());
+      } catch (AgreementException e) {
+        if (System.nanoTime() > deadlineNanos) {
+          throw e;
+        }
+        Thread.sleep(POLL_MILLIS);
+      }
+    }
+  }
+
+  private static ConfigContent withExcluded(
+      ConfigContent content, String server, boolean excluded) {
+    TreeSet<String> all = new TreeSet<>(content.out());
+    if (excluded) {
+      all.add(server);
+    } else {
+      all.remove(server);
+    }
+    return new ConfigContent(
+        content.classes(), content.mostTries(), content.secondCopies(), content.oldestList(), all);
+  }
+}
--- a/src/main/java/beaconturn/cli/InstanceMetricsReader.java
+++ b/src/main/java/beaconturn/cli/InstanceMetricsReader.java
@@ -2,165 +2,174 @@
 
 import beaconturn.release.InstanceMetrics;
 import beaconturn.release.InstanceSample;
-import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStreamReader;
-import java.net.InetSocketAddress;
-import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 
 /**
- * How a part does, asked at second addresses: a router's at its own, a cache server's at those of
- * the routers that use it, as what a server says of itself is worth little.
+ * Reads the metrics of an instance at second addresses: of a router at its own, of a cache server
+ * at those of the routers that use it, as they see how it does. Confined to the thread of the
+ * agent.
  */
 final class InstanceMetricsReader {
-  private static final int PATIENCE_MILLIS = 1000;
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long MILLION = 1_000_000;
-  private static final long THOUSAND = 1000;
-  private static final String PREFIX = "app.";
-  private final String part;
+  private static final long MILLIS_PER_SECOND = 1000;
+
+  /** Metrics that routers count of a cache server. */
+  private static final List<InstanceMetrics> CACHE_METRICS =
+      List.of(
+          InstanceMetrics.SERVED,
+          InstanceMetrics.FAILED,
+          InstanceMetrics.HITS,
+          InstanceMetrics.HIT_MICROS);
+
+  private final String instanceId;
   private final boolean cache;
   private final List<String> addresses;
 
-  /** What each address has told last, and of a cache server what all have told in sum. */
-  private final Map<String, Map<String, Long>> last = new HashMap<>();
+  /** Values of the last reading, by address. */
+  private final Map<String, Map<String, Long>> lastValues = new HashMap<>();
 
+  /** Sums over all readings. */
   private final Map<InstanceMetrics, Long> sums = new EnumMap<>(InstanceMetrics.class);
-  private long askedAt;
+
+  private long lastReadNanos;
+
+  /** Grows with each process of the router that was noticed. */
   private int process;
 
-  /** Of a router at the one address, or of a cache server at several. */
-  InstanceMetricsReader(String part, boolean cache, List<String> addresses) {
-    this.part = part;
+  /** A reader of a router at its address, or of a cache server at those of routers. */
+  InstanceMetricsReader(String instanceId, boolean cache, List<String> addresses) {
+    this.instanceId = instanceId;
     this.cache = cache;
     this.addresses = List.copyOf(addresses);
   }
 
-  /** What is known now; fails where nobody answers. */
-  InstanceSample ask() throws IOException {
-    return cache ? ofCache() : ofRouter();
+  /**
+   * The metrics as of now.
+   *
+   * @throws IOException if no address answers
+   */
+  InstanceSample read() throws IOException {
+    return cache ? readCache() : readRouter();
   }
 
-  /** Counters run from the start of the process: those that fall tell of another one. */
-  private InstanceSample ofRouter() throws IOException {
-    Map<String, Long> now = call(addresses.get(0), "show-stat");
-    now.putAll(call(addresses.get(0), "show-health"));
-    long at = System.nanoTime();
-    Map<String, Long> before = last.getOrDefault(part, Map.of());
-    if (answers(now) < answers(before) || of(now, "cpu_ms") < of(before, "cpu_ms")) {
+  private InstanceSample readRouter() throws IOException {
+    String address = addresses.get(0);
+    Map<String, Long> values = StatsClient.read(address, "show-stat");
+    values.putAll(StatsClient.read(address, "show-health"));
+    long nowNanos = System.nanoTime();
+    Map<String, Long> before = lastValues.getOrDefault(address, Map.of());
+    if (isAnotherProcess(values, before)) {
       process++;
       sums.clear();
       before = Map.of();
     }
+    addReading(values);
+    Map<InstanceMetrics, Long> metrics = new EnumMap<>(sums);
+    putCounters(metrics, values);
+    putGauges(metrics, values, before, nowNanos);
+    lastValues.put(address, values);
+    lastReadNanos = nowNanos;
+    return new InstanceSample(Integer.toString(process), metrics);
+  }
+
+  /** Counters run from the start of a process: where one falls, it is another process. */
+  private static boolean isAnotherProcess(Map<String, Long> values, Map<String, Long> before) {
+    return answers(values) < answers(before)
+        || valueOf(values, "cpu_ms") < valueOf(before, "cpu_ms");
+  }
+
+  private void addReading(Map<String, Long> values) {
     add(InstanceMetrics.READINGS, 1);
+    long listed = Math.max(1, valueOf(values, "cluster_size"));
     add(
-        InstanceMetrics.AVOIDED,
-        of(now, "cluster_unhealthy") * MILLION / Math.max(1, of(now, "cluster_size")));
-    add(InstanceMetrics.MEMORY, of(now, "memory_kb"));
-    Map<InstanceMetrics, Long> all = new EnumMap<>(sums);
-    all.put(InstanceMetrics.GOOD, sum(now, "answered."));
-    all.put(InstanceMetrics.BAD, sum(now, "deferred.") + sum(now, "errored."));
-    all.put(InstanceMetrics.LATE, of(now, "late"));
-    all.put(InstanceMetrics.HITS, of(now, "hits"));
-    all.put(InstanceMetrics.MISSES, of(now, "misses"));
-    long millis = Math.max(1, (at - askedAt) / MILLI);
+        InstanceMetrics.AVOIDED_MILLIONTHS,
+        valueOf(values, "cluster_unhealthy") * MILLION / listed);
+    add(InstanceMetrics.MEMORY_KB, valueOf(values, "memory_kb"));
+  }
+
+  private static void putCounters(Map<InstanceMetrics, Long> metrics, Map<String, Long> values) {
+    metrics.put(InstanceMetrics.SERVED, sumOf(values, "answered."));
+    metrics.put(InstanceMetrics.FAILED, sumOf(values, "deferred.") + sumOf(values, "errored."));
+    metrics.put(InstanceMetrics.LATE, valueOf(values, "late"));
+    metrics.put(InstanceMetrics.HITS, valueOf(values, "hits"));
+    metrics.put(InstanceMetrics.MISSES, valueOf(values, "misses"));
+  }
+
+  private void putGauges(
+      Map<InstanceMetrics, Long> metrics,
+      Map<String, Long> values,
+      Map<String, Long> before,
+      long nowNanos) {
+    long elapsedMillis = Math.max(1, (nowNanos - lastReadNanos) / NANOS_PER_MILLI);
     if (!before.isEmpty()) {
-      all.put(InstanceMetrics.RATE, (answers(now) - answers(before)) * THOUSAND / millis);
-      all.put(InstanceMetrics.BUSY, (of(now, "cpu_ms") - of(before, "cpu_ms")) * THOUSAND / millis);
+      long answers = answers(values) - answers(before);
+      long cpuMillis = valueOf(values, "cpu_ms") - valueOf(before, "cpu_ms");
+      metrics.put(InstanceMetrics.ANSWERS_PER_SECOND, answers * MILLIS_PER_SECOND / elapsedMillis);
+      // Milliseconds of processor time in a second are thousandths of a core.
+      metrics.put(InstanceMetrics.CPU_MILLICORES, cpuMillis * MILLIS_PER_SECOND / elapsedMillis);
     }
-    all.put(InstanceMetrics.CORES, of(now, "cores_thousandth"));
-    all.put(InstanceMetrics.CONNECTIONS, of(now, "connections"));
-    all.put(InstanceMetrics.MOST_CONNECTIONS, of(now, "most_connections"));
-    last.put(part, now);
-    askedAt = at;
-    return new InstanceSample(Integer.toString(process), all);
+    metrics.put(InstanceMetrics.CPU_LIMIT_MILLICORES, valueOf(values, "cores_thousandth"));
+    metrics.put(InstanceMetrics.CONNECTIONS, valueOf(values, "connections"));
+    metrics.put(InstanceMetrics.MAX_CONNECTIONS, valueOf(values, "most_connections"));
   }
 
   /**
-   * What routers count of it, from when each of them was first asked; one that is gone tells later.
+   * What routers have counted of the cache server since each of them was first read; the counts of
+   * one that does not answer are added once it does.
    */
-  private InstanceSample ofCache() throws IOException {
-    IOException failed = null;
-    int told = 0;
+  private InstanceSample readCache() throws IOException {
+    IOException failure = new IOException("no address is given");
+    boolean answered = false;
     for (String address : addresses) {
       try {
-        Map<String, Long> now = call(address, "show-health");
-        Map<String, Long> before = last.put(address, now);
-        for (InstanceMetrics figure :
-            List.of(
-                InstanceMetrics.GOOD,
-                InstanceMetrics.BAD,
-                InstanceMetrics.HITS,
-                InstanceMetrics.HIT_MICROS)) {
-          String name = "cache_" + figure.name().toLowerCase(Locale.ROOT) + "." + part;
-          long grown = of(now, name) - (before == null ? of(now, name) : of(before, name));
-          // Of another process all is new.
-          add(figure, grown < 0 ? of(now, name) : grown);
-        }
-        told++;
+        addCounted(address);
+        answered = true;
       } catch (IOException e) {
-        failed = e;
+        failure = e;
       }
     }
-    if (told == 0) {
-      throw failed == null ? new IOException("no address is given") : failed;
+    if (!answered) {
+      throw failure;
     }
     return new InstanceSample("", sums);
   }
 
-  private void add(InstanceMetrics figure, long value) {
-    sums.merge(figure, value, Long::sum);
+  private void addCounted(String address) throws IOException {
+    Map<String, Long> values = StatsClient.read(address, "show-health");
+    Map<String, Long> before = lastValues.put(address, values);
+    if (before == null) {
+      before = values;
+    }
+    for (InstanceMetrics metric : CACHE_METRICS) {
+      String name = "cache_" + metric.word() + "." + instanceId;
+      long value = valueOf(values, name);
+      long counted = value - valueOf(before, name);
+      // A counter that has fallen is one of another process, and began at 0.
+      add(metric, counted < 0 ? value : counted);
+    }
   }
 
-  private static long answers(Map<String, Long> told) {
-    return sum(told, "answered.") + sum(told, "deferred.") + sum(told, "errored.");
+  private void add(InstanceMetrics metric, long value) {
+    sums.merge(metric, value, Long::sum);
   }
 
-  private static long sum(Map<String, Long> told, String prefix) {
-    return told.entrySet().stream()
-        .filter(e -> e.getKey().startsWith(prefix))
-        .mapToLong(Map.Entry::getValue)
-        .sum();
+  private static long answers(Map<String, Long> values) {
+    return sumOf(values, "answered.") + sumOf(values, "deferred.") + sumOf(values, "errored.");
   }
 
-  private static long of(Map<String, Long> told, String name) {
-    return told.getOrDefault(name, 0L);
+  private static long sumOf(Map<String, Long> values, String prefix) {
+    return values.entrySet().stream()
+        .filter(value -> value.getKey().startsWith(prefix))
+        .mapToLong(Map.Entry::getValue)
+        .sum();
   }
 
-  /** The lines of StatsD by their names; none where the router knows no such call. */
-  private static Map<String, Long> call(String address, String call) throws IOException {
-    int colon = address.lastIndexOf(':');
-    Map<String, Long> told = new HashMap<>();
-    try (Socket socket = new Socket()) {
-      socket.connect(
-          new InetSocketAddress(
-              address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
-          PATIENCE_MILLIS);
-      socket.setSoTimeout(PATIENCE_MILLIS);
-      socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.US_ASCII));
-      BufferedReader lines =
-          new BufferedReader(
-              new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-      for (String line = lines.readLine();
-          line != null && !line.equals("--");
-          line = lines.readLine()) {
-        int value = line.lastIndexOf(':');
-        int type = line.lastIndexOf('|');
-        if (line.startsWith(PREFIX) && value > 0 && type > value) {
-          told.put(
-              line.substring(PREFIX.length(), value),
-              Long.parseLong(line.substring(value + 1, type)));
-        }
-      }
-    } catch (NumberFormatException e) {
-      throw new IOException("figures that cannot be read", e);
-    }
-    return told;
+  private static long valueOf(Map<String, Long> values, String name) {
+    return values.getOrDefault(name, 0L);
   }
 }
--- a/src/main/java/beaconturn/cli/ObservedUnavailability.java
+++ b/src/main/java/beaconturn/cli/ObservedUnavailability.java
@@ -8,49 +8,53 @@
 import beaconturn.release.ReleaseFleet;
 import beaconturn.release.Unavailability;
 import beaconturn.zones.ZonesKeys;
+import beaconturn.zones.ZonesSnapshot;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Who is out though no permit says so, by what the agreement shows. */
-final class ObservedUnavailability {
-  private ObservedUnavailability() {}
+/**
+ * Reads from the store which instances are out without a permit, and which zones are served
+ * elsewhere.
+ *
+ * @param agreement configuration versions and members of the fleet
+ * @param zonesKeys keys of the zones of the fleet
+ * @param store where both are read
+ */
+record ObservedUnavailability(ConfigAdmin agreement, ZonesKeys zonesKeys, ConfigAdmin.Store store) {
+  /** The instances of a kind as they are now. */
+  Unavailability read(InstanceKind kind, ReleaseFleet fleet) throws AgreementException {
+    return read(kind, fleet, agreement.view());
+  }
 
-  /** Those of the fleet, and sites whose traffic is served elsewhere. */
-  static Unavailability gone(
-      InstanceKind kind,
-      ReleaseFleet fleet,
-      ConfigAdmin desk,
-      ConfigAdmin.View view,
-      ZonesKeys zones,
-      ConfigAdmin.Store store)
+  /** The same, where the members have been read already. */
+  Unavailability read(InstanceKind kind, ReleaseFleet fleet, ConfigAdmin.View view)
       throws AgreementException {
-    return gone(kind, fleet, desk, view)
-        .whileOut(
-            beaconturn.zones.ZonesSnapshot.of(
-                    zones, ConfigAdmin.given(store, new StoreRequest.Read(zones.all())))
-                .out());
+    Unavailability unavailability =
+        kind == InstanceKind.ROUTER ? routers(fleet, view) : caches(fleet, view);
+    ZonesSnapshot zones =
+        ZonesSnapshot.of(
+            zonesKeys, ConfigAdmin.given(store, new StoreRequest.Read(zonesKeys.all())));
+    return unavailability.withZonesOut(zones.out());
   }
 
-  private static Unavailability gone(
-      InstanceKind kind, ReleaseFleet fleet, ConfigAdmin desk, ConfigAdmin.View view)
-      throws AgreementException {
-    if (kind == InstanceKind.ROUTER) {
-      Set<String> alive = new HashSet<>();
-      for (MemberRecord seat : view.seats()) {
-        if (desk.alive(view, seat)) {
-          alive.add(seat.name());
-        }
+  private Unavailability routers(ReleaseFleet fleet, ConfigAdmin.View view) {
+    Set<String> leaseHolders = new HashSet<>();
+    for (MemberRecord member : view.seats()) {
+      if (agreement.alive(view, member)) {
+        leaseHolders.add(member.name());
       }
-      return Unavailability.ofRouters(fleet.group(kind), alive);
     }
-    Map<String, String> heldOut = new TreeMap<>();
-    view.seen()
-        .current()
-        .content()
-        .out()
-        .forEach(id -> heldOut.put(id, "held out by version " + view.seen().current().number()));
-    return Unavailability.ofCaches(fleet.group(kind), heldOut, desk.sights().values());
+    return Unavailability.ofRouters(fleet.group(InstanceKind.ROUTER), leaseHolders);
+  }
+
+  private Unavailability caches(ReleaseFleet fleet, ConfigAdmin.View view)
+      throws AgreementException {
+    String reason = "held out by version " + view.seen().current().number();
+    Map<String, String> excluded = new TreeMap<>();
+    view.seen().current().content().out().forEach(server -> excluded.put(server, reason));
+    return Unavailability.ofCaches(
+        fleet.group(InstanceKind.CACHE), excluded, agreement.sights().values());
   }
 }
--- a/src/main/java/beaconturn/cli/ReleaseCommand.java
+++ b/src/main/java/beaconturn/cli/ReleaseCommand.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The options of the orders to releases; it names no class of releases but those that run them. */
+/**
+ * The command for releases and its options. It refers to no class of releases but those that run
+ * its orders, so that the router is served without them.
+ */
 @Parameters(
     commandNames = "release",
     commandDescription =
@@ -16,7 +19,10 @@
             + " example: release start plan.toml --reason \"build 41\" --features router.toml;"
             + " status 0: done, 1: wrong input or the store does not answer, 3: not now")
 final class ReleaseCommand implements Command {
-  private static final List<String> WITH_WORD =
+  /** Exit status: wrong usage. */
+  private static final int USAGE = 2;
+
+  private static final List<String> WITH_ARGUMENT =
       List.of("fleet", "plan", "start", "drain", "undrain", "lost", "report", "agent");
   private static final List<String> WITH_REASON =
       List.of("start", "halt", "resume", "back", "abandon", "drain", "undrain", "lost");
@@ -65,31 +71,32 @@
   @Override
   public int execute() {
     String order = words.isEmpty() ? "" : words.get(0);
-    int wanted = WITH_WORD.contains(order) ? 2 : 1;
+    int wanted = WITH_ARGUMENT.contains(order) ? 2 : 1;
     if (words.size() != wanted) {
       System.err.println("release: see 'release --help'");
-      return 2;
+      return USAGE;
     }
     if (WITH_REASON.contains(order) && reason.isBlank()) {
       System.err.println("release " + order + ": --reason is missing");
-      return 2;
+      return USAGE;
     }
+    String argument = words.get(wanted - 1);
     if (order.equals("agent")) {
-      if (apply.isBlank()) {
-        System.err.println("release agent: --apply is missing");
-        return 2;
-      }
-      return new AgentRunner(
-              features,
-              words.get(1),
-              apply,
-              figures.isEmpty()
-                  ? null
-                  : new InstanceMetricsReader(
-                      words.get(1), kind.equals("cache"), List.of(figures.split(","))))
-          .run();
+      return runAgent(argument);
+    }
+    return new ReleaseRunner(features, reason, author, kind, wait, json).run(order, argument);
+  }
+
+  private int runAgent(String instanceId) {
+    if (apply.isBlank()) {
+      System.err.println("release agent: --apply is missing");
+      return USAGE;
+    }
+    InstanceMetricsReader metricsReader = null;
+    if (!figures.isEmpty()) {
+      List<String> addresses = List.of(figures.split(","));
+      metricsReader = new InstanceMetricsReader(instanceId, kind.equals("cache"), addresses);
     }
-    return new ReleaseRunner(features, reason, author, kind, wait, json)
-        .run(order, words.get(wanted - 1));
+    return new AgentRunner(features, instanceId, apply, metricsReader).run();
   }
 }
--- a/src/main/java/beaconturn/cli/ReleaseFiles.java
+++ b/src/main/java/beaconturn/cli/ReleaseFiles.java
@@ -2,6 +2,7 @@
 
 import beaconturn.agreement.ConfigContent;
 import beaconturn.net.ConfigException;
+import beaconturn.release.DefaultWaves;
 import beaconturn.release.InstanceKind;
 import beaconturn.release.RegressionBounds;
 import beaconturn.release.ReleaseFleet;
@@ -15,130 +16,147 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Operators' files of releases: who belongs to the fleet, and what a release is to do. */
+/** Reads operators' files of releases: the definition of a fleet, and the plan of a release. */
 final class ReleaseFiles {
-  private static final long SECOND = 1_000_000_000;
-  private static final int MOST_PARTS = 10_000;
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
+  private static final long DEFAULT_SOAK_NANOS = 60 * NANOS_PER_SECOND;
+  private static final long DEFAULT_READY_TIMEOUT_NANOS = 60 * NANOS_PER_SECOND;
+  private static final int DEFAULT_MIN_ANSWERS = 200;
+  private static final int MAX_MIN_ANSWERS = 1_000_000;
+  private static final double MAX_ANSWERS_PER_SECOND = 1e9;
+  private static final int MAX_CORES = 4096;
+  private static final int MAX_INSTANCES = 10_000;
+
+  /** Largest ratio by which memory or the time of hits may be said to grow. */
+  private static final double MAX_RATIO = 1000;
 
   private ReleaseFiles() {}
 
-  /** The fleet and what may be out of it. */
+  /** The instances of a fleet and its disruption budget. */
   static ReleaseFleet fleet(String file) throws ConfigException {
     return OperatorsFile.read(
         file,
-        all -> {
+        root -> {
           Map<InstanceKind, ReleaseFleet.Group> groups = new EnumMap<>(InstanceKind.class);
           for (InstanceKind kind : InstanceKind.values()) {
-            if (all.has(kind.word() + "s")) {
-              groups.put(kind, group(all.table(kind.word() + "s")));
+            if (root.has(kind.word() + "s")) {
+              groups.put(kind, group(root.table(kind.word() + "s")));
             }
           }
           if (groups.isEmpty()) {
-            throw all.invalid("routers", "neither [routers] nor [caches] is given");
+            throw root.invalid("routers", "neither [routers] nor [caches] is given");
           }
           return new ReleaseFleet(groups);
         });
   }
 
-  private static ReleaseFleet.Group group(TomlSection s) throws TomlException {
-    SortedMap<String, List<String>> sites = new TreeMap<>();
-    int parts = 0;
-    for (TomlSection site : s.tables("site")) {
-      String name = site.text("name", "");
-      List<String> ids = site.texts("parts", List.of());
-      if (name.isEmpty() || sites.containsKey(name)) {
-        throw site.invalid("name", "'" + name + "' is empty or given twice");
+  private static ReleaseFleet.Group group(TomlSection section) throws TomlException {
+    SortedMap<String, List<String>> instancesByZone = instancesByZone(section);
+    int instances = instancesByZone.values().stream().mapToInt(List::size).sum();
+    int defaultTolerated = section.has("each_per_s") ? 1 : -1;
+    return new ReleaseFleet.Group(
+        countOrShare(section, "most_out", "share_out", instances),
+        countOrShare(section, "most_out_of_site", "share_out_of_site", instances),
+        instancesByZone,
+        new ReleaseFleet.Capacity(
+            section.number("each_per_s", 0, 0, MAX_ANSWERS_PER_SECOND),
+            section.number("cores", 0, 0, MAX_CORES),
+            section.integer("spare", defaultTolerated, -1, MAX_INSTANCES)));
+  }
+
+  private static SortedMap<String, List<String>> instancesByZone(TomlSection section)
+      throws TomlException {
+    SortedMap<String, List<String>> instancesByZone = new TreeMap<>();
+    for (TomlSection zone : section.tables("site")) {
+      String name = zone.text("name", "");
+      List<String> instanceIds = zone.texts("parts", List.of());
+      if (name.isEmpty() || instancesByZone.containsKey(name)) {
+        throw zone.invalid("name", "'" + name + "' is empty or given twice");
       }
-      if (ids.isEmpty()) {
-        throw site.invalid("parts", "empty, at least one is needed");
+      if (instanceIds.isEmpty()) {
+        throw zone.invalid("parts", "empty, at least one is needed");
       }
-      for (String id : ids) {
-        if (!id.matches("[!-.0-~]{1,64}")
-            || sites.values().stream().anyMatch(l -> l.contains(id))) {
-          throw site.invalid("parts", "'" + id + "' is odd or given twice");
+      for (String instanceId : instanceIds) {
+        boolean givenTwice =
+            instancesByZone.values().stream().anyMatch(others -> others.contains(instanceId));
+        if (givenTwice || !instanceId.matches("[!-.0-~]{1,64}")) {
+          throw zone.invalid("parts", "'" + instanceId + "' is odd or given twice");
         }
       }
-      parts += ids.size();
-      sites.put(name, ids);
+      instancesByZone.put(name, instanceIds);
     }
-    if (sites.isEmpty()) {
-      throw s.invalid("site", "none is given, at least one site is needed");
+    if (instancesByZone.isEmpty()) {
+      throw section.invalid("site", "none is given, at least one site is needed");
     }
-    return new ReleaseFleet.Group(
-        most(s, "most_out", "share_out", parts),
-        most(s, "most_out_of_site", "share_out_of_site", parts),
-        sites,
-        new ReleaseFleet.Capacity(
-            s.number("each_per_s", 0, 0, 1e9),
-            s.number("cores", 0, 0, 4096),
-            s.integer("spare", s.has("each_per_s") ? 1 : -1, -1, MOST_PARTS)));
+    return instancesByZone;
+  }
+
+  /** A number of instances, or a share of them rounded down. */
+  private static int countOrShare(
+      TomlSection section, String countKey, String shareKey, int instances) throws TomlException {
+    if (section.has(countKey) && section.has(shareKey)) {
+      throw section.invalid(shareKey, "given beside " + countKey + ", allowed is one of them");
+    }
+    return section.has(shareKey)
+        ? (int) (instances * section.number(shareKey, 0, 0, 1))
+        : section.integer(countKey, 1, 0, MAX_INSTANCES);
+  }
+
+  /** The plan of a release; a file without waves gets the default waves over the fleet. */
+  static RolloutPlan plan(String file, String reason, ReleaseFleet fleet) throws ConfigException {
+    return OperatorsFile.read(file, root -> plan(root, reason, fleet));
   }
 
-  /** A number, or the whole part of a share. */
-  private static int most(TomlSection s, String number, String share, int parts)
+  private static RolloutPlan plan(TomlSection root, String reason, ReleaseFleet fleet)
       throws TomlException {
-    if (s.has(number) && s.has(share)) {
-      throw s.invalid(share, "given beside " + number + ", allowed is one of them");
+    String kindWord = root.choice("kind", "router", List.of("router", "cache"));
+    InstanceKind kind = InstanceKind.ofWord(kindWord).orElseThrow();
+    List<List<String>> waves = new ArrayList<>();
+    for (TomlSection wave : root.tables("wave")) {
+      waves.add(wave.texts("parts", List.of()));
     }
-    return s.has(share)
-        ? (int) (parts * s.number(share, 0, 0, 1))
-        : s.integer(number, 1, 0, MOST_PARTS);
+    return new RolloutPlan(
+        0,
+        kind,
+        waves.isEmpty() ? DefaultWaves.of(fleet.group(kind)) : waves,
+        root.durationNanos("soak", DEFAULT_SOAK_NANOS, 0),
+        root.integer("samples", DEFAULT_MIN_ANSWERS, 0, MAX_MIN_ANSWERS),
+        regressionBounds(root),
+        root.durationNanos("limit", DEFAULT_READY_TIMEOUT_NANOS, NANOS_PER_SECOND),
+        root.durationNanos("alone", 0, 0),
+        reason,
+        configContent(root),
+        "");
+  }
+
+  private static RegressionBounds regressionBounds(TomlSection root) throws TomlException {
+    RegressionBounds defaults = RegressionBounds.DEFAULT;
+    return new RegressionBounds(
+        root.number("worse", defaults.failed(), 0, 1),
+        root.number("worse_late", defaults.late(), 0, 1),
+        root.number("worse_missed", defaults.missed(), 0, 1),
+        root.number("worse_avoided", defaults.avoidedServers(), 0, 1),
+        root.number("worse_memory", defaults.memory(), 0, MAX_RATIO),
+        root.number("worse_hits", defaults.hitTime(), 0, MAX_RATIO));
   }
 
   /**
-   * Settings that go with it, in the form of a version's file; what is held out is no matter of
-   * theirs.
+   * The configuration that goes with the release, from a file in the form of a version, or null. It
+   * may not exclude cache servers: which are excluded stays as it is.
    */
-  private static ConfigContent settings(TomlSection all) throws TomlException {
-    String file = all.text("settings", "");
+  private static ConfigContent configContent(TomlSection root) throws TomlException {
+    String file = root.text("settings", "");
     if (file.isEmpty()) {
       return null;
     }
     try {
-      ConfigContent said = ContentFile.read(file);
-      if (!said.out().isEmpty()) {
-        throw all.invalid("settings", file + " holds cache servers out, which a release does not");
+      ConfigContent content = ContentFile.read(file);
+      if (!content.out().isEmpty()) {
+        throw root.invalid("settings", file + " holds cache servers out, which a release does not");
       }
-      return said;
+      return content;
     } catch (ConfigException e) {
-      throw all.invalid("settings", e.getMessage());
+      throw root.invalid("settings", e.getMessage());
     }
   }
-
-  private static RegressionBounds bounds(TomlSection all) throws TomlException {
-    RegressionBounds usual = RegressionBounds.USUAL;
-    return new RegressionBounds(
-        all.number("worse", usual.bad(), 0, 1),
-        all.number("worse_late", usual.late(), 0, 1),
-        all.number("worse_missed", usual.missed(), 0, 1),
-        all.number("worse_avoided", usual.avoided(), 0, 1),
-        all.number("worse_memory", usual.memory(), 0, 1000),
-        all.number("worse_hits", usual.slower(), 0, 1000));
-  }
-
-  /** The plan of a release; without waves the usual ones are made of the fleet. */
-  static RolloutPlan plan(String file, String reason, ReleaseFleet fleet) throws ConfigException {
-    return OperatorsFile.read(
-        file,
-        all -> {
-          InstanceKind kind =
-              InstanceKind.of(all.choice("kind", "router", List.of("router", "cache")));
-          List<List<String>> waves = new ArrayList<>();
-          for (TomlSection wave : all.tables("wave")) {
-            waves.add(wave.texts("parts", List.of()));
-          }
-          return new RolloutPlan(
-              0,
-              kind,
-              waves.isEmpty() ? RolloutPlan.usual(fleet.group(kind)) : waves,
-              all.durationNanos("soak", 60 * SECOND, 0),
-              all.integer("samples", 200, 0, 1_000_000),
-              bounds(all),
-              all.durationNanos("limit", 60 * SECOND, SECOND),
-              all.durationNanos("alone", 0, 0),
-              reason,
-              settings(all),
-              "");
-        });
-  }
 }
--- a/src/main/java/beaconturn/cli/ReleaseReport.java
+++ b/src/main/java/beaconturn/cli/ReleaseReport.java
@@ -5,83 +5,102 @@
 import beaconturn.release.RolloutSnapshot;
 import beaconturn.release.RolloutStep;
 import beaconturn.release.RolloutTimeSeries;
+import beaconturn.release.StepPhase;
 import beaconturn.report.HtmlPage;
 import beaconturn.report.TimelineChart;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 
-/**
- * The release at hand, or the last one, as a page: what it did, and what became of answers
- * meanwhile.
- */
+/** The current release, or the last one, as a page: its steps, its history and its answers. */
 final class ReleaseReport {
-  private static final double MILLIS = 1000;
-  private static final double SECOND = 1e9;
+  private static final double MILLIS_PER_SECOND = 1000;
+  private static final double NANOS_PER_SECOND = 1e9;
+
+  /** A point is marked where more than one in so many successful answers came late. */
+  private static final int LATE_MARK = 10;
 
   private ReleaseReport() {}
 
-  /** The page. */
-  static String of(RolloutAdmin desk) throws AgreementException {
-    RolloutSnapshot scene = desk.look();
-    if (scene.plan() == null) {
+  /**
+   * The page.
+   *
+   * @throws AgreementException if there is no release, or the store does not answer
+   */
+  static String of(RolloutAdmin rollouts) throws AgreementException {
+    RolloutSnapshot snapshot = rollouts.snapshot();
+    if (snapshot.plan() == null) {
       throw new AgreementException("there is no release");
     }
-    HtmlPage page = new HtmlPage("release " + scene.plan().number()).text(scene.plan().reason());
+    HtmlPage page =
+        new HtmlPage("release " + snapshot.plan().number()).text(snapshot.plan().reason());
     page.text(
-        "It " + RolloutAdmin.words(scene.course()) + "; said by " + scene.course().by() + ".");
-    RolloutTimeSeries curve = desk.curve(scene.plan().number());
-    if (curve.points().isEmpty()) {
+        "It "
+            + RolloutAdmin.describe(snapshot.state())
+            + "; said by "
+            + snapshot.state().author()
+            + ".");
+    RolloutTimeSeries series = rollouts.timeSeries(snapshot.plan().number());
+    if (series.points().isEmpty()) {
       page.text("Nothing was recorded: nobody drives it yet.");
     } else {
-      page.chart(picture(curve));
+      page.chart(chart(series));
     }
     page.table("part", "stands at", "variant", "permit", "ready after", "why");
-    for (RolloutStep s : scene.steps().values()) {
-      page.row(
-          s.phase() == RolloutStep.Phase.FAILED,
-          List.of(
-              s.id(),
-              s.phase().name().toLowerCase(Locale.ROOT),
-              s.variant().word(),
-              Long.toString(s.permit()),
-              s.took() == 0 ? "" : String.format(Locale.ROOT, "%.1f s", s.took() / SECOND),
-              s.why()));
-    }
+    snapshot.steps().values().forEach(step -> addRow(page, step));
     page.end().table("history");
-    desk.history().forEach(line -> page.row(false, List.of(line)));
+    rollouts.history().forEach(line -> page.row(false, List.of(line)));
     return page.end().html();
   }
 
-  private static TimelineChart picture(RolloutTimeSeries curve) {
-    List<RolloutTimeSeries.Point> points = curve.points();
-    long start = points.get(0).atMillis() - curve.every();
-    double seconds = (points.get(points.size() - 1).atMillis() - start) / MILLIS;
+  private static void addRow(HtmlPage page, RolloutStep step) {
+    String readyAfter =
+        step.readyAfterNanos() == 0
+            ? ""
+            : String.format(Locale.ROOT, "%.1f s", step.readyAfterNanos() / NANOS_PER_SECOND);
+    page.row(
+        step.phase() == StepPhase.FAILED,
+        List.of(
+            step.instanceId(),
+            step.phase().word(),
+            step.variant().word(),
+            Long.toString(step.permitNumber()),
+            readyAfter,
+            step.failureReason()));
+  }
+
+  private static TimelineChart chart(RolloutTimeSeries series) {
+    List<RolloutTimeSeries.Point> points = series.points();
+    long startMillis = points.get(0).atMillis() - series.intervalMillis();
     TimelineChart chart =
         new TimelineChart(
-            seconds,
+            seconds(startMillis, points.get(points.size() - 1).atMillis()),
             "served of all answers, in %; late ones in the second line below",
             "out: blue by a permit, orange by itself; late: over a tenth of what was served");
-    List<TimelineChart.Span> out = new ArrayList<>();
+    List<TimelineChart.Span> unavailable = new ArrayList<>();
     List<TimelineChart.Span> late = new ArrayList<>();
-    long before = start;
-    for (RolloutTimeSeries.Point p : points) {
-      double from = (before - start) / MILLIS;
-      double to = (p.atMillis() - start) / MILLIS;
-      long answers = p.good() + p.bad();
+    long beforeMillis = startMillis;
+    for (RolloutTimeSeries.Point point : points) {
+      double from = seconds(startMillis, beforeMillis);
+      double to = seconds(startMillis, point.atMillis());
+      long answers = point.served() + point.failed();
       if (answers > 0) {
-        chart.share(from, to, p.good() / (double) answers);
+        chart.share(from, to, point.served() / (double) answers);
       }
-      if (p.planned() + p.gone() > 0) {
-        out.add(new TimelineChart.Span(from, to, p.gone() == 0));
+      if (point.plannedUnavailable() + point.unplannedUnavailable() > 0) {
+        unavailable.add(new TimelineChart.Span(from, to, point.unplannedUnavailable() == 0));
       }
-      if (10 * p.late() > p.good()) {
+      if (LATE_MARK * point.late() > point.served()) {
         late.add(new TimelineChart.Span(from, to, false));
       }
-      before = p.atMillis();
+      beforeMillis = point.atMillis();
     }
-    chart.row(new TimelineChart.Row("out", out));
+    chart.row(new TimelineChart.Row("out", unavailable));
     chart.row(new TimelineChart.Row("late", late));
     return chart;
   }
+
+  private static double seconds(long fromMillis, long toMillis) {
+    return (toMillis - fromMillis) / MILLIS_PER_SECOND;
+  }
 }
--- a/src/main/java/beaconturn/cli/ReleaseRunner.java
+++ b/src/main/java/beaconturn/cli/ReleaseRunner.java
@@ -2,61 +2,58 @@
 
 import beaconturn.agreement.AgreementException;
 import beaconturn.agreement.AgreementKeys;
-import beaconturn.agreement.AgreementSnapshot;
 import beaconturn.agreement.ConfigAdmin;
-import beaconturn.agreement.ConfigCodec;
-import beaconturn.agreement.ConfigContent;
 import beaconturn.net.ConfigException;
 import beaconturn.net.agreement.AgreementConfig;
 import beaconturn.net.agreement.StoreClient;
-import beaconturn.protocol.Json;
-import beaconturn.protocol.JsonWriter;
+import beaconturn.release.DisruptionPermitAdmin;
 import beaconturn.release.InstanceKind;
-import beaconturn.release.RegressionBounds;
-import beaconturn.release.ReleaseFleet;
 import beaconturn.release.RolloutAdmin;
-import beaconturn.release.RolloutForecast;
 import beaconturn.release.RolloutKeys;
 import beaconturn.release.RolloutPlan;
 import beaconturn.release.RolloutSnapshot;
-import beaconturn.release.RolloutStep;
-import beaconturn.release.Unavailability;
 import beaconturn.zones.ZonesKeys;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Locale;
-import java.util.Map;
-import java.util.TreeSet;
-import java.util.function.UnaryOperator;
 
-/** Carries out one order to releases. */
+/**
+ * Carries out one order of an operator to releases.
+ *
+ * @param featuresFile file with the [agreement] section
+ * @param reason why, for the history
+ * @param author who, for the history
+ * @param kind word of the kind of an instance that is lost
+ * @param waitSeconds how long a drain waits until all routers have stopped sending
+ * @param json whether the state is printed as JSON
+ */
 record ReleaseRunner(
-    String features, String reason, String author, String kind, int patience, boolean json) {
+    String featuresFile, String reason, String author, String kind, int waitSeconds, boolean json) {
+  /** Exit status: wrong input, or the store does not answer. */
   private static final int WRONG = 1;
+
+  /** Exit status: wrong usage. */
   private static final int USAGE = 2;
-  private static final int NOT_NOW = 3;
-  private static final long SECOND = 1_000_000_000;
-  private static final long CALL = 5 * SECOND;
-  private static final long STEP_MILLIS = 100;
-  private static final double PERCENT = 100;
 
-  int run(String order, String word) {
+  /** Exit status: not allowed as things are, or not done in time. */
+  static final int NOT_NOW = 3;
+
+  private static final long CALL_TIMEOUT_NANOS = 5_000_000_000L;
+
+  /** What orders work with while the store is connected. */
+  private record Session(
+      RolloutAdmin rollouts,
+      DisruptionPermitAdmin permits,
+      ConfigAdmin agreement,
+      ObservedUnavailability observed) {}
+
+  /** Carries out the order; the exit status. */
+  int run(String order, String argument) {
     try {
-      AgreementConfig config = FeaturesFile.required(features);
-      StoreClient store = new StoreClient(config.endpoints(), CALL);
+      AgreementConfig config = FeaturesFile.required(featuresFile);
+      StoreClient store = new StoreClient(config.endpoints(), CALL_TIMEOUT_NANOS);
       try {
-        ConfigAdmin agreement = new ConfigAdmin(new AgreementKeys(config.fleet()), store);
-        Outside outside =
-            (kind, fleet) ->
-                ObservedUnavailability.gone(
-                    kind, fleet, agreement, agreement.view(), new ZonesKeys(config.fleet()), store);
-        return carryOut(
-            order,
-            word,
-            new RolloutAdmin(new RolloutKeys(config.fleet()), store, author, AgentRunner::now),
-            agreement,
-            outside);
+        return carryOut(order, argument, session(config.fleet(), store));
       } finally {
         store.close();
       }
@@ -72,288 +69,93 @@
     }
   }
 
-  /** What is seen of the fleet beside permits. */
-  private interface Outside {
-    Unavailability seen(InstanceKind kind, ReleaseFleet fleet) throws AgreementException;
+  private Session session(String fleet, ConfigAdmin.Store store) {
+    RolloutKeys keys = new RolloutKeys(fleet);
+    ConfigAdmin agreement = new ConfigAdmin(new AgreementKeys(fleet), store);
+    return new Session(
+        new RolloutAdmin(keys, store, author, AgentRunner::now),
+        new DisruptionPermitAdmin(keys, store, author, AgentRunner::now),
+        agreement,
+        new ObservedUnavailability(agreement, new ZonesKeys(fleet), store));
   }
 
-  private int carryOut(
-      String order, String word, RolloutAdmin desk, ConfigAdmin agreement, Outside outside)
+  private int carryOut(String order, String argument, Session session)
       throws ConfigException, AgreementException, InterruptedException {
     switch (order) {
-      case "fleet" -> System.out.println(desk.fleet(ReleaseFiles.fleet(word)));
-      case "plan" -> {
-        RolloutSnapshot scene = desk.look();
-        RolloutPlan plan = ReleaseFiles.plan(word, reason, scene.fleet());
-        plan(scene, plan, outside.seen(plan.kind(), scene.fleet()).out());
-      }
-      case "start" ->
-          System.out.println(desk.start(ReleaseFiles.plan(word, reason, desk.look().fleet())));
-      case "halt" -> System.out.println(desk.halt(reason));
-      case "resume" -> System.out.println(desk.resume(reason));
-      case "back" -> System.out.println(desk.back(reason));
-      case "abandon" -> System.out.println(desk.abandon(reason));
+      case "plan" -> plan(argument, session);
       case "drain" -> {
-        return drain(word, desk, agreement, outside);
+        return drain(argument, session);
       }
       case "undrain" -> {
-        return undrain(word, desk, agreement);
+        return cacheDrain(session).undrain(argument);
       }
-      case "lost" ->
-          System.out.println(
-              desk.giveBack(
-                  InstanceKind.of(kind) == null ? InstanceKind.ROUTER : InstanceKind.of(kind),
-                  word,
-                  reason));
-      case "show" -> show(desk.look());
-      case "report" -> report(desk, word);
-      case "history" -> desk.history().forEach(System.out::println);
+      case "show" -> new ReleaseStatusPrinter(session.rollouts().snapshot()).print(json);
+      case "report" -> report(argument, session.rollouts());
+      case "history" -> session.rollouts().history().forEach(System.out::println);
       default -> {
-        System.err.println("release: unknown order '" + order + "', see 'release --help'");
-        return USAGE;
+        return change(order, argument, session);
       }
     }
     return 0;
   }
 
-  /** A place first, then a version that holds it out; done when all routers act on that version. */
-  private int drain(String id, RolloutAdmin desk, ConfigAdmin agreement, Outside outside)
-      throws AgreementException, InterruptedException {
-    System.out.println(
-        id
-            + " is out under permit "
-            + desk.take(
-                InstanceKind.CACHE,
-                id,
-                reason,
-                outside.seen(InstanceKind.CACHE, desk.look().fleet())));
-    return settled(agreement, id, true, now -> with(now, id, true));
+  /** Orders that change a release or a permit, and print what was done. */
+  private int change(String order, String argument, Session session)
+      throws ConfigException, AgreementException {
+    RolloutAdmin rollouts = session.rollouts();
+    String done =
+        switch (order) {
+          case "fleet" -> rollouts.defineFleet(ReleaseFiles.fleet(argument));
+          case "start" -> rollouts.start(readPlan(argument, rollouts.snapshot()));
+          case "halt" -> rollouts.halt(reason);
+          case "resume" -> rollouts.resume(reason);
+          case "back" -> rollouts.rollBack(reason);
+          case "abandon" -> rollouts.abandon(reason);
+          case "lost" -> session.permits().returnPermit(kindOfLost(), argument, reason);
+          default -> null;
+        };
+    if (done == null) {
+      System.err.println("release: unknown order '" + order + "', see 'release --help'");
+      return USAGE;
+    }
+    System.out.println(done);
+    return 0;
   }
 
-  private int undrain(String id, RolloutAdmin desk, ConfigAdmin agreement)
-      throws AgreementException, InterruptedException {
-    int status = settled(agreement, id, false, now -> with(now, id, false));
-    if (status == 0) {
-      System.out.println(desk.giveBack(InstanceKind.CACHE, id, reason));
-    }
-    return status;
+  private InstanceKind kindOfLost() {
+    return InstanceKind.ofWord(kind).orElse(InstanceKind.ROUTER);
   }
 
-  private static ConfigContent with(ConfigContent now, String id, boolean out) {
-    TreeSet<String> all = new TreeSet<>(now.out());
-    if (out) {
-      all.add(id);
-    } else {
-      all.remove(id);
-    }
-    return new ConfigContent(
-        now.classes(), now.mostTries(), now.secondCopies(), now.oldestList(), all);
+  private RolloutPlan readPlan(String file, RolloutSnapshot snapshot) throws ConfigException {
+    return ReleaseFiles.plan(file, reason, snapshot.fleet());
   }
 
-  private int settled(
-      ConfigAdmin agreement, String id, boolean out, UnaryOperator<ConfigContent> change)
-      throws AgreementException, InterruptedException {
-    long until = System.nanoTime() + patience * SECOND;
-    long number = propose(agreement, id, out, change, until);
-    while (System.nanoTime() < until) {
-      AgreementSnapshot seen = agreement.view().seen();
-      if (seen.settled() >= number) {
-        System.out.println(
-            (out ? "nobody sends to " + id + " any more" : "all may send to " + id)
-                + ": version "
-                + number
-                + " is settled");
-        return 0;
-      }
-      Thread.sleep(STEP_MILLIS);
-    }
-    System.err.println(
-        "version "
-            + number
-            + " is not settled yet, it waits for "
-            + String.join(", ", agreement.view().waiting()));
-    return NOT_NOW;
+  /** Tells what a release would do, before it is started. */
+  private void plan(String file, Session session) throws ConfigException, AgreementException {
+    RolloutSnapshot snapshot = session.rollouts().snapshot();
+    RolloutPlan plan = readPlan(file, snapshot);
+    new ReleasePlanPrinter(plan)
+        .print(snapshot, session.observed().read(plan.kind(), snapshot.fleet()).reasons());
   }
 
-  /** Another version may be on its way: then this one waits for it, as long as there is time. */
-  private long propose(
-      ConfigAdmin agreement,
-      String id,
-      boolean out,
-      UnaryOperator<ConfigContent> change,
-      long until)
+  private int drain(String server, Session session)
       throws AgreementException, InterruptedException {
-    while (true) {
-      AgreementSnapshot seen = agreement.view().seen();
-      if (!seen.open() && seen.current().content().out().contains(id) == out) {
-        return seen.current().number();
-      }
-      try {
-        return agreement.propose(change, author, reason, System.currentTimeMillis());
-      } catch (AgreementException e) {
-        if (System.nanoTime() > until) {
-          throw e;
-        }
-        Thread.sleep(STEP_MILLIS);
-      }
-    }
+    RolloutSnapshot snapshot = session.rollouts().snapshot();
+    return cacheDrain(session)
+        .drain(server, session.observed().read(InstanceKind.CACHE, snapshot.fleet()));
   }
 
-  /** What a release would do, before it is begun. */
-  private static void plan(RolloutSnapshot scene, RolloutPlan plan, Map<String, String> gone)
-      throws AgreementException {
-    String objection = RolloutAdmin.objection(plan, scene);
-    if (objection != null) {
-      throw new AgreementException(objection);
-    }
-    RolloutForecast forecast = RolloutForecast.of(plan, scene, gone);
-    double soak = plan.soak() / (double) SECOND;
-    for (int i = 0; i < forecast.waves().size(); i++) {
-      RolloutForecast.Wave wave = forecast.waves().get(i);
-      System.out.printf(
-          Locale.ROOT,
-          "wave %d: %s; %d at a time at most, %d rounds, %.0f s of watching,"
-              + " %d places left meanwhile%n",
-          i + 1,
-          String.join(" ", wave.parts()),
-          wave.atOnce(),
-          wave.rounds(),
-          wave.rounds() * soak,
-          wave.left());
-    }
-    System.out.printf(
-        Locale.ROOT,
-        "%.0f s and the time of %d restarts at the shortest, %.0f s with each"
-            + " restart at its limit%n",
-        forecast.shortest(),
-        plan.parts().size(),
-        forecast.longest());
-    System.out.println(
-        forecast.likely() > 0
-            ? String.format(
-                Locale.ROOT,
-                "likely %.0f s: a restart took"
-                    + " %.1f s the last time, and a part has its answers after %.1f s",
-                forecast.likely(),
-                forecast.restart(),
-                forecast.watched())
-            : "what is likely is not known: no restart or no load was seen of late");
-    RegressionBounds worse = plan.worse();
-    System.out.printf(
-        Locale.ROOT,
-        "goes back by itself: a part that is not ready within %.0f s; one that over %d answers has"
-            + " %.1f %% more refusals and failures than the others, or after %.0f s %.1f %%"
-            + " more late"
-            + " answers,%n  %.1f %% more misses, avoids %.1f %% more of the cache servers,"
-            + " holds %.0f %%"
-            + " more memory, or as a cache server takes %.0f %% longer for hits%n",
-        plan.limit() / (double) SECOND,
-        plan.samples(),
-        worse.bad() * PERCENT,
-        soak,
-        worse.late() * PERCENT,
-        worse.missed() * PERCENT,
-        worse.avoided() * PERCENT,
-        worse.memory() * PERCENT,
-        worse.slower() * PERCENT);
+  private CacheDrain cacheDrain(Session session) {
+    return new CacheDrain(session.agreement(), session.permits(), author, reason, waitSeconds);
   }
 
-  private static void report(RolloutAdmin desk, String file)
+  private static void report(String file, RolloutAdmin rollouts)
       throws AgreementException, ConfigException {
     try {
-      Files.writeString(Path.of(file), ReleaseReport.of(desk));
+      Files.writeString(Path.of(file), ReleaseReport.of(rollouts));
       System.out.println("written to " + file);
     } catch (IOException e) {
       throw new ConfigException(file + ": cannot be written: " + e.getClass().getSimpleName());
     }
   }
-
-  private void show(RolloutSnapshot scene) {
-    if (json) {
-      System.out.println(
-          JsonWriter.write(
-              ConfigCodec.object(
-                  "release",
-                  scene.plan() == null ? 0 : scene.plan().number(),
-                  "mode",
-                  scene.course().mode().name().toLowerCase(Locale.ROOT),
-                  "why",
-                  scene.course().why(),
-                  "driver",
-                  scene.driver(),
-                  "steps",
-                  ConfigCodec.list(
-                      scene.steps().values().stream().map(ReleaseRunner::json).toList()),
-                  "permits",
-                  ConfigCodec.list(
-                      scene.permits().values().stream()
-                          .map(
-                              p ->
-                                  ConfigCodec.object(
-                                      "number",
-                                      p.number(),
-                                      "kind",
-                                      p.kind().word(),
-                                      "id",
-                                      p.id(),
-                                      "holder",
-                                      p.holder()))
-                          .toList()))));
-      return;
-    }
-    System.out.println(
-        scene.plan() == null
-            ? "no release"
-            : "release "
-                + scene.plan().number()
-                + " ("
-                + scene.plan().reason()
-                + ") "
-                + RolloutAdmin.words(scene.course())
-                + "; driven by "
-                + (scene.driver().isEmpty() ? "nobody" : scene.driver()));
-    scene
-        .steps()
-        .values()
-        .forEach(
-            s ->
-                System.out.println(
-                    "  "
-                        + s.id()
-                        + " "
-                        + s.phase().name().toLowerCase(Locale.ROOT)
-                        + ", "
-                        + s.variant().word()
-                        + ", permit "
-                        + s.permit()
-                        + (s.why().isEmpty() ? "" : ": " + s.why())));
-    for (InstanceKind each : InstanceKind.values()) {
-      ReleaseFleet.Group group = scene.fleet().group(each);
-      Map<String, String> out = scene.out(each, Map.of());
-      System.out.println(
-          each.word()
-              + "s: "
-              + group.all().size()
-              + ", at most "
-              + group.mostOut()
-              + " out and "
-              + group.mostOutOfSite()
-              + " of a site; planned out: "
-              + (out.isEmpty() ? "none" : out));
-    }
-  }
-
-  private static Json json(RolloutStep s) {
-    return ConfigCodec.object(
-        "id",
-        s.id(),
-        "phase",
-        s.phase().name().toLowerCase(Locale.ROOT),
-        "variant",
-        s.variant().word(),
-        "permit",
-        s.permit(),
-        "why",
-        s.why());
-  }
 }
--- /dev/null
+++ b/src/main/java/beaconturn/cli/ReleaseStatusPrinter.java
@@ -0,0 +1,120 @@
+package beaconturn.cli;
+
+import beaconturn.agreement.ConfigCodec;
+import beaconturn.protocol.Json;
+import beaconturn.protocol.JsonWriter;
+import beaconturn.release.DisruptionPermit;
+import beaconturn.release.InstanceKind;
+import beaconturn.release.ReleaseFleet;
+import beaconturn.release.RolloutAdmin;
+import beaconturn.release.RolloutSnapshot;
+import beaconturn.release.RolloutStep;
+import java.util.List;
+import java.util.Map;
+
+/** Prints the state of the current release, or of the last one. */
+record ReleaseStatusPrinter(RolloutSnapshot snapshot) {
+  /** Prints it as one line of JSON, or as text. */
+  void print(boolean json) {
+    if (json) {
+      System.out.println(json());
+    } else {
+      printText();
+    }
+  }
+
+  private String json() {
+    List<Json> steps = snapshot.steps().values().stream().map(ReleaseStatusPrinter::json).toList();
+    List<Json> permits =
+        snapshot.permits().values().stream().map(ReleaseStatusPrinter::json).toList();
+    return JsonWriter.write(
+        ConfigCodec.object(
+            "release",
+            snapshot.plan() == null ? 0 : snapshot.plan().number(),
+            "mode",
+            snapshot.state().mode().word(),
+            "why",
+            snapshot.state().reason(),
+            "driver",
+            snapshot.driver(),
+            "steps",
+            ConfigCodec.list(steps),
+            "permits",
+            ConfigCodec.list(permits)));
+  }
+
+  private static Json json(RolloutStep step) {
+    return ConfigCodec.object(
+        "id",
+        step.instanceId(),
+        "phase",
+        step.phase().word(),
+        "variant",
+        step.variant().word(),
+        "permit",
+        step.permitNumber(),
+        "why",
+        step.failureReason());
+  }
+
+  private static Json json(DisruptionPermit permit) {
+    return ConfigCodec.object(
+        "number",
+        permit.number(),
+        "kind",
+        permit.kind().word(),
+        "id",
+        permit.instanceId(),
+        "holder",
+        permit.holder());
+  }
+
+  private void printText() {
+    System.out.println(headline());
+    snapshot.steps().values().forEach(step -> System.out.println(line(step)));
+    for (InstanceKind kind : InstanceKind.values()) {
+      System.out.println(budgetLine(kind));
+    }
+  }
+
+  private String headline() {
+    if (snapshot.plan() == null) {
+      return "no release";
+    }
+    return "release "
+        + snapshot.plan().number()
+        + " ("
+        + snapshot.plan().reason()
+        + ") "
+        + RolloutAdmin.describe(snapshot.state())
+        + "; driven by "
+        + (snapshot.driver().isEmpty() ? "nobody" : snapshot.driver());
+  }
+
+  private static String line(RolloutStep step) {
+    String reason = step.failureReason().isEmpty() ? "" : ": " + step.failureReason();
+    return "  "
+        + step.instanceId()
+        + " "
+        + step.phase().word()
+        + ", "
+        + step.variant().word()
+        + ", permit "
+        + step.permitNumber()
+        + reason;
+  }
+
+  private String budgetLine(InstanceKind kind) {
+    ReleaseFleet.Group group = snapshot.fleet().group(kind);
+    Map<String, String> planned = snapshot.unavailable(kind, Map.of());
+    return kind.word()
+        + "s: "
+        + group.instanceIds().size()
+        + ", at most "
+        + group.maxUnavailable()
+        + " out and "
+        + group.maxUnavailablePerZone()
+        + " of a site; planned out: "
+        + (planned.isEmpty() ? "none" : planned);
+  }
+}
--- a/src/main/java/beaconturn/cli/ZonesRunner.java
+++ b/src/main/java/beaconturn/cli/ZonesRunner.java
@@ -4,7 +4,7 @@
 import beaconturn.net.ConfigException;
 import beaconturn.net.agreement.AgreementConfig;
 import beaconturn.net.agreement.StoreClient;
-import beaconturn.release.RolloutAdmin;
+import beaconturn.release.DisruptionPermitAdmin;
 import beaconturn.release.RolloutKeys;
 import beaconturn.zones.RegionDistanceCheck;
 import beaconturn.zones.ZoneOverride;
@@ -35,7 +35,8 @@
             zone,
             map,
             new ZonesAdmin(new ZonesKeys(config.fleet()), map, store),
-            new RolloutAdmin(new RolloutKeys(config.fleet()), store, author, AgentRunner::now));
+            new DisruptionPermitAdmin(
+                new RolloutKeys(config.fleet()), store, author, AgentRunner::now));
       } finally {
         store.close();
       }
@@ -49,7 +50,7 @@
   }
 
   private int carryOut(
-      String order, String zone, ZoneTopology map, ZonesAdmin desk, RolloutAdmin releases)
+      String order, String zone, ZoneTopology map, ZonesAdmin desk, DisruptionPermitAdmin permits)
       throws AgreementException {
     switch (order) {
       case "show" -> {
@@ -60,7 +61,8 @@
       case "history" -> desk.history().forEach(plan -> System.out.println(line(plan)));
       case "drain" ->
           System.out.println(
-              desk.give(order(zone, ZoneOverride.What.DRAIN), releases.siteOut(zone, reason)));
+              desk.give(
+                  order(zone, ZoneOverride.What.DRAIN), permits.zoneEvacuation(zone, reason)));
       case "hold" -> System.out.println(desk.give(order(zone, ZoneOverride.What.HOLD)));
       case "weight" -> System.out.println(desk.give(order(zone, ZoneOverride.What.WEIGHT)));
       case "free" -> System.out.println(desk.free(zone));
--- a/src/main/java/beaconturn/release/AgreedVersions.java
+++ b/src/main/java/beaconturn/release/AgreedVersions.java
@@ -4,22 +4,22 @@
 import java.util.List;
 
 /**
- * What a driver knows of the versions that routers agree on.
+ * What a driver knows of the configuration versions that the routers agree on.
  *
- * @param seen what is in force and proposed
- * @param nextNumber the number of the version that is proposed next
- * @param waiting whom the step at hand waits for
- * @param atMillis the wall clock, for the version's history
+ * @param snapshot what is in force and proposed
+ * @param nextNumber number of the version that is proposed next
+ * @param waitingFor routers that the open version waits for
+ * @param atMillis wall clock time in milliseconds, for the history of the version
  */
 public record AgreedVersions(
-    AgreementSnapshot seen, long nextNumber, List<String> waiting, long atMillis) {
-  /** Whether that version is settled: all routers act on it, or on one after it. */
-  boolean settled(long number) {
-    return seen.settled() >= number;
+    AgreementSnapshot snapshot, long nextNumber, List<String> waitingFor, long atMillis) {
+  /** Whether all routers act on that version, or on a later one. */
+  boolean isSettled(long versionNumber) {
+    return snapshot.settled() >= versionNumber;
   }
 
-  /** Whether that version was turned down: it is neither proposed nor in force. */
-  boolean turnedDown(long number) {
-    return seen.nextNumber() != number && seen.current().number() < number;
+  /** Whether that version was rejected: it is neither proposed nor in force. */
+  boolean isRejected(long versionNumber) {
+    return snapshot.nextNumber() != versionNumber && snapshot.current().number() < versionNumber;
   }
 }
--- a/src/main/java/beaconturn/release/CanaryComparison.java
+++ b/src/main/java/beaconturn/release/CanaryComparison.java
@@ -3,196 +3,152 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeSet;
 
-/**
- * A changed part beside the others, over the same time. A difference of shares counts if chance
- * would hardly make it; one of means if there are enough readings, as each of them is a mean
- * already.
- */
+/** Compares a changed instance with its peers over the same time, measure by measure. */
 final class CanaryComparison {
-  /** One in a hundred by chance, of what is looked at until it has stood its check. */
-  private static final double ERRORS = 2.33;
+  private final RolloutPlan plan;
+  private final ComparedSamples samples;
 
-  /**
-   * One in a million, of what is watched from then on: many parts, again and again, of which one in
-   * a hundred would take every larger release back. What is not certain goes on adding up until it
-   * is.
-   */
-  private static final double WATCHED = 4.75;
+  /** A comparison with that many peers together. */
+  CanaryComparison(RolloutPlan plan, InstanceSample changed, InstanceSample peers, int peerCount) {
+    this.plan = plan;
+    this.samples = new ComparedSamples(changed, peers, peerCount);
+  }
 
-  private static final long FEWEST_READINGS = 8;
-  private static final double MILLION = 1e6;
-  private final RolloutPlan plan;
-  private final InstanceSample changed;
-  private final InstanceSample others;
-  private final int count;
+  /** Compares what has been counted since a baseline. */
+  static CanaryComparison since(
+      Map<String, InstanceSample> baseline, RolloutSnapshot snapshot, String instanceId) {
+    List<String> peerIds = peersOf(snapshot, instanceId);
+    InstanceSample peers = InstanceSample.NONE;
+    for (String peer : peerIds) {
+      // Of one that has reported only since the baseline, nobody knows over which time it counted.
+      if (baseline.containsKey(peer)) {
+        peers = peers.plus(countedSince(baseline, snapshot, peer));
+      }
+    }
+    InstanceSample changed = countedSince(baseline, snapshot, instanceId);
+    return new CanaryComparison(snapshot.plan(), changed, peers, peerIds.size());
+  }
 
-  /** One measure in which the part does worse than it may. */
-  private record Worse(String words, boolean certain) {}
+  /** Instances of the released kind whose metrics are known. */
+  static Set<String> reportingInstances(RolloutSnapshot snapshot) {
+    Set<String> reporting = new TreeSet<>(snapshot.samples().keySet());
+    reporting.retainAll(snapshot.fleet().group(snapshot.plan().kind()).instanceIds());
+    return reporting;
+  }
 
-  /** Beside so many others together. */
-  CanaryComparison(RolloutPlan plan, InstanceSample changed, InstanceSample others, int count) {
-    this.plan = plan;
-    this.changed = changed;
-    this.others = others;
-    this.count = count;
+  /** Unchanged instances; where there are none, those that are verified. */
+  private static List<String> peersOf(RolloutSnapshot snapshot, String instanceId) {
+    Set<String> others = reportingInstances(snapshot);
+    others.remove(instanceId);
+    List<String> unchanged =
+        others.stream().filter(other -> snapshot.phase(other) == null).toList();
+    if (!unchanged.isEmpty()) {
+      return unchanged;
+    }
+    return others.stream().filter(other -> snapshot.phase(other) == StepPhase.VERIFIED).toList();
+  }
+
+  private static InstanceSample countedSince(
+      Map<String, InstanceSample> baseline, RolloutSnapshot snapshot, String instanceId) {
+    return snapshot
+        .sample(instanceId)
+        .since(baseline.getOrDefault(instanceId, InstanceSample.NONE));
+  }
+
+  /** The failed share of the changed instance's answers. */
+  double changedFailedShare() {
+    return samples.changed().failedShare();
   }
 
   /**
-   * What it comes to; what is not an answer that failed counts once the part has {@code soaked}.
-   * Means need readings: a soak that is too short for them does not see them, unless it {@code
-   * waits} for them.
+   * The verdict.
+   *
+   * @param soaked whether the instance has run long enough for measures other than failed answers
    */
-  RolloutHealth.Word word(boolean soaked, boolean waits) {
-    String figures =
-        String.format(
-            Locale.ROOT,
-            "%.3f of %d answers bad, %.3f of %d at %d others",
-            changed.badShare(),
-            changed.answers(),
-            others.badShare(),
-            others.answers(),
-            count);
-    // Silent others are no comparison; a part that has none is held to what the plan allows.
-    if (changed.answers() < plan.samples() || (count > 0 && others.answers() < plan.samples())) {
-      return new RolloutHealth.Word(RolloutHealth.Verdict.WAIT, figures);
+  CanaryVerdict verdict(boolean soaked, ComparisonMode mode) {
+    String figures = figures();
+    if (hasFewAnswers()) {
+      return CanaryVerdict.pending(figures);
     }
-    List<Worse> worse = new ArrayList<>();
-    double errors = waits ? WATCHED : ERRORS;
-    share(
-        worse,
-        "",
-        InstanceMetrics.BAD,
-        changed.answers(),
-        others.answers(),
-        plan.worse().bad(),
-        errors);
-    if (soaked && count > 0) {
-      if (waits && (fewReadings(changed) || fewReadings(others))) {
-        return new RolloutHealth.Word(RolloutHealth.Verdict.WAIT, figures);
-      }
-      share(
-          worse,
-          "late",
-          InstanceMetrics.LATE,
-          changed.of(InstanceMetrics.GOOD),
-          others.of(InstanceMetrics.GOOD),
-          plan.worse().late(),
-          errors);
-      share(
-          worse,
-          "missed",
-          InstanceMetrics.MISSES,
-          changed.of(InstanceMetrics.HITS) + changed.of(InstanceMetrics.MISSES),
-          others.of(InstanceMetrics.HITS) + others.of(InstanceMetrics.MISSES),
-          plan.worse().missed(),
-          errors);
-      mean(
-          worse,
-          "of the cache servers avoided",
-          InstanceMetrics.AVOIDED,
-          InstanceMetrics.READINGS,
-          MILLION,
-          plan.worse().avoided(),
-          0);
-      mean(
-          worse,
-          "kB of memory",
-          InstanceMetrics.MEMORY,
-          InstanceMetrics.READINGS,
-          1,
-          0,
-          plan.worse().memory());
-      if (Math.min(changed.of(InstanceMetrics.HITS), others.of(InstanceMetrics.HITS))
-          >= Math.max(1, plan.samples())) {
-        mean(
-            worse,
-            "us for a hit",
-            InstanceMetrics.HIT_MICROS,
-            InstanceMetrics.HITS,
-            1,
-            0,
-            plan.worse().slower());
+    List<Regression> regressions = new ArrayList<>();
+    addShare(regressions, ShareMeasure.FAILED, plan.regressionBounds().failed(), mode);
+    if (soaked && samples.hasPeers()) {
+      if (mode.awaitsReadings() && samples.hasFewReadings()) {
+        return CanaryVerdict.pending(figures);
       }
+      addSoakedMeasures(regressions, mode);
     }
-    Worse first =
-        worse.stream()
-            .filter(Worse::certain)
-            .findFirst()
-            .orElse(worse.isEmpty() ? null : worse.get(0));
-    return first == null
-        ? new RolloutHealth.Word(RolloutHealth.Verdict.GOOD, figures)
-        : new RolloutHealth.Word(
-            first.certain() ? RolloutHealth.Verdict.BAD : RolloutHealth.Verdict.WAIT,
-            figures + first.words());
+    return verdict(figures, regressions);
+  }
+
+  private String figures() {
+    InstanceSample changed = samples.changed();
+    InstanceSample peers = samples.peers();
+    return String.format(
+        Locale.ROOT,
+        "%.3f of %d answers bad, %.3f of %d at %d others",
+        changed.failedShare(),
+        changed.answers(),
+        peers.failedShare(),
+        peers.answers(),
+        samples.peerCount());
   }
 
-  /** An agent that knows more than answers has not asked often enough to tell of a mean. */
-  private static boolean fewReadings(InstanceSample sample) {
-    long readings = sample.of(InstanceMetrics.READINGS);
-    return readings > 0 && readings < FEWEST_READINGS;
+  /**
+   * Silent peers are no comparison; an instance that has no peers at all is held to the bounds of
+   * the plan.
+   */
+  private boolean hasFewAnswers() {
+    return samples.changed().answers() < plan.minAnswers()
+        || (samples.hasPeers() && samples.peers().answers() < plan.minAnswers());
   }
 
-  private void share(
-      List<Worse> worse,
-      String name,
-      InstanceMetrics figure,
-      long ofChanged,
-      long ofOthers,
-      double bound,
-      double errors) {
-    double here = changed.share(figure, ofChanged);
-    double there = others.share(figure, ofOthers);
-    if (here <= there + bound
-        || ofChanged < plan.samples()
-        || (count > 0 && ofOthers < plan.samples())) {
-      return;
+  private void addSoakedMeasures(List<Regression> regressions, ComparisonMode mode) {
+    RegressionBounds bounds = plan.regressionBounds();
+    addShare(regressions, ShareMeasure.LATE, bounds.late(), mode);
+    addShare(regressions, ShareMeasure.MISSED, bounds.missed(), mode);
+    add(regressions, MeanMeasure.AVOIDED_SERVERS.compare(samples, bounds.avoidedServers(), 0));
+    add(regressions, MeanMeasure.MEMORY.compare(samples, 0, bounds.memory()));
+    if (hasEnoughHits()) {
+      add(regressions, MeanMeasure.HIT_TIME.compare(samples, 0, bounds.hitTime()));
     }
-    double both = (changed.of(figure) + others.of(figure)) / (double) (ofChanged + ofOthers);
-    double error =
-        Math.sqrt(both * (1 - both) * (1.0 / ofChanged + (ofOthers == 0 ? 0 : 1.0 / ofOthers)));
-    worse.add(
-        new Worse(
-            name.isEmpty()
-                ? ""
-                : String.format(
-                    Locale.ROOT,
-                    "; %.3f of %d %s, %.3f of %d",
-                    here,
-                    ofChanged,
-                    name,
-                    there,
-                    ofOthers),
-            here - there > errors * error));
   }
 
-  /** A mean that may be higher by a distance, or by a part. */
-  private void mean(
-      List<Worse> worse,
-      String name,
-      InstanceMetrics sum,
-      InstanceMetrics over,
-      double unit,
-      double distance,
-      double part) {
-    if (changed.of(over) == 0
-        || others.of(over) == 0
-        || fewReadings(changed)
-        || fewReadings(others)) {
-      return;
+  private boolean hasEnoughHits() {
+    long changedHits = samples.changed().valueOf(InstanceMetrics.HITS);
+    long peerHits = samples.peers().valueOf(InstanceMetrics.HITS);
+    return Math.min(changedHits, peerHits) >= Math.max(1, plan.minAnswers());
+  }
+
+  private void addShare(
+      List<Regression> regressions,
+      ShareMeasure measure,
+      double allowedDifference,
+      ComparisonMode mode) {
+    add(
+        regressions,
+        measure.compare(samples, allowedDifference, plan.minAnswers(), mode.standardErrors()));
+  }
+
+  private static void add(List<Regression> regressions, Optional<Regression> regression) {
+    regression.ifPresent(regressions::add);
+  }
+
+  /** A regression that is certain counts; one that is not is watched on. */
+  private static CanaryVerdict verdict(String figures, List<Regression> regressions) {
+    if (regressions.isEmpty()) {
+      return CanaryVerdict.passed(figures);
     }
-    double here = changed.share(sum, changed.of(over)) / unit;
-    double there = others.share(sum, others.of(over)) / unit;
-    if (there + distance > 0 && here > there * (1 + part) + distance) {
-      worse.add(
-          new Worse(
-              String.format(
-                  Locale.ROOT,
-                  unit == 1 ? "; %.0f %s, %.0f" : "; %.3f %s, %.3f",
-                  here,
-                  name,
-                  there),
-              true));
+    for (Regression regression : regressions) {
+      if (regression.certain()) {
+        return CanaryVerdict.regressed(figures + regression.description());
+      }
     }
+    return CanaryVerdict.pending(figures + regressions.get(0).description());
   }
 }
--- a/src/main/java/beaconturn/release/ConfigChange.java
+++ b/src/main/java/beaconturn/release/ConfigChange.java
@@ -3,10 +3,11 @@
 import beaconturn.agreement.ConfigContent;
 
 /**
- * The settings that go with a release, once they are proposed.
+ * The configuration version that goes with a release, once it is proposed.
  *
- * @param number of their version
- * @param before what was in force before, for the way back
- * @param undone the number of the version that brings that back, or 0
+ * @param versionNumber number of that version
+ * @param previousContent content that was in force before, which a rollback proposes again
+ * @param revertVersionNumber number of the version that reverts the change, or 0 where none does
  */
-public record ConfigChange(long number, ConfigContent before, long undone) {}
+public record ConfigChange(
+    long versionNumber, ConfigContent previousContent, long revertVersionNumber) {}
--- /dev/null
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -0,0 +1,127 @@
+package beaconturn.release;
+
+import beaconturn.agreement.AgreementException;
+import beaconturn.agreement.AgreementKeys;
+import beaconturn.agreement.AgreementTransactions;
+import beaconturn.agreement.ConfigContent;
+import beaconturn.agreement.StoreRequest;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * The configuration that goes with a release: in force on all routers before the first wave, and
+ * reverted once no instance runs any more what was released.
+ */
+final class ConfigRollout {
+  private static final String VERSIONS_UNKNOWN = "what is agreed on is not known";
+  private final AgreementTransactions agreements;
+
+  ConfigRollout(RolloutKeys keys) {
+    this.agreements = new AgreementTransactions(new AgreementKeys(keys.fleet()));
+  }
+
+  /** Whether all routers act on the configuration of the release. */
+  boolean isInForce(DriverTurn turn) {
+    ConfigChange change = turn.snapshot().configChange();
+    if (change == null) {
+      return false;
+    }
+    return turn.agreed() == null || turn.agreed().isSettled(change.versionNumber());
+  }
+
+  /** Brings the configuration into force; null while that waits. */
+  RolloutTransaction advance(DriverTurn turn) {
+    AgreedVersions agreed = turn.agreed();
+    if (agreed == null) {
+      turn.waitFor(VERSIONS_UNKNOWN);
+      return null;
+    }
+    ConfigChange change = turn.snapshot().configChange();
+    if (change == null) {
+      ConfigContent current = agreed.snapshot().current().content();
+      return propose(
+          turn,
+          turn.plan().configContent().over(current).holding(current),
+          new ConfigChange(agreed.nextNumber(), current, 0));
+    }
+    if (agreed.isRejected(change.versionNumber())) {
+      return turn.rollBack(
+          "its settings, version " + change.versionNumber() + ", were turned down");
+    }
+    turn.waitFor(
+        "version " + change.versionNumber() + " of its settings waits for " + routers(agreed));
+    return null;
+  }
+
+  /** Reverts the configuration; null while that waits, and once it is reverted or never was. */
+  RolloutTransaction revert(DriverTurn turn) {
+    AgreedVersions agreed = turn.agreed();
+    if (agreed == null) {
+      turn.waitFor(VERSIONS_UNKNOWN);
+      return null;
+    }
+    ConfigChange change = turn.snapshot().configChange();
+    boolean revertProposed = change.revertVersionNumber() != 0;
+    if (revertProposed && agreed.isSettled(change.revertVersionNumber())) {
+      return null;
+    }
+    if (!revertProposed && agreed.isRejected(change.versionNumber())) {
+      return forget(turn);
+    }
+    if (!revertProposed || agreed.isRejected(change.revertVersionNumber())) {
+      return propose(
+          turn,
+          change.previousContent().holding(agreed.snapshot().current().content()),
+          new ConfigChange(change.versionNumber(), change.previousContent(), agreed.nextNumber()));
+    }
+    turn.waitFor(
+        "version "
+            + change.revertVersionNumber()
+            + ", its settings of before, waits for "
+            + routers(agreed));
+    return null;
+  }
+
+  /** It never came into force, so that there is nothing to revert. */
+  private static RolloutTransaction forget(DriverTurn turn) {
+    String key = turn.keys().configChange();
+    return turn.transaction(
+        "its settings never came into force",
+        List.of(key),
+        List.of(new StoreRequest.Change.Delete(key)));
+  }
+
+  /**
+   * Proposes a version, in one transaction with the conditions of the driver: one that was replaced
+   * can propose nothing.
+   */
+  private RolloutTransaction propose(DriverTurn turn, ConfigContent content, ConfigChange change) {
+    AgreementTransactions.Step proposal;
+    try {
+      proposal =
+          agreements.propose(
+              turn.agreed().snapshot(),
+              turn.agreed().nextNumber(),
+              content,
+              "release " + turn.plan().number(),
+              turn.plan().reason(),
+              turn.agreed().atMillis());
+    } catch (AgreementException e) {
+      turn.waitFor(e.getMessage());
+      return null;
+    }
+    List<StoreRequest.Change> changes = new ArrayList<>(proposal.swap().changes());
+    changes.add(turn.transactions().put(change));
+    RolloutTransaction transaction =
+        turn.transaction(
+            "its settings: " + proposal.says(), List.of(turn.keys().configChange()), changes);
+    List<StoreRequest.Condition> conditions = new ArrayList<>(transaction.swap().conditions());
+    conditions.addAll(proposal.swap().conditions());
+    return new RolloutTransaction(
+        new StoreRequest.Swap(conditions, transaction.swap().changes()), transaction.description());
+  }
+
+  private static String routers(AgreedVersions agreed) {
+    return String.join(", ", agreed.waitingFor());
+  }
+}
--- a/src/main/java/beaconturn/release/DisruptionPermit.java
+++ b/src/main/java/beaconturn/release/DisruptionPermit.java
@@ -1,14 +1,15 @@
 package beaconturn.release;
 
 /**
- * A place out of the budget of absence, taken before a planned step begins and given back once the
- * part is seen back. It hangs on no lease: whoever holds it may have died with the part out.
+ * The right of an instance to be out of service, counted against the disruption budget. It is taken
+ * before a planned step begins and returned once the instance is seen back in service. It is bound
+ * to no lease, as its holder may die while the instance is out.
  *
- * @param number only grows, and is never given again
- * @param kind of the part
- * @param id of the part
- * @param holder who took it
+ * @param number grows with each permit and is never issued again
+ * @param kind kind of the instance
+ * @param instanceId the instance
+ * @param holder who took it: a release or an operator
  * @param reason why, in the holder's words
  */
 public record DisruptionPermit(
-    long number, InstanceKind kind, String id, String holder, String reason) {}
+    long number, InstanceKind kind, String instanceId, String holder, String reason) {}
--- a/src/main/java/beaconturn/release/InstanceKind.java
+++ b/src/main/java/beaconturn/release/InstanceKind.java
@@ -1,21 +1,29 @@
 package beaconturn.release;
 
-import java.util.Locale;
+import java.util.Arrays;
+import java.util.Optional;
 
-/** What a part of the fleet is. */
-public enum InstanceKind {
+/** Kinds of instances that a fleet consists of. */
+public enum InstanceKind implements StoredWord {
   /** A router. */
-  ROUTER,
+  ROUTER("router"),
   /** A cache server. */
-  CACHE;
+  CACHE("cache");
 
-  /** The word of files and of the store. */
+  private final String word;
+
+  InstanceKind(String word) {
+    this.word = word;
+  }
+
+  /** Its word in files, commands and the store. */
+  @Override
   public String word() {
-    return name().toLowerCase(Locale.ROOT);
+    return word;
   }
 
-  /** The kind of that word; null where there is none. */
-  public static InstanceKind of(String word) {
-    return word.equals("router") ? ROUTER : word.equals("cache") ? CACHE : null;
+  /** The kind of that word, or empty where no kind has it. */
+  public static Optional<InstanceKind> ofWord(String word) {
+    return Arrays.stream(values()).filter(kind -> kind.word.equals(word)).findFirst();
   }
 }
--- a/src/main/java/beaconturn/release/InstanceLoad.java
+++ b/src/main/java/beaconturn/release/InstanceLoad.java
@@ -2,157 +2,106 @@
 
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * What the parts of a site have to carry, measured: answers over one to two times the soak,
- * processor and connections as agents told them last. Whoever takes one out must leave enough for
- * that, and for failures.
+ * The measured load of zones, and whether it can be carried while instances are out. Answers are
+ * counted over one to two times the soak; gauges are as reported last. Confined to the thread of
+ * its driver.
  */
 final class InstanceLoad {
-  private static final double SECOND = 1e9;
-  private static final double THOUSAND = 1000;
-  private static final long SHORTEST = 1_000_000_000;
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final long MIN_WINDOW_NANOS = 1_000_000_000;
+  private MeasuredWindow previous;
+  private MeasuredWindow current;
 
-  /** Above this part of a processor answers wait for each other, and a burst has no room. */
-  private static final double BUSY_AT_MOST = 0.8;
+  /** Metrics of all instances at the begin of a window. */
+  private record MeasuredWindow(long beginNanos, Map<String, InstanceSample> samples) {}
 
-  private Window older;
-  private Window newer;
-
-  /** What all had answered at a time. */
-  private record Window(long at, Map<String, InstanceSample> then) {}
-
-  /** Those of a site that are left, and what the site carries. */
-  private record Site(
-      String name,
-      List<String> parts,
-      long left,
-      ReleaseFleet.Capacity capacity,
-      Map<String, InstanceSample> health) {
-    /** Why those that are left are too few, or null. */
-    String tooMuch(double carried, String unit, double each) {
-      return left > 0 && carried <= left * each
-          ? null
-          : String.format(
-              Locale.ROOT,
-              "%s carries %.1f %s, and %d routers would be left with %d that fail, for %.1f each",
-              name,
-              carried,
-              unit,
-              Math.max(0, left),
-              capacity.spare(),
-              each);
-    }
-
-    private double sum(InstanceMetrics figure) {
-      return parts.stream()
-          .mapToLong(p -> health.getOrDefault(p, InstanceSample.NONE).of(figure))
-          .sum();
-    }
-
-    /** Over those that tell it; 0 where none does. */
-    private double mean(InstanceMetrics figure) {
-      return parts.stream()
-          .mapToLong(p -> health.getOrDefault(p, InstanceSample.NONE).of(figure))
-          .filter(v -> v > 0)
-          .average()
-          .orElse(0);
-    }
-
-    /** By what their agents told last; nothing is said of what none of them tells. */
-    String levels() {
-      double cores =
-          capacity.cores() > 0 ? capacity.cores() : mean(InstanceMetrics.CORES) / THOUSAND;
-      String busy =
-          cores <= 0 || mean(InstanceMetrics.CORES) <= 0
-              ? null
-              : tooMuch(sum(InstanceMetrics.BUSY) / THOUSAND, "cores", cores * BUSY_AT_MOST);
-      double most = mean(InstanceMetrics.MOST_CONNECTIONS);
-      return busy != null || most <= 0
-          ? busy
-          : tooMuch(sum(InstanceMetrics.CONNECTIONS), "connections", most);
-    }
-  }
-
-  /** To be told of each scene. */
-  void saw(RolloutSnapshot scene, long now) {
-    if (newer == null || now - newer.at() >= Math.max(SHORTEST, scene.plan().soak())) {
-      older = newer;
-      newer = new Window(now, Map.copyOf(scene.health()));
+  /** Takes note of each snapshot. */
+  void observe(RolloutSnapshot snapshot, long nowNanos) {
+    long windowNanos = Math.max(MIN_WINDOW_NANOS, snapshot.plan().soakNanos());
+    if (current == null || nowNanos - current.beginNanos() >= windowNanos) {
+      previous = current;
+      current = new MeasuredWindow(nowNanos, Map.copyOf(snapshot.samples()));
     }
   }
 
   /**
-   * Why the part's site would be left with too little, or null where that is not so or not asked
-   * for.
+   * Why the zone of an instance could not carry its load without it, or null where it can, or where
+   * that is not to be checked.
+   *
+   * @param unavailable instances that are out already
    */
-  String tooMuch(RolloutSnapshot scene, String id, Set<String> out, long now) {
-    ReleaseFleet.Group group = scene.fleet().group(scene.plan().kind());
-    ReleaseFleet.Capacity capacity = group.capacity();
-    if (capacity.spare() < 0 || scene.plan().kind() != InstanceKind.ROUTER) {
+  String objection(
+      RolloutSnapshot snapshot, String instanceId, Set<String> unavailable, long nowNanos) {
+    ReleaseFleet.Group group = snapshot.fleet().group(snapshot.plan().kind());
+    ReleaseFleet.Capacity required = group.capacity();
+    if (!isChecked(snapshot.plan(), required)) {
       return null;
     }
-    if (older == null) {
+    if (previous == null) {
       return "what its site carries is measured";
     }
-    String name = group.siteOf(id);
-    List<String> parts = group.sites().get(name);
-    Site site =
-        new Site(
-            name,
-            parts,
-            parts.stream().filter(p -> !out.contains(p) && !p.equals(id)).count()
-                - capacity.spare(),
-            capacity,
-            scene.health());
-    if (capacity.eachPerSecond() > 0) {
-      double answers = 0;
-      for (String part : parts) {
-        InstanceSample then = older.then().get(part);
-        answers +=
-            then == null
-                ? 0
-                : scene.health().getOrDefault(part, InstanceSample.NONE).since(then).answers();
+    String zone = group.zoneOf(instanceId);
+    List<String> instanceIds = group.instancesByZone().get(zone);
+    long inService =
+        instanceIds.stream()
+            .filter(id -> !unavailable.contains(id) && !id.equals(instanceId))
+            .count();
+    long remaining = inService - required.toleratedFailures();
+    ZoneCapacity capacity = new ZoneCapacity(zone, instanceIds, remaining, required, snapshot);
+    if (required.answersPerSecondEach() > 0) {
+      double answersPerSecond = answersPerSecond(snapshot, instanceIds, nowNanos);
+      String objection =
+          capacity.objection(answersPerSecond, "answers a second", required.answersPerSecondEach());
+      if (objection != null) {
+        return objection;
       }
-      String full =
-          site.tooMuch(
-              answers * SECOND / (now - older.at()), "answers a second", capacity.eachPerSecond());
-      if (full != null) {
-        return full;
+    }
+    return capacity.gaugesObjection();
+  }
+
+  private static boolean isChecked(RolloutPlan plan, ReleaseFleet.Capacity required) {
+    return required.toleratedFailures() >= 0 && plan.kind() == InstanceKind.ROUTER;
+  }
+
+  private double answersPerSecond(
+      RolloutSnapshot snapshot, List<String> instanceIds, long nowNanos) {
+    double answers = 0;
+    for (String instanceId : instanceIds) {
+      InstanceSample before = previous.samples().get(instanceId);
+      if (before != null) {
+        answers += snapshot.sample(instanceId).since(before).answers();
       }
     }
-    return site.levels();
+    return answers * NANOS_PER_SECOND / (nowNanos - previous.beginNanos());
   }
 
   /**
-   * Why a plan could not keep it by what is carried now, or null; with as many out as it may take.
+   * Why zones could not carry their present load during a plan, with as many instances out as the
+   * budget allows; null where they can, or where that is not to be checked.
    */
-  static String objection(RolloutPlan plan, RolloutSnapshot scene) {
-    ReleaseFleet.Group group = scene.fleet().group(plan.kind());
-    if (group.capacity().spare() < 0 || plan.kind() != InstanceKind.ROUTER) {
+  static String objection(RolloutPlan plan, RolloutSnapshot snapshot) {
+    ReleaseFleet.Group group = snapshot.fleet().group(plan.kind());
+    ReleaseFleet.Capacity required = group.capacity();
+    if (!isChecked(plan, required)) {
       return null;
     }
-    Set<String> named = new HashSet<>(plan.parts());
-    for (Map.Entry<String, List<String>> e : group.sites().entrySet()) {
-      int out =
-          Math.min(
-              Math.min(group.mostOut(), group.mostOutOfSite()),
-              (int) e.getValue().stream().filter(named::contains).count());
-      String full =
-          out == 0
-              ? null
-              : new Site(
-                      e.getKey(),
-                      e.getValue(),
-                      e.getValue().size() - out - group.capacity().spare(),
-                      group.capacity(),
-                      scene.health())
-                  .levels();
-      if (full != null) {
-        return full;
+    Set<String> planned = new HashSet<>(plan.instanceIds());
+    int budget = Math.min(group.maxUnavailable(), group.maxUnavailablePerZone());
+    for (Map.Entry<String, List<String>> zone : group.instancesByZone().entrySet()) {
+      List<String> instanceIds = zone.getValue();
+      int out = Math.min(budget, (int) instanceIds.stream().filter(planned::contains).count());
+      if (out > 0) {
+        int remaining = instanceIds.size() - out - required.toleratedFailures();
+        String objection =
+            new ZoneCapacity(zone.getKey(), instanceIds, remaining, required, snapshot)
+                .gaugesObjection();
+        if (objection != null) {
+          return objection;
+        }
       }
     }
     return null;
--- a/src/main/java/beaconturn/release/InstanceMetrics.java
+++ b/src/main/java/beaconturn/release/InstanceMetrics.java
@@ -1,58 +1,55 @@
 package beaconturn.release;
 
-import java.util.Locale;
-
 /**
- * What an agent tells of its part. Counts grow from the begin of a process; levels are as they are
- * now.
+ * Metrics that an agent reports of its instance. Counters grow from the start of a process; gauges
+ * are as of the report.
  */
-public enum InstanceMetrics {
-  /** Answers that served. */
-  GOOD,
-  /** Refusals and failures. */
-  BAD,
-  /** Answers that served and came after their class's aim. */
-  LATE,
-  /** Answers of cache servers that had the key. */
-  HITS,
-  /** Answers of cache servers that did not have it. */
-  MISSES,
-  /** Microseconds that all hits took together. */
-  HIT_MICROS,
-  /** How often the part was asked. */
-  READINGS,
-  /** The part of the listed cache servers that it avoided, in millionths, over all readings. */
-  AVOIDED,
-  /** Resident memory in kB, over all readings. */
-  MEMORY,
-  /** Answers a second. */
-  RATE(true),
-  /** Processor in use, in thousandths of a core. */
-  BUSY(true),
-  /** Processor that it may use, in thousandths of a core. */
-  CORES(true),
-  /** Connections of clients that are open. */
-  CONNECTIONS(true),
-  /** Connections of clients that may be open. */
-  MOST_CONNECTIONS(true);
-
-  private final boolean level;
+public enum InstanceMetrics implements StoredWord {
+  /** Counter: successful answers. */
+  SERVED("good", false),
+  /** Counter: rejections and errors. */
+  FAILED("bad", false),
+  /** Counter: successful answers that came after the latency objective of their class. */
+  LATE("late", false),
+  /** Counter: answers of cache servers that had the key. */
+  HITS("hits", false),
+  /** Counter: answers of cache servers that did not have the key. */
+  MISSES("misses", false),
+  /** Counter: microseconds that all hits took together. */
+  HIT_MICROS("hit_micros", false),
+  /** Counter: readings that the agent took of its instance. */
+  READINGS("readings", false),
+  /** Counter: share of the listed cache servers that was avoided, in millionths, over readings. */
+  AVOIDED_MILLIONTHS("avoided", false),
+  /** Counter: resident memory in kB, over readings. */
+  MEMORY_KB("memory", false),
+  /** Gauge: answers a second. */
+  ANSWERS_PER_SECOND("rate", true),
+  /** Gauge: processor time in use, in thousandths of a core. */
+  CPU_MILLICORES("busy", true),
+  /** Gauge: processor time that may be used, in thousandths of a core. */
+  CPU_LIMIT_MILLICORES("cores", true),
+  /** Gauge: open client connections. */
+  CONNECTIONS("connections", true),
+  /** Gauge: client connections that may be open. */
+  MAX_CONNECTIONS("most_connections", true);
 
-  InstanceMetrics() {
-    this(false);
-  }
+  private final String word;
+  private final boolean gauge;
 
-  InstanceMetrics(boolean level) {
-    this.level = level;
+  InstanceMetrics(String word, boolean gauge) {
+    this.word = word;
+    this.gauge = gauge;
   }
 
-  /** Whether it is as it is now, and not counted. */
-  boolean level() {
-    return level;
+  /** Whether it is as of the report, and not counted. */
+  boolean isGauge() {
+    return gauge;
   }
 
-  /** As it stands in the store. */
-  String word() {
-    return name().toLowerCase(Locale.ROOT);
+  /** Its word in the store. */
+  @Override
+  public String word() {
+    return word;
   }
 }
--- a/src/main/java/beaconturn/release/InstanceSample.java
+++ b/src/main/java/beaconturn/release/InstanceSample.java
@@ -5,68 +5,80 @@
 import java.util.Map;
 
 /**
- * What a part has answered since its process began, and how it does.
+ * Metrics of one instance at one time, as its agent reports them.
  *
- * @param process which process it is; another one counts anew
- * @param figures what is known; what is not there is 0
+ * @param process identifies the process of the instance; counters of another one begin anew
+ * @param metrics known metrics; those not contained are 0
  */
-public record InstanceSample(String process, Map<InstanceMetrics, Long> figures) {
+public record InstanceSample(String process, Map<InstanceMetrics, Long> metrics) {
+  /** No metrics. */
   static final InstanceSample NONE = new InstanceSample("", Map.of());
 
-  /** A sample of its own. */
+  /** Copies the metrics and leaves out those that are 0. */
   public InstanceSample {
-    Map<InstanceMetrics, Long> all = new EnumMap<>(InstanceMetrics.class);
-    figures.forEach(
-        (figure, value) -> {
+    Map<InstanceMetrics, Long> known = new EnumMap<>(InstanceMetrics.class);
+    metrics.forEach(
+        (metric, value) -> {
           if (value != 0) {
-            all.put(figure, value);
+            known.put(metric, value);
           }
         });
-    figures = Collections.unmodifiableMap(all);
+    metrics = Collections.unmodifiableMap(known);
   }
 
-  /** One of which only the answers are known. */
-  public static InstanceSample of(String process, long good, long bad) {
+  /** A sample that counts answers only. */
+  public static InstanceSample ofAnswers(String process, long served, long failed) {
     return new InstanceSample(
-        process, Map.of(InstanceMetrics.GOOD, good, InstanceMetrics.BAD, bad));
+        process, Map.of(InstanceMetrics.SERVED, served, InstanceMetrics.FAILED, failed));
   }
 
-  long of(InstanceMetrics figure) {
-    return figures.getOrDefault(figure, 0L);
+  /** The value of a metric; 0 where it is not known. */
+  long valueOf(InstanceMetrics metric) {
+    return metrics.getOrDefault(metric, 0L);
   }
 
-  /** What came since an earlier sample; all of it where the process is another. */
+  /**
+   * What was counted since an earlier sample, with the gauges of this one; all of it where the
+   * process is another.
+   */
   InstanceSample since(InstanceSample earlier) {
-    return process.equals(earlier.process) ? with(process, earlier, -1) : this;
+    if (!process.equals(earlier.process)) {
+      return this;
+    }
+    Map<InstanceMetrics, Long> difference = new EnumMap<>(InstanceMetrics.class);
+    for (InstanceMetrics metric : InstanceMetrics.values()) {
+      long before = metric.isGauge() ? 0 : earlier.valueOf(metric);
+      difference.put(metric, valueOf(metric) - before);
+    }
+    return new InstanceSample(process, difference);
   }
 
-  /** What both count together; of levels that makes no sense, and they are left out. */
+  /** The sum of the counters of both; gauges are left out, as their sum has no meaning. */
   InstanceSample plus(InstanceSample other) {
-    return with("", other, 1);
-  }
-
-  private InstanceSample with(String as, InstanceSample other, int sign) {
-    Map<InstanceMetrics, Long> all = new EnumMap<>(InstanceMetrics.class);
-    for (InstanceMetrics f : InstanceMetrics.values()) {
-      if (!f.level()) {
-        all.put(f, of(f) + sign * other.of(f));
-      } else if (sign < 0) {
-        all.put(f, of(f));
+    Map<InstanceMetrics, Long> sum = new EnumMap<>(InstanceMetrics.class);
+    for (InstanceMetrics metric : InstanceMetrics.values()) {
+      if (!metric.isGauge()) {
+        sum.put(metric, valueOf(metric) + other.valueOf(metric));
       }
     }
-    return new InstanceSample(as, all);
+    return new InstanceSample("", sum);
   }
 
+  /** All answers. */
   long answers() {
-    return of(InstanceMetrics.GOOD) + of(InstanceMetrics.BAD);
+    return valueOf(InstanceMetrics.SERVED) + valueOf(InstanceMetrics.FAILED);
   }
 
-  double badShare() {
-    return share(InstanceMetrics.BAD, answers());
+  /** The failed share of all answers, from 0 to 1. */
+  double failedShare() {
+    return ratio(InstanceMetrics.FAILED, answers());
   }
 
-  /** Its part of so many; 0 of none. */
-  double share(InstanceMetrics figure, long whole) {
-    return whole == 0 ? 0 : of(figure) / (double) whole;
+  /** A metric divided by a total; 0 where the total is 0. */
+  double ratio(InstanceMetrics metric, long total) {
+    if (total == 0) {
+      return 0;
+    }
+    return valueOf(metric) / (double) total;
   }
 }
--- a/src/main/java/beaconturn/release/InstanceVariant.java
+++ b/src/main/java/beaconturn/release/InstanceVariant.java
@@ -1,16 +1,21 @@
 package beaconturn.release;
 
-import java.util.Locale;
-
-/** What a part runs, of the two that a release is about. */
-public enum InstanceVariant {
-  /** What it ran before. */
-  OLD,
+/** The two variants of an instance that a release is about. */
+public enum InstanceVariant implements StoredWord {
+  /** What the instance ran before the release. */
+  OLD("old"),
   /** What is released. */
-  NEW;
+  NEW("new");
+
+  private final String word;
+
+  InstanceVariant(String word) {
+    this.word = word;
+  }
 
-  /** The word of commands and of the store. */
+  /** Its word in commands, in their environment and in the store. */
+  @Override
   public String word() {
-    return name().toLowerCase(Locale.ROOT);
+    return word;
   }
 }
--- a/src/main/java/beaconturn/release/RegressionBounds.java
+++ b/src/main/java/beaconturn/release/RegressionBounds.java
@@ -1,23 +1,34 @@
 package beaconturn.release;
 
 /**
- * By how much a changed part may do worse than the others in the same time.
+ * By how much a changed instance may do worse than its peers over the same time.
  *
- * @param bad refusals and failures, as a part of the answers
- * @param late answers after their aim, as a part of those that served
- * @param missed answers of cache servers that did not have the key, as a part of all of theirs
- * @param avoided listed cache servers that it avoids, as a part of all
- * @param memory resident memory, as a part of the others'
- * @param slower time that hits take, as a part of the others'
+ * @param failed rejections and errors, as a share of all answers
+ * @param late answers after their latency objective, as a share of the successful ones
+ * @param missed cache misses, as a share of all answers of cache servers
+ * @param avoidedServers listed cache servers that it avoids, as a share of all
+ * @param memory resident memory, relative to that of the peers
+ * @param hitTime duration of hits, relative to that of the peers
  */
 public record RegressionBounds(
-    double bad, double late, double missed, double avoided, double memory, double slower) {
-  /** The usual ones. */
-  public static final RegressionBounds USUAL = new RegressionBounds(0.02, 0.05, 0.2, 0.34, 0.3, 1);
+    double failed,
+    double late,
+    double missed,
+    double avoidedServers,
+    double memory,
+    double hitTime) {
+  /** The bounds that hold where a plan does not say others. */
+  public static final RegressionBounds DEFAULT =
+      new RegressionBounds(0.02, 0.05, 0.2, 0.34, 0.3, 1);
 
-  /** The usual ones but for refusals and failures. */
-  public static RegressionBounds of(double bad) {
+  /** The default bounds but for the share of failed answers. */
+  public static RegressionBounds ofFailed(double failed) {
     return new RegressionBounds(
-        bad, USUAL.late, USUAL.missed, USUAL.avoided, USUAL.memory, USUAL.slower);
+        failed,
+        DEFAULT.late,
+        DEFAULT.missed,
+        DEFAULT.avoidedServers,
+        DEFAULT.memory,
+        DEFAULT.hitTime);
   }
 }
--- a/src/main/java/beaconturn/release/ReleaseFleet.java
+++ b/src/main/java/beaconturn/release/ReleaseFleet.java
@@ -8,69 +8,76 @@
 import java.util.TreeMap;
 
 /**
- * Who belongs to the fleet, and how much of it may be out at once.
+ * The instances of a fleet and its disruption budget.
  *
- * @param groups the parts of each kind; a kind that is not there may not be released
+ * @param groups instances by kind; a kind that is not contained cannot be released
  */
 public record ReleaseFleet(Map<InstanceKind, Group> groups) {
-  /** No parts, nothing may be out. */
-  public static final ReleaseFleet NONE = new ReleaseFleet(Map.of());
+  /** A fleet without instances. */
+  public static final ReleaseFleet EMPTY = new ReleaseFleet(Map.of());
 
-  /** A fleet of its own. */
+  /** Copies the groups. */
   public ReleaseFleet {
     groups = groups.isEmpty() ? Map.of() : Collections.unmodifiableMap(new EnumMap<>(groups));
   }
 
   /**
-   * What a site must be able to carry.
+   * The load that the instances of a zone must be able to carry while some are out.
    *
-   * @param eachPerSecond so many answers a second one part is known to be able to give; 0 where
-   *     that is not said
-   * @param cores so many cores one part may use; 0 means as many as it says itself
-   * @param spare so many may fail beside those that are out; below 0 the load is not looked at
+   * @param answersPerSecondEach answers a second that one instance can give; 0 where that is not
+   *     said
+   * @param coresEach cores that one instance may use; 0 for as many as it reports itself
+   * @param toleratedFailures instances that may fail beside those that are out; below 0 the load is
+   *     not checked
    */
-  public record Capacity(double eachPerSecond, double cores, int spare) {
-    /** The load is not looked at. */
-    public static final Capacity ANY = new Capacity(0, 0, -1);
+  public record Capacity(double answersPerSecondEach, double coresEach, int toleratedFailures) {
+    /** The load is not checked. */
+    public static final Capacity UNCHECKED = new Capacity(0, 0, -1);
   }
 
   /**
-   * The parts of a kind by site.
+   * The instances of one kind.
    *
-   * @param mostOut so many may be out at once in all
-   * @param mostOutOfSite so many of one site
-   * @param sites names of parts by site
-   * @param capacity what a site must be able to carry without those that are out
+   * @param maxUnavailable instances that may be out at once in all zones
+   * @param maxUnavailablePerZone instances that may be out at once in one zone
+   * @param instancesByZone names of instances by zone
+   * @param capacity load that a zone must be able to carry without those that are out
    */
   public record Group(
-      int mostOut, int mostOutOfSite, SortedMap<String, List<String>> sites, Capacity capacity) {
-    /** A group of its own. */
+      int maxUnavailable,
+      int maxUnavailablePerZone,
+      SortedMap<String, List<String>> instancesByZone,
+      Capacity capacity) {
+    /** Copies the instances. */
     public Group {
-      sites = Collections.unmodifiableSortedMap(new TreeMap<>(sites));
+      instancesByZone = Collections.unmodifiableSortedMap(new TreeMap<>(instancesByZone));
     }
 
-    /** A group whose load is not looked at. */
-    public Group(int mostOut, int mostOutOfSite, SortedMap<String, List<String>> sites) {
-      this(mostOut, mostOutOfSite, sites, Capacity.ANY);
+    /** A group whose load is not checked. */
+    public Group(
+        int maxUnavailable,
+        int maxUnavailablePerZone,
+        SortedMap<String, List<String>> instancesByZone) {
+      this(maxUnavailable, maxUnavailablePerZone, instancesByZone, Capacity.UNCHECKED);
     }
 
-    /** The site of a part, or null if it does not belong to the group. */
-    public String siteOf(String id) {
-      for (Map.Entry<String, List<String>> site : sites.entrySet()) {
-        if (site.getValue().contains(id)) {
-          return site.getKey();
+    /** The zone of an instance, or null where the group does not contain it. */
+    public String zoneOf(String instanceId) {
+      for (Map.Entry<String, List<String>> zone : instancesByZone.entrySet()) {
+        if (zone.getValue().contains(instanceId)) {
+          return zone.getKey();
         }
       }
       return null;
     }
 
-    /** All parts, site by site. */
-    public List<String> all() {
-      return sites.values().stream().flatMap(List::stream).toList();
+    /** All instances, zone by zone. */
+    public List<String> instanceIds() {
+      return instancesByZone.values().stream().flatMap(List::stream).toList();
     }
   }
 
-  /** The parts of a kind; none where the fleet has none. */
+  /** The instances of a kind; an empty group where the fleet has none. */
   public Group group(InstanceKind kind) {
     return groups.getOrDefault(kind, new Group(0, 0, new TreeMap<>()));
   }
--- a/src/main/java/beaconturn/release/RolloutAdmin.java
+++ b/src/main/java/beaconturn/release/RolloutAdmin.java
@@ -6,287 +6,181 @@
 import beaconturn.agreement.StoreResponse;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
 import java.util.function.Supplier;
 
 /**
- * What operators do with releases: each order reads what stands in the store and takes one step.
+ * Operators' commands to releases. Each reads what the store holds and carries out one transaction;
+ * an {@link AgreementException} says why a command is not allowed as things are, or that the store
+ * does not answer.
  */
 public final class RolloutAdmin {
-  private static final int TRIES = 5;
   private final RolloutKeys keys;
-  private final RolloutTransactions steps;
-  private final ConfigAdmin.Store store;
+  private final RolloutTransactions transactions;
+  private final RolloutStore store;
   private final String author;
 
-  /** A desk at a store, for one fleet and operator. */
+  /** Commands of one operator to one fleet; the clock gives the time of history lines. */
   public RolloutAdmin(
-      RolloutKeys keys, ConfigAdmin.Store store, String author, Supplier<String> when) {
+      RolloutKeys keys, ConfigAdmin.Store store, String author, Supplier<String> clock) {
     this.keys = keys;
-    this.steps = new RolloutTransactions(keys, when);
-    this.store = store;
+    this.transactions = new RolloutTransactions(keys, clock);
+    this.store = new RolloutStore(keys, store);
     this.author = author;
   }
 
-  /** What is made of what stands there, or null where there is nothing to do. */
-  private interface Order {
-    RolloutTransaction on(RolloutSnapshot scene) throws AgreementException;
+  /** What the store holds now. */
+  public RolloutSnapshot snapshot() throws AgreementException {
+    return store.snapshot();
   }
 
-  private StoreResponse.Given given(StoreRequest call) throws AgreementException {
-    return ConfigAdmin.given(store, call);
+  /** All lines of the history, the oldest first. */
+  public List<String> history() throws AgreementException {
+    return store.request(new StoreRequest.Read(keys.history())).pairs().stream()
+        .map(StoreResponse.Pair::value)
+        .toList();
   }
 
-  /** What stands in the store now. */
-  public RolloutSnapshot look() throws AgreementException {
-    return RolloutSnapshot.of(keys, given(new StoreRequest.Read(keys.all())));
+  /** The time series of a release; empty where none was recorded. */
+  public RolloutTimeSeries timeSeries(long releaseNumber) throws AgreementException {
+    List<StoreResponse.Pair> found =
+        store.request(new StoreRequest.Read(keys.timeSeries(releaseNumber))).pairs();
+    return found.isEmpty()
+        ? RolloutTimeSeries.EMPTY
+        : RolloutTimeSeriesCodec.decode(found.get(0).value());
   }
 
-  /** Somebody else may take a step at the same time: then it looks again. */
-  private String carryOut(Order order) throws AgreementException {
-    for (int i = 0; i < TRIES; i++) {
-      RolloutTransaction act = order.on(look());
-      if (given(act.swap()).held()) {
-        return act.says();
-      }
-    }
-    throw new AgreementException("not done, things keep changing: look again");
-  }
-
-  /** Says who belongs to the fleet and how much may be out; counts from the next step on. */
-  public String fleet(ReleaseFleet fleet) throws AgreementException {
-    return carryOut(
-        scene ->
-            steps.act(
-                scene,
+  /** Defines the instances of the fleet and its disruption budget, from the next step on. */
+  public String defineFleet(ReleaseFleet fleet) throws AgreementException {
+    String key = keys.fleetDefinition();
+    return store.execute(
+        snapshot ->
+            transactions.transaction(
+                snapshot,
                 author,
                 "the fleet and what may be out of it are said anew",
-                List.of(keys.parts()),
-                List.of(RolloutTransactions.put(keys.parts(), RolloutCodec.of(fleet)))));
+                List.of(key),
+                List.of(RolloutTransactions.put(key, ReleaseFleetCodec.encode(fleet)))));
   }
 
-  /** Begins a release; its number is the one after the last. */
-  public String start(RolloutPlan wanted) throws AgreementException {
-    return carryOut(
-        scene -> {
-          if (!scene.course().over()) {
-            throw new AgreementException(
-                "release " + scene.plan().number() + " is at hand: it " + words(scene.course()));
-          }
-          String objection = objection(wanted, scene);
-          if (objection != null) {
-            throw new AgreementException(objection);
-          }
-          long number = scene.plan() == null ? 1 : scene.plan().number() + 1;
-          RolloutPlan plan = wanted.begun(number, scene.cluster());
-          List<StoreRequest.Change> changes =
-              new ArrayList<>(
-                  List.of(
-                      RolloutTransactions.put(keys.plan(), RolloutCodec.of(plan)),
-                      steps.put(
-                          new RolloutState(RolloutState.Mode.RUNNING, plan.reason(), author))));
-          scene
-              .steps()
-              .keySet()
-              .forEach(id -> changes.add(new StoreRequest.Change.Delete(keys.step(id))));
-          if (scene.settings() != null) {
-            changes.add(new StoreRequest.Change.Delete(keys.settings()));
-          }
-          return steps.act(
-              scene,
-              author,
-              "release " + number + " begins: " + plan.reason(),
-              List.of(keys.parts()),
-              changes);
-        });
+  /** Why a release cannot be started as things are, or null where it can. */
+  public static String objection(RolloutPlan plan, RolloutSnapshot snapshot) {
+    String objection = plan.objection(snapshot.fleet());
+    return objection != null ? objection : InstanceLoad.objection(plan, snapshot);
   }
 
-  /** Why the release cannot be begun as things are, or null. */
-  public static String objection(RolloutPlan wanted, RolloutSnapshot scene) {
-    String shape = wanted.objection(scene.fleet());
-    return shape != null ? shape : InstanceLoad.objection(wanted, scene);
+  /** Starts a release; its number is the one after that of the last. */
+  public String start(RolloutPlan plan) throws AgreementException {
+    return store.execute(snapshot -> startTransaction(snapshot, plan));
   }
 
-  /** The curve of a release; empty where none was drawn. */
-  public RolloutTimeSeries curve(long release) throws AgreementException {
-    List<StoreResponse.Pair> found = given(new StoreRequest.Read(keys.curve(release))).pairs();
-    return found.isEmpty() ? RolloutTimeSeries.NONE : RolloutTimeSeries.of(found.get(0).value());
+  private RolloutTransaction startTransaction(RolloutSnapshot snapshot, RolloutPlan wanted)
+      throws AgreementException {
+    if (!snapshot.state().isOver()) {
+      throw new AgreementException(
+          "release " + snapshot.plan().number() + " is at hand: it " + describe(snapshot.state()));
+    }
+    String objection = objection(wanted, snapshot);
+    if (objection != null) {
+      throw new AgreementException(objection);
+    }
+    long number = snapshot.plan() == null ? 1 : snapshot.plan().number() + 1;
+    RolloutPlan plan = wanted.startedAs(number, snapshot.storeId());
+    List<StoreRequest.Change> changes = new ArrayList<>();
+    changes.add(RolloutTransactions.put(keys.plan(), RolloutPlanCodec.encode(plan)));
+    changes.add(transactions.put(new RolloutState(RolloutMode.RUNNING, plan.reason(), author)));
+    changes.addAll(deletionsOfLastRelease(snapshot));
+    return transactions.transaction(
+        snapshot,
+        author,
+        "release " + number + " begins: " + plan.reason(),
+        List.of(keys.fleetDefinition()),
+        changes);
+  }
+
+  private List<StoreRequest.Change> deletionsOfLastRelease(RolloutSnapshot snapshot) {
+    List<StoreRequest.Change> deletions = new ArrayList<>();
+    for (String instanceId : snapshot.steps().keySet()) {
+      deletions.add(new StoreRequest.Change.Delete(keys.step(instanceId)));
+    }
+    if (snapshot.configChange() != null) {
+      deletions.add(new StoreRequest.Change.Delete(keys.configChange()));
+    }
+    return deletions;
   }
 
-  /** Has no step begin from now on. */
-  public String halt(String why) throws AgreementException {
-    return turn(
+  /** Halts the release: no step begins from now on. */
+  public String halt(String reason) throws AgreementException {
+    return changeMode(
         "halted",
-        why,
-        RolloutState.Mode.HALTED,
-        RolloutState.Mode.RUNNING,
-        RolloutState.Mode.BACKING);
+        reason,
+        RolloutMode.HALTED,
+        Set.of(RolloutMode.RUNNING, RolloutMode.ROLLING_BACK));
   }
 
-  /** Goes on where it was halted. */
-  public String resume(String why) throws AgreementException {
-    return turn("goes on", why, RolloutState.Mode.RUNNING, RolloutState.Mode.HALTED);
+  /** Resumes a release that was halted. */
+  public String resume(String reason) throws AgreementException {
+    return changeMode("goes on", reason, RolloutMode.RUNNING, Set.of(RolloutMode.HALTED));
   }
 
-  /** Undoes all steps in the reverse order. */
-  public String back(String why) throws AgreementException {
-    return turn(
+  /** Rolls all steps back in the reverse order. */
+  public String rollBack(String reason) throws AgreementException {
+    return changeMode(
         "goes back",
-        why,
-        RolloutState.Mode.BACKING,
-        RolloutState.Mode.RUNNING,
-        RolloutState.Mode.HALTED);
+        reason,
+        RolloutMode.ROLLING_BACK,
+        Set.of(RolloutMode.RUNNING, RolloutMode.HALTED));
   }
 
-  /** Leaves all as it is; permits stay with parts that are out. */
-  public String abandon(String why) throws AgreementException {
-    return turn(
+  /** Leaves all as it is; instances that are out keep their permits. */
+  public String abandon(String reason) throws AgreementException {
+    return changeMode(
         "abandoned",
-        why,
-        RolloutState.Mode.ABANDONED,
-        RolloutState.Mode.RUNNING,
-        RolloutState.Mode.HALTED,
-        RolloutState.Mode.BACKING);
+        reason,
+        RolloutMode.ABANDONED,
+        Set.of(RolloutMode.RUNNING, RolloutMode.HALTED, RolloutMode.ROLLING_BACK));
   }
 
-  private String turn(String says, String why, RolloutState.Mode to, RolloutState.Mode... from)
+  private String changeMode(
+      String verb, String reason, RolloutMode mode, Set<RolloutMode> allowedFrom)
       throws AgreementException {
-    return carryOut(
-        scene -> {
-          if (scene.plan() == null || !List.of(from).contains(scene.course().mode())) {
-            throw new AgreementException(
-                "not now: "
-                    + (scene.plan() == null
-                        ? "there is no release"
-                        : "release " + scene.plan().number() + " " + words(scene.course())));
-          }
-          if (scene.replaced()
-              && to != RolloutState.Mode.ABANDONED
-              && to != RolloutState.Mode.HALTED) {
-            throw new AgreementException(RolloutSnapshot.REPLACED);
-          }
-          return steps.act(
-              scene,
+    return store.execute(
+        snapshot -> {
+          checkModeChange(snapshot, mode, allowedFrom);
+          return transactions.transaction(
+              snapshot,
               author,
-              "release " + scene.plan().number() + " " + says + ": " + why,
+              "release " + snapshot.plan().number() + " " + verb + ": " + reason,
               List.of(),
-              List.of(steps.put(new RolloutState(to, why, author))));
+              List.of(transactions.put(new RolloutState(mode, reason, author))));
         });
   }
 
-  /** What a release is at, in words. */
-  public static String words(RolloutState course) {
-    return switch (course.mode()) {
-      case RUNNING -> "runs";
-      case HALTED -> "is halted: " + course.why();
-      case BACKING -> "goes back: " + course.why();
-      case DONE -> "is done";
-      case BACK -> "is undone: " + course.why();
-      case ABANDONED -> "is abandoned: " + course.why();
-    };
-  }
-
-  /**
-   * Takes a place for a part outside of a release, for instance a drain by hand; its number.
-   * Refused in words while none is free.
-   *
-   * @param seen what is out though nobody planned it
-   */
-  public long take(InstanceKind kind, String id, String reason, Unavailability seen)
+  private static void checkModeChange(
+      RolloutSnapshot snapshot, RolloutMode mode, Set<RolloutMode> allowedFrom)
       throws AgreementException {
-    carryOut(
-        scene -> {
-          if (holds(scene, kind, id) != null) {
-            throw new AgreementException(
-                id + " is out under permit " + holds(scene, kind, id).number());
-          }
-          String full = scene.full(kind, id, seen, seen.out());
-          if (full != null) {
-            throw new AgreementException("no place is free: " + full);
-          }
-          long number = scene.counter() + 1;
-          return steps.act(
-              scene,
-              author,
-              id + " goes out under permit " + number + ": " + reason,
-              List.of(keys.counter(), keys.parts()),
-              List.of(
-                  steps.counted(number),
-                  steps.put(new DisruptionPermit(number, kind, id, author, reason))));
-        });
-    return holds(look(), kind, id).number();
-  }
-
-  /** Gives the place of a part back that is seen back, or that an operator knows to be dead. */
-  public String giveBack(InstanceKind kind, String id, String why) throws AgreementException {
-    return carryOut(
-        scene -> {
-          DisruptionPermit permit = holds(scene, kind, id);
-          if (permit == null) {
-            throw new AgreementException(id + " holds no place");
-          }
-          List<StoreRequest.Change> changes = new ArrayList<>(List.of(steps.back(permit.number())));
-          RolloutStep step = scene.steps().get(id);
-          if (step != null && step.permit() == permit.number()) {
-            // Whoever holds the old number can do nothing with it any more.
-            changes.add(steps.put(step.to(RolloutStep.Phase.UNDONE, "", why)));
-          }
-          return steps.act(
-              scene,
-              author,
-              id + " gives permit " + permit.number() + " back: " + why,
-              step == null ? List.of() : List.of(keys.step(id)),
-              changes);
-        });
-  }
-
-  /**
-   * What must hold, and what changes, when a whole site is taken out: no part of another one is out
-   * under a permit, and who takes a place at the same time has to look again. Refused in words.
-   */
-  public StoreRequest.Swap siteOut(String site, String reason) throws AgreementException {
-    RolloutSnapshot scene = look();
-    if (scene.fleet().groups().isEmpty()) {
-      return new StoreRequest.Swap(List.of(), List.of());
+    if (snapshot.plan() == null) {
+      throw new AgreementException("not now: there is no release");
     }
-    List<String> others =
-        scene.permits().values().stream()
-            .filter(p -> !site.equals(scene.fleet().group(p.kind()).siteOf(p.id())))
-            .map(
-                p ->
-                    p.id()
-                        + " (permit "
-                        + p.number()
-                        + " of "
-                        + p.holder()
-                        + ": "
-                        + p.reason()
-                        + ")")
-            .toList();
-    if (!others.isEmpty()) {
+    if (!allowedFrom.contains(snapshot.state().mode())) {
       throw new AgreementException(
-          "not while parts of other sites are out: " + String.join(", ", others));
+          "not now: release " + snapshot.plan().number() + " " + describe(snapshot.state()));
+    }
+    boolean actsOnNothing = mode == RolloutMode.ABANDONED || mode == RolloutMode.HALTED;
+    if (snapshot.storeReplaced() && !actsOnNothing) {
+      throw new AgreementException(RolloutSnapshot.STORE_REPLACED);
     }
-    return steps
-        .act(
-            scene,
-            author,
-            "site " + site + " is taken out: " + reason,
-            List.of(keys.counter(), keys.parts()),
-            List.of(steps.counted(scene.counter() + 1)))
-        .swap();
-  }
-
-  private static DisruptionPermit holds(RolloutSnapshot scene, InstanceKind kind, String id) {
-    return scene.permits().values().stream()
-        .filter(p -> p.kind() == kind && p.id().equals(id))
-        .findFirst()
-        .orElse(null);
   }
 
-  /** All that was done, the oldest first. */
-  public List<String> history() throws AgreementException {
-    return given(new StoreRequest.Read(keys.stories())).pairs().stream()
-        .map(StoreResponse.Pair::value)
-        .toList();
+  /** The state of a rollout in words, to follow "release N". */
+  public static String describe(RolloutState state) {
+    return switch (state.mode()) {
+      case RUNNING -> "runs";
+      case HALTED -> "is halted: " + state.reason();
+      case ROLLING_BACK -> "goes back: " + state.reason();
+      case COMPLETED -> "is done";
+      case ROLLED_BACK -> "is undone: " + state.reason();
+      case ABANDONED -> "is abandoned: " + state.reason();
+    };
   }
 }
--- a/src/main/java/beaconturn/release/RolloutAgent.java
+++ b/src/main/java/beaconturn/release/RolloutAgent.java
@@ -6,194 +6,238 @@
 import java.util.function.Supplier;
 
 /**
- * What the agent of one part does: it begins a step only by a transaction that holds while the
- * release acts, and acts only where the answer came in time, so that a halt binds also those that
- * were slow, cut off or paused.
+ * The agent of one instance. It begins an action only by a transaction that holds while the release
+ * acts, and acts only if the response came in time, so that a halt binds also an agent that was
+ * slow, cut off or paused. Confined to one thread.
  */
 public final class RolloutAgent {
   private final RolloutKeys keys;
-  private final RolloutTransactions steps;
-  private final String id;
-  private final String me;
-  private final long callTimeout;
+  private final RolloutTransactions transactions;
+  private final String instanceId;
+  private final String incarnation;
+  private final long callTimeoutNanos;
 
-  /** What it is about to do or does, or null. */
-  private RolloutStep doing;
+  /** The step that its last transaction was to begin, or whose action runs; or null. */
+  private RolloutStep currentStep;
 
-  private long sentAt;
-  private boolean running;
-  private long beganAt;
-  private Result result;
+  private long sentAtNanos;
+  private boolean actionRunning;
+  private long actionStartedNanos;
 
-  /** How an action ended. */
-  private record Result(RolloutStep step, boolean ready, String why, long at, long took) {}
+  /** How the last action ended, until the store holds it; or null. */
+  private ActionResult result;
+
+  private record ActionResult(
+      RolloutStep step, boolean ready, String failureReason, long endedNanos, long tookNanos) {}
 
   /**
-   * An agent of a part; an answer that took longer than a call may take allows nothing any more.
+   * An agent.
+   *
+   * @param incarnation identifies this process among agents of the instance
+   * @param callTimeoutNanos a response that took longer allows nothing any more
+   * @param clock gives the time of history lines as a text
    */
   public RolloutAgent(
-      RolloutKeys keys, String id, String me, long callTimeout, Supplier<String> when) {
+      RolloutKeys keys,
+      String instanceId,
+      String incarnation,
+      long callTimeoutNanos,
+      Supplier<String> clock) {
     this.keys = keys;
-    this.steps = new RolloutTransactions(keys, when);
-    this.id = id;
-    this.me = me;
-    this.callTimeout = callTimeout;
+    this.transactions = new RolloutTransactions(keys, clock);
+    this.instanceId = instanceId;
+    this.incarnation = incarnation;
+    this.callTimeoutNanos = callTimeoutNanos;
   }
 
   /**
-   * Takes the part's seat, if nobody has it; it hangs on the lease. Null where nothing is to be
-   * taken.
+   * The transaction that makes this process the agent of the instance, bound to its lease; null
+   * where there is an agent.
    */
-  public RolloutTransaction take(RolloutSnapshot scene, long lease) {
-    return scene.agents().containsKey(id)
-        ? null
-        : new RolloutTransaction(
-            new StoreRequest.Swap(
-                List.of(new StoreRequest.Condition.Unchanged(keys.agent(id), 0)),
-                List.of(new StoreRequest.Change.Put(keys.agent(id), me, lease))),
-            "acts on " + id);
+  public RolloutTransaction acquireLease(RolloutSnapshot snapshot, long leaseId) {
+    if (snapshot.agents().containsKey(instanceId)) {
+      return null;
+    }
+    String key = keys.agent(instanceId);
+    return new RolloutTransaction(
+        new StoreRequest.Swap(
+            List.of(new StoreRequest.Condition.Unchanged(key, 0)),
+            List.of(new StoreRequest.Change.Put(key, incarnation, leaseId))),
+        "acts on " + instanceId);
   }
 
   /**
-   * The step through the store that is due, or null; to be told of its answer before it is asked
-   * again.
+   * The next transaction, or null where none is due. Its response goes to {@link
+   * #transactionAnswered} before the next call.
+   *
+   * @param nowNanos by a clock that never goes back
    */
-  public RolloutTransaction due(RolloutSnapshot scene, long now) {
-    RolloutStep step = scene.steps().get(id);
-    if (running || step == null || scene.plan() == null || scene.replaced()) {
+  public RolloutTransaction nextTransaction(RolloutSnapshot snapshot, long nowNanos) {
+    RolloutStep step = snapshot.steps().get(instanceId);
+    boolean nothingToDo = step == null || snapshot.plan() == null || snapshot.storeReplaced();
+    if (actionRunning || nothingToDo) {
       return null;
     }
-    if (result != null && (step.permit() != result.step().permit() || !mine(step))) {
-      // Its number is over, or what it has to tell stands there already.
-      result = null;
-    }
+    discardOutdatedResult(step);
     if (result != null) {
-      return report(scene, step);
+      return report(snapshot, step);
     }
-    if (!me.equals(scene.agents().get(id))) {
+    if (!incarnation.equals(snapshot.agents().get(instanceId))) {
       return null;
     }
-    boolean open =
-        step.phase() == RolloutStep.Phase.GRANTED || step.phase() == RolloutStep.Phase.BEGUN;
-    RolloutState.Mode mode = scene.course().mode();
-    if (mode == RolloutState.Mode.BACKING
-        && step.phase() == RolloutStep.Phase.BEGUN
-        && step.variant() == InstanceVariant.NEW) {
-      // Whoever began it acts no more, and nobody is to act on it now: the driver takes it back.
-      return steps.act(
-          scene,
-          me,
-          id + " was begun and is not acted on any more",
-          List.of(keys.step(id), keys.agent(id)),
-          List.of(steps.put(step.to(RolloutStep.Phase.FAILED, me, "not acted on"))));
+    RolloutMode mode = snapshot.state().mode();
+    if (mode == RolloutMode.ROLLING_BACK && isStartedForNewVariant(step)) {
+      return giveUp(snapshot, step);
     }
-    if (!open
-        || mode
-            != (step.variant() == InstanceVariant.NEW
-                ? RolloutState.Mode.RUNNING
-                : RolloutState.Mode.BACKING)) {
-      return null;
+    return mayStart(step, mode) ? start(snapshot, step, nowNanos) : null;
+  }
+
+  /** The permit of the result is returned, or the store holds the result already. */
+  private void discardOutdatedResult(RolloutStep step) {
+    if (result == null) {
+      return;
+    }
+    boolean anotherPermit = step.permitNumber() != result.step().permitNumber();
+    boolean startedByThisAgent =
+        step.phase() == StepPhase.STARTED && step.agentIncarnation().equals(incarnation);
+    if (anotherPermit || !startedByThisAgent) {
+      result = null;
     }
-    // Begun by itself and not acted on: the answer was lost or late. Begun by another: that one has
-    // died.
-    doing = step.to(RolloutStep.Phase.BEGUN, me, "");
-    sentAt = now;
-    return steps.act(
-        scene,
-        me,
-        id + " goes to " + step.variant().word() + " under permit " + step.permit(),
-        List.of(keys.step(id), keys.agent(id)),
-        List.of(steps.put(doing)));
   }
 
-  private boolean mine(RolloutStep step) {
-    return step.phase() == RolloutStep.Phase.BEGUN && step.agent().equals(me);
+  private static boolean isStartedForNewVariant(RolloutStep step) {
+    return step.phase() == StepPhase.STARTED && step.variant() == InstanceVariant.NEW;
   }
 
-  private RolloutTransaction report(RolloutSnapshot scene, RolloutStep step) {
-    RolloutStep.Phase phase = result.ready() ? RolloutStep.Phase.UP : RolloutStep.Phase.FAILED;
-    RolloutStep now =
+  /**
+   * Whether an action may begin. A step that stands as started and is not acted on is begun again:
+   * by this agent where the response was lost or late, by another where that one has died.
+   */
+  private static boolean mayStart(RolloutStep step, RolloutMode mode) {
+    boolean open = step.phase() == StepPhase.GRANTED || step.phase() == StepPhase.STARTED;
+    RolloutMode required =
+        step.variant() == InstanceVariant.NEW ? RolloutMode.RUNNING : RolloutMode.ROLLING_BACK;
+    return open && mode == required;
+  }
+
+  private RolloutTransaction start(RolloutSnapshot snapshot, RolloutStep step, long nowNanos) {
+    currentStep = step.withPhase(StepPhase.STARTED, incarnation, "");
+    sentAtNanos = nowNanos;
+    return transactions.transaction(
+        snapshot,
+        incarnation,
+        instanceId + " goes to " + step.variant().word() + " under permit " + step.permitNumber(),
+        List.of(keys.step(instanceId), keys.agent(instanceId)),
+        List.of(transactions.put(currentStep)));
+  }
+
+  /**
+   * While the release goes back, a step to the new variant that was started and is not acted on is
+   * reported as failed, so that the driver takes it back.
+   */
+  private RolloutTransaction giveUp(RolloutSnapshot snapshot, RolloutStep step) {
+    RolloutStep failed = step.withPhase(StepPhase.FAILED, incarnation, "not acted on");
+    return transactions.transaction(
+        snapshot,
+        incarnation,
+        instanceId + " was begun and is not acted on any more",
+        List.of(keys.step(instanceId), keys.agent(instanceId)),
+        List.of(transactions.put(failed)));
+  }
+
+  /**
+   * Reports how an action has ended, whatever the release is at: only the step must stand as it
+   * was.
+   */
+  private RolloutTransaction report(RolloutSnapshot snapshot, RolloutStep step) {
+    RolloutStep reported =
         new RolloutStep(
-            id,
-            step.permit(),
-            phase,
+            instanceId,
+            step.permitNumber(),
+            result.ready() ? StepPhase.READY : StepPhase.FAILED,
             result.step().variant(),
-            me,
-            result.why(),
-            step.started(),
-            result.took());
-    List<StoreRequest.Change> changes = new ArrayList<>(List.of(steps.put(now)));
+            incarnation,
+            result.failureReason(),
+            step.previousStartNanos(),
+            result.tookNanos());
+    List<StoreRequest.Change> changes = new ArrayList<>();
+    changes.add(transactions.put(reported));
     changes.addAll(
-        steps.story(
-            scene,
-            me,
-            id
-                + (result.ready() ? " runs " : " does not run ")
-                + now.variant().word()
-                + (result.why().isEmpty() ? "" : ": " + result.why())));
-    // What has happened is told whatever the release is at: only the part must stand as it was.
+        transactions.appendHistory(snapshot, incarnation, historyText(reported.variant())));
     return new RolloutTransaction(
         new StoreRequest.Swap(
-            List.of(scene.unchanged(keys.step(id)), scene.unchanged(keys.told())), changes),
-        id + (result.ready() ? " is up" : " is not up"));
+            List.of(
+                snapshot.unchanged(keys.step(instanceId)),
+                snapshot.unchanged(keys.historyLength())),
+            changes),
+        instanceId + (result.ready() ? " is up" : " is not up"));
+  }
+
+  private String historyText(InstanceVariant variant) {
+    String runs = result.ready() ? " runs " : " does not run ";
+    String reason = result.failureReason().isEmpty() ? "" : ": " + result.failureReason();
+    return instanceId + runs + variant.word() + reason;
   }
 
   /**
-   * What is to be done now, once the answer to {@link #due} has come: the variant to go to, or
-   * null.
+   * Takes the response to the last transaction; the variant that the instance is to be brought to
+   * now, or null.
    *
-   * @param held whether the transaction held; false also where there was no answer
+   * @param held whether the transaction held; false also where there was no response
    */
-  public InstanceVariant answered(boolean held, long now) {
-    if (result != null || doing == null) {
+  public InstanceVariant transactionAnswered(boolean held, long nowNanos) {
+    if (result != null || currentStep == null) {
       return null;
     }
-    RolloutStep begun = doing;
-    doing = null;
-    if (!held || now - sentAt > callTimeout) {
+    if (!held || nowNanos - sentAtNanos > callTimeoutNanos) {
+      currentStep = null;
       return null;
     }
-    doing = begun;
-    running = true;
-    beganAt = now;
-    return begun.variant();
+    return beginAction(nowNanos);
+  }
+
+  private InstanceVariant beginAction(long nowNanos) {
+    actionRunning = true;
+    actionStartedNanos = nowNanos;
+    return currentStep.variant();
   }
 
-  /** The action has ended. */
-  public void ended(boolean ready, String why, long now) {
-    running = false;
-    result = new Result(doing, ready, why, now, now - beganAt);
-    doing = null;
+  /** Takes the end of the action; the reason of a failure is empty where the instance is ready. */
+  public void actionEnded(boolean ready, String failureReason, long nowNanos) {
+    actionRunning = false;
+    result =
+        new ActionResult(
+            currentStep, ready, failureReason, nowNanos, nowNanos - actionStartedNanos);
+    currentStep = null;
   }
 
   /**
-   * Whether the part is to be brought back now though the store is out of reach: what failed has
-   * stood out for so long that the plan wants it back. The variant to go to, or null.
+   * Whether the instance is to be brought back though the store does not answer: its action has
+   * failed, and the plan wants it back by now. The variant to bring it to, or null.
+   *
+   * @param plan as read last, or null
    */
-  public InstanceVariant alone(RolloutPlan plan, long now) {
-    if (running
-        || result == null
-        || result.ready()
-        || plan == null
-        || plan.alone() == 0
-        || result.step().variant() == InstanceVariant.OLD
-        || now - result.at() < plan.alone()) {
+  public InstanceVariant unreachableStoreRollback(RolloutPlan plan, long nowNanos) {
+    boolean failed = !actionRunning && result != null && !result.ready();
+    if (!failed || result.step().variant() == InstanceVariant.OLD) {
+      return null;
+    }
+    boolean wanted = plan != null && plan.selfRollbackNanos() != 0;
+    if (!wanted || nowNanos - result.endedNanos() < plan.selfRollbackNanos()) {
       return null;
     }
-    RolloutStep step = result.step();
-    doing =
+    RolloutStep failedStep = result.step();
+    currentStep =
         new RolloutStep(
-            id,
-            step.permit(),
-            RolloutStep.Phase.BEGUN,
+            instanceId,
+            failedStep.permitNumber(),
+            StepPhase.STARTED,
             InstanceVariant.OLD,
-            me,
+            incarnation,
             "",
-            step.started(),
+            failedStep.previousStartNanos(),
             0);
     result = null;
-    running = true;
-    beganAt = now;
-    return InstanceVariant.OLD;
+    return beginAction(nowNanos);
   }
 }
--- a/src/main/java/beaconturn/release/RolloutCodec.java
+++ b/src/main/java/beaconturn/release/RolloutCodec.java
@@ -2,281 +2,129 @@
 
 import beaconturn.agreement.AgreementException;
 import beaconturn.agreement.ConfigCodec;
-import beaconturn.agreement.ConfigContent;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import java.util.SortedMap;
-import java.util.TreeMap;
 
-/** What stands in the store of a release, as lines of JSON. */
+/**
+ * The stored texts of what changes while a release is in progress: state, steps, permits, the
+ * configuration change and metrics. Each is one line of JSON; builds before and after this one read
+ * and write the same keys.
+ */
 public final class RolloutCodec {
   private RolloutCodec() {}
 
-  static String of(ReleaseFleet fleet) {
-    List<Json> groups = new ArrayList<>();
-    fleet
-        .groups()
-        .forEach(
-            (kind, group) ->
-                groups.add(
-                    ConfigCodec.object(
-                        "kind",
-                        kind.word(),
-                        "most_out",
-                        group.mostOut(),
-                        "most_out_of_site",
-                        group.mostOutOfSite(),
-                        "each_per_s",
-                        Double.toString(group.capacity().eachPerSecond()),
-                        "cores",
-                        Double.toString(group.capacity().cores()),
-                        "failures",
-                        group.capacity().spare() + 1,
-                        "sites",
-                        ConfigCodec.list(
-                            group.sites().entrySet().stream()
-                                .map(
-                                    s ->
-                                        ConfigCodec.object(
-                                            "site",
-                                            s.getKey(),
-                                            "parts",
-                                            ConfigCodec.texts(s.getValue())))
-                                .toList()))));
-    return JsonWriter.write(ConfigCodec.object("groups", ConfigCodec.list(groups)));
-  }
-
-  static ReleaseFleet fleet(String text) throws AgreementException {
-    Map<InstanceKind, ReleaseFleet.Group> groups = new EnumMap<>(InstanceKind.class);
-    for (Json group : ConfigCodec.parse(text).get("groups").items()) {
-      SortedMap<String, List<String>> sites = new TreeMap<>();
-      group
-          .get("sites")
-          .items()
-          .forEach(s -> sites.put(s.get("site").word(""), words(s.get("parts"))));
-      groups.put(
-          kind(group),
-          new ReleaseFleet.Group(
-              (int) number(group, "most_out"),
-              (int) number(group, "most_out_of_site"),
-              sites,
-              new ReleaseFleet.Capacity(
-                  decimal(group, "each_per_s"),
-                  decimal(group, "cores"),
-                  (int) number(group, "failures") - 1)));
-    }
-    return new ReleaseFleet(groups);
-  }
-
-  static String of(DisruptionPermit p) {
+  static String encode(DisruptionPermit permit) {
     return JsonWriter.write(
         ConfigCodec.object(
             "number",
-            p.number(),
+            permit.number(),
             "kind",
-            p.kind().word(),
+            permit.kind().word(),
             "id",
-            p.id(),
+            permit.instanceId(),
             "holder",
-            p.holder(),
+            permit.holder(),
             "reason",
-            p.reason()));
+            permit.reason()));
   }
 
-  static DisruptionPermit permit(String text) throws AgreementException {
+  static DisruptionPermit decodePermit(String text) throws AgreementException {
     Json json = ConfigCodec.parse(text);
     return new DisruptionPermit(
-        number(json, "number"),
-        kind(json),
-        json.get("id").word(""),
-        json.get("holder").word(""),
-        json.get("reason").word(""));
+        StoredFields.number(json, "number"),
+        StoredFields.kind(json),
+        StoredFields.text(json, "id"),
+        StoredFields.text(json, "holder"),
+        StoredFields.text(json, "reason"));
   }
 
-  static String of(RolloutPlan p) {
+  static String encode(ConfigChange change) {
     return JsonWriter.write(
         ConfigCodec.object(
             "number",
-            p.number(),
-            "kind",
-            p.kind().word(),
-            "waves",
-            ConfigCodec.list(p.waves().stream().map(ConfigCodec::texts).toList()),
-            "soak_ns",
-            p.soak(),
-            "samples",
-            p.samples(),
-            "worse",
-            of(p.worse()),
-            "limit_ns",
-            p.limit(),
-            "alone_ns",
-            p.alone(),
-            "reason",
-            p.reason(),
-            "settings",
-            p.settings() == null ? new Json.Nothing() : ConfigCodec.json(p.settings()),
-            "cluster",
-            p.cluster()));
+            change.versionNumber(),
+            "before",
+            ConfigCodec.json(change.previousContent()),
+            "undone",
+            change.revertVersionNumber()));
   }
 
-  static RolloutPlan plan(String text) throws AgreementException {
-    Json json = ConfigCodec.parse(text);
-    return new RolloutPlan(
-        number(json, "number"),
-        kind(json),
-        json.get("waves").items().stream().map(RolloutCodec::words).toList(),
-        number(json, "soak_ns"),
-        number(json, "samples"),
-        bounds(json.get("worse")),
-        number(json, "limit_ns"),
-        number(json, "alone_ns"),
-        json.get("reason").word(""),
-        content(json, "settings"),
-        json.get("cluster").word(""));
-  }
-
-  private static Json of(RegressionBounds b) {
-    return ConfigCodec.object(
-        "bad",
-        Double.toString(b.bad()),
-        "late",
-        Double.toString(b.late()),
-        "missed",
-        Double.toString(b.missed()),
-        "avoided",
-        Double.toString(b.avoided()),
-        "memory",
-        Double.toString(b.memory()),
-        "slower",
-        Double.toString(b.slower()));
-  }
-
-  private static RegressionBounds bounds(Json json) {
-    return new RegressionBounds(
-        decimal(json, "bad"),
-        decimal(json, "late"),
-        decimal(json, "missed"),
-        decimal(json, "avoided"),
-        decimal(json, "memory"),
-        decimal(json, "slower"));
-  }
-
-  private static double decimal(Json json, String key) {
-    return Double.parseDouble(json.get(key).word("0"));
-  }
-
-  static String of(ConfigChange c) {
-    return JsonWriter.write(
-        ConfigCodec.object(
-            "number", c.number(), "before", ConfigCodec.json(c.before()), "undone", c.undone()));
-  }
-
-  static ConfigChange changeover(String text) throws AgreementException {
+  static ConfigChange decodeConfigChange(String text) throws AgreementException {
     Json json = ConfigCodec.parse(text);
     return new ConfigChange(
-        number(json, "number"), content(json, "before"), number(json, "undone"));
-  }
-
-  private static ConfigContent content(Json json, String key) throws AgreementException {
-    return json.get(key) instanceof Json.Members said ? ConfigCodec.content(said) : null;
+        StoredFields.number(json, "number"),
+        StoredFields.content(json, "before"),
+        StoredFields.number(json, "undone"));
   }
 
-  static String of(RolloutState c) {
+  static String encode(RolloutState state) {
     return JsonWriter.write(
-        ConfigCodec.object("mode", lower(c.mode()), "why", c.why(), "by", c.by()));
+        ConfigCodec.object(
+            "mode", state.mode().word(), "why", state.reason(), "by", state.author()));
   }
 
-  static RolloutState course(String text) throws AgreementException {
+  static RolloutState decodeState(String text) throws AgreementException {
     Json json = ConfigCodec.parse(text);
     return new RolloutState(
-        RolloutState.Mode.valueOf(upper(json, "mode")),
-        json.get("why").word(""),
-        json.get("by").word(""));
+        StoredFields.constant(json, "mode", RolloutMode.values()),
+        StoredFields.text(json, "why"),
+        StoredFields.text(json, "by"));
   }
 
-  static String of(RolloutStep s) {
+  static String encode(RolloutStep step) {
     return JsonWriter.write(
         ConfigCodec.object(
             "id",
-            s.id(),
+            step.instanceId(),
             "permit",
-            s.permit(),
+            step.permitNumber(),
             "phase",
-            lower(s.phase()),
+            step.phase().word(),
             "variant",
-            s.variant().word(),
+            step.variant().word(),
             "agent",
-            s.agent(),
+            step.agentIncarnation(),
             "why",
-            s.why(),
+            step.failureReason(),
             "started",
-            s.started() + 1,
+            // Stored numbers are never negative, and -1 stands for no known start.
+            step.previousStartNanos() + 1,
             "took_ns",
-            s.took()));
+            step.readyAfterNanos()));
   }
 
-  static RolloutStep step(String text) throws AgreementException {
+  static RolloutStep decodeStep(String text) throws AgreementException {
     Json json = ConfigCodec.parse(text);
     return new RolloutStep(
-        json.get("id").word(""),
-        number(json, "permit"),
-        RolloutStep.Phase.valueOf(upper(json, "phase")),
-        InstanceVariant.valueOf(upper(json, "variant")),
-        json.get("agent").word(""),
-        json.get("why").word(""),
-        number(json, "started") - 1,
-        number(json, "took_ns"));
-  }
-
-  /** What a part has answered, as its agent tells it. */
-  public static String of(InstanceSample s) {
-    List<Object> members = new ArrayList<>(List.of("process", s.process()));
-    s.figures().forEach((figure, value) -> members.addAll(List.of(figure.word(), value)));
+        StoredFields.text(json, "id"),
+        StoredFields.number(json, "permit"),
+        StoredFields.constant(json, "phase", StepPhase.values()),
+        StoredFields.constant(json, "variant", InstanceVariant.values()),
+        StoredFields.text(json, "agent"),
+        StoredFields.text(json, "why"),
+        StoredFields.number(json, "started") - 1,
+        StoredFields.number(json, "took_ns"));
+  }
+
+  /** The stored text of an instance's metrics. */
+  public static String encode(InstanceSample sample) {
+    List<Object> members = new ArrayList<>(List.of("process", sample.process()));
+    sample.metrics().forEach((metric, value) -> members.addAll(List.of(metric.word(), value)));
     return JsonWriter.write(ConfigCodec.object(members.toArray()));
   }
 
-  static InstanceSample sample(String text) throws AgreementException {
+  static InstanceSample decodeSample(String text) throws AgreementException {
     Json json = ConfigCodec.parse(text);
-    Map<InstanceMetrics, Long> figures = new EnumMap<>(InstanceMetrics.class);
-    for (InstanceMetrics figure : InstanceMetrics.values()) {
-      if (!json.get(figure.word()).word("").isEmpty()) {
-        figures.put(figure, number(json, figure.word()));
+    Map<InstanceMetrics, Long> metrics = new EnumMap<>(InstanceMetrics.class);
+    for (InstanceMetrics metric : InstanceMetrics.values()) {
+      if (!StoredFields.text(json, metric.word()).isEmpty()) {
+        metrics.put(metric, StoredFields.number(json, metric.word()));
       }
     }
-    return new InstanceSample(json.get("process").word(""), figures);
-  }
-
-  private static InstanceKind kind(Json json) throws AgreementException {
-    InstanceKind kind = InstanceKind.of(json.get("kind").word(""));
-    if (kind == null) {
-      throw new AgreementException("no kind of part: '" + json.get("kind").word("") + "'");
-    }
-    return kind;
-  }
-
-  private static long number(Json json, String key) throws AgreementException {
-    return ConfigCodec.whole(json, key, 0, Long.MAX_VALUE);
-  }
-
-  private static List<String> words(Json json) {
-    return json.items().stream().map(w -> w.word("")).toList();
-  }
-
-  private static String upper(Json json, String key) throws AgreementException {
-    String word = json.get(key).word("");
-    if (!word.matches("[a-z]{2,12}")) {
-      throw new AgreementException(key + ": '" + word + "' is no word of a release");
-    }
-    return word.toUpperCase(Locale.ROOT);
-  }
-
-  private static String lower(Enum<?> word) {
-    return word.name().toLowerCase(Locale.ROOT);
+    return new InstanceSample(StoredFields.text(json, "process"), metrics);
   }
 }
--- a/src/main/java/beaconturn/release/RolloutForecast.java
+++ b/src/main/java/beaconturn/release/RolloutForecast.java
@@ -5,76 +5,110 @@
 import java.util.Map;
 
 /**
- * What a release is likely to take, before it is begun.
+ * How long a release is expected to take, before it is started.
  *
  * @param waves one after the other
- * @param shortest watching alone, in seconds
- * @param longest with each restart at its limit
- * @param restart what restarts of the last release took, their median in seconds; 0 where there was
- *     none
- * @param watched how long a part is watched until it has its answers, in seconds; 0 where no load
- *     is known
+ * @param shortestSeconds time of watching alone
+ * @param longestSeconds time if each instance takes as long to get ready as it may
+ * @param restartSeconds median duration of restarts in the last release; 0 where there was none
+ * @param checkSeconds how long an instance is watched until it has its answers; 0 where no load is
+ *     known
  */
 public record RolloutForecast(
-    List<Wave> waves, double shortest, double longest, double restart, double watched) {
-  private static final double SECOND = 1e9;
+    List<Wave> waves,
+    double shortestSeconds,
+    double longestSeconds,
+    double restartSeconds,
+    double checkSeconds) {
+  private static final double NANOS_PER_SECOND = 1e9;
 
   /**
    * One wave.
    *
-   * @param parts of it
-   * @param atOnce so many of it at a time at the most
-   * @param rounds that it takes
-   * @param left places that nobody takes meanwhile, as things are
+   * @param instanceIds its instances
+   * @param atOnce instances of it that can be out at once
+   * @param rounds rounds that it takes with as many at once
+   * @param spareBudget instances that may go out beside them, as things are
    */
-  public record Wave(List<String> parts, int atOnce, int rounds, int left) {}
+  public record Wave(List<String> instanceIds, int atOnce, int rounds, int spareBudget) {
+    private static Wave of(List<String> instanceIds, ReleaseFleet.Group group, int unavailable) {
+      int atOnce = 0;
+      int rounds = roundsFor(instanceIds.size(), group.maxUnavailable());
+      for (List<String> zone : group.instancesByZone().values()) {
+        int inZone = (int) instanceIds.stream().filter(zone::contains).count();
+        atOnce += Math.min(inZone, group.maxUnavailablePerZone());
+        rounds = Math.max(rounds, roundsFor(inZone, group.maxUnavailablePerZone()));
+      }
+      atOnce = Math.min(atOnce, group.maxUnavailable());
+      int spareBudget = Math.max(0, group.maxUnavailable() - unavailable - atOnce);
+      return new Wave(instanceIds, atOnce, rounds, spareBudget);
+    }
+
+    private static int roundsFor(int instances, int atOnce) {
+      return (instances + atOnce - 1) / atOnce;
+    }
+  }
 
-  /** Of a plan, as things are; {@code gone} are those that are out though nobody planned it. */
+  /**
+   * The forecast of a plan, as things are.
+   *
+   * @param unplanned instances that are out without a permit, with reasons
+   */
   public static RolloutForecast of(
-      RolloutPlan plan, RolloutSnapshot scene, Map<String, String> gone) {
-    ReleaseFleet.Group group = scene.fleet().group(plan.kind());
-    int out = scene.out(plan.kind(), gone).size();
+      RolloutPlan plan, RolloutSnapshot snapshot, Map<String, String> unplanned) {
+    ReleaseFleet.Group group = snapshot.fleet().group(plan.kind());
+    int unavailable = snapshot.unavailable(plan.kind(), unplanned).size();
     List<Wave> waves = new ArrayList<>();
-    int rounds = 0;
-    for (List<String> wave : plan.waves()) {
-      int atOnce = 0;
-      int most = (wave.size() + group.mostOut() - 1) / group.mostOut();
-      for (List<String> site : group.sites().values()) {
-        int here = (int) wave.stream().filter(site::contains).count();
-        atOnce += Math.min(here, group.mostOutOfSite());
-        most = Math.max(most, (here + group.mostOutOfSite() - 1) / group.mostOutOfSite());
-      }
-      atOnce = Math.min(atOnce, group.mostOut());
-      waves.add(new Wave(wave, atOnce, most, Math.max(0, group.mostOut() - out - atOnce)));
-      rounds += most;
+    plan.waves().forEach(wave -> waves.add(Wave.of(wave, group, unavailable)));
+    int rounds = rounds(waves);
+    double soakSeconds = plan.soakNanos() / NANOS_PER_SECOND;
+    return new RolloutForecast(
+        waves,
+        rounds * soakSeconds,
+        rounds * (soakSeconds + plan.readyTimeoutNanos() / NANOS_PER_SECOND),
+        medianRestartSeconds(plan, snapshot),
+        checkSeconds(plan, snapshot, soakSeconds));
+  }
+
+  private static int rounds(List<Wave> waves) {
+    return waves.stream().mapToInt(Wave::rounds).sum();
+  }
+
+  private static double medianRestartSeconds(RolloutPlan plan, RolloutSnapshot snapshot) {
+    if (snapshot.plan() == null || snapshot.plan().kind() != plan.kind()) {
+      return 0;
+    }
+    List<Long> durationsNanos =
+        snapshot.steps().values().stream()
+            .map(RolloutStep::readyAfterNanos)
+            .filter(nanos -> nanos > 0)
+            .sorted()
+            .toList();
+    if (durationsNanos.isEmpty()) {
+      return 0;
     }
-    double soak = plan.soak() / SECOND;
-    List<Long> took =
-        scene.plan() == null || scene.plan().kind() != plan.kind()
-            ? List.of()
-            : scene.steps().values().stream()
-                .map(RolloutStep::took)
-                .filter(t -> t > 0)
-                .sorted()
-                .toList();
-    double rate =
-        group.all().stream()
-            .mapToLong(
-                p -> scene.health().getOrDefault(p, InstanceSample.NONE).of(InstanceMetrics.RATE))
-            .filter(r -> r > 0)
+    return durationsNanos.get(durationsNanos.size() / 2) / NANOS_PER_SECOND;
+  }
+
+  private static double checkSeconds(
+      RolloutPlan plan, RolloutSnapshot snapshot, double soakSeconds) {
+    double answersPerSecond =
+        snapshot.fleet().group(plan.kind()).instanceIds().stream()
+            .mapToLong(id -> snapshot.sample(id).valueOf(InstanceMetrics.ANSWERS_PER_SECOND))
+            .filter(rate -> rate > 0)
             .average()
             .orElse(0);
-    return new RolloutForecast(
-        waves,
-        rounds * soak,
-        rounds * (soak + plan.limit() / SECOND),
-        took.isEmpty() ? 0 : took.get(took.size() / 2) / SECOND,
-        rate == 0 ? 0 : Math.max(soak, plan.samples() / rate));
+    if (answersPerSecond == 0) {
+      return 0;
+    }
+    return Math.max(soakSeconds, plan.minAnswers() / answersPerSecond);
   }
 
-  /** Seconds that it is likely to take; 0 where too little is known. */
-  public double likely() {
-    int rounds = waves.stream().mapToInt(Wave::rounds).sum();
-    return restart == 0 || watched == 0 ? 0 : rounds * (restart + watched);
+  /** How long the release is likely to take; 0 where too little is known. */
+  public double likelySeconds() {
+    if (restartSeconds == 0 || checkSeconds == 0) {
+      return 0;
+    }
+    return rounds(waves) * (restartSeconds + checkSeconds);
   }
 }
--- a/src/main/java/beaconturn/release/RolloutKeys.java
+++ b/src/main/java/beaconturn/release/RolloutKeys.java
@@ -1,31 +1,38 @@
 package beaconturn.release;
 
 /**
- * Where a release stands in the store, below a fleet's prefix.
+ * Keys of a release in the store, below the prefix of a fleet.
  *
  * <pre>
- * release/fleet       who belongs to it and how much may be out
- * release/counter     the number of the last permit
- * release/permit/N    a place that is taken
- * release/plan        the release at hand, or the last one
- * release/course      whether it runs, is halted, goes back
- * release/step/ID     where a part stands
- * release/settings    the version of settings that goes with it, and what was in force before
- * release/driver      who drives it, on a lease
- * release/agent/ID    who acts on a part, on a lease
- * release/health/ID   what a part has answered so far, by its agent
- * release/told        how many lines the history has
- * release-curve/N     answers during release N, and who was out; apart for the same reason
- * release-history/N   what was done, by whom and why; apart, as nobody who acts needs it
+ * release/fleet       instances of the fleet and its disruption budget
+ * release/counter     number of the last permit
+ * release/permit/N    a disruption permit
+ * release/plan        plan of the current release, or of the last one
+ * release/course      state of the rollout
+ * release/step/ID     step of an instance
+ * release/settings    configuration version that goes with the release, and the content before it
+ * release/driver      incarnation of the driver, on a lease
+ * release/agent/ID    incarnation of the agent of an instance, on a lease
+ * release/health/ID   metrics of an instance, reported by its agent
+ * release/told        number of lines in the history
+ * release-curve/N     time series of release N
+ * release-history/N   line N of the history
  * </pre>
+ *
+ * <p>Time series and history have prefixes of their own: whoever takes a step reads all of {@code
+ * release/} and needs neither.
+ *
+ * @param fleet prefix of the fleet
  */
 public record RolloutKeys(String fleet) {
-  /** All of it. */
+  private static final String NUMBER_FORMAT = "%09d";
+
+  /** Prefix of all that steps are decided on. */
   public String all() {
     return fleet + "/release/";
   }
 
-  String parts() {
+  String fleetDefinition() {
     return all() + "fleet";
   }
 
@@ -38,18 +45,18 @@
   }
 
   String permit(long number) {
-    return permits() + String.format("%09d", number);
+    return permits() + String.format(NUMBER_FORMAT, number);
   }
 
   String plan() {
     return all() + "plan";
   }
 
-  String course() {
+  String state() {
     return all() + "course";
   }
 
-  String settings() {
+  String configChange() {
     return all() + "settings";
   }
 
@@ -57,8 +64,8 @@
     return all() + "step/";
   }
 
-  String step(String id) {
-    return steps() + id;
+  String step(String instanceId) {
+    return steps() + instanceId;
   }
 
   String driver() {
@@ -69,33 +76,32 @@
     return all() + "agent/";
   }
 
-  String agent(String id) {
-    return agents() + id;
+  String agent(String instanceId) {
+    return agents() + instanceId;
   }
 
-  String healths() {
+  String samples() {
     return all() + "health/";
   }
 
-  /** Where an agent tells what its part has answered. */
-  public String health(String id) {
-    return healths() + id;
+  /** Key of the metrics of an instance. */
+  public String sample(String instanceId) {
+    return samples() + instanceId;
   }
 
-  String told() {
+  String historyLength() {
     return all() + "told";
   }
 
-  String stories() {
+  String history() {
     return fleet + "/release-history/";
   }
 
-  /** The curve of a release. */
-  String curve(long number) {
-    return fleet + "/release-curve/" + String.format("%09d", number);
+  String historyLine(long number) {
+    return history() + String.format(NUMBER_FORMAT, number);
   }
 
-  String story(long number) {
-    return stories() + String.format("%09d", number);
+  String timeSeries(long releaseNumber) {
+    return fleet + "/release-curve/" + String.format(NUMBER_FORMAT, releaseNumber);
   }
 }
--- /dev/null
+++ b/src/main/java/beaconturn/release/RolloutPlanCodec.java
@@ -0,0 +1,85 @@
+package beaconturn.release;
+
+import beaconturn.agreement.AgreementException;
+import beaconturn.agreement.ConfigCodec;
+import beaconturn.agreement.ConfigContent;
+import beaconturn.protocol.Json;
+import beaconturn.protocol.JsonWriter;
+
+/** The stored text of a plan, as one line of JSON. */
+final class RolloutPlanCodec {
+  private RolloutPlanCodec() {}
+
+  static String encode(RolloutPlan plan) {
+    return JsonWriter.write(
+        ConfigCodec.object(
+            "number",
+            plan.number(),
+            "kind",
+            plan.kind().word(),
+            "waves",
+            ConfigCodec.list(plan.waves().stream().map(ConfigCodec::texts).toList()),
+            "soak_ns",
+            plan.soakNanos(),
+            "samples",
+            plan.minAnswers(),
+            "worse",
+            encode(plan.regressionBounds()),
+            "limit_ns",
+            plan.readyTimeoutNanos(),
+            "alone_ns",
+            plan.selfRollbackNanos(),
+            "reason",
+            plan.reason(),
+            "settings",
+            encode(plan.configContent()),
+            "cluster",
+            plan.storeId()));
+  }
+
+  private static Json encode(ConfigContent content) {
+    return content == null ? new Json.Nothing() : ConfigCodec.json(content);
+  }
+
+  private static Json encode(RegressionBounds bounds) {
+    return ConfigCodec.object(
+        "bad",
+        Double.toString(bounds.failed()),
+        "late",
+        Double.toString(bounds.late()),
+        "missed",
+        Double.toString(bounds.missed()),
+        "avoided",
+        Double.toString(bounds.avoidedServers()),
+        "memory",
+        Double.toString(bounds.memory()),
+        "slower",
+        Double.toString(bounds.hitTime()));
+  }
+
+  static RolloutPlan decode(String text) throws AgreementException {
+    Json json = ConfigCodec.parse(text);
+    return new RolloutPlan(
+        StoredFields.number(json, "number"),
+        StoredFields.kind(json),
+        json.get("waves").items().stream().map(StoredFields::texts).toList(),
+        StoredFields.number(json, "soak_ns"),
+        StoredFields.number(json, "samples"),
+        decodeBounds(json.get("worse")),
+        StoredFields.number(json, "limit_ns"),
+        StoredFields.number(json, "alone_ns"),
+        StoredFields.text(json, "reason"),
+        StoredFields.content(json, "settings"),
+        StoredFields.text(json, "cluster"));
+  }
+
+  private static RegressionBounds decodeBounds(Json json) {
+    return new RegressionBounds(
+        StoredFields.decimal(json, "bad"),
+        StoredFields.decimal(json, "late"),
+        StoredFields.decimal(json, "missed"),
+        StoredFields.decimal(json, "avoided"),
+        StoredFields.decimal(json, "memory"),
+        StoredFields.decimal(json, "slower"));
+  }
+}
--- a/src/main/java/beaconturn/release/RolloutRecorder.java
+++ b/src/main/java/beaconturn/release/RolloutRecorder.java
@@ -6,63 +6,79 @@
 import java.util.Set;
 
 /**
- * Draws the curve of a release while its driver drives it; one that takes over goes on with the one
- * that stands in the store.
+ * Records the time series of a release while its driver drives it. A driver that takes over goes on
+ * with the series that the store holds. Confined to the thread of its driver.
  */
 public final class RolloutRecorder {
   private final RolloutKeys keys;
-  private final long release;
-  private RolloutTimeSeries curve;
-  private Map<String, InstanceSample> then;
+  private final long releaseNumber;
+  private RolloutTimeSeries series;
 
-  /** A recorder of that release, from the curve that stands there. */
-  public RolloutRecorder(RolloutKeys keys, long release, RolloutTimeSeries curve) {
+  /** Metrics of the last point; null before the first. */
+  private Map<String, InstanceSample> lastSamples;
+
+  /** A recorder of that release that goes on with a series. */
+  public RolloutRecorder(RolloutKeys keys, long releaseNumber, RolloutTimeSeries series) {
     this.keys = keys;
-    this.release = release;
-    this.curve = curve;
+    this.releaseNumber = releaseNumber;
+    this.series = series;
   }
 
-  /** Which release it is of. */
-  public long release() {
-    return release;
+  /** Number of the release that it records. */
+  public long releaseNumber() {
+    return releaseNumber;
   }
 
   /**
-   * The next point, or null while none is due; it holds only where the driver is still the same.
+   * The transaction that stores the next point, or null while none is due; it holds only while the
+   * driver is the same.
+   *
+   * @param atMillis wall clock time in milliseconds
    */
-  public RolloutTransaction due(RolloutSnapshot scene, Unavailability seen, long atMillis) {
-    Map<String, InstanceSample> now = Map.copyOf(scene.health());
-    if (then == null) {
-      then = now;
+  public RolloutTransaction nextTransaction(
+      RolloutSnapshot snapshot, Unavailability observed, long atMillis) {
+    Map<String, InstanceSample> samples = Map.copyOf(snapshot.samples());
+    if (lastSamples == null) {
+      lastSamples = samples;
     }
-    if (!curve.due(atMillis)) {
+    if (!series.isDue(atMillis)) {
       return null;
     }
-    InstanceKind kind = scene.plan().kind();
-    InstanceSample all = InstanceSample.NONE;
-    for (String id : scene.fleet().group(kind).all()) {
-      InstanceSample before = then.get(id);
-      if (before != null && now.containsKey(id)) {
-        all = all.plus(now.get(id).since(before));
-      }
-    }
-    then = now;
-    Set<String> planned = scene.out(kind, Map.of()).keySet();
-    int gone =
-        (int) seen.during(scene).keySet().stream().filter(id -> !planned.contains(id)).count();
-    curve =
-        curve.with(
-            new RolloutTimeSeries.Point(
-                atMillis,
-                all.of(InstanceMetrics.GOOD),
-                all.of(InstanceMetrics.BAD),
-                all.of(InstanceMetrics.LATE),
-                planned.size(),
-                gone));
+    series = series.append(point(snapshot, samples, observed, atMillis));
+    lastSamples = samples;
     return new RolloutTransaction(
         new StoreRequest.Swap(
-            List.of(scene.unchanged(keys.driver())),
-            List.of(RolloutTransactions.put(keys.curve(release), curve.text()))),
+            List.of(snapshot.unchanged(keys.driver())),
+            List.of(
+                RolloutTransactions.put(
+                    keys.timeSeries(releaseNumber), RolloutTimeSeriesCodec.encode(series)))),
         "");
   }
+
+  private RolloutTimeSeries.Point point(
+      RolloutSnapshot snapshot,
+      Map<String, InstanceSample> samples,
+      Unavailability observed,
+      long atMillis) {
+    InstanceKind kind = snapshot.plan().kind();
+    InstanceSample total = InstanceSample.NONE;
+    for (String instanceId : snapshot.fleet().group(kind).instanceIds()) {
+      InstanceSample before = lastSamples.get(instanceId);
+      if (before != null && samples.containsKey(instanceId)) {
+        total = total.plus(samples.get(instanceId).since(before));
+      }
+    }
+    Set<String> planned = snapshot.unavailable(kind, Map.of()).keySet();
+    long unplanned =
+        observed.duringRollout(snapshot).keySet().stream()
+            .filter(instanceId -> !planned.contains(instanceId))
+            .count();
+    return new RolloutTimeSeries.Point(
+        atMillis,
+        total.valueOf(InstanceMetrics.SERVED),
+        total.valueOf(InstanceMetrics.FAILED),
+        total.valueOf(InstanceMetrics.LATE),
+        planned.size(),
+        (int) unplanned);
+  }
 }
--- a/src/main/java/beaconturn/release/RolloutSnapshot.java
+++ b/src/main/java/beaconturn/release/RolloutSnapshot.java
@@ -3,153 +3,95 @@
 import beaconturn.agreement.AgreementException;
 import beaconturn.agreement.StoreRequest;
 import beaconturn.agreement.StoreResponse;
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
 
 /**
- * All that stands in the store of a release, as of one revision.
+ * All that the store holds of a release, as of one revision.
  *
- * @param cluster which store it is
- * @param fleet who belongs to it
- * @param plan the release at hand, or the last one; null where there never was one
- * @param course what it is at
- * @param steps by part
- * @param settings that go with it, or null while none do
- * @param permits by number
- * @param driver the incarnation that drives it, or empty
- * @param agents the incarnation that acts on each part
- * @param counter the number of the last permit
- * @param stories how many lines the history has
- * @param health what parts have answered
- * @param changed when each key was last changed
+ * @param storeId identifies the store
+ * @param fleet instances of the fleet and its disruption budget
+ * @param plan plan of the current release, or of the last one; null before the first
+ * @param state state of the rollout
+ * @param steps steps by instance
+ * @param configChange configuration version that goes with the release, or null while none does
+ * @param permits disruption permits by number
+ * @param driver incarnation of the driver, or empty
+ * @param agents incarnation of the agent of each instance
+ * @param lastPermitNumber number of the last permit
+ * @param historyLength lines in the history
+ * @param samples metrics of instances
+ * @param revisions revision of the last change of each key
  */
 public record RolloutSnapshot(
-    String cluster,
+    String storeId,
     ReleaseFleet fleet,
     RolloutPlan plan,
-    RolloutState course,
+    RolloutState state,
     SortedMap<String, RolloutStep> steps,
-    ConfigChange settings,
+    ConfigChange configChange,
     SortedMap<Long, DisruptionPermit> permits,
     String driver,
     SortedMap<String, String> agents,
-    long counter,
-    long stories,
-    SortedMap<String, InstanceSample> health,
-    Map<String, Long> changed) {
-  static final String REPLACED =
+    long lastPermitNumber,
+    long historyLength,
+    SortedMap<String, InstanceSample> samples,
+    Map<String, Long> revisions) {
+  /** Why nobody acts on a release of another store. */
+  static final String STORE_REPLACED =
       "the store was restored or replaced since the release began: what it says"
           + " of parts may be old; abandon the release, see who runs what, and begin another";
 
-  /** Reads what a call for all keys of a release was given. */
-  public static RolloutSnapshot of(RolloutKeys keys, StoreResponse.Given given)
+  /**
+   * Decodes the response to a read of {@link RolloutKeys#all()}.
+   *
+   * @throws AgreementException if a stored text cannot be read
+   */
+  public static RolloutSnapshot of(RolloutKeys keys, StoreResponse.Given response)
       throws AgreementException {
-    Map<String, String> values = new HashMap<>();
-    Map<String, Long> changed = new HashMap<>();
-    SortedMap<String, RolloutStep> steps = new TreeMap<>();
-    SortedMap<Long, DisruptionPermit> permits = new TreeMap<>();
-    SortedMap<String, InstanceSample> health = new TreeMap<>();
-    SortedMap<String, String> agents = new TreeMap<>();
-    try {
-      for (StoreResponse.Pair pair : given.pairs()) {
-        String key = pair.key();
-        values.put(key, pair.value());
-        changed.put(key, pair.changed());
-        if (key.startsWith(keys.steps())) {
-          RolloutStep step = RolloutCodec.step(pair.value());
-          steps.put(step.id(), step);
-        } else if (key.startsWith(keys.permits())) {
-          DisruptionPermit permit = RolloutCodec.permit(pair.value());
-          permits.put(permit.number(), permit);
-        } else if (key.startsWith(keys.agents())) {
-          agents.put(key.substring(keys.agents().length()), pair.value());
-        } else if (key.startsWith(keys.healths())) {
-          health.put(key.substring(keys.healths().length()), RolloutCodec.sample(pair.value()));
-        }
-      }
-      String fleet = values.get(keys.parts());
-      String plan = values.get(keys.plan());
-      String course = values.get(keys.course());
-      String settings = values.get(keys.settings());
-      return new RolloutSnapshot(
-          given.cluster(),
-          fleet == null ? ReleaseFleet.NONE : RolloutCodec.fleet(fleet),
-          plan == null ? null : RolloutCodec.plan(plan),
-          course == null ? RolloutState.NONE : RolloutCodec.course(course),
-          steps,
-          settings == null ? null : RolloutCodec.changeover(settings),
-          permits,
-          values.getOrDefault(keys.driver(), ""),
-          agents,
-          Long.parseLong(values.getOrDefault(keys.counter(), "0")),
-          Long.parseLong(values.getOrDefault(keys.told(), "0")),
-          health,
-          changed);
-    } catch (IllegalArgumentException e) {
-      throw new AgreementException("what stands of a release cannot be read: " + e.getMessage());
-    }
+    return new RolloutSnapshotReader(keys).read(response);
   }
 
-  /** Whether the release was begun in another store: its steps there are not known here. */
-  boolean replaced() {
-    return plan != null && !course.over() && !plan.cluster().equals(cluster);
+  /**
+   * Whether the release was started in another store. What this one says of its steps may be older
+   * than what has been done.
+   */
+  boolean storeReplaced() {
+    return plan != null && !state.isOver() && !plan.storeId().equals(storeId);
   }
 
-  /** The condition that the key is as it was read here. */
+  /** The condition that a key is as it was read here. */
   StoreRequest.Condition unchanged(String key) {
-    return new StoreRequest.Condition.Unchanged(key, changed.getOrDefault(key, 0L));
+    return new StoreRequest.Condition.Unchanged(key, revisions.getOrDefault(key, 0L));
   }
 
-  /**
-   * Who is out, and why, one line for each part: whoever holds a permit, and whoever is seen to be
-   * gone.
-   *
-   * @param gone parts of that kind that are out though nobody planned it, by what is seen of them
-   */
-  public SortedMap<String, String> out(InstanceKind kind, Map<String, String> gone) {
-    SortedMap<String, String> out = new TreeMap<>(gone);
-    permits.values().stream()
-        .filter(p -> p.kind() == kind)
-        .forEach(
-            p -> out.put(p.id(), "permit " + p.number() + " of " + p.holder() + ": " + p.reason()));
-    return out;
+  /** The metrics of an instance; none where its agent has reported none. */
+  InstanceSample sample(String instanceId) {
+    return samples.getOrDefault(instanceId, InstanceSample.NONE);
+  }
+
+  /** The phase of an instance, or null where it has no step. */
+  StepPhase phase(String instanceId) {
+    RolloutStep step = steps.get(instanceId);
+    return step == null ? null : step.phase();
   }
 
   /**
-   * Why no place is free for the part, which is whom it waits for; null where it may go out. A part
-   * that is out already takes no further place.
+   * Unavailable instances of a kind, each with the reason: those that hold a permit and those that
+   * are out without one.
+   *
+   * @param unplanned instances of that kind that are out without a permit, with reasons
    */
-  public String full(InstanceKind kind, String id, Map<String, String> gone) {
-    ReleaseFleet.Group group = fleet.group(kind);
-    String site = group.siteOf(id);
-    if (site == null) {
-      return "there is no " + kind.word() + " '" + id + "' in the fleet";
-    }
-    SortedMap<String, String> out = out(kind, gone);
-    out.remove(id);
-    List<String> near = out.keySet().stream().filter(o -> site.equals(group.siteOf(o))).toList();
-    if (near.size() >= group.mostOutOfSite()) {
-      return waits(near, out, group.mostOutOfSite() + " of " + site);
+  public SortedMap<String, String> unavailable(InstanceKind kind, Map<String, String> unplanned) {
+    SortedMap<String, String> reasons = new TreeMap<>(unplanned);
+    for (DisruptionPermit permit : permits.values()) {
+      if (permit.kind() == kind) {
+        reasons.put(
+            permit.instanceId(),
+            "permit " + permit.number() + " of " + permit.holder() + ": " + permit.reason());
+      }
     }
-    return out.size() >= group.mostOut()
-        ? waits(out.keySet(), out, group.mostOut() + " in all")
-        : null;
-  }
-
-  /** The same, and why none may begin there while another site is out as a whole. */
-  String full(InstanceKind kind, String id, Unavailability seen, Map<String, String> gone) {
-    String full = full(kind, id, gone);
-    return full == null ? seen.elsewhere(fleet.group(kind).siteOf(id)) : full;
-  }
-
-  private static String waits(Collection<String> whom, Map<String, String> out, String most) {
-    List<String> words = new ArrayList<>();
-    whom.forEach(id -> words.add(id + " (" + out.get(id) + ")"));
-    return "at most " + most + " may be out, it waits for " + String.join(", ", words);
+    return reasons;
   }
 }
--- a/src/main/java/beaconturn/release/RolloutState.java
+++ b/src/main/java/beaconturn/release/RolloutState.java
@@ -1,34 +1,21 @@
 package beaconturn.release;
 
 /**
- * What a release is at.
+ * The state of a rollout.
  *
- * @param mode whether steps are taken, and which way
- * @param why it is so
- * @param by who said so
+ * @param mode whether steps are taken, and in which direction
+ * @param reason why it is in that mode
+ * @param author the operator or driver who put it in that mode
  */
-public record RolloutState(Mode mode, String why, String by) {
-  /** No release was ever begun. */
-  public static final RolloutState NONE = new RolloutState(Mode.DONE, "", "");
+public record RolloutState(RolloutMode mode, String reason, String author) {
+  /** The state before the first release. */
+  public static final RolloutState NONE = new RolloutState(RolloutMode.COMPLETED, "", "");
 
-  /** Whether steps are taken, and which way. */
-  public enum Mode {
-    /** Wave after wave. */
-    RUNNING,
-    /** No step begins. */
-    HALTED,
-    /** Steps are undone in the reverse order. */
-    BACKING,
-    /** All parts run what is released. */
-    DONE,
-    /** All parts run again what they ran before. */
-    BACK,
-    /** Left as it is, by an operator. */
-    ABANDONED
-  }
-
-  /** Whether it is over. */
-  public boolean over() {
-    return mode == Mode.DONE || mode == Mode.BACK || mode == Mode.ABANDONED;
+  /** Whether the release has ended. */
+  public boolean isOver() {
+    return switch (mode) {
+      case COMPLETED, ROLLED_BACK, ABANDONED -> true;
+      case RUNNING, HALTED, ROLLING_BACK -> false;
+    };
   }
 }
--- a/src/main/java/beaconturn/release/RolloutStep.java
+++ b/src/main/java/beaconturn/release/RolloutStep.java
@@ -1,43 +1,42 @@
 package beaconturn.release;
 
 /**
- * Where one part stands in a release.
+ * The step of one instance in a release.
  *
- * @param id of the part
- * @param permit the number under which it is out, or was last
- * @param phase how far it is
- * @param variant what it is to run
- * @param agent the incarnation that began it, else empty
- * @param why it failed, else empty
- * @param started its last start that any router knew of when the step was granted, or -1
- * @param took how long it took to get ready, in nanoseconds; 0 where it is not known
+ * @param instanceId the instance
+ * @param permitNumber number of the permit under which it is, or was last, out of service
+ * @param phase how far the step is
+ * @param variant what the instance is to run
+ * @param agentIncarnation the agent that began the step, or empty
+ * @param failureReason why it failed, or empty
+ * @param previousStartNanos the instance's latest start that any router knew of when the step was
+ *     granted, by the clock of discovery; -1 where none was known
+ * @param readyAfterNanos how long the instance took to get ready; 0 where that is not known
  */
 public record RolloutStep(
-    String id,
-    long permit,
-    Phase phase,
+    String instanceId,
+    long permitNumber,
+    StepPhase phase,
     InstanceVariant variant,
-    String agent,
-    String why,
-    long started,
-    long took) {
-  /** How far a step is. */
-  public enum Phase {
-    /** The driver has taken a place for it. */
-    GRANTED,
-    /** An agent acts, or may have acted. */
-    BEGUN,
-    /** The part runs what it is to run, and is ready. */
-    UP,
-    /** It does not, within its time. */
-    FAILED,
-    /** It has stood the check, and its place is given back. */
-    GOOD,
-    /** It was brought back to what it ran before. */
-    UNDONE
+    String agentIncarnation,
+    String failureReason,
+    long previousStartNanos,
+    long readyAfterNanos) {
+  /** Whether the instance is ready and runs that variant. */
+  boolean isReadyWith(InstanceVariant wanted) {
+    return phase == StepPhase.READY && variant == wanted;
   }
 
-  RolloutStep to(Phase next, String agentNow, String reason) {
-    return new RolloutStep(id, permit, next, variant, agentNow, reason, started, took);
+  /** The same step in another phase. */
+  RolloutStep withPhase(StepPhase next, String incarnation, String reason) {
+    return new RolloutStep(
+        instanceId,
+        permitNumber,
+        next,
+        variant,
+        incarnation,
+        reason,
+        previousStartNanos,
+        readyAfterNanos);
   }
 }
--- a/src/main/java/beaconturn/release/RolloutTimeSeries.java
+++ b/src/main/java/beaconturn/release/RolloutTimeSeries.java
@@ -1,116 +1,80 @@
 package beaconturn.release;
 
-import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.ConfigCodec;
-import beaconturn.protocol.Json;
-import beaconturn.protocol.JsonWriter;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * What became of answers while a release went on, and who was out, for its report. Of bounded size:
- * once it is full two neighbours become one, and each point stands for twice the time.
+ * Answers and unavailable instances over the time of a release, for its report. Its size is
+ * bounded: once it is full, each two neighbours are merged and a point stands for twice the time.
  *
- * @param every how long a point stands for, in milliseconds
+ * @param intervalMillis time that a point stands for
  * @param points the oldest first
  */
-public record RolloutTimeSeries(long every, List<Point> points) {
-  private static final int MOST_POINTS = 240;
-  private static final long SECOND_MILLIS = 1000;
+public record RolloutTimeSeries(long intervalMillis, List<Point> points) {
+  private static final int MAX_POINTS = 240;
+  private static final long INITIAL_INTERVAL_MILLIS = 1000;
 
-  /** Nothing yet, a point a second. */
-  public static final RolloutTimeSeries NONE = new RolloutTimeSeries(SECOND_MILLIS, List.of());
+  /** A series without points. */
+  public static final RolloutTimeSeries EMPTY =
+      new RolloutTimeSeries(INITIAL_INTERVAL_MILLIS, List.of());
 
   /**
-   * One stretch of time.
+   * One interval.
    *
-   * @param atMillis its end, by the wall clock of whoever drove the release
-   * @param good answers that served
-   * @param bad refusals and failures
-   * @param late of those that served
-   * @param planned parts that were out by a permit at its end
-   * @param gone parts that were out by themselves
+   * @param atMillis its end, by the wall clock of the driver
+   * @param served successful answers
+   * @param failed rejections and errors
+   * @param late successful answers after their latency objective
+   * @param plannedUnavailable instances that were out under a permit at its end
+   * @param unplannedUnavailable instances that were out without a permit at its end
    */
-  public record Point(long atMillis, long good, long bad, long late, int planned, int gone) {
-    private Point with(Point next) {
+  public record Point(
+      long atMillis,
+      long served,
+      long failed,
+      long late,
+      int plannedUnavailable,
+      int unplannedUnavailable) {
+    private Point mergedWith(Point next) {
       return new Point(
           next.atMillis,
-          good + next.good,
-          bad + next.bad,
+          served + next.served,
+          failed + next.failed,
           late + next.late,
-          Math.max(planned, next.planned),
-          Math.max(gone, next.gone));
+          Math.max(plannedUnavailable, next.plannedUnavailable),
+          Math.max(unplannedUnavailable, next.unplannedUnavailable));
     }
   }
 
-  /** A curve of its own. */
+  /** Copies the points. */
   public RolloutTimeSeries {
     points = List.copyOf(points);
   }
 
   /** Whether the next point is due. */
-  boolean due(long atMillis) {
-    return points.isEmpty() || atMillis - points.get(points.size() - 1).atMillis() >= every;
+  boolean isDue(long atMillis) {
+    return points.isEmpty()
+        || atMillis - points.get(points.size() - 1).atMillis() >= intervalMillis;
   }
 
-  RolloutTimeSeries with(Point point) {
+  /** The series with one more point. */
+  RolloutTimeSeries append(Point point) {
     List<Point> all = new ArrayList<>(points);
     all.add(point);
-    if (all.size() <= MOST_POINTS) {
-      return new RolloutTimeSeries(every, all);
+    if (all.size() <= MAX_POINTS) {
+      return new RolloutTimeSeries(intervalMillis, all);
     }
-    List<Point> half = new ArrayList<>();
-    for (int i = 0; i < all.size(); i += 2) {
-      half.add(i + 1 < all.size() ? all.get(i).with(all.get(i + 1)) : all.get(i));
-    }
-    return new RolloutTimeSeries(2 * every, half);
-  }
-
-  /** As it stands in the store. */
-  String text() {
-    return JsonWriter.write(
-        ConfigCodec.object(
-            "every_ms",
-            every,
-            "points",
-            ConfigCodec.list(
-                points.stream()
-                    .map(
-                        p ->
-                            ConfigCodec.object(
-                                "at",
-                                p.atMillis(),
-                                "good",
-                                p.good(),
-                                "bad",
-                                p.bad(),
-                                "late",
-                                p.late(),
-                                "planned",
-                                p.planned(),
-                                "gone",
-                                p.gone()))
-                    .toList())));
+    return new RolloutTimeSeries(2 * intervalMillis, mergedInPairs(all));
   }
 
-  /** Of a text in the store. */
-  static RolloutTimeSeries of(String text) throws AgreementException {
-    Json json = ConfigCodec.parse(text);
-    List<Point> points = new ArrayList<>();
-    for (Json p : json.get("points").items()) {
-      points.add(
-          new Point(
-              number(p, "at"),
-              number(p, "good"),
-              number(p, "bad"),
-              number(p, "late"),
-              (int) number(p, "planned"),
-              (int) number(p, "gone")));
+  private static List<Point> mergedInPairs(List<Point> all) {
+    List<Point> merged = new ArrayList<>();
+    for (int i = 0; i + 1 < all.size(); i += 2) {
+      merged.add(all.get(i).mergedWith(all.get(i + 1)));
     }
-    return new RolloutTimeSeries(ConfigCodec.whole(json, "every_ms", 1, Integer.MAX_VALUE), points);
-  }
-
-  private static long number(Json json, String key) throws AgreementException {
-    return ConfigCodec.whole(json, key, 0, Long.MAX_VALUE);
+    if (all.size() % 2 == 1) {
+      merged.add(all.get(all.size() - 1));
+    }
+    return merged;
   }
 }
--- a/src/main/java/beaconturn/release/RolloutTransaction.java
+++ b/src/main/java/beaconturn/release/RolloutTransaction.java
@@ -2,5 +2,10 @@
 
 import beaconturn.agreement.StoreRequest;
 
-/** A step through the store, and what it is in words. */
-public record RolloutTransaction(StoreRequest.Swap swap, String says) {}
+/**
+ * One step of a release as a transaction of the store.
+ *
+ * @param swap conditions and changes
+ * @param description the step in words, for the history and the log
+ */
+public record RolloutTransaction(StoreRequest.Swap swap, String description) {}
