--- a/src/main/java/beaconturn/release/RolloutTransactions.java
+++ b/src/main/java/beaconturn/release/RolloutTransactions.java
@@ -5,67 +5,71 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Transactions of a release: what each changes, and what it depends on. */
+/**
+ * Builds the transactions of a release: what each changes, and on which keys it depends. Each adds
+ * a line to the history.
+ */
 final class RolloutTransactions {
   private final RolloutKeys keys;
-  private final Supplier<String> when;
+  private final Supplier<String> clock;
 
-  /** Steps whose history says {@code when} they were taken, by the clock of whoever takes them. */
-  RolloutTransactions(RolloutKeys keys, Supplier<String> when) {
+  /** Transactions on these keys; the clock gives the time of history lines as a text. */
+  RolloutTransactions(RolloutKeys keys, Supplier<String> clock) {
     this.keys = keys;
-    this.when = when;
+    this.clock = clock;
   }
 
   /**
-   * Changes with a line of history; they hold only where the course and all that is named are
-   * unchanged.
+   * A transaction that holds only while the plan, the state of the rollout, the history and the
+   * other keys named are as in the snapshot.
    */
-  RolloutTransaction act(
-      RolloutSnapshot scene,
-      String by,
-      String says,
-      List<String> unchanged,
+  RolloutTransaction transaction(
+      RolloutSnapshot snapshot,
+      String author,
+      String description,
+      List<String> unchangedKeys,
       List<StoreRequest.Change> changes) {
     List<StoreRequest.Condition> conditions = new ArrayList<>();
-    conditions.add(scene.unchanged(keys.course()));
-    conditions.add(scene.unchanged(keys.plan()));
-    unchanged.forEach(key -> conditions.add(scene.unchanged(key)));
+    conditions.add(snapshot.unchanged(keys.state()));
+    conditions.add(snapshot.unchanged(keys.plan()));
+    unchangedKeys.forEach(key -> conditions.add(snapshot.unchanged(key)));
+    conditions.add(snapshot.unchanged(keys.historyLength()));
     List<StoreRequest.Change> all = new ArrayList<>(changes);
-    all.addAll(story(scene, by, says));
-    conditions.add(scene.unchanged(keys.told()));
-    return new RolloutTransaction(new StoreRequest.Swap(conditions, all), says);
+    all.addAll(appendHistory(snapshot, author, description));
+    return new RolloutTransaction(new StoreRequest.Swap(conditions, all), description);
   }
 
-  /** The next line of the history, and the count of them. */
-  List<StoreRequest.Change> story(RolloutSnapshot scene, String by, String says) {
-    long number = scene.stories() + 1;
+  /** Adds a line to the history and counts it. */
+  List<StoreRequest.Change> appendHistory(
+      RolloutSnapshot snapshot, String author, String description) {
+    long number = snapshot.historyLength() + 1;
     return List.of(
-        put(keys.story(number), when.get() + " " + by + ": " + says),
-        put(keys.told(), Long.toString(number)));
+        put(keys.historyLine(number), clock.get() + " " + author + ": " + description),
+        put(keys.historyLength(), Long.toString(number)));
   }
 
   StoreRequest.Change put(RolloutStep step) {
-    return put(keys.step(step.id()), RolloutCodec.of(step));
+    return put(keys.step(step.instanceId()), RolloutCodec.encode(step));
   }
 
   StoreRequest.Change put(DisruptionPermit permit) {
-    return put(keys.permit(permit.number()), RolloutCodec.of(permit));
+    return put(keys.permit(permit.number()), RolloutCodec.encode(permit));
   }
 
-  StoreRequest.Change put(ConfigChange changeover) {
-    return put(keys.settings(), RolloutCodec.of(changeover));
+  StoreRequest.Change put(ConfigChange change) {
+    return put(keys.configChange(), RolloutCodec.encode(change));
   }
 
-  StoreRequest.Change counted(long number) {
-    return put(keys.counter(), Long.toString(number));
+  StoreRequest.Change put(RolloutState state) {
+    return put(keys.state(), RolloutCodec.encode(state));
   }
 
-  StoreRequest.Change put(RolloutState course) {
-    return put(keys.course(), RolloutCodec.of(course));
+  StoreRequest.Change putLastPermitNumber(long number) {
+    return put(keys.counter(), Long.toString(number));
   }
 
-  StoreRequest.Change back(long permit) {
-    return new StoreRequest.Change.Delete(keys.permit(permit));
+  StoreRequest.Change deletePermit(long number) {
+    return new StoreRequest.Change.Delete(keys.permit(number));
   }
 
   static StoreRequest.Change put(String key, String value) {
--- a/src/main/java/beaconturn/release/Unavailability.java
+++ b/src/main/java/beaconturn/release/Unavailability.java
@@ -11,135 +11,160 @@
 import java.util.TreeMap;
 
 /**
- * Who is out though no permit says so, from what is seen of the fleet. What nobody vouches for
- * counts as out: a budget that took silence for health would take the last healthy part out.
+ * Instances that are unavailable without a permit, as observed. An instance that no router vouches
+ * for counts as unavailable: a budget that took silence for health would let the last healthy
+ * instance be taken out.
  *
- * @param out the parts that are out, and why
- * @param latest the latest start of a cache server that any router knows of
- * @param atMost the latest start that more than half of the routers know of, of those in service
- * @param sites sites whose traffic is served elsewhere, and why
+ * @param reasons unavailable instances, each with the reason
+ * @param latestStartNanos latest start of each cache server that any router knows of, by the clock
+ *     of discovery
+ * @param majorityStartNanos latest start of each cache server that more than half of the routers
+ *     know of, of those in service
+ * @param zoneReasons zones whose traffic is served elsewhere, each with the reason
  */
 public record Unavailability(
-    SortedMap<String, String> out,
-    SortedMap<String, Long> latest,
-    SortedMap<String, Long> atMost,
-    SortedMap<String, String> sites) {
-  /** How a router's word begins for one that it has ejected. */
+    SortedMap<String, String> reasons,
+    SortedMap<String, Long> latestStartNanos,
+    SortedMap<String, Long> majorityStartNanos,
+    SortedMap<String, String> zoneReasons) {
+  /** How the reason of a router begins for a cache server that it has ejected. */
   static final String EJECTED = "ejected";
 
-  /** A sight of its own. */
+  /** No start is known. */
+  private static final long UNKNOWN_START = -1;
+
+  /** Copies the maps. */
   public Unavailability {
-    out = Collections.unmodifiableSortedMap(new TreeMap<>(out));
-    latest = Collections.unmodifiableSortedMap(new TreeMap<>(latest));
-    atMost = Collections.unmodifiableSortedMap(new TreeMap<>(atMost));
-    sites = Collections.unmodifiableSortedMap(new TreeMap<>(sites));
+    reasons = copyOf(reasons);
+    latestStartNanos = copyOf(latestStartNanos);
+    majorityStartNanos = copyOf(majorityStartNanos);
+    zoneReasons = copyOf(zoneReasons);
   }
 
-  /** The same where the traffic of these sites is served elsewhere. */
-  public Unavailability whileOut(Map<String, String> whole) {
-    return new Unavailability(out, latest, atMost, new TreeMap<>(whole));
+  private static <V> SortedMap<String, V> copyOf(Map<String, V> map) {
+    return Collections.unmodifiableSortedMap(new TreeMap<>(map));
   }
 
-  /**
-   * Why no step may begin at a site though a place is free, or null: another site is out as a
-   * whole, and those that stand in for it are needed. At the site that is out itself steps harm
-   * nobody.
-   */
-  String elsewhere(String site) {
-    return sites.keySet().stream()
-        .filter(s -> !s.equals(site))
-        .findFirst()
-        .map(s -> "site " + s + " is out: " + sites.get(s))
-        .orElse(null);
+  /** These instances are unavailable, and no start is known. */
+  static Unavailability of(Map<String, String> reasons) {
+    return new Unavailability(
+        new TreeMap<>(reasons), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
   }
 
-  /** These are out, and no start is known. */
-  static Unavailability of(Map<String, String> out) {
-    return new Unavailability(
-        new TreeMap<>(out), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
+  /** The same, while the traffic of these zones is served elsewhere. */
+  public Unavailability withZonesOut(Map<String, String> zones) {
+    return new Unavailability(reasons, latestStartNanos, majorityStartNanos, new TreeMap<>(zones));
   }
 
   /**
-   * Routers of the fleet that hold no lease: those that ended, hang, or are cut off from the store.
+   * Routers of the fleet that hold no lease: those that have ended, hang, or are cut off from the
+   * store.
    */
-  public static Unavailability ofRouters(ReleaseFleet.Group group, Set<String> alive) {
-    SortedMap<String, String> out = new TreeMap<>();
-    group.all().stream()
-        .filter(id -> !alive.contains(id))
-        .forEach(id -> out.put(id, "holds no lease"));
-    return of(out);
+  public static Unavailability ofRouters(ReleaseFleet.Group group, Set<String> leaseHolders) {
+    SortedMap<String, String> reasons = new TreeMap<>();
+    for (String router : group.instanceIds()) {
+      if (!leaseHolders.contains(router)) {
+        reasons.put(router, "holds no lease");
+      }
+    }
+    return of(reasons);
   }
 
   /**
-   * Cache servers that are not in service at more than half of the routers that tell what they see:
-   * held out by a version, listed as draining or not at all, ejected, or still warming up.
+   * Cache servers that are not in service at more than half of the routers that report: excluded by
+   * a configuration version, listed as draining or not at all, ejected, or still warming up.
    *
-   * @param heldOut by the version in force, with its number in words
+   * @param excluded cache servers that the version in force excludes, each with the reason
+   * @param views what each router makes of the cache servers
    */
   public static Unavailability ofCaches(
-      ReleaseFleet.Group group, Map<String, String> heldOut, Collection<EndpointView> sights) {
-    SortedMap<String, String> out = new TreeMap<>();
+      ReleaseFleet.Group group, Map<String, String> excluded, Collection<EndpointView> views) {
+    SortedMap<String, String> reasons = new TreeMap<>();
     SortedMap<String, Long> latest = new TreeMap<>();
-    SortedMap<String, Long> atMost = new TreeMap<>();
-    for (String id : group.all()) {
-      List<Long> starts =
-          sights.stream()
-              .filter(s -> s.in().containsKey(id))
-              .map(s -> s.in().get(id))
-              .sorted(Comparator.reverseOrder())
-              .toList();
+    SortedMap<String, Long> majority = new TreeMap<>();
+    for (String server : group.instanceIds()) {
+      List<Long> starts = startsDescending(server, views);
       if (!starts.isEmpty()) {
-        latest.put(id, starts.get(0));
+        latest.put(server, starts.get(0));
       }
-      if (2 * starts.size() > sights.size()) {
-        atMost.put(id, starts.get(sights.size() / 2));
+      boolean inService = 2 * starts.size() > views.size();
+      if (inService) {
+        majority.put(server, starts.get(views.size() / 2));
       }
-      if (heldOut.containsKey(id)) {
-        out.put(id, heldOut.get(id));
-      } else if (sights.isEmpty()) {
-        out.put(id, "no router tells what it sees");
-      } else if (!atMost.containsKey(id)) {
-        out.put(
-            id,
-            why(id, sights)
-                + " at "
-                + (sights.size() - starts.size())
-                + " of "
-                + sights.size()
-                + " routers");
+      if (excluded.containsKey(server)) {
+        reasons.put(server, excluded.get(server));
+      } else if (!inService) {
+        reasons.put(server, outOfServiceReason(server, views, views.size() - starts.size()));
       }
     }
-    return new Unavailability(out, latest, atMost, new TreeMap<>());
+    return new Unavailability(reasons, latest, majority, new TreeMap<>());
   }
 
-  /**
-   * What most of those say that do not use it; the first in the alphabet where as many say another.
-   */
-  private static String why(String id, Collection<EndpointView> sights) {
+  /** Starts of a cache server as those routers know them that use it, the latest first. */
+  private static List<Long> startsDescending(String server, Collection<EndpointView> views) {
+    return views.stream()
+        .filter(view -> view.in().containsKey(server))
+        .map(view -> view.in().get(server))
+        .sorted(Comparator.reverseOrder())
+        .toList();
+  }
+
+  private static String outOfServiceReason(
+      String server, Collection<EndpointView> views, int notUsing) {
+    if (views.isEmpty()) {
+      return "no router tells what it sees";
+    }
+    return mostFrequentReason(server, views)
+        + " at "
+        + notUsing
+        + " of "
+        + views.size()
+        + " routers";
+  }
+
+  /** The reason that most routers give; of equally frequent ones the first in the alphabet. */
+  private static String mostFrequentReason(String server, Collection<EndpointView> views) {
     SortedMap<String, Integer> counts = new TreeMap<>();
-    sights.stream()
-        .filter(s -> !s.in().containsKey(id))
-        .forEach(s -> counts.merge(s.out().getOrDefault(id, "not listed"), 1, Integer::sum));
+    for (EndpointView view : views) {
+      if (!view.in().containsKey(server)) {
+        counts.merge(view.out().getOrDefault(server, "not listed"), 1, Integer::sum);
+      }
+    }
     String most = counts.firstKey();
-    for (Map.Entry<String, Integer> e : counts.entrySet()) {
-      most = e.getValue() > counts.get(most) ? e.getKey() : most;
+    for (Map.Entry<String, Integer> count : counts.entrySet()) {
+      if (count.getValue() > counts.get(most)) {
+        most = count.getKey();
+      }
     }
     return most;
   }
 
   /**
-   * The same for a release: a cache server that was acted on is out until it is seen with another
-   * start, as what routers tell may still be of the process before.
+   * Why no step may begin in a zone while another zone is out as a whole, or null where none is:
+   * the other zones serve its traffic. In the zone that is out steps do no harm.
+   */
+  String zoneObjection(String zone) {
+    return zoneReasons.keySet().stream()
+        .filter(other -> !other.equals(zone))
+        .findFirst()
+        .map(other -> "site " + other + " is out: " + zoneReasons.get(other))
+        .orElse(null);
+  }
+
+  /**
+   * Unavailable instances in a release, each with the reason. A cache server that was restarted
+   * counts as unavailable until most routers know of the new start: until then what they report may
+   * be of the process before.
    */
-  SortedMap<String, String> during(RolloutSnapshot scene) {
-    if (scene.plan().kind() == InstanceKind.ROUTER) {
-      return out;
+  SortedMap<String, String> duringRollout(RolloutSnapshot snapshot) {
+    if (snapshot.plan().kind() == InstanceKind.ROUTER) {
+      return reasons;
     }
-    SortedMap<String, String> all = new TreeMap<>(out);
-    for (RolloutStep step : scene.steps().values()) {
-      if (step.phase() == RolloutStep.Phase.UP
-          && atMost.getOrDefault(step.id(), -1L) <= step.started()) {
-        all.putIfAbsent(step.id(), "not seen since it was restarted");
+    SortedMap<String, String> all = new TreeMap<>(reasons);
+    for (RolloutStep step : snapshot.steps().values()) {
+      long start = majorityStartNanos.getOrDefault(step.instanceId(), UNKNOWN_START);
+      if (step.phase() == StepPhase.READY && start <= step.previousStartNanos()) {
+        all.putIfAbsent(step.instanceId(), "not seen since it was restarted");
       }
     }
     return all;
--- a/src/main/java/beaconturn/release/package-info.java
+++ b/src/main/java/beaconturn/release/package-info.java
@@ -1,12 +1,15 @@
 /**
- * Releases and drains of a whole fleet: how much may be out at once, permits with numbers that only
- * grow, waves with a check before the next, a halt and a way back. Decided without I/O on what was
- * read from the coordination store; each step is one transaction of it, whose conditions are what
- * it was decided on. Of the agreement it uses the words of the store ({@code Call}, {@code Answer})
- * and its texts, nothing else.
+ * Releases and drains over a whole fleet: a disruption budget with numbered permits, waves with a
+ * canary check, halt and rollback.
  *
- * <p>Guaranteed: no planned step begins while as much is out as may be, however it went; a driver
- * or an agent that was replaced can do nothing with what it knew; after a halt no step begins
- * beyond the stated time.
+ * <p>Everything is decided without I/O, from a {@link beaconturn.release.RolloutSnapshot} of the
+ * coordination store; each step is one transaction whose conditions are what it was decided on. The
+ * driver ({@link beaconturn.release.RolloutDriver}) decides for the fleet, an agent ({@link
+ * beaconturn.release.RolloutAgent}) acts on one instance, and operators use {@link
+ * beaconturn.release.RolloutAdmin} and {@link beaconturn.release.DisruptionPermitAdmin}.
+ *
+ * <p>Guaranteed: no planned step begins while as many instances are unavailable as the budget
+ * allows, for whatever reason; a driver or an agent that was replaced can do nothing with what it
+ * has decided; after a halt no step begins beyond the stated time.
  */
 package beaconturn.release;
--- a/src/test/java/beaconturn/cli/InstanceMetricsReaderTest.java
+++ b/src/test/java/beaconturn/cli/InstanceMetricsReaderTest.java
@@ -26,7 +26,7 @@
   private final AtomicReference<String> health = new AtomicReference<>("");
 
   /** Figures of words such as {@code late=3}; null of null. */
-  private static List<Counters.Figure> figures(String words) {
+  private static List<Counters.Figure> counters(String words) {
     return words == null
         ? null
         : Stream.of(words.split(" "))
@@ -47,7 +47,7 @@
 
               @Override
               public List<Counters.Figure> health() {
-                return figures(healthOf.get());
+                return counters(healthOf.get());
               }
 
               @Override
@@ -58,7 +58,7 @@
             new Counters() {
               @Override
               public List<Counters.Figure> read() {
-                return figures(stat.get());
+                return counters(stat.get());
               }
             },
             new ServerOverrideFile(null, false),
@@ -74,37 +74,37 @@
   }
 
   private static long of(InstanceSample sample, InstanceMetrics figure) {
-    return sample.figures().getOrDefault(figure, 0L);
+    return sample.metrics().getOrDefault(figure, 0L);
   }
 
   @Test
   void aRoutersFiguresGrowUntilItsProcessIsAnother() throws IOException {
     AdminServer router = router(health);
     try {
-      InstanceMetricsReader figures = new InstanceMetricsReader("r1", false, List.of(at(router)));
+      InstanceMetricsReader reader = new InstanceMetricsReader("r1", false, List.of(at(router)));
       stat.set(
           "answered.a=10 answered.b.c=5 deferred.a=1 errored.a=2 cluster_size=4"
               + " cluster_unhealthy=1");
       health.set("late=3 memory_kb=500 cpu_ms=100 connections=7");
-      InstanceSample first = figures.ask();
-      assertEquals(15, of(first, InstanceMetrics.GOOD));
-      assertEquals(3, of(first, InstanceMetrics.BAD));
+      InstanceSample first = reader.read();
+      assertEquals(15, of(first, InstanceMetrics.SERVED));
+      assertEquals(3, of(first, InstanceMetrics.FAILED));
       assertEquals(3, of(first, InstanceMetrics.LATE));
       assertEquals(7, of(first, InstanceMetrics.CONNECTIONS));
-      InstanceSample second = figures.ask();
+      InstanceSample second = reader.read();
       assertEquals(first.process(), second.process());
       assertEquals(2, of(second, InstanceMetrics.READINGS));
-      assertEquals(500_000, of(second, InstanceMetrics.AVOIDED), "a quarter, twice");
-      assertEquals(1000, of(second, InstanceMetrics.MEMORY));
+      assertEquals(500_000, of(second, InstanceMetrics.AVOIDED_MILLIONTHS), "a quarter, twice");
+      assertEquals(1000, of(second, InstanceMetrics.MEMORY_KB));
       // As many answers as before, and less processor time: it was restarted.
       health.set("late=0 memory_kb=400 cpu_ms=50");
-      InstanceSample third = figures.ask();
+      InstanceSample third = reader.read();
       assertEquals(1, of(third, InstanceMetrics.READINGS));
-      assertEquals(400, of(third, InstanceMetrics.MEMORY));
+      assertEquals(400, of(third, InstanceMetrics.MEMORY_KB));
       assertEquals(false, third.process().equals(second.process()));
       // A router that knows no such call, as it does not agree.
       health.set(null);
-      assertEquals(15, of(figures.ask(), InstanceMetrics.GOOD));
+      assertEquals(15, of(reader.read(), InstanceMetrics.SERVED));
     } finally {
       router.close();
     }
@@ -117,33 +117,33 @@
     AdminServer gone = router(other);
     String noMore = at(gone);
     try {
-      InstanceMetricsReader figures =
+      InstanceMetricsReader reader =
           new InstanceMetricsReader("c.1", true, List.of(at(router), at(gone)));
       health.set("cache_good.c.1=100 cache_bad.c.1=3 cache_good.c.10=9");
       other.set("cache_good.c.1=50");
       assertEquals(
-          0, of(figures.ask(), InstanceMetrics.GOOD), "counted from when it was first asked");
+          0, of(reader.read(), InstanceMetrics.SERVED), "counted from when it was first asked");
       health.set("cache_good.c.1=110 cache_bad.c.1=5");
       other.set("cache_good.c.1=8");
-      InstanceSample grown = figures.ask();
-      assertEquals(10 + 8, of(grown, InstanceMetrics.GOOD), "the other router was restarted");
-      assertEquals(2, of(grown, InstanceMetrics.BAD));
+      InstanceSample grown = reader.read();
+      assertEquals(10 + 8, of(grown, InstanceMetrics.SERVED), "the other router was restarted");
+      assertEquals(2, of(grown, InstanceMetrics.FAILED));
       gone.close();
       awaitEnd(noMore);
       health.set("cache_good.c.1=111 cache_bad.c.1=5");
-      assertEquals(19, of(figures.ask(), InstanceMetrics.GOOD));
+      assertEquals(19, of(reader.read(), InstanceMetrics.SERVED));
     } finally {
       router.close();
     }
     InstanceMetricsReader nobody = new InstanceMetricsReader("c.1", true, List.of(noMore));
-    assertThrows(IOException.class, nobody::ask);
+    assertThrows(IOException.class, nobody::read);
   }
 
   private static void awaitEnd(String address) {
     InstanceMetricsReader probe = new InstanceMetricsReader("r1", false, List.of(address));
     try {
       while (true) {
-        probe.ask();
+        probe.read();
         Thread.onSpinWait();
       }
     } catch (IOException e) {
--- a/src/test/java/beaconturn/cli/ReleaseFilesTest.java
+++ b/src/test/java/beaconturn/cli/ReleaseFilesTest.java
@@ -24,9 +24,9 @@
   @Test
   void theShippedFilesMakeARelease() throws ConfigException {
     ReleaseFleet fleet = ReleaseFiles.fleet("examples/releases/fleet.toml");
-    assertEquals(2, fleet.group(InstanceKind.ROUTER).mostOut());
-    assertEquals(1, fleet.group(InstanceKind.CACHE).mostOut(), "a quarter of four");
-    assertEquals("west", fleet.group(InstanceKind.ROUTER).siteOf("r4"));
+    assertEquals(2, fleet.group(InstanceKind.ROUTER).maxUnavailable());
+    assertEquals(1, fleet.group(InstanceKind.CACHE).maxUnavailable(), "a quarter of four");
+    assertEquals("west", fleet.group(InstanceKind.ROUTER).zoneOf("r4"));
     RolloutPlan plan = ReleaseFiles.plan("examples/releases/plan.toml", "why", fleet);
     assertNull(plan.objection(fleet));
     assertEquals(
--- a/src/test/java/beaconturn/release/CanaryComparisonTest.java
+++ b/src/test/java/beaconturn/release/CanaryComparisonTest.java
@@ -26,7 +26,7 @@
           List.of(List.of("r1"), List.of("r2", "r3")),
           2_000_000_000,
           20,
-          RegressionBounds.USUAL,
+          RegressionBounds.DEFAULT,
           9_000_000_000L,
           0,
           "why",
@@ -35,46 +35,52 @@
 
   /** A sample of words such as {@code good=100 late=3}. */
   private static InstanceSample sample(String words) {
-    Map<InstanceMetrics, Long> figures = new EnumMap<>(InstanceMetrics.class);
+    Map<InstanceMetrics, Long> metrics = new EnumMap<>(InstanceMetrics.class);
     for (String word : words.split(" ")) {
       String[] pair = word.split("=");
-      figures.put(
-          InstanceMetrics.valueOf(pair[0].toUpperCase(java.util.Locale.ROOT)),
-          Long.parseLong(pair[1]));
+      for (InstanceMetrics metric : InstanceMetrics.values()) {
+        if (metric.word().equals(pair[0])) {
+          metrics.put(metric, Long.parseLong(pair[1]));
+        }
+      }
     }
-    return new InstanceSample("", figures);
+    assertEquals(words.split(" ").length, metrics.size(), words);
+    return new InstanceSample("", metrics);
   }
 
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
       value = {
-        "good=100 late=20 | good=400 late=4 | BAD | ; 0.200 of 100 late, 0.010 of 400",
-        "good=100 late=20 | good=400 late=70 | GOOD | ''",
-        "good=100 late=4 | good=400 late=4 | GOOD | ''",
-        "good=100 hits=40 misses=40 | good=400 hits=300 misses=20 | BAD | ; 0.500 of 80"
+        "good=100 late=20 | good=400 late=4 | REGRESSED | ; 0.200 of 100 late, 0.010 of 400",
+        "good=100 late=20 | good=400 late=70 | PASSED | ''",
+        "good=100 late=4 | good=400 late=4 | PASSED | ''",
+        "good=100 hits=40 misses=40 | good=400 hits=300 misses=20 | REGRESSED | ; 0.500 of 80"
             + " missed, 0.063 of 320",
-        "good=100 hits=2 misses=9 | good=400 hits=300 misses=20 | GOOD | ''",
-        "good=100 readings=10 avoided=5000000 | good=400 readings=30 avoided=300000 | BAD"
+        "good=100 hits=2 misses=9 | good=400 hits=300 misses=20 | PASSED | ''",
+        "good=100 readings=10 avoided=5000000 | good=400 readings=30 avoided=300000 | REGRESSED"
             + " | ; 0.500 of the cache servers avoided, 0.010",
-        "good=100 readings=10 memory=1400 | good=400 readings=30 memory=3000 | BAD"
+        "good=100 readings=10 memory=1400 | good=400 readings=30 memory=3000 | REGRESSED"
             + " | ; 140 kB of memory, 100",
-        "good=100 readings=10 memory=1200 | good=400 readings=30 memory=3000 | GOOD | ''",
-        "good=100 readings=7 memory=1400 | good=400 readings=30 memory=3000 | WAIT | ''",
-        "good=100 hits=20 hit_micros=90000 | good=400 hits=40 hit_micros=40000 | BAD"
+        "good=100 readings=10 memory=1200 | good=400 readings=30 memory=3000 | PASSED | ''",
+        "good=100 readings=7 memory=1400 | good=400 readings=30 memory=3000 | PENDING | ''",
+        "good=100 hits=20 hit_micros=90000 | good=400 hits=40 hit_micros=40000 | REGRESSED"
             + " | ; 4500 us for a hit, 1000",
-        "good=100 hits=19 hit_micros=90000 | good=400 hits=40 hit_micros=40000 | GOOD | ''",
-        "good=19 late=19 | good=400 | WAIT | ''"
+        "good=100 hits=19 hit_micros=90000 | good=400 hits=40 hit_micros=40000 | PASSED | ''",
+        "good=19 late=19 | good=400 | PENDING | ''"
       })
   void eachMeasureCountsOnceThereIsEnoughOfIt(
-      String changed, String others, RolloutHealth.Verdict verdict, String says) {
+      String changed, String others, CanaryVerdict.Outcome outcome, String says) {
     CanaryComparison comparison = new CanaryComparison(PLAN, sample(changed), sample(others), 2);
-    RolloutHealth.Word word = comparison.word(true, true);
-    assertEquals(verdict, word.verdict(), word.says());
-    assertTrue(word.says().endsWith(says.isEmpty() ? "others" : says), word.says());
-    if (verdict == RolloutHealth.Verdict.BAD) {
+    CanaryVerdict verdict = comparison.verdict(true, ComparisonMode.WATCH);
+    assertEquals(outcome, verdict.outcome(), verdict.explanation());
+    assertTrue(
+        verdict.explanation().endsWith(says.isEmpty() ? "others" : says), verdict.explanation());
+    if (outcome == CanaryVerdict.Outcome.REGRESSED) {
       assertEquals(
-          RolloutHealth.Verdict.GOOD, comparison.word(false, true).verdict(), "just started");
+          CanaryVerdict.Outcome.PASSED,
+          comparison.verdict(false, ComparisonMode.WATCH).outcome(),
+          "just started");
     }
   }
 
@@ -84,12 +90,15 @@
     CanaryComparison chance =
         new CanaryComparison(
             PLAN, sample("good=20 hits=8 misses=12"), sample("good=210 hits=170 misses=40"), 13);
-    assertEquals(RolloutHealth.Verdict.BAD, chance.word(true, false).verdict());
-    assertEquals(RolloutHealth.Verdict.WAIT, chance.word(true, true).verdict());
+    assertEquals(
+        CanaryVerdict.Outcome.REGRESSED, chance.verdict(true, ComparisonMode.CHECK).outcome());
+    assertEquals(
+        CanaryVerdict.Outcome.PENDING, chance.verdict(true, ComparisonMode.WATCH).outcome());
     CanaryComparison goesOn =
         new CanaryComparison(
             PLAN, sample("good=40 hits=16 misses=24"), sample("good=420 hits=340 misses=80"), 13);
-    assertEquals(RolloutHealth.Verdict.BAD, goesOn.word(true, true).verdict());
+    assertEquals(
+        CanaryVerdict.Outcome.REGRESSED, goesOn.verdict(true, ComparisonMode.WATCH).outcome());
   }
 
   /**
@@ -104,15 +113,15 @@
             sample("good=100 readings=7 memory=1400"),
             sample("good=400 readings=30 memory=3000"),
             2);
-    assertEquals(RolloutHealth.Verdict.GOOD, few.word(true, false).verdict());
-    assertEquals(RolloutHealth.Verdict.WAIT, few.word(true, true).verdict());
+    assertEquals(CanaryVerdict.Outcome.PASSED, few.verdict(true, ComparisonMode.CHECK).outcome());
+    assertEquals(CanaryVerdict.Outcome.PENDING, few.verdict(true, ComparisonMode.WATCH).outcome());
   }
 
-  private static InMemoryStore board(ReleaseFleet.Capacity capacity) throws AgreementException {
-    InMemoryStore board = new InMemoryStore();
-    board
-        .desk()
-        .fleet(
+  private static InMemoryStore store(ReleaseFleet.Capacity capacity) throws AgreementException {
+    InMemoryStore store = new InMemoryStore();
+    store
+        .admin()
+        .defineFleet(
             new ReleaseFleet(
                 Map.of(
                     InstanceKind.ROUTER,
@@ -121,20 +130,20 @@
                         1,
                         new TreeMap<>(Map.of("east", List.of("r1", "r2", "r3"))),
                         capacity))));
-    return board;
+    return store;
   }
 
-  private static void tell(InMemoryStore board, String words) {
+  private static void tell(InMemoryStore store, String words) {
     List.of("r1", "r2", "r3")
         .forEach(
             id ->
-                board.ask(
+                store.ask(
                     new StoreRequest.Swap(
                         List.of(),
                         List.of(
                             new StoreRequest.Change.Put(
-                                InMemoryStore.KEYS.health(id),
-                                RolloutCodec.of(sample(words)),
+                                InMemoryStore.KEYS.sample(id),
+                                RolloutCodec.encode(sample(words)),
                                 0)))));
   }
 
@@ -158,49 +167,56 @@
       })
   void aPlanIsHeldToWhatItsSitesCarry(int spare, String each, String objection)
       throws AgreementException {
-    InMemoryStore board = board(new ReleaseFleet.Capacity(0, 0, spare));
-    tell(board, each);
-    assertEquals(objection, RolloutAdmin.objection(PLAN, board.scene()));
+    InMemoryStore store = store(new ReleaseFleet.Capacity(0, 0, spare));
+    tell(store, each);
+    assertEquals(objection, RolloutAdmin.objection(PLAN, store.snapshot()));
   }
 
   @Test
   void aStepWaitsWhileProcessorsAreShort() throws AgreementException {
-    InMemoryStore board = board(new ReleaseFleet.Capacity(0, 0.5, 1));
-    tell(board, "busy=10 cores=8000");
-    board.begin(0, List.of(List.of("r1")));
+    InMemoryStore store = store(new ReleaseFleet.Capacity(0, 0.5, 1));
+    tell(store, "busy=10 cores=8000");
+    store.begin(0, List.of(List.of("r1")));
     RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
-    assertTrue(board.held(driver.take(board.scene(), 1)));
-    assertNull(driver.due(board.scene(), Unavailability.of(Map.of()), 0), "measured first");
-    tell(board, "busy=200 cores=8000");
-    assertNull(driver.due(board.scene(), Unavailability.of(Map.of()), 1_000_000_000));
+    assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
+    assertNull(
+        driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0), "measured first");
+    tell(store, "busy=200 cores=8000");
+    assertNull(
+        driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 1_000_000_000));
     assertEquals(
         "r1: east carries 0.6 cores, and 1 routers would be left with 1 that fail, for 0.4 each",
-        driver.waits(),
+        driver.waitReason(),
         "what operators say they may use goes before what they see");
-    tell(board, "busy=100 cores=8000");
-    RolloutTransaction act = driver.due(board.scene(), Unavailability.of(Map.of()), 1_000_000_000);
-    assertTrue(act.says().startsWith("r1 goes"), act.says());
+    tell(store, "busy=100 cores=8000");
+    RolloutTransaction act =
+        driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 1_000_000_000);
+    assertTrue(act.description().startsWith("r1 goes"), act.description());
   }
 
   @Test
   void whatIsForetoldRestsOnTheLastReleaseAndOnTheLoad() throws AgreementException {
-    InMemoryStore board = InMemoryStore.with(2, 1).begin(0, List.of(List.of("r1")));
-    assertEquals(0, RolloutForecast.of(PLAN, board.scene(), Map.of()).likely(), "nothing is known");
+    InMemoryStore store = InMemoryStore.with(2, 1).begin(0, List.of(List.of("r1")));
+    assertEquals(
+        0,
+        RolloutForecast.of(PLAN, store.snapshot(), Map.of()).likelySeconds(),
+        "nothing is known");
     RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
-    assertTrue(board.held(driver.take(board.scene(), 1)));
-    assertTrue(board.held(driver.due(board.scene(), Unavailability.of(Map.of()), 0)));
-    RolloutAgent agent = board.agent("r1", "a", 1);
-    agent.answered(board.held(agent.due(board.scene(), 0)), 0);
-    agent.ended(true, "", 3_000_000_000L);
-    assertTrue(board.held(agent.due(board.scene(), 0)));
-    board.ask(
+    assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
+    assertTrue(
+        store.commits(driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0)));
+    RolloutAgent agent = store.agent("r1", "a", 1);
+    agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0);
+    agent.actionEnded(true, "", 3_000_000_000L);
+    assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 0)));
+    store.ask(
         new StoreRequest.Swap(
             List.of(),
             List.of(
                 new StoreRequest.Change.Put(
-                    InMemoryStore.KEYS.health("r2"), RolloutCodec.of(sample("rate=4")), 0))));
+                    InMemoryStore.KEYS.sample("r2"), RolloutCodec.encode(sample("rate=4")), 0))));
     RolloutForecast forecast =
-        RolloutForecast.of(PLAN, board.scene(), Map.of("r4", "holds no lease"));
+        RolloutForecast.of(PLAN, store.snapshot(), Map.of("r4", "holds no lease"));
     // r2 and r3 are of two sites; r1 holds a place still and r4 is gone.
     assertEquals(
         List.of(
@@ -208,45 +224,49 @@
             new RolloutForecast.Wave(List.of("r2", "r3"), 2, 1, 0)),
         forecast.waves());
     assertEquals(
-        2 * (3 + 5), forecast.likely(), "3 s for a restart, 5 s for 20 answers at 4 a second");
-    assertEquals(4, forecast.shortest());
-    assertEquals(22, forecast.longest());
+        2 * (3 + 5),
+        forecast.likelySeconds(),
+        "3 s for a restart, 5 s for 20 answers at 4 a second");
+    assertEquals(4, forecast.shortestSeconds());
+    assertEquals(22, forecast.longestSeconds());
   }
 
   @Test
   void aCurveGoesOnWithAnotherDriverAndStaysSmall() throws AgreementException {
-    InMemoryStore board = InMemoryStore.with(1, 1).begin(0, List.of(List.of("r1")));
+    InMemoryStore store = InMemoryStore.with(1, 1).begin(0, List.of(List.of("r1")));
     assertTrue(
-        board.held(new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "").take(board.scene(), 1)));
+        store.commits(
+            new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "")
+                .acquireLease(store.snapshot(), 1)));
     long sum = 0;
     for (int second = 0; second < 600; second++) {
       // Another driver takes over every 100 seconds, and counts from what it sees first.
       if (second % 100 == 0) {
-        recorder = new RolloutRecorder(InMemoryStore.KEYS, 1, board.desk().curve(1));
+        recorder = new RolloutRecorder(InMemoryStore.KEYS, 1, store.admin().timeSeries(1));
       } else {
         sum += 10;
       }
-      board.health("r1", 10 * second + 1, 0);
+      store.health("r1", 10 * second + 1, 0);
       RolloutTransaction point =
-          recorder.due(
-              board.scene(), Unavailability.of(Map.of("r3", "gone")), 1000L * second + 1000);
+          recorder.nextTransaction(
+              store.snapshot(), Unavailability.of(Map.of("r3", "gone")), 1000L * second + 1000);
       if (point != null) {
-        assertTrue(board.held(point));
+        assertTrue(store.commits(point));
       }
     }
-    RolloutTimeSeries curve = board.desk().curve(1);
+    RolloutTimeSeries curve = store.admin().timeSeries(1);
     assertTrue(curve.points().size() <= 240, curve.points().size() + " points");
-    assertEquals(4000, curve.every());
-    assertEquals(1, curve.points().get(0).gone());
-    long told = curve.points().stream().mapToLong(RolloutTimeSeries.Point::good).sum();
+    assertEquals(4000, curve.intervalMillis());
+    assertEquals(1, curve.points().get(0).unplannedUnavailable());
+    long told = curve.points().stream().mapToLong(RolloutTimeSeries.Point::served).sum();
     // What came since the last point before a change of drivers, and since the last of all, is in
     // none.
     assertTrue(told <= sum && told > sum - 6 * 40, told + " of " + sum);
     RolloutTransaction late =
-        new RolloutRecorder(InMemoryStore.KEYS, 1, RolloutTimeSeries.NONE)
-            .due(board.scene(), Unavailability.of(Map.of()), 1);
-    board.driverGone();
-    assertTrue(!board.held(late), "only who drives draws it");
+        new RolloutRecorder(InMemoryStore.KEYS, 1, RolloutTimeSeries.EMPTY)
+            .nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 1);
+    store.driverGone();
+    assertTrue(!store.commits(late), "only who drives draws it");
   }
 
   private RolloutRecorder recorder;
--- a/src/test/java/beaconturn/release/InMemoryStore.java
+++ b/src/test/java/beaconturn/release/InMemoryStore.java
@@ -18,7 +18,7 @@
   private long revision = 1;
   String cluster = "1";
 
-  /** Keys whose conditions are left out, as a planted defect. */
+  /** Keys whose conditions are left out, as a defect that tests must find. */
   Predicate<String> ignores = key -> false;
 
   @Override
@@ -41,8 +41,8 @@
     return new StoreResponse.Given(held, cluster, revision, List.of(), 0, 0);
   }
 
-  boolean held(RolloutTransaction act) {
-    return ((StoreResponse.Given) ask(act.swap())).held();
+  boolean commits(RolloutTransaction transaction) {
+    return ((StoreResponse.Given) ask(transaction.swap())).held();
   }
 
   private boolean holds(StoreRequest.Condition condition) {
@@ -61,7 +61,7 @@
     }
   }
 
-  RolloutSnapshot scene() {
+  RolloutSnapshot snapshot() {
     try {
       return RolloutSnapshot.of(KEYS, (StoreResponse.Given) ask(new StoreRequest.Read(KEYS.all())));
     } catch (AgreementException e) {
@@ -69,27 +69,27 @@
     }
   }
 
-  /** The seat of an agent whose lease has ended. */
+  /** The lease of an agent has ended. */
   void agentGone(String id) {
     ask(new StoreRequest.Swap(List.of(), List.of(new StoreRequest.Change.Delete(KEYS.agent(id)))));
   }
 
-  /** An agent that has its part's seat. */
+  /** An agent that holds the lease of its instance. */
   RolloutAgent agent(String id, String me, long timeout) {
     RolloutAgent agent = new RolloutAgent(KEYS, id, me, timeout, () -> "");
-    RolloutTransaction seat = agent.take(scene(), 1);
-    if (seat != null) {
-      held(seat);
+    RolloutTransaction lease = agent.acquireLease(snapshot(), 1);
+    if (lease != null) {
+      commits(lease);
     }
     return agent;
   }
 
-  /** The place of a driver whose lease has ended. */
+  /** The lease of the driver has ended. */
   void driverGone() {
     ask(new StoreRequest.Swap(List.of(), List.of(new StoreRequest.Change.Delete(KEYS.driver()))));
   }
 
-  /** What part has answered so far. */
+  /** What an instance has answered so far. */
   void health(String id, long good, long bad) {
     health(id, "", good, bad);
   }
@@ -101,30 +101,36 @@
             List.of(),
             List.of(
                 new StoreRequest.Change.Put(
-                    KEYS.health(id), RolloutCodec.of(InstanceSample.of(process, good, bad)), 0))));
+                    KEYS.sample(id),
+                    RolloutCodec.encode(InstanceSample.ofAnswers(process, good, bad)),
+                    0))));
   }
 
   /**
-   * What stands there, without revisions and history: two boards that say the same are the same.
+   * What stands there, without revisions and history: two stores that say the same are the same.
    */
   String text() {
     StringBuilder out = new StringBuilder();
     pairs.values().stream()
-        .filter(p -> !p.key().startsWith(KEYS.stories()) && !p.key().equals(KEYS.told()))
+        .filter(p -> !p.key().startsWith(KEYS.history()) && !p.key().equals(KEYS.historyLength()))
         .forEach(p -> out.append(p.key()).append('=').append(p.value()).append('\n'));
     return out.toString();
   }
 
-  RolloutAdmin desk() {
+  RolloutAdmin admin() {
     return new RolloutAdmin(KEYS, this, "op", () -> "");
   }
 
+  DisruptionPermitAdmin permits() {
+    return new DisruptionPermitAdmin(KEYS, this, "op", () -> "");
+  }
+
   /** Four routers in two sites, of which so many may be out. */
   static InMemoryStore with(int mostOut, int ofSite) throws AgreementException {
-    InMemoryStore board = new InMemoryStore();
-    board
-        .desk()
-        .fleet(
+    InMemoryStore store = new InMemoryStore();
+    store
+        .admin()
+        .defineFleet(
             new ReleaseFleet(
                 Map.of(
                     InstanceKind.ROUTER,
@@ -133,12 +139,12 @@
                         ofSite,
                         new TreeMap<>(
                             Map.of("east", List.of("r1", "r2"), "west", List.of("r3", "r4")))))));
-    return board;
+    return store;
   }
 
   /** Begins a release in these waves, watched for no time and compared by so many answers. */
   InMemoryStore begin(int samples, List<List<String>> waves) throws AgreementException {
-    desk()
+    admin()
         .start(
             new RolloutPlan(
                 0,
@@ -146,7 +152,7 @@
                 waves,
                 0,
                 samples,
-                RegressionBounds.of(0.1),
+                RegressionBounds.ofFailed(0.1),
                 1,
                 0,
                 "why",
--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -32,25 +32,25 @@
 
   /** One course of things, replayed from its moves. */
   private static final class Play {
-    private final InMemoryStore board;
+    private final InMemoryStore store;
     private final RolloutDriver[] drivers = {
       new RolloutDriver(InMemoryStore.KEYS, "d0", () -> ""),
       new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "")
     };
     private final RolloutTransaction[] decided = new RolloutTransaction[2];
-    private final List<Hand> hands = new ArrayList<>();
+    private final List<AgentPlay> agents = new ArrayList<>();
     private final String defect;
     private int leases = 1;
     private boolean halted;
     private boolean replaced;
     private RolloutTransaction drain;
     private boolean drained;
-    private String offence;
+    private String violation;
 
     /** An agent and what it has decided. */
-    private static final class Hand {
+    private static final class AgentPlay {
       private final String id;
-      private final RolloutAgent agent;
+      private final RolloutAgent rolloutAgent;
       private RolloutTransaction act;
       private InstanceVariant running;
       private boolean failed;
@@ -59,56 +59,56 @@
       /** How the last action ended, until it is told. */
       private String untold = "";
 
-      private Hand(InMemoryStore board, String id, String me) {
+      private AgentPlay(InMemoryStore store, String id, String me) {
         this.id = id;
-        this.agent = board.agent(id, me, TIMEOUT);
+        this.rolloutAgent = store.agent(id, me, TIMEOUT);
       }
     }
 
     Play(String defect) throws AgreementException {
       this.defect = defect;
-      board = InMemoryStore.with(1, 1).begin(0, List.of(List.of("r1", "r2")));
+      store = InMemoryStore.with(1, 1).begin(0, List.of(List.of("r1", "r2")));
       // With that on the history, which would hold many of the others by itself.
-      board.ignores =
+      store.ignores =
           key ->
               !defect.isEmpty()
                   && (key.contains("/release/" + defect)
                       || key.endsWith("/release/told")
                       || (defect.equals("course") && key.endsWith("/plan")));
-      hands.add(new Hand(board, "r1", "a"));
-      hands.add(new Hand(board, "r2", "b"));
+      agents.add(new AgentPlay(store, "r1", "a"));
+      agents.add(new AgentPlay(store, "r2", "b"));
     }
 
     /** What can happen next. */
     List<String> moves() {
       List<String> all = new ArrayList<>();
-      RolloutSnapshot scene = board.scene();
+      RolloutSnapshot snapshot = store.snapshot();
       for (int i = 0; i < 2; i++) {
         if (decided[i] != null) {
           all.add("drive " + i);
-        } else if (drivers[i].take(scene, 1) != null
-            || drivers[i].due(scene, Unavailability.of(Map.of()), 0) != null) {
+        } else if (drivers[i].acquireLease(snapshot, 1) != null
+            || drivers[i].nextTransaction(snapshot, Unavailability.of(Map.of()), 0) != null) {
           all.add("decide " + i);
         }
       }
-      for (int i = 0; i < hands.size(); i++) {
-        Hand hand = hands.get(i);
-        if (hand.dead) {
+      for (int i = 0; i < agents.size(); i++) {
+        AgentPlay agent = agents.get(i);
+        if (agent.dead) {
           continue;
         }
-        if (hand.running != null) {
+        if (agent.running != null) {
           all.add("ends " + i);
           all.add("fails " + i);
         } else {
-          all.add((hand.act == null ? "looks " : "acts ") + i);
+          all.add((agent.act == null ? "looks " : "acts ") + i);
         }
       }
-      if (leases > 0 && !scene.driver().isEmpty()) {
+      if (leases > 0 && !snapshot.driver().isEmpty()) {
         all.add("lease");
       }
       if (!halted) {
         all.add("halt");
-      } else if (scene.course().mode() == RolloutState.Mode.HALTED) {
+      } else if (snapshot.state().mode() == RolloutMode.HALTED) {
         all.add("resume");
       }
       if (!replaced) {
@@ -125,40 +125,43 @@
       int i = words.length == 2 ? Integer.parseInt(words[1]) : 0;
       switch (words[0]) {
         case "decide" -> {
-          RolloutTransaction take = drivers[i].take(board.scene(), 1);
+          RolloutTransaction take = drivers[i].acquireLease(store.snapshot(), 1);
           decided[i] =
-              take != null ? take : drivers[i].due(board.scene(), Unavailability.of(Map.of()), 0);
+              take != null
+                  ? take
+                  : drivers[i].nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0);
         }
         case "drive" -> {
-          board.held(decided[i]);
+          store.commits(decided[i]);
           decided[i] = null;
         }
-        case "looks" -> hands.get(i).act = hands.get(i).agent.due(board.scene(), 0);
-        case "acts" -> acts(hands.get(i));
-        case "ends", "fails" -> ends(hands.get(i), words[0].equals("ends"));
+        case "looks" ->
+            agents.get(i).act = agents.get(i).rolloutAgent.nextTransaction(store.snapshot(), 0);
+        case "acts" -> acts(agents.get(i));
+        case "ends", "fails" -> ends(agents.get(i), words[0].equals("ends"));
         case "lease" -> {
           leases--;
-          board.driverGone();
+          store.driverGone();
         }
         case "halt" -> {
           halted = true;
-          if (!board.scene().course().over()) {
-            board.desk().halt("wait");
+          if (!store.snapshot().state().isOver()) {
+            store.admin().halt("wait");
           }
         }
-        case "resume" -> board.desk().resume("go on");
+        case "resume" -> store.admin().resume("go on");
         case "replace" -> {
           // The agent has died; what it had begun goes on and ends unheard.
           replaced = true;
-          hands.get(0).dead = true;
-          hands.get(0).running = null;
-          board.agentGone("r1");
-          hands.add(new Hand(board, "r1", "c"));
+          agents.get(0).dead = true;
+          agents.get(0).running = null;
+          store.agentGone("r1");
+          agents.add(new AgentPlay(store, "r1", "c"));
         }
         case "wants" -> drain = wish();
         default -> {
           drained = true;
-          if (drain.swap() != null && board.held(drain)) {
+          if (drain.swap() != null && store.commits(drain)) {
             out("r2 by hand");
           }
         }
@@ -168,75 +171,75 @@
     /** A drain decides on what it reads, and takes its place later. */
     private RolloutTransaction wish() {
       List<RolloutTransaction> caught = new ArrayList<>();
-      RolloutAdmin desk =
-          new RolloutAdmin(
+      DisruptionPermitAdmin permits =
+          new DisruptionPermitAdmin(
               InMemoryStore.KEYS,
               call -> {
                 if (call instanceof StoreRequest.Swap swap) {
                   caught.add(new RolloutTransaction(swap, ""));
                   return new StoreResponse.Failed("caught");
                 }
-                return board.ask(call);
+                return store.ask(call);
               },
               "op",
               () -> "");
       try {
-        desk.take(InstanceKind.ROUTER, "r2", "by hand", Unavailability.of(Map.of()));
+        permits.takePermit(InstanceKind.ROUTER, "r2", "by hand", Unavailability.of(Map.of()));
       } catch (AgreementException e) {
         return caught.isEmpty() ? new RolloutTransaction(null, e.getMessage()) : caught.get(0);
       }
       throw new IllegalStateException("nothing was caught");
     }
 
-    private void acts(Hand hand) {
-      boolean held = board.held(hand.act);
-      hand.act = null;
-      hand.untold = held ? "" : hand.untold;
-      RolloutState.Mode mode = board.scene().course().mode();
-      hand.running = hand.agent.answered(held || defect.equals("answer"), 0);
-      if (hand.running == null) {
+    private void acts(AgentPlay agent) {
+      boolean held = store.commits(agent.act);
+      agent.act = null;
+      agent.untold = held ? "" : agent.untold;
+      RolloutMode mode = store.snapshot().state().mode();
+      agent.running = agent.rolloutAgent.transactionAnswered(held || defect.equals("answer"), 0);
+      if (agent.running == null) {
         return;
       }
-      if (mode == RolloutState.Mode.HALTED) {
-        offence = hand.id + " begins while all is halted";
+      if (mode == RolloutMode.HALTED) {
+        violation = agent.id + " begins while all is halted";
       }
-      if (hands.stream().anyMatch(h -> h != hand && h.id.equals(hand.id) && h.running != null)) {
-        offence = hand.id + " is acted on twice at once";
+      if (agents.stream().anyMatch(h -> h != agent && h.id.equals(agent.id) && h.running != null)) {
+        violation = agent.id + " is acted on twice at once";
       }
-      out(hand.id);
+      out(agent.id);
     }
 
     /** Whatever is acted on or has failed is out, and r2 once it is drained. */
     private void out(String what) {
       Set<String> out = new HashSet<>();
-      hands.stream().filter(h -> h.running != null || h.failed).forEach(h -> out.add(h.id));
+      agents.stream().filter(h -> h.running != null || h.failed).forEach(h -> out.add(h.id));
       if (what.endsWith("by hand")) {
         out.add("r2");
       } else if (drained
-          && board.scene().permits().values().stream().anyMatch(p -> p.holder().equals("op"))) {
+          && store.snapshot().permits().values().stream().anyMatch(p -> p.holder().equals("op"))) {
         out.add("r2");
       }
       if (out.size() > 1) {
-        offence = what + " goes out, and so " + out + " are";
+        violation = what + " goes out, and so " + out + " are";
       }
     }
 
-    private void ends(Hand hand, boolean ready) {
-      hand.running = null;
-      hands.stream().filter(h -> h.id.equals(hand.id)).forEach(h -> h.failed = !ready);
-      hand.untold = ready ? "ready" : "failed";
-      hand.agent.ended(ready || defect.equals("lies"), "", 0);
+    private void ends(AgentPlay agent, boolean ready) {
+      agent.running = null;
+      agents.stream().filter(h -> h.id.equals(agent.id)).forEach(h -> h.failed = !ready);
+      agent.untold = ready ? "ready" : "failed";
+      agent.rolloutAgent.actionEnded(ready || defect.equals("lies"), "", 0);
     }
 
     /** Two courses that say the same here go on the same. */
     String state() {
-      StringBuilder out = new StringBuilder(board.text());
+      StringBuilder out = new StringBuilder(store.text());
       for (RolloutTransaction act : decided) {
-        out.append(act == null ? "-" : act.says()).append(';');
+        out.append(act == null ? "-" : act.description()).append(';');
       }
-      hands.forEach(
+      agents.forEach(
           h ->
-              out.append(h.act == null ? "-" : h.act.says() + h.act.swap().changes())
+              out.append(h.act == null ? "-" : h.act.description() + h.act.swap().changes())
                   .append(h.running)
                   .append(h.failed)
                   .append(h.dead)
@@ -246,17 +249,17 @@
           .append(halted)
           .append(replaced)
           .append(drained)
-          .append(drain == null ? "-" : drain.says() + drain.swap())
+          .append(drain == null ? "-" : drain.description() + drain.swap())
           .toString();
     }
   }
 
-  private record Found(int states, int depth, String offence, List<String> moves) {}
+  private record Found(int states, int depth, String violation, List<String> moves) {}
 
   private static Found search(String defect) throws AgreementException {
     Set<String> seen = new HashSet<>();
     Found walked = walk(defect, seen);
-    if (walked.offence() != null) {
+    if (walked.violation() != null) {
       return walked;
     }
     List<List<String>> open = new ArrayList<>(List.of(List.of()));
@@ -270,8 +273,8 @@
       List<String> moves =
           open.remove(which == 0 ? 0 : which == 1 ? open.size() - 1 : random.nextInt(open.size()));
       Play course = replay(moves, defect);
-      if (course.offence != null) {
-        return new Found(seen.size(), depth, course.offence, moves);
+      if (course.violation != null) {
+        return new Found(seen.size(), depth, course.violation, moves);
       }
       seen.add(course.state());
       if (expanded.add(course.state())) {
@@ -292,7 +295,7 @@
     for (int i = 0; i < MOST_STATES / 10; i++) {
       Play course = new Play(defect);
       List<String> moves = new ArrayList<>();
-      while (moves.size() < LONGEST_WALK && course.offence == null) {
+      while (moves.size() < LONGEST_WALK && course.violation == null) {
         List<String> next = course.moves();
         String chosen = next.get(random.nextInt(next.size()));
         // What comes from outside comes seldom, else few courses get far.
@@ -303,8 +306,8 @@
         course.move(moves.get(moves.size() - 1));
         seen.add(course.state());
       }
-      if (course.offence != null) {
-        return new Found(seen.size(), moves.size(), course.offence, moves);
+      if (course.violation != null) {
+        return new Found(seen.size(), moves.size(), course.violation, moves);
       }
     }
     return new Found(seen.size(), LONGEST_WALK, null, List.of());
@@ -321,7 +324,7 @@
   @Test
   void inNoOrderOfStepsAreTooManyOutOrDoesAnyActTwiceOrAgainstAHalt() throws AgreementException {
     Found found = search("");
-    assertEquals(null, found.offence(), found.moves().toString());
+    assertEquals(null, found.violation(), found.moves().toString());
     assertTrue(found.states() >= MOST_STATES, found.states() + " states");
     assertTrue(found.depth() >= 10, "only " + found.depth() + " moves deep");
   }
@@ -333,6 +336,7 @@
   @ValueSource(strings = {"counter", "course", "answer", "lies"})
   void aPlantedDefectIsFound(String defect) throws AgreementException {
     Found found = search(defect);
-    assertTrue(found.offence() != null, defect + " was not found in " + found.states() + " states");
+    assertTrue(
+        found.violation() != null, defect + " was not found in " + found.states() + " states");
   }
 }
--- a/src/test/java/beaconturn/release/ReleaseSettingsTest.java
+++ b/src/test/java/beaconturn/release/ReleaseSettingsTest.java
@@ -25,13 +25,13 @@
   private static final ConfigContent TWICE =
       new ConfigContent(new TreeMap<>(), 2, null, 0, new TreeSet<>());
   private final RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
-  private InMemoryStore board;
+  private InMemoryStore store;
   private ConfigAdmin agreement;
 
   @BeforeEach
   void begin() throws AgreementException {
-    board = InMemoryStore.with(1, 1);
-    agreement = new ConfigAdmin(KEYS, board);
+    store = InMemoryStore.with(1, 1);
+    agreement = new ConfigAdmin(KEYS, store);
     agreement.begin("i");
     long drained =
         agreement.propose(
@@ -40,8 +40,8 @@
             "drained",
             0);
     settle(drained);
-    board
-        .desk()
+    store
+        .admin()
         .start(
             new RolloutPlan(
                 0,
@@ -49,28 +49,28 @@
                 List.of(List.of("r1")),
                 0,
                 0,
-                RegressionBounds.of(0),
+                RegressionBounds.ofFailed(0),
                 1,
                 0,
                 "why",
                 TWICE,
                 ""));
-    assertTrue(board.held(driver.take(board.scene(), 1)));
+    assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
   }
 
   private AgreementSnapshot seen() throws AgreementException {
     return AgreementSnapshot.of(
-        KEYS, (StoreResponse.Given) board.ask(new StoreRequest.Read(KEYS.common())));
+        KEYS, (StoreResponse.Given) store.ask(new StoreRequest.Read(KEYS.common())));
   }
 
   /** All routers act on what is proposed. */
   private void settle(long number) throws AgreementException {
     String next =
-        ((StoreResponse.Given) board.ask(new StoreRequest.Read(KEYS.common() + "next")))
+        ((StoreResponse.Given) store.ask(new StoreRequest.Read(KEYS.common() + "next")))
             .pairs()
             .get(0)
             .value();
-    board.ask(
+    store.ask(
         new StoreRequest.Swap(
             List.of(),
             List.of(
@@ -81,12 +81,13 @@
 
   private String drive() throws AgreementException {
     AgreedVersions agreed = new AgreedVersions(seen(), agreement.nextNumber(), List.of("r9"), 0);
-    RolloutTransaction act = driver.due(board.scene(), Unavailability.of(Map.of()), agreed, 0);
+    RolloutTransaction act =
+        driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), agreed, 0);
     if (act == null) {
-      return "waits: " + driver.waits();
+      return "waits: " + driver.waitReason();
     }
-    assertTrue(board.held(act), act.says());
-    return act.says();
+    assertTrue(store.commits(act), act.description());
+    return act.description();
   }
 
   @Test
@@ -114,7 +115,7 @@
             "drained too",
             0);
     settle(drained);
-    board.desk().back("harms");
+    store.admin().rollBack("harms");
     assertTrue(drive().startsWith("r1 was not begun"));
     assertEquals("its settings: version 4 is proposed", drive());
     assertEquals("waits: version 4, its settings of before, waits for r9", drive());
@@ -138,14 +139,14 @@
   @Test
   void aDriverThatWasReplacedProposesNothing() throws AgreementException {
     RolloutTransaction act =
-        driver.due(
-            board.scene(),
+        driver.nextTransaction(
+            store.snapshot(),
             Unavailability.of(Map.of()),
             new AgreedVersions(seen(), 2, List.of(), 0),
             0);
-    board.driverGone();
-    assertFalse(board.held(act));
+    store.driverGone();
+    assertFalse(store.commits(act));
     assertEquals(0, seen().nextNumber());
-    assertNull(driver.due(board.scene(), Unavailability.of(Map.of()), null, 0));
+    assertNull(driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), null, 0));
   }
 }
--- a/src/test/java/beaconturn/release/RolloutCodecTest.java
+++ b/src/test/java/beaconturn/release/RolloutCodecTest.java
@@ -69,15 +69,15 @@
         new ReleaseFleet.Group(1, 1, new TreeMap<>(Map.of("east", List.of("c1"))));
     ReleaseFleet fleet =
         new ReleaseFleet(Map.of(InstanceKind.ROUTER, routers, InstanceKind.CACHE, caches));
-    assertEquals(FLEET, RolloutCodec.of(fleet));
-    assertEquals(fleet, RolloutCodec.fleet(FLEET));
+    assertEquals(FLEET, ReleaseFleetCodec.encode(fleet));
+    assertEquals(fleet, ReleaseFleetCodec.decode(FLEET));
   }
 
   @Test
   void permitIsReadAndWrittenAsBefore() throws AgreementException {
     DisruptionPermit permit = new DisruptionPermit(7, InstanceKind.CACHE, "c1", "release 3", "why");
-    assertEquals(PERMIT, RolloutCodec.of(permit));
-    assertEquals(permit, RolloutCodec.permit(PERMIT));
+    assertEquals(PERMIT, RolloutCodec.encode(permit));
+    assertEquals(permit, RolloutCodec.decodePermit(PERMIT));
   }
 
   @Test
@@ -89,14 +89,14 @@
             List.of(List.of("r1"), List.of("r2", "r3")),
             30_000_000_000L,
             500,
-            RegressionBounds.USUAL,
+            RegressionBounds.DEFAULT,
             60_000_000_000L,
             90_000_000_000L,
             "new build",
             null,
             "");
-    assertEquals(PLAN, RolloutCodec.of(plan));
-    assertEquals(plan, RolloutCodec.plan(PLAN));
+    assertEquals(PLAN, RolloutPlanCodec.encode(plan));
+    assertEquals(plan, RolloutPlanCodec.decode(PLAN));
   }
 
   @Test
@@ -114,32 +114,32 @@
             "r",
             CONTENT,
             "17");
-    assertEquals(PLAN_WITH_CONFIG, RolloutCodec.of(plan));
-    assertEquals(plan, RolloutCodec.plan(PLAN_WITH_CONFIG));
+    assertEquals(PLAN_WITH_CONFIG, RolloutPlanCodec.encode(plan));
+    assertEquals(plan, RolloutPlanCodec.decode(PLAN_WITH_CONFIG));
   }
 
   @Test
   void configChangeIsReadAndWrittenAsBefore() throws AgreementException {
     ConfigChange change = new ConfigChange(5, CONTENT, 6);
-    assertEquals(CONFIG_CHANGE, RolloutCodec.of(change));
-    assertEquals(change, RolloutCodec.changeover(CONFIG_CHANGE));
+    assertEquals(CONFIG_CHANGE, RolloutCodec.encode(change));
+    assertEquals(change, RolloutCodec.decodeConfigChange(CONFIG_CHANGE));
   }
 
   @Test
   void eachModeIsReadAndWrittenAsBefore() throws AgreementException {
-    RolloutState.Mode[] modes = RolloutState.Mode.values();
+    RolloutMode[] modes = RolloutMode.values();
     assertEquals(MODES.size(), modes.length);
     for (int i = 0; i < modes.length; i++) {
       String text = "{\"mode\":\"" + MODES.get(i) + "\",\"why\":\"w\",\"by\":\"b\"}";
       RolloutState state = new RolloutState(modes[i], "w", "b");
-      assertEquals(text, RolloutCodec.of(state));
-      assertEquals(state, RolloutCodec.course(text));
+      assertEquals(text, RolloutCodec.encode(state));
+      assertEquals(state, RolloutCodec.decodeState(text));
     }
   }
 
   @Test
   void eachPhaseAndVariantIsReadAndWrittenAsBefore() throws AgreementException {
-    RolloutStep.Phase[] phases = RolloutStep.Phase.values();
+    StepPhase[] phases = StepPhase.values();
     assertEquals(PHASES.size(), phases.length);
     for (InstanceVariant variant : List.of(InstanceVariant.OLD, InstanceVariant.NEW)) {
       String word = variant == InstanceVariant.OLD ? "old" : "new";
@@ -152,8 +152,8 @@
                 PHASES.get(i),
                 word);
         RolloutStep step = new RolloutStep("r1", 2, phases[i], variant, "a", "w", -1, 12);
-        assertEquals(text, RolloutCodec.of(step));
-        assertEquals(step, RolloutCodec.step(text));
+        assertEquals(text, RolloutCodec.encode(step));
+        assertEquals(step, RolloutCodec.decodeStep(text));
       }
     }
   }
@@ -165,8 +165,8 @@
       values.put(metric, values.size() + 1L);
     }
     InstanceSample sample = new InstanceSample("p1", values);
-    assertEquals(SAMPLE, RolloutCodec.of(sample));
-    assertEquals(sample, RolloutCodec.sample(SAMPLE));
+    assertEquals(SAMPLE, RolloutCodec.encode(sample));
+    assertEquals(sample, RolloutCodec.decodeSample(SAMPLE));
   }
 
   @Test
@@ -177,8 +177,8 @@
             List.of(
                 new RolloutTimeSeries.Point(5000, 1, 2, 3, 4, 5),
                 new RolloutTimeSeries.Point(6000, 6, 7, 8, 9, 10)));
-    assertEquals(TIME_SERIES, series.text());
-    assertEquals(series, RolloutTimeSeries.of(TIME_SERIES));
+    assertEquals(TIME_SERIES, RolloutTimeSeriesCodec.encode(series));
+    assertEquals(series, RolloutTimeSeriesCodec.decode(TIME_SERIES));
   }
 
   @Test
@@ -200,19 +200,19 @@
             "/f/release-curve/000000012",
             "/f/release-history/000000012"),
         List.of(
-            keys.parts(),
+            keys.fleetDefinition(),
             keys.counter(),
             keys.permit(12),
             keys.plan(),
-            keys.course(),
+            keys.state(),
             keys.step("r1"),
-            keys.settings(),
+            keys.configChange(),
             keys.driver(),
             keys.agent("r1"),
-            keys.health("r1"),
-            keys.told(),
-            keys.curve(12),
-            keys.story(12)));
+            keys.sample("r1"),
+            keys.historyLength(),
+            keys.timeSeries(12),
+            keys.historyLine(12)));
   }
 
   @Test
@@ -221,13 +221,14 @@
       AgreementException e =
           assertThrows(
               AgreementException.class,
-              () -> RolloutCodec.course("{\"mode\":\"" + mode + "\",\"why\":\"\",\"by\":\"\"}"));
+              () ->
+                  RolloutCodec.decodeState("{\"mode\":\"" + mode + "\",\"why\":\"\",\"by\":\"\"}"));
       assertEquals("mode: '" + mode + "' is no word of a release", e.getMessage());
     }
     AgreementException e =
         assertThrows(
             AgreementException.class,
-            () -> RolloutCodec.permit("{\"number\":1,\"kind\":\"disk\"}"));
+            () -> RolloutCodec.decodePermit("{\"number\":1,\"kind\":\"disk\"}"));
     assertEquals("no kind of part: 'disk'", e.getMessage());
   }
 }
--- a/src/test/java/beaconturn/release/RolloutDriverTest.java
+++ b/src/test/java/beaconturn/release/RolloutDriverTest.java
@@ -19,39 +19,41 @@
   private static final List<List<String>> WAVES = List.of(List.of("r1"), List.of("r2", "r3", "r4"));
   private static final long TIMEOUT = 100;
   private final RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
-  private InMemoryStore board;
+  private InMemoryStore store;
 
   private void begin(int mostOut, int ofSite, int samples) throws AgreementException {
-    board = InMemoryStore.with(mostOut, ofSite).begin(samples, WAVES);
-    assertTrue(board.held(driver.take(board.scene(), 1)));
+    store = InMemoryStore.with(mostOut, ofSite).begin(samples, WAVES);
+    assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
   }
 
   /** What the driver does next, done; null where it waits. */
   private String drive(long now, Map<String, String> gone) {
-    RolloutTransaction act = driver.due(board.scene(), Unavailability.of(gone), now);
+    RolloutTransaction act = driver.nextTransaction(store.snapshot(), Unavailability.of(gone), now);
     if (act == null) {
       return null;
     }
-    assertTrue(board.held(act), act.says());
-    return act.says();
+    assertTrue(store.commits(act), act.description());
+    return act.description();
   }
 
   private void all(long now) {
     while (drive(now, Map.of()) != null) {
-      assertTrue(board.scene().permits().size() <= 2);
+      assertTrue(store.snapshot().permits().size() <= 2);
     }
   }
 
   /** The part's agent goes through the step at hand. */
   private void act(String id, boolean ready) {
-    RolloutAgent agent = board.agent(id, "a", TIMEOUT);
-    assertNotNull(agent.answered(board.held(agent.due(board.scene(), 0)), 0), id);
-    agent.ended(ready, ready ? "" : "status 1", 0);
-    assertTrue(board.held(agent.due(board.scene(), 0)));
+    RolloutAgent agent = store.agent(id, "a", TIMEOUT);
+    assertNotNull(
+        agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0),
+        id);
+    agent.actionEnded(ready, ready ? "" : "status 1", 0);
+    assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 0)));
   }
 
-  private RolloutStep.Phase phase(String id) {
-    RolloutStep step = board.scene().steps().get(id);
+  private StepPhase phase(String id) {
+    RolloutStep step = store.snapshot().steps().get(id);
     return step == null ? null : step.phase();
   }
 
@@ -59,26 +61,26 @@
   void wavesGoOneAfterTheOtherWithinTheBudget() throws AgreementException {
     begin(2, 1, 0);
     all(0);
-    assertEquals(List.of("r1"), List.copyOf(board.scene().steps().keySet()));
+    assertEquals(List.of("r1"), List.copyOf(store.snapshot().steps().keySet()));
     act("r1", true);
     all(0);
-    assertEquals(RolloutStep.Phase.GOOD, phase("r1"));
+    assertEquals(StepPhase.VERIFIED, phase("r1"));
     // One of a site at a time: r4 waits for r3.
-    assertEquals(RolloutStep.Phase.GRANTED, phase("r2"));
-    assertEquals(RolloutStep.Phase.GRANTED, phase("r3"));
+    assertEquals(StepPhase.GRANTED, phase("r2"));
+    assertEquals(StepPhase.GRANTED, phase("r3"));
     assertNull(phase("r4"));
     assertEquals(
         "r4: at most 1 of west may be out, it waits for r3 (permit 3 of release 1: why)",
-        driver.waits());
+        driver.waitReason());
     act("r3", true);
     all(0);
-    assertEquals(RolloutStep.Phase.GRANTED, phase("r4"));
+    assertEquals(StepPhase.GRANTED, phase("r4"));
     act("r2", true);
     act("r4", true);
     all(0);
-    assertEquals(RolloutState.Mode.DONE, board.scene().course().mode());
-    assertTrue(board.scene().permits().isEmpty());
-    assertEquals(4, board.scene().counter());
+    assertEquals(RolloutMode.COMPLETED, store.snapshot().state().mode());
+    assertTrue(store.snapshot().permits().isEmpty());
+    assertEquals(4, store.snapshot().lastPermitNumber());
   }
 
   /** Whoever is gone by itself takes no permit and uses the budget up. */
@@ -88,7 +90,7 @@
     Map<String, String> gone = Map.of("r4", "holds no lease");
     assertNull(drive(0, gone));
     assertEquals(
-        "r1: at most 1 in all may be out, it waits for r4 (holds no lease)", driver.waits());
+        "r1: at most 1 in all may be out, it waits for r4 (holds no lease)", driver.waitReason());
     assertNotNull(drive(0, Map.of("r1", "holds no lease")), "what is out already may be released");
   }
 
@@ -98,54 +100,64 @@
   @Test
   void whileASiteIsOutNoStepBeginsElsewhere() throws AgreementException {
     begin(2, 2, 0);
-    Unavailability west = Unavailability.of(Map.of()).whileOut(Map.of("west", "failed over"));
-    assertNull(driver.due(board.scene(), west, 0));
-    assertEquals("r1: site west is out: failed over", driver.waits());
+    Unavailability west = Unavailability.of(Map.of()).withZonesOut(Map.of("west", "failed over"));
+    assertNull(driver.nextTransaction(store.snapshot(), west, 0));
+    assertEquals("r1: site west is out: failed over", driver.waitReason());
     assertTrue(
         assertThrows(
                 AgreementException.class,
-                () -> board.desk().take(InstanceKind.ROUTER, "r1", "by hand", west))
+                () -> store.permits().takePermit(InstanceKind.ROUTER, "r1", "by hand", west))
             .getMessage()
             .contains("site west is out"));
     assertNotNull(
-        driver.due(
-            board.scene(), Unavailability.of(Map.of()).whileOut(Map.of("east", "drained")), 0));
+        driver.nextTransaction(
+            store.snapshot(),
+            Unavailability.of(Map.of()).withZonesOut(Map.of("east", "drained")),
+            0));
   }
 
   /** One after the other: whoever takes a place at the same time has to look again. */
   @Test
   void aSiteIsNotTakenOutWhilePartsOfAnotherAre() throws AgreementException {
     begin(2, 2, 0);
-    RolloutTransaction step = driver.due(board.scene(), Unavailability.of(Map.of()), 0);
-    assertTrue(((StoreResponse.Given) board.ask(board.desk().siteOut("west", "power"))).held());
-    assertFalse(board.held(step), "it was decided on before the site went");
+    RolloutTransaction step =
+        driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0);
+    assertTrue(
+        ((StoreResponse.Given) store.ask(store.permits().zoneEvacuation("west", "power"))).held());
+    assertFalse(store.commits(step), "it was decided on before the site went");
     drive(0, Map.of());
     assertEquals(
         "not while parts of other sites are out: r1 (permit 2 of release 1: why)",
-        assertThrows(AgreementException.class, () -> board.desk().siteOut("west", "power"))
+        assertThrows(
+                AgreementException.class, () -> store.permits().zoneEvacuation("west", "power"))
             .getMessage());
-    assertEquals(5, board.desk().siteOut("east", "it is its own").conditions().size());
+    assertEquals(5, store.permits().zoneEvacuation("east", "it is its own").conditions().size());
     assertEquals(
-        List.of(), new InMemoryStore().desk().siteOut("west", "no fleet is said").changes());
+        List.of(),
+        new InMemoryStore().permits().zoneEvacuation("west", "no fleet is said").changes());
   }
 
   @Test
   void aDrainByHandTakesFromTheSameBudget() throws AgreementException {
     begin(1, 1, 0);
     assertEquals(
-        1, board.desk().take(InstanceKind.ROUTER, "r4", "by hand", Unavailability.of(Map.of())));
+        1,
+        store
+            .permits()
+            .takePermit(InstanceKind.ROUTER, "r4", "by hand", Unavailability.of(Map.of())));
     assertNull(drive(0, Map.of()));
     AgreementException e =
         assertThrows(
             AgreementException.class,
             () ->
-                board
-                    .desk()
-                    .take(InstanceKind.ROUTER, "r3", "by hand too", Unavailability.of(Map.of())));
+                store
+                    .permits()
+                    .takePermit(
+                        InstanceKind.ROUTER, "r3", "by hand too", Unavailability.of(Map.of())));
     assertTrue(e.getMessage().startsWith("no place is free: at most 1 of west"), e.getMessage());
-    board.desk().giveBack(InstanceKind.ROUTER, "r4", "done");
+    store.permits().returnPermit(InstanceKind.ROUTER, "r4", "done");
     assertNotNull(drive(0, Map.of()));
-    assertEquals(2, board.scene().counter(), "a number is never given again");
+    assertEquals(2, store.snapshot().lastPermitNumber(), "a number is never given again");
   }
 
   @Test
@@ -156,17 +168,17 @@
     all(0);
     act("r2", false);
     all(0);
-    assertEquals(RolloutState.Mode.BACKING, board.scene().course().mode());
-    assertEquals("r2 did not get ready: status 1", board.scene().course().why());
+    assertEquals(RolloutMode.ROLLING_BACK, store.snapshot().state().mode());
+    assertEquals("r2 did not get ready: status 1", store.snapshot().state().reason());
     // In the reverse order: what was not begun at once, then what runs the new.
-    assertEquals(RolloutStep.Phase.UNDONE, phase("r3"));
-    assertEquals(InstanceVariant.OLD, board.scene().steps().get("r2").variant());
-    assertEquals(InstanceVariant.OLD, board.scene().steps().get("r1").variant());
+    assertEquals(StepPhase.ROLLED_BACK, phase("r3"));
+    assertEquals(InstanceVariant.OLD, store.snapshot().steps().get("r2").variant());
+    assertEquals(InstanceVariant.OLD, store.snapshot().steps().get("r1").variant());
     act("r2", true);
     act("r1", true);
     all(0);
-    assertEquals(RolloutState.Mode.BACK, board.scene().course().mode());
-    assertTrue(board.scene().permits().isEmpty());
+    assertEquals(RolloutMode.ROLLED_BACK, store.snapshot().state().mode());
+    assertTrue(store.snapshot().permits().isEmpty());
   }
 
   /**
@@ -176,16 +188,18 @@
   @Test
   void aPartThatDoesWorseThanTheOthersTakesTheReleaseBack() throws AgreementException {
     begin(1, 1, 10);
-    board.health("r1", 500, 500);
-    board.health("r2", 900, 100);
+    store.health("r1", 500, 500);
+    store.health("r2", 900, 100);
     all(0);
     act("r1", true);
     assertNull(drive(0, Map.of()));
-    board.health("r1", 505, 500);
-    board.health("r2", 910, 100);
+    store.health("r1", 505, 500);
+    store.health("r2", 910, 100);
     assertNull(drive(1, Map.of()));
-    assertTrue(driver.waits().startsWith("r1 is watched: 0.000 of 5 answers bad"), driver.waits());
-    board.health("r1", 505, 507);
+    assertTrue(
+        driver.waitReason().startsWith("r1 is watched: 0.000 of 5 answers bad"),
+        driver.waitReason());
+    store.health("r1", 505, 507);
     assertEquals(
         "goes back: r1 does worse: 0.583 of 12 answers bad, 0.000 of 10 at 1 others",
         drive(2, Map.of()));
@@ -200,16 +214,16 @@
     begin(1, 1, 10);
     all(0);
     act("r1", true);
-    board.health("r4", 0, 0);
+    store.health("r4", 0, 0);
     assertNull(drive(0, Map.of()));
-    board.health("r1", 20, 0);
-    board.health("r4", 100, 0);
+    store.health("r1", 20, 0);
+    store.health("r4", 100, 0);
     assertEquals(
         "r1 has stood the check: 0.000 of 20 answers bad, 0.000 of 100 at 1 others",
         drive(1, Map.of()));
     all(1);
-    board.health("r1", 60, 40);
-    board.health("r4", 190, 10);
+    store.health("r1", 60, 40);
+    store.health("r4", 190, 10);
     assertEquals(
         "goes back: r1 does worse since it stood the check: 0.500 of 80 answers bad,"
             + " 0.100 of 100 at 1 others",
@@ -220,15 +234,15 @@
   @Test
   void whatMayBeChanceIsWatchedOn() throws AgreementException {
     begin(1, 1, 10);
-    board.health("r2", 0, 0);
+    store.health("r2", 0, 0);
     all(0);
     act("r1", true);
     assertNull(drive(0, Map.of()));
-    board.health("r1", 9, 2);
-    board.health("r2", 20, 0);
+    store.health("r1", 9, 2);
+    store.health("r2", 20, 0);
     assertNull(drive(1, Map.of()));
-    board.health("r1", 90, 20);
-    board.health("r2", 200, 0);
+    store.health("r1", 90, 20);
+    store.health("r2", 200, 0);
     assertEquals(
         "goes back: r1 does worse: 0.182 of 110 answers bad, 0.000 of 200 at 1 others",
         drive(2, Map.of()));
@@ -239,29 +253,30 @@
   void whileOthersAreGoneByThemselvesOnlyWhatMostlyFailsIsTheReleases() throws AgreementException {
     Map<String, String> gone = Map.of("r4", "holds no lease");
     begin(2, 2, 10);
-    board.health("r2", 0, 0);
+    store.health("r2", 0, 0);
     all(0);
     act("r1", true);
     assertNull(drive(0, gone));
-    board.health("r1", 60, 40);
-    board.health("r2", 100, 0);
+    store.health("r1", 60, 40);
+    store.health("r2", 100, 0);
     assertNull(drive(1, gone));
     assertTrue(
-        driver.waits().startsWith("r1 is watched: others are gone by themselves"), driver.waits());
+        driver.waitReason().startsWith("r1 is watched: others are gone by themselves"),
+        driver.waitReason());
     assertNull(drive(2, Map.of()));
-    board.health("r1", 160, 40);
-    board.health("r2", 200, 0);
+    store.health("r1", 160, 40);
+    store.health("r2", 200, 0);
     assertEquals(
         "r1 has stood the check: 0.000 of 100 answers bad, 0.000 of 100 at 1 others",
         drive(3, Map.of()),
         "compared from when all were back");
     begin(2, 2, 10);
-    board.health("r2", 0, 0);
+    store.health("r2", 0, 0);
     all(0);
     act("r1", true);
     assertNull(drive(0, gone));
-    board.health("r1", 40, 60);
-    board.health("r2", 100, 0);
+    store.health("r1", 40, 60);
+    store.health("r2", 100, 0);
     assertEquals(
         "goes back: r1 does worse: 0.600 of 100 answers bad, 0.000 of 100 at 1 others",
         drive(1, gone));
@@ -271,16 +286,16 @@
   @Test
   void whatAProcessAnsweredBeforeItWasHeardOfDoesNotCount() throws AgreementException {
     begin(1, 1, 10);
-    board.health("r2", 0, 0);
-    board.health("r1", "old", 900, 0);
+    store.health("r2", 0, 0);
+    store.health("r1", "old", 900, 0);
     all(0);
     act("r1", true);
     assertNull(drive(0, Map.of()));
-    board.health("r1", "new", 60, 40);
-    board.health("r2", 1000, 0);
+    store.health("r1", "new", 60, 40);
+    store.health("r2", 1000, 0);
     assertNull(drive(1, Map.of()));
-    board.health("r1", "new", 160, 40);
-    board.health("r2", 1100, 0);
+    store.health("r1", "new", 160, 40);
+    store.health("r2", 1100, 0);
     assertEquals(
         "r1 has stood the check: 0.000 of 100 answers bad, 0.000 of 100 at 1 others",
         drive(2, Map.of()));
@@ -291,31 +306,31 @@
    */
   @Test
   void aStepWaitsWhileItsSiteCouldNotCarryItsLoad() throws AgreementException {
-    board = new InMemoryStore();
+    store = new InMemoryStore();
     ReleaseFleet.Group group =
         new ReleaseFleet.Group(
             1,
             1,
             new TreeMap<>(Map.of("east", List.of("r1", "r2", "r3"), "west", List.of("r4", "r5"))),
             new ReleaseFleet.Capacity(100, 0, 1));
-    board.desk().fleet(new ReleaseFleet(Map.of(InstanceKind.ROUTER, group)));
+    store.admin().defineFleet(new ReleaseFleet(Map.of(InstanceKind.ROUTER, group)));
     AgreementException e =
-        assertThrows(AgreementException.class, () -> board.begin(0, List.of(List.of("r4"))));
+        assertThrows(AgreementException.class, () -> store.begin(0, List.of(List.of("r4"))));
     assertEquals("west has 2 routers: with 1 out and 1 that fail none is left", e.getMessage());
-    board.begin(0, List.of(List.of("r1")));
-    assertTrue(board.held(driver.take(board.scene(), 1)));
-    List.of("r1", "r2", "r3").forEach(id -> board.health(id, 0, 0));
+    store.begin(0, List.of(List.of("r1")));
+    assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
+    List.of("r1", "r2", "r3").forEach(id -> store.health(id, 0, 0));
     assertNull(drive(0, Map.of()));
-    assertEquals("r1: what its site carries is measured", driver.waits());
-    List.of("r1", "r2", "r3").forEach(id -> board.health(id, 40, 0));
+    assertEquals("r1: what its site carries is measured", driver.waitReason());
+    List.of("r1", "r2", "r3").forEach(id -> store.health(id, 40, 0));
     assertNull(drive(1_000_000_000, Map.of()));
     assertEquals(
         "r1: east carries 120.0 answers a second, and 1 routers would be left with 1 that fail,"
             + " for 100.0 each",
-        driver.waits());
+        driver.waitReason());
     assertNull(drive(2_000_000_000, Map.of("r3", "holds no lease")));
-    assertTrue(driver.waits().contains("r3 (holds no lease)"), driver.waits());
-    List.of("r1", "r2", "r3").forEach(id -> board.health(id, 50, 0));
+    assertTrue(driver.waitReason().contains("r3 (holds no lease)"), driver.waitReason());
+    List.of("r1", "r2", "r3").forEach(id -> store.health(id, 50, 0));
     assertNotNull(drive(2_000_000_000, Map.of()), "30 answers in the last second");
   }
 
@@ -323,25 +338,26 @@
   @Test
   void withoutAnswersOfTheOthersItIsWatchedOn() throws AgreementException {
     begin(1, 1, 10);
-    board.health("r2", 500, 0);
+    store.health("r2", 500, 0);
     all(0);
     act("r1", true);
     assertNull(drive(0, Map.of()));
-    board.health("r1", 100, 0);
+    store.health("r1", 100, 0);
     assertNull(drive(1, Map.of()));
-    assertEquals("r1 is watched: 0.000 of 100 answers bad, 0.000 of 0 at 1 others", driver.waits());
+    assertEquals(
+        "r1 is watched: 0.000 of 100 answers bad, 0.000 of 0 at 1 others", driver.waitReason());
   }
 
   @Test
   void troubleThatAllHaveIsNotTheReleases() throws AgreementException {
     begin(1, 1, 10);
-    board.health("r1", 0, 0);
-    board.health("r2", 900, 100);
+    store.health("r1", 0, 0);
+    store.health("r2", 900, 100);
     all(0);
     act("r1", true);
     assertNull(drive(0, Map.of()));
-    board.health("r1", 10, 10);
-    board.health("r2", 910, 110);
+    store.health("r1", 10, 10);
+    store.health("r2", 910, 110);
     assertEquals(
         "r1 has stood the check: 0.500 of 20 answers bad, 0.500 of 20 at 1 others",
         drive(1, Map.of()));
@@ -351,16 +367,17 @@
   void aHaltBindsAgentsThatHaveNotBegunAndItsEndLetsThemGoOn() throws AgreementException {
     begin(1, 1, 0);
     all(0);
-    RolloutAgent agent = board.agent("r1", "a", TIMEOUT);
-    RolloutTransaction late = agent.due(board.scene(), 0);
-    board.desk().halt("wait");
-    assertFalse(board.held(late), "what was decided before the halt holds no more");
-    assertNull(agent.answered(false, 0));
-    assertNull(agent.due(board.scene(), 0));
+    RolloutAgent agent = store.agent("r1", "a", TIMEOUT);
+    RolloutTransaction late = agent.nextTransaction(store.snapshot(), 0);
+    store.admin().halt("wait");
+    assertFalse(store.commits(late), "what was decided before the halt holds no more");
+    assertNull(agent.transactionAnswered(false, 0));
+    assertNull(agent.nextTransaction(store.snapshot(), 0));
     assertNull(drive(0, Map.of()));
-    board.desk().resume("on");
-    assertNotNull(agent.answered(board.held(agent.due(board.scene(), 0)), 0));
-    assertThrows(AgreementException.class, () -> board.desk().resume("again"));
+    store.admin().resume("on");
+    assertNotNull(
+        agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0));
+    assertThrows(AgreementException.class, () -> store.admin().resume("again"));
   }
 
   /** Two agents beside one part: the second has no seat until the lease of the first is over. */
@@ -368,14 +385,14 @@
   void onlyOneAgentActsOnAPart() throws AgreementException {
     begin(1, 1, 0);
     all(0);
-    RolloutAgent first = board.agent("r1", "a", TIMEOUT);
-    RolloutAgent second = board.agent("r1", "b", TIMEOUT);
-    assertNull(second.due(board.scene(), 0));
-    RolloutTransaction begins = first.due(board.scene(), 0);
-    board.agentGone("r1");
-    assertTrue(board.held(second.take(board.scene(), 1)));
-    assertFalse(board.held(begins), "its seat is another's");
-    assertNotNull(second.due(board.scene(), 0));
+    RolloutAgent first = store.agent("r1", "a", TIMEOUT);
+    RolloutAgent second = store.agent("r1", "b", TIMEOUT);
+    assertNull(second.nextTransaction(store.snapshot(), 0));
+    RolloutTransaction begins = first.nextTransaction(store.snapshot(), 0);
+    store.agentGone("r1");
+    assertTrue(store.commits(second.acquireLease(store.snapshot(), 1)));
+    assertFalse(store.commits(begins), "its seat is another's");
+    assertNotNull(second.nextTransaction(store.snapshot(), 0));
   }
 
   /** The transaction held; the answer came too late to act on it, so that it is made again. */
@@ -383,27 +400,31 @@
   void anAnswerThatComesLateAllowsNothing() throws AgreementException {
     begin(1, 1, 0);
     all(0);
-    RolloutAgent agent = board.agent("r1", "a", TIMEOUT);
-    assertNull(agent.answered(board.held(agent.due(board.scene(), 0)), TIMEOUT + 1));
-    assertEquals(RolloutStep.Phase.BEGUN, phase("r1"));
-    board.desk().halt("wait");
-    assertNull(agent.due(board.scene(), TIMEOUT + 2));
-    board.desk().resume("on");
+    RolloutAgent agent = store.agent("r1", "a", TIMEOUT);
+    assertNull(
+        agent.transactionAnswered(
+            store.commits(agent.nextTransaction(store.snapshot(), 0)), TIMEOUT + 1));
+    assertEquals(StepPhase.STARTED, phase("r1"));
+    store.admin().halt("wait");
+    assertNull(agent.nextTransaction(store.snapshot(), TIMEOUT + 2));
+    store.admin().resume("on");
     assertEquals(
         InstanceVariant.NEW,
-        agent.answered(board.held(agent.due(board.scene(), TIMEOUT + 3)), TIMEOUT + 4));
+        agent.transactionAnswered(
+            store.commits(agent.nextTransaction(store.snapshot(), TIMEOUT + 3)), TIMEOUT + 4));
   }
 
   @Test
   void aDriverThatWasReplacedCanDoNothingWithWhatItKnew() throws AgreementException {
     begin(1, 1, 0);
-    RolloutTransaction old = driver.due(board.scene(), Unavailability.of(Map.of()), 0);
-    board.driverGone();
+    RolloutTransaction old =
+        driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0);
+    store.driverGone();
     RolloutDriver next = new RolloutDriver(InMemoryStore.KEYS, "d2", () -> "");
-    assertTrue(board.held(next.take(board.scene(), 2)));
-    assertFalse(board.held(old));
-    assertNull(driver.due(board.scene(), Unavailability.of(Map.of()), 0));
-    assertNotNull(next.due(board.scene(), Unavailability.of(Map.of()), 0));
+    assertTrue(store.commits(next.acquireLease(store.snapshot(), 2)));
+    assertFalse(store.commits(old));
+    assertNull(driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0));
+    assertNotNull(next.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0));
   }
 
   /** With the store out of reach what failed is brought back by its agent, if the plan says so. */
@@ -411,30 +432,31 @@
   void anAgentAloneBringsBackWhatFailed() throws AgreementException {
     begin(1, 1, 0);
     all(0);
-    RolloutAgent agent = board.agent("r1", "a", TIMEOUT);
-    assertNotNull(agent.answered(board.held(agent.due(board.scene(), 0)), 0));
-    agent.ended(false, "status 1", 10);
+    RolloutAgent agent = store.agent("r1", "a", TIMEOUT);
+    assertNotNull(
+        agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0));
+    agent.actionEnded(false, "status 1", 10);
     RolloutPlan plan =
         new RolloutPlan(
-            1, InstanceKind.ROUTER, WAVES, 0, 0, RegressionBounds.of(0), 1, 50, "", null, "");
-    assertNull(agent.alone(plan, 59));
-    assertEquals(InstanceVariant.OLD, agent.alone(plan, 60));
-    agent.ended(true, "", 70);
-    assertTrue(board.held(agent.due(board.scene(), 80)));
+            1, InstanceKind.ROUTER, WAVES, 0, 0, RegressionBounds.ofFailed(0), 1, 50, "", null, "");
+    assertNull(agent.unreachableStoreRollback(plan, 59));
+    assertEquals(InstanceVariant.OLD, agent.unreachableStoreRollback(plan, 60));
+    agent.actionEnded(true, "", 70);
+    assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 80)));
     assertEquals("goes back: r1 was brought back by its agent: ", drive(90, Map.of()));
     all(90);
-    assertEquals(RolloutState.Mode.BACK, board.scene().course().mode());
+    assertEquals(RolloutMode.ROLLED_BACK, store.snapshot().state().mode());
   }
 
   @Test
   void aPartThatIsDeclaredLostGivesItsPlaceBackAndItsAgentCanDoNothing() throws AgreementException {
     begin(1, 1, 0);
     all(0);
-    RolloutAgent agent = board.agent("r1", "a", TIMEOUT);
-    RolloutTransaction begins = agent.due(board.scene(), 0);
-    board.desk().giveBack(InstanceKind.ROUTER, "r1", "its machine burnt");
-    assertFalse(board.held(begins));
-    assertTrue(board.scene().permits().isEmpty());
+    RolloutAgent agent = store.agent("r1", "a", TIMEOUT);
+    RolloutTransaction begins = agent.nextTransaction(store.snapshot(), 0);
+    store.permits().returnPermit(InstanceKind.ROUTER, "r1", "its machine burnt");
+    assertFalse(store.commits(begins));
+    assertTrue(store.snapshot().permits().isEmpty());
   }
 
   @Test
@@ -454,6 +476,6 @@
         assertThrows(AgreementException.class, () -> some.begin(0, WAVES)).getMessage());
     assertEquals(
         List.of(List.of("r1"), List.of("r2"), List.of("r3", "r4")),
-        RolloutPlan.usual(some.scene().fleet().group(InstanceKind.ROUTER)));
+        DefaultWaves.of(some.snapshot().fleet().group(InstanceKind.ROUTER)));
   }
 }
--- a/src/test/java/beaconturn/release/UnavailabilityTest.java
+++ b/src/test/java/beaconturn/release/UnavailabilityTest.java
@@ -42,13 +42,13 @@
 
   @Test
   void moreThanHalfOfTheRoutersHaveToUseACacheServer() {
-    assertEquals(Map.of(), seen("c1=0 c2=0", "c1=0 c2=0", "c1=0 c2:ejected").out());
+    assertEquals(Map.of(), seen("c1=0 c2=0", "c1=0 c2=0", "c1=0 c2:ejected").reasons());
     assertEquals(
-        Map.of("c2", "ejected at 1 of 2 routers"), seen("c1=0 c2=0", "c1=0 c2:ejected").out());
+        Map.of("c2", "ejected at 1 of 2 routers"), seen("c1=0 c2=0", "c1=0 c2:ejected").reasons());
     assertEquals(
         Map.of("c2", "draining at 2 of 3 routers"),
-        seen("c1=0 c2=0", "c1=0 c2:draining", "c1=0 c2:draining").out());
-    assertEquals(Map.of("c2", "not listed at 1 of 1 routers"), seen("c1=0").out());
+        seen("c1=0 c2=0", "c1=0 c2:draining", "c1=0 c2:draining").reasons());
+    assertEquals(Map.of("c2", "not listed at 1 of 1 routers"), seen("c1=0").reasons());
   }
 
   /**
@@ -56,12 +56,12 @@
    */
   @Test
   void withoutAnyWordAllAreOut() {
-    assertEquals(Set.of("c1", "c2"), seen().out().keySet());
+    assertEquals(Set.of("c1", "c2"), seen().reasons().keySet());
     assertEquals(
         Map.of("c1", "held out by version 3"),
         Unavailability.ofCaches(
                 CACHES, Map.of("c1", "held out by version 3"), List.of(sight("c1=0 c2=0")))
-            .out());
+            .reasons());
   }
 
   @Test
@@ -72,10 +72,10 @@
   }
 
   private static InMemoryStore caches() throws AgreementException {
-    InMemoryStore board = new InMemoryStore();
-    board.desk().fleet(new ReleaseFleet(Map.of(InstanceKind.CACHE, CACHES)));
-    board
-        .desk()
+    InMemoryStore store = new InMemoryStore();
+    store.admin().defineFleet(new ReleaseFleet(Map.of(InstanceKind.CACHE, CACHES)));
+    store
+        .admin()
         .start(
             new RolloutPlan(
                 0,
@@ -83,72 +83,74 @@
                 List.of(List.of("c1", "c2")),
                 10,
                 0,
-                RegressionBounds.of(0),
+                RegressionBounds.ofFailed(0),
                 LIMIT,
                 0,
                 "why",
                 null,
                 ""));
-    return board;
+    return store;
   }
 
   private static boolean step(
-      InMemoryStore board, RolloutDriver driver, Unavailability seen, long now) {
-    RolloutTransaction act = driver.due(board.scene(), seen, now);
-    return act != null && board.held(act);
+      InMemoryStore store, RolloutDriver driver, Unavailability seen, long now) {
+    RolloutTransaction act = driver.nextTransaction(store.snapshot(), seen, now);
+    return act != null && store.commits(act);
   }
 
-  private static void act(InMemoryStore board, String id) {
-    RolloutAgent agent = board.agent(id, "a", LIMIT);
-    assertNotNull(agent.answered(board.held(agent.due(board.scene(), 0)), 0));
-    agent.ended(true, "", 0);
-    assertTrue(board.held(agent.due(board.scene(), 0)));
+  private static void act(InMemoryStore store, String id) {
+    RolloutAgent agent = store.agent(id, "a", LIMIT);
+    assertNotNull(
+        agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0));
+    agent.actionEnded(true, "", 0);
+    assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 0)));
   }
 
-  private static RolloutDriver driver(InMemoryStore board) {
+  private static RolloutDriver driver(InMemoryStore store) {
     RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
-    assertTrue(board.held(driver.take(board.scene(), 1)));
+    assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
     return driver;
   }
 
   /** What routers tell may still be of the process before, and then of one that is cold. */
   @Test
   void theNextCacheServerGoesOnlyOnceTheOneBeforeIsSeenWarm() throws AgreementException {
-    InMemoryStore board = caches();
-    RolloutDriver driver = driver(board);
-    assertTrue(step(board, driver, seen("c1=5 c2=5", "c1=5 c2=5"), 0));
-    act(board, "c1");
-    assertFalse(step(board, driver, seen("c1=5 c2=5", "c1=5 c2=5"), 1));
-    assertTrue(driver.waits().contains("it waits for c1 (permit 1"), driver.waits());
-    assertFalse(step(board, driver, seen("c1=5 c2=5", "c1:warming c2=5"), 2));
+    InMemoryStore store = caches();
+    RolloutDriver driver = driver(store);
+    assertTrue(step(store, driver, seen("c1=5 c2=5", "c1=5 c2=5"), 0));
+    act(store, "c1");
+    assertFalse(step(store, driver, seen("c1=5 c2=5", "c1=5 c2=5"), 1));
+    assertTrue(driver.waitReason().contains("it waits for c1 (permit 1"), driver.waitReason());
+    assertFalse(step(store, driver, seen("c1=5 c2=5", "c1:warming c2=5"), 2));
     assertFalse(
-        step(board, driver, seen("c1=9 c2=5", "c1=5 c2=5"), 3), "only one of two has seen it");
-    assertFalse(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 4));
-    assertTrue(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 14), "it has soaked");
-    assertTrue(step(board, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 15));
-    assertEquals(RolloutStep.Phase.GRANTED, board.scene().steps().get("c2").phase());
+        step(store, driver, seen("c1=9 c2=5", "c1=5 c2=5"), 3), "only one of two has seen it");
+    assertFalse(step(store, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 4));
+    assertTrue(step(store, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 14), "it has soaked");
+    assertTrue(step(store, driver, seen("c1=9 c2=5", "c1=9 c2=5"), 15));
+    assertEquals(StepPhase.GRANTED, store.snapshot().steps().get("c2").phase());
   }
 
   /** The way back holds its place too until what it restarted is warm. */
   @Test
   void oneThatIsNotSeenBackInItsTimeTakesTheReleaseBack() throws AgreementException {
-    InMemoryStore board = caches();
-    RolloutDriver driver = driver(board);
+    InMemoryStore store = caches();
+    RolloutDriver driver = driver(store);
     Unavailability ejected = seen("c1:ejected c2=5", "c1:ejected c2=5");
-    assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
-    act(board, "c1");
-    assertFalse(step(board, driver, ejected, 1));
-    assertFalse(step(board, driver, ejected, 1 + LIMIT));
-    assertTrue(step(board, driver, ejected, 2 + LIMIT));
+    assertTrue(step(store, driver, seen("c1=5 c2=5"), 0));
+    act(store, "c1");
+    assertFalse(step(store, driver, ejected, 1));
+    assertFalse(step(store, driver, ejected, 1 + LIMIT));
+    assertTrue(step(store, driver, ejected, 2 + LIMIT));
     assertEquals(
-        "c1 does worse: not seen back: ejected at 2 of 2 routers", board.scene().course().why());
-    assertTrue(step(board, driver, ejected, 3 + LIMIT));
-    act(board, "c1");
-    assertFalse(step(board, driver, seen("c1:warming c2=5"), 4 + LIMIT));
-    assertEquals("c1 is not seen back: warming at 1 of 1 routers", driver.waits());
-    assertEquals(1, board.scene().permits().size());
-    assertTrue(step(board, driver, seen("c1=9 c2=5"), 5 + LIMIT));
-    assertTrue(board.scene().permits().isEmpty());
+        "c1 does worse: not seen back: ejected at 2 of 2 routers",
+        store.snapshot().state().reason());
+    assertTrue(step(store, driver, ejected, 3 + LIMIT));
+    act(store, "c1");
+    assertFalse(step(store, driver, seen("c1:warming c2=5"), 4 + LIMIT));
+    assertEquals("c1 is not seen back: warming at 1 of 1 routers", driver.waitReason());
+    assertEquals(1, store.snapshot().permits().size());
+    assertTrue(step(store, driver, seen("c1=9 c2=5"), 5 + LIMIT));
+    assertTrue(store.snapshot().permits().isEmpty());
   }
 
   /**
@@ -157,35 +159,35 @@
    */
   @Test
   void oneThatIsEjectedAfterItsCheckTakesTheReleaseBack() throws AgreementException {
-    InMemoryStore board = caches();
-    RolloutDriver driver = driver(board);
-    assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
-    act(board, "c1");
-    assertFalse(step(board, driver, seen("c1=9 c2=5"), 4));
-    assertTrue(step(board, driver, seen("c1=9 c2=5"), 14), "it has stood the check");
-    assertFalse(step(board, driver, seen("c1:ejected c2:ejected"), 20));
-    assertFalse(step(board, driver, seen("c1:ejected c2:ejected"), 40));
-    assertFalse(step(board, driver, seen("c1:ejected c2=5"), 41));
-    assertFalse(step(board, driver, seen("c1:ejected c2=5"), 41 + LIMIT));
-    assertTrue(step(board, driver, seen("c1:ejected c2=5"), 42 + LIMIT));
-    assertEquals("c1 was ejected after it had stood the check", board.scene().course().why());
+    InMemoryStore store = caches();
+    RolloutDriver driver = driver(store);
+    assertTrue(step(store, driver, seen("c1=5 c2=5"), 0));
+    act(store, "c1");
+    assertFalse(step(store, driver, seen("c1=9 c2=5"), 4));
+    assertTrue(step(store, driver, seen("c1=9 c2=5"), 14), "it has stood the check");
+    assertFalse(step(store, driver, seen("c1:ejected c2:ejected"), 20));
+    assertFalse(step(store, driver, seen("c1:ejected c2:ejected"), 40));
+    assertFalse(step(store, driver, seen("c1:ejected c2=5"), 41));
+    assertFalse(step(store, driver, seen("c1:ejected c2=5"), 41 + LIMIT));
+    assertTrue(step(store, driver, seen("c1:ejected c2=5"), 42 + LIMIT));
+    assertEquals("c1 was ejected after it had stood the check", store.snapshot().state().reason());
   }
 
   /** A copy of the store that was put back knows nothing of what has gone out since. */
   @Test
   void inAStoreThatWasReplacedNobodyActs() throws AgreementException {
-    InMemoryStore board = caches();
-    RolloutDriver driver = driver(board);
-    assertTrue(step(board, driver, seen("c1=5 c2=5"), 0));
-    RolloutAgent agent = board.agent("c1", "a", LIMIT);
-    board.cluster = "2";
-    assertNull(agent.due(board.scene(), 0));
-    assertNull(driver.due(board.scene(), seen("c1=5 c2=5"), 0));
-    assertEquals(RolloutSnapshot.REPLACED, driver.waits());
-    assertThrows(AgreementException.class, () -> board.desk().back("no"));
-    board.desk().abandon("seen who runs what");
-    board
-        .desk()
+    InMemoryStore store = caches();
+    RolloutDriver driver = driver(store);
+    assertTrue(step(store, driver, seen("c1=5 c2=5"), 0));
+    RolloutAgent agent = store.agent("c1", "a", LIMIT);
+    store.cluster = "2";
+    assertNull(agent.nextTransaction(store.snapshot(), 0));
+    assertNull(driver.nextTransaction(store.snapshot(), seen("c1=5 c2=5"), 0));
+    assertEquals(RolloutSnapshot.STORE_REPLACED, driver.waitReason());
+    assertThrows(AgreementException.class, () -> store.admin().rollBack("no"));
+    store.admin().abandon("seen who runs what");
+    store
+        .admin()
         .start(
             new RolloutPlan(
                 0,
@@ -193,12 +195,12 @@
                 List.of(List.of("c1")),
                 10,
                 0,
-                RegressionBounds.of(0),
+                RegressionBounds.ofFailed(0),
                 LIMIT,
                 0,
                 "why",
                 null,
                 ""));
-    assertFalse(board.scene().replaced());
+    assertFalse(store.snapshot().storeReplaced());
   }
 }
