--- a/src/main/java/beaconturn/decision/AttemptState.java
+++ b/src/main/java/beaconturn/decision/AttemptState.java
@@ -1,33 +1,90 @@
 package beaconturn.decision;
 
-/** One sending of a request. */
+/** One attempt of a request, from when it is sent until it is closed. */
 final class AttemptState {
-  final ServerState server;
-  final long sentAt;
-  final boolean onRing;
-  final boolean fetches;
-  private final long heardBefore;
-  boolean open = true;
+  private final ServerState server;
+  private final long sentAtNanos;
+  private final boolean toCache;
+  private final boolean fetchesFromOrigin;
+  private final boolean needsConnection;
+  private final long responsesBefore;
+  private boolean open = true;
+  private boolean beingServed = true;
+  private boolean provenWithoutEffect;
+  private boolean countedLate;
 
-  /** Its server is at work on it: until its answer begins to come, or it ends. */
-  boolean atWork = true;
+  /**
+   * An attempt that is sent now; {@code fetchesFromOrigin} says that it goes to the origin, or that
+   * its cache is expected to ask the origin.
+   */
+  AttemptState(ServerState server, long sentAtNanos, boolean toCache, boolean fetchesFromOrigin) {
+    this.server = server;
+    this.sentAtNanos = sentAtNanos;
+    this.toCache = toCache;
+    this.fetchesFromOrigin = fetchesFromOrigin;
+    this.needsConnection = !server.connection().isOpen(sentAtNanos);
+    this.responsesBefore = server.responses();
+  }
 
-  boolean neverRan;
-  boolean judged;
+  ServerState server() {
+    return server;
+  }
 
-  /** Needs a new connection, as far as the router knows. */
-  boolean dials;
+  long sentAtNanos() {
+    return sentAtNanos;
+  }
 
-  AttemptState(ServerState server, long sentAt, boolean onRing, boolean fetches) {
-    this.server = server;
-    this.sentAt = sentAt;
-    this.onRing = onRing;
-    this.fetches = fetches;
-    this.heardBefore = server.heard;
+  /** Whether it went to a cache; else to the origin itself. */
+  boolean toCache() {
+    return toCache;
+  }
+
+  boolean fetchesFromOrigin() {
+    return fetchesFromOrigin;
+  }
+
+  /** Whether it needs a new connection, as far as the router knows. */
+  boolean needsConnection() {
+    return needsConnection;
+  }
+
+  boolean isOpen() {
+    return open;
+  }
+
+  /** It has ended. */
+  void close(AttemptOutcome outcome) {
+    open = false;
+    provenWithoutEffect = outcome.provesNoEffect();
+  }
+
+  /** Whether its server is at work on it: until its answer begins to come, or it ends. */
+  boolean isBeingServed() {
+    return beingServed;
+  }
+
+  /** Its answer begins to come, or it has ended. */
+  void served() {
+    beingServed = false;
+  }
+
+  /** Whether it has ended, and in a way that proves that it had no effect. */
+  boolean isProvenWithoutEffect() {
+    return provenWithoutEffect;
+  }
+
+  /** Whether it was held against its server that this one is late. */
+  boolean isCountedLate() {
+    return countedLate;
+  }
+
+  /** It is late, and that was held against its server. */
+  void countLate() {
+    countedLate = true;
   }
 
   /** Whether its server has said nothing, on any attempt, since this one was sent. */
-  boolean unheard() {
-    return server.heard == heardBefore;
+  boolean isServerSilentSince() {
+    return server.responses() == responsesBefore;
   }
 }
--- a/src/main/java/beaconturn/decision/CachedKeyIndex.java
+++ b/src/main/java/beaconturn/decision/CachedKeyIndex.java
@@ -3,37 +3,41 @@
 import java.util.Map;
 
 /**
- * Which cache lately answered for which key, and how long, as learned, an unused key stays held.
+ * Which cache lately answered for which key, and how long, as learned, an unused key stays cached.
  */
 final class CachedKeyIndex {
-  private final Map<Long, Long> usedAt;
-  private final double step;
-  private double heldFor;
+  /** Each surprise moves the learned time by this ratio. */
+  private static final double LEARNING_RATIO = 0.1;
 
-  /** {@code heldFor} is the first guess; each surprise moves it by {@code step}, a ratio. */
-  CachedKeyIndex(int most, long heldFor, double step) {
-    this.heldFor = heldFor;
-    this.step = step;
-    this.usedAt = new LruMap<>(most);
+  private final Map<Long, Long> usedAtNanos = new LruMap<>(LruMap.USUAL_CAPACITY);
+  private double cachedForNanos;
+
+  /** Makes an empty index with a first guess at the time that an unused key stays cached. */
+  CachedKeyIndex(long firstGuessNanos) {
+    this.cachedForNanos = firstGuessNanos;
   }
 
-  /** True where the cache answered for the key so lately that it should still hold it. */
-  boolean holds(long key, long server, long now) {
-    Long used = usedAt.get(pair(key, server));
-    return used != null && now - used <= heldFor;
+  /** Whether the cache answered for the key so lately that it should still hold it. */
+  boolean isCached(long key, long serverId, long nowNanos) {
+    Long used = usedAtNanos.get(pair(key, serverId));
+    return used != null && nowNanos - used <= cachedForNanos;
   }
 
   /** Notes an answer, and whether the cache had to fetch it. */
-  void answered(long key, long server, boolean fetched, long now) {
-    Long used = usedAt.put(pair(key, server), now);
-    if (used != null && fetched && now - used < heldFor) {
-      heldFor *= 1 - step;
-    } else if (used != null && !fetched && now - used > heldFor / 2) {
-      heldFor *= 1 + step;
+  void answered(long key, long serverId, boolean fetched, long nowNanos) {
+    Long used = usedAtNanos.put(pair(key, serverId), nowNanos);
+    if (used == null) {
+      return;
+    }
+    long unusedNanos = nowNanos - used;
+    if (fetched && unusedNanos < cachedForNanos) {
+      cachedForNanos *= 1 - LEARNING_RATIO;
+    } else if (!fetched && unusedNanos > cachedForNanos / 2) {
+      cachedForNanos *= 1 + LEARNING_RATIO;
     }
   }
 
-  private static long pair(long key, long server) {
-    return KeyHash.mix(key ^ KeyHash.mix(server));
+  private static long pair(long key, long serverId) {
+    return KeyHash.mix(key ^ KeyHash.mix(serverId));
   }
 }
--- a/src/main/java/beaconturn/decision/EventRate.java
+++ b/src/main/java/beaconturn/decision/EventRate.java
@@ -1,54 +1,56 @@
 package beaconturn.decision;
 
-/** Events a nanosecond over about the given time, and the highest such rate of late. */
+/** Rate of events over a sliding, exponentially fading window, and its recent peak. */
 final class EventRate {
-  private static final double PEAK_MEMORY = 4;
-  private final double memory;
+  /** The peak fades over this many windows. */
+  private static final double PEAK_WINDOWS = 4;
+
+  private final double windowNanos;
   private double count;
-  private double peak;
-  private long at;
+  private double peakCount;
+  private long agedAtNanos;
 
-  EventRate(double memory) {
-    this.memory = Math.max(1, memory);
+  /** Makes a rate of 0 over a window of the given length. */
+  EventRate(double windowNanos) {
+    this.windowNanos = Math.max(1, windowNanos);
   }
 
-  void count(long now) {
-    age(now);
+  /** Counts one event. */
+  void count(long nowNanos) {
+    age(nowNanos);
     count++;
-    peak = Math.max(peak, count);
+    peakCount = Math.max(peakCount, count);
   }
 
-  double perNano(long now) {
-    age(now);
-    return count / memory;
+  /** The rate, in events a nanosecond. */
+  double perNano(long nowNanos) {
+    age(nowNanos);
+    return count / windowNanos;
   }
 
-  /**
-   * The highest rate of late, less one standard deviation of its count; it fades over some
-   * memories.
-   */
-  double peakPerNano(long now) {
-    age(now);
-    return Math.max(0, peak - Math.sqrt(peak)) / memory;
+  /** The recent peak, in events a nanosecond. */
+  double peakPerNano(long nowNanos) {
+    age(nowNanos);
+    return peakCount / windowNanos;
   }
 
-  /** Goes on from a rate and a peak that were counted elsewhere. */
-  void begin(double perNano, double highest, long now) {
-    age(now);
-    count = Math.max(count, perNano * memory);
-    peak = Math.max(Math.max(peak, count), highest * memory);
+  /** The recent peak less one standard deviation of its count, in events a nanosecond. */
+  double cautiousPeakPerNano(long nowNanos) {
+    age(nowNanos);
+    return Math.max(0, peakCount - Math.sqrt(peakCount)) / windowNanos;
   }
 
-  /** The highest rate of late, as it was counted. */
-  double highest(long now) {
-    age(now);
-    return peak / memory;
+  /** Goes on from a rate and a peak that were counted elsewhere, where they are higher. */
+  void begin(double perNano, double peakPerNano, long nowNanos) {
+    age(nowNanos);
+    count = Math.max(count, perNano * windowNanos);
+    peakCount = Math.max(Math.max(peakCount, count), peakPerNano * windowNanos);
   }
 
-  private void age(long now) {
-    double passed = (now - at) / memory;
-    count *= Math.exp(-passed);
-    peak = Math.max(count, peak * Math.exp(-passed / PEAK_MEMORY));
-    at = now;
+  private void age(long nowNanos) {
+    double passedWindows = (nowNanos - agedAtNanos) / windowNanos;
+    count *= Math.exp(-passedWindows);
+    peakCount = Math.max(count, peakCount * Math.exp(-passedWindows / PEAK_WINDOWS));
+    agedAtNanos = nowNanos;
   }
 }
--- a/src/main/java/beaconturn/decision/KeyHash.java
+++ b/src/main/java/beaconturn/decision/KeyHash.java
@@ -1,9 +1,10 @@
 package beaconturn.decision;
 
-/** The hash that places keys and virtual points on the ring: a full mix of 64 bits. */
+/** The hash that places keys and virtual points on the ring: mixes all 64 bits. */
 final class KeyHash {
   private KeyHash() {}
 
+  /** The finalizer of the SplitMix64 generator. */
   static long mix(long value) {
     long z = value * 0x9e3779b97f4a7c15L;
     z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/beaconturn/decision/LatencyRatio.java
+++ b/src/main/java/beaconturn/decision/LatencyRatio.java
@@ -1,21 +1,27 @@
 package beaconturn.decision;
 
-/** How slow answers are of late, as a part of their aim. */
+/** Moving average of latencies, each divided by what it is measured against. */
 final class LatencyRatio {
-  /** Beyond twice the aim, slower is no worse; keeps one outlier from ruling the average. */
-  private static final double MOST = 2;
+  /** A larger ratio counts as this one, so that one outlier does not rule the average. */
+  private static final double MAX_RATIO = 2;
 
-  double now;
-  private final double newest;
+  private final double sampleWeight;
+  private double value;
   private int samples;
 
-  /** {@code newest} is the weight of the newest sample. */
-  LatencyRatio(double newest) {
-    this.newest = newest;
+  /** Makes an average without samples; {@code sampleWeight} is the weight of the newest sample. */
+  LatencyRatio(double sampleWeight) {
+    this.sampleWeight = sampleWeight;
   }
 
-  void add(double partOfAim) {
+  /** Adds a sample; the first few count evenly. */
+  void add(double ratio) {
     samples++;
-    now += Math.max(newest, 1.0 / samples) * (Math.min(MOST, partOfAim) - now);
+    value += Math.max(sampleWeight, 1.0 / samples) * (Math.min(MAX_RATIO, ratio) - value);
+  }
+
+  /** The average; 0 without samples. */
+  double value() {
+    return value;
   }
 }
--- a/src/main/java/beaconturn/decision/LruMap.java
+++ b/src/main/java/beaconturn/decision/LruMap.java
@@ -3,19 +3,28 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A map of bounded size: what was used longest ago makes room. */
+/** A map of bounded size that drops the entry which was used longest ago. */
 final class LruMap<V> extends LinkedHashMap<Long, V> {
+  /**
+   * The usual bound on what is remembered of keys, in entries: it bounds memory, at some hundred
+   * bytes an entry.
+   */
+  static final int USUAL_CAPACITY = 1 << 13;
+
   private static final long serialVersionUID = 1L;
-  private final int most;
+  private static final int INITIAL_CAPACITY = 16;
+  private static final float LOAD_FACTOR = 0.75f;
+
+  private final int capacity;
 
-  /** Keeps the {@code most} entries that were used last. */
-  LruMap(int most) {
-    super(16, 0.75f, true);
-    this.most = most;
+  /** Makes an empty map that keeps {@code capacity} entries at the most. */
+  LruMap(int capacity) {
+    super(INITIAL_CAPACITY, LOAD_FACTOR, true);
+    this.capacity = capacity;
   }
 
   @Override
   protected boolean removeEldestEntry(Map.Entry<Long, V> eldest) {
-    return size() > most;
+    return size() > capacity;
   }
 }
--- a/src/main/java/beaconturn/decision/MovingAverage.java
+++ b/src/main/java/beaconturn/decision/MovingAverage.java
@@ -1,29 +1,51 @@
 package beaconturn.decision;
 
-/** Mean and mean deviation, newest samples counting most. */
+/** Exponentially weighted mean and mean deviation of samples. */
 final class MovingAverage {
-  double mean;
-  double deviation;
-  boolean any;
-  private final double newest;
-
-  /** {@code newest} is the weight of the newest sample. */
-  MovingAverage(double newest) {
-    this.newest = newest;
+  /** The usual weight of the newest sample, a ratio: about ten samples make an average. */
+  static final double USUAL_SAMPLE_WEIGHT = 0.1;
+
+  private final double sampleWeight;
+  private double mean;
+  private double deviation;
+  private boolean hasSamples;
+
+  /** Makes an average without samples; {@code sampleWeight} is the weight of the newest sample. */
+  MovingAverage(double sampleWeight) {
+    this.sampleWeight = sampleWeight;
   }
 
-  /** Begins with a mean that was found elsewhere; 0 is none. */
-  void begin(double found) {
-    if (!any && found > 0) {
-      add(found);
+  /** Begins with a mean that was measured elsewhere; 0 means none, and own samples come first. */
+  void begin(double measuredMean) {
+    if (!hasSamples && measuredMean > 0) {
+      add(measuredMean);
     }
   }
 
   /** Adds a sample and returns the new mean. */
   double add(double sample) {
-    mean = any ? mean + newest * (sample - mean) : sample;
-    deviation = any ? deviation + newest * (Math.abs(sample - mean) - deviation) : sample / 2;
-    any = true;
+    if (hasSamples) {
+      mean += sampleWeight * (sample - mean);
+      deviation += sampleWeight * (Math.abs(sample - mean) - deviation);
+    } else {
+      mean = sample;
+      deviation = sample / 2;
+      hasSamples = true;
+    }
+    return mean;
+  }
+
+  /** The mean, in the unit of the samples; 0 without samples. */
+  double mean() {
     return mean;
   }
+
+  /** The mean distance of samples from the mean; half of the sample after the first one. */
+  double deviation() {
+    return deviation;
+  }
+
+  boolean hasSamples() {
+    return hasSamples;
+  }
 }
--- a/src/main/java/beaconturn/decision/RequestState.java
+++ b/src/main/java/beaconturn/decision/RequestState.java
@@ -3,96 +3,201 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that the router has accepted, until its last attempt has closed. */
+/** A request that the router has taken on, until its last attempt is closed. */
 final class RequestState {
-  final long id;
-  final long key;
-  final long hash;
-  final int classIndex;
-  final RequestClass type;
-  final boolean write;
-  final boolean overQuota;
-  final long deadline;
+  private final RoutingEvent.RequestArrived arrival;
+  private final RequestClass type;
+  private final long hash;
+  private final RequestTimes times;
+  private final long logicalRequest;
+  private final boolean overQuota;
+  private final double keyShare;
+  private final double workRatio;
+  private final List<AttemptState> attempts = new ArrayList<>(2);
+  private ServerState missedAt;
+  private OriginFetch originFetch;
+  private boolean queued;
+  private boolean streaming;
+  private boolean moving;
+  private boolean done;
+
+  /** Makes a request without attempts; see the accessors for what the parts mean. */
+  RequestState(
+      RoutingEvent.RequestArrived arrival,
+      RequestClass type,
+      RequestTimes times,
+      long logicalRequest,
+      boolean overQuota,
+      double keyShare,
+      double workRatio) {
+    this.arrival = arrival;
+    this.type = type;
+    this.hash = KeyHash.mix(arrival.key() != 0 ? arrival.key() : arrival.requestId());
+    this.times = times;
+    this.logicalRequest = logicalRequest;
+    this.overQuota = overQuota;
+    this.keyShare = keyShare;
+    this.workRatio = workRatio;
+  }
 
-  /** Until when an answer is in time, counted from the client's first try where that is known. */
-  final long aimEnds;
+  long id() {
+    return arrival.requestId();
+  }
 
-  /** Which of the client's asks this is a try of. */
-  final long ask;
+  /** Its key; 0 for none. */
+  long key() {
+    return arrival.key();
+  }
 
-  /** From here on an answer to a safe request earns nothing; the deadline for all others. */
-  final long due;
+  /** Where it is on the ring: the hash of its key, or of its id where it has none. */
+  long hash() {
+    return hash;
+  }
 
-  final List<AttemptState> attempts = new ArrayList<>(2);
-  double keyPart;
+  boolean isWrite() {
+    return arrival.write();
+  }
 
-  /** Its expected work, as a part of the usual. */
-  double size;
+  RequestClass type() {
+    return type;
+  }
 
-  ServerState missedAt;
-  OriginFetch flight;
-  boolean queued;
-  boolean streaming;
+  int classIndex() {
+    return arrival.requestClass();
+  }
 
-  /** Called off where it is late, to go to another cache. */
-  boolean moves;
+  boolean isIdempotent() {
+    return type.idempotency() == Idempotency.IDEMPOTENT;
+  }
 
-  boolean done;
+  /** When the client gives up. */
+  long deadlineNanos() {
+    return times.deadlineNanos();
+  }
 
-  RequestState(
-      RoutingEvent.RequestArrived e,
-      RequestClass type,
-      long now,
-      long aimEnds,
-      long ask,
-      boolean overQuota,
-      boolean cutAtAim) {
-    this.id = e.requestId();
-    this.key = e.key();
-    this.hash = KeyHash.mix(e.key() != 0 ? e.key() : e.requestId());
-    this.classIndex = e.requestClass();
-    this.type = type;
-    this.write = e.write();
-    this.overQuota = overQuota;
-    this.deadline = now + e.remainingNanos();
-    this.aimEnds = aimEnds;
-    this.ask = ask;
-    this.due = cutAtAim ? Math.min(deadline, aimEnds) : deadline;
+  /** Until when an answer meets the latency objective. */
+  long objectiveEndsNanos() {
+    return times.objectiveEndsNanos();
+  }
+
+  /** Until when an answer is worth something. */
+  long dueNanos() {
+    return times.dueNanos();
+  }
+
+  /** What all tries of one request by its client have in common; see {@link ClientRetries}. */
+  long logicalRequest() {
+    return logicalRequest;
+  }
+
+  /** Whether it exceeds its tenant's quota. */
+  boolean isOverQuota() {
+    return overQuota;
+  }
+
+  /** The share of recent requests that were for its key; 0 for writes and without a key. */
+  double keyShare() {
+    return keyShare;
+  }
+
+  /** Its expected work, as a multiple of the usual. */
+  double workRatio() {
+    return workRatio;
+  }
+
+  List<AttemptState> attempts() {
+    return attempts;
   }
 
-  int openCount() {
+  int openAttempts() {
     int count = 0;
-    for (AttemptState a : attempts) {
-      count += a.open ? 1 : 0;
+    for (AttemptState attempt : attempts) {
+      if (attempt.isOpen()) {
+        count++;
+      }
     }
     return count;
   }
 
-  boolean anyOpen() {
-    return openCount() > 0;
-  }
-
-  /** Whether it may go where it might fail: it was not sent yet, and may be repeated. */
-  boolean tries() {
-    return attempts.isEmpty() && type.idempotency() == Idempotency.IDEMPOTENT;
+  boolean hasOpenAttempt() {
+    return openAttempts() > 0;
   }
 
-  boolean tried(ServerState s) {
-    for (AttemptState a : attempts) {
-      if (a.server == s) {
+  boolean wasSentTo(ServerState server) {
+    for (AttemptState attempt : attempts) {
+      if (attempt.server() == server) {
         return true;
       }
     }
     return false;
   }
 
-  /** The first attempt that is out or may have had its effect; null if there is none. */
-  AttemptState firstMaybeRun() {
-    for (AttemptState a : attempts) {
-      if (!a.neverRan) {
-        return a;
+  /** The first attempt that is open or may have had its effect; null if there is none. */
+  AttemptState firstWithPossibleEffect() {
+    for (AttemptState attempt : attempts) {
+      if (!attempt.isProvenWithoutEffect()) {
+        return attempt;
       }
     }
     return null;
   }
+
+  /** Whether it may go where it might fail: it was not sent yet, and may be repeated. */
+  boolean isFitForTrial() {
+    return attempts.isEmpty() && isIdempotent();
+  }
+
+  /** The cache that lacked its key, or that has fetched it since; null for none. */
+  ServerState missedAt() {
+    return missedAt;
+  }
+
+  void missedAt(ServerState cache) {
+    missedAt = cache;
+  }
+
+  /** The fetch that it leads or waits for; null for none. */
+  OriginFetch originFetch() {
+    return originFetch;
+  }
+
+  void originFetch(OriginFetch fetch) {
+    originFetch = fetch;
+  }
+
+  /** Whether it waits for the origin's limit, or for another request's fetch. */
+  boolean isQueued() {
+    return queued;
+  }
+
+  void queued(boolean waits) {
+    queued = waits;
+  }
+
+  /** Whether its answer has begun to go to the client. */
+  boolean isStreaming() {
+    return streaming;
+  }
+
+  void beginStreaming() {
+    streaming = true;
+  }
+
+  /** Whether its attempt is being cancelled because it is late, so that it goes elsewhere. */
+  boolean isMoving() {
+    return moving;
+  }
+
+  void moving(boolean moves) {
+    moving = moves;
+  }
+
+  /** Whether it is answered, given up or cancelled; attempts may still be open. */
+  boolean isDone() {
+    return done;
+  }
+
+  void finish() {
+    done = true;
+  }
 }
--- a/src/main/java/beaconturn/decision/RingRouter.java
+++ b/src/main/java/beaconturn/decision/RingRouter.java
@@ -9,7 +9,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.SortedMap;
 import java.util.SplittableRandom;
+import java.util.TreeMap;
 
 /** Every decision of one router. Single-threaded; knows only its settings and its own events. */
 public final class RingRouter implements RoutingPolicy {
@@ -105,12 +107,6 @@
   /** Occupancy of the gate up to which worthless requests pass; full worth passes up to 1. */
   private static final double OPEN_TO_ALL = 0.6;
 
-  /** A key that failed at so many caches in a row is what is at fault, not they. */
-  private static final int KEY_FAILS = 2;
-
-  /** Pairs of key and cache that are remembered: a bound on memory, some hundred bytes each. */
-  private static final int KEYS_REMEMBERED = 1 << 13;
-
   /**
    * A tenant's part of the traffic may exceed its share by this before it counts as beyond its
    * quota.
@@ -159,14 +155,14 @@
   private final MovingAverage work = new MovingAverage(NEWEST / 4);
   private final MovingAverage fetchTime = new MovingAverage(NEWEST);
   private final CachedKeyIndex held;
-  private final KeyPopularity popularity = new KeyPopularity(KEYS_REMEMBERED);
-  private final KeyFailures failures = new KeyFailures(KEYS_REMEMBERED, KEY_FAILS);
+  private final KeyPopularity popularity = new KeyPopularity(LruMap.USUAL_CAPACITY);
+  private final KeyFailures failures = new KeyFailures();
 
   /** Until when an answer to what was given up is in time, for the client's next try. */
-  private final Map<Long, Long> givenUp = new LruMap<>(KEYS_REMEMBERED);
+  private final Map<Long, Long> givenUp = new LruMap<>(LruMap.USUAL_CAPACITY);
 
   private final Gate caches = new Gate(CROWDED);
-  private final ServerState all = new ServerState(0);
+  private final ServerLoad all = new ServerLoad();
   private final Gate origin;
   private final TokenBucket[] quotas;
   private final EventRate answers;
@@ -179,6 +175,7 @@
   private ZoneWeights shares = ZoneWeights.ANYWHERE;
   private long now;
   private long walk;
+  private long[] seenInWalk = new long[0];
   private double retryBudget;
   private double fleetSick;
 
@@ -236,7 +233,7 @@
     this.quotas = new TokenBucket[settings.tenants().size()];
     Arrays.setAll(quotas, i -> new TokenBucket());
     this.watchBackoff = firstListPause();
-    this.held = new CachedKeyIndex(KEYS_REMEMBERED, settings.longestDeadlineNanos(), NEWEST);
+    this.held = new CachedKeyIndex(settings.longestDeadlineNanos());
     if (settings.pollsDiscovery() && watch) {
       out.watch(true);
     }
@@ -264,7 +261,7 @@
     } else if (event instanceof RoutingEvent.OperatorOverrideChanged call) {
       servers
           .computeIfAbsent(call.serverId(), ServerState::new)
-          .byHand(call.excluded(), call.atNanos());
+          .operatorOverride(call.excluded(), call.atNanos());
       place();
     } else if (event instanceof RoutingEvent.ZoneWeightsChanged told) {
       shares = told.weights();
@@ -285,9 +282,9 @@
   public WarmStartState warmStartState() {
     return new WarmStartState(
         answers.perNano(now),
-        answers.highest(now),
-        answerTime.mean,
-        fetchTime.mean,
+        answers.peakPerNano(now),
+        answerTime.mean(),
+        fetchTime.mean(),
         caches.limit,
         origin.limit);
   }
@@ -306,15 +303,22 @@
         before == null
             ? now + type.latencyObjectiveNanos()
             : Math.min(before, now + type.latencyObjectiveNanos());
-    RequestState r = new RequestState(e, type, now, aimEnds, ask, overQuota(e.tenant()), cutAtAim);
-    requests.put(r.id, r);
-    r.size = e.workHintNanos() > 0 ? e.workHintNanos() / work.add(e.workHintNanos()) : 1;
-    r.keyPart =
-        r.key == 0 || r.write ? 0 : popularity.count(r.key, RECENT * Math.max(1, ring.size()));
+    long deadline = now + e.remainingNanos();
+    long due = cutAtAim ? Math.min(deadline, aimEnds) : deadline;
+    boolean overQuota = overQuota(e.tenant());
+    double workRatio = e.workHintNanos() > 0 ? e.workHintNanos() / work.add(e.workHintNanos()) : 1;
+    double keyShare =
+        e.key() == 0 || e.write()
+            ? 0
+            : popularity.count(e.key(), RECENT * Math.max(1, ring.size()));
+    RequestState r =
+        new RequestState(
+            e, type, new RequestTimes(deadline, aimEnds, due), ask, overQuota, keyShare, workRatio);
+    requests.put(r.id(), r);
     retryBudget =
         Math.min(Math.max(1, ring.size()), retryBudget + RETRY_RATIO * (may.maxAttempts() - 1));
-    boolean toOrigin = aside && r.write;
-    boolean hopeless = failures.fail(r.key) && random.nextDouble() * failures.caches(r.key) >= 1;
+    boolean toOrigin = aside && r.isWrite();
+    boolean hopeless = failures.isDrawnHopeless(r.key(), random);
     if (hopeless) {
       giveUp(r, GiveUpReason.FAILING_KEY);
     } else if (lateEarnsNothing && aimEnds <= now) {
@@ -323,8 +327,8 @@
       giveUp(r, GiveUpReason.OVERLOADED);
     } else if (toOrigin) {
       askOrigin(r, null);
-    } else if (aside && r.key != 0 && flights.containsKey(r.key)) {
-      await(r, flights.get(r.key));
+    } else if (aside && r.key() != 0 && flights.containsKey(r.key())) {
+      await(r, flights.get(r.key()));
     } else {
       askCache(r);
     }
@@ -332,33 +336,34 @@
 
   private void attemptClosed(RoutingEvent.AttemptClosed e) {
     RequestState r = requests.get(e.requestId());
-    if (r == null || e.attempt() >= r.attempts.size() || !r.attempts.get(e.attempt()).open) {
+    if (r == null
+        || e.attempt() >= r.attempts().size()
+        || !r.attempts().get(e.attempt()).isOpen()) {
       return;
     }
-    AttemptState a = r.attempts.get(e.attempt());
-    a.open = false;
+    AttemptState a = r.attempts().get(e.attempt());
+    a.close(e.outcome());
     release(a);
-    a.neverRan = e.outcome().provesNoEffect();
-    a.server.load(-1, now, smoothing());
-    if (a.server.closed(e.outcome())) {
+    a.server().load().change(-1, now, smoothing());
+    if (a.server().attemptEnded(e.outcome())) {
       place();
     }
-    if (a.onRing) {
+    if (a.toCache()) {
       cacheClosed(r, a, e);
     }
-    if (a.fetches) {
+    if (a.fetchesFromOrigin()) {
       fetchClosed(r, a, e);
     }
-    if (r.moves && e.outcome() == AttemptOutcome.CANCELLED && !r.done) {
-      r.moves = false;
+    if (r.isMoving() && e.outcome() == AttemptOutcome.CANCELLED && !r.isDone()) {
+      r.moving(false);
       retry(r, a);
-    } else if (e.requestClosed() && !r.done) {
-      r.missedAt = a.onRing && !aside ? a.server : r.missedAt;
+    } else if (e.requestClosed() && !r.isDone()) {
+      r.missedAt(a.toCache() && !aside ? a.server() : r.missedAt());
       conclude(r, e.outcome() == AttemptOutcome.OK);
-    } else if (!r.done) {
+    } else if (!r.isDone()) {
       proceed(r, a, e.outcome());
-    } else if (!r.anyOpen()) {
-      requests.remove(r.id);
+    } else if (!r.hasOpenAttempt()) {
+      requests.remove(r.id());
     }
     releaseFetches();
   }
@@ -368,11 +373,11 @@
    * now.
    */
   private void begun(RequestState r, int attempt) {
-    r.streaming = true;
+    r.beginStreaming();
     cancelOpen(r, attempt);
     if (!aside) {
-      r.missedAt = r.attempts.get(attempt).server;
-      release(r.attempts.get(attempt));
+      r.missedAt(r.attempts().get(attempt).server());
+      release(r.attempts().get(attempt));
       land(r, true);
       releaseFetches();
     }
@@ -383,23 +388,23 @@
    * for.
    */
   private void release(AttemptState a) {
-    caches.inFlight -= a.atWork && a.onRing ? 1 : 0;
-    origin.inFlight -= a.atWork && a.fetches ? 1 : 0;
-    a.atWork = false;
+    caches.inFlight -= a.isBeingServed() && a.toCache() ? 1 : 0;
+    origin.inFlight -= a.isBeingServed() && a.fetchesFromOrigin() ? 1 : 0;
+    a.served();
   }
 
   /** Decides what follows an attempt that did not end its request. */
   private void proceed(RequestState r, AttemptState a, AttemptOutcome ending) {
-    if (now >= r.due) {
+    if (now >= r.dueNanos()) {
       // An ending handled a tick late may come when no time is left: holding it would lose the
       // request.
       giveUp(r, GiveUpReason.TOO_LATE);
-    } else if (ending == AttemptOutcome.MISS && a.onRing) {
-      r.missedAt = r.missedAt == null ? a.server : r.missedAt;
-      if (!r.anyOpen()) {
+    } else if (ending == AttemptOutcome.MISS && a.toCache()) {
+      r.missedAt(r.missedAt() == null ? a.server() : r.missedAt());
+      if (!r.hasOpenAttempt()) {
         fetch(r, null);
       }
-    } else if (!r.anyOpen() && !r.queued) {
+    } else if (!r.hasOpenAttempt() && !r.isQueued()) {
       retry(r, a);
     }
   }
@@ -409,16 +414,25 @@
     RequestState r = requests.get(token >>> 8);
     if (kind == WATCH) {
       out.watch(true);
-    } else if (r != null && !r.done && kind == LATE && (token >>> 2 & 63) < r.attempts.size()) {
-      late(r, r.attempts.get((int) (token >>> 2 & 63)));
-    } else if (r != null && !r.done && kind == PATIENCE && r.queued && !r.anyOpen()) {
+    } else if (r != null
+        && !r.isDone()
+        && kind == LATE
+        && (token >>> 2 & 63) < r.attempts().size()) {
+      late(r, r.attempts().get((int) (token >>> 2 & 63)));
+    } else if (r != null
+        && !r.isDone()
+        && kind == PATIENCE
+        && r.isQueued()
+        && !r.hasOpenAttempt()) {
       giveUp(r, GiveUpReason.QUEUE_TIMEOUT);
     }
   }
 
   @Override
   public RoutingView view() {
-    return ServerState.view(servers.values(), s -> warmth(s) < 1);
+    SortedMap<Long, ServerStatus> statuses = new TreeMap<>();
+    servers.forEach((id, s) -> statuses.put(id, s.status(warmth(s) < 1)));
+    return new RoutingView(statuses);
   }
 
   // ---- ordinary path: ring, bounded loads, clockwise walk
@@ -427,7 +441,7 @@
   private ServerState pick(RequestState r) {
     return shares == ZoneWeights.ANYWHERE
         ? pick(r, -1)
-        : shares.first(r.hash, r.tries(), place -> pick(r, place));
+        : shares.first(r.hash(), r.isFitForTrial(), place -> pick(r, place));
   }
 
   /**
@@ -438,8 +452,8 @@
     if (points.length == 0) {
       buildRing();
     }
-    int cap = cap(all.inFlight, ServerState.over(ring, shares), epsilon);
-    int found = Arrays.binarySearch(points, r.hash & -0x10000L);
+    int cap = cap(all.inFlight(), shares.serversInUse(ring), epsilon);
+    int found = Arrays.binarySearch(points, r.hash() & -0x10000L);
     int start = found >= 0 ? found : -found - 1;
     ServerState leastLoaded = null;
     ServerState lastResort = null;
@@ -449,20 +463,26 @@
     boolean mayDial = mayDial(r);
     walk++;
     for (int i = 0, seen = 0; seen < ring.size() && most > 0; i++) {
-      ServerState s = ring.get((int) points[(start + i) % points.length] & 0xffff);
-      if (s.walk == walk) {
+      int index = (int) points[(start + i) % points.length] & 0xffff;
+      if (seenInWalk[index] == walk) {
         continue;
       }
-      s.walk = walk;
+      ServerState s = ring.get(index);
+      seenInWalk[index] = walk;
       seen++;
-      if ((place >= 0 && s.zone != place) || !legal(r, s) || r.tried(s) || !coldBudgetLeft(s)) {
+      if ((place >= 0 && s.zone() != place)
+          || !legal(r, s)
+          || r.wasSentTo(s)
+          || !coldBudgetLeft(s)) {
         continue;
       }
       if (passedOver(s, r)
-          || (!mayDial && now >= s.openUntil && s.dialFails(now, may.connectionIdleNanos()))) {
+          || (!mayDial
+              && !s.connection().isOpen(now)
+              && s.connection().failedWithin(may.connectionIdleNanos(), now))) {
         lastResort = ServerState.lessLoaded(lastResort, s);
-      } else if (s.inFlight < cap && !crowded(s)) {
-        int nearer = chosen == null ? 1 : s.nearer(chosen, aside ? settings.zone() : -1);
+      } else if (s.load().inFlight() < cap && !crowded(s)) {
+        int nearer = chosen == null ? 1 : nearer(s, chosen);
         alike = nearer > 0 ? 1 : alike + nearer + 1;
         chosen = nearer > 0 || (nearer == 0 && random.nextInt(alike) == 0) ? s : chosen;
         most--;
@@ -482,13 +502,14 @@
   private boolean crowded(ServerState s) {
     // A spill is a fetch: reports pass nobody where the origin has no room for it.
     boolean full =
-        origin.slowness.now < BUSY
-            && s.reported > REPORTED * (reportedLoad.mean + 1)
-            && now - s.reportedAt < REPORT_MEMORY * smoothing();
+        origin.slowness.value() < BUSY
+            && s.loadReport().busyRequests() > REPORTED * (reportedLoad.mean() + 1)
+            && s.loadReport().ageNanos(now) < REPORT_MEMORY * smoothing();
     double even = (double) LEAST_CAP / settings.routerCount();
-    double mean = aside ? 0 : all.settle(now, smoothing()) / ServerState.over(ring, shares);
+    double mean = aside ? 0 : all.smoothed(now, smoothing()) / shares.serversInUse(ring);
     return full
-        || (s.inFlight > 0 && s.settle(now, smoothing()) > (1 + epsilon) * Math.max(even, mean));
+        || (s.load().inFlight() > 0
+            && s.load().smoothed(now, smoothing()) > (1 + epsilon) * Math.max(even, mean));
   }
 
   /**
@@ -499,20 +520,26 @@
   private int spread(RequestState r) {
     int most = Math.min(ring.size(), settings.routerCount() / LEAST_CAP);
     double fills = aside ? HOT_FILLS_ASIDE : HOT_FILLS;
-    return Math.max(1, Math.min(most, (int) Math.ceil(r.keyPart / fills * ring.size())));
+    return Math.max(1, Math.min(most, (int) Math.ceil(r.keyShare() / fills * ring.size())));
   }
 
   /**
    * Whether to try a cache that lately gave no connection; a further attempt has no time for that.
    */
   private boolean mayDial(RequestState r) {
-    return r.attempts.isEmpty()
+    return r.attempts().isEmpty()
         ? dialsFailing == 0 || random.nextDouble() >= dialsFailing * dialsFailing
         : dialsFailing < NEWEST;
   }
 
+  /** 1 if only the first is in the router's own zone, -1 if only the other is, else 0. */
+  private int nearer(ServerState s, ServerState other) {
+    int place = aside ? settings.zone() : -1;
+    return (s.zone() == place ? 1 : 0) - (other.zone() == place ? 1 : 0);
+  }
+
   private double smoothing() {
-    return SMOOTHING * (answerTime.mean + 1);
+    return SMOOTHING * (answerTime.mean() + 1);
   }
 
   /**
@@ -528,20 +555,21 @@
    */
   private void buildRing() {
     // The power of two nearest the mean rating: a change of members seldom moves it.
-    double mean = ring.stream().mapToDouble(s -> s.rating).average().orElse(1);
+    double mean = ring.stream().mapToDouble(ServerState::rating).average().orElse(1);
     double unit = Math.pow(2, Math.rint(Math.log(mean) / Math.log(2)));
     long[] all = new long[4 * POINTS * ring.size()];
     int at = 0;
     for (int i = 0; i < ring.size(); i++) {
-      double pace = Math.pow(2, (double) paceStep(ring.get(i).kind) / PACE_STEPS);
-      double size = ring.get(i).rating / unit / pace;
+      double pace = Math.pow(2, (double) paceStep(ring.get(i).kind()) / PACE_STEPS);
+      double size = ring.get(i).rating() / unit / pace;
       long count = Math.round(POINTS * Math.max(0.25, Math.min(4, size)));
       for (int k = 0; k < count; k++) {
-        all[at++] = (KeyHash.mix(ring.get(i).id * 4099 + k) & -0x10000L) | i;
+        all[at++] = (KeyHash.mix(ring.get(i).id() * 4099 + k) & -0x10000L) | i;
       }
     }
     points = Arrays.copyOf(all, at);
     Arrays.sort(points);
+    seenInWalk = new long[ring.size()];
   }
 
   /**
@@ -549,7 +577,7 @@
    * not their speed. In steps, so that routers which learn apart place nearly all points alike.
    */
   private int paceStep(int kind) {
-    double taken = paces.size() < 2 || !paces.containsKey(kind) ? 1 : paces.get(kind).now;
+    double taken = paces.size() < 2 || !paces.containsKey(kind) ? 1 : paces.get(kind).value();
     return (int) Math.rint(PACE_STEPS * Math.log(taken) / Math.log(2));
   }
 
@@ -565,8 +593,10 @@
   // ---- health: a sick cache is passed over but for a trickle
 
   private boolean passedOver(ServerState s, RequestState r) {
-    return s.ejected
-        && (now < s.trialAt || s.inFlight > 0 || r.type.idempotency() != Idempotency.IDEMPOTENT);
+    return s.outlier().ejected
+        && (now < s.outlier().trialAtNanos
+            || s.load().inFlight() > 0
+            || r.type().idempotency() != Idempotency.IDEMPOTENT);
   }
 
   /**
@@ -575,31 +605,34 @@
    * less.
    */
   private void judge(ServerState s, boolean bad) {
-    s.sick += weight(NEWEST, s.judgedAt) * ((bad ? 1 : 0) - s.sick);
+    s.outlier().badShare +=
+        weight(NEWEST, s.outlier().sampledAtNanos) * ((bad ? 1 : 0) - s.outlier().badShare);
     fleetSick += weight(NEWEST / Math.max(1, ring.size()), judgedAt) * ((bad ? 1 : 0) - fleetSick);
-    s.judgedAt = now;
+    s.outlier().sampledAtNanos = now;
     judgedAt = now;
-    if (s.ejected && bad) {
-      s.trialGap = Math.min(2 * s.trialGap, LONGEST_TRIAL);
-    } else if (s.ejected) {
-      s.sick /= 2;
-      s.trialGap = TRIAL_AFTER;
+    if (s.outlier().ejected && bad) {
+      s.outlier().trialGapAnswerTimes =
+          Math.min(2 * s.outlier().trialGapAnswerTimes, LONGEST_TRIAL);
+    } else if (s.outlier().ejected) {
+      s.outlier().badShare /= 2;
+      s.outlier().trialGapAnswerTimes = TRIAL_AFTER;
     }
-    boolean sick = s.sick > (s.ejected ? SICK / 2 : SICK + fleetSick);
+    boolean sick = s.outlier().badShare > (s.outlier().ejected ? SICK / 2 : SICK + fleetSick);
     if (sick
-        && !s.ejected
-        && ring.stream().filter(c -> c.ejected).count() + 1
+        && !s.outlier().ejected
+        && ring.stream().filter(c -> c.outlier().ejected).count() + 1
             > Math.max(1, ring.size() * MOST_EJECTED)) {
       return;
     }
-    s.trialGap = sick == s.ejected ? s.trialGap : TRIAL_AFTER;
-    s.ejected = sick;
-    s.trialAt = now + (long) (s.trialGap * answerTime.mean);
+    s.outlier().trialGapAnswerTimes =
+        sick == s.outlier().ejected ? s.outlier().trialGapAnswerTimes : TRIAL_AFTER;
+    s.outlier().ejected = sick;
+    s.outlier().trialAtNanos = now + (long) (s.outlier().trialGapAnswerTimes * answerTime.mean());
   }
 
   private double weight(double least, long before) {
-    double gap = before == 0 || !answerTime.any ? 0 : now - before;
-    return Math.max(least, gap / (gap + LONGEST_TRIAL * (answerTime.mean + 1)));
+    double gap = before == 0 || !answerTime.hasSamples() ? 0 : now - before;
+    return Math.max(least, gap / (gap + LONGEST_TRIAL * (answerTime.mean() + 1)));
   }
 
   // ---- cold starts: a freshly started cache gets no more than its guaranteed share
@@ -607,7 +640,9 @@
   /** Part of its capacity that a cache has for certain: an even rise from the cold share. */
   private double warmth(ServerState s) {
     double age =
-        s.warmsSince() == 0 ? 1 : Math.max(0, now - s.warmsSince()) / (double) rules.warmUpNanos();
+        s.warmsUpSinceNanos() == 0
+            ? 1
+            : Math.max(0, now - s.warmsUpSinceNanos()) / (double) rules.warmUpNanos();
     return age >= 1 ? 1 : rules.coldCapacityShare() + (1 - rules.coldCapacityShare()) * age;
   }
 
@@ -622,10 +657,11 @@
     if (warmth >= 1) {
       return true;
     }
-    double peers = answers.peakPerNano(now) / ring.size();
+    double peers = answers.cautiousPeakPerNano(now) / ring.size();
     double perNano = COLD_SAFETY * rules.overloadMultiple() * warmth * peers;
-    s.cold.fill(now, perNano, Math.max(1, perNano * rules.overloadNanos() / 4), random);
-    return s.cold.tokens >= 1;
+    s.slowStartBudget()
+        .refill(now, perNano, Math.max(1, perNano * rules.overloadNanos() / 4), random);
+    return s.slowStartBudget().hasToken();
   }
 
   // ---- attempts, retries and hedges
@@ -635,28 +671,31 @@
    * allowed.
    */
   private boolean legal(RequestState r, ServerState s) {
-    return !r.done
-        && !r.streaming
-        && s.usable()
-        && now < r.deadline
-        && r.attempts.size() < may.maxAttempts()
-        && (may.hedging() || !r.anyOpen())
+    return !r.isDone()
+        && !r.isStreaming()
+        && s.isUsable()
+        && now < r.deadlineNanos()
+        && r.attempts().size() < may.maxAttempts()
+        && (may.hedging() || !r.hasOpenAttempt())
         && repeatAllowed(r, s);
   }
 
   private boolean repeatAllowed(RequestState r, ServerState s) {
-    AttemptState first = r.firstMaybeRun();
-    if (first == null || r.type.idempotency() == Idempotency.IDEMPOTENT) {
+    AttemptState first = r.firstWithPossibleEffect();
+    if (first == null || r.type().idempotency() == Idempotency.IDEMPOTENT) {
       return true;
     }
     // A repeat is written once its connection is up, and its router may be held up just before.
     long writtenBy = now + may.connectTimeoutNanos() + LONGEST_HOLD_UP;
-    if (r.type.idempotency() == Idempotency.NON_IDEMPOTENT
-        || writtenBy - first.sentAt >= r.type.deduplicationWindowNanos()) {
+    if (r.type().idempotency() == Idempotency.NON_IDEMPOTENT
+        || writtenBy - first.sentAtNanos() >= r.type().deduplicationWindowNanos()) {
       return false;
     }
-    return r.attempts.stream()
-        .allMatch(a -> a.neverRan || a.server.sameGroup(r.type.deduplicationScope(), s));
+    return r.attempts().stream()
+        .allMatch(
+            a ->
+                a.isProvenWithoutEffect()
+                    || a.server().deduplicatesWith(s, r.type().deduplicationScope()));
   }
 
   private void send(RequestState r, ServerState s, boolean fetches) {
@@ -665,24 +704,23 @@
       return;
     }
     AttemptState a = new AttemptState(s, now, !isOrigin(s), fetches);
-    a.dials = now >= s.openUntil;
-    r.attempts.add(a);
-    r.queued = false;
-    s.load(1, now, smoothing());
+    r.attempts().add(a);
+    r.queued(false);
+    s.load().change(1, now, smoothing());
     origin.inFlight += fetches ? 1 : 0;
-    out.send(r.id, s.id, Math.max(now + 1, r.due) - now);
-    if (!a.onRing) {
+    out.send(r.id(), s.id(), Math.max(now + 1, r.dueNanos()) - now);
+    if (!a.toCache()) {
       return;
     }
     caches.inFlight++;
-    all.load(1, now, smoothing());
-    s.cold.tokens -= 1;
+    all.change(1, now, smoothing());
+    s.slowStartBudget().take();
     // Where a late attempt is given up for another, what it waited is lost: not before half of its
     // aim.
-    long least = aside && !may.hedging() ? r.type.latencyObjectiveNanos() / 2 : 0;
+    long least = aside && !may.hedging() ? r.type().latencyObjectiveNanos() / 2 : 0;
     long lateAfter = Math.max(least, lateAfter(r, fetches));
-    if (now + lateAfter < r.due) {
-      out.timer(lateAfter, r.id << 8 | (r.attempts.size() - 1) << 2 | LATE);
+    if (now + lateAfter < r.dueNanos()) {
+      out.timer(lateAfter, r.id() << 8 | (r.attempts().size() - 1) << 2 | LATE);
     }
   }
 
@@ -698,50 +736,50 @@
   }
 
   private void cacheClosed(RequestState r, AttemptState a, RoutingEvent.AttemptClosed e) {
-    all.load(-1, now, smoothing());
+    all.change(-1, now, smoothing());
     AttemptOutcome ending = e.outcome();
     boolean answered = ending == AttemptOutcome.OK || ending == AttemptOutcome.MISS;
     learnOfDials(a, ending);
     if (ending.endedLocally()) {
       return;
     }
-    failures.closed(r.key, a.server.id, ending);
+    failures.attemptEnded(r.key(), a.server().id(), ending);
     if (answered) {
       answers.count(now);
     }
     boolean missed = e.cacheStatus() == CacheStatus.MISS && !aside;
     // The fetch was presumed; a hit says there was none. At many routers most hits are on keys new
     // here.
-    boolean fetched = missed || (a.fetches && e.cacheStatus() != CacheStatus.HIT);
+    boolean fetched = missed || (a.fetchesFromOrigin() && e.cacheStatus() != CacheStatus.HIT);
     boolean late = e.elapsedNanos() > lateAfter(r, fetched);
     if (loadField >= 0 && loadField < e.loadReport().length) {
-      a.server.reported = e.loadReport()[loadField];
-      a.server.reportedAt = now;
-      reportedLoad.add(a.server.reported);
+      a.server().loadReport().report(e.loadReport()[loadField], now);
+      reportedLoad.add(e.loadReport()[loadField]);
     }
-    if (ending == AttemptOutcome.OK && !r.write && !aside) {
-      held.answered(r.key, a.server.id, missed, now);
+    if (ending == AttemptOutcome.OK && !r.isWrite() && !aside) {
+      held.answered(r.key(), a.server().id(), missed, now);
     }
     if (ending == AttemptOutcome.OK && !fetched) {
-      MovingAverage usual = answerTimes[r.classIndex];
-      if (usual.any && aside) {
-        paced(a.server.kind, e.elapsedNanos() / usual.mean);
+      MovingAverage usual = answerTimes[r.classIndex()];
+      if (usual.hasSamples() && aside) {
+        paced(a.server().kind(), e.elapsedNanos() / usual.mean());
       }
       usual.add(e.elapsedNanos());
       answerTime.add(e.elapsedNanos());
     }
-    if (!failures.explain(r.key, ending) && (!a.judged || (answered && fetched && !late))) {
-      judge(a.server, !answered || late);
+    if (!failures.explains(r.key(), ending)
+        && (!a.isCountedLate() || (answered && fetched && !late))) {
+      judge(a.server(), !answered || late);
     }
     // Where no second copy may race it, what is lost on its way ends as a time-out: no sign of a
     // crowd.
     boolean lost = ending == AttemptOutcome.TIMEOUT && !may.hedging();
-    if (!fetched && !a.server.ejected && !lost) {
+    if (!fetched && !a.server().outlier().ejected && !lost) {
       caches.observe(
           ending == AttemptOutcome.REJECTED
               ? 1
-              : e.elapsedNanos() / (double) r.type.latencyObjectiveNanos(),
-          answerTime.mean,
+              : e.elapsedNanos() / (double) r.type().latencyObjectiveNanos(),
+          answerTime.mean(),
           Math.max(1, ring.size()) / (double) settings.routerCount());
     }
   }
@@ -749,14 +787,13 @@
   /** Whether connections can be had: from this cache, and from any at all on this machine. */
   private void learnOfDials(AttemptState a, AttemptOutcome ending) {
     boolean refused = ending == AttemptOutcome.CONNECT_FAILED || ending == AttemptOutcome.NOT_SENT;
-    if (refused || (a.dials && !ending.endedLocally())) {
+    if (refused || (a.needsConnection() && !ending.endedLocally())) {
       dialsFailing += NEWEST * ((refused ? 1 : 0) - dialsFailing);
     }
     if (refused) {
-      a.server.dialFailedAt = now;
-      a.server.openUntil = 0;
+      a.server().connection().failed(now);
     } else if (ending.serverResponded()) {
-      a.server.openUntil = now + may.connectionIdleNanos();
+      a.server().connection().answered(now + may.connectionIdleNanos());
     }
   }
 
@@ -765,11 +802,11 @@
    * known.
    */
   private long lateAfter(RequestState r, boolean fetches) {
-    MovingAverage times = fetches ? fetchTime : answerTimes[r.classIndex];
-    double usual = times.mean * Math.max(1, r.size);
-    return times.any
-        ? (long) (usual + LATE_DEVIATIONS * times.deviation)
-        : r.type.latencyObjectiveNanos();
+    MovingAverage times = fetches ? fetchTime : answerTimes[r.classIndex()];
+    double usual = times.mean() * Math.max(1, r.workRatio());
+    return times.hasSamples()
+        ? (long) (usual + LATE_DEVIATIONS * times.deviation())
+        : r.type().latencyObjectiveNanos();
   }
 
   /**
@@ -777,15 +814,15 @@
    * late.
    */
   private void late(RequestState r, AttemptState a) {
-    if (!a.open || r.streaming) {
+    if (!a.isOpen() || r.isStreaming()) {
       return;
     }
-    a.judged = true;
-    judge(a.server, true);
+    a.countLate();
+    judge(a.server(), true);
     if (!furtherAttemptEarned()
-        || r.openCount() > 1
-        || r.type.idempotency() == Idempotency.NON_IDEMPOTENT
-        || (a.fetches && !a.unheard())) {
+        || r.openAttempts() > 1
+        || r.type().idempotency() == Idempotency.NON_IDEMPOTENT
+        || (a.fetchesFromOrigin() && !a.isServerSilentSince())) {
       return;
     }
     ServerState s = may.hedging() ? pick(r) : null;
@@ -795,7 +832,7 @@
     } else if (!may.hedging() && may.cancel() && aside) {
       // Not where caches fetch: they go on with what is called off, and the work would be done
       // twice.
-      r.moves = true;
+      r.moving(true);
       cancelOpen(r, -1);
     }
   }
@@ -809,10 +846,10 @@
 
   private void retry(RequestState r, AttemptState a) {
     // A key that fails wherever it goes takes no further cache with it.
-    if (!a.onRing
-        || failures.fail(r.key)
+    if (!a.toCache()
+        || failures.isKeyAtFault(r.key())
         || !furtherAttemptEarned()
-        || r.due - now <= answerTimes[r.classIndex].mean) {
+        || r.dueNanos() - now <= answerTimes[r.classIndex()].mean()) {
       giveUp(r, GiveUpReason.RETRY_NOT_EARNED);
       return;
     }
@@ -822,18 +859,18 @@
 
   /** The one place where a request is given up: refused where a repeat is harmless, else failed. */
   private void giveUp(RequestState r, GiveUpReason why) {
-    if (r.done) {
+    if (r.isDone()) {
       return;
     }
     boolean harmless =
-        r.type.idempotency() == Idempotency.IDEMPOTENT
-            || r.firstMaybeRun() == null
-            || (r.type.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                && r.type.deduplicationScope() == DeduplicationScope.ALL);
+        r.type().idempotency() == Idempotency.IDEMPOTENT
+            || r.firstWithPossibleEffect() == null
+            || (r.type().idempotency() == Idempotency.IDEMPOTENCY_KEY
+                && r.type().deduplicationScope() == DeduplicationScope.ALL);
     if (harmless) {
-      out.refuse(r.id, may.retryAfter() ? retryAfter(r) : 0, why);
+      out.refuse(r.id(), may.retryAfter() ? retryAfter(r) : 0, why);
     } else {
-      out.fail(r.id, why);
+      out.fail(r.id(), why);
     }
     conclude(r, false);
   }
@@ -842,25 +879,25 @@
    * The request is over; what it still has out is called off and those waiting for its key go on.
    */
   private void conclude(RequestState r, boolean answered) {
-    if (r.done) {
+    if (r.isDone()) {
       return;
     }
-    r.done = true;
+    r.finish();
     if (!answered) {
-      givenUp.put(r.ask, r.aimEnds);
+      givenUp.put(r.logicalRequest(), r.objectiveEndsNanos());
     }
     cancelOpen(r, -1);
     fetchQueue.remove(r);
     land(r, answered);
-    if (!r.anyOpen()) {
-      requests.remove(r.id);
+    if (!r.hasOpenAttempt()) {
+      requests.remove(r.id());
     }
   }
 
   private void cancelOpen(RequestState r, int except) {
-    for (int i = 0; may.cancel() && i < r.attempts.size(); i++) {
-      if (r.attempts.get(i).open && i != except) {
-        out.cancel(r.id, i);
+    for (int i = 0; may.cancel() && i < r.attempts().size(); i++) {
+      if (r.attempts().get(i).isOpen() && i != except) {
+        out.cancel(r.id(), i);
       }
     }
   }
@@ -872,52 +909,53 @@
    */
   private boolean willFetch(RequestState r, ServerState s) {
     return !aside
-        && (r.write || (settings.origin().reportsCacheHits() && !held.holds(r.key, s.id, now)));
+        && (r.isWrite()
+            || (settings.origin().reportsCacheHits() && !held.isCached(r.key(), s.id(), now)));
   }
 
   /** The first request for a key that is not held asks the origin, later ones wait until it is. */
   private void fetch(RequestState r, ServerState cache) {
-    if (r.key != 0 && !r.write && r.flight == null) {
-      OriginFetch flight = flights.get(r.key);
+    if (r.key() != 0 && !r.isWrite() && r.originFetch() == null) {
+      OriginFetch flight = flights.get(r.key());
       if (flight != null) {
         await(r, flight);
         return;
       }
-      r.flight = new OriginFetch();
-      flights.put(r.key, r.flight);
+      r.originFetch(new OriginFetch());
+      flights.put(r.key(), r.originFetch());
     }
     askOrigin(r, cache);
   }
 
   private void await(RequestState r, OriginFetch flight) {
-    r.flight = flight;
-    flight.waiting.add(r);
+    r.originFetch(flight);
+    flight.waiting().add(r);
     hold(r);
   }
 
   /** Holds a request for at most half the time it has left, so that a refusal is still of use. */
   private void hold(RequestState r) {
-    r.queued = true;
-    out.timer((r.deadline - now) / 2, r.id << 8 | PATIENCE);
+    r.queued(true);
+    out.timer((r.deadlineNanos() - now) / 2, r.id() << 8 | PATIENCE);
   }
 
   /** A fetch is over: its cache now has the object, or else the next in line fetches. */
   private void land(RequestState r, boolean answered) {
-    OriginFetch flight = r.flight;
-    r.flight = null;
-    if (flight == null || flight.waiting.remove(r)) {
+    OriginFetch flight = r.originFetch();
+    r.originFetch(null);
+    if (flight == null || flight.waiting().remove(r)) {
       return;
     }
-    flights.remove(r.key);
-    flight.waiting.forEach(w -> w.flight = null);
-    for (RequestState w : flight.waiting) {
-      ServerState s = r.missedAt;
+    flights.remove(r.key());
+    flight.waiting().forEach(w -> w.originFetch(null));
+    for (RequestState w : flight.waiting()) {
+      ServerState s = r.missedAt();
       if (!answered) {
         refetch(w);
       } else if (s != null
           && legal(w, s)
           && coldBudgetLeft(s)
-          && s.inFlight < cap(all.inFlight, ring.size(), epsilon)) {
+          && s.load().inFlight() < cap(all.inFlight(), ring.size(), epsilon)) {
         send(w, s, false);
       } else {
         askCache(w);
@@ -942,12 +980,12 @@
     for (int i = 0; cache == null && i < origins.size(); i++) {
       s = ServerState.lessLoaded(s, origins.get(i));
     }
-    long halfOfTimeLeft = (r.deadline - now) / 2;
+    long halfOfTimeLeft = (r.deadlineNanos() - now) / 2;
     if (s == null || noRoomToSpare(r, origin)) {
       giveUp(r, s == null ? GiveUpReason.NO_SERVER : GiveUpReason.OVERLOADED);
     } else if (origin.inFlight < origin.limit) {
       send(r, s, true);
-    } else if (fetchTime.mean * (fetchQueue.size() + 1) / origin.limit < halfOfTimeLeft) {
+    } else if (fetchTime.mean() * (fetchQueue.size() + 1) / origin.limit < halfOfTimeLeft) {
       fetchQueue.add(r);
       hold(r);
     } else {
@@ -960,8 +998,11 @@
     // What a cache did before it fetched says nothing of the origin: blaming that would lock the
     // gate.
     boolean cacheOnly =
-        a.onRing && (ending.provesNoEffect() || ending == AttemptOutcome.RESET || a.unheard());
-    if (ending.endedLocally() || a.server.ejected || cacheOnly) {
+        a.toCache()
+            && (ending.provesNoEffect()
+                || ending == AttemptOutcome.RESET
+                || a.isServerSilentSince());
+    if (ending.endedLocally() || a.server().outlier().ejected || cacheOnly) {
       return;
     }
     if (ending == AttemptOutcome.OK && e.cacheStatus() != CacheStatus.HIT) {
@@ -969,9 +1010,9 @@
     }
     double partOfAim =
         ending == AttemptOutcome.OK
-            ? e.elapsedNanos() / (double) r.type.latencyObjectiveNanos()
+            ? e.elapsedNanos() / (double) r.type().latencyObjectiveNanos()
             : 1;
-    origin.observe(partOfAim, fetchTime.mean, 1);
+    origin.observe(partOfAim, fetchTime.mean(), 1);
   }
 
   private void releaseFetches() {
@@ -984,7 +1025,7 @@
   }
 
   private boolean isOrigin(ServerState s) {
-    return aside && s.kind == settings.origin().kind();
+    return aside && s.kind() == settings.origin().kind();
   }
 
   // ---- admission: what is worth least goes first, and only when it is crowded
@@ -993,8 +1034,8 @@
    * Part of the highest worth that the request stands for; 1 for the best, little beyond a quota.
    */
   private double value(RequestState r) {
-    return r.type.priorityWeight()
-        * (r.overQuota ? settings.overQuotaPriorityWeight() : 1)
+    return r.type().priorityWeight()
+        * (r.isOverQuota() ? settings.overQuotaPriorityWeight() : 1)
         / highestWorth;
   }
 
@@ -1004,7 +1045,7 @@
   }
 
   private boolean noRoomToSpare(RequestState r, Gate gate) {
-    return r.overQuota && !gate.below(gate.spare);
+    return r.isOverQuota() && !gate.below(gate.spare);
   }
 
   /**
@@ -1019,9 +1060,9 @@
     arrivals.count(now);
     tenantArrivals[index].count(now);
     double perSecond = tenant.quotaPerSecond() / settings.routerCount();
-    quotas[index].fill(now, perSecond / 1e9, Math.max(1, perSecond), random);
-    if (quotas[index].tokens >= 1) {
-      quotas[index].tokens--;
+    quotas[index].refill(now, perSecond / 1e9, Math.max(1, perSecond), random);
+    if (quotas[index].hasToken()) {
+      quotas[index].take();
       return false;
     }
     return tenantArrivals[index].perNano(now)
@@ -1030,8 +1071,8 @@
 
   /** Beyond a quota: as long as clients listen; else soon enough for the aim, spread by chance. */
   private long retryAfter(RequestState r) {
-    long soon = (long) (r.type.latencyObjectiveNanos() * (0.2 + 0.2 * random.nextDouble()));
-    return r.overQuota ? may.maxRetryAfterNanos() : Math.min(may.maxRetryAfterNanos(), soon);
+    long soon = (long) (r.type().latencyObjectiveNanos() * (0.2 + 0.2 * random.nextDouble()));
+    return r.isOverQuota() ? may.maxRetryAfterNanos() : Math.min(may.maxRetryAfterNanos(), soon);
   }
 
   // ---- discovery: the list decides who is on the ring
@@ -1044,7 +1085,7 @@
       return;
     }
     if (list.kind() != EndpointListKind.DELTA) {
-      servers.values().forEach(s -> s.unlisted(rules.removalIsAdvisory()));
+      servers.values().forEach(s -> s.removedFromList(rules.removalIsAdvisory()));
     }
     watchBackoff = list.kind() == EndpointListKind.CACHED ? watchBackoff : firstListPause();
     list.endpoints()
@@ -1075,11 +1116,11 @@
 
   /** What is listed as ready has its place, but for what operators have left out. */
   private void place() {
-    servers.values().removeIf(ServerState::forgotten);
+    servers.values().removeIf(ServerState::isForgotten);
     ring.clear();
     origins.clear();
     servers.values().stream()
-        .filter(ServerState::usable)
+        .filter(ServerState::isUsable)
         .forEach(s -> (isOrigin(s) ? origins : ring).add(s));
     points = new long[0];
   }
@@ -1111,12 +1152,12 @@
     void observe(double partOfAim, double answerTime, double least) {
       slowness.add(partOfAim);
       boolean due = now - shrunkAt > answerTime;
-      boolean busy = slowness.now > BUSY;
+      boolean busy = slowness.value() > BUSY;
       spare = next(spare, busy, due, 1.0 / settings.routerCount(), 1 / spare);
       // Far from crowded it doubles a round: a short spell must not refuse for many times its
       // length.
       double step = busy || aside ? 1 / limit : 1;
-      limit = next(limit, slowness.now > crowded, due, least, step);
+      limit = next(limit, slowness.value() > crowded, due, least, step);
       shrunkAt = due && busy ? now : shrunkAt;
     }
 
--- a/src/main/java/beaconturn/decision/ServerState.java
+++ b/src/main/java/beaconturn/decision/ServerState.java
@@ -1,178 +1,158 @@
 package beaconturn.decision;
 
-import java.util.Collection;
-import java.util.SortedMap;
-import java.util.TreeMap;
-import java.util.function.Predicate;
-
-/** What a router knows of one cache or origin. */
+/**
+ * What a router knows of one cache or origin server: how the endpoint list and operators have it,
+ * and, in parts of its own, what the rules have found of it.
+ */
 final class ServerState {
-  final long id;
-  final TokenBucket cold;
-  int zone;
-  int cell;
-  int kind;
-  EndpointHealth health = EndpointHealth.GONE;
-  double rating;
-  private long listedBoot;
+  private final long id;
+  private final TokenBucket slowStartBudget;
+  private final ServerLoad load = new ServerLoad();
+  private final OutlierState outlier = new OutlierState();
+  private final ConnectionState connection = new ConnectionState();
+  private final LoadReport loadReport = new LoadReport();
+  private int zone;
+  private int cell;
+  private int kind;
+  private EndpointHealth health = EndpointHealth.GONE;
+  private double rating;
+  private long listedBootTimeNanos;
 
   /**
    * When it last started, as late as that can have been by the router's own clock; 0 for long ago.
    */
-  private long startedAt;
-
-  private long returnedAt;
-  private long outAt;
+  private long startedAtNanos;
 
-  /** Left out by an operator. */
-  boolean out;
+  /** When an operator brought it back into use; 0 where the endpoint list knows a later start. */
+  private long returnedAtNanos;
 
-  int inFlight;
-  double smoothLoad;
-  long settledAt;
+  private long excludedAtNanos;
+  private boolean excluded;
 
-  /** How many attempts the server has said something on. */
-  long heard;
+  /** Attempts on which the server has said something. */
+  private long responses;
 
   /** Whether the last attempt ended without a word of it. */
   private boolean silent;
 
-  /** Called gone by a list alone, which there is no proof. */
-  private boolean doubted;
-
-  double reported;
-  long reportedAt;
-
-  /** Until when a connection to it should be open, as long as nothing else closes it. */
-  long openUntil;
-
-  long dialFailedAt;
-  double sick;
-  long judgedAt;
-  boolean ejected;
-  double trialGap;
-  long trialAt;
-  long walk;
+  /** Removed by a list where a list alone does not bind, and not yet silent as well. */
+  private boolean removalUnconfirmed;
 
   ServerState(long id) {
     this(id, new TokenBucket());
   }
 
-  private ServerState(long id, TokenBucket cold) {
+  private ServerState(long id, TokenBucket slowStartBudget) {
     this.id = id;
-    this.cold = cold;
+    this.slowStartBudget = slowStartBudget;
   }
 
   /**
-   * The same server for a router with other settings; the cold budget is one for both while both
-   * send.
+   * The same server for a router with other settings. Both share the slow-start budget, because
+   * both send while the older one finishes its requests.
    */
   ServerState successor(boolean sameReports, boolean useRating) {
-    ServerState next = new ServerState(id, cold);
+    ServerState next = new ServerState(id, slowStartBudget);
     next.zone = zone;
     next.cell = cell;
     next.kind = kind;
     next.health = health;
     next.silent = silent;
-    next.doubted = doubted;
+    next.removalUnconfirmed = removalUnconfirmed;
     next.rating = useRating ? rating : 1;
-    next.listedBoot = listedBoot;
-    next.startedAt = startedAt;
-    next.returnedAt = returnedAt;
-    next.outAt = outAt;
-    next.out = out;
-    next.openUntil = openUntil;
-    next.dialFailedAt = dialFailedAt;
-    next.reported = sameReports ? reported : 0;
-    next.reportedAt = sameReports ? reportedAt : 0;
-    next.sick = sick;
-    next.judgedAt = judgedAt;
-    next.ejected = ejected;
-    next.trialGap = trialGap;
-    next.trialAt = trialAt;
+    next.listedBootTimeNanos = listedBootTimeNanos;
+    next.startedAtNanos = startedAtNanos;
+    next.returnedAtNanos = returnedAtNanos;
+    next.excludedAtNanos = excludedAtNanos;
+    next.excluded = excluded;
+    next.connection.copyFrom(connection);
+    next.outlier.copyFrom(outlier);
+    if (sameReports) {
+      next.loadReport.copyFrom(loadReport);
+    }
     return next;
   }
 
-  /** Counts requests in flight up or down; the smoothed load is brought up to now first. */
-  void load(int change, long now, double memory) {
-    settle(now, memory);
-    inFlight += change;
-  }
-
-  /** Brings the smoothed load up to now and returns it. */
-  double settle(long now, double memory) {
-    double passed = now - settledAt;
-    smoothLoad += (inFlight - smoothLoad) * passed / (passed + memory);
-    settledAt = now;
-    return smoothLoad;
-  }
-
-  /** Whether a connection to it was asked for in vain within the given time. */
-  boolean dialFails(long now, long memory) {
-    return dialFailedAt != 0 && now - dialFailedAt < memory;
-  }
-
   /**
-   * A list leaves it out, or calls it gone. Where that alone does not bind, lists are wrong at
-   * times: it then stays what it was until it is silent too.
+   * Takes over what an endpoint list says of it; a start that is new here counts as one at {@code
+   * startNanos}.
    */
-  void unlisted(boolean soft) {
-    doubted = soft && health == EndpointHealth.READY && !silent;
-    health = doubted ? health : EndpointHealth.GONE;
+  void update(Endpoint endpoint, boolean useRating, boolean removalIsAdvisory, long startNanos) {
+    if (endpoint.bootTimeNanos() != listedBootTimeNanos) {
+      restarted();
+      startedAtNanos = endpoint.bootTimeNanos() == 0 ? 0 : startNanos;
+    }
+    zone = endpoint.zone();
+    cell = endpoint.cell();
+    kind = endpoint.kind();
+    if (endpoint.health() == EndpointHealth.GONE) {
+      removedFromList(removalIsAdvisory);
+    } else {
+      health = endpoint.health();
+      removalUnconfirmed = false;
+    }
+    rating = useRating && endpoint.rating() > 0 ? endpoint.rating() : 1;
+    listedBootTimeNanos = endpoint.bootTimeNanos();
   }
 
   /**
-   * An attempt has ended; true if nothing more is to be sent to it, or remembered of it, for that.
+   * A list leaves it out, or calls it gone. Where that alone does not bind, lists are wrong at
+   * times: the server then stays what it was until it is silent as well.
    */
-  boolean closed(AttemptOutcome ending) {
-    heard += ending.serverResponded() ? 1 : 0;
-    silent = ending.endedLocally() ? silent : !ending.serverResponded();
-    health = doubted && silent ? EndpointHealth.GONE : health;
-    return (doubted && silent) || forgotten();
+  void removedFromList(boolean removalIsAdvisory) {
+    removalUnconfirmed = removalIsAdvisory && health == EndpointHealth.READY && !silent;
+    if (!removalUnconfirmed) {
+      health = EndpointHealth.GONE;
+    }
   }
 
   /**
-   * Takes over what a list tells of it; a start that is new here counts as one at {@code
-   * learnedAt}.
+   * An operator excludes it, or brings it back. A server that is back counts as started at that
+   * time, unless the list knows a start while it was excluded.
    */
-  void update(Endpoint e, boolean useRating, boolean soft, long learnedAt) {
-    if (e.bootTimeNanos() != listedBoot) {
+  void operatorOverride(boolean exclude, long atNanos) {
+    if (!exclude && (excluded || !isListed())) {
       restarted();
-      startedAt = e.bootTimeNanos() == 0 ? 0 : learnedAt;
+      returnedAtNanos = startedAtNanos > excludedAtNanos ? 0 : atNanos;
     }
-    zone = e.zone();
-    cell = e.cell();
-    kind = e.kind();
-    if (e.health() == EndpointHealth.GONE) {
-      unlisted(soft);
-    } else {
-      health = e.health();
-      doubted = false;
+    if (exclude && !excluded) {
+      excludedAtNanos = atNanos;
     }
-    rating = useRating && e.rating() > 0 ? e.rating() : 1;
-    listedBoot = e.bootTimeNanos();
+    excluded = exclude;
   }
 
   /**
-   * Left out, or used again: it then counts as started when the list says that it did while it was
-   * out, else at that time, also if the list does not know it yet.
+   * An attempt has ended; true if nothing more is to be sent to the server, or remembered of it,
+   * for that.
    */
-  void byHand(boolean leftOut, long at) {
-    if (!leftOut && (out || !listed())) {
-      restarted();
-      returnedAt = startedAt > outAt ? 0 : at;
+  boolean attemptEnded(AttemptOutcome outcome) {
+    if (outcome.serverResponded()) {
+      responses++;
     }
-    outAt = leftOut && !out ? at : outAt;
-    out = leftOut;
+    if (!outcome.endedLocally()) {
+      silent = !outcome.serverResponded();
+    }
+    boolean removalConfirmed = removalUnconfirmed && silent;
+    if (removalConfirmed) {
+      health = EndpointHealth.GONE;
+    }
+    return removalConfirmed || isForgotten();
+  }
+
+  /** Nothing that was learned of an earlier start holds any more. */
+  private void restarted() {
+    outlier.reset();
+    connection.forgetFailure();
+    slowStartBudget.reset();
   }
 
   /** Since when it warms up, by the list or by an operator who brought it back; 0 for long ago. */
-  long warmsSince() {
-    return Math.max(returnedAt, startedAt);
+  long warmsUpSinceNanos() {
+    return Math.max(returnedAtNanos, startedAtNanos);
   }
 
-  /** Whether the two discard repeats of each other's keyed requests, where that is the scope. */
-  boolean sameGroup(DeduplicationScope scope, ServerState other) {
+  /** Whether the two drop each other's repeats of a request with an idempotency key. */
+  boolean deduplicatesWith(ServerState other, DeduplicationScope scope) {
     return switch (scope) {
       case ALL -> true;
       case ZONE -> zone == other.zone;
@@ -180,63 +160,86 @@
     };
   }
 
+  boolean isListed() {
+    return health != EndpointHealth.GONE;
+  }
+
   /** Whether new requests may go to it. */
-  boolean usable() {
-    return health == EndpointHealth.READY && !out;
+  boolean isUsable() {
+    return health == EndpointHealth.READY && !excluded;
   }
 
-  /** How many of them get more than trials. */
-  static int over(Collection<ServerState> all, ZoneWeights shares) {
-    return shares.zones().isEmpty()
-        ? all.size()
-        : (int) Math.max(1, all.stream().filter(s -> shares.uses(s.zone)).count());
+  /**
+   * Whether nothing is to be remembered of it: what an operator excludes stays so when it is listed
+   * again.
+   */
+  boolean isForgotten() {
+    return !isListed() && load.inFlight() == 0 && !excluded && returnedAtNanos == 0;
   }
 
-  /** 1 if it is in the zone and the other is not, -1 the other way round, else 0. */
-  int nearer(ServerState other, int place) {
-    return (zone == place ? 1 : 0) - (other.zone == place ? 1 : 0);
+  /** How a router treats it now; {@code warmingUp} says whether it still warms up. */
+  ServerStatus status(boolean warmingUp) {
+    if (!isListed()) {
+      return ServerStatus.GONE;
+    }
+    if (excluded) {
+      return ServerStatus.EXCLUDED;
+    }
+    if (!isUsable()) {
+      return ServerStatus.DRAINING;
+    }
+    if (outlier.ejected) {
+      return ServerStatus.EJECTED;
+    }
+    return warmingUp ? ServerStatus.WARMING : ServerStatus.ACTIVE;
   }
 
-  static ServerState lessLoaded(ServerState a, ServerState b) {
-    return a == null || b.inFlight < a.inFlight ? b : a;
+  /** The one with fewer attempts in flight, the first of two alike; the first may be null. */
+  static ServerState lessLoaded(ServerState first, ServerState second) {
+    boolean secondIsLess = first == null || second.load.inFlight() < first.load.inFlight();
+    return secondIsLess ? second : first;
   }
 
-  /** What is made of these, by id; {@code cold} tells which still warm up. */
-  static RoutingView view(Collection<ServerState> all, Predicate<ServerState> cold) {
-    SortedMap<Long, ServerStatus> by = new TreeMap<>();
-    all.forEach(
-        s ->
-            by.put(
-                s.id,
-                !s.listed()
-                    ? ServerStatus.GONE
-                    : s.out
-                        ? ServerStatus.EXCLUDED
-                        : !s.usable()
-                            ? ServerStatus.DRAINING
-                            : s.ejected
-                                ? ServerStatus.EJECTED
-                                : cold.test(s) ? ServerStatus.WARMING : ServerStatus.ACTIVE));
-    return new RoutingView(by);
+  long id() {
+    return id;
   }
 
-  boolean listed() {
-    return health != EndpointHealth.GONE;
+  int zone() {
+    return zone;
   }
 
-  /**
-   * Whether nothing is to be remembered of it: what is out by hand stays so when it is listed
-   * again.
-   */
-  boolean forgotten() {
-    return !listed() && inFlight == 0 && !out && returnedAt == 0;
+  int kind() {
+    return kind;
   }
 
-  /** Nothing that was learned of it holds any more. */
-  private void restarted() {
-    sick = 0;
-    ejected = false;
-    dialFailedAt = 0;
-    cold.reset();
+  /** Its size against others; 1 where ratings are not used. */
+  double rating() {
+    return rating;
+  }
+
+  /** How many attempts it has said something on. */
+  long responses() {
+    return responses;
+  }
+
+  /** What it may get while it warms up; see {@link SlowStart}. */
+  TokenBucket slowStartBudget() {
+    return slowStartBudget;
+  }
+
+  ServerLoad load() {
+    return load;
+  }
+
+  OutlierState outlier() {
+    return outlier;
+  }
+
+  ConnectionState connection() {
+    return connection;
+  }
+
+  LoadReport loadReport() {
+    return loadReport;
   }
 }
--- a/src/main/java/beaconturn/decision/TokenBucket.java
+++ b/src/main/java/beaconturn/decision/TokenBucket.java
@@ -2,19 +2,36 @@
 
 import java.util.SplittableRandom;
 
-/** Tokens that trickle in up to a burst; a new bucket starts at a random part of one token. */
+/**
+ * A token bucket whose rate and burst are given at each refill. A new bucket starts with a random
+ * part of one token: whole first tokens of hundreds of routers would all be spent at once.
+ */
 final class TokenBucket {
-  double tokens;
+  private double tokens;
   private boolean started;
-  private long filledAt;
+  private long filledAtNanos;
 
-  void fill(long now, double perNano, double burst, SplittableRandom phase) {
-    tokens = started ? Math.min(burst, tokens + perNano * (now - filledAt)) : phase.nextDouble();
+  /** Adds what has come in since the last refill, up to the burst; the first one draws. */
+  void refill(long nowNanos, double tokensPerNano, double burstTokens, SplittableRandom random) {
+    if (started) {
+      tokens = Math.min(burstTokens, tokens + tokensPerNano * (nowNanos - filledAtNanos));
+    } else {
+      tokens = random.nextDouble();
+    }
     started = true;
-    filledAt = now;
+    filledAtNanos = nowNanos;
   }
 
-  /** Back to a new bucket. */
+  boolean hasToken() {
+    return tokens >= 1;
+  }
+
+  /** Takes a token whether or not there is one: the balance may become negative. */
+  void take() {
+    tokens--;
+  }
+
+  /** Makes it a new bucket again. */
   void reset() {
     started = false;
   }
