--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/BrokenRouter.java
@@ -18,7 +18,7 @@
 import beaconturn.decision.RoutingPolicy;
 import beaconturn.decision.RoutingSettings;
 import beaconturn.net.client.ClientConnection;
-import beaconturn.net.client.EndReason;
+import beaconturn.net.client.ConnectionContext;
 import beaconturn.protocol.Slice;
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
@@ -34,7 +34,7 @@
  * Routers with a defect each, put in on purpose: what watches over routers must name every one of
  * them.
  */
-public final class BrokenRouter implements RouterServer.Hosting {
+public final class BrokenRouter implements RouterCustomization {
   private static final int SOME = 15;
   private static final long TOO_LONG = 60_000_000_000L;
   private final Defect defect;
@@ -70,11 +70,12 @@
   /** A router with the defect; not started yet. */
   public static RouterServer of(Defect defect, RouterConfig config) throws IOException {
     return new RouterServer(
-        config, () -> config, new Lifecycle(), new BrokenRouter(defect), null, null);
+        new RouterInputs(
+            config, () -> config, new Lifecycle(), new BrokenRouter(defect), null, null));
   }
 
   @Override
-  public ClientConnection connection(SocketChannel client, ClientConnection.Site site) {
+  public ClientConnection connection(SocketChannel client, ConnectionContext site) {
     return switch (defect) {
       case ENDS_AT_REJECTION ->
           new ClientConnection(client, site) {
@@ -86,13 +87,13 @@
       case ENDS_OVER_COMMANDS ->
           new ClientConnection(client, site) {
             @Override
-            public long halfReadSince() {
+            public long partialCommandSinceNanos() {
               // Long ago, however soon it is.
-              return super.halfReadSince() - TOO_LONG;
+              return super.partialCommandSinceNanos() - TOO_LONG;
             }
 
             @Override
-            protected boolean mayEndOverCommand(EndReason reason) {
+            protected boolean mayEndOverCommand(boolean commandIsReason) {
               return true;
             }
           };
@@ -170,7 +171,7 @@
   }
 
   @Override
-  public RoutingEngine host(
+  public RoutingEngine engine(
       RouterConfig config, Clock clock, CacheServerClients fleet, EndpointDiscovery list) {
     RoutingSettings settings = config.settings().routing();
     return new RoutingEngine(
