--- a/src/main/java/beaconturn/sim/ActionWriter.java
+++ b/src/main/java/beaconturn/sim/ActionWriter.java
@@ -8,138 +8,167 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Collects the actions of one reply; each run of actions is headed by the instance that takes them.
+ * Writes the actions of one reply as records of the simulator's wire; each run of actions is headed
+ * by the instance that takes them.
  */
 final class ActionWriter {
-  private static final int LONGEST_TEXT = 400;
-  private ByteBuffer out = SimulatorCodec.little(new byte[1 << 16]);
+  private static final int INITIAL_CAPACITY_BYTES = 1 << 16;
+
+  /** The number of records and the number of bytes that follow, 4 bytes each. */
+  private static final int HEADER_BYTES = 8;
+
+  private static final int HEADER_RECORDS_OFFSET = 0;
+  private static final int HEADER_LENGTH_OFFSET = 4;
+
+  /** An instance record and the code of the next record. */
+  private static final int RECORD_START_BYTES = 6;
+
+  private static final int REQUEST_BYTES = 4;
+  private static final int SERVER_BYTES = 6;
+  private static final int ATTEMPT_BYTES = 2;
+  private static final int TIME_BYTES = 8;
+  private static final int TOKEN_BYTES = 8;
+  private static final int PEER_BYTES = 2;
+  private static final int LENGTH_BYTES = 2;
+  private static final int LONGEST_TEXT_BYTES = 400;
+  private static final int EVERY_PEER = 0xffff;
+  private static final int NO_INSTANCE = -1;
+
+  private ByteBuffer out = WireFields.littleEndian(new byte[INITIAL_CAPACITY_BYTES]);
   private int records;
-  private int current = -1;
+  private int currentInstance = NO_INSTANCE;
 
   /** Starts an empty reply. */
   void begin() {
     out.clear();
-    out.position(SimulatorCodec.REPLY_HEADER);
+    out.position(HEADER_BYTES);
     records = 0;
-    current = -1;
+    currentInstance = NO_INSTANCE;
   }
 
   /** Completes the reply's header and writes it out. */
   void finish(OutputStream to) throws IOException {
-    out.putInt(0, records);
-    out.putInt(4, out.position() - SimulatorCodec.REPLY_HEADER);
+    out.putInt(HEADER_RECORDS_OFFSET, records);
+    out.putInt(HEADER_LENGTH_OFFSET, out.position() - HEADER_BYTES);
     to.write(out.array(), 0, out.position());
     to.flush();
   }
 
-  /** The sink through which one instance acts. */
-  RoutingActions sink(int instance) {
-    return new Sink(instance);
+  /** The actions of one instance. */
+  RoutingActions actionsOf(int instance) {
+    return new InstanceActions(instance);
   }
 
   /** Reports that the instance's decisions failed. */
   void fault(int instance, String text) {
-    record(instance, SimulatorCodec.GIVE_IN, LONGEST_TEXT + 2);
-    text(text);
+    startRecord(instance, ActionCode.FAULT, LENGTH_BYTES + LONGEST_TEXT_BYTES);
+    putText(text);
   }
 
-  private void record(int instance, int code, int room) {
-    if (out.remaining() < room + 6) {
-      int size = Math.max(out.capacity() * 2, out.position() + room + 6);
-      ByteBuffer larger = SimulatorCodec.little(new byte[size]);
-      out.flip();
-      larger.put(out);
-      out = larger;
-    }
-    if (instance != current) {
-      out.put((byte) SimulatorCodec.AT).putInt(instance);
-      current = instance;
+  private void startRecord(int instance, int code, int bodyBytes) {
+    ensureRemaining(RECORD_START_BYTES + bodyBytes);
+    if (instance != currentInstance) {
+      out.put((byte) ActionCode.INSTANCE_SELECTED).putInt(instance);
+      currentInstance = instance;
       records++;
     }
     out.put((byte) code);
     records++;
   }
 
-  private void text(String text) {
+  private void ensureRemaining(int bytes) {
+    if (out.remaining() < bytes) {
+      int capacityBytes = Math.max(out.capacity() * 2, out.position() + bytes);
+      ByteBuffer larger = WireFields.littleEndian(new byte[capacityBytes]);
+      out.flip();
+      larger.put(out);
+      out = larger;
+    }
+  }
+
+  private void putText(String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    int length = Math.min(bytes.length, LONGEST_TEXT);
+    int length = Math.min(bytes.length, LONGEST_TEXT_BYTES);
     out.putShort((short) length).put(bytes, 0, length);
   }
 
-  private final class Sink implements RoutingActions {
+  private final class InstanceActions implements RoutingActions {
     private final int instance;
 
-    Sink(int instance) {
+    InstanceActions(int instance) {
       this.instance = instance;
     }
 
+    private ByteBuffer start(int code, int bodyBytes) {
+      startRecord(instance, code, bodyBytes);
+      return out;
+    }
+
     @Override
-    public void send(long request, long server, long allowFor) {
-      record(instance, SimulatorCodec.SEND, 18);
-      out.putInt((int) request);
-      SimulatorCodec.putServer(out, server);
-      out.putLong(allowFor);
+    public void send(long requestId, long serverId, long timeoutNanos) {
+      start(ActionCode.SEND, REQUEST_BYTES + SERVER_BYTES + TIME_BYTES).putInt((int) requestId);
+      WireFields.putServerId(out, serverId);
+      out.putLong(timeoutNanos);
     }
 
     @Override
-    public void cancel(long request, int attempt) {
-      record(instance, SimulatorCodec.WITHDRAW, 6);
-      out.putInt((int) request).putShort((short) attempt);
+    public void cancel(long requestId, int attempt) {
+      start(ActionCode.CANCEL, REQUEST_BYTES + ATTEMPT_BYTES)
+          .putInt((int) requestId)
+          .putShort((short) attempt);
     }
 
     @Override
-    public void refuse(long request, long retryAfter, GiveUpReason why) {
-      record(instance, SimulatorCodec.OVERLOAD_REPLY, 12);
-      out.putInt((int) request).putLong(retryAfter);
+    public void refuse(long requestId, long retryAfterNanos, GiveUpReason reason) {
+      start(ActionCode.REJECT, REQUEST_BYTES + TIME_BYTES)
+          .putInt((int) requestId)
+          .putLong(retryAfterNanos);
     }
 
     @Override
-    public void fail(long request, GiveUpReason why) {
-      record(instance, SimulatorCodec.GIVE_UP, 4);
-      out.putInt((int) request);
+    public void fail(long requestId, GiveUpReason reason) {
+      start(ActionCode.FAIL, REQUEST_BYTES).putInt((int) requestId);
     }
 
     @Override
-    public void timer(long delay, long token) {
-      record(instance, SimulatorCodec.REMIND, 16);
-      out.putLong(delay).putLong(token);
+    public void timer(long delayNanos, long token) {
+      start(ActionCode.SET_TIMER, TIME_BYTES + TOKEN_BYTES).putLong(delayNanos).putLong(token);
     }
 
     @Override
     public void watch(boolean on) {
-      record(instance, SimulatorCodec.STREAM_CHANGES, 1);
-      out.put((byte) (on ? 1 : 0));
+      start(ActionCode.WATCH_ENDPOINTS, 1).put((byte) (on ? 1 : 0));
     }
 
     @Override
     public void fetchList() {
-      record(instance, SimulatorCodec.SNAPSHOT, 0);
+      start(ActionCode.FETCH_ENDPOINTS, 0);
     }
 
     @Override
-    public void probe(long server) {
-      record(instance, SimulatorCodec.TEST, 6);
-      SimulatorCodec.putServer(out, server);
+    public void probe(long serverId) {
+      start(ActionCode.PROBE, SERVER_BYTES);
+      WireFields.putServerId(out, serverId);
     }
 
     @Override
     public void tell(int peer, byte[] body) {
-      record(instance, SimulatorCodec.SHARE, 4 + body.length);
-      out.putShort((short) (peer < 0 ? SimulatorCodec.EVERY_PEER : peer))
+      start(ActionCode.PEER_MESSAGE, PEER_BYTES + LENGTH_BYTES + body.length)
+          .putShort((short) (peer < 0 ? EVERY_PEER : peer))
           .putShort((short) body.length)
           .put(body);
     }
 
     @Override
-    public void closeIdle(long server) {
-      record(instance, SimulatorCodec.CLOSE, 6);
-      SimulatorCodec.putServer(out, server);
+    public void closeIdle(long serverId) {
+      start(ActionCode.CLOSE_IDLE, SERVER_BYTES);
+      WireFields.putServerId(out, serverId);
     }
 
     @Override
     public void log(String text) {
-      record(instance, SimulatorCodec.RECORD, LONGEST_TEXT + 2);
-      text(text);
+      start(ActionCode.LOG, LENGTH_BYTES + LONGEST_TEXT_BYTES);
+      putText(text);
     }
   }
 }
--- a/src/main/java/beaconturn/sim/SimulatorHost.java
+++ b/src/main/java/beaconturn/sim/SimulatorHost.java
@@ -12,19 +12,31 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads batches, hands each event to its instance, and answers every batch with one reply. */
+/**
+ * Hosts the routing policies of many simulated routers: reads batches of events, hands each event
+ * to its instance, and answers every batch with one reply. One thread calls.
+ */
 public final class SimulatorHost {
+  /** The time, the length of the records in bytes, and their number. */
+  private static final int HEADER_BYTES = 16;
+
+  private static final int HEADER_TIME_OFFSET = 0;
+  private static final int HEADER_LENGTH_OFFSET = 8;
+  private static final int HEADER_COUNT_OFFSET = 12;
+  private static final int INITIAL_CAPACITY_BYTES = 1 << 16;
+  private static final int NO_INSTANCE = -1;
+
   private final InputStream in;
   private final OutputStream out;
   private final ActionWriter reply = new ActionWriter();
   private final Map<Integer, Instance> instances = new HashMap<>();
-  private final byte[] headerBytes = new byte[SimulatorCodec.BATCH_HEADER];
-  private final ByteBuffer header = SimulatorCodec.little(headerBytes);
-  private byte[] body = new byte[1 << 16];
+  private final byte[] headerBytes = new byte[HEADER_BYTES];
+  private final ByteBuffer header = WireFields.littleEndian(headerBytes);
+  private byte[] body = new byte[INITIAL_CAPACITY_BYTES];
   private long batches;
 
-  /** One router's module with the settings it was started with. */
-  private record Instance(RoutingSettings settings, RoutingPolicy router) {}
+  /** One simulated router and the settings that it was started with. */
+  private record Instance(RoutingSettings settings, RoutingPolicy policy) {}
 
   /** A host on the given streams. */
   public SimulatorHost(InputStream in, OutputStream out) {
@@ -32,23 +44,30 @@
     this.out = out;
   }
 
-  /** Serves until the input ends between two frames. */
+  /**
+   * Serves until the input ends between two batches.
+   *
+   * @throws SimulatorProtocolException if the input does not follow the wire
+   */
   public void run() throws IOException, SimulatorProtocolException {
     while (readBatch()) {
       reply.begin();
-      batch(header.getLong(0), header.getInt(8), header.getInt(12));
+      handleBatch(
+          header.getLong(HEADER_TIME_OFFSET),
+          header.getInt(HEADER_LENGTH_OFFSET),
+          header.getInt(HEADER_COUNT_OFFSET));
       reply.finish(out);
       batches++;
     }
   }
 
   private boolean readBatch() throws IOException, SimulatorProtocolException {
-    int got = in.readNBytes(headerBytes, 0, SimulatorCodec.BATCH_HEADER);
-    if (got == 0) {
+    int read = in.readNBytes(headerBytes, 0, HEADER_BYTES);
+    if (read == 0) {
       return false;
     }
-    int length = header.getInt(8);
-    if (got < SimulatorCodec.BATCH_HEADER) {
+    int length = header.getInt(HEADER_LENGTH_OFFSET);
+    if (read < HEADER_BYTES) {
       throw new SimulatorProtocolException("batch " + batches + ": input ends inside the header");
     }
     if (length < 0) {
@@ -63,49 +82,43 @@
     return true;
   }
 
-  private void batch(long now, int length, int count) throws SimulatorProtocolException {
-    ByteBuffer records = SimulatorCodec.little(body);
+  private void handleBatch(long nowNanos, int length, int count) throws SimulatorProtocolException {
+    ByteBuffer records = WireFields.littleEndian(body);
     records.limit(length);
-    int instance = -1;
-    int at = 0;
+    int instance = NO_INSTANCE;
+    int recordStart = 0;
     try {
       for (int i = 0; i < count; i++) {
-        at = records.position();
-        int code = records.get() & 0xff;
-        if (code == SimulatorCodec.ON) {
+        recordStart = records.position();
+        int code = WireFields.unsignedByte(records);
+        if (code == EventCode.INSTANCE_SELECTED) {
           instance = records.getInt();
         } else {
-          event(now, instance, code, records);
+          handleRecord(nowNanos, instance, code, records);
         }
       }
-      at = records.position();
     } catch (BufferUnderflowException e) {
-      throw new SimulatorProtocolException(
-          "batch " + batches + ", byte " + at + ": record runs past the end");
+      throw malformed(recordStart, "record runs past the end");
     } catch (SimulatorProtocolException e) {
-      throw new SimulatorProtocolException(
-          "batch " + batches + ", byte " + at + ": " + e.getMessage());
+      throw malformed(recordStart, e.getMessage());
     }
     if (records.hasRemaining()) {
-      throw new SimulatorProtocolException(
-          "batch "
-              + batches
-              + ", byte "
-              + at
-              + ": "
-              + records.remaining()
-              + " bytes left after "
-              + count
-              + " records");
+      String rest = records.remaining() + " bytes left after " + count + " records";
+      throw malformed(records.position(), rest);
     }
   }
 
-  private void event(long now, int id, int code, ByteBuffer records)
+  private SimulatorProtocolException malformed(int position, String what) {
+    return new SimulatorProtocolException("batch " + batches + ", byte " + position + ": " + what);
+  }
+
+  private void handleRecord(long nowNanos, int id, int code, ByteBuffer records)
       throws SimulatorProtocolException {
-    if (code == SimulatorCodec.UP) {
-      SimulatorCodec.Up up = SimulatorCodec.up(records);
-      RoutingPolicy router = new RingRouter(up.settings(), up.seed(), now, reply.sink(id));
-      instances.put(id, new Instance(up.settings(), router));
+    if (code == EventCode.INSTANCE_STARTED) {
+      InstanceStart start = InstanceStart.read(records);
+      RoutingPolicy policy =
+          new RingRouter(start.settings(), start.seed(), nowNanos, reply.actionsOf(id));
+      instances.put(id, new Instance(start.settings(), policy));
       return;
     }
     Instance instance = instances.get(id);
@@ -113,19 +126,21 @@
       throw new SimulatorProtocolException(
           "event " + code + " for instance " + id + ", which is not up");
     }
-    if (code == SimulatorCodec.EXIT) {
+    if (code == EventCode.INSTANCE_STOPPED) {
       instances.remove(id);
       return;
     }
-    deliver(now, id, instance, SimulatorCodec.event(code, records, instance.settings()));
+    deliver(nowNanos, id, instance, SimulatorCodec.event(code, records, instance.settings()));
   }
 
-  private void deliver(long now, int id, Instance instance, RoutingEvent event) {
+  /** What fails in the policy ends one instance's event and not the host. */
+  private void deliver(long nowNanos, int id, Instance instance, RoutingEvent event) {
     try {
-      instance.router().handle(now, event);
+      instance.policy().handle(nowNanos, event);
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      reply.fault(id, "decision module: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
+      String place = trace.length > 0 ? " at " + trace[0] : "";
+      reply.fault(id, "decision module: " + e + place);
     }
   }
 }
