--- a/src/main/java/beaconturn/decision/DeduplicationScope.java
+++ b/src/main/java/beaconturn/decision/DeduplicationScope.java
@@ -1,8 +1,11 @@
 package beaconturn.decision;
 
-/** Which servers discard repeats of a keyed request. */
+/** Which servers drop each other's repeats of a request with an idempotency key. */
 public enum DeduplicationScope {
+  /** All servers. */
   ALL,
+  /** Servers of one zone. */
   ZONE,
+  /** Servers of one cell. */
   CELL
 }
--- /dev/null
+++ b/src/main/java/beaconturn/decision/EndpointWatch.java
@@ -0,0 +1,81 @@
+package beaconturn.decision;
+
+import java.util.SplittableRandom;
+
+/**
+ * The subscription to the endpoint list: when it is asked for again after a failure, and from when
+ * on the starts that lists tell count.
+ */
+final class EndpointWatch {
+  /**
+   * The longest pause before a list is asked for again. A change counts as notified 6 s after
+   * discovery can be reached: time for a call that hangs, this pause, and a call that waits for its
+   * turn, twice over.
+   */
+  private static final long LONGEST_PAUSE_NANOS = 1_200_000_000;
+
+  /** The first pause after a failure, as a part of the interval between polls. */
+  private static final int POLL_INTERVAL_DIVISOR = 16;
+
+  /** Wall clocks are corrected by no more than this. */
+  private static final long LARGEST_CLOCK_STEP_NANOS = 3_600_000_000_000L;
+
+  private final SafetyLimits limits;
+  private final EventClock clock;
+  private final SplittableRandom random;
+  private final RoutingActions actions;
+  private long backoffNanos;
+
+  /** Whether discovery itself has sent a list, beside the cached one at the start. */
+  private boolean listReceived;
+
+  EndpointWatch(
+      SafetyLimits limits, EventClock clock, SplittableRandom random, RoutingActions actions) {
+    this.limits = limits;
+    this.clock = clock;
+    this.random = random;
+    this.actions = actions;
+    this.backoffNanos = firstPauseNanos();
+  }
+
+  /** Goes on from the watch of the router that this one follows. */
+  void continueFrom(EndpointWatch before) {
+    listReceived = before.listReceived;
+  }
+
+  /** Asks for the list and its changes. */
+  void subscribe() {
+    actions.watch(true);
+  }
+
+  /** The list could not be had; it is asked for again after a pause that grows. Draws. */
+  void failed() {
+    long pauseNanos = (long) (backoffNanos * (0.5 + random.nextDouble() / 2));
+    backoffNanos = Math.min(2 * backoffNanos, LONGEST_PAUSE_NANOS);
+    actions.timer(pauseNanos, TimerToken.resubscribe().encode());
+  }
+
+  /** A list, or a change of it, was taken over. */
+  void received(EndpointListKind kind) {
+    if (kind != EndpointListKind.CACHED) {
+      backoffNanos = firstPauseNanos();
+      listReceived = true;
+    }
+  }
+
+  /**
+   * From when on a start that is new here counts, by the router's clock; 0 for long ago. Lists tell
+   * starts by a wall clock that may have been stepped since, or just before this router began; so
+   * it counts as one of now. Only in the first lists, which name all starts of the past, one is
+   * long ago that is older than any step and any time of warming up.
+   */
+  long startedAtNanos(Endpoint endpoint) {
+    long ageNanos = clock.nowNanos() - endpoint.bootTimeNanos();
+    boolean longAgo = !listReceived && ageNanos > LARGEST_CLOCK_STEP_NANOS + limits.warmUpNanos();
+    return longAgo ? 0 : clock.nowNanos();
+  }
+
+  private long firstPauseNanos() {
+    return Math.min(limits.pollIntervalNanos() / POLL_INTERVAL_DIVISOR, LONGEST_PAUSE_NANOS);
+  }
+}
--- a/src/main/java/beaconturn/decision/GiveUpReason.java
+++ b/src/main/java/beaconturn/decision/GiveUpReason.java
@@ -2,18 +2,20 @@
 
 /** Why a request is given up. */
 public enum GiveUpReason {
-  /** Its key has failed at several cache servers. */
+  /** Its key has failed at several caches; see {@link KeyFailures}. */
   FAILING_KEY,
   /** An answer could not come in time to be worth anything. */
   TOO_LATE,
-  /** Cache servers, or the origin, have all the work that they can do. */
+  /** Caches, or the origin, are at their limit; see {@link AdmissionController}. */
   OVERLOADED,
-  /** It has waited for room as long as it may. */
+  /** It was queued as long as it may be; see {@link OriginFetches}. */
   QUEUE_TIMEOUT,
-  /** No cache server may get it. */
+  /** No server may get it; see {@link ServerSelector}. */
   NO_SERVER,
-  /** A further attempt is not allowed to it. */
+  /** A further attempt is not allowed to it; see {@link AttemptGuard}. */
   NO_FURTHER_ATTEMPT,
-  /** A further attempt would cost others more than it is likely to help. */
+  /**
+   * A further attempt would cost others more than it is likely to help; see {@link RetryPolicy}.
+   */
   RETRY_NOT_EARNED
 }
--- /dev/null
+++ b/src/main/java/beaconturn/decision/LoadBounds.java
@@ -0,0 +1,61 @@
+package beaconturn.decision;
+
+/** Bounded loads: how much one cache may have in flight, and when it counts as full before that. */
+final class LoadBounds {
+  /** The cap never falls below this, so that few requests in flight do not scatter the keys. */
+  static final int MIN_CAP = 2;
+
+  /** A cache may hold this much more than the mean, a ratio; the article gives 0.15 to 0.25. */
+  private static final double EXCESS = 0.2;
+
+  /**
+   * The same where a cache fetches what it lacks: a request that goes past its cache holds its
+   * place there for a fetch, and sends more past it.
+   */
+  private static final double EXCESS_WHERE_CACHES_FETCH = 0.9;
+
+  private final RoutingSettings settings;
+  private final FleetLoad load;
+  private final LoadReports reports;
+  private final ConcurrencyLimit originLimit;
+  private final double excess;
+
+  LoadBounds(
+      RoutingSettings settings, FleetLoad load, LoadReports reports, ConcurrencyLimit originLimit) {
+    this.settings = settings;
+    this.load = load;
+    this.reports = reports;
+    this.originLimit = originLimit;
+    this.excess = settings.origin().aside() ? EXCESS : EXCESS_WHERE_CACHES_FETCH;
+  }
+
+  /** The most that one of so many caches may hold when one more request is sent. */
+  int cap(int servers) {
+    return cap(load.inFlightAtCaches(), servers, excess);
+  }
+
+  /**
+   * The most that a cache may hold when one more request joins {@code total} in flight on so many
+   * caches, and each may exceed the mean by the ratio {@code excess}.
+   */
+  static int cap(int total, int servers, double excess) {
+    double bound = (1 + excess) * (total + 1) / Math.max(1, servers);
+    return Math.max(MIN_CAP, (int) Math.ceil(bound));
+  }
+
+  /**
+   * Whether a cache below its cap counts as full all the same. The least cap lets many routers pile
+   * up twice their number on one home. So a cache whose smoothed load exceeds the bound on an even
+   * part of it gets one at a time; where going past it is a fetch, the bound is on the mean if that
+   * is more. One that said lately that it holds far more than others gets none.
+   */
+  boolean isFull(ServerState server, int servers) {
+    // Going past a cache is a fetch: reports pass nobody where the origin has no capacity for it.
+    boolean reportedFull =
+        originLimit.hasAmpleCapacity() && reports.isFarAboveMean(server, load.smoothingNanos());
+    double evenPart = (double) MIN_CAP / settings.routerCount();
+    double mean = settings.origin().aside() ? 0 : load.smoothedAtCaches() / servers;
+    double bound = (1 + excess) * Math.max(evenPart, mean);
+    return reportedFull || (server.load().inFlight() > 0 && load.smoothedAt(server) > bound);
+  }
+}
--- a/src/main/java/beaconturn/decision/OriginSettings.java
+++ b/src/main/java/beaconturn/decision/OriginSettings.java
@@ -1,8 +1,14 @@
 package beaconturn.decision;
 
 /**
- * Where the origin stands: {@code aside} misses go to servers of {@code kind}; else caches fetch,
- * and {@code tellsHits} says whether their answers tell that.
+ * Where the origin is, and how it is reached.
+ *
+ * @param aside whether the router itself asks the origin for what a cache lacks; else caches fetch
+ * @param kind the kind of servers that are origins, where the router asks them
+ * @param ordered whether answers come in the order of requests; no rule uses it
+ * @param reportsCacheHits whether answers of caches that fetch tell hits from misses
+ * @param overloadNanos the length of an overload of the origin; no rule uses it
+ * @param overloadMultiple the same in load; no rule uses it
  */
 public record OriginSettings(
     boolean aside,
--- a/src/main/java/beaconturn/decision/RequestClass.java
+++ b/src/main/java/beaconturn/decision/RequestClass.java
@@ -1,6 +1,16 @@
 package beaconturn.decision;
 
-/** One class of request; {@code window} is how long repeats of a keyed request are discarded. */
+/**
+ * One class of requests.
+ *
+ * @param deduplicationScope which servers drop each other's repeats, with an idempotency key
+ * @param deduplicationWindowNanos for how long they do
+ * @param latencyObjectiveNanos an answer after it is late
+ * @param deadlineNanos how long clients wait at the most
+ * @param priorityWeight what an answer in time counts
+ * @param latePriorityWeight what a late answer counts
+ * @param streamed whether answers go to the client as they come
+ */
 public record RequestClass(
     Idempotency idempotency,
     DeduplicationScope deduplicationScope,
@@ -9,4 +19,9 @@
     long deadlineNanos,
     double priorityWeight,
     double latePriorityWeight,
-    boolean streamed) {}
+    boolean streamed) {
+  /** Whether a late answer is worth nothing, and may be left out without harm. */
+  boolean isWorthlessLate() {
+    return latePriorityWeight <= 0 && idempotency == Idempotency.IDEMPOTENT;
+  }
+}
--- /dev/null
+++ b/src/main/java/beaconturn/decision/RequestCoordinator.java
@@ -0,0 +1,283 @@
+package beaconturn.decision;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * Takes each request from its arrival to its end: asks the rules at every step and carries out what
+ * they say. It holds the requests and decides nothing itself.
+ */
+final class RequestCoordinator implements RequestDispatcher {
+  /** Stands for no attempt. */
+  private static final int NONE = -1;
+
+  private final RoutingSettings settings;
+  private final RoutingActions actions;
+  private final RouterRules rules;
+  private final OriginFetches fetches;
+  private final boolean aside;
+  private final Map<Long, RequestState> requests = new LinkedHashMap<>();
+
+  RequestCoordinator(RoutingSettings settings, RoutingActions actions, RouterRules rules) {
+    this.settings = settings;
+    this.actions = actions;
+    this.rules = rules;
+    this.aside = settings.origin().aside();
+    this.fetches = new OriginFetches(settings, actions, rules, this);
+  }
+
+  // ---- events
+
+  void requestArrived(RoutingEvent.RequestArrived arrival) {
+    RequestState request = newRequest(arrival);
+    requests.put(request.id(), request);
+    rules.retries.requestArrived();
+    GiveUpReason rejection = rules.admission.rejection(request);
+    if (rejection != null) {
+      giveUp(request, rejection);
+    } else if (aside && request.isWrite()) {
+      fetches.askOrigin(request);
+    } else if (!fetches.joined(request)) {
+      sendToCache(request);
+    }
+  }
+
+  private RequestState newRequest(RoutingEvent.RequestArrived arrival) {
+    RequestClass type = settings.classes().get(arrival.requestClass());
+    long logicalRequest = rules.clientRetries.logicalRequest(arrival);
+    long objectiveEnds = rules.clientRetries.objectiveEndsNanos(arrival, type, logicalRequest);
+    long deadline = rules.clock.nowNanos() + arrival.remainingNanos();
+    // A cache that goes on with what is worth nothing is late for the next; not so where caches
+    // fetch.
+    boolean cutAtObjective = aside && type.isWorthlessLate();
+    long due = cutAtObjective ? Math.min(deadline, objectiveEnds) : deadline;
+    return new RequestState(
+        arrival,
+        type,
+        new RequestTimes(deadline, objectiveEnds, due),
+        logicalRequest,
+        rules.quotas.isBeyondQuota(arrival.tenant()),
+        rules.spread.requestArrived(arrival.key(), arrival.write()),
+        rules.times.workRatio(arrival.workHintNanos()));
+  }
+
+  void requestCancelled(RoutingEvent.RequestCancelled cancellation) {
+    RequestState request = requests.get(cancellation.requestId());
+    if (request != null) {
+      conclude(request, false);
+    }
+  }
+
+  /**
+   * What is left of the answer goes at the client's pace; a cache that fetches has the object by
+   * now.
+   */
+  void responseStarted(RoutingEvent.ResponseStarted start) {
+    RequestState request = requests.get(start.requestId());
+    if (request == null) {
+      return;
+    }
+    request.beginStreaming();
+    cancelOpenAttempts(request, start.attempt());
+    if (!aside) {
+      AttemptState attempt = request.attempts().get(start.attempt());
+      request.missedAt(attempt.server());
+      rules.admission.attemptServed(attempt);
+      fetches.fetchEnded(request, true);
+      fetches.sendQueued();
+    }
+  }
+
+  void attemptClosed(RoutingEvent.AttemptClosed end) {
+    RequestState request = requests.get(end.requestId());
+    if (request == null
+        || end.attempt() >= request.attempts().size()
+        || !request.attempts().get(end.attempt()).isOpen()) {
+      return;
+    }
+    AttemptState attempt = request.attempts().get(end.attempt());
+    attempt.close(end.outcome());
+    rules.admission.attemptServed(attempt);
+    rules.load.attemptEnded(attempt);
+    rules.registry.attemptEnded(attempt, end.outcome());
+    if (attempt.toCache()) {
+      rules.feedback.cacheAttemptEnded(request, attempt, end);
+    }
+    if (attempt.fetchesFromOrigin()) {
+      rules.feedback.fetchEnded(request, attempt, end);
+    }
+    continueAfter(request, attempt, end);
+    fetches.sendQueued();
+  }
+
+  void timerFired(TimerToken timer) {
+    RequestState request = requests.get(timer.requestId());
+    if (request == null || request.isDone()) {
+      return;
+    }
+    if (timer.kind() == TimerToken.Kind.ATTEMPT_LATE
+        && timer.attempt() < request.attempts().size()) {
+      attemptLate(request, request.attempts().get(timer.attempt()));
+    } else if (timer.kind() == TimerToken.Kind.QUEUE_TIMEOUT
+        && request.isQueued()
+        && !request.hasOpenAttempt()) {
+      giveUp(request, GiveUpReason.QUEUE_TIMEOUT);
+    }
+  }
+
+  // ---- steps of a request
+
+  private void continueAfter(
+      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed end) {
+    if (request.isDone()) {
+      if (!request.hasOpenAttempt()) {
+        requests.remove(request.id());
+      }
+    } else if (request.isMoving() && end.outcome() == AttemptOutcome.CANCELLED) {
+      request.moving(false);
+      retry(request, attempt);
+    } else if (end.requestClosed()) {
+      if (attempt.toCache() && !aside) {
+        request.missedAt(attempt.server());
+      }
+      conclude(request, end.outcome() == AttemptOutcome.OK);
+    } else {
+      continueUnanswered(request, attempt, end.outcome());
+    }
+  }
+
+  /** Decides what follows an attempt that did not end its request. */
+  private void continueUnanswered(
+      RequestState request, AttemptState attempt, AttemptOutcome outcome) {
+    if (rules.clock.nowNanos() >= request.dueNanos()) {
+      // An end that is handled a tick late may come when no time is left: to queue the request
+      // would lose it.
+      giveUp(request, GiveUpReason.TOO_LATE);
+    } else if (outcome == AttemptOutcome.MISS && attempt.toCache()) {
+      if (request.missedAt() == null) {
+        request.missedAt(attempt.server());
+      }
+      if (!request.hasOpenAttempt()) {
+        fetches.fetch(request, null);
+      }
+    } else if (!request.hasOpenAttempt() && !request.isQueued()) {
+      retry(request, attempt);
+    }
+  }
+
+  private void retry(RequestState request, AttemptState failed) {
+    if (!rules.retries.allowsRetry(request, failed)) {
+      giveUp(request, GiveUpReason.RETRY_NOT_EARNED);
+      return;
+    }
+    rules.retries.spend();
+    sendToCache(request);
+  }
+
+  private void attemptLate(RequestState request, AttemptState attempt) {
+    if (!attempt.isOpen() || request.isStreaming()) {
+      return;
+    }
+    rules.feedback.attemptLate(attempt);
+    HedgingPolicy.LateAction action = rules.hedging.actionWhenLate(request, attempt);
+    if (action == HedgingPolicy.LateAction.HEDGE) {
+      hedge(request);
+    } else if (action == HedgingPolicy.LateAction.MOVE) {
+      request.moving(true);
+      cancelOpenAttempts(request, NONE);
+    }
+  }
+
+  private void hedge(RequestState request) {
+    ServerState cache = rules.selector.select(request);
+    if (cache != null) {
+      rules.retries.spend();
+      send(request, cache, fetches.cacheWillFetch(request, cache));
+    }
+  }
+
+  @Override
+  public void sendToCache(RequestState request) {
+    ServerState cache = rules.selector.select(request);
+    if (cache == null) {
+      giveUp(request, GiveUpReason.NO_SERVER);
+    } else if (fetches.cacheWillFetch(request, cache)) {
+      fetches.fetch(request, cache);
+    } else {
+      send(request, cache, false);
+    }
+  }
+
+  @Override
+  public void send(RequestState request, ServerState server, boolean fetchesFromOrigin) {
+    if (!rules.guard.allows(request, server)) {
+      giveUp(request, GiveUpReason.NO_FURTHER_ATTEMPT);
+      return;
+    }
+    long nowNanos = rules.clock.nowNanos();
+    boolean toCache = !rules.registry.isOrigin(server);
+    AttemptState attempt = new AttemptState(server, nowNanos, toCache, fetchesFromOrigin);
+    request.attempts().add(attempt);
+    request.queued(false);
+    rules.load.attemptStarted(attempt);
+    rules.admission.attemptStarted(attempt);
+    actions.send(request.id(), server.id(), Math.max(nowNanos + 1, request.dueNanos()) - nowNanos);
+    if (toCache) {
+      rules.slowStart.spend(server);
+      setLateTimer(request, fetchesFromOrigin);
+    }
+  }
+
+  private void setLateTimer(RequestState request, boolean fetchesFromOrigin) {
+    long lateAfterNanos = rules.hedging.lateAfterNanos(request, fetchesFromOrigin);
+    if (rules.hedging.isLateBeforeDue(request, lateAfterNanos)) {
+      int attempt = request.attempts().size() - 1;
+      actions.timer(lateAfterNanos, TimerToken.attemptLate(request.id(), attempt).encode());
+    }
+  }
+
+  // ---- ends
+
+  /**
+   * The one place where a request is given up: rejected where a repeat is harmless, else failed.
+   */
+  @Override
+  public void giveUp(RequestState request, GiveUpReason reason) {
+    if (request.isDone()) {
+      return;
+    }
+    if (rules.giveUps.isRejectionSafe(request)) {
+      actions.refuse(request.id(), rules.giveUps.retryAfterNanos(request), reason);
+    } else {
+      actions.fail(request.id(), reason);
+    }
+    conclude(request, false);
+  }
+
+  /** The request is over: its open attempts are cancelled, and those that wait for it go on. */
+  private void conclude(RequestState request, boolean answered) {
+    if (request.isDone()) {
+      return;
+    }
+    request.finish();
+    if (!answered) {
+      rules.clientRetries.unanswered(request);
+    }
+    cancelOpenAttempts(request, NONE);
+    fetches.requestEnded(request, answered);
+    if (!request.hasOpenAttempt()) {
+      requests.remove(request.id());
+    }
+  }
+
+  private void cancelOpenAttempts(RequestState request, int except) {
+    if (!settings.permissions().cancel()) {
+      return;
+    }
+    for (int i = 0; i < request.attempts().size(); i++) {
+      if (i != except && request.attempts().get(i).isOpen()) {
+        actions.cancel(request.id(), i);
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/beaconturn/decision/RetryPolicy.java
@@ -0,0 +1,59 @@
+package beaconturn.decision;
+
+/**
+ * Decides whether a request gets a further attempt, a retry or a hedge. Bounded by the {@link
+ * RetryBudget}, and none while the whole fleet does badly, when more attempts only add to it.
+ * Whether the further attempt is safe is for {@link AttemptGuard}.
+ */
+final class RetryPolicy {
+  private final RoutingPermissions permissions;
+  private final EventClock clock;
+  private final HashRing ring;
+  private final OutlierDetector outliers;
+  private final KeyFailures keyFailures;
+  private final ResponseTimes times;
+  private final RetryBudget budget;
+
+  /** Uses rules of {@code rules} that have been made before this one. */
+  RetryPolicy(RoutingPermissions permissions, RouterRules rules) {
+    this.permissions = permissions;
+    this.clock = rules.clock;
+    this.ring = rules.ring;
+    this.outliers = rules.outliers;
+    this.keyFailures = rules.keyFailures;
+    this.times = rules.times;
+    this.budget = new RetryBudget(permissions);
+  }
+
+  /** A request has arrived and earns its part of a further attempt. */
+  void requestArrived() {
+    budget.requestArrived(ring.size());
+  }
+
+  /** A further attempt is made. */
+  void spend() {
+    budget.spend();
+  }
+
+  /** Whether budget and fleet allow a further attempt; where none can race, a fleet in doubt. */
+  boolean allowsFurtherAttempt() {
+    boolean fleetBad = permissions.hedging() ? outliers.isFleetBad() : outliers.isFleetDoubtful();
+    return budget.hasAttempt() && !fleetBad;
+  }
+
+  /**
+   * Whether a request whose attempt has failed is tried again. A key that fails wherever it goes
+   * takes no further cache with it, and a retry needs the time of an answer.
+   */
+  boolean allowsRetry(RequestState request, AttemptState failed) {
+    return failed.toCache()
+        && !keyFailures.isKeyAtFault(request.key())
+        && allowsFurtherAttempt()
+        && hasTimeForAnswer(request);
+  }
+
+  private boolean hasTimeForAnswer(RequestState request) {
+    long leftNanos = request.dueNanos() - clock.nowNanos();
+    return leftNanos > times.answerNanosOf(request.classIndex()).mean();
+  }
+}
--- a/src/main/java/beaconturn/decision/RoutingActions.java
+++ b/src/main/java/beaconturn/decision/RoutingActions.java
@@ -1,36 +1,41 @@
 package beaconturn.decision;
 
-/** What a router may do; every call takes effect at the time of the event being handled. */
+/**
+ * What a routing policy can have done by its host. Every call takes effect at the time of the event
+ * that is being handled, on its thread, and none calls the policy back.
+ */
 public interface RoutingActions {
-  /** Starts the request's next attempt; it is timed out after {@code allowFor}. */
-  void send(long request, long server, long allowFor);
+  /** Starts the request's next attempt; it ends as timed out after {@code timeoutNanos}. */
+  void send(long requestId, long serverId, long timeoutNanos);
 
-  /** Stops waiting for one attempt. */
-  void cancel(long request, int attempt);
+  /** Stops waiting for one attempt; its end is an event all the same. */
+  void cancel(long requestId, int attempt);
 
-  /** Final answer: declined, and safe to try again after {@code retryAfter} (0: no advice). */
-  void refuse(long request, long retryAfter, GiveUpReason why);
+  /**
+   * Final answer: rejected, and safe to try again after {@code retryAfterNanos} (0 for no advice).
+   */
+  void refuse(long requestId, long retryAfterNanos, GiveUpReason reason);
 
   /** Final answer: failed, with nothing promised. */
-  void fail(long request, GiveUpReason why);
+  void fail(long requestId, GiveUpReason reason);
 
-  /** Asks for a timer event. */
-  void timer(long delay, long token);
+  /** Asks for a {@link RoutingEvent.TimerFired} that brings the token back. */
+  void timer(long delayNanos, long token);
 
-  /** Subscribes to changes of the server list, or stops. */
+  /** Subscribes to the endpoint list and its changes, or unsubscribes. */
   void watch(boolean on);
 
-  /** Asks once for the whole server list. */
+  /** Asks once for the whole endpoint list. */
   void fetchList();
 
-  /** Probes a server. */
-  void probe(long server);
+  /** Sends a health check to a server. */
+  void probe(long serverId);
 
-  /** Sends bytes to one peer, or to all with -1. */
+  /** Sends bytes to one peer router, or to all of them with -1. */
   void tell(int peer, byte[] body);
 
-  /** Closes idle connections to a server. */
-  void closeIdle(long server);
+  /** Closes the idle connections to a server. */
+  void closeIdle(long serverId);
 
   /** Adds a line to the operator's log. */
   void log(String text);
--- a/src/main/java/beaconturn/decision/RoutingEvent.java
+++ b/src/main/java/beaconturn/decision/RoutingEvent.java
@@ -2,23 +2,43 @@
 
 import java.util.List;
 
-/** Everything that can happen to a router. Times are nanoseconds of the host's clock. */
+/**
+ * Everything that can happen to a router. Times are nanoseconds of the host's monotonic clock,
+ * lengths of time are nanoseconds.
+ */
 public sealed interface RoutingEvent {
   /** What a router that this one follows had learned; comes before any request. */
   record WarmStarted(WarmStartState state) implements RoutingEvent {}
 
   /**
-   * An operator takes a server out, whatever the list says, until {@code out} is false again; it
-   * then comes back as one that has started at {@code at}.
+   * An operator's override of one server has changed.
+   *
+   * @param excluded whether it is kept out of use, whatever the endpoint list says; when that ends
+   *     it counts as started
+   * @param atNanos when the operator decided
    */
   record OperatorOverrideChanged(long serverId, boolean excluded, long atNanos)
       implements RoutingEvent {}
 
-  /** News of the server list. */
+  /**
+   * An endpoint list, a change of it, or the failure to get it.
+   *
+   * @param version the version that discovery gives it
+   */
   record EndpointsUpdated(long version, EndpointListKind kind, List<Endpoint> endpoints)
       implements RoutingEvent {}
 
-  /** A request; {@code hint} is its expected work or 0, {@code key} 0 means none. */
+  /**
+   * A request has arrived.
+   *
+   * @param tenant index among the tenants of the settings
+   * @param workHintNanos the work that it is expected to need; 0 for unknown
+   * @param key the key that it is for; 0 for none
+   * @param requestClass index among the classes of the settings
+   * @param remainingNanos how long its client still waits
+   * @param clientRetry whether its client has tried before
+   * @param size its size as its client tells it; no rule uses it
+   */
   record RequestArrived(
       long requestId,
       int tenant,
@@ -31,11 +51,19 @@
       double size)
       implements RoutingEvent {}
 
-  /** The answer of a streamed request has begun. */
+  /** The answer of a streamed request has begun to go to the client. */
   record ResponseStarted(long requestId, long elapsedNanos, long serverId, int attempt)
       implements RoutingEvent {}
 
-  /** An attempt has ended; {@code closed} says that its request needs no further answer. */
+  /**
+   * An attempt has ended.
+   *
+   * @param elapsedNanos how long it took
+   * @param requestClosed whether its request needs no further answer
+   * @param attempt its number in the request, from 0
+   * @param loadReport the figures that came with the answer, by the fields of the settings; may be
+   *     empty
+   */
   record AttemptClosed(
       long requestId,
       long elapsedNanos,
@@ -53,12 +81,12 @@
   /** A timer set earlier is due. */
   record TimerFired(long token) implements RoutingEvent {}
 
-  /** What a probe found. */
+  /** A health check has ended. */
   record ProbeCompleted(
       long serverId, AttemptOutcome outcome, long elapsedNanos, float[] loadReport)
       implements RoutingEvent {}
 
-  /** A message from another router. */
+  /** A message from another router has arrived. */
   record PeerMessageReceived(int from, byte[] body) implements RoutingEvent {}
 
   /** The weights of zones have changed. */
--- a/src/main/java/beaconturn/decision/RoutingPolicy.java
+++ b/src/main/java/beaconturn/decision/RoutingPolicy.java
@@ -2,17 +2,17 @@
 
 import java.util.TreeMap;
 
-/** A decision module: one per router, driven by one thread, sharing nothing. */
+/** Decides for one router; one thread calls, and policies share nothing with each other. */
 public interface RoutingPolicy {
-  /** Handles one event at the given clock time. */
-  void handle(long now, RoutingEvent event);
+  /** Handles one event at the given time of the host's monotonic clock. */
+  void handle(long nowNanos, RoutingEvent event);
 
-  /** What a router that follows should begin with, or null. */
+  /** What a router that follows should begin with; null for nothing. */
   default WarmStartState warmStartState() {
     return null;
   }
 
-  /** What it makes of the list now. */
+  /** How it treats each server now. */
   default RoutingView view() {
     return new RoutingView(new TreeMap<>());
   }
--- a/src/main/java/beaconturn/decision/RoutingSettings.java
+++ b/src/main/java/beaconturn/decision/RoutingSettings.java
@@ -2,7 +2,20 @@
 
 import java.util.List;
 
-/** All settings; {@code ratingStable} says that ratings compare sizes and do not follow load. */
+/**
+ * All settings of a routing policy.
+ *
+ * @param routerIndex which of the routers this one is, from 0; no rule uses it
+ * @param routerCount how many routers serve the same caches
+ * @param zone the router's own zone
+ * @param pollsDiscovery whether the policy itself subscribes to the endpoint list
+ * @param stableRatings whether ratings in the list compare sizes and do not follow load; only then
+ *     are they used
+ * @param priorityByWork whether requests count by their work; no rule uses it
+ * @param overQuotaPriorityWeight factor on the priority of requests beyond their tenant's quota
+ * @param tickNanos how far apart the host handles events; no rule uses it
+ * @param loadReportFields the fields of load reports, in their order
+ */
 public record RoutingSettings(
     int routerIndex,
     int routerCount,
--- a/src/main/java/beaconturn/decision/RoutingView.java
+++ b/src/main/java/beaconturn/decision/RoutingView.java
@@ -2,20 +2,21 @@
 
 import java.util.SortedMap;
 
-/** What a router makes of the list, by the servers' ids. */
+/** How a router treats each server that it knows, by the servers' ids. */
 public record RoutingView(SortedMap<Long, ServerStatus> servers) {
   /** How many servers are listed. */
   public int listed() {
-    return (int) servers.values().stream().filter(s -> s != ServerStatus.GONE).count();
+    return (int) servers.values().stream().filter(status -> status != ServerStatus.GONE).count();
   }
 
-  /** How many of them are avoided, by hand or by choice. */
+  /** How many of them get no ordinary requests. */
   public int avoided() {
-    return (int)
-        servers.values().stream()
-            .filter(
-                s ->
-                    s != ServerStatus.GONE && s != ServerStatus.ACTIVE && s != ServerStatus.WARMING)
-            .count();
+    return (int) servers.values().stream().filter(RoutingView::isAvoided).count();
+  }
+
+  private static boolean isAvoided(ServerStatus status) {
+    return status != ServerStatus.GONE
+        && status != ServerStatus.ACTIVE
+        && status != ServerStatus.WARMING;
   }
 }
--- /dev/null
+++ b/src/main/java/beaconturn/decision/ServerSelector.java
@@ -0,0 +1,81 @@
+package beaconturn.decision;
+
+import java.util.SplittableRandom;
+
+/**
+ * The ordinary path: the home cache of the key, or the next one clockwise that has capacity under
+ * {@link LoadBounds}; all full: the least loaded. Zone weights narrow the walk to one zone.
+ */
+final class ServerSelector {
+  private static final int ANY_ZONE = -1;
+
+  private final HashRing ring;
+  private final AttemptGuard guard;
+  private final SlowStart slowStart;
+  private final OutlierDetector outliers;
+  private final ConnectionFailures connections;
+  private final LoadBounds bounds;
+  private final KeySpread spread;
+  private final ServerChoice choice;
+  private ZoneWeights zoneWeights = ZoneWeights.ANYWHERE;
+
+  /** Uses rules of {@code rules} that have been made before this one. */
+  ServerSelector(RoutingSettings settings, SplittableRandom random, RouterRules rules) {
+    this.ring = rules.ring;
+    this.guard = rules.guard;
+    this.slowStart = rules.slowStart;
+    this.outliers = rules.outliers;
+    this.connections = rules.connections;
+    this.bounds = rules.bounds;
+    this.spread = rules.spread;
+    this.choice = new ServerChoice(random, settings.origin().aside() ? settings.zone() : ANY_ZONE);
+  }
+
+  ZoneWeights zoneWeights() {
+    return zoneWeights;
+  }
+
+  void zoneWeights(ZoneWeights weights) {
+    zoneWeights = weights;
+  }
+
+  /** The cache that the request goes to next; null if none may get it. */
+  ServerState select(RequestState request) {
+    if (zoneWeights.zones().isEmpty()) {
+      return select(request, ANY_ZONE);
+    }
+    return zoneWeights.first(
+        request.hash(), request.isFitForTrial(), zone -> select(request, zone));
+  }
+
+  private ServerState select(RequestState request, int zone) {
+    int servers = zoneWeights.serversInUse(ring.members());
+    int cap = bounds.cap(servers);
+    int wanted = spread.serversFor(request);
+    boolean mayTryUnreachable = connections.mayTryUnreachable(request);
+    choice.clear();
+    ring.startWalk(request.hash());
+    for (ServerState s = ring.next(); s != null && wanted > 0; s = ring.next()) {
+      if (!isCandidate(request, s, zone)) {
+        continue;
+      }
+      if (outliers.isPassedOver(s, request)
+          || (!mayTryUnreachable && connections.isUnreachable(s))) {
+        choice.addPassedOver(s);
+      } else if (s.load().inFlight() < cap && !bounds.isFull(s, servers)) {
+        choice.addWithCapacity(s);
+        wanted--;
+      } else {
+        choice.addFull(s);
+      }
+    }
+    return choice.best();
+  }
+
+  private boolean isCandidate(RequestState request, ServerState server, int zone) {
+    return (zone == ANY_ZONE || server.zone() == zone)
+        && guard.allows(request, server)
+        && !request.wasSentTo(server)
+        && slowStart.hasBudget(server);
+  }
+}
--- a/src/main/java/beaconturn/decision/ServerStatus.java
+++ b/src/main/java/beaconturn/decision/ServerStatus.java
@@ -1,17 +1,17 @@
 package beaconturn.decision;
 
-/** What a router makes of a server that it knows. */
+/** How a router treats a server that it knows. */
 public enum ServerStatus {
-  /** Takes what the ring gives it. */
+  /** Gets what the ring gives it. */
   ACTIVE,
-  /** Started a while ago, and gets no more than a cold server may. */
+  /** Has started a while ago, and gets no more than {@link SlowStart} allows. */
   WARMING,
-  /** Listed as draining. */
+  /** Draining by the endpoint list: gets no new requests. */
   DRAINING,
   /** Not listed any more. */
   GONE,
-  /** Left out by hand, or by what all routers have agreed on. */
+  /** Excluded by an operator, or by what all routers have agreed on. */
   EXCLUDED,
-  /** Passed over but for trials. */
+  /** Passed over but for trials; see {@link OutlierDetector}. */
   EJECTED
 }
--- a/src/main/java/beaconturn/decision/Tenant.java
+++ b/src/main/java/beaconturn/decision/Tenant.java
@@ -1,4 +1,9 @@
 package beaconturn.decision;
 
-/** One customer: its quota over all routers, in requests a second; 0 means none is set. */
+/**
+ * One customer.
+ *
+ * @param quotaPerSecond requests a second over all routers; 0 for no quota
+ * @param share its usual part of all requests, 0 to 1
+ */
 public record Tenant(double quotaPerSecond, double share) {}
--- /dev/null
+++ b/src/main/java/beaconturn/decision/TimerToken.java
@@ -0,0 +1,67 @@
+package beaconturn.decision;
+
+/**
+ * What a timer was set for, as the token that comes back when it fires: the kind in the low 2 bits,
+ * above it 6 bits for the number of an attempt, above these the id of the request.
+ *
+ * @param kind what is due
+ * @param requestId the request; 0 for timers of the router itself
+ * @param attempt the number of the attempt; 0 for timers of the whole request
+ */
+record TimerToken(Kind kind, long requestId, int attempt) {
+  private static final int KIND_BITS = 2;
+  private static final int ATTEMPT_BITS = 6;
+  private static final int REQUEST_SHIFT = KIND_BITS + ATTEMPT_BITS;
+  private static final long KIND_MASK = (1 << KIND_BITS) - 1;
+  private static final long ATTEMPT_MASK = (1 << ATTEMPT_BITS) - 1;
+
+  /** What is due when a timer fires. */
+  enum Kind {
+    /** The attempt counts as late, if it is still open. */
+    ATTEMPT_LATE(0),
+    /** The request has been queued as long as it may. */
+    QUEUE_TIMEOUT(1),
+    /** The endpoint list is asked for again. */
+    RESUBSCRIBE(2),
+    /** No timer of this router. */
+    UNKNOWN(3);
+
+    private final int code;
+
+    Kind(int code) {
+      this.code = code;
+    }
+
+    private static Kind of(int code) {
+      return switch (code) {
+        case 0 -> ATTEMPT_LATE;
+        case 1 -> QUEUE_TIMEOUT;
+        case 2 -> RESUBSCRIBE;
+        default -> UNKNOWN;
+      };
+    }
+  }
+
+  static TimerToken attemptLate(long requestId, int attempt) {
+    return new TimerToken(Kind.ATTEMPT_LATE, requestId, attempt);
+  }
+
+  static TimerToken queueTimeout(long requestId) {
+    return new TimerToken(Kind.QUEUE_TIMEOUT, requestId, 0);
+  }
+
+  static TimerToken resubscribe() {
+    return new TimerToken(Kind.RESUBSCRIBE, 0, 0);
+  }
+
+  long encode() {
+    return requestId << REQUEST_SHIFT | (long) attempt << KIND_BITS | kind.code;
+  }
+
+  static TimerToken decode(long token) {
+    return new TimerToken(
+        Kind.of((int) (token & KIND_MASK)),
+        token >>> REQUEST_SHIFT,
+        (int) (token >>> KIND_BITS & ATTEMPT_MASK));
+  }
+}
--- a/src/main/java/beaconturn/decision/WarmStartState.java
+++ b/src/main/java/beaconturn/decision/WarmStartState.java
@@ -3,21 +3,34 @@
 import java.util.stream.DoubleStream;
 
 /**
- * The few figures by which a router that follows another begins: events a nanosecond, nanoseconds,
- * and limits in flight. What they are held against still is the follower's own.
+ * The few figures with which a router that follows another begins. What they are compared with is
+ * the follower's own.
+ *
+ * @param answersPerNano rate of answers of caches
+ * @param peakAnswersPerNano its recent peak
+ * @param answerTimeNanos mean time of answers
+ * @param fetchTimeNanos mean time of fetches from the origin
+ * @param cacheLimit limit on attempts in flight at caches
+ * @param originLimit limit on fetches in flight
  */
 public record WarmStartState(
-    double answers,
-    double peak,
-    double answerTime,
-    double fetchTime,
-    double limit,
+    double answersPerNano,
+    double peakAnswersPerNano,
+    double answerTimeNanos,
+    double fetchTimeNanos,
+    double cacheLimit,
     double originLimit) {
   /** Whether they can be figures of a router at all. */
-  public boolean sound() {
-    return DoubleStream.of(answers, peak, answerTime, fetchTime, limit, originLimit)
-            .allMatch(d -> d >= 0 && d < Double.MAX_VALUE)
-        && limit > 0
+  public boolean isValid() {
+    return DoubleStream.of(
+                answersPerNano,
+                peakAnswersPerNano,
+                answerTimeNanos,
+                fetchTimeNanos,
+                cacheLimit,
+                originLimit)
+            .allMatch(figure -> figure >= 0 && figure < Double.MAX_VALUE)
+        && cacheLimit > 0
         && originLimit > 0;
   }
 }
--- a/src/main/java/beaconturn/decision/package-info.java
+++ b/src/main/java/beaconturn/decision/package-info.java
@@ -1,8 +1,13 @@
 /**
- * Where every routing decision is made, and the one interface through which it is asked. The
- * decisions are in one file: consistent hashing with bounded loads, and what it takes to stay sound
- * when caches, keys, the origin or the list fail; in the order of events, ordinary path, health,
- * cold starts, attempts and hedges, origin, admission, discovery. The others hold what is known of
- * one thing.
+ * Every routing decision, without input or output: a {@link beaconturn.decision.RoutingPolicy} gets
+ * events, with the time, and answers with {@link beaconturn.decision.RoutingActions}.
+ *
+ * <p>{@link beaconturn.decision.RingRouter} hands events on; each rule is a class of its own, named
+ * after it. Which server: {@code ServerSelector} with {@code HashRing}, {@code LoadBounds}, {@code
+ * KeySpread}, {@code OutlierDetector}, {@code SlowStart} and {@code ConnectionFailures}. Whether a
+ * request is admitted: {@code AdmissionController} with {@code ConcurrencyLimit}, {@code
+ * QuotaTracker} and {@code KeyFailures}. Whether it is sent again: {@code RetryPolicy}, {@code
+ * RetryBudget}, {@code HedgingPolicy}. Whether a send is legal at all: {@code AttemptGuard}. The
+ * origin: {@code OriginFetches}. The endpoint list: {@code ServerRegistry}, {@code EndpointWatch}.
  */
 package beaconturn.decision;
--- a/src/main/java/beaconturn/net/UpgradeState.java
+++ b/src/main/java/beaconturn/net/UpgradeState.java
@@ -53,11 +53,11 @@
     out.putLong(MARK)
         .putLong(0)
         .putLong(nowMillis)
-        .putDouble(state.answers())
-        .putDouble(state.peak())
-        .putDouble(state.answerTime())
-        .putDouble(state.fetchTime())
-        .putDouble(state.limit())
+        .putDouble(state.answersPerNano())
+        .putDouble(state.peakAnswersPerNano())
+        .putDouble(state.answerTimeNanos())
+        .putDouble(state.fetchTimeNanos())
+        .putDouble(state.cacheLimit())
         .putDouble(state.originLimit());
     out.putLong(CHECKSUM_OFFSET_BYTES, checksum(out.array()));
     return out.array();
@@ -102,7 +102,7 @@
             in.getDouble(),
             in.getDouble(),
             in.getDouble());
-    if (!state.sound()) {
+    if (!state.isValid()) {
       throw new IOException("figures that no router has");
     }
     return state;
--- a/src/test/java/beaconturn/decision/OriginBlameTest.java
+++ b/src/test/java/beaconturn/decision/AttemptFeedbackTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Where caches fetch: whether a late answer is theirs or the origin's, and what a slow client's may
- * hold.
+ * Where caches fetch: whether a late answer counts against the cache or against the origin, and
+ * what an answer may hold that its client takes slowly.
  */
-class OriginBlameTest {
+class AttemptFeedbackTest {
   private static final int CACHES = 12;
   private final Harness h = new Harness(Harness.settings(false));
   private long request;
 
-  OriginBlameTest() {
+  AttemptFeedbackTest() {
     h.caches(CACHES);
     for (int i = 0; i < 60; i++) {
       fetch();
@@ -41,14 +41,14 @@
   }
 
   @Test
-  void aLateFetchAtACacheThatIsSilentIsHedged() {
+  void lateFetchAtSilentCacheIsHedged() {
     fetch();
     assertEquals(1, sendsSince(() -> h.pass(SECOND / 2)));
   }
 
   /** Hedges of fetches that the origin holds up only add to it, and past any limit in flight. */
   @Test
-  void aLateFetchAtACacheThatAnswersOthersIsNotHedged() {
+  void lateFetchAtCacheThatAnswersOthersIsNotHedged() {
     Harness.Send late = fetch();
     Harness.Send other = fetch();
     while (other.server() != late.server()) {
@@ -62,7 +62,7 @@
 
   /** Timeouts of silent caches must not shrink the fetches that all others may have out. */
   @Test
-  void silentCachesDoNotShrinkTheFetchGate() {
+  void timeoutsOfSilentCachesDoNotShrinkOriginLimit() {
     for (int i = 0; i < 2 * CACHES; i++) {
       Harness.Send silent = fetch();
       h.now += SECOND;
@@ -78,9 +78,9 @@
             }));
   }
 
-  /** The same timeouts at caches that answer others are the origin's, and the gate does shrink. */
+  /** The same timeouts at caches that answer others are the origin's, and its limit does shrink. */
   @Test
-  void timeoutsAtCachesThatAnswerOthersShrinkTheFetchGate() {
+  void timeoutsAtCachesThatAnswerOthersShrinkOriginLimit() {
     for (int i = 0; i < 2 * CACHES; i++) {
       Harness.Send slow = fetch();
       h.now += SECOND;
@@ -102,11 +102,11 @@
   }
 
   /**
-   * A fetch through a cache takes half the aim when nothing is crowded: that must not shut the
-   * gate.
+   * A fetch through a cache takes half the aim when nothing is crowded: that must not shrink the
+   * limit.
    */
   @Test
-  void fetchesWithinTwoThirdsOfTheirAimDoNotShrinkTheFetchGate() {
+  void fetchesWithinTwoThirdsOfTheirObjectiveDoNotShrinkOriginLimit() {
     for (int i = 0; i < 4 * CACHES; i++) {
       fetch();
       h.now += 2 * SECOND / 3;
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void whoWaitsForTheKeyOfATransferGoesToItsCacheAtTheFirstBytes() {
+  void requestThatWaitsForStreamedKeyGoesToItsCacheAtFirstBytes() {
     Harness.Send leader = fetch();
     assertEquals(0, sendsSince(() -> h.arrive(200, READ, leader.request())), "one fetch a key");
     assertEquals(1, sendsSince(() -> begins(leader)));
@@ -137,9 +137,9 @@
     assertEquals(List.of(), h.refused);
   }
 
-  /** After a spell of late answers each gate's limit is a part of what caches were at work on. */
+  /** After late answers each limit is a part of what caches were at work on. */
   @Test
-  void transfersTakeNoPlaceInTheGates() {
+  void streamedAnswersAreNotCountedInLimits() {
     for (int i = 0; i < 4 * CACHES; i++) {
       begins(fetch());
     }
@@ -151,7 +151,7 @@
 
   /** The mechanism's load stays own sends in flight: a transfer still counts for the walk. */
   @Test
-  void transfersStayInTheLoadOfTheRing() {
+  void streamedAnswersAreCountedInLoad() {
     long home = h.home(5);
     for (int i = 200; i < 202; i++) {
       h.arrive(i, READ, 5);
--- a/src/test/java/beaconturn/decision/FourRulesTest.java
+++ b/src/test/java/beaconturn/decision/FourRulesTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Each of the four rules, for each effect a class can have. */
+/** The four rules of safety: no request lost, no effect twice, drains kept, slow start kept. */
 class FourRulesTest {
   private static Harness through() {
     Harness h = new Harness(Harness.settings(false));
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void anUnsafeRequestIsNotSentAgainOnceItMayHaveRun() {
+  void nonIdempotentRequestIsNotRetriedOnceItMayHaveRun() {
     for (AttemptOutcome ending :
         List.of(AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT)) {
       Harness h = through();
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void anUnsafeRequestThatNeverRanIsSentAgain() {
+  void nonIdempotentRequestThatNeverRanIsRetried() {
     for (AttemptOutcome ending : List.of(AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED)) {
       Harness h = through();
       h.arrive(100, UNSAFE, 5);
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void anUnsafeRequestIsNeverHedged() {
+  void nonIdempotentRequestIsNeverHedged() {
     Harness h = through();
     h.arrive(100, UNSAFE, 5);
     h.pass(1500 * MS);
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void aKeyedRequestIsResentOnlyWithinItsGroup() {
+  void requestWithIdempotencyKeyIsRetriedOnlyWithinItsScope() {
     Harness h = through();
     h.arrive(100, KEYED_ZONE, 5);
     long first = h.last().server();
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void aKeyedRequestIsNotResentPastItsWindow() {
+  void requestWithIdempotencyKeyIsNotRetriedPastItsWindow() {
     Harness h = through();
     h.arrive(100, KEYED_ALL, 5, 20 * SECOND);
     h.now += 6 * SECOND;
@@ -80,7 +80,7 @@
    * must be in time.
    */
   @Test
-  void aKeyedRequestIsNotResentWhereItWouldBeWrittenPastItsWindow() {
+  void requestWithIdempotencyKeyIsNotRetriedWhereItWouldBeWrittenPastItsWindow() {
     for (long after : new long[] {4550 * MS, 4650 * MS}) {
       Harness h = through();
       h.arrive(100, KEYED_ALL, 5, 20 * SECOND);
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void aKeyedRequestOfANarrowGroupThatMayHaveRunIsFailedNotRefused() {
+  void requestOfNarrowScopeThatMayHaveRunIsFailedNotRejected() {
     Harness h = new Harness(Harness.settings(false));
     h.list(EndpointListKind.CACHED, Harness.cache(1));
     h.arrive(1, KEYED_ZONE, 5);
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void aDrainingCacheGetsNothingNew() {
+  void drainingCacheGetsNothingNew() {
     Harness h = through();
     h.arrive(100, READ, 5);
     long home = h.last().server();
@@ -121,7 +121,7 @@
    * away.
    */
   @Test
-  void whereOnlyDrainingBindsALivingCacheThatIsCalledGoneIsUsedUntilItIsSilent() {
+  void removedCacheIsUsedUntilItIsSilentWhereRemovalIsAdvisory() {
     Harness h = new Harness(Harness.soft(Harness.settings(false)));
     h.caches(4);
     long home = h.home(5);
@@ -141,7 +141,7 @@
   }
 
   @Test
-  void aCacheThatIsSilentWhenItIsCalledGoneGetsNothingMore() {
+  void cacheThatIsSilentWhenItIsRemovedGetsNothingMore() {
     Harness h = new Harness(Harness.soft(Harness.settings(false)));
     h.caches(4);
     long home = h.home(5);
@@ -153,11 +153,12 @@
 
   /**
    * Whatever the list says meanwhile: a new boot time, gone and listed again, a whole list.
-   * Operators restart it while it is out: it comes back held to its cold budget, and past whatever
-   * had it ejected. With all of them out a request is refused at once, with a time to come back.
+   * Operators restart it while it is excluded: it comes back held to its slow-start budget, and
+   * past whatever had it ejected. With all of them out a request is refused at once, with a time to
+   * come back.
    */
   @Test
-  void aCacheThatIsOutByHandGetsNothingUntilItIsCalledBackAndIsColdThen() {
+  void excludedCacheGetsNothingUntilItIsBackAndWarmsUpThen() {
     Harness h = through();
     long out = h.home(5);
     h.reads(
@@ -171,19 +172,19 @@
                 send.server() == out ? AttemptOutcome.RESET : AttemptOutcome.OK,
                 send.server() != out));
     assertEquals(1, h.router.view().avoided());
-    h.byHand(out, true);
-    h.byHand(out, true);
+    h.operatorOverride(out, true);
+    h.operatorOverride(out, true);
     assertEquals(1, h.router.view().avoided());
     h.list(EndpointListKind.DELTA, Harness.entry(out, EndpointHealth.READY, h.now));
     h.list(EndpointListKind.DELTA, Harness.entry(out, EndpointHealth.GONE, 0));
     h.list(EndpointListKind.DELTA, Harness.entry(out, EndpointHealth.READY, h.now + 1));
     h.caches(6);
     assertEquals(0, h.served(300, 500, 10 * MS, out));
-    h.byHand(out, false);
+    h.operatorOverride(out, false);
     assertEquals(0, h.router.view().avoided());
     long got = h.served(500, 1500, MS, out);
     assertTrue(got > 0 && got < 120, got + " of 1000 sends, an even part is 167");
-    LongStream.rangeClosed(1, 6).forEach(i -> h.byHand(i, true));
+    LongStream.rangeClosed(1, 6).forEach(i -> h.operatorOverride(i, true));
     h.arrive(1500, READ, 5);
     assertTrue(
         h.actions.get(h.actions.size() - 1).matches("refuse 1500 [1-9][0-9]*"), "all are out");
@@ -191,19 +192,19 @@
 
   /** The list tells when it was restarted while it was out: it is as warm as that. */
   @Test
-  void aCacheThatIsBackIsAsOldAsTheListSaysIfItStartedWhileItWasOut() {
+  void cacheThatIsBackIsAsOldAsListSaysIfItStartedWhileExcluded() {
     long[] got = new long[2];
     for (int listed = 0; listed < 2; listed++) {
       Harness h = through();
       long server = h.home(5);
       h.served(200, 1200, 10 * MS, server);
-      h.byHand(server, true);
+      h.operatorOverride(server, true);
       h.now += SECOND;
       if (listed == 1) {
         h.list(EndpointListKind.DELTA, Harness.entry(server, EndpointHealth.READY, h.now));
       }
       h.served(1200, 2200, 10 * MS, server);
-      h.byHand(server, false);
+      h.operatorOverride(server, false);
       got[listed] = h.served(2200, 2500, 10 * MS, server);
     }
     assertTrue(got[0] < got[1], got[0] + " and " + got[1]);
@@ -213,27 +214,29 @@
    * All caches have just started: without what the one before had counted nearly all is refused.
    */
   @Test
-  void aRouterThatFollowsAnotherBeginsWithItsPartOfTheColdBudgets() {
+  void successorBeginsWithItsPartOfSlowStartBudgets() {
     Harness before = through();
     before.served(200, 2200, 5 * MS, 0);
-    for (boolean told : new boolean[] {false, true}) {
+    for (boolean warmStart : new boolean[] {false, true}) {
       Harness h = new Harness(Harness.settings(false));
-      if (told) {
+      if (warmStart) {
         h.router.handle(h.now, new RoutingEvent.WarmStarted(before.router.warmStartState()));
       }
       LongStream.rangeClosed(1, 6)
           .forEach(
               i -> h.list(EndpointListKind.DELTA, Harness.entry(i, EndpointHealth.READY, h.now)));
       h.served(1, 401, 5 * MS, 0);
-      assertTrue(told ? h.sends.size() > 120 : h.sends.size() < 60, told + ": " + h.sends.size());
+      assertTrue(
+          warmStart ? h.sends.size() > 120 : h.sends.size() < 60,
+          warmStart + ": " + h.sends.size());
     }
   }
 
   /** Told before the first list, as to a new process of the same router. */
   @Test
-  void whatIsOutBeforeItIsListedStaysOutAndSoItDoesUnderNewSettings() {
+  void exclusionBeforeFirstListHoldsAndSoItDoesUnderNewSettings() {
     Harness h = new Harness(Harness.settings(false));
-    h.byHand(1, true);
+    h.operatorOverride(1, true);
     h.caches(2);
     RingRouter next = new RingRouter(Harness.settings(false), 1, h.now, h, h.router);
     assertEquals(1, next.view().avoided());
@@ -246,7 +249,7 @@
   }
 
   @Test
-  void aWaitingRequestIsNotSentWhereItsObjectIsStoredOnceThatCacheDrains() {
+  void queuedRequestIsNotSentWhereItsKeyIsCachedOnceThatCacheDrains() {
     Harness h = Harness.aside(2);
     h.miss(1, 5);
     long home = h.sends.get(0).server();
@@ -258,7 +261,7 @@
   }
 
   @Test
-  void aMissThatArrivesAfterTheDeadlineIsAnsweredAtOnce() {
+  void missAfterDeadlineIsAnsweredAtOnce() {
     Harness h = Harness.aside(1);
     h.miss(9, 5);
     h.arrive(1, READ, 6, 100 * MS);
@@ -269,7 +272,7 @@
   }
 
   @Test
-  void aRequestThatWaitsForAFetchIsAnsweredLongBeforeItsDeadline() {
+  void requestThatWaitsForFetchIsAnsweredLongBeforeItsDeadline() {
     Harness h = Harness.aside(1);
     h.miss(1, 5);
     h.arrive(2, READ, 5, SECOND);
@@ -293,7 +296,7 @@
   }
 
   @Test
-  void withoutACacheARequestIsRefusedAtOnce() {
+  void requestIsRejectedAtOnceWithoutCaches() {
     Harness h = new Harness(Harness.settings(false));
     h.list(EndpointListKind.CACHED);
     h.arrive(1, READ, 5);
@@ -316,7 +319,7 @@
   }
 
   @Test
-  void oddListsEndInAPromptRefusalOrALegalSend() {
+  void oddListsEndInPromptRejectionOrLegalSend() {
     Harness h = new Harness(Harness.settings(true, 400, List.of()));
     h.arrive(1, READ, 5);
     h.list(EndpointListKind.CACHED, Harness.origin(50));
@@ -333,7 +336,7 @@
   }
 
   @Test
-  void aNewBootTimeWhileARequestIsOutKeepsItAndHoldsTheCacheToItsBudget() {
+  void newBootTimeKeepsRequestInFlightAndHoldsCacheToItsBudget() {
     Harness h = through();
     h.arrive(100, READ, 5);
     Harness.Send out = h.last();
--- a/src/test/java/beaconturn/decision/Harness.java
+++ b/src/test/java/beaconturn/decision/Harness.java
@@ -1,7 +1,9 @@
 package beaconturn.decision;
 
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.function.ObjIntConsumer;
 
 /** Drives one module by its interface and keeps what it did, as text, in order. */
@@ -160,13 +162,31 @@
     router.handle(now, new RoutingEvent.EndpointsUpdated(1, kind, List.of(entries)));
   }
 
+  /** A router that may not hedge, with caches that fetch and do not say so if not aside. */
+  static Harness withoutHedging(boolean aside, int routers, int caches) {
+    Harness h = new Harness(alone(settings(aside, routers, List.of())));
+    h.caches(caches);
+    return h;
+  }
+
+  /** The caches that so many keys go to first; each request is answered at once. */
+  static Map<Long, Long> homes(Harness h, int keys) {
+    Map<Long, Long> homes = new HashMap<>();
+    for (long key = 1; key <= keys; key++) {
+      h.arrive(key, READ, key * 7919);
+      homes.put(key, h.last().server());
+      h.close(h.last(), 0, AttemptOutcome.OK, true);
+    }
+    return homes;
+  }
+
   /** The cache that the key goes to first. */
   long home(long key) {
     serve(99, key);
     return last().server();
   }
 
-  void byHand(long server, boolean out) {
+  void operatorOverride(long server, boolean out) {
     router.handle(now, new RoutingEvent.OperatorOverrideChanged(server, out, now));
   }
 
@@ -188,7 +208,7 @@
         now, new RoutingEvent.RequestArrived(request, 0, 0, key, type, left, false, write, 0));
   }
 
-  /** Reads of new keys so far apart; each send, with the attempt's number, is answered as told. */
+  /** Reads of new keys so far apart; each send, with the attempt's number, is answered as asked. */
   void reads(int from, int to, long apart, ObjIntConsumer<Send> answer) {
     for (int i = from; i < to; i++) {
       now += apart;
@@ -210,7 +230,7 @@
     return sends.subList(before, sends.size()).stream().filter(s -> s.server() == server).count();
   }
 
-  /** A read of the given expected work (0: none told), or a client's further try of one. */
+  /** A read of the given expected work (0: unknown), or a client's further try of one. */
   void read(long request, long key, long hint, boolean again) {
     router.handle(
         now,
--- a/src/test/java/beaconturn/decision/SeededTraffic.java
+++ b/src/test/java/beaconturn/decision/SeededTraffic.java
@@ -172,12 +172,29 @@
 
   private void look() {
     record("view", port.router.view().servers().toString());
-    record("state", String.valueOf(port.router.warmStartState()));
+    record("state", text(port.router.warmStartState()));
     if (arrived < shape.arrivals()) {
       after(300 * MS, this::look);
     }
   }
 
+  /** The labels are the digests' own, so that they do not follow the names of the components. */
+  private static String text(WarmStartState state) {
+    return "WarmStartState[answers="
+        + state.answersPerNano()
+        + ", peak="
+        + state.peakAnswersPerNano()
+        + ", answerTime="
+        + state.answerTimeNanos()
+        + ", fetchTime="
+        + state.fetchTimeNanos()
+        + ", limit="
+        + state.cacheLimit()
+        + ", originLimit="
+        + state.originLimit()
+        + "]";
+  }
+
   // ---- clients
 
   private void arrive() {
--- a/src/test/java/beaconturn/decision/ZoneWeightsTest.java
+++ b/src/test/java/beaconturn/decision/ZoneWeightsTest.java
@@ -8,17 +8,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/**
- * Keys go to places by the shares that are told; cache servers of even numbers stand in place 0.
- */
+/** Keys go to zones by weights; caches with even ids are in zone 0. */
 class ZoneWeightsTest {
   private static final int KEYS = 2000;
 
-  private static ZoneWeights shares(int near, int far, boolean overflow) {
+  private static ZoneWeights weights(int near, int far, boolean overflow) {
     return new ZoneWeights(List.of(0, 1), List.of(near, far), overflow);
   }
 
-  /** How many keys go first to place 1; each request is answered at once. */
+  /** The keys that go to zone 1 first; each request is answered at once. */
   private static Set<Long> far(Harness h) {
     Set<Long> far = new HashSet<>();
     for (long key = 1; key <= KEYS; key++) {
@@ -29,10 +27,10 @@
     return far;
   }
 
-  private static Harness told(ZoneWeights shares) {
+  private static Harness weighted(ZoneWeights weights) {
     Harness h = new Harness(Harness.settings(false));
     h.caches(8);
-    h.router.handle(h.now, new RoutingEvent.ZoneWeightsChanged(shares));
+    h.router.handle(h.now, new RoutingEvent.ZoneWeightsChanged(weights));
     return h;
   }
 
@@ -49,19 +47,19 @@
   }
 
   @Test
-  void soManyKeysGoFarAndAlwaysTheSameFirst() {
-    Set<Long> some = far(told(shares(900, 100, true)));
-    Set<Long> more = far(told(shares(700, 300, true)));
+  void weightedPartOfKeysGoesFarAndAlwaysTheSameFirst() {
+    Set<Long> some = far(weighted(weights(900, 100, true)));
+    Set<Long> more = far(weighted(weights(700, 300, true)));
     assertTrue(some.size() > KEYS * 0.07 && some.size() < KEYS * 0.13, some.size() + " of " + KEYS);
     assertTrue(more.size() > KEYS * 0.26 && more.size() < KEYS * 0.34, more.size() + " of " + KEYS);
     assertTrue(more.containsAll(some), "the far cache servers go on with what they have");
-    assertEquals(Set.of(), far(told(shares(1000, 0, true))));
+    assertEquals(Set.of(), far(weighted(weights(1000, 0, true))));
   }
 
-  /** What is missing to the whole is refused at once, and sent nowhere. */
+  /** What is missing to the whole is rejected at once, and sent nowhere. */
   @Test
-  void whatNoPlaceHasRoomForIsRefusedAtOnce() {
-    Harness h = told(shares(500, 100, true));
+  void whatNoZoneIsWeightedForIsRejectedAtOnce() {
+    Harness h = weighted(weights(500, 100, true));
     int refused = 0;
     for (long key = 1; key <= KEYS; key++) {
       refused += sent(h, key, Harness.READ) ? 0 : 1;
@@ -72,8 +70,8 @@
 
   /** A trial may fail: nothing that must not be repeated goes by it, nor a second attempt. */
   @Test
-  void byTrialsGoesOnlyWhatMayBeRepeated() {
-    Harness h = told(shares(ZoneWeights.TRIAL, 950, true));
+  void trialsAreOnlyIdempotentRequests() {
+    Harness h = weighted(weights(ZoneWeights.TRIAL, 950, true));
     for (long key = 1; key <= KEYS; key++) {
       assertTrue(sent(h, key, Harness.UNSAFE));
       assertEquals(1, h.last().server() % 2, "key " + key);
@@ -81,33 +79,31 @@
     assertTrue(KEYS - far(h).size() > KEYS * 0.03, "reads are tried there");
   }
 
-  /**
-   * Its own place takes over what another has no server for; another only what was allotted to it.
-   */
+  /** The own zone takes over what another has no server for; another one only with overflow. */
   @Test
-  void whatAPlaceCannotTakeGoesNearAndElsewhereOnlyWhereThatWasAllotted() {
-    Harness h = told(shares(700, 300, true));
+  void whatZoneCannotTakeGoesNearAndElsewhereOnlyWithOverflow() {
+    Harness h = weighted(weights(700, 300, true));
     for (long server = 1; server <= 8; server += 2) {
-      h.byHand(server, true);
+      h.operatorOverride(server, true);
     }
     assertEquals(Set.of(), far(h), "all near");
     for (boolean overflow : new boolean[] {true, false}) {
-      Harness cold = told(shares(700, 300, overflow));
+      Harness emptied = weighted(weights(700, 300, overflow));
       for (long server = 2; server <= 8; server += 2) {
-        cold.byHand(server, true);
+        emptied.operatorOverride(server, true);
       }
       int taken = 0;
       for (long key = 1; key <= KEYS; key++) {
-        taken += sent(cold, key, Harness.READ) ? 1 : 0;
+        taken += sent(emptied, key, Harness.READ) ? 1 : 0;
       }
       assertTrue(overflow ? taken == KEYS : taken < KEYS * 0.35, taken + " of " + KEYS);
     }
   }
 
-  /** A module that follows another under new settings goes on by the same shares. */
+  /** A router that follows another under new settings goes on with the same weights. */
   @Test
-  void aSuccessorKeepsThem() {
-    Harness h = told(shares(1000, 0, true));
+  void successorKeepsWeights() {
+    Harness h = weighted(weights(1000, 0, true));
     RingRouter next = new RingRouter(Harness.settings(false), 9, h.now, h, h.router);
     for (long key = 1; key <= 200; key++) {
       next.handle(
