--- a/src/main/java/beaconturn/core/RoutingEngine.java
+++ b/src/main/java/beaconturn/core/RoutingEngine.java
@@ -12,6 +12,7 @@
 import beaconturn.decision.RoutingView;
 import beaconturn.decision.ServerStatus;
 import beaconturn.decision.WarmStartState;
+import beaconturn.stats.CacheLookup;
 import beaconturn.stats.RequestMetrics;
 import java.util.ArrayDeque;
 import java.util.Collection;
@@ -164,7 +165,7 @@
   /** Tells what the module in force makes of the list. */
   public void tell(RequestMetrics tally) {
     RoutingView view = modules.getLast().router.view();
-    tally.fleet(view.listed(), view.avoided());
+    tally.serverCounts(view.listed(), view.avoided());
   }
 
   /** From here on attempts are counted there. */
@@ -183,15 +184,13 @@
                   .classes()
                   .get(r.call().ask().requestClass())
                   .latencyObjectiveNanos();
-      RequestMetrics.Found found =
+      CacheLookup found =
           outcome.note() == CacheStatus.HIT
-              ? RequestMetrics.Found.HIT
-              : outcome.note() == CacheStatus.NONE
-                  ? RequestMetrics.Found.UNSAID
-                  : RequestMetrics.Found.MISS;
+              ? CacheLookup.HIT
+              : outcome.note() == CacheStatus.NONE ? CacheLookup.UNKNOWN : CacheLookup.MISS;
       tallies.forEach(
           t ->
-              t.attempt(
+              t.attemptEnded(
                   a.server(),
                   ending == AttemptOutcome.OK || ending == AttemptOutcome.MISS,
                   found,
@@ -267,7 +266,7 @@
   private void arrived(ClientRequest call) {
     long now = clock.now();
     for (RequestMetrics tally : tallies) {
-      tally.arrived();
+      tally.requestRouted();
     }
     Hosted module = stopping ? null : of(call);
     if (module == null) {
--- a/src/main/java/beaconturn/net/ActiveSettings.java
+++ b/src/main/java/beaconturn/net/ActiveSettings.java
@@ -23,7 +23,7 @@
   void activate(RouterSettings next) {
     RouterSettings before = settings == null ? next : settings;
     settings = next;
-    next.classNames().forEach(metrics::names);
+    next.classNames().forEach(metrics::declareClass);
     parser = new RequestParser(next, before, metrics);
   }
 
--- a/src/main/java/beaconturn/net/ConfigReloader.java
+++ b/src/main/java/beaconturn/net/ConfigReloader.java
@@ -66,12 +66,12 @@
       RouterConfig next = inputs.source().read();
       apply(next);
       discovery.move(next.discovery());
-      metrics.reloaded(true);
+      metrics.configReloaded(true);
     } catch (ConfigException e) {
-      metrics.reloaded(false);
+      metrics.configReloaded(false);
       LOG.warning("new configuration not taken, the old one stays in force: " + e.getMessage());
     } catch (RuntimeException | Error e) {
-      metrics.reloaded(false);
+      metrics.configReloaded(false);
       LOG.log(Level.SEVERE, "reading the new configuration failed, the old one stays in force", e);
     }
   }
--- a/src/main/java/beaconturn/net/FleetConfigApplier.java
+++ b/src/main/java/beaconturn/net/FleetConfigApplier.java
@@ -27,7 +27,7 @@
   /**
    * What the engine is under, null before the first; written by the routing thread, read by any.
    */
-  private volatile FleetConfigSource.Force applied;
+  private volatile FleetConfigSource.DueConfig applied;
 
   /**
    * Nothing is in force yet.
@@ -50,8 +50,8 @@
 
   /** Whether all routers have agreed to leave the cache server out; any thread. */
   boolean isExcluded(String server) {
-    FleetConfigSource.Force now = applied;
-    return now != null && now.out().contains(server);
+    FleetConfigSource.DueConfig now = applied;
+    return now != null && now.excludedServers().contains(server);
   }
 
   /**
@@ -67,7 +67,7 @@
   @SuppressWarnings("ReferenceEquality") // The source hands out another object for a change.
   private void applyZoneWeights(RoutingEngine engine) {
     ZoneWeightsSource source = inputs.zoneWeights();
-    ZoneWeights due = source == null ? zoneWeights : source.due();
+    ZoneWeights due = source == null ? zoneWeights : source.dueWeights();
     if (due != zoneWeights) {
       zoneWeights = due;
       engine.handle(new RoutingMessage.Placed(due));
@@ -76,24 +76,24 @@
 
   @SuppressWarnings("ReferenceEquality") // The source hands out another object for a change.
   private void applyConfig(RoutingEngine engine) {
-    FleetConfigSource.Force due = inputs.fleetConfig().due();
+    FleetConfigSource.DueConfig due = inputs.fleetConfig().dueConfig();
     if (due == applied) {
       return;
     }
-    FleetConfigSource.Force before = applied;
+    FleetConfigSource.DueConfig before = applied;
     applied = due;
     switchSettings(engine, due);
-    Set<String> excludedBefore = before == null ? Set.of() : before.out();
-    updateExcluded(engine, excludedBefore, due.out());
-    long oldestListBefore = before == null ? 0 : before.oldestList();
-    if (due.oldestList() > oldestListBefore) {
+    Set<String> excludedBefore = before == null ? Set.of() : before.excludedServers();
+    updateExcluded(engine, excludedBefore, due.excludedServers());
+    long oldestListBefore = before == null ? 0 : before.oldestListVersion();
+    if (due.oldestListVersion() > oldestListBefore) {
       fetchEndpointList.run();
     }
-    inputs.fleetConfig().applied(due);
-    LOG.info("acts on " + due.says());
+    inputs.fleetConfig().configApplied(due);
+    LOG.info("acts on " + due.description());
   }
 
-  private void switchSettings(RoutingEngine engine, FleetConfigSource.Force due) {
+  private void switchSettings(RoutingEngine engine, FleetConfigSource.DueConfig due) {
     if (due.settings().equals(settings.current())) {
       return;
     }
--- a/src/main/java/beaconturn/net/FleetConfigSource.java
+++ b/src/main/java/beaconturn/net/FleetConfigSource.java
@@ -7,24 +7,29 @@
 import java.util.Set;
 
 /**
- * What is agreed on with other routers, as the rest of a router knows it; it runs on a thread of
- * its own. Not there, and nothing of it loaded, unless the operators' file turns it on.
+ * The source of the configuration that routers agree on, as the rest of a router knows it; it runs
+ * on a thread of its own. Not there, and nothing of it loaded, unless the operators' file turns it
+ * on.
  */
 public interface FleetConfigSource extends Runnable {
   /**
-   * What is to be in force.
+   * A configuration that is to be in force.
    *
    * @param settings of this router under it
-   * @param out names of the cache servers that nothing new is sent to
-   * @param oldestList older lists are not acted on
+   * @param excludedServers names of the cache servers that nothing new is sent to
+   * @param oldestListVersion endpoint lists of earlier versions are not acted on
    * @param content what it was made of, for comparison
-   * @param says which version it is, in words
+   * @param description which version it is, in words
    */
-  record Force(
-      RouterSettings settings, Set<String> out, long oldestList, Object content, String says) {
-    /** Whether it means the same. */
-    public boolean means(Object other, String words) {
-      return content.equals(other) && says.equals(words);
+  record DueConfig(
+      RouterSettings settings,
+      Set<String> excludedServers,
+      long oldestListVersion,
+      Object content,
+      String description) {
+    /** Whether it was made of this content and is described so. */
+    public boolean isSameAs(Object otherContent, String otherDescription) {
+      return content.equals(otherContent) && description.equals(otherDescription);
     }
   }
 
@@ -33,33 +38,36 @@
    * router that serves before it has asked acts on what may be over. Called once, before the first
    * client is accepted.
    */
-  void awaitFirst();
+  void awaitFirstConfig();
 
   /**
    * What is to be in force now; the same object as long as nothing changes. Any thread, no wait.
    */
-  Force due();
+  DueConfig dueConfig();
 
-  /** Lists before this one are not taken, by what is in force and by what was said yes to. */
-  long oldestList();
+  /**
+   * Lists before this version are not taken, by what is in force and by what was acked. Any thread,
+   * no wait.
+   */
+  long oldestListVersion();
 
-  /** Discovery's list of that version has been handed to the module; any thread, no wait. */
-  void hasList(long version);
+  /** A list of that version has been handed to the routing thread; any thread, no wait. */
+  void listReceived(long version);
 
-  /** What the module has been put under; called on its thread. */
-  void applied(Force force);
+  /** What the routing engine has been put under; called on its thread. */
+  void configApplied(DueConfig config);
 
   /**
-   * Whether what the module decided may still be written to a cache server: not where the lease
+   * Whether what the policy decided may still be written to a cache server: not where the lease
    * that it was decided under has ended and something else is due. Any thread, no wait.
    */
   boolean mayWrite();
 
   /**
-   * What this router makes of each cache server, for whoever counts who is out; any thread, no
+   * Takes this router's view of each cache server, for whoever counts which are out; any thread, no
    * wait.
    */
-  void sees(Map<CacheServerClients.Listed, ServerStatus> caches);
+  void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> statuses);
 
   /** The router ends as planned: nobody need wait for it. Takes a second at the most. */
   void leave();
--- a/src/main/java/beaconturn/net/HealthMetrics.java
+++ b/src/main/java/beaconturn/net/HealthMetrics.java
@@ -4,6 +4,7 @@
 import beaconturn.net.io.Fnv1a;
 import beaconturn.stats.Counters;
 import beaconturn.stats.HealthCounters;
+import beaconturn.stats.Metric;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -59,16 +60,15 @@
   }
 
   /** All of them as they are now. */
-  List<Counters.Figure> read() {
-    List<Counters.Figure> all = new ArrayList<>(counters.health(serverNames));
+  List<Metric> read() {
+    List<Metric> all = new ArrayList<>(counters.health(serverNames));
     long cores = Runtime.getRuntime().availableProcessors();
-    all.add(new Counters.Figure("memory_kb", residentKb(), true));
+    all.add(new Metric("memory_kb", residentKb(), true));
     all.add(
-        new Counters.Figure(
-            "cpu_ms", ProcessPauseDetector.processorTimeNanos() / NANOS_PER_MILLI, false));
-    all.add(new Counters.Figure("cores_thousandth", cores * THOUSANDTHS, true));
-    all.add(new Counters.Figure("connections", connections.getAsInt(), true));
-    all.add(new Counters.Figure("most_connections", mostConnections.getAsInt(), true));
+        new Metric("cpu_ms", ProcessPauseDetector.processorTimeNanos() / NANOS_PER_MILLI, false));
+    all.add(new Metric("cores_thousandth", cores * THOUSANDTHS, true));
+    all.add(new Metric("connections", connections.getAsInt(), true));
+    all.add(new Metric("most_connections", mostConnections.getAsInt(), true));
     return all;
   }
 
--- a/src/main/java/beaconturn/net/OperatorOverrides.java
+++ b/src/main/java/beaconturn/net/OperatorOverrides.java
@@ -10,7 +10,7 @@
 import beaconturn.net.control.ServerOverrideFile;
 import beaconturn.net.io.Fnv1a;
 import beaconturn.net.io.Threads;
-import beaconturn.stats.Counters;
+import beaconturn.stats.Metric;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -91,7 +91,7 @@
   }
 
   @Override
-  public List<Counters.Figure> health() {
+  public List<Metric> health() {
     return metrics.health() == null ? null : metrics.health().read();
   }
 
--- a/src/main/java/beaconturn/net/RouterAssembly.java
+++ b/src/main/java/beaconturn/net/RouterAssembly.java
@@ -126,7 +126,7 @@
           inbox.accept(message);
           endpointList.received(message);
         },
-        inputs.hasFleetConfig() ? inputs.fleetConfig()::oldestList : () -> 0,
+        inputs.hasFleetConfig() ? inputs.fleetConfig()::oldestListVersion : () -> 0,
         WatchBackoff.of(config.seed()));
   }
 
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -133,7 +133,7 @@
 
   private void awaitWhatToActOn() {
     if (inputs.hasFleetConfig()) {
-      inputs.fleetConfig().awaitFirst();
+      inputs.fleetConfig().awaitFirstConfig();
       parts.endpointList().awaitAgreedVersion();
     }
     parts
--- a/src/main/java/beaconturn/net/RoutingEngineObserver.java
+++ b/src/main/java/beaconturn/net/RoutingEngineObserver.java
@@ -37,12 +37,12 @@
   }
 
   private void handOnStatuses(Map<CacheServerClients.Listed, ServerStatus> statuses) {
-    inputs.fleetConfig().sees(statuses);
+    inputs.fleetConfig().serverStatuses(statuses);
     if (metrics.health() != null) {
       metrics.health().servers(statuses.keySet());
     }
     if (inputs.zoneWeights() != null) {
-      inputs.zoneWeights().sees(statuses);
+      inputs.zoneWeights().serverStatuses(statuses);
     }
   }
 }
--- a/src/main/java/beaconturn/net/StartupEndpointList.java
+++ b/src/main/java/beaconturn/net/StartupEndpointList.java
@@ -51,7 +51,7 @@
         && message instanceof RoutingMessage.News news
         && news.news().kind() != EndpointListKind.FAILED) {
       receivedVersion = news.news().version();
-      fleetConfig.hasList(receivedVersion);
+      fleetConfig.listReceived(receivedVersion);
     }
   }
 
@@ -77,12 +77,12 @@
           "list "
               + receivedVersion
               + " is older than what is agreed on, "
-              + fleetConfig.due().oldestList()
+              + fleetConfig.dueConfig().oldestListVersion()
               + ", and discovery tells no newer one: serves on it");
     }
   }
 
   private boolean isTooOld() {
-    return fleetConfig.due().oldestList() > receivedVersion;
+    return fleetConfig.dueConfig().oldestListVersion() > receivedVersion;
   }
 }
--- a/src/main/java/beaconturn/net/ZoneWeightsSource.java
+++ b/src/main/java/beaconturn/net/ZoneWeightsSource.java
@@ -7,16 +7,19 @@
 import java.util.Map;
 
 /**
- * To which places keys go, as decided with other routers; it runs on a thread of its own and hears
- * of attempts as they are counted. Not there, and nothing of it loaded, unless the operators' file
- * turns it on.
+ * The source of the zone weights that routers agree on: to which zones keys go. It runs on a thread
+ * of its own and hears of attempts as they are counted. Not there, and nothing of it loaded, unless
+ * the operators' file turns it on.
  */
 public interface ZoneWeightsSource extends Runnable, RequestMetrics {
-  /** The shares that are due; the same object as long as nothing changes. Any thread, no wait. */
-  ZoneWeights due();
+  /**
+   * The weights that are to be in force now; the same object as long as nothing changes. Any
+   * thread, no wait.
+   */
+  ZoneWeights dueWeights();
 
-  /** What this router makes of each cache server; any thread, no wait. */
-  void sees(Map<CacheServerClients.Listed, ServerStatus> caches);
+  /** Takes this router's view of each cache server; any thread, no wait. */
+  void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> statuses);
 
   /** The router ends as planned. */
   void leave();
--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -38,7 +38,7 @@
   private final PersistedConfigFile file;
   private final AgreementMember member;
   private volatile Forces forces;
-  private volatile Force applied;
+  private volatile DueConfig applied;
   private volatile boolean stopped;
   private volatile EndpointView sight;
 
@@ -55,7 +55,7 @@
   private boolean left;
 
   /** What is due until a time and from then on. */
-  private record Forces(long until, Force held, Force after) {}
+  private record Forces(long until, DueConfig held, DueConfig after) {}
 
   /** A part that asks nobody before it is run. */
   public AgreementSubsystem(AgreementConfig config, RouterConfig router) {
@@ -131,7 +131,7 @@
   }
 
   @Override
-  public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
+  public void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> caches) {
     SortedMap<String, Long> in = new TreeMap<>();
     SortedMap<String, String> out = new TreeMap<>();
     ejections.only(
@@ -170,7 +170,7 @@
   }
 
   @Override
-  public synchronized void awaitFirst() {
+  public synchronized void awaitFirstConfig() {
     long until = System.nanoTime() + FIRST_CALLS * config.timing().callTimeout();
     try {
       for (long wait = until - System.nanoTime();
@@ -197,20 +197,20 @@
   @Override
   public void ground(EffectiveConfig ground) {
     Forces before = forces;
-    Force held = force(ground.held(), ground.heldAs(), before);
-    Force after = force(ground.after(), ground.afterAs(), before);
+    DueConfig held = force(ground.held(), ground.heldAs(), before);
+    DueConfig after = force(ground.after(), ground.afterAs(), before);
     forces = new Forces(ground.until(), held, after);
   }
 
   /** The same object where nothing has changed, so that the router need not compare more. */
-  private Force force(ConfigContent content, String says, Forces before) {
-    if (before != null && before.held().means(content, says)) {
+  private DueConfig force(ConfigContent content, String says, Forces before) {
+    if (before != null && before.held().isSameAs(content, says)) {
       return before.held();
     }
-    if (before != null && before.after().means(content, says)) {
+    if (before != null && before.after().isSameAs(content, says)) {
       return before.after();
     }
-    return new Force(
+    return new DueConfig(
         SettingsContentMapper.under(configured, content),
         content.out(),
         content.oldestList(),
@@ -234,24 +234,24 @@
   }
 
   @Override
-  public long oldestList() {
+  public long oldestListVersion() {
     Forces now = forces;
-    return Math.max(now.held().oldestList(), now.after().oldestList());
+    return Math.max(now.held().oldestListVersion(), now.after().oldestListVersion());
   }
 
   @Override
-  public void hasList(long version) {
+  public void listReceived(long version) {
     list = version;
   }
 
   @Override
-  public Force due() {
+  public DueConfig dueConfig() {
     Forces now = forces;
     return clock.now() < now.until() ? now.held() : now.after();
   }
 
   @Override
-  public void applied(Force force) {
+  public void configApplied(DueConfig force) {
     applied = force;
   }
 
@@ -259,7 +259,7 @@
   @SuppressWarnings("ReferenceEquality") // A shortcut before the comparison.
   public boolean mayWrite() {
     Forces now = forces;
-    Force in = applied;
+    DueConfig in = applied;
     return clock.now() < now.until()
         || in == now.after()
         || (in != null && in.content().equals(now.after().content()));
--- a/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
@@ -8,6 +8,7 @@
 import beaconturn.net.RouterConfig;
 import beaconturn.net.ZoneWeightsSource;
 import beaconturn.net.io.Fnv1a;
+import beaconturn.stats.CacheLookup;
 import beaconturn.zones.ZoneMember;
 import beaconturn.zones.ZoneObservations;
 import beaconturn.zones.ZoneReport;
@@ -116,7 +117,7 @@
   }
 
   @Override
-  public ZoneWeights due() {
+  public ZoneWeights dueWeights() {
     ZoneMember.Due due = follower.due(clock.now());
     Shown last = shown;
     if (last == null || !last.of().equals(due)) {
@@ -142,17 +143,17 @@
   }
 
   @Override
-  public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
+  public void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> caches) {
     seen = caches;
   }
 
   @Override
-  public void arrived() {
+  public void requestRouted() {
     arrivals.increment();
   }
 
   @Override
-  public void attempt(long server, boolean good, Found found, long took, boolean late) {
+  public void attemptEnded(long server, boolean good, CacheLookup lookup, long took, boolean late) {
     OfServer of = servers.computeIfAbsent(server, id -> new OfServer());
     if (good && !late) {
       of.good.increment();
--- a/src/main/java/beaconturn/net/client/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -6,6 +6,7 @@
 import beaconturn.net.io.BoundedPipe;
 import beaconturn.protocol.RespWriter;
 import beaconturn.protocol.Slice;
+import beaconturn.stats.RequestEnd;
 import beaconturn.stats.RequestMetrics;
 import java.util.ArrayList;
 import java.util.List;
@@ -56,26 +57,26 @@
 
   /** Counts the request: from now on an answer is owed. */
   void taken() {
-    reading.metrics().taken();
+    reading.metrics().requestAccepted();
   }
 
   /** Ends the request without an answer, as nobody waits for one any more. */
   public void abandoned() {
-    end(RequestMetrics.End.ABANDONED, ClientWriter.END);
+    end(RequestEnd.ABANDONED, ClientWriter.END);
   }
 
   /**
    * What had begun and is not whole is broken off: the client has part of it, and can only fail.
    */
-  private void end(RequestMetrics.End end, Slice answer) {
-    boolean brokenOff = stream() != null && end != RequestMetrics.End.ANSWERED;
+  private void end(RequestEnd end, Slice answer) {
+    boolean brokenOff = stream() != null && end != RequestEnd.ANSWERED;
     if (!fill(answer)) {
       return;
     }
-    boolean countsAsError = brokenOff && end != RequestMetrics.End.ABANDONED;
-    reading.metrics().ended(reading.className(), countsAsError ? RequestMetrics.End.ERRORED : end);
-    if (end == RequestMetrics.End.ANSWERED) {
-      reading.metrics().served(reading.objectiveAtNanos());
+    boolean countsAsError = brokenOff && end != RequestEnd.ABANDONED;
+    reading.metrics().requestEnded(reading.className(), countsAsError ? RequestEnd.FAILED : end);
+    if (end == RequestEnd.ANSWERED) {
+      reading.metrics().answeredWithObjective(reading.objectiveAtNanos());
     }
     if (brokenOff) {
       stream().breakOff();
@@ -126,14 +127,14 @@
 
   @Override
   public void served(Slice answer) {
-    end(RequestMetrics.End.ANSWERED, answer == null ? ClientWriter.END : answer);
+    end(RequestEnd.ANSWERED, answer == null ? ClientWriter.END : answer);
   }
 
   /** Rounded up, so that no client comes again before it should. */
   @Override
   public void refused(long retryAfter) {
     end(
-        RequestMetrics.End.DEFERRED,
+        RequestEnd.REJECTED,
         RespWriter.failure(
             retryAfter <= 0
                 ? "BUSY"
@@ -142,6 +143,6 @@
 
   @Override
   public void failed() {
-    end(RequestMetrics.End.ERRORED, RespWriter.failure("ERR failed"));
+    end(RequestEnd.FAILED, RespWriter.failure("ERR failed"));
   }
 }
--- a/src/main/java/beaconturn/net/control/AdminConnection.java
+++ b/src/main/java/beaconturn/net/control/AdminConnection.java
@@ -1,6 +1,6 @@
 package beaconturn.net.control;
 
-import beaconturn.stats.Counters;
+import beaconturn.stats.Metric;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
@@ -80,7 +80,7 @@
     return whyNot == null ? "ACK" : "NAK " + whyNot;
   }
 
-  private static String health(List<Counters.Figure> metrics) {
+  private static String health(List<Metric> metrics) {
     return metrics == null ? "NAK no such call" : MetricLines.of(metrics);
   }
 
--- a/src/main/java/beaconturn/net/control/AdminOperations.java
+++ b/src/main/java/beaconturn/net/control/AdminOperations.java
@@ -1,6 +1,6 @@
 package beaconturn.net.control;
 
-import beaconturn.stats.Counters;
+import beaconturn.stats.Metric;
 import java.util.List;
 import java.util.function.Consumer;
 
@@ -13,7 +13,7 @@
   String notReady();
 
   /** The health metrics of this process and its cache servers, or null where there are none. */
-  default List<Counters.Figure> health() {
+  default List<Metric> health() {
     return null;
   }
 
--- a/src/main/java/beaconturn/net/control/MetricLines.java
+++ b/src/main/java/beaconturn/net/control/MetricLines.java
@@ -1,6 +1,6 @@
 package beaconturn.net.control;
 
-import beaconturn.stats.Counters;
+import beaconturn.stats.Metric;
 import java.util.List;
 
 /** The text form of metrics: lines of StatsD, and a mark at the end. */
@@ -13,14 +13,14 @@
   private MetricLines() {}
 
   /** A line {@code app.NAME:VALUE|TYPE} for each metric, then {@code --} without a line's end. */
-  static String of(List<Counters.Figure> metrics) {
+  static String of(List<Metric> metrics) {
     StringBuilder text = new StringBuilder();
-    for (Counters.Figure metric : metrics) {
+    for (Metric metric : metrics) {
       text.append(PREFIX)
           .append(metric.name())
           .append(':')
           .append(metric.value())
-          .append(metric.level() ? GAUGE : COUNTER);
+          .append(metric.gauge() ? GAUGE : COUNTER);
     }
     return text.append(END).toString();
   }
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -306,7 +306,7 @@
 
     @Override
     public void requestWritten() {
-      environment.metrics().sent();
+      environment.metrics().attemptWritten();
     }
 
     @Override
--- a/src/main/java/beaconturn/protocol/HttpWriter.java
+++ b/src/main/java/beaconturn/protocol/HttpWriter.java
@@ -3,9 +3,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Makes HTTP/1.1 requests and answers. */
+/** Encodes HTTP/1.1 requests and responses. No state; for any thread. */
 public final class HttpWriter {
-  private static final int OK = 200;
+  private static final int STATUS_OK = 200;
 
   private HttpWriter() {}
 
@@ -20,9 +20,9 @@
     return withBody("POST " + path + " HTTP/1.1\r\nHost: " + host, body);
   }
 
-  /** An answer with a body of JSON, on a connection that is kept. */
+  /** A response with a body of JSON, on a connection that is kept. */
   public static Slice answer(int status, String body) {
-    return withBody("HTTP/1.1 " + status + (status == OK ? " OK" : " Error"), body);
+    return withBody("HTTP/1.1 " + status + (status == STATUS_OK ? " OK" : " Error"), body);
   }
 
   private static Slice withBody(String first, String body) {
--- a/src/main/java/beaconturn/protocol/Json.java
+++ b/src/main/java/beaconturn/protocol/Json.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON value. */
+/** A JSON value. Not to be changed once it has been read. */
 public sealed interface Json {
   /** An object; the names keep their order. */
   record Members(Map<String, Json> values) implements Json {}
--- a/src/main/java/beaconturn/protocol/JsonWriter.java
+++ b/src/main/java/beaconturn/protocol/JsonWriter.java
@@ -1,8 +1,9 @@
 package beaconturn.protocol;
 
+import java.util.List;
 import java.util.Map;
 
-/** Writes one JSON value as text. */
+/** Writes JSON values as text. No state; for any thread. */
 public final class JsonWriter {
   private JsonWriter() {}
 
@@ -15,31 +16,41 @@
 
   private static void write(Json value, StringBuilder out) {
     if (value instanceof Json.Members members) {
-      String before = "{";
-      for (Map.Entry<String, Json> member : members.values().entrySet()) {
-        out.append(before);
-        text(member.getKey(), out);
-        out.append(':');
-        write(member.getValue(), out);
-        before = ",";
-      }
-      out.append(members.values().isEmpty() ? "{}" : "}");
-    } else if (value instanceof Json.Items items) {
-      String before = "[";
-      for (Json item : items.values()) {
-        out.append(before);
-        write(item, out);
-        before = ",";
-      }
-      out.append(items.values().isEmpty() ? "[]" : "]");
+      writeMembers(members.values(), out);
+    } else if (value instanceof Json.Items) {
+      writeItems(value.items(), out);
     } else if (value instanceof Json.Text text) {
-      text(text.value(), out);
+      writeString(text.value(), out);
     } else {
       out.append(value.word("null"));
     }
   }
 
-  private static void text(String text, StringBuilder out) {
+  private static void writeMembers(Map<String, Json> members, StringBuilder out) {
+    out.append('{');
+    String separator = "";
+    for (Map.Entry<String, Json> member : members.entrySet()) {
+      out.append(separator);
+      writeString(member.getKey(), out);
+      out.append(':');
+      write(member.getValue(), out);
+      separator = ",";
+    }
+    out.append('}');
+  }
+
+  private static void writeItems(List<Json> items, StringBuilder out) {
+    out.append('[');
+    String separator = "";
+    for (Json item : items) {
+      out.append(separator);
+      write(item, out);
+      separator = ",";
+    }
+    out.append(']');
+  }
+
+  private static void writeString(String text, StringBuilder out) {
     out.append('"');
     for (int i = 0; i < text.length(); i++) {
       char c = text.charAt(i);
--- a/src/main/java/beaconturn/protocol/RespWriter.java
+++ b/src/main/java/beaconturn/protocol/RespWriter.java
@@ -3,9 +3,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Makes RESP2 values. */
+/** Encodes RESP2 values. No state; for any thread. */
 public final class RespWriter {
-  private static final int LONGEST_REASON = 200;
+  private static final int LONGEST_ERROR_CHARS = 200;
 
   private RespWriter() {}
 
@@ -40,6 +40,6 @@
   /** An error; whatever could end its line is replaced. */
   public static Slice failure(String text) {
     String line = text.replaceAll("[^ -~]", "?");
-    return Slice.of("-" + line.substring(0, Math.min(line.length(), LONGEST_REASON)) + "\r\n");
+    return Slice.of("-" + line.substring(0, Math.min(line.length(), LONGEST_ERROR_CHARS)) + "\r\n");
   }
 }
--- a/src/main/java/beaconturn/protocol/Slice.java
+++ b/src/main/java/beaconturn/protocol/Slice.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * A range of bytes in the buffer that they were read into; the bytes never change while it is in
- * use.
+ * A range of bytes in the array that they were read into, which is not copied. Whoever reads into
+ * the array never overwrites them while a slice is in use; safe for any thread.
  */
 public final class Slice {
   private final byte[] bytes;
--- a/src/main/java/beaconturn/stats/Counters.java
+++ b/src/main/java/beaconturn/stats/Counters.java
@@ -2,87 +2,99 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * The counts of one process from its start on. What a class that is named no more had counted stays
- * counted.
+ * The metrics of one process from its start on; any thread, without a lock. What a class that the
+ * settings have no more had counted stays counted.
  */
 public class Counters implements RequestMetrics {
-  /** One figure as it is now; a count only grows, a level does not. */
-  public record Figure(String name, long value, boolean level) {}
+  /** The ends of requests that are shown, in the order of the output. */
+  private static final List<RequestEnd> SHOWN_ENDS =
+      List.of(RequestEnd.ANSWERED, RequestEnd.REJECTED, RequestEnd.FAILED);
 
-  private static final class OfClass {
-    private final LongAdder[] ends = {new LongAdder(), new LongAdder(), new LongAdder()};
+  /** How the requests of one class ended. */
+  private static final class RequestClassCounters {
+    private final LongAdder answered = new LongAdder();
+    private final LongAdder rejected = new LongAdder();
+    private final LongAdder failed = new LongAdder();
+
+    private LongAdder of(RequestEnd end) {
+      return switch (end) {
+        case ANSWERED -> answered;
+        case REJECTED -> rejected;
+        case FAILED -> failed;
+        case ABANDONED -> throw new IllegalArgumentException("not counted by class");
+      };
+    }
   }
 
-  private final Map<String, OfClass> classes = new ConcurrentSkipListMap<>();
-  private final LongAdder open = new LongAdder();
-  private final LongAdder sends = new LongAdder();
-  private final LongAdder loaded = new LongAdder();
-  private final LongAdder invalid = new LongAdder();
-  private volatile int listed;
-  private volatile int avoided;
+  private final Map<String, RequestClassCounters> classes = new ConcurrentSkipListMap<>();
+  private final LongAdder openRequests = new LongAdder();
+  private final LongAdder attemptsWritten = new LongAdder();
+  private final LongAdder configsAccepted = new LongAdder();
+  private final LongAdder configsInvalid = new LongAdder();
+  private volatile int serversListed;
+  private volatile int serversAvoided;
 
   @Override
-  public void names(String requestClass) {
+  public void declareClass(String requestClass) {
     of(requestClass);
   }
 
-  private OfClass of(String requestClass) {
-    return classes.computeIfAbsent(requestClass, name -> new OfClass());
+  private RequestClassCounters of(String requestClass) {
+    return classes.computeIfAbsent(requestClass, name -> new RequestClassCounters());
   }
 
   @Override
-  public void taken() {
-    open.increment();
+  public void requestAccepted() {
+    openRequests.increment();
   }
 
   @Override
-  public void ended(String requestClass, End how) {
-    open.decrement();
-    if (how != End.ABANDONED) {
-      of(requestClass).ends[how.ordinal()].increment();
+  public void requestEnded(String requestClass, RequestEnd end) {
+    openRequests.decrement();
+    if (end != RequestEnd.ABANDONED) {
+      of(requestClass).of(end).increment();
     }
   }
 
   @Override
-  public void sent() {
-    sends.increment();
+  public void attemptWritten() {
+    attemptsWritten.increment();
   }
 
   @Override
-  public void fleet(int nowListed, int nowAvoided) {
-    listed = nowListed;
-    avoided = nowAvoided;
+  public void serverCounts(int listed, int avoided) {
+    serversListed = listed;
+    serversAvoided = avoided;
   }
 
   @Override
-  public void reloaded(boolean taken) {
-    (taken ? loaded : invalid).increment();
+  public void configReloaded(boolean accepted) {
+    (accepted ? configsAccepted : configsInvalid).increment();
   }
 
   /**
-   * All figures as they are now, in a fixed order; what is counted meanwhile may be in some and not
+   * All metrics as they are now, in a fixed order; what is counted meanwhile may be in some and not
    * others.
    */
-  public List<Figure> read() {
-    List<Figure> all = new ArrayList<>();
-    for (End how : new End[] {End.ANSWERED, End.DEFERRED, End.ERRORED}) {
-      String name = how.name().toLowerCase(Locale.ROOT);
+  public List<Metric> read() {
+    List<Metric> all = new ArrayList<>();
+    for (RequestEnd end : SHOWN_ENDS) {
       classes.forEach(
-          (type, counted) ->
-              all.add(new Figure(name + "." + type, counted.ends[how.ordinal()].sum(), false)));
+          (name, counters) ->
+              all.add(new Metric(end.metricName() + "." + name, counters.of(end).sum(), false)));
     }
-    all.add(new Figure("sends", sends.sum(), false));
-    all.add(new Figure("current", Math.max(0, open.sum()), true));
-    all.add(new Figure("cluster_size", listed, true));
-    all.add(new Figure("cluster_unhealthy", avoided, true));
-    all.add(new Figure("conf_loaded", loaded.sum(), false));
-    all.add(new Figure("conf_invalid", invalid.sum(), false));
+    all.add(new Metric("sends", attemptsWritten.sum(), false));
+    // An end may be summed before the accept that it belongs to.
+    all.add(new Metric("current", Math.max(0, openRequests.sum()), true));
+    all.add(new Metric("cluster_size", serversListed, true));
+    all.add(new Metric("cluster_unhealthy", serversAvoided, true));
+    all.add(new Metric("conf_loaded", configsAccepted.sum(), false));
+    all.add(new Metric("conf_invalid", configsInvalid.sum(), false));
     return all;
   }
 }
--- a/src/main/java/beaconturn/stats/HealthCounters.java
+++ b/src/main/java/beaconturn/stats/HealthCounters.java
@@ -7,21 +7,31 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.LongSupplier;
 
-/** The counts that say how a process and the cache servers it uses do, beside those of its work. */
+/**
+ * Counters that also tell how well a process and the cache servers that it uses answer; any thread.
+ */
 public final class HealthCounters extends Counters {
-  private static final long MICRO = 1000;
+  private static final long NANOS_PER_MICRO = 1000;
+
   private final LongSupplier clock;
   private final LongAdder late = new LongAdder();
   private final LongAdder hits = new LongAdder();
   private final LongAdder misses = new LongAdder();
-  private final Map<Long, OfServer> servers = new ConcurrentHashMap<>();
+  private final Map<Long, CacheServerCounters> servers = new ConcurrentHashMap<>();
 
   /** What one cache server made of the attempts that it got. */
-  private static final class OfServer {
-    private final LongAdder good = new LongAdder();
-    private final LongAdder bad = new LongAdder();
+  private static final class CacheServerCounters {
+    private final LongAdder answered = new LongAdder();
+    private final LongAdder unanswered = new LongAdder();
     private final LongAdder hits = new LongAdder();
     private final LongAdder hitMicros = new LongAdder();
+
+    private void addTo(List<Metric> all, String name) {
+      all.add(new Metric("cache_good." + name, answered.sum(), false));
+      all.add(new Metric("cache_bad." + name, unanswered.sum(), false));
+      all.add(new Metric("cache_hits." + name, hits.sum(), false));
+      all.add(new Metric("cache_hit_micros." + name, hitMicros.sum(), false));
+    }
   }
 
   /** Counts by the router's clock, in nanoseconds. */
@@ -30,45 +40,41 @@
   }
 
   @Override
-  public void served(long aim) {
-    if (clock.getAsLong() > aim) {
+  public void answeredWithObjective(long objectiveAtNanos) {
+    if (clock.getAsLong() > objectiveAtNanos) {
       late.increment();
     }
   }
 
   @Override
-  public void attempt(long server, boolean good, Found found, long took, boolean late) {
-    OfServer of = servers.computeIfAbsent(server, id -> new OfServer());
-    (good ? of.good : of.bad).increment();
-    if (good && found == Found.HIT) {
+  public void attemptEnded(
+      long serverId, boolean answered, CacheLookup lookup, long tookNanos, boolean late) {
+    CacheServerCounters server = servers.computeIfAbsent(serverId, id -> new CacheServerCounters());
+    (answered ? server.answered : server.unanswered).increment();
+    if (answered && lookup == CacheLookup.HIT) {
       hits.increment();
-      of.hits.increment();
-      of.hitMicros.add(took / MICRO);
-    } else if (good && found == Found.MISS) {
+      server.hits.increment();
+      server.hitMicros.add(tookNanos / NANOS_PER_MICRO);
+    } else if (answered && lookup == CacheLookup.MISS) {
       misses.increment();
     }
   }
 
   /**
-   * What is counted of health; of cache servers those that are named, whoever else was is
-   * forgotten.
+   * The health metrics as they are now. Of cache servers those that are named here, by their ids;
+   * whoever else was counted is forgotten.
    */
-  public List<Figure> health(Map<Long, String> names) {
-    servers.keySet().retainAll(names.keySet());
-    List<Figure> all =
-        new ArrayList<>(
-            List.of(
-                new Figure("late", late.sum(), false),
-                new Figure("hits", hits.sum(), false),
-                new Figure("misses", misses.sum(), false)));
-    names.forEach(
+  public List<Metric> health(Map<Long, String> serverNames) {
+    servers.keySet().retainAll(serverNames.keySet());
+    List<Metric> all = new ArrayList<>();
+    all.add(new Metric("late", late.sum(), false));
+    all.add(new Metric("hits", hits.sum(), false));
+    all.add(new Metric("misses", misses.sum(), false));
+    serverNames.forEach(
         (id, name) -> {
-          OfServer of = servers.get(id);
-          if (of != null) {
-            all.add(new Figure("cache_good." + name, of.good.sum(), false));
-            all.add(new Figure("cache_bad." + name, of.bad.sum(), false));
-            all.add(new Figure("cache_hits." + name, of.hits.sum(), false));
-            all.add(new Figure("cache_hit_micros." + name, of.hitMicros.sum(), false));
+          CacheServerCounters server = servers.get(id);
+          if (server != null) {
+            server.addTo(all, name);
           }
         });
     return all;
--- a/src/main/java/beaconturn/stats/RequestMetrics.java
+++ b/src/main/java/beaconturn/stats/RequestMetrics.java
@@ -2,54 +2,44 @@
 
 /** Where the work of one process is counted; any thread may call, and no call waits. */
 public interface RequestMetrics {
-  /** Counts nothing: for a router whose figures nobody can ask for. */
+  /** Counts nothing: for a router whose metrics nobody can ask for. */
   RequestMetrics NONE = new RequestMetrics() {};
 
-  /** How a request ended, each in exactly one way. */
-  enum End {
-    ANSWERED,
-    DEFERRED,
-    ERRORED,
-    ABANDONED
-  }
+  /** A request has been accepted. */
+  default void requestAccepted() {}
 
-  /** A request has been taken. */
-  default void taken() {}
-
-  /** A request that had been taken is over; {@code requestClass} is the class it was taken with. */
-  default void ended(String requestClass, End how) {}
+  /** A request that had been accepted is over; its class is the one that it was accepted with. */
+  default void requestEnded(String requestClass, RequestEnd end) {}
 
   /** An attempt has been written whole to a cache server. */
-  default void sent() {}
-
-  /** How a cache server had the key that it answered for. */
-  enum Found {
-    HIT,
-    MISS,
-    UNSAID
-  }
+  default void attemptWritten() {}
 
-  /** A request has been served whose client wanted it by {@code aim}, by the router's clock. */
-  default void served(long aim) {}
+  /** A request has been answered that was to be answered by this time of the router's clock. */
+  default void answeredWithObjective(long objectiveAtNanos) {}
 
-  /** A request has come to the module. */
-  default void arrived() {}
+  /** A request has come to the routing policy. */
+  default void requestRouted() {}
 
   /**
-   * An attempt is over: {@code good} where its cache server answered it, after so many nanoseconds,
-   * which was {@code late} after the aim of its class.
+   * An attempt is over.
+   *
+   * @param serverId of its cache server
+   * @param answered whether the cache server answered it
+   * @param lookup how the cache server had the key
+   * @param tookNanos from its sending to its end
+   * @param late whether it was over after the latency objective of its class
    */
-  default void attempt(long server, boolean good, Found found, long took, boolean late) {}
+  default void attemptEnded(
+      long serverId, boolean answered, CacheLookup lookup, long tookNanos, boolean late) {}
 
-  /** So many cache servers are listed, and so many of them are avoided, by hand or by choice. */
-  default void fleet(int listed, int avoided) {}
+  /** How many cache servers are listed, and how many of them are excluded or ejected. */
+  default void serverCounts(int listed, int avoided) {}
 
-  /** A configuration was taken at a reload, or turned down. */
-  default void reloaded(boolean taken) {}
+  /** A configuration was accepted at a reload, or not. */
+  default void configReloaded(boolean accepted) {}
 
   /**
-   * The settings in force name this class, which is shown from now on though it has counted
-   * nothing.
+   * The settings in force have this class, which is shown from now on though nothing is counted.
    */
-  default void names(String requestClass) {}
+  default void declareClass(String requestClass) {}
 }
--- a/src/test/java/beaconturn/cli/InstanceMetricsReaderTest.java
+++ b/src/test/java/beaconturn/cli/InstanceMetricsReaderTest.java
@@ -10,6 +10,7 @@
 import beaconturn.release.InstanceMetrics;
 import beaconturn.release.InstanceSample;
 import beaconturn.stats.Counters;
+import beaconturn.stats.Metric;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -26,12 +27,12 @@
   private final AtomicReference<String> health = new AtomicReference<>("");
 
   /** Figures of words such as {@code late=3}; null of null. */
-  private static List<Counters.Figure> figures(String words) {
+  private static List<Metric> figures(String words) {
     return words == null
         ? null
         : Stream.of(words.split(" "))
             .map(w -> w.split("="))
-            .map(w -> new Counters.Figure(w[0], Long.parseLong(w[1]), false))
+            .map(w -> new Metric(w[0], Long.parseLong(w[1]), false))
             .toList();
   }
 
@@ -46,7 +47,7 @@
               }
 
               @Override
-              public List<Counters.Figure> health() {
+              public List<Metric> health() {
                 return figures(healthOf.get());
               }
 
@@ -58,7 +59,7 @@
             },
             new Counters() {
               @Override
-              public List<Counters.Figure> read() {
+              public List<Metric> read() {
                 return figures(stat.get());
               }
             },
--- a/src/test/java/beaconturn/net/PlantedAgreement.java
+++ b/src/test/java/beaconturn/net/PlantedAgreement.java
@@ -28,8 +28,8 @@
   private final Defect defect;
   private final AgreementSubsystem sound;
   private final StoreClient store;
-  private Force held;
-  private volatile Force early;
+  private DueConfig held;
+  private volatile DueConfig early;
   private volatile boolean left;
 
   /** What is wrong with it. */
@@ -87,10 +87,10 @@
   private void take(String text) {
     try {
       ConfigVersion next = ConfigCodec.version(text);
-      Force now = sound.due();
-      if (early == null || !early.says().equals("early " + next.number())) {
+      DueConfig now = sound.dueConfig();
+      if (early == null || !early.description().equals("early " + next.number())) {
         early =
-            new Force(
+            new DueConfig(
                 now.settings(), next.content().out(), 0, next.content(), "early " + next.number());
       }
     } catch (AgreementException e) {
@@ -99,8 +99,8 @@
   }
 
   @Override
-  public Force due() {
-    Force sounds = sound.due();
+  public DueConfig dueConfig() {
+    DueConfig sounds = sound.dueConfig();
     if (defect == Defect.RUNS_AHEAD) {
       return early == null ? sounds : early;
     }
@@ -109,35 +109,35 @@
     }
     // Once it has a version of its own, it holds on to that until it is told of another one in
     // force.
-    if (held == null || sounds.says().matches("version [0-9]+")) {
+    if (held == null || sounds.description().matches("version [0-9]+")) {
       held = sounds;
     }
     return held;
   }
 
   @Override
-  public void awaitFirst() {
-    sound.awaitFirst();
+  public void awaitFirstConfig() {
+    sound.awaitFirstConfig();
   }
 
   @Override
-  public void applied(Force force) {
-    sound.applied(force);
+  public void configApplied(DueConfig force) {
+    sound.configApplied(force);
   }
 
   @Override
-  public long oldestList() {
+  public long oldestListVersion() {
     return 0;
   }
 
   @Override
-  public void hasList(long version) {
-    sound.hasList(defect == Defect.CLAIMS_LISTS ? Long.MAX_VALUE : version);
+  public void listReceived(long version) {
+    sound.listReceived(defect == Defect.CLAIMS_LISTS ? Long.MAX_VALUE : version);
   }
 
   @Override
-  public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
-    sound.sees(caches);
+  public void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> caches) {
+    sound.serverStatuses(caches);
   }
 
   @Override
--- a/src/test/java/beaconturn/net/RouterConfigTest.java
+++ b/src/test/java/beaconturn/net/RouterConfigTest.java
@@ -16,6 +16,7 @@
 import beaconturn.net.discovery.EndpointListParser;
 import beaconturn.net.discovery.WatchBackoff;
 import beaconturn.stats.Counters;
+import beaconturn.stats.Metric;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -137,8 +138,8 @@
     assertEquals(
         List.of(new RoutingMessage.Switched(last.settings().routing(), last.seed())), posted);
     assertEquals(List.of(last.settings()), inForce);
-    assertTrue(counters.read().contains(new Counters.Figure("conf_loaded", 1, false)));
-    assertTrue(counters.read().contains(new Counters.Figure("conf_invalid", 1, false)));
+    assertTrue(counters.read().contains(new Metric("conf_loaded", 1, false)));
+    assertTrue(counters.read().contains(new Metric("conf_invalid", 1, false)));
   }
 
   /** Empty, cut anywhere, short of any key, of another type, or with nothing to wait or to try. */
@@ -165,7 +166,7 @@
     }
     assertEquals(List.of(), posted);
     assertEquals(List.of(), inForce);
-    assertTrue(counters.read().contains(new Counters.Figure("conf_invalid", wrong, false)));
+    assertTrue(counters.read().contains(new Metric("conf_invalid", wrong, false)));
     files.add(other);
     reloads.reload();
     assertEquals(1, posted.size());
--- a/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
+++ b/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
@@ -38,11 +38,13 @@
       new ConfigAdmin(new AgreementKeys("/f"), client).begin("first");
       client.close();
       AgreementSubsystem agreed = at(front.address());
-      assertEquals("strict ground", agreed.due().says());
+      assertEquals("strict ground", agreed.dueConfig().description());
       Thread thread = new Thread(agreed);
       thread.start();
-      agreed.awaitFirst();
-      assertTrue(agreed.due().says().startsWith("its own configuration"), agreed.due().says());
+      agreed.awaitFirstConfig();
+      assertTrue(
+          agreed.dueConfig().description().startsWith("its own configuration"),
+          agreed.dueConfig().description());
       agreed.leave();
       thread.join();
     }
@@ -55,8 +57,8 @@
     AgreementSubsystem agreed = at(nobody);
     Thread thread = new Thread(agreed);
     thread.start();
-    agreed.awaitFirst();
-    assertEquals("strict ground", agreed.due().says());
+    agreed.awaitFirstConfig();
+    assertEquals("strict ground", agreed.dueConfig().description());
     agreed.leave();
     thread.join();
   }
--- a/src/test/java/beaconturn/net/control/AdminServerTest.java
+++ b/src/test/java/beaconturn/net/control/AdminServerTest.java
@@ -5,7 +5,7 @@
 
 import beaconturn.net.TestPeer;
 import beaconturn.stats.Counters;
-import beaconturn.stats.RequestMetrics;
+import beaconturn.stats.RequestEnd;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -152,12 +152,12 @@
 
   @Test
   void figuresAreLinesThatEndWithTheirMark() throws IOException {
-    counters.names("read");
-    counters.taken();
-    counters.taken();
-    counters.ended("put", RequestMetrics.End.DEFERRED);
-    counters.sent();
-    counters.fleet(10, 2);
+    counters.declareClass("read");
+    counters.requestAccepted();
+    counters.requestAccepted();
+    counters.requestEnded("put", RequestEnd.REJECTED);
+    counters.attemptWritten();
+    counters.serverCounts(10, 2);
     assertEquals(
         List.of(
             "app.answered.put:0|c",
--- a/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
@@ -16,6 +16,7 @@
 import beaconturn.net.agreement.AgreementConfig;
 import beaconturn.net.agreement.AgreementSubsystem;
 import beaconturn.net.agreement.ZonesSubsystem;
+import beaconturn.stats.CacheLookup;
 import beaconturn.zones.SimulatedFailover;
 import beaconturn.zones.ZoneTopology;
 import java.io.IOException;
@@ -170,27 +171,28 @@
     }
 
     @Override
-    public ZoneWeights due() {
-      return defect == Defect.IGNORES_SHARES ? ZoneWeights.ANYWHERE : sound.due();
+    public ZoneWeights dueWeights() {
+      return defect == Defect.IGNORES_SHARES ? ZoneWeights.ANYWHERE : sound.dueWeights();
     }
 
     @Override
-    public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
+    public void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> caches) {
       Map<CacheServerClients.Listed, ServerStatus> told = new HashMap<>(caches);
       if (defect == Defect.LIES) {
         told.replaceAll((listed, standing) -> ServerStatus.EJECTED);
       }
-      sound.sees(told);
+      sound.serverStatuses(told);
     }
 
     @Override
-    public void arrived() {
-      sound.arrived();
+    public void requestRouted() {
+      sound.requestRouted();
     }
 
     @Override
-    public void attempt(long server, boolean good, Found found, long took, boolean late) {
-      sound.attempt(server, good, found, took, late);
+    public void attemptEnded(
+        long server, boolean good, CacheLookup lookup, long took, boolean late) {
+      sound.attemptEnded(server, good, lookup, took, late);
     }
 
     @Override
