--- a/src/main/java/beaconturn/cli/ObservedUnavailability.java
+++ b/src/main/java/beaconturn/cli/ObservedUnavailability.java
@@ -10,50 +10,57 @@
 import beaconturn.release.ReleaseFleet;
 import beaconturn.release.Unavailability;
 import beaconturn.zones.ZonesKeys;
+import beaconturn.zones.ZonesSnapshot;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Who is out though no permit says so, by what the agreement shows. */
-final class ObservedUnavailability {
-  private ObservedUnavailability() {}
+/**
+ * Reads from the store which instances are out without a permit, and which zones are served
+ * elsewhere.
+ *
+ * @param agreement configuration versions and members of the fleet
+ * @param zonesKeys keys of the zones of the fleet
+ * @param store where both are read
+ */
+record ObservedUnavailability(ConfigAdmin agreement, ZonesKeys zonesKeys, CoordinationStore store) {
+  /** The instances of a kind as they are now. */
+  Unavailability read(InstanceKind kind, ReleaseFleet fleet) throws AgreementException {
+    return read(kind, fleet, agreement.status());
+  }
 
-  /** Those of the fleet, and sites whose traffic is served elsewhere. */
-  static Unavailability gone(
-      InstanceKind kind,
-      ReleaseFleet fleet,
-      ConfigAdmin desk,
-      AgreementStatus view,
-      ZonesKeys zones,
-      CoordinationStore store)
+  /** The same, where the members have been read already. */
+  Unavailability read(InstanceKind kind, ReleaseFleet fleet, AgreementStatus view)
       throws AgreementException {
-    return gone(kind, fleet, desk, view)
-        .whileOut(
-            beaconturn.zones.ZonesSnapshot.of(
-                    zones, ConfigAdmin.requireSuccess(store, new StoreRequest.Read(zones.all())))
-                .out());
+    Unavailability unavailability =
+        kind == InstanceKind.ROUTER ? routers(fleet, view) : caches(fleet, view);
+    ZonesSnapshot zones =
+        ZonesSnapshot.of(
+            zonesKeys, ConfigAdmin.requireSuccess(store, new StoreRequest.Read(zonesKeys.all())));
+    return unavailability.withZonesOut(zones.out());
   }
 
-  private static Unavailability gone(
-      InstanceKind kind, ReleaseFleet fleet, ConfigAdmin desk, AgreementStatus view)
-      throws AgreementException {
-    if (kind == InstanceKind.ROUTER) {
-      Set<String> alive = new HashSet<>();
-      for (MemberRecord seat : view.members()) {
-        if (desk.holdsLease(view, seat)) {
-          alive.add(seat.name());
-        }
+  private Unavailability routers(ReleaseFleet fleet, AgreementStatus view) {
+    Set<String> leaseHolders = new HashSet<>();
+    for (MemberRecord member : view.members()) {
+      if (agreement.holdsLease(view, member)) {
+        leaseHolders.add(member.name());
       }
-      return Unavailability.ofRouters(fleet.group(kind), alive);
     }
-    Map<String, String> heldOut = new TreeMap<>();
+    return Unavailability.ofRouters(fleet.group(InstanceKind.ROUTER), leaseHolders);
+  }
+
+  private Unavailability caches(ReleaseFleet fleet, AgreementStatus view)
+      throws AgreementException {
+    String reason = "held out by version " + view.snapshot().current().number();
+    Map<String, String> excluded = new TreeMap<>();
     view.snapshot()
         .current()
         .content()
         .excludedServers()
-        .forEach(
-            id -> heldOut.put(id, "held out by version " + view.snapshot().current().number()));
-    return Unavailability.ofCaches(fleet.group(kind), heldOut, desk.endpointViews().values());
+        .forEach(server -> excluded.put(server, reason));
+    return Unavailability.ofCaches(
+        fleet.group(InstanceKind.CACHE), excluded, agreement.endpointViews().values());
   }
 }
--- a/src/test/java/beaconturn/net/OperatorOverridesTest.java
+++ b/src/test/java/beaconturn/net/OperatorOverridesTest.java
@@ -42,7 +42,7 @@
             192,
             null,
             null,
-            new RouterConfig.Surroundings(any, false, folder),
+            new ProcessEnvironment(any, false, folder),
             new Json.Nothing());
     operators =
         new OperatorOverrides(
@@ -51,7 +51,7 @@
             () -> 0,
             posted::add,
             heldOut::contains,
-            new OperatorOverrides.Figures(new Counters(), null));
+            new RouterMetrics(new Counters(), null));
   }
 
   @AfterEach
@@ -60,15 +60,15 @@
   }
 
   private void say(boolean out) {
-    operators.hand(new ServerOverride("c1", out, 5), true, known::add);
+    operators.applyOverride(new ServerOverride("c1", out, 5), true, known::add);
   }
 
   @Test
   void aCallBringsBackWhatACallLeftOut() {
     say(true);
-    assertTrue(operators.leftOut("c1"));
+    assertTrue(operators.isExcluded("c1"));
     say(false);
-    assertFalse(operators.leftOut("c1"));
+    assertFalse(operators.isExcluded("c1"));
     assertEquals(
         List.of(true, false), posted.stream().map(m -> ((RoutingMessage.ByHand) m).out()).toList());
   }
@@ -79,11 +79,11 @@
    */
   @Test
   void whenSomethingWasSaidIsToldByTheClockOfThisProcess() {
-    operators.hand(
+    operators.applyOverride(
         new ServerOverride("c1", false, MonotonicMillis.millis() - 5000), true, known::add);
     long at = ((RoutingMessage.ByHand) posted.get(0)).at();
     assertTrue(at <= -5_000_000_000L && at > -60_000_000_000L, () -> "at " + at);
-    operators.hand(
+    operators.applyOverride(
         new ServerOverride("c1", false, MonotonicMillis.millis() + 3_600_000), true, known::add);
     assertEquals(
         0, ((RoutingMessage.ByHand) posted.get(1)).at(), "nothing was said later than now");
@@ -107,7 +107,7 @@
     heldOut.add("c1");
     say(true);
     heldOut.clear();
-    assertTrue(operators.leftOut("c1"));
+    assertTrue(operators.isExcluded("c1"));
     assertEquals(1, posted.size());
   }
 }
