--- a/src/main/java/beaconturn/agreement/AgreementKeys.java
+++ b/src/main/java/beaconturn/agreement/AgreementKeys.java
@@ -9,15 +9,20 @@
  * common/previous  the one before it
  * common/next      a version that is proposed
  * common/settled   the last version that all act on
- * common/office    who looks after the steps, on a lease
+ * common/office    the leader, who takes the steps, on a lease
  * history/N        each version, and history/N.no why one was turned down
- * roster/NAME/I    a router: what it says of the next version and which it acts on; no lease
- * alive/NAME/I     the same router, on its lease
+ * roster/NAME/I    a member's record: its ack or nack, and the version it acts on; no lease
+ * alive/NAME/I     the same member, on its lease
  * sight/NAME/I     what it makes of each cache server, on its lease
  * </pre>
+ *
+ * @param fleet the prefix
  */
 public record AgreementKeys(String fleet) {
-  /** All that every router reads. */
+  /** Ends the key of the reason why a version was turned down. */
+  static final String REJECTION_SUFFIX = ".no";
+
+  /** Begins the keys of all that every member reads. */
   public String commonPrefix() {
     return fleet + "/common/";
   }
@@ -46,7 +51,7 @@
     return commonPrefix() + "office";
   }
 
-  /** All versions there ever were. */
+  /** Begins the keys of all versions there ever were. */
   public String versionsPrefix() {
     return fleet + "/history/";
   }
@@ -56,10 +61,10 @@
   }
 
   String rejectionReason(long number) {
-    return version(number) + ".no";
+    return version(number) + REJECTION_SUFFIX;
   }
 
-  /** All routers. */
+  /** Begins the keys of all members' records. */
   public String membersPrefix() {
     return fleet + "/roster/";
   }
@@ -68,7 +73,7 @@
     return membersPrefix() + name + "/" + incarnation;
   }
 
-  /** All routers that hold leases. */
+  /** Begins the keys of all members that hold leases. */
   public String liveMembersPrefix() {
     return fleet + "/alive/";
   }
@@ -77,7 +82,7 @@
     return liveMembersPrefix() + name + "/" + incarnation;
   }
 
-  /** What routers make of cache servers. */
+  /** Begins the keys of what members make of cache servers. */
   public String endpointViewsPrefix() {
     return fleet + "/sight/";
   }
--- a/src/main/java/beaconturn/agreement/AgreementTransactions.java
+++ b/src/main/java/beaconturn/agreement/AgreementTransactions.java
@@ -6,11 +6,13 @@
 import java.util.Set;
 
 /**
- * The steps of a version through the store, each one swap that holds only where what it was decided
- * on is still so: two that take the same step at the same time have taken it once, and nobody can
- * skip one.
+ * The steps of a version through the store, each one transaction that holds only where what it was
+ * decided on is still so: two that take the same step at the same time have taken it once, and
+ * nobody can skip one. Any thread.
  */
 public final class AgreementTransactions {
+  private static final long NO_LEASE = 0;
+
   private final AgreementKeys keys;
 
   /** The steps below a fleet's prefix. */
@@ -18,154 +20,187 @@
     this.keys = keys;
   }
 
-  /** Begins an agreement in a store that has none; {@code identity} is to be new each time. */
-  public StoreRequest.Transaction begin(String identity) {
+  /** Begins an agreement in a store that has none; the id is to be new each time. */
+  public StoreRequest.Transaction begin(String agreementId) {
     return new StoreRequest.Transaction(
         List.of(
             new StoreRequest.Condition.Unchanged(keys.agreementId(), 0),
             new StoreRequest.Condition.Unchanged(keys.current(), 0)),
-        List.of(put(keys.agreementId(), identity), put(keys.settled(), "0")));
+        List.of(put(keys.agreementId(), agreementId), put(keys.settled(), "0")));
   }
 
   /**
-   * Proposes the version that the content would be; refused in words while another step is open.
+   * Proposes a version of the content.
+   *
+   * @throws AgreementException while another step is open
    */
   public AgreementStep propose(
-      AgreementSnapshot seen,
+      AgreementSnapshot snapshot,
       long number,
       ConfigContent content,
       String author,
       String reason,
       long atMillis)
       throws AgreementException {
-    if (seen.agreementId().isEmpty()) {
+    requireNoOpenStep(snapshot);
+    ConfigVersion proposed = ConfigVersion.of(number, content, author, reason, atMillis);
+    String text = ConfigCodec.encode(proposed);
+    return new AgreementStep(
+        new StoreRequest.Transaction(
+            List.of(
+                snapshot.unchanged(keys.agreementId()),
+                snapshot.unchanged(keys.proposed()),
+                snapshot.unchanged(keys.current()),
+                snapshot.unchanged(keys.settled()),
+                new StoreRequest.Condition.Unchanged(keys.version(number), 0)),
+            List.of(put(keys.proposed(), text), put(keys.version(number), text))),
+        "version " + number + " is proposed");
+  }
+
+  private static void requireNoOpenStep(AgreementSnapshot snapshot) throws AgreementException {
+    if (snapshot.agreementId().isEmpty()) {
       throw new AgreementException("no agreement was begun in this store: see 'agreement init'");
     }
-    if (seen.proposedNumber() != 0) {
+    if (snapshot.proposedNumber() != 0) {
       throw new AgreementException(
-          "version " + seen.proposedNumber() + " is proposed and not in force yet");
+          "version " + snapshot.proposedNumber() + " is proposed and not in force yet");
     }
-    if (seen.settledNumber() < seen.current().number()) {
+    if (snapshot.settledNumber() < snapshot.current().number()) {
       throw new AgreementException(
           "version "
-              + seen.current().number()
+              + snapshot.current().number()
               + " is in force and not settled yet: see 'agreement show' for who does not"
               + " act on it");
     }
-    ConfigVersion next = ConfigVersion.of(number, content, author, reason, atMillis);
-    return new AgreementStep(
-        new StoreRequest.Transaction(
-            List.of(
-                seen.unchanged(keys.agreementId()),
-                seen.unchanged(keys.proposed()),
-                seen.unchanged(keys.current()),
-                seen.unchanged(keys.settled()),
-                new StoreRequest.Condition.Unchanged(keys.version(number), 0)),
-            List.of(
-                put(keys.proposed(), ConfigCodec.encode(next)),
-                put(keys.version(number), ConfigCodec.encode(next)))),
-        "version " + number + " is proposed");
   }
 
-  /** Takes the proposed version back, for a reason. */
-  public AgreementStep withdraw(AgreementSnapshot seen, String why) throws AgreementException {
-    if (seen.proposedNumber() == 0) {
+  /**
+   * Turns the proposed version down.
+   *
+   * @throws AgreementException if none is proposed
+   */
+  public AgreementStep withdraw(AgreementSnapshot snapshot, String reason)
+      throws AgreementException {
+    if (snapshot.proposedNumber() == 0) {
       throw new AgreementException("no version is proposed");
     }
     return new AgreementStep(
         new StoreRequest.Transaction(
-            List.of(seen.unchanged(keys.proposed()), seen.unchanged(keys.current())),
+            List.of(snapshot.unchanged(keys.proposed()), snapshot.unchanged(keys.current())),
             List.of(
                 new StoreRequest.Change.Delete(keys.proposed()),
-                put(keys.rejectionReason(seen.proposedNumber()), why))),
-        "version " + seen.proposedNumber() + " is turned down: " + why);
+                put(keys.rejectionReason(snapshot.proposedNumber()), reason))),
+        "version " + snapshot.proposedNumber() + " is turned down: " + reason);
   }
 
   /**
-   * The step that is due, or null while somebody is waited for. A proposed version needs the yes of
-   * every router on the roster, also of those out of reach: they may still act on the version in
-   * force. One in force is settled once each router acts on it or has lost its lease, and so stands
-   * on safe ground.
+   * The step that is due, or null while somebody is waited for. A proposed version needs the ack of
+   * every member, also of those out of reach: they may still act on the version in force. One in
+   * force is settled once each member acts on it or has lost its lease, and so acts on nothing that
+   * contradicts it.
+   *
+   * @param recordsRead all members' records
+   * @param liveRead the keys of those that hold leases
+   * @throws AgreementException if a record cannot be read
    */
   public AgreementStep dueStep(
-      AgreementSnapshot seen, StoreResponse.Success roster, StoreResponse.Success alive)
+      AgreementSnapshot snapshot, StoreResponse.Success recordsRead, StoreResponse.Success liveRead)
       throws AgreementException {
-    List<MemberRecord> members = members(roster);
-    if (seen.proposedNumber() != 0) {
-      for (MemberRecord seat : members) {
-        if (seat.nackedNumber() == seen.proposedNumber()) {
-          return withdraw(seen, seat.name() + " says no: " + seat.nackReason());
-        }
-      }
-      boolean all =
-          seen.proposed() != null
-              && members.stream().allMatch(s -> s.ackedNumber() >= seen.proposedNumber());
-      return all ? enforce(seen, roster.storeRevision()) : null;
+    List<MemberRecord> members = members(recordsRead);
+    if (snapshot.proposedNumber() != 0) {
+      return dueStepOfProposed(snapshot, members, recordsRead.storeRevision());
     }
-    if (seen.settledNumber() < seen.current().number()
-        && awaitedMembers(seen, members, alive).isEmpty()) {
-      return new AgreementStep(
-          new StoreRequest.Transaction(
-              List.of(
-                  seen.unchanged(keys.current()),
-                  seen.unchanged(keys.settled()),
-                  new StoreRequest.Condition.NoneModifiedAfter(
-                      keys.membersPrefix(), roster.storeRevision())),
-              List.of(put(keys.settled(), Long.toString(seen.current().number())))),
-          "version " + seen.current().number() + " is settled");
-    }
-    return null;
+    boolean unsettled = snapshot.settledNumber() < snapshot.current().number();
+    return unsettled && awaitedMembers(snapshot, members, liveRead).isEmpty()
+        ? settle(snapshot, recordsRead.storeRevision())
+        : null;
   }
 
-  /** Who is waited for, by name: for a yes, or to act on the version in force. */
-  public List<String> awaitedMembers(
-      AgreementSnapshot seen, List<MemberRecord> members, StoreResponse.Success alive) {
-    Set<String> living = new HashSet<>();
-    alive.entries().forEach(pair -> living.add(pair.key()));
-    List<String> names = new ArrayList<>();
-    for (MemberRecord seat : members) {
-      boolean waits =
-          seen.proposedNumber() != 0
-              ? seat.ackedNumber() < seen.proposedNumber()
-              : seat.actingNumber() < seen.current().number()
-                  && living.contains(keys.liveMember(seat.name(), seat.incarnation()));
-      if (waits) {
-        names.add(seat.name());
+  private AgreementStep dueStepOfProposed(
+      AgreementSnapshot snapshot, List<MemberRecord> members, long recordsRevision)
+      throws AgreementException {
+    for (MemberRecord member : members) {
+      if (member.nackedNumber() == snapshot.proposedNumber()) {
+        return withdraw(snapshot, member.name() + " says no: " + member.nackReason());
       }
     }
-    return names;
+    boolean ackedByAll =
+        members.stream().allMatch(m -> m.ackedNumber() >= snapshot.proposedNumber());
+    return snapshot.proposed() != null && ackedByAll ? enforce(snapshot, recordsRevision) : null;
   }
 
-  /** The routers of a roster as it was read. */
-  public static List<MemberRecord> members(StoreResponse.Success roster) throws AgreementException {
-    List<MemberRecord> members = new ArrayList<>();
-    for (StoreResponse.Entry pair : roster.entries()) {
-      members.add(MemberRecord.decode(pair.value()));
+  /** Nobody may have joined since the records were read: its ack would be missing. */
+  private AgreementStep enforce(AgreementSnapshot snapshot, long recordsRevision) {
+    List<StoreRequest.Change> changes = new ArrayList<>();
+    changes.add(put(keys.current(), ConfigCodec.encode(snapshot.proposed())));
+    changes.add(new StoreRequest.Change.Delete(keys.proposed()));
+    if (snapshot.current().number() > 0) {
+      changes.add(put(keys.previous(), ConfigCodec.encode(snapshot.current())));
     }
-    return members;
+    return new AgreementStep(
+        new StoreRequest.Transaction(
+            List.of(
+                snapshot.unchanged(keys.proposed()),
+                snapshot.unchanged(keys.current()),
+                noRecordChangedAfter(recordsRevision)),
+            changes),
+        "version " + snapshot.proposedNumber() + " is in force");
   }
 
-  /** Nobody may have joined since the roster was read: its yes would be missing. */
-  private AgreementStep enforce(AgreementSnapshot seen, long rosterRevision) {
-    List<StoreRequest.Change> changes =
-        new ArrayList<>(
-            List.of(
-                put(keys.current(), ConfigCodec.encode(seen.proposed())),
-                new StoreRequest.Change.Delete(keys.proposed())));
-    if (seen.current().number() > 0) {
-      changes.add(put(keys.previous(), ConfigCodec.encode(seen.current())));
-    }
+  private AgreementStep settle(AgreementSnapshot snapshot, long recordsRevision) {
+    String number = Long.toString(snapshot.current().number());
     return new AgreementStep(
         new StoreRequest.Transaction(
             List.of(
-                seen.unchanged(keys.proposed()),
-                seen.unchanged(keys.current()),
-                new StoreRequest.Condition.NoneModifiedAfter(keys.membersPrefix(), rosterRevision)),
-            changes),
-        "version " + seen.proposedNumber() + " is in force");
+                snapshot.unchanged(keys.current()),
+                snapshot.unchanged(keys.settled()),
+                noRecordChangedAfter(recordsRevision)),
+            List.of(put(keys.settled(), number))),
+        "version " + number + " is settled");
+  }
+
+  private StoreRequest.Condition noRecordChangedAfter(long recordsRevision) {
+    return new StoreRequest.Condition.NoneModifiedAfter(keys.membersPrefix(), recordsRevision);
+  }
+
+  /**
+   * Names of the members that are waited for: for an ack, or to act on the version in force.
+   *
+   * @param liveRead the keys of members that hold leases
+   */
+  public List<String> awaitedMembers(
+      AgreementSnapshot snapshot, List<MemberRecord> members, StoreResponse.Success liveRead) {
+    Set<String> liveKeys = new HashSet<>();
+    liveRead.entries().forEach(entry -> liveKeys.add(entry.key()));
+    return members.stream()
+        .filter(member -> isAwaited(snapshot, member, liveKeys))
+        .map(MemberRecord::name)
+        .toList();
+  }
+
+  private boolean isAwaited(AgreementSnapshot snapshot, MemberRecord member, Set<String> liveKeys) {
+    if (snapshot.proposedNumber() != 0) {
+      return member.ackedNumber() < snapshot.proposedNumber();
+    }
+    boolean live = liveKeys.contains(keys.liveMember(member.name(), member.incarnation()));
+    return live && member.actingNumber() < snapshot.current().number();
+  }
+
+  /**
+   * Decodes all members' records.
+   *
+   * @throws AgreementException if one cannot be read
+   */
+  public static List<MemberRecord> members(StoreResponse.Success recordsRead)
+      throws AgreementException {
+    List<MemberRecord> members = new ArrayList<>();
+    for (StoreResponse.Entry entry : recordsRead.entries()) {
+      members.add(MemberRecord.decode(entry.value()));
+    }
+    return members;
   }
 
   private static StoreRequest.Change put(String key, String value) {
-    return new StoreRequest.Change.Put(key, value, 0);
+    return new StoreRequest.Change.Put(key, value, NO_LEASE);
   }
 }
--- a/src/main/java/beaconturn/agreement/ClassIdempotency.java
+++ b/src/main/java/beaconturn/agreement/ClassIdempotency.java
@@ -1,13 +1,16 @@
 package beaconturn.agreement;
 
-/** Whether a request may run more than once, from the loosest to the strictest. */
+/**
+ * Whether requests of a class may run more than once, from the loosest to the strictest; the order
+ * of the constants counts.
+ */
 public enum ClassIdempotency {
   /** Any number of times. */
-  SAFE,
+  IDEMPOTENT,
   /** As often as wanted within the window of its key. */
-  KEYED,
+  IDEMPOTENCY_KEY,
   /** At most once. */
-  UNSAFE;
+  NON_IDEMPOTENT;
 
   /** The stricter one. */
   ClassIdempotency stricter(ClassIdempotency other) {
--- a/src/main/java/beaconturn/agreement/ConfigCodec.java
+++ b/src/main/java/beaconturn/agreement/ConfigCodec.java
@@ -8,7 +8,6 @@
 import java.util.HexFormat;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.SortedSet;
@@ -16,73 +15,75 @@
 import java.util.TreeSet;
 
 /**
- * Versions as texts, of JSON. What is read is checked whole: a field that this build does not know,
- * or a value out of range, is an error, as a router that follows half of a version would contradict
+ * Versions as JSON texts. What is read is checked whole: a field that this build does not know, or
+ * a value out of range, is an error, as a router that follows half of a version would contradict
  * the others.
  */
 public final class ConfigCodec {
-  private static final long MILLI = 1_000_000;
-  private static final long LONGEST_MILLIS = 3_600_000;
-  private static final int MOST_TRIES = 64;
-  private static final int DIGEST_LENGTH = 16;
+  private static final long MILLI_NANOS = 1_000_000;
+  private static final long MAX_TIME_MILLIS = 3_600_000;
+  private static final int MAX_ATTEMPTS = 64;
+  private static final int DIGEST_BYTES = 16;
 
   private ConfigCodec() {}
 
   /** The version as one line. */
-  public static String encode(ConfigVersion v) {
+  public static String encode(ConfigVersion version) {
     return JsonWriter.write(
         StoredJson.object(
             "number",
-            v.number(),
+            version.number(),
             "content",
-            contentJson(v.content()),
+            contentJson(version.content()),
             "author",
-            v.author(),
+            version.author(),
             "reason",
-            v.reason(),
+            version.reason(),
             "at_ms",
-            v.proposedAtMillis(),
+            version.proposedAtMillis(),
             "digest",
-            v.digest()));
+            version.digest()));
   }
 
-  /** The version of a line; its digest must be that of its text. */
+  /**
+   * The version of a line.
+   *
+   * @throws AgreementException if it cannot be read whole, or its digest is not that of its text
+   */
   public static ConfigVersion decodeVersion(String text) throws AgreementException {
-    Json contentJson = StoredJson.parse(text);
-    only(
-        contentJson,
-        "version",
-        List.of("number", "content", "author", "reason", "at_ms", "digest"));
-    ConfigVersion decodeVersion =
+    Json json = StoredJson.parse(text);
+    requireOnly(
+        json, "version", List.of("number", "content", "author", "reason", "at_ms", "digest"));
+    ConfigVersion version =
         ConfigVersion.of(
-            StoredJson.wholeNumber(contentJson, "number", 1, Long.MAX_VALUE),
-            decodeContent(contentJson.get("content")),
-            contentJson.get("author").word(""),
-            contentJson.get("reason").word(""),
-            StoredJson.wholeNumber(contentJson, "at_ms", 0, Long.MAX_VALUE));
-    String digest = contentJson.get("digest").word("");
-    if (!digest.equals(decodeVersion.digest())) {
+            StoredJson.wholeNumber(json, "number", 1, Long.MAX_VALUE),
+            decodeContent(json.get("content")),
+            json.get("author").word(""),
+            json.get("reason").word(""),
+            StoredJson.wholeNumber(json, "at_ms", 0, Long.MAX_VALUE));
+    String digest = json.get("digest").word("");
+    if (!digest.equals(version.digest())) {
       throw new AgreementException(
           "version "
-              + decodeVersion.number()
+              + version.number()
               + " has digest "
               + digest
               + ", its text "
-              + decodeVersion.digest());
+              + version.digest());
     }
-    return decodeVersion;
+    return version;
   }
 
   /** The first half of the SHA-256 of all that a version says, in hexadecimal digits. */
   static String digest(
-      long number, ConfigContent decodeContent, String author, String reason, long atMillis) {
+      long number, ConfigContent content, String author, String reason, long atMillis) {
     String text =
         JsonWriter.write(
             StoredJson.object(
                 "number",
                 number,
                 "content",
-                contentJson(decodeContent),
+                contentJson(content),
                 "author",
                 author,
                 "reason",
@@ -90,118 +91,135 @@
                 "at_ms",
                 atMillis));
     try {
-      byte[] sum =
+      byte[] sha256 =
           MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
-      return HexFormat.of().formatHex(sum, 0, DIGEST_LENGTH);
+      return HexFormat.of().formatHex(sha256, 0, DIGEST_BYTES);
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException("every Java platform has SHA-256", e);
     }
   }
 
-  /** A content as JSON; what is not said does not stand there. */
-  public static Json contentJson(ConfigContent decodeContent) {
-    Map<String, Json> all = new LinkedHashMap<>();
-    if (!decodeContent.classes().isEmpty()) {
+  /** A content as JSON; what is not specified does not stand there. */
+  public static Json contentJson(ConfigContent content) {
+    Map<String, Json> members = new LinkedHashMap<>();
+    if (!content.classes().isEmpty()) {
       Map<String, Json> classes = new LinkedHashMap<>();
-      decodeContent.classes().forEach((name, rule) -> classes.put(name, contentJson(rule)));
-      all.put("classes", new Json.Members(classes));
+      content.classes().forEach((name, rule) -> classes.put(name, ruleJson(rule)));
+      members.put("classes", new Json.Members(classes));
     }
-    if (decodeContent.maxAttempts() != null) {
-      all.put("most_tries", StoredJson.value(decodeContent.maxAttempts()));
+    if (content.maxAttempts() != null) {
+      members.put("most_tries", StoredJson.value(content.maxAttempts()));
     }
-    if (decodeContent.hedging() != null) {
-      all.put("second_copies", StoredJson.value(decodeContent.hedging()));
+    if (content.hedging() != null) {
+      members.put("second_copies", StoredJson.value(content.hedging()));
     }
-    if (decodeContent.minListVersion() > 0) {
-      all.put("oldest_list", StoredJson.value(decodeContent.minListVersion()));
+    if (content.minListVersion() > 0) {
+      members.put("oldest_list", StoredJson.value(content.minListVersion()));
     }
-    if (!decodeContent.excludedServers().isEmpty()) {
-      all.put("out", StoredJson.texts(List.copyOf(decodeContent.excludedServers())));
+    if (!content.excludedServers().isEmpty()) {
+      members.put("out", StoredJson.texts(List.copyOf(content.excludedServers())));
     }
-    return new Json.Members(all);
+    return new Json.Members(members);
   }
 
-  private static Json contentJson(ClassRule rule) {
-    Map<String, Json> all = new LinkedHashMap<>();
+  private static Json ruleJson(ClassRule rule) {
+    Map<String, Json> members = new LinkedHashMap<>();
     if (rule.idempotency() != null) {
-      all.put("effect", StoredJson.value(rule.idempotency().name().toLowerCase(Locale.ROOT)));
+      members.put("effect", StoredJson.value(IdempotencyWords.encode(rule.idempotency())));
     }
     if (rule.deduplicationWindowNanos() != null) {
-      all.put("window_ms", StoredJson.value(rule.deduplicationWindowNanos() / MILLI));
+      members.put("window_ms", StoredJson.value(rule.deduplicationWindowNanos() / MILLI_NANOS));
     }
     if (rule.deadlineNanos() != null) {
-      all.put("deadline_ms", StoredJson.value(rule.deadlineNanos() / MILLI));
+      members.put("deadline_ms", StoredJson.value(rule.deadlineNanos() / MILLI_NANOS));
     }
-    return new Json.Members(all);
+    return new Json.Members(members);
   }
 
-  /** The content of a JSON object. */
-  /** Of a content as it stands in the store. */
-  public static ConfigContent decodeContent(Json contentJson) throws AgreementException {
-    only(
-        contentJson,
-        "content",
-        List.of("classes", "most_tries", "second_copies", "oldest_list", "out"));
+  /**
+   * The content of a JSON object.
+   *
+   * @throws AgreementException if it cannot be read whole
+   */
+  public static ConfigContent decodeContent(Json json) throws AgreementException {
+    requireOnly(
+        json, "content", List.of("classes", "most_tries", "second_copies", "oldest_list", "out"));
     SortedMap<String, ClassRule> classes = new TreeMap<>();
-    if (contentJson.get("classes") instanceof Json.Members members) {
-      for (Map.Entry<String, Json> e : members.values().entrySet()) {
-        classes.put(e.getKey(), rule(e.getKey(), e.getValue()));
+    if (json.get("classes") instanceof Json.Members members) {
+      for (Map.Entry<String, Json> rule : members.values().entrySet()) {
+        classes.put(rule.getKey(), decodeRule(rule.getKey(), rule.getValue()));
       }
     }
-    SortedSet<String> out = new TreeSet<>();
-    contentJson.get("out").items().forEach(server -> out.add(server.word("")));
+    SortedSet<String> excluded = new TreeSet<>();
+    json.get("out").items().forEach(server -> excluded.add(server.word("")));
     return new ConfigContent(
         classes,
-        given(contentJson, "most_tries")
-            ? (Integer) (int) StoredJson.wholeNumber(contentJson, "most_tries", 1, MOST_TRIES)
-            : null,
-        given(contentJson, "second_copies") ? flag(contentJson, "second_copies") : null,
-        given(contentJson, "oldest_list")
-            ? StoredJson.wholeNumber(contentJson, "oldest_list", 0, Long.MAX_VALUE)
-            : 0,
-        out);
+        decodeMaxAttempts(json),
+        isPresent(json, "second_copies") ? decodeFlag(json, "second_copies") : null,
+        decodeMinListVersion(json),
+        excluded);
   }
 
-  private static ClassRule rule(String name, Json contentJson) throws AgreementException {
-    only(contentJson, "class " + name, List.of("effect", "window_ms", "deadline_ms"));
-    ClassIdempotency effect = null;
-    if (given(contentJson, "effect")) {
-      String word = contentJson.get("effect").word("");
-      try {
-        effect = ClassIdempotency.valueOf(word.toUpperCase(Locale.ROOT));
-      } catch (IllegalArgumentException e) {
-        throw new AgreementException("class " + name + ": unknown effect '" + word + "'");
-      }
+  private static Integer decodeMaxAttempts(Json json) throws AgreementException {
+    if (!isPresent(json, "most_tries")) {
+      return null;
     }
+    return (int) StoredJson.wholeNumber(json, "most_tries", 1, MAX_ATTEMPTS);
+  }
+
+  private static long decodeMinListVersion(Json json) throws AgreementException {
+    return isPresent(json, "oldest_list")
+        ? StoredJson.wholeNumber(json, "oldest_list", 0, Long.MAX_VALUE)
+        : 0;
+  }
+
+  private static ClassRule decodeRule(String name, Json json) throws AgreementException {
+    requireOnly(json, "class " + name, List.of("effect", "window_ms", "deadline_ms"));
     return new ClassRule(
-        effect, millis(contentJson, "window_ms"), millis(contentJson, "deadline_ms"));
+        decodeIdempotency(name, json),
+        decodeTimeNanos(json, "window_ms"),
+        decodeTimeNanos(json, "deadline_ms"));
   }
 
-  private static Long millis(Json contentJson, String key) throws AgreementException {
-    return given(contentJson, key)
-        ? (Long) (StoredJson.wholeNumber(contentJson, key, 0, LONGEST_MILLIS) * MILLI)
-        : null;
+  private static ClassIdempotency decodeIdempotency(String name, Json json)
+      throws AgreementException {
+    if (!isPresent(json, "effect")) {
+      return null;
+    }
+    String word = json.get("effect").word("");
+    ClassIdempotency idempotency = IdempotencyWords.decode(word);
+    if (idempotency == null) {
+      throw new AgreementException("class " + name + ": unknown effect '" + word + "'");
+    }
+    return idempotency;
+  }
+
+  private static Long decodeTimeNanos(Json json, String name) throws AgreementException {
+    if (!isPresent(json, name)) {
+      return null;
+    }
+    return StoredJson.wholeNumber(json, name, 0, MAX_TIME_MILLIS) * MILLI_NANOS;
   }
 
-  private static boolean given(Json contentJson, String key) {
-    return !(contentJson.get(key) instanceof Json.Nothing);
+  private static boolean isPresent(Json json, String name) {
+    return !(json.get(name) instanceof Json.Nothing);
   }
 
-  private static boolean flag(Json contentJson, String key) throws AgreementException {
-    if (!(contentJson.get(key) instanceof Json.Flag flag)) {
-      throw new AgreementException(key + ": neither true nor false");
+  private static boolean decodeFlag(Json json, String name) throws AgreementException {
+    if (!(json.get(name) instanceof Json.Flag flag)) {
+      throw new AgreementException(name + ": neither true nor false");
     }
     return flag.value();
   }
 
-  private static void only(Json contentJson, String what, List<String> known)
+  private static void requireOnly(Json json, String what, List<String> known)
       throws AgreementException {
-    if (!(contentJson instanceof Json.Members members)) {
+    if (!(json instanceof Json.Members members)) {
       throw new AgreementException(what + ": is missing");
     }
-    for (String key : members.values().keySet()) {
-      if (!known.contains(key)) {
-        throw new AgreementException(what + ": this build does not know '" + key + "'");
+    for (String name : members.values().keySet()) {
+      if (!known.contains(name)) {
+        throw new AgreementException(what + ": this build does not know '" + name + "'");
       }
     }
   }
--- a/src/main/java/beaconturn/agreement/ConfigConflicts.java
+++ b/src/main/java/beaconturn/agreement/ConfigConflicts.java
@@ -7,41 +7,33 @@
 /**
  * Which fields of two versions contradict each other and which merely differ; the table of {@code
  * docs/agreement.md} as code. A field contradicts where acting by one version does what the other
- * forbids: a request run twice, a send too many, a send to a server that is out. A deadline merely
- * differs: each client is held to the one under which its request was read. Contents are to be
- * whole, as {@link ConfigContent#over} makes them.
+ * forbids: a request run twice, an attempt too many, an attempt at a server that is excluded. A
+ * deadline merely differs: each client is held to the one under which its request was read.
+ * Contents are to be complete, as {@link ConfigContent#withDefaults} makes them. Pure functions.
  */
 public final class ConfigConflicts {
   private ConfigConflicts() {}
 
   /**
-   * What acting by the one does that the other forbids, or the reverse; empty where neither does.
+   * The fields in which acting by the one does what the other forbids, or the reverse; empty where
+   * neither does.
    */
   public static List<String> between(ConfigContent one, ConfigContent other) {
     List<String> fields = new ArrayList<>(violations(one, other));
-    violations(other, one).stream().filter(f -> !fields.contains(f)).forEach(fields::add);
+    violations(other, one).stream().filter(field -> !fields.contains(field)).forEach(fields::add);
     return fields;
   }
 
   /** The fields in which acting by the content does what the rule forbids. */
   public static List<String> violations(ConfigContent acting, ConfigContent rule) {
     List<String> fields = new ArrayList<>();
-    for (Map.Entry<String, ClassRule> e : rule.classes().entrySet()) {
-      ClassRule acts = acting.classes().get(e.getKey());
-      ClassRule must = e.getValue();
-      if (acts != null && looser(acts.idempotency(), must.idempotency())) {
-        fields.add("class." + e.getKey() + ".effect");
-      }
-      // A window counts only where repeats are made at all; unsafe requests are never repeated.
-      if (acts != null
-          && acts.idempotency() == ClassIdempotency.KEYED
-          && longer(acts.deduplicationWindowNanos(), must.deduplicationWindowNanos())) {
-        fields.add("class." + e.getKey() + ".window");
+    for (Map.Entry<String, ClassRule> entry : rule.classes().entrySet()) {
+      ClassRule actingRule = acting.classes().get(entry.getKey());
+      if (actingRule != null) {
+        fields.addAll(classViolations(entry.getKey(), actingRule, entry.getValue()));
       }
     }
-    if (acting.maxAttempts() != null
-        && rule.maxAttempts() != null
-        && acting.maxAttempts() > rule.maxAttempts()) {
+    if (isMore(acting.maxAttempts(), rule.maxAttempts())) {
       fields.add("most_tries");
     }
     if (Boolean.TRUE.equals(acting.hedging()) && Boolean.FALSE.equals(rule.hedging())) {
@@ -56,14 +48,26 @@
     return fields;
   }
 
-  private static boolean looser(ClassIdempotency acts, ClassIdempotency must) {
-    return acts != null && must != null && acts.compareTo(must) < 0;
+  private static List<String> classViolations(String name, ClassRule acting, ClassRule rule) {
+    List<String> fields = new ArrayList<>();
+    if (isMoreLenient(acting.idempotency(), rule.idempotency())) {
+      fields.add("class." + name + ".effect");
+    }
+    // Repeats are sent for as long as the window that is acted on: beyond the other's they run
+    // twice. It counts only where repeats are made by it at all.
+    boolean repeatsByKey = acting.idempotency() == ClassIdempotency.IDEMPOTENCY_KEY;
+    if (repeatsByKey
+        && isMore(acting.deduplicationWindowNanos(), rule.deduplicationWindowNanos())) {
+      fields.add("class." + name + ".window");
+    }
+    return fields;
   }
 
-  /**
-   * Repeats are sent for as long as the window that is acted on: beyond the other's they run twice.
-   */
-  private static boolean longer(Long acts, Long must) {
-    return acts != null && must != null && acts > must;
+  private static boolean isMoreLenient(ClassIdempotency acting, ClassIdempotency rule) {
+    return acting != null && rule != null && acting.compareTo(rule) < 0;
+  }
+
+  private static <T extends Comparable<T>> boolean isMore(T acting, T rule) {
+    return acting != null && rule != null && acting.compareTo(rule) > 0;
   }
 }
--- a/src/main/java/beaconturn/agreement/ConfigContent.java
+++ b/src/main/java/beaconturn/agreement/ConfigContent.java
@@ -11,11 +11,11 @@
  * What a version puts in force. Whatever is null or not named is left as each router is configured;
  * names of classes and servers keep an order, so that the same content is the same text everywhere.
  *
- * @param classes what is said of classes, by name
- * @param maxAttempts sends for one request at the most
- * @param hedging whether a second send may be out while the first is
- * @param minListVersion the oldest version of discovery's list that a router may act on; 0 where
- *     any will do
+ * @param classes rules of request classes, by name
+ * @param maxAttempts attempts of one request, or null
+ * @param hedging whether another attempt may be out while the first is, or null
+ * @param minListVersion the oldest version of discovery's endpoint list that a router may act on; 0
+ *     where any will do
  * @param excludedServers cache servers that nothing new is sent to, whatever the list says
  */
 public record ConfigContent(
@@ -24,7 +24,7 @@
     Boolean hedging,
     long minListVersion,
     SortedSet<String> excludedServers) {
-  /** Nothing said. */
+  /** Leaves all as each router is configured. */
   public static final ConfigContent UNSPECIFIED =
       new ConfigContent(new TreeMap<>(), null, null, 0, new TreeSet<>());
 
@@ -34,7 +34,7 @@
     excludedServers = Collections.unmodifiableSortedSet(new TreeSet<>(excludedServers));
   }
 
-  /** The same settings, and held out what the other one holds out. */
+  /** The same settings, with the excluded servers of the other and a list as new as its. */
   public ConfigContent withExclusionsOf(ConfigContent other) {
     return new ConfigContent(
         classes,
@@ -45,19 +45,19 @@
   }
 
   /**
-   * This content where it says something, the other elsewhere; what is out is only what this one
-   * says.
+   * This content where it specifies something, the other elsewhere; excluded are only the servers
+   * that this one excludes.
    */
-  public ConfigContent withDefaults(ConfigContent base) {
-    SortedMap<String, ClassRule> all = new TreeMap<>(base.classes);
-    for (Map.Entry<String, ClassRule> said : classes.entrySet()) {
-      all.merge(said.getKey(), said.getValue(), (below, above) -> above.withDefaults(below));
+  public ConfigContent withDefaults(ConfigContent defaults) {
+    SortedMap<String, ClassRule> merged = new TreeMap<>(defaults.classes);
+    for (Map.Entry<String, ClassRule> rule : classes.entrySet()) {
+      merged.merge(rule.getKey(), rule.getValue(), (theirs, own) -> own.withDefaults(theirs));
     }
     return new ConfigContent(
-        all,
-        maxAttempts == null ? base.maxAttempts : maxAttempts,
-        hedging == null ? base.hedging : hedging,
-        Math.max(minListVersion, base.minListVersion),
+        merged,
+        maxAttempts == null ? defaults.maxAttempts : maxAttempts,
+        hedging == null ? defaults.hedging : hedging,
+        Math.max(minListVersion, defaults.minListVersion),
         excludedServers);
   }
 }
--- a/src/main/java/beaconturn/agreement/ConfigVersion.java
+++ b/src/main/java/beaconturn/agreement/ConfigVersion.java
@@ -24,13 +24,8 @@
   /** A version whose digest is that of its text. */
   public static ConfigVersion of(
       long number, ConfigContent content, String author, String reason, long proposedAtMillis) {
-    return new ConfigVersion(
-        number,
-        content,
-        author,
-        reason,
-        proposedAtMillis,
-        ConfigCodec.digest(number, content, author, reason, proposedAtMillis));
+    String digest = ConfigCodec.digest(number, content, author, reason, proposedAtMillis);
+    return new ConfigVersion(number, content, author, reason, proposedAtMillis, digest);
   }
 
   /** Whether it is the one of that number and text. */
--- a/src/main/java/beaconturn/agreement/EffectiveConfig.java
+++ b/src/main/java/beaconturn/agreement/EffectiveConfig.java
@@ -4,7 +4,7 @@
  * What a router may act on: one content until its lease ends, another from then on; they are the
  * same where nothing else can have come into force.
  *
- * @param leaseEndNanos the end of the lease, by the router's clock, in nanoseconds
+ * @param leaseEndNanos the end of the lease, by the router's clock
  * @param whileLeased what is acted on before
  * @param whileLeasedDescription in words
  * @param afterLease what is acted on from then on
@@ -17,12 +17,12 @@
     ConfigContent afterLease,
     String afterLeaseDescription) {
   /** What may be acted on at the time. */
-  public ConfigContent contentAt(long now) {
-    return now < leaseEndNanos ? whileLeased : afterLease;
+  public ConfigContent contentAt(long nowNanos) {
+    return nowNanos < leaseEndNanos ? whileLeased : afterLease;
   }
 
   /** The same in words. */
-  public String descriptionAt(long now) {
-    return now < leaseEndNanos ? whileLeasedDescription : afterLeaseDescription;
+  public String descriptionAt(long nowNanos) {
+    return nowNanos < leaseEndNanos ? whileLeasedDescription : afterLeaseDescription;
   }
 }
--- a/src/main/java/beaconturn/agreement/EndpointView.java
+++ b/src/main/java/beaconturn/agreement/EndpointView.java
@@ -11,11 +11,12 @@
 /**
  * What one router makes of the cache servers that it knows.
  *
- * @param usable those that take what the ring gives them, and when they started, as the list has it
- * @param unusable the others, each with what keeps it out
+ * @param usable names of those that take what the ring gives them, and when they started, as the
+ *     endpoint list has it
+ * @param unusable names of the others, each with what keeps it out of use
  */
 public record EndpointView(SortedMap<String, Long> usable, SortedMap<String, String> unusable) {
-  /** A sight of its own. */
+  /** A view of its own: later changes of the arguments change nothing. */
   public EndpointView {
     usable = Collections.unmodifiableSortedMap(new TreeMap<>(usable));
     unusable = Collections.unmodifiableSortedMap(new TreeMap<>(unusable));
@@ -23,23 +24,30 @@
 
   /** As it stands in the store. */
   public String encode() {
-    List<Json> used = new ArrayList<>();
-    usable.forEach((id, started) -> used.add(StoredJson.object("id", id, "started", started)));
-    List<Json> others = new ArrayList<>();
-    unusable.forEach((id, why) -> others.add(StoredJson.object("id", id, "why", why)));
+    List<Json> in = new ArrayList<>();
+    usable.forEach((name, started) -> in.add(StoredJson.object("id", name, "started", started)));
+    List<Json> out = new ArrayList<>();
+    unusable.forEach((name, reason) -> out.add(StoredJson.object("id", name, "why", reason)));
     return JsonWriter.write(
-        StoredJson.object("in", StoredJson.list(used), "out", StoredJson.list(others)));
+        StoredJson.object("in", StoredJson.list(in), "out", StoredJson.list(out)));
   }
 
-  /** Of a text in the store. */
-  public static EndpointView decode(String encode) throws AgreementException {
-    Json json = StoredJson.parse(encode);
+  /**
+   * Of a text in the store.
+   *
+   * @throws AgreementException if it cannot be read
+   */
+  public static EndpointView decode(String text) throws AgreementException {
+    Json json = StoredJson.parse(text);
     SortedMap<String, Long> usable = new TreeMap<>();
-    for (Json one : json.get("in").items()) {
-      usable.put(one.get("id").word(""), StoredJson.wholeNumber(one, "started", 0, Long.MAX_VALUE));
+    for (Json server : json.get("in").items()) {
+      long started = StoredJson.wholeNumber(server, "started", 0, Long.MAX_VALUE);
+      usable.put(server.get("id").word(""), started);
     }
     SortedMap<String, String> unusable = new TreeMap<>();
-    json.get("out").items().forEach(o -> unusable.put(o.get("id").word(""), o.get("why").word("")));
+    for (Json server : json.get("out").items()) {
+      unusable.put(server.get("id").word(""), server.get("why").word(""));
+    }
     return new EndpointView(usable, unusable);
   }
 }
--- /dev/null
+++ b/src/main/java/beaconturn/agreement/IdempotencyWords.java
@@ -0,0 +1,29 @@
+package beaconturn.agreement;
+
+import java.util.Locale;
+
+/**
+ * The words for {@link ClassIdempotency} in the store, in persisted files and those of operators.
+ */
+public final class IdempotencyWords {
+  private IdempotencyWords() {}
+
+  /** The word that is written. */
+  static String encode(ClassIdempotency idempotency) {
+    return switch (idempotency) {
+      case IDEMPOTENT -> "safe";
+      case IDEMPOTENCY_KEY -> "keyed";
+      case NON_IDEMPOTENT -> "unsafe";
+    };
+  }
+
+  /** Of a word in any case of letters; null for an unknown one. */
+  public static ClassIdempotency decode(String word) {
+    return switch (word.toUpperCase(Locale.ROOT)) {
+      case "SAFE" -> ClassIdempotency.IDEMPOTENT;
+      case "KEYED" -> ClassIdempotency.IDEMPOTENCY_KEY;
+      case "UNSAFE" -> ClassIdempotency.NON_IDEMPOTENT;
+      default -> null;
+    };
+  }
+}
--- a/src/main/java/beaconturn/agreement/LastingEjections.java
+++ b/src/main/java/beaconturn/agreement/LastingEjections.java
@@ -6,23 +6,26 @@
 
 /**
  * Which ejections last. Where answers are rare one late answer ejects a cache server until its next
- * trials, some tenths of a second; told to a fleet, that would hold up whatever waits for all to be
- * in service, and take a release back for nothing. For one thread.
+ * trials, some tenths of a second; published to a fleet, that would hold up whatever waits for all
+ * to be in service, and take a release back for nothing. For one thread.
  */
 public final class LastingEjections {
-  private static final long LASTS = 1_000_000_000;
-  private final Map<String, Long> since = new HashMap<>();
+  private static final long LASTING_NANOS = 1_000_000_000;
+
+  private final Map<String, Long> ejectedSinceNanos = new HashMap<>();
 
   /**
-   * Whether a cache server that is ejected now, in nanoseconds of any clock, has been so for a
-   * second.
+   * Whether a cache server that is ejected now has been so for a second.
+   *
+   * @param nowNanos by any clock, always the same
    */
-  public boolean isLasting(String id, long now) {
-    return now - since.computeIfAbsent(id, i -> now) >= LASTS;
+  public boolean isLasting(String server, long nowNanos) {
+    long sinceNanos = ejectedSinceNanos.computeIfAbsent(server, s -> nowNanos);
+    return nowNanos - sinceNanos >= LASTING_NANOS;
   }
 
-  /** All that are not among these are ejected no more. */
-  public void retainOnly(Collection<String> ejected) {
-    since.keySet().retainAll(ejected);
+  /** Forgets all that are not among these: they are ejected no more. */
+  public void retainOnly(Collection<String> ejectedServers) {
+    ejectedSinceNanos.keySet().retainAll(ejectedServers);
   }
 }
--- a/src/main/java/beaconturn/agreement/MemberRecord.java
+++ b/src/main/java/beaconturn/agreement/MemberRecord.java
@@ -4,13 +4,13 @@
 import beaconturn.protocol.JsonWriter;
 
 /**
- * One router as it stands in the store.
+ * One member as it stands in the store.
  *
- * @param name its name, the same after a restart
+ * @param name of the router, the same after a restart
  * @param incarnation of its process
- * @param ackedNumber the highest version that it has said yes to
- * @param nackedNumber a version that it has turned down, or 0
- * @param nackReason it did, else empty
+ * @param ackedNumber the highest version that it has acked
+ * @param nackedNumber a version that it has nacked, or 0
+ * @param nackReason why it did, else empty
  * @param actingNumber the version that it acts on while it holds its lease
  */
 public record MemberRecord(
@@ -37,9 +37,13 @@
             actingNumber));
   }
 
-  /** Of a line of the roster. */
-  public static MemberRecord decode(String encode) throws AgreementException {
-    Json json = StoredJson.parse(encode);
+  /**
+   * Of a text in the store.
+   *
+   * @throws AgreementException if it cannot be read
+   */
+  public static MemberRecord decode(String text) throws AgreementException {
+    Json json = StoredJson.parse(text);
     return new MemberRecord(
         json.get("name").word(""),
         json.get("incarnation").word(""),
--- a/src/main/java/beaconturn/agreement/PersistedConfig.java
+++ b/src/main/java/beaconturn/agreement/PersistedConfig.java
@@ -4,15 +4,15 @@
 import beaconturn.protocol.JsonWriter;
 
 /**
- * What a router keeps on its disk, so that it starts on it where no store is in reach.
+ * What a router persists, so that it starts on it where no store is in reach.
  *
- * @param agreementId of the agreement, empty where there was none
+ * @param agreementId empty where there was no agreement
  * @param clusterId of the store that was seen, empty where there was none: one that is restored has
  *     another
  * @param storeRevision the highest that was seen of its store
- * @param joined whether a line on the roster stands for it; else others may have moved on meanwhile
+ * @param joined whether a member's record stands for it; else others may have moved on meanwhile
  * @param actingVersion the version that the router acts on
- * @param ackedVersion a version that it has said yes to, or null
+ * @param ackedVersion a later version that it has acked, or null
  */
 public record PersistedConfig(
     String agreementId,
@@ -21,13 +21,13 @@
     boolean joined,
     ConfigVersion actingVersion,
     ConfigVersion ackedVersion) {
-  /** Nothing kept. */
+  /** Nothing was persisted. */
   public static final PersistedConfig EMPTY =
       new PersistedConfig("", "", 0, false, ConfigVersion.NONE, null);
 
-  PersistedConfig joined(boolean now) {
+  PersistedConfig withJoined(boolean nowJoined) {
     return new PersistedConfig(
-        agreementId, clusterId, storeRevision, now, actingVersion, ackedVersion);
+        agreementId, clusterId, storeRevision, nowJoined, actingVersion, ackedVersion);
   }
 
   /** As one line of text. */
@@ -43,26 +43,30 @@
             "joined",
             joined,
             "acting",
-            actingVersion.number() == 0
-                ? new Json.Nothing()
-                : new Json.Text(ConfigCodec.encode(actingVersion)),
+            encode(actingVersion.number() == 0 ? null : actingVersion),
             "next",
-            ackedVersion == null
-                ? new Json.Nothing()
-                : new Json.Text(ConfigCodec.encode(ackedVersion))));
+            encode(ackedVersion)));
   }
 
-  /** Of such a line; the digests are checked. */
-  public static PersistedConfig decode(String encode) throws AgreementException {
-    Json json = StoredJson.parse(encode);
-    String actingVersion = json.get("acting").word(null);
-    String ackedVersion = json.get("next").word(null);
+  private static Json encode(ConfigVersion version) {
+    return version == null ? new Json.Nothing() : new Json.Text(ConfigCodec.encode(version));
+  }
+
+  /**
+   * Of such a line.
+   *
+   * @throws AgreementException if it cannot be read, or the digest of a version is wrong
+   */
+  public static PersistedConfig decode(String text) throws AgreementException {
+    Json json = StoredJson.parse(text);
+    String acting = json.get("acting").word(null);
+    String acked = json.get("next").word(null);
     return new PersistedConfig(
         json.get("identity").word(""),
         json.get("cluster").word(""),
         StoredJson.wholeNumber(json, "revision", 0, Long.MAX_VALUE),
         json.get("joined").word("false").equals("true"),
-        actingVersion == null ? ConfigVersion.NONE : ConfigCodec.decodeVersion(actingVersion),
-        ackedVersion == null ? null : ConfigCodec.decodeVersion(ackedVersion));
+        acting == null ? ConfigVersion.NONE : ConfigCodec.decodeVersion(acting),
+        acked == null ? null : ConfigCodec.decodeVersion(acked));
   }
 }
--- a/src/main/java/beaconturn/agreement/StoreResponse.java
+++ b/src/main/java/beaconturn/agreement/StoreResponse.java
@@ -7,11 +7,11 @@
   /**
    * The store has answered.
    *
-   * @param conditionsHeld whether a swap's conditions held
-   * @param clusterId which store it is; another number is another store
+   * @param conditionsHeld whether a transaction's conditions held
+   * @param clusterId which store it is; another id is another store
    * @param storeRevision how far the store has come
    * @param entries what was read
-   * @param leaseId the number of a lease that was asked for
+   * @param leaseId of a lease that was granted
    * @param leaseTtlSeconds for how long that lease lives, 0 if it does not
    */
   record Success(
@@ -23,11 +23,15 @@
       long leaseTtlSeconds)
       implements StoreResponse {}
 
-  /** No answer, or one that cannot be used; a swap may or may not have come about. */
+  /** No answer, or one that cannot be used; a transaction may or may not have come about. */
   record Failed(String reason) implements StoreResponse {}
 
   /**
-   * A key and its value, the revisions at which it was made and last changed, and its lease or 0.
+   * A key and its value.
+   *
+   * @param createRevision the revision of the store at which it was made
+   * @param modRevision the one at which it was last changed
+   * @param leaseId of the lease that it is on, or 0
    */
   record Entry(String key, String value, long createRevision, long modRevision, long leaseId) {}
 }
--- a/src/main/java/beaconturn/cli/ContentFile.java
+++ b/src/main/java/beaconturn/cli/ContentFile.java
@@ -1,13 +1,12 @@
 package beaconturn.cli;
 
-import beaconturn.agreement.ClassIdempotency;
 import beaconturn.agreement.ClassRule;
 import beaconturn.agreement.ConfigContent;
+import beaconturn.agreement.IdempotencyWords;
 import beaconturn.net.ConfigException;
 import beaconturn.toml.TomlException;
 import beaconturn.toml.TomlSection;
 import java.util.List;
-import java.util.Locale;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
@@ -50,9 +49,7 @@
   private static ClassRule rule(TomlSection s) throws TomlException {
     List<String> effects = List.of("safe", "keyed", "unsafe");
     return new ClassRule(
-        s.has("effect")
-            ? ClassIdempotency.valueOf(s.choice("effect", "", effects).toUpperCase(Locale.ROOT))
-            : null,
+        s.has("effect") ? IdempotencyWords.decode(s.choice("effect", "", effects)) : null,
         s.has("window") ? (Long) s.durationNanos("window", 0, 0) : null,
         s.has("deadline") ? (Long) s.durationNanos("deadline", 0, MILLI) : null);
   }
--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -1,11 +1,12 @@
 package beaconturn.net.agreement;
 
+import beaconturn.agreement.AgreementCallbacks;
 import beaconturn.agreement.AgreementKeys;
 import beaconturn.agreement.AgreementMember;
 import beaconturn.agreement.ConfigContent;
 import beaconturn.agreement.EffectiveConfig;
 import beaconturn.agreement.EndpointView;
-import beaconturn.agreement.LastingEjections;
+import beaconturn.agreement.MemberIdentity;
 import beaconturn.agreement.PersistedConfig;
 import beaconturn.agreement.StoreRequest;
 import beaconturn.core.CacheServerClients;
@@ -15,68 +16,66 @@
 import beaconturn.net.FleetConfigSource;
 import beaconturn.net.RouterConfig;
 import java.util.Map;
-import java.util.SortedMap;
-import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
 /**
- * A router's part in the agreement, on a thread of its own: the module's thread never waits for the
- * store, it reads what is due from a field.
+ * Runs a router's member of the agreement on a thread of its own: the routing thread never waits
+ * for the store, it reads what is due from a field.
  */
-public final class AgreementSubsystem implements FleetConfigSource, AgreementMember.Router {
+public final class AgreementSubsystem implements FleetConfigSource, AgreementCallbacks {
   private static final Logger LOG = Logger.getLogger(AgreementSubsystem.class.getName());
-  private static final long LONGEST_LEAVE = 1_000_000_000;
+  private static final long MAX_LEAVE_NANOS = 1_000_000_000;
 
-  /** A start waits for the store as long as so many calls may take. */
-  private static final int FIRST_CALLS = 2;
+  /** A start waits for the store as long as so many requests may take. */
+  private static final int FIRST_REQUESTS = 2;
 
   private final AgreementConfig config;
   private final RouterSettings configured;
   private final Clock clock;
   private final PersistedConfigFile file;
+  private final FleetForces forces;
   private final AgreementMember member;
-  private volatile Forces forces;
-  private volatile Force applied;
-  private volatile boolean stopped;
-  private volatile EndpointView sight;
 
-  /** Of the thread that tells what it sees. */
-  private final LastingEjections ejections = new LastingEjections();
+  /** Of the thread that says what it sees. */
+  private final EndpointViewBuilder viewBuilder = new EndpointViewBuilder();
+
+  private volatile EndpointView latestView;
+
+  /** Of the agreement's thread. */
+  private long publishViewAtNanos = Long.MIN_VALUE;
 
-  private volatile long list = Long.MIN_VALUE;
-  private long sightDue = Long.MIN_VALUE;
+  private volatile long listVersion = Long.MIN_VALUE;
 
   /** Set once, guarded by this. */
-  private volatile boolean asked;
+  private volatile boolean stopped;
+
+  /** Set once, guarded by this. */
+  private volatile boolean askedStore;
 
   // Guarded by this:
   private boolean left;
 
-  /** What is due until a time and from then on. */
-  private record Forces(long until, Force held, Force after) {}
-
-  /** A part that asks nobody before it is run. */
+  /** A member that asks nobody before it is run. */
   public AgreementSubsystem(AgreementConfig config, RouterConfig router) {
     this.config = config;
     this.configured = router.settings();
     this.clock = Clock.system();
     this.file = new PersistedConfigFile(config.folder(), router.name(), LOG::info);
-    PersistedConfig kept = file.read();
-    long now = clock.now();
-    String incarnation = Long.toHexString(now) + "-" + ProcessHandle.current().pid();
+    this.forces = new FleetForces(configured, clock);
+    PersistedConfig persisted = file.read();
+    long nowNanos = clock.now();
+    String incarnation = Long.toHexString(nowNanos) + "-" + ProcessHandle.current().pid();
     this.member =
         new AgreementMember(
             new AgreementKeys(config.fleet()),
             config.timing(),
-            router.name(),
-            incarnation,
-            router.shared(),
-            SettingsContentMapper.of(configured),
-            kept,
-            router.seed() ^ now,
-            now,
+            new MemberIdentity(router.name(), incarnation, router.shared()),
+            SettingsContentMapper.contentOf(configured),
+            persisted,
+            router.seed() ^ nowNanos,
+            nowNanos,
             this,
             LOG::info);
   }
@@ -86,15 +85,7 @@
     StoreClient store = new StoreClient(config.endpoints(), config.timing().requestTimeoutNanos());
     try {
       while (!stopped) {
-        StoreRequest call = member.next(clock.now());
-        if (call != null) {
-          member.answered(clock.now(), store.ask(call));
-          if (!asked && member.hasAsked()) {
-            hasAsked();
-          }
-        } else if (!tellSight(store)) {
-          await(Math.min(member.wakeAt(), sightAt()) - clock.now());
-        }
+        drive(store);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -109,74 +100,59 @@
     }
   }
 
+  /** Makes one request, or waits until one may be due. */
+  private void drive(StoreClient store) throws InterruptedException {
+    StoreRequest request = member.nextRequest(clock.now());
+    if (request != null) {
+      member.handleResponse(clock.now(), store.ask(request));
+      if (!askedStore && member.hasAskedStore()) {
+        hasAskedStore();
+      }
+    } else if (!publishView(store)) {
+      long atNanos = Math.min(member.nextRequestAtNanos(), nextPublishAtNanos());
+      await(atNanos - clock.now());
+    }
+  }
+
   /**
-   * Tells what is seen once it has changed, no more often than a lease is renewed; whether it
-   * called.
+   * Publishes what is seen once it has changed, no more often than a lease is renewed; whether it
+   * has asked the store.
    */
-  private boolean tellSight(StoreClient store) {
-    if (clock.now() < sightAt()) {
+  private boolean publishView(StoreClient store) {
+    if (clock.now() < nextPublishAtNanos()) {
       return false;
     }
-    EndpointView seen = sight;
-    StoreRequest call = member.tells(seen);
-    sightDue = clock.now() + config.timing().renewIntervalNanos();
-    if (call != null) {
-      member.told(seen, store.ask(call));
+    EndpointView view = latestView;
+    StoreRequest request = member.nextViewRequest(view);
+    publishViewAtNanos = clock.now() + config.timing().renewIntervalNanos();
+    if (request != null) {
+      member.handleViewResponse(view, store.ask(request));
     }
-    return call != null;
+    return request != null;
   }
 
-  private long sightAt() {
-    return sight == null ? Long.MAX_VALUE : sightDue;
+  private long nextPublishAtNanos() {
+    return latestView == null ? Long.MAX_VALUE : publishViewAtNanos;
   }
 
   @Override
   public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
-    SortedMap<String, Long> in = new TreeMap<>();
-    SortedMap<String, String> out = new TreeMap<>();
-    ejections.retainOnly(
-        caches.entrySet().stream()
-            .filter(e -> e.getValue() == ServerStatus.EJECTED)
-            .map(e -> e.getKey().name())
-            .toList());
-    caches.forEach(
-        (listed, standing) -> {
-          boolean passing =
-              standing == ServerStatus.EJECTED && !ejections.isLasting(listed.name(), clock.now());
-          if (standing == ServerStatus.ACTIVE || passing) {
-            in.put(listed.name(), listed.bootTime());
-          } else {
-            out.put(listed.name(), storedWord(standing));
-          }
-        });
-    sight = new EndpointView(in, out);
-  }
-
-  /** The word under which the coordination store keeps a status; other builds read it. */
-  private static String storedWord(ServerStatus status) {
-    return switch (status) {
-      case ACTIVE -> "in";
-      case WARMING -> "warming";
-      case DRAINING -> "draining";
-      case GONE -> "gone";
-      case EXCLUDED -> "left out";
-      case EJECTED -> "ejected";
-    };
+    latestView = viewBuilder.view(caches, clock.now());
   }
 
-  private synchronized void hasAsked() {
-    asked = true;
+  private synchronized void hasAskedStore() {
+    askedStore = true;
     notifyAll();
   }
 
   @Override
   public synchronized void awaitFirst() {
-    long until = System.nanoTime() + FIRST_CALLS * config.timing().requestTimeoutNanos();
+    long endNanos = System.nanoTime() + FIRST_REQUESTS * config.timing().requestTimeoutNanos();
     try {
-      for (long wait = until - System.nanoTime();
-          !asked && wait > 0;
-          wait = until - System.nanoTime()) {
-        TimeUnit.NANOSECONDS.timedWait(this, wait);
+      for (long waitNanos = endNanos - System.nanoTime();
+          !askedStore && waitNanos > 0;
+          waitNanos = endNanos - System.nanoTime()) {
+        TimeUnit.NANOSECONDS.timedWait(this, waitNanos);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -188,39 +164,20 @@
     notifyAll();
   }
 
-  private synchronized void await(long nanos) throws InterruptedException {
-    if (nanos > 0 && !stopped) {
-      TimeUnit.NANOSECONDS.timedWait(this, nanos);
+  private synchronized void await(long waitNanos) throws InterruptedException {
+    if (waitNanos > 0 && !stopped) {
+      TimeUnit.NANOSECONDS.timedWait(this, waitNanos);
     }
   }
 
   @Override
-  public void ground(EffectiveConfig ground) {
-    Forces before = forces;
-    Force held = force(ground.whileLeased(), ground.whileLeasedDescription(), before);
-    Force after = force(ground.afterLease(), ground.afterLeaseDescription(), before);
-    forces = new Forces(ground.leaseEndNanos(), held, after);
-  }
-
-  /** The same object where nothing has changed, so that the router need not compare more. */
-  private Force force(ConfigContent content, String says, Forces before) {
-    if (before != null && before.held().means(content, says)) {
-      return before.held();
-    }
-    if (before != null && before.after().means(content, says)) {
-      return before.after();
-    }
-    return new Force(
-        SettingsContentMapper.under(configured, content),
-        content.excludedServers(),
-        content.minListVersion(),
-        content,
-        says);
+  public void effectiveConfigChanged(EffectiveConfig effective) {
+    forces.update(effective);
   }
 
   @Override
-  public boolean keep(PersistedConfig kept) {
-    return file.write(kept);
+  public boolean persist(PersistedConfig persisted) {
+    return file.write(persisted);
   }
 
   @Override
@@ -229,54 +186,49 @@
   }
 
   @Override
-  public boolean ready(ConfigContent content) {
-    return list >= content.minListVersion();
+  public boolean isReadyFor(ConfigContent content) {
+    return listVersion >= content.minListVersion();
   }
 
   @Override
   public long oldestList() {
-    Forces now = forces;
-    return Math.max(now.held().oldestList(), now.after().oldestList());
+    return forces.minListVersion();
   }
 
   @Override
   public void hasList(long version) {
-    list = version;
+    listVersion = version;
   }
 
   @Override
   public Force due() {
-    Forces now = forces;
-    return clock.now() < now.until() ? now.held() : now.after();
+    return forces.due();
   }
 
   @Override
   public void applied(Force force) {
-    applied = force;
+    forces.applied(force);
   }
 
   @Override
-  @SuppressWarnings("ReferenceEquality") // A shortcut before the comparison.
   public boolean mayWrite() {
-    Forces now = forces;
-    Force in = applied;
-    return clock.now() < now.until()
-        || in == now.after()
-        || (in != null && in.content().equals(now.after().content()));
+    return forces.mayWrite();
   }
 
   /**
-   * Takes the router off the roster, so that nobody waits for it; in vain if the store is out of
+   * Takes the member's record away, so that nobody waits for it; in vain if the store is out of
    * reach.
    */
   @Override
   public synchronized void leave() {
     stopped = true;
     notifyAll();
-    long until = System.nanoTime() + LONGEST_LEAVE;
+    long endNanos = System.nanoTime() + MAX_LEAVE_NANOS;
     try {
-      for (long wait = LONGEST_LEAVE; !left && wait > 0; wait = until - System.nanoTime()) {
-        TimeUnit.NANOSECONDS.timedWait(this, wait);
+      for (long waitNanos = MAX_LEAVE_NANOS;
+          !left && waitNanos > 0;
+          waitNanos = endNanos - System.nanoTime()) {
+        TimeUnit.NANOSECONDS.timedWait(this, waitNanos);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/beaconturn/net/agreement/SettingsContentMapper.java
+++ b/src/main/java/beaconturn/net/agreement/SettingsContentMapper.java
@@ -19,7 +19,7 @@
   private SettingsContentMapper() {}
 
   /** What a router is configured with, as a whole content. */
-  static ConfigContent of(RouterSettings settings) {
+  static ConfigContent contentOf(RouterSettings settings) {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
     for (int i = 0; i < settings.classNames().size(); i++) {
       RequestClass type = settings.routing().classes().get(i);
@@ -49,7 +49,7 @@
   }
 
   /** The settings under a whole content. */
-  static RouterSettings under(RouterSettings configured, ConfigContent content) {
+  static RouterSettings settingsUnder(RouterSettings configured, ConfigContent content) {
     RoutingSettings r = configured.routing();
     List<RequestClass> classes = new ArrayList<>();
     for (int i = 0; i < r.classes().size(); i++) {
@@ -106,17 +106,17 @@
 
   private static ClassIdempotency stored(Idempotency idempotency) {
     return switch (idempotency) {
-      case IDEMPOTENT -> ClassIdempotency.SAFE;
-      case IDEMPOTENCY_KEY -> ClassIdempotency.KEYED;
-      case NON_IDEMPOTENT -> ClassIdempotency.UNSAFE;
+      case IDEMPOTENT -> ClassIdempotency.IDEMPOTENT;
+      case IDEMPOTENCY_KEY -> ClassIdempotency.IDEMPOTENCY_KEY;
+      case NON_IDEMPOTENT -> ClassIdempotency.NON_IDEMPOTENT;
     };
   }
 
   private static Idempotency routed(ClassIdempotency idempotency) {
     return switch (idempotency) {
-      case SAFE -> Idempotency.IDEMPOTENT;
-      case KEYED -> Idempotency.IDEMPOTENCY_KEY;
-      case UNSAFE -> Idempotency.NON_IDEMPOTENT;
+      case IDEMPOTENT -> Idempotency.IDEMPOTENT;
+      case IDEMPOTENCY_KEY -> Idempotency.IDEMPOTENCY_KEY;
+      case NON_IDEMPOTENT -> Idempotency.NON_IDEMPOTENT;
     };
   }
 }
--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -763,7 +763,7 @@
             version.content().excludedServers(),
             version.content().maxAttempts() == null ? 0 : version.content().maxAttempts(),
             version.content().classes().entrySet().stream()
-                .filter(c -> c.getValue().idempotency() == ClassIdempotency.UNSAFE)
+                .filter(c -> c.getValue().idempotency() == ClassIdempotency.NON_IDEMPOTENT)
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet()),
             version.content().minListVersion() > 0));
--- a/src/test/java/beaconturn/agreement/AgreementMemberTest.java
+++ b/src/test/java/beaconturn/agreement/AgreementMemberTest.java
@@ -254,12 +254,12 @@
     }
     seat.die();
     seat.start();
-    assertFalse(seat.member.hasAsked());
+    assertFalse(seat.member.hasAskedStore());
     assertEquals("strict ground", acts(fleet, 1));
     assertEquals(
         new TreeSet<>(List.of("c1", "c2")), seat.ground.contentAt(seat.now()).excludedServers());
     fleet.run(SECOND);
-    assertTrue(seat.member.hasAsked());
+    assertTrue(seat.member.hasAskedStore());
     assertEquals("version 1", acts(fleet, 1));
     clean(fleet);
   }
--- a/src/test/java/beaconturn/agreement/ConfigCodecTest.java
+++ b/src/test/java/beaconturn/agreement/ConfigCodecTest.java
@@ -44,9 +44,10 @@
 
   static ConfigVersion full() {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
-    classes.put("get", new ClassRule(ClassIdempotency.SAFE, null, 250 * MILLI));
-    classes.put("incr", new ClassRule(ClassIdempotency.KEYED, 5000 * MILLI, null));
-    classes.put("pay \"now\"", new ClassRule(ClassIdempotency.UNSAFE, 0L, 3_600_000 * MILLI));
+    classes.put("get", new ClassRule(ClassIdempotency.IDEMPOTENT, null, 250 * MILLI));
+    classes.put("incr", new ClassRule(ClassIdempotency.IDEMPOTENCY_KEY, 5000 * MILLI, null));
+    classes.put(
+        "pay \"now\"", new ClassRule(ClassIdempotency.NON_IDEMPOTENT, 0L, 3_600_000 * MILLI));
     classes.put("rest", ClassRule.UNSPECIFIED);
     return ConfigVersion.of(
         42,
@@ -72,10 +73,10 @@
   @Test
   void anEffectIsReadInAnyCaseAndAnUnknownOneIsAnError() throws AgreementException {
     for (String word : List.of("safe", "Safe", "SAFE")) {
-      assertEquals(ClassIdempotency.SAFE, effect(word));
+      assertEquals(ClassIdempotency.IDEMPOTENT, effect(word));
     }
-    assertEquals(ClassIdempotency.KEYED, effect("Keyed"));
-    assertEquals(ClassIdempotency.UNSAFE, effect("unsafE"));
+    assertEquals(ClassIdempotency.IDEMPOTENCY_KEY, effect("Keyed"));
+    assertEquals(ClassIdempotency.NON_IDEMPOTENT, effect("unsafE"));
     for (String word : List.of("", "idempotent", "IDEMPOTENT", "non_idempotent", "safe ")) {
       assertEquals(
           "class get: unknown effect '" + word + "'",
--- a/src/test/java/beaconturn/agreement/SimulatedAgreement.java
+++ b/src/test/java/beaconturn/agreement/SimulatedAgreement.java
@@ -35,7 +35,7 @@
   record InForce(long at, ConfigVersion version) {}
 
   /** One router: what stands between it and the store, and the process that lives at the moment. */
-  final class SimulatedMember implements AgreementMember.Router {
+  final class SimulatedMember implements AgreementCallbacks {
     final String name;
     final double pace;
     boolean cut;
@@ -69,9 +69,7 @@
           new AgreementMember(
               KEYS,
               TIMING,
-              name,
-              name + "." + born,
-              false,
+              new MemberIdentity(name, name + "." + born, false),
               BASE,
               keeps ? kept : PersistedConfig.EMPTY,
               random.nextLong(),
@@ -95,11 +93,11 @@
         agenda.at(pausedUntil, () -> step(born));
         return;
       }
-      StoreRequest call = member.next(now());
+      StoreRequest call = member.nextRequest(now());
       trace.accept(agenda.now() + " " + name + " asks " + TraceText.of(call));
       if (call == null) {
-        trace.accept("until " + member.wakeAt());
-        long wait = (long) ((member.wakeAt() - now()) / pace);
+        trace.accept("until " + member.nextRequestAtNanos());
+        long wait = (long) ((member.nextRequestAtNanos() - now()) / pace);
         agenda.in(Math.max(MILLI, wait), () -> step(born));
         return;
       }
@@ -130,7 +128,7 @@
         return;
       }
       trace.accept(agenda.now() + " " + name + " hears " + TraceText.of(answer));
-      member.answered(now(), answer);
+      member.handleResponse(now(), answer);
       step(born);
     }
 
@@ -142,20 +140,20 @@
     }
 
     @Override
-    public void ground(EffectiveConfig next) {
+    public void effectiveConfigChanged(EffectiveConfig next) {
       ground = next;
       trace.accept(name + " acts on " + TraceText.of(next));
     }
 
     @Override
-    public boolean keep(PersistedConfig next) {
+    public boolean persist(PersistedConfig next) {
       kept = next;
       trace.accept(name + " keeps " + next.encode());
       return keepsAnything;
     }
 
     @Override
-    public boolean ready(ConfigContent content) {
+    public boolean isReadyFor(ConfigContent content) {
       return list >= content.minListVersion();
     }
 
@@ -233,7 +231,7 @@
     return acting.maxAttempts() == 1
         && !acting.hedging()
         && acting.classes().values().stream()
-            .allMatch(rule -> rule.idempotency() == ClassIdempotency.UNSAFE)
+            .allMatch(rule -> rule.idempotency() == ClassIdempotency.NON_IDEMPOTENT)
         && breaks.stream().allMatch(f -> f.startsWith("out.") || f.equals("oldest_list"));
   }
 
--- a/src/test/java/beaconturn/net/agreement/PersistedConfigFileTest.java
+++ b/src/test/java/beaconturn/net/agreement/PersistedConfigFileTest.java
@@ -37,8 +37,8 @@
 
   private static PersistedConfig persisted() {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
-    classes.put("get", new ClassRule(ClassIdempotency.SAFE, null, 250_000_000L));
-    classes.put("set", new ClassRule(ClassIdempotency.UNSAFE, null, null));
+    classes.put("get", new ClassRule(ClassIdempotency.IDEMPOTENT, null, 250_000_000L));
+    classes.put("set", new ClassRule(ClassIdempotency.NON_IDEMPOTENT, null, null));
     ConfigContent acting = new ConfigContent(classes, 2, false, 0, new TreeSet<>());
     ConfigContent next =
         new ConfigContent(new TreeMap<>(), null, null, 12, new TreeSet<>(List.of("c1")));
