--- a/src/main/java/beaconturn/agreement/AgreementKeys.java
+++ b/src/main/java/beaconturn/agreement/AgreementKeys.java
@@ -9,80 +9,85 @@
  * common/previous  the one before it
  * common/next      a version that is proposed
  * common/settled   the last version that all act on
- * common/office    who looks after the steps, on a lease
+ * common/office    the leader, who takes the steps, on a lease
  * history/N        each version, and history/N.no why one was turned down
- * roster/NAME/I    a router: what it says of the next version and which it acts on; no lease
- * alive/NAME/I     the same router, on its lease
+ * roster/NAME/I    a member's record: its ack or nack, and the version it acts on; no lease
+ * alive/NAME/I     the same member, on its lease
  * sight/NAME/I     what it makes of each cache server, on its lease
  * </pre>
+ *
+ * @param fleet the prefix
  */
 public record AgreementKeys(String fleet) {
-  /** All that every router reads. */
-  public String common() {
+  /** Ends the key of the reason why a version was turned down. */
+  static final String REJECTION_SUFFIX = ".no";
+
+  /** Begins the keys of all that every member reads. */
+  public String commonPrefix() {
     return fleet + "/common/";
   }
 
-  String identity() {
-    return common() + "identity";
+  String agreementId() {
+    return commonPrefix() + "identity";
   }
 
   String current() {
-    return common() + "current";
+    return commonPrefix() + "current";
   }
 
   String previous() {
-    return common() + "previous";
+    return commonPrefix() + "previous";
   }
 
-  String next() {
-    return common() + "next";
+  String proposed() {
+    return commonPrefix() + "next";
   }
 
   String settled() {
-    return common() + "settled";
+    return commonPrefix() + "settled";
   }
 
-  String office() {
-    return common() + "office";
+  String leader() {
+    return commonPrefix() + "office";
   }
 
-  /** All versions there ever were. */
-  public String histories() {
+  /** Begins the keys of all versions there ever were. */
+  public String versionsPrefix() {
     return fleet + "/history/";
   }
 
-  String history(long number) {
-    return histories() + String.format("%09d", number);
+  String version(long number) {
+    return versionsPrefix() + String.format("%09d", number);
   }
 
-  String refusal(long number) {
-    return history(number) + ".no";
+  String rejectionReason(long number) {
+    return version(number) + REJECTION_SUFFIX;
   }
 
-  /** All routers. */
-  public String rosters() {
+  /** Begins the keys of all members' records. */
+  public String membersPrefix() {
     return fleet + "/roster/";
   }
 
-  String roster(String name, String incarnation) {
-    return rosters() + name + "/" + incarnation;
+  String member(String name, String incarnation) {
+    return membersPrefix() + name + "/" + incarnation;
   }
 
-  /** All routers that hold leases. */
-  public String alives() {
+  /** Begins the keys of all members that hold leases. */
+  public String liveMembersPrefix() {
     return fleet + "/alive/";
   }
 
-  String alive(String name, String incarnation) {
-    return alives() + name + "/" + incarnation;
+  String liveMember(String name, String incarnation) {
+    return liveMembersPrefix() + name + "/" + incarnation;
   }
 
-  /** What routers make of cache servers. */
-  public String sights() {
+  /** Begins the keys of what members make of cache servers. */
+  public String endpointViewsPrefix() {
     return fleet + "/sight/";
   }
 
-  String sight(String name, String incarnation) {
-    return sights() + name + "/" + incarnation;
+  String endpointView(String name, String incarnation) {
+    return endpointViewsPrefix() + name + "/" + incarnation;
   }
 }
--- a/src/main/java/beaconturn/cli/AgentRunner.java
+++ b/src/main/java/beaconturn/cli/AgentRunner.java
@@ -1,7 +1,7 @@
 package beaconturn.cli;
 
 import beaconturn.agreement.AgreementTiming;
-import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.CoordinationStore;
 import beaconturn.net.ConfigException;
 import beaconturn.net.agreement.AgreementConfig;
 import beaconturn.net.agreement.StoreClient;
@@ -26,7 +26,7 @@
   private final String featuresFile;
   private final String instanceId;
   private final InstanceMetricsReader metricsReader;
-  private final UnaryOperator<ConfigAdmin.Store> storeWrapper;
+  private final UnaryOperator<CoordinationStore> storeWrapper;
   private final InstanceAction action;
   private final String incarnation =
       Long.toHexString(System.currentTimeMillis()) + "-" + ProcessHandle.current().pid();
@@ -51,7 +51,7 @@
       String instanceId,
       String command,
       InstanceMetricsReader metricsReader,
-      UnaryOperator<ConfigAdmin.Store> storeWrapper) {
+      UnaryOperator<CoordinationStore> storeWrapper) {
     this.featuresFile = featuresFile;
     this.instanceId = instanceId;
     this.metricsReader = metricsReader;
@@ -81,12 +81,14 @@
   private void connect(AgreementConfig config) {
     AgreementTiming timing = config.timing();
     RolloutKeys keys = new RolloutKeys(config.fleet());
-    ConfigAdmin.Store calls =
-        storeWrapper.apply(new StoreClient(config.endpoints(), timing.callTimeout()));
+    CoordinationStore calls =
+        storeWrapper.apply(new StoreClient(config.endpoints(), timing.requestTimeoutNanos()));
     store = new AgentStore(calls, keys);
-    lease = new AgentLease(calls, timing.storeLeaseSeconds(), timing.renewEvery());
+    lease = new AgentLease(calls, timing.storeLeaseSeconds(), timing.renewIntervalNanos());
     driver = new AgentDriver(keys, calls, store, incarnation);
-    agent = new RolloutAgent(keys, instanceId, incarnation, timing.callTimeout(), AgentRunner::now);
+    agent =
+        new RolloutAgent(
+            keys, instanceId, incarnation, timing.requestTimeoutNanos(), AgentRunner::now);
     if (metricsReader != null) {
       metricsReporter = new AgentMetricsReporter(metricsReader, store, keys, instanceId);
     }
--- a/src/main/java/beaconturn/cli/CacheDrain.java
+++ b/src/main/java/beaconturn/cli/CacheDrain.java
@@ -48,7 +48,7 @@
     long deadlineNanos = System.nanoTime() + waitSeconds * NANOS_PER_SECOND;
     long version = propose(server, excluded, deadlineNanos);
     while (System.nanoTime() < deadlineNanos) {
-      if (agreement.view().seen().settled() >= version) {
+      if (agreement.status().snapshot().settledNumber() >= version) {
         String routers = excluded ? "nobody sends to %s any more" : "all may send to %s";
         System.out.println(routers.replace("%s", server) + ": version " + version + " is settled");
         return 0;
@@ -59,7 +59,7 @@
         "version "
             + version
             + " is not settled yet, it waits for "
-            + String.join(", ", agreement.view().waiting()));
+            + String.join(", ", agreement.status().awaitedMembers()));
     return ReleaseRunner.NOT_NOW;
   }
 
@@ -70,9 +70,10 @@
   private long propose(String server, boolean excluded, long deadlineNanos)
       throws AgreementException, InterruptedException {
     while (true) {
-      AgreementSnapshot snapshot = agreement.view().seen();
-      boolean asWanted = snapshot.current().content().out().contains(server) == excluded;
-      if (!snapshot.open() && asWanted) {
+      AgreementSnapshot snapshot = agreement.status().snapshot();
+      boolean asWanted =
+          snapshot.current().content().excludedServers().contains(server) == excluded;
+      if (!snapshot.hasOpenStep() && asWanted) {
         return snapshot.current().number();
       }
       try {
@@ -92,13 +93,13 @@
 
   private static ConfigContent withExcluded(
       ConfigContent content, String server, boolean excluded) {
-    TreeSet<String> all = new TreeSet<>(content.out());
+    TreeSet<String> all = new TreeSet<>(content.excludedServers());
     if (excluded) {
       all.add(server);
     } else {
       all.remove(server);
     }
     return new ConfigContent(
-        content.classes(), content.mostTries(), content.secondCopies(), content.oldestList(), all);
+        content.classes(), content.maxAttempts(), content.hedging(), content.minListVersion(), all);
   }
 }
--- a/src/main/java/beaconturn/cli/ReleaseRunner.java
+++ b/src/main/java/beaconturn/cli/ReleaseRunner.java
@@ -3,6 +3,7 @@
 import beaconturn.agreement.AgreementException;
 import beaconturn.agreement.AgreementKeys;
 import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.CoordinationStore;
 import beaconturn.net.ConfigException;
 import beaconturn.net.agreement.AgreementConfig;
 import beaconturn.net.agreement.StoreClient;
@@ -69,7 +70,7 @@
     }
   }
 
-  private Session session(String fleet, ConfigAdmin.Store store) {
+  private Session session(String fleet, CoordinationStore store) {
     RolloutKeys keys = new RolloutKeys(fleet);
     ConfigAdmin agreement = new ConfigAdmin(new AgreementKeys(fleet), store);
     return new Session(
--- a/src/main/java/beaconturn/release/DisruptionPermitAdmin.java
+++ b/src/main/java/beaconturn/release/DisruptionPermitAdmin.java
@@ -1,7 +1,7 @@
 package beaconturn.release;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.CoordinationStore;
 import beaconturn.agreement.StoreRequest;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,7 +21,7 @@
 
   /** Commands of one operator to one fleet; the clock gives the time of history lines. */
   public DisruptionPermitAdmin(
-      RolloutKeys keys, ConfigAdmin.Store store, String author, Supplier<String> clock) {
+      RolloutKeys keys, CoordinationStore store, String author, Supplier<String> clock) {
     this.keys = keys;
     this.transactions = new RolloutTransactions(keys, clock);
     this.store = new RolloutStore(keys, store);
@@ -101,10 +101,11 @@
    * another zone is out under a permit, and whoever takes a permit at the same time has to decide
    * anew. Empty where no fleet is defined.
    */
-  public StoreRequest.Swap zoneEvacuation(String zone, String reason) throws AgreementException {
+  public StoreRequest.Transaction zoneEvacuation(String zone, String reason)
+      throws AgreementException {
     RolloutSnapshot snapshot = store.snapshot();
     if (snapshot.fleet().groups().isEmpty()) {
-      return new StoreRequest.Swap(List.of(), List.of());
+      return new StoreRequest.Transaction(List.of(), List.of());
     }
     List<String> others =
         snapshot.permits().values().stream()
--- a/src/main/java/beaconturn/release/RolloutPlanCodec.java
+++ b/src/main/java/beaconturn/release/RolloutPlanCodec.java
@@ -3,6 +3,7 @@
 import beaconturn.agreement.AgreementException;
 import beaconturn.agreement.ConfigCodec;
 import beaconturn.agreement.ConfigContent;
+import beaconturn.agreement.StoredJson;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 
@@ -12,13 +13,13 @@
 
   static String encode(RolloutPlan plan) {
     return JsonWriter.write(
-        ConfigCodec.object(
+        StoredJson.object(
             "number",
             plan.number(),
             "kind",
             plan.kind().word(),
             "waves",
-            ConfigCodec.list(plan.waves().stream().map(ConfigCodec::texts).toList()),
+            StoredJson.list(plan.waves().stream().map(StoredJson::texts).toList()),
             "soak_ns",
             plan.soakNanos(),
             "samples",
@@ -38,11 +39,11 @@
   }
 
   private static Json encode(ConfigContent content) {
-    return content == null ? new Json.Nothing() : ConfigCodec.json(content);
+    return content == null ? new Json.Nothing() : ConfigCodec.contentJson(content);
   }
 
   private static Json encode(RegressionBounds bounds) {
-    return ConfigCodec.object(
+    return StoredJson.object(
         "bad",
         Double.toString(bounds.failed()),
         "late",
@@ -58,7 +59,7 @@
   }
 
   static RolloutPlan decode(String text) throws AgreementException {
-    Json json = ConfigCodec.parse(text);
+    Json json = StoredJson.parse(text);
     return new RolloutPlan(
         StoredFields.number(json, "number"),
         StoredFields.kind(json),
--- a/src/main/java/beaconturn/release/RolloutSnapshotReader.java
+++ b/src/main/java/beaconturn/release/RolloutSnapshotReader.java
@@ -21,14 +21,14 @@
     this.keys = keys;
   }
 
-  RolloutSnapshot read(StoreResponse.Given response) throws AgreementException {
+  RolloutSnapshot read(StoreResponse.Success response) throws AgreementException {
     try {
-      for (StoreResponse.Pair pair : response.pairs()) {
+      for (StoreResponse.Entry pair : response.entries()) {
         values.put(pair.key(), pair.value());
-        revisions.put(pair.key(), pair.changed());
+        revisions.put(pair.key(), pair.modRevision());
         add(pair.key(), pair.value());
       }
-      return snapshot(response.cluster());
+      return snapshot(response.clusterId());
     } catch (IllegalArgumentException e) {
       throw new AgreementException("what stands of a release cannot be read: " + e.getMessage());
     }
--- a/src/main/java/beaconturn/release/RolloutStore.java
+++ b/src/main/java/beaconturn/release/RolloutStore.java
@@ -2,6 +2,7 @@
 
 import beaconturn.agreement.AgreementException;
 import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.CoordinationStore;
 import beaconturn.agreement.StoreRequest;
 import beaconturn.agreement.StoreResponse;
 
@@ -9,7 +10,7 @@
 final class RolloutStore {
   private static final int MAX_ATTEMPTS = 5;
   private final RolloutKeys keys;
-  private final ConfigAdmin.Store store;
+  private final CoordinationStore store;
 
   /** Decides on a transaction from a snapshot. */
   interface Decision {
@@ -21,14 +22,14 @@
     RolloutTransaction decide(RolloutSnapshot snapshot) throws AgreementException;
   }
 
-  RolloutStore(RolloutKeys keys, ConfigAdmin.Store store) {
+  RolloutStore(RolloutKeys keys, CoordinationStore store) {
     this.keys = keys;
     this.store = store;
   }
 
   /** The response to a request; an exception where the store does not answer. */
-  StoreResponse.Given request(StoreRequest request) throws AgreementException {
-    return ConfigAdmin.given(store, request);
+  StoreResponse.Success request(StoreRequest request) throws AgreementException {
+    return ConfigAdmin.requireSuccess(store, request);
   }
 
   RolloutSnapshot snapshot() throws AgreementException {
@@ -42,7 +43,7 @@
   String execute(Decision decision) throws AgreementException {
     for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       RolloutTransaction transaction = decision.decide(snapshot());
-      if (request(transaction.swap()).held()) {
+      if (request(transaction.swap()).conditionsHeld()) {
         return transaction.description();
       }
     }
--- a/src/main/java/beaconturn/release/StoredFields.java
+++ b/src/main/java/beaconturn/release/StoredFields.java
@@ -3,6 +3,7 @@
 import beaconturn.agreement.AgreementException;
 import beaconturn.agreement.ConfigCodec;
 import beaconturn.agreement.ConfigContent;
+import beaconturn.agreement.StoredJson;
 import beaconturn.protocol.Json;
 import java.util.List;
 
@@ -12,7 +13,7 @@
 
   /** A whole number from 0. */
   static long number(Json json, String key) throws AgreementException {
-    return ConfigCodec.whole(json, key, 0, Long.MAX_VALUE);
+    return StoredJson.wholeNumber(json, key, 0, Long.MAX_VALUE);
   }
 
   /** A decimal number, which is stored as a text; 0 where it is missing. */
@@ -32,7 +33,9 @@
 
   /** A configuration content, or null where it is missing. */
   static ConfigContent content(Json json, String key) throws AgreementException {
-    return json.get(key) instanceof Json.Members members ? ConfigCodec.content(members) : null;
+    return json.get(key) instanceof Json.Members members
+        ? ConfigCodec.decodeContent(members)
+        : null;
   }
 
   /** The kind of an instance. */
--- a/src/test/java/beaconturn/agreement/SimulatedAgreement.java
+++ b/src/test/java/beaconturn/agreement/SimulatedAgreement.java
@@ -35,7 +35,7 @@
   record InForce(long at, ConfigVersion version) {}
 
   /** One router: what stands between it and the store, and the process that lives at the moment. */
-  final class SimulatedMember implements AgreementMember.Router {
+  final class SimulatedMember implements AgreementCallbacks {
     final String name;
     final double pace;
     boolean cut;
@@ -48,7 +48,7 @@
 
     long list = Long.MAX_VALUE;
     long pausedUntil;
-    PersistedConfig kept = PersistedConfig.NOTHING;
+    PersistedConfig kept = PersistedConfig.EMPTY;
     AgreementMember member;
     EffectiveConfig ground;
     int life;
@@ -69,11 +69,9 @@
           new AgreementMember(
               KEYS,
               TIMING,
-              name,
-              name + "." + born,
-              false,
+              new MemberIdentity(name, name + "." + born, false),
               BASE,
-              keeps ? kept : PersistedConfig.NOTHING,
+              keeps ? kept : PersistedConfig.EMPTY,
               random.nextLong(),
               now(),
               this,
@@ -95,11 +93,11 @@
         agenda.at(pausedUntil, () -> step(born));
         return;
       }
-      StoreRequest call = member.next(now());
+      StoreRequest call = member.nextRequest(now());
       trace.accept(agenda.now() + " " + name + " asks " + TraceText.of(call));
       if (call == null) {
-        trace.accept("until " + member.wakeAt());
-        long wait = (long) ((member.wakeAt() - now()) / pace);
+        trace.accept("until " + member.nextRequestAtNanos());
+        long wait = (long) ((member.nextRequestAtNanos() - now()) / pace);
         agenda.in(Math.max(MILLI, wait), () -> step(born));
         return;
       }
@@ -111,7 +109,7 @@
           () -> {
             StoreResponse answer = hears ? serve(call) : null;
             agenda.in(
-                told ? way : TIMING.callTimeout() - way,
+                told ? way : TIMING.requestTimeoutNanos() - way,
                 () ->
                     heard(
                         born,
@@ -130,38 +128,40 @@
         return;
       }
       trace.accept(agenda.now() + " " + name + " hears " + TraceText.of(answer));
-      member.answered(now(), answer);
+      member.handleResponse(now(), answer);
       step(born);
     }
 
     private void act() {
       if (ground != null && agenda.now() >= pausedUntil) {
         acts++;
-        check(this, ignoresLease ? ground.held() : ground.at(now()));
+        check(this, ignoresLease ? ground.whileLeased() : ground.contentAt(now()));
       }
     }
 
     @Override
-    public void ground(EffectiveConfig next) {
+    public void effectiveConfigChanged(EffectiveConfig next) {
       ground = next;
       trace.accept(name + " acts on " + TraceText.of(next));
     }
 
     @Override
-    public boolean keep(PersistedConfig next) {
+    public boolean persist(PersistedConfig next) {
       kept = next;
-      trace.accept(name + " keeps " + next.text());
+      trace.accept(name + " keeps " + next.encode());
       return keepsAnything;
     }
 
     @Override
-    public boolean ready(ConfigContent content) {
-      return list >= content.oldestList();
+    public boolean isReadyFor(ConfigContent content) {
+      return list >= content.minListVersion();
     }
 
     @Override
     public String objection(ConfigContent content) {
-      return content.out().containsAll(List.of("c1", "c2", "c3")) ? "too few are left" : null;
+      return content.excludedServers().containsAll(List.of("c1", "c2", "c3"))
+          ? "too few are left"
+          : null;
     }
   }
 
@@ -172,19 +172,20 @@
             agenda,
             7,
             (at, revision, key, value) -> {
-              if (key.equals(KEYS.common() + "current") && value != null) {
+              if (key.equals(KEYS.commonPrefix() + "current") && value != null) {
                 cameIntoForce(value);
               }
             });
     for (int i = 0; i < routers; i++) {
-      seats.add(new SimulatedMember("r" + i, 1 + (random.nextDouble() - 0.5) * TIMING.drift()));
+      seats.add(
+          new SimulatedMember("r" + i, 1 + (random.nextDouble() - 0.5) * TIMING.clockDrift()));
     }
     agenda.in(0, this::acting);
   }
 
   private void cameIntoForce(String text) {
     try {
-      inForce.add(new InForce(agenda.now(), ConfigCodec.version(text)));
+      inForce.add(new InForce(agenda.now(), ConfigCodec.decodeVersion(text)));
     } catch (AgreementException e) {
       throw new IllegalStateException(e);
     }
@@ -201,13 +202,15 @@
   private void check(SimulatedMember seat, ConfigContent acting) {
     boolean allowed =
         inForce.isEmpty()
-            || (agenda.now() - inForce.get(0).at() <= TIMING.stated()
-                && ConfigConflicts.breaks(acting, ConfigContent.UNSAID.over(BASE)).isEmpty());
+            || (agenda.now() - inForce.get(0).at() <= TIMING.statedNanos()
+                && ConfigConflicts.violations(acting, ConfigContent.UNSPECIFIED.withDefaults(BASE))
+                    .isEmpty());
     List<String> breaks = List.of();
     for (int i = inForce.size() - 1; i >= 0 && !allowed; i--) {
-      breaks = ConfigConflicts.breaks(acting, inForce.get(i).version().content().over(BASE));
+      breaks =
+          ConfigConflicts.violations(acting, inForce.get(i).version().content().withDefaults(BASE));
       allowed = breaks.isEmpty();
-      if (agenda.now() - inForce.get(i).at() > TIMING.stated()) {
+      if (agenda.now() - inForce.get(i).at() > TIMING.statedNanos()) {
         break;
       }
     }
@@ -225,10 +228,10 @@
 
   /** Who does not know what is in force holds out what it knew to be out; it repeats nothing. */
   private static boolean strict(List<String> breaks, ConfigContent acting) {
-    return acting.mostTries() == 1
-        && !acting.secondCopies()
+    return acting.maxAttempts() == 1
+        && !acting.hedging()
         && acting.classes().values().stream()
-            .allMatch(rule -> rule.effect() == ClassIdempotency.UNSAFE)
+            .allMatch(rule -> rule.idempotency() == ClassIdempotency.NON_IDEMPOTENT)
         && breaks.stream().allMatch(f -> f.startsWith("out.") || f.equals("oldest_list"));
   }
 
@@ -238,7 +241,7 @@
         KEYS,
         call -> {
           StoreResponse answer = serve(call);
-          return call instanceof StoreRequest.Swap && loseNext-- > 0
+          return call instanceof StoreRequest.Transaction && loseNext-- > 0
               ? new StoreResponse.Failed("lost")
               : answer;
         });
@@ -262,7 +265,7 @@
   /** Runs until the version is in force and settled; false if it is not within the time. */
   boolean settles(long number, long within) throws AgreementException {
     for (long end = agenda.now() + within; agenda.now() < end; run(100 * MILLI)) {
-      if (desk().view().seen().settled() >= number) {
+      if (desk().status().snapshot().settledNumber() >= number) {
         return true;
       }
     }
--- a/src/test/java/beaconturn/release/RolloutDriverTest.java
+++ b/src/test/java/beaconturn/release/RolloutDriverTest.java
@@ -123,7 +123,8 @@
     RolloutTransaction step =
         driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0);
     assertTrue(
-        ((StoreResponse.Given) store.ask(store.permits().zoneEvacuation("west", "power"))).held());
+        ((StoreResponse.Success) store.ask(store.permits().zoneEvacuation("west", "power")))
+            .conditionsHeld());
     assertFalse(store.commits(step), "it was decided on before the site went");
     drive(0, Map.of());
     assertEquals(
