--- a/src/test/java/beaconturn/history/ZoneInvariantsTest.java
+++ b/src/test/java/beaconturn/history/ZoneInvariantsTest.java
@@ -28,12 +28,12 @@
           SECOND,
           SECOND,
           null,
-          new InvariantBounds.Zones(true, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
+          new ZoneBounds(true, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
   private final List<HistoryEvent> lines =
       new ArrayList<>(
           List.of(
-              new HistoryEvent.Started(0, "c1", "east", 0, 0, 1),
-              new HistoryEvent.Started(0, "c2", "west", 0, 0, 1)));
+              new HistoryEvent.CacheServerStarted(0, "c1", "east", 0, 0, 1),
+              new HistoryEvent.CacheServerStarted(0, "c2", "west", 0, 0, 1)));
   private long number;
 
   /** So many first sends, spread over two seconds from that one on. */
@@ -41,7 +41,7 @@
     for (int i = 0; i < count; i++) {
       long at = (long) (from * SECOND) + i * 2L * SECOND / count;
       lines.add(
-          new HistoryEvent.Sent(
+          new HistoryEvent.AttemptArrived(
               at, at, at, ++number, server, 0, number, "id" + number, "read", "key", SECOND / 100));
     }
     return this;
@@ -49,20 +49,20 @@
 
   private ZoneInvariantsTest plan(double at, int near, int far) {
     lines.add(
-        new HistoryEvent.Planned(
+        new HistoryEvent.ZonePlanInForce(
             (long) (at * SECOND), 1, Map.of("east", Map.of("east", near, "west", far))));
     return this;
   }
 
   private void trouble(double at, boolean on) {
-    lines.add(new HistoryEvent.Troubled((long) (at * SECOND), on));
+    lines.add(new HistoryEvent.FaultChanged((long) (at * SECOND), on));
   }
 
   private List<String> broken() {
-    return HistoryChecker.judge(TERMS, lines).stream()
+    return HistoryChecker.check(TERMS, lines).stream()
         .filter(v -> !v.held())
-        .filter(v -> List.of("kept-near", "no-stampede", "one-decision").contains(v.rule()))
-        .map(v -> v.rule() + ": " + v.offences().get(0).what())
+        .filter(v -> List.of("kept-near", "no-stampede", "one-decision").contains(v.invariant()))
+        .map(v -> v.invariant() + ": " + v.violations().get(0).description())
         .toList();
   }
 
@@ -81,7 +81,7 @@
     trouble(7.5, false);
     assertEquals(List.of(), broken(), "not back yet, and need not be");
     trouble(20, true);
-    lines.removeIf(e -> e instanceof HistoryEvent.Troubled t && t.at() < 20 * SECOND);
+    lines.removeIf(e -> e instanceof HistoryEvent.FaultChanged t && t.atNanos() < 20 * SECOND);
     assertEquals(1, broken().size(), "what comes later is no reason");
   }
 
@@ -89,7 +89,7 @@
   @Test
   void whatIsTooMuchForItsPlaceMayGoFar() {
     plan(1, 800, 200);
-    lines.add(new HistoryEvent.Started(0, "c3", "east", 0, 0, 1));
+    lines.add(new HistoryEvent.CacheServerStarted(0, "c3", "east", 0, 0, 1));
     sends(1500, "c1", 10).sends(60, "c2", 10);
     assertEquals(1, broken().stream().filter(b -> b.startsWith("kept-near")).count());
     sends(200, "c1", 10);
@@ -131,13 +131,13 @@
     trouble(7, false);
     plan(6.5, 750, 250).plan(11, 990, 10);
     ZoneCrossings c = ZoneCrossings.of(TERMS, lines);
-    assertEquals(51 / 300.0, c.crossed(), 1e-9);
-    assertEquals(0.01, c.crossedCalm(), 1e-9);
-    assertEquals("east", c.busiest());
-    assertEquals(0.75, c.peak(), 1e-9);
-    assertEquals(2.5 * SECOND, c.decidedAfter());
-    assertEquals(4 * SECOND, c.backAfter());
-    assertEquals(0.75, c.near().get("east").get(5L), 1e-9);
+    assertEquals(51 / 300.0, c.crossedShare(), 1e-9);
+    assertEquals(0.01, c.crossedShareBeforeFaults(), 1e-9);
+    assertEquals("east", c.busiestZone());
+    assertEquals(0.75, c.peakLoad(), 1e-9);
+    assertEquals(2.5 * SECOND, c.decidedAfterNanos());
+    assertEquals(4 * SECOND, c.backAfterNanos());
+    assertEquals(0.75, c.localShares().get("east").get(5L), 1e-9);
   }
 
   /** The same account judged where routers decide nothing in common: nothing of it is promised. */
@@ -160,11 +160,11 @@
             SECOND,
             SECOND,
             null,
-            new InvariantBounds.Zones(false, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
+            new ZoneBounds(false, List.of("east", "west"), 5 * SECOND, 0.01, 1000, 1.2));
     assertEquals(
         0,
-        HistoryChecker.judge(undecided, lines).stream()
-            .filter(v -> v.rule().equals("kept-near"))
+        HistoryChecker.check(undecided, lines).stream()
+            .filter(v -> v.invariant().equals("kept-near"))
             .mapToLong(InvariantResult::checked)
             .sum());
   }
--- a/src/test/java/beaconturn/rehearsal/AgreementPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/AgreementPlayTest.java
@@ -58,12 +58,15 @@
   @TempDir private Path folder;
 
   private static List<String> broken(RehearsalReport report) {
-    return report.verdicts().stream().filter(v -> !v.held()).map(InvariantResult::rule).toList();
+    return report.verdicts().stream()
+        .filter(v -> !v.held())
+        .map(InvariantResult::invariant)
+        .toList();
   }
 
   static InvariantResult contradiction(RehearsalReport report) {
     return report.verdicts().stream()
-        .filter(v -> v.rule().equals("no-contradiction"))
+        .filter(v -> v.invariant().equals("no-contradiction"))
         .findFirst()
         .orElseThrow();
   }
--- a/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
+++ b/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
@@ -100,7 +100,7 @@
           broken.accept(
               report.verdicts().stream()
                   .filter(v -> !v.held())
-                  .map(InvariantResult::rule)
+                  .map(InvariantResult::invariant)
                   .toList());
         });
   }
--- a/src/test/java/beaconturn/rehearsal/PlantedAgentsTest.java
+++ b/src/test/java/beaconturn/rehearsal/PlantedAgentsTest.java
@@ -48,7 +48,7 @@
         (report, logs) -> {
           InvariantResult verdict =
               report.verdicts().stream()
-                  .filter(v -> v.rule().equals(rule))
+                  .filter(v -> v.invariant().equals(rule))
                   .findFirst()
                   .orElseThrow();
           assertTrue(!verdict.held(), report.text());
--- a/src/test/java/beaconturn/rehearsal/PlantedAgreementPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/PlantedAgreementPlayTest.java
@@ -72,7 +72,8 @@
         (report, logs) -> {
           InvariantResult verdict = AgreementPlayTest.contradiction(report);
           assertTrue(!verdict.held(), report.text());
-          assertTrue(verdict.offences().get(0).what().contains("router 0 act"), report.text());
+          assertTrue(
+              verdict.violations().get(0).description().contains("router 0 act"), report.text());
         });
   }
 }
--- a/src/test/java/beaconturn/rehearsal/RehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/RehearsalTest.java
@@ -28,7 +28,10 @@
         (report, logs) -> {
           assertEquals(
               List.of(),
-              report.verdicts().stream().filter(v -> !v.held()).map(InvariantResult::rule).toList(),
+              report.verdicts().stream()
+                  .filter(v -> !v.held())
+                  .map(InvariantResult::invariant)
+                  .toList(),
               report.text());
           shows.in(report, logs);
         });
@@ -108,7 +111,7 @@
         (report, logs) -> {
           InvariantResult cold =
               report.verdicts().stream()
-                  .filter(v -> v.rule().equals("cold-kept"))
+                  .filter(v -> v.invariant().equals("cold-kept"))
                   .findFirst()
                   .orElseThrow();
           assertTrue(
--- a/src/test/java/beaconturn/rehearsal/ReleasePlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ReleasePlayTest.java
@@ -25,7 +25,10 @@
         (report, logs) -> {
           assertEquals(
               List.of(),
-              report.verdicts().stream().filter(v -> !v.held()).map(InvariantResult::rule).toList(),
+              report.verdicts().stream()
+                  .filter(v -> !v.held())
+                  .map(InvariantResult::invariant)
+                  .toList(),
               report.text());
           shows.in(report, logs);
         });
@@ -33,8 +36,8 @@
 
   private static List<Integer> changed(RehearsalReport report, boolean released) {
     return report.entries().stream()
-        .filter(e -> e instanceof HistoryEvent.Changed c && c.released() == released)
-        .map(e -> ((HistoryEvent.Changed) e).router())
+        .filter(e -> e instanceof HistoryEvent.VariantChangeBegun c && c.released() == released)
+        .map(e -> ((HistoryEvent.VariantChangeBegun) e).router())
         .sorted()
         .toList();
   }
@@ -99,8 +102,8 @@
           assertEquals(
               List.of("c1", "c3"),
               report.entries().stream()
-                  .filter(e -> e instanceof HistoryEvent.Changed)
-                  .map(e -> ((HistoryEvent.Changed) e).part())
+                  .filter(e -> e instanceof HistoryEvent.VariantChangeBegun)
+                  .map(e -> ((HistoryEvent.VariantChangeBegun) e).instanceId())
                   .toList());
         });
   }
@@ -114,8 +117,8 @@
           List<VersionTimeline> versions = report.fleet().passages();
           long first =
               report.entries().stream()
-                  .filter(e -> e instanceof HistoryEvent.Changed)
-                  .mapToLong(HistoryEvent::at)
+                  .filter(e -> e instanceof HistoryEvent.VariantChangeBegun)
+                  .mapToLong(HistoryEvent::atNanos)
                   .min()
                   .orElseThrow();
           assertEquals(2, versions.size());
--- a/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
@@ -76,15 +76,18 @@
 
   @TempDir private Path folder;
 
-  private static List<HistoryEvent.Planned> plans(RehearsalReport report) {
+  private static List<HistoryEvent.ZonePlanInForce> plans(RehearsalReport report) {
     return report.entries().stream()
-        .filter(e -> e instanceof HistoryEvent.Planned)
-        .map(e -> (HistoryEvent.Planned) e)
+        .filter(e -> e instanceof HistoryEvent.ZonePlanInForce)
+        .map(e -> (HistoryEvent.ZonePlanInForce) e)
         .toList();
   }
 
   private static List<String> broken(RehearsalReport report) {
-    return report.verdicts().stream().filter(v -> !v.held()).map(InvariantResult::rule).toList();
+    return report.verdicts().stream()
+        .filter(v -> !v.held())
+        .map(InvariantResult::invariant)
+        .toList();
   }
 
   @Test
@@ -95,16 +98,17 @@
         folder,
         (report, logs) -> {
           assertEquals(List.of(), broken(report), report.text());
-          List<HistoryEvent.Planned> plans = plans(report);
+          List<HistoryEvent.ZonePlanInForce> plans = plans(report);
           assertTrue(
-              !plans.isEmpty() && plans.get(0).rows().get("east").get("east") <= 50, report.text());
-          long after = plans.get(0).at() - report.start();
+              !plans.isEmpty() && plans.get(0).weights().get("east").get("east") <= 50,
+              report.text());
+          long after = plans.get(0).atNanos() - report.start();
           assertTrue(after < 9_000_000_000L, "within five seconds: " + after);
           // The model and the processes say the same of it, or the model is wrong.
           long twin =
               SimulatedFailover.decidedAfter(report.scenario().agreement().timing(), 3, 1, 50);
           assertTrue(
-              Math.abs(report.crossings().decidedAfter() - twin) < MARGIN,
+              Math.abs(report.crossings().decidedAfterNanos() - twin) < MARGIN,
               "in the model after " + twin + " ns\n" + report.text());
         });
   }
@@ -134,9 +138,11 @@
             assertEquals(List.of("kept-near", "one-decision"), broken(report), report.text());
             assertTrue(
                 report.verdicts().stream()
-                    .flatMap(v -> v.offences().stream())
+                    .flatMap(v -> v.violations().stream())
                     .allMatch(
-                        o -> !o.what().startsWith("router") || o.what().startsWith("router 0 ")),
+                        o ->
+                            !o.description().startsWith("router")
+                                || o.description().startsWith("router 0 ")),
                 report.text());
           }
         });
