--- a/src/main/java/beaconturn/history/DrainGrace.java
+++ b/src/main/java/beaconturn/history/DrainGrace.java
@@ -13,10 +13,10 @@
  */
 final class DrainGrace extends Invariant {
   /** Identifies what one router knows of one server. */
-  private record RouterServer(int router, String server) {}
+  private record NotificationKey(int router, String server) {}
 
   /** Listing states by the time from which a router counts as notified of them. */
-  private final Map<RouterServer, TreeMap<Long, HistoryEvent.ListingState>> notifications =
+  private final Map<NotificationKey, TreeMap<Long, HistoryEvent.ListingState>> notifications =
       new HashMap<>();
 
   DrainGrace() {
@@ -40,7 +40,7 @@
   private void checkAttempt(HistoryIndex history, HistoryEvent.AttemptArrived attempt) {
     TreeMap<Long, HistoryEvent.ListingState> known =
         notifications.getOrDefault(
-            new RouterServer(attempt.router(), attempt.server()), new TreeMap<>());
+            new NotificationKey(attempt.router(), attempt.server()), new TreeMap<>());
     Map.Entry<Long, HistoryEvent.ListingState> last = known.floorEntry(attempt.earliestNanos());
     if (last == null) {
       check(
@@ -100,7 +100,7 @@
   private void addNotification(
       long atNanos, int router, String server, HistoryEvent.ListingState state) {
     notifications
-        .computeIfAbsent(new RouterServer(router, server), key -> new TreeMap<>())
+        .computeIfAbsent(new NotificationKey(router, server), key -> new TreeMap<>())
         .put(atNanos, state);
   }
 
--- a/src/main/java/beaconturn/history/ZoneCrossings.java
+++ b/src/main/java/beaconturn/history/ZoneCrossings.java
@@ -31,8 +31,8 @@
   private static final long NANOS_PER_SECOND = 1_000_000_000;
   private static final long NO_PLAN = -1;
 
-  /** Counts of first attempts that left their zone. */
-  private static final class Counts {
+  /** AttemptCounts of first attempts that left their zone. */
+  private static final class AttemptCounts {
     private final RemoteShare all = new RemoteShare();
     private final RemoteShare beforeFaults = new RemoteShare();
     private final SortedMap<String, SortedMap<Long, RemoteShare>> bySecond = new TreeMap<>();
@@ -65,7 +65,7 @@
     HistoryIndex history = new HistoryIndex(bounds, events);
     ZoneTraffic traffic = new ZoneTraffic(history);
     long firstFaultNanos = firstFaultNanos(history);
-    Counts counts = new Counts();
+    AttemptCounts counts = new AttemptCounts();
     for (HistoryEvent.AttemptArrived attempt : traffic.firstAttempts()) {
       String home = bounds.zones().routerZones().get(attempt.router());
       boolean remote = !home.equals(traffic.zoneOf(attempt.server()));
--- a/src/test/java/beaconturn/release/CanaryComparisonTest.java
+++ b/src/test/java/beaconturn/release/CanaryComparisonTest.java
@@ -14,10 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * What is compared beside failures, what a site carries, and what is foretold and recorded of a
- * release.
- */
+/** Measures that are compared beside failures, the load of zones, forecasts and time series. */
 class CanaryComparisonTest {
   private static final RolloutPlan PLAN =
       new RolloutPlan(
@@ -84,7 +81,7 @@
     }
   }
 
-  /** By chance it comes about once in some thousand looks, which forty parts have in minutes. */
+  /** Once in some thousand comparisons it is chance, and many instances make those in minutes. */
   @Test
   void whatIsWatchedForLongNeedsMoreThanWhatIsCheckedOnce() {
     CanaryComparison chance =
@@ -101,10 +98,7 @@
         CanaryVerdict.Outcome.REGRESSED, goesOn.verdict(true, ComparisonMode.WATCH).outcome());
   }
 
-  /**
-   * A soak that is too short for eight readings takes no mean for bad, and does not wait for more
-   * either.
-   */
+  /** A soak that is too short for eight readings compares no means, and does not wait for more. */
   @Test
   void meansOfFewReadingsCountForNothing() {
     CanaryComparison few =
@@ -133,7 +127,7 @@
     return store;
   }
 
-  private static void tell(InMemoryStore store, String words) {
+  private static void report(InMemoryStore store, String words) {
     List.of("r1", "r2", "r3")
         .forEach(
             id ->
@@ -147,9 +141,7 @@
                                 0)))));
   }
 
-  /**
-   * With one out and one that fails the third has to carry all, at four fifths of its processor.
-   */
+  /** With one out and one failed the third has to carry all, at four fifths of its cores. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -168,30 +160,30 @@
   void aPlanIsHeldToWhatItsSitesCarry(int spare, String each, String objection)
       throws AgreementException {
     InMemoryStore store = store(new ReleaseFleet.Capacity(0, 0, spare));
-    tell(store, each);
+    report(store, each);
     assertEquals(objection, RolloutAdmin.objection(PLAN, store.snapshot()));
   }
 
   @Test
   void aStepWaitsWhileProcessorsAreShort() throws AgreementException {
     InMemoryStore store = store(new ReleaseFleet.Capacity(0, 0.5, 1));
-    tell(store, "busy=10 cores=8000");
+    report(store, "busy=10 cores=8000");
     store.begin(0, List.of(List.of("r1")));
     RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
     assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
     assertNull(
         driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0), "measured first");
-    tell(store, "busy=200 cores=8000");
+    report(store, "busy=200 cores=8000");
     assertNull(
         driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 1_000_000_000));
     assertEquals(
         "r1: east carries 0.6 cores, and 1 routers would be left with 1 that fail, for 0.4 each",
         driver.waitReason(),
         "what operators say they may use goes before what they see");
-    tell(store, "busy=100 cores=8000");
-    RolloutTransaction act =
+    report(store, "busy=100 cores=8000");
+    RolloutTransaction transaction =
         driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 1_000_000_000);
-    assertTrue(act.description().startsWith("r1 goes"), act.description());
+    assertTrue(transaction.description().startsWith("r1 goes"), transaction.description());
   }
 
   @Test
@@ -217,7 +209,7 @@
                     InMemoryStore.KEYS.sample("r2"), RolloutCodec.encode(sample("rate=4")), 0))));
     RolloutForecast forecast =
         RolloutForecast.of(PLAN, store.snapshot(), Map.of("r4", "holds no lease"));
-    // r2 and r3 are of two sites; r1 holds a place still and r4 is gone.
+    // r2 and r3 are of two zones; r1 still holds a permit and r4 is out.
     assertEquals(
         List.of(
             new RolloutForecast.Wave(List.of("r1"), 1, 1, 0),
@@ -254,14 +246,14 @@
         assertTrue(store.commits(point));
       }
     }
-    RolloutTimeSeries curve = store.admin().timeSeries(1);
-    assertTrue(curve.points().size() <= 240, curve.points().size() + " points");
-    assertEquals(4000, curve.intervalMillis());
-    assertEquals(1, curve.points().get(0).unplannedUnavailable());
-    long told = curve.points().stream().mapToLong(RolloutTimeSeries.Point::served).sum();
+    RolloutTimeSeries series = store.admin().timeSeries(1);
+    assertTrue(series.points().size() <= 240, series.points().size() + " points");
+    assertEquals(4000, series.intervalMillis());
+    assertEquals(1, series.points().get(0).unplannedUnavailable());
+    long recorded = series.points().stream().mapToLong(RolloutTimeSeries.Point::served).sum();
     // What came since the last point before a change of drivers, and since the last of all, is in
     // none.
-    assertTrue(told <= sum && told > sum - 6 * 40, told + " of " + sum);
+    assertTrue(recorded <= sum && recorded > sum - 6 * 40, recorded + " of " + sum);
     RolloutTransaction late =
         new RolloutRecorder(InMemoryStore.KEYS, 1, RolloutTimeSeries.EMPTY)
             .nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 1);
--- a/src/test/java/beaconturn/release/InMemoryStore.java
+++ b/src/test/java/beaconturn/release/InMemoryStore.java
@@ -106,9 +106,7 @@
                     0))));
   }
 
-  /**
-   * What stands there, without revisions and history: two stores that say the same are the same.
-   */
+  /** All values without revisions and history. */
   String text() {
     StringBuilder out = new StringBuilder();
     pairs.values().stream()
@@ -125,7 +123,7 @@
     return new DisruptionPermitAdmin(KEYS, this, "op", () -> "");
   }
 
-  /** Four routers in two sites, of which so many may be out. */
+  /** Four routers in two zones, of which so many may be out. */
   static InMemoryStore with(int mostOut, int ofSite) throws AgreementException {
     InMemoryStore store = new InMemoryStore();
     store
--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -30,7 +30,7 @@
       List.of("halt", "replace", "lease", "wants r2 out", "takes r2 out");
   private static final long TIMEOUT = 100;
 
-  /** One course of things, replayed from its moves. */
+  /** One sequence of moves, from the begin of a release. */
   private static final class Play {
     private final InMemoryStore store;
     private final RolloutDriver[] drivers = {
@@ -47,7 +47,7 @@
     private boolean drained;
     private String violation;
 
-    /** An agent and what it has decided. */
+    /** An agent, what it has decided and what it does. */
     private static final class AgentPlay {
       private final String id;
       private final RolloutAgent rolloutAgent;
@@ -56,8 +56,8 @@
       private boolean failed;
       private boolean dead;
 
-      /** How the last action ended, until it is told. */
-      private String untold = "";
+      /** How the last action ended, until it is reported. */
+      private String unreported = "";
 
       private AgentPlay(InMemoryStore store, String id, String me) {
         this.id = id;
@@ -68,7 +68,7 @@
     Play(String defect) throws AgreementException {
       this.defect = defect;
       store = InMemoryStore.with(1, 1).begin(0, List.of(List.of("r1", "r2")));
-      // With that on the history, which would hold many of the others by itself.
+      // The condition on the history goes too, which would catch many of the defects by itself.
       store.ignores =
           key ->
               !defect.isEmpty()
@@ -79,7 +79,7 @@
       agents.add(new AgentPlay(store, "r2", "b"));
     }
 
-    /** What can happen next. */
+    /** The moves that are possible now. */
     List<String> moves() {
       List<String> all = new ArrayList<>();
       RolloutSnapshot snapshot = store.snapshot();
@@ -137,8 +137,8 @@
         }
         case "looks" ->
             agents.get(i).act = agents.get(i).rolloutAgent.nextTransaction(store.snapshot(), 0);
-        case "acts" -> acts(agents.get(i));
-        case "ends", "fails" -> ends(agents.get(i), words[0].equals("ends"));
+        case "acts" -> startAction(agents.get(i));
+        case "ends", "fails" -> endAction(agents.get(i), words[0].equals("ends"));
         case "lease" -> {
           leases--;
           store.driverGone();
@@ -151,14 +151,14 @@
         }
         case "resume" -> store.admin().resume("go on");
         case "replace" -> {
-          // The agent has died; what it had begun goes on and ends unheard.
+          // The agent has died; the action it began goes on, and nobody learns of its end.
           replaced = true;
           agents.get(0).dead = true;
           agents.get(0).running = null;
           store.agentGone("r1");
           agents.add(new AgentPlay(store, "r1", "c"));
         }
-        case "wants" -> drain = wish();
+        case "wants" -> drain = decideDrain();
         default -> {
           drained = true;
           if (drain.swap() != null && store.commits(drain)) {
@@ -168,8 +168,8 @@
       }
     }
 
-    /** A drain decides on what it reads, and takes its place later. */
-    private RolloutTransaction wish() {
+    /** A drain decides on what it reads, and takes its permit later. */
+    private RolloutTransaction decideDrain() {
       List<RolloutTransaction> caught = new ArrayList<>();
       DisruptionPermitAdmin permits =
           new DisruptionPermitAdmin(
@@ -191,10 +191,10 @@
       throw new IllegalStateException("nothing was caught");
     }
 
-    private void acts(AgentPlay agent) {
+    private void startAction(AgentPlay agent) {
       boolean held = store.commits(agent.act);
       agent.act = null;
-      agent.untold = held ? "" : agent.untold;
+      agent.unreported = held ? "" : agent.unreported;
       RolloutMode mode = store.snapshot().state().mode();
       agent.running = agent.rolloutAgent.transactionAnswered(held || defect.equals("answer"), 0);
       if (agent.running == null) {
@@ -209,7 +209,7 @@
       out(agent.id);
     }
 
-    /** Whatever is acted on or has failed is out, and r2 once it is drained. */
+    /** Instances that are acted on or have failed are out, and r2 once it is drained. */
     private void out(String what) {
       Set<String> out = new HashSet<>();
       agents.stream().filter(h -> h.running != null || h.failed).forEach(h -> out.add(h.id));
@@ -224,14 +224,14 @@
       }
     }
 
-    private void ends(AgentPlay agent, boolean ready) {
+    private void endAction(AgentPlay agent, boolean ready) {
       agent.running = null;
       agents.stream().filter(h -> h.id.equals(agent.id)).forEach(h -> h.failed = !ready);
-      agent.untold = ready ? "ready" : "failed";
+      agent.unreported = ready ? "ready" : "failed";
       agent.rolloutAgent.actionEnded(ready || defect.equals("lies"), "", 0);
     }
 
-    /** Two courses that say the same here go on the same. */
+    /** Two plays in the same state go on the same. */
     String state() {
       StringBuilder out = new StringBuilder(store.text());
       for (RolloutTransaction act : decided) {
@@ -243,7 +243,7 @@
                   .append(h.running)
                   .append(h.failed)
                   .append(h.dead)
-                  .append(h.untold)
+                  .append(h.unreported)
                   .append(';'));
       return out.append(leases)
           .append(halted)
@@ -267,19 +267,18 @@
     int depth = walked.depth();
     Set<String> expanded = new HashSet<>();
     while (!open.isEmpty() && expanded.size() < MOST_STATES) {
-      // Short courses, long ones and any: neither breadth nor depth alone finds all within the
-      // bound.
+      // Short plays, long ones and any: neither breadth nor depth alone finds all within the bound.
       int which = expanded.size() % 3;
       List<String> moves =
           open.remove(which == 0 ? 0 : which == 1 ? open.size() - 1 : random.nextInt(open.size()));
-      Play course = replay(moves, defect);
-      if (course.violation != null) {
-        return new Found(seen.size(), depth, course.violation, moves);
+      Play play = replay(moves, defect);
+      if (play.violation != null) {
+        return new Found(seen.size(), depth, play.violation, moves);
       }
-      seen.add(course.state());
-      if (expanded.add(course.state())) {
+      seen.add(play.state());
+      if (expanded.add(play.state())) {
         depth = Math.max(depth, moves.size());
-        for (String next : course.moves()) {
+        for (String next : play.moves()) {
           List<String> longer = new ArrayList<>(moves);
           longer.add(next);
           open.add(longer);
@@ -289,36 +288,36 @@
     return new Found(seen.size(), depth, null, List.of());
   }
 
-  /** Courses taken at random to their end, which a search from the beginning would not come to. */
+  /** Random plays to their end, which a search from the beginning would not reach. */
   private static Found walk(String defect, Set<String> seen) throws AgreementException {
     Random random = new Random(1);
     for (int i = 0; i < MOST_STATES / 10; i++) {
-      Play course = new Play(defect);
+      Play play = new Play(defect);
       List<String> moves = new ArrayList<>();
-      while (moves.size() < LONGEST_WALK && course.violation == null) {
-        List<String> next = course.moves();
+      while (moves.size() < LONGEST_WALK && play.violation == null) {
+        List<String> next = play.moves();
         String chosen = next.get(random.nextInt(next.size()));
-        // What comes from outside comes seldom, else few courses get far.
+        // Moves from outside are rare, else few plays get far.
         if (RARE.contains(chosen) && random.nextInt(8) > 0) {
           continue;
         }
         moves.add(chosen);
-        course.move(moves.get(moves.size() - 1));
-        seen.add(course.state());
+        play.move(moves.get(moves.size() - 1));
+        seen.add(play.state());
       }
-      if (course.violation != null) {
-        return new Found(seen.size(), moves.size(), course.violation, moves);
+      if (play.violation != null) {
+        return new Found(seen.size(), moves.size(), play.violation, moves);
       }
     }
     return new Found(seen.size(), LONGEST_WALK, null, List.of());
   }
 
   private static Play replay(List<String> moves, String defect) throws AgreementException {
-    Play course = new Play(defect);
+    Play play = new Play(defect);
     for (String move : moves) {
-      course.move(move);
+      play.move(move);
     }
-    return course;
+    return play;
   }
 
   @Test
@@ -330,7 +329,8 @@
   }
 
   /**
-   * Conditions left out; an agent that acts whatever the answer was; one that takes all for ready.
+   * Conditions left out; an agent that acts whatever the response was; one that reports all as
+   * ready.
    */
   @ParameterizedTest
   @ValueSource(strings = {"counter", "course", "answer", "lies"})
--- a/src/test/java/beaconturn/release/ReleaseSettingsTest.java
+++ b/src/test/java/beaconturn/release/ReleaseSettingsTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Settings that come into force with a release, and go back with it. */
+/** Configuration that comes into force with a release, and is reverted with it. */
 class ReleaseSettingsTest {
   private static final AgreementKeys KEYS = new AgreementKeys("/f");
-  private static final ConfigContent TWICE =
+  private static final ConfigContent TWO_ATTEMPTS =
       new ConfigContent(new TreeMap<>(), 2, null, 0, new TreeSet<>());
   private final RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
   private InMemoryStore store;
@@ -53,7 +53,7 @@
                 1,
                 0,
                 "why",
-                TWICE,
+                TWO_ATTEMPTS,
                 ""));
     assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
   }
@@ -81,13 +81,13 @@
 
   private String drive() throws AgreementException {
     AgreedVersions agreed = new AgreedVersions(seen(), agreement.nextNumber(), List.of("r9"), 0);
-    RolloutTransaction act =
+    RolloutTransaction transaction =
         driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), agreed, 0);
-    if (act == null) {
+    if (transaction == null) {
       return "waits: " + driver.waitReason();
     }
-    assertTrue(store.commits(act), act.description());
-    return act.description();
+    assertTrue(store.commits(transaction), transaction.description());
+    return transaction.description();
   }
 
   @Test
@@ -100,7 +100,7 @@
     assertTrue(drive().startsWith("r1 goes out under permit 1"));
   }
 
-  /** What was drained meanwhile stays so; the settings are those of before. */
+  /** What was drained meanwhile stays so; the rest of the configuration is that of before. */
   @Test
   void theyGoBackOnceNoPartRunsWhatWasReleased() throws AgreementException {
     drive();
@@ -138,14 +138,14 @@
   /** The proposal is one transaction with the driver's own conditions. */
   @Test
   void aDriverThatWasReplacedProposesNothing() throws AgreementException {
-    RolloutTransaction act =
+    RolloutTransaction transaction =
         driver.nextTransaction(
             store.snapshot(),
             Unavailability.of(Map.of()),
             new AgreedVersions(seen(), 2, List.of(), 0),
             0);
     store.driverGone();
-    assertFalse(store.commits(act));
+    assertFalse(store.commits(transaction));
     assertEquals(0, seen().nextNumber());
     assertNull(driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), null, 0));
   }
--- a/src/test/java/beaconturn/release/RolloutDriverTest.java
+++ b/src/test/java/beaconturn/release/RolloutDriverTest.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Budget, waves, checks, halt and way back, step by step. */
+/** Disruption budget, waves, checks, halt and rollback, step by step. */
 class RolloutDriverTest {
   private static final List<List<String>> WAVES = List.of(List.of("r1"), List.of("r2", "r3", "r4"));
   private static final long TIMEOUT = 100;
@@ -26,77 +26,76 @@
     assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
   }
 
-  /** What the driver does next, done; null where it waits. */
-  private String drive(long now, Map<String, String> gone) {
-    RolloutTransaction act = driver.nextTransaction(store.snapshot(), Unavailability.of(gone), now);
-    if (act == null) {
+  /** Carries out what the driver does next; its description, or null where it waits. */
+  private String drive(long now, Map<String, String> unplanned) {
+    RolloutTransaction actOn =
+        driver.nextTransaction(store.snapshot(), Unavailability.of(unplanned), now);
+    if (actOn == null) {
       return null;
     }
-    assertTrue(store.commits(act), act.description());
-    return act.description();
+    assertTrue(store.commits(actOn), actOn.description());
+    return actOn.description();
   }
 
-  private void all(long now) {
+  private void driveUntilItWaits(long now) {
     while (drive(now, Map.of()) != null) {
       assertTrue(store.snapshot().permits().size() <= 2);
     }
   }
 
-  /** The part's agent goes through the step at hand. */
-  private void act(String id, boolean ready) {
-    RolloutAgent agent = store.agent(id, "a", TIMEOUT);
+  /** The instance's agent carries out its step. */
+  private void actOn(String instanceId, boolean ready) {
+    RolloutAgent agent = store.agent(instanceId, "a", TIMEOUT);
     assertNotNull(
         agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0),
-        id);
+        instanceId);
     agent.actionEnded(ready, ready ? "" : "status 1", 0);
     assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 0)));
   }
 
-  private StepPhase phase(String id) {
-    RolloutStep step = store.snapshot().steps().get(id);
+  private StepPhase phase(String instanceId) {
+    RolloutStep step = store.snapshot().steps().get(instanceId);
     return step == null ? null : step.phase();
   }
 
   @Test
   void wavesGoOneAfterTheOtherWithinTheBudget() throws AgreementException {
     begin(2, 1, 0);
-    all(0);
+    driveUntilItWaits(0);
     assertEquals(List.of("r1"), List.copyOf(store.snapshot().steps().keySet()));
-    act("r1", true);
-    all(0);
+    actOn("r1", true);
+    driveUntilItWaits(0);
     assertEquals(StepPhase.VERIFIED, phase("r1"));
-    // One of a site at a time: r4 waits for r3.
+    // One of a zone at a time: r4 waits for r3.
     assertEquals(StepPhase.GRANTED, phase("r2"));
     assertEquals(StepPhase.GRANTED, phase("r3"));
     assertNull(phase("r4"));
     assertEquals(
         "r4: at most 1 of west may be out, it waits for r3 (permit 3 of release 1: why)",
         driver.waitReason());
-    act("r3", true);
-    all(0);
+    actOn("r3", true);
+    driveUntilItWaits(0);
     assertEquals(StepPhase.GRANTED, phase("r4"));
-    act("r2", true);
-    act("r4", true);
-    all(0);
+    actOn("r2", true);
+    actOn("r4", true);
+    driveUntilItWaits(0);
     assertEquals(RolloutMode.COMPLETED, store.snapshot().state().mode());
     assertTrue(store.snapshot().permits().isEmpty());
     assertEquals(4, store.snapshot().lastPermitNumber());
   }
 
-  /** Whoever is gone by itself takes no permit and uses the budget up. */
+  /** An instance that is out by itself holds no permit and uses up the budget. */
   @Test
   void aFailureThatNobodyPlannedHoldsTheNextStepUp() throws AgreementException {
     begin(1, 1, 0);
-    Map<String, String> gone = Map.of("r4", "holds no lease");
-    assertNull(drive(0, gone));
+    Map<String, String> unplanned = Map.of("r4", "holds no lease");
+    assertNull(drive(0, unplanned));
     assertEquals(
         "r1: at most 1 in all may be out, it waits for r4 (holds no lease)", driver.waitReason());
     assertNotNull(drive(0, Map.of("r1", "holds no lease")), "what is out already may be released");
   }
 
-  /**
-   * Those that stand in for a site that is out are needed; at that site itself steps harm nobody.
-   */
+  /** The other zones serve the traffic of a zone that is out; in that zone steps do no harm. */
   @Test
   void whileASiteIsOutNoStepBeginsElsewhere() throws AgreementException {
     begin(2, 2, 0);
@@ -116,7 +115,7 @@
             0));
   }
 
-  /** One after the other: whoever takes a place at the same time has to look again. */
+  /** Whoever takes a permit at the same time has to decide anew. */
   @Test
   void aSiteIsNotTakenOutWhilePartsOfAnotherAre() throws AgreementException {
     begin(2, 2, 0);
@@ -163,35 +162,32 @@
   @Test
   void onePartThatDoesNotGetReadyTakesTheReleaseBack() throws AgreementException {
     begin(2, 2, 0);
-    all(0);
-    act("r1", true);
-    all(0);
-    act("r2", false);
-    all(0);
+    driveUntilItWaits(0);
+    actOn("r1", true);
+    driveUntilItWaits(0);
+    actOn("r2", false);
+    driveUntilItWaits(0);
     assertEquals(RolloutMode.ROLLING_BACK, store.snapshot().state().mode());
     assertEquals("r2 did not get ready: status 1", store.snapshot().state().reason());
-    // In the reverse order: what was not begun at once, then what runs the new.
+    // In the reverse order: what was not begun at once, then what runs the new variant.
     assertEquals(StepPhase.ROLLED_BACK, phase("r3"));
     assertEquals(InstanceVariant.OLD, store.snapshot().steps().get("r2").variant());
     assertEquals(InstanceVariant.OLD, store.snapshot().steps().get("r1").variant());
-    act("r2", true);
-    act("r1", true);
-    all(0);
+    actOn("r2", true);
+    actOn("r1", true);
+    driveUntilItWaits(0);
     assertEquals(RolloutMode.ROLLED_BACK, store.snapshot().state().mode());
     assertTrue(store.snapshot().permits().isEmpty());
   }
 
-  /**
-   * Compared with the parts that were not changed, over the same time, once there are enough
-   * answers.
-   */
+  /** Compared with the unchanged instances over the same time, once there are enough answers. */
   @Test
   void aPartThatDoesWorseThanTheOthersTakesTheReleaseBack() throws AgreementException {
     begin(1, 1, 10);
     store.health("r1", 500, 500);
     store.health("r2", 900, 100);
-    all(0);
-    act("r1", true);
+    driveUntilItWaits(0);
+    actOn("r1", true);
     assertNull(drive(0, Map.of()));
     store.health("r1", 505, 500);
     store.health("r2", 910, 100);
@@ -205,15 +201,12 @@
         drive(2, Map.of()));
   }
 
-  /**
-   * What harms may take minutes to do so: those that stood the check are watched while others are
-   * unchanged.
-   */
+  /** Harm may take minutes to show: verified instances are watched while others are unchanged. */
   @Test
   void onePartThatTurnsBadAfterItsCheckTakesTheReleaseBack() throws AgreementException {
     begin(1, 1, 10);
-    all(0);
-    act("r1", true);
+    driveUntilItWaits(0);
+    actOn("r1", true);
     store.health("r4", 0, 0);
     assertNull(drive(0, Map.of()));
     store.health("r1", 20, 0);
@@ -221,7 +214,7 @@
     assertEquals(
         "r1 has stood the check: 0.000 of 20 answers bad, 0.000 of 100 at 1 others",
         drive(1, Map.of()));
-    all(1);
+    driveUntilItWaits(1);
     store.health("r1", 60, 40);
     store.health("r4", 190, 10);
     assertEquals(
@@ -230,13 +223,13 @@
         drive(2, Map.of()));
   }
 
-  /** Over few answers one failure more is chance: it is watched until there are enough. */
+  /** Over few answers one more failure is chance: the instance is watched on. */
   @Test
   void whatMayBeChanceIsWatchedOn() throws AgreementException {
     begin(1, 1, 10);
     store.health("r2", 0, 0);
-    all(0);
-    act("r1", true);
+    driveUntilItWaits(0);
+    actOn("r1", true);
     assertNull(drive(0, Map.of()));
     store.health("r1", 9, 2);
     store.health("r2", 20, 0);
@@ -248,18 +241,18 @@
         drive(2, Map.of()));
   }
 
-  /** In a site that is cut off one that has just started does worse than those that know of it. */
+  /** In a zone that is cut off an instance that has just started does worse than its peers. */
   @Test
   void whileOthersAreGoneByThemselvesOnlyWhatMostlyFailsIsTheReleases() throws AgreementException {
-    Map<String, String> gone = Map.of("r4", "holds no lease");
+    Map<String, String> unplanned = Map.of("r4", "holds no lease");
     begin(2, 2, 10);
     store.health("r2", 0, 0);
-    all(0);
-    act("r1", true);
-    assertNull(drive(0, gone));
+    driveUntilItWaits(0);
+    actOn("r1", true);
+    assertNull(drive(0, unplanned));
     store.health("r1", 60, 40);
     store.health("r2", 100, 0);
-    assertNull(drive(1, gone));
+    assertNull(drive(1, unplanned));
     assertTrue(
         driver.waitReason().startsWith("r1 is watched: others are gone by themselves"),
         driver.waitReason());
@@ -272,24 +265,24 @@
         "compared from when all were back");
     begin(2, 2, 10);
     store.health("r2", 0, 0);
-    all(0);
-    act("r1", true);
-    assertNull(drive(0, gone));
+    driveUntilItWaits(0);
+    actOn("r1", true);
+    assertNull(drive(0, unplanned));
     store.health("r1", 40, 60);
     store.health("r2", 100, 0);
     assertEquals(
         "goes back: r1 does worse: 0.600 of 100 answers bad, 0.000 of 100 at 1 others",
-        drive(1, gone));
+        drive(1, unplanned));
   }
 
-  /** Its agent was cut off meanwhile: what it answered in that time is compared with nobody's. */
+  /** Its agent was cut off meanwhile: what it answered in that time is not compared. */
   @Test
   void whatAProcessAnsweredBeforeItWasHeardOfDoesNotCount() throws AgreementException {
     begin(1, 1, 10);
     store.health("r2", 0, 0);
     store.health("r1", "old", 900, 0);
-    all(0);
-    act("r1", true);
+    driveUntilItWaits(0);
+    actOn("r1", true);
     assertNull(drive(0, Map.of()));
     store.health("r1", "new", 60, 40);
     store.health("r2", 1000, 0);
@@ -301,9 +294,7 @@
         drive(2, Map.of()));
   }
 
-  /**
-   * With one out and one that fails the others of its site must carry what the site carries now.
-   */
+  /** With one instance out and one failed, the others of the zone must carry its present load. */
   @Test
   void aStepWaitsWhileItsSiteCouldNotCarryItsLoad() throws AgreementException {
     store = new InMemoryStore();
@@ -319,10 +310,10 @@
     assertEquals("west has 2 routers: with 1 out and 1 that fail none is left", e.getMessage());
     store.begin(0, List.of(List.of("r1")));
     assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
-    List.of("r1", "r2", "r3").forEach(id -> store.health(id, 0, 0));
+    List.of("r1", "r2", "r3").forEach(instanceId -> store.health(instanceId, 0, 0));
     assertNull(drive(0, Map.of()));
     assertEquals("r1: what its site carries is measured", driver.waitReason());
-    List.of("r1", "r2", "r3").forEach(id -> store.health(id, 40, 0));
+    List.of("r1", "r2", "r3").forEach(instanceId -> store.health(instanceId, 40, 0));
     assertNull(drive(1_000_000_000, Map.of()));
     assertEquals(
         "r1: east carries 120.0 answers a second, and 1 routers would be left with 1 that fail,"
@@ -330,17 +321,17 @@
         driver.waitReason());
     assertNull(drive(2_000_000_000, Map.of("r3", "holds no lease")));
     assertTrue(driver.waitReason().contains("r3 (holds no lease)"), driver.waitReason());
-    List.of("r1", "r2", "r3").forEach(id -> store.health(id, 50, 0));
+    List.of("r1", "r2", "r3").forEach(instanceId -> store.health(instanceId, 50, 0));
     assertNotNull(drive(2_000_000_000, Map.of()), "30 answers in the last second");
   }
 
-  /** A check that compares with nobody is none. */
+  /** Without answers of peers there is nothing to compare with. */
   @Test
   void withoutAnswersOfTheOthersItIsWatchedOn() throws AgreementException {
     begin(1, 1, 10);
     store.health("r2", 500, 0);
-    all(0);
-    act("r1", true);
+    driveUntilItWaits(0);
+    actOn("r1", true);
     assertNull(drive(0, Map.of()));
     store.health("r1", 100, 0);
     assertNull(drive(1, Map.of()));
@@ -353,8 +344,8 @@
     begin(1, 1, 10);
     store.health("r1", 0, 0);
     store.health("r2", 900, 100);
-    all(0);
-    act("r1", true);
+    driveUntilItWaits(0);
+    actOn("r1", true);
     assertNull(drive(0, Map.of()));
     store.health("r1", 10, 10);
     store.health("r2", 910, 110);
@@ -366,7 +357,7 @@
   @Test
   void aHaltBindsAgentsThatHaveNotBegunAndItsEndLetsThemGoOn() throws AgreementException {
     begin(1, 1, 0);
-    all(0);
+    driveUntilItWaits(0);
     RolloutAgent agent = store.agent("r1", "a", TIMEOUT);
     RolloutTransaction late = agent.nextTransaction(store.snapshot(), 0);
     store.admin().halt("wait");
@@ -380,11 +371,11 @@
     assertThrows(AgreementException.class, () -> store.admin().resume("again"));
   }
 
-  /** Two agents beside one part: the second has no seat until the lease of the first is over. */
+  /** Two agents of one instance: the second acts only once the lease of the first has ended. */
   @Test
   void onlyOneAgentActsOnAPart() throws AgreementException {
     begin(1, 1, 0);
-    all(0);
+    driveUntilItWaits(0);
     RolloutAgent first = store.agent("r1", "a", TIMEOUT);
     RolloutAgent second = store.agent("r1", "b", TIMEOUT);
     assertNull(second.nextTransaction(store.snapshot(), 0));
@@ -395,11 +386,11 @@
     assertNotNull(second.nextTransaction(store.snapshot(), 0));
   }
 
-  /** The transaction held; the answer came too late to act on it, so that it is made again. */
+  /** The transaction held; the response came too late to act on, so that it is made again. */
   @Test
   void anAnswerThatComesLateAllowsNothing() throws AgreementException {
     begin(1, 1, 0);
-    all(0);
+    driveUntilItWaits(0);
     RolloutAgent agent = store.agent("r1", "a", TIMEOUT);
     assertNull(
         agent.transactionAnswered(
@@ -427,11 +418,11 @@
     assertNotNull(next.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0));
   }
 
-  /** With the store out of reach what failed is brought back by its agent, if the plan says so. */
+  /** While the store does not answer an agent brings back what failed, if the plan says so. */
   @Test
   void anAgentAloneBringsBackWhatFailed() throws AgreementException {
     begin(1, 1, 0);
-    all(0);
+    driveUntilItWaits(0);
     RolloutAgent agent = store.agent("r1", "a", TIMEOUT);
     assertNotNull(
         agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0));
@@ -444,14 +435,14 @@
     agent.actionEnded(true, "", 70);
     assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 80)));
     assertEquals("goes back: r1 was brought back by its agent: ", drive(90, Map.of()));
-    all(90);
+    driveUntilItWaits(90);
     assertEquals(RolloutMode.ROLLED_BACK, store.snapshot().state().mode());
   }
 
   @Test
   void aPartThatIsDeclaredLostGivesItsPlaceBackAndItsAgentCanDoNothing() throws AgreementException {
     begin(1, 1, 0);
-    all(0);
+    driveUntilItWaits(0);
     RolloutAgent agent = store.agent("r1", "a", TIMEOUT);
     RolloutTransaction begins = agent.nextTransaction(store.snapshot(), 0);
     store.permits().returnPermit(InstanceKind.ROUTER, "r1", "its machine burnt");
