--- a/src/main/java/beaconturn/decision/GiveUpPolicy.java
+++ b/src/main/java/beaconturn/decision/GiveUpPolicy.java
@@ -32,7 +32,7 @@
 
   /**
    * When the client of a rejected request should come back, in nanoseconds; 0 for no advice. Beyond
-   * a quota: as late as clients can be told; else soon enough for the objective. Draws.
+   * a quota: as late as the site allows; else soon enough for the objective. Draws.
    */
   long retryAfterNanos(RequestState request) {
     if (!permissions.retryAfter()) {
--- a/src/main/java/beaconturn/decision/HashRing.java
+++ b/src/main/java/beaconturn/decision/HashRing.java
@@ -20,7 +20,7 @@
   /** Sets the points of successive ids apart: more than a cache has points. */
   private static final int ID_STRIDE = 4099;
 
-  /** The low bits of a point hold the index of its cache, the others its place on the ring. */
+  /** The low bits of a point hold the index of its cache, the others its position on the ring. */
   private static final long INDEX_MASK = 0xffff;
 
   private final KindSpeeds kindSpeeds = new KindSpeeds();
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Begins a walk clockwise from the place of a hash. */
+  /** Begins a walk clockwise from the position of a hash. */
   void startWalk(long hash) {
     if (points.length == 0) {
       build();
--- a/src/main/java/beaconturn/decision/KindSpeeds.java
+++ b/src/main/java/beaconturn/decision/KindSpeeds.java
@@ -5,7 +5,7 @@
 
 /**
  * How long caches of one kind take, against what all take: ratings may tell their cores and not
- * their speed. Told in steps, so that routers which learn apart build nearly the same ring.
+ * their speed. Rounded to steps, so that routers which learn apart build nearly the same ring.
  */
 final class KindSpeeds {
   /** Steps to a doubling of the time taken. */
--- a/src/main/java/beaconturn/decision/LoadBounds.java
+++ b/src/main/java/beaconturn/decision/LoadBounds.java
@@ -9,8 +9,8 @@
   private static final double EXCESS = 0.2;
 
   /**
-   * The same where a cache fetches what it lacks: a request that goes past its cache holds its
-   * place there for a fetch, and sends more past it.
+   * The same where a cache fetches what it lacks: a request that goes past its cache holds capacity
+   * there for a fetch, and sends more past it.
    */
   private static final double EXCESS_WHERE_CACHES_FETCH = 0.9;
 
--- a/src/main/java/beaconturn/decision/OriginFetches.java
+++ b/src/main/java/beaconturn/decision/OriginFetches.java
@@ -66,7 +66,7 @@
         waitFor(request, running);
         return;
       }
-      request.originFetch(new OriginFetch());
+      request.setOriginFetch(new OriginFetch());
       fetchesByKey.put(request.key(), request.originFetch());
     }
     askOrigin(request, cache);
@@ -103,14 +103,14 @@
   }
 
   private void waitFor(RequestState request, OriginFetch fetch) {
-    request.originFetch(fetch);
+    request.setOriginFetch(fetch);
     fetch.waiting().add(request);
     hold(request);
   }
 
   /** Holds a request for at most half the time it has left, so that a rejection is still of use. */
   private void hold(RequestState request) {
-    request.queued(true);
+    request.setQueued(true);
     actions.timer(halfOfTimeLeftNanos(request), TimerToken.queueTimeout(request.id()).encode());
   }
 
@@ -152,17 +152,17 @@
   /** A fetch is over: its cache has the object now, or else the next request in line fetches. */
   void fetchEnded(RequestState leader, boolean answered) {
     OriginFetch fetch = leader.originFetch();
-    leader.originFetch(null);
+    leader.setOriginFetch(null);
     if (fetch == null || fetch.waiting().remove(leader)) {
       return;
     }
     fetchesByKey.remove(leader.key());
-    fetch.waiting().forEach(request -> request.originFetch(null));
+    fetch.waiting().forEach(request -> request.setOriginFetch(null));
     for (RequestState request : fetch.waiting()) {
       if (!answered) {
         fetchAgain(request);
-      } else if (maySendTo(leader.missedAt(), request)) {
-        dispatcher.send(request, leader.missedAt(), false);
+      } else if (maySendTo(leader.keyHolder(), request)) {
+        dispatcher.send(request, leader.keyHolder(), false);
       } else {
         dispatcher.sendToCache(request);
       }
--- a/src/main/java/beaconturn/decision/OutlierDetector.java
+++ b/src/main/java/beaconturn/decision/OutlierDetector.java
@@ -5,7 +5,7 @@
  * time, and is taken back when they go well.
  */
 final class OutlierDetector {
-  /** Ejected: this share of bad samples above the fleet's own; three in a row reach it. */
+  /** A cache is ejected above this share of bad samples, and the fleet's own share. */
   private static final double MAX_BAD_SHARE = 0.25;
 
   /** An ejected cache is taken back below this share of bad samples. */
@@ -23,7 +23,10 @@
   private final EventClock clock;
   private final HashRing ring;
   private final ResponseTimes times;
+
+  /** Moving share of bad samples among those of all caches, 0 to 1. */
   private double fleetBadShare;
+
   private long fleetSampledAtNanos;
 
   OutlierDetector(EventClock clock, HashRing ring, ResponseTimes times) {
@@ -32,11 +35,6 @@
     this.times = times;
   }
 
-  /** Moving share of bad samples among those of all caches, 0 to 1. */
-  double fleetBadShare() {
-    return fleetBadShare;
-  }
-
   /** Whether more of the fleet does badly than a single cache may. */
   boolean isFleetBad() {
     return fleetBadShare >= MAX_BAD_SHARE;
--- a/src/main/java/beaconturn/decision/RequestCoordinator.java
+++ b/src/main/java/beaconturn/decision/RequestCoordinator.java
@@ -81,7 +81,7 @@
     cancelOpenAttempts(request, start.attempt());
     if (!aside) {
       AttemptState attempt = request.attempts().get(start.attempt());
-      request.missedAt(attempt.server());
+      request.setKeyHolder(attempt.server());
       rules.admission.attemptServed(attempt);
       fetches.fetchEnded(request, true);
       fetches.sendQueued();
@@ -134,11 +134,11 @@
         requests.remove(request.id());
       }
     } else if (request.isMoving() && end.outcome() == AttemptOutcome.CANCELLED) {
-      request.moving(false);
+      request.setMoving(false);
       retry(request, attempt);
     } else if (end.requestClosed()) {
       if (attempt.toCache() && !aside) {
-        request.missedAt(attempt.server());
+        request.setKeyHolder(attempt.server());
       }
       conclude(request, end.outcome() == AttemptOutcome.OK);
     } else {
@@ -154,8 +154,8 @@
       // would lose it.
       giveUp(request, GiveUpReason.TOO_LATE);
     } else if (outcome == AttemptOutcome.MISS && attempt.toCache()) {
-      if (request.missedAt() == null) {
-        request.missedAt(attempt.server());
+      if (request.keyHolder() == null) {
+        request.setKeyHolder(attempt.server());
       }
       if (!request.hasOpenAttempt()) {
         fetches.fetch(request, null);
@@ -183,7 +183,7 @@
     if (action == HedgingPolicy.LateAction.HEDGE) {
       hedge(request);
     } else if (action == HedgingPolicy.LateAction.MOVE) {
-      request.moving(true);
+      request.setMoving(true);
       cancelOpenAttempts(request, NONE);
     }
   }
@@ -218,7 +218,7 @@
     boolean toCache = !rules.registry.isOrigin(server);
     AttemptState attempt = new AttemptState(server, nowNanos, toCache, fetchesFromOrigin);
     request.attempts().add(attempt);
-    request.queued(false);
+    request.setQueued(false);
     rules.load.attemptStarted(attempt);
     rules.admission.attemptStarted(attempt);
     actions.send(request.id(), server.id(), Math.max(nowNanos + 1, request.dueNanos()) - nowNanos);
--- a/src/main/java/beaconturn/decision/RequestState.java
+++ b/src/main/java/beaconturn/decision/RequestState.java
@@ -14,7 +14,7 @@
   private final double keyShare;
   private final double workRatio;
   private final List<AttemptState> attempts = new ArrayList<>(2);
-  private ServerState missedAt;
+  private ServerState keyHolder;
   private OriginFetch originFetch;
   private boolean queued;
   private boolean streaming;
@@ -147,13 +147,13 @@
     return attempts.isEmpty() && isIdempotent();
   }
 
-  /** The cache that lacked its key, or that has fetched it since; null for none. */
-  ServerState missedAt() {
-    return missedAt;
+  /** The cache that holds its key once that is fetched: it lacked the key; null for none. */
+  ServerState keyHolder() {
+    return keyHolder;
   }
 
-  void missedAt(ServerState cache) {
-    missedAt = cache;
+  void setKeyHolder(ServerState cache) {
+    keyHolder = cache;
   }
 
   /** The fetch that it leads or waits for; null for none. */
@@ -161,7 +161,7 @@
     return originFetch;
   }
 
-  void originFetch(OriginFetch fetch) {
+  void setOriginFetch(OriginFetch fetch) {
     originFetch = fetch;
   }
 
@@ -170,7 +170,7 @@
     return queued;
   }
 
-  void queued(boolean waits) {
+  void setQueued(boolean waits) {
     queued = waits;
   }
 
@@ -188,7 +188,7 @@
     return moving;
   }
 
-  void moving(boolean moves) {
+  void setMoving(boolean moves) {
     moving = moves;
   }
 
--- a/src/main/java/beaconturn/decision/RingRouter.java
+++ b/src/main/java/beaconturn/decision/RingRouter.java
@@ -14,7 +14,7 @@
   private final RequestCoordinator coordinator;
 
   /**
-   * A router in another's place: what is known of servers by their ids stays, all else starts
+   * The successor of another router: what is known of servers by their ids stays, all else starts
    * afresh. The older one may still finish its requests.
    */
   public RingRouter(
@@ -24,7 +24,7 @@
       RoutingActions actions,
       RingRouter before) {
     this(settings, seed, nowNanos, actions, !before.settings.pollsDiscovery());
-    rules.selector.zoneWeights(before.rules.selector.zoneWeights());
+    rules.selector.setZoneWeights(before.rules.selector.zoneWeights());
     rules.registry.continueFrom(before.rules.registry);
     begin(before.warmStartState());
   }
@@ -66,7 +66,7 @@
     } else if (event instanceof RoutingEvent.OperatorOverrideChanged change) {
       rules.registry.overrideChanged(change);
     } else if (event instanceof RoutingEvent.ZoneWeightsChanged change) {
-      rules.selector.zoneWeights(change.weights());
+      rules.selector.setZoneWeights(change.weights());
     } else if (event instanceof RoutingEvent.WarmStarted start) {
       begin(start.state());
     }
--- a/src/main/java/beaconturn/decision/ServerRegistry.java
+++ b/src/main/java/beaconturn/decision/ServerRegistry.java
@@ -75,7 +75,7 @@
     return servers.computeIfAbsent(id, ServerState::new);
   }
 
-  /** What is usable has its place on the ring or among the origins; what is gone is forgotten. */
+  /** Puts usable servers on the ring or among the origins, and forgets those that are gone. */
   private void refresh() {
     servers.values().removeIf(ServerState::isForgotten);
     origins.clear();
--- a/src/main/java/beaconturn/decision/ServerSelector.java
+++ b/src/main/java/beaconturn/decision/ServerSelector.java
@@ -35,7 +35,7 @@
     return zoneWeights;
   }
 
-  void zoneWeights(ZoneWeights weights) {
+  void setZoneWeights(ZoneWeights weights) {
     zoneWeights = weights;
   }
 
--- a/src/main/java/beaconturn/sim/SimulatorHost.java
+++ b/src/main/java/beaconturn/sim/SimulatorHost.java
@@ -139,8 +139,8 @@
       instance.policy().handle(nowNanos, event);
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      String place = trace.length > 0 ? " at " + trace[0] : "";
-      reply.fault(id, "decision module: " + e + place);
+      String origin = trace.length > 0 ? " at " + trace[0] : "";
+      reply.fault(id, "decision module: " + e + origin);
     }
   }
 }
