--- a/src/test/java/beaconturn/decision/SeededTraffic.java
+++ b/src/test/java/beaconturn/decision/SeededTraffic.java
@@ -19,10 +19,9 @@
  */
 final class SeededTraffic {
   static final int ORIGIN_KIND = 9;
-  private static final long MS = 1_000_000L;
-  private static final long FIRST_ORIGIN = 900;
-  private static final int KEYS_OF_A_CACHE = 60;
-  private static final float[] NO_REPORT = {};
+  static final long MS = 1_000_000L;
+  static final long FIRST_ORIGIN = 900;
+  static final float[] NO_REPORT = {};
 
   /** What a scenario has beside its settings. */
   record Shape(
@@ -42,39 +41,13 @@
     }
   }
 
-  private static final class Backend {
-    final long id;
-    final int kind;
-    int zone;
-    int cell;
-    EndpointHealth health = EndpointHealth.READY;
-    double rating = 1;
-    long bootTime;
-    double slowness = 1;
-    int errorPercent;
-    boolean down;
-    int inFlight;
-    final Map<Long, Boolean> keys = new LruMap<>(KEYS_OF_A_CACHE);
-
-    Backend(long id, int kind) {
-      this.id = id;
-      this.kind = kind;
-      this.zone = (int) (id % 3);
-      this.cell = (int) (id % 4);
-    }
-
-    Endpoint entry() {
-      return new Endpoint(id, zone, kind, cell, health, rating, bootTime);
-    }
-  }
-
   private static final class Attempt {
-    final Backend server;
+    final SeededServer server;
     final int index;
     final long sentAt;
     boolean open = true;
 
-    Attempt(Backend server, int index, long sentAt) {
+    Attempt(SeededServer server, int index, long sentAt) {
       this.server = server;
       this.index = index;
       this.sentAt = sentAt;
@@ -87,7 +60,7 @@
     final RequestClass type;
     final Port port;
     final List<Attempt> attempts = new ArrayList<>();
-    Backend missedAt;
+    SeededServer missedAt;
     boolean done;
 
     Client(RoutingEvent.RequestArrived arrival, RequestClass type, Port port) {
@@ -98,21 +71,27 @@
     }
   }
 
-  private final Shape shape;
-  private final SplittableRandom chance;
+  final Shape shape;
+  final SplittableRandom chance;
   private final MessageDigest digest;
   private final PriorityQueue<Due> queue = new PriorityQueue<>();
   private final Map<Long, Client> clients = new HashMap<>();
-  private final Map<Long, Backend> backends = new TreeMap<>();
+  final Map<Long, SeededServer> servers = new TreeMap<>();
   private final Map<String, Integer> counts = new TreeMap<>();
-  private Port port;
-  private long now = 10_000_000 * MS;
+  Port port;
+  long now = 10_000_000 * MS;
   private long order;
-  private int arrived;
+  int arrived;
   private long requests;
-  private double pace = 1;
-  private double originSlowness = 1;
-  private long machineFailsUntil;
+
+  /** Gaps between arrivals are this multiple of the usual. */
+  double pace = 1;
+
+  /** Answer times of the origin are this multiple of the usual. */
+  double originSlowness = 1;
+
+  /** Until when sends fail on the router's own machine, in nanoseconds. */
+  long machineFailsUntil;
 
   SeededTraffic(Shape shape, long seed) {
     this.shape = shape;
@@ -123,11 +102,11 @@
       throw new IllegalStateException(e);
     }
     for (int i = 1; i <= shape.caches(); i++) {
-      backends.put((long) i, new Backend(i, i % 4 == 0 ? 1 : 0));
+      servers.put((long) i, new SeededServer(i, i % 4 == 0 ? 1 : 0));
     }
     if (shape.settings().origin().aside()) {
-      backends.put(FIRST_ORIGIN, new Backend(FIRST_ORIGIN, ORIGIN_KIND));
-      backends.put(FIRST_ORIGIN + 1, new Backend(FIRST_ORIGIN + 1, ORIGIN_KIND));
+      servers.put(FIRST_ORIGIN, new SeededServer(FIRST_ORIGIN, ORIGIN_KIND));
+      servers.put(FIRST_ORIGIN + 1, new SeededServer(FIRST_ORIGIN + 1, ORIGIN_KIND));
     }
   }
 
@@ -140,7 +119,7 @@
     }
     list(EndpointListKind.CACHED, wholeList());
     after(0, this::arrive);
-    after(200 * MS, this::disturb);
+    after(200 * MS, new SeededFaults(this)::next);
     after(300 * MS, this::look);
     while (!queue.isEmpty()) {
       Due next = queue.poll();
@@ -161,7 +140,7 @@
     return clients.values().stream().filter(c -> !c.done).count();
   }
 
-  private void after(long delay, Runnable what) {
+  void after(long delay, Runnable what) {
     queue.add(new Due(now + delay, order++, what));
   }
 
@@ -270,7 +249,7 @@
 
   // ---- servers
 
-  private void start(Client client, Backend server, long allowFor) {
+  private void start(Client client, SeededServer server, long allowFor) {
     Attempt attempt = new Attempt(server, client.attempts.size(), now);
     client.attempts.add(attempt);
     server.inFlight++;
@@ -288,7 +267,7 @@
     after(whole, () -> end(client, attempt, outcome, status));
   }
 
-  private AttemptOutcome outcome(Client client, Backend server) {
+  private AttemptOutcome outcome(Client client, SeededServer server) {
     int roll = chance.nextInt(100);
     boolean origin = server.kind == ORIGIN_KIND;
     if (now < machineFailsUntil && roll < 60) {
@@ -311,7 +290,7 @@
     return cacheLacks ? AttemptOutcome.MISS : AttemptOutcome.OK;
   }
 
-  private long elapsed(Client client, Backend server, AttemptOutcome outcome) {
+  private long elapsed(Client client, SeededServer server, AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.TIMEOUT) {
       return Long.MAX_VALUE;
     }
@@ -326,7 +305,7 @@
     return Math.max(1, (long) (work * busy * rare * origin));
   }
 
-  private CacheStatus status(Client client, Backend server, AttemptOutcome outcome) {
+  private CacheStatus status(Client client, SeededServer server, AttemptOutcome outcome) {
     OriginSettings origin = shape.settings().origin();
     if (origin.aside() || outcome != AttemptOutcome.OK || !origin.reportsCacheHits()) {
       return CacheStatus.NONE;
@@ -353,7 +332,7 @@
       client.missedAt = client.missedAt == null ? attempt.server : client.missedAt;
     }
     if (outcome == AttemptOutcome.OK) {
-      Backend keeper = attempt.server.kind == ORIGIN_KIND ? client.missedAt : attempt.server;
+      SeededServer keeper = attempt.server.kind == ORIGIN_KIND ? client.missedAt : attempt.server;
       if (keeper != null) {
         keeper.keys.put(client.arrival.key(), true);
       }
@@ -375,153 +354,43 @@
     }
   }
 
-  private float[] report(Backend server, AttemptOutcome outcome) {
+  private float[] report(SeededServer server, AttemptOutcome outcome) {
     boolean none = shape.settings().loadReportFields().isEmpty() || !outcome.serverResponded();
     return none ? NO_REPORT : new float[] {0.5f, server.inFlight * (server.id == 2 ? 9 : 1)};
   }
 
-  // ---- what goes wrong
-
-  private void disturb() {
-    if (arrived >= shape.arrivals()) {
-      return;
-    }
-    Backend server = backends.get(1L + chance.nextInt(shape.caches()));
-    long until = (100 + chance.nextInt(900)) * MS;
-    disturb(chance.nextInt(18), server, until);
-    after((50 + chance.nextInt(150)) * MS, this::disturb);
-  }
-
-  private void disturb(int kind, Backend server, long until) {
-    switch (kind) {
-      case 0 -> {
-        server.slowness = 12;
-        after(until, () -> server.slowness = 1);
-      }
-      case 1 -> {
-        server.errorPercent = 70;
-        after(until, () -> server.errorPercent = 0);
-      }
-      case 2 -> {
-        server.down = true;
-        after(until, () -> server.down = false);
-      }
-      case 3 -> {
-        pace = 0.15;
-        after(until, () -> pace = 1);
-      }
-      case 4 -> {
-        originSlowness = 12;
-        after(until, () -> originSlowness = 1);
-      }
-      case 5 -> machineFailsUntil = now + until / 8;
-      case 6 -> {
-        after(0, () -> override(server, true));
-        after(until, () -> override(server, false));
-      }
-      case 7 -> weigh();
-      default -> disturbList(kind, server, until);
-    }
-  }
-
-  private void disturbList(int kind, Backend server, long until) {
-    switch (kind) {
-      case 8, 9 -> {
-        server.bootTime = now - chance.nextInt(1000) * MS;
-        server.keys.clear();
-        delta(server);
-      }
-      case 10 -> {
-        server.health = EndpointHealth.DRAINING;
-        delta(server);
-        after(until, () -> ready(server));
-      }
-      case 11 -> {
-        server.health = EndpointHealth.GONE;
-        delta(server);
-        after(until, () -> ready(server));
-      }
-      case 12 -> {
-        server.rating = 0.5 + chance.nextDouble() * 3;
-        delta(server);
-      }
-      case 13 -> list(EndpointListKind.FAILED, List.of());
-      case 14 -> {
-        List<Endpoint> most = wholeList();
-        most.removeIf(e -> e.serverId() == server.id);
-        list(EndpointListKind.FULL, most);
-        after(until, () -> list(EndpointListKind.FULL, wholeList()));
-      }
-      case 15 -> list(EndpointListKind.CACHED, wholeList());
-      case 16 -> {
-        Backend origin = backends.get(FIRST_ORIGIN);
-        Backend failing = origin == null ? server : origin;
-        failing.errorPercent = 40;
-        after(until, () -> failing.errorPercent = 0);
-      }
-      default -> {
-        port.handle(new RoutingEvent.TimerFired(chance.nextLong()));
-        port.handle(new RoutingEvent.ProbeCompleted(server.id, AttemptOutcome.OK, MS, NO_REPORT));
-        port.handle(new RoutingEvent.PeerMessageReceived(1, new byte[0]));
-        port.handle(new RoutingEvent.RequestCancelled(1L << 40));
-      }
-    }
-  }
-
-  private void ready(Backend server) {
-    server.health = EndpointHealth.READY;
-    delta(server);
-  }
-
-  private void override(Backend server, boolean excluded) {
-    port.handle(new RoutingEvent.OperatorOverrideChanged(server.id, excluded, now));
-  }
-
-  private void weigh() {
-    if (!shape.zoneWeights()) {
-      return;
-    }
-    boolean overflow = chance.nextBoolean();
-    ZoneWeights weights =
-        switch (chance.nextInt(4)) {
-          case 0 -> ZoneWeights.ANYWHERE;
-          case 1 -> new ZoneWeights(List.of(0, 1, 2), List.of(600, 300, 100), overflow);
-          case 2 -> new ZoneWeights(List.of(0, 1), List.of(960, 40), overflow);
-          default -> new ZoneWeights(List.of(0, 2), List.of(500, 450), overflow);
-        };
-    port.handle(new RoutingEvent.ZoneWeightsChanged(weights));
-  }
+  // ---- endpoint lists
 
-  private List<Endpoint> wholeList() {
+  List<Endpoint> wholeList() {
     List<Endpoint> entries = new ArrayList<>();
-    for (Backend server : backends.values()) {
+    for (SeededServer server : servers.values()) {
       if (server.health != EndpointHealth.GONE) {
-        entries.add(server.entry());
+        entries.add(server.endpoint());
       }
     }
     return entries;
   }
 
-  private void delta(Backend server) {
-    list(EndpointListKind.DELTA, List.of(server.entry()));
+  void delta(SeededServer server) {
+    list(EndpointListKind.DELTA, List.of(server.endpoint()));
   }
 
-  private void list(EndpointListKind kind, List<Endpoint> entries) {
+  void list(EndpointListKind kind, List<Endpoint> entries) {
     port.handle(new RoutingEvent.EndpointsUpdated(order, kind, entries));
   }
 
   /** One router and the way its actions take effect; a router that was replaced keeps its own. */
-  private final class Port implements RoutingActions {
+  final class Port implements RoutingActions {
     private RingRouter router;
 
-    private void handle(RoutingEvent event) {
+    void handle(RoutingEvent event) {
       router.handle(now, event);
     }
 
     @Override
     public void send(long request, long server, long allowFor) {
       record("send", request + " " + server + " " + allowFor);
-      start(clients.get(request), backends.get(server), allowFor);
+      start(clients.get(request), servers.get(server), allowFor);
     }
 
     @Override
