--- a/src/main/java/beaconturn/cli/CheckConfigCommand.java
+++ b/src/main/java/beaconturn/cli/CheckConfigCommand.java
@@ -24,11 +24,11 @@
           "configuration is sound: "
               + read.name()
               + " on "
-              + read.listen()
+              + read.listenAddress()
               + ", "
               + read.settings().classNames().size()
               + " classes, "
-              + read.known().members().size()
+              + read.initialEndpoints().members().size()
               + " cache servers known");
       if (features != null) {
         FeaturesFile.Features on = FeaturesFile.all(features);
--- a/src/main/java/beaconturn/net/ConfigReloader.java
+++ b/src/main/java/beaconturn/net/ConfigReloader.java
@@ -65,7 +65,7 @@
     try {
       RouterConfig next = inputs.source().read();
       apply(next);
-      discovery.move(next.discovery());
+      discovery.move(next.discoveryAddress());
       metrics.configReloaded(true);
     } catch (ConfigException e) {
       metrics.configReloaded(false);
--- a/src/main/java/beaconturn/net/OperatorOverrides.java
+++ b/src/main/java/beaconturn/net/OperatorOverrides.java
@@ -57,9 +57,9 @@
     this.clock = clock;
     this.routingThread = routingThread;
     this.excludedByFleet = excludedByFleet;
-    this.file = new ServerOverrideFile(config.kept(OVERRIDE_FILE), config.shared());
+    this.file = new ServerOverrideFile(config.stateFile(OVERRIDE_FILE), config.sharesListener());
     this.adminServer =
-        new AdminServer(config.control(), this, metrics.counters(), file, clock::now);
+        new AdminServer(config.adminAddress(), this, metrics.counters(), file, clock::now);
   }
 
   /** Answers calls from here on; what operators said before this process began is posted first. */
--- a/src/main/java/beaconturn/net/PeerProcess.java
+++ b/src/main/java/beaconturn/net/PeerProcess.java
@@ -15,8 +15,8 @@
   private final UpgradeState upgradeState;
 
   PeerProcess(RouterConfig config) {
-    this.slots = new ProcessSlots(config.kept(SLOTS_FILE));
-    this.upgradeState = new UpgradeState(config.kept(STATE_FILE));
+    this.slots = new ProcessSlots(config.stateFile(SLOTS_FILE));
+    this.upgradeState = new UpgradeState(config.stateFile(STATE_FILE));
   }
 
   /** Whether it runs now. */
--- a/src/main/java/beaconturn/net/PlannedStop.java
+++ b/src/main/java/beaconturn/net/PlannedStop.java
@@ -86,7 +86,7 @@
   private void stopAccepting(Supplier<Listener> listener) throws InterruptedException {
     // From a shared socket the other process accepts; else nobody does, and new connections still
     // come.
-    Thread.sleep(inputs.config().shared() ? 0 : ACCEPT_ON_MILLIS);
+    Thread.sleep(inputs.config().sharesListener() ? 0 : ACCEPT_ON_MILLIS);
     Listener open = listener.get();
     if (open != null) {
       open.close();
--- a/src/main/java/beaconturn/net/ProcessHandover.java
+++ b/src/main/java/beaconturn/net/ProcessHandover.java
@@ -27,7 +27,7 @@
 
   ProcessHandover(RouterConfig config) {
     this.config = config;
-    this.peer = config.shared() ? new PeerProcess(config) : null;
+    this.peer = config.sharesListener() ? new PeerProcess(config) : null;
     this.peerRunning = peer != null && peer.isRunning();
   }
 
--- a/src/main/java/beaconturn/net/RouterAssembly.java
+++ b/src/main/java/beaconturn/net/RouterAssembly.java
@@ -119,9 +119,9 @@
   private DiscoveryWatcher buildDiscovery(Consumer<RoutingMessage> inbox) {
     RouterConfig config = inputs.config();
     return new DiscoveryWatcher(
-        config.discovery(),
+        config.discoveryAddress(),
         new EndpointListParser(config.settings()),
-        config.known().version(),
+        config.initialEndpoints().version(),
         message -> {
           inbox.accept(message);
           endpointList.received(message);
--- a/src/main/java/beaconturn/net/RouterConfig.java
+++ b/src/main/java/beaconturn/net/RouterConfig.java
@@ -10,24 +10,24 @@
  * The configuration of one router on real sockets. Immutable.
  *
  * @param name of the router, unique among those that agree
- * @param listen where clients connect, unless the listening socket is inherited
- * @param discovery discovery's address
+ * @param listenAddress where clients connect, unless the listening socket is inherited
+ * @param discoveryAddress discovery's address
  * @param seed of all random draws
  * @param sockets how many descriptors this router may have, over all its processes
  * @param memoryMb the memory that this process may take
- * @param known the endpoint list to begin with; it may be old
+ * @param initialEndpoints the endpoint list to begin with; it may be old
  * @param settings of the routing policy and the wire
  * @param environment what the process's surroundings add
  * @param document the file's JSON as it was read
  */
 public record RouterConfig(
     String name,
-    InetSocketAddress listen,
-    InetSocketAddress discovery,
+    InetSocketAddress listenAddress,
+    InetSocketAddress discoveryAddress,
     long seed,
     int sockets,
     int memoryMb,
-    EndpointUpdate known,
+    EndpointUpdate initialEndpoints,
     RouterSettings settings,
     ProcessEnvironment environment,
     Json document) {
@@ -42,26 +42,26 @@
   }
 
   /** The operators' address, or null if there is none. */
-  public InetSocketAddress control() {
-    return environment.control();
+  public InetSocketAddress adminAddress() {
+    return environment.adminAddress();
   }
 
   /** Whether another process of this router may serve on the same listening socket. */
-  public boolean shared() {
-    return environment.shared();
+  public boolean sharesListener() {
+    return environment.sharesListener();
   }
 
   /**
    * The file of that kind which the next process of this router should find; null if no folder
    * outlives the process.
    */
-  public Path kept(String kind) {
-    if (environment.folder() == null) {
+  public Path stateFile(String kind) {
+    if (environment.stateFolder() == null) {
       return null;
     }
     // Names come from operators, and must not lead out of the folder.
     String safeName = name.replaceAll("[^A-Za-z0-9-]", "_");
-    return environment.folder().resolve("beaconturn-" + safeName + "." + kind);
+    return environment.stateFolder().resolve("beaconturn-" + safeName + "." + kind);
   }
 
   /**
--- a/src/main/java/beaconturn/net/RouterConfigReader.java
+++ b/src/main/java/beaconturn/net/RouterConfigReader.java
@@ -51,7 +51,7 @@
     // Two processes of one router keep to its limits together. Memory that is taken is not given
     // back, so each has half of it from the start; descriptors are shared out as long as there are
     // two.
-    int processes = environment.shared() ? 2 : 1;
+    int processes = environment.sharesListener() ? 2 : 1;
     int descriptors = descriptors(json, processes);
     return new RouterConfig(
         overruled(json, "name", "router", variables, "PROXY_NAME"),
@@ -60,7 +60,7 @@
         seed(json.get("seed").word("0")),
         descriptors,
         limit(json, "memory_mb", DEFAULT_MEMORY_MB) / processes,
-        new EndpointListParser(settings).known(json.get("known")),
+        new EndpointListParser(settings).readInitial(json.get("known")),
         settings,
         environment,
         json);
--- a/src/main/java/beaconturn/net/RouterMetrics.java
+++ b/src/main/java/beaconturn/net/RouterMetrics.java
@@ -17,7 +17,7 @@
   /** The metrics that a router of this configuration needs. */
   static RouterMetrics of(
       RouterInputs inputs, LongSupplier clock, IntSupplier connections, IntSupplier most) {
-    if (inputs.config().control() == null) {
+    if (inputs.config().adminAddress() == null) {
       return new RouterMetrics(null, null);
     }
     if (!inputs.hasFleetConfig()) {
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -112,7 +112,7 @@
 
   /** The routing thread begins with the list and with what the process before has left. */
   private void startRouting() {
-    RoutingMessage.News known = new RoutingMessage.News(inputs.config().known());
+    RoutingMessage.News known = new RoutingMessage.News(inputs.config().initialEndpoints());
     parts.endpointList().known(known);
     parts.routingThread().begin(known);
     WarmStartState warmStart = parts.handover().warmStart();
@@ -139,15 +139,16 @@
     parts
         .endpointList()
         .awaitDiscovery(
-            inputs.customization().firstListTimeoutNanos(), inputs.config().known().version());
+            inputs.customization().firstListTimeoutNanos(),
+            inputs.config().initialEndpoints().version());
   }
 
   private void listen() throws IOException {
     RouterConfig config = inputs.config();
     listener =
-        config.shared()
+        config.sharesListener()
             ? Listener.inherited(parts.acceptor()::accept)
-            : Listener.bind(config.listen(), parts.acceptor()::accept);
+            : Listener.bind(config.listenAddress(), parts.acceptor()::accept);
     listener.start();
     LOG.info(
         config.name()
@@ -164,7 +165,7 @@
   }
 
   /** Where operators call, or null where they cannot. */
-  public InetSocketAddress control() {
+  public InetSocketAddress adminAddress() {
     return parts.operators() == null ? null : parts.operators().address();
   }
 
--- a/src/main/java/beaconturn/net/RoutingEngineObserver.java
+++ b/src/main/java/beaconturn/net/RoutingEngineObserver.java
@@ -22,7 +22,7 @@
 
   /** Whether anybody asks for what the engine knows. */
   boolean isNeeded() {
-    return metrics.hasReader() || inputs.config().shared() || inputs.hasFleetConfig();
+    return metrics.hasReader() || inputs.config().sharesListener() || inputs.hasFleetConfig();
   }
 
   /** Hands on what the engine knows now; waits for nobody. */
--- a/src/main/java/beaconturn/net/StartupWarmUp.java
+++ b/src/main/java/beaconturn/net/StartupWarmUp.java
@@ -58,7 +58,7 @@
             () -> nowNanos,
             new InMemoryCacheServers(),
             new UnchangingDiscovery());
-    engine.handle(new RoutingMessage.News(config.known()));
+    engine.handle(new RoutingMessage.News(config.initialEndpoints()));
   }
 
   /**
--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -72,7 +72,7 @@
             config.timing(),
             router.name(),
             incarnation,
-            router.shared(),
+            router.sharesListener(),
             SettingsContentMapper.of(configured),
             kept,
             router.seed() ^ now,
--- a/src/main/java/beaconturn/net/discovery/EndpointListParser.java
+++ b/src/main/java/beaconturn/net/discovery/EndpointListParser.java
@@ -43,7 +43,7 @@
    *
    * @throws ProtocolException if there is none
    */
-  public EndpointUpdate known(Json list) throws ProtocolException {
+  public EndpointUpdate readInitial(Json list) throws ProtocolException {
     return read(list, EndpointListKind.CACHED);
   }
 
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -5,7 +5,6 @@
 import beaconturn.core.RepeatedEventLog;
 import beaconturn.core.RoutingMessage;
 import beaconturn.decision.AttemptOutcome;
-import beaconturn.net.io.BoundedPipe;
 import java.net.InetSocketAddress;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
@@ -17,7 +16,7 @@
  * <p>Three kinds of threads meet here. The routing thread calls {@link #send}, {@link #abort} and
  * the other methods that post a {@link CacheServerTask}. The {@link CacheServerThread} runs the
  * tasks and owns all fields that are not marked otherwise. Worker threads run one connection each
- * and report through {@link ConnectionReports}. A connection, with its buffers, belongs to the
+ * and report through {@link ConnectionReporter}. A connection, with its buffers, belongs to the
  * worker that carries an attempt on it, and to this actor while it is idle.
  */
 final class CacheServer {
@@ -32,7 +31,7 @@
   private final Map<OutboundAttempt, CacheConnection> inUse = new ConcurrentHashMap<>();
 
   private final IdleConnections idle;
-  private final CacheConnectionListener connectionListener = new ConnectionReports();
+  private final CacheConnectionListener connectionListener;
   private final RepeatedEventLog unanswered;
   private final RepeatedEventLog unreadable;
   private InetSocketAddress address;
@@ -54,6 +53,7 @@
     this.environment = environment;
     this.host = host;
     this.address = address;
+    this.connectionListener = new ConnectionReporter(this, environment);
     this.idle = new IdleConnections(environment.idleTimeoutNanos(), this::onConnectionClosed);
     this.unanswered =
         new RepeatedEventLog(
@@ -105,6 +105,11 @@
     acceptsRequests = accepts;
   }
 
+  /** Whether the server takes new requests; any thread. */
+  boolean acceptsRequests() {
+    return acceptsRequests;
+  }
+
   void closeIdle() {
     tell(new CacheServerTask.CloseIdle());
   }
@@ -116,7 +121,7 @@
 
   /**
    * Whether no connection is open and no send waits to be handled: an actor dropped before that
-   * could no longer be told that an attempt is given up. For the routing thread.
+   * could not stop that attempt any more when it is given up. For the routing thread.
    */
   boolean isQuiet() {
     return sendsHandled == sendsPosted && connectionCount == 0;
@@ -280,52 +285,4 @@
   private long now() {
     return environment.clock().now();
   }
-
-  /** Hands on what happens on connections; runs on worker threads, which may wait for room. */
-  private final class ConnectionReports implements CacheConnectionListener {
-    @Override
-    public boolean mayWrite() {
-      return acceptsRequests && environment.mayWrite().getAsBoolean();
-    }
-
-    @Override
-    public void attemptEnded(
-        CacheConnection connection,
-        OutboundAttempt attempt,
-        AttemptResult result,
-        boolean reusable) {
-      // The actor first: what the routing thread sends next finds the connection idle.
-      post(new CacheServerTask.AttemptEnded(connection, attempt, result, reusable));
-      environment.routingThread().accept(new RoutingMessage.Ended(attempt, result));
-    }
-
-    @Override
-    public void responseBegun(OutboundAttempt attempt, long atNanos, BoundedPipe pipe) {
-      environment.routingThread().accept(new RoutingMessage.FirstBytes(attempt, atNanos, pipe));
-    }
-
-    @Override
-    public void requestWritten() {
-      environment.metrics().attemptWritten();
-    }
-
-    @Override
-    public void connectionStale(OutboundAttempt attempt) {
-      post(new CacheServerTask.ConnectionStale(attempt));
-    }
-
-    @Override
-    public void unreadableResponse() {
-      post(new CacheServerTask.UnreadableResponse());
-    }
-
-    @Override
-    public void connectionClosed() {
-      post(new CacheServerTask.ConnectionClosed());
-    }
-
-    private void post(CacheServerTask task) {
-      environment.thread().post(CacheServer.this, task);
-    }
-  }
 }
--- /dev/null
+++ b/src/main/java/beaconturn/net/server/ConnectionReporter.java
@@ -0,0 +1,62 @@
+package beaconturn.net.server;
+
+import beaconturn.core.AttemptResult;
+import beaconturn.core.OutboundAttempt;
+import beaconturn.core.RoutingMessage;
+import beaconturn.net.io.BoundedPipe;
+
+/**
+ * Hands what happens on the connections of one cache server on to its actor and to the routing
+ * thread; runs on worker threads, which may wait for room in a mailbox.
+ */
+final class ConnectionReporter implements CacheConnectionListener {
+  private final CacheServer server;
+  private final CacheServerEnvironment environment;
+
+  ConnectionReporter(CacheServer server, CacheServerEnvironment environment) {
+    this.server = server;
+    this.environment = environment;
+  }
+
+  @Override
+  public boolean mayWrite() {
+    return server.acceptsRequests() && environment.mayWrite().getAsBoolean();
+  }
+
+  @Override
+  public void attemptEnded(
+      CacheConnection connection, OutboundAttempt attempt, AttemptResult result, boolean reusable) {
+    // The actor first: what the routing thread sends next finds the connection idle.
+    post(new CacheServerTask.AttemptEnded(connection, attempt, result, reusable));
+    environment.routingThread().accept(new RoutingMessage.Ended(attempt, result));
+  }
+
+  @Override
+  public void responseBegun(OutboundAttempt attempt, long atNanos, BoundedPipe pipe) {
+    environment.routingThread().accept(new RoutingMessage.FirstBytes(attempt, atNanos, pipe));
+  }
+
+  @Override
+  public void requestWritten() {
+    environment.metrics().attemptWritten();
+  }
+
+  @Override
+  public void connectionStale(OutboundAttempt attempt) {
+    post(new CacheServerTask.ConnectionStale(attempt));
+  }
+
+  @Override
+  public void unreadableResponse() {
+    post(new CacheServerTask.UnreadableResponse());
+  }
+
+  @Override
+  public void connectionClosed() {
+    post(new CacheServerTask.ConnectionClosed());
+  }
+
+  private void post(CacheServerTask task) {
+    environment.thread().post(server, task);
+  }
+}
--- a/src/main/java/beaconturn/net/server/IdleConnections.java
+++ b/src/main/java/beaconturn/net/server/IdleConnections.java
@@ -18,11 +18,11 @@
    */
   private static final long SETTLE_NANOS = 5_000_000;
 
-  private record IdleConnection(CacheConnection connection, long idleSinceNanos) {}
+  private record IdleCacheConnection(CacheConnection connection, long idleSinceNanos) {}
 
   private final long idleTimeoutNanos;
   private final Runnable closed;
-  private final Deque<IdleConnection> connections = new ArrayDeque<>();
+  private final Deque<IdleCacheConnection> connections = new ArrayDeque<>();
 
   /** None yet; {@code closed} runs once for each connection that is closed here. */
   IdleConnections(long idleTimeoutNanos, Runnable closed) {
@@ -32,7 +32,7 @@
 
   /** Keeps a connection that has been idle since that time. */
   void add(CacheConnection connection, long idleSinceNanos) {
-    connections.push(new IdleConnection(connection, idleSinceNanos));
+    connections.push(new IdleCacheConnection(connection, idleSinceNanos));
   }
 
   /**
@@ -41,8 +41,8 @@
    */
   CacheConnection takeSettled(long nowNanos) {
     long settledBefore = nowNanos - SETTLE_NANOS;
-    for (Iterator<IdleConnection> all = connections.iterator(); all.hasNext(); ) {
-      IdleConnection next = all.next();
+    for (Iterator<IdleCacheConnection> all = connections.iterator(); all.hasNext(); ) {
+      IdleCacheConnection next = all.next();
       if (next.idleSinceNanos() <= settledBefore) {
         all.remove();
         return next.connection();
@@ -68,7 +68,7 @@
 
   /** Closes what the peer has closed, or has sent unasked bytes on. */
   void closeDead() {
-    for (Iterator<IdleConnection> all = connections.iterator(); all.hasNext(); ) {
+    for (Iterator<IdleCacheConnection> all = connections.iterator(); all.hasNext(); ) {
       CacheConnection next = all.next().connection();
       if (!next.isAlive()) {
         all.remove();
--- a/src/test/java/beaconturn/net/RouterConfigTest.java
+++ b/src/test/java/beaconturn/net/RouterConfigTest.java
@@ -69,17 +69,18 @@
   void readsAllThatARouterIsTold() throws ConfigException {
     RouterConfig config = read(SOUND, Map.of());
     assertEquals("n3", config.name());
-    assertEquals(6379, config.listen().getPort());
+    assertEquals(6379, config.listenAddress().getPort());
     assertEquals(0x8c1f30d27a5be964L, config.seed());
     assertEquals(512, config.sockets());
-    assertEquals(41, config.known().version());
-    assertEquals(EndpointListKind.CACHED, config.known().kind());
-    Endpoint first = config.known().members().get(0).entry();
+    assertEquals(41, config.initialEndpoints().version());
+    assertEquals(EndpointListKind.CACHED, config.initialEndpoints().kind());
+    Endpoint first = config.initialEndpoints().members().get(0).entry();
     assertEquals(1, first.zone());
     assertEquals(1, first.kind());
     assertEquals(3, first.cell());
     assertEquals(1700000000123L * 1_000_000, first.bootTimeNanos());
-    assertEquals(EndpointHealth.DRAINING, config.known().members().get(1).entry().health());
+    assertEquals(
+        EndpointHealth.DRAINING, config.initialEndpoints().members().get(1).entry().health());
     assertEquals(2, config.settings().routing().routerCount());
     assertEquals(1_500_000_000L, config.settings().routing().classes().get(0).deadlineNanos());
     assertTrue(config.settings().routing().loadReportFields().isEmpty());
@@ -88,26 +89,32 @@
   /** Every router must place the same keys alike, whatever address it reaches a cache server at. */
   @Test
   void theNumberOfACacheServerComesFromItsNameAlone() throws ConfigException {
-    long here = read(SOUND, Map.of()).known().members().get(0).entry().serverId();
+    long here = read(SOUND, Map.of()).initialEndpoints().members().get(0).entry().serverId();
     RouterConfig there = read(SOUND.replace("10.1.0.18", "127.9.1.4"), Map.of());
-    assertEquals(here, there.known().members().get(0).entry().serverId());
-    assertEquals("127.9.1.4:6379", there.known().members().get(0).dial());
-    assertNotEquals(here, there.known().members().get(1).entry().serverId());
+    assertEquals(here, there.initialEndpoints().members().get(0).entry().serverId());
+    assertEquals("127.9.1.4:6379", there.initialEndpoints().members().get(0).dial());
+    assertNotEquals(here, there.initialEndpoints().members().get(1).entry().serverId());
   }
 
   /** One line that cannot be read must not hide the others. */
   @Test
   void anUnreadableLineOfTheListIsLeftOut() throws ConfigException {
-    assertEquals(1, read(SOUND.replace("\"ready\"", "\"odd\""), Map.of()).known().members().size());
     assertEquals(
-        1, read(SOUND.replace("10.1.0.18:6379", "here"), Map.of()).known().members().size());
+        1,
+        read(SOUND.replace("\"ready\"", "\"odd\""), Map.of()).initialEndpoints().members().size());
+    assertEquals(
+        1,
+        read(SOUND.replace("10.1.0.18:6379", "here"), Map.of())
+            .initialEndpoints()
+            .members()
+            .size());
   }
 
   @Test
   void variablesOverruleTheFile() throws ConfigException {
     RouterConfig config = read(SOUND, Map.of("PROXY_LISTEN", "127.0.0.9:7000", "PROXY_NAME", "n9"));
     assertEquals("n9", config.name());
-    assertEquals(7000, config.listen().getPort());
+    assertEquals(7000, config.listenAddress().getPort());
   }
 
   @Test
@@ -185,7 +192,7 @@
             null,
             null),
         new DiscoveryWatcher(
-            first.discovery(),
+            first.discoveryAddress(),
             new EndpointListParser(first.settings()),
             1,
             posted::add,
--- a/src/test/java/beaconturn/net/RouterServerTest.java
+++ b/src/test/java/beaconturn/net/RouterServerTest.java
@@ -98,7 +98,7 @@
       throws ProtocolException {
     EndpointUpdate known =
         new EndpointListParser(settings)
-            .known(JsonReader.read(Slice.of(list(4, true, cache, "ready"))));
+            .readInitial(JsonReader.read(Slice.of(list(4, true, cache, "ready"))));
     return new RouterConfig(
         "r1",
         listen,
@@ -481,7 +481,7 @@
   }
 
   private String call(String line) throws IOException {
-    try (TestPeer.Line caller = TestPeer.Line.to(router.control())) {
+    try (TestPeer.Line caller = TestPeer.Line.to(router.adminAddress())) {
       caller.write(line + "\n");
       return caller.rest();
     }
