--- a/src/main/java/beaconturn/net/control/AdminOperations.java
+++ b/src/main/java/beaconturn/net/control/AdminOperations.java
@@ -21,8 +21,8 @@
    * Excludes a cache server, or has it used again.
    *
    * @param override what an operator said
-   * @param fromElsewhere whether another process of this router was told; then it holds even for an
-   *     id that nobody has yet
+   * @param fromElsewhere whether another process of this router was called; then it holds even for
+   *     an id that nobody has yet
    * @param known hears, once the override has taken force, whether any cache server has that id; on
    *     a thread that must not be held up
    */
