--- a/src/main/java/beaconturn/net/StartupWarmUp.java
+++ b/src/main/java/beaconturn/net/StartupWarmUp.java
@@ -41,7 +41,7 @@
   private final RouterSettings settings;
   private final RequestParser requestParser;
   private final CacheResponseReader responseReader;
-  private final RespReader respReader = new RespReader(RespReader.LONGEST_VALUE);
+  private final RespReader respReader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
   private final Queue<OutboundAttempt> attemptsOut = new ArrayDeque<>();
   private final RoutingEngine engine;
   private final PendingRequestIds pendingIds = new PendingRequestIds();
@@ -116,7 +116,7 @@
   private RespValue parse(String text) throws ProtocolException {
     InputBuffer input = new InputBuffer();
     Slice bytes = Slice.of(text);
-    input.room();
+    input.ensureRoom();
     System.arraycopy(bytes.array(), 0, input.array(), input.end(), bytes.length());
     input.filled(bytes.length());
     return respReader.next(input);
--- a/src/main/java/beaconturn/net/agreement/StoreClient.java
+++ b/src/main/java/beaconturn/net/agreement/StoreClient.java
@@ -113,7 +113,7 @@
         break;
       }
       socket.setSoTimeout((int) left);
-      int room = in.room();
+      int room = in.ensureRoom();
       int got = socket.getInputStream().read(in.array(), in.end(), room);
       more = got >= 0;
       in.filled(Math.max(0, got));
--- a/src/main/java/beaconturn/net/client/ClientInputBuffer.java
+++ b/src/main/java/beaconturn/net/client/ClientInputBuffer.java
@@ -24,7 +24,7 @@
   private record Arrival(long upToByte, long atNanos) {}
 
   private final InputBuffer buffer = new InputBuffer();
-  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE);
+  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
   private final Deque<Arrival> arrivals = new ArrayDeque<>(2);
   private long receivedBytes;
   private long lastArrivedAtNanos;
@@ -43,7 +43,7 @@
     int total = 0;
     int bytes = 1;
     while (bytes > 0 && wantsMore(largeAllowed)) {
-      int room = Math.min(Sockets.MAX_TRANSFER_BYTES, buffer.room());
+      int room = Math.min(Sockets.MAX_TRANSFER_BYTES, buffer.ensureRoom());
       bytes = from.read(ByteBuffer.wrap(buffer.array(), buffer.end(), room));
       if (bytes > 0) {
         buffer.filled(bytes);
@@ -65,7 +65,8 @@
    * large command.
    */
   boolean wantsMore(boolean largeAllowed) {
-    return buffer.size() < READ_AHEAD_BYTES || (largeAllowed && buffer.size() <= buffer.expected());
+    return buffer.size() < READ_AHEAD_BYTES
+        || (largeAllowed && buffer.size() <= buffer.expectedBytes());
   }
 
   /** Takes the next command that is whole, or returns null. */
@@ -94,6 +95,6 @@
 
   /** Whether the command at hand is known to be a large one. */
   boolean holdsLargeCommand() {
-    return buffer.large();
+    return buffer.isLarge();
   }
 }
--- a/src/main/java/beaconturn/net/io/Sockets.java
+++ b/src/main/java/beaconturn/net/io/Sockets.java
@@ -23,7 +23,7 @@
 
   /** Reads what is there, waiting for the first byte; false at the end of the stream. */
   public static boolean read(InputStream from, InputBuffer into) throws IOException {
-    int room = Math.min(MAX_TRANSFER_BYTES, into.room());
+    int room = Math.min(MAX_TRANSFER_BYTES, into.ensureRoom());
     int bytes = from.read(into.array(), into.end(), room);
     if (bytes < 0) {
       return false;
--- a/src/main/java/beaconturn/net/server/CacheConnection.java
+++ b/src/main/java/beaconturn/net/server/CacheConnection.java
@@ -54,7 +54,7 @@
   private final CacheResponseReader responseReader;
   private final CacheConnectionListener listener;
   private final InputBuffer input = new InputBuffer();
-  private final RespReader respReader = new RespReader(RespReader.LONGEST_VALUE);
+  private final RespReader respReader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
 
   /** Null while idle. */
   private OutboundAttempt attempt;
--- a/src/main/java/beaconturn/net/server/LargeResponseStream.java
+++ b/src/main/java/beaconturn/net/server/LargeResponseStream.java
@@ -48,7 +48,7 @@
       position++;
     }
     if (!isLineEnd(input, position)
-        || size <= RespReader.LONGEST_VALUE
+        || size <= RespReader.LONGEST_VALUE_BYTES
         || size > LARGEST_VALUE_BYTES) {
       return null;
     }
@@ -90,7 +90,7 @@
     pipe.put(Slice.of("$" + valueBytes + "\r\n"));
     streamValue(from, input, pipe);
     readLineEnd(from, input);
-    RespReader rest = new RespReader(RespReader.LONGEST_VALUE);
+    RespReader rest = new RespReader(RespReader.LONGEST_VALUE_BYTES);
     RespValue status = readValue(rest, from, input);
     RespValue report = readValue(rest, from, input);
     AttemptResult result = responseReader.readStreamed(status, report, beganAtNanos);
--- a/src/main/java/beaconturn/protocol/InputBuffer.java
+++ b/src/main/java/beaconturn/protocol/InputBuffer.java
@@ -21,7 +21,7 @@
   private int expectedBytes;
 
   /** Makes room for at least some bytes and returns how many fit behind {@link #end}. */
-  public int room() {
+  public int ensureRoom() {
     int unparsed = end - start;
     boolean sizeKnown = expectedBytes > unparsed;
     int neededBytes = (sizeKnown ? expectedBytes : unparsed) + LEAST_ROOM_BYTES;
@@ -49,16 +49,16 @@
   }
 
   /** Whether the message at hand is known to need an array beyond the usual. */
-  public boolean large() {
+  public boolean isLarge() {
     return expectedBytes > CHUNK_BYTES;
   }
 
   /** The size of the message at hand as far as it is known, else 0. */
-  public int expected() {
+  public int expectedBytes() {
     return expectedBytes;
   }
 
-  /** The array to read into, from {@link #end} on, after {@link #room}. */
+  /** The array to read into, from {@link #end} on, after {@link #ensureRoom}. */
   public byte[] array() {
     return bytes;
   }
--- a/src/main/java/beaconturn/protocol/RespReader.java
+++ b/src/main/java/beaconturn/protocol/RespReader.java
@@ -10,7 +10,7 @@
  */
 public final class RespReader {
   /** The protocol's limit of a value, in bytes. */
-  public static final int LONGEST_VALUE = 1 << 16;
+  public static final int LONGEST_VALUE_BYTES = 1 << 16;
 
   private static final int LONGEST_LINE_BYTES = 1024;
   private static final int MOST_ITEMS = 64;
--- a/src/main/java/beaconturn/rehearsal/ClientCommands.java
+++ b/src/main/java/beaconturn/rehearsal/ClientCommands.java
@@ -46,7 +46,7 @@
 
   /** Reads what has come, waiting for the first byte; false at the end of the stream. */
   static boolean read(InputStream from, InputBuffer into) throws IOException {
-    int room = into.room();
+    int room = into.ensureRoom();
     int got = from.read(into.array(), into.end(), room);
     if (got < 0) {
       return false;
--- a/src/main/java/beaconturn/rehearsal/PipelinedClient.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClient.java
@@ -66,7 +66,7 @@
   /** When the last answer came, or 0; for the reading thread. */
   private volatile long answeredAt;
 
-  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE);
+  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
   // Guarded by this:
   private final Deque<SequentialClient.Try> waiting = new ArrayDeque<>();
   private final Deque<Command> open = new ArrayDeque<>();
--- a/src/main/java/beaconturn/rehearsal/SequentialClient.java
+++ b/src/main/java/beaconturn/rehearsal/SequentialClient.java
@@ -38,7 +38,7 @@
   private final boolean crowded;
   private final BlockingQueue<Try> next = new LinkedBlockingQueue<>();
   private final InputBuffer in = new InputBuffer();
-  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE);
+  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
   private Socket socket;
   private String lastId = "";
   private boolean used;
--- a/src/main/java/beaconturn/standin/net/NonBlockingConnection.java
+++ b/src/main/java/beaconturn/standin/net/NonBlockingConnection.java
@@ -92,7 +92,7 @@
   private void readWhatIsThere() throws IOException {
     for (int i = 0; i < MOST_READS && !ended && !deaf && !cut; i++) {
       boolean empty = in.size() == 0;
-      int room = in.room();
+      int room = in.ensureRoom();
       int got = channel.read(ByteBuffer.wrap(in.array(), in.end(), room));
       if (got < 0) {
         close();
--- a/src/main/java/beaconturn/standin/net/RespSession.java
+++ b/src/main/java/beaconturn/standin/net/RespSession.java
@@ -26,7 +26,7 @@
   private static final int LONG_LINE = 4096;
   private final EmulatedFleet world;
   private final long number;
-  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE);
+  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
   private CacheServerModel.Session session;
   private CacheServerModel cache;
   private int router;
--- a/src/test/java/beaconturn/net/server/CacheResponseReaderTest.java
+++ b/src/test/java/beaconturn/net/server/CacheResponseReaderTest.java
@@ -24,10 +24,10 @@
         new CacheResponseReader(RouterSettingsReader.read(settings).routing());
     byte[] bytes = ("*3\r\n$2\r\nva\r\n$3\r\nhit\r\n" + report).getBytes(StandardCharsets.UTF_8);
     InputBuffer in = new InputBuffer();
-    in.room();
+    in.ensureRoom();
     System.arraycopy(bytes, 0, in.array(), in.end(), bytes.length);
     in.filled(bytes.length);
-    return replies.read(new RespReader(RespReader.LONGEST_VALUE).next(in), 1);
+    return replies.read(new RespReader(RespReader.LONGEST_VALUE_BYTES).next(in), 1);
   }
 
   @Test
--- a/src/test/java/beaconturn/protocol/Bytes.java
+++ b/src/test/java/beaconturn/protocol/Bytes.java
@@ -8,7 +8,7 @@
 
   static void feed(InputBuffer in, String text) {
     for (byte b : text.getBytes(StandardCharsets.ISO_8859_1)) {
-      in.room();
+      in.ensureRoom();
       in.array()[in.end()] = b;
       in.filled(1);
     }
--- a/src/test/java/beaconturn/protocol/RespReaderTest.java
+++ b/src/test/java/beaconturn/protocol/RespReaderTest.java
@@ -108,12 +108,12 @@
     RespReader large = new RespReader(60_000);
     InputBuffer in = Bytes.buffer("$60000\r\n" + "v".repeat(1000));
     assertNull(large.next(in));
-    assertTrue(in.large());
+    assertTrue(in.isLarge());
     Bytes.feed(in, "v".repeat(59_000) + "\r\n");
     // Behind it there is room for what shows whether the stream has ended.
     assertEquals(60_000 + 10 + 512, in.array().length);
     assertEquals(60_000, ((RespValue.Bulk) large.next(in)).bytes().length());
-    assertFalse(in.large());
+    assertFalse(in.isLarge());
     assertEquals(0, in.array().length);
   }
 }
--- a/src/test/java/beaconturn/standin/net/EmulatedFleetServerTest.java
+++ b/src/test/java/beaconturn/standin/net/EmulatedFleetServerTest.java
@@ -139,7 +139,7 @@
     }
 
     private boolean read() throws IOException {
-      int room = in.room();
+      int room = in.ensureRoom();
       int got = socket.getInputStream().read(in.array(), in.end(), room);
       if (got > 0) {
         in.filled(got);
