--- a/src/main/java/beaconturn/cli/CheckConfigCommand.java
+++ b/src/main/java/beaconturn/cli/CheckConfigCommand.java
@@ -28,7 +28,7 @@
               + ", "
               + read.settings().classNames().size()
               + " classes, "
-              + read.known().members().size()
+              + read.known().endpoints().size()
               + " cache servers known");
       if (features != null) {
         FeaturesFile.Features on = FeaturesFile.all(features);
--- /dev/null
+++ b/src/main/java/beaconturn/core/AttemptMetrics.java
@@ -0,0 +1,45 @@
+package beaconturn.core;
+
+import beaconturn.decision.AttemptOutcome;
+import beaconturn.decision.CacheStatus;
+import beaconturn.stats.RequestMetrics;
+import java.util.List;
+
+/** The count of requests and attempts in the router's metrics. Routing thread only. */
+final class AttemptMetrics {
+  /** Where to count; empty where nobody asks. */
+  private List<RequestMetrics> sinks = List.of();
+
+  /** Says where to count from here on. */
+  void countIn(List<RequestMetrics> metrics) {
+    sinks = List.copyOf(metrics);
+  }
+
+  void requestReceived() {
+    for (RequestMetrics metrics : sinks) {
+      metrics.arrived();
+    }
+  }
+
+  void attemptEnded(RequestTable.Entry entry, OutboundAttempt attempt, AttemptResult result) {
+    if (sinks.isEmpty()) {
+      return;
+    }
+    AttemptOutcome outcome = result.outcome();
+    boolean answered = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
+    long tookNanos = result.endedAtNanos() - attempt.sentAtNanos();
+    boolean late = tookNanos > entry.latencyObjectiveNanos();
+    RequestMetrics.Found found = found(result.cacheStatus());
+    for (RequestMetrics metrics : sinks) {
+      metrics.attempt(attempt.serverId(), answered, found, tookNanos, late);
+    }
+  }
+
+  private static RequestMetrics.Found found(CacheStatus status) {
+    return switch (status) {
+      case HIT -> RequestMetrics.Found.HIT;
+      case NONE -> RequestMetrics.Found.UNSAID;
+      default -> RequestMetrics.Found.MISS;
+    };
+  }
+}
--- a/src/main/java/beaconturn/core/AttemptResult.java
+++ b/src/main/java/beaconturn/core/AttemptResult.java
@@ -4,14 +4,26 @@
 import beaconturn.decision.CacheStatus;
 import beaconturn.protocol.Slice;
 
-/** How an attempt ended and when; {@code answer} is null unless a cache server answered it. */
+/**
+ * How an attempt ended.
+ *
+ * @param outcome how it ended
+ * @param endedAtNanos when, by the router's clock
+ * @param cacheStatus what the cache server said about the key
+ * @param loadReport the figures that came with the answer, or {@link #NO_LOAD_REPORT}
+ * @param answer the answer for the client, or null unless a cache server gave one whole
+ */
 public record AttemptResult(
-    AttemptOutcome ending, long at, CacheStatus note, float[] report, Slice answer) {
+    AttemptOutcome outcome,
+    long endedAtNanos,
+    CacheStatus cacheStatus,
+    float[] loadReport,
+    Slice answer) {
   /** In the place of a load report where none came. */
-  public static final float[] NO_REPORT = {};
+  public static final float[] NO_LOAD_REPORT = {};
 
   /** An end without an answer. */
-  public static AttemptResult of(AttemptOutcome ending, long at) {
-    return new AttemptResult(ending, at, CacheStatus.NONE, NO_REPORT, null);
+  public static AttemptResult of(AttemptOutcome outcome, long endedAtNanos) {
+    return new AttemptResult(outcome, endedAtNanos, CacheStatus.NONE, NO_LOAD_REPORT, null);
   }
 }
--- a/src/main/java/beaconturn/core/CacheServerClients.java
+++ b/src/main/java/beaconturn/core/CacheServerClients.java
@@ -1,9 +1,9 @@
 package beaconturn.core;
 
-/** The cache servers as the module's thread acts on them; no call may block. */
+/** The cache servers as the routing thread acts on them. Routing thread only; no call may block. */
 public interface CacheServerClients {
   /**
-   * Starts an attempt, whose outcome comes back as a message; false if nothing was or will be sent.
+   * Starts an attempt, whose result comes back as a message; false if nothing was or will be sent.
    */
   boolean send(OutboundAttempt attempt);
 
@@ -11,25 +11,29 @@
   void abort(OutboundAttempt attempt);
 
   /** Closes idle connections to a cache server. */
-  void closeIdle(long server);
+  void closeIdle(long serverId);
 
-  /** Follows news of the list. */
-  void follow(EndpointUpdate news);
+  /** Follows a change of the endpoint list. */
+  void follow(EndpointUpdate update);
 
   /**
-   * Begins nothing new at a cache server that is out by hand, whatever the list says, until it is
-   * back; false, and nothing happens, if nobody has that number, unless it {@code mayCome}.
+   * Begins nothing new at a cache server that an operator has excluded, whatever the endpoint list
+   * says, until it is taken back; false, and nothing happens, if no listed server has that number,
+   * unless it {@code mayBeUnlisted}.
    */
-  boolean byHand(long server, boolean out, boolean mayCome);
+  boolean override(long serverId, boolean excluded, boolean mayBeUnlisted);
 
   /**
-   * A cache server as the list has it, in that zone; {@code bootTime} is when it started, 0 for
-   * long ago.
+   * A cache server as the endpoint list has it.
+   *
+   * @param name its name
+   * @param zone its zone, by the order of the settings
+   * @param bootTimeNanos when it started, by the router's clock; 0 for long ago
    */
-  record Listed(String name, int zone, long bootTime) {}
+  record ListedServer(String name, int zone, long bootTimeNanos) {}
 
-  /** What the list says of a cache server, or null if nobody has that number. */
-  default Listed listed(long server) {
+  /** What the endpoint list says of a cache server, or null if none has that number. */
+  default ListedServer listed(long serverId) {
     return null;
   }
 }
--- a/src/main/java/beaconturn/core/ClientRequest.java
+++ b/src/main/java/beaconturn/core/ClientRequest.java
@@ -6,11 +6,11 @@
 
 /**
  * One request of a client, whatever protocol it came in. Exactly one of the three answers is given,
- * by the module's thread; none of them may block.
+ * by the routing thread; none of them may block. Any thread may ask for what the request says.
  */
 public interface ClientRequest {
   /** What the request says of itself. */
-  Ask ask();
+  RequestDescription description();
 
   /** The id that its client gave it, for the log. */
   default String id() {
@@ -22,41 +22,33 @@
     return null;
   }
 
-  /** Whether the client still waits for its answer; any thread may ask. */
-  default boolean waits() {
+  /** Whether the client still waits for its answer. */
+  default boolean isAwaited() {
     return true;
   }
 
-  /** When the client stops waiting. */
-  long deadline();
+  /** When the client stops waiting, by the router's clock. */
+  long deadlineNanos();
 
   /** The request's bytes for a cache server that is told to answer within so many milliseconds. */
-  List<Slice> forwarded(long waitMillis);
+  List<Slice> encode(long waitMillis);
 
   /**
-   * The client gets the answer of a cache server as it comes. What follows is {@link #served} with
-   * no bytes once it is whole, or one of the other answers, at which what was begun is broken off.
+   * Has the client get the answer of a cache server as it comes. What follows is {@link #answered}
+   * with null once it is whole, or one of the other answers, at which what was begun is broken off.
+   *
+   * @throws UnsupportedOperationException if answers of the request's protocol come whole
    */
-  default void begun(StreamingResponse body) {
+  default void startStreaming(StreamingResponse response) {
     throw new UnsupportedOperationException("answers of this protocol come whole");
   }
 
-  /** The client gets the answer of a cache server. */
-  void served(Slice answer);
+  /** Answers the client as a cache server did; null where the answer has been streamed. */
+  void answered(Slice answer);
 
-  /** The client is refused and may come again after so many nanoseconds; 0 gives no advice. */
-  void refused(long retryAfter);
+  /** Rejects the request; the client may come again after so long, where 0 gives no advice. */
+  void rejected(long retryAfterNanos);
 
-  /** The client is told that the request failed. */
+  /** Answers the client that the request failed. */
   void failed();
-
-  /** What a request says of itself; {@code hint} and {@code key} 0 mean none. */
-  record Ask(
-      int requestClass,
-      long key,
-      boolean write,
-      boolean clientRetry,
-      int tenant,
-      long hint,
-      double size) {}
 }
--- a/src/main/java/beaconturn/core/EndpointDiscovery.java
+++ b/src/main/java/beaconturn/core/EndpointDiscovery.java
@@ -1,10 +1,10 @@
 package beaconturn.core;
 
-/** Discovery as the module's thread asks it; no call may block. */
+/** Discovery as the routing thread asks it. Routing thread only; no call may block. */
 public interface EndpointDiscovery {
-  /** Starts or stops a watch on changes of the list. */
+  /** Starts or stops a watch on changes of the endpoint list. */
   void watch(boolean on);
 
-  /** Asks once for the whole list. */
+  /** Asks once for the complete endpoint list. */
   void fetch();
 }
--- a/src/main/java/beaconturn/core/EndpointUpdate.java
+++ b/src/main/java/beaconturn/core/EndpointUpdate.java
@@ -5,18 +5,32 @@
 import beaconturn.decision.RoutingEvent;
 import java.util.List;
 
-/** News of the list of cache servers, with the addresses that the module does not need. */
-public record EndpointUpdate(long version, EndpointListKind kind, List<Member> members) {
-  /** One line of the list; {@code dial} is where this router reaches the cache server. */
-  public record Member(Endpoint entry, String host, String dial) {}
+/**
+ * A change of the endpoint list, with the addresses that the policy does not need.
+ *
+ * @param version the list's version after it
+ * @param kind whether it is complete, a change, or a failure to get one
+ * @param endpoints the endpoints that it names
+ */
+public record EndpointUpdate(
+    long version, EndpointListKind kind, List<AddressedEndpoint> endpoints) {
+  /**
+   * One endpoint with its addresses.
+   *
+   * @param endpoint what the policy knows of it
+   * @param host its name, from which its number comes
+   * @param dialAddress where this router reaches it, as host:port
+   */
+  public record AddressedEndpoint(Endpoint endpoint, String host, String dialAddress) {}
 
-  /** A call for the list failed, or the watch broke. */
+  /** What is made of a poll that failed, or a watch that broke. */
   public static EndpointUpdate failed() {
     return new EndpointUpdate(0, EndpointListKind.FAILED, List.of());
   }
 
+  /** The event that the policy gets of it. */
   RoutingEvent.EndpointsUpdated event() {
     return new RoutingEvent.EndpointsUpdated(
-        version, kind, members.stream().map(Member::entry).toList());
+        version, kind, endpoints.stream().map(AddressedEndpoint::endpoint).toList());
   }
 }
--- a/src/main/java/beaconturn/core/Lifecycle.java
+++ b/src/main/java/beaconturn/core/Lifecycle.java
@@ -2,7 +2,10 @@
 
 import java.util.logging.Logger;
 
-/** The phases of the program from start to exit, as one object that only moves forward. */
+/**
+ * The phases of the program from start to exit, as one object that only moves forward. Any thread
+ * may call.
+ */
 public final class Lifecycle {
   private static final Logger LOG = Logger.getLogger(Lifecycle.class.getName());
 
--- a/src/main/java/beaconturn/core/Mailbox.java
+++ b/src/main/java/beaconturn/core/Mailbox.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The bounded queue in front of an actor: many threads post, one takes. It waits on its own
- * monitor: a timed wait on a condition of java.util.concurrent (JDK 17, {@code awaitNanos}) spins
- * once its time is over, until the poster that has begun to wake it goes on. Where threads take
- * turns on one core that turn may never come.
+ * The bounded queue in front of a thread: any thread posts, one takes. It waits on its own monitor:
+ * a timed wait on a condition of java.util.concurrent (JDK 17, {@code awaitNanos}) spins once its
+ * time is over, until the poster that has begun to wake it goes on. Where threads take turns on one
+ * core that turn may never come.
  */
 public final class Mailbox<T> {
   private final int capacity;
-  // Guarded by this:
+  // Guarded by this.
   private final Queue<T> urgent = new ArrayDeque<>();
   private final Queue<T> queue = new ArrayDeque<>();
 
@@ -36,7 +36,7 @@
     return true;
   }
 
-  /** Posts, waiting for room: for threads that may wait, which the module's may not. */
+  /** Posts, waiting for room: for threads that may wait, which the routing thread may not. */
   public synchronized void put(T message) throws InterruptedException {
     while (!offer(message)) {
       wait();
--- a/src/main/java/beaconturn/core/OutboundAttempt.java
+++ b/src/main/java/beaconturn/core/OutboundAttempt.java
@@ -2,92 +2,115 @@
 
 import beaconturn.decision.AttemptOutcome;
 
-/** One sending of a request to a cache server. */
+/**
+ * One sending of a request to a cache server. The routing thread ends it; the threads that write to
+ * cache servers ask whether it is still wanted.
+ */
 public final class OutboundAttempt {
-  private final long request;
+  private final long requestId;
   private final int number;
-  private final long server;
-  private final ClientRequest call;
-  private final long sentAt;
-  private final long allowFor;
+  private final long serverId;
+  private final ClientRequest request;
+  private final long sentAtNanos;
+  private final long allowedNanos;
+
+  /** Written by the routing thread, read by any. */
   private volatile boolean over;
-  private AttemptOutcome ending;
-  private TimerQueue.Timer timeOut;
+
+  // Routing thread only.
+  private AttemptOutcome outcome;
+  private TimerQueue.Timer timeout;
 
   /**
-   * The attempt of that number of a request; it may be out for {@code allowFor} from {@code sentAt}
-   * on.
+   * An attempt that begins.
+   *
+   * @param requestId the request, by the number that the policy knows it by
+   * @param number how many attempts of the request came before it
+   * @param serverId the cache server, by the number that the policy knows it by
+   * @param request the request
+   * @param sentAtNanos when it begins, by the router's clock
+   * @param allowedNanos how long it may be out
    */
   public OutboundAttempt(
-      long request, int number, long server, ClientRequest call, long sentAt, long allowFor) {
-    this.request = request;
+      long requestId,
+      int number,
+      long serverId,
+      ClientRequest request,
+      long sentAtNanos,
+      long allowedNanos) {
+    this.requestId = requestId;
     this.number = number;
-    this.server = server;
-    this.call = call;
-    this.sentAt = sentAt;
-    this.allowFor = allowFor;
+    this.serverId = serverId;
+    this.request = request;
+    this.sentAtNanos = sentAtNanos;
+    this.allowedNanos = allowedNanos;
   }
 
-  /** The request that is sent. */
-  public ClientRequest call() {
-    return call;
+  /** The request that is sent. For any thread. */
+  public ClientRequest request() {
+    return request;
   }
 
-  /** The cache server, by the number that the module knows it by. */
-  public long server() {
-    return server;
+  /** The cache server, by the number that the policy knows it by. For any thread. */
+  public long serverId() {
+    return serverId;
   }
 
-  /** When the router stops waiting for this attempt. */
-  public long until() {
-    return sentAt + allowFor;
+  /** When the router stops waiting for this attempt. For any thread. */
+  public long timesOutAtNanos() {
+    return sentAtNanos + allowedNanos;
   }
 
-  /** Says what ends the attempt if nothing else does; it is called off at the end. */
-  void timeOut(TimerQueue.Timer timer) {
-    timeOut = timer;
+  long requestId() {
+    return requestId;
   }
 
-  /** Its answer has begun: no time limit for answers that do not come holds any more. */
-  void begun() {
-    timeOut.cancel();
+  int number() {
+    return number;
   }
 
-  long request() {
-    return request;
+  long sentAtNanos() {
+    return sentAtNanos;
   }
 
-  int number() {
-    return number;
+  /** Sets the timer that ends the attempt if nothing else does; it is cancelled at the end. */
+  void timeout(TimerQueue.Timer timer) {
+    timeout = timer;
   }
 
-  long sentAt() {
-    return sentAt;
+  /** Its answer has begun: no time limit for answers that do not come holds any more. */
+  void answerBegan() {
+    timeout.cancel();
   }
 
-  /** How it ended, or null if it has not. For the module's thread. */
-  AttemptOutcome ending() {
-    return ending;
+  /** How it ended, or null if it has not. */
+  AttemptOutcome outcome() {
+    return outcome;
   }
 
-  /** Notes the attempt's end; false if it had ended before. For the module's thread. */
+  /** Notes the attempt's end; false if it had ended before. Routing thread only. */
   public boolean end(AttemptOutcome how) {
     boolean first = !over;
-    ending = first ? how : ending;
+    if (first) {
+      outcome = how;
+    }
     over = true;
-    if (timeOut != null) {
-      timeOut.cancel();
+    if (timeout != null) {
+      timeout.cancel();
     }
     return first;
   }
 
-  /** Whether it is still to be written: it is not over, its time is not up and its client waits. */
-  public boolean wanted(long now) {
-    return !over && now < until() && call.waits();
+  /**
+   * Whether it is still to be written: it is not over, its time is not up and its client waits. For
+   * any thread.
+   */
+  public boolean isWanted(long nowNanos) {
+    return !over && nowNanos < timesOutAtNanos() && request.isAwaited();
   }
 
-  /** Whether it has ended or was given up; what is over is not written any more. */
-  public boolean over() {
+  /** Whether it has ended or was cancelled; what is over is not written any more. Any thread. */
+  public boolean isOver() {
     return over;
   }
 }
--- a/src/main/java/beaconturn/core/RepeatedEventLog.java
+++ b/src/main/java/beaconturn/core/RepeatedEventLog.java
@@ -3,60 +3,68 @@
 import java.util.logging.Logger;
 
 /**
- * Logs that something happens again and again, once when it begins and once when it is over; never
- * each time. For one thread.
+ * A log of something that happens again and again: one line when it begins and one when it is over,
+ * never one each time. Not safe for use by several threads at once.
  */
 public final class RepeatedEventLog {
-  private static final long QUIET = 10_000_000_000L;
-  private static final long MILLI = 1_000_000;
+  private static final long OVER_AFTER_NANOS = 10_000_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private final Logger log;
-  private final String what;
-  private final int fewest;
-  private long began;
-  private long last;
+  private final String event;
+  private final int minCount;
+  private long firstAtNanos;
+  private long lastAtNanos;
   private int count;
 
-  /** A spell that is logged from so many times on. */
-  public RepeatedEventLog(Logger log, String what, int fewest) {
+  /** A log of an event that is worth a line from so many times on. */
+  public RepeatedEventLog(Logger log, String event, int minCount) {
     this.log = log;
-    this.what = what;
-    this.fewest = fewest;
+    this.event = event;
+    this.minCount = minCount;
   }
 
   /** Notes that it happens now. */
-  public void note(long now) {
-    note(now, "");
+  public void note(long nowNanos) {
+    note(nowNanos, "");
   }
 
-  /** Notes that it happens now, and why; the reason is logged where the spell begins. */
-  public void note(long now, String why) {
-    check(now);
-    began = count == 0 ? now : began;
-    last = now;
+  /** Notes that it happens now, and why; the reason is logged where it begins. */
+  public void note(long nowNanos, String reason) {
+    check(nowNanos);
+    if (count == 0) {
+      firstAtNanos = nowNanos;
+    }
+    lastAtNanos = nowNanos;
     count++;
-    if (count == fewest) {
+    if (count == minCount) {
       log.warning(
-          what
+          event
               + ": begins, "
               + count
               + " times in "
-              + (now - began) / MILLI
+              + (nowNanos - firstAtNanos) / NANOS_PER_MILLI
               + " ms"
-              + (why.isEmpty() ? "" : ": " + why));
+              + (reason.isEmpty() ? "" : ": " + reason));
     }
   }
 
-  /** Ends the spell if it has not happened for some seconds; called now and then. */
-  public void check(long now) {
-    if (count > 0 && now - last >= QUIET) {
+  /** Ends the series if it has not happened for some seconds; to be called again and again. */
+  public void check(long nowNanos) {
+    if (count > 0 && nowNanos - lastAtNanos >= OVER_AFTER_NANOS) {
       end();
     }
   }
 
-  /** Ends the spell at once, as something shows that it is over. */
+  /** Ends the series at once, as something shows that it is over. */
   public void end() {
-    if (count >= fewest) {
-      log.info(what + ": over, " + count + " times in " + (last - began) / MILLI + " ms");
+    if (count >= minCount) {
+      log.info(
+          event
+              + ": over, "
+              + count
+              + " times in "
+              + (lastAtNanos - firstAtNanos) / NANOS_PER_MILLI
+              + " ms");
     }
     count = 0;
   }
--- a/src/main/java/beaconturn/core/RequestEventLog.java
+++ b/src/main/java/beaconturn/core/RequestEventLog.java
@@ -6,72 +6,74 @@
 import java.util.stream.Collectors;
 
 /**
- * The log of what happens to single requests: refusals, failures and further attempts, each with
- * the request's id, its reason and the ends of its attempts so far. Spells say how many there were;
- * lines of single requests are bounded in their rate. Nothing is done for a request that is
- * answered by its first attempt. For the module's thread.
+ * The log of what happens to single requests: rejections, failures and further attempts, each with
+ * the request's id, its reason and the outcomes of its attempts so far. How many there were is said
+ * once they are over; lines of single requests are bounded in their rate. Nothing is done for a
+ * request that is answered by its first attempt. Routing thread only.
  */
 final class RequestEventLog {
   private static final Logger LOG = Logger.getLogger(RoutingEngine.class.getName());
-  private static final int REFUSALS_BEGIN = 10;
-  private static final int FAILURES_BEGIN = 3;
-  private static final int BURST = 10;
-  private static final double PER_SECOND = 2;
-  private final RepeatedEventLog refusals =
-      new RepeatedEventLog(LOG, "requests are refused", REFUSALS_BEGIN);
+  private static final int MIN_REJECTIONS = 10;
+  private static final int MIN_FAILURES = 3;
+  private static final int BURST_LINES = 10;
+  private static final double LINES_PER_SECOND = 2;
+  private final RepeatedEventLog rejections =
+      new RepeatedEventLog(LOG, "requests are refused", MIN_REJECTIONS);
   private final RepeatedEventLog failures =
-      new RepeatedEventLog(LOG, "requests fail", FAILURES_BEGIN);
-  private final RateLimitedLog refused = new RateLimitedLog(LOG, BURST, PER_SECOND);
-  private final RateLimitedLog failed = new RateLimitedLog(LOG, BURST, PER_SECOND);
-  private final RateLimitedLog retried = new RateLimitedLog(LOG, BURST, PER_SECOND);
+      new RepeatedEventLog(LOG, "requests fail", MIN_FAILURES);
+  private final RateLimitedLog rejectedLines =
+      new RateLimitedLog(LOG, BURST_LINES, LINES_PER_SECOND);
+  private final RateLimitedLog failedLines = new RateLimitedLog(LOG, BURST_LINES, LINES_PER_SECOND);
+  private final RateLimitedLog retriedLines =
+      new RateLimitedLog(LOG, BURST_LINES, LINES_PER_SECOND);
 
-  /** A request is answered with a refusal. */
-  void refused(RequestTable.Entry request, GiveUpReason why, long now) {
-    refusals.note(now);
-    refused.log(now, () -> line(request, "refused", why));
+  /** Notes that a request was rejected. */
+  void rejected(RequestTable.Entry entry, GiveUpReason reason, long nowNanos) {
+    rejections.note(nowNanos);
+    rejectedLines.log(nowNanos, () -> line(entry, "refused", reason));
   }
 
-  /** A request is answered as failed. */
-  void failed(RequestTable.Entry request, GiveUpReason why, long now) {
-    failures.note(now);
-    failed.log(now, () -> line(request, "failed", why));
+  /** Notes that a request was answered as failed. */
+  void failed(RequestTable.Entry entry, GiveUpReason reason, long nowNanos) {
+    failures.note(nowNanos);
+    failedLines.log(nowNanos, () -> line(entry, "failed", reason));
   }
 
-  /** A request has a further attempt, beside one that is out or after one that ended. */
-  void retried(RequestTable.Entry request, Supplier<String> server, long now) {
-    retried.log(
-        now,
+  /** Notes a further attempt, beside one that is out or after one that ended. */
+  void retried(RequestTable.Entry entry, Supplier<String> serverName, long nowNanos) {
+    retriedLines.log(
+        nowNanos,
         () ->
             "request "
-                + request.call().id()
+                + entry.request().id()
                 + ": attempt "
-                + (request.attempts().size() + 1)
+                + (entry.attempts().size() + 1)
                 + " goes to "
-                + server.get()
+                + serverName.get()
                 + " after "
-                + attempts(request));
+                + attemptOutcomes(entry));
   }
 
-  /** Ends the spells that are over; called now and then. */
-  void check(long now) {
-    refusals.check(now);
-    failures.check(now);
+  /** Logs the end of what has not happened for a while; to be called again and again. */
+  void check(long nowNanos) {
+    rejections.check(nowNanos);
+    failures.check(nowNanos);
   }
 
-  private static String line(RequestTable.Entry request, String how, GiveUpReason why) {
+  private static String line(RequestTable.Entry entry, String ending, GiveUpReason reason) {
     return "request "
-        + request.call().id()
+        + entry.request().id()
         + " is "
-        + how
+        + ending
         + ": "
-        + why
+        + reason
         + ", attempts "
-        + attempts(request);
+        + attemptOutcomes(entry);
   }
 
-  private static String attempts(RequestTable.Entry request) {
-    return request.attempts().stream()
-        .map(a -> a.ending() == null ? "out" : a.ending().toString())
+  private static String attemptOutcomes(RequestTable.Entry entry) {
+    return entry.attempts().stream()
+        .map(a -> a.outcome() == null ? "out" : a.outcome().toString())
         .collect(Collectors.joining(" ", "[", "]"));
   }
 }
--- a/src/main/java/beaconturn/core/RequestTable.java
+++ b/src/main/java/beaconturn/core/RequestTable.java
@@ -7,114 +7,129 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** The requests that are not over yet: unanswered, or with an attempt still out. For one thread. */
+/**
+ * The requests that are not over yet: unanswered, or with an attempt still out. Routing thread
+ * only.
+ */
 final class RequestTable {
-  private final Map<Long, Entry> entries = new HashMap<>();
-  private final Map<ClientRequest, Entry> byCall = new IdentityHashMap<>();
+  private final Map<Long, Entry> entriesById = new HashMap<>();
+  private final Map<ClientRequest, Entry> unanswered = new IdentityHashMap<>();
   private long lastId;
 
-  /** One request: its call until it is closed, and its attempts in the order of their sending. */
+  /** One request and its attempts, in the order of their sending. */
   static final class Entry {
     private final long id;
-    private final ClientRequest call;
-    private final RoutingEngine.Hosted module;
+    private final ClientRequest request;
+    private final HostedPolicy policy;
     private final List<OutboundAttempt> attempts = new ArrayList<>(2);
     private TimerQueue.Timer overdue;
     private boolean closed;
-    private OutboundAttempt answering;
-    private int out;
+    private OutboundAttempt streamingAttempt;
+    private int attemptsOut;
 
-    private Entry(long id, ClientRequest call, RoutingEngine.Hosted module) {
+    private Entry(long id, ClientRequest request, HostedPolicy policy) {
       this.id = id;
-      this.call = call;
-      this.module = module;
+      this.request = request;
+      this.policy = policy;
     }
 
-    /** The module that decides on it to its end. */
-    RoutingEngine.Hosted module() {
-      return module;
+    /** The policy that decides on it to its end. */
+    HostedPolicy policy() {
+      return policy;
     }
 
     long id() {
       return id;
     }
 
-    ClientRequest call() {
-      return call;
+    ClientRequest request() {
+      return request;
     }
 
+    /** All its attempts so far, over or not. */
     List<OutboundAttempt> attempts() {
       return attempts;
     }
 
-    /** The attempt whose answer is being passed on, or null. */
-    OutboundAttempt answering() {
-      return answering;
+    /** By how much time after its sending an attempt's answer is late. */
+    long latencyObjectiveNanos() {
+      int classIndex = request.description().classIndex();
+      return policy.settings().classes().get(classIndex).latencyObjectiveNanos();
     }
 
-    /** The attempt's answer is passed on from here on, however long that takes. */
-    void answering(OutboundAttempt attempt) {
-      answering = attempt;
+    /** The attempt whose answer is being streamed to the client, or null. */
+    OutboundAttempt streamingAttempt() {
+      return streamingAttempt;
+    }
+
+    /** The attempt's answer is streamed from here on, however long that takes. */
+    void streamingBegan(OutboundAttempt attempt) {
+      streamingAttempt = attempt;
       overdue.cancel();
     }
 
     /** Whether it has its answer, or nobody waits for one. */
-    boolean closed() {
+    boolean isClosed() {
       return closed;
     }
   }
 
   /** Adds a request; {@code timer} makes the one that ends it if nothing else does. */
-  Entry add(
-      ClientRequest call, RoutingEngine.Hosted module, Function<Entry, TimerQueue.Timer> timer) {
-    Entry r = new Entry(++lastId, call, module);
-    r.overdue = timer.apply(r);
-    entries.put(r.id, r);
-    byCall.put(call, r);
-    return r;
+  Entry add(ClientRequest request, HostedPolicy policy, Function<Entry, TimerQueue.Timer> timer) {
+    Entry entry = new Entry(++lastId, request, policy);
+    entry.overdue = timer.apply(entry);
+    entriesById.put(entry.id, entry);
+    unanswered.put(request, entry);
+    return entry;
   }
 
   /** The request of that number, or null once it is over. */
   Entry get(long id) {
-    return entries.get(id);
+    return entriesById.get(id);
   }
 
-  /** The request of a call that still waits, or null. */
-  Entry of(ClientRequest call) {
-    return byCall.get(call);
+  /** The entry of a request that still waits, or null. */
+  Entry of(ClientRequest request) {
+    return unanswered.get(request);
   }
 
+  /** How many requests have no answer yet. */
   int openCount() {
-    return byCall.size();
+    return unanswered.size();
   }
 
   /** The requests that have no answer yet, as of now. */
   List<Entry> open() {
-    return List.copyOf(byCall.values());
+    return List.copyOf(unanswered.values());
   }
 
-  OutboundAttempt attempt(Entry r, long server, long now, long allowFor) {
-    OutboundAttempt a = new OutboundAttempt(r.id, r.attempts.size(), server, r.call, now, allowFor);
-    r.attempts.add(a);
-    r.out++;
-    return a;
+  /** Begins the request's next attempt, which may be out for so long. */
+  OutboundAttempt addAttempt(Entry entry, long serverId, long nowNanos, long allowedNanos) {
+    OutboundAttempt attempt =
+        new OutboundAttempt(
+            entry.id, entry.attempts.size(), serverId, entry.request, nowNanos, allowedNanos);
+    entry.attempts.add(attempt);
+    entry.attemptsOut++;
+    return attempt;
   }
 
-  void close(Entry r) {
-    r.closed = true;
-    r.overdue.cancel();
-    byCall.remove(r.call);
-    forget(r);
+  /** Notes that the request has its answer, or that nobody waits for one. */
+  void close(Entry entry) {
+    entry.closed = true;
+    entry.overdue.cancel();
+    unanswered.remove(entry.request);
+    forgetIfOver(entry);
   }
 
-  void ended(Entry r) {
-    r.out--;
-    forget(r);
+  /** Notes that one of the request's attempts has ended. */
+  void attemptEnded(Entry entry) {
+    entry.attemptsOut--;
+    forgetIfOver(entry);
   }
 
-  private void forget(Entry r) {
-    if (r.closed && r.out == 0) {
-      entries.remove(r.id);
+  private void forgetIfOver(Entry entry) {
+    if (entry.closed && entry.attemptsOut == 0) {
+      entriesById.remove(entry.id);
     }
   }
 }
--- a/src/main/java/beaconturn/core/RouterSettings.java
+++ b/src/main/java/beaconturn/core/RouterSettings.java
@@ -5,8 +5,13 @@
 import java.util.List;
 
 /**
- * All settings of one router: those that the module decides by, and what only the wire needs,
- * namely the names behind the numbers.
+ * All settings of one router: those that the policy decides by, and the names behind their numbers,
+ * which only the wire needs.
+ *
+ * @param routing what the policy decides by
+ * @param classNames the names of the classes, in their order
+ * @param zones the names of the zones, in their order
+ * @param kinds the names of the kinds of cache servers, in their order
  */
 public record RouterSettings(
     RoutingSettings routing, List<String> classNames, List<String> zones, List<String> kinds) {
--- a/src/main/java/beaconturn/core/RouterSettingsReader.java
+++ b/src/main/java/beaconturn/core/RouterSettingsReader.java
@@ -12,20 +12,29 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the settings from paths and values, however they came; unknown paths are skipped. */
+/**
+ * Reader of a router's settings from paths and values, however they came; unknown paths are
+ * skipped. The words of the settings are mapped to the code's terms here once.
+ */
 public final class RouterSettingsReader {
-  private static final long NEVER = Long.MAX_VALUE / 4;
+  /** In nanoseconds: longer than any process lives, and far from an overflow. */
+  private static final long UNLIMITED = Long.MAX_VALUE / 4;
+
   private final Map<String, String> values;
 
   private RouterSettingsReader(Map<String, String> values) {
     this.values = values;
   }
 
-  /** Returns the settings, or names the first one that is missing or unreadable. */
+  /**
+   * The settings that the values state.
+   *
+   * @throws SettingsException naming the first one that is missing or unreadable
+   */
   public static RouterSettings read(Map<String, String> values) throws SettingsException {
     RouterSettingsReader reader = new RouterSettingsReader(values);
     return new RouterSettings(
-        reader.routing(), reader.classNames(), reader.words("dcs"), reader.words("flavors"));
+        reader.routing(), reader.classNames(), reader.wordList("dcs"), reader.wordList("flavors"));
   }
 
   private List<String> classNames() throws SettingsException {
@@ -49,27 +58,27 @@
         whole("tick", 0),
         classes(),
         tenants(),
-        rules(),
+        safetyLimits(),
         permissions(),
         origin(),
-        words("load_report.names"));
+        wordList("load_report.names"));
   }
 
   private List<RequestClass> classes() throws SettingsException {
     List<RequestClass> classes = new ArrayList<>();
     long count = required("classes.count");
     for (int i = 0; i < count; i++) {
-      String at = "classes." + i + ".";
+      String prefix = "classes." + i + ".";
       classes.add(
           new RequestClass(
-              effect(at + "effect"),
-              scope(at + "key_scope"),
-              whole(at + "window", 0),
-              positive(at + "target", 0),
-              positive(at + "hard_limit", 0),
-              number(at + "worth", 1),
-              number(at + "late_worth", 0),
-              flag(at + "stream", false)));
+              idempotency(prefix + "effect"),
+              deduplicationScope(prefix + "key_scope"),
+              whole(prefix + "window", 0),
+              positive(prefix + "target", 0),
+              positive(prefix + "hard_limit", 0),
+              number(prefix + "worth", 1),
+              number(prefix + "late_worth", 0),
+              flag(prefix + "stream", false)));
     }
     return List.copyOf(classes);
   }
@@ -78,52 +87,52 @@
     List<Tenant> tenants = new ArrayList<>();
     long count = whole("tenants.count", 0);
     for (int i = 0; i < count; i++) {
-      String at = "tenants." + i + ".";
-      tenants.add(new Tenant(number(at + "quota_per_s", 0), number(at + "share", 0)));
+      String prefix = "tenants." + i + ".";
+      tenants.add(new Tenant(number(prefix + "quota_per_s", 0), number(prefix + "share", 0)));
     }
     return List.copyOf(tenants);
   }
 
-  private SafetyLimits rules() throws SettingsException {
+  private SafetyLimits safetyLimits() throws SettingsException {
     return new SafetyLimits(
         whole("rules.answer_slack", 0),
-        whole("rules.ask_within", NEVER),
+        whole("rules.ask_within", UNLIMITED),
         number("rules.cold_share", 1),
         whole("rules.cold", 0),
         whole("rules.drain_grace", 0),
         number("rules.fall_multiple", 1),
-        whole("rules.overload_for", NEVER),
+        whole("rules.overload_for", UNLIMITED),
         flag("rules.soft_removal", false));
   }
 
   private RoutingPermissions permissions() throws SettingsException {
-    String at = "permissions.";
+    String prefix = "permissions.";
     return new RoutingPermissions(
-        flag(at + "cancel", false),
-        flag(at + "peers", false),
-        flag(at + "probes", false),
-        flag(at + "retry_after", false),
-        flag(at + "second_copies", false),
-        (int) positive(at + "most_tries", 1),
-        whole(at + "max_retry_after", 0),
-        (int) whole(at + "multiplex", 1),
-        whole(at + "dial_timeout", 0),
-        positive(at + "conn_idle", NEVER));
+        flag(prefix + "cancel", false),
+        flag(prefix + "peers", false),
+        flag(prefix + "probes", false),
+        flag(prefix + "retry_after", false),
+        flag(prefix + "second_copies", false),
+        (int) positive(prefix + "most_tries", 1),
+        whole(prefix + "max_retry_after", 0),
+        (int) whole(prefix + "multiplex", 1),
+        whole(prefix + "dial_timeout", 0),
+        positive(prefix + "conn_idle", UNLIMITED));
   }
 
   private OriginSettings origin() throws SettingsException {
-    String at = "family_info.";
+    String prefix = "family_info.";
     return new OriginSettings(
-        word(at + "mode", "through").equals("aside"),
-        (int) whole(at + "origin_kind", -1),
-        flag(at + "ordered", false),
-        tellsHits(at + "notes"),
-        whole(at + "origin_fall", 0),
-        number(at + "origin_fall_multiple", 0));
+        word(prefix + "mode", "through").equals("aside"),
+        (int) whole(prefix + "origin_kind", -1),
+        flag(prefix + "ordered", false),
+        tellsCacheStatus(prefix + "notes"),
+        whole(prefix + "origin_fall", 0),
+        number(prefix + "origin_fall_multiple", 0));
   }
 
   /** {@code none} or what the numbers mean; where nothing is said answers are taken to tell. */
-  private boolean tellsHits(String path) throws SettingsException {
+  private boolean tellsCacheStatus(String path) throws SettingsException {
     String word = word(path, "hit");
     if (!word.equals("none") && !word.contains("hit")) {
       throw unreadable(path, word);
@@ -131,12 +140,12 @@
     return !word.equals("none");
   }
 
-  private List<String> words(String path) {
+  private List<String> wordList(String path) {
     String words = word(path, "");
     return words.isEmpty() ? List.of() : List.of(words.split(","));
   }
 
-  private Idempotency effect(String path) throws SettingsException {
+  private Idempotency idempotency(String path) throws SettingsException {
     String word = word(path, "");
     return switch (word) {
       case "read_like" -> Idempotency.IDEMPOTENT;
@@ -150,7 +159,7 @@
     return new SettingsException("setting " + path + ": missing or unreadable: '" + word + "'");
   }
 
-  private DeduplicationScope scope(String path) throws SettingsException {
+  private DeduplicationScope deduplicationScope(String path) throws SettingsException {
     String word = word(path, "all");
     return switch (word) {
       case "all" -> DeduplicationScope.ALL;
--- a/src/main/java/beaconturn/core/RoutingMessage.java
+++ b/src/main/java/beaconturn/core/RoutingMessage.java
@@ -5,47 +5,59 @@
 import beaconturn.decision.ZoneWeights;
 import java.util.function.Consumer;
 
-/** What can be posted to the module's actor. */
+/** A message to the routing thread; any thread may make and post one. */
 public sealed interface RoutingMessage {
-  /** What goes ahead of requests: it binds soon, whatever waits. */
+  /** A message that goes ahead of requests: it binds soon, whatever waits. */
   sealed interface Urgent extends RoutingMessage {}
 
   /** A request has come in whole. */
-  record Arrived(ClientRequest call) implements RoutingMessage {}
+  record RequestReceived(ClientRequest request) implements RoutingMessage {}
 
   /** The client of a request has gone. */
-  record Left(ClientRequest call) implements RoutingMessage {}
+  record ClientLeft(ClientRequest request) implements RoutingMessage {}
 
   /** An attempt has ended. */
-  record Ended(OutboundAttempt attempt, AttemptResult outcome) implements RoutingMessage {}
+  record AttemptEnded(OutboundAttempt attempt, AttemptResult result) implements RoutingMessage {}
 
   /**
-   * The answer to an attempt has begun, and goes on as a body; {@code at} is when its first bytes
-   * came.
+   * The answer to an attempt has begun, and goes on as a stream.
+   *
+   * @param attempt the attempt
+   * @param beganAtNanos when the answer's first bytes came
+   * @param response the answer
    */
-  record FirstBytes(OutboundAttempt attempt, long at, StreamingResponse body)
+  record StreamingBegan(OutboundAttempt attempt, long beganAtNanos, StreamingResponse response)
       implements RoutingMessage {}
 
+  /** What another process of this router had learned. */
+  record WarmStartReceived(WarmStartState learned) implements RoutingMessage {}
+
   /** Discovery has answered or failed. */
-  record News(EndpointUpdate news) implements Urgent {}
+  record EndpointUpdateReceived(EndpointUpdate update) implements Urgent {}
 
   /**
-   * An operator takes a cache server out, or back as one started at {@code at}; {@code known} hears
-   * whether anybody has that number. What is {@code told} from elsewhere holds even if nobody has
-   * it yet.
+   * An operator excludes a cache server, or takes it back.
+   *
+   * @param serverId the cache server
+   * @param excluded whether it is to be out of use
+   * @param atNanos since when it counts as started, where it is taken back
+   * @param mayBeUnlisted whether the override holds even if no listed server has that number yet
+   * @param whetherKnown hears, on the routing thread, whether the override is in force
    */
-  record ByHand(long server, boolean out, long at, boolean told, Consumer<Boolean> known)
+  record OverrideRequested(
+      long serverId,
+      boolean excluded,
+      long atNanos,
+      boolean mayBeUnlisted,
+      Consumer<Boolean> whetherKnown)
       implements Urgent {}
 
-  /** What another process of this router had learned. */
-  record Begun(WarmStartState learned) implements RoutingMessage {}
-
-  /** Keys go to places by these shares from here on. */
-  record Placed(ZoneWeights shares) implements Urgent {}
+  /** Keys go to zones by these weights from here on. */
+  record ZoneWeightsReceived(ZoneWeights weights) implements Urgent {}
 
   /** The process is about to end: what is open is answered now, and so is whatever still comes. */
-  record Stopping() implements Urgent {}
+  record StopRequested() implements Urgent {}
 
   /** Other settings are in force from here on. */
-  record Switched(RoutingSettings settings, long seed) implements Urgent {}
+  record SettingsReplaced(RoutingSettings settings, long seed) implements Urgent {}
 }
--- a/src/main/java/beaconturn/core/RoutingThread.java
+++ b/src/main/java/beaconturn/core/RoutingThread.java
@@ -6,52 +6,58 @@
 import java.util.logging.Logger;
 
 /**
- * The module's thread: takes one message at a time from its mailbox and runs the module's timers.
+ * The thread that decides: it takes one message at a time from its mailbox, has the {@link
+ * RoutingEngine} handle it, and runs the timers that are due. Any thread may post.
  */
 public final class RoutingThread {
   private static final Logger LOG = Logger.getLogger(RoutingThread.class.getName());
-  private static final int MOST_MESSAGES = 8192;
-  private static final long LONGEST_WAIT = 1_000_000_000;
+  private static final int MAILBOX_CAPACITY = 8192;
+  private static final long MAX_WAIT_NANOS = 1_000_000_000;
 
-  /** Figures of the fleet are to be half a second old at most. */
-  private static final long LOOK_EVERY = 200_000_000;
+  /** Figures of the cache servers are to be half a second old at most. */
+  private static final long OBSERVE_EVERY_NANOS = 200_000_000;
 
-  private final Mailbox<RoutingMessage> mailbox = new Mailbox<>(MOST_MESSAGES);
+  private final Mailbox<RoutingMessage> mailbox = new Mailbox<>(MAILBOX_CAPACITY);
   private final AtomicBoolean stopped = new AtomicBoolean();
-  private final Consumer<RoutingEngine> look;
-  private final Consumer<RoutingEngine> before;
-  private volatile int open;
-  private RoutingEngine host;
-  private long lookedAt;
+  private final Consumer<RoutingEngine> observer;
+  private final Consumer<RoutingEngine> beforeEachStep;
 
-  /** An actor whose module is looked at now and then, on its own thread; null for never. */
-  public RoutingThread(Consumer<RoutingEngine> look) {
-    this(look, null);
+  /** Written by the routing thread, read by any. */
+  private volatile int openRequests;
+
+  // Routing thread only, but for what is set before it starts.
+  private RoutingEngine engine;
+  private long observedAtNanos;
+
+  /** A thread whose engine the observer looks at now and then, on that thread; null for never. */
+  public RoutingThread(Consumer<RoutingEngine> observer) {
+    this(observer, null);
   }
 
   /**
-   * One that also has something looked at {@code before} each step: what the module may decide by
-   * can have ended while this thread waited or was kept from running; null for nothing.
+   * One that also looks at something before each step: what the policy may decide by can have ended
+   * while this thread waited or was kept from running; null for nothing.
    */
-  public RoutingThread(Consumer<RoutingEngine> look, Consumer<RoutingEngine> before) {
-    this.look = look;
-    this.before = before;
+  public RoutingThread(Consumer<RoutingEngine> observer, Consumer<RoutingEngine> beforeEachStep) {
+    this.observer = observer;
+    this.beforeEachStep = beforeEachStep;
   }
 
-  /** Says whom to run; called once, before the thread starts. */
-  public void host(RoutingEngine toRun) {
-    host = toRun;
+  /** Sets the engine to run; called once, before the thread starts. */
+  public void setEngine(RoutingEngine toRun) {
+    engine = toRun;
   }
 
-  /** Handles a message on the caller's thread, before the actor's own is started. */
-  public void begin(RoutingMessage message) {
+  /** Handles a message on the caller's thread, before the routing thread is started. */
+  public void handleBeforeStart(RoutingMessage message) {
     step(message);
   }
 
   /**
-   * Posts a message, waiting for room: never called by the module's own thread. News of the list go
-   * first: the time in which sends to a draining server must end runs while they wait behind a
-   * start's arrivals. So do operators' calls and new settings, which bind soon whatever the load.
+   * Posts a message, waiting for room: never called by the routing thread itself. Changes of the
+   * endpoint list go first: the time in which sends to a draining server must end runs while they
+   * wait behind a start's requests. So do operators' overrides and new settings, which bind soon
+   * whatever the load.
    */
   public void post(RoutingMessage message) {
     try {
@@ -66,8 +72,8 @@
   }
 
   /** How many requests wait for their answer, as of the last message. */
-  public int open() {
-    return open;
+  public int openRequests() {
+    return openRequests;
   }
 
   /** Ends the thread after the message at hand. */
@@ -79,25 +85,29 @@
   public void run() throws InterruptedException {
     while (!stopped.get()) {
       RoutingMessage message =
-          mailbox.poll(host.untilNext(look == null && before == null ? LONGEST_WAIT : LOOK_EVERY));
+          mailbox.poll(
+              engine.untilNextTimerNanos(
+                  observer == null && beforeEachStep == null
+                      ? MAX_WAIT_NANOS
+                      : OBSERVE_EVERY_NANOS));
       step(message);
-      open = host.open();
-      if (look != null && System.nanoTime() - lookedAt >= LOOK_EVERY) {
-        lookedAt = System.nanoTime();
-        look.accept(host);
+      openRequests = engine.openRequests();
+      if (observer != null && System.nanoTime() - observedAtNanos >= OBSERVE_EVERY_NANOS) {
+        observedAtNanos = System.nanoTime();
+        observer.accept(engine);
       }
     }
   }
 
   private void step(RoutingMessage message) {
     try {
-      if (before != null) {
-        before.accept(host);
+      if (beforeEachStep != null) {
+        beforeEachStep.accept(engine);
       }
       if (message != null) {
-        host.handle(message);
+        engine.handle(message);
       }
-      host.runDue();
+      engine.runDue();
     } catch (RuntimeException | Error e) {
       LOG.log(Level.SEVERE, "module actor failed on a message and goes on", e);
     }
--- a/src/main/java/beaconturn/core/StreamingResponse.java
+++ b/src/main/java/beaconturn/core/StreamingResponse.java
@@ -1,10 +1,10 @@
 package beaconturn.core;
 
 /**
- * An answer that is passed on while it still comes. Its producer and the call both know it; any
+ * An answer that is passed on while it still comes. Its producer and its request both know it; any
  * thread may call.
  */
 public interface StreamingResponse {
-  /** Nobody wants the rest: its producer stops. */
+  /** Has its producer stop, as nobody wants the rest. */
   void cancel();
 }
--- a/src/main/java/beaconturn/net/ConfigReloader.java
+++ b/src/main/java/beaconturn/net/ConfigReloader.java
@@ -82,7 +82,7 @@
     }
     if (!taken.settings().equals(next.settings())) {
       // The module first: it must know the classes of the requests that are read under them.
-      module.accept(new RoutingMessage.Switched(next.settings().routing(), next.seed()));
+      module.accept(new RoutingMessage.SettingsReplaced(next.settings().routing(), next.seed()));
       inForce.accept(next.settings());
     }
     taken = next;
--- a/src/main/java/beaconturn/net/FleetConfigSource.java
+++ b/src/main/java/beaconturn/net/FleetConfigSource.java
@@ -59,7 +59,7 @@
    * What this router makes of each cache server, for whoever counts who is out; any thread, no
    * wait.
    */
-  void sees(Map<CacheServerClients.Listed, ServerStatus> caches);
+  void sees(Map<CacheServerClients.ListedServer, ServerStatus> caches);
 
   /** The router ends as planned: nobody need wait for it. Takes a second at the most. */
   void leave();
--- a/src/main/java/beaconturn/net/HealthMetrics.java
+++ b/src/main/java/beaconturn/net/HealthMetrics.java
@@ -42,7 +42,7 @@
   }
 
   /** The cache servers that are known now; any thread. */
-  void knows(Collection<CacheServerClients.Listed> servers) {
+  void knows(Collection<CacheServerClients.ListedServer> servers) {
     SortedMap<Long, String> all = new TreeMap<>();
     servers.forEach(s -> all.put(Fnv1a.of(s.name()), s.name()));
     names = all;
--- a/src/main/java/beaconturn/net/OperatorOverrides.java
+++ b/src/main/java/beaconturn/net/OperatorOverrides.java
@@ -99,7 +99,8 @@
       }
     }
     module.accept(
-        new RoutingMessage.ByHand(Fnv1a.of(hand.id()), hand.out(), atHere(hand), told, known));
+        new RoutingMessage.OverrideRequested(
+            Fnv1a.of(hand.id()), hand.out(), atHere(hand), told, known));
   }
 
   /**
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -274,8 +274,8 @@
                 new WorkerPool("cache", KEEP_THREAD),
                 agreed == null ? () -> true : agreed::mayWrite));
     RoutingEngine host = hosting.host(config, clock, fleet, discovery);
-    host.count(counting());
-    module.host(host);
+    host.countIn(counting());
+    module.setEngine(host);
   }
 
   private List<RequestMetrics> counting() {
@@ -291,9 +291,9 @@
 
   private void noteList(RoutingMessage message) {
     if (agreed != null
-        && message instanceof RoutingMessage.News news
-        && news.news().kind() != EndpointListKind.FAILED) {
-      knownList = news.news().version();
+        && message instanceof RoutingMessage.EndpointUpdateReceived news
+        && news.update().kind() != EndpointListKind.FAILED) {
+      knownList = news.update().version();
       agreed.hasList(knownList);
     }
   }
@@ -343,9 +343,9 @@
 
   /** On the module's thread, now and then. */
   private void look(RoutingEngine host) {
-    host.tell(tally);
+    host.reportServers(tally);
     if (agreed != null) {
-      Map<CacheServerClients.Listed, ServerStatus> standings = host.standings();
+      Map<CacheServerClients.ListedServer, ServerStatus> standings = host.serverStatuses();
       agreed.sees(standings);
       if (health != null) {
         health.knows(standings.keySet());
@@ -355,7 +355,7 @@
       }
     }
     if (beside) {
-      learned = host.learned();
+      learned = host.warmStartState();
     }
   }
 
@@ -368,7 +368,7 @@
     ZoneWeights placed = placing == null ? shares : placing.due();
     if (placed != shares) {
       shares = placed;
-      host.handle(new RoutingMessage.Placed(placed));
+      host.handle(new RoutingMessage.ZoneWeightsReceived(placed));
     }
     FleetConfigSource.Force due = agreed.due();
     if (due == force) {
@@ -379,7 +379,8 @@
     Set<String> was = before == null ? Set.of() : before.out();
     if (!due.settings().equals(settings)) {
       host.handle(
-          new RoutingMessage.Switched(due.settings().routing(), config.seed() + ++switches));
+          new RoutingMessage.SettingsReplaced(
+              due.settings().routing(), config.seed() + ++switches));
       follow(due.settings());
     }
     long now = clock.now();
@@ -395,7 +396,8 @@
   }
 
   private static void hand(RoutingEngine host, String server, boolean out, long now) {
-    host.handle(new RoutingMessage.ByHand(Fnv1a.of(server), out, now, true, known -> {}));
+    host.handle(
+        new RoutingMessage.OverrideRequested(Fnv1a.of(server), out, now, true, known -> {}));
   }
 
   /** Whether all routers have agreed to leave the cache server out. */
@@ -433,12 +435,13 @@
       }
     }
     cacheActors.start();
-    RoutingMessage.News known = new RoutingMessage.News(config.known());
+    RoutingMessage.EndpointUpdateReceived known =
+        new RoutingMessage.EndpointUpdateReceived(config.known());
     noteList(known);
-    module.begin(known);
+    module.handleBeforeStart(known);
     WarmStartState left = neighbour == null ? null : neighbour.left();
     if (left != null) {
-      module.begin(new RoutingMessage.Begun(left));
+      module.handleBeforeStart(new RoutingMessage.WarmStartReceived(left));
     }
     Threads.supervised("module", module::run);
     discovery.start();
@@ -509,8 +512,8 @@
     }
     long longest = Math.min(settings.routing().longestDeadlineNanos(), LONGEST_AT_STOP);
     endClients(began + longest + ANSWERED_AFTER);
-    int unanswered = clients.count() == 0 ? 0 : module.open();
-    module.post(new RoutingMessage.Stopping());
+    int unanswered = clients.count() == 0 ? 0 : module.openRequests();
+    module.post(new RoutingMessage.StopRequested());
     endClients(clock.now() + LAST_ANSWERS);
     LOG.info(
         "drained in "
--- a/src/main/java/beaconturn/net/StartupWarmUp.java
+++ b/src/main/java/beaconturn/net/StartupWarmUp.java
@@ -50,7 +50,7 @@
     this.host =
         new RoutingEngine(
             settings.routing(), config.seed(), () -> now, new NoFleet(), new NoList());
-    host.handle(new RoutingMessage.News(config.known()));
+    host.handle(new RoutingMessage.EndpointUpdateReceived(config.known()));
   }
 
   /** Runs all rounds; each ends with the answers to what was sent two rounds before. */
@@ -58,7 +58,7 @@
     for (int i = 0; i < ROUNDS; i++) {
       now += STEP;
       host.runDue();
-      host.handle(new RoutingMessage.Arrived(requests.parse(command(i).items(), now, ids)));
+      host.handle(new RoutingMessage.RequestReceived(requests.parse(command(i).items(), now, ids)));
       while (sent.size() > 2) {
         answer(sent.remove());
       }
@@ -88,8 +88,8 @@
   }
 
   private void answer(OutboundAttempt attempt) throws ProtocolException {
-    attempt.call().forwarded(1);
-    host.handle(new RoutingMessage.Ended(attempt, replies.read(parse(ANSWER), now)));
+    attempt.request().encode(1);
+    host.handle(new RoutingMessage.AttemptEnded(attempt, replies.read(parse(ANSWER), now)));
   }
 
   private RespValue parse(String text) throws ProtocolException {
@@ -114,7 +114,7 @@
 
     @Override
     public void closeIdle(long server) {
-      sent.removeIf(a -> a.server() == server);
+      sent.removeIf(a -> a.serverId() == server);
     }
 
     @Override
@@ -123,8 +123,8 @@
     }
 
     @Override
-    public boolean byHand(long server, boolean out, boolean mayCome) {
-      return mayCome;
+    public boolean override(long serverId, boolean excluded, boolean mayBeUnlisted) {
+      return mayBeUnlisted;
     }
   }
 
--- a/src/main/java/beaconturn/net/ZoneWeightsSource.java
+++ b/src/main/java/beaconturn/net/ZoneWeightsSource.java
@@ -16,7 +16,7 @@
   ZoneWeights due();
 
   /** What this router makes of each cache server; any thread, no wait. */
-  void sees(Map<CacheServerClients.Listed, ServerStatus> caches);
+  void sees(Map<CacheServerClients.ListedServer, ServerStatus> caches);
 
   /** The router ends as planned. */
   void leave();
--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -131,7 +131,7 @@
   }
 
   @Override
-  public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
+  public void sees(Map<CacheServerClients.ListedServer, ServerStatus> caches) {
     SortedMap<String, Long> in = new TreeMap<>();
     SortedMap<String, String> out = new TreeMap<>();
     ejections.only(
@@ -144,7 +144,7 @@
           boolean passing =
               standing == ServerStatus.EJECTED && !ejections.lasts(listed.name(), clock.now());
           if (standing == ServerStatus.ACTIVE || passing) {
-            in.put(listed.name(), listed.bootTime());
+            in.put(listed.name(), listed.bootTimeNanos());
           } else {
             out.put(listed.name(), storedWord(standing));
           }
--- a/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
@@ -46,7 +46,7 @@
   private final Map<Long, OfServer> servers = new ConcurrentHashMap<>();
   private final LongAdder arrivals = new LongAdder();
   private final Counts counts = new Counts();
-  private volatile Map<CacheServerClients.Listed, ServerStatus> seen = Map.of();
+  private volatile Map<CacheServerClients.ListedServer, ServerStatus> seen = Map.of();
   private volatile Shown shown;
   private volatile boolean stopped;
 
@@ -142,7 +142,7 @@
   }
 
   @Override
-  public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
+  public void sees(Map<CacheServerClients.ListedServer, ServerStatus> caches) {
     seen = caches;
   }
 
@@ -166,7 +166,7 @@
   @Override
   public ZoneReport sees(String router, long number, long plan) {
     Map<String, long[]> sums = new HashMap<>();
-    Map<CacheServerClients.Listed, ServerStatus> now = seen;
+    Map<CacheServerClients.ListedServer, ServerStatus> now = seen;
     now.forEach(
         (listed, standing) -> {
           if (listed.zone() < zones.size()) {
@@ -195,7 +195,7 @@
     private final Map<Long, long[]> told = new HashMap<>();
     private final Map<String, long[]> sums = new HashMap<>();
 
-    private void count(Map<CacheServerClients.Listed, ServerStatus> now) {
+    private void count(Map<CacheServerClients.ListedServer, ServerStatus> now) {
       now.keySet()
           .forEach(
               listed -> {
--- a/src/main/java/beaconturn/net/client/CommandDispatcher.java
+++ b/src/main/java/beaconturn/net/client/CommandDispatcher.java
@@ -68,9 +68,9 @@
     request.taken();
     if (arrivedAtNanos > state.drainingSinceNanos()) {
       boolean mayTellWhen = request.settings().permissions().retryAfter();
-      request.refused(mayTellWhen ? RETRY_ELSEWHERE_NANOS : 0);
+      request.rejected(mayTellWhen ? RETRY_ELSEWHERE_NANOS : 0);
     } else {
-      context.routing().accept(new RoutingMessage.Arrived(request));
+      context.routing().accept(new RoutingMessage.RequestReceived(request));
     }
   }
 
@@ -99,7 +99,7 @@
   void failAll() {
     for (RespClientRequest request : pending.unanswered()) {
       request.failed();
-      context.routing().accept(new RoutingMessage.Left(request));
+      context.routing().accept(new RoutingMessage.ClientLeft(request));
     }
   }
 
@@ -108,7 +108,7 @@
     for (RespClientRequest request : requests) {
       // First what the threads that write to cache servers look at.
       request.abandoned();
-      context.routing().accept(new RoutingMessage.Left(request));
+      context.routing().accept(new RoutingMessage.ClientLeft(request));
     }
   }
 }
--- a/src/main/java/beaconturn/net/client/RequestParser.java
+++ b/src/main/java/beaconturn/net/client/RequestParser.java
@@ -1,6 +1,6 @@
 package beaconturn.net.client;
 
-import beaconturn.core.ClientRequest;
+import beaconturn.core.RequestDescription;
 import beaconturn.core.RouterSettings;
 import beaconturn.decision.Idempotency;
 import beaconturn.decision.RequestClass;
@@ -115,7 +115,7 @@
     long key = keyNumber(name(words, KEY, "key"));
     Slice id = name(words, ID, "id");
     Parts parts = new Parts(head(words), id, attributes, write ? words.get(VALUE).frame() : null);
-    ClientRequest.Ask ask = ask(classIndex, key, write, attributes);
+    RequestDescription description = description(classIndex, key, write, attributes);
     if (!ids.open(id)) {
       throw new InvalidCommandException("a request of this id is open");
     }
@@ -123,7 +123,8 @@
     RespClientRequest.Reading reading =
         new RespClientRequest.Reading(
             settings.routing(), attributes.get("c"), objectiveAtNanos, metrics);
-    return new RespClientRequest(ask, readAtNanos + waitNanos, parts, reading, () -> ids.close(id));
+    return new RespClientRequest(
+        description, readAtNanos + waitNanos, parts, reading, () -> ids.close(id));
   }
 
   private int classIndex(Map<String, String> attributes) throws InvalidCommandException {
@@ -153,11 +154,11 @@
     return new Slice(first.array(), first.from(), last.from() + last.length() - first.from());
   }
 
-  private static ClientRequest.Ask ask(
+  private static RequestDescription description(
       int classIndex, long key, boolean write, Map<String, String> attributes)
       throws InvalidCommandException {
     boolean clientRetry = "1".equals(attributes.get("r"));
-    return new ClientRequest.Ask(
+    return new RequestDescription(
         classIndex, key, write, clientRetry, 0, 0, number(attributes, "size", 0));
   }
 
--- a/src/main/java/beaconturn/net/client/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -1,6 +1,7 @@
 package beaconturn.net.client;
 
 import beaconturn.core.ClientRequest;
+import beaconturn.core.RequestDescription;
 import beaconturn.core.StreamingResponse;
 import beaconturn.decision.RoutingSettings;
 import beaconturn.net.io.BoundedPipe;
@@ -17,8 +18,8 @@
 public final class RespClientRequest extends ResponseSlot implements ClientRequest {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  private final ClientRequest.Ask ask;
-  private final long deadline;
+  private final RequestDescription description;
+  private final long deadlineNanos;
   private final RequestParser.Parts parts;
   private final Reading reading;
   private final Runnable whenFilled;
@@ -36,13 +37,13 @@
 
   /** A request without an answer; {@code whenFilled} runs once it has one, or is abandoned. */
   public RespClientRequest(
-      ClientRequest.Ask ask,
-      long deadline,
+      RequestDescription description,
+      long deadlineNanos,
       RequestParser.Parts parts,
       Reading reading,
       Runnable whenFilled) {
-    this.ask = ask;
-    this.deadline = deadline;
+    this.description = description;
+    this.deadlineNanos = deadlineNanos;
     this.parts = parts;
     this.reading = reading;
     this.whenFilled = whenFilled;
@@ -88,8 +89,8 @@
   }
 
   @Override
-  public ClientRequest.Ask ask() {
-    return ask;
+  public RequestDescription description() {
+    return description;
   }
 
   @Override
@@ -98,17 +99,17 @@
   }
 
   @Override
-  public boolean waits() {
+  public boolean isAwaited() {
     return !isFilled();
   }
 
   @Override
-  public long deadline() {
-    return deadline;
+  public long deadlineNanos() {
+    return deadlineNanos;
   }
 
   @Override
-  public List<Slice> forwarded(long waitMillis) {
+  public List<Slice> encode(long waitMillis) {
     List<Slice> pieces = new ArrayList<>(4);
     pieces.add(RespWriter.listOf(parts.value() == null ? 4 : 5));
     pieces.add(parts.head());
@@ -120,24 +121,24 @@
   }
 
   @Override
-  public void begun(StreamingResponse body) {
-    startStream((BoundedPipe) body);
+  public void startStreaming(StreamingResponse response) {
+    startStream((BoundedPipe) response);
   }
 
   @Override
-  public void served(Slice answer) {
+  public void answered(Slice answer) {
     end(RequestMetrics.End.ANSWERED, answer == null ? ClientWriter.END : answer);
   }
 
   /** Rounded up, so that no client comes again before it should. */
   @Override
-  public void refused(long retryAfter) {
+  public void rejected(long retryAfterNanos) {
     end(
         RequestMetrics.End.DEFERRED,
         RespWriter.failure(
-            retryAfter <= 0
+            retryAfterNanos <= 0
                 ? "BUSY"
-                : "BUSY " + (retryAfter + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI));
+                : "BUSY " + (retryAfterNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI));
   }
 
   @Override
--- a/src/main/java/beaconturn/net/discovery/DiscoveryWatcher.java
+++ b/src/main/java/beaconturn/net/discovery/DiscoveryWatcher.java
@@ -207,7 +207,7 @@
       return false;
     }
     version = news.kind() == EndpointListKind.FAILED ? version : news.version();
-    module.accept(new RoutingMessage.News(news));
+    module.accept(new RoutingMessage.EndpointUpdateReceived(news));
     return true;
   }
 }
--- a/src/main/java/beaconturn/net/discovery/EndpointListParser.java
+++ b/src/main/java/beaconturn/net/discovery/EndpointListParser.java
@@ -38,7 +38,7 @@
     if (!(answer.get("hosts") instanceof Json.Items)) {
       throw new ProtocolException("list without hosts");
     }
-    List<EndpointUpdate.Member> members = new ArrayList<>();
+    List<EndpointUpdate.AddressedEndpoint> members = new ArrayList<>();
     for (Json line : answer.get("hosts").items()) {
       try {
         members.add(member(line));
@@ -50,7 +50,7 @@
     return new EndpointUpdate((long) number(answer, "seq", 0), kind, List.copyOf(members));
   }
 
-  private EndpointUpdate.Member member(Json line) throws ProtocolException {
+  private EndpointUpdate.AddressedEndpoint member(Json line) throws ProtocolException {
     String host = line.get("host").word("");
     EndpointHealth health = health(line.get("health").word(""));
     String dial = line.get("dial").word("");
@@ -69,7 +69,7 @@
             health,
             number(line, "share", 1),
             ((long) number(line, "born_ms", 0)) * MILLI);
-    return new EndpointUpdate.Member(entry, host, dial);
+    return new EndpointUpdate.AddressedEndpoint(entry, host, dial);
   }
 
   private static void checkAddress(String dial) throws ProtocolException {
--- a/src/main/java/beaconturn/net/server/CacheConnection.java
+++ b/src/main/java/beaconturn/net/server/CacheConnection.java
@@ -197,7 +197,7 @@
   }
 
   private void connect() throws IOException {
-    long wait = Math.min(connectTimeout, attempt.until() - clock.now());
+    long wait = Math.min(connectTimeout, attempt.timesOutAtNanos() - clock.now());
     // What fails before the peer could have a say, for want of a descriptor or a port, is this
     // machine's
     // failure.
@@ -221,13 +221,13 @@
 
   private void transmit() throws IOException {
     long now = clock.now();
-    if (!attempt.wanted(now) || !owner.wanted()) {
+    if (!attempt.isWanted(now) || !owner.wanted()) {
       // Given up, or the server drains, since it was sent off: it must not reach the cache server.
       unwritten = AttemptOutcome.SUPERSEDED;
       throw new IOException("not wanted any more");
     }
-    long wait = Math.max(1, (attempt.until() - now) / MILLI);
-    Sockets.write(channel.socket().getOutputStream(), attempt.call().forwarded(wait));
+    long wait = Math.max(1, (attempt.timesOutAtNanos() - now) / MILLI);
+    Sockets.write(channel.socket().getOutputStream(), attempt.request().encode(wait));
     written = true;
     owner.sent();
   }
--- a/src/main/java/beaconturn/net/server/CacheResponseReader.java
+++ b/src/main/java/beaconturn/net/server/CacheResponseReader.java
@@ -83,7 +83,7 @@
   private float[] report(RespValue value) {
     String text = word(value);
     if (text.isEmpty() || reportNames.isEmpty()) {
-      return AttemptResult.NO_REPORT;
+      return AttemptResult.NO_LOAD_REPORT;
     }
     float[] figures = new float[reportNames.size()];
     Arrays.fill(figures, -1);
@@ -96,7 +96,7 @@
         found += figures[at] >= 0 ? 1 : 0;
       }
     }
-    return found == figures.length ? figures : AttemptResult.NO_REPORT;
+    return found == figures.length ? figures : AttemptResult.NO_LOAD_REPORT;
   }
 
   /**
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -190,7 +190,7 @@
       }
     } else if (task instanceof Task.Abort abort) {
       out.remove(abort.attempt());
-      if (site.clock().now() >= abort.attempt().until()) {
+      if (site.clock().now() >= abort.attempt().timesOutAtNanos()) {
         unanswered.note(site.clock().now());
       }
     } else if (task instanceof Task.Ended ended) {
@@ -224,10 +224,10 @@
    */
   @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actors' thread alone.
   private void begin(OutboundAttempt attempt) {
-    if (attempt.over()) {
+    if (attempt.isOver()) {
       return;
     }
-    if (!wanted || !attempt.wanted(site.clock().now())) {
+    if (!wanted || !attempt.isWanted(site.clock().now())) {
       unsent(attempt, AttemptOutcome.SUPERSEDED);
       return;
     }
@@ -281,7 +281,7 @@
 
   private void settle(Task.Ended ended) {
     boolean wanted = out.remove(ended.attempt()) != null;
-    AttemptOutcome ending = ended.outcome().ending();
+    AttemptOutcome ending = ended.outcome().outcome();
     boolean broke = ending == AttemptOutcome.CONNECT_FAILED || ending == AttemptOutcome.RESET;
     if (wanted && broke) {
       unanswered.note(site.clock().now());
@@ -289,7 +289,7 @@
       unanswered.end();
     }
     if (ended.reusable()) {
-      Idle left = new Idle(ended.connection(), ended.outcome().at());
+      Idle left = new Idle(ended.connection(), ended.outcome().endedAtNanos());
       if (wanted && !retired && left.connection().address().equals(dial)) {
         idle.push(left);
       } else {
@@ -318,7 +318,8 @@
 
   private void unsent(OutboundAttempt attempt, AttemptOutcome why) {
     site.module()
-        .accept(new RoutingMessage.Ended(attempt, AttemptResult.of(why, site.clock().now())));
+        .accept(
+            new RoutingMessage.AttemptEnded(attempt, AttemptResult.of(why, site.clock().now())));
   }
 
   /** Runs on the threads of the connections. */
@@ -336,12 +337,12 @@
         boolean reusable) {
       // The pool first: what the module sends next finds the connection idle.
       post(new Task.Ended(connection, attempt, outcome, reusable));
-      site.module().accept(new RoutingMessage.Ended(attempt, outcome));
+      site.module().accept(new RoutingMessage.AttemptEnded(attempt, outcome));
     }
 
     @Override
     public void begun(OutboundAttempt attempt, long at, BoundedPipe flow) {
-      site.module().accept(new RoutingMessage.FirstBytes(attempt, at, flow));
+      site.module().accept(new RoutingMessage.StreamingBegan(attempt, at, flow));
     }
 
     @Override
--- a/src/main/java/beaconturn/net/server/CacheServerPool.java
+++ b/src/main/java/beaconturn/net/server/CacheServerPool.java
@@ -37,13 +37,13 @@
   @Override
   public boolean send(OutboundAttempt attempt) {
     dropEnded();
-    Known known = servers.get(attempt.server());
+    Known known = servers.get(attempt.serverId());
     return known != null && known.health() != EndpointHealth.GONE && known.actor().send(attempt);
   }
 
   @Override
   public void abort(OutboundAttempt attempt) {
-    Known known = servers.get(attempt.server());
+    Known known = servers.get(attempt.serverId());
     if (known != null) {
       known.actor().abort(attempt);
     }
@@ -65,8 +65,8 @@
     dropEnded();
     List<String> changes = new ArrayList<>();
     Set<Long> named = new HashSet<>();
-    for (EndpointUpdate.Member member : news.members()) {
-      named.add(member.entry().serverId());
+    for (EndpointUpdate.AddressedEndpoint member : news.endpoints()) {
+      named.add(member.endpoint().serverId());
       update(member, changes);
     }
     if (news.kind() != EndpointListKind.DELTA) {
@@ -81,8 +81,8 @@
     }
   }
 
-  private void update(EndpointUpdate.Member member, List<String> changes) {
-    Endpoint entry = member.entry();
+  private void update(EndpointUpdate.AddressedEndpoint member, List<String> changes) {
+    Endpoint entry = member.endpoint();
     if (entry.health() == EndpointHealth.GONE) {
       gone(entry.serverId(), changes);
       return;
@@ -94,7 +94,7 @@
           "cache server "
               + member.host()
               + " at "
-              + member.dial()
+              + member.dialAddress()
               + " is "
               + entry.health()
               + (entry.bootTimeNanos() == 0
@@ -103,7 +103,7 @@
     }
     if (old != null) {
       leaving -= old.health() == EndpointHealth.GONE ? 1 : 0;
-      actor.dial(Sockets.address(member.dial()));
+      actor.dial(Sockets.address(member.dialAddress()));
     }
     if (old != null && old.bootTime() != entry.bootTimeNanos()) {
       // What was connected before the restart is dead, even where the peer's end was never heard
@@ -122,7 +122,7 @@
   }
 
   @Override
-  public boolean byHand(long server, boolean leftOut, boolean mayCome) {
+  public boolean override(long server, boolean leftOut, boolean mayCome) {
     boolean listed =
         servers.containsKey(server) && servers.get(server).health() != EndpointHealth.GONE;
     if (!listed && !mayCome && !out.contains(server)) {
@@ -138,13 +138,13 @@
   }
 
   @Override
-  public Listed listed(long server) {
+  public ListedServer listed(long server) {
     Known known = servers.get(server);
-    return known == null ? null : new Listed(known.host(), known.zone(), known.bootTime());
+    return known == null ? null : new ListedServer(known.host(), known.zone(), known.bootTime());
   }
 
-  private CacheServer start(EndpointUpdate.Member member) {
-    CacheServer actor = new CacheServer(site, member.host(), Sockets.address(member.dial()));
+  private CacheServer start(EndpointUpdate.AddressedEndpoint member) {
+    CacheServer actor = new CacheServer(site, member.host(), Sockets.address(member.dialAddress()));
     actor.start();
     return actor;
   }
--- a/src/test/java/beaconturn/core/RoutingEngineTest.java
+++ b/src/test/java/beaconturn/core/RoutingEngineTest.java
@@ -68,7 +68,7 @@
 
   private FakeCall arrive(RoutingEngine at) {
     FakeCall call = new FakeCall(now + 400 * MILLI);
-    at.handle(new RoutingMessage.Arrived(call));
+    at.handle(new RoutingMessage.RequestReceived(call));
     return call;
   }
 
@@ -91,21 +91,21 @@
   private static void list(
       RoutingEngine to, EndpointListKind kind, EndpointHealth health, long... servers) {
     to.handle(
-        new RoutingMessage.News(
+        new RoutingMessage.EndpointUpdateReceived(
             new EndpointUpdate(
                 1,
                 kind,
                 LongStream.of(servers)
                     .mapToObj(
                         id ->
-                            new EndpointUpdate.Member(
+                            new EndpointUpdate.AddressedEndpoint(
                                 new Endpoint(id, 0, 0, 0, health, 1, 0), "", ""))
                     .toList())));
   }
 
   private static void switchSettings(RoutingEngine of) {
     of.handle(
-        new RoutingMessage.Switched(
+        new RoutingMessage.SettingsReplaced(
             Samples.read("permissions.second_copies", "false").routing(), 6));
   }
 
@@ -123,11 +123,11 @@
     sending(0);
     FakeCall call = arrive();
     now += 30 * MILLI;
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("value")));
+    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("value")));
     assertEquals(List.of("served value"), call.answers);
     assertEquals(30 * MILLI, lastClosed().elapsedNanos());
     assertTrue(lastClosed().requestClosed());
-    assertEquals(0, host.open());
+    assertEquals(0, host.openRequests());
   }
 
   /** A process that ends answers what it has taken, and what comes while it does. */
@@ -135,9 +135,9 @@
   void whatIsOpenAtTheEndIsAnsweredAndCalledOff() {
     sending(0);
     FakeCall open = arrive();
-    host.handle(new RoutingMessage.Stopping());
+    host.handle(new RoutingMessage.StopRequested());
     assertEquals(List.of("failed"), open.answers);
-    assertEquals(0, host.open());
+    assertEquals(0, host.openRequests());
     assertTrue(events.get(events.size() - 1) instanceof RoutingEvent.RequestCancelled);
     int sent = fleet.sent.size();
     assertEquals(List.of("refused 0"), arrive().answers);
@@ -153,7 +153,7 @@
     sending(0);
     FakeCall late = new FakeCall(now + 400 * MILLI);
     late.settings = Samples.read("classes.0.effect", "non_idempotent").routing();
-    host.handle(new RoutingMessage.Arrived(late));
+    host.handle(new RoutingMessage.RequestReceived(late));
     assertEquals(List.of("refused 0"), late.answers);
     assertEquals(List.of(), fleet.sent);
   }
@@ -168,9 +168,9 @@
           }
         };
     FakeCall call = arrive();
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(1), ok("one")));
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("two")));
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("three")));
+    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(1), ok("one")));
+    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("two")));
+    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("three")));
     assertEquals(List.of("served one"), call.answers);
     assertEquals(3, events.size(), "each attempt ends once");
   }
@@ -190,7 +190,7 @@
   void noAttemptOutlivesItsClient() {
     sending(10_000 * MILLI);
     arrive();
-    assertEquals(now + 400 * MILLI, fleet.sent.get(0).until());
+    assertEquals(now + 400 * MILLI, fleet.sent.get(0).timesOutAtNanos());
   }
 
   @Test
@@ -238,9 +238,9 @@
   void aClientThatLeavesIsWithdrawnOnce() {
     sending(0);
     FakeCall call = arrive();
-    host.handle(new RoutingMessage.Left(call));
-    host.handle(new RoutingMessage.Left(call));
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("late")));
+    host.handle(new RoutingMessage.ClientLeft(call));
+    host.handle(new RoutingMessage.ClientLeft(call));
+    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("late")));
     assertEquals(List.of(), call.answers);
     assertEquals(
         1, events.stream().filter(RoutingEvent.RequestCancelled.class::isInstance).count());
@@ -265,7 +265,7 @@
     assertEquals(List.of("failed"), call.answers);
     sending(0);
     FakeCall next = arrive();
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("value")));
+    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("value")));
     assertEquals(List.of("served value"), next.answers);
   }
 
@@ -280,7 +280,7 @@
           }
         };
     arrive();
-    assertEquals(10 * MILLI, host.untilNext(1000 * MILLI));
+    assertEquals(10 * MILLI, host.untilNextTimerNanos(1000 * MILLI));
     now += 20 * MILLI;
     host.runDue();
     assertEquals(
@@ -297,11 +297,11 @@
   void aRequestThatIsOverIsLetGoBeforeItsDeadline() {
     sending(0);
     WeakReference<ClientRequest> call = new WeakReference<>(arrive());
-    host.handle(new RoutingMessage.Ended(fleet.sent.remove(0), ok("value")));
+    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.remove(0), ok("value")));
     while (call.get() != null) {
       System.gc();
     }
-    assertEquals(0, host.open());
+    assertEquals(0, host.openRequests());
   }
 
   @Test
@@ -311,8 +311,8 @@
     switchSettings(real);
     FakeCall after = arrive(real);
     assertEquals(2, fleet.sent.size());
-    real.handle(new RoutingMessage.Ended(fleet.sent.get(1), ok("new")));
-    real.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("old")));
+    real.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(1), ok("new")));
+    real.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("old")));
     assertEquals(List.of("served old"), before.answers);
     assertEquals(List.of("served new"), after.answers);
     assertEquals(0, mayWatch);
@@ -324,14 +324,15 @@
     FakeCall before = arrive(real);
     OutboundAttempt first = last();
     switchSettings(real);
-    list(real, EndpointListKind.DELTA, EndpointHealth.DRAINING, first.server());
-    real.handle(new RoutingMessage.Ended(first, AttemptResult.of(AttemptOutcome.REJECTED, now)));
+    list(real, EndpointListKind.DELTA, EndpointHealth.DRAINING, first.serverId());
+    real.handle(
+        new RoutingMessage.AttemptEnded(first, AttemptResult.of(AttemptOutcome.REJECTED, now)));
     assertEquals(1, before.answers.size());
     for (int i = 0; i < 20; i++) {
       now += 10 * MILLI;
       arrive(real);
     }
-    assertEquals(0, fleet.sent.stream().filter(a -> a.server() == first.server()).count());
+    assertEquals(0, fleet.sent.stream().filter(a -> a.serverId() == first.serverId()).count());
     assertNotEquals(0, fleet.sent.size());
   }
 
@@ -339,22 +340,22 @@
   void aSickServerIsNotTrustedAnewBecauseSettingsChanged() {
     RoutingEngine real = real(4);
     arrive(real);
-    long home = last().server();
+    long home = last().serverId();
     for (int i = 0; i < 20; i++) {
       now += 20 * MILLI;
       arrive(real);
       real.handle(
-          new RoutingMessage.Ended(
+          new RoutingMessage.AttemptEnded(
               last(),
-              last().server() == home ? AttemptResult.of(AttemptOutcome.ERROR, now) : ok("x")));
+              last().serverId() == home ? AttemptResult.of(AttemptOutcome.ERROR, now) : ok("x")));
     }
     switchSettings(real);
     int until = fleet.sent.size();
     for (int i = 0; i < 20; i++) {
       arrive(real);
-      real.handle(new RoutingMessage.Ended(last(), ok("x")));
+      real.handle(new RoutingMessage.AttemptEnded(last(), ok("x")));
     }
-    long toSick = fleet.sent.stream().skip(until).filter(a -> a.server() == home).count();
+    long toSick = fleet.sent.stream().skip(until).filter(a -> a.serverId() == home).count();
     assertTrue(toSick <= 1, "sent to the sick server: " + toSick);
     assertNotEquals(0, fleet.sent.size() - until);
   }
@@ -370,24 +371,24 @@
     mayWatch = 1;
     RoutingEngine real = new RoutingEngine(began, 5, () -> now, fleet, new NoList());
     switchSettings(real);
-    real.handle(new RoutingMessage.Switched(began, 7));
+    real.handle(new RoutingMessage.SettingsReplaced(began, 7));
     fleet.bootTime = now;
     real.handle(
-        new RoutingMessage.News(
+        new RoutingMessage.EndpointUpdateReceived(
             new EndpointUpdate(
                 2,
                 EndpointListKind.FULL,
                 List.of(
-                    new EndpointUpdate.Member(
+                    new EndpointUpdate.AddressedEndpoint(
                         new Endpoint(1, 0, 0, 0, EndpointHealth.READY, 1, now), "", "")))));
     FakeCall call = new FakeCall(now + 9000 * MILLI);
     call.settings = began;
     for (ServerStatus standing : List.of(ServerStatus.WARMING, ServerStatus.ACTIVE)) {
       now += 3000 * MILLI;
-      real.handle(new RoutingMessage.Arrived(call));
+      real.handle(new RoutingMessage.RequestReceived(call));
       assertEquals(
-          Map.of(new CacheServerClients.Listed("s1", 0, fleet.bootTime), standing),
-          real.standings());
+          Map.of(new CacheServerClients.ListedServer("s1", 0, fleet.bootTime), standing),
+          real.serverStatuses());
     }
   }
 
@@ -401,8 +402,8 @@
     }
 
     @Override
-    public Ask ask() {
-      return new Ask(0, 1, false, false, 0, 0, 0);
+    public RequestDescription description() {
+      return new RequestDescription(0, 1, false, false, 0, 0, 0);
     }
 
     @Override
@@ -411,22 +412,22 @@
     }
 
     @Override
-    public long deadline() {
+    public long deadlineNanos() {
       return deadline;
     }
 
     @Override
-    public List<Slice> forwarded(long waitMillis) {
+    public List<Slice> encode(long waitMillis) {
       return List.of();
     }
 
     @Override
-    public void served(Slice answer) {
+    public void answered(Slice answer) {
       answers.add("served " + answer);
     }
 
     @Override
-    public void refused(long retryAfter) {
+    public void rejected(long retryAfter) {
       answers.add("refused " + retryAfter / MILLI);
     }
 
@@ -443,8 +444,8 @@
     private long bootTime;
 
     @Override
-    public Listed listed(long server) {
-      return new Listed("s" + server, 0, bootTime);
+    public ListedServer listed(long server) {
+      return new ListedServer("s" + server, 0, bootTime);
     }
 
     @Override
@@ -468,8 +469,8 @@
     }
 
     @Override
-    public boolean byHand(long server, boolean out, boolean mayCome) {
-      return mayCome || server != 0;
+    public boolean override(long server, boolean excluded, boolean mayBeUnlisted) {
+      return mayBeUnlisted || server != 0;
     }
   }
 
--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/BrokenRouter.java
@@ -111,22 +111,23 @@
   }
 
   private synchronized RoutingMessage spoil(RoutingMessage message) {
-    if (message instanceof RoutingMessage.Arrived && defect == Defect.LOSES) {
+    if (message instanceof RoutingMessage.RequestReceived && defect == Defect.LOSES) {
       return ++count % SOME == 0 ? null : message;
     }
-    if (message instanceof RoutingMessage.News news && defect == Defect.IGNORES_DRAINS) {
+    if (message instanceof RoutingMessage.EndpointUpdateReceived news
+        && defect == Defect.IGNORES_DRAINS) {
       // The sockets too: they would hold a send back that the module should not have made.
-      return new RoutingMessage.News(
+      return new RoutingMessage.EndpointUpdateReceived(
           new EndpointUpdate(
-              news.news().version(),
-              news.news().kind(),
-              news.news().members().stream().map(BrokenRouter::undrained).toList()));
+              news.update().version(),
+              news.update().kind(),
+              news.update().endpoints().stream().map(BrokenRouter::undrained).toList()));
     }
-    if (!(message instanceof RoutingMessage.Ended ended)
-        || ended.outcome().ending() != AttemptOutcome.OK) {
+    if (!(message instanceof RoutingMessage.AttemptEnded ended)
+        || ended.result().outcome() != AttemptOutcome.OK) {
       return message;
     }
-    Slice answer = ended.outcome().answer();
+    Slice answer = ended.result().answer();
     Slice other = before;
     before = answer;
     if (++count % SOME != 0 || other == null) {
@@ -134,17 +135,18 @@
     }
     return switch (defect) {
       case ANSWERS_TWICE ->
-          new RoutingMessage.Ended(ended.attempt(), with(ended.outcome(), twice(answer)));
-      case SWAPS_ANSWERS -> new RoutingMessage.Ended(ended.attempt(), with(ended.outcome(), other));
+          new RoutingMessage.AttemptEnded(ended.attempt(), with(ended.result(), twice(answer)));
+      case SWAPS_ANSWERS ->
+          new RoutingMessage.AttemptEnded(ended.attempt(), with(ended.result(), other));
       default -> message;
     };
   }
 
-  private static EndpointUpdate.Member undrained(EndpointUpdate.Member m) {
-    Endpoint e = m.entry();
+  private static EndpointUpdate.AddressedEndpoint undrained(EndpointUpdate.AddressedEndpoint m) {
+    Endpoint e = m.endpoint();
     return e.health() != EndpointHealth.DRAINING
         ? m
-        : new EndpointUpdate.Member(
+        : new EndpointUpdate.AddressedEndpoint(
             new Endpoint(
                 e.serverId(),
                 e.zone(),
@@ -154,12 +156,16 @@
                 e.rating(),
                 e.bootTimeNanos()),
             m.host(),
-            m.dial());
+            m.dialAddress());
   }
 
   private static AttemptResult with(AttemptResult outcome, Slice answer) {
     return new AttemptResult(
-        outcome.ending(), outcome.at(), outcome.note(), outcome.report(), answer);
+        outcome.outcome(),
+        outcome.endedAtNanos(),
+        outcome.cacheStatus(),
+        outcome.loadReport(),
+        answer);
   }
 
   private static Slice twice(Slice answer) {
--- a/src/test/java/beaconturn/net/OperatorOverridesTest.java
+++ b/src/test/java/beaconturn/net/OperatorOverridesTest.java
@@ -70,7 +70,8 @@
     say(false);
     assertFalse(operators.leftOut("c1"));
     assertEquals(
-        List.of(true, false), posted.stream().map(m -> ((RoutingMessage.ByHand) m).out()).toList());
+        List.of(true, false),
+        posted.stream().map(m -> ((RoutingMessage.OverrideRequested) m).excluded()).toList());
   }
 
   /**
@@ -81,12 +82,14 @@
   void whenSomethingWasSaidIsToldByTheClockOfThisProcess() {
     operators.hand(
         new ServerOverride("c1", false, MonotonicMillis.millis() - 5000), true, known::add);
-    long at = ((RoutingMessage.ByHand) posted.get(0)).at();
+    long at = ((RoutingMessage.OverrideRequested) posted.get(0)).atNanos();
     assertTrue(at <= -5_000_000_000L && at > -60_000_000_000L, () -> "at " + at);
     operators.hand(
         new ServerOverride("c1", false, MonotonicMillis.millis() + 3_600_000), true, known::add);
     assertEquals(
-        0, ((RoutingMessage.ByHand) posted.get(1)).at(), "nothing was said later than now");
+        0,
+        ((RoutingMessage.OverrideRequested) posted.get(1)).atNanos(),
+        "nothing was said later than now");
   }
 
   /** The call is answered, as it holds once the fleet lets go; until then nobody sends there. */
--- a/src/test/java/beaconturn/net/PlantedAgreement.java
+++ b/src/test/java/beaconturn/net/PlantedAgreement.java
@@ -136,7 +136,7 @@
   }
 
   @Override
-  public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
+  public void sees(Map<CacheServerClients.ListedServer, ServerStatus> caches) {
     sound.sees(caches);
   }
 
--- a/src/test/java/beaconturn/net/RouterConfigTest.java
+++ b/src/test/java/beaconturn/net/RouterConfigTest.java
@@ -72,12 +72,12 @@
     assertEquals(512, config.sockets());
     assertEquals(41, config.known().version());
     assertEquals(EndpointListKind.CACHED, config.known().kind());
-    Endpoint first = config.known().members().get(0).entry();
+    Endpoint first = config.known().endpoints().get(0).endpoint();
     assertEquals(1, first.zone());
     assertEquals(1, first.kind());
     assertEquals(3, first.cell());
     assertEquals(1700000000123L * 1_000_000, first.bootTimeNanos());
-    assertEquals(EndpointHealth.DRAINING, config.known().members().get(1).entry().health());
+    assertEquals(EndpointHealth.DRAINING, config.known().endpoints().get(1).endpoint().health());
     assertEquals(2, config.settings().routing().routerCount());
     assertEquals(1_500_000_000L, config.settings().routing().classes().get(0).deadlineNanos());
     assertTrue(config.settings().routing().loadReportFields().isEmpty());
@@ -86,19 +86,20 @@
   /** Every router must place the same keys alike, whatever address it reaches a cache server at. */
   @Test
   void theNumberOfACacheServerComesFromItsNameAlone() throws ConfigException {
-    long here = read(SOUND, Map.of()).known().members().get(0).entry().serverId();
+    long here = read(SOUND, Map.of()).known().endpoints().get(0).endpoint().serverId();
     RouterConfig there = read(SOUND.replace("10.1.0.18", "127.9.1.4"), Map.of());
-    assertEquals(here, there.known().members().get(0).entry().serverId());
-    assertEquals("127.9.1.4:6379", there.known().members().get(0).dial());
-    assertNotEquals(here, there.known().members().get(1).entry().serverId());
+    assertEquals(here, there.known().endpoints().get(0).endpoint().serverId());
+    assertEquals("127.9.1.4:6379", there.known().endpoints().get(0).dialAddress());
+    assertNotEquals(here, there.known().endpoints().get(1).endpoint().serverId());
   }
 
   /** One line that cannot be read must not hide the others. */
   @Test
   void anUnreadableLineOfTheListIsLeftOut() throws ConfigException {
-    assertEquals(1, read(SOUND.replace("\"ready\"", "\"odd\""), Map.of()).known().members().size());
     assertEquals(
-        1, read(SOUND.replace("10.1.0.18:6379", "here"), Map.of()).known().members().size());
+        1, read(SOUND.replace("\"ready\"", "\"odd\""), Map.of()).known().endpoints().size());
+    assertEquals(
+        1, read(SOUND.replace("10.1.0.18:6379", "here"), Map.of()).known().endpoints().size());
   }
 
   @Test
@@ -134,7 +135,8 @@
     assertEquals(List.of(), inForce);
     reloads.reload();
     assertEquals(
-        List.of(new RoutingMessage.Switched(last.settings().routing(), last.seed())), posted);
+        List.of(new RoutingMessage.SettingsReplaced(last.settings().routing(), last.seed())),
+        posted);
     assertEquals(List.of(last.settings()), inForce);
     assertTrue(counters.read().contains(new Counters.Figure("conf_loaded", 1, false)));
     assertTrue(counters.read().contains(new Counters.Figure("conf_invalid", 1, false)));
--- a/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
@@ -98,7 +98,7 @@
   }
 
   private ClientRequest arrived() throws InterruptedException {
-    return ((RoutingMessage.Arrived) module.poll(20, TimeUnit.SECONDS)).call();
+    return ((RoutingMessage.RequestReceived) module.poll(20, TimeUnit.SECONDS)).request();
   }
 
   private void awaitHalfRead() throws Exception {
@@ -137,7 +137,7 @@
     now.addAndGet(3 * SECOND);
     connections.sweep(now.get());
     late.start();
-    arrived().served(Slice.of("+v\r\n"));
+    arrived().answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
   }
 
@@ -148,7 +148,7 @@
   @Test
   void overALoweredMostOneGoesForOneThatComes() throws Exception {
     client.write(GET);
-    arrived().served(Slice.of("+v\r\n"));
+    arrived().answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     awaitQuiet();
     TestPeer.Line first = client;
@@ -179,7 +179,7 @@
   @Test
   void halfACommandBehindAWholeOneIsClosedInTheSameTime() throws Exception {
     client.write(GET);
-    arrived().served(Slice.of("+v\r\n"));
+    arrived().answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     awaitQuiet();
     now.addAndGet(SECOND);
@@ -198,7 +198,7 @@
     awaitHalfRead();
     now.addAndGet(3 * SECOND);
     connections.sweep(now.get());
-    call.served(Slice.of("+v\r\n"));
+    call.answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
   }
 
@@ -217,7 +217,7 @@
   @Test
   void aQuietConnectionIsEndedBetweenRequestsAfterSomeSeconds() throws Exception {
     client.write(GET);
-    arrived().served(Slice.of("+v\r\n"));
+    arrived().answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     awaitQuiet();
     connections.sweep(now.get() + 2 * SECOND);
@@ -239,7 +239,7 @@
     ClientRequest call = arrived();
     now.addAndGet(SECOND / 2);
     crowded.sweep(now.get());
-    call.served(Slice.of("+v\r\n"));
+    call.answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     crowded.sweep(now.get());
     client.write("*1\r\n$4\r\nPING\r\n");
@@ -288,7 +288,8 @@
     }
     client.hangUp();
     for (int i = 0; i < open; i++) {
-      assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.Left, "number " + i);
+      assertTrue(
+          module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft, "number " + i);
     }
     TestPeer.until(() -> connections.count() == 0);
     assertEquals(0, module.size());
@@ -321,7 +322,7 @@
     waits.write(GET);
     now.addAndGet(SECOND);
     release.countDown();
-    assertEquals(before + SECOND * 3 / 2, arrived().deadline());
+    assertEquals(before + SECOND * 3 / 2, arrived().deadlineNanos());
   }
 
   /**
@@ -344,7 +345,7 @@
     stopped.start();
     awaitRegistered();
     client.write(GET);
-    long deadline = arrived().deadline();
+    long deadline = arrived().deadlineNanos();
     // From the begin of the wait, a second before its end, which was a second ago.
     long latest = arrivedAt.get() - 2 * SECOND + SECOND * 3 / 2;
     assertTrue(deadline <= latest, deadline + " is after " + latest);
@@ -373,8 +374,8 @@
     client.write(get("waits"));
     awaitHalfRead();
     now.addAndGet(SECOND);
-    first.served(Slice.of("+v\r\n"));
-    assertEquals(before + SECOND * 3 / 2, arrived().deadline());
+    first.answered(Slice.of("+v\r\n"));
+    assertEquals(before + SECOND * 3 / 2, arrived().deadlineNanos());
   }
 
   /** A request that crosses the end of its resting connection is served, or else left unread. */
@@ -388,7 +389,7 @@
     now.addAndGet(3 * SECOND);
     connections.sweep(now.get());
     release.countDown();
-    arrived().served(Slice.of("+v\r\n"));
+    arrived().answered(Slice.of("+v\r\n"));
     assertEquals("+v", rests.answer());
   }
 
@@ -412,7 +413,7 @@
         () ->
             rejected.get() == 1 && stoppingConnection.partialCommandSinceNanos() == Long.MAX_VALUE);
     assertEquals(1, ids.count());
-    early.served(Slice.of("+v\r\n"));
+    early.answered(Slice.of("+v\r\n"));
     assertEquals("+v", stopping.answer());
     assertEquals("-BUSY 50", stopping.answer());
     TestPeer.until(
@@ -445,8 +446,8 @@
     toModule = module::add;
     release.countDown();
     ClientRequest early = arrived();
-    arrived().served(Slice.of("+late\r\n"));
-    early.served(Slice.of("+early\r\n"));
+    arrived().answered(Slice.of("+late\r\n"));
+    early.answered(Slice.of("+early\r\n"));
     assertEquals("+early", client.answer());
     assertEquals("+late", client.answer());
     assertEquals("end", client.answer());
@@ -459,7 +460,7 @@
     client.write(GET);
     ClientRequest call = arrived();
     connections.stop();
-    call.served(Slice.of("+v\r\n"));
+    call.answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     assertEquals("end", client.answer());
   }
@@ -489,12 +490,12 @@
     client.write(GET);
     ClientRequest call = arrived();
     assertEquals(1, ids.count());
-    call.refused(0);
+    call.rejected(0);
     assertEquals(0, ids.count());
     client.write(GET);
     arrived();
     client.hangUp();
-    assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.Left);
+    assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft);
     TestPeer.until(() -> ids.count() == 0);
   }
 
@@ -525,15 +526,15 @@
             + "*1\r\n:5\r\n"
             + get("last"));
     ClientRequest first = arrived();
-    arrived().served(Slice.of("+last\r\n"));
-    first.served(Slice.of("+first\r\n"));
+    arrived().answered(Slice.of("+last\r\n"));
+    first.answered(Slice.of("+first\r\n"));
     assertEquals("+first", client.answer());
     for (int i = 0; i < 5; i++) {
       assertTrue(client.answer().startsWith("-ERR "), "command " + i);
     }
     assertEquals("+last", client.answer());
     client.write(get("another"));
-    arrived().served(Slice.of("+another\r\n"));
+    arrived().answered(Slice.of("+another\r\n"));
     assertEquals("+another", client.answer());
     assertEquals(0, ids.count());
   }
@@ -550,7 +551,7 @@
     connections.makeRoom(now.get());
     connections.makeRoom(now.get());
     begun.write(GET.substring(9));
-    arrived().served(Slice.of("+v\r\n"));
+    arrived().answered(Slice.of("+v\r\n"));
     assertEquals("+v", begun.answer());
   }
 
@@ -585,7 +586,7 @@
         () -> resting.partialCommandSinceNanos() < Long.MAX_VALUE || resting.isLeaving());
     awaitPollerRound();
     rests.write(GET.substring(9));
-    arrived().served(Slice.of("+v\r\n"));
+    arrived().answered(Slice.of("+v\r\n"));
     assertEquals("+v", rests.answer());
   }
 
@@ -611,7 +612,7 @@
     assertEquals(0, module.size());
     now.addAndGet(SECOND / 10);
     connections.sweep(now.get());
-    arrived().served(Slice.of("+v\r\n"));
+    arrived().answered(Slice.of("+v\r\n"));
   }
 
   /** The router's own failure on a connection frees nobody of an answer. */
@@ -621,7 +622,7 @@
     arrived();
     toModule =
         message -> {
-          if (message instanceof RoutingMessage.Arrived) {
+          if (message instanceof RoutingMessage.RequestReceived) {
             throw new IllegalStateException("put in by the test");
           }
         };
--- a/src/test/java/beaconturn/net/client/ClientEventLogTest.java
+++ b/src/test/java/beaconturn/net/client/ClientEventLogTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.core.ClientRequest;
+import beaconturn.core.RequestDescription;
 import beaconturn.net.server.CacheServerTest;
 import beaconturn.protocol.RespValue;
 import beaconturn.protocol.Slice;
@@ -95,7 +95,7 @@
 
   private static RespClientRequest call(String id) {
     return new RespClientRequest(
-        new ClientRequest.Ask(0, 1, false, false, 0, 0, 0),
+        new RequestDescription(0, 1, false, false, 0, 0, 0),
         SECOND,
         new RequestParser.Parts(Slice.of(id), Slice.of(id), Map.of(), null),
         CacheServerTest.READ,
--- a/src/test/java/beaconturn/net/discovery/DiscoveryWatcherTest.java
+++ b/src/test/java/beaconturn/net/discovery/DiscoveryWatcherTest.java
@@ -48,7 +48,7 @@
   }
 
   private EndpointUpdate news() throws InterruptedException {
-    return ((RoutingMessage.News) module.poll(20, TimeUnit.SECONDS)).news();
+    return ((RoutingMessage.EndpointUpdateReceived) module.poll(20, TimeUnit.SECONDS)).update();
   }
 
   /**
--- a/src/test/java/beaconturn/net/server/CacheResponseReaderTest.java
+++ b/src/test/java/beaconturn/net/server/CacheResponseReaderTest.java
@@ -33,7 +33,8 @@
   @Test
   void aReportIsReadInTheOrderOfTheSettings() throws Exception {
     assertArrayEquals(
-        new float[] {3, 1.5f}, read(RespWriter.bulk("svc_ms=1.5,busy_reqs=3").toString()).report());
+        new float[] {3, 1.5f},
+        read(RespWriter.bulk("svc_ms=1.5,busy_reqs=3").toString()).loadReport());
   }
 
   /**
@@ -53,12 +54,12 @@
             "svc_ms=1,svc_ms=2",
             "svc_ms=1,busy_reqs=0x1p3")) {
       AttemptResult outcome = read(RespWriter.bulk(wrong).toString());
-      assertEquals(AttemptOutcome.OK, outcome.ending(), wrong);
-      assertEquals(0, outcome.report().length, wrong);
+      assertEquals(AttemptOutcome.OK, outcome.outcome(), wrong);
+      assertEquals(0, outcome.loadReport().length, wrong);
     }
     for (String odd : List.of(":7\r\n", "$-1\r\n", "+x\r\n", "*0\r\n")) {
-      assertEquals(AttemptOutcome.OK, read(odd).ending(), odd);
-      assertEquals(0, read(odd).report().length, odd);
+      assertEquals(AttemptOutcome.OK, read(odd).outcome(), odd);
+      assertEquals(0, read(odd).loadReport().length, odd);
     }
   }
 
--- a/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
@@ -8,6 +8,7 @@
 import beaconturn.core.Clock;
 import beaconturn.core.EndpointUpdate;
 import beaconturn.core.OutboundAttempt;
+import beaconturn.core.RequestDescription;
 import beaconturn.core.RoutingMessage;
 import beaconturn.decision.AttemptOutcome;
 import beaconturn.decision.Endpoint;
@@ -36,15 +37,16 @@
       CacheServerTest.site(clock, module::add, new ConnectionLimit(9), SECOND / 100, workers);
   private final CacheServerPool fleet = new CacheServerPool(site);
 
-  private static EndpointUpdate.Member member(long id, EndpointHealth health, TestPeer peer) {
-    return new EndpointUpdate.Member(
+  private static EndpointUpdate.AddressedEndpoint member(
+      long id, EndpointHealth health, TestPeer peer) {
+    return new EndpointUpdate.AddressedEndpoint(
         new Endpoint(id, 0, 0, 0, health, 1, 0), "fleet-" + id, peer.dial());
   }
 
   private OutboundAttempt attempt(long server) {
     ClientRequest call =
         new RespClientRequest(
-            new ClientRequest.Ask(0, 1, false, false, 0, 0, 0),
+            new RequestDescription(0, 1, false, false, 0, 0, 0),
             clock.now() + 100 * SECOND,
             new RequestParser.Parts(
                 Slice.of("$5\r\nC.GET\r\n$1\r\na\r\n$2\r\nid\r\n"),
@@ -111,8 +113,8 @@
       int most = 0;
       for (long id = 0; id < MANY; id++) {
         assertTrue(fleet.send(attempt(id)));
-        RoutingMessage.Ended ended = (RoutingMessage.Ended) module.take();
-        assertEquals(AttemptOutcome.OK, ended.outcome().ending());
+        RoutingMessage.AttemptEnded ended = (RoutingMessage.AttemptEnded) module.take();
+        assertEquals(AttemptOutcome.OK, ended.result().outcome());
         most = Math.max(most, workers.threads());
         fleet.closeIdle(id);
       }
--- a/src/test/java/beaconturn/net/server/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerTest.java
@@ -9,6 +9,7 @@
 import beaconturn.core.ClientRequest;
 import beaconturn.core.Clock;
 import beaconturn.core.OutboundAttempt;
+import beaconturn.core.RequestDescription;
 import beaconturn.core.RoutingMessage;
 import beaconturn.core.Samples;
 import beaconturn.decision.AttemptOutcome;
@@ -92,7 +93,7 @@
     String name = "key-" + sent;
     ClientRequest call =
         new RespClientRequest(
-            new ClientRequest.Ask(0, 1, false, false, 0, 0, 0),
+            new RequestDescription(0, 1, false, false, 0, 0, 0),
             clock.now() + 100 * SECOND,
             new RequestParser.Parts(
                 Slice.of("$5\r\nC.GET\r\n" + RespWriter.bulk(name) + RespWriter.bulk("id")),
@@ -113,15 +114,16 @@
   }
 
   private AttemptResult outcome(OutboundAttempt of) throws InterruptedException {
-    RoutingMessage.Ended ended = (RoutingMessage.Ended) module.poll(20, TimeUnit.SECONDS);
+    RoutingMessage.AttemptEnded ended =
+        (RoutingMessage.AttemptEnded) module.poll(20, TimeUnit.SECONDS);
     assertNotNull(ended, "no outcome");
     assertEquals(of, ended.attempt());
-    return ended.outcome();
+    return ended.result();
   }
 
   private void expect(AttemptOutcome ending, TestPeer.Script script) throws InterruptedException {
     try (TestPeer peer = new TestPeer(script)) {
-      assertEquals(ending, outcome(send(server(peer))).ending());
+      assertEquals(ending, outcome(send(server(peer))).outcome());
       assertEquals(1, peer.connections(), "nothing is sent again by itself");
     }
   }
@@ -138,8 +140,8 @@
               line.command();
             })) {
       AttemptResult outcome = outcome(send(server(peer)));
-      assertEquals(AttemptOutcome.OK, outcome.ending());
-      assertEquals(CacheStatus.MISS, outcome.note());
+      assertEquals(AttemptOutcome.OK, outcome.outcome());
+      assertEquals(CacheStatus.MISS, outcome.cacheStatus());
       assertEquals("$2\r\nva\r\n", outcome.answer().toString());
     }
   }
@@ -161,7 +163,7 @@
     try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
       CacheServer server = server(peer);
       server.wanted(false);
-      assertEquals(AttemptOutcome.SUPERSEDED, outcome(send(server)).ending());
+      assertEquals(AttemptOutcome.SUPERSEDED, outcome(send(server)).outcome());
       assertEquals(0, peer.connections());
     }
   }
@@ -173,9 +175,9 @@
       CacheServer server = server(peer);
       passed.addAndGet(SECOND);
       OutboundAttempt attempt = attempt(null);
-      ((RespClientRequest) attempt.call()).abandoned();
+      ((RespClientRequest) attempt.request()).abandoned();
       assertTrue(server.send(attempt));
-      assertEquals(AttemptOutcome.SUPERSEDED, outcome(attempt).ending());
+      assertEquals(AttemptOutcome.SUPERSEDED, outcome(attempt).outcome());
       assertEquals(0, peer.connections());
     }
   }
@@ -188,7 +190,7 @@
       OutboundAttempt attempt = attempt(null);
       passed.addAndGet(101 * SECOND);
       assertTrue(server.send(attempt));
-      assertEquals(AttemptOutcome.SUPERSEDED, outcome(attempt).ending());
+      assertEquals(AttemptOutcome.SUPERSEDED, outcome(attempt).outcome());
       assertEquals(0, peer.connections());
     }
   }
@@ -210,7 +212,7 @@
                 }
               });
       OutboundAttempt attempt = attempt(null);
-      ((RespClientRequest) attempt.call()).abandoned();
+      ((RespClientRequest) attempt.request()).abandoned();
       connection.carry(attempt);
       assertEquals("end", peer.note());
     }
@@ -308,7 +310,7 @@
                 line.write(spoilt);
                 line.note(line.command());
               })) {
-        assertEquals(AttemptOutcome.RESET, outcome(send(server(peer))).ending(), spoilt);
+        assertEquals(AttemptOutcome.RESET, outcome(send(server(peer))).outcome(), spoilt);
         assertTrue(List.of("end", "broken").contains(peer.note()), spoilt);
       }
     }
@@ -328,9 +330,9 @@
                 line.note(line.command());
               })) {
         CacheServer server = server(peer);
-        assertEquals(AttemptOutcome.OK, outcome(send(server)).ending());
+        assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
         assertTrue(List.of("end", "broken").contains(peer.note()));
-        assertEquals(AttemptOutcome.OK, outcome(send(server)).ending());
+        assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
         assertEquals(2, peer.connections());
       }
     }
@@ -354,10 +356,10 @@
                 line.note(line.command());
               })) {
         CacheServer server = server(peer);
-        assertEquals(AttemptOutcome.OK, outcome(send(server)).ending());
+        assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
         later.countDown();
         assertTrue(List.of("end", "broken").contains(peer.note()));
-        assertEquals(AttemptOutcome.OK, outcome(send(server)).ending());
+        assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
         assertEquals(2, peer.connections());
       }
     }
@@ -381,7 +383,7 @@
       passed.addAndGet(-system.now() - passed.get());
       OutboundAttempt next = attempt(null);
       assertTrue(server.send(next));
-      assertEquals(AttemptOutcome.OK, outcome(next).ending());
+      assertEquals(AttemptOutcome.OK, outcome(next).outcome());
       assertEquals(2, peer.connections());
     }
   }
@@ -390,7 +392,7 @@
   void aRefusedConnectionNeverRan() throws InterruptedException {
     TestPeer peer = new TestPeer(TestPeer.Line::command);
     peer.close();
-    assertEquals(AttemptOutcome.CONNECT_FAILED, outcome(send(server(peer))).ending());
+    assertEquals(AttemptOutcome.CONNECT_FAILED, outcome(send(server(peer))).outcome());
   }
 
   @Test
@@ -399,7 +401,7 @@
     try (TestPeer peer = new TestPeer(line -> over.await())) {
       CacheServer server = server(peer.address(), 1, 60 * SECOND);
       send(server);
-      assertEquals(AttemptOutcome.NOT_SENT, outcome(send(server)).ending());
+      assertEquals(AttemptOutcome.NOT_SENT, outcome(send(server)).outcome());
       over.countDown();
     }
   }
@@ -416,7 +418,7 @@
             })) {
       CacheServer server = server(peer);
       for (int i = 0; i < 5; i++) {
-        assertEquals(AttemptOutcome.OK, outcome(send(server)).ending());
+        assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
         assertEquals("key-" + i, peer.note());
       }
       assertEquals(1, peer.connections());
@@ -483,7 +485,7 @@
       for (int i = 0; i < 2; i++) {
         OutboundAttempt attempt = attempt(null);
         assertTrue(server.send(attempt));
-        assertEquals(AttemptOutcome.OK, outcome(attempt).ending());
+        assertEquals(AttemptOutcome.OK, outcome(attempt).outcome());
       }
       assertEquals("end", peer.note());
       assertEquals(2, peer.connections());
@@ -525,9 +527,9 @@
               line.note("closed");
             })) {
       CacheServer server = server(peer);
-      assertEquals(AttemptOutcome.OK, outcome(send(server)).ending());
+      assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
       peer.note();
-      assertEquals(AttemptOutcome.OK, outcome(send(server)).ending());
+      assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
       assertEquals(2, peer.connections());
       peer.note();
       // Nobody sends any more, and what the peer has closed still gives its place back.
@@ -575,7 +577,7 @@
       CacheServer server = server(old);
       outcome(send(server));
       server.dial(next.address());
-      assertEquals(AttemptOutcome.OK, outcome(send(server)).ending());
+      assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
       assertEquals("C.GET", next.note());
       assertEquals("end", old.note(), "the idle connection to the old address is closed");
     }
@@ -607,7 +609,7 @@
       awaitQuiet(server);
       assertNull(
           module.stream()
-              .filter(m -> ((RoutingMessage.Ended) m).outcome().answer() != null)
+              .filter(m -> ((RoutingMessage.AttemptEnded) m).result().answer() != null)
               .findAny()
               .orElse(null));
       over.countDown();
--- a/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
@@ -175,8 +175,8 @@
     }
 
     @Override
-    public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
-      Map<CacheServerClients.Listed, ServerStatus> told = new HashMap<>(caches);
+    public void sees(Map<CacheServerClients.ListedServer, ServerStatus> caches) {
+      Map<CacheServerClients.ListedServer, ServerStatus> told = new HashMap<>(caches);
       if (defect == Defect.LIES) {
         told.replaceAll((listed, standing) -> ServerStatus.EJECTED);
       }
