--- a/src/main/java/beaconturn/core/RoutingEngine.java
+++ b/src/main/java/beaconturn/core/RoutingEngine.java
@@ -76,7 +76,7 @@
       requestReceived(received.request());
     } else if (message instanceof RoutingMessage.ClientLeft left) {
       withdraw(context.requests().of(left.request()));
-    } else if (message instanceof RoutingMessage.AttemptEnded ended) {
+    } else if (message instanceof RoutingMessage.AttemptCompleted ended) {
       attempts.ended(ended.attempt(), ended.result());
     } else if (message instanceof RoutingMessage.StreamingBegan began) {
       attempts.streamingBegan(began);
--- a/src/main/java/beaconturn/core/RoutingMessage.java
+++ b/src/main/java/beaconturn/core/RoutingMessage.java
@@ -17,7 +17,8 @@
   record ClientLeft(ClientRequest request) implements RoutingMessage {}
 
   /** An attempt has ended. */
-  record AttemptEnded(OutboundAttempt attempt, AttemptResult result) implements RoutingMessage {}
+  record AttemptCompleted(OutboundAttempt attempt, AttemptResult result)
+      implements RoutingMessage {}
 
   /**
    * The answer to an attempt has begun, and goes on as a stream.
--- a/src/test/java/beaconturn/core/RoutingEngineTest.java
+++ b/src/test/java/beaconturn/core/RoutingEngineTest.java
@@ -123,7 +123,7 @@
     sending(0);
     FakeCall call = arrive();
     now += 30 * MILLI;
-    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("value")));
+    host.handle(new RoutingMessage.AttemptCompleted(fleet.sent.get(0), ok("value")));
     assertEquals(List.of("served value"), call.answers);
     assertEquals(30 * MILLI, lastClosed().elapsedNanos());
     assertTrue(lastClosed().requestClosed());
@@ -168,9 +168,9 @@
           }
         };
     FakeCall call = arrive();
-    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(1), ok("one")));
-    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("two")));
-    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("three")));
+    host.handle(new RoutingMessage.AttemptCompleted(fleet.sent.get(1), ok("one")));
+    host.handle(new RoutingMessage.AttemptCompleted(fleet.sent.get(0), ok("two")));
+    host.handle(new RoutingMessage.AttemptCompleted(fleet.sent.get(0), ok("three")));
     assertEquals(List.of("served one"), call.answers);
     assertEquals(3, events.size(), "each attempt ends once");
   }
@@ -240,7 +240,7 @@
     FakeCall call = arrive();
     host.handle(new RoutingMessage.ClientLeft(call));
     host.handle(new RoutingMessage.ClientLeft(call));
-    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("late")));
+    host.handle(new RoutingMessage.AttemptCompleted(fleet.sent.get(0), ok("late")));
     assertEquals(List.of(), call.answers);
     assertEquals(
         1, events.stream().filter(RoutingEvent.RequestCancelled.class::isInstance).count());
@@ -265,7 +265,7 @@
     assertEquals(List.of("failed"), call.answers);
     sending(0);
     FakeCall next = arrive();
-    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("value")));
+    host.handle(new RoutingMessage.AttemptCompleted(fleet.sent.get(0), ok("value")));
     assertEquals(List.of("served value"), next.answers);
   }
 
@@ -297,7 +297,7 @@
   void aRequestThatIsOverIsLetGoBeforeItsDeadline() {
     sending(0);
     WeakReference<ClientRequest> call = new WeakReference<>(arrive());
-    host.handle(new RoutingMessage.AttemptEnded(fleet.sent.remove(0), ok("value")));
+    host.handle(new RoutingMessage.AttemptCompleted(fleet.sent.remove(0), ok("value")));
     while (call.get() != null) {
       System.gc();
     }
@@ -311,8 +311,8 @@
     switchSettings(real);
     FakeCall after = arrive(real);
     assertEquals(2, fleet.sent.size());
-    real.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(1), ok("new")));
-    real.handle(new RoutingMessage.AttemptEnded(fleet.sent.get(0), ok("old")));
+    real.handle(new RoutingMessage.AttemptCompleted(fleet.sent.get(1), ok("new")));
+    real.handle(new RoutingMessage.AttemptCompleted(fleet.sent.get(0), ok("old")));
     assertEquals(List.of("served old"), before.answers);
     assertEquals(List.of("served new"), after.answers);
     assertEquals(0, mayWatch);
@@ -326,7 +326,7 @@
     switchSettings(real);
     list(real, EndpointListKind.DELTA, EndpointHealth.DRAINING, first.serverId());
     real.handle(
-        new RoutingMessage.AttemptEnded(first, AttemptResult.of(AttemptOutcome.REJECTED, now)));
+        new RoutingMessage.AttemptCompleted(first, AttemptResult.of(AttemptOutcome.REJECTED, now)));
     assertEquals(1, before.answers.size());
     for (int i = 0; i < 20; i++) {
       now += 10 * MILLI;
@@ -345,7 +345,7 @@
       now += 20 * MILLI;
       arrive(real);
       real.handle(
-          new RoutingMessage.AttemptEnded(
+          new RoutingMessage.AttemptCompleted(
               last(),
               last().serverId() == home ? AttemptResult.of(AttemptOutcome.ERROR, now) : ok("x")));
     }
@@ -353,7 +353,7 @@
     int until = fleet.sent.size();
     for (int i = 0; i < 20; i++) {
       arrive(real);
-      real.handle(new RoutingMessage.AttemptEnded(last(), ok("x")));
+      real.handle(new RoutingMessage.AttemptCompleted(last(), ok("x")));
     }
     long toSick = fleet.sent.stream().skip(until).filter(a -> a.serverId() == home).count();
     assertTrue(toSick <= 1, "sent to the sick server: " + toSick);
--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/BrokenRouter.java
@@ -34,7 +34,7 @@
  * Routers with a defect each, put in on purpose: what watches over routers must name every one of
  * them.
  */
-public final class BrokenRouter implements RouterServer.Hosting {
+public final class BrokenRouter implements RouterCustomization {
   private static final int SOME = 15;
   private static final long TOO_LONG = 60_000_000_000L;
   private final Defect defect;
@@ -70,7 +70,8 @@
   /** A router with the defect; not started yet. */
   public static RouterServer of(Defect defect, RouterConfig config) throws IOException {
     return new RouterServer(
-        config, () -> config, new Lifecycle(), new BrokenRouter(defect), null, null);
+        new RouterInputs(
+            config, () -> config, new Lifecycle(), new BrokenRouter(defect), null, null));
   }
 
   @Override
@@ -123,7 +124,7 @@
               news.update().kind(),
               news.update().endpoints().stream().map(BrokenRouter::undrained).toList()));
     }
-    if (!(message instanceof RoutingMessage.AttemptEnded ended)
+    if (!(message instanceof RoutingMessage.AttemptCompleted ended)
         || ended.result().outcome() != AttemptOutcome.OK) {
       return message;
     }
@@ -135,9 +136,9 @@
     }
     return switch (defect) {
       case ANSWERS_TWICE ->
-          new RoutingMessage.AttemptEnded(ended.attempt(), with(ended.result(), twice(answer)));
+          new RoutingMessage.AttemptCompleted(ended.attempt(), with(ended.result(), twice(answer)));
       case SWAPS_ANSWERS ->
-          new RoutingMessage.AttemptEnded(ended.attempt(), with(ended.result(), other));
+          new RoutingMessage.AttemptCompleted(ended.attempt(), with(ended.result(), other));
       default -> message;
     };
   }
@@ -176,7 +177,7 @@
   }
 
   @Override
-  public RoutingEngine host(
+  public RoutingEngine engine(
       RouterConfig config, Clock clock, CacheServerClients fleet, EndpointDiscovery list) {
     RoutingSettings settings = config.settings().routing();
     return new RoutingEngine(
--- a/src/test/java/beaconturn/net/client/ConnectionStateTest.java
+++ b/src/test/java/beaconturn/net/client/ConnectionStateTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import beaconturn.net.client.ConnectionState.ConnectionPhase;
 import beaconturn.net.client.ConnectionState.EndProposal;
-import beaconturn.net.client.ConnectionState.Phase;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -21,10 +21,15 @@
 
   @Test
   void aPhaseIsFollowedByLaterOnesOnly() {
-    List<Phase> phases = List.of(Phase.OPEN, Phase.DRAINING, Phase.ENDING, Phase.CLOSED);
-    assertEquals(phases, List.of(Phase.values()));
-    for (Phase from : phases) {
-      for (Phase to : phases) {
+    List<ConnectionPhase> phases =
+        List.of(
+            ConnectionPhase.OPEN,
+            ConnectionPhase.DRAINING,
+            ConnectionPhase.ENDING,
+            ConnectionPhase.CLOSED);
+    assertEquals(phases, List.of(ConnectionPhase.values()));
+    for (ConnectionPhase from : phases) {
+      for (ConnectionPhase to : phases) {
         assertEquals(
             phases.indexOf(to) > phases.indexOf(from), from.mayBecome(to), from + " " + to);
       }
@@ -33,7 +38,7 @@
 
   @Test
   void aNewConnectionTakesCommands() {
-    assertEquals(Phase.OPEN, state.phase());
+    assertEquals(ConnectionPhase.OPEN, state.phase());
     assertTrue(state.takesCommands());
     assertFalse(state.isDraining());
     assertFalse(state.hasProposal());
@@ -44,7 +49,7 @@
   void aDrainingConnectionStillTakesCommandsAndKeepsItsFirstTime() {
     state.drain(5);
     state.drain(9);
-    assertEquals(Phase.DRAINING, state.phase());
+    assertEquals(ConnectionPhase.DRAINING, state.phase());
     assertEquals(5, state.drainingSinceNanos());
     assertTrue(state.takesCommands());
   }
@@ -83,7 +88,7 @@
   void aProposalIsTakenOnceAndChangesNoPhase() {
     assertTrue(state.propose(IDLE));
     assertTrue(state.hasProposal());
-    assertEquals(Phase.OPEN, state.phase());
+    assertEquals(ConnectionPhase.OPEN, state.phase());
     assertEquals(IDLE, state.takeProposal());
     assertNull(state.takeProposal());
     assertFalse(state.hasProposal());
