--- a/src/main/java/beaconturn/core/RouterSettings.java
+++ b/src/main/java/beaconturn/core/RouterSettings.java
@@ -19,7 +19,7 @@
    * Whether lists, answers and connections mean the same under both, so that one may follow the
    * other at once. Classes may differ: a request keeps the settings that it was read under.
    */
-  public boolean sameWire(RouterSettings other) {
+  public boolean isWireCompatibleWith(RouterSettings other) {
     RoutingPermissions may = routing.permissions();
     RoutingPermissions others = other.routing.permissions();
     return zones.equals(other.zones)
--- a/src/main/java/beaconturn/core/package-info.java
+++ b/src/main/java/beaconturn/core/package-info.java
@@ -1,5 +1,7 @@
 /**
- * What runs the decision module without any I/O: phases, mailboxes, the request table, timers,
- * settings.
+ * The host of the decision policy, without any I/O: the routing thread and its mailbox, the engine
+ * that turns messages into the policy's events and carries out its actions, the table of requests,
+ * timers, settings. {@link beaconturn.core.RoutingThread} is the one thread that decides; types say
+ * where others may call.
  */
 package beaconturn.core;
--- a/src/main/java/beaconturn/net/ConfigReloader.java
+++ b/src/main/java/beaconturn/net/ConfigReloader.java
@@ -94,7 +94,7 @@
       throw new ConfigException(
           missing + ": is missing, or of another type than in the file in force");
     }
-    if (!inForce.settings().sameWire(next.settings())) {
+    if (!inForce.settings().isWireCompatibleWith(next.settings())) {
       throw new ConfigException(
           "settings: tenants, reports, places or times of connections have "
               + "changed, which needs a restart");
