--- a/src/main/java/beaconturn/cli/CheckConfigCommand.java
+++ b/src/main/java/beaconturn/cli/CheckConfigCommand.java
@@ -28,7 +28,7 @@
               + ", "
               + read.settings().classNames().size()
               + " classes, "
-              + read.initialEndpoints().members().size()
+              + read.initialEndpoints().endpoints().size()
               + " cache servers known");
       if (features != null) {
         FeaturesFile.Features on = FeaturesFile.all(features);
--- a/src/main/java/beaconturn/net/ConfigReloader.java
+++ b/src/main/java/beaconturn/net/ConfigReloader.java
@@ -81,7 +81,8 @@
     check(next);
     if (!inForce.settings().equals(next.settings())) {
       // The routing thread first: it must know the classes of the requests that are read next.
-      routingThread.accept(new RoutingMessage.Switched(next.settings().routing(), next.seed()));
+      routingThread.accept(
+          new RoutingMessage.SettingsReplaced(next.settings().routing(), next.seed()));
       activate.accept(next.settings());
     }
     inForce = next;
@@ -93,7 +94,7 @@
       throw new ConfigException(
           missing + ": is missing, or of another type than in the file in force");
     }
-    if (!inForce.settings().sameWire(next.settings())) {
+    if (!inForce.settings().isWireCompatibleWith(next.settings())) {
       throw new ConfigException(
           "settings: tenants, reports, places or times of connections have "
               + "changed, which needs a restart");
--- a/src/main/java/beaconturn/net/FleetConfigApplier.java
+++ b/src/main/java/beaconturn/net/FleetConfigApplier.java
@@ -70,7 +70,7 @@
     ZoneWeights due = source == null ? zoneWeights : source.dueWeights();
     if (due != zoneWeights) {
       zoneWeights = due;
-      engine.handle(new RoutingMessage.Placed(due));
+      engine.handle(new RoutingMessage.ZoneWeightsReceived(due));
     }
   }
 
@@ -99,7 +99,7 @@
     }
     settingsSwitches++;
     engine.handle(
-        new RoutingMessage.Switched(
+        new RoutingMessage.SettingsReplaced(
             due.settings().routing(), inputs.config().seed() + settingsSwitches));
     settings.activate(due.settings());
   }
@@ -115,6 +115,7 @@
   }
 
   private static void exclude(RoutingEngine engine, String server, boolean out, long nowNanos) {
-    engine.handle(new RoutingMessage.ByHand(Fnv1a.of(server), out, nowNanos, true, known -> {}));
+    engine.handle(
+        new RoutingMessage.OverrideRequested(Fnv1a.of(server), out, nowNanos, true, known -> {}));
   }
 }
--- a/src/main/java/beaconturn/net/FleetConfigSource.java
+++ b/src/main/java/beaconturn/net/FleetConfigSource.java
@@ -67,7 +67,7 @@
    * Takes this router's view of each cache server, for whoever counts which are out; any thread, no
    * wait.
    */
-  void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> statuses);
+  void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> statuses);
 
   /** The router ends as planned: nobody need wait for it. Takes a second at the most. */
   void leave();
--- a/src/main/java/beaconturn/net/HealthMetrics.java
+++ b/src/main/java/beaconturn/net/HealthMetrics.java
@@ -53,7 +53,7 @@
   }
 
   /** Sets the cache servers that are known now. */
-  void servers(Collection<CacheServerClients.Listed> servers) {
+  void servers(Collection<CacheServerClients.ListedServer> servers) {
     SortedMap<Long, String> names = new TreeMap<>();
     servers.forEach(server -> names.put(Fnv1a.of(server.name()), server.name()));
     serverNames = names;
--- a/src/main/java/beaconturn/net/OperatorOverrides.java
+++ b/src/main/java/beaconturn/net/OperatorOverrides.java
@@ -109,7 +109,7 @@
       }
     }
     routingThread.accept(
-        new RoutingMessage.ByHand(
+        new RoutingMessage.OverrideRequested(
             Fnv1a.of(override.id()), override.out(), atNanos(override), fromElsewhere, known));
   }
 
--- a/src/main/java/beaconturn/net/PlannedStop.java
+++ b/src/main/java/beaconturn/net/PlannedStop.java
@@ -98,8 +98,8 @@
     long longestDeadlineNanos =
         Math.min(settings.current().routing().longestDeadlineNanos(), LONGEST_DEADLINE_NANOS);
     endClients(beganNanos + longestDeadlineNanos + GIVE_UP_AFTER_DEADLINE_NANOS);
-    int givenUp = clients.count() == 0 ? 0 : routingThread.open();
-    routingThread.post(new RoutingMessage.Stopping());
+    int givenUp = clients.count() == 0 ? 0 : routingThread.openRequests();
+    routingThread.post(new RoutingMessage.StopRequested());
     endClients(clock.now() + LAST_ANSWERS_NANOS);
     return givenUp;
   }
--- a/src/main/java/beaconturn/net/RouterAssembly.java
+++ b/src/main/java/beaconturn/net/RouterAssembly.java
@@ -70,7 +70,7 @@
     this.discovery = buildDiscovery(inbox);
     this.reloader = buildReloader();
     this.cacheServerThread = new CacheServerThread(cacheIdleTimeoutNanos());
-    routingThread.host(buildEngine(inbox));
+    routingThread.setEngine(buildEngine(inbox));
   }
 
   /** Null where no second address is set: nothing of it is loaded then. */
@@ -152,7 +152,7 @@
                 inputs.hasFleetConfig() ? inputs.fleetConfig()::mayWrite : () -> true));
     RoutingEngine engine =
         inputs.customization().engine(inputs.config(), clock, cacheServers, discovery);
-    engine.count(metrics.attempts(inputs.zoneWeights()));
+    engine.countIn(metrics.attempts(inputs.zoneWeights()));
     return engine;
   }
 
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -112,12 +112,13 @@
 
   /** The routing thread begins with the list and with what the process before has left. */
   private void startRouting() {
-    RoutingMessage.News known = new RoutingMessage.News(inputs.config().initialEndpoints());
+    RoutingMessage.EndpointUpdateReceived known =
+        new RoutingMessage.EndpointUpdateReceived(inputs.config().initialEndpoints());
     parts.endpointList().known(known);
-    parts.routingThread().begin(known);
+    parts.routingThread().handleBeforeStart(known);
     WarmStartState warmStart = parts.handover().warmStart();
     if (warmStart != null) {
-      parts.routingThread().begin(new RoutingMessage.Begun(warmStart));
+      parts.routingThread().handleBeforeStart(new RoutingMessage.WarmStartReceived(warmStart));
     }
     Threads.supervised("module", parts.routingThread()::run);
   }
--- a/src/main/java/beaconturn/net/RoutingEngineObserver.java
+++ b/src/main/java/beaconturn/net/RoutingEngineObserver.java
@@ -27,16 +27,16 @@
 
   /** Hands on what the engine knows now; waits for nobody. */
   void observe(RoutingEngine engine) {
-    engine.tell(metrics.requests());
+    engine.reportServers(metrics.requests());
     if (inputs.hasFleetConfig()) {
-      handOnStatuses(engine.standings());
+      handOnStatuses(engine.serverStatuses());
     }
     if (handover.isPeerRunning()) {
-      handover.learned(engine.learned());
+      handover.learned(engine.warmStartState());
     }
   }
 
-  private void handOnStatuses(Map<CacheServerClients.Listed, ServerStatus> statuses) {
+  private void handOnStatuses(Map<CacheServerClients.ListedServer, ServerStatus> statuses) {
     inputs.fleetConfig().serverStatuses(statuses);
     if (metrics.health() != null) {
       metrics.health().servers(statuses.keySet());
--- a/src/main/java/beaconturn/net/StartupEndpointList.java
+++ b/src/main/java/beaconturn/net/StartupEndpointList.java
@@ -36,7 +36,7 @@
   }
 
   /** Notes the list that the router was started with. */
-  void known(RoutingMessage.News message) {
+  void known(RoutingMessage.EndpointUpdateReceived message) {
     note(message);
   }
 
@@ -48,9 +48,9 @@
 
   private void note(RoutingMessage message) {
     if (fleetConfig != null
-        && message instanceof RoutingMessage.News news
-        && news.news().kind() != EndpointListKind.FAILED) {
-      receivedVersion = news.news().version();
+        && message instanceof RoutingMessage.EndpointUpdateReceived news
+        && news.update().kind() != EndpointListKind.FAILED) {
+      receivedVersion = news.update().version();
       fleetConfig.listReceived(receivedVersion);
     }
   }
--- a/src/main/java/beaconturn/net/StartupWarmUp.java
+++ b/src/main/java/beaconturn/net/StartupWarmUp.java
@@ -58,7 +58,7 @@
             () -> nowNanos,
             new InMemoryCacheServers(),
             new UnchangingDiscovery());
-    engine.handle(new RoutingMessage.News(config.initialEndpoints()));
+    engine.handle(new RoutingMessage.EndpointUpdateReceived(config.initialEndpoints()));
   }
 
   /**
@@ -72,7 +72,7 @@
       nowNanos += ROUND_NANOS;
       engine.runDue();
       engine.handle(
-          new RoutingMessage.Arrived(
+          new RoutingMessage.RequestReceived(
               requestParser.parse(command(round).items(), nowNanos, pendingIds)));
       while (attemptsOut.size() > ATTEMPTS_LEFT_OUT) {
         answer(attemptsOut.remove());
@@ -108,9 +108,10 @@
   }
 
   private void answer(OutboundAttempt attempt) throws ProtocolException {
-    attempt.call().forwarded(1);
+    attempt.request().encode(1);
     engine.handle(
-        new RoutingMessage.Ended(attempt, responseReader.read(parse(RESPONSE), nowNanos)));
+        new RoutingMessage.AttemptCompleted(
+            attempt, responseReader.read(parse(RESPONSE), nowNanos)));
   }
 
   private RespValue parse(String text) throws ProtocolException {
@@ -136,7 +137,7 @@
 
     @Override
     public void closeIdle(long serverId) {
-      attemptsOut.removeIf(attempt -> attempt.server() == serverId);
+      attemptsOut.removeIf(attempt -> attempt.serverId() == serverId);
     }
 
     @Override
@@ -145,7 +146,7 @@
     }
 
     @Override
-    public boolean byHand(long serverId, boolean out, boolean mayCome) {
+    public boolean override(long serverId, boolean out, boolean mayCome) {
       return mayCome;
     }
   }
--- a/src/main/java/beaconturn/net/ZoneWeightsSource.java
+++ b/src/main/java/beaconturn/net/ZoneWeightsSource.java
@@ -19,7 +19,7 @@
   ZoneWeights dueWeights();
 
   /** Takes this router's view of each cache server; any thread, no wait. */
-  void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> statuses);
+  void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> statuses);
 
   /** The router ends as planned. */
   void leave();
--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -136,7 +136,7 @@
   }
 
   @Override
-  public void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> caches) {
+  public void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> caches) {
     latestView = viewBuilder.view(caches, clock.now());
   }
 
--- a/src/main/java/beaconturn/net/agreement/EndpointViewBuilder.java
+++ b/src/main/java/beaconturn/net/agreement/EndpointViewBuilder.java
@@ -12,7 +12,7 @@
 final class EndpointViewBuilder {
   private final LastingEjections ejections = new LastingEjections();
 
-  EndpointView view(Map<CacheServerClients.Listed, ServerStatus> servers, long nowNanos) {
+  EndpointView view(Map<CacheServerClients.ListedServer, ServerStatus> servers, long nowNanos) {
     ejections.retainOnly(
         servers.entrySet().stream()
             .filter(server -> server.getValue() == ServerStatus.EJECTED)
@@ -23,7 +23,7 @@
     servers.forEach(
         (server, status) -> {
           if (isUsable(server.name(), status, nowNanos)) {
-            usable.put(server.name(), server.bootTime());
+            usable.put(server.name(), server.bootTimeNanos());
           } else {
             unusable.put(server.name(), storedWord(status));
           }
--- a/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
@@ -47,7 +47,7 @@
   private final Map<Long, OfServer> servers = new ConcurrentHashMap<>();
   private final LongAdder arrivals = new LongAdder();
   private final Counts counts = new Counts();
-  private volatile Map<CacheServerClients.Listed, ServerStatus> seen = Map.of();
+  private volatile Map<CacheServerClients.ListedServer, ServerStatus> seen = Map.of();
   private volatile Shown shown;
   private volatile boolean stopped;
 
@@ -143,7 +143,7 @@
   }
 
   @Override
-  public void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> caches) {
+  public void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> caches) {
     seen = caches;
   }
 
@@ -167,7 +167,7 @@
   @Override
   public ZoneReport sees(String router, long number, long plan) {
     Map<String, long[]> sums = new HashMap<>();
-    Map<CacheServerClients.Listed, ServerStatus> now = seen;
+    Map<CacheServerClients.ListedServer, ServerStatus> now = seen;
     now.forEach(
         (listed, standing) -> {
           if (listed.zone() < zones.size()) {
@@ -196,7 +196,7 @@
     private final Map<Long, long[]> told = new HashMap<>();
     private final Map<String, long[]> sums = new HashMap<>();
 
-    private void count(Map<CacheServerClients.Listed, ServerStatus> now) {
+    private void count(Map<CacheServerClients.ListedServer, ServerStatus> now) {
       now.keySet()
           .forEach(
               listed -> {
--- a/src/main/java/beaconturn/net/client/ClientConnection.java
+++ b/src/main/java/beaconturn/net/client/ClientConnection.java
@@ -248,18 +248,18 @@
           handOverCommands();
           if (state.hasProposal()) {
             endUnlessMoreCame();
-          } else if (state.phase() == ConnectionState.Phase.DRAINING) {
+          } else if (state.phase() == ConnectionState.ConnectionPhase.DRAINING) {
             finishUnlessMoreCame();
           }
         });
   }
 
-  private interface Step {
+  private interface SocketStep {
     void run() throws IOException;
   }
 
   /** One connection's failure must not touch the others on the poller's thread. */
-  private void guarded(Step step) {
+  private void guarded(SocketStep step) {
     try {
       if (!state.isClosed()) {
         step.run();
--- a/src/main/java/beaconturn/net/client/ClientConnections.java
+++ b/src/main/java/beaconturn/net/client/ClientConnections.java
@@ -51,7 +51,7 @@
   private volatile int limit;
   private volatile int crowdedAbove;
 
-  private record IdleConnection(ClientConnection connection, long sinceNanos) {}
+  private record IdleClient(ClientConnection connection, long sinceNanos) {}
 
   /**
    * No connections yet.
@@ -180,9 +180,9 @@
   private void endLongestIdle(int count, long beforeNanos) {
     if (count > 0) {
       connections.stream()
-          .map(c -> new IdleConnection(c, c.idleSinceNanos()))
+          .map(c -> new IdleClient(c, c.idleSinceNanos()))
           .filter(idle -> idle.sinceNanos() < beforeNanos)
-          .sorted(Comparator.comparingLong(IdleConnection::sinceNanos))
+          .sorted(Comparator.comparingLong(IdleClient::sinceNanos))
           .limit(count)
           .forEach(idle -> idle.connection().endIfQuiet(EndReason.MAKES_ROOM));
     }
--- a/src/main/java/beaconturn/net/client/ClientWriter.java
+++ b/src/main/java/beaconturn/net/client/ClientWriter.java
@@ -31,14 +31,14 @@
   private static final long NEVER = Long.MAX_VALUE;
 
   /** Told of what a writer has done; called without a lock, on any thread. */
-  interface Owner {
+  interface WriteListener {
     /** Some answers have been written, or could not be; {@code idle} if none is owed any more. */
     void answersWritten(boolean idle);
   }
 
   private final SocketChannel channel;
   private final Clock clock;
-  private final Owner owner;
+  private final WriteListener listener;
   // Guarded by this.
   private final Deque<ResponseSlot> slots = new ArrayDeque<>(2);
   private ByteBuffer pending;
@@ -49,10 +49,10 @@
   private long idleSinceNanos;
   private long outputEndedAtNanos = NEVER;
 
-  ClientWriter(SocketChannel channel, Clock clock, Owner owner) {
+  ClientWriter(SocketChannel channel, Clock clock, WriteListener listener) {
     this.channel = channel;
     this.clock = clock;
-    this.owner = owner;
+    this.listener = listener;
     this.idleSinceNanos = clock.now();
   }
 
@@ -89,7 +89,8 @@
   }
 
   /**
-   * Whether the next command may be read; if not, the owner hears of it when something is written.
+   * Whether the next command may be read; if not, the listener hears of it when something is
+   * written.
    */
   synchronized boolean hasRoom() {
     return unanswered <= MAX_PIPELINED
@@ -154,7 +155,7 @@
   void write() {
     int owedBefore;
     int owedAfter;
-    boolean notifyOwner;
+    boolean notifyListener;
     synchronized (this) {
       owedBefore = unanswered;
       try {
@@ -165,10 +166,10 @@
         breakUnder(EndReason.CLIENT_LEFT);
       }
       owedAfter = unanswered;
-      notifyOwner = brokenBy != null || pending != null || owedAfter < owedBefore;
+      notifyListener = brokenBy != null || pending != null || owedAfter < owedBefore;
     }
-    if (notifyOwner) {
-      owner.answersWritten(owedAfter == 0 && owedBefore > 0);
+    if (notifyListener) {
+      listener.answersWritten(owedAfter == 0 && owedBefore > 0);
     }
   }
 
--- a/src/main/java/beaconturn/net/client/ConnectionState.java
+++ b/src/main/java/beaconturn/net/client/ConnectionState.java
@@ -13,7 +13,7 @@
   private static final long NEVER = Long.MAX_VALUE;
 
   /** The phases, in the order in which a connection goes through them; any may be left out. */
-  enum Phase {
+  enum ConnectionPhase {
     /** Commands are read and served. */
     OPEN,
     /** At a planned stop: what came before it is served, what comes later is rejected. */
@@ -26,7 +26,7 @@
     CLOSED;
 
     /** Whether a connection in this phase may go on to the other one. */
-    boolean mayBecome(Phase next) {
+    boolean mayBecome(ConnectionPhase next) {
       return next.compareTo(this) > 0;
     }
   }
@@ -41,26 +41,26 @@
   record EndProposal(EndReason reason, long beganAtNanos, long lastBytesAtNanos) {}
 
   // Written under this object's lock, read by any thread.
-  private volatile Phase phase = Phase.OPEN;
+  private volatile ConnectionPhase phase = ConnectionPhase.OPEN;
   private volatile long drainingSinceNanos = NEVER;
   private volatile EndProposal proposal;
   private volatile EndReason endReason;
 
-  Phase phase() {
+  ConnectionPhase phase() {
     return phase;
   }
 
   boolean isClosed() {
-    return phase == Phase.CLOSED;
+    return phase == ConnectionPhase.CLOSED;
   }
 
   boolean isEnding() {
-    return phase == Phase.ENDING;
+    return phase == ConnectionPhase.ENDING;
   }
 
   /** Whether further commands of the client are handled. */
   boolean takesCommands() {
-    return phase.compareTo(Phase.ENDING) < 0;
+    return phase.compareTo(ConnectionPhase.ENDING) < 0;
   }
 
   /** Why the connection is ending or closed, or null while it is open or draining. */
@@ -82,7 +82,7 @@
   synchronized void drain(long nowNanos) {
     if (drainingSinceNanos == NEVER) {
       drainingSinceNanos = nowNanos;
-      moveTo(Phase.DRAINING, null);
+      moveTo(ConnectionPhase.DRAINING, null);
     }
   }
 
@@ -92,7 +92,8 @@
    *
    * <p>Guard against a request without an answer: an end that is proposed while the poller ends the
    * sending would have it look at the socket once more, and what it read then could not be answered
-   * any more. So nothing is proposed from {@link Phase#ENDING} on, under one lock with that change.
+   * any more. So nothing is proposed from {@link ConnectionPhase#ENDING} on, under one lock with
+   * that change.
    */
   synchronized boolean propose(EndProposal proposed) {
     if (!takesCommands()) {
@@ -116,15 +117,15 @@
 
   /** From here on no command is taken; false if that, or the close, has been so before. */
   synchronized boolean end(EndReason reason) {
-    return moveTo(Phase.ENDING, reason);
+    return moveTo(ConnectionPhase.ENDING, reason);
   }
 
   /** Marks the connection as closed; true for the one caller that has to close it. */
   synchronized boolean close(EndReason reason) {
-    return moveTo(Phase.CLOSED, reason);
+    return moveTo(ConnectionPhase.CLOSED, reason);
   }
 
-  private boolean moveTo(Phase next, EndReason reason) {
+  private boolean moveTo(ConnectionPhase next, EndReason reason) {
     if (!phase.mayBecome(next)) {
       return false;
     }
--- a/src/main/java/beaconturn/net/discovery/DiscoveryTarget.java
+++ b/src/main/java/beaconturn/net/discovery/DiscoveryTarget.java
@@ -71,7 +71,7 @@
     if (update.kind() != EndpointListKind.FAILED) {
       version = update.version();
     }
-    routingThread.accept(new RoutingMessage.News(update));
+    routingThread.accept(new RoutingMessage.EndpointUpdateReceived(update));
     return true;
   }
 }
--- a/src/main/java/beaconturn/net/discovery/EndpointListParser.java
+++ b/src/main/java/beaconturn/net/discovery/EndpointListParser.java
@@ -51,7 +51,7 @@
     if (!(list.get("hosts") instanceof Json.Items)) {
       throw new ProtocolException("list without hosts");
     }
-    List<EndpointUpdate.Member> members = new ArrayList<>();
+    List<EndpointUpdate.AddressedEndpoint> members = new ArrayList<>();
     for (Json entry : list.get("hosts").items()) {
       try {
         members.add(member(entry));
@@ -63,7 +63,7 @@
     return new EndpointUpdate((long) number(list, "seq", 0), kind, List.copyOf(members));
   }
 
-  private EndpointUpdate.Member member(Json entry) throws ProtocolException {
+  private EndpointUpdate.AddressedEndpoint member(Json entry) throws ProtocolException {
     String host = entry.get("host").word("");
     EndpointHealth health = health(entry.get("health").word(""));
     String dial = entry.get("dial").word("");
@@ -73,7 +73,7 @@
     if (health != EndpointHealth.GONE) {
       checkAddress(dial);
     }
-    return new EndpointUpdate.Member(endpoint(entry, host, health), host, dial);
+    return new EndpointUpdate.AddressedEndpoint(endpoint(entry, host, health), host, dial);
   }
 
   private Endpoint endpoint(Json entry, String host, EndpointHealth health)
--- a/src/main/java/beaconturn/net/server/CacheConnection.java
+++ b/src/main/java/beaconturn/net/server/CacheConnection.java
@@ -147,7 +147,7 @@
   }
 
   private void connect() throws IOException {
-    long timeoutNanos = Math.min(connectTimeoutNanos, attempt.until() - clock.now());
+    long timeoutNanos = Math.min(connectTimeoutNanos, attempt.timesOutAtNanos() - clock.now());
     // What fails before the peer could have a say, for want of a descriptor or a port, is this
     // machine's failure and must not count against the server.
     outcomeIfUnwritten = AttemptOutcome.NOT_SENT;
@@ -169,13 +169,14 @@
    */
   private void writeRequest() throws IOException {
     long nowNanos = clock.now();
-    if (!attempt.wanted(nowNanos) || !listener.mayWrite()) {
+    if (!attempt.isWanted(nowNanos) || !listener.mayWrite()) {
       outcomeIfUnwritten = AttemptOutcome.SUPERSEDED;
       throw new IOException("not wanted any more");
     }
     long deadlineMillis =
-        Math.max(SHORTEST_DEADLINE_MILLIS, (attempt.until() - nowNanos) / NANOS_PER_MILLI);
-    Sockets.write(socket.socket().getOutputStream(), attempt.call().forwarded(deadlineMillis));
+        Math.max(
+            SHORTEST_DEADLINE_MILLIS, (attempt.timesOutAtNanos() - nowNanos) / NANOS_PER_MILLI);
+    Sockets.write(socket.socket().getOutputStream(), attempt.request().encode(deadlineMillis));
     requestWritten = true;
     listener.requestWritten();
   }
--- a/src/main/java/beaconturn/net/server/CacheResponseReader.java
+++ b/src/main/java/beaconturn/net/server/CacheResponseReader.java
@@ -96,7 +96,7 @@
   private float[] loadReport(RespValue report) {
     String text = text(report);
     if (text.isEmpty() || loadReportFields.isEmpty()) {
-      return AttemptResult.NO_REPORT;
+      return AttemptResult.NO_LOAD_REPORT;
     }
     float[] figures = new float[loadReportFields.size()];
     Arrays.fill(figures, NO_VALUE);
@@ -106,7 +106,7 @@
         found++;
       }
     }
-    return found == figures.length ? figures : AttemptResult.NO_REPORT;
+    return found == figures.length ? figures : AttemptResult.NO_LOAD_REPORT;
   }
 
   /** Reads {@code NAME=NUMBER} into its place; false if it is none that is still wanted. */
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -160,7 +160,7 @@
 
   void onAbort(OutboundAttempt attempt) {
     inUse.remove(attempt);
-    if (now() >= attempt.until()) {
+    if (now() >= attempt.timesOutAtNanos()) {
       unanswered.note(now());
     }
   }
@@ -201,14 +201,14 @@
 
   void onAttemptEnded(CacheServerTask.AttemptEnded ended) {
     boolean wasInUse = inUse.remove(ended.attempt()) != null;
-    AttemptOutcome outcome = ended.result().ending();
+    AttemptOutcome outcome = ended.result().outcome();
     if (wasInUse && isConnectionFailure(outcome)) {
       unanswered.note(now());
     } else if (outcome.serverResponded()) {
       unanswered.end();
     }
     if (ended.reusable()) {
-      keepOrClose(ended.connection(), wasInUse, ended.result().at());
+      keepOrClose(ended.connection(), wasInUse, ended.result().endedAtNanos());
     }
   }
 
@@ -226,10 +226,10 @@
   }
 
   private void begin(OutboundAttempt attempt) {
-    if (attempt.over()) {
+    if (attempt.isOver()) {
       return;
     }
-    if (!acceptsRequests || !attempt.wanted(now())) {
+    if (!acceptsRequests || !attempt.isWanted(now())) {
       endUnsent(attempt, AttemptOutcome.SUPERSEDED);
       return;
     }
@@ -279,7 +279,7 @@
   private void endUnsent(OutboundAttempt attempt, AttemptOutcome outcome) {
     environment
         .routingThread()
-        .accept(new RoutingMessage.Ended(attempt, AttemptResult.of(outcome, now())));
+        .accept(new RoutingMessage.AttemptCompleted(attempt, AttemptResult.of(outcome, now())));
   }
 
   private long now() {
--- a/src/main/java/beaconturn/net/server/CacheServerPool.java
+++ b/src/main/java/beaconturn/net/server/CacheServerPool.java
@@ -53,13 +53,13 @@
   @Override
   public boolean send(OutboundAttempt attempt) {
     dropEnded();
-    PooledServer server = servers.get(attempt.server());
+    PooledServer server = servers.get(attempt.serverId());
     return server != null && !server.isGone() && server.actor().send(attempt);
   }
 
   @Override
   public void abort(OutboundAttempt attempt) {
-    PooledServer server = servers.get(attempt.server());
+    PooledServer server = servers.get(attempt.serverId());
     if (server != null) {
       server.actor().abort(attempt);
     }
@@ -81,8 +81,8 @@
     dropEnded();
     List<String> changes = new ArrayList<>();
     Set<Long> listed = new HashSet<>();
-    for (EndpointUpdate.Member member : update.members()) {
-      listed.add(member.entry().serverId());
+    for (EndpointUpdate.AddressedEndpoint member : update.endpoints()) {
+      listed.add(member.endpoint().serverId());
       followMember(member, changes);
     }
     if (update.kind() != EndpointListKind.DELTA) {
@@ -101,8 +101,8 @@
     missing.forEach(serverId -> remove(serverId, changes));
   }
 
-  private void followMember(EndpointUpdate.Member member, List<String> changes) {
-    Endpoint entry = member.entry();
+  private void followMember(EndpointUpdate.AddressedEndpoint member, List<String> changes) {
+    Endpoint entry = member.endpoint();
     if (entry.health() == EndpointHealth.GONE) {
       remove(entry.serverId(), changes);
       return;
@@ -119,28 +119,29 @@
     updateAcceptance(entry.serverId());
   }
 
-  private static String describe(EndpointUpdate.Member member) {
-    Endpoint entry = member.entry();
+  private static String describe(EndpointUpdate.AddressedEndpoint member) {
+    Endpoint entry = member.endpoint();
     String state =
-        "cache server " + member.host() + " at " + member.dial() + " is " + entry.health();
+        "cache server " + member.host() + " at " + member.dialAddress() + " is " + entry.health();
     if (entry.bootTimeNanos() == 0) {
       return state;
     }
     return state + ", started " + entry.bootTimeNanos() / NANOS_PER_MILLI;
   }
 
-  private CacheServer startActor(EndpointUpdate.Member member) {
-    CacheServer actor = new CacheServer(environment, member.host(), Sockets.address(member.dial()));
+  private CacheServer startActor(EndpointUpdate.AddressedEndpoint member) {
+    CacheServer actor =
+        new CacheServer(environment, member.host(), Sockets.address(member.dialAddress()));
     actor.start();
     return actor;
   }
 
-  private CacheServer followKnown(PooledServer old, EndpointUpdate.Member member) {
+  private CacheServer followKnown(PooledServer old, EndpointUpdate.AddressedEndpoint member) {
     if (old.isGone()) {
       goneCount--;
     }
-    old.actor().address(Sockets.address(member.dial()));
-    if (old.bootTimeNanos() != member.entry().bootTimeNanos()) {
+    old.actor().address(Sockets.address(member.dialAddress()));
+    if (old.bootTimeNanos() != member.endpoint().bootTimeNanos()) {
       // A connection from before the restart is dead, even where the peer's end never arrived: a
       // request written to it would be lost.
       old.actor().closeIdle();
@@ -156,7 +157,7 @@
   }
 
   @Override
-  public boolean byHand(long serverId, boolean out, boolean mayCome) {
+  public boolean override(long serverId, boolean out, boolean mayCome) {
     PooledServer server = servers.get(serverId);
     boolean listed = server != null && !server.isGone();
     if (!listed && !mayCome && !excluded.contains(serverId)) {
@@ -172,9 +173,11 @@
   }
 
   @Override
-  public Listed listed(long serverId) {
+  public ListedServer listed(long serverId) {
     PooledServer server = servers.get(serverId);
-    return server == null ? null : new Listed(server.host(), server.zone(), server.bootTimeNanos());
+    return server == null
+        ? null
+        : new ListedServer(server.host(), server.zone(), server.bootTimeNanos());
   }
 
   /** It keeps its actor while attempts are out: they may still be answered or given up. */
--- a/src/main/java/beaconturn/net/server/ConnectionReporter.java
+++ b/src/main/java/beaconturn/net/server/ConnectionReporter.java
@@ -28,12 +28,12 @@
       CacheConnection connection, OutboundAttempt attempt, AttemptResult result, boolean reusable) {
     // The actor first: what the routing thread sends next finds the connection idle.
     post(new CacheServerTask.AttemptEnded(connection, attempt, result, reusable));
-    environment.routingThread().accept(new RoutingMessage.Ended(attempt, result));
+    environment.routingThread().accept(new RoutingMessage.AttemptCompleted(attempt, result));
   }
 
   @Override
   public void responseBegun(OutboundAttempt attempt, long atNanos, BoundedPipe pipe) {
-    environment.routingThread().accept(new RoutingMessage.FirstBytes(attempt, atNanos, pipe));
+    environment.routingThread().accept(new RoutingMessage.StreamingBegan(attempt, atNanos, pipe));
   }
 
   @Override
--- a/src/test/java/beaconturn/core/RoutingEngineTest.java
+++ b/src/test/java/beaconturn/core/RoutingEngineTest.java
@@ -24,37 +24,37 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The host between module and sockets, with a module that does what the test says. */
+/** The engine between policy and sockets, with a policy that does what the test says. */
 class RoutingEngineTest {
   private static final long MILLI = 1_000_000;
   private static final long SERVER = 7;
   private final RoutingSettings settings = Samples.read().routing();
   private final List<RoutingEvent> events = new ArrayList<>();
-  private final FakeFleet fleet = new FakeFleet();
+  private final FakeServers servers = new FakeServers();
 
   /** So often the list may be watched, and not more. */
   private int mayWatch;
 
-  private Consumer<RoutingEvent> module = e -> {};
+  private Consumer<RoutingEvent> policy = e -> {};
   private RoutingActions actions;
   private long now = 1000 * MILLI;
-  private final RoutingEngine host =
+  private final RoutingEngine engine =
       new RoutingEngine(
           settings,
           () -> now,
-          fleet,
-          new NoList(),
+          servers,
+          new NoDiscovery(),
           out -> {
             actions = out;
             return (clock, event) -> {
               events.add(event);
-              module.accept(event);
+              policy.accept(event);
             };
           });
 
   /** Sends every arrival to the one server. */
   private void sending(long allowFor) {
-    module =
+    policy =
         e -> {
           if (e instanceof RoutingEvent.RequestArrived a) {
             actions.send(a.requestId(), SERVER, allowFor);
@@ -62,50 +62,50 @@
         };
   }
 
-  private FakeCall arrive() {
-    return arrive(host);
+  private FakeRequest arrive() {
+    return arrive(engine);
   }
 
-  private FakeCall arrive(RoutingEngine at) {
-    FakeCall call = new FakeCall(now + 400 * MILLI);
-    at.handle(new RoutingMessage.Arrived(call));
-    return call;
+  private FakeRequest arrive(RoutingEngine at) {
+    FakeRequest request = new FakeRequest(now + 400 * MILLI);
+    at.handle(new RoutingMessage.RequestReceived(request));
+    return request;
   }
 
   private OutboundAttempt last() {
-    return fleet.sent.get(fleet.sent.size() - 1);
+    return servers.sent.get(servers.sent.size() - 1);
   }
 
-  /** A host of the real module, which knows this many servers. */
-  private RoutingEngine real(int servers) {
+  /** An engine of the real module, which knows this many servers. */
+  private RoutingEngine real(int serverCount) {
     mayWatch = 1;
-    RoutingEngine real = new RoutingEngine(settings, 5, () -> now, fleet, new NoList());
+    RoutingEngine real = new RoutingEngine(settings, 5, () -> now, servers, new NoDiscovery());
     list(
         real,
         EndpointListKind.FULL,
         EndpointHealth.READY,
-        LongStream.rangeClosed(1, servers).toArray());
+        LongStream.rangeClosed(1, serverCount).toArray());
     return real;
   }
 
   private static void list(
       RoutingEngine to, EndpointListKind kind, EndpointHealth health, long... servers) {
     to.handle(
-        new RoutingMessage.News(
+        new RoutingMessage.EndpointUpdateReceived(
             new EndpointUpdate(
                 1,
                 kind,
                 LongStream.of(servers)
                     .mapToObj(
                         id ->
-                            new EndpointUpdate.Member(
+                            new EndpointUpdate.AddressedEndpoint(
                                 new Endpoint(id, 0, 0, 0, health, 1, 0), "", ""))
                     .toList())));
   }
 
   private static void switchSettings(RoutingEngine of) {
     of.handle(
-        new RoutingMessage.Switched(
+        new RoutingMessage.SettingsReplaced(
             Samples.read("permissions.second_copies", "false").routing(), 6));
   }
 
@@ -121,27 +121,27 @@
   @Test
   void theFirstAnswerOfACacheServerIsTheClients() {
     sending(0);
-    FakeCall call = arrive();
+    FakeRequest request = arrive();
     now += 30 * MILLI;
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("value")));
-    assertEquals(List.of("served value"), call.answers);
+    engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("value")));
+    assertEquals(List.of("served value"), request.answers);
     assertEquals(30 * MILLI, lastClosed().elapsedNanos());
     assertTrue(lastClosed().requestClosed());
-    assertEquals(0, host.open());
+    assertEquals(0, engine.openRequests());
   }
 
   /** A process that ends answers what it has taken, and what comes while it does. */
   @Test
   void whatIsOpenAtTheEndIsAnsweredAndCalledOff() {
     sending(0);
-    FakeCall open = arrive();
-    host.handle(new RoutingMessage.Stopping());
+    FakeRequest open = arrive();
+    engine.handle(new RoutingMessage.StopRequested());
     assertEquals(List.of("failed"), open.answers);
-    assertEquals(0, host.open());
+    assertEquals(0, engine.openRequests());
     assertTrue(events.get(events.size() - 1) instanceof RoutingEvent.RequestCancelled);
-    int sent = fleet.sent.size();
+    int sent = servers.sent.size();
     assertEquals(List.of("refused 0"), arrive().answers);
-    assertEquals(sent, fleet.sent.size());
+    assertEquals(sent, servers.sent.size());
   }
 
   /**
@@ -149,53 +149,53 @@
    * repeated.
    */
   @Test
-  void aCallOfSettingsThatNobodyHoldsAnyMoreIsRefused() {
+  void aRequestOfSettingsThatNobodyHoldsAnyMoreIsRejected() {
     sending(0);
-    FakeCall late = new FakeCall(now + 400 * MILLI);
+    FakeRequest late = new FakeRequest(now + 400 * MILLI);
     late.settings = Samples.read("classes.0.effect", "non_idempotent").routing();
-    host.handle(new RoutingMessage.Arrived(late));
+    engine.handle(new RoutingMessage.RequestReceived(late));
     assertEquals(List.of("refused 0"), late.answers);
-    assertEquals(List.of(), fleet.sent);
+    assertEquals(List.of(), servers.sent);
   }
 
   @Test
   void aSecondAnswerIsDropped() {
-    module =
+    policy =
         e -> {
           if (e instanceof RoutingEvent.RequestArrived a) {
             actions.send(a.requestId(), SERVER, 0);
             actions.send(a.requestId(), SERVER + 1, 0);
           }
         };
-    FakeCall call = arrive();
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(1), ok("one")));
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("two")));
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("three")));
-    assertEquals(List.of("served one"), call.answers);
+    FakeRequest request = arrive();
+    engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(1), ok("one")));
+    engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("two")));
+    engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("three")));
+    assertEquals(List.of("served one"), request.answers);
     assertEquals(3, events.size(), "each attempt ends once");
   }
 
   @Test
   void anAttemptIsTimedOutAndEndedOnTheWire() {
     sending(100 * MILLI);
-    FakeCall call = arrive();
+    FakeRequest request = arrive();
     now += 100 * MILLI;
-    host.runDue();
-    assertEquals(fleet.sent, fleet.aborted);
+    engine.runDue();
+    assertEquals(servers.sent, servers.aborted);
     assertEquals(AttemptOutcome.TIMEOUT, lastClosed().outcome());
-    assertEquals(List.of(), call.answers, "what follows is the module's to decide");
+    assertEquals(List.of(), request.answers, "what follows is the policy's to decide");
   }
 
   @Test
   void noAttemptOutlivesItsClient() {
     sending(10_000 * MILLI);
     arrive();
-    assertEquals(now + 400 * MILLI, fleet.sent.get(0).until());
+    assertEquals(now + 400 * MILLI, servers.sent.get(0).timesOutAtNanos());
   }
 
   @Test
   void aCancelledAttemptIsEndedOnTheWireAndToldAfterTheEvent() {
-    module =
+    policy =
         e -> {
           if (e instanceof RoutingEvent.RequestArrived a) {
             actions.send(a.requestId(), SERVER, 0);
@@ -203,15 +203,15 @@
             actions.refuse(a.requestId(), 20 * MILLI, GiveUpReason.OVERLOADED);
           }
         };
-    FakeCall call = arrive();
-    assertEquals(List.of("refused 20"), call.answers);
-    assertEquals(fleet.sent, fleet.aborted);
+    FakeRequest request = arrive();
+    assertEquals(List.of("refused 20"), request.answers);
+    assertEquals(servers.sent, servers.aborted);
     assertEquals(AttemptOutcome.CANCELLED, lastClosed().outcome());
   }
 
   @Test
   void whatCannotBeStartedNeverRan() {
-    fleet.reachable = false;
+    servers.reachable = false;
     sending(0);
     arrive();
     assertEquals(AttemptOutcome.CONNECT_FAILED, lastClosed().outcome());
@@ -220,7 +220,7 @@
   /** A send for a request that has its answer would be an effect nobody asked for. */
   @Test
   void nothingIsSentForARequestThatIsOver() {
-    module =
+    policy =
         e -> {
           if (e instanceof RoutingEvent.RequestArrived a) {
             actions.fail(a.requestId(), GiveUpReason.TOO_LATE);
@@ -228,20 +228,20 @@
             actions.send(a.requestId(), SERVER, 0);
           }
         };
-    FakeCall call = arrive();
-    assertEquals(List.of("failed"), call.answers);
-    assertEquals(List.of(), fleet.sent);
+    FakeRequest request = arrive();
+    assertEquals(List.of("failed"), request.answers);
+    assertEquals(List.of(), servers.sent);
     assertEquals(AttemptOutcome.SUPERSEDED, lastClosed().outcome());
   }
 
   @Test
   void aClientThatLeavesIsWithdrawnOnce() {
     sending(0);
-    FakeCall call = arrive();
-    host.handle(new RoutingMessage.Left(call));
-    host.handle(new RoutingMessage.Left(call));
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("late")));
-    assertEquals(List.of(), call.answers);
+    FakeRequest request = arrive();
+    engine.handle(new RoutingMessage.ClientLeft(request));
+    engine.handle(new RoutingMessage.ClientLeft(request));
+    engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("late")));
+    assertEquals(List.of(), request.answers);
     assertEquals(
         1, events.stream().filter(RoutingEvent.RequestCancelled.class::isInstance).count());
   }
@@ -249,29 +249,29 @@
   /** Rule one must hold even against a defect of the module: no request goes without its answer. */
   @Test
   void aRequestThatTheModuleForgetsFailsWithinTheSlack() {
-    FakeCall call = arrive();
+    FakeRequest request = arrive();
     now += 400 * MILLI + settings.safetyLimits().answerSlackNanos();
-    host.runDue();
-    assertEquals(List.of("failed"), call.answers);
+    engine.runDue();
+    assertEquals(List.of("failed"), request.answers);
   }
 
   @Test
   void aModuleThatFailsOnAnArrivalFailsThatRequestAlone() {
-    module =
+    policy =
         e -> {
           throw new IllegalStateException("defect");
         };
-    FakeCall call = arrive();
-    assertEquals(List.of("failed"), call.answers);
+    FakeRequest request = arrive();
+    assertEquals(List.of("failed"), request.answers);
     sending(0);
-    FakeCall next = arrive();
-    host.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("value")));
+    FakeRequest next = arrive();
+    engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("value")));
     assertEquals(List.of("served value"), next.answers);
   }
 
   @Test
   void timersComeInTheOrderOfTheirTimes() {
-    module =
+    policy =
         e -> {
           if (e instanceof RoutingEvent.RequestArrived) {
             actions.timer(20 * MILLI, 2);
@@ -280,9 +280,9 @@
           }
         };
     arrive();
-    assertEquals(10 * MILLI, host.untilNext(1000 * MILLI));
+    assertEquals(10 * MILLI, engine.untilNextTimerNanos(1000 * MILLI));
     now += 20 * MILLI;
-    host.runDue();
+    engine.runDue();
     assertEquals(
         List.of(1L, 2L, 3L),
         events.stream()
@@ -296,23 +296,23 @@
   @Timeout(60)
   void aRequestThatIsOverIsLetGoBeforeItsDeadline() {
     sending(0);
-    WeakReference<ClientRequest> call = new WeakReference<>(arrive());
-    host.handle(new RoutingMessage.Ended(fleet.sent.remove(0), ok("value")));
-    while (call.get() != null) {
+    WeakReference<ClientRequest> request = new WeakReference<>(arrive());
+    engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.remove(0), ok("value")));
+    while (request.get() != null) {
       System.gc();
     }
-    assertEquals(0, host.open());
+    assertEquals(0, engine.openRequests());
   }
 
   @Test
   void afterASwitchOldRequestsAreAnsweredAndNewOnesServedWithoutANewList() {
     RoutingEngine real = real(3);
-    FakeCall before = arrive(real);
+    FakeRequest before = arrive(real);
     switchSettings(real);
-    FakeCall after = arrive(real);
-    assertEquals(2, fleet.sent.size());
-    real.handle(new RoutingMessage.Ended(fleet.sent.get(1), ok("new")));
-    real.handle(new RoutingMessage.Ended(fleet.sent.get(0), ok("old")));
+    FakeRequest after = arrive(real);
+    assertEquals(2, servers.sent.size());
+    real.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(1), ok("new")));
+    real.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("old")));
     assertEquals(List.of("served old"), before.answers);
     assertEquals(List.of("served new"), after.answers);
     assertEquals(0, mayWatch);
@@ -321,42 +321,43 @@
   @Test
   void aServerThatDrainsAfterASwitchGetsNothingFromEitherModule() {
     RoutingEngine real = real(2);
-    FakeCall before = arrive(real);
+    FakeRequest before = arrive(real);
     OutboundAttempt first = last();
     switchSettings(real);
-    list(real, EndpointListKind.DELTA, EndpointHealth.DRAINING, first.server());
-    real.handle(new RoutingMessage.Ended(first, AttemptResult.of(AttemptOutcome.REJECTED, now)));
+    list(real, EndpointListKind.DELTA, EndpointHealth.DRAINING, first.serverId());
+    real.handle(
+        new RoutingMessage.AttemptCompleted(first, AttemptResult.of(AttemptOutcome.REJECTED, now)));
     assertEquals(1, before.answers.size());
     for (int i = 0; i < 20; i++) {
       now += 10 * MILLI;
       arrive(real);
     }
-    assertEquals(0, fleet.sent.stream().filter(a -> a.server() == first.server()).count());
-    assertNotEquals(0, fleet.sent.size());
+    assertEquals(0, servers.sent.stream().filter(a -> a.serverId() == first.serverId()).count());
+    assertNotEquals(0, servers.sent.size());
   }
 
   @Test
   void aSickServerIsNotTrustedAnewBecauseSettingsChanged() {
     RoutingEngine real = real(4);
     arrive(real);
-    long home = last().server();
+    long home = last().serverId();
     for (int i = 0; i < 20; i++) {
       now += 20 * MILLI;
       arrive(real);
       real.handle(
-          new RoutingMessage.Ended(
+          new RoutingMessage.AttemptCompleted(
               last(),
-              last().server() == home ? AttemptResult.of(AttemptOutcome.ERROR, now) : ok("x")));
+              last().serverId() == home ? AttemptResult.of(AttemptOutcome.ERROR, now) : ok("x")));
     }
     switchSettings(real);
-    int until = fleet.sent.size();
+    int until = servers.sent.size();
     for (int i = 0; i < 20; i++) {
       arrive(real);
-      real.handle(new RoutingMessage.Ended(last(), ok("x")));
+      real.handle(new RoutingMessage.AttemptCompleted(last(), ok("x")));
     }
-    long toSick = fleet.sent.stream().skip(until).filter(a -> a.server() == home).count();
+    long toSick = servers.sent.stream().skip(until).filter(a -> a.serverId() == home).count();
     assertTrue(toSick <= 1, "sent to the sick server: " + toSick);
-    assertNotEquals(0, fleet.sent.size() - until);
+    assertNotEquals(0, servers.sent.size() - until);
   }
 
   /**
@@ -368,41 +369,41 @@
     RoutingSettings began =
         Samples.read("rules.cold", "4000000000", "rules.cold_share", "0.2").routing();
     mayWatch = 1;
-    RoutingEngine real = new RoutingEngine(began, 5, () -> now, fleet, new NoList());
+    RoutingEngine real = new RoutingEngine(began, 5, () -> now, servers, new NoDiscovery());
     switchSettings(real);
-    real.handle(new RoutingMessage.Switched(began, 7));
-    fleet.bootTime = now;
+    real.handle(new RoutingMessage.SettingsReplaced(began, 7));
+    servers.bootTime = now;
     real.handle(
-        new RoutingMessage.News(
+        new RoutingMessage.EndpointUpdateReceived(
             new EndpointUpdate(
                 2,
                 EndpointListKind.FULL,
                 List.of(
-                    new EndpointUpdate.Member(
+                    new EndpointUpdate.AddressedEndpoint(
                         new Endpoint(1, 0, 0, 0, EndpointHealth.READY, 1, now), "", "")))));
-    FakeCall call = new FakeCall(now + 9000 * MILLI);
-    call.settings = began;
+    FakeRequest request = new FakeRequest(now + 9000 * MILLI);
+    request.settings = began;
     for (ServerStatus standing : List.of(ServerStatus.WARMING, ServerStatus.ACTIVE)) {
       now += 3000 * MILLI;
-      real.handle(new RoutingMessage.Arrived(call));
+      real.handle(new RoutingMessage.RequestReceived(request));
       assertEquals(
-          Map.of(new CacheServerClients.Listed("s1", 0, fleet.bootTime), standing),
-          real.standings());
+          Map.of(new CacheServerClients.ListedServer("s1", 0, servers.bootTime), standing),
+          real.serverStatuses());
     }
   }
 
-  private static final class FakeCall implements ClientRequest {
-    private final long deadline;
+  private static final class FakeRequest implements ClientRequest {
+    private final long deadlineNanos;
     private final List<String> answers = new ArrayList<>();
     private RoutingSettings settings;
 
-    FakeCall(long deadline) {
-      this.deadline = deadline;
+    FakeRequest(long deadlineNanos) {
+      this.deadlineNanos = deadlineNanos;
     }
 
     @Override
-    public Ask ask() {
-      return new Ask(0, 1, false, false, 0, 0, 0);
+    public RequestDescription description() {
+      return new RequestDescription(0, 1, false, false, 0, 0, 0);
     }
 
     @Override
@@ -411,22 +412,22 @@
     }
 
     @Override
-    public long deadline() {
-      return deadline;
+    public long deadlineNanos() {
+      return deadlineNanos;
     }
 
     @Override
-    public List<Slice> forwarded(long waitMillis) {
+    public List<Slice> encode(long waitMillis) {
       return List.of();
     }
 
     @Override
-    public void served(Slice answer) {
+    public void answered(Slice answer) {
       answers.add("served " + answer);
     }
 
     @Override
-    public void refused(long retryAfter) {
+    public void rejected(long retryAfter) {
       answers.add("refused " + retryAfter / MILLI);
     }
 
@@ -436,15 +437,15 @@
     }
   }
 
-  private static final class FakeFleet implements CacheServerClients {
+  private static final class FakeServers implements CacheServerClients {
     private final List<OutboundAttempt> sent = new ArrayList<>();
     private final List<OutboundAttempt> aborted = new ArrayList<>();
     private boolean reachable = true;
     private long bootTime;
 
     @Override
-    public Listed listed(long server) {
-      return new Listed("s" + server, 0, bootTime);
+    public ListedServer listed(long server) {
+      return new ListedServer("s" + server, 0, bootTime);
     }
 
     @Override
@@ -468,12 +469,12 @@
     }
 
     @Override
-    public boolean byHand(long server, boolean out, boolean mayCome) {
-      return mayCome || server != 0;
+    public boolean override(long server, boolean excluded, boolean mayBeUnlisted) {
+      return mayBeUnlisted || server != 0;
     }
   }
 
-  private final class NoList implements EndpointDiscovery {
+  private final class NoDiscovery implements EndpointDiscovery {
     @Override
     public void watch(boolean on) {
       assertTrue(mayWatch-- > 0, "not asked for here");
--- a/src/test/java/beaconturn/net/PlantedAgreement.java
+++ b/src/test/java/beaconturn/net/PlantedAgreement.java
@@ -143,7 +143,7 @@
   }
 
   @Override
-  public void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> caches) {
+  public void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> caches) {
     sound.serverStatuses(caches);
   }
 
--- a/src/test/java/beaconturn/net/RouterConfigTest.java
+++ b/src/test/java/beaconturn/net/RouterConfigTest.java
@@ -74,13 +74,13 @@
     assertEquals(512, config.sockets());
     assertEquals(41, config.initialEndpoints().version());
     assertEquals(EndpointListKind.CACHED, config.initialEndpoints().kind());
-    Endpoint first = config.initialEndpoints().members().get(0).entry();
+    Endpoint first = config.initialEndpoints().endpoints().get(0).endpoint();
     assertEquals(1, first.zone());
     assertEquals(1, first.kind());
     assertEquals(3, first.cell());
     assertEquals(1700000000123L * 1_000_000, first.bootTimeNanos());
     assertEquals(
-        EndpointHealth.DRAINING, config.initialEndpoints().members().get(1).entry().health());
+        EndpointHealth.DRAINING, config.initialEndpoints().endpoints().get(1).endpoint().health());
     assertEquals(2, config.settings().routing().routerCount());
     assertEquals(1_500_000_000L, config.settings().routing().classes().get(0).deadlineNanos());
     assertTrue(config.settings().routing().loadReportFields().isEmpty());
@@ -89,11 +89,11 @@
   /** Every router must place the same keys alike, whatever address it reaches a cache server at. */
   @Test
   void theNumberOfACacheServerComesFromItsNameAlone() throws ConfigException {
-    long here = read(SOUND, Map.of()).initialEndpoints().members().get(0).entry().serverId();
+    long here = read(SOUND, Map.of()).initialEndpoints().endpoints().get(0).endpoint().serverId();
     RouterConfig there = read(SOUND.replace("10.1.0.18", "127.9.1.4"), Map.of());
-    assertEquals(here, there.initialEndpoints().members().get(0).entry().serverId());
-    assertEquals("127.9.1.4:6379", there.initialEndpoints().members().get(0).dial());
-    assertNotEquals(here, there.initialEndpoints().members().get(1).entry().serverId());
+    assertEquals(here, there.initialEndpoints().endpoints().get(0).endpoint().serverId());
+    assertEquals("127.9.1.4:6379", there.initialEndpoints().endpoints().get(0).dialAddress());
+    assertNotEquals(here, there.initialEndpoints().endpoints().get(1).endpoint().serverId());
   }
 
   /** One line that cannot be read must not hide the others. */
@@ -101,12 +101,15 @@
   void anUnreadableLineOfTheListIsLeftOut() throws ConfigException {
     assertEquals(
         1,
-        read(SOUND.replace("\"ready\"", "\"odd\""), Map.of()).initialEndpoints().members().size());
+        read(SOUND.replace("\"ready\"", "\"odd\""), Map.of())
+            .initialEndpoints()
+            .endpoints()
+            .size());
     assertEquals(
         1,
         read(SOUND.replace("10.1.0.18:6379", "here"), Map.of())
             .initialEndpoints()
-            .members()
+            .endpoints()
             .size());
   }
 
@@ -143,7 +146,8 @@
     assertEquals(List.of(), inForce);
     reloads.reload();
     assertEquals(
-        List.of(new RoutingMessage.Switched(last.settings().routing(), last.seed())), posted);
+        List.of(new RoutingMessage.SettingsReplaced(last.settings().routing(), last.seed())),
+        posted);
     assertEquals(List.of(last.settings()), inForce);
     assertTrue(counters.read().contains(new Metric("conf_loaded", 1, false)));
     assertTrue(counters.read().contains(new Metric("conf_invalid", 1, false)));
