--- a/src/main/java/beaconturn/cli/ObservedUnavailability.java
+++ b/src/main/java/beaconturn/cli/ObservedUnavailability.java
@@ -37,8 +37,9 @@
         kind == InstanceKind.ROUTER ? routers(fleet, view) : caches(fleet, view);
     ZonesSnapshot zones =
         ZonesSnapshot.of(
-            zonesKeys, ConfigAdmin.requireSuccess(store, new StoreRequest.Read(zonesKeys.all())));
-    return unavailability.withZonesOut(zones.out());
+            zonesKeys,
+            ConfigAdmin.requireSuccess(store, new StoreRequest.Read(zonesKeys.prefix())));
+    return unavailability.withZonesOut(zones.outOfService());
   }
 
   private Unavailability routers(ReleaseFleet fleet, AgreementStatus view) {
--- a/src/main/java/beaconturn/cli/ZonesRunner.java
+++ b/src/main/java/beaconturn/cli/ZonesRunner.java
@@ -8,8 +8,10 @@
 import beaconturn.release.RolloutKeys;
 import beaconturn.zones.RegionDistanceCheck;
 import beaconturn.zones.ZoneOverride;
+import beaconturn.zones.ZoneOverrideKind;
 import beaconturn.zones.ZonePlan;
 import beaconturn.zones.ZoneReport;
+import beaconturn.zones.ZoneState;
 import beaconturn.zones.ZoneTopology;
 import beaconturn.zones.ZonesAdmin;
 import beaconturn.zones.ZonesKeys;
@@ -54,18 +56,18 @@
       throws AgreementException {
     switch (order) {
       case "show" -> {
-        ZonesSnapshot scene = desk.look();
+        ZonesSnapshot scene = desk.readSnapshot();
         show(scene);
         RegionDistanceCheck.doubts(map, scene.reports()).forEach(System.out::println);
       }
       case "history" -> desk.history().forEach(plan -> System.out.println(line(plan)));
       case "drain" ->
           System.out.println(
-              desk.give(
-                  order(zone, ZoneOverride.What.DRAIN), permits.zoneEvacuation(zone, reason)));
-      case "hold" -> System.out.println(desk.give(order(zone, ZoneOverride.What.HOLD)));
-      case "weight" -> System.out.println(desk.give(order(zone, ZoneOverride.What.WEIGHT)));
-      case "free" -> System.out.println(desk.free(zone));
+              desk.setOverride(
+                  order(zone, ZoneOverrideKind.DRAIN), permits.zoneEvacuation(zone, reason)));
+      case "hold" -> System.out.println(desk.setOverride(order(zone, ZoneOverrideKind.HOLD)));
+      case "weight" -> System.out.println(desk.setOverride(order(zone, ZoneOverrideKind.WEIGHT)));
+      case "free" -> System.out.println(desk.clearOverride(zone));
       default -> {
         System.err.println("zones: unknown order '" + order + "', see 'zones --help'");
         return USAGE;
@@ -74,12 +76,12 @@
     return 0;
   }
 
-  private ZoneOverride order(String zone, ZoneOverride.What what) {
+  private ZoneOverride order(String zone, ZoneOverrideKind what) {
     return new ZoneOverride(zone, what, near, seconds * SECOND, author, reason);
   }
 
   private static String line(ZonePlan plan) {
-    return "plan " + plan.number() + " by " + plan.by() + ": " + plan.why();
+    return "plan " + plan.number() + " by " + plan.leader() + ": " + plan.reason();
   }
 
   private static void show(ZonesSnapshot scene) {
@@ -87,7 +89,7 @@
     if (scene.plan() != null) {
       scene
           .plan()
-          .rows()
+          .allocations()
           .forEach(
               (place, row) ->
                   System.out.println(
@@ -97,30 +99,30 @@
                           + scene
                               .plan()
                               .states()
-                              .getOrDefault(place, ZonePlan.State.NEAR)
+                              .getOrDefault(place, ZoneState.NEAR)
                               .name()
                               .toLowerCase(Locale.ROOT)
                               .replace('_', ' ')
                           + ": "
-                          + row.parts()));
+                          + row.weights()));
     }
-    System.out.println("office: " + (scene.office().isEmpty() ? "nobody" : scene.office()));
+    System.out.println("office: " + (scene.leader().isEmpty() ? "nobody" : scene.leader()));
     scene
-        .orders()
+        .overrides()
         .forEach(
             o ->
                 System.out.println(
                     "  "
-                        + o.place()
+                        + o.zone()
                         + " "
-                        + o.what().name().toLowerCase(Locale.ROOT)
+                        + o.kind().name().toLowerCase(Locale.ROOT)
                         + " by "
-                        + o.by()
+                        + o.author()
                         + ": "
                         + o.reason()));
     for (ZoneReport r : scene.reports()) {
       StringBuilder places = new StringBuilder();
-      r.places()
+      r.zones()
           .forEach(
               (place, s) ->
                   places.append(
@@ -128,13 +130,13 @@
                           Locale.ROOT,
                           "; %s %d good, %d bad, %d of %d servers warm, %d ejected",
                           place,
-                          s.good(),
-                          s.bad(),
-                          s.warm(),
-                          s.listed(),
-                          s.ejected())));
+                          s.goodAttempts(),
+                          s.badAttempts(),
+                          s.warmServers(),
+                          s.listedServers(),
+                          s.ejectedServers())));
       System.out.println(
-          "  " + r.router() + " at " + r.home() + " acts on plan " + r.plan() + places);
+          "  " + r.router() + " at " + r.homeZone() + " acts on plan " + r.planNumber() + places);
     }
   }
 }
--- a/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
@@ -8,9 +8,11 @@
 import beaconturn.net.RouterConfig;
 import beaconturn.net.ZoneWeightsSource;
 import beaconturn.net.io.Fnv1a;
+import beaconturn.zones.DueAllocation;
 import beaconturn.zones.ZoneMember;
 import beaconturn.zones.ZoneObservations;
 import beaconturn.zones.ZoneReport;
+import beaconturn.zones.ZoneReportSource;
 import beaconturn.zones.ZoneTopology;
 import beaconturn.zones.ZonesKeys;
 import java.util.ArrayList;
@@ -30,7 +32,7 @@
  * to the store. Attempts are counted by cache server, as they end, and added up by place for each
  * report.
  */
-public final class ZonesSubsystem implements ZoneWeightsSource, ZoneMember.Router {
+public final class ZonesSubsystem implements ZoneWeightsSource, ZoneReportSource {
   private static final Logger LOG = Logger.getLogger(ZonesSubsystem.class.getName());
   private static final long MICRO = 1000;
 
@@ -58,7 +60,7 @@
   }
 
   /** Shares, and what they were made of. */
-  private record Shown(ZoneMember.Due of, ZoneWeights shares) {}
+  private record Shown(DueAllocation of, ZoneWeights shares) {}
 
   /** A part that asks nobody before it is run; its place is the router's zone. */
   public ZonesSubsystem(AgreementConfig config, ZoneTopology map, RouterConfig router) {
@@ -85,12 +87,12 @@
     StoreClient store = new StoreClient(config.endpoints(), config.timing().requestTimeoutNanos());
     try {
       while (!stopped) {
-        follower.look(clock.now());
-        StoreRequest call = follower.next(clock.now());
+        follower.refresh(clock.now());
+        StoreRequest call = follower.nextRequest(clock.now());
         if (call != null) {
-          follower.answered(clock.now(), store.ask(call));
+          follower.handleResponse(clock.now(), store.ask(call));
         } else {
-          await(Math.min(LONGEST_WAIT, follower.wakeAt() - clock.now()));
+          await(Math.min(LONGEST_WAIT, follower.nextRequestAtNanos() - clock.now()));
         }
       }
       follower.leave().forEach(store::ask);
@@ -117,7 +119,7 @@
 
   @Override
   public ZoneWeights due() {
-    ZoneMember.Due due = follower.due(clock.now());
+    DueAllocation due = follower.allocationAt(clock.now());
     Shown last = shown;
     if (last == null || !last.of().equals(due)) {
       last = new Shown(due, shares(due));
@@ -126,11 +128,11 @@
     return last.shares();
   }
 
-  private ZoneWeights shares(ZoneMember.Due due) {
+  private ZoneWeights shares(DueAllocation due) {
     List<Integer> places = new ArrayList<>();
     List<Integer> parts = new ArrayList<>();
-    due.row()
-        .parts()
+    due.allocation()
+        .weights()
         .forEach(
             (place, part) -> {
               if (zones.contains(place)) {
@@ -164,7 +166,7 @@
 
   /** Counts of servers that are gone stay in their place's sums: what only grows must not fall. */
   @Override
-  public ZoneReport sees(String router, long number, long plan) {
+  public ZoneReport report(String router, long number, long plan) {
     Map<String, long[]> sums = new HashMap<>();
     Map<CacheServerClients.Listed, ServerStatus> now = seen;
     now.forEach(
--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -678,7 +678,7 @@
           came.putIfAbsent(
               new Trigger(Trigger.What.SETTLED, Long.parseLong(change.value()), ""), at);
         } else if (change.key().equals(FLEET + "/zones/plan")) {
-          planned(at, ZonesCodec.plan(change.value()));
+          planned(at, ZonesCodec.decodePlan(change.value()));
         } else if (change.key().startsWith(release)) {
           ofRelease(at, change.key().substring(release.length()), change.value());
         } else if (change.key().startsWith(keys.membersPrefix())) {
@@ -710,7 +710,7 @@
 
   private void planned(long at, ZonePlan plan) {
     Map<String, Map<String, Integer>> rows = new TreeMap<>();
-    plan.rows().forEach((place, row) -> rows.put(place, row.parts()));
+    plan.allocations().forEach((place, row) -> rows.put(place, row.weights()));
     account.add(new HistoryEvent.Planned(at, plan.number(), rows));
   }
 
--- a/src/main/java/beaconturn/zones/FailoverTiming.java
+++ b/src/main/java/beaconturn/zones/FailoverTiming.java
@@ -1,19 +1,26 @@
 package beaconturn.zones;
 
 /**
- * The times of decisions, in nanoseconds, and how large a step is.
+ * The times of decisions.
  *
- * @param confirm so long a place must be bad before its keys move
- * @param calm so long it must be good before they come back, doubled with each time that it flaps
- * @param longest the most that is
- * @param step from one step of a return or a spill to the next
- * @param stated how long routers may act on a plan after the next one, from their leases
+ * @param confirmNanos so long a zone must be bad before its keys move
+ * @param recoveryNanos so long it must be good before they come back, doubled with each time that
+ *     it flaps
+ * @param maxRecoveryNanos the most that is
+ * @param stepIntervalNanos from one step of a return or a spill to the next
+ * @param statedNanos how long routers may act on a plan after the next one, from their leases
  */
-public record FailoverTiming(long confirm, long calm, long longest, long step, long stated) {
-  private static final long SECOND = 1_000_000_000;
+public record FailoverTiming(
+    long confirmNanos,
+    long recoveryNanos,
+    long maxRecoveryNanos,
+    long stepIntervalNanos,
+    long statedNanos) {
+  private static final long SECOND_NANOS = 1_000_000_000;
 
   /** The usual ones with that stated time. */
-  public static FailoverTiming usual(long stated) {
-    return new FailoverTiming(SECOND, 3 * SECOND, 60 * SECOND, SECOND, stated);
+  public static FailoverTiming usual(long statedNanos) {
+    return new FailoverTiming(
+        SECOND_NANOS, 3 * SECOND_NANOS, 60 * SECOND_NANOS, SECOND_NANOS, statedNanos);
   }
 }
--- a/src/main/java/beaconturn/zones/ZoneHealth.java
+++ b/src/main/java/beaconturn/zones/ZoneHealth.java
@@ -1,6 +1,6 @@
 package beaconturn.zones;
 
-/** What the pooled evidence says of a place, or of a way to it. */
+/** What the pooled evidence says of a zone, or of the way to it from another. */
 public enum ZoneHealth {
   /** It serves. */
   GOOD,
@@ -8,10 +8,10 @@
   UNKNOWN,
   /** Whoever sends there finds it bad. */
   BROKEN,
-  /** Those of one place alone find it bad: their way to it is. */
+  /** Those of one zone alone find it bad: their way to it is. */
   LINK,
-  /** Nobody has it in the list any more. */
+  /** Nobody has it in the endpoint list any more. */
   NOT_LISTED,
-  /** Some have it in the list and others do not: lists are late. */
+  /** Some have it in the endpoint list and others do not: lists are late. */
   LATE_LIST
 }
--- a/src/main/java/beaconturn/zones/ZoneMember.java
+++ b/src/main/java/beaconturn/zones/ZoneMember.java
@@ -2,413 +2,241 @@
 
 import beaconturn.agreement.AgreementException;
 import beaconturn.agreement.AgreementTiming;
+import beaconturn.agreement.Jitter;
 import beaconturn.agreement.StoreRequest;
 import beaconturn.agreement.StoreResponse;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
 /**
- * One router's part: tells what it sees, follows the plan on a lease, and holds the office where
- * nobody does. Driven by one thread, which asks {@link #next} for the call to make and brings its
- * answer to {@link #answered}.
+ * One router's member of the zones: a state machine without I/O that reports what the router sees,
+ * follows the plan on a lease, and is the leader where nobody is.
+ *
+ * <p>For one thread, which asks {@link #nextRequest} for the request to make and brings its
+ * response to {@link #handleResponse}; {@link #allocationAt} may be called by any. All times are
+ * nanoseconds of the router's clock.
  */
 public final class ZoneMember {
-  private static final long SECOND = 1_000_000_000;
-  private static final long TICK = SECOND / 4;
+  private static final long SECOND_NANOS = 1_000_000_000;
 
-  /**
-   * Short, as nobody moves anything without an office; each of its steps has the office for a
-   * condition.
-   */
-  private static final long OFFICE_SECONDS = 2;
+  /** From one decision of the leader to the next. */
+  static final long TICK_NANOS = SECOND_NANOS / 4;
 
-  private static final int SPREAD_PARTS = 5;
-  private static final int LONGEST_BACK_OFF = 8;
-  private static final int STALE_RENEWALS = 4;
+  /** The pause after failures doubles with each, up to this many times the first. */
+  private static final int MAX_BACKOFF_STEPS = 8;
 
-  /**
-   * A report lies in the store for so long after the last word of its router, which may serve on
-   * without it: whoever takes the office then has to know of it. Who is heard is told by reports
-   * that grow.
-   */
-  private static final long REPORT_SECONDS = 60;
+  /** A router whose report has not grown for so many renewals is not heard. */
+  private static final int STALE_RENEWALS = 4;
 
   /** Evidence is compared over so long. */
-  private static final long WINDOW = 3 * SECOND / 2;
-
-  /** What the follower asks of the router. */
-  public interface Router {
-    /** What it sees of each place, with that number and plan; the counts of its process. */
-    ZoneReport sees(String router, long number, long plan);
-  }
+  private static final long WINDOW_NANOS = 3 * SECOND_NANOS / 2;
 
-  /**
-   * Which row is due, and whether another place of it than its own may take what its own part has
-   * no room for.
-   */
-  public record Due(ZoneAllocation row, boolean overflow, String says) {}
+  private final ZoneTopology topology;
+  private final String homeZone;
+  private final String router;
+  private final ZoneReportSource reportSource;
+  private final Consumer<String> log;
+  private final Jitter jitter;
+  private final ReportLease reportLease;
+  private final ZonePlanFollower follower;
+  private final ZonePlanLeader leader;
+  private final OwnZoneEvidence ownEvidence;
 
-  /** What is due until a time and from then on. */
-  private record Held(long until, Due in, Due after) {}
+  /** What the request that is out is for, or null. */
+  private ZoneRequestPurpose outstanding;
 
-  private enum Aim {
-    LEASE,
-    RENEW,
-    READ,
-    TELL,
-    LOOK,
-    OFFICE_LEASE,
-    OFFICE_RENEW,
-    DECIDE,
-    STEP
-  }
+  private long sentAtNanos;
+  private long pausedUntilNanos;
+  private int failuresInSequence;
+  private long reportSequenceNumber;
+  private volatile LeasedAllocation leased;
 
-  private final ZonesKeys keys;
-  private final ZoneTopology map;
-  private final AgreementTiming timing;
-  private final String home;
-  private final String me;
-  private final Router router;
-  private final Consumer<String> log;
-  private final SplittableRandom random;
-  private final FailoverPlanner decision;
-  private Aim aim;
-  private long sentAt;
-  private long waitUntil;
-  private int failures;
-  private long lease;
-  private long aliveSince;
-  private long renewAt;
-  private long tellAt;
-  private long number;
-  private boolean read;
-  private ZonePlan plan;
-  private long planRevision;
-  private long leaseUntil = Long.MIN_VALUE;
-  private long lookAt;
-  private boolean office;
-  private long officeLease;
-  private long officeRenewAt;
-  private long decideAt;
-  private ZonePlan step;
-  private StoreRequest.Transaction swap;
-  private String says = "";
-  private ZoneReport before;
-  private long beforeAt;
-  private boolean nearBad;
-  private volatile Held held;
-  private Due now;
+  /** What was last logged to be sent by. */
+  private DueAllocation loggedAllocation;
 
-  /** A follower at a place; {@code me} is its name and incarnation with a slash between. */
+  /**
+   * A member in a zone.
+   *
+   * @param router name and incarnation with a slash between
+   * @param seed of the random spread of times
+   */
   public ZoneMember(
       ZonesKeys keys,
-      ZoneTopology map,
+      ZoneTopology topology,
       AgreementTiming timing,
-      String home,
-      String me,
+      String homeZone,
+      String router,
       long seed,
-      long start,
-      Router router,
+      long startNanos,
+      ZoneReportSource reportSource,
       Consumer<String> log) {
-    this.keys = keys;
-    this.map = map;
-    this.timing = timing;
-    this.home = home;
-    this.me = me;
+    this.topology = topology;
+    this.homeZone = homeZone;
     this.router = router;
+    this.reportSource = reportSource;
     this.log = log;
-    this.random = new SplittableRandom(seed);
-    this.decision =
-        new FailoverPlanner(
-            map,
-            FailoverTiming.usual(timing.statedNanos()),
-            WINDOW,
-            STALE_RENEWALS * timing.renewIntervalNanos(),
-            REPORT_SECONDS * SECOND / 2);
-    this.plan = ZonePlan.first(map);
-    this.renewAt = start;
-    this.lookAt = start + spread(TICK);
-    hold();
-    this.now = due(start);
+    this.jitter = new Jitter(seed);
+    this.reportLease = new ReportLease(timing, jitter, startNanos);
+    this.follower = new ZonePlanFollower(keys, topology, timing, router, jitter);
+    FailoverPlanner planner = planner(topology, timing);
+    this.leader = new ZonePlanLeader(keys, topology, planner, router, jitter, startNanos, log);
+    this.ownEvidence = new OwnZoneEvidence(homeZone, WINDOW_NANOS);
+    this.leased = leasedAllocation();
+    this.loggedAllocation = allocationAt(startNanos);
+  }
+
+  private static FailoverPlanner planner(ZoneTopology topology, AgreementTiming timing) {
+    return new FailoverPlanner(
+        topology,
+        FailoverTiming.usual(timing.statedNanos()),
+        WINDOW_NANOS,
+        STALE_RENEWALS * timing.renewIntervalNanos(),
+        ReportLease.MIN_TTL_SECONDS * SECOND_NANOS / 2);
   }
 
   /**
-   * The row that is due at a time, by its clock; any thread may ask, also one that stood still for
-   * long.
+   * What to send by at a time of the router's clock; any thread may ask, also one that stood still
+   * for long.
    */
-  public Due due(long at) {
-    Held known = held;
-    return at < known.until() ? known.in() : known.after();
+  public DueAllocation allocationAt(long nowNanos) {
+    return leased.at(nowNanos);
   }
 
-  private void hold() {
-    held =
-        new Held(
-            leaseUntil,
-            new Due(plan.row(home), true, "plan " + plan.number()),
-            nearBad
-                ? new Due(
-                    ZonePlan.floor(map, home),
-                    false,
-                    "its own evidence: its place is bad, no lease")
-                : new Due(ZonePlan.calm(map, home), false, "no lease: near"));
+  private LeasedAllocation leasedAllocation() {
+    ZonePlan plan = follower.plan();
+    DueAllocation planned =
+        new DueAllocation(plan.allocationOf(homeZone), true, "plan " + plan.number());
+    return new LeasedAllocation(follower.leaseEndNanos(), planned, allocationWithoutLease());
   }
 
-  /** To be called before each step and now and then: looks at its own evidence and its lease. */
-  public void look(long at) {
-    if (before == null || at - beforeAt >= WINDOW) {
-      ZoneReport last = router.sees(me, number, at < leaseUntil ? plan.number() : 0);
-      if (before != null) {
-        ZoneObservations seen =
-            last.places()
-                .getOrDefault(home, ZoneObservations.NONE)
-                .since(before.places().getOrDefault(home, ZoneObservations.NONE));
-        nearBad = EvidenceAggregator.view(seen) == ZoneHealth.BROKEN || seen.listed() == 0;
-      }
-      before = last;
-      beforeAt = at;
-    }
-    hold();
-    Due next = due(at);
-    if (!next.equals(now)) {
-      log.accept("zones: sends by " + next.says() + ", " + next.row().parts());
+  private DueAllocation allocationWithoutLease() {
+    if (ownEvidence.isBad()) {
+      return new DueAllocation(
+          ZonePlan.withoutLease(topology, homeZone),
+          false,
+          "its own evidence: its place is bad, no lease");
     }
-    now = next;
+    return new DueAllocation(ZonePlan.nearWithTrial(topology, homeZone), false, "no lease: near");
   }
 
-  /** The call to make now, or null while there is none before {@link #wakeAt}; one at a time. */
-  public StoreRequest next(long at) {
-    if (aim != null || at < waitUntil) {
-      return null;
-    }
-    sentAt = at;
-    if (lease == 0) {
-      return out(
-          Aim.LEASE, new StoreRequest.Grant(Math.max(REPORT_SECONDS, timing.storeLeaseSeconds())));
-    }
-    if (at >= renewAt) {
-      return out(Aim.RENEW, new StoreRequest.KeepAlive(lease));
-    }
-    if (!read) {
-      return out(Aim.READ, new StoreRequest.Read(keys.plan()));
+  /**
+   * Looks at the router's own evidence and at the lease; to be called before each request and now
+   * and then.
+   */
+  public void refresh(long nowNanos) {
+    if (ownEvidence.isWindowOver(nowNanos)) {
+      boolean hasLease = nowNanos < follower.leaseEndNanos();
+      long planNumber = hasLease ? follower.plan().number() : 0;
+      ownEvidence.endWindow(
+          reportSource.report(router, reportSequenceNumber, planNumber), nowNanos);
     }
-    if (at >= tellAt) {
-      number++;
-      ZoneReport report = router.sees(me, number, plan.number());
-      return out(
-          Aim.TELL,
-          new StoreRequest.Transaction(
-              List.of(new StoreRequest.Condition.Unchanged(keys.plan(), planRevision)),
-              List.of(new StoreRequest.Change.Put(keys.report(me), ZonesCodec.of(report), lease))));
+    leased = leasedAllocation();
+    DueAllocation due = allocationAt(nowNanos);
+    if (!due.equals(loggedAllocation)) {
+      log.accept("zones: sends by " + due.description() + ", " + due.allocation().weights());
     }
-    return office
-        ? official(at)
-        : at >= lookAt ? out(Aim.LOOK, new StoreRequest.Read(keys.office())) : null;
+    loggedAllocation = due;
   }
 
-  private StoreRequest official(long at) {
-    if (officeLease == 0) {
-      return out(Aim.OFFICE_LEASE, new StoreRequest.Grant(OFFICE_SECONDS));
-    }
-    if (at >= officeRenewAt) {
-      return out(Aim.OFFICE_RENEW, new StoreRequest.KeepAlive(officeLease));
+  /**
+   * The request to make now, or null while there is none before {@link #nextRequestAtNanos}. Only
+   * one is out at a time.
+   */
+  public StoreRequest nextRequest(long nowNanos) {
+    if (outstanding != null || nowNanos < pausedUntilNanos) {
+      return null;
     }
-    if (swap != null) {
-      return out(Aim.STEP, swap);
+    sentAtNanos = nowNanos;
+    PendingZoneRequest due = dueRequest(nowNanos);
+    if (due == null) {
+      return null;
     }
-    return at >= decideAt ? out(Aim.DECIDE, new StoreRequest.Read(keys.all())) : null;
+    outstanding = due.purpose();
+    return due.request();
   }
 
-  private StoreRequest out(Aim what, StoreRequest call) {
-    aim = what;
-    return call;
-  }
-
-  /** When {@link #next} may have a call again. */
-  public long wakeAt() {
-    long at = Math.min(renewAt, tellAt);
-    at = Math.min(at, office ? Math.min(decideAt, officeRenewAt) : lookAt);
-    return Math.max(waitUntil, at);
-  }
-
-  /** What became of the call. */
-  public void answered(long at, StoreResponse answer) {
-    Aim was = aim;
-    aim = null;
-    if (!(answer instanceof StoreResponse.Success given)) {
-      failed(at, was, ((StoreResponse.Failed) answer).reason());
-      return;
+  private PendingZoneRequest dueRequest(long nowNanos) {
+    PendingZoneRequest leaseRequest = reportLease.dueRequest(nowNanos);
+    if (leaseRequest != null) {
+      return leaseRequest;
     }
-    failures = 0;
-    try {
-      take(at, was, given);
-    } catch (AgreementException e) {
-      failed(at, was, e.getMessage());
+    if (follower.isOutdated()) {
+      return follower.readRequest();
     }
-    look(at);
-  }
-
-  private void failed(long at, Aim was, String why) {
-    failures++;
-    if (failures == 1) {
-      log.accept("zones: the store does not answer (" + was + "): " + why);
+    if (nowNanos >= follower.reportAtNanos()) {
+      reportSequenceNumber++;
+      ZoneReport report =
+          reportSource.report(router, reportSequenceNumber, follower.plan().number());
+      return follower.reportRequest(report, reportLease.id());
     }
-    // Whether a step came about is seen when it is looked at anew.
-    swap = was == Aim.STEP ? null : swap;
-    waitUntil =
-        at
-            + spread(
-                TICK * Math.min(LONGEST_BACK_OFF, 1L << Math.min(failures, LONGEST_BACK_OFF)) / 2);
-    look(at);
+    return leader.dueRequest(nowNanos);
   }
 
-  private void take(long at, Aim was, StoreResponse.Success given) throws AgreementException {
-    switch (was) {
-      case LEASE -> {
-        lease = given.leaseId();
-        aliveSince = sentAt;
-        renewAt = sentAt + spread(timing.renewIntervalNanos());
-      }
-      case RENEW -> {
-        lease = given.leaseTtlSeconds() > 0 ? lease : 0;
-        aliveSince = given.leaseTtlSeconds() > 0 ? sentAt : aliveSince;
-        renewAt = sentAt + spread(timing.renewIntervalNanos());
-      }
-      case READ -> knows(given);
-      case TELL -> told(given);
-      case LOOK -> {
-        boolean free = given.entries().isEmpty();
-        office = free;
-        decideAt = at;
-        // Who looks often takes an office that has just fallen free; all would look in step else.
-        lookAt = at + spread(2 * TICK);
-      }
-      case OFFICE_LEASE, OFFICE_RENEW -> {
-        officeLease =
-            was == Aim.OFFICE_LEASE
-                ? given.leaseId()
-                : given.leaseTtlSeconds() > 0 ? officeLease : 0;
-        officeRenewAt = sentAt + TICK;
-      }
-      case DECIDE -> decide(at, given);
-      case STEP -> stepped(given);
-      default -> throw new IllegalStateException(was.name());
-    }
+  /** When {@link #nextRequest} may have a request again. */
+  public long nextRequestAtNanos() {
+    long atNanos = Math.min(reportLease.renewAtNanos(), follower.reportAtNanos());
+    return Math.max(pausedUntilNanos, Math.min(atNanos, leader.nextRequestAtNanos()));
   }
 
-  private void knows(StoreResponse.Success given) throws AgreementException {
-    for (StoreResponse.Entry pair : given.entries()) {
-      if (pair.key().equals(keys.plan())) {
-        ZonePlan there = ZonesCodec.plan(pair.value());
-        if (there.number() < plan.number()) {
-          throw new AgreementException(
-              "plan "
-                  + there.number()
-                  + " stands there, and "
-                  + plan.number()
-                  + " was known: nobody goes back in time");
-        }
-        plan = there;
-        planRevision = pair.modRevision();
-        read = true;
-        return;
+  /** Takes the response to the request that was out; {@code nowNanos} is when it came. */
+  public void handleResponse(long nowNanos, StoreResponse response) {
+    ZoneRequestPurpose purpose = outstanding;
+    outstanding = null;
+    if (response instanceof StoreResponse.Success success) {
+      failuresInSequence = 0;
+      try {
+        handleSuccess(nowNanos, purpose, success);
+      } catch (AgreementException e) {
+        handleFailure(nowNanos, purpose, e.getMessage());
       }
-    }
-    if (plan.number() > 0) {
-      throw new AgreementException(
-          "no plan stands there, and plan " + plan.number() + " was known");
-    }
-    planRevision = 0;
-    read = true;
-  }
-
-  /**
-   * What was read is still so: the lease counts from before the earlier of the two calls that it
-   * rests on.
-   */
-  private void told(StoreResponse.Success given) {
-    if (given.conditionsHeld()) {
-      leaseUntil = Math.min(sentAt, aliveSince) + timing.leaseNanos();
-      tellAt = sentAt + spread(timing.renewIntervalNanos() / 2);
     } else {
-      read = false;
-    }
-  }
-
-  private void decide(long at, StoreResponse.Success given) throws AgreementException {
-    ZonesSnapshot scene = ZonesSnapshot.of(keys, given);
-    decideAt = at + TICK;
-    if (!scene.office().equals(me)) {
-      if (!scene.office().isEmpty()) {
-        leaveOffice(at);
-        return;
+      handleFailure(nowNanos, purpose, ((StoreResponse.Failed) response).reason());
+    }
+    refresh(nowNanos);
+  }
+
+  private void handleSuccess(
+      long nowNanos, ZoneRequestPurpose purpose, StoreResponse.Success response)
+      throws AgreementException {
+    switch (purpose) {
+      case GRANT_LEASE -> reportLease.handleGranted(sentAtNanos, response);
+      case RENEW_LEASE -> reportLease.handleRenewed(sentAtNanos, response);
+      case READ_PLAN -> follower.handleRead(response);
+      case REPORT -> follower.handleReported(sentAtNanos, reportLease.keptAliveAtNanos(), response);
+      case READ_LEADER -> leader.handleLeader(nowNanos, response);
+      case GRANT_LEADER_LEASE -> leader.handleLeaseGranted(sentAtNanos, response);
+      case RENEW_LEADER_LEASE -> leader.handleLeaseRenewed(sentAtNanos, response);
+      case READ_ALL -> leader.handleAll(nowNanos, response);
+      case TAKE_STEP -> {
+        if (leader.handleStepTaken(response)) {
+          follower.invalidate();
+        }
       }
-      swap =
-          new StoreRequest.Transaction(
-              List.of(scene.unchanged(keys.office())),
-              List.of(new StoreRequest.Change.Put(keys.office(), me, officeLease)));
-      step = null;
-      return;
-    }
-    ZonePlan there = scene.plan() == null ? ZonePlan.first(map) : scene.plan();
-    step = decision.next(there, scene.reports(), scene.orders(), me, at);
-    tellEvidence();
-    if (step != null) {
-      List<StoreRequest.Condition> conditions =
-          new ArrayList<>(List.of(scene.unchanged(keys.office()), scene.unchanged(keys.plan())));
-      map.places().forEach(p -> conditions.add(scene.unchanged(keys.order(p))));
-      swap =
-          new StoreRequest.Transaction(
-              conditions,
-              List.of(
-                  new StoreRequest.Change.Put(keys.plan(), ZonesCodec.of(step), 0),
-                  new StoreRequest.Change.Put(
-                      keys.history(step.number()), ZonesCodec.of(step), 0)));
+      default -> throw new IllegalStateException("no such purpose: " + purpose);
     }
   }
 
-  /** In the log of whoever holds the office, each time that it is something else. */
-  private void tellEvidence() {
-    String waits = decision.waits();
-    String all = decision.says() + (waits.isEmpty() ? "" : "; waits: " + waits);
-    if (!all.equals(says)) {
-      log.accept("zones: evidence " + all);
-      says = all;
+  private void handleFailure(long nowNanos, ZoneRequestPurpose purpose, String reason) {
+    failuresInSequence++;
+    if (failuresInSequence == 1) {
+      log.accept("zones: the store does not answer (" + purpose + "): " + reason);
     }
-  }
-
-  private void stepped(StoreResponse.Success given) {
-    if (given.conditionsHeld()) {
-      log.accept(
-          step == null
-              ? "zones: holds the office"
-              : "zones: plan " + step.number() + ": " + step.why());
-      read &= step == null;
+    if (purpose == ZoneRequestPurpose.TAKE_STEP) {
+      leader.handleStepFailed();
     }
-    swap = null;
-    step = null;
-  }
-
-  private void leaveOffice(long at) {
-    office = false;
-    officeLease = 0;
-    lookAt = at + spread(2 * TICK);
+    int doublings = Math.min(failuresInSequence, MAX_BACKOFF_STEPS);
+    long steps = Math.min(MAX_BACKOFF_STEPS, 1L << doublings);
+    pausedUntilNanos = nowNanos + jitter.spreadNanos(TICK_NANOS * steps / 2);
   }
 
-  /** What to ask the store at a planned end. */
+  /** The last requests at a planned end, in their order. */
   public List<StoreRequest> leave() {
-    return lease == 0
-        ? List.of()
-        : officeLease == 0
-            ? List.of(new StoreRequest.Revoke(lease))
-            : List.of(new StoreRequest.Revoke(officeLease), new StoreRequest.Revoke(lease));
-  }
-
-  /** Spread by chance, so that many routers do not call in step. */
-  private long spread(long time) {
-    long part = Math.max(1, time / SPREAD_PARTS);
-    return time - part + random.nextLong(2 * part);
+    if (!reportLease.isHeld()) {
+      return List.of();
+    }
+    StoreRequest revokeReport = new StoreRequest.Revoke(reportLease.id());
+    return leader.hasLease()
+        ? List.of(leader.revokeRequest(), revokeReport)
+        : List.of(revokeReport);
   }
 }
--- a/src/main/java/beaconturn/zones/ZonePlan.java
+++ b/src/main/java/beaconturn/zones/ZonePlan.java
@@ -8,80 +8,68 @@
 import java.util.TreeMap;
 
 /**
- * Where the keys of all places go, and why.
+ * Where the keys of all zones go, and why.
  *
  * @param number only grows
- * @param rows by place
- * @param states of each place
- * @param flaps how often a place has gone and come back of late; kept so that another office goes
- *     on with it
- * @param why what the last change was for
- * @param by the incarnation of the office that made it
+ * @param allocations by zone
+ * @param states by zone
+ * @param flapCounts how often a zone has gone and come back of late; kept so that another leader
+ *     goes on with it
+ * @param reason what the last change was for
+ * @param leader the incarnation that made it
  */
 public record ZonePlan(
     long number,
-    SortedMap<String, ZoneAllocation> rows,
-    SortedMap<String, State> states,
-    SortedMap<String, Integer> flaps,
-    String why,
-    String by) {
-  /** What a place is at. */
-  public enum State {
-    /** Its keys are served there, but for a trial part. */
-    NEAR,
-    /** More is wanted there than it carries: a part goes on. */
-    SPILLING,
-    /** Its keys are served elsewhere, but for a trial part. */
-    FAILED_OVER,
-    /** They come back by steps. */
-    RETURNING,
-    /** Its routers alone do not reach it. */
-    SPLIT
-  }
-
-  /** A plan of its own. */
+    SortedMap<String, ZoneAllocation> allocations,
+    SortedMap<String, ZoneState> states,
+    SortedMap<String, Integer> flapCounts,
+    String reason,
+    String leader) {
+  /** A plan of its own: later changes of the arguments change nothing. */
   public ZonePlan {
-    rows = Collections.unmodifiableSortedMap(new TreeMap<>(rows));
+    allocations = Collections.unmodifiableSortedMap(new TreeMap<>(allocations));
     states = Collections.unmodifiableSortedMap(new TreeMap<>(states));
-    flaps = Collections.unmodifiableSortedMap(new TreeMap<>(flaps));
+    flapCounts = Collections.unmodifiableSortedMap(new TreeMap<>(flapCounts));
   }
 
   /** The plan before any: all near. */
-  public static ZonePlan first(ZoneTopology map) {
-    SortedMap<String, ZoneAllocation> rows = new TreeMap<>();
-    SortedMap<String, State> states = new TreeMap<>();
-    for (String place : map.places()) {
-      rows.put(place, calm(map, place));
-      states.put(place, State.NEAR);
+  public static ZonePlan first(ZoneTopology topology) {
+    SortedMap<String, ZoneAllocation> allocations = new TreeMap<>();
+    SortedMap<String, ZoneState> states = new TreeMap<>();
+    for (String zone : topology.zones()) {
+      allocations.put(zone, nearWithTrial(topology, zone));
+      states.put(zone, ZoneState.NEAR);
     }
-    return new ZonePlan(0, rows, states, new TreeMap<>(), "", "");
+    return new ZonePlan(0, allocations, states, new TreeMap<>(), "", "");
   }
 
-  /** All near but a trial part at the nearest other place, which keeps evidence of it. */
-  public static ZoneAllocation calm(ZoneTopology map, String place) {
-    return with(map, place, ZoneAllocation.TRIAL);
+  /** All near but a trial part at the nearest other zone, which keeps evidence of it. */
+  public static ZoneAllocation nearWithTrial(ZoneTopology topology, String zone) {
+    return withFarWeight(topology, zone, ZoneAllocation.TRIAL_WEIGHT);
   }
 
   /**
-   * What a router may do that holds no lease on a plan and finds its own place bad: its reserve at
-   * the nearest other place, which every plan leaves to it.
+   * What a router may do that holds no lease on a plan and finds its own zone bad: its reserve at
+   * the nearest other zone, which every plan leaves to it.
    */
-  public static ZoneAllocation floor(ZoneTopology map, String place) {
-    return with(map, place, Math.max(ZoneAllocation.TRIAL, map.reserve()));
+  public static ZoneAllocation withoutLease(ZoneTopology topology, String zone) {
+    int farWeight = Math.max(ZoneAllocation.TRIAL_WEIGHT, topology.reserveWeight());
+    return withFarWeight(topology, zone, farWeight);
   }
 
-  private static ZoneAllocation with(ZoneTopology map, String place, int far) {
-    Map<String, Integer> parts = new LinkedHashMap<>();
-    List<String> others = map.others(place);
-    parts.put(place, others.isEmpty() ? ZoneAllocation.WHOLE : ZoneAllocation.WHOLE - far);
-    if (!others.isEmpty()) {
-      parts.put(others.get(0), far);
+  private static ZoneAllocation withFarWeight(ZoneTopology topology, String zone, int farWeight) {
+    List<String> others = topology.othersByDistance(zone);
+    if (others.isEmpty()) {
+      return ZoneAllocation.allNear(zone);
     }
-    return new ZoneAllocation(parts);
+    Map<String, Integer> weights = new LinkedHashMap<>();
+    weights.put(zone, ZoneAllocation.TOTAL_WEIGHT - farWeight);
+    weights.put(others.get(0), farWeight);
+    return new ZoneAllocation(weights);
   }
 
-  /** The row of a place; near where the plan does not know it. */
-  public ZoneAllocation row(String place) {
-    return rows.getOrDefault(place, ZoneAllocation.near(place));
+  /** The allocation of a zone; near where the plan does not know it. */
+  public ZoneAllocation allocationOf(String zone) {
+    return allocations.getOrDefault(zone, ZoneAllocation.allNear(zone));
   }
 }
--- a/src/main/java/beaconturn/zones/ZonesAdmin.java
+++ b/src/main/java/beaconturn/zones/ZonesAdmin.java
@@ -8,102 +8,132 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What operators do with places: each order reads what stands in the store and takes one step. */
+/**
+ * What operators do with zones: each operation reads what stands in the store and takes one step.
+ * For one thread, which waits for the store.
+ *
+ * <p>All methods throw an {@link AgreementException} if the store does not answer, or holds what
+ * cannot be read.
+ */
 public final class ZonesAdmin {
-  private static final long SECOND = 1_000_000_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
+  private static final long NO_LEASE = 0;
+
   private final ZonesKeys keys;
-  private final ZoneTopology map;
+  private final ZoneTopology topology;
   private final CoordinationStore store;
 
-  /** A desk at a store, for one fleet. */
-  public ZonesAdmin(ZonesKeys keys, ZoneTopology map, CoordinationStore store) {
+  /** The operations at a store, for one fleet. */
+  public ZonesAdmin(ZonesKeys keys, ZoneTopology topology, CoordinationStore store) {
     this.keys = keys;
-    this.map = map;
+    this.topology = topology;
     this.store = store;
   }
 
-  private StoreResponse.Success given(StoreRequest call) throws AgreementException {
-    return ConfigAdmin.requireSuccess(store, call);
+  private StoreResponse.Success requireSuccess(StoreRequest request) throws AgreementException {
+    return ConfigAdmin.requireSuccess(store, request);
   }
 
   /** What stands in the store now. */
-  public ZonesSnapshot look() throws AgreementException {
-    return ZonesSnapshot.of(keys, given(new StoreRequest.Read(keys.all())));
+  public ZonesSnapshot readSnapshot() throws AgreementException {
+    return ZonesSnapshot.of(keys, requireSuccess(new StoreRequest.Read(keys.prefix())));
   }
 
   /**
-   * Gives an order; one that is to end by itself hangs on a lease of the store, which nobody
-   * renews. Refused while another place is drained, or is not served near: one at a time.
+   * Sets an override; one that is to end by itself is on a lease of the store, which nobody renews.
+   * What was done, in words.
+   *
+   * @throws AgreementException while another zone is drained, or is not served near: one at a time
    */
-  public String give(ZoneOverride order) throws AgreementException {
-    return give(order, new StoreRequest.Transaction(List.of(), List.of()));
+  public String setOverride(ZoneOverride override) throws AgreementException {
+    return setOverride(override, new StoreRequest.Transaction(List.of(), List.of()));
   }
 
   /** The same, in one transaction with something else. */
-  public String give(ZoneOverride order, StoreRequest.Transaction with) throws AgreementException {
-    if (!map.regions().containsKey(order.place())) {
-      throw new AgreementException(
-          "there is no place '"
-              + order.place()
-              + "', there are "
-              + String.join(", ", map.places()));
-    }
-    ZonesSnapshot scene = look();
-    if (order.what() == ZoneOverride.What.DRAIN) {
-      List<String> out = new ArrayList<>();
-      scene
-          .out()
-          .forEach(
-              (place, why) -> {
-                if (!place.equals(order.place())) {
-                  out.add(place + " (" + why + ")");
-                }
-              });
-      if (!out.isEmpty()) {
-        throw new AgreementException(
-            "one place may be out at once, and out is " + String.join(", ", out));
-      }
+  public String setOverride(ZoneOverride override, StoreRequest.Transaction with)
+      throws AgreementException {
+    requireKnownZone(override.zone());
+    ZonesSnapshot snapshot = readSnapshot();
+    if (override.kind() == ZoneOverrideKind.DRAIN) {
+      requireAllOthersInService(snapshot, override.zone());
     }
-    long lease =
-        order.leftNanos() == 0
-            ? 0
-            : given(new StoreRequest.Grant((order.leftNanos() + SECOND - 1) / SECOND)).leaseId();
+    String key = keys.override(override.zone());
+    long leaseId = grantLease(override);
     List<StoreRequest.Condition> conditions = new ArrayList<>(with.conditions());
-    conditions.add(scene.unchanged(keys.order(order.place())));
+    conditions.add(snapshot.unchanged(key));
     List<StoreRequest.Change> changes = new ArrayList<>(with.changes());
-    changes.add(
-        new StoreRequest.Change.Put(keys.order(order.place()), ZonesCodec.of(order), lease));
-    if (!given(new StoreRequest.Transaction(conditions, changes)).conditionsHeld()) {
+    changes.add(new StoreRequest.Change.Put(key, ZonesCodec.encode(override), leaseId));
+    StoreRequest transaction = new StoreRequest.Transaction(conditions, changes);
+    if (!requireSuccess(transaction).conditionsHeld()) {
       throw new AgreementException("not done, things have changed meanwhile: look again");
     }
-    return order.place()
-        + " is to "
-        + switch (order.what()) {
-          case DRAIN -> "be drained";
-          case HOLD -> "stay as it is";
-          case WEIGHT -> "keep at most " + order.weight() + " of 1000 of its keys";
-        };
+    return override.zone() + " is to " + describe(override);
   }
 
-  /** Takes back what was said of a place. */
-  public String free(String place) throws AgreementException {
-    ZonesSnapshot scene = look();
-    if (scene.orders().stream().noneMatch(o -> o.place().equals(place))) {
-      throw new AgreementException("nothing is said of '" + place + "'");
+  private void requireKnownZone(String zone) throws AgreementException {
+    if (!topology.regions().containsKey(zone)) {
+      String known = String.join(", ", topology.zones());
+      throw new AgreementException("there is no place '" + zone + "', there are " + known);
+    }
+  }
+
+  private static void requireAllOthersInService(ZonesSnapshot snapshot, String zone)
+      throws AgreementException {
+    List<String> out = new ArrayList<>();
+    snapshot
+        .outOfService()
+        .forEach(
+            (other, reason) -> {
+              if (!other.equals(zone)) {
+                out.add(other + " (" + reason + ")");
+              }
+            });
+    if (!out.isEmpty()) {
+      throw new AgreementException(
+          "one place may be out at once, and out is " + String.join(", ", out));
+    }
+  }
+
+  private long grantLease(ZoneOverride override) throws AgreementException {
+    if (override.remainingNanos() == 0) {
+      return NO_LEASE;
+    }
+    long ttlSeconds = (override.remainingNanos() + SECOND_NANOS - 1) / SECOND_NANOS;
+    return requireSuccess(new StoreRequest.Grant(ttlSeconds)).leaseId();
+  }
+
+  private static String describe(ZoneOverride override) {
+    return switch (override.kind()) {
+      case DRAIN -> "be drained";
+      case HOLD -> "stay as it is";
+      case WEIGHT -> "keep at most " + override.maxNearWeight() + " of 1000 of its keys";
+    };
+  }
+
+  /**
+   * Takes the override of a zone back. What was done, in words.
+   *
+   * @throws AgreementException if there is none
+   */
+  public String clearOverride(String zone) throws AgreementException {
+    ZonesSnapshot snapshot = readSnapshot();
+    if (snapshot.overrides().stream().noneMatch(override -> override.zone().equals(zone))) {
+      throw new AgreementException("nothing is said of '" + zone + "'");
     }
-    given(
+    String key = keys.override(zone);
+    requireSuccess(
         new StoreRequest.Transaction(
-            List.of(scene.unchanged(keys.order(place))),
-            List.of(new StoreRequest.Change.Delete(keys.order(place)))));
-    return place + " goes by evidence again";
+            List.of(snapshot.unchanged(key)), List.of(new StoreRequest.Change.Delete(key))));
+    return zone + " goes by evidence again";
   }
 
   /** All plans, the oldest first. */
   public List<ZonePlan> history() throws AgreementException {
-    List<ZonePlan> all = new ArrayList<>();
-    for (StoreResponse.Entry pair : given(new StoreRequest.Read(keys.histories())).entries()) {
-      all.add(ZonesCodec.plan(pair.value()));
+    List<ZonePlan> plans = new ArrayList<>();
+    StoreRequest read = new StoreRequest.Read(keys.plansPrefix());
+    for (StoreResponse.Entry entry : requireSuccess(read).entries()) {
+      plans.add(ZonesCodec.decodePlan(entry.value()));
     }
-    return all;
+    return plans;
   }
 }
--- a/src/main/java/beaconturn/zones/ZonesCodec.java
+++ b/src/main/java/beaconturn/zones/ZonesCodec.java
@@ -12,60 +12,55 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** What stands in the store of places, as lines of JSON. */
+/** Plans, reports and overrides as the JSON texts that stand in the store. */
 public final class ZonesCodec {
+  /** A zone that never went is 0 in the text, one that went once 1. */
+  private static final int NEVER_LEFT = -1;
+
   private ZonesCodec() {}
 
-  static String of(ZoneReport r) {
-    List<Json> places = new ArrayList<>();
-    r.places()
-        .forEach(
-            (place, s) ->
-                places.add(
-                    StoredJson.object(
-                        "place",
-                        place,
-                        "good",
-                        s.good(),
-                        "bad",
-                        s.bad(),
-                        "micros",
-                        s.micros(),
-                        "listed",
-                        s.listed(),
-                        "warm",
-                        s.warm(),
-                        "ejected",
-                        s.ejected())));
+  static String encode(ZoneReport report) {
+    List<Json> zones = new ArrayList<>();
+    report.zones().forEach((zone, seen) -> zones.add(observationsJson(zone, seen)));
     return JsonWriter.write(
         StoredJson.object(
             "router",
-            r.router(),
+            report.router(),
             "home",
-            r.home(),
+            report.homeZone(),
             "number",
-            r.number(),
+            report.sequenceNumber(),
             "plan",
-            r.plan(),
+            report.planNumber(),
             "arrivals",
-            r.arrivals(),
+            report.arrivals(),
             "places",
-            StoredJson.list(places)));
+            StoredJson.list(zones)));
+  }
+
+  private static Json observationsJson(String zone, ZoneObservations seen) {
+    return StoredJson.object(
+        "place",
+        zone,
+        "good",
+        seen.goodAttempts(),
+        "bad",
+        seen.badAttempts(),
+        "micros",
+        seen.goodMicros(),
+        "listed",
+        seen.listedServers(),
+        "warm",
+        seen.warmServers(),
+        "ejected",
+        seen.ejectedServers());
   }
 
-  static ZoneReport report(String text) throws AgreementException {
+  static ZoneReport decodeReport(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
-    SortedMap<String, ZoneObservations> places = new TreeMap<>();
-    for (Json p : json.get("places").items()) {
-      places.put(
-          p.get("place").word(""),
-          new ZoneObservations(
-              number(p, "good"),
-              number(p, "bad"),
-              number(p, "micros"),
-              (int) number(p, "listed"),
-              (int) number(p, "warm"),
-              (int) number(p, "ejected")));
+    SortedMap<String, ZoneObservations> zones = new TreeMap<>();
+    for (Json zone : json.get("places").items()) {
+      zones.put(zone.get("place").word(""), decodeObservations(zone));
     }
     return new ZoneReport(
         json.get("router").word(""),
@@ -73,115 +68,145 @@
         number(json, "number"),
         number(json, "plan"),
         number(json, "arrivals"),
-        places);
+        zones);
+  }
+
+  private static ZoneObservations decodeObservations(Json json) throws AgreementException {
+    return new ZoneObservations(
+        number(json, "good"),
+        number(json, "bad"),
+        number(json, "micros"),
+        (int) number(json, "listed"),
+        (int) number(json, "warm"),
+        (int) number(json, "ejected"));
   }
 
-  /** A plan, as it stands there and in the history. */
-  public static String of(ZonePlan p) {
+  /** A plan, as it stands there and among the past plans. */
+  public static String encode(ZonePlan plan) {
     List<Json> rows = new ArrayList<>();
-    p.rows()
-        .forEach(
-            (place, row) -> {
-              List<Json> parts = new ArrayList<>();
-              row.parts()
-                  .forEach((to, part) -> parts.add(StoredJson.object("to", to, "part", part)));
-              rows.add(
-                  StoredJson.object(
-                      "place",
-                      place,
-                      "state",
-                      p.states()
-                          .getOrDefault(place, ZonePlan.State.NEAR)
-                          .name()
-                          .toLowerCase(Locale.ROOT),
-                      "flaps",
-                      p.flaps().getOrDefault(place, -1) + 1,
-                      "parts",
-                      StoredJson.list(parts)));
-            });
+    plan.allocations()
+        .forEach((zone, allocation) -> rows.add(allocationJson(plan, zone, allocation)));
     return JsonWriter.write(
         StoredJson.object(
-            "number", p.number(), "rows", StoredJson.list(rows), "why", p.why(), "by", p.by()));
+            "number",
+            plan.number(),
+            "rows",
+            StoredJson.list(rows),
+            "why",
+            plan.reason(),
+            "by",
+            plan.leader()));
   }
 
-  /** The same, read. */
-  public static ZonePlan plan(String text) throws AgreementException {
+  private static Json allocationJson(ZonePlan plan, String zone, ZoneAllocation allocation) {
+    List<Json> parts = new ArrayList<>();
+    allocation
+        .weights()
+        .forEach((to, weight) -> parts.add(StoredJson.object("to", to, "part", weight)));
+    return StoredJson.object(
+        "place",
+        zone,
+        "state",
+        word(plan.states().getOrDefault(zone, ZoneState.NEAR)),
+        "flaps",
+        plan.flapCounts().getOrDefault(zone, NEVER_LEFT) + 1,
+        "parts",
+        StoredJson.list(parts));
+  }
+
+  /**
+   * Of a plan's text.
+   *
+   * @throws AgreementException if it cannot be read
+   */
+  public static ZonePlan decodePlan(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
-    SortedMap<String, ZoneAllocation> rows = new TreeMap<>();
-    SortedMap<String, ZonePlan.State> states = new TreeMap<>();
-    SortedMap<String, Integer> flaps = new TreeMap<>();
+    SortedMap<String, ZoneAllocation> allocations = new TreeMap<>();
+    SortedMap<String, ZoneState> states = new TreeMap<>();
+    SortedMap<String, Integer> flapCounts = new TreeMap<>();
     for (Json row : json.get("rows").items()) {
-      Map<String, Integer> parts = new LinkedHashMap<>();
-      for (Json part : row.get("parts").items()) {
-        parts.put(
-            part.get("to").word(""),
-            (int) StoredJson.wholeNumber(part, "part", 0, ZoneAllocation.WHOLE));
-      }
-      String place = row.get("place").word("");
-      if (parts.isEmpty()
-          || parts.values().stream().mapToInt(Integer::intValue).sum() > ZoneAllocation.WHOLE) {
-        throw new AgreementException("the row of '" + place + "' is empty or more than a whole");
-      }
-      rows.put(place, new ZoneAllocation(parts));
-      states.put(place, state(row.get("state").word("")));
-      int flapped = (int) StoredJson.wholeNumber(row, "flaps", 0, Integer.MAX_VALUE) - 1;
-      if (flapped >= 0) {
-        flaps.put(place, flapped);
+      String zone = row.get("place").word("");
+      allocations.put(zone, decodeAllocation(zone, row));
+      states.put(zone, decodeState(row.get("state").word("")));
+      int flapCount = (int) StoredJson.wholeNumber(row, "flaps", 0, Integer.MAX_VALUE) - 1;
+      if (flapCount > NEVER_LEFT) {
+        flapCounts.put(zone, flapCount);
       }
     }
     return new ZonePlan(
         number(json, "number"),
-        rows,
+        allocations,
         states,
-        flaps,
+        flapCounts,
         json.get("why").word(""),
         json.get("by").word(""));
   }
 
-  private static ZonePlan.State state(String word) throws AgreementException {
-    for (ZonePlan.State state : ZonePlan.State.values()) {
-      if (state.name().toLowerCase(Locale.ROOT).equals(word)) {
+  private static ZoneAllocation decodeAllocation(String zone, Json row) throws AgreementException {
+    Map<String, Integer> weights = new LinkedHashMap<>();
+    for (Json part : row.get("parts").items()) {
+      long weight = StoredJson.wholeNumber(part, "part", 0, ZoneAllocation.TOTAL_WEIGHT);
+      weights.put(part.get("to").word(""), (int) weight);
+    }
+    ZoneAllocation allocation = new ZoneAllocation(weights);
+    if (weights.isEmpty() || allocation.totalWeight() > ZoneAllocation.TOTAL_WEIGHT) {
+      throw new AgreementException("the row of '" + zone + "' is empty or more than a whole");
+    }
+    return allocation;
+  }
+
+  private static ZoneState decodeState(String word) throws AgreementException {
+    for (ZoneState state : ZoneState.values()) {
+      if (word(state).equals(word)) {
         return state;
       }
     }
     throw new AgreementException("no state: '" + word + "'");
   }
 
-  static String of(ZoneOverride o) {
+  static String encode(ZoneOverride override) {
     return JsonWriter.write(
         StoredJson.object(
             "place",
-            o.place(),
+            override.zone(),
             "what",
-            o.what().name().toLowerCase(Locale.ROOT),
+            word(override.kind()),
             "weight",
-            o.weight(),
+            override.maxNearWeight(),
             "for_ns",
-            o.leftNanos(),
+            override.remainingNanos(),
             "by",
-            o.by(),
+            override.author(),
             "reason",
-            o.reason()));
+            override.reason()));
   }
 
-  static ZoneOverride order(String text) throws AgreementException {
+  static ZoneOverride decodeOverride(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
-    String word = json.get("what").word("");
-    for (ZoneOverride.What what : ZoneOverride.What.values()) {
-      if (what.name().toLowerCase(Locale.ROOT).equals(word)) {
-        return new ZoneOverride(
-            json.get("place").word(""),
-            what,
-            (int) number(json, "weight"),
-            number(json, "for_ns"),
-            json.get("by").word(""),
-            json.get("reason").word(""));
+    return new ZoneOverride(
+        json.get("place").word(""),
+        decodeKind(json.get("what").word("")),
+        (int) number(json, "weight"),
+        number(json, "for_ns"),
+        json.get("by").word(""),
+        json.get("reason").word(""));
+  }
+
+  private static ZoneOverrideKind decodeKind(String word) throws AgreementException {
+    for (ZoneOverrideKind kind : ZoneOverrideKind.values()) {
+      if (word(kind).equals(word)) {
+        return kind;
       }
     }
     throw new AgreementException("no order: '" + word + "'");
   }
 
-  private static long number(Json json, String key) throws AgreementException {
-    return StoredJson.wholeNumber(json, key, 0, Long.MAX_VALUE);
+  /** The name in lower case, which other builds read. */
+  private static String word(Enum<?> constant) {
+    return constant.name().toLowerCase(Locale.ROOT);
+  }
+
+  private static long number(Json json, String name) throws AgreementException {
+    return StoredJson.wholeNumber(json, name, 0, Long.MAX_VALUE);
   }
 }
--- a/src/main/java/beaconturn/zones/ZonesKeys.java
+++ b/src/main/java/beaconturn/zones/ZonesKeys.java
@@ -1,52 +1,54 @@
 package beaconturn.zones;
 
 /**
- * Where places stand in the store, below a fleet's prefix.
+ * Where zones stand in the store, below a fleet's prefix.
  *
  * <pre>
  * zones/plan        the plan at hand
- * zones/office      who decides, on a lease
- * zones/order/P     what an operator has said of a place, on a lease where it is to end by itself
+ * zones/office      the leader, who decides, on a lease
+ * zones/order/P     an operator's override of a zone, on a lease where it is to end by itself
  * zones/seen/N/I    what a router sees, on its lease
  * zones-history/N   each plan
  * </pre>
+ *
+ * @param fleet the prefix
  */
 public record ZonesKeys(String fleet) {
-  /** All but the history. */
-  public String all() {
+  /** Begins all keys but those of past plans. */
+  public String prefix() {
     return fleet + "/zones/";
   }
 
   String plan() {
-    return all() + "plan";
+    return prefix() + "plan";
   }
 
-  String office() {
-    return all() + "office";
+  String leader() {
+    return prefix() + "office";
   }
 
-  String orders() {
-    return all() + "order/";
+  String overridesPrefix() {
+    return prefix() + "order/";
   }
 
-  String order(String place) {
-    return orders() + place;
+  String override(String zone) {
+    return overridesPrefix() + zone;
   }
 
-  String reports() {
-    return all() + "seen/";
+  String reportsPrefix() {
+    return prefix() + "seen/";
   }
 
   String report(String router) {
-    return reports() + router;
+    return reportsPrefix() + router;
   }
 
-  /** All plans there ever were. */
-  public String histories() {
+  /** Begins the keys of all plans there ever were. */
+  public String plansPrefix() {
     return fleet + "/zones-history/";
   }
 
-  String history(long number) {
-    return histories() + String.format("%09d", number);
+  String pastPlan(long number) {
+    return plansPrefix() + String.format("%09d", number);
   }
 }
--- a/src/main/java/beaconturn/zones/ZonesSnapshot.java
+++ b/src/main/java/beaconturn/zones/ZonesSnapshot.java
@@ -12,68 +12,70 @@
 import java.util.TreeMap;
 
 /**
- * All that stands in the store of places, as of one revision.
+ * All that stands in the store of zones, as of one revision.
  *
  * @param plan the plan at hand, or null where there never was one
- * @param office who decides, or empty
+ * @param leader the incarnation that decides, or empty
  * @param reports of the routers that hold leases of the store
- * @param orders of operators
- * @param changed when each key was last changed
+ * @param overrides of operators
+ * @param modRevisions when each key was last changed
  */
 public record ZonesSnapshot(
     ZonePlan plan,
-    String office,
+    String leader,
     List<ZoneReport> reports,
-    List<ZoneOverride> orders,
-    Map<String, Long> changed) {
-  /** Reads what a call for all of it was given; a report that cannot be read is nobody's. */
-  public static ZonesSnapshot of(ZonesKeys keys, StoreResponse.Success given)
+    List<ZoneOverride> overrides,
+    Map<String, Long> modRevisions) {
+  /**
+   * Decodes the response to a read of all of it.
+   *
+   * @throws AgreementException if something cannot be read
+   */
+  public static ZonesSnapshot of(ZonesKeys keys, StoreResponse.Success response)
       throws AgreementException {
     ZonePlan plan = null;
-    String office = "";
+    String leader = "";
     List<ZoneReport> reports = new ArrayList<>();
-    List<ZoneOverride> orders = new ArrayList<>();
-    Map<String, Long> changed = new HashMap<>();
-    for (StoreResponse.Entry pair : given.entries()) {
-      changed.put(pair.key(), pair.modRevision());
-      if (pair.key().equals(keys.plan())) {
-        plan = ZonesCodec.plan(pair.value());
-      } else if (pair.key().equals(keys.office())) {
-        office = pair.value();
-      } else if (pair.key().startsWith(keys.orders())) {
-        orders.add(ZonesCodec.order(pair.value()));
-      } else if (pair.key().startsWith(keys.reports())) {
-        reports.add(ZonesCodec.report(pair.value()));
+    List<ZoneOverride> overrides = new ArrayList<>();
+    Map<String, Long> modRevisions = new HashMap<>();
+    for (StoreResponse.Entry entry : response.entries()) {
+      modRevisions.put(entry.key(), entry.modRevision());
+      if (entry.key().equals(keys.plan())) {
+        plan = ZonesCodec.decodePlan(entry.value());
+      } else if (entry.key().equals(keys.leader())) {
+        leader = entry.value();
+      } else if (entry.key().startsWith(keys.overridesPrefix())) {
+        overrides.add(ZonesCodec.decodeOverride(entry.value()));
+      } else if (entry.key().startsWith(keys.reportsPrefix())) {
+        reports.add(ZonesCodec.decodeReport(entry.value()));
       }
     }
-    return new ZonesSnapshot(plan, office, reports, orders, changed);
+    return new ZonesSnapshot(plan, leader, reports, overrides, modRevisions);
   }
 
-  /** Places whose traffic is served elsewhere, or is to be, and why. */
-  public SortedMap<String, String> out() {
-    SortedMap<String, String> out = new TreeMap<>();
+  /** Zones whose traffic is served elsewhere, or is to be, and why. */
+  public SortedMap<String, String> outOfService() {
+    SortedMap<String, String> reasons = new TreeMap<>();
     if (plan != null) {
       plan.states()
           .forEach(
-              (place, state) -> {
-                if (state != ZonePlan.State.NEAR && state != ZonePlan.State.SPILLING) {
-                  out.put(place, state.name().toLowerCase(Locale.ROOT).replace('_', ' '));
+              (zone, state) -> {
+                if (state != ZoneState.NEAR && state != ZoneState.SPILLING) {
+                  reasons.put(zone, state.name().toLowerCase(Locale.ROOT).replace('_', ' '));
                 }
               });
     }
-    orders.stream()
-        .filter(o -> o.what() == ZoneOverride.What.DRAIN)
-        .forEach(
-            o ->
-                out.merge(
-                    o.place(),
-                    "drained by " + o.by() + ": " + o.reason(),
-                    (state, order) -> state + ", " + order));
-    return out;
+    for (ZoneOverride override : overrides) {
+      if (override.kind() == ZoneOverrideKind.DRAIN) {
+        String drained = "drained by " + override.author() + ": " + override.reason();
+        reasons.merge(override.zone(), drained, (state, added) -> state + ", " + added);
+      }
+    }
+    return reasons;
   }
 
   /** The condition that the key is as it was read here. */
   StoreRequest.Condition unchanged(String key) {
-    return new StoreRequest.Condition.Unchanged(key, changed.getOrDefault(key, 0L));
+    return new StoreRequest.Condition.Unchanged(key, modRevisions.getOrDefault(key, 0L));
   }
 }
--- a/src/test/java/beaconturn/zones/FailoverPlannerTest.java
+++ b/src/test/java/beaconturn/zones/FailoverPlannerTest.java
@@ -30,12 +30,13 @@
   private static void calm(SimulatedZones world) {
     world
         .plan()
-        .rows()
+        .allocations()
         .forEach(
             (place, row) ->
                 assertTrue(
-                    row.of(place) >= ZoneAllocation.WHOLE - ZoneAllocation.TRIAL,
-                    place + " " + row.parts() + "\n" + world.said()));
+                    row.weightOf(place)
+                        >= ZoneAllocation.TOTAL_WEIGHT - ZoneAllocation.TRIAL_WEIGHT,
+                    place + " " + row.weights() + "\n" + world.said()));
   }
 
   @Test
@@ -52,25 +53,25 @@
     world.spots.get("east").bad = true;
     world.run(5 * SECOND);
     assertTrue(world.served("east", SECOND) > 0.9, world.said());
-    assertEquals(ZonePlan.State.FAILED_OVER, world.plan().states().get("east"));
+    assertEquals(ZoneState.FAILED_OVER, world.plan().states().get("east"));
     assertEquals(
-        ZoneAllocation.WHOLE - ZoneAllocation.NEAR_TRIAL,
-        world.plan().row("east").of("west"),
+        ZoneAllocation.TOTAL_WEIGHT - ZoneAllocation.NEAR_TRIAL_WEIGHT,
+        world.plan().allocationOf("east").weightOf("west"),
         "the near one has the room");
-    assertEquals(0, world.plan().row("east").of("far"));
+    assertEquals(0, world.plan().allocationOf("east").weightOf("far"));
     assertTrue(world.peak("west") < 1, "nobody is pushed over");
     world.spots.get("east").bad = false;
-    while (world.plan().row("east").of("east") == ZoneAllocation.NEAR_TRIAL) {
+    while (world.plan().allocationOf("east").weightOf("east") == ZoneAllocation.NEAR_TRIAL_WEIGHT) {
       world.run(SECOND / 4);
       assertTrue(world.agenda.now() < 30 * SECOND, world.said());
     }
-    int back = world.plan().row("east").of("east");
+    int back = world.plan().allocationOf("east").weightOf("east");
     assertTrue(
-        back > ZoneAllocation.NEAR_TRIAL && back < ZoneAllocation.WHOLE / 2,
+        back > ZoneAllocation.NEAR_TRIAL_WEIGHT && back < ZoneAllocation.TOTAL_WEIGHT / 2,
         "by steps: " + back + "\n" + world.said());
     world.run(20 * SECOND);
     calm(world);
-    assertEquals(ZonePlan.State.NEAR, world.plan().states().get("east"));
+    assertEquals(ZoneState.NEAR, world.plan().states().get("east"));
   }
 
   /**
@@ -94,11 +95,11 @@
     world.of("east");
     world.spots.get("east").warm = 4;
     world.run(10 * SECOND);
-    ZoneAllocation row = world.plan().row("east");
-    assertEquals(ZonePlan.State.SPILLING, world.plan().states().get("east"), world.said());
+    ZoneAllocation row = world.plan().allocationOf("east");
+    assertEquals(ZoneState.SPILLING, world.plan().states().get("east"), world.said());
     assertTrue(
-        row.of("east") >= 650 && row.of("east") <= 800 && row.of("west") >= 200,
-        row.parts().toString());
+        row.weightOf("east") >= 650 && row.weightOf("east") <= 800 && row.weightOf("west") >= 200,
+        row.weights().toString());
     world.spots.get("east").warm = 10;
     world.run(20 * SECOND);
     calm(world);
@@ -112,11 +113,11 @@
     SimulatedZones world = three(750);
     world.spots.get("east").warm = 7;
     world.run(10 * SECOND);
-    assertEquals(ZonePlan.State.SPILLING, world.plan().states().get("east"), world.said());
+    assertEquals(ZoneState.SPILLING, world.plan().states().get("east"), world.said());
     world.spots.get("east").warm = 10;
     world.run(30 * SECOND);
     assertEquals(
-        ZonePlan.State.SPILLING, world.plan().states().get("east"), "not at once\n" + world.said());
+        ZoneState.SPILLING, world.plan().states().get("east"), "not at once\n" + world.said());
     world.run(60 * SECOND);
     calm(world);
   }
@@ -132,7 +133,7 @@
     world.of("west").forEach(s -> s.cut = true);
     world.run(10 * SECOND);
     if (newOffice) {
-      String office = world.desk().look().office();
+      String office = world.desk().readSnapshot().leader();
       world.seats.stream()
           .filter(s -> office.startsWith(s.name + "/"))
           .forEach(
@@ -145,7 +146,8 @@
     world.spots.get("east").bad = true;
     world.run(20 * SECOND);
     assertTrue(
-        world.plan().row("east").of("far") > 150, "what is heard takes its part\n" + world.said());
+        world.plan().allocationOf("east").weightOf("far") > 150,
+        "what is heard takes its part\n" + world.said());
     world.peak("west");
     world.run(20 * SECOND);
     assertTrue(world.peak("west") <= 0.95, "with one to spare\n" + world.said());
@@ -163,7 +165,10 @@
     world.run(10 * SECOND);
     world.spots.get("east").listed = 0;
     world.run(6 * SECOND);
-    assertEquals(ZoneAllocation.NEAR_TRIAL, world.plan().row("east").of("east"), world.said());
+    assertEquals(
+        ZoneAllocation.NEAR_TRIAL_WEIGHT,
+        world.plan().allocationOf("east").weightOf("east"),
+        world.said());
   }
 
   /**
@@ -175,16 +180,16 @@
     SimulatedZones world = three(700);
     world.of("west").get(0).cut = true;
     world.run(3 * SECOND);
-    String office = world.desk().look().office();
+    String office = world.desk().readSnapshot().leader();
     world.seats.stream()
         .filter(s -> office.startsWith(s.name + "/"))
         .forEach(SimulatedZones.Seat::die);
     world.run(6 * SECOND);
     world.spots.get("east").bad = true;
     world.run(10 * SECOND);
-    assertTrue(world.plan().row("east").of("west") < 320, world.said());
+    assertTrue(world.plan().allocationOf("east").weightOf("west") < 320, world.said());
     world.run(90 * SECOND);
-    assertTrue(world.plan().row("east").of("west") > 400, world.said());
+    assertTrue(world.plan().allocationOf("east").weightOf("west") > 400, world.said());
   }
 
   /** The origin slow: all places are bad at once, and moving mends nothing. */
@@ -231,7 +236,8 @@
     world.spots.get("west").fails = 0.05;
     world.run(5 * SECOND);
     assertTrue(
-        world.plan().row("east").of("west") > 900, "one that is clearly better\n" + world.said());
+        world.plan().allocationOf("east").weightOf("west") > 900,
+        "one that is clearly better\n" + world.said());
   }
 
   /**
@@ -249,7 +255,7 @@
     assertEquals(0, world.plan().number(), world.said());
     world.spots.get("east").fails = 1;
     world.run(5 * SECOND);
-    assertTrue(world.plan().row("east").of("west") > 900, world.said());
+    assertTrue(world.plan().allocationOf("east").weightOf("west") > 900, world.said());
   }
 
   /**
@@ -343,7 +349,7 @@
     world.of("east").forEach(s -> s.unreachable.add("east"));
     world.run(8 * SECOND);
     assertTrue(world.served("east", SECOND) > 0.9, world.said());
-    assertEquals(ZonePlan.State.SPLIT, world.plan().states().get("east"), world.said());
+    assertEquals(ZoneState.SPLIT, world.plan().states().get("east"), world.said());
   }
 
   @Test
@@ -355,7 +361,8 @@
       world.run(6 * SECOND);
       world.spots.get("east").bad = false;
       long since = world.agenda.now();
-      while (world.plan().row("east").of("east") <= ZoneAllocation.NEAR_TRIAL) {
+      while (world.plan().allocationOf("east").weightOf("east")
+          <= ZoneAllocation.NEAR_TRIAL_WEIGHT) {
         world.run(SECOND / 4);
         assertTrue(world.agenda.now() - since < 70 * SECOND, world.said());
       }
@@ -370,7 +377,7 @@
   @Test
   void theOfficeIsTakenByAnotherWhereItsHolderIsInTheLostPlace() throws AgreementException {
     SimulatedZones world = three(400);
-    String office = world.desk().look().office();
+    String office = world.desk().readSnapshot().leader();
     String home =
         world.seats.stream()
             .filter(s -> office.startsWith(s.name + "/"))
@@ -379,10 +386,11 @@
             .home;
     world.of(home).forEach(SimulatedZones.Seat::die);
     world.spots.get(home).bad = true;
-    String other = world.map.others(home).get(0);
+    String other = world.map.othersByDistance(home).get(0);
     world.run(6 * SECOND);
     assertTrue(
-        !world.desk().look().office().equals(office) && !world.desk().look().office().isEmpty());
+        !world.desk().readSnapshot().leader().equals(office)
+            && !world.desk().readSnapshot().leader().isEmpty());
     world.spots.get(other).bad = true;
     world.run(8 * SECOND);
     assertTrue(world.served(other, SECOND) > 0.9, world.said());
@@ -397,7 +405,7 @@
     SimulatedZones world = three(400);
     for (int i = 0; i < 12; i++) {
       world.spots.get("east").bad = i >= 6;
-      String office = world.desk().look().office();
+      String office = world.desk().readSnapshot().leader();
       SimulatedZones.Seat holder =
           world.seats.stream()
               .filter(s -> office.startsWith(s.name + "/"))
@@ -418,10 +426,13 @@
     SimulatedZones world = three(400);
     world
         .desk()
-        .give(
-            new ZoneOverride("east", ZoneOverride.What.DRAIN, 0, 20 * SECOND, "op", "work on it"));
+        .setOverride(
+            new ZoneOverride("east", ZoneOverrideKind.DRAIN, 0, 20 * SECOND, "op", "work on it"));
     world.run(6 * SECOND);
-    assertEquals(ZoneAllocation.NEAR_TRIAL, world.plan().row("east").of("east"), world.said());
+    assertEquals(
+        ZoneAllocation.NEAR_TRIAL_WEIGHT,
+        world.plan().allocationOf("east").weightOf("east"),
+        world.said());
     assertEquals(
         "one place may be out at once, and out is east (failed over, drained by op: work"
             + " on it)",
@@ -430,19 +441,25 @@
                 () ->
                     world
                         .desk()
-                        .give(new ZoneOverride("west", ZoneOverride.What.DRAIN, 0, 0, "op", "too")))
+                        .setOverride(
+                            new ZoneOverride("west", ZoneOverrideKind.DRAIN, 0, 0, "op", "too")))
             .getMessage());
     world.run(30 * SECOND);
     calm(world);
-    world.desk().give(new ZoneOverride("west", ZoneOverride.What.WEIGHT, 600, 0, "op", "less"));
+    world
+        .desk()
+        .setOverride(new ZoneOverride("west", ZoneOverrideKind.WEIGHT, 600, 0, "op", "less"));
     world.run(6 * SECOND);
-    assertEquals(600, world.plan().row("west").of("west"), world.said());
-    world.desk().give(new ZoneOverride("west", ZoneOverride.What.HOLD, 0, 0, "op", "stay"));
+    assertEquals(600, world.plan().allocationOf("west").weightOf("west"), world.said());
+    world.desk().setOverride(new ZoneOverride("west", ZoneOverrideKind.HOLD, 0, 0, "op", "stay"));
     world.spots.get("west").bad = true;
     world.run(10 * SECOND);
-    assertEquals(600, world.plan().row("west").of("west"));
-    world.desk().free("west");
+    assertEquals(600, world.plan().allocationOf("west").weightOf("west"));
+    world.desk().clearOverride("west");
     world.run(6 * SECOND);
-    assertEquals(ZoneAllocation.NEAR_TRIAL, world.plan().row("west").of("west"), world.said());
+    assertEquals(
+        ZoneAllocation.NEAR_TRIAL_WEIGHT,
+        world.plan().allocationOf("west").weightOf("west"),
+        world.said());
   }
 }
--- a/src/test/java/beaconturn/zones/FailoverTraceTest.java
+++ b/src/test/java/beaconturn/zones/FailoverTraceTest.java
@@ -59,9 +59,9 @@
       }
       now += SECOND / 4;
       ZonePlan next = planner.next(plan, reports.after(0.25, plan), reports.overrides, "me", now);
-      add(planner.waits() + " " + planner.says());
+      add(planner.waitReason() + " " + planner.describeEvidence());
       if (next != null) {
-        add(ZonesCodec.of(next));
+        add(ZonesCodec.encode(next));
         // The store may have refused the step.
         boolean taken = random.nextInt(5) > 0;
         plan = taken ? next : plan;
--- a/src/test/java/beaconturn/zones/PoliciesTest.java
+++ b/src/test/java/beaconturn/zones/PoliciesTest.java
@@ -33,10 +33,10 @@
     double worst = 1;
     double all = 0;
     for (int i = 0; i < 15; i++) {
-      double served = world.map.places().stream().mapToDouble(p -> before(world, p)).sum();
+      double served = world.map.zones().stream().mapToDouble(p -> before(world, p)).sum();
       world.run(SECOND);
       served =
-          (world.map.places().stream().mapToDouble(p -> before(world, p)).sum() - served)
+          (world.map.zones().stream().mapToDouble(p -> before(world, p)).sum() - served)
               / (4 * inPlace);
       worst = Math.min(worst, served);
       all += served / 15;
--- a/src/test/java/beaconturn/zones/RandomFailoverScenario.java
+++ b/src/test/java/beaconturn/zones/RandomFailoverScenario.java
@@ -85,10 +85,10 @@
       }
     }
     world.run(length());
-    for (String place : world.map.places()) {
-      ZoneAllocation row = world.plan().row(place);
-      if (row.of(place) < ZoneAllocation.WHOLE - ZoneAllocation.TRIAL) {
-        return place + " is not back near: " + row.parts();
+    for (String place : world.map.zones()) {
+      ZoneAllocation row = world.plan().allocationOf(place);
+      if (row.weightOf(place) < ZoneAllocation.TOTAL_WEIGHT - ZoneAllocation.TRIAL_WEIGHT) {
+        return place + " is not back near: " + row.weights();
       }
     }
     return world.pushed;
--- a/src/test/java/beaconturn/zones/RandomReports.java
+++ b/src/test/java/beaconturn/zones/RandomReports.java
@@ -92,9 +92,9 @@
 
   private void override() {
     String zone = anyZone();
-    overrides.removeIf(o -> o.place().equals(zone));
+    overrides.removeIf(o -> o.zone().equals(zone));
     if (random.nextBoolean()) {
-      ZoneOverride.What what = ZoneOverride.What.values()[random.nextInt(3)];
+      ZoneOverrideKind what = ZoneOverrideKind.values()[random.nextInt(3)];
       overrides.add(new ZoneOverride(zone, what, 10 * random.nextInt(101), 0, "op", "why"));
     }
   }
@@ -120,7 +120,9 @@
     if (random.nextInt(4) > 0) {
       router.plan = plan.number();
     }
-    plan.row(router.home).parts().forEach((zone, part) -> send(router, zone, came * part / 1000));
+    plan.allocationOf(router.home)
+        .weights()
+        .forEach((zone, part) -> send(router, zone, came * part / 1000));
   }
 
   private void send(Router router, String zone, double sent) {
--- a/src/test/java/beaconturn/zones/SimulatedZones.java
+++ b/src/test/java/beaconturn/zones/SimulatedZones.java
@@ -114,7 +114,7 @@
   }
 
   /** A router. */
-  final class Seat implements ZoneMember.Router {
+  final class Seat implements ZoneReportSource {
     final String name;
     final String home;
     double perSecond;
@@ -183,13 +183,13 @@
       if (born != life) {
         return;
       }
-      follower.look(agenda.now());
-      StoreRequest call = follower.next(agenda.now());
+      follower.refresh(agenda.now());
+      StoreRequest call = follower.nextRequest(agenda.now());
       trace.accept(agenda.now() + " " + name + " asks " + TraceText.of(call));
       if (call == null) {
-        trace.accept("until " + follower.wakeAt());
+        trace.accept("until " + follower.nextRequestAtNanos());
         agenda.in(
-            Math.max(MILLI, Math.min(100 * MILLI, follower.wakeAt() - agenda.now())),
+            Math.max(MILLI, Math.min(100 * MILLI, follower.nextRequestAtNanos() - agenda.now())),
             () -> step(born));
         return;
       }
@@ -204,7 +204,7 @@
                 () -> {
                   if (born == life) {
                     trace.accept(agenda.now() + " " + name + " hears " + TraceText.of(answer));
-                    follower.answered(
+                    follower.handleResponse(
                         agenda.now(),
                         answer != null && !cut
                             ? answer
@@ -216,7 +216,7 @@
     }
 
     @Override
-    public ZoneReport sees(String router, long number, long plan) {
+    public ZoneReport report(String router, long number, long plan) {
       SortedMap<String, ZoneObservations> places = new TreeMap<>();
       spots.forEach(
           (p, spot) -> {
@@ -247,16 +247,16 @@
           down
               ? new ZoneAllocation(Map.of())
               : switch (policy) {
-                case COMMON -> follower.due(agenda.now()).row();
+                case COMMON -> follower.allocationAt(agenda.now()).allocation();
                 case PRIORITY -> priority();
                 case RING -> ring();
               };
       came = arrive(perSecond * seconds);
-      row.parts()
+      row.weights()
           .forEach(
               (p, part) -> {
                 if (!unreachable.contains(p)) {
-                  spots.get(p).sent += came * part / ZoneAllocation.WHOLE;
+                  spots.get(p).sent += came * part / ZoneAllocation.TOTAL_WEIGHT;
                 }
               });
     }
@@ -267,10 +267,10 @@
         return;
       }
       arrivals += came;
-      row.parts()
+      row.weights()
           .forEach(
               (p, part) -> {
-                double sent = came * part / ZoneAllocation.WHOLE;
+                double sent = came * part / ZoneAllocation.TOTAL_WEIGHT;
                 Spot spot = spots.get(p);
                 double fine = spot.listed > 0 && !unreachable.contains(p) ? spot.part : 0;
                 counts.get(p)[0] += spot.listed > 0 ? sent * fine : 0;
@@ -279,7 +279,8 @@
                 served += sent * fine;
                 crossed += p.equals(home) ? 0 : sent;
               });
-      refused += came * (ZoneAllocation.WHOLE - row.sum()) / ZoneAllocation.WHOLE;
+      refused +=
+          came * (ZoneAllocation.TOTAL_WEIGHT - row.totalWeight()) / ZoneAllocation.TOTAL_WEIGHT;
       if (agenda.now() - lookedAt >= LOOK_EVERY) {
         lookedAt = agenda.now();
         counts.forEach(
@@ -301,11 +302,11 @@
 
     private ZoneAllocation priority() {
       List<String> all = new ArrayList<>(List.of(home));
-      all.addAll(map.others(home));
+      all.addAll(map.othersByDistance(home));
       return new ZoneAllocation(
           Map.of(
               all.stream().filter(p -> finds.getOrDefault(p, true)).findFirst().orElse(home),
-              ZoneAllocation.WHOLE));
+              ZoneAllocation.TOTAL_WEIGHT));
     }
 
     private ZoneAllocation ring() {
@@ -314,7 +315,7 @@
       List<Spot> those = good.isEmpty() ? List.copyOf(spots.values()) : good;
       int servers = those.stream().mapToInt(s -> s.listed).sum();
       Map<String, Integer> parts = new java.util.LinkedHashMap<>();
-      those.forEach(s -> parts.put(s.name, ZoneAllocation.WHOLE * s.listed / servers));
+      those.forEach(s -> parts.put(s.name, ZoneAllocation.TOTAL_WEIGHT * s.listed / servers));
       return new ZoneAllocation(parts);
     }
   }
@@ -339,10 +340,10 @@
     this.random = new Random(seed);
     this.map = new ZoneTopology(new TreeMap<>(regions), each, 1e6, 50);
     this.store = new StoreModel(agenda, 7, (at, revision, key, value) -> {});
-    for (String place : map.places()) {
+    for (String place : map.zones()) {
       spots.put(place, new Spot(place, FULL, each));
     }
-    for (String place : map.places()) {
+    for (String place : map.zones()) {
       for (int i = 0; i < routers; i++) {
         seats.add(new Seat(place + i, place, perSecond));
       }
@@ -409,7 +410,7 @@
 
   ZonePlan plan() {
     try {
-      ZonePlan there = desk().look().plan();
+      ZonePlan there = desk().readSnapshot().plan();
       return there == null ? ZonePlan.first(map) : there;
     } catch (AgreementException e) {
       throw new IllegalStateException(e);
--- a/src/test/java/beaconturn/zones/ZonesCodecTest.java
+++ b/src/test/java/beaconturn/zones/ZonesCodecTest.java
@@ -40,10 +40,10 @@
 
   private static ZonePlan plan() {
     TreeMap<String, ZoneAllocation> rows = new TreeMap<>();
-    TreeMap<String, ZonePlan.State> states = new TreeMap<>();
+    TreeMap<String, ZoneState> states = new TreeMap<>();
     TreeMap<String, Integer> flaps = new TreeMap<>();
     int i = 0;
-    for (ZonePlan.State state : ZonePlan.State.values()) {
+    for (ZoneState state : ZoneState.values()) {
       String zone = "z" + i;
       Map<String, Integer> parts = new LinkedHashMap<>();
       parts.put(zone, 950 - i);
@@ -66,29 +66,29 @@
     return new ZoneReport("r1/1f-77", "east", 9, 7, 123_456_789_012L, zones);
   }
 
-  private static ZoneOverride override(ZoneOverride.What what) {
+  private static ZoneOverride override(ZoneOverrideKind what) {
     return new ZoneOverride("east", what, 500, 60_000_000_000L, "op", "power \"work\"");
   }
 
   @Test
   void aPlanIsWrittenAndReadAsByTheBuildBefore() throws AgreementException {
-    assertEquals(PLAN, ZonesCodec.of(plan()));
-    assertEquals(plan(), ZonesCodec.plan(PLAN));
+    assertEquals(PLAN, ZonesCodec.encode(plan()));
+    assertEquals(plan(), ZonesCodec.decodePlan(PLAN));
   }
 
   @Test
   void aReportIsWrittenAndReadAsByTheBuildBefore() throws AgreementException {
-    assertEquals(REPORT, ZonesCodec.of(report()));
-    assertEquals(report(), ZonesCodec.report(REPORT));
+    assertEquals(REPORT, ZonesCodec.encode(report()));
+    assertEquals(report(), ZonesCodec.decodeReport(REPORT));
   }
 
   @Test
   void anOrderIsWrittenAndReadAsByTheBuildBefore() throws AgreementException {
     String[] words = {"drain", "hold", "weight"};
-    for (ZoneOverride.What what : ZoneOverride.What.values()) {
+    for (ZoneOverrideKind what : ZoneOverrideKind.values()) {
       String text = ORDER.replace("WORD", words[what.ordinal()]);
-      assertEquals(text, ZonesCodec.of(override(what)));
-      assertEquals(override(what), ZonesCodec.order(text));
+      assertEquals(text, ZonesCodec.encode(override(what)));
+      assertEquals(override(what), ZonesCodec.decodeOverride(text));
     }
   }
 }
