--- a/src/main/java/beaconturn/cli/AgreementCommand.java
+++ b/src/main/java/beaconturn/cli/AgreementCommand.java
@@ -5,10 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * The options of the agreement's orders; it names no class of the agreement but the one that runs
- * them.
- */
+/** The options of {@code agreement}; it loads no class of the agreement but the runner. */
 @Parameters(
     commandNames = "agreement",
     commandDescription =
@@ -19,6 +16,8 @@
             + " status 0: done, 1: wrong input or the store does not answer, 3: not now, or"
             + " turned down")
 final class AgreementCommand implements Command {
+  private static final int EXIT_USAGE = 2;
+
   @Parameter(description = "ORDER [FILE or ROUTER]")
   private List<String> words = new ArrayList<>();
 
@@ -34,25 +33,26 @@
   @Parameter(
       names = "--wait",
       description = "how many seconds to wait until it is in force; 0: not at all")
-  private int wait;
+  private int waitSeconds;
 
   @Parameter(names = "--json", description = "print JSON")
   private boolean json;
 
   @Override
   public int execute() {
-    String order = words.isEmpty() ? "" : words.get(0);
-    int wanted = order.equals("propose") || order.equals("lost") ? 2 : 1;
-    boolean why = order.equals("propose") || order.equals("back") || order.equals("withdraw");
-    if (words.size() != wanted) {
+    String operation = words.isEmpty() ? "" : words.get(0);
+    int wantedWords = operation.equals("propose") || operation.equals("lost") ? 2 : 1;
+    boolean needsReason =
+        operation.equals("propose") || operation.equals("back") || operation.equals("withdraw");
+    if (words.size() != wantedWords) {
       System.err.println("agreement: see 'agreement --help'");
-      return 2;
+      return EXIT_USAGE;
     }
-    if (why && (reason == null || reason.isBlank())) {
-      System.err.println("agreement " + order + ": --reason is missing");
-      return 2;
+    if (needsReason && (reason == null || reason.isBlank())) {
+      System.err.println("agreement " + operation + ": --reason is missing");
+      return EXIT_USAGE;
     }
-    return new AgreementRunner(features, reason, author, wait, json)
-        .run(order, words.get(wanted - 1));
+    return new AgreementRunner(features, reason, author, waitSeconds, json)
+        .run(operation, words.get(wantedWords - 1));
   }
 }
--- a/src/main/java/beaconturn/cli/ContentFile.java
+++ b/src/main/java/beaconturn/cli/ContentFile.java
@@ -10,10 +10,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The file of a version to be proposed: all that it says; what it leaves out is as configured. */
+/** Reads the file of a version to be proposed; what it leaves out is as configured. */
 final class ContentFile {
-  private static final long MILLI = 1_000_000;
-  private static final int MOST_TRIES = 64;
+  private static final long MILLI_NANOS = 1_000_000;
+  private static final int MAX_ATTEMPTS = 64;
 
   private ContentFile() {}
 
@@ -21,36 +21,36 @@
     return OperatorsFile.read(file, ContentFile::content);
   }
 
-  private static ConfigContent content(TomlSection all) throws TomlException {
+  private static ConfigContent content(TomlSection file) throws TomlException {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
-    for (TomlSection s : all.tables("class")) {
-      String name = s.text("name", "");
+    for (TomlSection section : file.tables("class")) {
+      String name = section.text("name", "");
       if (name.isEmpty() || classes.containsKey(name)) {
-        throw s.invalid("name", "missing or given twice: '" + name + "'");
+        throw section.invalid("name", "missing or given twice: '" + name + "'");
       }
-      classes.put(name, rule(s));
+      classes.put(name, rule(section));
     }
-    TomlSection settings = all.table("settings");
-    Integer tries =
+    TomlSection settings = file.table("settings");
+    Integer maxAttempts =
         settings.has("most_tries")
-            ? (Integer) settings.integer("most_tries", 1, 1, MOST_TRIES)
+            ? (Integer) settings.integer("most_tries", 1, 1, MAX_ATTEMPTS)
             : null;
-    Boolean copies =
+    Boolean hedging =
         settings.has("second_copies") ? (Boolean) settings.bool("second_copies", false) : null;
-    TomlSection list = all.table("list");
+    TomlSection list = file.table("list");
     return new ConfigContent(
         classes,
-        tries,
-        copies,
+        maxAttempts,
+        hedging,
         list.integer("oldest", 0, 0, Integer.MAX_VALUE),
         new TreeSet<>(list.texts("out", List.of())));
   }
 
-  private static ClassRule rule(TomlSection s) throws TomlException {
-    List<String> effects = List.of("safe", "keyed", "unsafe");
+  private static ClassRule rule(TomlSection section) throws TomlException {
+    List<String> words = List.of("safe", "keyed", "unsafe");
     return new ClassRule(
-        s.has("effect") ? IdempotencyWords.decode(s.choice("effect", "", effects)) : null,
-        s.has("window") ? (Long) s.durationNanos("window", 0, 0) : null,
-        s.has("deadline") ? (Long) s.durationNanos("deadline", 0, MILLI) : null);
+        section.has("effect") ? IdempotencyWords.decode(section.choice("effect", "", words)) : null,
+        section.has("window") ? (Long) section.durationNanos("window", 0, 0) : null,
+        section.has("deadline") ? (Long) section.durationNanos("deadline", 0, MILLI_NANOS) : null);
   }
 }
--- a/src/main/java/beaconturn/cli/ZonesCommand.java
+++ b/src/main/java/beaconturn/cli/ZonesCommand.java
@@ -5,10 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * The options of the orders to places; it names no class of theirs but the one that carries them
- * out.
- */
+/** The options of {@code zones}; it loads no class of the zones but the runner. */
 @Parameters(
     commandNames = "zones",
     commandDescription =
@@ -17,6 +14,11 @@
             + " --features router.toml;"
             + " status 0: done, 1: wrong input or the store does not answer, 3: not now")
 final class ZonesCommand implements Command {
+  private static final int EXIT_USAGE = 2;
+
+  /** All keys of a zone, in thousandths. */
+  private static final int MAX_WEIGHT = 1000;
+
   private static final List<String> WITH_ZONE = List.of("drain", "hold", "weight", "free");
 
   @Parameter(description = "ORDER [ZONE]")
@@ -37,21 +39,24 @@
   private int seconds;
 
   @Parameter(names = "--near", description = "weight: so many of 1000 keys at most stay near")
-  private int near = 1000;
+  private int nearWeight = MAX_WEIGHT;
 
   @Override
   public int execute() {
-    String order = words.isEmpty() ? "" : words.get(0);
-    boolean withZone = WITH_ZONE.contains(order);
-    if (words.size() != (withZone ? 2 : 1) || near < 0 || near > 1000 || seconds < 0) {
+    String operation = words.isEmpty() ? "" : words.get(0);
+    boolean withZone = WITH_ZONE.contains(operation);
+    if (words.size() != (withZone ? 2 : 1)
+        || nearWeight < 0
+        || nearWeight > MAX_WEIGHT
+        || seconds < 0) {
       System.err.println("zones: see 'zones --help'");
-      return 2;
+      return EXIT_USAGE;
     }
-    if (withZone && !order.equals("free") && reason.isBlank()) {
-      System.err.println("zones " + order + ": --reason is missing");
-      return 2;
+    if (withZone && !operation.equals("free") && reason.isBlank()) {
+      System.err.println("zones " + operation + ": --reason is missing");
+      return EXIT_USAGE;
     }
-    return new ZonesRunner(features, reason, author, seconds, near)
-        .run(order, words.get(words.size() - 1));
+    return new ZonesRunner(features, reason, author, seconds, nearWeight)
+        .run(operation, words.get(words.size() - 1));
   }
 }
--- a/src/main/java/beaconturn/net/agreement/PersistedConfigFile.java
+++ b/src/main/java/beaconturn/net/agreement/PersistedConfigFile.java
@@ -13,8 +13,9 @@
 import java.util.function.Consumer;
 
 /**
- * What a router keeps of the agreement for its next start: written aside, forced, renamed, forced
- * again.
+ * The file in which a router persists its part of the agreement for its next start. It is written
+ * aside, forced, renamed and forced again, so that a cut at any moment leaves a whole one. For one
+ * thread.
  */
 final class PersistedConfigFile {
   private final Path file;
@@ -29,7 +30,7 @@
     this.log = log;
   }
 
-  /** What was kept; a file that is damaged counts as none, and is said. */
+  /** What was persisted; a file that is damaged counts as none, and is logged. */
   PersistedConfig read() {
     if (file == null || !Files.exists(file)) {
       return PersistedConfig.EMPTY;
@@ -42,17 +43,17 @@
     }
   }
 
-  /** Whether it will be there after a cut at any moment; true where nothing is to be kept. */
-  boolean write(PersistedConfig kept) {
+  /** Whether it will be there after a cut at any moment; true where nothing is to be persisted. */
+  boolean write(PersistedConfig config) {
     if (file == null) {
       return true;
     }
-    Path aside = file.resolveSibling(file.getFileName() + ".new");
+    Path temporary = file.resolveSibling(file.getFileName() + ".new");
     try {
-      ByteBuffer bytes = ByteBuffer.wrap(kept.encode().getBytes(StandardCharsets.UTF_8));
+      ByteBuffer bytes = ByteBuffer.wrap(config.encode().getBytes(StandardCharsets.UTF_8));
       try (FileChannel channel =
           FileChannel.open(
-              aside,
+              temporary,
               StandardOpenOption.CREATE,
               StandardOpenOption.WRITE,
               StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -61,9 +62,9 @@
         }
         channel.force(true);
       }
-      Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE);
-      try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent())) {
-        folder.force(true);
+      Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
+      try (FileChannel directory = FileChannel.open(file.toAbsolutePath().getParent())) {
+        directory.force(true);
       }
       return true;
     } catch (IOException e) {
--- a/src/main/java/beaconturn/net/agreement/SettingsContentMapper.java
+++ b/src/main/java/beaconturn/net/agreement/SettingsContentMapper.java
@@ -14,96 +14,108 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Between the settings of a router and the contents of versions. */
+/** Converts between the settings of a router and the contents of versions. Pure functions. */
 final class SettingsContentMapper {
   private SettingsContentMapper() {}
 
-  /** What a router is configured with, as a whole content. */
+  /** What a router is configured with, as a complete content. */
   static ConfigContent contentOf(RouterSettings settings) {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
     for (int i = 0; i < settings.classNames().size(); i++) {
-      RequestClass type = settings.routing().classes().get(i);
+      RequestClass requestClass = settings.routing().classes().get(i);
       classes.put(
           settings.classNames().get(i),
           new ClassRule(
-              stored(type.idempotency()), type.deduplicationWindowNanos(), type.deadlineNanos()));
+              stored(requestClass.idempotency()),
+              requestClass.deduplicationWindowNanos(),
+              requestClass.deadlineNanos()));
     }
-    RoutingPermissions may = settings.routing().permissions();
-    return new ConfigContent(classes, may.maxAttempts(), may.hedging(), 0, new TreeSet<>());
+    RoutingPermissions permissions = settings.routing().permissions();
+    return new ConfigContent(
+        classes, permissions.maxAttempts(), permissions.hedging(), 0, new TreeSet<>());
   }
 
   /** Why a router so configured cannot follow the content, or null if it can. */
   static String objection(RouterSettings configured, ConfigContent content) {
-    for (Map.Entry<String, ClassRule> said : content.classes().entrySet()) {
-      int at = configured.classNames().indexOf(said.getKey());
-      if (at < 0) {
-        return "there is no class '" + said.getKey() + "' here";
+    for (Map.Entry<String, ClassRule> rule : content.classes().entrySet()) {
+      int index = configured.classNames().indexOf(rule.getKey());
+      if (index < 0) {
+        return "there is no class '" + rule.getKey() + "' here";
       }
-      Long deadline = said.getValue().deadlineNanos();
-      if (deadline != null
-          && deadline < configured.routing().classes().get(at).latencyObjectiveNanos()) {
-        return "class " + said.getKey() + ": the deadline is before the aim";
+      Long deadlineNanos = rule.getValue().deadlineNanos();
+      if (deadlineNanos != null
+          && deadlineNanos < configured.routing().classes().get(index).latencyObjectiveNanos()) {
+        return "class " + rule.getKey() + ": the deadline is before the aim";
       }
     }
     return null;
   }
 
-  /** The settings under a whole content. */
+  /** The settings under a complete content; the same object where they are as configured. */
   static RouterSettings settingsUnder(RouterSettings configured, ConfigContent content) {
-    RoutingSettings r = configured.routing();
+    RoutingSettings routing = configured.routing();
     List<RequestClass> classes = new ArrayList<>();
-    for (int i = 0; i < r.classes().size(); i++) {
-      RequestClass t = r.classes().get(i);
+    for (int i = 0; i < routing.classes().size(); i++) {
       ClassRule rule =
           content.classes().getOrDefault(configured.classNames().get(i), ClassRule.UNSPECIFIED);
-      classes.add(
-          new RequestClass(
-              rule.idempotency() == null ? t.idempotency() : routed(rule.idempotency()),
-              t.deduplicationScope(),
-              rule.deduplicationWindowNanos() == null
-                  ? t.deduplicationWindowNanos()
-                  : rule.deduplicationWindowNanos(),
-              t.latencyObjectiveNanos(),
-              rule.deadlineNanos() == null ? t.deadlineNanos() : rule.deadlineNanos(),
-              t.priorityWeight(),
-              t.latePriorityWeight(),
-              t.streamed()));
+      classes.add(classUnder(routing.classes().get(i), rule));
     }
-    RoutingPermissions p = r.permissions();
-    RoutingPermissions may =
-        new RoutingPermissions(
-            p.cancel(),
-            p.peers(),
-            p.probes(),
-            p.retryAfter(),
-            content.hedging() == null ? p.hedging() : content.hedging(),
-            content.maxAttempts() == null ? p.maxAttempts() : content.maxAttempts(),
-            p.maxRetryAfterNanos(),
-            p.multiplex(),
-            p.connectTimeoutNanos(),
-            p.connectionIdleNanos());
-    RoutingSettings under =
-        new RoutingSettings(
-            r.routerIndex(),
-            r.routerCount(),
-            r.zone(),
-            r.pollsDiscovery(),
-            r.stableRatings(),
-            r.priorityByWork(),
-            r.overQuotaPriorityWeight(),
-            r.tickNanos(),
-            List.copyOf(classes),
-            r.tenants(),
-            r.safetyLimits(),
-            may,
-            r.origin(),
-            r.loadReportFields());
-    return under.equals(r)
+    RoutingPermissions permissions = permissionsUnder(routing.permissions(), content);
+    RoutingSettings under = withClassesAndPermissions(routing, classes, permissions);
+    return under.equals(routing)
         ? configured
         : new RouterSettings(
             under, configured.classNames(), configured.zones(), configured.kinds());
   }
 
+  private static RequestClass classUnder(RequestClass configured, ClassRule rule) {
+    Long windowNanos = rule.deduplicationWindowNanos();
+    Long deadlineNanos = rule.deadlineNanos();
+    return new RequestClass(
+        rule.idempotency() == null ? configured.idempotency() : routed(rule.idempotency()),
+        configured.deduplicationScope(),
+        windowNanos == null ? configured.deduplicationWindowNanos() : windowNanos,
+        configured.latencyObjectiveNanos(),
+        deadlineNanos == null ? configured.deadlineNanos() : deadlineNanos,
+        configured.priorityWeight(),
+        configured.latePriorityWeight(),
+        configured.streamed());
+  }
+
+  private static RoutingPermissions permissionsUnder(
+      RoutingPermissions configured, ConfigContent content) {
+    return new RoutingPermissions(
+        configured.cancel(),
+        configured.peers(),
+        configured.probes(),
+        configured.retryAfter(),
+        content.hedging() == null ? configured.hedging() : content.hedging(),
+        content.maxAttempts() == null ? configured.maxAttempts() : content.maxAttempts(),
+        configured.maxRetryAfterNanos(),
+        configured.multiplex(),
+        configured.connectTimeoutNanos(),
+        configured.connectionIdleNanos());
+  }
+
+  private static RoutingSettings withClassesAndPermissions(
+      RoutingSettings routing, List<RequestClass> classes, RoutingPermissions permissions) {
+    return new RoutingSettings(
+        routing.routerIndex(),
+        routing.routerCount(),
+        routing.zone(),
+        routing.pollsDiscovery(),
+        routing.stableRatings(),
+        routing.priorityByWork(),
+        routing.overQuotaPriorityWeight(),
+        routing.tickNanos(),
+        List.copyOf(classes),
+        routing.tenants(),
+        routing.safetyLimits(),
+        permissions,
+        routing.origin(),
+        routing.loadReportFields());
+  }
+
   private static ClassIdempotency stored(Idempotency idempotency) {
     return switch (idempotency) {
       case IDEMPOTENT -> ClassIdempotency.IDEMPOTENT;
--- a/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
@@ -7,7 +7,6 @@
 import beaconturn.decision.ZoneWeights;
 import beaconturn.net.RouterConfig;
 import beaconturn.net.ZoneWeightsSource;
-import beaconturn.net.io.Fnv1a;
 import beaconturn.zones.DueAllocation;
 import beaconturn.zones.ZoneMember;
 import beaconturn.zones.ZoneObservations;
@@ -16,68 +15,56 @@
 import beaconturn.zones.ZoneTopology;
 import beaconturn.zones.ZonesKeys;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
 /**
- * A router's part in what is decided of places, on a thread of its own with a connection of its own
- * to the store. Attempts are counted by cache server, as they end, and added up by place for each
- * report.
+ * Runs a router's member of the zones on a thread of its own with a connection of its own to the
+ * store.
  */
 public final class ZonesSubsystem implements ZoneWeightsSource, ZoneReportSource {
   private static final Logger LOG = Logger.getLogger(ZonesSubsystem.class.getName());
-  private static final long MICRO = 1000;
 
   /** A lease that ends is looked for so often at least. */
-  private static final long LONGEST_WAIT = 50_000_000;
+  private static final long MAX_WAIT_NANOS = 50_000_000;
 
   private final AgreementConfig config;
   private final List<String> zones;
-  private final String home;
-  private final String me;
+  private final String homeZone;
   private final Clock clock = Clock.system();
-  private final ZoneMember follower;
-  private final Map<Long, OfServer> servers = new ConcurrentHashMap<>();
+  private final ZoneMember member;
   private final LongAdder arrivals = new LongAdder();
-  private final Counts counts = new Counts();
-  private volatile Map<CacheServerClients.Listed, ServerStatus> seen = Map.of();
-  private volatile Shown shown;
+  private final AttemptCounts attempts;
+  private volatile Map<CacheServerClients.Listed, ServerStatus> serverStatuses = Map.of();
+  private volatile CachedWeights cachedWeights;
   private volatile boolean stopped;
 
-  /** What came of attempts at one cache server. */
-  private static final class OfServer {
-    private final LongAdder good = new LongAdder();
-    private final LongAdder bad = new LongAdder();
-    private final LongAdder micros = new LongAdder();
-  }
-
-  /** Shares, and what they were made of. */
-  private record Shown(DueAllocation of, ZoneWeights shares) {}
+  /** Zone weights, and what they were made of. */
+  private record CachedWeights(DueAllocation due, ZoneWeights weights) {}
 
-  /** A part that asks nobody before it is run; its place is the router's zone. */
-  public ZonesSubsystem(AgreementConfig config, ZoneTopology map, RouterConfig router) {
+  /** A member that asks nobody before it is run; its home is the router's zone. */
+  public ZonesSubsystem(AgreementConfig config, ZoneTopology topology, RouterConfig router) {
     this.config = config;
     this.zones = router.settings().zones();
-    this.home = zones.get(router.settings().routing().zone());
-    long now = clock.now();
-    this.me = router.name() + "/" + Long.toHexString(now) + "-" + ProcessHandle.current().pid();
-    this.follower =
+    this.homeZone = zones.get(router.settings().routing().zone());
+    this.attempts = new AttemptCounts(zones);
+    long nowNanos = clock.now();
+    String incarnation = Long.toHexString(nowNanos) + "-" + ProcessHandle.current().pid();
+    this.member =
         new ZoneMember(
             new ZonesKeys(config.fleet()),
-            map,
+            topology,
             config.timing(),
-            home,
-            me,
-            router.seed() ^ now,
-            now,
+            homeZone,
+            router.name() + "/" + incarnation,
+            router.seed() ^ nowNanos,
+            nowNanos,
             this,
             LOG::info);
   }
@@ -87,15 +74,9 @@
     StoreClient store = new StoreClient(config.endpoints(), config.timing().requestTimeoutNanos());
     try {
       while (!stopped) {
-        follower.refresh(clock.now());
-        StoreRequest call = follower.nextRequest(clock.now());
-        if (call != null) {
-          follower.handleResponse(clock.now(), store.ask(call));
-        } else {
-          await(Math.min(LONGEST_WAIT, follower.nextRequestAtNanos() - clock.now()));
-        }
+        drive(store);
       }
-      follower.leave().forEach(store::ask);
+      member.leave().forEach(store::ask);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (RuntimeException | Error e) {
@@ -105,9 +86,20 @@
     }
   }
 
-  private synchronized void await(long nanos) throws InterruptedException {
-    if (nanos > 0 && !stopped) {
-      TimeUnit.NANOSECONDS.timedWait(this, nanos);
+  /** Makes one request, or waits until one may be due. */
+  private void drive(StoreClient store) throws InterruptedException {
+    member.refresh(clock.now());
+    StoreRequest request = member.nextRequest(clock.now());
+    if (request != null) {
+      member.handleResponse(clock.now(), store.ask(request));
+    } else {
+      await(Math.min(MAX_WAIT_NANOS, member.nextRequestAtNanos() - clock.now()));
+    }
+  }
+
+  private synchronized void await(long waitNanos) throws InterruptedException {
+    if (waitNanos > 0 && !stopped) {
+      TimeUnit.NANOSECONDS.timedWait(this, waitNanos);
     }
   }
 
@@ -119,33 +111,33 @@
 
   @Override
   public ZoneWeights due() {
-    DueAllocation due = follower.allocationAt(clock.now());
-    Shown last = shown;
-    if (last == null || !last.of().equals(due)) {
-      last = new Shown(due, shares(due));
-      shown = last;
+    DueAllocation due = member.allocationAt(clock.now());
+    CachedWeights cached = cachedWeights;
+    if (cached == null || !cached.due().equals(due)) {
+      cached = new CachedWeights(due, weights(due));
+      cachedWeights = cached;
     }
-    return last.shares();
+    return cached.weights();
   }
 
-  private ZoneWeights shares(DueAllocation due) {
-    List<Integer> places = new ArrayList<>();
-    List<Integer> parts = new ArrayList<>();
+  private ZoneWeights weights(DueAllocation due) {
+    List<Integer> zoneIndexes = new ArrayList<>();
+    List<Integer> weights = new ArrayList<>();
     due.allocation()
         .weights()
         .forEach(
-            (place, part) -> {
-              if (zones.contains(place)) {
-                places.add(zones.indexOf(place));
-                parts.add(part);
+            (zone, weight) -> {
+              if (zones.contains(zone)) {
+                zoneIndexes.add(zones.indexOf(zone));
+                weights.add(weight);
               }
             });
-    return new ZoneWeights(places, parts, due.overflow());
+    return new ZoneWeights(zoneIndexes, weights, due.overflow());
   }
 
   @Override
   public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
-    seen = caches;
+    serverStatuses = caches;
   }
 
   @Override
@@ -155,68 +147,44 @@
 
   @Override
   public void attempt(long server, boolean good, Found found, long took, boolean late) {
-    OfServer of = servers.computeIfAbsent(server, id -> new OfServer());
-    if (good && !late) {
-      of.good.increment();
-      of.micros.add(took / MICRO);
-    } else {
-      of.bad.increment();
-    }
+    attempts.add(server, good && !late, took);
   }
 
-  /** Counts of servers that are gone stay in their place's sums: what only grows must not fall. */
   @Override
-  public ZoneReport report(String router, long number, long plan) {
-    Map<String, long[]> sums = new HashMap<>();
-    Map<CacheServerClients.Listed, ServerStatus> now = seen;
-    now.forEach(
-        (listed, standing) -> {
-          if (listed.zone() < zones.size()) {
-            long[] sum = sums.computeIfAbsent(zones.get(listed.zone()), z -> new long[3]);
-            boolean there = standing != ServerStatus.GONE && standing != ServerStatus.DRAINING;
-            sum[0] += there ? 1 : 0;
-            sum[1] += standing == ServerStatus.ACTIVE ? 1 : 0;
-            sum[2] += standing == ServerStatus.EJECTED ? 1 : 0;
-          }
-        });
-    counts.count(now);
-    SortedMap<String, ZoneObservations> places = new TreeMap<>();
-    for (String zone : zones) {
-      long[] sum = sums.getOrDefault(zone, new long[3]);
-      long[] counted = counts.of(zone);
-      places.put(
-          zone,
-          new ZoneObservations(
-              counted[0], counted[1], counted[2], (int) sum[0], (int) sum[1], (int) sum[2]));
+  public ZoneReport report(String router, long sequenceNumber, long planNumber) {
+    Map<CacheServerClients.Listed, ServerStatus> statuses = serverStatuses;
+    attempts.sumUp(statuses.keySet());
+    SortedMap<String, ZoneObservations> seen = new TreeMap<>();
+    for (int index = 0; index < zones.size(); index++) {
+      seen.put(zones.get(index), observations(index, statuses));
     }
-    return new ZoneReport(router, home, number, plan, arrivals.sum(), places);
+    return new ZoneReport(router, homeZone, sequenceNumber, planNumber, arrivals.sum(), seen);
   }
 
-  /** Sums by place that only grow, of counts by server; for the one thread that asks. */
-  private final class Counts {
-    private final Map<Long, long[]> told = new HashMap<>();
-    private final Map<String, long[]> sums = new HashMap<>();
-
-    private void count(Map<CacheServerClients.Listed, ServerStatus> now) {
-      now.keySet()
-          .forEach(
-              listed -> {
-                long id = Fnv1a.of(listed.name());
-                OfServer of = servers.get(id);
-                if (of != null && listed.zone() < zones.size()) {
-                  long[] last = told.computeIfAbsent(id, i -> new long[3]);
-                  long[] sum = sums.computeIfAbsent(zones.get(listed.zone()), z -> new long[3]);
-                  long[] is = {of.good.sum(), of.bad.sum(), of.micros.sum()};
-                  for (int i = 0; i < is.length; i++) {
-                    sum[i] += is[i] - last[i];
-                    last[i] = is[i];
-                  }
-                }
-              });
-    }
+  private ZoneObservations observations(
+      int zoneIndex, Map<CacheServerClients.Listed, ServerStatus> statuses) {
+    List<ServerStatus> inZone = new ArrayList<>();
+    statuses.forEach(
+        (listed, status) -> {
+          if (listed.zone() == zoneIndex) {
+            inZone.add(status);
+          }
+        });
+    long leaving =
+        inZone.stream()
+            .filter(status -> status == ServerStatus.GONE || status == ServerStatus.DRAINING)
+            .count();
+    AttemptCounts.Totals totals = attempts.of(zones.get(zoneIndex));
+    return new ZoneObservations(
+        totals.good(),
+        totals.bad(),
+        totals.goodMicros(),
+        (int) (inZone.size() - leaving),
+        count(inZone, ServerStatus.ACTIVE),
+        count(inZone, ServerStatus.EJECTED));
+  }
 
-    private long[] of(String zone) {
-      return sums.getOrDefault(zone, new long[3]);
-    }
+  private static int count(List<ServerStatus> statuses, ServerStatus counted) {
+    return (int) statuses.stream().filter(status -> status == counted).count();
   }
 }
--- a/src/test/java/beaconturn/agreement/AgreementMemberTest.java
+++ b/src/test/java/beaconturn/agreement/AgreementMemberTest.java
@@ -25,65 +25,68 @@
 
   private static long propose(SimulatedAgreement fleet, String... servers)
       throws AgreementException {
-    return fleet.desk().propose(now -> out(servers), "op", "why", 0);
+    return fleet.admin().propose(now -> out(servers), "op", "why", 0);
   }
 
   private static SimulatedAgreement begun(int routers) throws AgreementException {
     SimulatedAgreement fleet = new SimulatedAgreement(routers, routers);
     fleet.begin();
-    assertEquals(routers, fleet.desk().status().members().size());
+    assertEquals(routers, fleet.admin().status().members().size());
     return fleet;
   }
 
   private static void clean(SimulatedAgreement fleet) {
-    assertEquals(List.of(), fleet.offences);
+    assertEquals(List.of(), fleet.violations);
     assertTrue(fleet.acts > 100);
   }
 
   private static String acts(SimulatedAgreement fleet, int router) {
-    SimulatedAgreement.SimulatedMember seat = fleet.seats.get(router);
-    return seat.ground.descriptionAt(seat.now());
+    SimulatedAgreement.SimulatedMember process = fleet.simulatedMembers.get(router);
+    return process.effectiveConfig.descriptionAt(process.now());
   }
 
   @Test
   void aVersionComesIntoForceOnlyWithTheYesOfAllAndSettles() throws AgreementException {
     SimulatedAgreement fleet = begun(5);
-    fleet.seats.get(3).cut = true;
+    fleet.simulatedMembers.get(3).cut = true;
     long first = propose(fleet, "c1");
     fleet.run(20 * LEASE);
-    assertEquals(List.of("r3"), fleet.desk().status().awaitedMembers());
+    assertEquals(List.of("r3"), fleet.admin().status().awaitedMembers());
     assertTrue(fleet.inForce.isEmpty(), "nobody can tell r3 from one that still acts");
     assertEquals("its own configuration without a lease", acts(fleet, 3));
-    fleet.seats.get(3).cut = false;
+    fleet.simulatedMembers.get(3).cut = false;
     assertTrue(fleet.settles(first, 10 * SECOND));
     assertEquals("version 1", acts(fleet, 3));
     clean(fleet);
   }
 
-  /** The cut falls between its yes and the version's coming into force: it goes to safe ground. */
+  /**
+   * The cut falls between its yes and the version's coming into force: it goes to safe
+   * effectiveConfig.
+   */
   @Test
   void whoIsCutOffAfterItsYesStandsBetweenTheTwo() throws AgreementException {
     SimulatedAgreement fleet = begun(6);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
-    fleet.seats.get(0).cut = true;
+    fleet.simulatedMembers.get(0).cut = true;
     long second = propose(fleet, "c2");
     fleet.run(LEASE);
-    fleet.seats.get(0).cut = false;
-    while (fleet.seats.get(0).kept.ackedVersion() == null) {
+    fleet.simulatedMembers.get(0).cut = false;
+    while (fleet.simulatedMembers.get(0).persisted.ackedVersion() == null) {
       fleet.run(SimulatedAgreement.MILLI);
     }
-    fleet.seats.get(0).cut = true;
+    fleet.simulatedMembers.get(0).cut = true;
     fleet.run(10 * LEASE);
     assertEquals(2, fleet.inForce.size());
     assertEquals("safe ground between version 1 and version 2", acts(fleet, 0));
     assertEquals(
         new TreeSet<>(List.of("c1", "c2")),
-        fleet.seats.get(0).ground.afterLease().excludedServers());
+        fleet.simulatedMembers.get(0).effectiveConfig.afterLease().excludedServers());
     assertTrue(fleet.settles(second, SECOND), "it holds no lease, and acts on neither alone");
     propose(fleet, "c3");
     fleet.run(10 * LEASE);
     assertEquals(2, fleet.inForce.size(), "a third version would contradict where it stands");
-    fleet.seats.get(0).cut = false;
+    fleet.simulatedMembers.get(0).cut = false;
     assertTrue(fleet.settles(3, 10 * SECOND));
     clean(fleet);
   }
@@ -96,7 +99,7 @@
     assertTrue(fleet.inForce.isEmpty());
     assertTrue(
         fleet
-            .desk()
+            .admin()
             .history()
             .get(0)
             .rejectionReason()
@@ -114,10 +117,10 @@
   @Test
   void aRouterThatHasAnOlderListSaysNeitherYesNorNoUntilItHasTheNewer() throws AgreementException {
     SimulatedAgreement fleet = begun(3);
-    fleet.seats.get(1).list = 6;
+    fleet.simulatedMembers.get(1).list = 6;
     long number =
         fleet
-            .desk()
+            .admin()
             .propose(
                 now ->
                     new ConfigContent(
@@ -127,8 +130,8 @@
                 0);
     fleet.run(10 * SECOND);
     assertTrue(fleet.inForce.isEmpty());
-    assertEquals(List.of("r1"), fleet.desk().status().awaitedMembers());
-    fleet.seats.get(1).list = 7;
+    assertEquals(List.of("r1"), fleet.admin().status().awaitedMembers());
+    fleet.simulatedMembers.get(1).list = 7;
     assertTrue(fleet.settles(number, 10 * SECOND));
     clean(fleet);
   }
@@ -147,10 +150,10 @@
     SimulatedAgreement fleet = begun(3);
     fleet.loseNext = 1;
     assertEquals(1, propose(fleet, "c1"));
-    assertEquals(1, fleet.desk().history().size());
-    fleet.seats.forEach(s -> s.oneWay = true);
+    assertEquals(1, fleet.admin().history().size());
+    fleet.simulatedMembers.forEach(s -> s.oneWay = true);
     fleet.run(3 * LEASE);
-    fleet.seats.forEach(s -> s.oneWay = false);
+    fleet.simulatedMembers.forEach(s -> s.oneWay = false);
     assertTrue(fleet.settles(1, 20 * SECOND));
     assertEquals(1, fleet.inForce.size());
     clean(fleet);
@@ -161,10 +164,10 @@
     SimulatedAgreement fleet = begun(4);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
     propose(fleet, "c2");
-    while (fleet.seats.get(1).kept.ackedVersion() == null) {
+    while (fleet.simulatedMembers.get(1).persisted.ackedVersion() == null) {
       fleet.run(SimulatedAgreement.MILLI);
     }
-    fleet.seats.get(1).pausedUntil = fleet.agenda.now() + 20 * LEASE;
+    fleet.simulatedMembers.get(1).pausedUntil = fleet.scheduler.now() + 20 * LEASE;
     fleet.run(20 * LEASE - SimulatedAgreement.MILLI);
     assertEquals(2, fleet.inForce.size());
     fleet.run(2 * LEASE);
@@ -175,25 +178,25 @@
   void aRouterThatDiesAfterItsYesIsWaitedForUntilItIsBackOrDeclaredLost()
       throws AgreementException {
     SimulatedAgreement fleet = begun(3);
-    fleet.seats.get(2).die();
+    fleet.simulatedMembers.get(2).die();
     propose(fleet, "c1");
     assertEquals(
         "router 'r2' holds its lease: it is alive",
-        assertThrows(AgreementException.class, () -> fleet.desk().declareLost("r2")).getMessage());
+        assertThrows(AgreementException.class, () -> fleet.admin().declareLost("r2")).getMessage());
     fleet.run(20 * LEASE);
     assertTrue(fleet.inForce.isEmpty());
-    fleet.desk().declareLost("r2");
+    fleet.admin().declareLost("r2");
     assertTrue(fleet.settles(1, 10 * SECOND));
-    fleet.seats.get(2).start();
+    fleet.simulatedMembers.get(2).start();
     fleet.run(5 * SECOND);
     assertEquals("version 1", acts(fleet, 2));
-    fleet.seats.get(1).die();
+    fleet.simulatedMembers.get(1).die();
     propose(fleet, "c2");
     fleet.run(LEASE);
-    fleet.seats.get(1).start();
+    fleet.simulatedMembers.get(1).start();
     assertTrue(fleet.settles(2, 10 * SECOND));
     assertEquals(
-        3, fleet.desk().status().members().size(), "the line of the one before it is gone");
+        3, fleet.admin().status().members().size(), "the line of the one before it is gone");
     clean(fleet);
   }
 
@@ -202,10 +205,10 @@
     SimulatedAgreement fleet = begun(3);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
     for (int i : new int[] {0, 1}) {
-      fleet.seats.get(i).die();
-      fleet.seats.get(i).cut = true;
-      fleet.seats.get(i).keeps = i == 0;
-      fleet.seats.get(i).start();
+      fleet.simulatedMembers.get(i).die();
+      fleet.simulatedMembers.get(i).cut = true;
+      fleet.simulatedMembers.get(i).restoresPersisted = i == 0;
+      fleet.simulatedMembers.get(i).start();
     }
     fleet.run(5 * SECOND);
     assertEquals("version 1 without a lease", acts(fleet, 0));
@@ -214,56 +217,61 @@
   }
 
   /**
-   * Losing the store costs nothing: all go on as they were, whatever stands in its place
-   * afterwards.
-   */
-  /**
-   * After a planned end others move on without its yes: what it kept is nothing to act on any more.
+   * After a planned end others move on without its yes: what it persisted is nothing to act on any
+   * more.
    */
   @Test
   void whoLeftAsPlannedDoesNotStartOnWhatItKept() throws AgreementException {
     SimulatedAgreement fleet = begun(3);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
-    SimulatedAgreement.SimulatedMember seat = fleet.seats.get(1);
-    seat.member.leave().forEach(fleet::serve);
-    seat.die();
+    SimulatedAgreement.SimulatedMember process = fleet.simulatedMembers.get(1);
+    process.member.leave().forEach(fleet::serve);
+    process.die();
     assertTrue(fleet.settles(propose(fleet, "c2"), 10 * SECOND));
-    seat.cut = true;
-    seat.start();
+    process.cut = true;
+    process.start();
     fleet.run(10 * LEASE);
     assertEquals("strict ground", acts(fleet, 1));
-    assertEquals(new TreeSet<>(List.of("c1")), seat.ground.contentAt(seat.now()).excludedServers());
-    seat.cut = false;
+    assertEquals(
+        new TreeSet<>(List.of("c1")),
+        process.effectiveConfig.contentAt(process.now()).excludedServers());
+    process.cut = false;
     fleet.run(SECOND);
     assertEquals("version 2", acts(fleet, 1));
     clean(fleet);
   }
 
   /**
-   * Until it has asked it knows no more than was kept; a server that was out then is not sent to.
+   * Until it has asked it knows no more than was persisted; a server that was out then is not sent
+   * to.
    */
   @Test
   void aStartHoldsOutWhatWasKeptUntilItHasAsked() throws AgreementException {
     SimulatedAgreement fleet = begun(3);
     assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
-    fleet.seats.get(2).cut = true;
+    fleet.simulatedMembers.get(2).cut = true;
     propose(fleet, "c2");
-    SimulatedAgreement.SimulatedMember seat = fleet.seats.get(1);
-    while (seat.kept.ackedVersion() == null) {
+    SimulatedAgreement.SimulatedMember process = fleet.simulatedMembers.get(1);
+    while (process.persisted.ackedVersion() == null) {
       fleet.run(SimulatedAgreement.MILLI);
     }
-    seat.die();
-    seat.start();
-    assertFalse(seat.member.hasAskedStore());
+    process.die();
+    process.start();
+    assertFalse(process.member.hasAskedStore());
     assertEquals("strict ground", acts(fleet, 1));
     assertEquals(
-        new TreeSet<>(List.of("c1", "c2")), seat.ground.contentAt(seat.now()).excludedServers());
+        new TreeSet<>(List.of("c1", "c2")),
+        process.effectiveConfig.contentAt(process.now()).excludedServers());
     fleet.run(SECOND);
-    assertTrue(seat.member.hasAskedStore());
+    assertTrue(process.member.hasAskedStore());
     assertEquals("version 1", acts(fleet, 1));
     clean(fleet);
   }
 
+  /**
+   * Losing the store costs nothing: all go on as they were, whatever stands in its place
+   * afterwards.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"empty", "older"})
   void nobodyFollowsAReplacedStore(String how) throws AgreementException {
@@ -272,7 +280,7 @@
     assertTrue(fleet.settles(propose(fleet, "c2"), 10 * SECOND));
     if (how.equals("empty")) {
       fleet.store.empty(8);
-      fleet.desk().begin("second");
+      fleet.admin().begin("second");
     } else {
       fleet.store.rewind(30);
     }
@@ -313,12 +321,12 @@
     String holder = "";
     while (holder.isEmpty()) {
       fleet.run(SimulatedAgreement.MILLI);
-      holder = fleet.desk().status().snapshot().leader();
+      holder = fleet.admin().status().snapshot().leader();
     }
     int dead = Integer.parseInt(holder.substring(1, holder.indexOf('.')));
-    fleet.seats.get(dead).die();
+    fleet.simulatedMembers.get(dead).die();
     fleet.run(20 * LEASE);
-    fleet.seats.get(dead).start();
+    fleet.simulatedMembers.get(dead).start();
     assertTrue(fleet.settles(1, 20 * SECOND));
     clean(fleet);
   }
@@ -326,21 +334,23 @@
   /**
    * Faults by chance, and at the end all is well again: no offence, and the fleet can still agree.
    */
-  private static SimulatedAgreement storm(long seed, boolean planted) throws AgreementException {
+  private static SimulatedAgreement randomScenario(long seed, boolean planted)
+      throws AgreementException {
     SimulatedAgreement fleet = new SimulatedAgreement(seed, 5);
     fleet.begin();
-    fleet.seats.get(0).ignoresLease = planted;
+    fleet.simulatedMembers.get(0).ignoresLease = planted;
     Random random = new Random(seed);
     for (int i = 0; i < 60; i++) {
-      SimulatedAgreement.SimulatedMember seat = fleet.seats.get(random.nextInt(5));
+      SimulatedAgreement.SimulatedMember process = fleet.simulatedMembers.get(random.nextInt(5));
       switch (random.nextInt(8)) {
-        case 0 -> seat.cut = !seat.cut;
-        case 1 -> seat.oneWay = !seat.oneWay;
+        case 0 -> process.cut = !process.cut;
+        case 1 -> process.oneWay = !process.oneWay;
         case 2 ->
-            seat.pausedUntil = fleet.agenda.now() + random.nextInt(6000) * SimulatedAgreement.MILLI;
+            process.pausedUntil =
+                fleet.scheduler.now() + random.nextInt(6000) * SimulatedAgreement.MILLI;
         case 3 -> {
-          seat.die();
-          seat.start();
+          process.die();
+          process.start();
         }
         case 4 -> fleet.store.freeze(random.nextBoolean());
         default -> proposeAny(fleet, random);
@@ -348,7 +358,7 @@
       fleet.run(random.nextInt(3000) * SimulatedAgreement.MILLI);
     }
     fleet.store.freeze(false);
-    fleet.seats.forEach(
+    fleet.simulatedMembers.forEach(
         s -> {
           s.cut = false;
           s.oneWay = false;
@@ -361,7 +371,7 @@
     try {
       fleet.loseNext = random.nextInt(2);
       ConfigContent content = StrictestCommonConfigTest.any(random);
-      fleet.desk().propose(now -> content, "op", "why", 0);
+      fleet.admin().propose(now -> content, "op", "why", 0);
     } catch (AgreementException e) {
       // Somebody is still waited for, as it should be.
       fleet.loseNext = 0;
@@ -372,9 +382,9 @@
   void inAnyStormNobodyActsAgainstWhatIsInForceBeyondTheStatedTime() throws AgreementException {
     long versions = 0;
     for (long seed = 1; seed <= Long.getLong("storms", 60); seed++) {
-      SimulatedAgreement fleet = storm(seed, false);
-      assertEquals(List.of(), fleet.offences, "seed " + seed);
-      AgreementSnapshot seen = fleet.desk().status().snapshot();
+      SimulatedAgreement fleet = randomScenario(seed, false);
+      assertEquals(List.of(), fleet.violations, "seed " + seed);
+      AgreementSnapshot seen = fleet.admin().status().snapshot();
       assertFalse(seen.hasOpenStep(), () -> "still open: " + seen);
       assertNull(seen.proposed());
       versions += fleet.inForce.size();
@@ -387,10 +397,10 @@
   void aRouterThatIgnoresItsLeaseIsFound() throws AgreementException {
     int found = 0;
     for (long seed = 1; seed <= 20; seed++) {
-      List<String> offences = storm(seed, true).offences;
-      found += offences.isEmpty() ? 0 : 1;
+      List<String> violations = randomScenario(seed, true).violations;
+      found += violations.isEmpty() ? 0 : 1;
       assertTrue(
-          offences.stream().allMatch(o -> o.contains("r0 acts against")), offences::toString);
+          violations.stream().allMatch(o -> o.contains("r0 acts against")), violations::toString);
     }
     assertTrue(found > 0, "it was never seen");
   }
--- a/src/test/java/beaconturn/agreement/MemberTraceTest.java
+++ b/src/test/java/beaconturn/agreement/MemberTraceTest.java
@@ -42,7 +42,7 @@
     fleet.begin();
     Random random = new Random(seed);
     for (int i = 0; i < STEPS; i++) {
-      disturb(fleet, fleet.seats.get(random.nextInt(ROUTERS)), random);
+      disturb(fleet, fleet.simulatedMembers.get(random.nextInt(ROUTERS)), random);
       fleet.run(random.nextInt(2000) * SimulatedAgreement.MILLI);
     }
   }
@@ -52,7 +52,7 @@
     switch (random.nextInt(11)) {
       case 0 -> member.cut = !member.cut;
       case 1 -> member.oneWay = !member.oneWay;
-      case 2 -> member.pausedUntil = fleet.agenda.now() + random.nextInt(6) * 1_000_000_000L;
+      case 2 -> member.pausedUntil = fleet.scheduler.now() + random.nextInt(6) * 1_000_000_000L;
       case 3 -> {
         member.member.leave().forEach(fleet::serve);
         member.die();
@@ -61,27 +61,27 @@
       case 4 -> fleet.store.freeze(random.nextBoolean());
       case 5 -> {
         member.die();
-        member.keeps = random.nextInt(4) > 0;
+        member.restoresPersisted = random.nextInt(4) > 0;
         member.start();
       }
-      case 6 -> member.keepsAnything = random.nextInt(3) > 0;
+      case 6 -> member.canPersist = random.nextInt(3) > 0;
       case 7 -> member.list = random.nextBoolean() ? 1 : Long.MAX_VALUE;
-      case 8 -> operate(fleet, desk -> desk.declareLost(member.name));
-      case 9 -> operate(fleet, desk -> desk.withdraw("not wanted"));
+      case 8 -> operate(fleet, admin -> admin.declareLost(member.name));
+      case 9 -> operate(fleet, admin -> admin.withdraw("not wanted"));
       default -> {
         ConfigContent content = StrictestCommonConfigTest.any(random);
-        operate(fleet, desk -> desk.propose(now -> content, "op", "why", 0));
+        operate(fleet, admin -> admin.propose(now -> content, "op", "why", 0));
       }
     }
   }
 
   private interface Operation {
-    void on(ConfigAdmin desk) throws AgreementException;
+    void on(ConfigAdmin admin) throws AgreementException;
   }
 
   private static void operate(SimulatedAgreement fleet, Operation operation) {
     try {
-      operation.on(fleet.desk());
+      operation.on(fleet.admin());
     } catch (AgreementException e) {
       // Not allowed now: the scenario goes on without it.
       fleet.trace.accept(e.getMessage());
--- a/src/test/java/beaconturn/agreement/SimulatedAgreement.java
+++ b/src/test/java/beaconturn/agreement/SimulatedAgreement.java
@@ -19,9 +19,9 @@
   static final ConfigContent BASE = StrictestCommonConfigTest.any(new Random(99));
   private static final AgreementKeys KEYS = new AgreementKeys("/fleet");
   private static final long ACT_EVERY = 20 * MILLI;
-  final EventScheduler agenda = new EventScheduler(0);
-  final List<SimulatedMember> seats = new ArrayList<>();
-  final List<String> offences = new ArrayList<>();
+  final EventScheduler scheduler = new EventScheduler(0);
+  final List<SimulatedMember> simulatedMembers = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
   final List<InForce> inForce = new ArrayList<>();
 
   /** Hears each request, answer, callback and log line of every member, as text. */
@@ -41,16 +41,16 @@
     boolean cut;
     boolean oneWay;
     boolean ignoresLease;
-    boolean keeps = true;
+    boolean restoresPersisted = true;
 
     /** False where the disk is full: what is written is never there. */
-    boolean keepsAnything = true;
+    boolean canPersist = true;
 
     long list = Long.MAX_VALUE;
     long pausedUntil;
-    PersistedConfig kept = PersistedConfig.EMPTY;
+    PersistedConfig persisted = PersistedConfig.EMPTY;
     AgreementMember member;
-    EffectiveConfig ground;
+    EffectiveConfig effectiveConfig;
     int life;
 
     private SimulatedMember(String name, double pace) {
@@ -60,7 +60,7 @@
 
     /** The time of its own clock. */
     long now() {
-      return (long) (agenda.now() * pace);
+      return (long) (scheduler.now() * pace);
     }
 
     void start() {
@@ -71,7 +71,7 @@
               TIMING,
               new MemberIdentity(name, name + "." + born, false),
               BASE,
-              keeps ? kept : PersistedConfig.EMPTY,
+              restoresPersisted ? persisted : PersistedConfig.EMPTY,
               random.nextLong(),
               now(),
               this,
@@ -82,33 +82,33 @@
     void die() {
       life++;
       member = null;
-      ground = null;
+      effectiveConfig = null;
     }
 
     private void step(int born) {
       if (born != life) {
         return;
       }
-      if (agenda.now() < pausedUntil) {
-        agenda.at(pausedUntil, () -> step(born));
+      if (scheduler.now() < pausedUntil) {
+        scheduler.at(pausedUntil, () -> step(born));
         return;
       }
       StoreRequest call = member.nextRequest(now());
-      trace.accept(agenda.now() + " " + name + " asks " + TraceText.of(call));
+      trace.accept(scheduler.now() + " " + name + " asks " + TraceText.of(call));
       if (call == null) {
         trace.accept("until " + member.nextRequestAtNanos());
         long wait = (long) ((member.nextRequestAtNanos() - now()) / pace);
-        agenda.in(Math.max(MILLI, wait), () -> step(born));
+        scheduler.in(Math.max(MILLI, wait), () -> step(born));
         return;
       }
       long way = MILLI + random.nextInt(20) * MILLI;
       boolean hears = !cut;
       boolean told = hears && !oneWay;
-      agenda.in(
+      scheduler.in(
           way,
           () -> {
             StoreResponse answer = hears ? serve(call) : null;
-            agenda.in(
+            scheduler.in(
                 told ? way : TIMING.requestTimeoutNanos() - way,
                 () ->
                     heard(
@@ -123,33 +123,34 @@
       if (born != life) {
         return;
       }
-      if (agenda.now() < pausedUntil) {
-        agenda.at(pausedUntil, () -> heard(born, answer));
+      if (scheduler.now() < pausedUntil) {
+        scheduler.at(pausedUntil, () -> heard(born, answer));
         return;
       }
-      trace.accept(agenda.now() + " " + name + " hears " + TraceText.of(answer));
+      trace.accept(scheduler.now() + " " + name + " hears " + TraceText.of(answer));
       member.handleResponse(now(), answer);
       step(born);
     }
 
     private void act() {
-      if (ground != null && agenda.now() >= pausedUntil) {
+      if (effectiveConfig != null && scheduler.now() >= pausedUntil) {
         acts++;
-        check(this, ignoresLease ? ground.whileLeased() : ground.contentAt(now()));
+        check(
+            this, ignoresLease ? effectiveConfig.whileLeased() : effectiveConfig.contentAt(now()));
       }
     }
 
     @Override
     public void effectiveConfigChanged(EffectiveConfig next) {
-      ground = next;
+      effectiveConfig = next;
       trace.accept(name + " acts on " + TraceText.of(next));
     }
 
     @Override
     public boolean persist(PersistedConfig next) {
-      kept = next;
+      persisted = next;
       trace.accept(name + " keeps " + next.encode());
-      return keepsAnything;
+      return canPersist;
     }
 
     @Override
@@ -169,7 +170,7 @@
     this.random = new Random(seed);
     this.store =
         new StoreModel(
-            agenda,
+            scheduler,
             7,
             (at, revision, key, value) -> {
               if (key.equals(KEYS.commonPrefix() + "current") && value != null) {
@@ -177,32 +178,32 @@
               }
             });
     for (int i = 0; i < routers; i++) {
-      seats.add(
+      simulatedMembers.add(
           new SimulatedMember("r" + i, 1 + (random.nextDouble() - 0.5) * TIMING.clockDrift()));
     }
-    agenda.in(0, this::acting);
+    scheduler.in(0, this::acting);
   }
 
   private void cameIntoForce(String text) {
     try {
-      inForce.add(new InForce(agenda.now(), ConfigCodec.decodeVersion(text)));
+      inForce.add(new InForce(scheduler.now(), ConfigCodec.decodeVersion(text)));
     } catch (AgreementException e) {
       throw new IllegalStateException(e);
     }
   }
 
   private void acting() {
-    seats.forEach(SimulatedMember::act);
-    agenda.in(ACT_EVERY, this::acting);
+    simulatedMembers.forEach(SimulatedMember::act);
+    scheduler.in(ACT_EVERY, this::acting);
   }
 
   /**
    * What is acted on must be allowed by a version that is in force, or was within the stated time.
    */
-  private void check(SimulatedMember seat, ConfigContent acting) {
+  private void check(SimulatedMember process, ConfigContent acting) {
     boolean allowed =
         inForce.isEmpty()
-            || (agenda.now() - inForce.get(0).at() <= TIMING.statedNanos()
+            || (scheduler.now() - inForce.get(0).at() <= TIMING.statedNanos()
                 && ConfigConflicts.violations(acting, ConfigContent.UNSPECIFIED.withDefaults(BASE))
                     .isEmpty());
     List<String> breaks = List.of();
@@ -210,15 +211,15 @@
       breaks =
           ConfigConflicts.violations(acting, inForce.get(i).version().content().withDefaults(BASE));
       allowed = breaks.isEmpty();
-      if (agenda.now() - inForce.get(i).at() > TIMING.statedNanos()) {
+      if (scheduler.now() - inForce.get(i).at() > TIMING.statedNanos()) {
         break;
       }
     }
     if (!allowed && !strict(breaks, acting)) {
-      offences.add(
-          agenda.now() / MILLI
+      violations.add(
+          scheduler.now() / MILLI
               + " ms: "
-              + seat.name
+              + process.name
               + " acts against "
               + breaks
               + " of "
@@ -236,7 +237,7 @@
   }
 
   /** What operators see, at once; the answer to a swap may be lost. */
-  ConfigAdmin desk() {
+  ConfigAdmin admin() {
     return new ConfigAdmin(
         KEYS,
         call -> {
@@ -252,20 +253,20 @@
   }
 
   void run(long time) {
-    agenda.advance(agenda.now() + time);
+    scheduler.advance(scheduler.now() + time);
   }
 
   /** Begins the agreement and has all routers join. */
   void begin() throws AgreementException {
-    desk().begin("first");
-    seats.forEach(SimulatedMember::start);
+    admin().begin("first");
+    simulatedMembers.forEach(SimulatedMember::start);
     run(5 * SECOND);
   }
 
   /** Runs until the version is in force and settled; false if it is not within the time. */
   boolean settles(long number, long within) throws AgreementException {
-    for (long end = agenda.now() + within; agenda.now() < end; run(100 * MILLI)) {
-      if (desk().status().snapshot().settledNumber() >= number) {
+    for (long end = scheduler.now() + within; scheduler.now() < end; run(100 * MILLI)) {
+      if (admin().status().snapshot().settledNumber() >= number) {
         return true;
       }
     }
--- a/src/test/java/beaconturn/zones/FailoverPlannerTest.java
+++ b/src/test/java/beaconturn/zones/FailoverPlannerTest.java
@@ -50,7 +50,7 @@
   @Test
   void aPlaceThatIsLostGoesToTheNearestWithinSecondsAndComesBackBySteps() {
     SimulatedZones world = three(400);
-    world.spots.get("east").bad = true;
+    world.simulatedZones.get("east").bad = true;
     world.run(5 * SECOND);
     assertTrue(world.served("east", SECOND) > 0.9, world.said());
     assertEquals(ZoneState.FAILED_OVER, world.plan().states().get("east"));
@@ -60,10 +60,10 @@
         "the near one has the room");
     assertEquals(0, world.plan().allocationOf("east").weightOf("far"));
     assertTrue(world.peak("west") < 1, "nobody is pushed over");
-    world.spots.get("east").bad = false;
+    world.simulatedZones.get("east").bad = false;
     while (world.plan().allocationOf("east").weightOf("east") == ZoneAllocation.NEAR_TRIAL_WEIGHT) {
       world.run(SECOND / 4);
-      assertTrue(world.agenda.now() < 30 * SECOND, world.said());
+      assertTrue(world.scheduler.now() < 30 * SECOND, world.said());
     }
     int back = world.plan().allocationOf("east").weightOf("east");
     assertTrue(
@@ -80,7 +80,7 @@
   @Test
   void noMoreGoesThanTheOthersCarryWithOneOfTheirCacheServersGone() {
     SimulatedZones world = three(700);
-    world.spots.get("east").bad = true;
+    world.simulatedZones.get("east").bad = true;
     world.run(10 * SECOND);
     world.peak("west");
     world.peak("far");
@@ -93,14 +93,14 @@
   void whatAPlaceCannotCarryGoesOnInPartAndTheSameKeysFirst() {
     SimulatedZones world = three(400);
     world.of("east");
-    world.spots.get("east").warm = 4;
+    world.simulatedZones.get("east").warm = 4;
     world.run(10 * SECOND);
     ZoneAllocation row = world.plan().allocationOf("east");
     assertEquals(ZoneState.SPILLING, world.plan().states().get("east"), world.said());
     assertTrue(
         row.weightOf("east") >= 650 && row.weightOf("east") <= 800 && row.weightOf("west") >= 200,
         row.weights().toString());
-    world.spots.get("east").warm = 10;
+    world.simulatedZones.get("east").warm = 10;
     world.run(20 * SECOND);
     calm(world);
   }
@@ -111,10 +111,10 @@
   @Test
   void aPlaceThatCarriesAllThatIsWantedAgainTakesItsKeysBackInTheEnd() {
     SimulatedZones world = three(750);
-    world.spots.get("east").warm = 7;
+    world.simulatedZones.get("east").warm = 7;
     world.run(10 * SECOND);
     assertEquals(ZoneState.SPILLING, world.plan().states().get("east"), world.said());
-    world.spots.get("east").warm = 10;
+    world.simulatedZones.get("east").warm = 10;
     world.run(30 * SECOND);
     assertEquals(
         ZoneState.SPILLING, world.plan().states().get("east"), "not at once\n" + world.said());
@@ -133,8 +133,8 @@
     world.of("west").forEach(s -> s.cut = true);
     world.run(10 * SECOND);
     if (newOffice) {
-      String office = world.desk().readSnapshot().leader();
-      world.seats.stream()
+      String office = world.admin().readSnapshot().leader();
+      world.simulatedRouters.stream()
           .filter(s -> office.startsWith(s.name + "/"))
           .forEach(
               s -> {
@@ -143,7 +143,7 @@
               });
       world.run(5 * SECOND);
     }
-    world.spots.get("east").bad = true;
+    world.simulatedZones.get("east").bad = true;
     world.run(20 * SECOND);
     assertTrue(
         world.plan().allocationOf("east").weightOf("far") > 150,
@@ -163,7 +163,7 @@
     SimulatedZones world = three(400);
     world.of("west").forEach(s -> s.cut = true);
     world.run(10 * SECOND);
-    world.spots.get("east").listed = 0;
+    world.simulatedZones.get("east").listed = 0;
     world.run(6 * SECOND);
     assertEquals(
         ZoneAllocation.NEAR_TRIAL_WEIGHT,
@@ -180,12 +180,12 @@
     SimulatedZones world = three(700);
     world.of("west").get(0).cut = true;
     world.run(3 * SECOND);
-    String office = world.desk().readSnapshot().leader();
-    world.seats.stream()
+    String office = world.admin().readSnapshot().leader();
+    world.simulatedRouters.stream()
         .filter(s -> office.startsWith(s.name + "/"))
-        .forEach(SimulatedZones.Seat::die);
+        .forEach(SimulatedZones.SimulatedRouter::die);
     world.run(6 * SECOND);
-    world.spots.get("east").bad = true;
+    world.simulatedZones.get("east").bad = true;
     world.run(10 * SECOND);
     assertTrue(world.plan().allocationOf("east").weightOf("west") < 320, world.said());
     world.run(90 * SECOND);
@@ -196,10 +196,10 @@
   @Test
   void whatAllSufferFromMovesNothing() {
     SimulatedZones world = three(400);
-    world.spots.values().forEach(s -> s.bad = true);
+    world.simulatedZones.values().forEach(s -> s.bad = true);
     world.run(20 * SECOND);
     calm(world);
-    world.spots.values().forEach(s -> s.bad = false);
+    world.simulatedZones.values().forEach(s -> s.bad = false);
     world.run(10 * SECOND);
     assertEquals(0, world.plan().number(), world.said());
   }
@@ -208,15 +208,15 @@
   @Test
   void whatMostSufferFromMovesNothingAlsoWhenItDoesNotEndAtOnce() {
     SimulatedZones world = three(400);
-    world.spots.get("east").bad = true;
+    world.simulatedZones.get("east").bad = true;
     world.run(SECOND / 2);
-    world.spots.get("west").bad = true;
+    world.simulatedZones.get("west").bad = true;
     world.run(15 * SECOND);
     calm(world);
-    world.spots.get("west").bad = false;
+    world.simulatedZones.get("west").bad = false;
     world.run(3 * SECOND);
     calm(world);
-    world.spots.get("east").bad = false;
+    world.simulatedZones.get("east").bad = false;
     world.run(10 * SECOND);
     assertEquals(0, world.plan().number(), world.said());
   }
@@ -227,13 +227,13 @@
   @Test
   void whatAllSufferFromAboutAlikeMovesNothing() {
     SimulatedZones world = three(400);
-    world.spots.get("east").fails = 0.6;
-    world.spots.get("west").fails = 0.45;
-    world.spots.get("far").fails = 0.4;
+    world.simulatedZones.get("east").fails = 0.6;
+    world.simulatedZones.get("west").fails = 0.45;
+    world.simulatedZones.get("far").fails = 0.4;
     world.run(20 * SECOND);
     calm(world);
     assertEquals(0, world.plan().number(), world.said());
-    world.spots.get("west").fails = 0.05;
+    world.simulatedZones.get("west").fails = 0.05;
     world.run(5 * SECOND);
     assertTrue(
         world.plan().allocationOf("east").weightOf("west") > 900,
@@ -248,12 +248,12 @@
   void wherePlacesAreSlowAndOneFailsFirstNothingMoves() {
     SimulatedZones world = three(400);
     world.run(10 * SECOND);
-    world.spots.values().forEach(s -> s.micros = 4000);
+    world.simulatedZones.values().forEach(s -> s.micros = 4000);
     world.run(2 * SECOND);
-    world.spots.get("east").fails = 0.7;
+    world.simulatedZones.get("east").fails = 0.7;
     world.run(10 * SECOND);
     assertEquals(0, world.plan().number(), world.said());
-    world.spots.get("east").fails = 1;
+    world.simulatedZones.get("east").fails = 1;
     world.run(5 * SECOND);
     assertTrue(world.plan().allocationOf("east").weightOf("west") > 900, world.said());
   }
@@ -270,9 +270,9 @@
     world.byChance = true;
     world.run(20 * SECOND);
     assertEquals(0, world.plan().number(), world.said());
-    world.spots.get("a").bad = true;
+    world.simulatedZones.get("a").bad = true;
     world.run(3 * SECOND);
-    world.spots.get("b").bad = true;
+    world.simulatedZones.get("b").bad = true;
     world.run(60 * SECOND);
     assertTrue(world.plan().number() < 30, world.plan().number() + " plans\n" + world.said());
     assertNull(world.pushed);
@@ -282,9 +282,9 @@
   @Test
   void wherePlacesThatReceiveFailTooTheirPartGoesOn() {
     SimulatedZones world = three(250);
-    world.spots.get("east").bad = true;
+    world.simulatedZones.get("east").bad = true;
     world.run(8 * SECOND);
-    world.spots.get("west").bad = true;
+    world.simulatedZones.get("west").bad = true;
     world.run(8 * SECOND);
     assertTrue(
         world.served("east", SECOND) > 0.9 && world.served("west", SECOND) > 0.9, world.said());
@@ -294,10 +294,10 @@
   @ValueSource(strings = {"bad", "good", "stuck"})
   void oneRouterThatLiesMovesNothingAlone(String lie) {
     SimulatedZones world = three(400);
-    world.seats.get(0).lies = lie;
+    world.simulatedRouters.get(0).lies = lie;
     world.run(30 * SECOND);
     calm(world);
-    world.spots.get("east").bad = true;
+    world.simulatedZones.get("east").bad = true;
     world.run(8 * SECOND);
     assertTrue(
         world.served("east", SECOND) > 0.9, "it does not hold a move up either\n" + world.said());
@@ -308,7 +308,7 @@
   void oneRouterThatFindsAllEjectedMovesNothingWhereNobodyAsks() {
     SimulatedZones world = new SimulatedZones(1, THREE, 2, 10, 100);
     world.of("west").forEach(s -> s.perSecond = 0);
-    world.seats.get(0).lies = "ejected";
+    world.simulatedRouters.get(0).lies = "ejected";
     world.run(30 * SECOND);
     assertEquals(0, world.plan().number(), world.said());
   }
@@ -333,7 +333,7 @@
     // Its own cache servers fail too, and it reaches west again: it may use what every plan leaves
     // to it.
     world.of("east").forEach(s -> s.unreachable.clear());
-    world.spots.get("east").bad = true;
+    world.simulatedZones.get("east").bad = true;
     world.run(6 * SECOND);
     double served = world.served("east", 5 * SECOND);
     assertTrue(served > 0.03 && served < 0.07, served + "\n" + world.said());
@@ -357,16 +357,16 @@
     SimulatedZones world = three(400);
     long before = 0;
     for (int i = 0; i < 3; i++) {
-      world.spots.get("east").bad = true;
+      world.simulatedZones.get("east").bad = true;
       world.run(6 * SECOND);
-      world.spots.get("east").bad = false;
-      long since = world.agenda.now();
+      world.simulatedZones.get("east").bad = false;
+      long since = world.scheduler.now();
       while (world.plan().allocationOf("east").weightOf("east")
           <= ZoneAllocation.NEAR_TRIAL_WEIGHT) {
         world.run(SECOND / 4);
-        assertTrue(world.agenda.now() - since < 70 * SECOND, world.said());
+        assertTrue(world.scheduler.now() - since < 70 * SECOND, world.said());
       }
-      long out = world.agenda.now() - since;
+      long out = world.scheduler.now() - since;
       assertTrue(out > before, out / SECOND + " s out after " + before / SECOND);
       before = out;
       world.run(6 * SECOND);
@@ -377,21 +377,21 @@
   @Test
   void theOfficeIsTakenByAnotherWhereItsHolderIsInTheLostPlace() throws AgreementException {
     SimulatedZones world = three(400);
-    String office = world.desk().readSnapshot().leader();
+    String office = world.admin().readSnapshot().leader();
     String home =
-        world.seats.stream()
+        world.simulatedRouters.stream()
             .filter(s -> office.startsWith(s.name + "/"))
             .findFirst()
             .orElseThrow()
             .home;
-    world.of(home).forEach(SimulatedZones.Seat::die);
-    world.spots.get(home).bad = true;
-    String other = world.map.othersByDistance(home).get(0);
+    world.of(home).forEach(SimulatedZones.SimulatedRouter::die);
+    world.simulatedZones.get(home).bad = true;
+    String other = world.topology.othersByDistance(home).get(0);
     world.run(6 * SECOND);
     assertTrue(
-        !world.desk().readSnapshot().leader().equals(office)
-            && !world.desk().readSnapshot().leader().isEmpty());
-    world.spots.get(other).bad = true;
+        !world.admin().readSnapshot().leader().equals(office)
+            && !world.admin().readSnapshot().leader().isEmpty());
+    world.simulatedZones.get(other).bad = true;
     world.run(8 * SECOND);
     assertTrue(world.served(other, SECOND) > 0.9, world.said());
   }
@@ -404,13 +404,13 @@
   void anOfficeThatFlapsMovesNothingByItselfAndStillMovesWhatIsLost() throws AgreementException {
     SimulatedZones world = three(400);
     for (int i = 0; i < 12; i++) {
-      world.spots.get("east").bad = i >= 6;
-      String office = world.desk().readSnapshot().leader();
-      SimulatedZones.Seat holder =
-          world.seats.stream()
+      world.simulatedZones.get("east").bad = i >= 6;
+      String office = world.admin().readSnapshot().leader();
+      SimulatedZones.SimulatedRouter holder =
+          world.simulatedRouters.stream()
               .filter(s -> office.startsWith(s.name + "/"))
               .findFirst()
-              .orElse(world.seats.get(0));
+              .orElse(world.simulatedRouters.get(0));
       holder.die();
       world.run(2 * SECOND);
       holder.start();
@@ -425,7 +425,7 @@
   void whatOperatorsSayWinsAndEndsByItself() throws AgreementException {
     SimulatedZones world = three(400);
     world
-        .desk()
+        .admin()
         .setOverride(
             new ZoneOverride("east", ZoneOverrideKind.DRAIN, 0, 20 * SECOND, "op", "work on it"));
     world.run(6 * SECOND);
@@ -440,22 +440,22 @@
                 AgreementException.class,
                 () ->
                     world
-                        .desk()
+                        .admin()
                         .setOverride(
                             new ZoneOverride("west", ZoneOverrideKind.DRAIN, 0, 0, "op", "too")))
             .getMessage());
     world.run(30 * SECOND);
     calm(world);
     world
-        .desk()
+        .admin()
         .setOverride(new ZoneOverride("west", ZoneOverrideKind.WEIGHT, 600, 0, "op", "less"));
     world.run(6 * SECOND);
     assertEquals(600, world.plan().allocationOf("west").weightOf("west"), world.said());
-    world.desk().setOverride(new ZoneOverride("west", ZoneOverrideKind.HOLD, 0, 0, "op", "stay"));
-    world.spots.get("west").bad = true;
+    world.admin().setOverride(new ZoneOverride("west", ZoneOverrideKind.HOLD, 0, 0, "op", "stay"));
+    world.simulatedZones.get("west").bad = true;
     world.run(10 * SECOND);
     assertEquals(600, world.plan().allocationOf("west").weightOf("west"));
-    world.desk().clearOverride("west");
+    world.admin().clearOverride("west");
     world.run(6 * SECOND);
     assertEquals(
         ZoneAllocation.NEAR_TRIAL_WEIGHT,
--- a/src/test/java/beaconturn/zones/PoliciesTest.java
+++ b/src/test/java/beaconturn/zones/PoliciesTest.java
@@ -26,29 +26,30 @@
     SimulatedZones world = new SimulatedZones(3, FOUR, 6, inPlace / 6, 100);
     world.policy = policy;
     world.run(20 * SECOND);
-    double crossed = world.seats.stream().mapToDouble(s -> s.crossed).sum() / (4 * inPlace * 20);
-    world.spots.keySet().forEach(world::peak);
-    world.spots.get("a").bad = true;
+    double crossed =
+        world.simulatedRouters.stream().mapToDouble(s -> s.crossed).sum() / (4 * inPlace * 20);
+    world.simulatedZones.keySet().forEach(world::peak);
+    world.simulatedZones.get("a").bad = true;
     world.run(5 * SECOND);
     double worst = 1;
     double all = 0;
     for (int i = 0; i < 15; i++) {
-      double served = world.map.zones().stream().mapToDouble(p -> before(world, p)).sum();
+      double served = world.topology.zones().stream().mapToDouble(p -> before(world, p)).sum();
       world.run(SECOND);
       served =
-          (world.map.zones().stream().mapToDouble(p -> before(world, p)).sum() - served)
+          (world.topology.zones().stream().mapToDouble(p -> before(world, p)).sum() - served)
               / (4 * inPlace);
       worst = Math.min(worst, served);
       all += served / 15;
     }
     double peak =
-        world.spots.keySet().stream()
+        world.simulatedZones.keySet().stream()
             .filter(p -> !p.equals("a"))
             .mapToDouble(world::peak)
             .max()
             .orElseThrow();
     double crossedThen =
-        world.seats.stream().mapToDouble(s -> s.crossed).sum() / (4 * inPlace * 40);
+        world.simulatedRouters.stream().mapToDouble(s -> s.crossed).sum() / (4 * inPlace * 40);
     return new Figures(crossed, all, worst, peak, crossedThen);
   }
 
@@ -89,7 +90,7 @@
   @Test
   void noiseMovesNothing() {
     SimulatedZones world = new SimulatedZones(5, FOUR, 6, 50, 100);
-    world.spots.values().forEach(s -> s.noise = 0.3);
+    world.simulatedZones.values().forEach(s -> s.noise = 0.3);
     world.run(240 * SECOND);
     assertTrue(world.plan().number() == 0, world.said());
   }
--- a/src/test/java/beaconturn/zones/RandomFailoverScenario.java
+++ b/src/test/java/beaconturn/zones/RandomFailoverScenario.java
@@ -79,13 +79,13 @@
     SimulatedZones world = new SimulatedZones(seed, regions, routers, inPlace * 3 / routers, 100);
     prepare.accept(world);
     for (Trouble t : troubles) {
-      world.agenda.at(t.from(), () -> set(world, t, true));
+      world.scheduler.at(t.from(), () -> set(world, t, true));
       if (t.to() != NEVER) {
-        world.agenda.at(t.to(), () -> set(world, t, false));
+        world.scheduler.at(t.to(), () -> set(world, t, false));
       }
     }
     world.run(length());
-    for (String place : world.map.zones()) {
+    for (String place : world.topology.zones()) {
       ZoneAllocation row = world.plan().allocationOf(place);
       if (row.weightOf(place) < ZoneAllocation.TOTAL_WEIGHT - ZoneAllocation.TRIAL_WEIGHT) {
         return place + " is not back near: " + row.weights();
@@ -100,25 +100,26 @@
   }
 
   private static void set(SimulatedZones world, Trouble t, boolean on) {
-    String place = "p" + t.on() % world.spots.size();
-    SimulatedZones.Spot spot = world.spots.get(place);
-    SimulatedZones.Seat seat = world.seats.get(t.on() % world.seats.size());
+    String place = "p" + t.on() % world.simulatedZones.size();
+    SimulatedZones.SimulatedZone simulatedZone = world.simulatedZones.get(place);
+    SimulatedZones.SimulatedRouter router =
+        world.simulatedRouters.get(t.on() % world.simulatedRouters.size());
     switch (t.kind()) {
-      case STALL -> spot.bad = on;
-      case COLD -> spot.warm = on ? t.amount() : FULL;
-      case CUT -> seat.cut = on;
+      case STALL -> simulatedZone.bad = on;
+      case COLD -> simulatedZone.warm = on ? t.amount() : FULL;
+      case CUT -> router.cut = on;
       case SITE_CUT -> world.of(place).forEach(s -> s.cut = on);
       case WAY -> {
         if (on) {
-          seat.unreachable.add(seat.home);
+          router.unreachable.add(router.home);
         } else {
-          seat.unreachable.clear();
+          router.unreachable.clear();
         }
       }
       default -> {
-        seat.die();
+        router.die();
         if (!on) {
-          seat.start();
+          router.start();
         }
       }
     }
--- a/src/test/java/beaconturn/zones/SimulatedFailover.java
+++ b/src/test/java/beaconturn/zones/SimulatedFailover.java
@@ -27,10 +27,10 @@
     SimulatedZones world = new SimulatedZones(1, regions, routers, perSecond, 1000, timing);
     world.byChance = true;
     world.run(LOST);
-    world.spots.get("p0").bad = true;
+    world.simulatedZones.get("p0").bad = true;
     while (world.plan().number() == 0) {
       world.run(STEP);
     }
-    return world.agenda.now() - LOST;
+    return world.scheduler.now() - LOST;
   }
 }
--- a/src/test/java/beaconturn/zones/SimulatedZones.java
+++ b/src/test/java/beaconturn/zones/SimulatedZones.java
@@ -33,10 +33,10 @@
   private static final long LOOK_EVERY = SECOND;
 
   private static final int FULL = 10;
-  final EventScheduler agenda = new EventScheduler(0);
-  final ZoneTopology map;
-  final SortedMap<String, Spot> spots = new TreeMap<>();
-  final List<Seat> seats = new ArrayList<>();
+  final EventScheduler scheduler = new EventScheduler(0);
+  final ZoneTopology topology;
+  final SortedMap<String, SimulatedZone> simulatedZones = new TreeMap<>();
+  final List<SimulatedRouter> simulatedRouters = new ArrayList<>();
   final List<String> log = new ArrayList<>();
 
   /** Hears each request and answer of every member, as text. */
@@ -69,7 +69,7 @@
   }
 
   /** A place: its cache servers, and how each router finds them. */
-  final class Spot {
+  final class SimulatedZone {
     final String name;
     int listed;
     int warm;
@@ -93,7 +93,7 @@
 
     private double part;
 
-    private Spot(String name, int servers, double each) {
+    private SimulatedZone(String name, int servers, double each) {
       this.name = name;
       this.listed = servers;
       this.warm = servers;
@@ -114,7 +114,7 @@
   }
 
   /** A router. */
-  final class Seat implements ZoneReportSource {
+  final class SimulatedRouter implements ZoneReportSource {
     final String name;
     final String home;
     double perSecond;
@@ -137,15 +137,15 @@
     double crossed;
     double served;
     double refused;
-    ZoneMember follower;
+    ZoneMember member;
     private ZoneReport stuck;
     private int life;
 
-    private Seat(String name, String home, double perSecond) {
+    private SimulatedRouter(String name, String home, double perSecond) {
       this.name = name;
       this.home = home;
       this.perSecond = perSecond;
-      spots
+      simulatedZones
           .keySet()
           .forEach(
               p -> {
@@ -160,17 +160,17 @@
       down = false;
       counts.values().forEach(c -> java.util.Arrays.fill(c, 0));
       seen.values().forEach(c -> java.util.Arrays.fill(c, 0));
-      follower =
+      member =
           new ZoneMember(
               KEYS,
-              map,
+              topology,
               timing,
               home,
               name + "/" + born,
               random.nextLong(),
-              agenda.now(),
+              scheduler.now(),
               this,
-              line -> log.add(agenda.now() / MILLI + " " + name + " " + line));
+              line -> log.add(scheduler.now() / MILLI + " " + name + " " + line));
       step(born);
     }
 
@@ -183,29 +183,29 @@
       if (born != life) {
         return;
       }
-      follower.refresh(agenda.now());
-      StoreRequest call = follower.nextRequest(agenda.now());
-      trace.accept(agenda.now() + " " + name + " asks " + TraceText.of(call));
+      member.refresh(scheduler.now());
+      StoreRequest call = member.nextRequest(scheduler.now());
+      trace.accept(scheduler.now() + " " + name + " asks " + TraceText.of(call));
       if (call == null) {
-        trace.accept("until " + follower.nextRequestAtNanos());
-        agenda.in(
-            Math.max(MILLI, Math.min(100 * MILLI, follower.nextRequestAtNanos() - agenda.now())),
+        trace.accept("until " + member.nextRequestAtNanos());
+        scheduler.in(
+            Math.max(MILLI, Math.min(100 * MILLI, member.nextRequestAtNanos() - scheduler.now())),
             () -> step(born));
         return;
       }
       long way = MILLI + random.nextInt(10) * MILLI;
       boolean heard = !cut;
-      agenda.in(
+      scheduler.in(
           way,
           () -> {
             StoreResponse answer = heard ? StoreModelClient.of(store, call) : null;
-            agenda.in(
+            scheduler.in(
                 heard ? way : timing.requestTimeoutNanos() - way,
                 () -> {
                   if (born == life) {
-                    trace.accept(agenda.now() + " " + name + " hears " + TraceText.of(answer));
-                    follower.handleResponse(
-                        agenda.now(),
+                    trace.accept(scheduler.now() + " " + name + " hears " + TraceText.of(answer));
+                    member.handleResponse(
+                        scheduler.now(),
                         answer != null && !cut
                             ? answer
                             : new StoreResponse.Failed("no answer in time"));
@@ -218,23 +218,25 @@
     @Override
     public ZoneReport report(String router, long number, long plan) {
       SortedMap<String, ZoneObservations> places = new TreeMap<>();
-      spots.forEach(
-          (p, spot) -> {
+      simulatedZones.forEach(
+          (p, simulatedZone) -> {
             long good = (long) counts.get(p)[0];
             long bad = (long) counts.get(p)[1];
             places.put(
                 p,
                 lies.equals("bad")
-                    ? new ZoneObservations(0, good + bad, 0, spot.listed, 0, spot.listed)
+                    ? new ZoneObservations(
+                        0, good + bad, 0, simulatedZone.listed, 0, simulatedZone.listed)
                     : lies.equals("good")
-                        ? new ZoneObservations(good + bad, 0, 0, spot.listed, spot.listed, 0)
+                        ? new ZoneObservations(
+                            good + bad, 0, 0, simulatedZone.listed, simulatedZone.listed, 0)
                         : new ZoneObservations(
                             good,
                             bad,
                             took.get(p),
-                            spot.listed,
-                            spot.warm,
-                            lies.equals("ejected") ? spot.listed : 0));
+                            simulatedZone.listed,
+                            simulatedZone.warm,
+                            lies.equals("ejected") ? simulatedZone.listed : 0));
           });
       ZoneReport report = new ZoneReport(router, home, number, plan, (long) arrivals, places);
       stuck = stuck == null ? report : stuck;
@@ -247,7 +249,7 @@
           down
               ? new ZoneAllocation(Map.of())
               : switch (policy) {
-                case COMMON -> follower.allocationAt(agenda.now()).allocation();
+                case COMMON -> member.allocationAt(scheduler.now()).allocation();
                 case PRIORITY -> priority();
                 case RING -> ring();
               };
@@ -256,7 +258,7 @@
           .forEach(
               (p, part) -> {
                 if (!unreachable.contains(p)) {
-                  spots.get(p).sent += came * part / ZoneAllocation.TOTAL_WEIGHT;
+                  simulatedZones.get(p).sent += came * part / ZoneAllocation.TOTAL_WEIGHT;
                 }
               });
     }
@@ -271,18 +273,19 @@
           .forEach(
               (p, part) -> {
                 double sent = came * part / ZoneAllocation.TOTAL_WEIGHT;
-                Spot spot = spots.get(p);
-                double fine = spot.listed > 0 && !unreachable.contains(p) ? spot.part : 0;
-                counts.get(p)[0] += spot.listed > 0 ? sent * fine : 0;
-                took.merge(p, (long) (sent * fine * spot.micros), Long::sum);
-                counts.get(p)[1] += spot.listed > 0 ? sent * (1 - fine) : 0;
+                SimulatedZone simulatedZone = simulatedZones.get(p);
+                double fine =
+                    simulatedZone.listed > 0 && !unreachable.contains(p) ? simulatedZone.part : 0;
+                counts.get(p)[0] += simulatedZone.listed > 0 ? sent * fine : 0;
+                took.merge(p, (long) (sent * fine * simulatedZone.micros), Long::sum);
+                counts.get(p)[1] += simulatedZone.listed > 0 ? sent * (1 - fine) : 0;
                 served += sent * fine;
                 crossed += p.equals(home) ? 0 : sent;
               });
       refused +=
           came * (ZoneAllocation.TOTAL_WEIGHT - row.totalWeight()) / ZoneAllocation.TOTAL_WEIGHT;
-      if (agenda.now() - lookedAt >= LOOK_EVERY) {
-        lookedAt = agenda.now();
+      if (scheduler.now() - lookedAt >= LOOK_EVERY) {
+        lookedAt = scheduler.now();
         counts.forEach(
             (p, c) -> {
               double[] since = {c[0] - seen.get(p)[0], c[1] - seen.get(p)[1]};
@@ -291,9 +294,9 @@
                   p,
                   since[0] + since[1] > 0
                       ? since[0] >= since[1]
-                      : agenda.now() - badAt.getOrDefault(p, 0L) > 2 * LOOK_EVERY);
+                      : scheduler.now() - badAt.getOrDefault(p, 0L) > 2 * LOOK_EVERY);
               if (since[1] > since[0]) {
-                badAt.put(p, agenda.now());
+                badAt.put(p, scheduler.now());
               }
               seen.put(p, c.clone());
             });
@@ -302,7 +305,7 @@
 
     private ZoneAllocation priority() {
       List<String> all = new ArrayList<>(List.of(home));
-      all.addAll(map.othersByDistance(home));
+      all.addAll(topology.othersByDistance(home));
       return new ZoneAllocation(
           Map.of(
               all.stream().filter(p -> finds.getOrDefault(p, true)).findFirst().orElse(home),
@@ -310,9 +313,9 @@
     }
 
     private ZoneAllocation ring() {
-      List<Spot> good =
-          spots.values().stream().filter(s -> finds.getOrDefault(s.name, true)).toList();
-      List<Spot> those = good.isEmpty() ? List.copyOf(spots.values()) : good;
+      List<SimulatedZone> good =
+          simulatedZones.values().stream().filter(s -> finds.getOrDefault(s.name, true)).toList();
+      List<SimulatedZone> those = good.isEmpty() ? List.copyOf(simulatedZones.values()) : good;
       int servers = those.stream().mapToInt(s -> s.listed).sum();
       Map<String, Integer> parts = new java.util.LinkedHashMap<>();
       those.forEach(s -> parts.put(s.name, ZoneAllocation.TOTAL_WEIGHT * s.listed / servers));
@@ -338,28 +341,28 @@
       AgreementTiming timing) {
     this.timing = timing;
     this.random = new Random(seed);
-    this.map = new ZoneTopology(new TreeMap<>(regions), each, 1e6, 50);
-    this.store = new StoreModel(agenda, 7, (at, revision, key, value) -> {});
-    for (String place : map.zones()) {
-      spots.put(place, new Spot(place, FULL, each));
+    this.topology = new ZoneTopology(new TreeMap<>(regions), each, 1e6, 50);
+    this.store = new StoreModel(scheduler, 7, (at, revision, key, value) -> {});
+    for (String place : topology.zones()) {
+      simulatedZones.put(place, new SimulatedZone(place, FULL, each));
     }
-    for (String place : map.zones()) {
+    for (String place : topology.zones()) {
       for (int i = 0; i < routers; i++) {
-        seats.add(new Seat(place + i, place, perSecond));
+        simulatedRouters.add(new SimulatedRouter(place + i, place, perSecond));
       }
     }
-    seats.forEach(Seat::start);
-    agenda.in(ACT_EVERY, this::acting);
+    simulatedRouters.forEach(SimulatedRouter::start);
+    scheduler.in(ACT_EVERY, this::acting);
   }
 
   private void acting() {
-    spots.values().forEach(s -> s.sent = 0);
-    seats.forEach(s -> s.send(ACT_EVERY / (double) SECOND));
-    spots.values().forEach(s -> s.part = s.fine());
-    seats.forEach(Seat::learn);
-    spots.values().forEach(this::watch);
-    spots.values().forEach(s -> s.most = Math.max(s.most, s.sent * SECOND / ACT_EVERY));
-    agenda.in(ACT_EVERY, this::acting);
+    simulatedZones.values().forEach(s -> s.sent = 0);
+    simulatedRouters.forEach(s -> s.send(ACT_EVERY / (double) SECOND));
+    simulatedZones.values().forEach(s -> s.part = s.fine());
+    simulatedRouters.forEach(SimulatedRouter::learn);
+    simulatedZones.values().forEach(this::watch);
+    simulatedZones.values().forEach(s -> s.most = Math.max(s.most, s.sent * SECOND / ACT_EVERY));
+    scheduler.in(ACT_EVERY, this::acting);
   }
 
   /** As many as are expected, or, by chance, about as many. */
@@ -380,45 +383,46 @@
    * Whether others push a place over: it could do what its own want, and all together send it more
    * for longer than it takes to see that and to leave the plan.
    */
-  private void watch(Spot spot) {
-    double own = of(spot.name).stream().filter(s -> !s.down).mapToDouble(s -> s.perSecond).sum();
+  private void watch(SimulatedZone simulatedZone) {
+    double own =
+        of(simulatedZone.name).stream().filter(s -> !s.down).mapToDouble(s -> s.perSecond).sum();
     boolean much =
-        !spot.bad
-            && own <= spot.capacity()
-            && spot.sent * SECOND / ACT_EVERY > PUSHED * spot.capacity();
-    spot.over = much ? spot.over + ACT_EVERY : 0;
-    if (spot.over > PUSHED_FOR && pushed == null) {
+        !simulatedZone.bad
+            && own <= simulatedZone.capacity()
+            && simulatedZone.sent * SECOND / ACT_EVERY > PUSHED * simulatedZone.capacity();
+    simulatedZone.over = much ? simulatedZone.over + ACT_EVERY : 0;
+    if (simulatedZone.over > PUSHED_FOR && pushed == null) {
       pushed =
-          spot.name
+          simulatedZone.name
               + " was sent "
-              + spot.sent * SECOND / ACT_EVERY
+              + simulatedZone.sent * SECOND / ACT_EVERY
               + " a second and can do "
-              + spot.capacity()
+              + simulatedZone.capacity()
               + " at "
-              + agenda.now() / MILLI
+              + scheduler.now() / MILLI
               + " ms";
     }
   }
 
   void run(long time) {
-    agenda.advance(agenda.now() + time);
+    scheduler.advance(scheduler.now() + time);
   }
 
-  ZonesAdmin desk() {
-    return new ZonesAdmin(KEYS, map, call -> StoreModelClient.of(store, call));
+  ZonesAdmin admin() {
+    return new ZonesAdmin(KEYS, topology, call -> StoreModelClient.of(store, call));
   }
 
   ZonePlan plan() {
     try {
-      ZonePlan there = desk().readSnapshot().plan();
-      return there == null ? ZonePlan.first(map) : there;
+      ZonePlan there = admin().readSnapshot().plan();
+      return there == null ? ZonePlan.first(topology) : there;
     } catch (AgreementException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  List<Seat> of(String place) {
-    return seats.stream().filter(s -> s.home.equals(place)).toList();
+  List<SimulatedRouter> of(String place) {
+    return simulatedRouters.stream().filter(s -> s.home.equals(place)).toList();
   }
 
   /** What part of a place's requests was served while it ran so long. */
@@ -435,10 +439,10 @@
    * carries.
    */
   double peak(String place) {
-    Spot spot = spots.get(place);
-    double most = spot.most;
-    spot.most = 0;
-    return most / spot.capacity();
+    SimulatedZone simulatedZone = simulatedZones.get(place);
+    double most = simulatedZone.most;
+    simulatedZone.most = 0;
+    return most / simulatedZone.capacity();
   }
 
   String said() {
