--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -35,7 +35,7 @@
   private final RouterSettings configured;
   private final Clock clock;
   private final PersistedConfigFile file;
-  private final FleetForces forces;
+  private final DueConfigs dueConfigs;
   private final AgreementMember member;
 
   /** Of the thread that says what it sees. */
@@ -63,7 +63,7 @@
     this.configured = router.settings();
     this.clock = Clock.system();
     this.file = new PersistedConfigFile(config.folder(), router.name(), LOG::info);
-    this.forces = new FleetForces(configured, clock);
+    this.dueConfigs = new DueConfigs(configured, clock);
     PersistedConfig persisted = file.read();
     long nowNanos = clock.now();
     String incarnation = Long.toHexString(nowNanos) + "-" + ProcessHandle.current().pid();
@@ -136,8 +136,8 @@
   }
 
   @Override
-  public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
-    latestView = viewBuilder.view(caches, clock.now());
+  public void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> statuses) {
+    latestView = viewBuilder.view(statuses, clock.now());
   }
 
   private synchronized void hasAskedStore() {
@@ -146,7 +146,7 @@
   }
 
   @Override
-  public synchronized void awaitFirst() {
+  public synchronized void awaitFirstConfig() {
     long endNanos = System.nanoTime() + FIRST_REQUESTS * config.timing().requestTimeoutNanos();
     try {
       for (long waitNanos = endNanos - System.nanoTime();
@@ -172,7 +172,7 @@
 
   @Override
   public void effectiveConfigChanged(EffectiveConfig effective) {
-    forces.update(effective);
+    dueConfigs.update(effective);
   }
 
   @Override
@@ -191,28 +191,28 @@
   }
 
   @Override
-  public long oldestList() {
-    return forces.minListVersion();
+  public long oldestListVersion() {
+    return dueConfigs.minListVersion();
   }
 
   @Override
-  public void hasList(long version) {
+  public void listReceived(long version) {
     listVersion = version;
   }
 
   @Override
-  public Force due() {
-    return forces.due();
+  public DueConfig dueConfig() {
+    return dueConfigs.due();
   }
 
   @Override
-  public void applied(Force force) {
-    forces.applied(force);
+  public void configApplied(DueConfig config) {
+    dueConfigs.applied(config);
   }
 
   @Override
   public boolean mayWrite() {
-    return forces.mayWrite();
+    return dueConfigs.mayWrite();
   }
 
   /**
--- a/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
@@ -7,6 +7,7 @@
 import beaconturn.decision.ZoneWeights;
 import beaconturn.net.RouterConfig;
 import beaconturn.net.ZoneWeightsSource;
+import beaconturn.stats.CacheLookup;
 import beaconturn.zones.DueAllocation;
 import beaconturn.zones.ZoneMember;
 import beaconturn.zones.ZoneObservations;
@@ -110,7 +111,7 @@
   }
 
   @Override
-  public ZoneWeights due() {
+  public ZoneWeights dueWeights() {
     DueAllocation due = member.allocationAt(clock.now());
     CachedWeights cached = cachedWeights;
     if (cached == null || !cached.due().equals(due)) {
@@ -136,17 +137,17 @@
   }
 
   @Override
-  public void sees(Map<CacheServerClients.Listed, ServerStatus> caches) {
-    serverStatuses = caches;
+  public void serverStatuses(Map<CacheServerClients.Listed, ServerStatus> statuses) {
+    serverStatuses = statuses;
   }
 
   @Override
-  public void arrived() {
+  public void requestRouted() {
     arrivals.increment();
   }
 
   @Override
-  public void attempt(long server, boolean good, Found found, long took, boolean late) {
+  public void attemptEnded(long server, boolean good, CacheLookup lookup, long took, boolean late) {
     attempts.add(server, good && !late, took);
   }
 
