--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -136,8 +136,8 @@
   }
 
   @Override
-  public void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> caches) {
-    latestView = viewBuilder.view(caches, clock.now());
+  public void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> statuses) {
+    latestView = viewBuilder.view(statuses, clock.now());
   }
 
   private synchronized void hasAskedStore() {
--- a/src/main/java/beaconturn/net/agreement/DueConfigs.java
+++ b/src/main/java/beaconturn/net/agreement/DueConfigs.java
@@ -13,7 +13,7 @@
 final class DueConfigs {
   private final RouterSettings configured;
   private final Clock clock;
-  private volatile LeasedDueConfig leased;
+  private volatile LeasedConfig leased;
 
   /** What the routing thread was last put under. */
   private volatile DueConfig applied;
@@ -25,15 +25,15 @@
 
   /** On the agreement's thread. */
   void update(EffectiveConfig config) {
-    LeasedDueConfig before = leased;
+    LeasedConfig before = leased;
     DueConfig whileLeased =
         dueConfig(config.whileLeased(), config.whileLeasedDescription(), before);
     DueConfig afterLease = dueConfig(config.afterLease(), config.afterLeaseDescription(), before);
-    leased = new LeasedDueConfig(config.leaseEndNanos(), whileLeased, afterLease);
+    leased = new LeasedConfig(config.leaseEndNanos(), whileLeased, afterLease);
   }
 
   /** The same object where nothing has changed, so that the router need not compare more. */
-  private DueConfig dueConfig(ConfigContent content, String description, LeasedDueConfig before) {
+  private DueConfig dueConfig(ConfigContent content, String description, LeasedConfig before) {
     if (before != null && before.whileLeased().isSameAs(content, description)) {
       return before.whileLeased();
     }
@@ -55,7 +55,7 @@
 
   /** Endpoint lists older than this one are not to be acted on, whether the lease holds or not. */
   long minListVersion() {
-    LeasedDueConfig now = leased;
+    LeasedConfig now = leased;
     return Math.max(now.whileLeased().oldestListVersion(), now.afterLease().oldestListVersion());
   }
 
@@ -66,7 +66,7 @@
   /** Whether what was decided under the applied settings may still be acted on. */
   @SuppressWarnings("ReferenceEquality") // A shortcut before the comparison.
   boolean mayWrite() {
-    LeasedDueConfig now = leased;
+    LeasedConfig now = leased;
     DueConfig current = applied;
     if (clock.now() < now.leaseEndNanos() || current == now.afterLease()) {
       return true;
