--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -71,7 +71,7 @@
         new AgreementMember(
             new AgreementKeys(config.fleet()),
             config.timing(),
-            new MemberIdentity(router.name(), incarnation, router.shared()),
+            new MemberIdentity(router.name(), incarnation, router.sharesListener()),
             SettingsContentMapper.contentOf(configured),
             persisted,
             router.seed() ^ nowNanos,
--- a/src/main/java/beaconturn/net/agreement/StoreClient.java
+++ b/src/main/java/beaconturn/net/agreement/StoreClient.java
@@ -110,7 +110,7 @@
         break;
       }
       socket.setSoTimeout((int) leftMillis);
-      int capacityBytes = input.room();
+      int capacityBytes = input.ensureRoom();
       int readBytes = socket.getInputStream().read(input.array(), input.end(), capacityBytes);
       open = readBytes >= 0;
       input.filled(Math.max(0, readBytes));
--- a/src/test/java/beaconturn/release/InMemoryStore.java
+++ b/src/test/java/beaconturn/release/InMemoryStore.java
@@ -111,9 +111,7 @@
                     0))));
   }
 
-  /**
-   * What stands there, without revisions and history: two stores that say the same are the same.
-   */
+  /** All values without revisions and history. */
   String text() {
     StringBuilder out = new StringBuilder();
     pairs.values().stream()
@@ -130,7 +128,7 @@
     return new DisruptionPermitAdmin(KEYS, this, "op", () -> "");
   }
 
-  /** Four routers in two sites, of which so many may be out. */
+  /** Four routers in two zones, of which so many may be out. */
   static InMemoryStore with(int mostOut, int ofSite) throws AgreementException {
     InMemoryStore store = new InMemoryStore();
     store
