--- a/src/main/java/beaconturn/agreement/EndpointView.java
+++ b/src/main/java/beaconturn/agreement/EndpointView.java
@@ -11,35 +11,43 @@
 /**
  * What one router makes of the cache servers that it knows.
  *
- * @param in those that take what the ring gives them, and when they started, as the list has it
- * @param out the others, each with what keeps it out
+ * @param usable names of those that take what the ring gives them, and when they started, as the
+ *     endpoint list has it
+ * @param unusable names of the others, each with what keeps it out of use
  */
-public record EndpointView(SortedMap<String, Long> in, SortedMap<String, String> out) {
-  /** A sight of its own. */
+public record EndpointView(SortedMap<String, Long> usable, SortedMap<String, String> unusable) {
+  /** A view of its own: later changes of the arguments change nothing. */
   public EndpointView {
-    in = Collections.unmodifiableSortedMap(new TreeMap<>(in));
-    out = Collections.unmodifiableSortedMap(new TreeMap<>(out));
+    usable = Collections.unmodifiableSortedMap(new TreeMap<>(usable));
+    unusable = Collections.unmodifiableSortedMap(new TreeMap<>(unusable));
   }
 
   /** As it stands in the store. */
-  public String text() {
-    List<Json> used = new ArrayList<>();
-    in.forEach((id, started) -> used.add(ConfigCodec.object("id", id, "started", started)));
-    List<Json> others = new ArrayList<>();
-    out.forEach((id, why) -> others.add(ConfigCodec.object("id", id, "why", why)));
+  public String encode() {
+    List<Json> in = new ArrayList<>();
+    usable.forEach((name, started) -> in.add(StoredJson.object("id", name, "started", started)));
+    List<Json> out = new ArrayList<>();
+    unusable.forEach((name, reason) -> out.add(StoredJson.object("id", name, "why", reason)));
     return JsonWriter.write(
-        ConfigCodec.object("in", ConfigCodec.list(used), "out", ConfigCodec.list(others)));
+        StoredJson.object("in", StoredJson.list(in), "out", StoredJson.list(out)));
   }
 
-  /** Of a text in the store. */
-  public static EndpointView of(String text) throws AgreementException {
-    Json json = ConfigCodec.parse(text);
-    SortedMap<String, Long> in = new TreeMap<>();
-    for (Json one : json.get("in").items()) {
-      in.put(one.get("id").word(""), ConfigCodec.whole(one, "started", 0, Long.MAX_VALUE));
+  /**
+   * Of a text in the store.
+   *
+   * @throws AgreementException if it cannot be read
+   */
+  public static EndpointView decode(String text) throws AgreementException {
+    Json json = StoredJson.parse(text);
+    SortedMap<String, Long> usable = new TreeMap<>();
+    for (Json server : json.get("in").items()) {
+      long started = StoredJson.wholeNumber(server, "started", 0, Long.MAX_VALUE);
+      usable.put(server.get("id").word(""), started);
     }
-    SortedMap<String, String> out = new TreeMap<>();
-    json.get("out").items().forEach(o -> out.put(o.get("id").word(""), o.get("why").word("")));
-    return new EndpointView(in, out);
+    SortedMap<String, String> unusable = new TreeMap<>();
+    for (Json server : json.get("out").items()) {
+      unusable.put(server.get("id").word(""), server.get("why").word(""));
+    }
+    return new EndpointView(usable, unusable);
   }
 }
--- a/src/main/java/beaconturn/agreement/PersistedConfig.java
+++ b/src/main/java/beaconturn/agreement/PersistedConfig.java
@@ -4,60 +4,69 @@
 import beaconturn.protocol.JsonWriter;
 
 /**
- * What a router keeps on its disk, so that it starts on it where no store is in reach.
+ * What a router persists, so that it starts on it where no store is in reach.
  *
- * @param identity of the agreement, empty where there was none
- * @param cluster of the store that was seen, empty where there was none: one that is restored has
+ * @param agreementId empty where there was no agreement
+ * @param clusterId of the store that was seen, empty where there was none: one that is restored has
  *     another
- * @param revision the highest that was seen of its store
- * @param joined whether a line on the roster stands for it; else others may have moved on meanwhile
- * @param acting the version that the router acts on
- * @param next a version that it has said yes to, or null
+ * @param storeRevision the highest that was seen of its store
+ * @param joined whether a member's record stands for it; else others may have moved on meanwhile
+ * @param actingVersion the version that the router acts on
+ * @param ackedVersion a later version that it has acked, or null
  */
 public record PersistedConfig(
-    String identity,
-    String cluster,
-    long revision,
+    String agreementId,
+    String clusterId,
+    long storeRevision,
     boolean joined,
-    ConfigVersion acting,
-    ConfigVersion next) {
-  /** Nothing kept. */
-  public static final PersistedConfig NOTHING =
+    ConfigVersion actingVersion,
+    ConfigVersion ackedVersion) {
+  /** Nothing was persisted. */
+  public static final PersistedConfig EMPTY =
       new PersistedConfig("", "", 0, false, ConfigVersion.NONE, null);
 
-  PersistedConfig joined(boolean now) {
-    return new PersistedConfig(identity, cluster, revision, now, acting, next);
+  PersistedConfig withJoined(boolean nowJoined) {
+    return new PersistedConfig(
+        agreementId, clusterId, storeRevision, nowJoined, actingVersion, ackedVersion);
   }
 
   /** As one line of text. */
-  public String text() {
+  public String encode() {
     return JsonWriter.write(
-        ConfigCodec.object(
+        StoredJson.object(
             "identity",
-            identity,
+            agreementId,
             "cluster",
-            cluster,
+            clusterId,
             "revision",
-            revision,
+            storeRevision,
             "joined",
             joined,
             "acting",
-            acting.number() == 0 ? new Json.Nothing() : new Json.Text(ConfigCodec.of(acting)),
+            encode(actingVersion.number() == 0 ? null : actingVersion),
             "next",
-            next == null ? new Json.Nothing() : new Json.Text(ConfigCodec.of(next))));
+            encode(ackedVersion)));
+  }
+
+  private static Json encode(ConfigVersion version) {
+    return version == null ? new Json.Nothing() : new Json.Text(ConfigCodec.encode(version));
   }
 
-  /** Of such a line; the digests are checked. */
-  public static PersistedConfig of(String text) throws AgreementException {
-    Json json = ConfigCodec.parse(text);
+  /**
+   * Of such a line.
+   *
+   * @throws AgreementException if it cannot be read, or the digest of a version is wrong
+   */
+  public static PersistedConfig decode(String text) throws AgreementException {
+    Json json = StoredJson.parse(text);
     String acting = json.get("acting").word(null);
-    String next = json.get("next").word(null);
+    String acked = json.get("next").word(null);
     return new PersistedConfig(
         json.get("identity").word(""),
         json.get("cluster").word(""),
-        ConfigCodec.whole(json, "revision", 0, Long.MAX_VALUE),
+        StoredJson.wholeNumber(json, "revision", 0, Long.MAX_VALUE),
         json.get("joined").word("false").equals("true"),
-        acting == null ? ConfigVersion.NONE : ConfigCodec.version(acting),
-        next == null ? null : ConfigCodec.version(next));
+        acting == null ? ConfigVersion.NONE : ConfigCodec.decodeVersion(acting),
+        acked == null ? null : ConfigCodec.decodeVersion(acked));
   }
 }
--- a/src/main/java/beaconturn/cli/ReleaseFiles.java
+++ b/src/main/java/beaconturn/cli/ReleaseFiles.java
@@ -151,7 +151,7 @@
     }
     try {
       ConfigContent content = ContentFile.read(file);
-      if (!content.out().isEmpty()) {
+      if (!content.excludedServers().isEmpty()) {
         throw root.invalid("settings", file + " holds cache servers out, which a release does not");
       }
       return content;
--- a/src/main/java/beaconturn/cli/ReleaseStatusPrinter.java
+++ b/src/main/java/beaconturn/cli/ReleaseStatusPrinter.java
@@ -1,6 +1,6 @@
 package beaconturn.cli;
 
-import beaconturn.agreement.ConfigCodec;
+import beaconturn.agreement.StoredJson;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 import beaconturn.release.DisruptionPermit;
@@ -28,7 +28,7 @@
     List<Json> permits =
         snapshot.permits().values().stream().map(ReleaseStatusPrinter::json).toList();
     return JsonWriter.write(
-        ConfigCodec.object(
+        StoredJson.object(
             "release",
             snapshot.plan() == null ? 0 : snapshot.plan().number(),
             "mode",
@@ -38,13 +38,13 @@
             "driver",
             snapshot.driver(),
             "steps",
-            ConfigCodec.list(steps),
+            StoredJson.list(steps),
             "permits",
-            ConfigCodec.list(permits)));
+            StoredJson.list(permits)));
   }
 
   private static Json json(RolloutStep step) {
-    return ConfigCodec.object(
+    return StoredJson.object(
         "id",
         step.instanceId(),
         "phase",
@@ -58,7 +58,7 @@
   }
 
   private static Json json(DisruptionPermit permit) {
-    return ConfigCodec.object(
+    return StoredJson.object(
         "number",
         permit.number(),
         "kind",
--- a/src/main/java/beaconturn/release/AgreedVersions.java
+++ b/src/main/java/beaconturn/release/AgreedVersions.java
@@ -15,11 +15,12 @@
     AgreementSnapshot snapshot, long nextNumber, List<String> waitingFor, long atMillis) {
   /** Whether all routers act on that version, or on a later one. */
   boolean isSettled(long versionNumber) {
-    return snapshot.settled() >= versionNumber;
+    return snapshot.settledNumber() >= versionNumber;
   }
 
   /** Whether that version was rejected: it is neither proposed nor in force. */
   boolean isRejected(long versionNumber) {
-    return snapshot.nextNumber() != versionNumber && snapshot.current().number() < versionNumber;
+    return snapshot.proposedNumber() != versionNumber
+        && snapshot.current().number() < versionNumber;
   }
 }
--- a/src/main/java/beaconturn/release/ConfigRollout.java
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -2,6 +2,7 @@
 
 import beaconturn.agreement.AgreementException;
 import beaconturn.agreement.AgreementKeys;
+import beaconturn.agreement.AgreementStep;
 import beaconturn.agreement.AgreementTransactions;
 import beaconturn.agreement.ConfigContent;
 import beaconturn.agreement.StoreRequest;
@@ -41,7 +42,7 @@
       ConfigContent current = agreed.snapshot().current().content();
       return propose(
           turn,
-          turn.plan().configContent().over(current).holding(current),
+          turn.plan().configContent().withDefaults(current).withExclusionsOf(current),
           new ConfigChange(agreed.nextNumber(), current, 0));
     }
     if (agreed.isRejected(change.versionNumber())) {
@@ -71,7 +72,7 @@
     if (!revertProposed || agreed.isRejected(change.revertVersionNumber())) {
       return propose(
           turn,
-          change.previousContent().holding(agreed.snapshot().current().content()),
+          change.previousContent().withExclusionsOf(agreed.snapshot().current().content()),
           new ConfigChange(change.versionNumber(), change.previousContent(), agreed.nextNumber()));
     }
     turn.waitFor(
@@ -96,7 +97,7 @@
    * can propose nothing.
    */
   private RolloutTransaction propose(DriverTurn turn, ConfigContent content, ConfigChange change) {
-    AgreementTransactions.Step proposal;
+    AgreementStep proposal;
     try {
       proposal =
           agreements.propose(
@@ -110,15 +111,18 @@
       turn.waitFor(e.getMessage());
       return null;
     }
-    List<StoreRequest.Change> changes = new ArrayList<>(proposal.swap().changes());
+    List<StoreRequest.Change> changes = new ArrayList<>(proposal.transaction().changes());
     changes.add(turn.transactions().put(change));
     RolloutTransaction transaction =
         turn.transaction(
-            "its settings: " + proposal.says(), List.of(turn.keys().configChange()), changes);
+            "its settings: " + proposal.description(),
+            List.of(turn.keys().configChange()),
+            changes);
     List<StoreRequest.Condition> conditions = new ArrayList<>(transaction.swap().conditions());
-    conditions.addAll(proposal.swap().conditions());
+    conditions.addAll(proposal.transaction().conditions());
     return new RolloutTransaction(
-        new StoreRequest.Swap(conditions, transaction.swap().changes()), transaction.description());
+        new StoreRequest.Transaction(conditions, transaction.swap().changes()),
+        transaction.description());
   }
 
   private static String routers(AgreedVersions agreed) {
--- a/src/main/java/beaconturn/release/ReleaseFleetCodec.java
+++ b/src/main/java/beaconturn/release/ReleaseFleetCodec.java
@@ -1,7 +1,7 @@
 package beaconturn.release;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.ConfigCodec;
+import beaconturn.agreement.StoredJson;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
   static String encode(ReleaseFleet fleet) {
     List<Json> groups = new ArrayList<>();
     fleet.groups().forEach((kind, group) -> groups.add(encode(kind, group)));
-    return JsonWriter.write(ConfigCodec.object("groups", ConfigCodec.list(groups)));
+    return JsonWriter.write(StoredJson.object("groups", StoredJson.list(groups)));
   }
 
   private static Json encode(InstanceKind kind, ReleaseFleet.Group group) {
@@ -28,9 +28,8 @@
         .instancesByZone()
         .forEach(
             (zone, instanceIds) ->
-                zones.add(
-                    ConfigCodec.object("site", zone, "parts", ConfigCodec.texts(instanceIds))));
-    return ConfigCodec.object(
+                zones.add(StoredJson.object("site", zone, "parts", StoredJson.texts(instanceIds))));
+    return StoredJson.object(
         "kind",
         kind.word(),
         "most_out",
@@ -45,12 +44,12 @@
         // Stored numbers are never negative, and -1 stands for a load that is not checked.
         capacity.toleratedFailures() + 1,
         "sites",
-        ConfigCodec.list(zones));
+        StoredJson.list(zones));
   }
 
   static ReleaseFleet decode(String text) throws AgreementException {
     Map<InstanceKind, ReleaseFleet.Group> groups = new EnumMap<>(InstanceKind.class);
-    for (Json group : ConfigCodec.parse(text).get("groups").items()) {
+    for (Json group : StoredJson.parse(text).get("groups").items()) {
       groups.put(StoredFields.kind(group), decodeGroup(group));
     }
     return new ReleaseFleet(groups);
--- a/src/main/java/beaconturn/release/RolloutDriver.java
+++ b/src/main/java/beaconturn/release/RolloutDriver.java
@@ -48,7 +48,7 @@
       return null;
     }
     return new RolloutTransaction(
-        new StoreRequest.Swap(
+        new StoreRequest.Transaction(
             List.of(new StoreRequest.Condition.Unchanged(keys.driver(), 0)),
             List.of(new StoreRequest.Change.Put(keys.driver(), incarnation, leaseId))),
         "drives the release");
--- a/src/main/java/beaconturn/release/RolloutRecorder.java
+++ b/src/main/java/beaconturn/release/RolloutRecorder.java
@@ -47,7 +47,7 @@
     series = series.append(point(snapshot, samples, observed, atMillis));
     lastSamples = samples;
     return new RolloutTransaction(
-        new StoreRequest.Swap(
+        new StoreRequest.Transaction(
             List.of(snapshot.unchanged(keys.driver())),
             List.of(
                 RolloutTransactions.put(
--- a/src/main/java/beaconturn/release/RolloutSnapshot.java
+++ b/src/main/java/beaconturn/release/RolloutSnapshot.java
@@ -48,7 +48,7 @@
    *
    * @throws AgreementException if a stored text cannot be read
    */
-  public static RolloutSnapshot of(RolloutKeys keys, StoreResponse.Given response)
+  public static RolloutSnapshot of(RolloutKeys keys, StoreResponse.Success response)
       throws AgreementException {
     return new RolloutSnapshotReader(keys).read(response);
   }
--- a/src/main/java/beaconturn/release/RolloutTransactions.java
+++ b/src/main/java/beaconturn/release/RolloutTransactions.java
@@ -36,7 +36,7 @@
     conditions.add(snapshot.unchanged(keys.historyLength()));
     List<StoreRequest.Change> all = new ArrayList<>(changes);
     all.addAll(appendHistory(snapshot, author, description));
-    return new RolloutTransaction(new StoreRequest.Swap(conditions, all), description);
+    return new RolloutTransaction(new StoreRequest.Transaction(conditions, all), description);
   }
 
   /** Adds a line to the history and counts it. */
--- a/src/main/java/beaconturn/release/Unavailability.java
+++ b/src/main/java/beaconturn/release/Unavailability.java
@@ -103,8 +103,8 @@
   /** Starts of a cache server as those routers know them that use it, the latest first. */
   private static List<Long> startsDescending(String server, Collection<EndpointView> views) {
     return views.stream()
-        .filter(view -> view.in().containsKey(server))
-        .map(view -> view.in().get(server))
+        .filter(view -> view.usable().containsKey(server))
+        .map(view -> view.usable().get(server))
         .sorted(Comparator.reverseOrder())
         .toList();
   }
@@ -126,8 +126,8 @@
   private static String mostFrequentReason(String server, Collection<EndpointView> views) {
     SortedMap<String, Integer> counts = new TreeMap<>();
     for (EndpointView view : views) {
-      if (!view.in().containsKey(server)) {
-        counts.merge(view.out().getOrDefault(server, "not listed"), 1, Integer::sum);
+      if (!view.usable().containsKey(server)) {
+        counts.merge(view.unusable().getOrDefault(server, "not listed"), 1, Integer::sum);
       }
     }
     String most = counts.firstKey();
--- a/src/test/java/beaconturn/release/CanaryComparisonTest.java
+++ b/src/test/java/beaconturn/release/CanaryComparisonTest.java
@@ -132,7 +132,7 @@
         .forEach(
             id ->
                 store.ask(
-                    new StoreRequest.Swap(
+                    new StoreRequest.Transaction(
                         List.of(),
                         List.of(
                             new StoreRequest.Change.Put(
@@ -202,7 +202,7 @@
     agent.actionEnded(true, "", 3_000_000_000L);
     assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 0)));
     store.ask(
-        new StoreRequest.Swap(
+        new StoreRequest.Transaction(
             List.of(),
             List.of(
                 new StoreRequest.Change.Put(
--- a/src/test/java/beaconturn/release/UnavailabilityTest.java
+++ b/src/test/java/beaconturn/release/UnavailabilityTest.java
@@ -66,8 +66,8 @@
   @Test
   void aSightIsReadAsItWasWritten() throws AgreementException {
     EndpointView view = view("c1=1796174364825000000 c2:left-out");
-    assertEquals(view, EndpointView.of(view.text()));
-    assertThrows(AgreementException.class, () -> EndpointView.of("no sight"));
+    assertEquals(view, EndpointView.decode(view.encode()));
+    assertThrows(AgreementException.class, () -> EndpointView.decode("no sight"));
   }
 
   private static InMemoryStore caches() throws AgreementException {
