--- a/src/main/java/beaconturn/agreement/ConfigAdmin.java
+++ b/src/main/java/beaconturn/agreement/ConfigAdmin.java
@@ -1,206 +1,204 @@
 package beaconturn.agreement;
 
 import java.util.ArrayList;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.function.UnaryOperator;
 
 /**
- * What operators do with the agreement: each order reads what stands in the store and takes one
- * step, which holds only where that is still so. Where the answer to a step is lost it looks
- * whether the step came about.
+ * What operators do with the agreement: each operation reads what stands in the store and takes one
+ * step, which holds only where that is still so. Where the response to a step is lost it looks
+ * whether the step came about. For one thread, which waits for the store.
+ *
+ * <p>All methods throw an {@link AgreementException} if the store does not answer, or holds what
+ * cannot be read.
  */
 public final class ConfigAdmin {
   private final AgreementKeys keys;
-  private final AgreementTransactions steps;
-  private final Store store;
+  private final AgreementTransactions transactions;
+  private final CoordinationStore store;
 
-  /** Asks the store and waits for its answer. */
-  public interface Store {
-    /** The answer, which may be that there was none. */
-    StoreResponse ask(StoreRequest call);
-  }
-
-  /**
-   * All there is to see.
-   *
-   * @param seen what is in force and proposed
-   * @param seats all routers
-   * @param alive the keys of those that hold leases
-   * @param waiting who the step at hand waits for
-   */
-  public record View(
-      AgreementSnapshot seen, List<MemberRecord> seats, List<String> alive, List<String> waiting) {}
-
-  /** A version of the past, and why it was turned down, or null. */
-  public record Past(ConfigVersion version, String refused) {}
-
-  /** A desk at a store, for one fleet. */
-  public ConfigAdmin(AgreementKeys keys, Store store) {
+  /** The operations at a store, for one fleet. */
+  public ConfigAdmin(AgreementKeys keys, CoordinationStore store) {
     this.keys = keys;
-    this.steps = new AgreementTransactions(keys);
+    this.transactions = new AgreementTransactions(keys);
     this.store = store;
   }
 
-  private StoreResponse.Given given(StoreRequest call) throws AgreementException {
-    return given(store, call);
+  private StoreResponse.Success requireSuccess(StoreRequest request) throws AgreementException {
+    return requireSuccess(store, request);
   }
 
   /**
-   * What the store has answered; no answer is an exception, whose message begins alike everywhere.
+   * What the store has answered.
+   *
+   * @throws AgreementException if it has not; the message begins alike everywhere
    */
-  public static StoreResponse.Given given(Store store, StoreRequest call)
+  public static StoreResponse.Success requireSuccess(CoordinationStore store, StoreRequest request)
       throws AgreementException {
-    StoreResponse answer = store.ask(call);
-    if (answer instanceof StoreResponse.Given given) {
-      return given;
+    StoreResponse response = store.ask(request);
+    if (response instanceof StoreResponse.Success success) {
+      return success;
     }
     throw new AgreementException(
-        "the store does not answer: " + ((StoreResponse.Failed) answer).why());
+        "the store does not answer: " + ((StoreResponse.Failed) response).reason());
   }
 
-  private AgreementSnapshot look() throws AgreementException {
-    return AgreementSnapshot.of(keys, given(new StoreRequest.Read(keys.common())));
+  private AgreementSnapshot readSnapshot() throws AgreementException {
+    return AgreementSnapshot.of(keys, requireSuccess(new StoreRequest.Read(keys.commonPrefix())));
   }
 
-  /** Begins the agreement in an empty store. */
-  public String begin(String identity) throws AgreementException {
-    StoreResponse answer = store.ask(steps.begin(identity));
-    String now = look().identity();
-    if (!now.equals(identity)) {
-      throw new AgreementException(
-          now.isEmpty()
-              ? "not begun, try again: " + why(answer)
-              : "agreement " + now + " stands in this store");
+  /**
+   * Begins the agreement in an empty store; what was done, in words.
+   *
+   * @throws AgreementException if another agreement stands there
+   */
+  public String begin(String agreementId) throws AgreementException {
+    StoreResponse response = store.ask(transactions.begin(agreementId));
+    String found = readSnapshot().agreementId();
+    if (found.isEmpty()) {
+      throw new AgreementException("not begun, try again: " + reasonNotBegun(response));
+    }
+    if (!found.equals(agreementId)) {
+      throw new AgreementException("agreement " + found + " stands in this store");
     }
-    return "agreement " + identity + " is begun";
+    return "agreement " + agreementId + " is begun";
   }
 
-  private static String why(StoreResponse answer) {
-    return answer instanceof StoreResponse.Failed failed
-        ? failed.why()
+  private static String reasonNotBegun(StoreResponse response) {
+    return response instanceof StoreResponse.Failed failed
+        ? failed.reason()
         : "the store holds other things there";
   }
 
-  /** Proposes a content made of the one in force; the number of the version. */
+  /**
+   * Proposes a content made of the one in force; the number of the version.
+   *
+   * @throws AgreementException if it is not proposed
+   */
   public long propose(
       UnaryOperator<ConfigContent> change, String author, String reason, long atMillis)
       throws AgreementException {
-    AgreementSnapshot seen = look();
-    long number = nextNumber();
-    AgreementTransactions.Step step =
-        steps.propose(
-            seen, number, change.apply(seen.current().content()), author, reason, atMillis);
-    StoreResponse answer = store.ask(step.swap());
-    if (answer instanceof StoreResponse.Given given && given.held()) {
+    AgreementSnapshot snapshot = readSnapshot();
+    long number = nextVersionNumber();
+    ConfigContent content = change.apply(snapshot.current().content());
+    AgreementStep step = transactions.propose(snapshot, number, content, author, reason, atMillis);
+    StoreResponse response = store.ask(step.transaction());
+    if (response instanceof StoreResponse.Success success && success.conditionsHeld()) {
       return number;
     }
-    String digest =
-        ConfigVersion.of(number, change.apply(seen.current().content()), author, reason, atMillis)
-            .digest();
-    boolean came =
-        history().stream()
-            .anyMatch(p -> p.version().number() == number && p.version().digest().equals(digest));
-    if (!came) {
+    // The response may be lost, or that of a transaction that was sent twice.
+    ConfigVersion proposed = ConfigVersion.of(number, content, author, reason, atMillis);
+    if (history().stream().noneMatch(entry -> entry.version().isSameAs(proposed))) {
       throw new AgreementException(
-          answer instanceof StoreResponse.Failed failed
-              ? "not proposed: " + failed.why()
+          response instanceof StoreResponse.Failed failed
+              ? "not proposed: " + failed.reason()
               : "not proposed: somebody else was faster");
     }
     return number;
   }
 
   /** The number of the version that is proposed next. */
-  public long nextNumber() throws AgreementException {
-    return 1 + history().stream().mapToLong(p -> p.version().number()).max().orElse(0);
+  public long nextVersionNumber() throws AgreementException {
+    return 1 + history().stream().mapToLong(entry -> entry.version().number()).max().orElse(0);
   }
 
   /** Proposes the content of the version before the one in force. */
-  public long back(String author, String reason, long atMillis) throws AgreementException {
-    ConfigVersion previous = look().previous();
-    return propose(now -> previous.content(), author, reason, atMillis);
+  public long proposePrevious(String author, String reason, long atMillis)
+      throws AgreementException {
+    ConfigVersion previous = readSnapshot().previous();
+    return propose(current -> previous.content(), author, reason, atMillis);
   }
 
-  /** Takes back what is proposed. */
+  /** Turns down what is proposed. */
   public void withdraw(String reason) throws AgreementException {
-    take(steps.withdraw(look(), reason));
+    take(transactions.withdraw(readSnapshot(), reason));
   }
 
-  /** Takes a router off the roster that is known to be dead; one that holds its lease is not. */
-  public void lost(String name) throws AgreementException {
-    StoreResponse.Given roster = given(new StoreRequest.Read(keys.rosters() + name + "/"));
-    if (roster.pairs().isEmpty()) {
+  /**
+   * Takes the records of a router away that is known to be dead.
+   *
+   * @throws AgreementException if there are none, or it holds its lease
+   */
+  public void declareLost(String name) throws AgreementException {
+    StoreResponse.Success records =
+        requireSuccess(new StoreRequest.Read(keys.membersPrefix() + name + "/"));
+    if (records.entries().isEmpty()) {
       throw new AgreementException("there is no router '" + name + "' on the roster");
     }
-    if (!given(new StoreRequest.Read(keys.alives() + name + "/")).pairs().isEmpty()) {
+    StoreResponse.Success live =
+        requireSuccess(new StoreRequest.Read(keys.liveMembersPrefix() + name + "/"));
+    if (!live.entries().isEmpty()) {
       throw new AgreementException("router '" + name + "' holds its lease: it is alive");
     }
     List<StoreRequest.Condition> conditions = new ArrayList<>();
     List<StoreRequest.Change> changes = new ArrayList<>();
-    for (StoreResponse.Pair pair : roster.pairs()) {
-      MemberRecord seat = MemberRecord.of(pair.value());
-      conditions.add(
-          new StoreRequest.Condition.Unchanged(keys.alive(seat.name(), seat.incarnation()), 0));
-      changes.add(new StoreRequest.Change.Delete(pair.key()));
+    for (StoreResponse.Entry entry : records.entries()) {
+      MemberRecord member = MemberRecord.decode(entry.value());
+      String liveKey = keys.liveMember(member.name(), member.incarnation());
+      conditions.add(new StoreRequest.Condition.Unchanged(liveKey, 0));
+      changes.add(new StoreRequest.Change.Delete(entry.key()));
     }
     take(
-        new AgreementTransactions.Step(
-            new StoreRequest.Swap(conditions, changes), "router " + name + " is declared lost"));
+        new AgreementStep(
+            new StoreRequest.Transaction(conditions, changes),
+            "router " + name + " is declared lost"));
   }
 
-  private void take(AgreementTransactions.Step step) throws AgreementException {
-    if (!given(step.swap()).held()) {
+  private void take(AgreementStep step) throws AgreementException {
+    if (!requireSuccess(step.transaction()).conditionsHeld()) {
       throw new AgreementException("not done, things have changed meanwhile: look again");
     }
   }
 
   /** What stands in the store now. */
-  public View view() throws AgreementException {
-    AgreementSnapshot seen = look();
-    StoreResponse.Given roster = given(new StoreRequest.Read(keys.rosters()));
-    StoreResponse.Given alive = given(new StoreRequest.Read(keys.alives()));
-    List<MemberRecord> seats = AgreementTransactions.seats(roster);
-    return new View(
-        seen,
-        seats,
-        alive.pairs().stream().map(StoreResponse.Pair::key).toList(),
-        steps.waiting(seen, seats, alive));
+  public AgreementStatus status() throws AgreementException {
+    AgreementSnapshot snapshot = readSnapshot();
+    StoreResponse.Success records = requireSuccess(new StoreRequest.Read(keys.membersPrefix()));
+    StoreResponse.Success live = requireSuccess(new StoreRequest.Read(keys.liveMembersPrefix()));
+    List<MemberRecord> members = AgreementTransactions.members(records);
+    return new AgreementStatus(
+        snapshot,
+        members,
+        live.entries().stream().map(StoreResponse.Entry::key).toList(),
+        transactions.awaitedMembers(snapshot, members, live));
   }
 
-  /** Whether the router of that line holds its lease. */
-  public boolean alive(View view, MemberRecord seat) {
-    return view.alive().contains(keys.alive(seat.name(), seat.incarnation()));
+  /** Whether the member of that record holds its lease. */
+  public boolean holdsLease(AgreementStatus status, MemberRecord member) {
+    String liveKey = keys.liveMember(member.name(), member.incarnation());
+    return status.liveMemberKeys().contains(liveKey);
   }
 
   /** What routers that hold leases make of the cache servers, by the router's name. */
-  public SortedMap<String, EndpointView> sights() throws AgreementException {
-    SortedMap<String, EndpointView> all = new TreeMap<>();
-    for (StoreResponse.Pair pair : given(new StoreRequest.Read(keys.sights())).pairs()) {
-      // Two processes of one router see alike: one voice.
-      String name = pair.key().substring(keys.sights().length(), pair.key().lastIndexOf('/'));
-      all.put(name, EndpointView.of(pair.value()));
+  public SortedMap<String, EndpointView> endpointViews() throws AgreementException {
+    String prefix = keys.endpointViewsPrefix();
+    SortedMap<String, EndpointView> views = new TreeMap<>();
+    for (StoreResponse.Entry entry : requireSuccess(new StoreRequest.Read(prefix)).entries()) {
+      // Two processes of one router see alike: one vote.
+      String name = entry.key().substring(prefix.length(), entry.key().lastIndexOf('/'));
+      views.put(name, EndpointView.decode(entry.value()));
     }
-    return all;
+    return views;
   }
 
   /** All versions, the oldest first. */
-  public List<Past> history() throws AgreementException {
-    List<StoreResponse.Pair> pairs = given(new StoreRequest.Read(keys.histories())).pairs();
-    List<Past> all = new ArrayList<>();
-    for (StoreResponse.Pair pair : pairs) {
-      if (!pair.key().endsWith(".no")) {
-        ConfigVersion version = ConfigCodec.version(pair.value());
-        all.add(
-            new Past(
-                version,
-                pairs.stream()
-                    .filter(p -> p.key().equals(keys.refusal(version.number())))
-                    .map(StoreResponse.Pair::value)
-                    .findFirst()
-                    .orElse(null)));
+  public List<VersionHistoryEntry> history() throws AgreementException {
+    Map<String, String> values = new LinkedHashMap<>();
+    requireSuccess(new StoreRequest.Read(keys.versionsPrefix()))
+        .entries()
+        .forEach(entry -> values.put(entry.key(), entry.value()));
+    List<VersionHistoryEntry> history = new ArrayList<>();
+    for (Map.Entry<String, String> entry : values.entrySet()) {
+      if (!entry.getKey().endsWith(AgreementKeys.REJECTION_SUFFIX)) {
+        ConfigVersion version = ConfigCodec.decodeVersion(entry.getValue());
+        String rejection = values.get(keys.rejectionReason(version.number()));
+        history.add(new VersionHistoryEntry(version, rejection));
       }
     }
-    return all;
+    return history;
   }
 }
--- a/src/main/java/beaconturn/cli/AgentDriver.java
+++ b/src/main/java/beaconturn/cli/AgentDriver.java
@@ -2,7 +2,9 @@
 
 import beaconturn.agreement.AgreementException;
 import beaconturn.agreement.AgreementKeys;
+import beaconturn.agreement.AgreementStatus;
 import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.CoordinationStore;
 import beaconturn.release.AgreedVersions;
 import beaconturn.release.RolloutAdmin;
 import beaconturn.release.RolloutDriver;
@@ -31,7 +33,7 @@
   private RolloutRecorder recorder;
   private String loggedWaitReason = "";
 
-  AgentDriver(RolloutKeys keys, ConfigAdmin.Store calls, AgentStore store, String incarnation) {
+  AgentDriver(RolloutKeys keys, CoordinationStore calls, AgentStore store, String incarnation) {
     this.keys = keys;
     this.store = store;
     this.incarnation = incarnation;
@@ -59,7 +61,7 @@
   }
 
   private RolloutTransaction nextTransaction(RolloutSnapshot snapshot) throws AgreementException {
-    ConfigAdmin.View view = agreement.view();
+    AgreementStatus view = agreement.status();
     Unavailability unavailability = observed.read(snapshot.plan().kind(), snapshot.fleet(), view);
     record(snapshot, unavailability);
     RolloutTransaction transaction =
@@ -87,13 +89,16 @@
   }
 
   /** Read only where a configuration goes with the release; otherwise null. */
-  private AgreedVersions agreedVersions(RolloutSnapshot snapshot, ConfigAdmin.View view)
+  private AgreedVersions agreedVersions(RolloutSnapshot snapshot, AgreementStatus view)
       throws AgreementException {
     if (snapshot.plan().configContent() == null) {
       return null;
     }
     return new AgreedVersions(
-        view.seen(), agreement.nextNumber(), view.waiting(), System.currentTimeMillis());
+        view.snapshot(),
+        agreement.nextVersionNumber(),
+        view.awaitedMembers(),
+        System.currentTimeMillis());
   }
 
   /** Logs what the release waits for, each time that it is something else. */
--- a/src/main/java/beaconturn/cli/AgentLease.java
+++ b/src/main/java/beaconturn/cli/AgentLease.java
@@ -1,6 +1,6 @@
 package beaconturn.cli;
 
-import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.CoordinationStore;
 import beaconturn.agreement.StoreRequest;
 import beaconturn.agreement.StoreResponse;
 
@@ -10,13 +10,13 @@
  */
 final class AgentLease {
   private static final long NONE = 0;
-  private final ConfigAdmin.Store store;
+  private final CoordinationStore store;
   private final long durationSeconds;
   private final long renewIntervalNanos;
   private long id = NONE;
   private long renewAtNanos;
 
-  AgentLease(ConfigAdmin.Store store, long durationSeconds, long renewIntervalNanos) {
+  AgentLease(CoordinationStore store, long durationSeconds, long renewIntervalNanos) {
     this.store = store;
     this.durationSeconds = durationSeconds;
     this.renewIntervalNanos = renewIntervalNanos;
@@ -39,10 +39,10 @@
     }
     StoreRequest request =
         isHeld() ? new StoreRequest.KeepAlive(id) : new StoreRequest.Grant(durationSeconds);
-    if (store.ask(request) instanceof StoreResponse.Given response) {
+    if (store.ask(request) instanceof StoreResponse.Success response) {
       if (!isHeld()) {
-        id = response.lease();
-      } else if (response.seconds() <= 0) {
+        id = response.leaseId();
+      } else if (response.leaseTtlSeconds() <= 0) {
         id = NONE;
       }
       renewAtNanos = nowNanos + renewIntervalNanos;
--- a/src/main/java/beaconturn/cli/AgentMetricsReporter.java
+++ b/src/main/java/beaconturn/cli/AgentMetricsReporter.java
@@ -61,7 +61,7 @@
       if (reportDue && !text.equals(lastReport)) {
         lastReport = text;
         store.write(
-            new StoreRequest.Swap(
+            new StoreRequest.Transaction(
                 List.of(), List.of(new StoreRequest.Change.Put(key, text, leaseId))));
       }
     } catch (IOException e) {
--- a/src/main/java/beaconturn/cli/AgentStore.java
+++ b/src/main/java/beaconturn/cli/AgentStore.java
@@ -1,7 +1,7 @@
 package beaconturn.cli;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.CoordinationStore;
 import beaconturn.agreement.StoreRequest;
 import beaconturn.agreement.StoreResponse;
 import beaconturn.release.RolloutKeys;
@@ -13,12 +13,12 @@
   /** So many times in a row a transaction fails before the log tells it. */
   private static final int MANY_FAILURES = 10;
 
-  private final ConfigAdmin.Store store;
+  private final CoordinationStore store;
   private final RolloutKeys keys;
   private String lastDescription = "";
   private int failures;
 
-  AgentStore(ConfigAdmin.Store store, RolloutKeys keys) {
+  AgentStore(CoordinationStore store, RolloutKeys keys) {
     this.store = store;
     this.keys = keys;
   }
@@ -30,7 +30,7 @@
 
   /** What the store holds, or null where it does not answer or cannot be read. */
   RolloutSnapshot read() {
-    if (!(store.ask(new StoreRequest.Read(keys.all())) instanceof StoreResponse.Given response)) {
+    if (!(store.ask(new StoreRequest.Read(keys.all())) instanceof StoreResponse.Success response)) {
       return null;
     }
     try {
@@ -44,7 +44,8 @@
   /** Executes a transaction; whether it held. */
   boolean execute(RolloutTransaction transaction) {
     boolean held =
-        store.ask(transaction.swap()) instanceof StoreResponse.Given response && response.held();
+        store.ask(transaction.swap()) instanceof StoreResponse.Success response
+            && response.conditionsHeld();
     boolean failedBefore = transaction.description().equals(lastDescription);
     failures = held || !failedBefore ? 0 : failures + 1;
     lastDescription = transaction.description();
@@ -58,7 +59,7 @@
   }
 
   /** Executes a request whose outcome nothing depends on. */
-  void write(StoreRequest.Swap swap) {
+  void write(StoreRequest.Transaction swap) {
     store.ask(swap);
   }
 }
--- a/src/main/java/beaconturn/cli/ObservedUnavailability.java
+++ b/src/main/java/beaconturn/cli/ObservedUnavailability.java
@@ -1,7 +1,9 @@
 package beaconturn.cli;
 
 import beaconturn.agreement.AgreementException;
+import beaconturn.agreement.AgreementStatus;
 import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.CoordinationStore;
 import beaconturn.agreement.MemberRecord;
 import beaconturn.agreement.StoreRequest;
 import beaconturn.release.InstanceKind;
@@ -22,39 +24,43 @@
  * @param zonesKeys keys of the zones of the fleet
  * @param store where both are read
  */
-record ObservedUnavailability(ConfigAdmin agreement, ZonesKeys zonesKeys, ConfigAdmin.Store store) {
+record ObservedUnavailability(ConfigAdmin agreement, ZonesKeys zonesKeys, CoordinationStore store) {
   /** The instances of a kind as they are now. */
   Unavailability read(InstanceKind kind, ReleaseFleet fleet) throws AgreementException {
-    return read(kind, fleet, agreement.view());
+    return read(kind, fleet, agreement.status());
   }
 
   /** The same, where the members have been read already. */
-  Unavailability read(InstanceKind kind, ReleaseFleet fleet, ConfigAdmin.View view)
+  Unavailability read(InstanceKind kind, ReleaseFleet fleet, AgreementStatus view)
       throws AgreementException {
     Unavailability unavailability =
         kind == InstanceKind.ROUTER ? routers(fleet, view) : caches(fleet, view);
     ZonesSnapshot zones =
         ZonesSnapshot.of(
-            zonesKeys, ConfigAdmin.given(store, new StoreRequest.Read(zonesKeys.all())));
+            zonesKeys, ConfigAdmin.requireSuccess(store, new StoreRequest.Read(zonesKeys.all())));
     return unavailability.withZonesOut(zones.out());
   }
 
-  private Unavailability routers(ReleaseFleet fleet, ConfigAdmin.View view) {
+  private Unavailability routers(ReleaseFleet fleet, AgreementStatus view) {
     Set<String> leaseHolders = new HashSet<>();
-    for (MemberRecord member : view.seats()) {
-      if (agreement.alive(view, member)) {
+    for (MemberRecord member : view.members()) {
+      if (agreement.holdsLease(view, member)) {
         leaseHolders.add(member.name());
       }
     }
     return Unavailability.ofRouters(fleet.group(InstanceKind.ROUTER), leaseHolders);
   }
 
-  private Unavailability caches(ReleaseFleet fleet, ConfigAdmin.View view)
+  private Unavailability caches(ReleaseFleet fleet, AgreementStatus view)
       throws AgreementException {
-    String reason = "held out by version " + view.seen().current().number();
+    String reason = "held out by version " + view.snapshot().current().number();
     Map<String, String> excluded = new TreeMap<>();
-    view.seen().current().content().out().forEach(server -> excluded.put(server, reason));
+    view.snapshot()
+        .current()
+        .content()
+        .excludedServers()
+        .forEach(server -> excluded.put(server, reason));
     return Unavailability.ofCaches(
-        fleet.group(InstanceKind.CACHE), excluded, agreement.sights().values());
+        fleet.group(InstanceKind.CACHE), excluded, agreement.endpointViews().values());
   }
 }
--- a/src/main/java/beaconturn/core/AttemptMetrics.java
+++ b/src/main/java/beaconturn/core/AttemptMetrics.java
@@ -2,6 +2,7 @@
 
 import beaconturn.decision.AttemptOutcome;
 import beaconturn.decision.CacheStatus;
+import beaconturn.stats.CacheLookup;
 import beaconturn.stats.RequestMetrics;
 import java.util.List;
 
@@ -17,7 +18,7 @@
 
   void requestReceived() {
     for (RequestMetrics metrics : sinks) {
-      metrics.arrived();
+      metrics.requestRouted();
     }
   }
 
@@ -29,17 +30,17 @@
     boolean answered = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
     long tookNanos = result.endedAtNanos() - attempt.sentAtNanos();
     boolean late = tookNanos > entry.latencyObjectiveNanos();
-    RequestMetrics.Found found = found(result.cacheStatus());
+    CacheLookup lookup = lookup(result.cacheStatus());
     for (RequestMetrics metrics : sinks) {
-      metrics.attempt(attempt.serverId(), answered, found, tookNanos, late);
+      metrics.attemptEnded(attempt.serverId(), answered, lookup, tookNanos, late);
     }
   }
 
-  private static RequestMetrics.Found found(CacheStatus status) {
+  private static CacheLookup lookup(CacheStatus status) {
     return switch (status) {
-      case HIT -> RequestMetrics.Found.HIT;
-      case NONE -> RequestMetrics.Found.UNSAID;
-      default -> RequestMetrics.Found.MISS;
+      case HIT -> CacheLookup.HIT;
+      case NONE -> CacheLookup.UNKNOWN;
+      default -> CacheLookup.MISS;
     };
   }
 }
--- a/src/main/java/beaconturn/core/RoutingEngine.java
+++ b/src/main/java/beaconturn/core/RoutingEngine.java
@@ -200,7 +200,7 @@
   /** Tells the metrics what the policy in force makes of the endpoint list. */
   public void reportServers(RequestMetrics metrics) {
     RoutingView view = policies.current().policy().view();
-    metrics.fleet(view.listed(), view.avoided());
+    metrics.serverCounts(view.listed(), view.avoided());
   }
 
   /** What the policy in force makes of each cache server that is listed. */
--- a/src/main/java/beaconturn/net/agreement/SettingsContentMapper.java
+++ b/src/main/java/beaconturn/net/agreement/SettingsContentMapper.java
@@ -19,7 +19,7 @@
   private SettingsContentMapper() {}
 
   /** What a router is configured with, as a whole content. */
-  static ConfigContent of(RouterSettings settings) {
+  static ConfigContent contentOf(RouterSettings settings) {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
     for (int i = 0; i < settings.classNames().size(); i++) {
       RequestClass type = settings.routing().classes().get(i);
@@ -39,7 +39,7 @@
       if (at < 0) {
         return "there is no class '" + said.getKey() + "' here";
       }
-      Long deadline = said.getValue().deadline();
+      Long deadline = said.getValue().deadlineNanos();
       if (deadline != null
           && deadline < configured.routing().classes().get(at).latencyObjectiveNanos()) {
         return "class " + said.getKey() + ": the deadline is before the aim";
@@ -49,20 +49,22 @@
   }
 
   /** The settings under a whole content. */
-  static RouterSettings under(RouterSettings configured, ConfigContent content) {
+  static RouterSettings settingsUnder(RouterSettings configured, ConfigContent content) {
     RoutingSettings r = configured.routing();
     List<RequestClass> classes = new ArrayList<>();
     for (int i = 0; i < r.classes().size(); i++) {
       RequestClass t = r.classes().get(i);
       ClassRule rule =
-          content.classes().getOrDefault(configured.classNames().get(i), ClassRule.UNSAID);
+          content.classes().getOrDefault(configured.classNames().get(i), ClassRule.UNSPECIFIED);
       classes.add(
           new RequestClass(
-              rule.effect() == null ? t.idempotency() : routed(rule.effect()),
+              rule.idempotency() == null ? t.idempotency() : routed(rule.idempotency()),
               t.deduplicationScope(),
-              rule.window() == null ? t.deduplicationWindowNanos() : rule.window(),
+              rule.deduplicationWindowNanos() == null
+                  ? t.deduplicationWindowNanos()
+                  : rule.deduplicationWindowNanos(),
               t.latencyObjectiveNanos(),
-              rule.deadline() == null ? t.deadlineNanos() : rule.deadline(),
+              rule.deadlineNanos() == null ? t.deadlineNanos() : rule.deadlineNanos(),
               t.priorityWeight(),
               t.latePriorityWeight(),
               t.streamed()));
@@ -74,8 +76,8 @@
             p.peers(),
             p.probes(),
             p.retryAfter(),
-            content.secondCopies() == null ? p.hedging() : content.secondCopies(),
-            content.mostTries() == null ? p.maxAttempts() : content.mostTries(),
+            content.hedging() == null ? p.hedging() : content.hedging(),
+            content.maxAttempts() == null ? p.maxAttempts() : content.maxAttempts(),
             p.maxRetryAfterNanos(),
             p.multiplex(),
             p.connectTimeoutNanos(),
@@ -104,17 +106,17 @@
 
   private static ClassIdempotency stored(Idempotency idempotency) {
     return switch (idempotency) {
-      case IDEMPOTENT -> ClassIdempotency.SAFE;
-      case IDEMPOTENCY_KEY -> ClassIdempotency.KEYED;
-      case NON_IDEMPOTENT -> ClassIdempotency.UNSAFE;
+      case IDEMPOTENT -> ClassIdempotency.IDEMPOTENT;
+      case IDEMPOTENCY_KEY -> ClassIdempotency.IDEMPOTENCY_KEY;
+      case NON_IDEMPOTENT -> ClassIdempotency.NON_IDEMPOTENT;
     };
   }
 
   private static Idempotency routed(ClassIdempotency idempotency) {
     return switch (idempotency) {
-      case SAFE -> Idempotency.IDEMPOTENT;
-      case KEYED -> Idempotency.IDEMPOTENCY_KEY;
-      case UNSAFE -> Idempotency.NON_IDEMPOTENT;
+      case IDEMPOTENT -> Idempotency.IDEMPOTENT;
+      case IDEMPOTENCY_KEY -> Idempotency.IDEMPOTENCY_KEY;
+      case NON_IDEMPOTENT -> Idempotency.NON_IDEMPOTENT;
     };
   }
 }
--- a/src/main/java/beaconturn/release/RolloutAdmin.java
+++ b/src/main/java/beaconturn/release/RolloutAdmin.java
@@ -1,7 +1,7 @@
 package beaconturn.release;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.ConfigAdmin;
+import beaconturn.agreement.CoordinationStore;
 import beaconturn.agreement.StoreRequest;
 import beaconturn.agreement.StoreResponse;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
 
   /** Commands of one operator to one fleet; the clock gives the time of history lines. */
   public RolloutAdmin(
-      RolloutKeys keys, ConfigAdmin.Store store, String author, Supplier<String> clock) {
+      RolloutKeys keys, CoordinationStore store, String author, Supplier<String> clock) {
     this.keys = keys;
     this.transactions = new RolloutTransactions(keys, clock);
     this.store = new RolloutStore(keys, store);
@@ -36,15 +36,15 @@
 
   /** All lines of the history, the oldest first. */
   public List<String> history() throws AgreementException {
-    return store.request(new StoreRequest.Read(keys.history())).pairs().stream()
-        .map(StoreResponse.Pair::value)
+    return store.request(new StoreRequest.Read(keys.history())).entries().stream()
+        .map(StoreResponse.Entry::value)
         .toList();
   }
 
   /** The time series of a release; empty where none was recorded. */
   public RolloutTimeSeries timeSeries(long releaseNumber) throws AgreementException {
-    List<StoreResponse.Pair> found =
-        store.request(new StoreRequest.Read(keys.timeSeries(releaseNumber))).pairs();
+    List<StoreResponse.Entry> found =
+        store.request(new StoreRequest.Read(keys.timeSeries(releaseNumber))).entries();
     return found.isEmpty()
         ? RolloutTimeSeries.EMPTY
         : RolloutTimeSeriesCodec.decode(found.get(0).value());
--- a/src/main/java/beaconturn/release/RolloutAgent.java
+++ b/src/main/java/beaconturn/release/RolloutAgent.java
@@ -60,7 +60,7 @@
     }
     String key = keys.agent(instanceId);
     return new RolloutTransaction(
-        new StoreRequest.Swap(
+        new StoreRequest.Transaction(
             List.of(new StoreRequest.Condition.Unchanged(key, 0)),
             List.of(new StoreRequest.Change.Put(key, incarnation, leaseId))),
         "acts on " + instanceId);
@@ -165,7 +165,7 @@
     changes.addAll(
         transactions.appendHistory(snapshot, incarnation, historyText(reported.variant())));
     return new RolloutTransaction(
-        new StoreRequest.Swap(
+        new StoreRequest.Transaction(
             List.of(
                 snapshot.unchanged(keys.step(instanceId)),
                 snapshot.unchanged(keys.historyLength())),
--- a/src/main/java/beaconturn/release/RolloutCodec.java
+++ b/src/main/java/beaconturn/release/RolloutCodec.java
@@ -2,6 +2,7 @@
 
 import beaconturn.agreement.AgreementException;
 import beaconturn.agreement.ConfigCodec;
+import beaconturn.agreement.StoredJson;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 import java.util.ArrayList;
@@ -19,7 +20,7 @@
 
   static String encode(DisruptionPermit permit) {
     return JsonWriter.write(
-        ConfigCodec.object(
+        StoredJson.object(
             "number",
             permit.number(),
             "kind",
@@ -33,7 +34,7 @@
   }
 
   static DisruptionPermit decodePermit(String text) throws AgreementException {
-    Json json = ConfigCodec.parse(text);
+    Json json = StoredJson.parse(text);
     return new DisruptionPermit(
         StoredFields.number(json, "number"),
         StoredFields.kind(json),
@@ -44,17 +45,17 @@
 
   static String encode(ConfigChange change) {
     return JsonWriter.write(
-        ConfigCodec.object(
+        StoredJson.object(
             "number",
             change.versionNumber(),
             "before",
-            ConfigCodec.json(change.previousContent()),
+            ConfigCodec.contentJson(change.previousContent()),
             "undone",
             change.revertVersionNumber()));
   }
 
   static ConfigChange decodeConfigChange(String text) throws AgreementException {
-    Json json = ConfigCodec.parse(text);
+    Json json = StoredJson.parse(text);
     return new ConfigChange(
         StoredFields.number(json, "number"),
         StoredFields.content(json, "before"),
@@ -63,12 +64,12 @@
 
   static String encode(RolloutState state) {
     return JsonWriter.write(
-        ConfigCodec.object(
+        StoredJson.object(
             "mode", state.mode().word(), "why", state.reason(), "by", state.author()));
   }
 
   static RolloutState decodeState(String text) throws AgreementException {
-    Json json = ConfigCodec.parse(text);
+    Json json = StoredJson.parse(text);
     return new RolloutState(
         StoredFields.constant(json, "mode", RolloutMode.values()),
         StoredFields.text(json, "why"),
@@ -77,7 +78,7 @@
 
   static String encode(RolloutStep step) {
     return JsonWriter.write(
-        ConfigCodec.object(
+        StoredJson.object(
             "id",
             step.instanceId(),
             "permit",
@@ -98,7 +99,7 @@
   }
 
   static RolloutStep decodeStep(String text) throws AgreementException {
-    Json json = ConfigCodec.parse(text);
+    Json json = StoredJson.parse(text);
     return new RolloutStep(
         StoredFields.text(json, "id"),
         StoredFields.number(json, "permit"),
@@ -114,11 +115,11 @@
   public static String encode(InstanceSample sample) {
     List<Object> members = new ArrayList<>(List.of("process", sample.process()));
     sample.metrics().forEach((metric, value) -> members.addAll(List.of(metric.word(), value)));
-    return JsonWriter.write(ConfigCodec.object(members.toArray()));
+    return JsonWriter.write(StoredJson.object(members.toArray()));
   }
 
   static InstanceSample decodeSample(String text) throws AgreementException {
-    Json json = ConfigCodec.parse(text);
+    Json json = StoredJson.parse(text);
     Map<InstanceMetrics, Long> metrics = new EnumMap<>(InstanceMetrics.class);
     for (InstanceMetrics metric : InstanceMetrics.values()) {
       if (!StoredFields.text(json, metric.word()).isEmpty()) {
--- a/src/main/java/beaconturn/release/RolloutTimeSeriesCodec.java
+++ b/src/main/java/beaconturn/release/RolloutTimeSeriesCodec.java
@@ -1,7 +1,7 @@
 package beaconturn.release;
 
 import beaconturn.agreement.AgreementException;
-import beaconturn.agreement.ConfigCodec;
+import beaconturn.agreement.StoredJson;
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 import java.util.ArrayList;
@@ -14,12 +14,11 @@
   static String encode(RolloutTimeSeries series) {
     List<Json> points = series.points().stream().map(RolloutTimeSeriesCodec::encode).toList();
     return JsonWriter.write(
-        ConfigCodec.object(
-            "every_ms", series.intervalMillis(), "points", ConfigCodec.list(points)));
+        StoredJson.object("every_ms", series.intervalMillis(), "points", StoredJson.list(points)));
   }
 
   private static Json encode(RolloutTimeSeries.Point point) {
-    return ConfigCodec.object(
+    return StoredJson.object(
         "at",
         point.atMillis(),
         "good",
@@ -35,12 +34,13 @@
   }
 
   static RolloutTimeSeries decode(String text) throws AgreementException {
-    Json json = ConfigCodec.parse(text);
+    Json json = StoredJson.parse(text);
     List<RolloutTimeSeries.Point> points = new ArrayList<>();
     for (Json point : json.get("points").items()) {
       points.add(decodePoint(point));
     }
-    return new RolloutTimeSeries(ConfigCodec.whole(json, "every_ms", 1, Integer.MAX_VALUE), points);
+    return new RolloutTimeSeries(
+        StoredJson.wholeNumber(json, "every_ms", 1, Integer.MAX_VALUE), points);
   }
 
   private static RolloutTimeSeries.Point decodePoint(Json point) throws AgreementException {
--- a/src/main/java/beaconturn/release/RolloutTransaction.java
+++ b/src/main/java/beaconturn/release/RolloutTransaction.java
@@ -8,4 +8,4 @@
  * @param swap conditions and changes
  * @param description the step in words, for the history and the log
  */
-public record RolloutTransaction(StoreRequest.Swap swap, String description) {}
+public record RolloutTransaction(StoreRequest.Transaction swap, String description) {}
--- a/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
@@ -12,6 +12,7 @@
 import beaconturn.core.Samples;
 import beaconturn.net.TestPeer;
 import beaconturn.protocol.Slice;
+import beaconturn.stats.RequestEnd;
 import beaconturn.stats.RequestMetrics;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -47,8 +48,8 @@
   private final RequestMetrics metrics =
       new RequestMetrics() {
         @Override
-        public void ended(String requestClass, End how) {
-          if (how == End.DEFERRED) {
+        public void requestEnded(String requestClass, RequestEnd end) {
+          if (end == RequestEnd.REJECTED) {
             rejected.incrementAndGet();
           }
         }
--- a/src/test/java/beaconturn/release/CanaryComparisonTest.java
+++ b/src/test/java/beaconturn/release/CanaryComparisonTest.java
@@ -138,7 +138,7 @@
         .forEach(
             id ->
                 store.ask(
-                    new StoreRequest.Swap(
+                    new StoreRequest.Transaction(
                         List.of(),
                         List.of(
                             new StoreRequest.Change.Put(
@@ -210,7 +210,7 @@
     agent.actionEnded(true, "", 3_000_000_000L);
     assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 0)));
     store.ask(
-        new StoreRequest.Swap(
+        new StoreRequest.Transaction(
             List.of(),
             List.of(
                 new StoreRequest.Change.Put(
--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -175,7 +175,7 @@
           new DisruptionPermitAdmin(
               InMemoryStore.KEYS,
               call -> {
-                if (call instanceof StoreRequest.Swap swap) {
+                if (call instanceof StoreRequest.Transaction swap) {
                   caught.add(new RolloutTransaction(swap, ""));
                   return new StoreResponse.Failed("caught");
                 }
