--- a/src/main/java/beaconturn/cli/CheckConfigCommand.java
+++ b/src/main/java/beaconturn/cli/CheckConfigCommand.java
@@ -24,11 +24,11 @@
           "configuration is sound: "
               + read.name()
               + " on "
-              + read.listen()
+              + read.listenAddress()
               + ", "
               + read.settings().classNames().size()
               + " classes, "
-              + read.known().endpoints().size()
+              + read.initialEndpoints().endpoints().size()
               + " cache servers known");
       if (features != null) {
         FeaturesFile.Features on = FeaturesFile.all(features);
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -113,7 +113,7 @@
   /** The routing thread begins with the list and with what the process before has left. */
   private void startRouting() {
     RoutingMessage.EndpointUpdateReceived known =
-        new RoutingMessage.EndpointUpdateReceived(inputs.config().known());
+        new RoutingMessage.EndpointUpdateReceived(inputs.config().initialEndpoints());
     parts.endpointList().known(known);
     parts.routingThread().handleBeforeStart(known);
     WarmStartState warmStart = parts.handover().warmStart();
@@ -140,15 +140,16 @@
     parts
         .endpointList()
         .awaitDiscovery(
-            inputs.customization().firstListTimeoutNanos(), inputs.config().known().version());
+            inputs.customization().firstListTimeoutNanos(),
+            inputs.config().initialEndpoints().version());
   }
 
   private void listen() throws IOException {
     RouterConfig config = inputs.config();
     listener =
-        config.shared()
+        config.sharesListener()
             ? Listener.inherited(parts.acceptor()::accept)
-            : Listener.bind(config.listen(), parts.acceptor()::accept);
+            : Listener.bind(config.listenAddress(), parts.acceptor()::accept);
     listener.start();
     LOG.info(
         config.name()
@@ -165,7 +166,7 @@
   }
 
   /** Where operators call, or null where they cannot. */
-  public InetSocketAddress control() {
+  public InetSocketAddress adminAddress() {
     return parts.operators() == null ? null : parts.operators().address();
   }
 
--- a/src/main/java/beaconturn/net/control/ServerOverrideFile.java
+++ b/src/main/java/beaconturn/net/control/ServerOverrideFile.java
@@ -39,7 +39,7 @@
   /** What was said last of each cache server, by its id, in the order of its first being said. */
   private final Map<String, ServerOverride> overrides = new LinkedHashMap<>();
 
-  /** What the router has been told, by the cache server's id. */
+  /** The overrides that this process has applied, by the cache server's id. */
   private final Map<String, ServerOverride> applied = new HashMap<>();
 
   /** Tells the file that was read or written last from others; null for none. */
--- a/src/main/java/beaconturn/net/discovery/DiscoveryTarget.java
+++ b/src/main/java/beaconturn/net/discovery/DiscoveryTarget.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 
 /**
- * Which discovery is asked, and the version of the endpoint list that it has told last. Safe for
+ * Which discovery is asked, and the version of the endpoint list that it has sent last. Safe for
  * any thread.
  *
  * <p>The failure guarded against is an old list that overtakes a new one at a move: what a call to
--- a/src/test/java/beaconturn/net/RouterConfigTest.java
+++ b/src/test/java/beaconturn/net/RouterConfigTest.java
@@ -69,17 +69,18 @@
   void readsAllThatARouterIsTold() throws ConfigException {
     RouterConfig config = read(SOUND, Map.of());
     assertEquals("n3", config.name());
-    assertEquals(6379, config.listen().getPort());
+    assertEquals(6379, config.listenAddress().getPort());
     assertEquals(0x8c1f30d27a5be964L, config.seed());
     assertEquals(512, config.sockets());
-    assertEquals(41, config.known().version());
-    assertEquals(EndpointListKind.CACHED, config.known().kind());
-    Endpoint first = config.known().endpoints().get(0).endpoint();
+    assertEquals(41, config.initialEndpoints().version());
+    assertEquals(EndpointListKind.CACHED, config.initialEndpoints().kind());
+    Endpoint first = config.initialEndpoints().endpoints().get(0).endpoint();
     assertEquals(1, first.zone());
     assertEquals(1, first.kind());
     assertEquals(3, first.cell());
     assertEquals(1700000000123L * 1_000_000, first.bootTimeNanos());
-    assertEquals(EndpointHealth.DRAINING, config.known().endpoints().get(1).endpoint().health());
+    assertEquals(
+        EndpointHealth.DRAINING, config.initialEndpoints().endpoints().get(1).endpoint().health());
     assertEquals(2, config.settings().routing().routerCount());
     assertEquals(1_500_000_000L, config.settings().routing().classes().get(0).deadlineNanos());
     assertTrue(config.settings().routing().loadReportFields().isEmpty());
@@ -88,27 +89,35 @@
   /** Every router must place the same keys alike, whatever address it reaches a cache server at. */
   @Test
   void theNumberOfACacheServerComesFromItsNameAlone() throws ConfigException {
-    long here = read(SOUND, Map.of()).known().endpoints().get(0).endpoint().serverId();
+    long here = read(SOUND, Map.of()).initialEndpoints().endpoints().get(0).endpoint().serverId();
     RouterConfig there = read(SOUND.replace("10.1.0.18", "127.9.1.4"), Map.of());
-    assertEquals(here, there.known().endpoints().get(0).endpoint().serverId());
-    assertEquals("127.9.1.4:6379", there.known().endpoints().get(0).dialAddress());
-    assertNotEquals(here, there.known().endpoints().get(1).endpoint().serverId());
+    assertEquals(here, there.initialEndpoints().endpoints().get(0).endpoint().serverId());
+    assertEquals("127.9.1.4:6379", there.initialEndpoints().endpoints().get(0).dialAddress());
+    assertNotEquals(here, there.initialEndpoints().endpoints().get(1).endpoint().serverId());
   }
 
   /** One line that cannot be read must not hide the others. */
   @Test
   void anUnreadableLineOfTheListIsLeftOut() throws ConfigException {
     assertEquals(
-        1, read(SOUND.replace("\"ready\"", "\"odd\""), Map.of()).known().endpoints().size());
+        1,
+        read(SOUND.replace("\"ready\"", "\"odd\""), Map.of())
+            .initialEndpoints()
+            .endpoints()
+            .size());
     assertEquals(
-        1, read(SOUND.replace("10.1.0.18:6379", "here"), Map.of()).known().endpoints().size());
+        1,
+        read(SOUND.replace("10.1.0.18:6379", "here"), Map.of())
+            .initialEndpoints()
+            .endpoints()
+            .size());
   }
 
   @Test
   void variablesOverruleTheFile() throws ConfigException {
     RouterConfig config = read(SOUND, Map.of("PROXY_LISTEN", "127.0.0.9:7000", "PROXY_NAME", "n9"));
     assertEquals("n9", config.name());
-    assertEquals(7000, config.listen().getPort());
+    assertEquals(7000, config.listenAddress().getPort());
   }
 
   @Test
@@ -187,7 +196,7 @@
             null,
             null),
         new DiscoveryWatcher(
-            first.discovery(),
+            first.discoveryAddress(),
             new EndpointListParser(first.settings()),
             1,
             posted::add,
