--- a/src/main/java/beaconturn/core/AttemptMetrics.java
+++ b/src/main/java/beaconturn/core/AttemptMetrics.java
@@ -30,13 +30,13 @@
     boolean answered = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
     long tookNanos = result.endedAtNanos() - attempt.sentAtNanos();
     boolean late = tookNanos > entry.latencyObjectiveNanos();
-    CacheLookup found = found(result.cacheStatus());
+    CacheLookup lookup = lookup(result.cacheStatus());
     for (RequestMetrics metrics : sinks) {
-      metrics.attemptEnded(attempt.serverId(), answered, found, tookNanos, late);
+      metrics.attemptEnded(attempt.serverId(), answered, lookup, tookNanos, late);
     }
   }
 
-  private static CacheLookup found(CacheStatus status) {
+  private static CacheLookup lookup(CacheStatus status) {
     return switch (status) {
       case HIT -> CacheLookup.HIT;
       case NONE -> CacheLookup.UNKNOWN;
