--- a/src/main/java/beaconturn/core/PolicyActions.java
+++ b/src/main/java/beaconturn/core/PolicyActions.java
@@ -29,7 +29,7 @@
   }
 
   @Override
-  public void refuse(long request, long retryAfter, GiveUpReason why) {
+  public void reject(long request, long retryAfter, GiveUpReason why) {
     RequestTable.Entry entry = context.requests().get(request);
     if (entry != null && !entry.isClosed()) {
       context.requests().close(entry);
@@ -49,7 +49,7 @@
   }
 
   @Override
-  public void timer(long delay, long token) {
+  public void setTimer(long delay, long token) {
     context
         .timers()
         .at(
@@ -58,12 +58,12 @@
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchEndpoints(boolean on) {
     context.discovery().watch(on);
   }
 
   @Override
-  public void fetchList() {
+  public void fetchEndpoints() {
     context.discovery().fetch();
   }
 
@@ -73,12 +73,12 @@
   }
 
   @Override
-  public void tell(int peer, byte[] body) {
+  public void sendToPeer(int peer, byte[] body) {
     LOG.warning("messages between routers are not in use; none sent");
   }
 
   @Override
-  public void closeIdle(long server) {
+  public void closeIdleConnections(long server) {
     context.servers().closeIdle(server);
   }
 
--- a/src/main/java/beaconturn/decision/EndpointWatch.java
+++ b/src/main/java/beaconturn/decision/EndpointWatch.java
@@ -45,14 +45,14 @@
 
   /** Asks for the list and its changes. */
   void subscribe() {
-    actions.watch(true);
+    actions.watchEndpoints(true);
   }
 
   /** The list could not be had; it is asked for again after a pause that grows. Draws. */
   void failed() {
     long pauseNanos = (long) (backoffNanos * (0.5 + random.nextDouble() / 2));
     backoffNanos = Math.min(2 * backoffNanos, LONGEST_PAUSE_NANOS);
-    actions.timer(pauseNanos, TimerToken.resubscribe().encode());
+    actions.setTimer(pauseNanos, TimerToken.resubscribe().encode());
   }
 
   /** A list, or a change of it, was taken over. */
--- a/src/main/java/beaconturn/decision/OriginFetches.java
+++ b/src/main/java/beaconturn/decision/OriginFetches.java
@@ -111,7 +111,7 @@
   /** Holds a request for at most half the time it has left, so that a rejection is still of use. */
   private void hold(RequestState request) {
     request.setQueued(true);
-    actions.timer(halfOfTimeLeftNanos(request), TimerToken.queueTimeout(request.id()).encode());
+    actions.setTimer(halfOfTimeLeftNanos(request), TimerToken.queueTimeout(request.id()).encode());
   }
 
   /** Sends queued requests on as far as the origin's limit allows. */
--- a/src/main/java/beaconturn/decision/RequestCoordinator.java
+++ b/src/main/java/beaconturn/decision/RequestCoordinator.java
@@ -232,7 +232,7 @@
     long lateAfterNanos = rules.hedging.lateAfterNanos(request, fetchesFromOrigin);
     if (rules.hedging.isLateBeforeDue(request, lateAfterNanos)) {
       int attempt = request.attempts().size() - 1;
-      actions.timer(lateAfterNanos, TimerToken.attemptLate(request.id(), attempt).encode());
+      actions.setTimer(lateAfterNanos, TimerToken.attemptLate(request.id(), attempt).encode());
     }
   }
 
@@ -247,7 +247,7 @@
       return;
     }
     if (rules.giveUps.isRejectionSafe(request)) {
-      actions.refuse(request.id(), rules.giveUps.retryAfterNanos(request), reason);
+      actions.reject(request.id(), rules.giveUps.retryAfterNanos(request), reason);
     } else {
       actions.fail(request.id(), reason);
     }
--- a/src/main/java/beaconturn/decision/RoutingActions.java
+++ b/src/main/java/beaconturn/decision/RoutingActions.java
@@ -14,28 +14,28 @@
   /**
    * Final answer: rejected, and safe to try again after {@code retryAfterNanos} (0 for no advice).
    */
-  void refuse(long requestId, long retryAfterNanos, GiveUpReason reason);
+  void reject(long requestId, long retryAfterNanos, GiveUpReason reason);
 
   /** Final answer: failed, with nothing promised. */
   void fail(long requestId, GiveUpReason reason);
 
   /** Asks for a {@link RoutingEvent.TimerFired} that brings the token back. */
-  void timer(long delayNanos, long token);
+  void setTimer(long delayNanos, long token);
 
   /** Subscribes to the endpoint list and its changes, or unsubscribes. */
-  void watch(boolean on);
+  void watchEndpoints(boolean on);
 
   /** Asks once for the whole endpoint list. */
-  void fetchList();
+  void fetchEndpoints();
 
   /** Sends a health check to a server. */
   void probe(long serverId);
 
   /** Sends bytes to one peer router, or to all of them with -1. */
-  void tell(int peer, byte[] body);
+  void sendToPeer(int peer, byte[] body);
 
   /** Closes the idle connections to a server. */
-  void closeIdle(long serverId);
+  void closeIdleConnections(long serverId);
 
   /** Adds a line to the operator's log. */
   void log(String text);
--- a/src/main/java/beaconturn/sim/ActionWriter.java
+++ b/src/main/java/beaconturn/sim/ActionWriter.java
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfterNanos, GiveUpReason reason) {
+    public void reject(long requestId, long retryAfterNanos, GiveUpReason reason) {
       start(ActionCode.REJECT, REQUEST_BYTES + TIME_BYTES)
           .putInt((int) requestId)
           .putLong(retryAfterNanos);
@@ -131,17 +131,17 @@
     }
 
     @Override
-    public void timer(long delayNanos, long token) {
+    public void setTimer(long delayNanos, long token) {
       start(ActionCode.SET_TIMER, TIME_BYTES + TOKEN_BYTES).putLong(delayNanos).putLong(token);
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpoints(boolean on) {
       start(ActionCode.WATCH_ENDPOINTS, 1).put((byte) (on ? 1 : 0));
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
       start(ActionCode.FETCH_ENDPOINTS, 0);
     }
 
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
+    public void sendToPeer(int peer, byte[] body) {
       start(ActionCode.PEER_MESSAGE, PEER_BYTES + LENGTH_BYTES + body.length)
           .putShort((short) (peer < 0 ? EVERY_PEER : peer))
           .putShort((short) body.length)
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public void closeIdle(long serverId) {
+    public void closeIdleConnections(long serverId) {
       start(ActionCode.CLOSE_IDLE, SERVER_BYTES);
       WireFields.putServerId(out, serverId);
     }
--- a/src/test/java/beaconturn/core/RoutingEngineTest.java
+++ b/src/test/java/beaconturn/core/RoutingEngineTest.java
@@ -200,7 +200,7 @@
           if (e instanceof RoutingEvent.RequestArrived a) {
             actions.send(a.requestId(), SERVER, 0);
             actions.cancel(a.requestId(), 0);
-            actions.refuse(a.requestId(), 20 * MILLI, GiveUpReason.OVERLOADED);
+            actions.reject(a.requestId(), 20 * MILLI, GiveUpReason.OVERLOADED);
           }
         };
     FakeRequest request = arrive();
@@ -224,7 +224,7 @@
         e -> {
           if (e instanceof RoutingEvent.RequestArrived a) {
             actions.fail(a.requestId(), GiveUpReason.TOO_LATE);
-            actions.refuse(a.requestId(), 0, GiveUpReason.OVERLOADED);
+            actions.reject(a.requestId(), 0, GiveUpReason.OVERLOADED);
             actions.send(a.requestId(), SERVER, 0);
           }
         };
@@ -274,9 +274,9 @@
     policy =
         e -> {
           if (e instanceof RoutingEvent.RequestArrived) {
-            actions.timer(20 * MILLI, 2);
-            actions.timer(10 * MILLI, 1);
-            actions.timer(20 * MILLI, 3);
+            actions.setTimer(20 * MILLI, 2);
+            actions.setTimer(10 * MILLI, 1);
+            actions.setTimer(20 * MILLI, 3);
           }
         };
     arrive();
--- a/src/test/java/beaconturn/decision/Harness.java
+++ b/src/test/java/beaconturn/decision/Harness.java
@@ -329,7 +329,7 @@
   }
 
   @Override
-  public void refuse(long request, long retryAfter, GiveUpReason why) {
+  public void reject(long request, long retryAfter, GiveUpReason why) {
     refused.add(request);
     actions.add("refuse " + request + " " + retryAfter);
   }
@@ -341,7 +341,7 @@
   }
 
   @Override
-  public void timer(long delay, long token) {
+  public void setTimer(long delay, long token) {
     if (delay < 0) {
       throw new IllegalArgumentException("timer in the past");
     }
@@ -350,12 +350,12 @@
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchEndpoints(boolean on) {
     actions.add("watch " + on);
   }
 
   @Override
-  public void fetchList() {
+  public void fetchEndpoints() {
     actions.add("fetch list");
   }
 
@@ -365,12 +365,12 @@
   }
 
   @Override
-  public void tell(int peer, byte[] body) {
+  public void sendToPeer(int peer, byte[] body) {
     actions.add("tell " + peer);
   }
 
   @Override
-  public void closeIdle(long server) {
+  public void closeIdleConnections(long server) {
     actions.add("close " + server);
   }
 
--- a/src/test/java/beaconturn/decision/SeededTraffic.java
+++ b/src/test/java/beaconturn/decision/SeededTraffic.java
@@ -404,7 +404,7 @@
     }
 
     @Override
-    public void refuse(long request, long retryAfter, GiveUpReason why) {
+    public void reject(long request, long retryAfter, GiveUpReason why) {
       record("refuse " + why, request + " " + retryAfter);
       over(request);
     }
@@ -422,13 +422,13 @@
     }
 
     @Override
-    public void timer(long delay, long token) {
+    public void setTimer(long delay, long token) {
       record("timer", delay + " " + token);
       after(delay, () -> handle(new RoutingEvent.TimerFired(token)));
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpoints(boolean on) {
       record("watch", Boolean.toString(on));
       boolean fails = chance.nextInt(4) == 0;
       after(
@@ -440,7 +440,7 @@
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
       record("fetch list", "");
     }
 
@@ -450,12 +450,12 @@
     }
 
     @Override
-    public void tell(int peer, byte[] body) {
+    public void sendToPeer(int peer, byte[] body) {
       record("tell", Integer.toString(peer));
     }
 
     @Override
-    public void closeIdle(long server) {
+    public void closeIdleConnections(long server) {
       record("close idle", Long.toString(server));
     }
 
