--- a/src/main/java/beaconturn/agreement/AgreementMember.java
+++ b/src/main/java/beaconturn/agreement/AgreementMember.java
@@ -137,7 +137,7 @@
     RequestPurpose purpose = outstanding;
     outstanding = null;
     if (!(response instanceof StoreResponse.Success success)) {
-      handleFailure(nowNanos, purpose, ((StoreResponse.Failed) response).reason());
+      handleFailure(nowNanos, purpose, ((StoreResponse.RequestFailed) response).reason());
       return;
     }
     String fault = StoreContinuity.faultOf(success, follower.persisted());
--- a/src/main/java/beaconturn/agreement/ConfigAdmin.java
+++ b/src/main/java/beaconturn/agreement/ConfigAdmin.java
@@ -44,7 +44,7 @@
       return success;
     }
     throw new AgreementException(
-        "the store does not answer: " + ((StoreResponse.Failed) response).reason());
+        "the store does not answer: " + ((StoreResponse.RequestFailed) response).reason());
   }
 
   private AgreementSnapshot readSnapshot() throws AgreementException {
@@ -69,7 +69,7 @@
   }
 
   private static String reasonNotBegun(StoreResponse response) {
-    return response instanceof StoreResponse.Failed failed
+    return response instanceof StoreResponse.RequestFailed failed
         ? failed.reason()
         : "the store holds other things there";
   }
@@ -94,7 +94,7 @@
     ConfigVersion proposed = ConfigVersion.of(number, content, author, reason, atMillis);
     if (history().stream().noneMatch(entry -> entry.version().isSameAs(proposed))) {
       throw new AgreementException(
-          response instanceof StoreResponse.Failed failed
+          response instanceof StoreResponse.RequestFailed failed
               ? "not proposed: " + failed.reason()
               : "not proposed: somebody else was faster");
     }
--- a/src/main/java/beaconturn/agreement/StoreResponse.java
+++ b/src/main/java/beaconturn/agreement/StoreResponse.java
@@ -24,7 +24,7 @@
       implements StoreResponse {}
 
   /** No answer, or one that cannot be used; a transaction may or may not have come about. */
-  record Failed(String reason) implements StoreResponse {}
+  record RequestFailed(String reason) implements StoreResponse {}
 
   /**
    * A key and its value.
--- a/src/main/java/beaconturn/cli/ReleaseRunner.java
+++ b/src/main/java/beaconturn/cli/ReleaseRunner.java
@@ -42,7 +42,7 @@
   private static final long CALL_TIMEOUT_NANOS = 5_000_000_000L;
 
   /** What orders work with while the store is connected. */
-  private record Session(
+  private record ReleaseSession(
       RolloutAdmin rollouts,
       DisruptionPermitAdmin permits,
       ConfigAdmin agreement,
@@ -70,17 +70,17 @@
     }
   }
 
-  private Session session(String fleet, CoordinationStore store) {
+  private ReleaseSession session(String fleet, CoordinationStore store) {
     RolloutKeys keys = new RolloutKeys(fleet);
     ConfigAdmin agreement = new ConfigAdmin(new AgreementKeys(fleet), store);
-    return new Session(
+    return new ReleaseSession(
         new RolloutAdmin(keys, store, author, AgentRunner::now),
         new DisruptionPermitAdmin(keys, store, author, AgentRunner::now),
         agreement,
         new ObservedUnavailability(agreement, new ZonesKeys(fleet), store));
   }
 
-  private int carryOut(String order, String argument, Session session)
+  private int carryOut(String order, String argument, ReleaseSession session)
       throws ConfigException, AgreementException, InterruptedException {
     switch (order) {
       case "plan" -> plan(argument, session);
@@ -101,7 +101,7 @@
   }
 
   /** Orders that change a release or a permit, and print what was done. */
-  private int change(String order, String argument, Session session)
+  private int change(String order, String argument, ReleaseSession session)
       throws ConfigException, AgreementException {
     RolloutAdmin rollouts = session.rollouts();
     String done =
@@ -132,21 +132,22 @@
   }
 
   /** Tells what a release would do, before it is started. */
-  private void plan(String file, Session session) throws ConfigException, AgreementException {
+  private void plan(String file, ReleaseSession session)
+      throws ConfigException, AgreementException {
     RolloutSnapshot snapshot = session.rollouts().snapshot();
     RolloutPlan plan = readPlan(file, snapshot);
     new ReleasePlanPrinter(plan)
         .print(snapshot, session.observed().read(plan.kind(), snapshot.fleet()).reasons());
   }
 
-  private int drain(String server, Session session)
+  private int drain(String server, ReleaseSession session)
       throws AgreementException, InterruptedException {
     RolloutSnapshot snapshot = session.rollouts().snapshot();
     return cacheDrain(session)
         .drain(server, session.observed().read(InstanceKind.CACHE, snapshot.fleet()));
   }
 
-  private CacheDrain cacheDrain(Session session) {
+  private CacheDrain cacheDrain(ReleaseSession session) {
     return new CacheDrain(session.agreement(), session.permits(), author, reason, waitSeconds);
   }
 
--- a/src/main/java/beaconturn/core/AttemptMetrics.java
+++ b/src/main/java/beaconturn/core/AttemptMetrics.java
@@ -22,7 +22,8 @@
     }
   }
 
-  void attemptEnded(RequestTable.Entry entry, OutboundAttempt attempt, AttemptResult result) {
+  void attemptEnded(
+      RequestTable.RequestEntry entry, OutboundAttempt attempt, AttemptResult result) {
     if (sinks.isEmpty()) {
       return;
     }
--- a/src/main/java/beaconturn/core/AttemptRunner.java
+++ b/src/main/java/beaconturn/core/AttemptRunner.java
@@ -24,7 +24,7 @@
    * @param timeoutNanos how long the attempt may take; 0 for all that its client waits
    */
   void send(HostedPolicy policy, long requestId, long serverId, long timeoutNanos) {
-    RequestTable.Entry entry = context.requests().get(requestId);
+    RequestTable.RequestEntry entry = context.requests().get(requestId);
     int maxAttempts = policy.settings().permissions().maxAttempts();
     if (entry == null || entry.isClosed() || entry.attempts().size() >= maxAttempts) {
       LOG.warning("send for request " + requestId + ", which may not have it: not sent");
@@ -45,7 +45,7 @@
   }
 
   private void enqueueNotSent(
-      HostedPolicy policy, long requestId, long serverId, RequestTable.Entry entry) {
+      HostedPolicy policy, long requestId, long serverId, RequestTable.RequestEntry entry) {
     int attemptNumber = entry == null ? 0 : entry.attempts().size();
     boolean closed = entry == null || entry.isClosed();
     context
@@ -74,7 +74,7 @@
 
   /** Cancels one attempt of a request; without effect if it is over. */
   void cancel(HostedPolicy policy, long requestId, int attemptNumber) {
-    RequestTable.Entry entry = context.requests().get(requestId);
+    RequestTable.RequestEntry entry = context.requests().get(requestId);
     if (entry == null || attemptNumber >= entry.attempts().size()) {
       return;
     }
@@ -91,7 +91,7 @@
   private void endWhileDeciding(
       HostedPolicy policy,
       OutboundAttempt attempt,
-      RequestTable.Entry entry,
+      RequestTable.RequestEntry entry,
       AttemptOutcome outcome) {
     attempt.end(outcome);
     context.requests().attemptEnded(entry);
@@ -116,7 +116,7 @@
    */
   void streamingBegan(RoutingMessage.StreamingBegan began) {
     OutboundAttempt attempt = began.attempt();
-    RequestTable.Entry entry = context.requests().get(attempt.requestId());
+    RequestTable.RequestEntry entry = context.requests().get(attempt.requestId());
     if (attempt.isOver() || entry.isClosed() || entry.streamingAttempt() != null) {
       began.response().cancel();
       return;
@@ -144,7 +144,7 @@
     if (result.outcome() == AttemptOutcome.TIMEOUT) {
       context.servers().abort(attempt);
     }
-    RequestTable.Entry entry = context.requests().get(attempt.requestId());
+    RequestTable.RequestEntry entry = context.requests().get(attempt.requestId());
     context.metrics().attemptEnded(entry, attempt, result);
     if (result.outcome() == AttemptOutcome.OK && !entry.isClosed()) {
       context.requests().close(entry);
--- a/src/main/java/beaconturn/core/PolicyActions.java
+++ b/src/main/java/beaconturn/core/PolicyActions.java
@@ -30,7 +30,7 @@
 
   @Override
   public void reject(long request, long retryAfter, GiveUpReason why) {
-    RequestTable.Entry entry = context.requests().get(request);
+    RequestTable.RequestEntry entry = context.requests().get(request);
     if (entry != null && !entry.isClosed()) {
       context.requests().close(entry);
       entry.request().rejected(retryAfter);
@@ -40,7 +40,7 @@
 
   @Override
   public void fail(long request, GiveUpReason why) {
-    RequestTable.Entry entry = context.requests().get(request);
+    RequestTable.RequestEntry entry = context.requests().get(request);
     if (entry != null && !entry.isClosed()) {
       context.requests().close(entry);
       entry.request().failed();
--- a/src/main/java/beaconturn/core/RequestEventLog.java
+++ b/src/main/java/beaconturn/core/RequestEventLog.java
@@ -28,19 +28,19 @@
       new RateLimitedLog(LOG, BURST_LINES, LINES_PER_SECOND);
 
   /** Notes that a request was rejected. */
-  void rejected(RequestTable.Entry entry, GiveUpReason reason, long nowNanos) {
+  void rejected(RequestTable.RequestEntry entry, GiveUpReason reason, long nowNanos) {
     rejections.note(nowNanos);
     rejectedLines.log(nowNanos, () -> line(entry, "refused", reason));
   }
 
   /** Notes that a request was answered as failed. */
-  void failed(RequestTable.Entry entry, GiveUpReason reason, long nowNanos) {
+  void failed(RequestTable.RequestEntry entry, GiveUpReason reason, long nowNanos) {
     failures.note(nowNanos);
     failedLines.log(nowNanos, () -> line(entry, "failed", reason));
   }
 
   /** Notes a further attempt, beside one that is out or after one that ended. */
-  void retried(RequestTable.Entry entry, Supplier<String> serverName, long nowNanos) {
+  void retried(RequestTable.RequestEntry entry, Supplier<String> serverName, long nowNanos) {
     retriedLines.log(
         nowNanos,
         () ->
@@ -60,7 +60,7 @@
     failures.check(nowNanos);
   }
 
-  private static String line(RequestTable.Entry entry, String ending, GiveUpReason reason) {
+  private static String line(RequestTable.RequestEntry entry, String ending, GiveUpReason reason) {
     return "request "
         + entry.request().id()
         + " is "
@@ -71,7 +71,7 @@
         + attemptOutcomes(entry);
   }
 
-  private static String attemptOutcomes(RequestTable.Entry entry) {
+  private static String attemptOutcomes(RequestTable.RequestEntry entry) {
     return entry.attempts().stream()
         .map(a -> a.outcome() == null ? "out" : a.outcome().toString())
         .collect(Collectors.joining(" ", "[", "]"));
--- a/src/main/java/beaconturn/core/RequestTable.java
+++ b/src/main/java/beaconturn/core/RequestTable.java
@@ -12,12 +12,12 @@
  * only.
  */
 final class RequestTable {
-  private final Map<Long, Entry> entriesById = new HashMap<>();
-  private final Map<ClientRequest, Entry> unanswered = new IdentityHashMap<>();
+  private final Map<Long, RequestEntry> entriesById = new HashMap<>();
+  private final Map<ClientRequest, RequestEntry> unanswered = new IdentityHashMap<>();
   private long lastId;
 
   /** One request and its attempts, in the order of their sending. */
-  static final class Entry {
+  static final class RequestEntry {
     private final long id;
     private final ClientRequest request;
     private final HostedPolicy policy;
@@ -27,7 +27,7 @@
     private OutboundAttempt streamingAttempt;
     private int attemptsOut;
 
-    private Entry(long id, ClientRequest request, HostedPolicy policy) {
+    private RequestEntry(long id, ClientRequest request, HostedPolicy policy) {
       this.id = id;
       this.request = request;
       this.policy = policy;
@@ -75,8 +75,9 @@
   }
 
   /** Adds a request; {@code timer} makes the one that ends it if nothing else does. */
-  Entry add(ClientRequest request, HostedPolicy policy, Function<Entry, TimerQueue.Timer> timer) {
-    Entry entry = new Entry(++lastId, request, policy);
+  RequestEntry add(
+      ClientRequest request, HostedPolicy policy, Function<RequestEntry, TimerQueue.Timer> timer) {
+    RequestEntry entry = new RequestEntry(++lastId, request, policy);
     entry.overdue = timer.apply(entry);
     entriesById.put(entry.id, entry);
     unanswered.put(request, entry);
@@ -84,12 +85,12 @@
   }
 
   /** The request of that number, or null once it is over. */
-  Entry get(long id) {
+  RequestEntry get(long id) {
     return entriesById.get(id);
   }
 
   /** The entry of a request that still waits, or null. */
-  Entry of(ClientRequest request) {
+  RequestEntry of(ClientRequest request) {
     return unanswered.get(request);
   }
 
@@ -99,12 +100,12 @@
   }
 
   /** The requests that have no answer yet, as of now. */
-  List<Entry> open() {
+  List<RequestEntry> open() {
     return List.copyOf(unanswered.values());
   }
 
   /** Begins the request's next attempt, which may be out for so long. */
-  OutboundAttempt addAttempt(Entry entry, long serverId, long nowNanos, long allowedNanos) {
+  OutboundAttempt addAttempt(RequestEntry entry, long serverId, long nowNanos, long allowedNanos) {
     OutboundAttempt attempt =
         new OutboundAttempt(
             entry.id, entry.attempts.size(), serverId, entry.request, nowNanos, allowedNanos);
@@ -114,7 +115,7 @@
   }
 
   /** Notes that the request has its answer, or that nobody waits for one. */
-  void close(Entry entry) {
+  void close(RequestEntry entry) {
     entry.closed = true;
     entry.overdue.cancel();
     unanswered.remove(entry.request);
@@ -122,12 +123,12 @@
   }
 
   /** Notes that one of the request's attempts has ended. */
-  void attemptEnded(Entry entry) {
+  void attemptEnded(RequestEntry entry) {
     entry.attemptsOut--;
     forgetIfOver(entry);
   }
 
-  private void forgetIfOver(Entry entry) {
+  private void forgetIfOver(RequestEntry entry) {
     if (entry.closed && entry.attemptsOut == 0) {
       entriesById.remove(entry.id);
     }
--- a/src/main/java/beaconturn/core/RoutingEngine.java
+++ b/src/main/java/beaconturn/core/RoutingEngine.java
@@ -132,7 +132,7 @@
 
   private void stop() {
     stopping = true;
-    for (RequestTable.Entry open : context.requests().open()) {
+    for (RequestTable.RequestEntry open : context.requests().open()) {
       open.request().failed();
       withdraw(open);
     }
@@ -149,7 +149,7 @@
     }
     long lastAnswerNanos =
         request.deadlineNanos() + policy.settings().safetyLimits().answerSlackNanos();
-    RequestTable.Entry entry =
+    RequestTable.RequestEntry entry =
         context
             .requests()
             .add(
@@ -159,7 +159,8 @@
     deliver(policy, arrivalOf(entry, now));
   }
 
-  private static RoutingEvent.RequestArrived arrivalOf(RequestTable.Entry entry, long nowNanos) {
+  private static RoutingEvent.RequestArrived arrivalOf(
+      RequestTable.RequestEntry entry, long nowNanos) {
     RequestDescription description = entry.request().description();
     return new RoutingEvent.RequestArrived(
         entry.id(),
@@ -177,7 +178,7 @@
    * Guard against a request without an answer, which shows as a client that waits for its whole
    * time: whatever the policy forgets or fails on is answered as failed when its time is over.
    */
-  private void failUnanswered(RequestTable.Entry entry) {
+  private void failUnanswered(RequestTable.RequestEntry entry) {
     if (entry != null && !entry.isClosed()) {
       LOG.warning("request " + entry.request().id() + " had no answer from the module; failed");
       entry.request().failed();
@@ -185,7 +186,7 @@
     }
   }
 
-  private void withdraw(RequestTable.Entry entry) {
+  private void withdraw(RequestTable.RequestEntry entry) {
     if (entry != null && !entry.isClosed()) {
       context.requests().close(entry);
       deliver(entry.policy(), new RoutingEvent.RequestCancelled(entry.id()));
--- a/src/main/java/beaconturn/decision/RequestCoordinator.java
+++ b/src/main/java/beaconturn/decision/RequestCoordinator.java
@@ -115,10 +115,10 @@
     if (request == null || request.isDone()) {
       return;
     }
-    if (timer.kind() == TimerToken.Kind.ATTEMPT_LATE
+    if (timer.kind() == TimerToken.TimerKind.ATTEMPT_LATE
         && timer.attempt() < request.attempts().size()) {
       attemptLate(request, request.attempts().get(timer.attempt()));
-    } else if (timer.kind() == TimerToken.Kind.QUEUE_TIMEOUT
+    } else if (timer.kind() == TimerToken.TimerKind.QUEUE_TIMEOUT
         && request.isQueued()
         && !request.hasOpenAttempt()) {
       giveUp(request, GiveUpReason.QUEUE_TIMEOUT);
--- a/src/main/java/beaconturn/decision/RingRouter.java
+++ b/src/main/java/beaconturn/decision/RingRouter.java
@@ -73,7 +73,7 @@
   }
 
   private void timerFired(TimerToken timer) {
-    if (timer.kind() == TimerToken.Kind.RESUBSCRIBE) {
+    if (timer.kind() == TimerToken.TimerKind.RESUBSCRIBE) {
       rules.watch.subscribe();
     } else {
       coordinator.timerFired(timer);
--- a/src/main/java/beaconturn/decision/ConnectionState.java
+++ b/src/main/java/beaconturn/decision/ServerConnectivity.java
@@ -1,14 +1,14 @@
 package beaconturn.decision;
 
 /** What is known of the connections to one server. */
-final class ConnectionState {
+final class ServerConnectivity {
   private long openUntilNanos;
 
   /** 0 for never. */
   private long failedAtNanos;
 
   /** Takes over all that another router has found. */
-  void copyFrom(ConnectionState other) {
+  void copyFrom(ServerConnectivity other) {
     openUntilNanos = other.openUntilNanos;
     failedAtNanos = other.failedAtNanos;
   }
--- a/src/main/java/beaconturn/decision/ServerState.java
+++ b/src/main/java/beaconturn/decision/ServerState.java
@@ -9,7 +9,7 @@
   private final TokenBucket slowStartBudget;
   private final ServerLoad load = new ServerLoad();
   private final OutlierState outlier = new OutlierState();
-  private final ConnectionState connection = new ConnectionState();
+  private final ServerConnectivity connection = new ServerConnectivity();
   private final LoadReport loadReport = new LoadReport();
   private int zone;
   private int cell;
@@ -235,7 +235,7 @@
     return outlier;
   }
 
-  ConnectionState connection() {
+  ServerConnectivity connection() {
     return connection;
   }
 
--- a/src/main/java/beaconturn/decision/TimerToken.java
+++ b/src/main/java/beaconturn/decision/TimerToken.java
@@ -8,7 +8,7 @@
  * @param requestId the request; 0 for timers of the router itself
  * @param attempt the number of the attempt; 0 for timers of the whole request
  */
-record TimerToken(Kind kind, long requestId, int attempt) {
+record TimerToken(TimerKind kind, long requestId, int attempt) {
   private static final int KIND_BITS = 2;
   private static final int ATTEMPT_BITS = 6;
   private static final int REQUEST_SHIFT = KIND_BITS + ATTEMPT_BITS;
@@ -16,7 +16,7 @@
   private static final long ATTEMPT_MASK = (1 << ATTEMPT_BITS) - 1;
 
   /** What is due when a timer fires. */
-  enum Kind {
+  enum TimerKind {
     /** The attempt counts as late, if it is still open. */
     ATTEMPT_LATE(0),
     /** The request has been queued as long as it may. */
@@ -28,11 +28,11 @@
 
     private final int code;
 
-    Kind(int code) {
+    TimerKind(int code) {
       this.code = code;
     }
 
-    private static Kind of(int code) {
+    private static TimerKind of(int code) {
       return switch (code) {
         case 0 -> ATTEMPT_LATE;
         case 1 -> QUEUE_TIMEOUT;
@@ -43,15 +43,15 @@
   }
 
   static TimerToken attemptLate(long requestId, int attempt) {
-    return new TimerToken(Kind.ATTEMPT_LATE, requestId, attempt);
+    return new TimerToken(TimerKind.ATTEMPT_LATE, requestId, attempt);
   }
 
   static TimerToken queueTimeout(long requestId) {
-    return new TimerToken(Kind.QUEUE_TIMEOUT, requestId, 0);
+    return new TimerToken(TimerKind.QUEUE_TIMEOUT, requestId, 0);
   }
 
   static TimerToken resubscribe() {
-    return new TimerToken(Kind.RESUBSCRIBE, 0, 0);
+    return new TimerToken(TimerKind.RESUBSCRIBE, 0, 0);
   }
 
   long encode() {
@@ -60,7 +60,7 @@
 
   static TimerToken decode(long token) {
     return new TimerToken(
-        Kind.of((int) (token & KIND_MASK)),
+        TimerKind.of((int) (token & KIND_MASK)),
         token >>> REQUEST_SHIFT,
         (int) (token >>> KIND_BITS & ATTEMPT_MASK));
   }
--- a/src/main/java/beaconturn/history/OneZonePlan.java
+++ b/src/main/java/beaconturn/history/OneZonePlan.java
@@ -39,7 +39,7 @@
   }
 
   @Override
-  void evaluate(HistoryIndex history, ZoneBounds bounds, ZoneTraffic traffic) {
+  void evaluate(HistoryIndex history, ZoneBounds bounds, ZoneSendHistory traffic) {
     List<String> zones = bounds.routerZones().stream().distinct().toList();
     for (HistoryEvent.AttemptArrived attempt : traffic.firstAttempts()) {
       String home = bounds.routerZones().get(attempt.router());
--- a/src/main/java/beaconturn/history/TrafficStaysInZone.java
+++ b/src/main/java/beaconturn/history/TrafficStaysInZone.java
@@ -30,7 +30,7 @@
   }
 
   @Override
-  void evaluate(HistoryIndex history, ZoneBounds bounds, ZoneTraffic traffic) {
+  void evaluate(HistoryIndex history, ZoneBounds bounds, ZoneSendHistory traffic) {
     List<HistoryEvent.AttemptArrived> attempts = traffic.firstAttempts();
     Set<Long> highDemand = beginsOfHighDemand(bounds, traffic, attempts);
     SortedMap<Long, RemoteShare> windows = new TreeMap<>();
@@ -71,7 +71,7 @@
 
   /** Begins of windows in which a zone has more demand than it carries by a good part. */
   private static Set<Long> beginsOfHighDemand(
-      ZoneBounds bounds, ZoneTraffic traffic, List<HistoryEvent.AttemptArrived> attempts) {
+      ZoneBounds bounds, ZoneSendHistory traffic, List<HistoryEvent.AttemptArrived> attempts) {
     Map<DemandWindow, Long> demand = new HashMap<>();
     Set<Long> begins = new TreeSet<>();
     for (HistoryEvent.AttemptArrived attempt : attempts) {
--- a/src/main/java/beaconturn/history/ZoneCrossings.java
+++ b/src/main/java/beaconturn/history/ZoneCrossings.java
@@ -32,7 +32,7 @@
   private static final long NO_PLAN = -1;
 
   /** AttemptCounts of first attempts that left their zone. */
-  private static final class AttemptCounts {
+  private static final class FirstSendCounts {
     private final RemoteShare all = new RemoteShare();
     private final RemoteShare beforeFaults = new RemoteShare();
     private final SortedMap<String, SortedMap<Long, RemoteShare>> bySecond = new TreeMap<>();
@@ -63,9 +63,9 @@
   /** The figures of a history whose bounds have zones. */
   public static ZoneCrossings of(InvariantBounds bounds, List<HistoryEvent> events) {
     HistoryIndex history = new HistoryIndex(bounds, events);
-    ZoneTraffic traffic = new ZoneTraffic(history);
+    ZoneSendHistory traffic = new ZoneSendHistory(history);
     long firstFaultNanos = firstFaultNanos(history);
-    AttemptCounts counts = new AttemptCounts();
+    FirstSendCounts counts = new FirstSendCounts();
     for (HistoryEvent.AttemptArrived attempt : traffic.firstAttempts()) {
       String home = bounds.zones().routerZones().get(attempt.router());
       boolean remote = !home.equals(traffic.zoneOf(attempt.server()));
@@ -90,7 +90,7 @@
     return faults.isEmpty() ? Long.MAX_VALUE : faults.get(0).atNanos();
   }
 
-  private static SortedMap<String, Double> peakLoads(ZoneTraffic traffic) {
+  private static SortedMap<String, Double> peakLoads(ZoneSendHistory traffic) {
     SortedMap<String, Double> peaks = new TreeMap<>();
     traffic
         .loadBySecond()
--- a/src/main/java/beaconturn/history/ZoneInvariant.java
+++ b/src/main/java/beaconturn/history/ZoneInvariant.java
@@ -10,10 +10,10 @@
   final void evaluate(HistoryIndex history) {
     ZoneBounds bounds = history.bounds().zones();
     if (bounds != null && bounds.planned()) {
-      evaluate(history, bounds, new ZoneTraffic(history));
+      evaluate(history, bounds, new ZoneSendHistory(history));
     }
   }
 
   /** Goes through the history. */
-  abstract void evaluate(HistoryIndex history, ZoneBounds bounds, ZoneTraffic traffic);
+  abstract void evaluate(HistoryIndex history, ZoneBounds bounds, ZoneSendHistory traffic);
 }
--- a/src/main/java/beaconturn/history/ZoneLoadLimit.java
+++ b/src/main/java/beaconturn/history/ZoneLoadLimit.java
@@ -10,7 +10,7 @@
   }
 
   @Override
-  void evaluate(HistoryIndex history, ZoneBounds bounds, ZoneTraffic traffic) {
+  void evaluate(HistoryIndex history, ZoneBounds bounds, ZoneSendHistory traffic) {
     traffic
         .loadBySecond()
         .forEach(
--- a/src/main/java/beaconturn/history/ZoneTraffic.java
+++ b/src/main/java/beaconturn/history/ZoneSendHistory.java
@@ -11,14 +11,14 @@
 import java.util.TreeMap;
 
 /** Traffic of a history by zone. */
-final class ZoneTraffic {
+final class ZoneSendHistory {
   private static final long NANOS_PER_SECOND = 1_000_000_000;
   private final HistoryIndex history;
 
   /** Zone of each cache server. */
   private final Map<String, String> serverZones = new HashMap<>();
 
-  ZoneTraffic(HistoryIndex history) {
+  ZoneSendHistory(HistoryIndex history) {
     this.history = history;
     for (HistoryEvent.CacheServerStarted start :
         history.events(HistoryEvent.CacheServerStarted.class)) {
--- a/src/main/java/beaconturn/net/agreement/StoreClient.java
+++ b/src/main/java/beaconturn/net/agreement/StoreClient.java
@@ -56,7 +56,7 @@
   private StoreResponse failed(String reason) {
     close();
     member = (member + 1) % members.size();
-    return new StoreResponse.Failed(reason);
+    return new StoreResponse.RequestFailed(reason);
   }
 
   /** Ends the connection. */
--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -654,7 +654,7 @@
     long offset = clock.now() - System.nanoTime();
     AgreementKeys keys = new AgreementKeys(FLEET);
     String release = FLEET + "/release/";
-    for (StoreProcess.Change change : store.news()) {
+    for (StoreProcess.StoreChange change : store.news()) {
       long at = change.nanoTime() + offset;
       if (change.key().equals(release + "driver")) {
         driver = change.value() == null ? "" : change.value();
--- a/src/main/java/beaconturn/rehearsal/fleet/StoreProcess.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/StoreProcess.java
@@ -26,7 +26,7 @@
   private long read;
 
   /** A change of the store: when, by the monotonic time that all processes of a machine share. */
-  public record Change(long nanoTime, long revision, String key, String value) {}
+  public record StoreChange(long nanoTime, long revision, String key, String value) {}
 
   /** Starts it with the command line given; its changes go to the file. */
   public StoreProcess(List<String> command, Path log) throws IOException {
@@ -59,8 +59,8 @@
   /**
    * The changes since the last call, in their order; of a line that is still being written later.
    */
-  public synchronized List<Change> news() throws IOException {
-    List<Change> all = new ArrayList<>();
+  public synchronized List<StoreChange> news() throws IOException {
+    List<StoreChange> all = new ArrayList<>();
     try (RandomAccessFile file = new RandomAccessFile(log.toFile(), "r")) {
       byte[] bytes = new byte[(int) (file.length() - read)];
       file.seek(read);
@@ -73,7 +73,7 @@
       for (String line : new String(bytes, 0, end, StandardCharsets.UTF_8).lines().toList()) {
         String[] parts = line.split(" ", PARTS);
         all.add(
-            new Change(
+            new StoreChange(
                 Long.parseLong(parts[0]),
                 Long.parseLong(parts[1]),
                 parts[2],
--- a/src/main/java/beaconturn/release/InstanceLoad.java
+++ b/src/main/java/beaconturn/release/InstanceLoad.java
@@ -51,7 +51,8 @@
             .filter(id -> !unavailable.contains(id) && !id.equals(instanceId))
             .count();
     long remaining = inService - required.toleratedFailures();
-    ZoneCapacity capacity = new ZoneCapacity(zone, instanceIds, remaining, required, snapshot);
+    RolloutZoneCapacity capacity =
+        new RolloutZoneCapacity(zone, instanceIds, remaining, required, snapshot);
     if (required.answersPerSecondEach() > 0) {
       double answersPerSecond = answersPerSecond(snapshot, instanceIds, nowNanos);
       String objection =
@@ -97,7 +98,7 @@
       if (out > 0) {
         int remaining = instanceIds.size() - out - required.toleratedFailures();
         String objection =
-            new ZoneCapacity(zone.getKey(), instanceIds, remaining, required, snapshot)
+            new RolloutZoneCapacity(zone.getKey(), instanceIds, remaining, required, snapshot)
                 .gaugesObjection();
         if (objection != null) {
           return objection;
--- a/src/main/java/beaconturn/release/ZoneCapacity.java
+++ b/src/main/java/beaconturn/release/RolloutZoneCapacity.java
@@ -12,7 +12,7 @@
  * @param required load that has to be carried
  * @param snapshot metrics of the instances
  */
-record ZoneCapacity(
+record RolloutZoneCapacity(
     String zone,
     List<String> instanceIds,
     long remaining,
--- a/src/main/java/beaconturn/standin/net/StoreSession.java
+++ b/src/main/java/beaconturn/standin/net/StoreSession.java
@@ -132,15 +132,15 @@
               StoreModel.Result.valueOf(c.get("result").word("EQUAL")),
               whole(c.get(field))));
     }
-    List<StoreModel.Change> changes = new ArrayList<>();
+    List<StoreModel.ModelChange> changes = new ArrayList<>();
     for (Json op : asked.get("success").items()) {
       Json put = op.get("request_put");
       Json delete = op.get("request_delete_range");
       changes.add(
           put instanceof Json.Members
-              ? new StoreModel.Change(
+              ? new StoreModel.ModelChange(
                   key(put.get("key")), "", key(put.get("value")), whole(put.get("lease")))
-              : new StoreModel.Change(
+              : new StoreModel.ModelChange(
                   key(delete.get("key")), key(delete.get("range_end")), null, 0));
     }
     return model.swap(conditions, changes)
--- a/src/main/java/beaconturn/standin/store/StoreModel.java
+++ b/src/main/java/beaconturn/standin/store/StoreModel.java
@@ -65,7 +65,7 @@
   }
 
   /** A change: a value put, or with null the key, or all up to {@code end}, deleted. */
-  public record Change(String key, String end, String value, long lease) {}
+  public record ModelChange(String key, String end, String value, long lease) {}
 
   /** A revision, and what stood at the keys that it changed; null where nothing did. */
   private record Undo(long revision, Map<String, Pair> was) {}
@@ -108,7 +108,7 @@
   }
 
   /** Makes all changes, as one revision, if all conditions hold; whether they did. */
-  public boolean swap(List<Compare> conditions, List<Change> changes) {
+  public boolean swap(List<Compare> conditions, List<ModelChange> changes) {
     if (!conditions.stream().allMatch(this::holds)) {
       return false;
     }
@@ -119,13 +119,13 @@
     return true;
   }
 
-  private void change(List<Change> changes) {
+  private void change(List<ModelChange> changes) {
     if (changes.isEmpty()) {
       return;
     }
     long next = revision + 1;
     Map<String, Pair> was = new HashMap<>();
-    for (Change change : changes) {
+    for (ModelChange change : changes) {
       if (change.value() == null) {
         List<String> gone = new ArrayList<>(part(keys, change.key(), change.end()).keySet());
         gone.forEach(
@@ -216,7 +216,7 @@
       change(
           keys.values().stream()
               .filter(pair -> pair.lease() == id)
-              .map(pair -> new Change(pair.key(), "", null, 0))
+              .map(pair -> new ModelChange(pair.key(), "", null, 0))
               .toList());
     }
   }
--- a/src/main/java/beaconturn/zones/ZoneMember.java
+++ b/src/main/java/beaconturn/zones/ZoneMember.java
@@ -190,7 +190,7 @@
         handleFailure(nowNanos, purpose, e.getMessage());
       }
     } else {
-      handleFailure(nowNanos, purpose, ((StoreResponse.Failed) response).reason());
+      handleFailure(nowNanos, purpose, ((StoreResponse.RequestFailed) response).reason());
     }
     refresh(nowNanos);
   }
--- a/src/test/java/beaconturn/agreement/SimulatedAgreement.java
+++ b/src/test/java/beaconturn/agreement/SimulatedAgreement.java
@@ -115,7 +115,7 @@
                         born,
                         told && !cut && !oneWay
                             ? answer
-                            : new StoreResponse.Failed("no answer in time")));
+                            : new StoreResponse.RequestFailed("no answer in time")));
           });
     }
 
@@ -243,7 +243,7 @@
         call -> {
           StoreResponse answer = serve(call);
           return call instanceof StoreRequest.Transaction && loseNext-- > 0
-              ? new StoreResponse.Failed("lost")
+              ? new StoreResponse.RequestFailed("lost")
               : answer;
         });
   }
--- a/src/test/java/beaconturn/agreement/StoreModelClient.java
+++ b/src/test/java/beaconturn/agreement/StoreModelClient.java
@@ -36,7 +36,7 @@
                 swap.conditions().stream().map(StoreModelClient::compare).toList(),
                 swap.changes().stream().map(StoreModelClient::change).toList());
       } catch (IllegalArgumentException e) {
-        return new StoreResponse.Failed(e.getMessage());
+        return new StoreResponse.RequestFailed(e.getMessage());
       }
     }
     return new StoreResponse.Success(
@@ -61,10 +61,10 @@
         n.storeRevision() + 1);
   }
 
-  private static StoreModel.Change change(StoreRequest.Change c) {
+  private static StoreModel.ModelChange change(StoreRequest.Change c) {
     return c instanceof StoreRequest.Change.Put put
-        ? new StoreModel.Change(put.key(), "", put.value(), put.leaseId())
-        : new StoreModel.Change(((StoreRequest.Change.Delete) c).key(), "", null, 0);
+        ? new StoreModel.ModelChange(put.key(), "", put.value(), put.leaseId())
+        : new StoreModel.ModelChange(((StoreRequest.Change.Delete) c).key(), "", null, 0);
   }
 
   /** Behind all keys that begin so. */
--- a/src/test/java/beaconturn/agreement/TraceText.java
+++ b/src/test/java/beaconturn/agreement/TraceText.java
@@ -65,7 +65,7 @@
           + " "
           + given.leaseTtlSeconds();
     }
-    return response instanceof StoreResponse.Failed failed
+    return response instanceof StoreResponse.RequestFailed failed
         ? "failure " + failed.reason()
         : "nothing";
   }
--- a/src/test/java/beaconturn/net/agreement/StoreClientTest.java
+++ b/src/test/java/beaconturn/net/agreement/StoreClientTest.java
@@ -100,13 +100,13 @@
     given(new StoreRequest.Revoke(lease));
     assertEquals(List.of(), given(new StoreRequest.Read("/f/")).entries());
     assertEquals(0, given(new StoreRequest.KeepAlive(lease)).leaseTtlSeconds());
-    assertInstanceOf(StoreResponse.Failed.class, client.ask(put("/f/x", "", lease)));
+    assertInstanceOf(StoreResponse.RequestFailed.class, client.ask(put("/f/x", "", lease)));
   }
 
   @Test
   void anAnswerThatIsLostIsAFailureAndTheChangeHasComeAbout() {
     front.run("lose 1");
-    assertInstanceOf(StoreResponse.Failed.class, client.ask(put("/f/x", "1", 0)));
+    assertInstanceOf(StoreResponse.RequestFailed.class, client.ask(put("/f/x", "1", 0)));
     assertEquals(1, given(new StoreRequest.Read("/f/")).entries().size());
   }
 
@@ -119,7 +119,8 @@
       List<InetSocketAddress> members = new ArrayList<>(List.of(front.address(), other.address()));
       StoreClient two = new StoreClient(members, SECOND / 5);
       assertEquals(
-          new StoreResponse.Failed("no answer in time"), two.ask(new StoreRequest.Read("/f/")));
+          new StoreResponse.RequestFailed("no answer in time"),
+          two.ask(new StoreRequest.Read("/f/")));
       assertInstanceOf(StoreResponse.Success.class, two.ask(new StoreRequest.Read("/f/")));
       two.close();
     }
@@ -129,7 +130,7 @@
   void aStoreThatIsDownFailsAndComesBackWithWhatItHeld() {
     given(put("/f/x", "1", 0));
     front.run("down");
-    assertInstanceOf(StoreResponse.Failed.class, client.ask(new StoreRequest.Read("/f/")));
+    assertInstanceOf(StoreResponse.RequestFailed.class, client.ask(new StoreRequest.Read("/f/")));
     front.run("up");
     assertEquals(1, given(new StoreRequest.Read("/f/")).entries().size());
     front.run("empty");
--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -177,7 +177,7 @@
               call -> {
                 if (call instanceof StoreRequest.Transaction swap) {
                   caught.add(new RolloutTransaction(swap, ""));
-                  return new StoreResponse.Failed("caught");
+                  return new StoreResponse.RequestFailed("caught");
                 }
                 return store.ask(call);
               },
--- a/src/test/java/beaconturn/standin/StoreModelTest.java
+++ b/src/test/java/beaconturn/standin/StoreModelTest.java
@@ -17,9 +17,9 @@
           (at, revision, key, value) -> told.add(revision + " " + key + "=" + value));
 
   private void put(String... pairs) {
-    List<StoreModel.Change> changes = new ArrayList<>();
+    List<StoreModel.ModelChange> changes = new ArrayList<>();
     for (int i = 0; i < pairs.length; i += 2) {
-      changes.add(new StoreModel.Change(pairs[i], "", pairs[i + 1], 0));
+      changes.add(new StoreModel.ModelChange(pairs[i], "", pairs[i + 1], 0));
     }
     store.swap(List.of(), changes);
   }
@@ -36,7 +36,7 @@
   void itIsPutBackByAsManyRevisionsAsAskedAndIsAnotherStoreThen() {
     put("a", "1", "b", "1");
     put("a", "2");
-    store.swap(List.of(), List.of(new StoreModel.Change("a", "z", null, 0)));
+    store.swap(List.of(), List.of(new StoreModel.ModelChange("a", "z", null, 0)));
     put("c", "1", "c", "2");
     assertEquals("c=2@5", all());
     store.rewind(2);
--- a/src/test/java/beaconturn/zones/SimulatedZones.java
+++ b/src/test/java/beaconturn/zones/SimulatedZones.java
@@ -208,7 +208,7 @@
                         scheduler.now(),
                         answer != null && !cut
                             ? answer
-                            : new StoreResponse.Failed("no answer in time"));
+                            : new StoreResponse.RequestFailed("no answer in time"));
                     step(born);
                   }
                 });
