--- a/src/main/java/beaconturn/agreement/AgreementKeys.java
+++ b/src/main/java/beaconturn/agreement/AgreementKeys.java
@@ -1,7 +1,7 @@
 package beaconturn.agreement;
 
 /**
- * Where things stand in the store, below one prefix for each fleet.
+ * The keys of the agreement in the store, below one prefix for each fleet.
  *
  * <pre>
  * common/identity  which agreement this is; made once
--- a/src/main/java/beaconturn/agreement/AgreementTiming.java
+++ b/src/main/java/beaconturn/agreement/AgreementTiming.java
@@ -13,7 +13,7 @@
   /** Three renewals may fail before a lease ends. */
   private static final int RENEWALS_PER_LEASE = 4;
 
-  /** Of a member: one keeps the lease alive, one reads. */
+  /** Requests of a member in one interval of renewals: one keeps the lease alive, one reads. */
   private static final double REQUESTS_PER_RENEWAL = 2;
 
   /** How often a lease is renewed. */
--- a/src/main/java/beaconturn/agreement/EffectiveConfigRules.java
+++ b/src/main/java/beaconturn/agreement/EffectiveConfigRules.java
@@ -1,14 +1,14 @@
 package beaconturn.agreement;
 
-/** What a member may act on, by what it has persisted and acked. Pure functions. */
+/** Decides what a member may act on, by what it has persisted and acked. Pure functions. */
 final class EffectiveConfigRules {
   private static final String STRICT = "strict ground";
 
   private EffectiveConfigRules() {}
 
   /**
-   * Of a member that does not know which version is in force: nothing is sent twice, and what was
-   * excluded when it last knew is excluded still, whatever came since.
+   * The effective configuration of a member that does not know which version is in force: nothing
+   * is sent twice, and what was excluded when it last knew is excluded still, whatever came since.
    */
   static EffectiveConfig withoutBasis(PersistedConfig persisted, ConfigContent localContent) {
     ConfigContent known = persisted.actingVersion().content().withDefaults(localContent);
@@ -21,8 +21,9 @@
   }
 
   /**
-   * Of a member that acts on a version until its lease ends. From then on an acked version may be
-   * in force instead, so that only what contradicts neither of the two may be acted on.
+   * The effective configuration of a member that acts on a version until its lease ends. From then
+   * on an acked version may be in force instead, so that only what contradicts neither of the two
+   * may be acted on.
    */
   static EffectiveConfig of(PersistedConfig basis, ConfigContent localContent, long leaseEndNanos) {
     ConfigContent acting = basis.actingVersion().content().withDefaults(localContent);
--- a/src/main/java/beaconturn/agreement/EndpointView.java
+++ b/src/main/java/beaconturn/agreement/EndpointView.java
@@ -22,7 +22,7 @@
     unusable = Collections.unmodifiableSortedMap(new TreeMap<>(unusable));
   }
 
-  /** As it stands in the store. */
+  /** The text that stands in the store. */
   public String encode() {
     List<Json> in = new ArrayList<>();
     usable.forEach((name, started) -> in.add(StoredJson.object("id", name, "started", started)));
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Of a text in the store.
+   * Decodes a text of the store.
    *
    * @throws AgreementException if it cannot be read
    */
--- a/src/main/java/beaconturn/agreement/IdempotencyWords.java
+++ b/src/main/java/beaconturn/agreement/IdempotencyWords.java
@@ -17,7 +17,7 @@
     };
   }
 
-  /** Of a word in any case of letters; null for an unknown one. */
+  /** The idempotency that a word stands for, in any case of letters; null for an unknown word. */
   public static ClassIdempotency decode(String word) {
     return switch (word.toUpperCase(Locale.ROOT)) {
       case "SAFE" -> ClassIdempotency.IDEMPOTENT;
--- a/src/main/java/beaconturn/agreement/LastingEjections.java
+++ b/src/main/java/beaconturn/agreement/LastingEjections.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * Which ejections last. Where answers are rare one late answer ejects a cache server until its next
- * trials, some tenths of a second; published to a fleet, that would hold up whatever waits for all
- * to be in service, and take a release back for nothing. For one thread.
+ * Tells which ejections last. Where answers are rare one late answer ejects a cache server until
+ * its next trials, some tenths of a second; published to a fleet, that would hold up whatever waits
+ * for all to be in service, and take a release back for nothing. For one thread.
  */
 public final class LastingEjections {
   private static final long LASTING_NANOS = 1_000_000_000;
--- a/src/main/java/beaconturn/agreement/MemberRecord.java
+++ b/src/main/java/beaconturn/agreement/MemberRecord.java
@@ -38,7 +38,7 @@
   }
 
   /**
-   * Of a text in the store.
+   * Decodes a text of the store.
    *
    * @throws AgreementException if it cannot be read
    */
--- a/src/main/java/beaconturn/agreement/MemberRegistration.java
+++ b/src/main/java/beaconturn/agreement/MemberRegistration.java
@@ -38,7 +38,7 @@
     namesakes = response;
   }
 
-  /** They are to be read again before the next attempt to join. */
+  /** Has the records of this router's name read again before the next attempt to join. */
   void forgetNamesakes() {
     namesakes = null;
   }
--- a/src/main/java/beaconturn/agreement/PersistedConfig.java
+++ b/src/main/java/beaconturn/agreement/PersistedConfig.java
@@ -30,7 +30,7 @@
         agreementId, clusterId, storeRevision, nowJoined, actingVersion, ackedVersion);
   }
 
-  /** As one line of text. */
+  /** Encodes it as one line of text. */
   public String encode() {
     return JsonWriter.write(
         StoredJson.object(
@@ -53,7 +53,7 @@
   }
 
   /**
-   * Of such a line.
+   * Decodes a line that {@link #encode()} has made.
    *
    * @throws AgreementException if it cannot be read, or the digest of a version is wrong
    */
--- a/src/main/java/beaconturn/agreement/SnapshotTracker.java
+++ b/src/main/java/beaconturn/agreement/SnapshotTracker.java
@@ -27,7 +27,7 @@
     return snapshot != null;
   }
 
-  /** Something has changed: it is to be read again. */
+  /** Something has changed: the versions are to be read again. */
   void invalidate() {
     outdated = true;
   }
@@ -46,7 +46,10 @@
     return snapshot == null || isPolled() ? pollAtNanos : Long.MAX_VALUE;
   }
 
-  /** While a step is open, or nothing was begun, a change of others shows by reading alone. */
+  /**
+   * Whether the versions are read again and again: while a step is open, or nothing was begun, only
+   * reading shows what others change.
+   */
   private boolean isPolled() {
     return snapshot.hasOpenStep() || snapshot.agreementId().isEmpty();
   }
--- a/src/main/java/beaconturn/agreement/StepLeader.java
+++ b/src/main/java/beaconturn/agreement/StepLeader.java
@@ -18,7 +18,7 @@
   /** Before then the next round of reads does not begin. */
   private long nextRoundNanos;
 
-  /** Read in this round, or null. */
+  /** The members' records as read in this round, or null. */
   private StoreResponse.Success members;
 
   /** The step that is due, or null. */
--- a/src/main/java/beaconturn/cli/LineHandler.java
+++ b/src/main/java/beaconturn/cli/LineHandler.java
@@ -12,7 +12,7 @@
 
 /**
  * Writes each record as a line, on a thread of its own: whoever reads the log slowly must not hold
- * up the thread that speaks, least of all the module's. What does not fit is counted and said
+ * up the thread that speaks, least of all the routing thread. What does not fit is counted and said
  * later.
  */
 final class LineHandler extends Handler {
--- a/src/main/java/beaconturn/cli/SimHostCommand.java
+++ b/src/main/java/beaconturn/cli/SimHostCommand.java
@@ -5,7 +5,7 @@
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
 
-/** Hosts decision modules for the simulator. */
+/** Hosts routing policies for the simulator. */
 @Parameters(
     commandNames = "simhost",
     commandDescription =
--- a/src/main/java/beaconturn/core/HostedPolicy.java
+++ b/src/main/java/beaconturn/core/HostedPolicy.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 
 /**
- * One decision policy with the settings that it was made for. Once another has replaced it, it goes
+ * One routing policy with the settings that it was made for. Once another has replaced it, it goes
  * on with the requests that it has. Routing thread only.
  */
 final class HostedPolicy {
--- a/src/main/java/beaconturn/core/PolicyActions.java
+++ b/src/main/java/beaconturn/core/PolicyActions.java
@@ -19,41 +19,41 @@
   }
 
   @Override
-  public void send(long request, long server, long allowFor) {
-    attempts.send(policy, request, server, allowFor);
+  public void send(long requestId, long serverId, long timeoutNanos) {
+    attempts.send(policy, requestId, serverId, timeoutNanos);
   }
 
   @Override
-  public void cancel(long request, int attempt) {
-    attempts.cancel(policy, request, attempt);
+  public void cancel(long requestId, int attempt) {
+    attempts.cancel(policy, requestId, attempt);
   }
 
   @Override
-  public void reject(long request, long retryAfter, GiveUpReason why) {
-    RequestTable.Entry entry = context.requests().get(request);
+  public void reject(long requestId, long retryAfterNanos, GiveUpReason reason) {
+    RequestTable.Entry entry = context.requests().get(requestId);
     if (entry != null && !entry.isClosed()) {
       context.requests().close(entry);
-      entry.request().rejected(retryAfter);
-      context.eventLog().rejected(entry, why, context.clock().now());
+      entry.request().rejected(retryAfterNanos);
+      context.eventLog().rejected(entry, reason, context.clock().now());
     }
   }
 
   @Override
-  public void fail(long request, GiveUpReason why) {
-    RequestTable.Entry entry = context.requests().get(request);
+  public void fail(long requestId, GiveUpReason reason) {
+    RequestTable.Entry entry = context.requests().get(requestId);
     if (entry != null && !entry.isClosed()) {
       context.requests().close(entry);
       entry.request().failed();
-      context.eventLog().failed(entry, why, context.clock().now());
+      context.eventLog().failed(entry, reason, context.clock().now());
     }
   }
 
   @Override
-  public void setTimer(long delay, long token) {
+  public void setTimer(long delayNanos, long token) {
     context
         .timers()
         .at(
-            context.clock().now() + delay,
+            context.clock().now() + delayNanos,
             () -> context.dispatcher().deliver(policy, new RoutingEvent.TimerFired(token)));
   }
 
@@ -68,7 +68,7 @@
   }
 
   @Override
-  public void probe(long server) {
+  public void probe(long serverId) {
     LOG.warning("probes are not part of this protocol; none sent");
   }
 
@@ -78,8 +78,8 @@
   }
 
   @Override
-  public void closeIdleConnections(long server) {
-    context.servers().closeIdle(server);
+  public void closeIdleConnections(long serverId) {
+    context.servers().closeIdle(serverId);
   }
 
   @Override
--- a/src/main/java/beaconturn/core/RoutingEngine.java
+++ b/src/main/java/beaconturn/core/RoutingEngine.java
@@ -18,7 +18,7 @@
 import java.util.logging.Logger;
 
 /**
- * The host of the decision policy: messages become its events, its actions reach clients, cache
+ * The host of the routing policy: messages become its events, its actions reach clients, cache
  * servers and discovery. Decides nothing and does no I/O. Routing thread only, but for what the
  * router calls before that thread is started.
  */
--- a/src/main/java/beaconturn/core/RoutingThread.java
+++ b/src/main/java/beaconturn/core/RoutingThread.java
@@ -14,7 +14,9 @@
   private static final int MAILBOX_CAPACITY = 8192;
   private static final long MAX_WAIT_NANOS = 1_000_000_000;
 
-  /** Figures of the cache servers are to be half a second old at most. */
+  /**
+   * How often the observer looks: metrics of the cache servers may be half a second old at most.
+   */
   private static final long OBSERVE_EVERY_NANOS = 200_000_000;
 
   private final Mailbox<RoutingMessage> mailbox = new Mailbox<>(MAILBOX_CAPACITY);
@@ -29,14 +31,17 @@
   private RoutingEngine engine;
   private long observedAtNanos;
 
-  /** A thread whose engine the observer looks at now and then, on that thread; null for never. */
+  /**
+   * A thread whose engine the observer looks at several times a second, on that thread; null for
+   * never.
+   */
   public RoutingThread(Consumer<RoutingEngine> observer) {
     this(observer, null);
   }
 
   /**
-   * One that also looks at something before each step: what the policy may decide by can have ended
-   * while this thread waited or was kept from running; null for nothing.
+   * A thread that also runs an action before each step, as the configuration that the policy may
+   * decide by can have ended while this thread waited or was kept from running; null for none.
    */
   public RoutingThread(Consumer<RoutingEngine> observer, Consumer<RoutingEngine> beforeEachStep) {
     this.observer = observer;
@@ -84,12 +89,7 @@
   /** Runs until it is stopped or interrupted. */
   public void run() throws InterruptedException {
     while (!stopped.get()) {
-      RoutingMessage message =
-          mailbox.poll(
-              engine.untilNextTimerNanos(
-                  observer == null && beforeEachStep == null
-                      ? MAX_WAIT_NANOS
-                      : OBSERVE_EVERY_NANOS));
+      RoutingMessage message = mailbox.poll(engine.untilNextTimerNanos(maxWaitNanos()));
       step(message);
       openRequests = engine.openRequests();
       if (observer != null && System.nanoTime() - observedAtNanos >= OBSERVE_EVERY_NANOS) {
@@ -99,6 +99,12 @@
     }
   }
 
+  /** How long the thread may wait for a message before it looks at its engine again. */
+  private long maxWaitNanos() {
+    boolean looks = observer != null || beforeEachStep != null;
+    return looks ? OBSERVE_EVERY_NANOS : MAX_WAIT_NANOS;
+  }
+
   private void step(RoutingMessage message) {
     try {
       if (beforeEachStep != null) {
--- a/src/main/java/beaconturn/decision/AdmissionController.java
+++ b/src/main/java/beaconturn/decision/AdmissionController.java
@@ -55,8 +55,9 @@
   }
 
   /**
-   * Why a request that has just arrived is given up at once; null if it is admitted. A key that
-   * fails wherever it goes is tried by one request in as many as caches have failed. Draws.
+   * Why a request that has just arrived is given up at once; null if it is admitted. For a key that
+   * is at fault (see {@link KeyFailures}) one request in as many as caches have failed it is
+   * admitted. Draws.
    */
   GiveUpReason rejection(RequestState request) {
     if (keyFailures.isDrawnHopeless(request.key(), random)) {
@@ -66,9 +67,8 @@
       return GiveUpReason.TOO_LATE;
     }
     boolean goesToOrigin = settings.origin().aside() && request.isWrite();
-    return admits(request, goesToOrigin ? originLimit : cacheLimit)
-        ? null
-        : GiveUpReason.OVERLOADED;
+    ConcurrencyLimit limit = goesToOrigin ? originLimit : cacheLimit;
+    return admits(request, limit) ? null : GiveUpReason.OVERLOADED;
   }
 
   private boolean admits(RequestState request, ConcurrencyLimit limit) {
@@ -81,7 +81,10 @@
     return request.isOverQuota() && !limit.hasSpareCapacity();
   }
 
-  /** 1 for the highest weight of all classes; little beyond a quota. */
+  /**
+   * The priority of a request: 1 for the highest weight of all classes, less for lower weights and
+   * beyond a quota.
+   */
   double priority(RequestState request) {
     double quotaWeight = request.isOverQuota() ? settings.overQuotaPriorityWeight() : 1;
     return request.type().priorityWeight() * quotaWeight / highestWeight;
--- a/src/main/java/beaconturn/decision/AttemptFeedback.java
+++ b/src/main/java/beaconturn/decision/AttemptFeedback.java
@@ -14,7 +14,7 @@
     this.aside = settings.origin().aside();
   }
 
-  /** An open attempt takes longer than answers do: counts against its server at once. */
+  /** An open attempt is late: counts as a bad sample of its server at once. */
   void attemptLate(AttemptState attempt) {
     attempt.countLate();
     rules.outliers.sample(attempt.server(), true);
@@ -77,8 +77,10 @@
   }
 
   /**
-   * Whether the end counts for the cache's health: not where the key is at fault, and once an
-   * attempt; an answer that was late for the origin's sake alone makes good for its being counted.
+   * Whether the end is a sample of the cache's health: not where the key is at fault. An attempt
+   * that was counted late while it was open counts again only if it then brought an answer that was
+   * fetched in time: the origin was late and not the cache, and the good sample makes up for the
+   * bad one.
    */
   private boolean isHealthSample(
       RequestState request, AttemptState attempt, AttemptOutcome outcome, boolean fetchedInTime) {
@@ -90,7 +92,7 @@
 
   private void observeCacheLimit(
       RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed end) {
-    // Where no second attempt may race it, what is lost on its way ends as a timeout: no overload.
+    // Without hedging a request that is lost on its way ends as a timeout, which is no overload.
     boolean lost = end.outcome() == AttemptOutcome.TIMEOUT && !settings.permissions().hedging();
     if (attempt.server().outlier().ejected || lost) {
       return;
@@ -121,8 +123,8 @@
   }
 
   /**
-   * Whether the end says nothing of the origin: it is of what a cache does before it fetches. To
-   * count that against the origin would keep its limit shut.
+   * Whether the end tells of the cache alone: of what it does before it fetches. Counted against
+   * the origin it would keep the origin's limit shut.
    */
   private static boolean isOfCacheAlone(AttemptState attempt, AttemptOutcome outcome) {
     return attempt.toCache()
--- a/src/main/java/beaconturn/decision/AttemptState.java
+++ b/src/main/java/beaconturn/decision/AttemptState.java
@@ -73,17 +73,17 @@
     return provenWithoutEffect;
   }
 
-  /** Whether it was held against its server that this one is late. */
+  /** Whether it was counted as a bad sample of its server for being late. */
   boolean isCountedLate() {
     return countedLate;
   }
 
-  /** It is late, and that was held against its server. */
+  /** Notes that it was counted as a bad sample of its server for being late. */
   void countLate() {
     countedLate = true;
   }
 
-  /** Whether its server has said nothing, on any attempt, since this one was sent. */
+  /** Whether its server has responded to no attempt since this one was sent. */
   boolean isServerSilentSince() {
     return server.responses() == responsesBefore;
   }
--- a/src/main/java/beaconturn/decision/ConcurrencyLimit.java
+++ b/src/main/java/beaconturn/decision/ConcurrencyLimit.java
@@ -110,8 +110,9 @@
   }
 
   /**
-   * Far from slow the limit doubles within a round of answers: a short slowness must not reject
-   * requests for many times its length.
+   * By how much the limit grows with an answer. Where it may grow fast and answers are far from
+   * slow, it doubles within a round of them, so that a short slowness does not reject requests for
+   * many times its length.
    */
   private double growth(boolean busy) {
     return busy || growsSlowly ? 1 / limit : 1;
--- a/src/main/java/beaconturn/decision/ConnectionFailures.java
+++ b/src/main/java/beaconturn/decision/ConnectionFailures.java
@@ -3,15 +3,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Whether connections can be had: to one server, and to any at all from this machine. A server that
- * lately gave none is a last resort while connections fail.
+ * Tells which servers connections could not be opened to lately, and how often that fails from this
+ * machine. While connections fail, such a server is a last resort.
  */
 final class ConnectionFailures {
   private final RoutingPermissions permissions;
   private final EventClock clock;
   private final SplittableRandom random;
 
-  /** Moving share of connections asked for that were not had, 0 to 1. */
+  /** Moving share of connections that could not be opened, among those that were needed, 0 to 1. */
   private double failingShare;
 
   ConnectionFailures(RoutingPermissions permissions, EventClock clock, SplittableRandom random) {
@@ -21,8 +21,9 @@
   }
 
   /**
-   * Whether the request may try a server that lately gave no connection; a further attempt has no
-   * time for that. Draws where connections fail.
+   * Whether the request may try a server to which no connection could be opened lately. A further
+   * attempt may only while hardly any fail, as it has no time left for a connection that does not
+   * come up. Draws where connections fail.
    */
   boolean mayTryUnreachable(RequestState request) {
     if (!request.attempts().isEmpty()) {
@@ -31,7 +32,7 @@
     return failingShare == 0 || random.nextDouble() >= failingShare * failingShare;
   }
 
-  /** Whether no connection to the server is open, and one was lately asked for in vain. */
+  /** Whether no connection to the server is open, and opening one has failed lately. */
   boolean isUnreachable(ServerState server) {
     long nowNanos = clock.nowNanos();
     return !server.connection().isOpen(nowNanos)
--- a/src/main/java/beaconturn/decision/ConnectionState.java
+++ b/src/main/java/beaconturn/decision/ConnectionState.java
@@ -4,7 +4,7 @@
 final class ConnectionState {
   private long openUntilNanos;
 
-  /** 0 for never. */
+  /** When opening a connection failed last; 0 for never. */
   private long failedAtNanos;
 
   /** Takes over all that another router has found. */
@@ -18,7 +18,7 @@
     return nowNanos < openUntilNanos;
   }
 
-  /** Whether a connection was asked for in vain within the given time. */
+  /** Whether opening a connection has failed within the given time. */
   boolean failedWithin(long memoryNanos, long nowNanos) {
     return failedAtNanos != 0 && nowNanos - failedAtNanos < memoryNanos;
   }
@@ -28,7 +28,7 @@
     openUntilNanos = openUntil;
   }
 
-  /** A connection was asked for in vain. */
+  /** Opening a connection has failed. */
   void failed(long nowNanos) {
     failedAtNanos = nowNanos;
     openUntilNanos = 0;
--- a/src/main/java/beaconturn/decision/EndpointWatch.java
+++ b/src/main/java/beaconturn/decision/EndpointWatch.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The subscription to the endpoint list: when it is asked for again after a failure, and from when
- * on the starts that lists tell count.
+ * Keeps the subscription to the endpoint list: when it is renewed after a failure, and from when on
+ * starts that lists tell count.
  */
 final class EndpointWatch {
   /**
@@ -43,7 +43,7 @@
     listReceived = before.listReceived;
   }
 
-  /** Asks for the list and its changes. */
+  /** Subscribes to the list and its changes. */
   void subscribe() {
     actions.watchEndpoints(true);
   }
@@ -64,10 +64,10 @@
   }
 
   /**
-   * From when on a start that is new here counts, by the router's clock; 0 for long ago. Lists tell
-   * starts by a wall clock that may have been stepped since, or just before this router began; so
-   * it counts as one of now. Only in the first lists, which name all starts of the past, one is
-   * long ago that is older than any step and any time of warming up.
+   * When a server whose start is new here counts as started, by the router's clock; 0 for long ago.
+   * Lists tell starts by a wall clock, which may have been stepped since, so a new start counts as
+   * one of now. Only the first lists name all starts of the past: there a start that is older than
+   * any clock step and the warm-up together is long ago.
    */
   long startedAtNanos(Endpoint endpoint) {
     long ageNanos = clock.nowNanos() - endpoint.bootTimeNanos();
--- a/src/main/java/beaconturn/decision/GiveUpPolicy.java
+++ b/src/main/java/beaconturn/decision/GiveUpPolicy.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * How a request is given up: rejected, so that the client may try again at once, or failed, with
- * nothing promised; and when a rejected client should come back.
+ * Decides how a request is given up: rejected, so that the client may try again at once, or failed,
+ * with nothing promised; and when a rejected client should come back.
  */
 final class GiveUpPolicy {
   /** The earliest time to come back, as a part of the latency objective. */
--- a/src/main/java/beaconturn/decision/HedgingPolicy.java
+++ b/src/main/java/beaconturn/decision/HedgingPolicy.java
@@ -37,12 +37,15 @@
     if (!settings.origin().aside() || settings.permissions().hedging()) {
       return lateAfterNanos;
     }
-    // A move loses the time that was waited.
+    // A late attempt is moved here, which loses the time that was waited.
     double minNanos = request.type().latencyObjectiveNanos() * MIN_OBJECTIVE_SHARE_BEFORE_MOVE;
     return Math.max((long) minNanos, lateAfterNanos);
   }
 
-  /** Whether an attempt that is sent now can count as late while an answer is still worth much. */
+  /**
+   * Whether an attempt that is sent now would count as late while an answer to it is still worth
+   * something; only then is it watched.
+   */
   boolean isLateBeforeDue(RequestState request, long lateAfterNanos) {
     return clock.nowNanos() + lateAfterNanos < request.dueNanos();
   }
@@ -64,7 +67,10 @@
     return mayMove ? LateAction.MOVE : LateAction.WAIT;
   }
 
-  /** Whether the origin is what is late: the server lets hear of itself meanwhile. */
+  /**
+   * Whether the origin is late and not the server: the attempt fetches, and its server has answered
+   * other attempts since.
+   */
   private static boolean isOriginLate(AttemptState late) {
     return late.fetchesFromOrigin() && !late.isServerSilentSince();
   }
--- a/src/main/java/beaconturn/decision/KeyFailures.java
+++ b/src/main/java/beaconturn/decision/KeyFailures.java
@@ -4,11 +4,11 @@
 import java.util.SplittableRandom;
 
 /**
- * At how many caches one after the other the attempts for a key have failed since one was answered.
- * What was not answered at all, or had no effect, says nothing of the key.
+ * Counts for each key at how many caches in a row its attempts have failed since one was answered.
+ * Attempts that were not answered at all, or had no effect, tell nothing of the key.
  */
 final class KeyFailures {
-  /** A key that failed at so many caches in a row is what is at fault, not they. */
+  /** A key that failed at this many caches in a row is itself at fault, and not the caches. */
   private static final int CACHES_UNTIL_KEY_AT_FAULT = 2;
 
   private final Map<Long, Failures> failuresByKey = new LruMap<>(LruMap.USUAL_CAPACITY);
@@ -28,7 +28,7 @@
     }
   }
 
-  /** At how many caches; 0 where none has failed, or the key is none. */
+  /** At how many caches in a row the key has failed; 0 where none has failed it, or for no key. */
   private int caches(long key) {
     Failures failures = key == 0 ? null : failuresByKey.get(key);
     return failures == null ? 0 : failures.caches();
@@ -40,14 +40,17 @@
   }
 
   /**
-   * Whether a request for the key is given up at once: all but one in as many as caches have
-   * failed. Draws if the key is at fault.
+   * Draws whether a request for the key is given up at once: all but one in as many as caches have
+   * failed the key. Draws only if the key is at fault.
    */
   boolean isDrawnHopeless(long key, SplittableRandom random) {
     return isKeyAtFault(key) && random.nextDouble() * caches(key) >= 1;
   }
 
-  /** Whether that is why an attempt ended so: a quick error says that its cache is well. */
+  /**
+   * Whether the key's fault explains the end of an attempt: an error that comes quickly shows that
+   * its cache is well.
+   */
   boolean explains(long key, AttemptOutcome outcome) {
     return outcome == AttemptOutcome.ERROR && isKeyAtFault(key);
   }
--- a/src/main/java/beaconturn/decision/KeySpread.java
+++ b/src/main/java/beaconturn/decision/KeySpread.java
@@ -1,11 +1,14 @@
 package beaconturn.decision;
 
 /**
- * Over how many caches clockwise a hot key is spread. With few requests in flight none of them is
- * at its cap, and many routers would bury the one home of such a key.
+ * Decides over how many caches clockwise a hot key is spread. With few requests in flight no cache
+ * is at its cap, and many routers would overload the one home of such a key.
  */
 final class KeySpread {
-  /** A key's even part of a cache that it may fill, as homes of hot keys hold others too. */
+  /**
+   * The most of a cache's even part of all requests that one key may take up, a ratio; the rest is
+   * for the cache's other keys.
+   */
   private static final double MAX_FILL = 0.5;
 
   /**
--- a/src/main/java/beaconturn/decision/KindSpeeds.java
+++ b/src/main/java/beaconturn/decision/KindSpeeds.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * How long caches of one kind take, against what all take: ratings may tell their cores and not
- * their speed. Rounded to steps, so that routers which learn apart build nearly the same ring.
+ * Learns how long caches of each kind take to answer, relative to all: ratings may tell their cores
+ * and not their speed. Rounded to steps, so that routers which learn separately build nearly the
+ * same ring.
  */
 final class KindSpeeds {
   /** Steps to a doubling of the time taken. */
@@ -24,7 +25,7 @@
     return step(kind) != stepBefore;
   }
 
-  /** The time that the kind takes, against what all take, rounded to whole steps. */
+  /** The relative answer time of the kind, rounded to whole steps. */
   double relativeTime(int kind) {
     return Math.pow(2, (double) step(kind) / STEPS_PER_DOUBLING);
   }
--- a/src/main/java/beaconturn/decision/LoadBounds.java
+++ b/src/main/java/beaconturn/decision/LoadBounds.java
@@ -9,8 +9,8 @@
   private static final double EXCESS = 0.2;
 
   /**
-   * The same where a cache fetches what it lacks: a request that goes past its cache holds capacity
-   * there for a fetch, and sends more past it.
+   * The same where caches fetch what they lack: a request that goes past its cache is a fetch at
+   * the next one, holds capacity there and so sends more requests past that.
    */
   private static final double EXCESS_WHERE_CACHES_FETCH = 0.9;
 
@@ -44,13 +44,15 @@
   }
 
   /**
-   * Whether a cache below its cap counts as full all the same. The least cap lets many routers pile
-   * up twice their number on one home. So a cache whose smoothed load exceeds the bound on an even
-   * part of it gets one at a time; where going past it is a fetch, the bound is on the mean if that
-   * is more. One that said lately that it holds far more than others gets none.
+   * Whether a cache below its cap counts as full all the same. One reason is its smoothed load:
+   * with many routers the least cap alone would let them pile up twice their number on one home. So
+   * a cache whose smoothed load exceeds the bound on this router's even part of the least cap gets
+   * one request at a time; where caches fetch, the bound is on the mean if that is more. The other
+   * reason is a recent load report that is far above the mean.
    */
   boolean isFull(ServerState server, int servers) {
-    // Going past a cache is a fetch: reports pass nobody where the origin has no capacity for it.
+    // A request that goes past its cache is a fetch there: without room at the origin, reports do
+    // not count.
     boolean reportedFull =
         originLimit.hasAmpleCapacity() && reports.isFarAboveMean(server, load.smoothingNanos());
     double evenPart = (double) MIN_CAP / settings.routerCount();
--- a/src/main/java/beaconturn/decision/OriginFetches.java
+++ b/src/main/java/beaconturn/decision/OriginFetches.java
@@ -123,7 +123,7 @@
     }
   }
 
-  /** The first of those that are alike. */
+  /** The queued request of the highest priority, the first of equals. */
   private RequestState highestPriority() {
     RequestState highest = queue.get(0);
     for (RequestState request : queue) {
@@ -143,13 +143,19 @@
     }
   }
 
-  /** A request is over: it neither queues nor waits any more, and its own fetch is over with it. */
+  /**
+   * A request is over: it is taken out of the queue, waits for no other fetch any more, and a fetch
+   * that it leads is over with it.
+   */
   void requestEnded(RequestState request, boolean answered) {
     queue.remove(request);
     fetchEnded(request, answered);
   }
 
-  /** A fetch is over: its cache has the object now, or else the next request in line fetches. */
+  /**
+   * A fetch is over. Its leader's waiting requests go to the cache that has the object now; if it
+   * was not answered, each of them fetches again, and the first becomes the leader.
+   */
   void fetchEnded(RequestState leader, boolean answered) {
     OriginFetch fetch = leader.originFetch();
     leader.setOriginFetch(null);
--- a/src/main/java/beaconturn/decision/OriginSettings.java
+++ b/src/main/java/beaconturn/decision/OriginSettings.java
@@ -8,7 +8,7 @@
  * @param ordered whether answers come in the order of requests; no rule uses it
  * @param reportsCacheHits whether answers of caches that fetch tell hits from misses
  * @param overloadNanos the length of an overload of the origin; no rule uses it
- * @param overloadMultiple the same in load; no rule uses it
+ * @param overloadMultiple the load of an overload, as a multiple; no rule uses it
  */
 public record OriginSettings(
     boolean aside,
--- a/src/main/java/beaconturn/decision/OutlierDetector.java
+++ b/src/main/java/beaconturn/decision/OutlierDetector.java
@@ -5,7 +5,9 @@
  * time, and is taken back when they go well.
  */
 final class OutlierDetector {
-  /** A cache is ejected above this share of bad samples, and the fleet's own share. */
+  /**
+   * Share of bad samples above which a cache is ejected, on top of the share of the whole fleet.
+   */
   private static final double MAX_BAD_SHARE = 0.25;
 
   /** An ejected cache is taken back below this share of bad samples. */
@@ -14,10 +16,10 @@
   /** Share of the ring that may be ejected; beyond it the fleet is at fault, not its caches. */
   private static final double MAX_EJECTED_SHARE = 1.0 / 3;
 
-  /** Mean answer times to the first trial; each failed one doubles the gap. */
+  /** Gap before the first trial, in mean answer times; each failed trial doubles it. */
   private static final double FIRST_TRIAL_ANSWER_TIMES = 8;
 
-  /** The longest gap between trials, in mean answer times. */
+  /** Longest gap between trials, in mean answer times. */
   private static final double LONGEST_TRIAL_ANSWER_TIMES = 64;
 
   private final EventClock clock;
@@ -35,12 +37,14 @@
     this.times = times;
   }
 
-  /** Whether more of the fleet does badly than a single cache may. */
+  /**
+   * Whether the fleet as a whole has the share of bad samples for which a single cache is ejected.
+   */
   boolean isFleetBad() {
     return fleetBadShare >= MAX_BAD_SHARE;
   }
 
-  /** Whether half as much of the fleet does badly as a single cache may. */
+  /** Whether the fleet as a whole has half of that share. */
   boolean isFleetDoubtful() {
     return fleetBadShare >= MAX_BAD_SHARE / 2;
   }
@@ -86,7 +90,10 @@
     fleetSampledAtNanos = clock.nowNanos();
   }
 
-  /** Where samples are rare, ten would come too late: older ones count for less. */
+  /**
+   * Weight of a new sample: the usual one, or more after a long gap, as samples from before it tell
+   * little of the cache as it is now.
+   */
   private double weight(double usualWeight, long lastSampleNanos) {
     boolean first = lastSampleNanos == 0 || !times.answerNanos().hasSamples();
     double gapNanos = first ? 0 : clock.nowNanos() - lastSampleNanos;
@@ -105,8 +112,8 @@
   }
 
   private boolean isOutlier(OutlierState state) {
-    double most = state.ejected ? READMISSION_BAD_SHARE : MAX_BAD_SHARE + fleetBadShare;
-    return state.badShare > most;
+    double maxBadShare = state.ejected ? READMISSION_BAD_SHARE : MAX_BAD_SHARE + fleetBadShare;
+    return state.badShare > maxBadShare;
   }
 
   private boolean isEjectionLimitReached() {
--- a/src/main/java/beaconturn/decision/RequestCoordinator.java
+++ b/src/main/java/beaconturn/decision/RequestCoordinator.java
@@ -5,11 +5,12 @@
 
 /**
  * Takes each request from its arrival to its end: asks the rules at every step and carries out what
- * they say. It holds the requests and decides nothing itself.
+ * they say. It holds the requests; which step follows an attempt is decided in {@code
+ * continueAfter}.
  */
 final class RequestCoordinator implements RequestDispatcher {
-  /** Stands for no attempt. */
-  private static final int NONE = -1;
+  /** In the place of an attempt's number: no attempt. */
+  private static final int NO_ATTEMPT = -1;
 
   private final RoutingSettings settings;
   private final RoutingActions actions;
@@ -47,8 +48,9 @@
     long logicalRequest = rules.clientRetries.logicalRequest(arrival);
     long objectiveEnds = rules.clientRetries.objectiveEndsNanos(arrival, type, logicalRequest);
     long deadline = rules.clock.nowNanos() + arrival.remainingNanos();
-    // A cache that goes on with what is worth nothing is late for the next; not so where caches
-    // fetch.
+    // Where the router asks the origin itself, an answer that has become worthless is not waited
+    // for: the cache would go on with it and be late for the next request. Where caches fetch, to
+    // cut the attempt would throw the fetch away.
     boolean cutAtObjective = aside && type.isWorthlessLate();
     long due = cutAtObjective ? Math.min(deadline, objectiveEnds) : deadline;
     return new RequestState(
@@ -69,8 +71,10 @@
   }
 
   /**
-   * What is left of the answer goes at the client's pace; a cache that fetches has the object by
-   * now.
+   * A streamed answer has begun to go to the client: the request's other attempts are cancelled.
+   * What is left of the answer goes at the client's pace; a cache that fetches for itself has the
+   * object by now, so that the attempt no longer counts against the limits and requests that wait
+   * for the key go on.
    */
   void responseStarted(RoutingEvent.ResponseStarted start) {
     RequestState request = requests.get(start.requestId());
@@ -184,7 +188,7 @@
       hedge(request);
     } else if (action == HedgingPolicy.LateAction.MOVE) {
       request.setMoving(true);
-      cancelOpenAttempts(request, NONE);
+      cancelOpenAttempts(request, NO_ATTEMPT);
     }
   }
 
@@ -239,7 +243,8 @@
   // ---- ends
 
   /**
-   * The one place where a request is given up: rejected where a repeat is harmless, else failed.
+   * The one place where the policy gives a request up: rejects it where a repeat is harmless, else
+   * fails it.
    */
   @Override
   public void giveUp(RequestState request, GiveUpReason reason) {
@@ -254,7 +259,10 @@
     conclude(request, false);
   }
 
-  /** The request is over: its open attempts are cancelled, and those that wait for it go on. */
+  /**
+   * Ends a request: cancels its open attempts and lets requests that wait for its fetch go on.
+   * Without effect if it has ended before.
+   */
   private void conclude(RequestState request, boolean answered) {
     if (request.isDone()) {
       return;
@@ -263,7 +271,7 @@
     if (!answered) {
       rules.clientRetries.unanswered(request);
     }
-    cancelOpenAttempts(request, NONE);
+    cancelOpenAttempts(request, NO_ATTEMPT);
     fetches.requestEnded(request, answered);
     if (!request.hasOpenAttempt()) {
       requests.remove(request.id());
--- a/src/main/java/beaconturn/decision/RetryBudget.java
+++ b/src/main/java/beaconturn/decision/RetryBudget.java
@@ -1,9 +1,13 @@
 package beaconturn.decision;
 
-/** Further attempts that arrivals have earned and that were not spent yet. */
+/**
+ * Budget of further attempts, retries and hedges together: each arrival adds a part of one, each
+ * further attempt takes one.
+ */
 final class RetryBudget {
   /**
-   * Further attempts earned by each arrival, for each that is allowed: a small part of the load.
+   * Part of a further attempt that each arrival earns, for each attempt that the settings allow
+   * beyond the first.
    */
   private static final double EARNED_PER_ARRIVAL = 0.05;
 
--- a/src/main/java/beaconturn/decision/RetryPolicy.java
+++ b/src/main/java/beaconturn/decision/RetryPolicy.java
@@ -35,15 +35,19 @@
     budget.spend();
   }
 
-  /** Whether budget and fleet allow a further attempt; where none can race, a fleet in doubt. */
+  /**
+   * Whether the budget holds a further attempt and the fleet is well enough for one. Where hedging
+   * is not allowed the fleet counts as unwell at half the share of bad samples.
+   */
   boolean allowsFurtherAttempt() {
     boolean fleetBad = permissions.hedging() ? outliers.isFleetBad() : outliers.isFleetDoubtful();
     return budget.hasAttempt() && !fleetBad;
   }
 
   /**
-   * Whether a request whose attempt has failed is tried again. A key that fails wherever it goes
-   * takes no further cache with it, and a retry needs the time of an answer.
+   * Whether a request whose attempt has failed is tried again: where {@link #allowsFurtherAttempt}
+   * holds, the attempt went to a cache, the key is not at fault (see {@link KeyFailures}) and there
+   * is time for an answer.
    */
   boolean allowsRetry(RequestState request, AttemptState failed) {
     return failed.toCache()
--- a/src/main/java/beaconturn/decision/RingRouter.java
+++ b/src/main/java/beaconturn/decision/RingRouter.java
@@ -26,7 +26,7 @@
     this(settings, seed, nowNanos, actions, !before.settings.pollsDiscovery());
     rules.selector.setZoneWeights(before.rules.selector.zoneWeights());
     rules.registry.continueFrom(before.rules.registry);
-    begin(before.warmStartState());
+    applyWarmStart(before.warmStartState());
   }
 
   /** A router that starts empty; its first list follows. */
@@ -68,7 +68,7 @@
     } else if (event instanceof RoutingEvent.ZoneWeightsChanged change) {
       rules.selector.setZoneWeights(change.weights());
     } else if (event instanceof RoutingEvent.WarmStarted start) {
-      begin(start.state());
+      applyWarmStart(start.state());
     }
   }
 
@@ -80,7 +80,7 @@
     }
   }
 
-  private void begin(WarmStartState state) {
+  private void applyWarmStart(WarmStartState state) {
     rules.slowStart.begin(state.answersPerNano(), state.peakAnswersPerNano());
     rules.times.begin(state.answerTimeNanos(), state.fetchTimeNanos());
     rules.admission.cacheLimit().begin(state.cacheLimit());
--- a/src/main/java/beaconturn/decision/ServerChoice.java
+++ b/src/main/java/beaconturn/decision/ServerChoice.java
@@ -2,7 +2,10 @@
 
 import java.util.SplittableRandom;
 
-/** The best of the caches that one walk has come by; reused from walk to walk. */
+/**
+ * Collects the caches that one walk along the ring has come by, and gives the best of them; reused
+ * from walk to walk.
+ */
 final class ServerChoice {
   private final SplittableRandom random;
 
--- a/src/main/java/beaconturn/decision/ServerSelector.java
+++ b/src/main/java/beaconturn/decision/ServerSelector.java
@@ -3,8 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The ordinary path: the home cache of the key, or the next one clockwise that has capacity under
- * {@link LoadBounds}; all full: the least loaded. Zone weights narrow the walk to one zone.
+ * Selects the cache that a request goes to: the home cache of its key, or the next one clockwise
+ * that has capacity under {@link LoadBounds}; if all are full, the least loaded. Zone weights
+ * narrow the walk to one zone.
  */
 final class ServerSelector {
   private static final int ANY_ZONE = -1;
@@ -51,11 +52,11 @@
   private ServerState select(RequestState request, int zone) {
     int servers = zoneWeights.serversInUse(ring.members());
     int cap = bounds.cap(servers);
-    int wanted = spread.serversFor(request);
+    int serversWanted = spread.serversFor(request);
     boolean mayTryUnreachable = connections.mayTryUnreachable(request);
     choice.clear();
     ring.startWalk(request.hash());
-    for (ServerState s = ring.next(); s != null && wanted > 0; s = ring.next()) {
+    for (ServerState s = ring.next(); s != null && serversWanted > 0; s = ring.next()) {
       if (!isCandidate(request, s, zone)) {
         continue;
       }
@@ -64,7 +65,7 @@
         choice.addPassedOver(s);
       } else if (s.load().inFlight() < cap && !bounds.isFull(s, servers)) {
         choice.addWithCapacity(s);
-        wanted--;
+        serversWanted--;
       } else {
         choice.addFull(s);
       }
--- a/src/main/java/beaconturn/decision/ServerState.java
+++ b/src/main/java/beaconturn/decision/ServerState.java
@@ -29,13 +29,16 @@
   private long excludedAtNanos;
   private boolean excluded;
 
-  /** Attempts on which the server has said something. */
+  /** Number of attempts to which the server has responded. */
   private long responses;
 
-  /** Whether the last attempt ended without a word of it. */
+  /** Whether the last attempt ended without a response. */
   private boolean silent;
 
-  /** Removed by a list where a list alone does not bind, and not yet silent as well. */
+  /**
+   * Whether an advisory list has removed it and it has not been silent yet; it is still used until
+   * it is.
+   */
   private boolean removalUnconfirmed;
 
   ServerState(long id) {
@@ -96,8 +99,8 @@
   }
 
   /**
-   * A list leaves it out, or calls it gone. Where that alone does not bind, lists are wrong at
-   * times: the server then stays what it was until it is silent as well.
+   * A list leaves it out, or calls it gone. Where removals are advisory, as lists are wrong at
+   * times, a ready server stays in use until an attempt at it ends without a response.
    */
   void removedFromList(boolean removalIsAdvisory) {
     removalUnconfirmed = removalIsAdvisory && health == EndpointHealth.READY && !silent;
@@ -122,8 +125,8 @@
   }
 
   /**
-   * An attempt has ended; true if nothing more is to be sent to the server, or remembered of it,
-   * for that.
+   * An attempt has ended. True if the set of servers in use changes by that: the server's removal
+   * is confirmed now, or nothing more is to be remembered of it.
    */
   boolean attemptEnded(AttemptOutcome outcome) {
     if (outcome.serverResponded()) {
@@ -139,7 +142,7 @@
     return removalConfirmed || isForgotten();
   }
 
-  /** Nothing that was learned of an earlier start holds any more. */
+  /** The server has started afresh: what was learned of it before holds no more. */
   private void restarted() {
     outlier.reset();
     connection.forgetFailure();
@@ -217,7 +220,7 @@
     return rating;
   }
 
-  /** How many attempts it has said something on. */
+  /** How many attempts it has responded to. */
   long responses() {
     return responses;
   }
--- a/src/main/java/beaconturn/decision/WarmStartState.java
+++ b/src/main/java/beaconturn/decision/WarmStartState.java
@@ -3,8 +3,8 @@
 import java.util.stream.DoubleStream;
 
 /**
- * The few figures with which a router that follows another begins. What they are compared with is
- * the follower's own.
+ * The few figures with which a router that follows another begins. The settings that they are
+ * compared with are the follower's own.
  *
  * @param answersPerNano rate of answers of caches
  * @param peakAnswersPerNano its recent peak
--- a/src/main/java/beaconturn/decision/ZoneWeights.java
+++ b/src/main/java/beaconturn/decision/ZoneWeights.java
@@ -4,18 +4,23 @@
 import java.util.function.IntFunction;
 
 /**
- * Which zones serve which part of the keys: of {@link #WHOLE} parts of all keys, by their hash, so
- * many go to each zone, in this order, the router's own first; what is missing to the whole goes
- * nowhere. Weights up to {@link #TRIAL} are trials. A zone that has no server for a key leaves it
- * to the router's own, and to another only if {@code overflow}.
+ * How the keys are divided among zones, by the hash of the key. Each weight is a number of {@link
+ * #WHOLE} parts of all keys; keys beyond the sum of the weights are sent nowhere.
+ *
+ * <p>A key that finds no server in its zone goes to the router's own zone, and to the others in use
+ * only if {@code overflow} allows it or its zone has no more than a trial weight.
+ *
+ * @param zones indexes of zones, the router's own first
+ * @param weights the weight of each zone, in the same order
+ * @param overflow whether any zone in use may take keys that find no server in theirs
  */
 public record ZoneWeights(List<Integer> zones, List<Integer> weights, boolean overflow) {
   /** The weight of all keys. */
   public static final int WHOLE = 1000;
 
   /**
-   * Weights up to this one are trials: nothing that must not be repeated goes by them, if there is
-   * another way.
+   * The largest weight that counts as a trial: requests that must not be repeated are sent by it
+   * only if there is no other way.
    */
   public static final int TRIAL = 50;
 
@@ -48,8 +53,9 @@
   }
 
   /**
-   * What is found in the first zone for that hash that has it, or null; {@code finder} is asked for
-   * one zone after the other, or once for zone -1, which stands for all of them.
+   * What the finder finds in the zone that the hash belongs to, or else in another zone that may
+   * take its keys; null if none. The finder is asked for one zone after the other, or once for zone
+   * -1, which stands for all of them.
    *
    * @param fitForTrial whether what is looked for may go where it might fail
    */
--- a/src/main/java/beaconturn/history/ExactlyOneAnswer.java
+++ b/src/main/java/beaconturn/history/ExactlyOneAnswer.java
@@ -99,7 +99,10 @@
     }
   }
 
-  /** What a killed router held its client has to send again; all else must be answered. */
+  /**
+   * Checks a request without an answer: only one that a router held when it was killed may have
+   * none, as its client has to send it again.
+   */
   private void checkMissingAnswer(HistoryIndex history, RequestRecord request) {
     HistoryEvent.RequestWritten write = request.lastWrite();
     List<HistoryEvent.ResponseReceived> responses = request.responses();
--- a/src/main/java/beaconturn/history/InvariantBounds.java
+++ b/src/main/java/beaconturn/history/InvariantBounds.java
@@ -14,8 +14,8 @@
  * @param pollWithinNanos a router that polls nothing for so long counts as notified
  * @param coldSpeedShare share of its speed that a server has right after a start
  * @param warmUpNanos how long a server takes to warm up
- * @param overloadMultiple a server that gets so many times its capacity ...
- * @param overloadNanos ... over so long collapses
+ * @param overloadMultiple multiple of its capacity at which a server may collapse
+ * @param overloadNanos how long it must get that much to collapse
  * @param convergenceNanos how long two routers may act on contradicting versions
  * @param rollout bounds of a release, or null
  * @param zones bounds of zones, or null
--- a/src/main/java/beaconturn/history/NoConflictingVersions.java
+++ b/src/main/java/beaconturn/history/NoConflictingVersions.java
@@ -121,7 +121,10 @@
             <= history.bounds().convergenceNanos();
   }
 
-  /** An attempt was sent before it was read: the time of reading is the latest that it can be. */
+  /**
+   * Checks that no router acts on a version before it is in force. An attempt was sent before it
+   * was read, so that the time of reading is the latest at which it can have been sent.
+   */
   private void checkNotAhead(VersionInForce version, HistoryEvent.AttemptArrived attempt) {
     String ahead = ", which never came into force";
     if (version.isInForce()) {
--- a/src/main/java/beaconturn/history/ZoneCrossings.java
+++ b/src/main/java/beaconturn/history/ZoneCrossings.java
@@ -31,8 +31,8 @@
   private static final long NANOS_PER_SECOND = 1_000_000_000;
   private static final long NO_PLAN = -1;
 
-  /** AttemptCounts of first attempts that left their zone. */
-  private static final class AttemptCounts {
+  /** Counts of first attempts, and of those among them that left their zone. */
+  private static final class CrossingCounts {
     private final RemoteShare all = new RemoteShare();
     private final RemoteShare beforeFaults = new RemoteShare();
     private final SortedMap<String, SortedMap<Long, RemoteShare>> bySecond = new TreeMap<>();
@@ -65,7 +65,7 @@
     HistoryIndex history = new HistoryIndex(bounds, events);
     ZoneTraffic traffic = new ZoneTraffic(history);
     long firstFaultNanos = firstFaultNanos(history);
-    AttemptCounts counts = new AttemptCounts();
+    CrossingCounts counts = new CrossingCounts();
     for (HistoryEvent.AttemptArrived attempt : traffic.firstAttempts()) {
       String home = bounds.zones().routerZones().get(attempt.router());
       boolean remote = !home.equals(traffic.zoneOf(attempt.server()));
--- a/src/main/java/beaconturn/net/ActiveSettings.java
+++ b/src/main/java/beaconturn/net/ActiveSettings.java
@@ -14,7 +14,10 @@
   private volatile RouterSettings settings;
   private volatile RequestParser parser;
 
-  /** None before the first {@link #activate}; the metrics hear of each class of requests. */
+  /**
+   * No settings before the first {@link #activate}; each class of requests is declared to the
+   * metrics.
+   */
   ActiveSettings(RequestMetrics metrics) {
     this.metrics = metrics;
   }
--- a/src/main/java/beaconturn/net/ConnectionBudget.java
+++ b/src/main/java/beaconturn/net/ConnectionBudget.java
@@ -35,19 +35,22 @@
   private static final int LARGE_REQUEST_KB = 66;
 
   /**
-   * Large requests get one part in so many of the heap: values go out and come in, and the
+   * Large requests get one in this many parts of the heap: values go out and come in, and the
    * collector needs room to move them.
    */
   private static final int HEAP_PARTS = 6;
 
   private static final int MOST_LARGE_REQUESTS = 96;
 
-  /** Clients' descriptors come in 17 parts: 16 for open ones, one for those on their way out. */
+  /**
+   * Descriptors of clients are divided into this many parts: 16 for open connections, one for those
+   * on their way out.
+   */
   private static final int CLIENT_PARTS = 17;
 
   private static final int OPEN_CLIENT_PARTS = 16;
 
-  /** From this part of the descriptors on, quiet clients make room. */
+  /** Idle clients make room once one in this many of all descriptors is in use by clients. */
   private static final int RECLAIM_PART = 4;
 
   /** The budget of a process that may have so many descriptors and so much memory. */
--- a/src/main/java/beaconturn/net/FleetConfigApplier.java
+++ b/src/main/java/beaconturn/net/FleetConfigApplier.java
@@ -25,7 +25,8 @@
   private long settingsSwitches;
 
   /**
-   * What the engine is under, null before the first; written by the routing thread, read by any.
+   * The configuration that the engine is under, null before the first; written by the routing
+   * thread, read by any.
    */
   private volatile FleetConfigSource.DueConfig applied;
 
@@ -55,9 +56,9 @@
   }
 
   /**
-   * Looks whether something else is due. Called before each step of the engine: an agreed
-   * configuration may have changed, or its lease ended while the thread was kept from running, and
-   * no decision may be made under one that is over.
+   * Puts the engine under what is due, if that is something else. Called before each step of the
+   * engine: an agreed configuration may have changed, or its lease ended while the thread was kept
+   * from running, and no decision may be made under one that is over.
    */
   void beforeStep(RoutingEngine engine) {
     applyZoneWeights(engine);
--- a/src/main/java/beaconturn/net/FleetConfigSource.java
+++ b/src/main/java/beaconturn/net/FleetConfigSource.java
@@ -34,9 +34,9 @@
   }
 
   /**
-   * Waits until the store has told what may be acted on, or has failed to, and not for long: a
-   * router that serves before it has asked acts on what may be over. Called once, before the first
-   * client is accepted.
+   * Waits for a short time until the store has told what may be acted on, or has failed to: a
+   * router that serves before it has asked would act on what may be over. Called once, before the
+   * first client is accepted.
    */
   void awaitFirstConfig();
 
--- a/src/main/java/beaconturn/net/HealthMetrics.java
+++ b/src/main/java/beaconturn/net/HealthMetrics.java
@@ -17,9 +17,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The health metrics that agents of a release ask a router for beyond those that operators know:
- * how late it answers, what resources it holds, and how each cache server answers it. Only where
- * routers agree. Safe for any thread.
+ * Health metrics that agents of a release ask a router for, beside the counters of the admin
+ * address: how late it answers, what resources it holds, and how each cache server answers it. Only
+ * where routers agree. Safe for any thread.
  */
 final class HealthMetrics {
   private static final Path PROCESS_STATUS = Path.of("/proc/self/status");
--- a/src/main/java/beaconturn/net/MaintenanceLoop.java
+++ b/src/main/java/beaconturn/net/MaintenanceLoop.java
@@ -8,8 +8,9 @@
 import java.util.logging.Logger;
 
 /**
- * What a router does now and then beside its work, on a thread of its own: it notices pauses of the
- * process, closes client connections whose time is over, and keeps to its part of the limits.
+ * What a router does now and then beside its work, on a thread of its own, the sweeper: it notices
+ * pauses of the process, closes client connections whose time is over, and keeps to its part of the
+ * limits.
  */
 final class MaintenanceLoop {
   private static final Logger LOG = Logger.getLogger(MaintenanceLoop.class.getName());
--- a/src/main/java/beaconturn/net/OperatorOverrides.java
+++ b/src/main/java/beaconturn/net/OperatorOverrides.java
@@ -21,7 +21,7 @@
 
 /**
  * What operators may do to a router: the admin address, and the cache servers that they have
- * excluded. Only where a second address is set; else none of it is loaded. Calls come on the admin
+ * excluded. Only where an admin address is set; else none of it is loaded. Calls come on the admin
  * server's thread; {@link #isExcluded} is for any thread.
  */
 final class OperatorOverrides implements AdminOperations {
--- a/src/main/java/beaconturn/net/PlannedStop.java
+++ b/src/main/java/beaconturn/net/PlannedStop.java
@@ -22,7 +22,10 @@
   private static final Logger LOG = Logger.getLogger(PlannedStop.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** New connections still come for up to 0.4 s after a planned stop is announced. */
+  /**
+   * How long new connections are accepted after a planned stop has begun: they still come for up to
+   * 0.4 s after it is announced.
+   */
   private static final long ACCEPT_ON_MILLIS = 500;
 
   /** Beyond the longest deadline, what is unanswered for so long is given up. */
@@ -40,7 +43,7 @@
   private final ClientConnections clients;
   private final RoutingThread routingThread;
 
-  /** Null where no second address is set. */
+  /** Null where no admin address is set. */
   private final OperatorOverrides operators;
 
   PlannedStop(
@@ -59,8 +62,9 @@
   }
 
   /**
-   * Runs the whole stop on the caller's thread; does nothing if the router is stopping already. The
-   * listener is null where the router does not serve yet.
+   * Runs the whole stop on the caller's thread; does nothing if the router is stopping already.
+   *
+   * @param listener gives the listener, or null where the router does not serve yet
    */
   void run(Supplier<Listener> listener) throws InterruptedException {
     if (!inputs.lifecycle().advance(Lifecycle.Phase.DRAINING)) {
@@ -93,7 +97,10 @@
     }
   }
 
-  /** How many requests were open when the time was over. */
+  /**
+   * Ends the connections as their requests are answered, and fails the requests that are still open
+   * when the time is over; returns how many those were.
+   */
   private int finishRequests(long beganNanos) throws InterruptedException {
     long longestDeadlineNanos =
         Math.min(settings.current().routing().longestDeadlineNanos(), LONGEST_DEADLINE_NANOS);
--- a/src/main/java/beaconturn/net/RouterAssembly.java
+++ b/src/main/java/beaconturn/net/RouterAssembly.java
@@ -24,8 +24,8 @@
 import java.util.function.Consumer;
 
 /**
- * The parts of one router, and what each is built from. Building binds the operators' address and
- * takes a process slot, and starts no thread. Immutable once built.
+ * The parts of one router, and what each is built from. Building binds the admin address and takes
+ * a process slot, and starts no thread. Immutable once built.
  *
  * <p>The parts refer to each other in circles: messages go from clients, cache servers and
  * discovery to the routing thread and actions back. The circles are closed by the private methods
@@ -73,7 +73,7 @@
     routingThread.setEngine(buildEngine(inbox));
   }
 
-  /** Null where no second address is set: nothing of it is loaded then. */
+  /** Null where no admin address is set: nothing of it is loaded then. */
   private OperatorOverrides buildOperators() throws IOException {
     return metrics.hasReader()
         ? new OperatorOverrides(
@@ -197,7 +197,7 @@
     return poller;
   }
 
-  /** Null where no second address is set. */
+  /** Null where no admin address is set. */
   OperatorOverrides operators() {
     return operators;
   }
--- a/src/main/java/beaconturn/net/RouterConfig.java
+++ b/src/main/java/beaconturn/net/RouterConfig.java
@@ -41,7 +41,7 @@
     RouterConfig read() throws ConfigException;
   }
 
-  /** The operators' address, or null if there is none. */
+  /** The admin address, or null if there is none. */
   public InetSocketAddress adminAddress() {
     return environment.adminAddress();
   }
--- a/src/main/java/beaconturn/net/RouterMetrics.java
+++ b/src/main/java/beaconturn/net/RouterMetrics.java
@@ -10,8 +10,8 @@
 /**
  * What a router counts of its own work; immutable.
  *
- * @param counters null where no second address is set, as nobody could ask for them
- * @param health null unless a second address is set and routers agree
+ * @param counters null where no admin address is set, as nobody could ask for them
+ * @param health null unless an admin address is set and routers agree
  */
 record RouterMetrics(Counters counters, HealthMetrics health) {
   /** The metrics that a router of this configuration needs. */
@@ -27,7 +27,7 @@
     return new RouterMetrics(health.counters(), health);
   }
 
-  /** Whether a second address is set, where operators can ask for metrics. */
+  /** Whether an admin address is set, where operators can ask for metrics. */
   boolean hasReader() {
     return counters != null;
   }
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -31,7 +31,7 @@
    * A router that shares nothing with others; a reload reads from the source. No client is accepted
    * before {@link #start}.
    *
-   * @throws IOException if the operators' address cannot be bound
+   * @throws IOException if the admin address cannot be bound
    */
   public RouterServer(RouterConfig config, RouterConfig.Source source, Lifecycle lifecycle)
       throws IOException {
@@ -42,7 +42,7 @@
    * A router that agrees with others; {@code fleetConfig} and {@code zoneWeights} null mean that it
    * does not.
    *
-   * @throws IOException if the operators' address cannot be bound
+   * @throws IOException if the admin address cannot be bound
    */
   public RouterServer(
       RouterConfig config,
--- a/src/main/java/beaconturn/net/StartupWarmUp.java
+++ b/src/main/java/beaconturn/net/StartupWarmUp.java
@@ -146,8 +146,8 @@
     }
 
     @Override
-    public boolean override(long serverId, boolean out, boolean mayCome) {
-      return mayCome;
+    public boolean override(long serverId, boolean excluded, boolean mayBeUnlisted) {
+      return mayBeUnlisted;
     }
   }
 
--- a/src/main/java/beaconturn/net/UpgradeState.java
+++ b/src/main/java/beaconturn/net/UpgradeState.java
@@ -14,8 +14,8 @@
  * The file in which one process of a router leaves its warm-start state to the next in an upgrade;
  * written to a new file that is renamed. Version 2, big-endian: the mark {@code BTLEARN2}, a
  * checksum of all that follows it (CRC-32C in 8 bytes), the machine's monotonic time in
- * milliseconds, and six doubles. It is followed whole or not at all: a router that began with
- * figures of a torn or damaged file could reject what it can serve.
+ * milliseconds, and six doubles. A file that is torn or damaged is ignored as a whole: a router
+ * that began with figures of one could reject what it can serve.
  */
 final class UpgradeState {
   private static final Logger LOG = Logger.getLogger(UpgradeState.class.getName());
@@ -28,7 +28,7 @@
   private static final int CHECKED_OFFSET_BYTES = 2 * Long.BYTES;
   private static final int FILE_BYTES = 3 * Long.BYTES + FIGURE_COUNT * Double.BYTES;
 
-  /** An older file is that of an upgrade long past. */
+  /** A file older than this is of an upgrade long past, and is ignored. */
   private static final long LONGEST_AGE_MILLIS = 10_000;
 
   private final Path file;
--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -38,12 +38,12 @@
   private final DueConfigs dueConfigs;
   private final AgreementMember member;
 
-  /** Of the thread that says what it sees. */
+  /** For the routing thread alone, which reports server statuses. */
   private final EndpointViewBuilder viewBuilder = new EndpointViewBuilder();
 
   private volatile EndpointView latestView;
 
-  /** Of the agreement's thread. */
+  /** For the agreement's thread alone. */
   private long publishViewAtNanos = Long.MIN_VALUE;
 
   private volatile long listVersion = Long.MIN_VALUE;
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Publishes what is seen once it has changed, no more often than a lease is renewed; whether it
-   * has asked the store.
+   * Publishes this router's view of the cache servers if it has changed, no more often than a lease
+   * is renewed; true if the store was asked.
    */
   private boolean publishView(StoreClient store) {
     if (clock.now() < nextPublishAtNanos()) {
--- a/src/main/java/beaconturn/net/agreement/DueConfigs.java
+++ b/src/main/java/beaconturn/net/agreement/DueConfigs.java
@@ -15,7 +15,7 @@
   private final Clock clock;
   private volatile LeasedConfig leased;
 
-  /** What the routing thread was last put under. */
+  /** The configuration that the routing thread has applied last. */
   private volatile DueConfig applied;
 
   DueConfigs(RouterSettings configured, Clock clock) {
--- a/src/main/java/beaconturn/net/client/ClientConnection.java
+++ b/src/main/java/beaconturn/net/client/ClientConnection.java
@@ -19,8 +19,9 @@
  * ConnectionState} says how far it is, {@link CommandReader} reads its commands, {@link
  * CommandDispatcher} hands the requests over, {@link ClientWriter} writes the answers.
  *
- * <p>The poller's thread reads and takes commands. The sweeper and the listener propose ends, and
- * threads that have an answer write it; so each method says who may call it.
+ * <p>The poller's thread reads and takes commands. The sweeper, which is the thread that calls
+ * {@link ClientConnections#sweep} now and then, and the listener propose ends, and threads that
+ * have an answer write it; so each method says who may call it.
  */
 public class ClientConnection {
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
@@ -258,7 +259,10 @@
     void run() throws IOException;
   }
 
-  /** One connection's failure must not touch the others on the poller's thread. */
+  /**
+   * Runs a step of this connection on the poller's thread; whatever it throws ends this connection
+   * alone.
+   */
   private void guarded(SocketStep step) {
     try {
       if (!state.isClosed()) {
@@ -277,8 +281,8 @@
   }
 
   /**
-   * The router's own failure frees nobody of an answer: what is open fails, then the connection
-   * ends.
+   * Handles a defect of the router: the requests that are open are answered as failed, then the
+   * connection ends.
    */
   private void failed(Throwable failure) {
     LOG.log(Level.WARNING, "client connection " + number + " failed and ends", failure);
@@ -333,7 +337,10 @@
     }
   }
 
-  /** Whatever is wrong with one whole command is answered in its place and concerns no other. */
+  /**
+   * Hands one whole command over; if it is wrong it is answered with an error in its place, which
+   * concerns no other command.
+   */
   private void handleCommand(RespValue command) {
     try {
       dispatcher.dispatch(command, reader.lastArrivedAtNanos());
--- a/src/main/java/beaconturn/net/client/ClientConnections.java
+++ b/src/main/java/beaconturn/net/client/ClientConnections.java
@@ -39,12 +39,15 @@
   private static final long IDLE_TIMEOUT_WHEN_CROWDED_NANOS = 100 * NANOS_PER_MILLI;
 
   /**
-   * One connection, and this part of the limit, may be over it while those that make room are on
-   * their way out.
+   * One connection, and one in this many of the limit, may be open beyond it while those that make
+   * room are on their way out.
    */
   private static final int LEAVING_DIVISOR = 16;
 
-  /** How often the poller is waited for; it goes round far sooner than all of them together. */
+  /**
+   * How many times, at a millisecond each, the poller is waited for; it goes round far sooner than
+   * that.
+   */
   private static final int POLLER_WAIT_ROUNDS = 20;
 
   private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
@@ -158,7 +161,10 @@
         .forEach(c -> c.close(EndReason.LINGERED));
   }
 
-  /** Not while a request is out: the others on its connection are owed their answers first. */
+  /**
+   * Proposes an end for connections that are idle, silent or slow with a command. None of them ends
+   * while a request is out: the other answers on it are owed first.
+   */
   private void endSlowAndIdle(long nowNanos) {
     connections.stream()
         .filter(c -> c.partialCommandSinceNanos() < nowNanos - COMMAND_TIMEOUT_NANOS)
--- a/src/main/java/beaconturn/net/client/ClientWriter.java
+++ b/src/main/java/beaconturn/net/client/ClientWriter.java
@@ -17,7 +17,7 @@
  * poller says that it can be.
  */
 final class ClientWriter {
-  /** In the place of an answer: nothing more is written. */
+  /** In the place of an answer: the output ends here. */
   static final Slice END = Slice.of("");
 
   private static final int MAX_PIPELINED = 32;
--- a/src/main/java/beaconturn/net/client/ConnectionState.java
+++ b/src/main/java/beaconturn/net/client/ConnectionState.java
@@ -4,8 +4,13 @@
  * Where one client's connection stands on its way from open to closed. A phase is only ever
  * followed by a later one, and every change of phase goes through {@link #moveTo}.
  *
- * <p>Before the end there may be a proposal to end: it is made by any thread, and the poller's
- * thread, after one more look at the socket, takes it and either closes the connection or drops it.
+ * <p>Who sets which phase: {@link #drain} is called by the thread that runs a planned stop, {@link
+ * #end} by the poller's thread alone, {@link #close} by the poller's thread and by a thread that
+ * sweeps connections. The routing thread sets none.
+ *
+ * <p>Before the end there may be a proposal to end: a thread that sweeps connections or accepts new
+ * ones makes it with {@link #propose}, and the poller's thread, after one more look at the socket,
+ * takes it with {@link #takeProposal} and either closes the connection or drops the proposal.
  *
  * <p>Any thread may call any method; none waits for longer than it takes to write a few fields.
  */
--- a/src/main/java/beaconturn/net/client/RejectionRateLimit.java
+++ b/src/main/java/beaconturn/net/client/RejectionRateLimit.java
@@ -8,10 +8,13 @@
  * beyond the pace its next commands wait. Poller thread only.
  */
 final class RejectionRateLimit {
-  /** More than clients send by mistake or by chance. */
+  /**
+   * Rejections in a window beyond which commands wait; clients do not send so many by mistake or by
+   * chance.
+   */
   private static final int MAX_REJECTIONS = 16;
 
-  /** Waiting connections are looked at again about as often. */
+  /** Length of a window; connections that wait are looked at again about as often. */
   private static final long WINDOW_NANOS = 50_000_000;
 
   private final Clock clock;
--- a/src/main/java/beaconturn/net/client/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -67,7 +67,8 @@
   }
 
   /**
-   * What had begun and is not whole is broken off: the client has part of it, and can only fail.
+   * Ends the request with its answer; only the first call counts. A streamed answer that has begun
+   * and is not whole is broken off: the client has part of it, and can only fail.
    */
   private void end(RequestEnd end, Slice answer) {
     boolean brokenOff = stream() != null && end != RequestEnd.ANSWERED;
--- a/src/main/java/beaconturn/net/client/ResponseSlot.java
+++ b/src/main/java/beaconturn/net/client/ResponseSlot.java
@@ -11,7 +11,10 @@
   /** The answer, or null as long as there is none. Written under this object's lock. */
   private volatile Slice bytes;
 
-  /** What the answer comes by piece by piece, or null. Written under this object's lock. */
+  /**
+   * The pipe that the answer comes by, piece by piece; null if it comes whole. Written under this
+   * object's lock.
+   */
   private volatile BoundedPipe stream;
 
   /** Guarded by this. */
@@ -39,7 +42,7 @@
     action.run();
   }
 
-  /** What the answer comes by, or null if it comes whole. */
+  /** The pipe that the answer comes by, or null if it comes whole. */
   final BoundedPipe stream() {
     return stream;
   }
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -84,9 +84,9 @@
   }
 
   /**
-   * Ends the attempt's connection before it returns, so that a copy sent elsewhere next never meets
-   * it; closing a socket does not wait. An attempt that is not begun yet will not be, as it is
-   * over. For the routing thread.
+   * Ends the attempt's connection before this method returns, so that another attempt sent next
+   * never meets it at a server; closing a socket does not wait. An attempt that has not begun yet
+   * will not begin, as it is over. For the routing thread.
    */
   void abort(OutboundAttempt attempt) {
     CacheConnection used = inUse.get(attempt);
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Whether no connection is open and no send waits to be handled: an actor dropped before that
-   * could not stop that attempt any more when it is given up. For the routing thread.
+   * Whether no connection is open and no send waits to be handled. An actor that was dropped before
+   * that could no longer abort the attempt of such a send. For the routing thread.
    */
   boolean isQuiet() {
     return sendsHandled == sendsPosted && connectionCount == 0;
@@ -245,8 +245,9 @@
   }
 
   /**
-   * Responses that come faster than connections settle take a new connection each: the one idle for
-   * longest makes room.
+   * Takes a place among the connections for a new one; where none is free, the one idle for longest
+   * makes room. That happens where responses come faster than connections settle, so that each
+   * request takes a new one.
    */
   private boolean acquireConnection() {
     if (environment.connectionLimit().tryAcquire()) {
--- a/src/main/java/beaconturn/net/server/CacheServerPool.java
+++ b/src/main/java/beaconturn/net/server/CacheServerPool.java
@@ -157,13 +157,13 @@
   }
 
   @Override
-  public boolean override(long serverId, boolean out, boolean mayCome) {
+  public boolean override(long serverId, boolean exclude, boolean mayBeUnlisted) {
     PooledServer server = servers.get(serverId);
     boolean listed = server != null && !server.isGone();
-    if (!listed && !mayCome && !excluded.contains(serverId)) {
+    if (!listed && !mayBeUnlisted && !excluded.contains(serverId)) {
       return false;
     }
-    boolean changed = out ? excluded.add(serverId) : excluded.remove(serverId);
+    boolean changed = exclude ? excluded.add(serverId) : excluded.remove(serverId);
     if (changed && listed) {
       // Operators restart a server while it is out: what is connected now is dead at its return.
       server.actor().closeIdle();
@@ -180,7 +180,10 @@
         : new ListedServer(server.host(), server.zone(), server.bootTimeNanos());
   }
 
-  /** It keeps its actor while attempts are out: they may still be answered or given up. */
+  /**
+   * Marks a server as gone. It keeps its actor while attempts are out, as they may still be
+   * answered or given up.
+   */
   private void remove(long serverId, List<String> changes) {
     PooledServer server = servers.get(serverId);
     if (server == null || server.isGone()) {
@@ -196,8 +199,8 @@
   }
 
   /**
-   * Retires the actors of servers that are gone and have nothing out. Not only at endpoint updates,
-   * which may be long in coming.
+   * Retires the actors of servers that are gone and have nothing out. Also called at each send, as
+   * endpoint updates may be long in coming.
    */
   private void dropEnded() {
     if (goneCount > 0) {
--- a/src/main/java/beaconturn/net/server/CacheServerThread.java
+++ b/src/main/java/beaconturn/net/server/CacheServerThread.java
@@ -16,7 +16,7 @@
   private static final Logger LOG = Logger.getLogger(CacheServerThread.class.getName());
   private static final int MAILBOX_CAPACITY = 16_384;
 
-  /** Left free by sends, for what must not be lost: aborts, ends and closes. */
+  /** Places that sends leave free, for what must not be lost: aborts, ends and closes. */
   private static final int RESERVED_CAPACITY = MAILBOX_CAPACITY / 2;
 
   private static final long LONGEST_MAINTENANCE_INTERVAL_NANOS = 1_000_000_000;
@@ -28,7 +28,7 @@
   private final Mailbox<AddressedTask> mailbox = new Mailbox<>(MAILBOX_CAPACITY);
   private final long maintenanceIntervalNanos;
 
-  /** Those whose actors have not ended; for this thread alone. */
+  /** The servers whose actors have not ended; for this thread alone. */
   private final Set<CacheServer> servers = new LinkedHashSet<>();
 
   /** Written by this thread alone. */
--- a/src/main/java/beaconturn/release/CanaryBaselines.java
+++ b/src/main/java/beaconturn/release/CanaryBaselines.java
@@ -93,7 +93,10 @@
     }
   }
 
-  /** What a process has counted before any report of it was read belongs to another time. */
+  /**
+   * Whether the instance runs another process than at its baseline: what that had counted before
+   * its first report was read belongs to another time.
+   */
   private static boolean isAnotherProcess(
       String instanceId, Baseline baseline, Map<String, InstanceSample> samples) {
     InstanceSample before = baseline.undisturbed().get(instanceId);
--- a/src/main/java/beaconturn/release/ConfigRollout.java
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -83,7 +83,7 @@
     return null;
   }
 
-  /** It never came into force, so that there is nothing to revert. */
+  /** Forgets a configuration that never came into force, so that there is nothing to revert. */
   private static RolloutTransaction forget(DriverTurn turn) {
     String key = turn.keys().configChange();
     return turn.transaction(
--- a/src/main/java/beaconturn/release/DriverTurn.java
+++ b/src/main/java/beaconturn/release/DriverTurn.java
@@ -101,7 +101,7 @@
     return transactions.transaction(snapshot, driver, description, unchanged, changes);
   }
 
-  /** Ends or turns the rollout. */
+  /** Puts the rollout in another mode. */
   RolloutTransaction changeMode(String description, RolloutMode mode, String reason) {
     return transaction(
         description, List.of(), List.of(transactions.put(new RolloutState(mode, reason, driver))));
--- a/src/main/java/beaconturn/release/InstanceLoad.java
+++ b/src/main/java/beaconturn/release/InstanceLoad.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * The measured load of zones, and whether it can be carried while instances are out. Answers are
- * counted over one to two times the soak; gauges are as reported last. Confined to the thread of
- * its driver.
+ * Measures the load of zones, and tells whether it can be carried while instances are out. Answers
+ * are counted over one to two times the soak; gauges are as reported last. Confined to the thread
+ * of its driver.
  */
 final class InstanceLoad {
   private static final double NANOS_PER_SECOND = 1e9;
--- a/src/main/java/beaconturn/sim/package-info.java
+++ b/src/main/java/beaconturn/sim/package-info.java
@@ -1,2 +1,2 @@
-/** The adapter that hosts decision modules on the simulator's wire; it decides nothing. */
+/** The adapter that hosts routing policies on the simulator's wire; it decides nothing. */
 package beaconturn.sim;
--- a/src/main/java/beaconturn/zones/DestinationRule.java
+++ b/src/main/java/beaconturn/zones/DestinationRule.java
@@ -3,12 +3,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Which zones take the keys that a zone does not serve itself. For the planner's thread. */
+/**
+ * Decides which zones take the keys that a zone does not serve itself. For the planner's thread.
+ */
 final class DestinationRule {
-  /** From such a part of bad attempts on a zone suffers, found bad or not. */
+  /** Share of bad attempts above which a zone suffers, whether or not it is found bad. */
   private static final double SUFFERING_BAD_SHARE = 0.25;
 
-  /** A zone of which nearly all attempts are bad is left, also where others are slow. */
+  /** Share of bad attempts from which keys leave a zone even for one that is slow. */
   private static final double NEARLY_ALL_BAD_SHARE = 0.9;
 
   private final ZoneTopology topology;
@@ -68,8 +70,8 @@
   }
 
   /**
-   * Whether the allocation differs from the one at hand by no more than other zones for the trials,
-   * or by room that differs by chance: no reason for a plan.
+   * Whether the wanted allocation is about the one at hand, so that no plan is made for it: it
+   * differs only in the zones that get trials, or by no more than measured rates differ by chance.
    */
   boolean isAboutTheSame(PlanDraft draft, String home, ZoneAllocation wanted) {
     ZoneAllocation current = draft.base().allocationOf(home);
@@ -101,9 +103,11 @@
   }
 
   /**
-   * Whether another zone suffers by itself, and not clearly less: where a cause is shared some find
-   * just more than half of their attempts bad and others just less, or get slow before they get
-   * bad. What has been sent there already may be what makes it slow.
+   * Whether another zone is no better off than the home zone, so that keys gain nothing there: it
+   * suffers as well and not clearly less, or it is slow by itself. Where a cause is shared, some
+   * zones find just more than half of their attempts bad and others just less, or get slow before
+   * they get bad. Slowness does not count at a zone to which keys have been sent already, as they
+   * may be its cause.
    */
   private boolean isNoBetter(PlanDraft draft, String home, String other) {
     double there = evidence.badShare(other);
--- a/src/main/java/beaconturn/zones/DueAllocation.java
+++ b/src/main/java/beaconturn/zones/DueAllocation.java
@@ -1,11 +1,11 @@
 package beaconturn.zones;
 
 /**
- * What a router sends by.
+ * The allocation that a router sends by now.
  *
- * @param allocation of its zone
- * @param overflow whether another zone of it than the router's own may take what its own weight has
- *     no room for
- * @param description of where it comes from, in words
+ * @param allocation where the keys of its zone go
+ * @param overflow whether another zone of the allocation than the router's own may take keys for
+ *     which theirs has no room
+ * @param description where the allocation comes from, in words
  */
 public record DueAllocation(ZoneAllocation allocation, boolean overflow, String description) {}
--- a/src/main/java/beaconturn/zones/EvidenceAggregator.java
+++ b/src/main/java/beaconturn/zones/EvidenceAggregator.java
@@ -88,10 +88,10 @@
   }
 
   /**
-   * Requests a second that those of a zone took which are not heard any more: cut off from the
-   * store they serve near. Where others of the zone are heard it counts for a while only, as who
-   * was killed leaves its clients to them; where nobody is, for as long as that is so. One that has
-   * reported only once counts as the others of its zone do.
+   * Requests a second that routers of a zone took which are not heard any more: cut off from the
+   * store they may still serve, at their own zone. Where others of the zone are heard this counts
+   * for a while only, as the clients of a router that was killed go to them; where nobody is heard,
+   * for as long as that is so. A router that has reported only once counts as the mean of its zone.
    */
   double unheardPerSecond(String home, long nowNanos) {
     double mean =
--- a/src/main/java/beaconturn/zones/FailoverTiming.java
+++ b/src/main/java/beaconturn/zones/FailoverTiming.java
@@ -1,14 +1,15 @@
 package beaconturn.zones;
 
 /**
- * The times of decisions.
+ * The times of decisions on zones.
  *
- * @param confirmNanos so long a zone must be bad before its keys move
- * @param recoveryNanos so long it must be good before they come back, doubled with each time that
+ * @param confirmNanos how long a zone must be bad before its keys move
+ * @param recoveryNanos how long it must be good before they come back; doubled with each time that
  *     it flaps
- * @param maxRecoveryNanos the most that is
+ * @param maxRecoveryNanos the most that this time can become
  * @param stepIntervalNanos from one step of a return or a spill to the next
- * @param statedNanos how long routers may act on a plan after the next one, from their leases
+ * @param statedNanos how long routers may act on a plan after the next one is in force, by their
+ *     leases
  */
 public record FailoverTiming(
     long confirmNanos,
--- a/src/main/java/beaconturn/zones/LeasedAllocation.java
+++ b/src/main/java/beaconturn/zones/LeasedAllocation.java
@@ -1,6 +1,6 @@
 package beaconturn.zones;
 
-/** What a router sends by until a lease ends, and from then on. */
+/** The allocations that a router sends by until a lease ends, and from then on. */
 record LeasedAllocation(long leaseEndNanos, DueAllocation whileLeased, DueAllocation afterLease) {
   DueAllocation at(long nowNanos) {
     return nowNanos < leaseEndNanos ? whileLeased : afterLease;
--- a/src/main/java/beaconturn/zones/NearWeightRule.java
+++ b/src/main/java/beaconturn/zones/NearWeightRule.java
@@ -3,7 +3,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** How many of its keys a zone is to serve itself. For the planner's thread. */
+/** Decides how many of its keys a zone is to serve itself. For the planner's thread. */
 final class NearWeightRule {
   /** A spill ends at once where no more than this part of the capacity is wanted. */
   private static final double ENDS_SPILL_LOAD = 0.8;
@@ -45,7 +45,7 @@
     }
     int currentWeight = draft.base().allocationOf(home).weightOf(home);
     if (outages.isBad(home)) {
-      // Not for long enough yet.
+      // Bad, but not for long enough yet to move its keys.
       return currentWeight;
     }
     double wanted = traffic.requestsPerSecond(home);
--- a/src/main/java/beaconturn/zones/OwnZoneEvidence.java
+++ b/src/main/java/beaconturn/zones/OwnZoneEvidence.java
@@ -1,6 +1,9 @@
 package beaconturn.zones;
 
-/** Whether a router finds its own zone bad, by its own attempts alone. For the member's thread. */
+/**
+ * Tells whether a router finds its own zone bad, by its own attempts alone. For the member's
+ * thread.
+ */
 final class OwnZoneEvidence {
   private final String homeZone;
   private final long windowNanos;
--- a/src/main/java/beaconturn/zones/PlanDraft.java
+++ b/src/main/java/beaconturn/zones/PlanDraft.java
@@ -8,7 +8,9 @@
 
 /** A plan in the making, from the plan at hand. For the planner's thread. */
 final class PlanDraft {
-  /** A zone that never went has no entry among the counts of flaps. */
+  /**
+   * The count of a zone whose keys never went elsewhere; it has no entry among the counts of flaps.
+   */
   private static final int NEVER_LEFT = -1;
 
   private final ZonePlan base;
--- a/src/main/java/beaconturn/zones/RegionDistanceCheck.java
+++ b/src/main/java/beaconturn/zones/RegionDistanceCheck.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Whether the regions that operators name agree with the times that routers measure. */
+/** Checks whether the regions that operators name agree with the times that routers measure. */
 public final class RegionDistanceCheck {
   /** So many good answers tell how far a zone is. */
   private static final long MIN_ANSWERS = 50;
--- a/src/main/java/beaconturn/zones/SharedOutageRule.java
+++ b/src/main/java/beaconturn/zones/SharedOutageRule.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Whether most zones are bad at once: that has a cause which they share, and moving keys helps
- * nobody. For the planner's thread.
+ * Decides whether most zones are bad at once: that has a cause which they share, and moving keys
+ * helps nobody. For the planner's thread.
  */
 final class SharedOutageRule {
   private final ZoneTopology topology;
--- a/src/main/java/beaconturn/zones/StepLimits.java
+++ b/src/main/java/beaconturn/zones/StepLimits.java
@@ -9,13 +9,13 @@
 
 /** How much of a zone's keys may move at once, and how often. For the planner's thread. */
 final class StepLimits {
-  /** A return goes by such parts. */
+  /** Weight of one step of a return. */
   static final int RETURN_STEP_WEIGHT = ZoneAllocation.TOTAL_WEIGHT / 4;
 
-  /** So large a part of a zone's keys is a large move, of which there is one at a time. */
+  /** Weight from which a move counts as large; of large moves there is one at a time. */
   private static final int LARGE_MOVE_WEIGHT = 200;
 
-  /** A move may always be so large, however few origin fetches it may bring. */
+  /** Weight that may always move at once, however few fetches a move may bring. */
   private static final int MIN_LIMIT_WEIGHT = RETURN_STEP_WEIGHT / 2;
 
   private static final long NEVER_NANOS = Long.MIN_VALUE / 2;
@@ -53,7 +53,7 @@
     largeMoveAtNanos = nowNanos;
   }
 
-  /** As much of the way between two allocations as may be gone at once. */
+  /** The allocation as far on the way from one to another as may be gone at once. */
   ZoneAllocation limited(String home, ZoneAllocation from, ZoneAllocation to) {
     int moved = to.weightMovedFrom(from);
     double wanted = Math.max(1, traffic.requestsPerSecond(home));
--- a/src/main/java/beaconturn/zones/ZoneCapacity.java
+++ b/src/main/java/beaconturn/zones/ZoneCapacity.java
@@ -1,6 +1,8 @@
 package beaconturn.zones;
 
-/** How many requests a second zones carry, and have room for. For the planner's thread. */
+/**
+ * Estimates how many requests a second zones carry, and have room for. For the planner's thread.
+ */
 final class ZoneCapacity {
   private final ZoneTopology topology;
   private final EvidenceAggregator evidence;
@@ -21,8 +23,8 @@
 
   /**
    * Requests a second that a zone has room for, beside its own and what zones other than {@code
-   * home} may send there. One of which nothing was ever heard may serve as much as it can, cut off
-   * from the store.
+   * home} may send there. None at a zone from which nothing was ever heard: cut off from the store,
+   * it may serve as much as it can.
    */
   double roomPerSecond(PlanDraft draft, String home, String zone) {
     if (!evidence.hasHeardFrom(zone)) {
--- a/src/main/java/beaconturn/zones/ZoneHealthAssessment.java
+++ b/src/main/java/beaconturn/zones/ZoneHealthAssessment.java
@@ -13,10 +13,10 @@
   private final SortedMap<String, ZoneHealth> healthByZone = new TreeMap<>();
   private final SortedMap<String, String> descriptions = new TreeMap<>();
 
-  /** Of nothing: all is unknown. */
+  /** An assessment of nothing: all is unknown. */
   ZoneHealthAssessment() {}
 
-  /** By the routers that are heard and not broken. */
+  /** An assessment by the routers that are heard and not broken. */
   ZoneHealthAssessment(ZoneTopology topology, RouterEvidencePool pool, long nowNanos) {
     for (String home : topology.zones()) {
       List<RouterEvidence> heard = pool.heardFrom(home, nowNanos);
--- a/src/main/java/beaconturn/zones/ZoneHealthRules.java
+++ b/src/main/java/beaconturn/zones/ZoneHealthRules.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** How observations become the view of a router, and views that of a zone. Pure functions. */
+/** Turns observations into the view of a router, and views into that of a zone. Pure functions. */
 final class ZoneHealthRules {
   /** So many attempts of a window at least tell something. */
   private static final long MIN_ATTEMPTS = 4;
@@ -35,9 +35,9 @@
   }
 
   /**
-   * Of those that know something; that a zone is not listed counts only if nobody lists it. Where
-   * there are three or more, one of them finds nothing bad alone, also if the others have seen
-   * nothing.
+   * The view of most of those that know something. That a zone is not listed counts only if nobody
+   * lists it. Where there are three views or more, one bad view alone does not make the zone bad,
+   * even if the others have seen nothing.
    */
   static ZoneHealth majority(List<ZoneHealth> views) {
     if (!views.isEmpty() && views.stream().allMatch(view -> view == ZoneHealth.NOT_LISTED)) {
--- a/src/main/java/beaconturn/zones/ZoneMember.java
+++ b/src/main/java/beaconturn/zones/ZoneMember.java
@@ -51,7 +51,7 @@
   private long reportSequenceNumber;
   private volatile LeasedAllocation leased;
 
-  /** What was last logged to be sent by. */
+  /** The allocation that was logged last. */
   private DueAllocation loggedAllocation;
 
   /**
@@ -95,8 +95,8 @@
   }
 
   /**
-   * What to send by at a time of the router's clock; any thread may ask, also one that stood still
-   * for long.
+   * The allocation to send by at a time of the router's clock; any thread may ask, also one that
+   * stood still for long.
    */
   public DueAllocation allocationAt(long nowNanos) {
     return leased.at(nowNanos);
--- a/src/main/java/beaconturn/zones/ZoneOutages.java
+++ b/src/main/java/beaconturn/zones/ZoneOutages.java
@@ -4,7 +4,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Since when zones are bad or good for their own routers. For the planner's thread. */
+/** Keeps since when zones are bad or good for their own routers. For the planner's thread. */
 final class ZoneOutages {
   /** The time that a zone has to be good doubles so often at most. */
   private static final int MAX_DOUBLINGS = 5;
--- a/src/main/java/beaconturn/zones/ZonePlanLeader.java
+++ b/src/main/java/beaconturn/zones/ZonePlanLeader.java
@@ -11,7 +11,8 @@
 /** Becomes the leader where there is none, and makes plans while it is. For the member's thread. */
 final class ZonePlanLeader {
   /**
-   * Short, as nobody moves anything without a leader; each step has the leadership for a condition.
+   * Time to live of the leader's lease. Short, as nothing moves without a leader; one that has lost
+   * its lease can do nothing, as each step has the leadership for a condition.
    */
   private static final long LEASE_TTL_SECONDS = 2;
 
@@ -100,7 +101,8 @@
   void handleLeader(long nowNanos, StoreResponse.Success response) {
     active = response.entries().isEmpty();
     decideAtNanos = nowNanos;
-    // Who checks often takes a leadership that has just fallen free; all would check in step else.
+    // Checked often, a leadership that has fallen free is soon taken; the spread keeps routers from
+    // checking in step.
     checkAtNanos = nowNanos + jitter.spreadNanos(2 * TICK_NANOS);
   }
 
@@ -164,7 +166,7 @@
             new StoreRequest.Change.Put(keys.pastPlan(nextPlan.number()), text, NO_LEASE)));
   }
 
-  /** Each time that the evidence is something else. */
+  /** Logs the evidence each time that it has changed. */
   private void logEvidence() {
     String waitReason = planner.waitReason();
     String waits = waitReason.isEmpty() ? "" : "; waits: " + waitReason;
@@ -188,7 +190,7 @@
     return planned;
   }
 
-  /** Whether the step has come about is seen when all is read anew. */
+  /** Drops a step that got no answer: whether it came about is seen when all is read again. */
   void handleStepFailed() {
     step = null;
   }
--- a/src/main/java/beaconturn/zones/ZoneStateRule.java
+++ b/src/main/java/beaconturn/zones/ZoneStateRule.java
@@ -3,7 +3,10 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The state of a zone after a step, and how often it has flapped. For the planner's thread. */
+/**
+ * Decides on the state of a zone after a step, and how often it has flapped. For the planner's
+ * thread.
+ */
 final class ZoneStateRule {
   private final ZoneTopology topology;
   private final EvidenceAggregator evidence;
@@ -34,7 +37,7 @@
     return returning ? ZoneState.RETURNING : ZoneState.SPILLING;
   }
 
-  /** The number of times that a zone has gone of late, as it goes again. */
+  /** The count of a zone's flaps of late, as its keys go elsewhere again. */
   int flapCountAfterLeaving(String home, int flapCountBefore, long nowNanos) {
     boolean longNear =
         nearSinceNanos.containsKey(home)
--- a/src/main/java/beaconturn/zones/ZoneTraffic.java
+++ b/src/main/java/beaconturn/zones/ZoneTraffic.java
@@ -45,7 +45,10 @@
     updatedAtNanos = nowNanos;
   }
 
-  /** Smoothed, but for what chance cannot explain, which counts at once. */
+  /**
+   * Updates the rate of a zone: it is smoothed, unless it differs by more than chance explains;
+   * then the new one counts at once.
+   */
   private void updateRate(String zone, long nowNanos) {
     double latest = evidence.requestsPerSecond(zone, nowNanos);
     double known = requestsPerSecond.getOrDefault(zone, latest);
--- a/src/main/java/beaconturn/zones/ZonesCodec.java
+++ b/src/main/java/beaconturn/zones/ZonesCodec.java
@@ -81,7 +81,7 @@
         (int) number(json, "ejected"));
   }
 
-  /** A plan, as it stands there and among the past plans. */
+  /** Encodes a plan, as it stands in force and among the past plans. */
   public static String encode(ZonePlan plan) {
     List<Json> rows = new ArrayList<>();
     plan.allocations()
@@ -115,7 +115,7 @@
   }
 
   /**
-   * Of a plan's text.
+   * Decodes a plan's text.
    *
    * @throws AgreementException if it cannot be read
    */
--- a/src/main/java/beaconturn/zones/ZonesKeys.java
+++ b/src/main/java/beaconturn/zones/ZonesKeys.java
@@ -1,7 +1,7 @@
 package beaconturn.zones;
 
 /**
- * Where zones stand in the store, below a fleet's prefix.
+ * The keys of the zones in the store, below a fleet's prefix.
  *
  * <pre>
  * zones/plan        the plan at hand
