--- a/src/main/java/beaconturn/release/RolloutAdmin.java
+++ b/src/main/java/beaconturn/release/RolloutAdmin.java
@@ -118,7 +118,10 @@
         Set.of(RolloutMode.RUNNING, RolloutMode.ROLLING_BACK));
   }
 
-  /** Resumes a release that was halted. */
+  /**
+   * Resumes a release that was halted, forwards also where it was being rolled back when it was
+   * halted; to go on with that, see {@link #rollBack}.
+   */
   public String resume(String reason) throws AgreementException {
     return changeMode("goes on", reason, RolloutMode.RUNNING, Set.of(RolloutMode.HALTED));
   }
--- a/src/main/java/beaconturn/release/RolloutMode.java
+++ b/src/main/java/beaconturn/release/RolloutMode.java
@@ -4,7 +4,10 @@
 public enum RolloutMode implements StoredWord {
   /** Instances are changed, wave after wave. */
   RUNNING("running"),
-  /** No step begins. */
+  /**
+   * No step begins. Only an operator halts a release, and only an operator resumes it or rolls it
+   * back.
+   */
   HALTED("halted"),
   /** Changed instances are brought back in the reverse order. */
   ROLLING_BACK("backing"),
