--- a/Makefile
+++ b/Makefile
@@ -9,9 +9,9 @@
 test:
 	mvn -B -ntp clean verify
 
-# Compiler lint as errors and the style check, without the tests.
+# Compiler lint and Error Prone as errors, the format and the style check, without the tests.
 lint:
-	mvn -q -B -ntp test-compile checkstyle:check@style
+	mvn -q -B -ntp test-compile spotless:check@format checkstyle:check@style
 
 run: build
 	java -jar target/beaconturn.jar serve --config $(CONFIG)
