--- a/src/main/java/beaconturn/cli/FeaturesFile.java
+++ b/src/main/java/beaconturn/cli/FeaturesFile.java
@@ -31,7 +31,7 @@
   private static final int MOST_PORT = 65_535;
 
   /** Up to so many thousandths count as a trial. */
-  private static final int MOST_RESERVE = ZoneWeights.TRIAL;
+  private static final int MOST_RESERVE = ZoneWeights.MAX_TRIAL_WEIGHT;
 
   private FeaturesFile() {}
 
--- a/src/main/java/beaconturn/core/HostedPolicy.java
+++ b/src/main/java/beaconturn/core/HostedPolicy.java
@@ -42,7 +42,7 @@
   /** Whether it was replaced so long ago that no request of its settings can be open any more. */
   boolean isObsolete(long nowNanos) {
     long longestRequestNanos =
-        settings.safetyLimits().answerSlackNanos() + settings.longestDeadlineNanos();
+        settings.safetyLimits().responseSlackNanos() + settings.longestDeadlineNanos();
     return replaced && nowNanos - replacedAtNanos > 2 * longestRequestNanos;
   }
 }
--- a/src/main/java/beaconturn/core/RoutingEngine.java
+++ b/src/main/java/beaconturn/core/RoutingEngine.java
@@ -148,7 +148,7 @@
       return;
     }
     long lastAnswerNanos =
-        request.deadlineNanos() + policy.settings().safetyLimits().answerSlackNanos();
+        request.deadlineNanos() + policy.settings().safetyLimits().responseSlackNanos();
     RequestTable.RequestEntry entry =
         context
             .requests()
--- a/src/main/java/beaconturn/decision/AdmissionController.java
+++ b/src/main/java/beaconturn/decision/AdmissionController.java
@@ -36,7 +36,7 @@
     this.clock = clock;
     this.random = random;
     this.keyFailures = keyFailures;
-    boolean aside = settings.origin().aside();
+    boolean aside = settings.origin().cacheAside();
     double slowFetches = aside ? SLOW_OBJECTIVE_SHARE : SLOW_OBJECTIVE_SHARE_THROUGH_CACHE;
     this.cacheLimit = new ConcurrencyLimit(settings, clock, random, SLOW_OBJECTIVE_SHARE);
     this.originLimit = new ConcurrencyLimit(settings, clock, random, slowFetches);
@@ -66,7 +66,7 @@
     if (request.type().isWorthlessLate() && request.objectiveEndsNanos() <= clock.nowNanos()) {
       return GiveUpReason.TOO_LATE;
     }
-    boolean goesToOrigin = settings.origin().aside() && request.isWrite();
+    boolean goesToOrigin = settings.origin().cacheAside() && request.isWrite();
     ConcurrencyLimit limit = goesToOrigin ? originLimit : cacheLimit;
     return admits(request, limit) ? null : GiveUpReason.OVERLOADED;
   }
--- a/src/main/java/beaconturn/decision/AttemptFeedback.java
+++ b/src/main/java/beaconturn/decision/AttemptFeedback.java
@@ -11,7 +11,7 @@
     this.settings = settings;
     this.rules = rules;
     this.reports = reports;
-    this.aside = settings.origin().aside();
+    this.aside = settings.origin().cacheAside();
   }
 
   /** An open attempt is late: counts as a bad sample of its server at once. */
--- a/src/main/java/beaconturn/decision/ConcurrencyLimit.java
+++ b/src/main/java/beaconturn/decision/ConcurrencyLimit.java
@@ -40,7 +40,7 @@
     this.clock = clock;
     this.random = random;
     this.routers = settings.routerCount();
-    this.growsSlowly = settings.origin().aside();
+    this.growsSlowly = settings.origin().cacheAside();
     this.slowObjectiveShare = slowObjectiveShare;
   }
 
--- a/src/main/java/beaconturn/decision/HedgingPolicy.java
+++ b/src/main/java/beaconturn/decision/HedgingPolicy.java
@@ -34,7 +34,7 @@
   /** How long an attempt that is sent now may take until it counts as late, in nanoseconds. */
   long lateAfterNanos(RequestState request, boolean fetches) {
     long lateAfterNanos = times.lateAfterNanos(request, fetches);
-    if (!settings.origin().aside() || settings.permissions().hedging()) {
+    if (!settings.origin().cacheAside() || settings.permissions().hedging()) {
       return lateAfterNanos;
     }
     // A late attempt is moved here, which loses the time that was waited.
@@ -63,7 +63,7 @@
       return LateAction.HEDGE;
     }
     // Not where caches fetch: they go on with what is cancelled, and would do the work twice.
-    boolean mayMove = permissions.cancel() && settings.origin().aside();
+    boolean mayMove = permissions.cancel() && settings.origin().cacheAside();
     return mayMove ? LateAction.MOVE : LateAction.WAIT;
   }
 
--- a/src/main/java/beaconturn/decision/KeySpread.java
+++ b/src/main/java/beaconturn/decision/KeySpread.java
@@ -39,7 +39,7 @@
   /** Over how many caches the request's key is spread: at least one, at most half the routers. */
   int serversFor(RequestState request) {
     int most = Math.min(ring.size(), settings.routerCount() / LoadBounds.MIN_CAP);
-    double fill = settings.origin().aside() ? MAX_FILL_ASIDE : MAX_FILL;
+    double fill = settings.origin().cacheAside() ? MAX_FILL_ASIDE : MAX_FILL;
     int filled = (int) Math.ceil(request.keyShare() / fill * ring.size());
     return Math.max(1, Math.min(most, filled));
   }
--- a/src/main/java/beaconturn/decision/LoadBounds.java
+++ b/src/main/java/beaconturn/decision/LoadBounds.java
@@ -26,7 +26,7 @@
     this.load = load;
     this.reports = reports;
     this.originLimit = originLimit;
-    this.excess = settings.origin().aside() ? EXCESS : EXCESS_WHERE_CACHES_FETCH;
+    this.excess = settings.origin().cacheAside() ? EXCESS : EXCESS_WHERE_CACHES_FETCH;
   }
 
   /** The most that one of so many caches may hold when one more request is sent. */
@@ -56,7 +56,7 @@
     boolean reportedFull =
         originLimit.hasAmpleCapacity() && reports.isFarAboveMean(server, load.smoothingNanos());
     double evenPart = (double) MIN_CAP / settings.routerCount();
-    double mean = settings.origin().aside() ? 0 : load.smoothedAtCaches() / servers;
+    double mean = settings.origin().cacheAside() ? 0 : load.smoothedAtCaches() / servers;
     double bound = (1 + excess) * Math.max(evenPart, mean);
     return reportedFull || (server.load().inFlight() > 0 && load.smoothedAt(server) > bound);
   }
--- a/src/main/java/beaconturn/decision/OriginFetches.java
+++ b/src/main/java/beaconturn/decision/OriginFetches.java
@@ -30,7 +30,7 @@
     this.actions = actions;
     this.rules = rules;
     this.dispatcher = dispatcher;
-    this.aside = settings.origin().aside();
+    this.aside = settings.origin().cacheAside();
     this.limit = rules.admission.originLimit();
   }
 
--- a/src/main/java/beaconturn/decision/RequestCoordinator.java
+++ b/src/main/java/beaconturn/decision/RequestCoordinator.java
@@ -23,7 +23,7 @@
     this.settings = settings;
     this.actions = actions;
     this.rules = rules;
-    this.aside = settings.origin().aside();
+    this.aside = settings.origin().cacheAside();
     this.fetches = new OriginFetches(settings, actions, rules, this);
   }
 
--- a/src/main/java/beaconturn/decision/RingRouter.java
+++ b/src/main/java/beaconturn/decision/RingRouter.java
@@ -81,8 +81,8 @@
   }
 
   private void applyWarmStart(WarmStartState state) {
-    rules.slowStart.begin(state.answersPerNano(), state.peakAnswersPerNano());
-    rules.times.begin(state.answerTimeNanos(), state.fetchTimeNanos());
+    rules.slowStart.begin(state.responsesPerNano(), state.peakResponsesPerNano());
+    rules.times.begin(state.responseTimeNanos(), state.fetchTimeNanos());
     rules.admission.cacheLimit().begin(state.cacheLimit());
     rules.admission.originLimit().begin(state.originLimit());
   }
@@ -90,8 +90,8 @@
   @Override
   public WarmStartState warmStartState() {
     return new WarmStartState(
-        rules.slowStart.answersPerNano(),
-        rules.slowStart.peakAnswersPerNano(),
+        rules.slowStart.responsesPerNano(),
+        rules.slowStart.peakResponsesPerNano(),
         rules.times.answerNanos().mean(),
         rules.times.fetchNanos().mean(),
         rules.admission.cacheLimit().limit(),
--- a/src/main/java/beaconturn/decision/RoutingPermissions.java
+++ b/src/main/java/beaconturn/decision/RoutingPermissions.java
@@ -10,7 +10,7 @@
  * @param hedging whether a request may have two attempts open at once
  * @param maxAttempts the most attempts of one request
  * @param maxRetryAfterNanos the latest that clients may be told to come back
- * @param multiplex the most requests that share one connection
+ * @param maxRequestsPerConnection the most requests that share one connection
  * @param connectTimeoutNanos how long a connection may take to open
  * @param connectionIdleNanos a connection that is idle for so long is closed
  */
@@ -22,6 +22,6 @@
     boolean hedging,
     int maxAttempts,
     long maxRetryAfterNanos,
-    int multiplex,
+    int maxRequestsPerConnection,
     long connectTimeoutNanos,
     long connectionIdleNanos) {}
--- a/src/main/java/beaconturn/decision/SafetyLimits.java
+++ b/src/main/java/beaconturn/decision/SafetyLimits.java
@@ -4,7 +4,7 @@
  * The figures behind the four rules: no request lost, no effect twice, drains kept, servers that
  * warm up not overloaded.
  *
- * @param answerSlackNanos how late past its deadline an answer may be
+ * @param responseSlackNanos how late past its deadline an answer may be
  * @param pollIntervalNanos how often the endpoint list is asked for
  * @param coldCapacityShare part of its capacity that a server has when it starts
  * @param warmUpNanos how long a server warms up
@@ -16,7 +16,7 @@
  *     gone, or leaves out, may then still be sent to
  */
 public record SafetyLimits(
-    long answerSlackNanos,
+    long responseSlackNanos,
     long pollIntervalNanos,
     double coldCapacityShare,
     long warmUpNanos,
--- a/src/main/java/beaconturn/decision/ServerRegistry.java
+++ b/src/main/java/beaconturn/decision/ServerRegistry.java
@@ -90,7 +90,7 @@
 
   /** Whether the router itself sends fetches to the server. */
   boolean isOrigin(ServerState server) {
-    return settings.origin().aside() && server.kind() == settings.origin().kind();
+    return settings.origin().cacheAside() && server.kind() == settings.origin().kind();
   }
 
   /** The origin server with the fewest attempts in flight; null if there is none. */
--- a/src/main/java/beaconturn/decision/ServerSelector.java
+++ b/src/main/java/beaconturn/decision/ServerSelector.java
@@ -18,7 +18,7 @@
   private final LoadBounds bounds;
   private final KeySpread spread;
   private final ServerChoice choice;
-  private ZoneWeights zoneWeights = ZoneWeights.ANYWHERE;
+  private ZoneWeights zoneWeights = ZoneWeights.UNWEIGHTED;
 
   /** Uses rules of {@code rules} that have been made before this one. */
   ServerSelector(RoutingSettings settings, SplittableRandom random, RouterRules rules) {
@@ -29,7 +29,7 @@
     this.connections = rules.connections;
     this.bounds = rules.bounds;
     this.spread = rules.spread;
-    this.choice = new ServerChoice(random, settings.origin().aside() ? settings.zone() : ANY_ZONE);
+    this.choice = new ServerChoice(random, settings.origin().cacheAside() ? settings.zone() : ANY_ZONE);
   }
 
   ZoneWeights zoneWeights() {
--- a/src/main/java/beaconturn/decision/SlowStart.java
+++ b/src/main/java/beaconturn/decision/SlowStart.java
@@ -39,8 +39,8 @@
   }
 
   /** Begins with rates of answers that another router has counted. */
-  void begin(double answersPerNano, double peakPerNano) {
-    answers.begin(answersPerNano, peakPerNano, clock.nowNanos());
+  void begin(double responsesPerNano, double peakPerNano) {
+    answers.begin(responsesPerNano, peakPerNano, clock.nowNanos());
   }
 
   /** A cache has answered: what caches answer at the peak is what they can carry. */
@@ -49,12 +49,12 @@
   }
 
   /** Answers of all caches to this router, in answers a nanosecond. */
-  double answersPerNano() {
+  double responsesPerNano() {
     return answers.perNano(clock.nowNanos());
   }
 
   /** The recent peak of the same. */
-  double peakAnswersPerNano() {
+  double peakResponsesPerNano() {
     return answers.peakPerNano(clock.nowNanos());
   }
 
--- a/src/main/java/beaconturn/decision/ZoneWeights.java
+++ b/src/main/java/beaconturn/decision/ZoneWeights.java
@@ -5,7 +5,7 @@
 
 /**
  * How the keys are divided among zones, by the hash of the key. Each weight is a number of {@link
- * #WHOLE} parts of all keys; keys beyond the sum of the weights are sent nowhere.
+ * #TOTAL_WEIGHT} parts of all keys; keys beyond the sum of the weights are sent nowhere.
  *
  * <p>A key that finds no server in its zone goes to the router's own zone, and to the others in use
  * only if {@code overflow} allows it or its zone has no more than a trial weight.
@@ -16,16 +16,16 @@
  */
 public record ZoneWeights(List<Integer> zones, List<Integer> weights, boolean overflow) {
   /** The weight of all keys. */
-  public static final int WHOLE = 1000;
+  public static final int TOTAL_WEIGHT = 1000;
 
   /**
    * The largest weight that counts as a trial: requests that must not be repeated are sent by it
    * only if there is no other way.
    */
-  public static final int TRIAL = 50;
+  public static final int MAX_TRIAL_WEIGHT = 50;
 
   /** Any zone, by the ring alone. */
-  public static final ZoneWeights ANYWHERE = new ZoneWeights(List.of(), List.of(), true);
+  public static final ZoneWeights UNWEIGHTED = new ZoneWeights(List.of(), List.of(), true);
 
   private static final int ANY_ZONE = -1;
 
@@ -49,7 +49,7 @@
   }
 
   private boolean isMoreThanTrial(int index) {
-    return weights.get(index) > TRIAL;
+    return weights.get(index) > MAX_TRIAL_WEIGHT;
   }
 
   /**
@@ -80,7 +80,7 @@
 
   /** The zone whose part of the keys the hash is in; the number of zones for none. */
   private int indexFor(long hash) {
-    int part = (int) Long.remainderUnsigned(KeyHash.mix(~hash), WHOLE);
+    int part = (int) Long.remainderUnsigned(KeyHash.mix(~hash), TOTAL_WEIGHT);
     int index = 0;
     while (index < weights.size() && part >= weights.get(index)) {
       part -= weights.get(index);
--- a/src/main/java/beaconturn/net/FleetConfigApplier.java
+++ b/src/main/java/beaconturn/net/FleetConfigApplier.java
@@ -21,7 +21,7 @@
   private final ActiveSettings settings;
   private final Runnable fetchEndpointList;
   private final Predicate<String> excludedByOperators;
-  private ZoneWeights zoneWeights = ZoneWeights.ANYWHERE;
+  private ZoneWeights zoneWeights = ZoneWeights.UNWEIGHTED;
   private long settingsSwitches;
 
   /**
--- a/src/main/java/beaconturn/net/UpgradeState.java
+++ b/src/main/java/beaconturn/net/UpgradeState.java
@@ -53,9 +53,9 @@
     out.putLong(MARK)
         .putLong(0)
         .putLong(nowMillis)
-        .putDouble(state.answersPerNano())
-        .putDouble(state.peakAnswersPerNano())
-        .putDouble(state.answerTimeNanos())
+        .putDouble(state.responsesPerNano())
+        .putDouble(state.peakResponsesPerNano())
+        .putDouble(state.responseTimeNanos())
         .putDouble(state.fetchTimeNanos())
         .putDouble(state.cacheLimit())
         .putDouble(state.originLimit());
--- a/src/main/java/beaconturn/net/agreement/SettingsContentMapper.java
+++ b/src/main/java/beaconturn/net/agreement/SettingsContentMapper.java
@@ -92,7 +92,7 @@
         content.hedging() == null ? configured.hedging() : content.hedging(),
         content.maxAttempts() == null ? configured.maxAttempts() : content.maxAttempts(),
         configured.maxRetryAfterNanos(),
-        configured.multiplex(),
+        configured.maxRequestsPerConnection(),
         configured.connectTimeoutNanos(),
         configured.connectionIdleNanos());
   }
--- a/src/main/java/beaconturn/net/server/CacheResponseReader.java
+++ b/src/main/java/beaconturn/net/server/CacheResponseReader.java
@@ -23,7 +23,7 @@
   /** A reader of responses under these settings. */
   public CacheResponseReader(RoutingSettings settings) {
     this.loadReportFields = settings.loadReportFields();
-    this.cacheAside = settings.origin().aside();
+    this.cacheAside = settings.origin().cacheAside();
   }
 
   /**
--- a/src/test/java/beaconturn/core/RoutingEngineTest.java
+++ b/src/test/java/beaconturn/core/RoutingEngineTest.java
@@ -250,7 +250,7 @@
   @Test
   void aRequestThatTheModuleForgetsFailsWithinTheSlack() {
     FakeRequest request = arrive();
-    now += 400 * MILLI + settings.safetyLimits().answerSlackNanos();
+    now += 400 * MILLI + settings.safetyLimits().responseSlackNanos();
     engine.runDue();
     assertEquals(List.of("failed"), request.answers);
   }
--- a/src/test/java/beaconturn/decision/EndpointWatchTest.java
+++ b/src/test/java/beaconturn/decision/EndpointWatchTest.java
@@ -56,7 +56,7 @@
                 s.classes(),
                 s.tenants(),
                 new SafetyLimits(
-                    r.answerSlackNanos(),
+                    r.responseSlackNanos(),
                     3600 * SECOND,
                     r.coldCapacityShare(),
                     r.warmUpNanos(),
--- a/src/test/java/beaconturn/decision/Harness.java
+++ b/src/test/java/beaconturn/decision/Harness.java
@@ -98,7 +98,7 @@
         s.classes(),
         s.tenants(),
         new SafetyLimits(
-            r.answerSlackNanos(),
+            r.responseSlackNanos(),
             r.pollIntervalNanos(),
             r.coldCapacityShare(),
             r.warmUpNanos(),
@@ -119,7 +119,7 @@
         new RoutingPermissions(
             true, false, false, true, false, 3, 2 * SECOND, 32, 250 * MS, 10 * SECOND);
     OriginSettings origin =
-        new OriginSettings(s.origin().aside(), s.origin().kind(), false, false, 0, 0);
+        new OriginSettings(s.origin().cacheAside(), s.origin().kind(), false, false, 0, 0);
     return with(s, may, origin, s.loadReportFields());
   }
 
--- a/src/test/java/beaconturn/decision/SeededFaults.java
+++ b/src/test/java/beaconturn/decision/SeededFaults.java
@@ -139,7 +139,7 @@
     boolean overflow = traffic.chance.nextBoolean();
     ZoneWeights weights =
         switch (traffic.chance.nextInt(4)) {
-          case 0 -> ZoneWeights.ANYWHERE;
+          case 0 -> ZoneWeights.UNWEIGHTED;
           case 1 -> new ZoneWeights(List.of(0, 1, 2), List.of(600, 300, 100), overflow);
           case 2 -> new ZoneWeights(List.of(0, 1), List.of(960, 40), overflow);
           default -> new ZoneWeights(List.of(0, 2), List.of(500, 450), overflow);
--- a/src/test/java/beaconturn/decision/SeededTraffic.java
+++ b/src/test/java/beaconturn/decision/SeededTraffic.java
@@ -104,7 +104,7 @@
     for (int i = 1; i <= shape.caches(); i++) {
       servers.put((long) i, new SeededServer(i, i % 4 == 0 ? 1 : 0));
     }
-    if (shape.settings().origin().aside()) {
+    if (shape.settings().origin().cacheAside()) {
       servers.put(FIRST_ORIGIN, new SeededServer(FIRST_ORIGIN, ORIGIN_KIND));
       servers.put(FIRST_ORIGIN + 1, new SeededServer(FIRST_ORIGIN + 1, ORIGIN_KIND));
     }
@@ -160,11 +160,11 @@
   /** The labels are the digests' own, so that they do not follow the names of the components. */
   private static String text(WarmStartState state) {
     return "WarmStartState[answers="
-        + state.answersPerNano()
+        + state.responsesPerNano()
         + ", peak="
-        + state.peakAnswersPerNano()
+        + state.peakResponsesPerNano()
         + ", answerTime="
-        + state.answerTimeNanos()
+        + state.responseTimeNanos()
         + ", fetchTime="
         + state.fetchTimeNanos()
         + ", limit="
@@ -283,7 +283,7 @@
       return roll % 3 == 0 ? AttemptOutcome.RESET : AttemptOutcome.ERROR;
     }
     boolean cacheLacks =
-        shape.settings().origin().aside()
+        shape.settings().origin().cacheAside()
             && !origin
             && !client.arrival.write()
             && server.keys.get(client.arrival.key()) == null;
@@ -307,7 +307,7 @@
 
   private CacheStatus status(Client client, SeededServer server, AttemptOutcome outcome) {
     OriginSettings origin = shape.settings().origin();
-    if (origin.aside() || outcome != AttemptOutcome.OK || !origin.reportsCacheHits()) {
+    if (origin.cacheAside() || outcome != AttemptOutcome.OK || !origin.reportsCacheHits()) {
       return CacheStatus.NONE;
     }
     boolean holds = server.keys.get(client.arrival.key()) != null;
--- a/src/test/java/beaconturn/decision/ZoneWeightsTest.java
+++ b/src/test/java/beaconturn/decision/ZoneWeightsTest.java
@@ -71,7 +71,7 @@
   /** A trial may fail: nothing that must not be repeated goes by it, nor a second attempt. */
   @Test
   void trialsAreOnlyIdempotentRequests() {
-    Harness h = weighted(weights(ZoneWeights.TRIAL, 950, true));
+    Harness h = weighted(weights(ZoneWeights.MAX_TRIAL_WEIGHT, 950, true));
     for (long key = 1; key <= KEYS; key++) {
       assertTrue(sent(h, key, Harness.UNSAFE));
       assertEquals(1, h.last().server() % 2, "key " + key);
--- a/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
@@ -178,7 +178,7 @@
 
     @Override
     public ZoneWeights dueWeights() {
-      return defect == Defect.IGNORES_SHARES ? ZoneWeights.ANYWHERE : sound.dueWeights();
+      return defect == Defect.IGNORES_SHARES ? ZoneWeights.UNWEIGHTED : sound.dueWeights();
     }
 
     @Override
