--- a/src/main/java/beaconturn/decision/AdmissionController.java
+++ b/src/main/java/beaconturn/decision/AdmissionController.java
@@ -3,21 +3,24 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides whether a request is admitted or rejected at once. Load is shed by priority, and only
- * when the caches or the origin are at their {@link ConcurrencyLimit}.
+ * Decides whether an arriving request is admitted or rejected. Sheds load by priority, and only
+ * while the caches or the origin are at their {@link ConcurrencyLimit}.
  */
 final class AdmissionController {
-  /** Caches are slow when answers take this part of their latency objective. */
+  /** Fraction of the latency objective beyond which cache responses count as slow. */
   private static final double SLOW_OBJECTIVE_SHARE = 0.5;
 
   /**
-   * The same of fetches through a cache: its own work is in them, and they take half the objective
-   * at rest.
+   * The same for fetches through a cache in read-through mode: they include the work of the cache
+   * and take half of the objective even without load.
    */
-  private static final double SLOW_OBJECTIVE_SHARE_THROUGH_CACHE = 0.8;
+  private static final double SLOW_OBJECTIVE_SHARE_READ_THROUGH = 0.8;
 
-  /** Part of a limit that is open to requests of priority 0; priority 1 may use all of it. */
-  private static final double OPEN_TO_ALL = 0.6;
+  /**
+   * Fraction of a limit that is available to requests of priority 0; priority 1 may use the whole
+   * limit.
+   */
+  private static final double LOWEST_PRIORITY_LIMIT_SHARE = 0.6;
 
   private final RoutingSettings settings;
   private final EventClock clock;
@@ -36,61 +39,64 @@
     this.clock = clock;
     this.random = random;
     this.keyFailures = keyFailures;
-    boolean aside = settings.origin().cacheAside();
-    double slowFetches = aside ? SLOW_OBJECTIVE_SHARE : SLOW_OBJECTIVE_SHARE_THROUGH_CACHE;
+    boolean cacheAside = settings.origin().cacheAside();
+    double slowFetchObjectiveShare = cacheAside ? SLOW_OBJECTIVE_SHARE : SLOW_OBJECTIVE_SHARE_READ_THROUGH;
     this.cacheLimit = new ConcurrencyLimit(settings, clock, random, SLOW_OBJECTIVE_SHARE);
-    this.originLimit = new ConcurrencyLimit(settings, clock, random, slowFetches);
+    this.originLimit = new ConcurrencyLimit(settings, clock, random, slowFetchObjectiveShare);
     this.highestWeight =
         settings.classes().stream().mapToDouble(RequestClass::priorityWeight).max().orElse(1);
   }
 
-  /** Attempts at the caches. */
+  /** Limits attempts at the caches. */
   ConcurrencyLimit cacheLimit() {
     return cacheLimit;
   }
 
-  /** Attempts that fetch from the origin. */
+  /** Limits attempts that fetch from the origin. */
   ConcurrencyLimit originLimit() {
     return originLimit;
   }
 
   /**
-   * Why a request that has just arrived is given up at once; null if it is admitted. For a key that
-   * is at fault (see {@link KeyFailures}) one request in as many as caches have failed it is
-   * admitted. Draws.
+   * Returns why an arriving request is rejected, or null if it is admitted. For a key at fault,
+   * only one request in N is admitted, where N is the number of caches that failed it (see {@link
+   * KeyFailures}). Draws from the random source.
    */
   GiveUpReason rejection(RequestState request) {
-    if (keyFailures.isDrawnHopeless(request.key(), random)) {
+    if (keyFailures.isRejectionDrawn(request.key(), random)) {
       return GiveUpReason.FAILING_KEY;
     }
-    if (request.type().isWorthlessLate() && request.objectiveEndsNanos() <= clock.nowNanos()) {
+    if (request.requestClass().isWorthlessWhenLate() && request.objectiveEndNanos() <= clock.nowNanos()) {
       return GiveUpReason.TOO_LATE;
     }
-    boolean goesToOrigin = settings.origin().cacheAside() && request.isWrite();
-    ConcurrencyLimit limit = goesToOrigin ? originLimit : cacheLimit;
+    boolean sentToOrigin = settings.origin().cacheAside() && request.isWrite();
+    ConcurrencyLimit limit = sentToOrigin ? originLimit : cacheLimit;
     return admits(request, limit) ? null : GiveUpReason.OVERLOADED;
   }
 
   private boolean admits(RequestState request, ConcurrencyLimit limit) {
-    double partOfLimit = OPEN_TO_ALL + (1 - OPEN_TO_ALL) * priority(request);
-    return limit.hasCapacityWithin(partOfLimit) && !exceedsSpareCapacity(request, limit);
+    double limitShare = LOWEST_PRIORITY_LIMIT_SHARE + (1 - LOWEST_PRIORITY_LIMIT_SHARE) * priority(request);
+    return limit.hasCapacityWithin(limitShare) && !exceedsSpareCapacity(request, limit);
   }
 
-  /** Whether a request beyond its tenant's quota finds no capacity to spare; draws for such. */
+  /**
+   * Whether the request exceeds its tenant's quota and the limit has no spare capacity. Draws from
+   * the random source for requests over quota.
+   */
   boolean exceedsSpareCapacity(RequestState request, ConcurrencyLimit limit) {
     return request.isOverQuota() && !limit.hasSpareCapacity();
   }
 
   /**
-   * The priority of a request: 1 for the highest weight of all classes, less for lower weights and
-   * beyond a quota.
+   * Returns the priority of a request from 0 to 1, relative to the highest weight of all request
+   * classes. Requests over quota have a reduced priority.
    */
   double priority(RequestState request) {
     double quotaWeight = request.isOverQuota() ? settings.overQuotaPriorityWeight() : 1;
-    return request.type().priorityWeight() * quotaWeight / highestWeight;
+    return request.requestClass().priorityWeight() * quotaWeight / highestWeight;
   }
 
-  /** An attempt is sent. */
+  /** Counts an attempt against the limits that apply to it. */
   void attemptStarted(AttemptState attempt) {
     if (attempt.toCache()) {
       cacheLimit.attemptStarted();
@@ -101,14 +107,14 @@
   }
 
   /**
-   * An attempt's answer begins, or the attempt has ended. Limits count what servers are at work on,
-   * not what only clients take their time for.
+   * Stops counting an attempt when its response starts or it ends. Limits cover the work of
+   * servers, not the time that a client takes to receive a streamed response.
    */
   void attemptServed(AttemptState attempt) {
     if (!attempt.isBeingServed()) {
       return;
     }
-    attempt.served();
+    attempt.markServed();
     if (attempt.toCache()) {
       cacheLimit.attemptServed();
     }
--- a/src/main/java/beaconturn/decision/AttemptFeedback.java
+++ b/src/main/java/beaconturn/decision/AttemptFeedback.java
@@ -1,139 +1,139 @@
 package beaconturn.decision;
 
-/** What the rules learn from the end of an attempt, and from one that is late. */
+/** Updates the learned state (latencies, health, limits) from attempts that end or are late. */
 final class AttemptFeedback {
   private final RoutingSettings settings;
   private final RouterRules rules;
   private final LoadReports reports;
-  private final boolean aside;
+  private final boolean cacheAside;
 
   AttemptFeedback(RoutingSettings settings, RouterRules rules, LoadReports reports) {
     this.settings = settings;
     this.rules = rules;
     this.reports = reports;
-    this.aside = settings.origin().cacheAside();
+    this.cacheAside = settings.origin().cacheAside();
   }
 
-  /** An open attempt is late: counts as a bad sample of its server at once. */
+  /** Counts an attempt that is late and still open as a failed health sample of its server. */
   void attemptLate(AttemptState attempt) {
-    attempt.countLate();
-    rules.outliers.sample(attempt.server(), true);
+    attempt.markCountedLate();
+    rules.outliers.recordSample(attempt.server(), true);
   }
 
-  /** An attempt at a cache has ended. */
+  /** Records the end of an attempt at a cache. */
   void cacheAttemptEnded(
-      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed end) {
-    AttemptOutcome outcome = end.outcome();
+      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed closed) {
+    AttemptOutcome outcome = closed.outcome();
     rules.connections.attemptEnded(attempt, outcome);
     if (outcome.endedLocally()) {
       return;
     }
     rules.keyFailures.attemptEnded(request.key(), attempt.server().id(), outcome);
-    if (outcome.isAnswer()) {
-      rules.slowStart.cacheAnswered();
+    if (outcome.isSuccessOrMiss()) {
+      rules.slowStart.cacheResponded();
     }
-    boolean fetched = hasFetched(attempt, end);
-    boolean late = end.elapsedNanos() > rules.times.lateAfterNanos(request, fetched);
-    reports.received(attempt.server(), end.loadReport());
+    boolean fetched = hasFetched(attempt, closed);
+    boolean late = closed.elapsedNanos() > rules.times.lateAfterNanos(request, fetched);
+    reports.received(attempt.server(), closed.loadReport());
     if (outcome == AttemptOutcome.OK) {
-      cacheAnswered(request, attempt, end, fetched);
+      recordCacheResponse(request, attempt, closed, fetched);
     }
     if (isHealthSample(request, attempt, outcome, fetched && !late)) {
-      rules.outliers.sample(attempt.server(), !outcome.isAnswer() || late);
+      rules.outliers.recordSample(attempt.server(), !outcome.isSuccessOrMiss() || late);
     }
     if (!fetched) {
-      observeCacheLimit(request, attempt, end);
+      observeCacheLimit(request, attempt, closed);
     }
   }
 
-  private boolean isMissOfFetchingCache(RoutingEvent.AttemptClosed end) {
-    return !aside && end.cacheStatus() == CacheStatus.MISS;
+  private boolean isMissOfFetchingCache(RoutingEvent.AttemptClosed closed) {
+    return !cacheAside && closed.cacheStatus() == CacheStatus.MISS;
   }
 
   /**
-   * Whether the origin was asked. Where that was presumed, only a hit says that it was not: at many
-   * routers most hits are on keys that are new here.
+   * Whether the origin was contacted. Where a fetch was expected, only a reported hit disproves it:
+   * with many routers, most hits are on keys that this router has not seen before.
    */
-  private boolean hasFetched(AttemptState attempt, RoutingEvent.AttemptClosed end) {
-    return isMissOfFetchingCache(end)
-        || (attempt.fetchesFromOrigin() && end.cacheStatus() != CacheStatus.HIT);
+  private boolean hasFetched(AttemptState attempt, RoutingEvent.AttemptClosed closed) {
+    return isMissOfFetchingCache(closed)
+        || (attempt.fetchesFromOrigin() && closed.cacheStatus() != CacheStatus.HIT);
   }
 
-  private void cacheAnswered(
-      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed end, boolean fetched) {
+  private void recordCacheResponse(
+      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed closed, boolean fetched) {
     ServerState server = attempt.server();
-    if (!request.isWrite() && !aside) {
-      rules.cachedKeys.answered(
-          request.key(), server.id(), isMissOfFetchingCache(end), rules.clock.nowNanos());
+    if (!request.isWrite() && !cacheAside) {
+      rules.cachedKeys.recordResponse(
+          request.key(), server.id(), isMissOfFetchingCache(closed), rules.clock.nowNanos());
     }
     if (fetched) {
       return;
     }
-    MovingAverage usual = rules.times.answerNanosOf(request.classIndex());
-    if (usual.hasSamples() && aside) {
-      rules.ring.answered(server, end.elapsedNanos() / usual.mean());
+    MovingAverage usualNanos = rules.times.responseNanosOf(request.classIndex());
+    if (usualNanos.hasSamples() && cacheAside) {
+      rules.ring.recordLatency(server, closed.elapsedNanos() / usualNanos.mean());
     }
-    rules.times.answered(request.classIndex(), end.elapsedNanos());
+    rules.times.recordResponse(request.classIndex(), closed.elapsedNanos());
   }
 
   /**
-   * Whether the end is a sample of the cache's health: not where the key is at fault. An attempt
-   * that was counted late while it was open counts again only if it then brought an answer that was
-   * fetched in time: the origin was late and not the cache, and the good sample makes up for the
-   * bad one.
+   * Whether the outcome counts as a health sample of the cache. It does not if the key is at fault.
+   * An attempt already counted as late counts again only if it succeeds with a fetch that was on
+   * time: the delay was then the origin's, and the success offsets the failed sample.
    */
   private boolean isHealthSample(
       RequestState request, AttemptState attempt, AttemptOutcome outcome, boolean fetchedInTime) {
-    if (rules.keyFailures.explains(request.key(), outcome)) {
+    if (rules.keyFailures.explainsOutcome(request.key(), outcome)) {
       return false;
     }
-    return !attempt.isCountedLate() || (outcome.isAnswer() && fetchedInTime);
+    return !attempt.isCountedLate() || (outcome.isSuccessOrMiss() && fetchedInTime);
   }
 
   private void observeCacheLimit(
-      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed end) {
-    // Without hedging a request that is lost on its way ends as a timeout, which is no overload.
-    boolean lost = end.outcome() == AttemptOutcome.TIMEOUT && !settings.permissions().hedging();
+      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed closed) {
+    // Without hedging, a request lost in transit ends as a timeout, which does not indicate
+    // overload.
+    boolean lost = closed.outcome() == AttemptOutcome.TIMEOUT && !settings.permissions().hedging();
     if (attempt.server().outlier().ejected || lost) {
       return;
     }
-    boolean rejected = end.outcome() == AttemptOutcome.REJECTED;
-    double objectiveShare = rejected ? 1 : objectiveShare(request, end);
+    boolean rejected = closed.outcome() == AttemptOutcome.REJECTED;
+    double objectiveShare = rejected ? 1 : objectiveShare(request, closed);
     double minLimit = Math.max(1, rules.ring.size()) / (double) settings.routerCount();
     rules
         .admission
         .cacheLimit()
-        .observe(objectiveShare, rules.times.answerNanos().mean(), minLimit);
+        .observe(objectiveShare, rules.times.responseNanos().mean(), minLimit);
   }
 
-  /** A fetch has ended, at the origin itself or through a cache. */
-  void fetchEnded(RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed end) {
-    AttemptOutcome outcome = end.outcome();
+  /** Records the end of a fetch, sent to the origin itself or through a cache. */
+  void fetchEnded(RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed closed) {
+    AttemptOutcome outcome = closed.outcome();
     if (outcome.endedLocally()
         || attempt.server().outlier().ejected
-        || isOfCacheAlone(attempt, outcome)) {
+        || endedBeforeFetch(attempt, outcome)) {
       return;
     }
     boolean answered = outcome == AttemptOutcome.OK;
-    if (answered && end.cacheStatus() != CacheStatus.HIT) {
-      rules.times.fetched(end.elapsedNanos());
+    if (answered && closed.cacheStatus() != CacheStatus.HIT) {
+      rules.times.recordFetch(closed.elapsedNanos());
     }
-    double objectiveShare = answered ? objectiveShare(request, end) : 1;
+    double objectiveShare = answered ? objectiveShare(request, closed) : 1;
     rules.admission.originLimit().observe(objectiveShare, rules.times.fetchNanos().mean(), 1);
   }
 
   /**
-   * Whether the end tells of the cache alone: of what it does before it fetches. Counted against
-   * the origin it would keep the origin's limit shut.
+   * Whether the outcome reflects only the cache and not the origin behind it. Counting such
+   * failures would keep the origin's limit low.
    */
-  private static boolean isOfCacheAlone(AttemptState attempt, AttemptOutcome outcome) {
+  private static boolean endedBeforeFetch(AttemptState attempt, AttemptOutcome outcome) {
     return attempt.toCache()
         && (outcome.provesNoEffect()
             || outcome == AttemptOutcome.RESET
-            || attempt.isServerSilentSince());
+            || attempt.isServerUnresponsiveSinceSend());
   }
 
-  private static double objectiveShare(RequestState request, RoutingEvent.AttemptClosed end) {
-    return end.elapsedNanos() / (double) request.type().latencyObjectiveNanos();
+  private static double objectiveShare(RequestState request, RoutingEvent.AttemptClosed closed) {
+    return closed.elapsedNanos() / (double) request.requestClass().latencyObjectiveNanos();
   }
 }
--- a/src/main/java/beaconturn/decision/AttemptGuard.java
+++ b/src/main/java/beaconturn/decision/AttemptGuard.java
@@ -1,12 +1,12 @@
 package beaconturn.decision;
 
 /**
- * The one guard before every send: the request is alive, the server takes new requests, the number
- * of attempts allows it, and the effect cannot happen twice.
+ * Checks every attempt before it is sent: the request is still open, the server accepts requests,
+ * the attempt limit is not exhausted, and no effect can happen twice.
  */
 final class AttemptGuard {
-  /** A router may stand still for so long between reading its clock and writing. */
-  private static final long LONGEST_STALL_NANOS = 150_000_000;
+  /** Longest pause of a router between reading its clock and writing the request. */
+  private static final long MAX_STALL_NANOS = 150_000_000;
 
   private final RoutingPermissions permissions;
   private final EventClock clock;
@@ -28,28 +28,31 @@
   }
 
   /**
-   * Whether a repeat cannot have a second effect: there was no first one, the request is
-   * idempotent, or the server drops repeats of all attempts that may have had an effect.
+   * Whether a repeat cannot cause a second effect: no earlier attempt had one, the request is
+   * idempotent, or the server deduplicates all attempts that may have had an effect.
    */
   private boolean allowsRepeat(RequestState request, ServerState server) {
     AttemptState first = request.firstWithPossibleEffect();
     if (first == null || request.isIdempotent()) {
       return true;
     }
-    return request.type().idempotency() == Idempotency.IDEMPOTENCY_KEY
-        && isWithinWindow(request, first)
+    return request.requestClass().idempotency() == Idempotency.IDEMPOTENCY_KEY
+        && isWithinDeduplicationWindow(request, first)
         && deduplicatesAll(request, server);
   }
 
-  /** A repeat is written once its connection is up, and its router may stall just before. */
-  private boolean isWithinWindow(RequestState request, AttemptState first) {
+  /**
+   * Includes the time to open a connection and a pause of the router, since the repeat is written
+   * only after both.
+   */
+  private boolean isWithinDeduplicationWindow(RequestState request, AttemptState first) {
     long writtenByNanos =
-        clock.nowNanos() + permissions.connectTimeoutNanos() + LONGEST_STALL_NANOS;
-    return writtenByNanos - first.sentAtNanos() < request.type().deduplicationWindowNanos();
+        clock.nowNanos() + permissions.connectTimeoutNanos() + MAX_STALL_NANOS;
+    return writtenByNanos - first.sentAtNanos() < request.requestClass().deduplicationWindowNanos();
   }
 
   private static boolean deduplicatesAll(RequestState request, ServerState server) {
-    DeduplicationScope scope = request.type().deduplicationScope();
+    DeduplicationScope scope = request.requestClass().deduplicationScope();
     for (AttemptState attempt : request.attempts()) {
       if (!attempt.isProvenWithoutEffect() && !attempt.server().deduplicatesWith(server, scope)) {
         return false;
--- a/src/main/java/beaconturn/decision/AttemptOutcome.java
+++ b/src/main/java/beaconturn/decision/AttemptOutcome.java
@@ -2,28 +2,31 @@
 
 /** How an attempt ended. */
 public enum AttemptOutcome {
-  /** Answered. */
+  /** The server returned a successful response. */
   OK,
-  /** Answered with an error; it may have had its effect. */
+  /** The server returned an error; the request may have had its effect. */
   ERROR,
-  /** The server had no capacity for it and did nothing. */
+  /** The server was out of capacity and did not execute the request. */
   REJECTED,
-  /** Not answered in the time that it had. */
+  /** No response arrived within the timeout. */
   TIMEOUT,
-  /** No connection to the server. */
+  /** No connection to the server could be opened. */
   CONNECT_FAILED,
-  /** The connection broke before the answer. */
+  /** The connection broke before the response. */
   RESET,
   /** Cancelled by the router after it was written. */
   CANCELLED,
-  /** No longer wanted before it was written. */
+  /** Cancelled by the router before it was written. */
   SUPERSEDED,
-  /** A cache beside the origin does not hold the key. */
+  /** The cache does not hold the key, in cache-aside mode. */
   MISS,
-  /** Not written for want of something on the router's own machine, as a descriptor or a port. */
+  /**
+   * Not written because the router's machine lacked a resource, such as a file descriptor or a
+   * port.
+   */
   NOT_SENT;
 
-  /** Whether the attempt had no effect for certain. */
+  /** Whether the attempt certainly had no effect. */
   public boolean provesNoEffect() {
     return this == REJECTED
         || this == CONNECT_FAILED
@@ -32,17 +35,19 @@
         || this == NOT_SENT;
   }
 
-  /** Whether the server itself has said something. */
+  /** Whether the server itself responded. */
   public boolean serverResponded() {
     return this == OK || this == ERROR || this == REJECTED || this == MISS;
   }
 
-  /** Whether a cache has done what was asked of it, be it to say that it lacks the key. */
-  boolean isAnswer() {
+  /** Whether the cache served the attempt, including by reporting a miss. */
+  boolean isSuccessOrMiss() {
     return this == OK || this == MISS;
   }
 
-  /** Whether the router's own doing ended the attempt, which says nothing of the server. */
+  /**
+   * Whether the router itself ended the attempt, so that the outcome says nothing about the server.
+   */
   public boolean endedLocally() {
     return this == CANCELLED || this == SUPERSEDED || this == NOT_SENT;
   }
--- a/src/main/java/beaconturn/decision/AttemptState.java
+++ b/src/main/java/beaconturn/decision/AttemptState.java
@@ -1,21 +1,23 @@
 package beaconturn.decision;
 
-/** One attempt of a request, from when it is sent until it is closed. */
+/** State of one attempt of a request, from sending it until it is closed. */
 final class AttemptState {
   private final ServerState server;
   private final long sentAtNanos;
   private final boolean toCache;
   private final boolean fetchesFromOrigin;
   private final boolean needsConnection;
-  private final long responsesBefore;
+  private final long responsesAtSend;
   private boolean open = true;
   private boolean beingServed = true;
   private boolean provenWithoutEffect;
   private boolean countedLate;
 
   /**
-   * An attempt that is sent now; {@code fetchesFromOrigin} says that it goes to the origin, or that
-   * its cache is expected to ask the origin.
+   * Creates an attempt that is sent now.
+   *
+   * @param fetchesFromOrigin whether it goes to the origin, or to a cache that is expected to fetch
+   *     from the origin
    */
   AttemptState(ServerState server, long sentAtNanos, boolean toCache, boolean fetchesFromOrigin) {
     this.server = server;
@@ -23,7 +25,7 @@
     this.toCache = toCache;
     this.fetchesFromOrigin = fetchesFromOrigin;
     this.needsConnection = !server.connection().isOpen(sentAtNanos);
-    this.responsesBefore = server.responses();
+    this.responsesAtSend = server.responses();
   }
 
   ServerState server() {
@@ -34,7 +36,7 @@
     return sentAtNanos;
   }
 
-  /** Whether it went to a cache; else to the origin itself. */
+  /** Whether the attempt went to a cache rather than to the origin. */
   boolean toCache() {
     return toCache;
   }
@@ -43,7 +45,7 @@
     return fetchesFromOrigin;
   }
 
-  /** Whether it needs a new connection, as far as the router knows. */
+  /** Whether a new connection was expected to be necessary. */
   boolean needsConnection() {
     return needsConnection;
   }
@@ -52,39 +54,36 @@
     return open;
   }
 
-  /** It has ended. */
   void close(AttemptOutcome outcome) {
     open = false;
     provenWithoutEffect = outcome.provesNoEffect();
   }
 
-  /** Whether its server is at work on it: until its answer begins to come, or it ends. */
+  /** Whether the server is still working on it: until its response starts or the attempt ends. */
   boolean isBeingServed() {
     return beingServed;
   }
 
-  /** Its answer begins to come, or it has ended. */
-  void served() {
+  void markServed() {
     beingServed = false;
   }
 
-  /** Whether it has ended, and in a way that proves that it had no effect. */
+  /** Whether it has ended and certainly had no effect. */
   boolean isProvenWithoutEffect() {
     return provenWithoutEffect;
   }
 
-  /** Whether it was counted as a bad sample of its server for being late. */
+  /** Whether it was counted as a failed health sample for being late. */
   boolean isCountedLate() {
     return countedLate;
   }
 
-  /** Notes that it was counted as a bad sample of its server for being late. */
-  void countLate() {
+  void markCountedLate() {
     countedLate = true;
   }
 
   /** Whether its server has responded to no attempt since this one was sent. */
-  boolean isServerSilentSince() {
-    return server.responses() == responsesBefore;
+  boolean isServerUnresponsiveSinceSend() {
+    return server.responses() == responsesAtSend;
   }
 }
--- a/src/main/java/beaconturn/decision/CacheStatus.java
+++ b/src/main/java/beaconturn/decision/CacheStatus.java
@@ -1,13 +1,13 @@
 package beaconturn.decision;
 
-/** What a server says about the key that it answers for. */
+/** What a server reports about the key of a response. */
 public enum CacheStatus {
-  /** Nothing. */
+  /** No status was reported. */
   NONE,
-  /** It held the key. */
+  /** The key was cached. */
   HIT,
-  /** It did not. */
+  /** The key was not cached. */
   MISS,
-  /** It did not, and a fetch was under way already. */
+  /** The key was not cached, and a fetch of it was already in progress. */
   MISS_FETCHING
 }
--- a/src/main/java/beaconturn/decision/CachedKeyIndex.java
+++ b/src/main/java/beaconturn/decision/CachedKeyIndex.java
@@ -3,37 +3,37 @@
 import java.util.Map;
 
 /**
- * Which cache lately answered for which key, and how long, as learned, an unused key stays cached.
+ * Tracks which caches recently served which keys, and learns how long an unused key stays cached.
  */
 final class CachedKeyIndex {
-  /** Each surprise moves the learned time by this ratio. */
-  private static final double LEARNING_RATIO = 0.1;
+  /** Relative change of the learned retention for each observation that contradicts it. */
+  private static final double LEARNING_RATE = 0.1;
 
-  private final Map<Long, Long> usedAtNanos = new LruMap<>(LruMap.USUAL_CAPACITY);
-  private double cachedForNanos;
+  private final Map<Long, Long> usedAtNanos = new LruMap<>(LruMap.DEFAULT_CAPACITY);
+  private double retentionNanos;
 
-  /** Makes an empty index with a first guess at the time that an unused key stays cached. */
-  CachedKeyIndex(long firstGuessNanos) {
-    this.cachedForNanos = firstGuessNanos;
+  /** Creates an empty index with an initial estimate of the retention. */
+  CachedKeyIndex(long initialRetentionNanos) {
+    this.retentionNanos = initialRetentionNanos;
   }
 
-  /** Whether the cache answered for the key so lately that it should still hold it. */
+  /** Whether the cache served the key recently enough that it should still hold it. */
   boolean isCached(long key, long serverId, long nowNanos) {
     Long used = usedAtNanos.get(pair(key, serverId));
-    return used != null && nowNanos - used <= cachedForNanos;
+    return used != null && nowNanos - used <= retentionNanos;
   }
 
-  /** Notes an answer, and whether the cache had to fetch it. */
-  void answered(long key, long serverId, boolean fetched, long nowNanos) {
+  /** Records a response, and whether the cache had to fetch the key. */
+  void recordResponse(long key, long serverId, boolean fetched, long nowNanos) {
     Long used = usedAtNanos.put(pair(key, serverId), nowNanos);
     if (used == null) {
       return;
     }
     long unusedNanos = nowNanos - used;
-    if (fetched && unusedNanos < cachedForNanos) {
-      cachedForNanos *= 1 - LEARNING_RATIO;
-    } else if (!fetched && unusedNanos > cachedForNanos / 2) {
-      cachedForNanos *= 1 + LEARNING_RATIO;
+    if (fetched && unusedNanos < retentionNanos) {
+      retentionNanos *= 1 - LEARNING_RATE;
+    } else if (!fetched && unusedNanos > retentionNanos / 2) {
+      retentionNanos *= 1 + LEARNING_RATE;
     }
   }
 
--- a/src/main/java/beaconturn/decision/ClientRetries.java
+++ b/src/main/java/beaconturn/decision/ClientRetries.java
@@ -3,15 +3,18 @@
 import java.util.Map;
 
 /**
- * Requests that were not answered, for their clients' next tries: the latency objective counts from
- * the first try. A client comes back to the router that gave its request up.
+ * Remembers requests that ended without a response, so that the latency objective of a client retry
+ * is measured from the client's first request. Clients retry at the router that gave up their
+ * request.
  */
 final class ClientRetries {
-  /** Keeps tenants apart in the hash of a logical request: more than there are classes. */
+  /**
+   * Separates tenants in the hash of a logical request; larger than the number of request classes.
+   */
   private static final long TENANT_STRIDE = 64;
 
-  /** When the objective of an unanswered logical request ends, in nanoseconds. */
-  private final Map<Long, Long> objectiveEnds = new LruMap<>(LruMap.USUAL_CAPACITY);
+  /** End of the latency objective by logical request, in nanoseconds. */
+  private final Map<Long, Long> objectiveEndNanosByRequest = new LruMap<>(LruMap.DEFAULT_CAPACITY);
 
   private final EventClock clock;
 
@@ -19,22 +22,25 @@
     this.clock = clock;
   }
 
-  /** What all tries of one request by its client have in common: key, tenant and class. */
+  /**
+   * Identifies the logical request that all retries of a client share: key, tenant and request
+   * class.
+   */
   long logicalRequest(RoutingEvent.RequestArrived arrival) {
     long tenantAndClass = arrival.tenant() * TENANT_STRIDE + arrival.requestClass();
     return KeyHash.mix(arrival.key() ^ KeyHash.mix(tenantAndClass));
   }
 
-  /** Until when an answer to a request that arrives now meets its objective, in nanoseconds. */
-  long objectiveEndsNanos(
-      RoutingEvent.RequestArrived arrival, RequestClass type, long logicalRequest) {
-    long endsNanos = clock.nowNanos() + type.latencyObjectiveNanos();
-    Long earlier = arrival.clientRetry() ? objectiveEnds.remove(logicalRequest) : null;
+  /** Returns until when a response to an arriving request meets its objective, in nanoseconds. */
+  long objectiveEndNanos(
+      RoutingEvent.RequestArrived arrival, RequestClass requestClass, long logicalRequest) {
+    long endsNanos = clock.nowNanos() + requestClass.latencyObjectiveNanos();
+    Long earlier = arrival.clientRetry() ? objectiveEndNanosByRequest.remove(logicalRequest) : null;
     return earlier == null ? endsNanos : Math.min(earlier, endsNanos);
   }
 
-  /** A request has ended without an answer. */
-  void unanswered(RequestState request) {
-    objectiveEnds.put(request.logicalRequest(), request.objectiveEndsNanos());
+  /** Records a request that ended without a response. */
+  void requestUnanswered(RequestState request) {
+    objectiveEndNanosByRequest.put(request.logicalRequest(), request.objectiveEndNanos());
   }
 }
--- a/src/main/java/beaconturn/decision/ConcurrencyLimit.java
+++ b/src/main/java/beaconturn/decision/ConcurrencyLimit.java
@@ -3,35 +3,41 @@
 import java.util.SplittableRandom;
 
 /**
- * A limit on attempts in flight, learned from how long answers take against their latency
- * objective. It grows while they are quick and shrinks while they are slow. A second, lower limit,
- * the spare capacity, holds for requests beyond their tenant's quota.
+ * Adaptive limit on attempts in flight, learned from response times relative to their latency
+ * objective. It increases while responses are fast and decreases while they are slow. A second,
+ * lower limit, the spare limit, applies to requests over their tenant's quota.
  */
 final class ConcurrencyLimit {
-  /** Limits begin here, in attempts: without limit until answers are slow. */
+  /** Initial limit, in attempts: effectively unlimited until responses are slow. */
   private static final double INITIAL_LIMIT = 1e9;
 
-  /** No capacity to spare: answers take this part of their objective. */
+  /** Fraction of the latency objective beyond which there is no spare capacity. */
   private static final double BUSY_OBJECTIVE_SHARE = 0.3;
 
-  /** A limit shrinks to this part of what is in flight, at most once an answer time. */
-  private static final double SHRINK_RATIO = 0.85;
+  /**
+   * Multiplicative decrease, relative to the attempts in flight; applied at most once per response
+   * time.
+   */
+  private static final double DECREASE_RATIO = 0.85;
 
-  /** A limit below one attempt grows by this part of itself with each answer. */
+  /** Relative increase per response while the limit is below one attempt. */
   private static final double GROWTH_BELOW_ONE = 0.1;
 
   private final EventClock clock;
   private final SplittableRandom random;
-  private final int routers;
+  private final int routerCount;
   private final double slowObjectiveShare;
   private final boolean growsSlowly;
-  private final LatencyRatio slowness = new LatencyRatio(MovingAverage.USUAL_SAMPLE_WEIGHT);
+  private final LatencyRatio slowness = new LatencyRatio(MovingAverage.DEFAULT_SAMPLE_WEIGHT);
   private double limit = INITIAL_LIMIT;
   private double spareLimit = INITIAL_LIMIT;
   private int inFlight;
-  private long shrunkAtNanos;
+  private long decreasedAtNanos;
 
-  /** Answers are slow beyond {@code slowObjectiveShare}, a part of their latency objective. */
+  /**
+   * Creates a limit that treats responses as slow beyond the given fraction of their latency
+   * objective.
+   */
   ConcurrencyLimit(
       RoutingSettings settings,
       EventClock clock,
@@ -39,17 +45,17 @@
       double slowObjectiveShare) {
     this.clock = clock;
     this.random = random;
-    this.routers = settings.routerCount();
+    this.routerCount = settings.routerCount();
     this.growsSlowly = settings.origin().cacheAside();
     this.slowObjectiveShare = slowObjectiveShare;
   }
 
-  /** Begins with a limit that another router has learned, if it is lower. */
-  void begin(double learnedLimit) {
+  /** Starts from a limit learned by another router, if it is lower. */
+  void warmStart(double learnedLimit) {
     limit = Math.min(limit, learnedLimit);
   }
 
-  /** The limit, in attempts. */
+  /** Returns the limit, in attempts. */
   double limit() {
     return limit;
   }
@@ -67,62 +73,66 @@
     return inFlight < limit;
   }
 
-  /** Whether another attempt may start that has to leave a part of the limit to others; draws. */
-  boolean hasCapacityWithin(double partOfLimit) {
-    return isBelow(limit * partOfLimit);
+  /**
+   * Whether another attempt may start within the given fraction of the limit. Draws from the random
+   * source.
+   */
+  boolean hasCapacityWithin(double limitShare) {
+    return isInFlightBelow(limit * limitShare);
   }
 
-  /** Whether there is capacity for requests beyond their quota; draws. */
+  /** Whether there is capacity for requests over quota. Draws from the random source. */
   boolean hasSpareCapacity() {
-    return isBelow(spareLimit);
+    return isInFlightBelow(spareLimit);
   }
 
-  /** Whether answers are far from slow. */
+  /** Whether responses are well below the slow threshold. */
   boolean hasAmpleCapacity() {
     return slowness.value() < BUSY_OBJECTIVE_SHARE;
   }
 
   /**
-   * A limit's fraction is kept by chance: rounded up, hundreds of routers would add up to far more.
+   * Applies the fractional part of the bound by probability: rounding it up would let hundreds of
+   * routers exceed it by far together.
    */
-  private boolean isBelow(double most) {
-    return inFlight + random.nextDouble() < most;
+  private boolean isInFlightBelow(double bound) {
+    return inFlight + random.nextDouble() < bound;
   }
 
   /**
-   * Learns from one answer.
+   * Adjusts the limits after one response.
    *
-   * @param objectiveShare the time that it took, as a part of its latency objective
-   * @param answerNanos how long answers take as a rule
-   * @param minLimit below this the limit does not shrink, in attempts
+   * @param objectiveShare response time as a fraction of its latency objective
+   * @param responseNanos mean response time
+   * @param minLimit lower bound of the limit, in attempts
    */
-  void observe(double objectiveShare, double answerNanos, double minLimit) {
+  void observe(double objectiveShare, double responseNanos, double minLimit) {
     slowness.add(objectiveShare);
-    boolean shrinkDue = clock.nowNanos() - shrunkAtNanos > answerNanos;
+    boolean decreaseDue = clock.nowNanos() - decreasedAtNanos > responseNanos;
     boolean busy = slowness.value() > BUSY_OBJECTIVE_SHARE;
     boolean slow = slowness.value() > slowObjectiveShare;
     spareLimit =
-        busy ? shrunk(spareLimit, shrinkDue, 1.0 / routers) : grown(spareLimit, 1 / spareLimit);
-    limit = slow ? shrunk(limit, shrinkDue, minLimit) : grown(limit, growth(busy));
-    if (shrinkDue && busy) {
-      shrunkAtNanos = clock.nowNanos();
+        busy ? decreased(spareLimit, decreaseDue, 1.0 / routerCount) : increased(spareLimit, 1 / spareLimit);
+    limit = slow ? decreased(limit, decreaseDue, minLimit) : increased(limit, growth(busy));
+    if (decreaseDue && busy) {
+      decreasedAtNanos = clock.nowNanos();
     }
   }
 
   /**
-   * By how much the limit grows with an answer. Where it may grow fast and answers are far from
-   * slow, it doubles within a round of them, so that a short slowness does not reject requests for
-   * many times its length.
+   * Returns the increase of the limit per response. Unless growth is restricted, the limit doubles
+   * within one round of responses while they are fast, so that a short slow period does not cause
+   * rejections long after it.
    */
   private double growth(boolean busy) {
     return busy || growsSlowly ? 1 / limit : 1;
   }
 
-  private double shrunk(double old, boolean shrinkDue, double min) {
-    return shrinkDue ? Math.max(min, Math.min(old, inFlight + 1) * SHRINK_RATIO) : old;
+  private double decreased(double old, boolean decreaseDue, double min) {
+    return decreaseDue ? Math.max(min, Math.min(old, inFlight + 1) * DECREASE_RATIO) : old;
   }
 
-  private static double grown(double old, double step) {
+  private static double increased(double old, double step) {
     return old + (old < 1 ? GROWTH_BELOW_ONE * old : step);
   }
 }
--- a/src/main/java/beaconturn/decision/ConnectionFailures.java
+++ b/src/main/java/beaconturn/decision/ConnectionFailures.java
@@ -3,16 +3,16 @@
 import java.util.SplittableRandom;
 
 /**
- * Tells which servers connections could not be opened to lately, and how often that fails from this
- * machine. While connections fail, such a server is a last resort.
+ * Tracks servers to which connections failed recently, and the failure rate of this router's
+ * connections. While connections fail, such servers are a last resort.
  */
 final class ConnectionFailures {
   private final RoutingPermissions permissions;
   private final EventClock clock;
   private final SplittableRandom random;
 
-  /** Moving share of connections that could not be opened, among those that were needed, 0 to 1. */
-  private double failingShare;
+  /** Moving average of failed connections among all that were needed, 0 to 1. */
+  private double failureShare;
 
   ConnectionFailures(RoutingPermissions permissions, EventClock clock, SplittableRandom random) {
     this.permissions = permissions;
@@ -21,34 +21,34 @@
   }
 
   /**
-   * Whether the request may try a server to which no connection could be opened lately. A further
-   * attempt may only while hardly any fail, as it has no time left for a connection that does not
-   * come up. Draws where connections fail.
+   * Whether the request may use a server to which a connection failed recently. A retry may do so
+   * only while failures are rare, since it has no time left for another failed connection. Draws
+   * from the random source while connections fail.
    */
-  boolean mayTryUnreachable(RequestState request) {
+  boolean allowsUnreachable(RequestState request) {
     if (!request.attempts().isEmpty()) {
-      return failingShare < MovingAverage.USUAL_SAMPLE_WEIGHT;
+      return failureShare < MovingAverage.DEFAULT_SAMPLE_WEIGHT;
     }
-    return failingShare == 0 || random.nextDouble() >= failingShare * failingShare;
+    return failureShare == 0 || random.nextDouble() >= failureShare * failureShare;
   }
 
-  /** Whether no connection to the server is open, and opening one has failed lately. */
+  /** Whether no connection to the server is open and opening one failed recently. */
   boolean isUnreachable(ServerState server) {
     long nowNanos = clock.nowNanos();
     return !server.connection().isOpen(nowNanos)
         && server.connection().failedWithin(permissions.connectionIdleNanos(), nowNanos);
   }
 
-  /** Learns from the end of an attempt at a cache. */
+  /** Records the end of an attempt at a cache. */
   void attemptEnded(AttemptState attempt, AttemptOutcome outcome) {
     boolean failed = outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.NOT_SENT;
     if (failed || (attempt.needsConnection() && !outcome.endedLocally())) {
-      failingShare += MovingAverage.USUAL_SAMPLE_WEIGHT * ((failed ? 1 : 0) - failingShare);
+      failureShare += MovingAverage.DEFAULT_SAMPLE_WEIGHT * ((failed ? 1 : 0) - failureShare);
     }
     if (failed) {
       attempt.server().connection().failed(clock.nowNanos());
     } else if (outcome.serverResponded()) {
-      attempt.server().connection().answered(clock.nowNanos() + permissions.connectionIdleNanos());
+      attempt.server().connection().responded(clock.nowNanos() + permissions.connectionIdleNanos());
     }
   }
 }
--- a/src/main/java/beaconturn/decision/DeduplicationScope.java
+++ b/src/main/java/beaconturn/decision/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package beaconturn.decision;
 
-/** Which servers drop each other's repeats of a request with an idempotency key. */
+/** Which servers deduplicate repeats of a request with an idempotency key across each other. */
 public enum DeduplicationScope {
   /** All servers. */
   ALL,
--- a/src/main/java/beaconturn/decision/Endpoint.java
+++ b/src/main/java/beaconturn/decision/Endpoint.java
@@ -3,10 +3,10 @@
 /**
  * One entry of the endpoint list.
  *
- * @param kind which of the deployment's kinds of servers it is
- * @param cell the group of servers within which repeats may be dropped
- * @param rating its size against others
- * @param bootTimeNanos when it started, by the list; 0 for long ago
+ * @param kind index of the server kind
+ * @param cell group of servers that may deduplicate repeats together
+ * @param rating relative size of the server
+ * @param bootTimeNanos start time according to the list; 0 if it started long ago
  */
 public record Endpoint(
     long serverId,
--- a/src/main/java/beaconturn/decision/EndpointHealth.java
+++ b/src/main/java/beaconturn/decision/EndpointHealth.java
@@ -1,11 +1,11 @@
 package beaconturn.decision;
 
-/** State of a server as the endpoint list has it. */
+/** State of a server in the endpoint list. */
 public enum EndpointHealth {
   /** Removed from the list. */
   GONE,
-  /** Takes requests. */
+  /** Accepts requests. */
   READY,
-  /** Takes no new requests. */
+  /** Accepts no new requests. */
   DRAINING
 }
--- a/src/main/java/beaconturn/decision/EndpointListKind.java
+++ b/src/main/java/beaconturn/decision/EndpointListKind.java
@@ -1,13 +1,13 @@
 package beaconturn.decision;
 
-/** How much of the endpoint list an update holds. */
+/** How much of the endpoint list an update contains. */
 public enum EndpointListKind {
-  /** Only what has changed. */
+  /** Only the changed entries. */
   DELTA,
-  /** All of it. */
+  /** The complete list. */
   FULL,
-  /** All of it as it was when the router last heard it. */
+  /** The complete list as last received by the router. */
   CACHED,
-  /** Nothing: the list could not be had. */
+  /** No entries: the list could not be retrieved. */
   FAILED
 }
--- a/src/main/java/beaconturn/decision/EndpointWatch.java
+++ b/src/main/java/beaconturn/decision/EndpointWatch.java
@@ -3,22 +3,22 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps the subscription to the endpoint list: when it is renewed after a failure, and from when on
- * starts that lists tell count.
+ * Maintains the subscription to the endpoint list: renews it after failures, and determines which
+ * reported start times are trusted.
  */
 final class EndpointWatch {
   /**
-   * The longest pause before a list is asked for again. A change counts as notified 6 s after
-   * discovery can be reached: time for a call that hangs, this pause, and a call that waits for its
-   * turn, twice over.
+   * Longest delay before the list is requested again. A change has to reach the router within 6 s
+   * after discovery is reachable, which covers two rounds of a hanging call, this delay and a
+   * queued call.
    */
-  private static final long LONGEST_PAUSE_NANOS = 1_200_000_000;
+  private static final long MAX_BACKOFF_NANOS = 1_200_000_000;
 
-  /** The first pause after a failure, as a part of the interval between polls. */
-  private static final int POLL_INTERVAL_DIVISOR = 16;
+  /** Initial backoff, as a divisor of the poll interval. */
+  private static final int INITIAL_BACKOFF_DIVISOR = 16;
 
-  /** Wall clocks are corrected by no more than this. */
-  private static final long LARGEST_CLOCK_STEP_NANOS = 3_600_000_000_000L;
+  /** Upper bound of a correction of the wall clock. */
+  private static final long MAX_CLOCK_STEP_NANOS = 3_600_000_000_000L;
 
   private final SafetyLimits limits;
   private final EventClock clock;
@@ -26,7 +26,7 @@
   private final RoutingActions actions;
   private long backoffNanos;
 
-  /** Whether discovery itself has sent a list, beside the cached one at the start. */
+  /** Whether discovery itself has sent a list; the cached list at startup does not count. */
   private boolean listReceived;
 
   EndpointWatch(
@@ -35,12 +35,12 @@
     this.clock = clock;
     this.random = random;
     this.actions = actions;
-    this.backoffNanos = firstPauseNanos();
+    this.backoffNanos = initialBackoffNanos();
   }
 
-  /** Goes on from the watch of the router that this one follows. */
-  void continueFrom(EndpointWatch before) {
-    listReceived = before.listReceived;
+  /** Continues the watch of the predecessor. */
+  void continueFrom(EndpointWatch predecessor) {
+    listReceived = predecessor.listReceived;
   }
 
   /** Subscribes to the list and its changes. */
@@ -48,34 +48,37 @@
     actions.watchEndpoints(true);
   }
 
-  /** The list could not be had; it is asked for again after a pause that grows. Draws. */
-  void failed() {
-    long pauseNanos = (long) (backoffNanos * (0.5 + random.nextDouble() / 2));
-    backoffNanos = Math.min(2 * backoffNanos, LONGEST_PAUSE_NANOS);
-    actions.setTimer(pauseNanos, TimerToken.resubscribe().encode());
+  /**
+   * Schedules another request for the list with exponential backoff and jitter. Draws from the
+   * random source.
+   */
+  void updateFailed() {
+    long delayNanos = (long) (backoffNanos * (0.5 + random.nextDouble() / 2));
+    backoffNanos = Math.min(2 * backoffNanos, MAX_BACKOFF_NANOS);
+    actions.setTimer(delayNanos, TimerToken.resubscribe().encode());
   }
 
-  /** A list, or a change of it, was taken over. */
-  void received(EndpointListKind kind) {
+  /** Resets the backoff after an update from discovery. */
+  void updateReceived(EndpointListKind kind) {
     if (kind != EndpointListKind.CACHED) {
-      backoffNanos = firstPauseNanos();
+      backoffNanos = initialBackoffNanos();
       listReceived = true;
     }
   }
 
   /**
-   * When a server whose start is new here counts as started, by the router's clock; 0 for long ago.
-   * Lists tell starts by a wall clock, which may have been stepped since, so a new start counts as
-   * one of now. Only the first lists name all starts of the past: there a start that is older than
-   * any clock step and the warm-up together is long ago.
+   * Returns when a server with a new boot time counts as started, by the router's clock; 0 for long
+   * ago. Boot times are wall-clock times and the wall clock may have been stepped since, so a new
+   * boot time counts as a start now. Only the first list includes servers that started long ago;
+   * there, a start older than the largest clock step plus the warm-up time counts as long ago.
    */
   long startedAtNanos(Endpoint endpoint) {
     long ageNanos = clock.nowNanos() - endpoint.bootTimeNanos();
-    boolean longAgo = !listReceived && ageNanos > LARGEST_CLOCK_STEP_NANOS + limits.warmUpNanos();
-    return longAgo ? 0 : clock.nowNanos();
+    boolean startedLongAgo = !listReceived && ageNanos > MAX_CLOCK_STEP_NANOS + limits.warmUpNanos();
+    return startedLongAgo ? 0 : clock.nowNanos();
   }
 
-  private long firstPauseNanos() {
-    return Math.min(limits.pollIntervalNanos() / POLL_INTERVAL_DIVISOR, LONGEST_PAUSE_NANOS);
+  private long initialBackoffNanos() {
+    return Math.min(limits.pollIntervalNanos() / INITIAL_BACKOFF_DIVISOR, MAX_BACKOFF_NANOS);
   }
 }
--- a/src/main/java/beaconturn/decision/EventClock.java
+++ b/src/main/java/beaconturn/decision/EventClock.java
@@ -1,8 +1,8 @@
 package beaconturn.decision;
 
 /**
- * The time of the event that a router is handling. All rules of one router read this one clock, so
- * that an event happens at one time for all of them.
+ * Time of the event that a router is handling. All components of a router share this clock, so that
+ * an event has a single time.
  */
 final class EventClock {
   private long nowNanos;
@@ -11,12 +11,12 @@
     this.nowNanos = nowNanos;
   }
 
-  /** The time of the current event, in nanoseconds of the host's monotonic clock. */
+  /** Returns the time of the current event, in nanoseconds of the host's monotonic clock. */
   long nowNanos() {
     return nowNanos;
   }
 
-  /** Moves the clock to the time of the next event. */
+  /** Advances the clock to the time of the next event. */
   void moveTo(long nanos) {
     nowNanos = nanos;
   }
--- a/src/main/java/beaconturn/decision/EventRate.java
+++ b/src/main/java/beaconturn/decision/EventRate.java
@@ -1,56 +1,58 @@
 package beaconturn.decision;
 
-/** Rate of events over a sliding, exponentially fading window, and its recent peak. */
+/** Rate of events over an exponentially decaying window, and its recent peak. */
 final class EventRate {
-  /** The peak fades over this many windows. */
-  private static final double PEAK_WINDOWS = 4;
+  /** Number of windows over which the peak decays. */
+  private static final double PEAK_DECAY_WINDOWS = 4;
 
   private final double windowNanos;
   private double count;
   private double peakCount;
-  private long agedAtNanos;
+  private long decayedAtNanos;
 
-  /** Makes a rate of 0 over a window of the given length. */
+  /** Creates a rate of 0 over a window of the given length. */
   EventRate(double windowNanos) {
     this.windowNanos = Math.max(1, windowNanos);
   }
 
   /** Counts one event. */
   void count(long nowNanos) {
-    age(nowNanos);
+    decay(nowNanos);
     count++;
     peakCount = Math.max(peakCount, count);
   }
 
-  /** The rate, in events a nanosecond. */
+  /** Returns the rate, in events per nanosecond. */
   double perNano(long nowNanos) {
-    age(nowNanos);
+    decay(nowNanos);
     return count / windowNanos;
   }
 
-  /** The recent peak, in events a nanosecond. */
+  /** Returns the recent peak, in events per nanosecond. */
   double peakPerNano(long nowNanos) {
-    age(nowNanos);
+    decay(nowNanos);
     return peakCount / windowNanos;
   }
 
-  /** The recent peak less one standard deviation of its count, in events a nanosecond. */
-  double cautiousPeakPerNano(long nowNanos) {
-    age(nowNanos);
+  /**
+   * Returns the recent peak less one standard deviation of its count, in events per nanosecond.
+   */
+  double conservativePeakPerNano(long nowNanos) {
+    decay(nowNanos);
     return Math.max(0, peakCount - Math.sqrt(peakCount)) / windowNanos;
   }
 
-  /** Goes on from a rate and a peak that were counted elsewhere, where they are higher. */
-  void begin(double perNano, double peakPerNano, long nowNanos) {
-    age(nowNanos);
+  /** Starts from a rate and a peak counted by another router, where they are higher. */
+  void warmStart(double perNano, double peakPerNano, long nowNanos) {
+    decay(nowNanos);
     count = Math.max(count, perNano * windowNanos);
     peakCount = Math.max(Math.max(peakCount, count), peakPerNano * windowNanos);
   }
 
-  private void age(long nowNanos) {
-    double passedWindows = (nowNanos - agedAtNanos) / windowNanos;
-    count *= Math.exp(-passedWindows);
-    peakCount = Math.max(count, peakCount * Math.exp(-passedWindows / PEAK_WINDOWS));
-    agedAtNanos = nowNanos;
+  private void decay(long nowNanos) {
+    double elapsedWindows = (nowNanos - decayedAtNanos) / windowNanos;
+    count *= Math.exp(-elapsedWindows);
+    peakCount = Math.max(count, peakCount * Math.exp(-elapsedWindows / PEAK_DECAY_WINDOWS));
+    decayedAtNanos = nowNanos;
   }
 }
--- a/src/main/java/beaconturn/decision/FleetLoad.java
+++ b/src/main/java/beaconturn/decision/FleetLoad.java
@@ -1,9 +1,9 @@
 package beaconturn.decision;
 
-/** Attempts in flight of this router: at each server, and at all caches together. */
+/** Tracks this router's attempts in flight, per server and over all caches. */
 final class FleetLoad {
-  /** Loads are smoothed over this many mean answer times. */
-  private static final double SMOOTHING_ANSWER_TIMES = 8;
+  /** Smoothing time, in mean response times. */
+  private static final double SMOOTHING_RESPONSE_TIMES = 8;
 
   private final EventClock clock;
   private final ResponseTimes times;
@@ -14,40 +14,38 @@
     this.times = times;
   }
 
-  /** An attempt is sent. */
   void attemptStarted(AttemptState attempt) {
     change(attempt, 1);
   }
 
-  /** An attempt has ended. */
   void attemptEnded(AttemptState attempt) {
     change(attempt, -1);
   }
 
-  private void change(AttemptState attempt, int difference) {
-    attempt.server().load().change(difference, clock.nowNanos(), smoothingNanos());
+  private void change(AttemptState attempt, int delta) {
+    attempt.server().load().change(delta, clock.nowNanos(), smoothingNanos());
     if (attempt.toCache()) {
-      atCaches.change(difference, clock.nowNanos(), smoothingNanos());
+      atCaches.change(delta, clock.nowNanos(), smoothingNanos());
     }
   }
 
-  /** Attempts in flight at all caches. */
+  /** Returns the attempts in flight at all caches. */
   int inFlightAtCaches() {
     return atCaches.inFlight();
   }
 
-  /** The same, smoothed over {@link #smoothingNanos}. */
+  /** Returns the attempts in flight at all caches, smoothed over {@link #smoothingNanos}. */
   double smoothedAtCaches() {
     return atCaches.smoothed(clock.nowNanos(), smoothingNanos());
   }
 
-  /** Attempts in flight at one server, smoothed over {@link #smoothingNanos}. */
+  /** Returns the attempts in flight at one server, smoothed over {@link #smoothingNanos}. */
   double smoothedAt(ServerState server) {
     return server.load().smoothed(clock.nowNanos(), smoothingNanos());
   }
 
-  /** Over how long loads are smoothed, in nanoseconds. */
+  /** Returns the smoothing time of loads, in nanoseconds. */
   double smoothingNanos() {
-    return SMOOTHING_ANSWER_TIMES * (times.answerNanos().mean() + 1);
+    return SMOOTHING_RESPONSE_TIMES * (times.responseNanos().mean() + 1);
   }
 }
--- a/src/main/java/beaconturn/decision/GiveUpPolicy.java
+++ b/src/main/java/beaconturn/decision/GiveUpPolicy.java
@@ -3,15 +3,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides how a request is given up: rejected, so that the client may try again at once, or failed,
- * with nothing promised; and when a rejected client should come back.
+ * Decides how a request is given up: rejected, so that the client may retry it, or failed, with its
+ * effect unknown; and how long a rejected client should wait before retrying.
  */
 final class GiveUpPolicy {
-  /** The earliest time to come back, as a part of the latency objective. */
-  private static final double RETRY_AFTER_OBJECTIVE_SHARE = 0.2;
+  /** Shortest retry delay, as a fraction of the latency objective. */
+  private static final double MIN_RETRY_AFTER_OBJECTIVE_SHARE = 0.2;
 
-  /** Chance adds up to this part of the objective, so that clients do not come back in step. */
-  private static final double RETRY_AFTER_SPREAD = 0.2;
+  /**
+   * Random part of the retry delay, as a fraction of the latency objective; keeps clients from
+   * retrying simultaneously.
+   */
+  private static final double RETRY_AFTER_JITTER_SHARE = 0.2;
 
   private final RoutingPermissions permissions;
   private final SplittableRandom random;
@@ -21,27 +24,31 @@
     this.random = random;
   }
 
-  /** Whether a further try of the client is harmless; only then is its request rejected. */
+  /**
+   * Whether a client retry cannot cause a second effect; only then is the request rejected rather
+   * than failed.
+   */
   boolean isRejectionSafe(RequestState request) {
-    RequestClass type = request.type();
+    RequestClass requestClass = request.requestClass();
     return request.isIdempotent()
         || request.firstWithPossibleEffect() == null
-        || (type.idempotency() == Idempotency.IDEMPOTENCY_KEY
-            && type.deduplicationScope() == DeduplicationScope.ALL);
+        || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+            && requestClass.deduplicationScope() == DeduplicationScope.ALL);
   }
 
   /**
-   * When the client of a rejected request should come back, in nanoseconds; 0 for no advice. Beyond
-   * a quota: as late as the site allows; else soon enough for the objective. Draws.
+   * Returns the delay before the client of a rejected request should retry, in nanoseconds; 0 for
+   * none. Over quota it is the maximum delay; otherwise it is short enough for the objective. Draws
+   * from the random source.
    */
   long retryAfterNanos(RequestState request) {
     if (!permissions.retryAfter()) {
       return 0;
     }
-    double objectiveShare = RETRY_AFTER_OBJECTIVE_SHARE + RETRY_AFTER_SPREAD * random.nextDouble();
-    long soonNanos = (long) (request.type().latencyObjectiveNanos() * objectiveShare);
+    double objectiveShare = MIN_RETRY_AFTER_OBJECTIVE_SHARE + RETRY_AFTER_JITTER_SHARE * random.nextDouble();
+    long objectiveBasedNanos = (long) (request.requestClass().latencyObjectiveNanos() * objectiveShare);
     return request.isOverQuota()
         ? permissions.maxRetryAfterNanos()
-        : Math.min(permissions.maxRetryAfterNanos(), soonNanos);
+        : Math.min(permissions.maxRetryAfterNanos(), objectiveBasedNanos);
   }
 }
--- a/src/main/java/beaconturn/decision/GiveUpReason.java
+++ b/src/main/java/beaconturn/decision/GiveUpReason.java
@@ -2,20 +2,18 @@
 
 /** Why a request is given up. */
 public enum GiveUpReason {
-  /** Its key has failed at several caches; see {@link KeyFailures}. */
+  /** The key has failed at several caches; see {@link KeyFailures}. */
   FAILING_KEY,
-  /** An answer could not come in time to be worth anything. */
+  /** A response can no longer arrive in time to be of use. */
   TOO_LATE,
-  /** Caches, or the origin, are at their limit; see {@link AdmissionController}. */
+  /** The caches or the origin are at their limit; see {@link AdmissionController}. */
   OVERLOADED,
-  /** It was queued as long as it may be; see {@link OriginFetches}. */
+  /** The request reached its maximum time in the queue; see {@link OriginFetches}. */
   QUEUE_TIMEOUT,
-  /** No server may get it; see {@link ServerSelector}. */
+  /** No server is eligible; see {@link ServerSelector}. */
   NO_SERVER,
-  /** A further attempt is not allowed to it; see {@link AttemptGuard}. */
+  /** Another attempt is not permitted; see {@link AttemptGuard}. */
   NO_FURTHER_ATTEMPT,
-  /**
-   * A further attempt would cost others more than it is likely to help; see {@link RetryPolicy}.
-   */
+  /** The retry policy does not allow a retry; see {@link RetryPolicy}. */
   RETRY_NOT_EARNED
 }
--- a/src/main/java/beaconturn/decision/HashRing.java
+++ b/src/main/java/beaconturn/decision/HashRing.java
@@ -5,43 +5,45 @@
 import java.util.List;
 
 /**
- * The consistent-hash ring of caches and the clockwise walk along it. Points come from the servers'
- * ids alone, so that all routers agree and a change of members moves few keys. One walk at a time.
+ * Consistent-hash ring of caches with clockwise traversal. Points depend only on server ids,
+ * ratings and kinds, so that all routers agree and a membership change moves few keys. Supports one
+ * walk at a time.
  */
 final class HashRing {
-  /** Virtual points of a cache of mean rating; the article advises 100 to 200. */
+  /** Virtual points of a cache of average rating. */
   private static final int POINTS_PER_SERVER = 150;
 
-  /** Bounds of a cache's points, as multiples of those of a cache of mean rating. */
+  /** Bounds of a cache's number of points, as multiples of {@link #POINTS_PER_SERVER}. */
   private static final double MIN_SIZE = 0.25;
 
   private static final int MAX_SIZE = 4;
 
-  /** Sets the points of successive ids apart: more than a cache has points. */
+  /**
+   * Separates the point sequences of consecutive ids; larger than the number of points per cache.
+   */
   private static final int ID_STRIDE = 4099;
 
-  /** The low bits of a point hold the index of its cache, the others its position on the ring. */
+  /** The low bits of a point hold the index of its cache, the remaining bits its ring position. */
   private static final long INDEX_MASK = 0xffff;
 
-  private final KindSpeeds kindSpeeds = new KindSpeeds();
+  private final KindLatencies kindLatencies = new KindLatencies();
   private final List<ServerState> members = new ArrayList<>();
 
-  /** Sorted; empty until the next walk builds them. */
+  /** Sorted points; empty until the next walk builds them. */
   private long[] points = new long[0];
 
-  private long walk;
-  private long[] seenInWalk = new long[0];
-  private int seen;
+  private long walkNumber;
+  private long[] visitedInWalk = new long[0];
+  private int visited;
   private int nextPoint;
 
-  /** Replaces the members. */
   void replaceMembers(List<ServerState> servers) {
     members.clear();
     members.addAll(servers);
     points = new long[0];
   }
 
-  /** The caches on the ring, in the order in which they became known. */
+  /** Returns the caches on the ring, in the order in which they became known. */
   List<ServerState> members() {
     return members;
   }
@@ -50,38 +52,41 @@
     return members.size();
   }
 
-  /** Notes how long a cache's answer took against the usual; speeds count in its points. */
-  void answered(ServerState server, double relativeTime) {
-    if (kindSpeeds.answered(server.kind(), relativeTime)) {
+  /**
+   * Records the response time of a cache relative to the mean; the latency of its kind affects its
+   * number of points.
+   */
+  void recordLatency(ServerState server, double relativeTime) {
+    if (kindLatencies.recordLatency(server.kind(), relativeTime)) {
       points = new long[0];
     }
   }
 
-  /** Begins a walk clockwise from the position of a hash. */
+  /** Starts a walk clockwise from the position of a hash. */
   void startWalk(long hash) {
     if (points.length == 0) {
-      build();
+      buildPoints();
     }
     int found = Arrays.binarySearch(points, hash & ~INDEX_MASK);
     nextPoint = found >= 0 ? found : -found - 1;
-    seen = 0;
-    walk++;
+    visited = 0;
+    walkNumber++;
   }
 
-  /** The next cache of the walk, each once; null when all were seen. */
+  /** Returns the next distinct cache of the walk, or null after the last. */
   ServerState next() {
-    while (seen < members.size()) {
+    while (visited < members.size()) {
       int index = (int) (points[nextPoint++ % points.length] & INDEX_MASK);
-      if (seenInWalk[index] != walk) {
-        seenInWalk[index] = walk;
-        seen++;
+      if (visitedInWalk[index] != walkNumber) {
+        visitedInWalk[index] = walkNumber;
+        visited++;
         return members.get(index);
       }
     }
     return null;
   }
 
-  private void build() {
+  private void buildPoints() {
     double unit = ratingUnit();
     long[] all = new long[MAX_SIZE * POINTS_PER_SERVER * members.size()];
     int count = 0;
@@ -94,17 +99,20 @@
     }
     points = Arrays.copyOf(all, count);
     Arrays.sort(points);
-    seenInWalk = new long[members.size()];
+    visitedInWalk = new long[members.size()];
   }
 
-  /** The power of two nearest the mean rating: a change of members seldom moves it. */
+  /**
+   * Returns the power of two nearest to the mean rating, so that membership changes rarely affect
+   * it.
+   */
   private double ratingUnit() {
     double mean = members.stream().mapToDouble(ServerState::rating).average().orElse(1);
     return Math.pow(2, Math.rint(Math.log(mean) / Math.log(2)));
   }
 
   private long pointsOf(ServerState server, double unit) {
-    double size = server.rating() / unit / kindSpeeds.relativeTime(server.kind());
+    double size = server.rating() / unit / kindLatencies.relativeTime(server.kind());
     return Math.round(POINTS_PER_SERVER * Math.max(MIN_SIZE, Math.min(MAX_SIZE, size)));
   }
 }
--- a/src/main/java/beaconturn/decision/HedgingPolicy.java
+++ b/src/main/java/beaconturn/decision/HedgingPolicy.java
@@ -1,26 +1,26 @@
 package beaconturn.decision;
 
 /**
- * Decides when an attempt counts as late and what follows: a hedged request to another cache, or,
- * where two attempts may not race, a move to another cache.
+ * Decides when an attempt is late and what follows: a hedged request to another cache, or, where
+ * hedging is not permitted, rerouting to another cache.
  */
 final class HedgingPolicy {
-  /** Where a late attempt is moved, it waits for at least this part of the latency objective. */
-  private static final double MIN_OBJECTIVE_SHARE_BEFORE_MOVE = 1.0 / 2;
+  /** Minimum wait before a late attempt is rerouted, as a fraction of the latency objective. */
+  private static final double MIN_OBJECTIVE_SHARE_BEFORE_REROUTE = 1.0 / 2;
 
   private final RoutingSettings settings;
   private final EventClock clock;
   private final ResponseTimes times;
   private final RetryPolicy retries;
 
-  /** What follows when an attempt is late. */
+  /** Reaction to a late attempt. */
   enum LateAction {
-    /** The attempt goes on alone. */
+    /** Keep waiting for the attempt. */
     WAIT,
-    /** Another attempt is sent while it goes on. */
+    /** Send another attempt while the first one continues. */
     HEDGE,
-    /** It is cancelled, and the request goes to another cache. */
-    MOVE
+    /** Cancel the attempt and send the request to another cache. */
+    REROUTE
   }
 
   HedgingPolicy(
@@ -31,30 +31,30 @@
     this.retries = retries;
   }
 
-  /** How long an attempt that is sent now may take until it counts as late, in nanoseconds. */
-  long lateAfterNanos(RequestState request, boolean fetches) {
-    long lateAfterNanos = times.lateAfterNanos(request, fetches);
+  /** Returns how long an attempt sent now may take before it is late, in nanoseconds. */
+  long lateAfterNanos(RequestState request, boolean fetchesFromOrigin) {
+    long lateAfterNanos = times.lateAfterNanos(request, fetchesFromOrigin);
     if (!settings.origin().cacheAside() || settings.permissions().hedging()) {
       return lateAfterNanos;
     }
-    // A late attempt is moved here, which loses the time that was waited.
-    double minNanos = request.type().latencyObjectiveNanos() * MIN_OBJECTIVE_SHARE_BEFORE_MOVE;
+    // Rerouting a late attempt discards the time already spent waiting.
+    double minNanos = request.requestClass().latencyObjectiveNanos() * MIN_OBJECTIVE_SHARE_BEFORE_REROUTE;
     return Math.max((long) minNanos, lateAfterNanos);
   }
 
   /**
-   * Whether an attempt that is sent now would count as late while an answer to it is still worth
-   * something; only then is it watched.
+   * Whether an attempt sent now would become late while a response is still of use; only then is a
+   * timer set.
    */
   boolean isLateBeforeDue(RequestState request, long lateAfterNanos) {
     return clock.nowNanos() + lateAfterNanos < request.dueNanos();
   }
 
-  /** What follows now that an open attempt is late. */
+  /** Returns the reaction to an open attempt that is late. */
   LateAction actionWhenLate(RequestState request, AttemptState late) {
     if (!retries.allowsFurtherAttempt()
         || request.openAttempts() > 1
-        || request.type().idempotency() == Idempotency.NON_IDEMPOTENT
+        || request.requestClass().idempotency() == Idempotency.NON_IDEMPOTENT
         || isOriginLate(late)) {
       return LateAction.WAIT;
     }
@@ -62,16 +62,16 @@
     if (permissions.hedging()) {
       return LateAction.HEDGE;
     }
-    // Not where caches fetch: they go on with what is cancelled, and would do the work twice.
-    boolean mayMove = permissions.cancel() && settings.origin().cacheAside();
-    return mayMove ? LateAction.MOVE : LateAction.WAIT;
+    // Read-through caches continue a cancelled fetch, so that rerouting would do the work twice.
+    boolean mayReroute = permissions.cancel() && settings.origin().cacheAside();
+    return mayReroute ? LateAction.REROUTE : LateAction.WAIT;
   }
 
   /**
-   * Whether the origin is late and not the server: the attempt fetches, and its server has answered
-   * other attempts since.
+   * Whether the delay is the origin's: the attempt fetches, and its server has responded to other
+   * attempts since.
    */
   private static boolean isOriginLate(AttemptState late) {
-    return late.fetchesFromOrigin() && !late.isServerSilentSince();
+    return late.fetchesFromOrigin() && !late.isServerUnresponsiveSinceSend();
   }
 }
--- a/src/main/java/beaconturn/decision/Idempotency.java
+++ b/src/main/java/beaconturn/decision/Idempotency.java
@@ -1,11 +1,11 @@
 package beaconturn.decision;
 
-/** Whether a request may run more than once. */
+/** Whether a request may be executed more than once. */
 public enum Idempotency {
   /** Any number of times. */
   IDEMPOTENT,
-  /** Where servers drop repeats by its key, within their scope and window. */
+  /** Repeats are deduplicated by the idempotency key, within its scope and window. */
   IDEMPOTENCY_KEY,
-  /** Once at the most: repeated only where no attempt can have run. */
+  /** At most once: repeated only if no attempt can have been executed. */
   NON_IDEMPOTENT
 }
--- a/src/main/java/beaconturn/decision/KeyFailures.java
+++ b/src/main/java/beaconturn/decision/KeyFailures.java
@@ -4,54 +4,56 @@
 import java.util.SplittableRandom;
 
 /**
- * Counts for each key at how many caches in a row its attempts have failed since one was answered.
- * Attempts that were not answered at all, or had no effect, tell nothing of the key.
+ * Counts, for each key, the consecutive caches that failed it since the last successful attempt.
+ * Timeouts and attempts without effect do not count.
  */
 final class KeyFailures {
-  /** A key that failed at this many caches in a row is itself at fault, and not the caches. */
-  private static final int CACHES_UNTIL_KEY_AT_FAULT = 2;
+  /** Number of consecutive failing caches after which the key itself is considered at fault. */
+  private static final int MIN_FAILED_CACHES_FOR_KEY_FAULT = 2;
 
-  private final Map<Long, Failures> failuresByKey = new LruMap<>(LruMap.USUAL_CAPACITY);
+  private final Map<Long, Failures> failuresByKey = new LruMap<>(LruMap.DEFAULT_CAPACITY);
 
-  /** The cache that failed last, and how many did in a row. */
+  /**
+   * The last cache that failed the key, and the number of consecutive failures at different caches.
+   */
   private record Failures(long lastServerId, int caches) {}
 
-  /** An attempt for the key has ended. */
+  /** Records the end of an attempt for the key. */
   void attemptEnded(long key, long serverId, AttemptOutcome outcome) {
-    if (outcome.isAnswer()) {
+    if (outcome.isSuccessOrMiss()) {
       failuresByKey.remove(key);
     } else if (outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.RESET) {
       Failures failures = failuresByKey.get(key);
       if (failures == null || failures.lastServerId() != serverId) {
-        failuresByKey.put(key, new Failures(serverId, caches(key) + 1));
+        failuresByKey.put(key, new Failures(serverId, failedCaches(key) + 1));
       }
     }
   }
 
-  /** At how many caches in a row the key has failed; 0 where none has failed it, or for no key. */
-  private int caches(long key) {
+  /** Returns at how many consecutive caches the key has failed; 0 for requests without a key. */
+  private int failedCaches(long key) {
     Failures failures = key == 0 ? null : failuresByKey.get(key);
     return failures == null ? 0 : failures.caches();
   }
 
-  /** Whether it is the key that is at fault, not the caches. */
+  /** Whether the key, rather than the caches, is considered at fault. */
   boolean isKeyAtFault(long key) {
-    return caches(key) >= CACHES_UNTIL_KEY_AT_FAULT;
+    return failedCaches(key) >= MIN_FAILED_CACHES_FOR_KEY_FAULT;
   }
 
   /**
-   * Draws whether a request for the key is given up at once: all but one in as many as caches have
-   * failed the key. Draws only if the key is at fault.
+   * Decides at random whether a request for a key at fault is rejected: with N failed caches, all
+   * but one in N are. Draws from the random source only if the key is at fault.
    */
-  boolean isDrawnHopeless(long key, SplittableRandom random) {
-    return isKeyAtFault(key) && random.nextDouble() * caches(key) >= 1;
+  boolean isRejectionDrawn(long key, SplittableRandom random) {
+    return isKeyAtFault(key) && random.nextDouble() * failedCaches(key) >= 1;
   }
 
   /**
-   * Whether the key's fault explains the end of an attempt: an error that comes quickly shows that
-   * its cache is well.
+   * Whether the outcome is explained by the key's fault: an error response shows that the cache
+   * itself is healthy.
    */
-  boolean explains(long key, AttemptOutcome outcome) {
+  boolean explainsOutcome(long key, AttemptOutcome outcome) {
     return outcome == AttemptOutcome.ERROR && isKeyAtFault(key);
   }
 }
--- a/src/main/java/beaconturn/decision/KeyHash.java
+++ b/src/main/java/beaconturn/decision/KeyHash.java
@@ -1,6 +1,6 @@
 package beaconturn.decision;
 
-/** The hash that places keys and virtual points on the ring: mixes all 64 bits. */
+/** Hash that places keys and virtual points on the ring; mixes all 64 bits. */
 final class KeyHash {
   private KeyHash() {}
 
--- a/src/main/java/beaconturn/decision/KeyPopularity.java
+++ b/src/main/java/beaconturn/decision/KeyPopularity.java
@@ -2,32 +2,30 @@
 
 import java.util.Map;
 
-/**
- * The share of recent requests that each key has; every request fades all earlier ones a little.
- */
+/** Estimates each key's share of recent requests, with exponential decay per request. */
 final class KeyPopularity {
-  private final Map<Long, FadingCount> counts;
+  private final Map<Long, DecayingCount> counts;
   private long requests;
 
-  /** Requests for one key, faded up to the time when it was asked for last. */
-  private static final class FadingCount {
+  /** Requests for one key, decayed up to its last request. */
+  private static final class DecayingCount {
     private double value;
     private long countedAtRequest;
   }
 
-  /** Remembers the {@code keys} that were asked for last. */
+  /** Creates an estimator for the {@code keys} most recently requested keys. */
   KeyPopularity(int keys) {
     this.counts = new LruMap<>(keys);
   }
 
   /**
-   * Counts a request for the key; returns the share that earlier ones for it have of about the last
-   * {@code window} requests, or of all when there were fewer. A first request is no sign of a hot
-   * key.
+   * Counts a request for the key. Returns the share of its earlier requests among about the last
+   * {@code window} requests, or among all if there were fewer; a first request does not indicate a
+   * hot key.
    */
-  double count(long key, double window) {
+  double countRequest(long key, double window) {
     requests++;
-    FadingCount count = counts.computeIfAbsent(key, k -> new FadingCount());
+    DecayingCount count = counts.computeIfAbsent(key, k -> new DecayingCount());
     count.value = count.value * Math.exp((count.countedAtRequest - requests) / window) + 1;
     count.countedAtRequest = requests;
     return (count.value - 1) / (window * (1 - Math.exp(-requests / window)));
--- a/src/main/java/beaconturn/decision/LoadBounds.java
+++ b/src/main/java/beaconturn/decision/LoadBounds.java
@@ -6,13 +6,13 @@
   static final int MIN_CAP = 2;
 
   /** A cache may hold this much more than the mean, a ratio; the article gives 0.15 to 0.25. */
-  private static final double EXCESS = 0.2;
+  private static final double MAX_EXCESS = 0.2;
 
   /**
    * The same where caches fetch what they lack: a request that goes past its cache is a fetch at
    * the next one, holds capacity there and so sends more requests past that.
    */
-  private static final double EXCESS_WHERE_CACHES_FETCH = 0.9;
+  private static final double MAX_EXCESS_READ_THROUGH = 0.9;
 
   private final RoutingSettings settings;
   private final FleetLoad load;
@@ -26,7 +26,7 @@
     this.load = load;
     this.reports = reports;
     this.originLimit = originLimit;
-    this.excess = settings.origin().cacheAside() ? EXCESS : EXCESS_WHERE_CACHES_FETCH;
+    this.excess = settings.origin().cacheAside() ? MAX_EXCESS : MAX_EXCESS_READ_THROUGH;
   }
 
   /** The most that one of so many caches may hold when one more request is sent. */
@@ -55,9 +55,9 @@
     // not count.
     boolean reportedFull =
         originLimit.hasAmpleCapacity() && reports.isFarAboveMean(server, load.smoothingNanos());
-    double evenPart = (double) MIN_CAP / settings.routerCount();
+    double evenShare = (double) MIN_CAP / settings.routerCount();
     double mean = settings.origin().cacheAside() ? 0 : load.smoothedAtCaches() / servers;
-    double bound = (1 + excess) * Math.max(evenPart, mean);
+    double bound = (1 + excess) * Math.max(evenShare, mean);
     return reportedFull || (server.load().inFlight() > 0 && load.smoothedAt(server) > bound);
   }
 }
--- a/src/main/java/beaconturn/decision/LoadReport.java
+++ b/src/main/java/beaconturn/decision/LoadReport.java
@@ -12,7 +12,7 @@
   }
 
   /** Notes what the server reports: how many requests it is at work on. */
-  void report(double requests, long nowNanos) {
+  void update(double requests, long nowNanos) {
     busyRequests = requests;
     reportedAtNanos = nowNanos;
   }
--- a/src/main/java/beaconturn/decision/LoadReports.java
+++ b/src/main/java/beaconturn/decision/LoadReports.java
@@ -8,15 +8,15 @@
   private static final String BUSY_REQUESTS_FIELD = "busy_reqs";
 
   /** A cache that reports this many times the mean, and one, is far above it. */
-  private static final double FAR_ABOVE_MEAN = 1.2;
+  private static final double FAR_ABOVE_MEAN_RATIO = 1.2;
 
   /**
    * A report counts for this many smoothing times: many routers hear of one cache but now and then.
    */
-  private static final double MEMORY_SMOOTHING_TIMES = 16;
+  private static final double REPORT_VALIDITY_SMOOTHING_TIMES = 16;
 
   /** Weight of the newest report in the mean of all, a ratio. */
-  private static final double SAMPLE_WEIGHT = MovingAverage.USUAL_SAMPLE_WEIGHT / 4;
+  private static final double SAMPLE_WEIGHT = MovingAverage.DEFAULT_SAMPLE_WEIGHT / 4;
 
   private final EventClock clock;
 
@@ -33,7 +33,7 @@
   /** Notes the report that came with an answer; it may be empty. */
   void received(ServerState server, float[] report) {
     if (fieldIndex >= 0 && fieldIndex < report.length) {
-      server.loadReport().report(report[fieldIndex], clock.nowNanos());
+      server.loadReport().update(report[fieldIndex], clock.nowNanos());
       meanBusyRequests.add(report[fieldIndex]);
     }
   }
@@ -41,7 +41,7 @@
   /** Whether the cache said lately that it holds far more than others. */
   boolean isFarAboveMean(ServerState server, double smoothingNanos) {
     LoadReport report = server.loadReport();
-    return report.busyRequests() > FAR_ABOVE_MEAN * (meanBusyRequests.mean() + 1)
-        && report.ageNanos(clock.nowNanos()) < MEMORY_SMOOTHING_TIMES * smoothingNanos;
+    return report.busyRequests() > FAR_ABOVE_MEAN_RATIO * (meanBusyRequests.mean() + 1)
+        && report.ageNanos(clock.nowNanos()) < REPORT_VALIDITY_SMOOTHING_TIMES * smoothingNanos;
   }
 }
--- a/src/main/java/beaconturn/decision/LruMap.java
+++ b/src/main/java/beaconturn/decision/LruMap.java
@@ -9,7 +9,7 @@
    * The usual bound on what is remembered of keys, in entries: it bounds memory, at some hundred
    * bytes an entry.
    */
-  static final int USUAL_CAPACITY = 1 << 13;
+  static final int DEFAULT_CAPACITY = 1 << 13;
 
   private static final long serialVersionUID = 1L;
   private static final int INITIAL_CAPACITY = 16;
--- a/src/main/java/beaconturn/decision/MovingAverage.java
+++ b/src/main/java/beaconturn/decision/MovingAverage.java
@@ -3,7 +3,7 @@
 /** Exponentially weighted mean and mean deviation of samples. */
 final class MovingAverage {
   /** The usual weight of the newest sample, a ratio: about ten samples make an average. */
-  static final double USUAL_SAMPLE_WEIGHT = 0.1;
+  static final double DEFAULT_SAMPLE_WEIGHT = 0.1;
 
   private final double sampleWeight;
   private double mean;
@@ -16,7 +16,7 @@
   }
 
   /** Begins with a mean that was measured elsewhere; 0 means none, and own samples come first. */
-  void begin(double measuredMean) {
+  void warmStart(double measuredMean) {
     if (!hasSamples && measuredMean > 0) {
       add(measuredMean);
     }
--- a/src/main/java/beaconturn/decision/OriginFetches.java
+++ b/src/main/java/beaconturn/decision/OriginFetches.java
@@ -14,7 +14,7 @@
   private final RoutingActions actions;
   private final RouterRules rules;
   private final RequestDispatcher dispatcher;
-  private final boolean aside;
+  private final boolean cacheAside;
   private final ConcurrencyLimit limit;
   private final Map<Long, OriginFetch> fetchesByKey = new LinkedHashMap<>();
 
@@ -30,7 +30,7 @@
     this.actions = actions;
     this.rules = rules;
     this.dispatcher = dispatcher;
-    this.aside = settings.origin().cacheAside();
+    this.cacheAside = settings.origin().cacheAside();
     this.limit = rules.admission.originLimit();
   }
 
@@ -38,7 +38,7 @@
    * Whether a cache that fetches for itself will ask the origin: it is not known to hold the key.
    */
   boolean cacheWillFetch(RequestState request, ServerState cache) {
-    if (aside) {
+    if (cacheAside) {
       return false;
     }
     return request.isWrite()
@@ -47,8 +47,8 @@
   }
 
   /** Makes the request wait if its key is being fetched already beside the caches; false if not. */
-  boolean joined(RequestState request) {
-    OriginFetch fetch = aside && request.key() != 0 ? fetchesByKey.get(request.key()) : null;
+  boolean joinFetch(RequestState request) {
+    OriginFetch fetch = cacheAside && request.key() != 0 ? fetchesByKey.get(request.key()) : null;
     if (fetch != null) {
       waitFor(request, fetch);
     }
@@ -69,15 +69,15 @@
       request.setOriginFetch(new OriginFetch());
       fetchesByKey.put(request.key(), request.originFetch());
     }
-    askOrigin(request, cache);
+    sendToOrigin(request, cache);
   }
 
   /** Sends the request to the origin itself; at the origin's limit it queues or is given up. */
-  void askOrigin(RequestState request) {
-    askOrigin(request, null);
+  void sendToOrigin(RequestState request) {
+    sendToOrigin(request, null);
   }
 
-  private void askOrigin(RequestState request, ServerState cache) {
+  private void sendToOrigin(RequestState request, ServerState cache) {
     ServerState server = cache == null ? rules.registry.leastLoadedOrigin() : cache;
     if (server == null) {
       dispatcher.giveUp(request, GiveUpReason.NO_SERVER);
@@ -85,7 +85,7 @@
       dispatcher.giveUp(request, GiveUpReason.OVERLOADED);
     } else if (limit.hasCapacity()) {
       dispatcher.send(request, server, true);
-    } else if (queueNanos() < halfOfTimeLeftNanos(request)) {
+    } else if (expectedQueueNanos() < halfOfRemainingNanos(request)) {
       queue.add(request);
       hold(request);
     } else {
@@ -94,11 +94,11 @@
   }
 
   /** How long a request that queues now waits as a rule. */
-  private double queueNanos() {
+  private double expectedQueueNanos() {
     return rules.times.fetchNanos().mean() * (queue.size() + 1) / limit.limit();
   }
 
-  private long halfOfTimeLeftNanos(RequestState request) {
+  private long halfOfRemainingNanos(RequestState request) {
     return (request.deadlineNanos() - rules.clock.nowNanos()) / 2;
   }
 
@@ -111,7 +111,7 @@
   /** Holds a request for at most half the time it has left, so that a rejection is still of use. */
   private void hold(RequestState request) {
     request.setQueued(true);
-    actions.setTimer(halfOfTimeLeftNanos(request), TimerToken.queueTimeout(request.id()).encode());
+    actions.setTimer(halfOfRemainingNanos(request), TimerToken.queueTimeout(request.id()).encode());
   }
 
   /** Sends queued requests on as far as the origin's limit allows. */
@@ -136,7 +136,7 @@
   }
 
   private void fetchAgain(RequestState request) {
-    if (aside) {
+    if (cacheAside) {
       fetch(request, null);
     } else {
       dispatcher.sendToCache(request);
--- a/src/main/java/beaconturn/decision/OutlierDetector.java
+++ b/src/main/java/beaconturn/decision/OutlierDetector.java
@@ -6,28 +6,28 @@
  */
 final class OutlierDetector {
   /**
-   * Share of bad samples above which a cache is ejected, on top of the share of the whole fleet.
+   * Share of failed samples above which a cache is ejected, on top of the share of the whole fleet.
    */
-  private static final double MAX_BAD_SHARE = 0.25;
+  private static final double EJECTION_FAILURE_SHARE = 0.25;
 
-  /** An ejected cache is taken back below this share of bad samples. */
-  private static final double READMISSION_BAD_SHARE = MAX_BAD_SHARE / 2;
+  /** An ejected cache is taken back below this share of failed samples. */
+  private static final double READMISSION_FAILURE_SHARE = EJECTION_FAILURE_SHARE / 2;
 
   /** Share of the ring that may be ejected; beyond it the fleet is at fault, not its caches. */
   private static final double MAX_EJECTED_SHARE = 1.0 / 3;
 
   /** Gap before the first trial, in mean answer times; each failed trial doubles it. */
-  private static final double FIRST_TRIAL_ANSWER_TIMES = 8;
+  private static final double INITIAL_TRIAL_GAP_RESPONSE_TIMES = 8;
 
   /** Longest gap between trials, in mean answer times. */
-  private static final double LONGEST_TRIAL_ANSWER_TIMES = 64;
+  private static final double MAX_TRIAL_GAP_RESPONSE_TIMES = 64;
 
   private final EventClock clock;
   private final HashRing ring;
   private final ResponseTimes times;
 
-  /** Moving share of bad samples among those of all caches, 0 to 1. */
-  private double fleetBadShare;
+  /** Moving share of failed samples among those of all caches, 0 to 1. */
+  private double fleetFailureShare;
 
   private long fleetSampledAtNanos;
 
@@ -38,19 +38,19 @@
   }
 
   /**
-   * Whether the fleet as a whole has the share of bad samples for which a single cache is ejected.
+   * Whether the fleet as a whole has the share of failed samples for which a single cache is ejected.
    */
-  boolean isFleetBad() {
-    return fleetBadShare >= MAX_BAD_SHARE;
+  boolean isFleetUnhealthy() {
+    return fleetFailureShare >= EJECTION_FAILURE_SHARE;
   }
 
   /** Whether the fleet as a whole has half of that share. */
-  boolean isFleetDoubtful() {
-    return fleetBadShare >= MAX_BAD_SHARE / 2;
+  boolean isFleetDegraded() {
+    return fleetFailureShare >= EJECTION_FAILURE_SHARE / 2;
   }
 
   /** Whether the request does not go to the cache: it is ejected, and this is no trial. */
-  boolean isPassedOver(ServerState server, RequestState request) {
+  boolean isSkipped(ServerState server, RequestState request) {
     if (!server.outlier().ejected) {
       return false;
     }
@@ -62,30 +62,30 @@
    * Takes one sample of a cache's health, and ejects it or takes it back. Quick errors must not
    * attract keys by keeping loads low.
    */
-  void sample(ServerState server, boolean bad) {
+  void recordSample(ServerState server, boolean failed) {
     OutlierState state = server.outlier();
-    addSample(state, bad);
+    addSample(state, failed);
     if (state.ejected) {
-      trialEnded(state, bad);
+      trialEnded(state, failed);
     }
     boolean outlier = isOutlier(state);
     if (outlier && !state.ejected && isEjectionLimitReached()) {
       return;
     }
     if (outlier != state.ejected) {
-      state.trialGapAnswerTimes = FIRST_TRIAL_ANSWER_TIMES;
+      state.trialGapResponseTimes = INITIAL_TRIAL_GAP_RESPONSE_TIMES;
     }
     state.ejected = outlier;
-    double gapNanos = state.trialGapAnswerTimes * times.answerNanos().mean();
+    double gapNanos = state.trialGapResponseTimes * times.responseNanos().mean();
     state.trialAtNanos = clock.nowNanos() + (long) gapNanos;
   }
 
-  private void addSample(OutlierState state, boolean bad) {
-    double usualWeight = MovingAverage.USUAL_SAMPLE_WEIGHT;
-    double fleetWeight = usualWeight / Math.max(1, ring.size());
-    double sample = bad ? 1 : 0;
-    state.badShare += weight(usualWeight, state.sampledAtNanos) * (sample - state.badShare);
-    fleetBadShare += weight(fleetWeight, fleetSampledAtNanos) * (sample - fleetBadShare);
+  private void addSample(OutlierState state, boolean failed) {
+    double baseWeight = MovingAverage.DEFAULT_SAMPLE_WEIGHT;
+    double fleetWeight = baseWeight / Math.max(1, ring.size());
+    double sample = failed ? 1 : 0;
+    state.failureShare += weight(baseWeight, state.sampledAtNanos) * (sample - state.failureShare);
+    fleetFailureShare += weight(fleetWeight, fleetSampledAtNanos) * (sample - fleetFailureShare);
     state.sampledAtNanos = clock.nowNanos();
     fleetSampledAtNanos = clock.nowNanos();
   }
@@ -94,35 +94,35 @@
    * Weight of a new sample: the usual one, or more after a long gap, as samples from before it tell
    * little of the cache as it is now.
    */
-  private double weight(double usualWeight, long lastSampleNanos) {
-    boolean first = lastSampleNanos == 0 || !times.answerNanos().hasSamples();
+  private double weight(double baseWeight, long lastSampleNanos) {
+    boolean first = lastSampleNanos == 0 || !times.responseNanos().hasSamples();
     double gapNanos = first ? 0 : clock.nowNanos() - lastSampleNanos;
-    double memoryNanos = LONGEST_TRIAL_ANSWER_TIMES * (times.answerNanos().mean() + 1);
-    return Math.max(usualWeight, gapNanos / (gapNanos + memoryNanos));
+    double windowNanos = MAX_TRIAL_GAP_RESPONSE_TIMES * (times.responseNanos().mean() + 1);
+    return Math.max(baseWeight, gapNanos / (gapNanos + windowNanos));
   }
 
-  private static void trialEnded(OutlierState state, boolean bad) {
-    if (bad) {
-      state.trialGapAnswerTimes =
-          Math.min(2 * state.trialGapAnswerTimes, LONGEST_TRIAL_ANSWER_TIMES);
+  private static void trialEnded(OutlierState state, boolean failed) {
+    if (failed) {
+      state.trialGapResponseTimes =
+          Math.min(2 * state.trialGapResponseTimes, MAX_TRIAL_GAP_RESPONSE_TIMES);
     } else {
-      state.badShare /= 2;
-      state.trialGapAnswerTimes = FIRST_TRIAL_ANSWER_TIMES;
+      state.failureShare /= 2;
+      state.trialGapResponseTimes = INITIAL_TRIAL_GAP_RESPONSE_TIMES;
     }
   }
 
   private boolean isOutlier(OutlierState state) {
-    double maxBadShare = state.ejected ? READMISSION_BAD_SHARE : MAX_BAD_SHARE + fleetBadShare;
-    return state.badShare > maxBadShare;
+    double maxFailureShare = state.ejected ? READMISSION_FAILURE_SHARE : EJECTION_FAILURE_SHARE + fleetFailureShare;
+    return state.failureShare > maxFailureShare;
   }
 
   private boolean isEjectionLimitReached() {
-    int withThisOne = 1;
+    int ejectedCount = 1;
     for (ServerState member : ring.members()) {
       if (member.outlier().ejected) {
-        withThisOne++;
+        ejectedCount++;
       }
     }
-    return withThisOne > Math.max(1, ring.size() * MAX_EJECTED_SHARE);
+    return ejectedCount > Math.max(1, ring.size() * MAX_EJECTED_SHARE);
   }
 }
--- a/src/main/java/beaconturn/decision/RequestClass.java
+++ b/src/main/java/beaconturn/decision/RequestClass.java
@@ -21,7 +21,7 @@
     double latePriorityWeight,
     boolean streamed) {
   /** Whether a late answer is worth nothing, and may be left out without harm. */
-  boolean isWorthlessLate() {
+  boolean isWorthlessWhenLate() {
     return latePriorityWeight <= 0 && idempotency == Idempotency.IDEMPOTENT;
   }
 }
--- a/src/main/java/beaconturn/decision/RequestCoordinator.java
+++ b/src/main/java/beaconturn/decision/RequestCoordinator.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Takes each request from its arrival to its end: asks the rules at every step and carries out what
+ * Takes each request from its arrival to its closed: asks the rules at every step and carries out what
  * they say. It holds the requests; which step follows an attempt is decided in {@code
  * continueAfter}.
  */
@@ -16,14 +16,14 @@
   private final RoutingActions actions;
   private final RouterRules rules;
   private final OriginFetches fetches;
-  private final boolean aside;
+  private final boolean cacheAside;
   private final Map<Long, RequestState> requests = new LinkedHashMap<>();
 
   RequestCoordinator(RoutingSettings settings, RoutingActions actions, RouterRules rules) {
     this.settings = settings;
     this.actions = actions;
     this.rules = rules;
-    this.aside = settings.origin().cacheAside();
+    this.cacheAside = settings.origin().cacheAside();
     this.fetches = new OriginFetches(settings, actions, rules, this);
   }
 
@@ -36,27 +36,27 @@
     GiveUpReason rejection = rules.admission.rejection(request);
     if (rejection != null) {
       giveUp(request, rejection);
-    } else if (aside && request.isWrite()) {
-      fetches.askOrigin(request);
-    } else if (!fetches.joined(request)) {
+    } else if (cacheAside && request.isWrite()) {
+      fetches.sendToOrigin(request);
+    } else if (!fetches.joinFetch(request)) {
       sendToCache(request);
     }
   }
 
   private RequestState newRequest(RoutingEvent.RequestArrived arrival) {
-    RequestClass type = settings.classes().get(arrival.requestClass());
+    RequestClass requestClass = settings.classes().get(arrival.requestClass());
     long logicalRequest = rules.clientRetries.logicalRequest(arrival);
-    long objectiveEnds = rules.clientRetries.objectiveEndsNanos(arrival, type, logicalRequest);
-    long deadline = rules.clock.nowNanos() + arrival.remainingNanos();
+    long objectiveEndNanos = rules.clientRetries.objectiveEndNanos(arrival, requestClass, logicalRequest);
+    long deadlineNanos = rules.clock.nowNanos() + arrival.remainingNanos();
     // Where the router asks the origin itself, an answer that has become worthless is not waited
     // for: the cache would go on with it and be late for the next request. Where caches fetch, to
     // cut the attempt would throw the fetch away.
-    boolean cutAtObjective = aside && type.isWorthlessLate();
-    long due = cutAtObjective ? Math.min(deadline, objectiveEnds) : deadline;
+    boolean cutAtObjective = cacheAside && requestClass.isWorthlessWhenLate();
+    long dueNanos = cutAtObjective ? Math.min(deadlineNanos, objectiveEndNanos) : deadlineNanos;
     return new RequestState(
         arrival,
-        type,
-        new RequestTimes(deadline, objectiveEnds, due),
+        requestClass,
+        new RequestTimes(deadlineNanos, objectiveEndNanos, dueNanos),
         logicalRequest,
         rules.quotas.isBeyondQuota(arrival.tenant()),
         rules.spread.requestArrived(arrival.key(), arrival.write()),
@@ -76,15 +76,15 @@
    * object by now, so that the attempt no longer counts against the limits and requests that wait
    * for the key go on.
    */
-  void responseStarted(RoutingEvent.ResponseStarted start) {
-    RequestState request = requests.get(start.requestId());
+  void responseStarted(RoutingEvent.ResponseStarted started) {
+    RequestState request = requests.get(started.requestId());
     if (request == null) {
       return;
     }
-    request.beginStreaming();
-    cancelOpenAttempts(request, start.attempt());
-    if (!aside) {
-      AttemptState attempt = request.attempts().get(start.attempt());
+    request.startStreaming();
+    cancelOpenAttempts(request, started.attempt());
+    if (!cacheAside) {
+      AttemptState attempt = request.attempts().get(started.attempt());
       request.setKeyHolder(attempt.server());
       rules.admission.attemptServed(attempt);
       fetches.fetchEnded(request, true);
@@ -92,25 +92,25 @@
     }
   }
 
-  void attemptClosed(RoutingEvent.AttemptClosed end) {
-    RequestState request = requests.get(end.requestId());
+  void attemptClosed(RoutingEvent.AttemptClosed closed) {
+    RequestState request = requests.get(closed.requestId());
     if (request == null
-        || end.attempt() >= request.attempts().size()
-        || !request.attempts().get(end.attempt()).isOpen()) {
+        || closed.attempt() >= request.attempts().size()
+        || !request.attempts().get(closed.attempt()).isOpen()) {
       return;
     }
-    AttemptState attempt = request.attempts().get(end.attempt());
-    attempt.close(end.outcome());
+    AttemptState attempt = request.attempts().get(closed.attempt());
+    attempt.close(closed.outcome());
     rules.admission.attemptServed(attempt);
     rules.load.attemptEnded(attempt);
-    rules.registry.attemptEnded(attempt, end.outcome());
+    rules.registry.attemptEnded(attempt, closed.outcome());
     if (attempt.toCache()) {
-      rules.feedback.cacheAttemptEnded(request, attempt, end);
+      rules.feedback.cacheAttemptEnded(request, attempt, closed);
     }
     if (attempt.fetchesFromOrigin()) {
-      rules.feedback.fetchEnded(request, attempt, end);
+      rules.feedback.fetchEnded(request, attempt, closed);
     }
-    continueAfter(request, attempt, end);
+    continueAfter(request, attempt, closed);
     fetches.sendQueued();
   }
 
@@ -132,29 +132,29 @@
   // ---- steps of a request
 
   private void continueAfter(
-      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed end) {
+      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed closed) {
     if (request.isDone()) {
       if (!request.hasOpenAttempt()) {
         requests.remove(request.id());
       }
-    } else if (request.isMoving() && end.outcome() == AttemptOutcome.CANCELLED) {
-      request.setMoving(false);
+    } else if (request.isRerouting() && closed.outcome() == AttemptOutcome.CANCELLED) {
+      request.setRerouting(false);
       retry(request, attempt);
-    } else if (end.requestClosed()) {
-      if (attempt.toCache() && !aside) {
+    } else if (closed.requestClosed()) {
+      if (attempt.toCache() && !cacheAside) {
         request.setKeyHolder(attempt.server());
       }
-      conclude(request, end.outcome() == AttemptOutcome.OK);
+      conclude(request, closed.outcome() == AttemptOutcome.OK);
     } else {
-      continueUnanswered(request, attempt, end.outcome());
+      continueOpenRequest(request, attempt, closed.outcome());
     }
   }
 
-  /** Decides what follows an attempt that did not end its request. */
-  private void continueUnanswered(
+  /** Decides what follows an attempt that did not closed its request. */
+  private void continueOpenRequest(
       RequestState request, AttemptState attempt, AttemptOutcome outcome) {
     if (rules.clock.nowNanos() >= request.dueNanos()) {
-      // An end that is handled a tick late may come when no time is left: to queue the request
+      // An closed that is handled a tick late may come when no time is left: to queue the request
       // would lose it.
       giveUp(request, GiveUpReason.TOO_LATE);
     } else if (outcome == AttemptOutcome.MISS && attempt.toCache()) {
@@ -186,8 +186,8 @@
     HedgingPolicy.LateAction action = rules.hedging.actionWhenLate(request, attempt);
     if (action == HedgingPolicy.LateAction.HEDGE) {
       hedge(request);
-    } else if (action == HedgingPolicy.LateAction.MOVE) {
-      request.setMoving(true);
+    } else if (action == HedgingPolicy.LateAction.REROUTE) {
+      request.setRerouting(true);
       cancelOpenAttempts(request, NO_ATTEMPT);
     }
   }
@@ -269,7 +269,7 @@
     }
     request.finish();
     if (!answered) {
-      rules.clientRetries.unanswered(request);
+      rules.clientRetries.requestUnanswered(request);
     }
     cancelOpenAttempts(request, NO_ATTEMPT);
     fetches.requestEnded(request, answered);
--- a/src/main/java/beaconturn/decision/RequestState.java
+++ b/src/main/java/beaconturn/decision/RequestState.java
@@ -6,7 +6,7 @@
 /** A request that the router has taken on, until its last attempt is closed. */
 final class RequestState {
   private final RoutingEvent.RequestArrived arrival;
-  private final RequestClass type;
+  private final RequestClass requestClass;
   private final long hash;
   private final RequestTimes times;
   private final long logicalRequest;
@@ -24,14 +24,14 @@
   /** Makes a request without attempts; see the accessors for what the parts mean. */
   RequestState(
       RoutingEvent.RequestArrived arrival,
-      RequestClass type,
+      RequestClass requestClass,
       RequestTimes times,
       long logicalRequest,
       boolean overQuota,
       double keyShare,
       double workRatio) {
     this.arrival = arrival;
-    this.type = type;
+    this.requestClass = requestClass;
     this.hash = KeyHash.mix(arrival.key() != 0 ? arrival.key() : arrival.requestId());
     this.times = times;
     this.logicalRequest = logicalRequest;
@@ -58,8 +58,8 @@
     return arrival.write();
   }
 
-  RequestClass type() {
-    return type;
+  RequestClass requestClass() {
+    return requestClass;
   }
 
   int classIndex() {
@@ -67,7 +67,7 @@
   }
 
   boolean isIdempotent() {
-    return type.idempotency() == Idempotency.IDEMPOTENT;
+    return requestClass.idempotency() == Idempotency.IDEMPOTENT;
   }
 
   /** When the client gives up. */
@@ -76,8 +76,8 @@
   }
 
   /** Until when an answer meets the latency objective. */
-  long objectiveEndsNanos() {
-    return times.objectiveEndsNanos();
+  long objectiveEndNanos() {
+    return times.objectiveEndNanos();
   }
 
   /** Until when an answer is worth something. */
@@ -143,7 +143,7 @@
   }
 
   /** Whether it may go where it might fail: it was not sent yet, and may be repeated. */
-  boolean isFitForTrial() {
+  boolean mayJoinTrial() {
     return attempts.isEmpty() && isIdempotent();
   }
 
@@ -179,16 +179,16 @@
     return streaming;
   }
 
-  void beginStreaming() {
+  void startStreaming() {
     streaming = true;
   }
 
   /** Whether its attempt is being cancelled because it is late, so that it goes elsewhere. */
-  boolean isMoving() {
+  boolean isRerouting() {
     return moving;
   }
 
-  void setMoving(boolean moves) {
+  void setRerouting(boolean moves) {
     moving = moves;
   }
 
--- a/src/main/java/beaconturn/decision/ResponseTimes.java
+++ b/src/main/java/beaconturn/decision/ResponseTimes.java
@@ -1,7 +1,7 @@
 package beaconturn.decision;
 
 /**
- * How long answers take: for each request class, for all of them, and for fetches from the origin.
+ * How long answers take: for each request class, for all of them, and for fetchesFromOrigin from the origin.
  * Tells when an answer counts as late.
  */
 final class ResponseTimes {
@@ -11,39 +11,39 @@
   private static final double LATE_DEVIATIONS = 4;
 
   /** Weight of the newest sample in the mean work that requests say they need, a ratio. */
-  private static final double WORK_SAMPLE_WEIGHT = MovingAverage.USUAL_SAMPLE_WEIGHT / 4;
+  private static final double WORK_SAMPLE_WEIGHT = MovingAverage.DEFAULT_SAMPLE_WEIGHT / 4;
 
-  private final MovingAverage[] answerNanosByClass;
-  private final MovingAverage answerNanos = usualAverage();
-  private final MovingAverage fetchNanos = usualAverage();
+  private final MovingAverage[] responseNanosByClass;
+  private final MovingAverage responseNanos = defaultAverage();
+  private final MovingAverage fetchNanos = defaultAverage();
   private final MovingAverage workNanos = new MovingAverage(WORK_SAMPLE_WEIGHT);
 
   /** Makes the averages of so many request classes, without samples. */
   ResponseTimes(int classes) {
-    answerNanosByClass = new MovingAverage[classes];
+    responseNanosByClass = new MovingAverage[classes];
     for (int i = 0; i < classes; i++) {
-      answerNanosByClass[i] = usualAverage();
+      responseNanosByClass[i] = defaultAverage();
     }
   }
 
-  private static MovingAverage usualAverage() {
-    return new MovingAverage(MovingAverage.USUAL_SAMPLE_WEIGHT);
+  private static MovingAverage defaultAverage() {
+    return new MovingAverage(MovingAverage.DEFAULT_SAMPLE_WEIGHT);
   }
 
   /** Begins with means that another router has measured. */
-  void begin(double meanAnswerNanos, double meanFetchNanos) {
-    answerNanos.begin(meanAnswerNanos);
-    fetchNanos.begin(meanFetchNanos);
+  void warmStart(double meanResponseNanos, double meanFetchNanos) {
+    responseNanos.warmStart(meanResponseNanos);
+    fetchNanos.warmStart(meanFetchNanos);
   }
 
   /** A cache has answered from what it holds. */
-  void answered(int requestClass, long elapsedNanos) {
-    answerNanosByClass[requestClass].add(elapsedNanos);
-    answerNanos.add(elapsedNanos);
+  void recordResponse(int requestClass, long elapsedNanos) {
+    responseNanosByClass[requestClass].add(elapsedNanos);
+    responseNanos.add(elapsedNanos);
   }
 
   /** A fetch from the origin was answered. */
-  void fetched(long elapsedNanos) {
+  void recordFetch(long elapsedNanos) {
     fetchNanos.add(elapsedNanos);
   }
 
@@ -53,13 +53,13 @@
   }
 
   /** Answers of all classes. */
-  MovingAverage answerNanos() {
-    return answerNanos;
+  MovingAverage responseNanos() {
+    return responseNanos;
   }
 
   /** Answers of one class. */
-  MovingAverage answerNanosOf(int requestClass) {
-    return answerNanosByClass[requestClass];
+  MovingAverage responseNanosOf(int requestClass) {
+    return responseNanosByClass[requestClass];
   }
 
   /** Fetches from the origin. */
@@ -71,10 +71,10 @@
    * How long an answer to the request takes at the most, as a rule; the latency objective until
    * samples are known.
    */
-  long lateAfterNanos(RequestState request, boolean fetches) {
-    MovingAverage times = fetches ? fetchNanos : answerNanosByClass[request.classIndex()];
+  long lateAfterNanos(RequestState request, boolean fetchesFromOrigin) {
+    MovingAverage times = fetchesFromOrigin ? fetchNanos : responseNanosByClass[request.classIndex()];
     if (!times.hasSamples()) {
-      return request.type().latencyObjectiveNanos();
+      return request.requestClass().latencyObjectiveNanos();
     }
     double usualNanos = times.mean() * Math.max(1, request.workRatio());
     return (long) (usualNanos + LATE_DEVIATIONS * times.deviation());
--- a/src/main/java/beaconturn/decision/RetryBudget.java
+++ b/src/main/java/beaconturn/decision/RetryBudget.java
@@ -1,7 +1,7 @@
 package beaconturn.decision;
 
 /**
- * Budget of further attempts, retries and hedges together: each arrival adds a part of one, each
+ * Budget of further availableAttempts, retries and hedges together: each arrival adds a part of one, each
  * further attempt takes one.
  */
 final class RetryBudget {
@@ -12,23 +12,23 @@
   private static final double EARNED_PER_ARRIVAL = 0.05;
 
   private final double earnedPerArrival;
-  private double attempts;
+  private double availableAttempts;
 
   RetryBudget(RoutingPermissions permissions) {
     this.earnedPerArrival = EARNED_PER_ARRIVAL * (permissions.maxAttempts() - 1);
   }
 
-  /** A request has arrived; the budget holds no more attempts than there are caches. */
+  /** A request has arrived; the budget holds no more availableAttempts than there are caches. */
   void requestArrived(int caches) {
-    attempts = Math.min(Math.max(1, caches), attempts + earnedPerArrival);
+    availableAttempts = Math.min(Math.max(1, caches), availableAttempts + earnedPerArrival);
   }
 
   boolean hasAttempt() {
-    return attempts >= 1;
+    return availableAttempts >= 1;
   }
 
   /** A further attempt is made. */
   void spend() {
-    attempts--;
+    availableAttempts--;
   }
 }
--- a/src/main/java/beaconturn/decision/RetryPolicy.java
+++ b/src/main/java/beaconturn/decision/RetryPolicy.java
@@ -40,8 +40,8 @@
    * is not allowed the fleet counts as unwell at half the share of bad samples.
    */
   boolean allowsFurtherAttempt() {
-    boolean fleetBad = permissions.hedging() ? outliers.isFleetBad() : outliers.isFleetDoubtful();
-    return budget.hasAttempt() && !fleetBad;
+    boolean fleetUnhealthy = permissions.hedging() ? outliers.isFleetUnhealthy() : outliers.isFleetDegraded();
+    return budget.hasAttempt() && !fleetUnhealthy;
   }
 
   /**
@@ -53,11 +53,11 @@
     return failed.toCache()
         && !keyFailures.isKeyAtFault(request.key())
         && allowsFurtherAttempt()
-        && hasTimeForAnswer(request);
+        && hasTimeForResponse(request);
   }
 
-  private boolean hasTimeForAnswer(RequestState request) {
+  private boolean hasTimeForResponse(RequestState request) {
     long leftNanos = request.dueNanos() - clock.nowNanos();
-    return leftNanos > times.answerNanosOf(request.classIndex()).mean();
+    return leftNanos > times.responseNanosOf(request.classIndex()).mean();
   }
 }
--- a/src/main/java/beaconturn/decision/RingRouter.java
+++ b/src/main/java/beaconturn/decision/RingRouter.java
@@ -22,11 +22,11 @@
       long seed,
       long nowNanos,
       RoutingActions actions,
-      RingRouter before) {
-    this(settings, seed, nowNanos, actions, !before.settings.pollsDiscovery());
-    rules.selector.setZoneWeights(before.rules.selector.zoneWeights());
-    rules.registry.continueFrom(before.rules.registry);
-    applyWarmStart(before.warmStartState());
+      RingRouter predecessor) {
+    this(settings, seed, nowNanos, actions, !predecessor.settings.pollsDiscovery());
+    rules.selector.setZoneWeights(predecessor.rules.selector.zoneWeights());
+    rules.registry.continueFrom(predecessor.rules.registry);
+    applyWarmStart(predecessor.warmStartState());
   }
 
   /** A router that starts empty; its first list follows. */
@@ -81,10 +81,10 @@
   }
 
   private void applyWarmStart(WarmStartState state) {
-    rules.slowStart.begin(state.responsesPerNano(), state.peakResponsesPerNano());
-    rules.times.begin(state.responseTimeNanos(), state.fetchTimeNanos());
-    rules.admission.cacheLimit().begin(state.cacheLimit());
-    rules.admission.originLimit().begin(state.originLimit());
+    rules.slowStart.warmStart(state.responsesPerNano(), state.peakResponsesPerNano());
+    rules.times.warmStart(state.responseTimeNanos(), state.fetchTimeNanos());
+    rules.admission.cacheLimit().warmStart(state.cacheLimit());
+    rules.admission.originLimit().warmStart(state.originLimit());
   }
 
   @Override
@@ -92,7 +92,7 @@
     return new WarmStartState(
         rules.slowStart.responsesPerNano(),
         rules.slowStart.peakResponsesPerNano(),
-        rules.times.answerNanos().mean(),
+        rules.times.responseNanos().mean(),
         rules.times.fetchNanos().mean(),
         rules.admission.cacheLimit().limit(),
         rules.admission.originLimit().limit());
--- a/src/main/java/beaconturn/decision/ServerChoice.java
+++ b/src/main/java/beaconturn/decision/ServerChoice.java
@@ -13,7 +13,7 @@
   private final int preferredZone;
 
   private ServerState chosen;
-  private int equallyGood;
+  private int tiedCandidates;
   private ServerState leastLoaded;
   private ServerState lastResort;
 
@@ -25,7 +25,7 @@
   /** Forgets the last walk. */
   void clear() {
     chosen = null;
-    equallyGood = 0;
+    tiedCandidates = 0;
     leastLoaded = null;
     lastResort = null;
   }
@@ -35,10 +35,10 @@
     int preference = chosen == null ? 1 : preference(server) - preference(chosen);
     if (preference > 0) {
       chosen = server;
-      equallyGood = 1;
+      tiedCandidates = 1;
     } else if (preference == 0) {
-      equallyGood++;
-      if (random.nextInt(equallyGood) == 0) {
+      tiedCandidates++;
+      if (random.nextInt(tiedCandidates) == 0) {
         chosen = server;
       }
     }
@@ -54,7 +54,7 @@
   }
 
   /** A cache that is passed over as long as there is another. */
-  void addPassedOver(ServerState server) {
+  void addLastResort(ServerState server) {
     lastResort = ServerState.lessLoaded(lastResort, server);
   }
 
--- a/src/main/java/beaconturn/decision/ServerConnectivity.java
+++ b/src/main/java/beaconturn/decision/ServerConnectivity.java
@@ -24,7 +24,7 @@
   }
 
   /** The server has answered on a connection, which stays open until then if nothing uses it. */
-  void answered(long openUntil) {
+  void responded(long openUntil) {
     openUntilNanos = openUntil;
   }
 
@@ -35,7 +35,7 @@
   }
 
   /** The server has started afresh: an earlier failure says nothing of it. */
-  void forgetFailure() {
+  void clearFailure() {
     failedAtNanos = 0;
   }
 }
--- a/src/main/java/beaconturn/decision/ServerLoad.java
+++ b/src/main/java/beaconturn/decision/ServerLoad.java
@@ -9,9 +9,9 @@
   private long smoothedAtNanos;
 
   /** Adds to the count; the smoothed load is brought up to now first. */
-  void change(int difference, long nowNanos, double smoothingNanos) {
+  void change(int delta, long nowNanos, double smoothingNanos) {
     smoothed(nowNanos, smoothingNanos);
-    inFlight += difference;
+    inFlight += delta;
   }
 
   int inFlight() {
@@ -20,9 +20,9 @@
 
   /** Brings the smoothed load up to now and returns it. */
   double smoothed(long nowNanos, double smoothingNanos) {
-    double passedNanos = nowNanos - smoothedAtNanos;
+    double elapsedNanos = nowNanos - smoothedAtNanos;
     smoothedInFlight +=
-        (inFlight - smoothedInFlight) * passedNanos / (passedNanos + smoothingNanos);
+        (inFlight - smoothedInFlight) * elapsedNanos / (elapsedNanos + smoothingNanos);
     smoothedAtNanos = nowNanos;
     return smoothedInFlight;
   }
--- a/src/main/java/beaconturn/decision/ServerRegistry.java
+++ b/src/main/java/beaconturn/decision/ServerRegistry.java
@@ -28,18 +28,18 @@
   }
 
   /** Takes over all servers of the router that this one follows. */
-  void continueFrom(ServerRegistry before) {
-    boolean sameReports = settings.loadReportFields().equals(before.settings.loadReportFields());
-    before.servers.forEach(
+  void continueFrom(ServerRegistry predecessor) {
+    boolean sameReports = settings.loadReportFields().equals(predecessor.settings.loadReportFields());
+    predecessor.servers.forEach(
         (id, server) -> servers.put(id, server.successor(sameReports, settings.stableRatings())));
-    watch.continueFrom(before.watch);
+    watch.continueFrom(predecessor.watch);
     refresh();
   }
 
   /** Takes over a list, a change of it, or the failure to get it. */
   void listUpdated(RoutingEvent.EndpointsUpdated list) {
     if (list.kind() == EndpointListKind.FAILED) {
-      watch.failed();
+      watch.updateFailed();
       return;
     }
     boolean removalIsAdvisory = settings.safetyLimits().removalIsAdvisory();
@@ -54,7 +54,7 @@
               removalIsAdvisory,
               watch.startedAtNanos(endpoint));
     }
-    watch.received(list.kind());
+    watch.updateReceived(list.kind());
     refresh();
   }
 
@@ -77,7 +77,7 @@
 
   /** Puts usable servers on the ring or among the origins, and forgets those that are gone. */
   private void refresh() {
-    servers.values().removeIf(ServerState::isForgotten);
+    servers.values().removeIf(ServerState::isRemovable);
     origins.clear();
     List<ServerState> caches = new ArrayList<>();
     for (ServerState server : servers.values()) {
--- a/src/main/java/beaconturn/decision/ServerSelector.java
+++ b/src/main/java/beaconturn/decision/ServerSelector.java
@@ -45,29 +45,29 @@
     if (zoneWeights.zones().isEmpty()) {
       return select(request, ANY_ZONE);
     }
-    return zoneWeights.first(
-        request.hash(), request.isFitForTrial(), zone -> select(request, zone));
+    return zoneWeights.findFirst(
+        request.hash(), request.mayJoinTrial(), zone -> select(request, zone));
   }
 
   private ServerState select(RequestState request, int zone) {
     int servers = zoneWeights.serversInUse(ring.members());
     int cap = bounds.cap(servers);
-    int serversWanted = spread.serversFor(request);
-    boolean mayTryUnreachable = connections.mayTryUnreachable(request);
+    int remainingServers = spread.serverCountFor(request);
+    boolean allowsUnreachable = connections.allowsUnreachable(request);
     choice.clear();
     ring.startWalk(request.hash());
-    for (ServerState s = ring.next(); s != null && serversWanted > 0; s = ring.next()) {
-      if (!isCandidate(request, s, zone)) {
+    for (ServerState server = ring.next(); server != null && remainingServers > 0; server = ring.next()) {
+      if (!isCandidate(request, server, zone)) {
         continue;
       }
-      if (outliers.isPassedOver(s, request)
-          || (!mayTryUnreachable && connections.isUnreachable(s))) {
-        choice.addPassedOver(s);
-      } else if (s.load().inFlight() < cap && !bounds.isFull(s, servers)) {
-        choice.addWithCapacity(s);
-        serversWanted--;
+      if (outliers.isSkipped(server, request)
+          || (!allowsUnreachable && connections.isUnreachable(server))) {
+        choice.addLastResort(server);
+      } else if (server.load().inFlight() < cap && !bounds.isFull(server, servers)) {
+        choice.addWithCapacity(server);
+        remainingServers--;
       } else {
-        choice.addFull(s);
+        choice.addFull(server);
       }
     }
     return choice.best();
--- a/src/main/java/beaconturn/decision/ServerState.java
+++ b/src/main/java/beaconturn/decision/ServerState.java
@@ -24,7 +24,7 @@
   private long startedAtNanos;
 
   /** When an operator brought it back into use; 0 where the endpoint list knows a later start. */
-  private long returnedAtNanos;
+  private long readmittedAtNanos;
 
   private long excludedAtNanos;
   private boolean excluded;
@@ -33,10 +33,10 @@
   private long responses;
 
   /** Whether the last attempt ended without a response. */
-  private boolean silent;
+  private boolean unresponsive;
 
   /**
-   * Whether an advisory list has removed it and it has not been silent yet; it is still used until
+   * Whether an advisory list has removed it and it has not been unresponsive yet; it is still used until
    * it is.
    */
   private boolean removalUnconfirmed;
@@ -60,12 +60,12 @@
     next.cell = cell;
     next.kind = kind;
     next.health = health;
-    next.silent = silent;
+    next.unresponsive = unresponsive;
     next.removalUnconfirmed = removalUnconfirmed;
     next.rating = useRating ? rating : 1;
     next.listedBootTimeNanos = listedBootTimeNanos;
     next.startedAtNanos = startedAtNanos;
-    next.returnedAtNanos = returnedAtNanos;
+    next.readmittedAtNanos = readmittedAtNanos;
     next.excludedAtNanos = excludedAtNanos;
     next.excluded = excluded;
     next.connection.copyFrom(connection);
@@ -103,7 +103,7 @@
    * times, a ready server stays in use until an attempt at it ends without a response.
    */
   void removedFromList(boolean removalIsAdvisory) {
-    removalUnconfirmed = removalIsAdvisory && health == EndpointHealth.READY && !silent;
+    removalUnconfirmed = removalIsAdvisory && health == EndpointHealth.READY && !unresponsive;
     if (!removalUnconfirmed) {
       health = EndpointHealth.GONE;
     }
@@ -116,7 +116,7 @@
   void operatorOverride(boolean exclude, long atNanos) {
     if (!exclude && (excluded || !isListed())) {
       restarted();
-      returnedAtNanos = startedAtNanos > excludedAtNanos ? 0 : atNanos;
+      readmittedAtNanos = startedAtNanos > excludedAtNanos ? 0 : atNanos;
     }
     if (exclude && !excluded) {
       excludedAtNanos = atNanos;
@@ -133,25 +133,25 @@
       responses++;
     }
     if (!outcome.endedLocally()) {
-      silent = !outcome.serverResponded();
+      unresponsive = !outcome.serverResponded();
     }
-    boolean removalConfirmed = removalUnconfirmed && silent;
+    boolean removalConfirmed = removalUnconfirmed && unresponsive;
     if (removalConfirmed) {
       health = EndpointHealth.GONE;
     }
-    return removalConfirmed || isForgotten();
+    return removalConfirmed || isRemovable();
   }
 
   /** The server has started afresh: what was learned of it before holds no more. */
   private void restarted() {
     outlier.reset();
-    connection.forgetFailure();
+    connection.clearFailure();
     slowStartBudget.reset();
   }
 
   /** Since when it warms up, by the list or by an operator who brought it back; 0 for long ago. */
-  long warmsUpSinceNanos() {
-    return Math.max(returnedAtNanos, startedAtNanos);
+  long warmUpStartNanos() {
+    return Math.max(readmittedAtNanos, startedAtNanos);
   }
 
   /** Whether the two drop each other's repeats of a request with an idempotency key. */
@@ -176,8 +176,8 @@
    * Whether nothing is to be remembered of it: what an operator excludes stays so when it is listed
    * again.
    */
-  boolean isForgotten() {
-    return !isListed() && load.inFlight() == 0 && !excluded && returnedAtNanos == 0;
+  boolean isRemovable() {
+    return !isListed() && load.inFlight() == 0 && !excluded && readmittedAtNanos == 0;
   }
 
   /** How a router treats it now; {@code warmingUp} says whether it still warms up. */
--- a/src/main/java/beaconturn/decision/SlowStart.java
+++ b/src/main/java/beaconturn/decision/SlowStart.java
@@ -11,7 +11,7 @@
    * Part of the overload multiple that is spent on a cache that warms up; the rest is for chance
    * and for heavy requests.
    */
-  private static final double SAFETY_SHARE = 0.8;
+  private static final double BUDGET_SHARE = 0.8;
 
   /** A budget's burst, as a part of what comes in within the time of an overload. */
   private static final double BURST_OVERLOAD_SHARE = 1.0 / 4;
@@ -23,39 +23,39 @@
   private final EventClock clock;
   private final HashRing ring;
   private final SplittableRandom random;
-  private final EventRate answers;
+  private final EventRate responseRate;
 
   SlowStart(SafetyLimits limits, EventClock clock, HashRing ring, SplittableRandom random) {
     this.limits = limits;
     this.clock = clock;
     this.ring = ring;
     this.random = random;
-    this.answers = new EventRate(rateWindowNanos(limits));
+    this.responseRate = new EventRate(rateWindowNanos(limits));
   }
 
-  /** Over how long rates of requests and answers are measured, in nanoseconds. */
+  /** Over how long rates of requests and responseRate are measured, in nanoseconds. */
   static double rateWindowNanos(SafetyLimits limits) {
     return limits.warmUpNanos() * RATE_WINDOW_SHARE;
   }
 
-  /** Begins with rates of answers that another router has counted. */
-  void begin(double responsesPerNano, double peakPerNano) {
-    answers.begin(responsesPerNano, peakPerNano, clock.nowNanos());
+  /** Begins with rates of responseRate that another router has counted. */
+  void warmStart(double responsesPerNano, double peakPerNano) {
+    responseRate.warmStart(responsesPerNano, peakPerNano, clock.nowNanos());
   }
 
   /** A cache has answered: what caches answer at the peak is what they can carry. */
-  void cacheAnswered() {
-    answers.count(clock.nowNanos());
+  void cacheResponded() {
+    responseRate.count(clock.nowNanos());
   }
 
-  /** Answers of all caches to this router, in answers a nanosecond. */
+  /** Answers of all caches to this router, in responseRate a nanosecond. */
   double responsesPerNano() {
-    return answers.perNano(clock.nowNanos());
+    return responseRate.perNano(clock.nowNanos());
   }
 
   /** The recent peak of the same. */
   double peakResponsesPerNano() {
-    return answers.peakPerNano(clock.nowNanos());
+    return responseRate.peakPerNano(clock.nowNanos());
   }
 
   /** Whether a server still warms up. */
@@ -65,7 +65,7 @@
 
   /** Part of its capacity that a server has for certain: an even rise from the first share to 1. */
   private double guaranteedShare(ServerState server) {
-    long sinceNanos = server.warmsUpSinceNanos();
+    long sinceNanos = server.warmUpStartNanos();
     if (sinceNanos == 0) {
       return 1;
     }
@@ -86,8 +86,8 @@
     if (share >= 1) {
       return true;
     }
-    double meanPerNano = answers.cautiousPeakPerNano(clock.nowNanos()) / ring.size();
-    double perNano = SAFETY_SHARE * limits.overloadMultiple() * share * meanPerNano;
+    double meanPerNano = responseRate.conservativePeakPerNano(clock.nowNanos()) / ring.size();
+    double perNano = BUDGET_SHARE * limits.overloadMultiple() * share * meanPerNano;
     double burst = Math.max(1, perNano * limits.overloadNanos() * BURST_OVERLOAD_SHARE);
     server.slowStartBudget().refill(clock.nowNanos(), perNano, burst, random);
     return server.slowStartBudget().hasToken();
--- a/src/main/java/beaconturn/decision/ZoneWeights.java
+++ b/src/main/java/beaconturn/decision/ZoneWeights.java
@@ -57,9 +57,9 @@
    * take its keys; null if none. The finder is asked for one zone after the other, or once for zone
    * -1, which stands for all of them.
    *
-   * @param fitForTrial whether what is looked for may go where it might fail
+   * @param trialAllowed whether what is looked for may go where it might fail
    */
-  <T> T first(long hash, boolean fitForTrial, IntFunction<T> finder) {
+  <T> T findFirst(long hash, boolean trialAllowed, IntFunction<T> finder) {
     if (zones.isEmpty()) {
       return finder.apply(ANY_ZONE);
     }
@@ -68,7 +68,7 @@
       return null;
     }
     boolean trial = !isMoreThanTrial(chosen);
-    boolean asLastResort = trial && !fitForTrial;
+    boolean asLastResort = trial && !trialAllowed;
     T found = asLastResort ? null : finder.apply(zones.get(chosen));
     for (int i = 0; found == null && i < weights.size(); i++) {
       if (i != chosen && isMoreThanTrial(i) && (i == 0 || overflow || trial)) {
--- a/src/main/java/beaconturn/decision/package-info.java
+++ b/src/main/java/beaconturn/decision/package-info.java
@@ -1,17 +1,16 @@
 /**
- * Every routing decision, without input or output: a {@link beaconturn.decision.RoutingPolicy} gets
- * events, with the time, and answers with {@link beaconturn.decision.RoutingActions}.
+ * Routing decisions, free of I/O: a {@link beaconturn.decision.RoutingPolicy} receives timestamped
+ * events and responds with {@link beaconturn.decision.RoutingActions}.
  *
- * <p>{@link beaconturn.decision.RingRouter} hands events on; each rule is a class of its own, named
- * after it. Which server: {@code ServerSelector} with {@code HashRing}, {@code LoadBounds}, {@code
- * KeySpread}, {@code OutlierDetector}, {@code SlowStart} and {@code ConnectionFailures}. Whether a
- * request is admitted: {@code AdmissionController} with {@code ConcurrencyLimit}, {@code
- * QuotaTracker} and {@code KeyFailures}. Whether it is sent again: {@code RetryPolicy}, {@code
- * RetryBudget}, {@code HedgingPolicy}. Whether a send is legal at all: {@code AttemptGuard}. How a
- * request is given up: {@code GiveUpPolicy}. The origin: {@code OriginFetches}. The endpoint list:
- * {@code ServerRegistry}, {@code EndpointWatch}.
+ * <p>{@link beaconturn.decision.RingRouter} dispatches events to one class per concern. Server
+ * selection: {@code ServerSelector} with {@code HashRing}, {@code LoadBounds}, {@code KeySpread},
+ * {@code OutlierDetector}, {@code SlowStart} and {@code ConnectionFailures}. Admission: {@code
+ * AdmissionController} with {@code ConcurrencyLimit}, {@code QuotaTracker} and {@code KeyFailures}.
+ * Retries and hedging: {@code RetryPolicy}, {@code RetryBudget}, {@code HedgingPolicy}. Safety of
+ * each attempt: {@code AttemptGuard}. Rejections and failures: {@code GiveUpPolicy}. Origin: {@code
+ * OriginFetches}. Endpoint list: {@code ServerRegistry}, {@code EndpointWatch}.
  *
- * <p>Where a comment says that a method draws, it takes numbers from the one seeded random source;
- * the order of draws is part of the behaviour, as the same events have to give the same actions.
+ * <p>Methods documented to draw from the random source consume numbers of one seeded generator. The
+ * order of draws is part of the behavior, because the same events have to produce the same actions.
  */
 package beaconturn.decision;
--- a/src/test/java/beaconturn/decision/ClientRetriesTest.java
+++ b/src/test/java/beaconturn/decision/ClientRetriesTest.java
@@ -11,7 +11,7 @@
 class ClientRetriesTest {
   @Test
   void clientRetryKeepsObjectiveOfFirstTryAndIsGivenUpAtOnceAfterIt() {
-    Harness h = Harness.aside(4);
+    Harness h = Harness.cacheAside(4);
     h.arrive(1, READ, 5);
     h.now += 400 * MS;
     h.close(h.last(), 0, AttemptOutcome.TIMEOUT, false);
--- a/src/test/java/beaconturn/decision/FourRulesTest.java
+++ b/src/test/java/beaconturn/decision/FourRulesTest.java
@@ -250,7 +250,7 @@
 
   @Test
   void queuedRequestIsNotSentWhereItsKeyIsCachedOnceThatCacheDrains() {
-    Harness h = Harness.aside(2);
+    Harness h = Harness.cacheAside(2);
     h.miss(1, 5);
     long home = h.sends.get(0).server();
     Harness.Send fetch = h.last();
@@ -262,7 +262,7 @@
 
   @Test
   void missAfterDeadlineIsAnsweredAtOnce() {
-    Harness h = Harness.aside(1);
+    Harness h = Harness.cacheAside(1);
     h.miss(9, 5);
     h.arrive(1, READ, 6, 100 * MS);
     Harness.Send late = h.last();
@@ -273,7 +273,7 @@
 
   @Test
   void requestThatWaitsForFetchIsAnsweredLongBeforeItsDeadline() {
-    Harness h = Harness.aside(1);
+    Harness h = Harness.cacheAside(1);
     h.miss(1, 5);
     h.arrive(2, READ, 5, SECOND);
     h.pass(600 * MS);
--- a/src/test/java/beaconturn/decision/Harness.java
+++ b/src/test/java/beaconturn/decision/Harness.java
@@ -34,23 +34,23 @@
     router = new RingRouter(settings, seed, now, this);
   }
 
-  /** A router in aside mode that knows the given number of caches, and the origin as server 50. */
-  static Harness aside(int caches) {
+  /** A router in cacheAside mode that knows the given number of caches, and the origin as server 50. */
+  static Harness cacheAside(int caches) {
     Harness h = new Harness(settings(true));
     h.caches(caches);
     h.list(EndpointListKind.DELTA, origin(50));
     return h;
   }
 
-  static RoutingSettings settings(boolean aside) {
-    return settings(aside, 1, List.of());
+  static RoutingSettings settings(boolean cacheAside) {
+    return settings(cacheAside, 1, List.of());
   }
 
-  static RoutingSettings settings(boolean aside, int routers, List<Tenant> tenants) {
-    return settings(aside, routers, tenants, 6);
+  static RoutingSettings settings(boolean cacheAside, int routers, List<Tenant> tenants) {
+    return settings(cacheAside, routers, tenants, 6);
   }
 
-  static RoutingSettings settings(boolean aside, int routers, List<Tenant> tenants, int tries) {
+  static RoutingSettings settings(boolean cacheAside, int routers, List<Tenant> tenants, int tries) {
     List<RequestClass> classes =
         List.of(
             type(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
@@ -75,7 +75,7 @@
         tenants,
         rules,
         may,
-        new OriginSettings(aside, aside ? ORIGIN_KIND : -1, false, true, 0, 0),
+        new OriginSettings(cacheAside, cacheAside ? ORIGIN_KIND : -1, false, true, 0, 0),
         List.of());
   }
 
@@ -162,9 +162,9 @@
     router.handle(now, new RoutingEvent.EndpointsUpdated(1, kind, List.of(entries)));
   }
 
-  /** A router that may not hedge, with caches that fetch and do not say so if not aside. */
-  static Harness withoutHedging(boolean aside, int routers, int caches) {
-    Harness h = new Harness(alone(settings(aside, routers, List.of())));
+  /** A router that may not hedge, with caches that fetch and do not say so if not cacheAside. */
+  static Harness withoutHedging(boolean cacheAside, int routers, int caches) {
+    Harness h = new Harness(alone(settings(cacheAside, routers, List.of())));
     h.caches(caches);
     return h;
   }
--- a/src/test/java/beaconturn/decision/HashRingTest.java
+++ b/src/test/java/beaconturn/decision/HashRingTest.java
@@ -28,11 +28,11 @@
     h.caches(8);
     Map<Long, Long> before = Harness.homes(h, 400);
     h.list(EndpointListKind.DELTA, Harness.cache(9));
-    Map<Long, Long> joined = Harness.homes(h, 400);
+    Map<Long, Long> joinFetch = Harness.homes(h, 400);
     int moved = 0;
     for (long key : before.keySet()) {
-      if (!before.get(key).equals(joined.get(key))) {
-        assertEquals(9L, joined.get(key));
+      if (!before.get(key).equals(joinFetch.get(key))) {
+        assertEquals(9L, joinFetch.get(key));
         moved++;
       }
     }
--- a/src/test/java/beaconturn/decision/HedgingPolicyTest.java
+++ b/src/test/java/beaconturn/decision/HedgingPolicyTest.java
@@ -16,14 +16,14 @@
 class HedgingPolicyTest {
   @Test
   void attemptEndsAtObjectiveWhereLateAnswerIsWorthNothingUnlessCachesFetch() {
-    for (boolean aside : List.of(true, false)) {
-      Harness h = new Harness(Harness.settings(aside));
+    for (boolean cacheAside : List.of(true, false)) {
+      Harness h = new Harness(Harness.settings(cacheAside));
       h.list(EndpointListKind.CACHED, Harness.cache(1), Harness.cache(2), Harness.origin(50));
       h.arrive(1, READ, 5, 2 * SECOND);
-      assertEquals(aside ? SECOND : 2 * SECOND, h.last().allowFor());
+      assertEquals(cacheAside ? SECOND : 2 * SECOND, h.last().allowFor());
       h.close(h.last(), 0, AttemptOutcome.OK, true);
       h.arrive(2, READ, 5, 2 * SECOND);
-      assertEquals(aside ? SECOND : 2 * SECOND, h.last().allowFor());
+      assertEquals(cacheAside ? SECOND : 2 * SECOND, h.last().allowFor());
       h.arrive(3, Harness.UNSAFE, 6, 2 * SECOND);
       assertEquals(2 * SECOND, h.last().allowFor());
     }
@@ -32,8 +32,8 @@
   /** A cache that fetches goes on with what is called off: there the attempt stays out. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void lateAttemptIsMovedWithoutHedgingUnlessCachesFetch(boolean aside) {
-    Harness h = Harness.withoutHedging(aside, 1, 6);
+  void lateAttemptIsMovedWithoutHedgingUnlessCachesFetch(boolean cacheAside) {
+    Harness h = Harness.withoutHedging(cacheAside, 1, 6);
     h.reads(0, 50, 0, (s, n) -> h.hit(50 * MS));
     h.arrive(100, READ, 5);
     Harness.Send first = h.last();
@@ -42,10 +42,10 @@
       h.serve(200 + i, 2000 + i);
     }
     assertEquals(List.of(), h.actions.stream().filter(a -> a.startsWith("cancel")).toList());
-    h.pass((aside ? 10 : 505) * MS);
+    h.pass((cacheAside ? 10 : 505) * MS);
     List<String> calledOff = h.actions.stream().filter(a -> a.startsWith("cancel")).toList();
-    assertEquals(aside ? List.of("cancel 100 0") : List.of(), calledOff);
-    if (aside) {
+    assertEquals(cacheAside ? List.of("cancel 100 0") : List.of(), calledOff);
+    if (cacheAside) {
       int sent = h.sends.size();
       h.close(first, 0, AttemptOutcome.CANCELLED, false);
       assertEquals(sent + 1, h.sends.size());
--- a/src/test/java/beaconturn/decision/KeySpreadTest.java
+++ b/src/test/java/beaconturn/decision/KeySpreadTest.java
@@ -41,8 +41,8 @@
   /** Where the origin is asked beside the caches; where caches fetch, over those of all zones. */
   @Test
   void spreadKeyGoesEvenlyToCachesOfOwnZone() {
-    for (boolean aside : new boolean[] {true, false}) {
-      Harness h = new Harness(Harness.settings(aside, 40, List.of()));
+    for (boolean cacheAside : new boolean[] {true, false}) {
+      Harness h = new Harness(Harness.settings(cacheAside, 40, List.of()));
       h.caches(8);
       for (int i = 0; i < 400; i++) {
         h.now += 5 * MS;
@@ -51,7 +51,7 @@
       Map<Long, Integer> to = new HashMap<>();
       h.sends.stream().skip(200).forEach(s -> to.merge(s.server(), 1, Integer::sum));
       assertEquals(
-          aside ? Set.of(2L, 4L, 6L, 8L) : Set.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L), to.keySet());
+          cacheAside ? Set.of(2L, 4L, 6L, 8L) : Set.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L), to.keySet());
       assertTrue(to.values().stream().allMatch(n -> n > 200 / to.size() / 2), to.toString());
     }
   }
--- a/src/test/java/beaconturn/decision/OriginFetchesTest.java
+++ b/src/test/java/beaconturn/decision/OriginFetchesTest.java
@@ -11,7 +11,7 @@
 class OriginFetchesTest {
   @Test
   void othersWaitForFetchOfKeyAndGoWhereItIsStored() {
-    Harness h = Harness.aside(2);
+    Harness h = Harness.cacheAside(2);
     h.miss(1, 5);
     long home = h.sends.get(0).server();
     Harness.Send fetch = h.last();
@@ -24,7 +24,7 @@
 
   @Test
   void failedFetchIsHandedToNextInLine() {
-    Harness h = Harness.aside(1);
+    Harness h = Harness.cacheAside(1);
     h.miss(1, 5);
     Harness.Send fetch = h.last();
     h.arrive(2, READ, 5);
--- a/src/test/java/beaconturn/decision/RoutingCharacterizationTest.java
+++ b/src/test/java/beaconturn/decision/RoutingCharacterizationTest.java
@@ -50,12 +50,12 @@
   }
 
   private static RoutingSettings settings(
-      boolean aside, int routers, RoutingPermissions permissions, boolean other) {
+      boolean cacheAside, int routers, RoutingPermissions permissions, boolean other) {
     SafetyLimits limits =
         new SafetyLimits(20 * MS, 2 * SECOND, 0.2, 3 * SECOND, 250 * MS, 3, SECOND, other);
     OriginSettings origin =
         new OriginSettings(
-            aside, aside ? SeededTraffic.ORIGIN_KIND : -1, false, permissions.hedging(), 0, 0);
+            cacheAside, cacheAside ? SeededTraffic.ORIGIN_KIND : -1, false, permissions.hedging(), 0, 0);
     return new RoutingSettings(
         0,
         routers,
