--- a/src/main/java/beaconturn/decision/AttemptFeedback.java
+++ b/src/main/java/beaconturn/decision/AttemptFeedback.java
@@ -46,7 +46,7 @@
     }
   }
 
-  private boolean isMissOfFetchingCache(RoutingEvent.AttemptClosed closed) {
+  private boolean isReadThroughMiss(RoutingEvent.AttemptClosed closed) {
     return !cacheAside && closed.cacheStatus() == CacheStatus.MISS;
   }
 
@@ -55,7 +55,7 @@
    * with many routers, most hits are on keys that this router has not seen before.
    */
   private boolean hasFetched(AttemptState attempt, RoutingEvent.AttemptClosed closed) {
-    return isMissOfFetchingCache(closed)
+    return isReadThroughMiss(closed)
         || (attempt.fetchesFromOrigin() && closed.cacheStatus() != CacheStatus.HIT);
   }
 
@@ -64,14 +64,14 @@
     ServerState server = attempt.server();
     if (!request.isWrite() && !cacheAside) {
       rules.cachedKeys.recordResponse(
-          request.key(), server.id(), isMissOfFetchingCache(closed), rules.clock.nowNanos());
+          request.key(), server.id(), isReadThroughMiss(closed), rules.clock.nowNanos());
     }
     if (fetched) {
       return;
     }
-    MovingAverage usualNanos = rules.times.responseNanosOf(request.classIndex());
-    if (usualNanos.hasSamples() && cacheAside) {
-      rules.ring.recordLatency(server, closed.elapsedNanos() / usualNanos.mean());
+    MovingAverage classResponseNanos = rules.times.responseNanosOf(request.classIndex());
+    if (classResponseNanos.hasSamples() && cacheAside) {
+      rules.ring.recordLatency(server, closed.elapsedNanos() / classResponseNanos.mean());
     }
     rules.times.recordResponse(request.classIndex(), closed.elapsedNanos());
   }
@@ -114,11 +114,11 @@
         || endedBeforeFetch(attempt, outcome)) {
       return;
     }
-    boolean answered = outcome == AttemptOutcome.OK;
-    if (answered && closed.cacheStatus() != CacheStatus.HIT) {
+    boolean succeeded = outcome == AttemptOutcome.OK;
+    if (succeeded && closed.cacheStatus() != CacheStatus.HIT) {
       rules.times.recordFetch(closed.elapsedNanos());
     }
-    double objectiveShare = answered ? objectiveShare(request, closed) : 1;
+    double objectiveShare = succeeded ? objectiveShare(request, closed) : 1;
     rules.admission.originLimit().observe(objectiveShare, rules.times.fetchNanos().mean(), 1);
   }
 
--- a/src/main/java/beaconturn/decision/HashRing.java
+++ b/src/main/java/beaconturn/decision/HashRing.java
@@ -6,7 +6,7 @@
 
 /**
  * Consistent-hash ring of caches with clockwise traversal. Points depend only on server ids,
- * ratings and kinds, so that all routers agree and a membership change moves few keys. Supports one
+ * ratings and kinds, so that builtPoints routers agree and a membership change moves few keys. Supports one
  * walk at a time.
  */
 final class HashRing {
@@ -14,9 +14,9 @@
   private static final int POINTS_PER_SERVER = 150;
 
   /** Bounds of a cache's number of points, as multiples of {@link #POINTS_PER_SERVER}. */
-  private static final double MIN_SIZE = 0.25;
+  private static final double MIN_RELATIVE_SIZE = 0.25;
 
-  private static final int MAX_SIZE = 4;
+  private static final int MAX_RELATIVE_SIZE = 4;
 
   /**
    * Separates the point sequences of consecutive ids; larger than the number of points per cache.
@@ -67,8 +67,8 @@
     if (points.length == 0) {
       buildPoints();
     }
-    int found = Arrays.binarySearch(points, hash & ~INDEX_MASK);
-    nextPoint = found >= 0 ? found : -found - 1;
+    int index = Arrays.binarySearch(points, hash & ~INDEX_MASK);
+    nextPoint = index >= 0 ? index : -index - 1;
     visited = 0;
     walkNumber++;
   }
@@ -87,17 +87,17 @@
   }
 
   private void buildPoints() {
-    double unit = ratingUnit();
-    long[] all = new long[MAX_SIZE * POINTS_PER_SERVER * members.size()];
+    double ratingUnit = ratingUnit();
+    long[] builtPoints = new long[MAX_RELATIVE_SIZE * POINTS_PER_SERVER * members.size()];
     int count = 0;
     for (int i = 0; i < members.size(); i++) {
       long idBase = members.get(i).id() * ID_STRIDE;
-      long serverPoints = pointsOf(members.get(i), unit);
+      long serverPoints = pointsOf(members.get(i), ratingUnit);
       for (int k = 0; k < serverPoints; k++) {
-        all[count++] = (KeyHash.mix(idBase + k) & ~INDEX_MASK) | i;
+        builtPoints[count++] = (KeyHash.mix(idBase + k) & ~INDEX_MASK) | i;
       }
     }
-    points = Arrays.copyOf(all, count);
+    points = Arrays.copyOf(builtPoints, count);
     Arrays.sort(points);
     visitedInWalk = new long[members.size()];
   }
@@ -111,8 +111,8 @@
     return Math.pow(2, Math.rint(Math.log(mean) / Math.log(2)));
   }
 
-  private long pointsOf(ServerState server, double unit) {
-    double size = server.rating() / unit / kindLatencies.relativeTime(server.kind());
-    return Math.round(POINTS_PER_SERVER * Math.max(MIN_SIZE, Math.min(MAX_SIZE, size)));
+  private long pointsOf(ServerState server, double ratingUnit) {
+    double size = server.rating() / ratingUnit / kindLatencies.relativeTime(server.kind());
+    return Math.round(POINTS_PER_SERVER * Math.max(MIN_RELATIVE_SIZE, Math.min(MAX_RELATIVE_SIZE, size)));
   }
 }
--- a/src/main/java/beaconturn/decision/KeyPopularity.java
+++ b/src/main/java/beaconturn/decision/KeyPopularity.java
@@ -13,9 +13,9 @@
     private long countedAtRequest;
   }
 
-  /** Creates an estimator for the {@code keys} most recently requested keys. */
-  KeyPopularity(int keys) {
-    this.counts = new LruMap<>(keys);
+  /** Creates an estimator for the {@code capacity} most recently requested keys. */
+  KeyPopularity(int capacity) {
+    this.counts = new LruMap<>(capacity);
   }
 
   /**
--- a/src/main/java/beaconturn/decision/LatencyRatio.java
+++ b/src/main/java/beaconturn/decision/LatencyRatio.java
@@ -1,26 +1,31 @@
 package beaconturn.decision;
 
-/** Moving average of latencies, each divided by what it is measured against. */
+/** Moving average of latencies, each divided by a reference latency. */
 final class LatencyRatio {
-  /** A larger ratio counts as this one, so that one outlier does not rule the average. */
+  /**
+   * Larger ratios are clamped to this value, so that a single outlier does not dominate the
+   * average.
+   */
   private static final double MAX_RATIO = 2;
 
   private final double sampleWeight;
   private double value;
   private int samples;
 
-  /** Makes an average without samples; {@code sampleWeight} is the weight of the newest sample. */
+  /**
+   * Creates an average without samples; {@code sampleWeight} is the weight of the newest sample.
+   */
   LatencyRatio(double sampleWeight) {
     this.sampleWeight = sampleWeight;
   }
 
-  /** Adds a sample; the first few count evenly. */
+  /** Adds a sample; the first few samples have equal weights. */
   void add(double ratio) {
     samples++;
     value += Math.max(sampleWeight, 1.0 / samples) * (Math.min(MAX_RATIO, ratio) - value);
   }
 
-  /** The average; 0 without samples. */
+  /** Returns the average; 0 without samples. */
   double value() {
     return value;
   }
--- a/src/main/java/beaconturn/decision/LoadReport.java
+++ b/src/main/java/beaconturn/decision/LoadReport.java
@@ -1,17 +1,17 @@
 package beaconturn.decision;
 
-/** The load that a server last reported with an answer, and when. */
+/** Last load reported by a server, and when it was received. */
 final class LoadReport {
   private double busyRequests;
   private long reportedAtNanos;
 
-  /** Takes over another router's report. */
+  /** Copies the report received by another router. */
   void copyFrom(LoadReport other) {
     busyRequests = other.busyRequests;
     reportedAtNanos = other.reportedAtNanos;
   }
 
-  /** Notes what the server reports: how many requests it is at work on. */
+  /** Records the number of requests that the server reports to be executing. */
   void update(double requests, long nowNanos) {
     busyRequests = requests;
     reportedAtNanos = nowNanos;
@@ -21,7 +21,7 @@
     return busyRequests;
   }
 
-  /** How long ago the server reported, in nanoseconds. */
+  /** Returns the age of the report, in nanoseconds. */
   long ageNanos(long nowNanos) {
     return nowNanos - reportedAtNanos;
   }
--- a/src/main/java/beaconturn/decision/LoadReports.java
+++ b/src/main/java/beaconturn/decision/LoadReports.java
@@ -2,25 +2,26 @@
 
 import java.util.List;
 
-/** Loads that caches report with their answers, where the site has such reports. */
+/** Tracks the loads that caches report with their responses, where such reports are configured. */
 final class LoadReports {
-  /** The field of a report that is used: requests that the cache is at work on. */
+  /** Name of the load report field that is used: the number of requests being executed. */
   private static final String BUSY_REQUESTS_FIELD = "busy_reqs";
 
-  /** A cache that reports this many times the mean, and one, is far above it. */
+  /** Multiple of the mean (plus one request) above which a cache is far above the mean. */
   private static final double FAR_ABOVE_MEAN_RATIO = 1.2;
 
   /**
-   * A report counts for this many smoothing times: many routers hear of one cache but now and then.
+   * Validity of a report, in smoothing times; with many routers, each one receives reports of a
+   * given cache only occasionally.
    */
   private static final double REPORT_VALIDITY_SMOOTHING_TIMES = 16;
 
-  /** Weight of the newest report in the mean of all, a ratio. */
+  /** Weight of the newest report in the mean of all reports. */
   private static final double SAMPLE_WEIGHT = MovingAverage.DEFAULT_SAMPLE_WEIGHT / 4;
 
   private final EventClock clock;
 
-  /** Where the field is in each report; negative for nowhere. */
+  /** Index of the field in each report; negative if reports lack it. */
   private final int fieldIndex;
 
   private final MovingAverage meanBusyRequests = new MovingAverage(SAMPLE_WEIGHT);
@@ -30,7 +31,7 @@
     this.fieldIndex = fields.indexOf(BUSY_REQUESTS_FIELD);
   }
 
-  /** Notes the report that came with an answer; it may be empty. */
+  /** Records the report that came with a response; it may be empty. */
   void received(ServerState server, float[] report) {
     if (fieldIndex >= 0 && fieldIndex < report.length) {
       server.loadReport().update(report[fieldIndex], clock.nowNanos());
@@ -38,7 +39,7 @@
     }
   }
 
-  /** Whether the cache said lately that it holds far more than others. */
+  /** Whether the cache recently reported a load far above the mean. */
   boolean isFarAboveMean(ServerState server, double smoothingNanos) {
     LoadReport report = server.loadReport();
     return report.busyRequests() > FAR_ABOVE_MEAN_RATIO * (meanBusyRequests.mean() + 1)
--- a/src/main/java/beaconturn/decision/LruMap.java
+++ b/src/main/java/beaconturn/decision/LruMap.java
@@ -3,11 +3,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A map of bounded size that drops the entry which was used longest ago. */
+/** Map of bounded size that evicts the least recently used entry. */
 final class LruMap<V> extends LinkedHashMap<Long, V> {
   /**
-   * The usual bound on what is remembered of keys, in entries: it bounds memory, at some hundred
-   * bytes an entry.
+   * Default capacity of per-key state, in entries; bounds memory at some hundred bytes per entry.
    */
   static final int DEFAULT_CAPACITY = 1 << 13;
 
@@ -17,7 +16,7 @@
 
   private final int capacity;
 
-  /** Makes an empty map that keeps {@code capacity} entries at the most. */
+  /** Creates an empty map that holds at most {@code capacity} entries. */
   LruMap(int capacity) {
     super(INITIAL_CAPACITY, LOAD_FACTOR, true);
     this.capacity = capacity;
--- a/src/main/java/beaconturn/decision/MovingAverage.java
+++ b/src/main/java/beaconturn/decision/MovingAverage.java
@@ -2,7 +2,7 @@
 
 /** Exponentially weighted mean and mean deviation of samples. */
 final class MovingAverage {
-  /** The usual weight of the newest sample, a ratio: about ten samples make an average. */
+  /** Default weight of the newest sample: an average spans about ten samples. */
   static final double DEFAULT_SAMPLE_WEIGHT = 0.1;
 
   private final double sampleWeight;
@@ -10,12 +10,14 @@
   private double deviation;
   private boolean hasSamples;
 
-  /** Makes an average without samples; {@code sampleWeight} is the weight of the newest sample. */
+  /**
+   * Creates an average without samples; {@code sampleWeight} is the weight of the newest sample.
+   */
   MovingAverage(double sampleWeight) {
     this.sampleWeight = sampleWeight;
   }
 
-  /** Begins with a mean that was measured elsewhere; 0 means none, and own samples come first. */
+  /** Starts from a mean measured by another router unless samples exist; 0 means none. */
   void warmStart(double measuredMean) {
     if (!hasSamples && measuredMean > 0) {
       add(measuredMean);
@@ -35,12 +37,12 @@
     return mean;
   }
 
-  /** The mean, in the unit of the samples; 0 without samples. */
+  /** Returns the mean, in the unit of the samples; 0 without samples. */
   double mean() {
     return mean;
   }
 
-  /** The mean distance of samples from the mean; half of the sample after the first one. */
+  /** Returns the mean absolute deviation; half of the sample after the first one. */
   double deviation() {
     return deviation;
   }
--- a/src/main/java/beaconturn/decision/OriginFetches.java
+++ b/src/main/java/beaconturn/decision/OriginFetches.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Fetches from the origin: one at a time for each key, while other requests for the key wait; at
- * the origin's {@link ConcurrencyLimit} requests queue, and those of the highest priority go first.
+ * Coalesces and limits fetches from the origin: one at a time per key, while other requests for the
+ * key wait. At the origin's {@link ConcurrencyLimit} requests are queued and dequeued by priority.
  */
 final class OriginFetches {
   private final RoutingSettings settings;
@@ -18,7 +18,7 @@
   private final ConcurrencyLimit limit;
   private final Map<Long, OriginFetch> fetchesByKey = new LinkedHashMap<>();
 
-  /** Requests that wait for the origin's limit, in the order of their arrival here. */
+  /** Requests that wait for the origin's limit, in order of arrival. */
   private final List<RequestState> queue = new ArrayList<>();
 
   OriginFetches(
@@ -35,7 +35,8 @@
   }
 
   /**
-   * Whether a cache that fetches for itself will ask the origin: it is not known to hold the key.
+   * Whether a read-through cache is expected to fetch from the origin because it is not known to
+   * hold the key.
    */
   boolean cacheWillFetch(RequestState request, ServerState cache) {
     if (cacheAside) {
@@ -46,7 +47,10 @@
             && !rules.cachedKeys.isCached(request.key(), cache.id(), rules.clock.nowNanos()));
   }
 
-  /** Makes the request wait if its key is being fetched already beside the caches; false if not. */
+  /**
+   * Adds the request to the fetch of its key if one is in progress in cache-aside mode; returns
+   * false if there is none.
+   */
   boolean joinFetch(RequestState request) {
     OriginFetch fetch = cacheAside && request.key() != 0 ? fetchesByKey.get(request.key()) : null;
     if (fetch != null) {
@@ -56,14 +60,14 @@
   }
 
   /**
-   * The first request for a key fetches it, through the given cache or (null) at the origin itself;
-   * later ones wait for that fetch.
+   * Fetches the key through the given cache, or from the origin itself if {@code cache} is null. If
+   * a fetch of the key is already in progress, the request waits for it.
    */
   void fetch(RequestState request, ServerState cache) {
     if (request.key() != 0 && !request.isWrite() && request.originFetch() == null) {
-      OriginFetch running = fetchesByKey.get(request.key());
-      if (running != null) {
-        waitFor(request, running);
+      OriginFetch ongoing = fetchesByKey.get(request.key());
+      if (ongoing != null) {
+        waitFor(request, ongoing);
         return;
       }
       request.setOriginFetch(new OriginFetch());
@@ -72,7 +76,7 @@
     sendToOrigin(request, cache);
   }
 
-  /** Sends the request to the origin itself; at the origin's limit it queues or is given up. */
+  /** Sends the request to the origin itself; at the origin's limit it is queued or given up. */
   void sendToOrigin(RequestState request) {
     sendToOrigin(request, null);
   }
@@ -93,7 +97,7 @@
     }
   }
 
-  /** How long a request that queues now waits as a rule. */
+  /** Returns the expected queueing time of a request that is queued now. */
   private double expectedQueueNanos() {
     return rules.times.fetchNanos().mean() * (queue.size() + 1) / limit.limit();
   }
@@ -108,13 +112,16 @@
     hold(request);
   }
 
-  /** Holds a request for at most half the time it has left, so that a rejection is still of use. */
+  /**
+   * Holds a request for at most half of its remaining time, so that its client can still use a
+   * rejection.
+   */
   private void hold(RequestState request) {
     request.setQueued(true);
     actions.setTimer(halfOfRemainingNanos(request), TimerToken.queueTimeout(request.id()).encode());
   }
 
-  /** Sends queued requests on as far as the origin's limit allows. */
+  /** Sends queued requests as far as the origin's limit allows. */
   void sendQueued() {
     while (!queue.isEmpty() && limit.hasCapacity()) {
       RequestState next = highestPriority();
@@ -123,7 +130,7 @@
     }
   }
 
-  /** The queued request of the highest priority, the first of equals. */
+  /** Returns the queued request of highest priority; the earliest among equals. */
   private RequestState highestPriority() {
     RequestState highest = queue.get(0);
     for (RequestState request : queue) {
@@ -144,19 +151,19 @@
   }
 
   /**
-   * A request is over: it is taken out of the queue, waits for no other fetch any more, and a fetch
-   * that it leads is over with it.
+   * Removes a finished request from the queue and from any fetch it waits for, and ends the fetch
+   * that it leads.
    */
-  void requestEnded(RequestState request, boolean answered) {
+  void requestEnded(RequestState request, boolean succeeded) {
     queue.remove(request);
-    fetchEnded(request, answered);
+    fetchEnded(request, succeeded);
   }
 
   /**
-   * A fetch is over. Its leader's waiting requests go to the cache that has the object now; if it
-   * was not answered, each of them fetches again, and the first becomes the leader.
+   * Ends the fetch that the request leads. Waiting requests are sent to the cache that now holds
+   * the key; if the fetch failed, each fetches again and the first becomes the new leader.
    */
-  void fetchEnded(RequestState leader, boolean answered) {
+  void fetchEnded(RequestState leader, boolean succeeded) {
     OriginFetch fetch = leader.originFetch();
     leader.setOriginFetch(null);
     if (fetch == null || fetch.waiting().remove(leader)) {
@@ -165,7 +172,7 @@
     fetchesByKey.remove(leader.key());
     fetch.waiting().forEach(request -> request.setOriginFetch(null));
     for (RequestState request : fetch.waiting()) {
-      if (!answered) {
+      if (!succeeded) {
         fetchAgain(request);
       } else if (maySendTo(leader.keyHolder(), request)) {
         dispatcher.send(request, leader.keyHolder(), false);
@@ -175,7 +182,7 @@
     }
   }
 
-  /** Whether a request may go to the cache that has fetched its key. */
+  /** Whether a request may be sent to the cache that fetched its key. */
   private boolean maySendTo(ServerState cache, RequestState request) {
     return cache != null
         && rules.guard.allows(request, cache)
--- a/src/main/java/beaconturn/decision/OriginSettings.java
+++ b/src/main/java/beaconturn/decision/OriginSettings.java
@@ -1,14 +1,16 @@
 package beaconturn.decision;
 
 /**
- * Where the origin is, and how it is reached.
+ * How the origin is reached.
  *
- * @param cacheAside whether the router itself asks the origin for what a cache lacks; else caches fetch
- * @param kind the kind of servers that are origins, where the router asks them
- * @param orderedResponses whether answers come in the order of requests; no rule uses it
- * @param reportsCacheHits whether answers of caches that fetch tell hits from misses
- * @param overloadNanos the length of an overload of the origin; no rule uses it
- * @param overloadMultiple the load of an overload, as a multiple; no rule uses it
+ * @param cacheAside whether the router itself fetches from the origin on a cache miss (cache-aside
+ *     mode); otherwise caches fetch (read-through mode)
+ * @param kind server kind of origins, in cache-aside mode
+ * @param orderedResponses whether responses arrive in request order; currently unused
+ * @param reportsCacheHits whether responses of read-through caches distinguish hits from misses
+ * @param overloadNanos duration of an origin overload; currently unused
+ * @param overloadMultiple load of an origin overload, as a multiple of its capacity; currently
+ *     unused
  */
 public record OriginSettings(
     boolean cacheAside,
--- a/src/main/java/beaconturn/decision/OutlierDetector.java
+++ b/src/main/java/beaconturn/decision/OutlierDetector.java
@@ -1,32 +1,34 @@
 package beaconturn.decision;
 
 /**
- * Ejects caches whose answers fail or come late. An ejected cache gets trials, one request at a
- * time, and is taken back when they go well.
+ * Ejects caches whose attempts fail or are late. An ejected cache gets trial requests, one at a
+ * time, and is readmitted when they succeed.
  */
 final class OutlierDetector {
   /**
-   * Share of failed samples above which a cache is ejected, on top of the share of the whole fleet.
+   * Share of failed samples above which a cache is ejected, in addition to the fleet's own share.
    */
   private static final double EJECTION_FAILURE_SHARE = 0.25;
 
-  /** An ejected cache is taken back below this share of failed samples. */
+  /** Share of failed samples below which an ejected cache is readmitted. */
   private static final double READMISSION_FAILURE_SHARE = EJECTION_FAILURE_SHARE / 2;
 
-  /** Share of the ring that may be ejected; beyond it the fleet is at fault, not its caches. */
+  /**
+   * Share of the ring that may be ejected; beyond it the problem is not specific to single caches.
+   */
   private static final double MAX_EJECTED_SHARE = 1.0 / 3;
 
-  /** Gap before the first trial, in mean answer times; each failed trial doubles it. */
+  /** Delay before the first trial, in mean response times; doubles with each failed trial. */
   private static final double INITIAL_TRIAL_GAP_RESPONSE_TIMES = 8;
 
-  /** Longest gap between trials, in mean answer times. */
+  /** Longest delay between trials, in mean response times. */
   private static final double MAX_TRIAL_GAP_RESPONSE_TIMES = 64;
 
   private final EventClock clock;
   private final HashRing ring;
   private final ResponseTimes times;
 
-  /** Moving share of failed samples among those of all caches, 0 to 1. */
+  /** Moving average of failed samples over all caches, 0 to 1. */
   private double fleetFailureShare;
 
   private long fleetSampledAtNanos;
@@ -37,19 +39,19 @@
     this.times = times;
   }
 
-  /**
-   * Whether the fleet as a whole has the share of failed samples for which a single cache is ejected.
-   */
+  /** Whether the whole fleet has the share of failed samples that would eject a single cache. */
   boolean isFleetUnhealthy() {
     return fleetFailureShare >= EJECTION_FAILURE_SHARE;
   }
 
-  /** Whether the fleet as a whole has half of that share. */
+  /** Whether the whole fleet has half of that share. */
   boolean isFleetDegraded() {
     return fleetFailureShare >= EJECTION_FAILURE_SHARE / 2;
   }
 
-  /** Whether the request does not go to the cache: it is ejected, and this is no trial. */
+  /**
+   * Whether the request must avoid the cache because it is ejected and the request is not a trial.
+   */
   boolean isSkipped(ServerState server, RequestState request) {
     if (!server.outlier().ejected) {
       return false;
@@ -59,8 +61,8 @@
   }
 
   /**
-   * Takes one sample of a cache's health, and ejects it or takes it back. Quick errors must not
-   * attract keys by keeping loads low.
+   * Records one health sample of a cache, and ejects or readmits the cache. Without ejection, a
+   * cache that fails fast would attract requests through its low load.
    */
   void recordSample(ServerState server, boolean failed) {
     OutlierState state = server.outlier();
@@ -91,8 +93,8 @@
   }
 
   /**
-   * Weight of a new sample: the usual one, or more after a long gap, as samples from before it tell
-   * little of the cache as it is now.
+   * Returns the weight of a new sample: the base weight, or more after a long gap, since older
+   * samples say little about the current state.
    */
   private double weight(double baseWeight, long lastSampleNanos) {
     boolean first = lastSampleNanos == 0 || !times.responseNanos().hasSamples();
--- a/src/main/java/beaconturn/decision/OutlierState.java
+++ b/src/main/java/beaconturn/decision/OutlierState.java
@@ -1,8 +1,8 @@
 package beaconturn.decision;
 
-/** What {@link OutlierDetector} keeps of one server; it alone writes these fields. */
+/** Outlier detection state of one server, written only by {@link OutlierDetector}. */
 final class OutlierState {
-  /** Moving share of samples that were bad, 0 to 1. */
+  /** Moving average of failed samples, 0 to 1. */
   double failureShare;
 
   /** Time of the last sample; 0 before the first. */
@@ -10,13 +10,13 @@
 
   boolean ejected;
 
-  /** From one trial of an ejected server to the next, as a multiple of the mean answer time. */
+  /** Delay between trials of an ejected server, in mean response times. */
   double trialGapResponseTimes;
 
-  /** From when on an ejected server may get a trial. */
+  /** Earliest time of the next trial of an ejected server. */
   long trialAtNanos;
 
-  /** Takes over all that another router has found. */
+  /** Copies the state found by another router. */
   void copyFrom(OutlierState other) {
     failureShare = other.failureShare;
     sampledAtNanos = other.sampledAtNanos;
@@ -25,7 +25,7 @@
     trialAtNanos = other.trialAtNanos;
   }
 
-  /** The server has started afresh: nothing is held against it. */
+  /** Clears failures after a restart of the server. */
   void reset() {
     failureShare = 0;
     ejected = false;
--- a/src/main/java/beaconturn/decision/QuotaTracker.java
+++ b/src/main/java/beaconturn/decision/QuotaTracker.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Decides which requests are beyond their tenant's quota. */
+/** Decides which requests exceed their tenant's quota. */
 final class QuotaTracker {
   /**
-   * A tenant's part of the traffic may exceed its share by this factor before its requests count as
-   * beyond the quota.
+   * Factor by which a tenant's share of the traffic may exceed its configured share before its
+   * requests count as over quota.
    */
   private static final double SHARE_SLACK = 1.5;
 
@@ -20,7 +20,7 @@
   private final EventRate allArrivals;
   private final List<TenantUsage> usages = new ArrayList<>();
 
-  /** What one tenant uses. */
+  /** Quota tokens and arrival rate of one tenant. */
   private static final class TenantUsage {
     private final TokenBucket quota = new TokenBucket();
     private final EventRate arrivals;
@@ -40,9 +40,10 @@
   }
 
   /**
-   * Counts a request; true if it is beyond its tenant's quota. That takes both: more than an even
-   * part of the quota, and more than the tenant's share of the traffic here, because the routers of
-   * busy zones see more. The first request of a tenant draws.
+   * Counts a request; returns whether it exceeds its tenant's quota. It does if the tenant exceeds
+   * both this router's even part of the quota and its configured share of this router's traffic,
+   * since routers in busy zones receive more. Draws from the random source at a tenant's first
+   * request.
    */
   boolean isBeyondQuota(int tenantIndex) {
     if (tenantIndex >= usages.size() || settings.tenants().get(tenantIndex).quotaPerSecond() <= 0) {
--- a/src/main/java/beaconturn/decision/RequestClass.java
+++ b/src/main/java/beaconturn/decision/RequestClass.java
@@ -1,15 +1,15 @@
 package beaconturn.decision;
 
 /**
- * One class of requests.
+ * Settings of one class of requests.
  *
- * @param deduplicationScope which servers drop each other's repeats, with an idempotency key
- * @param deduplicationWindowNanos for how long they do
- * @param latencyObjectiveNanos an answer after it is late
- * @param deadlineNanos how long clients wait at the most
- * @param priorityWeight what an answer in time counts
- * @param latePriorityWeight what a late answer counts
- * @param streamed whether answers go to the client as they come
+ * @param deduplicationScope which servers deduplicate repeats together, with an idempotency key
+ * @param deduplicationWindowNanos how long servers remember idempotency keys
+ * @param latencyObjectiveNanos response time beyond which a response is late
+ * @param deadlineNanos longest time that clients wait
+ * @param priorityWeight priority weight of a response within the objective
+ * @param latePriorityWeight priority weight of a late response
+ * @param streamed whether responses are streamed to the client
  */
 public record RequestClass(
     Idempotency idempotency,
@@ -20,7 +20,7 @@
     double priorityWeight,
     double latePriorityWeight,
     boolean streamed) {
-  /** Whether a late answer is worth nothing, and may be left out without harm. */
+  /** Whether a late response has no value, so that the request may be dropped without harm. */
   boolean isWorthlessWhenLate() {
     return latePriorityWeight <= 0 && idempotency == Idempotency.IDEMPOTENT;
   }
--- a/src/main/java/beaconturn/decision/RequestCoordinator.java
+++ b/src/main/java/beaconturn/decision/RequestCoordinator.java
@@ -4,12 +4,11 @@
 import java.util.Map;
 
 /**
- * Takes each request from its arrival to its closed: asks the rules at every step and carries out what
- * they say. It holds the requests; which step follows an attempt is decided in {@code
- * continueAfter}.
+ * Drives each request from arrival to completion: consults the rules at every step and carries out
+ * their decisions. Owns all open requests.
  */
 final class RequestCoordinator implements RequestDispatcher {
-  /** In the place of an attempt's number: no attempt. */
+  /** Attempt index that stands for no attempt. */
   private static final int NO_ATTEMPT = -1;
 
   private final RoutingSettings settings;
@@ -27,7 +26,6 @@
     this.fetches = new OriginFetches(settings, actions, rules, this);
   }
 
-  // ---- events
 
   void requestArrived(RoutingEvent.RequestArrived arrival) {
     RequestState request = newRequest(arrival);
@@ -48,9 +46,9 @@
     long logicalRequest = rules.clientRetries.logicalRequest(arrival);
     long objectiveEndNanos = rules.clientRetries.objectiveEndNanos(arrival, requestClass, logicalRequest);
     long deadlineNanos = rules.clock.nowNanos() + arrival.remainingNanos();
-    // Where the router asks the origin itself, an answer that has become worthless is not waited
-    // for: the cache would go on with it and be late for the next request. Where caches fetch, to
-    // cut the attempt would throw the fetch away.
+    // In cache-aside mode, an attempt is cut off when its response has lost its value: the cache
+    // would otherwise keep working on it and delay the next request. In read-through mode, cutting
+    // it off would discard the fetch.
     boolean cutAtObjective = cacheAside && requestClass.isWorthlessWhenLate();
     long dueNanos = cutAtObjective ? Math.min(deadlineNanos, objectiveEndNanos) : deadlineNanos;
     return new RequestState(
@@ -59,7 +57,7 @@
         new RequestTimes(deadlineNanos, objectiveEndNanos, dueNanos),
         logicalRequest,
         rules.quotas.isBeyondQuota(arrival.tenant()),
-        rules.spread.requestArrived(arrival.key(), arrival.write()),
+        rules.keySpread.requestArrived(arrival.key(), arrival.write()),
         rules.times.workRatio(arrival.workHintNanos()));
   }
 
@@ -71,10 +69,9 @@
   }
 
   /**
-   * A streamed answer has begun to go to the client: the request's other attempts are cancelled.
-   * What is left of the answer goes at the client's pace; a cache that fetches for itself has the
-   * object by now, so that the attempt no longer counts against the limits and requests that wait
-   * for the key go on.
+   * Handles the start of a streamed response: the request's other attempts are cancelled. The rest
+   * of the response is paced by the client, and a read-through cache already has the object, so
+   * that the attempt no longer counts against the limits and requests waiting for the key proceed.
    */
   void responseStarted(RoutingEvent.ResponseStarted started) {
     RequestState request = requests.get(started.requestId());
@@ -129,7 +126,6 @@
     }
   }
 
-  // ---- steps of a request
 
   private void continueAfter(
       RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed closed) {
@@ -150,12 +146,11 @@
     }
   }
 
-  /** Decides what follows an attempt that did not closed its request. */
+  /** Decides what follows an attempt that did not complete its request. */
   private void continueOpenRequest(
       RequestState request, AttemptState attempt, AttemptOutcome outcome) {
     if (rules.clock.nowNanos() >= request.dueNanos()) {
-      // An closed that is handled a tick late may come when no time is left: to queue the request
-      // would lose it.
+      // An event handled one tick late may leave no time, and a queued request would then be lost.
       giveUp(request, GiveUpReason.TOO_LATE);
     } else if (outcome == AttemptOutcome.MISS && attempt.toCache()) {
       if (request.keyHolder() == null) {
@@ -240,11 +235,10 @@
     }
   }
 
-  // ---- ends
 
   /**
-   * The one place where the policy gives a request up: rejects it where a repeat is harmless, else
-   * fails it.
+   * Gives a request up: rejects it if a client retry is harmless, otherwise fails it. All requests
+   * that the policy gives up pass through here.
    */
   @Override
   public void giveUp(RequestState request, GiveUpReason reason) {
@@ -260,19 +254,19 @@
   }
 
   /**
-   * Ends a request: cancels its open attempts and lets requests that wait for its fetch go on.
-   * Without effect if it has ended before.
+   * Completes a request: cancels its open attempts and releases the requests that wait for its
+   * fetch. Does nothing if the request is already done.
    */
-  private void conclude(RequestState request, boolean answered) {
+  private void conclude(RequestState request, boolean succeeded) {
     if (request.isDone()) {
       return;
     }
     request.finish();
-    if (!answered) {
+    if (!succeeded) {
       rules.clientRetries.requestUnanswered(request);
     }
     cancelOpenAttempts(request, NO_ATTEMPT);
-    fetches.requestEnded(request, answered);
+    fetches.requestEnded(request, succeeded);
     if (!request.hasOpenAttempt()) {
       requests.remove(request.id());
     }
--- a/src/main/java/beaconturn/decision/RequestDispatcher.java
+++ b/src/main/java/beaconturn/decision/RequestDispatcher.java
@@ -1,16 +1,18 @@
 package beaconturn.decision;
 
-/** What {@link OriginFetches} asks for when it lets a request go on. */
+/** Operations that {@link OriginFetches} needs to continue a request. */
 interface RequestDispatcher {
   /**
-   * Sends the request's next attempt, or gives the request up where {@link AttemptGuard} forbids
-   * it; {@code fetches} says that the origin will be asked.
+   * Sends the next attempt of the request, or gives the request up if {@link AttemptGuard} forbids
+   * it.
+   *
+   * @param fetchesFromOrigin whether the origin will be asked
    */
-  void send(RequestState request, ServerState server, boolean fetches);
+  void send(RequestState request, ServerState server, boolean fetchesFromOrigin);
 
-  /** Sends the request to the cache that {@link ServerSelector} chooses. */
+  /** Sends the request to the cache that {@link ServerSelector} selects. */
   void sendToCache(RequestState request);
 
-  /** Gives the request up. */
+  /** Rejects or fails the request. */
   void giveUp(RequestState request, GiveUpReason reason);
 }
--- a/src/main/java/beaconturn/decision/RequestState.java
+++ b/src/main/java/beaconturn/decision/RequestState.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that the router has taken on, until its last attempt is closed. */
+/** State of a request, from its arrival until its last attempt is closed. */
 final class RequestState {
   private final RoutingEvent.RequestArrived arrival;
   private final RequestClass requestClass;
@@ -18,10 +18,10 @@
   private OriginFetch originFetch;
   private boolean queued;
   private boolean streaming;
-  private boolean moving;
+  private boolean rerouting;
   private boolean done;
 
-  /** Makes a request without attempts; see the accessors for what the parts mean. */
+  /** Creates a request without attempts; the accessors describe the parameters. */
   RequestState(
       RoutingEvent.RequestArrived arrival,
       RequestClass requestClass,
@@ -44,12 +44,12 @@
     return arrival.requestId();
   }
 
-  /** Its key; 0 for none. */
+  /** Returns the key; 0 for none. */
   long key() {
     return arrival.key();
   }
 
-  /** Where it is on the ring: the hash of its key, or of its id where it has none. */
+  /** Returns the position on the ring: the hash of the key, or of the request id without a key. */
   long hash() {
     return hash;
   }
@@ -70,37 +70,37 @@
     return requestClass.idempotency() == Idempotency.IDEMPOTENT;
   }
 
-  /** When the client gives up. */
+  /** Returns when the client stops waiting. */
   long deadlineNanos() {
     return times.deadlineNanos();
   }
 
-  /** Until when an answer meets the latency objective. */
+  /** Returns until when a response meets the latency objective. */
   long objectiveEndNanos() {
     return times.objectiveEndNanos();
   }
 
-  /** Until when an answer is worth something. */
+  /** Returns until when a response is of use. */
   long dueNanos() {
     return times.dueNanos();
   }
 
-  /** What all tries of one request by its client have in common; see {@link ClientRetries}. */
+  /** Returns the id that all retries of a client share; see {@link ClientRetries}. */
   long logicalRequest() {
     return logicalRequest;
   }
 
-  /** Whether it exceeds its tenant's quota. */
+  /** Whether the request exceeds its tenant's quota. */
   boolean isOverQuota() {
     return overQuota;
   }
 
-  /** The share of recent requests that were for its key; 0 for writes and without a key. */
+  /** Returns the key's share of recent requests; 0 for writes and without a key. */
   double keyShare() {
     return keyShare;
   }
 
-  /** Its expected work, as a multiple of the usual. */
+  /** Returns the expected work as a multiple of the mean. */
   double workRatio() {
     return workRatio;
   }
@@ -132,7 +132,7 @@
     return false;
   }
 
-  /** The first attempt that is open or may have had its effect; null if there is none. */
+  /** Returns the first attempt that is open or may have had its effect; null if there is none. */
   AttemptState firstWithPossibleEffect() {
     for (AttemptState attempt : attempts) {
       if (!attempt.isProvenWithoutEffect()) {
@@ -142,12 +142,12 @@
     return null;
   }
 
-  /** Whether it may go where it might fail: it was not sent yet, and may be repeated. */
+  /** Whether the request may be sent where it is likely to fail: it is unsent and idempotent. */
   boolean mayJoinTrial() {
     return attempts.isEmpty() && isIdempotent();
   }
 
-  /** The cache that holds its key once that is fetched: it lacked the key; null for none. */
+  /** Returns the cache that holds the key once it is fetched; null if none is known. */
   ServerState keyHolder() {
     return keyHolder;
   }
@@ -156,7 +156,7 @@
     keyHolder = cache;
   }
 
-  /** The fetch that it leads or waits for; null for none. */
+  /** Returns the fetch that the request leads or waits for; null for none. */
   OriginFetch originFetch() {
     return originFetch;
   }
@@ -165,16 +165,16 @@
     originFetch = fetch;
   }
 
-  /** Whether it waits for the origin's limit, or for another request's fetch. */
+  /** Whether the request waits for the origin's limit or for another request's fetch. */
   boolean isQueued() {
     return queued;
   }
 
-  void setQueued(boolean waits) {
-    queued = waits;
+  void setQueued(boolean queued) {
+    this.queued = queued;
   }
 
-  /** Whether its answer has begun to go to the client. */
+  /** Whether the response has started to be sent to the client. */
   boolean isStreaming() {
     return streaming;
   }
@@ -183,16 +183,16 @@
     streaming = true;
   }
 
-  /** Whether its attempt is being cancelled because it is late, so that it goes elsewhere. */
+  /** Whether the late attempt is being cancelled so that the request can go to another cache. */
   boolean isRerouting() {
-    return moving;
+    return rerouting;
   }
 
-  void setRerouting(boolean moves) {
-    moving = moves;
+  void setRerouting(boolean rerouting) {
+    this.rerouting = rerouting;
   }
 
-  /** Whether it is answered, given up or cancelled; attempts may still be open. */
+  /** Whether the request is answered, given up or cancelled; attempts may still be open. */
   boolean isDone() {
     return done;
   }
--- a/src/main/java/beaconturn/decision/RetryBudget.java
+++ b/src/main/java/beaconturn/decision/RetryBudget.java
@@ -1,13 +1,13 @@
 package beaconturn.decision;
 
 /**
- * Budget of further availableAttempts, retries and hedges together: each arrival adds a part of one, each
- * further attempt takes one.
+ * Budget for retries and hedged requests together: each arriving request earns a fraction of an
+ * attempt, each additional attempt spends one.
  */
 final class RetryBudget {
   /**
-   * Part of a further attempt that each arrival earns, for each attempt that the settings allow
-   * beyond the first.
+   * Fraction of an attempt earned per arriving request, for each attempt permitted beyond the
+   * first.
    */
   private static final double EARNED_PER_ARRIVAL = 0.05;
 
@@ -18,7 +18,7 @@
     this.earnedPerArrival = EARNED_PER_ARRIVAL * (permissions.maxAttempts() - 1);
   }
 
-  /** A request has arrived; the budget holds no more availableAttempts than there are caches. */
+  /** Adds to the budget, which is capped at one attempt per cache. */
   void requestArrived(int caches) {
     availableAttempts = Math.min(Math.max(1, caches), availableAttempts + earnedPerArrival);
   }
@@ -27,7 +27,7 @@
     return availableAttempts >= 1;
   }
 
-  /** A further attempt is made. */
+  /** Spends one additional attempt. */
   void spend() {
     availableAttempts--;
   }
--- a/src/main/java/beaconturn/decision/RetryPolicy.java
+++ b/src/main/java/beaconturn/decision/RetryPolicy.java
@@ -1,9 +1,9 @@
 package beaconturn.decision;
 
 /**
- * Decides whether a request gets a further attempt, a retry or a hedge. Bounded by the {@link
- * RetryBudget}, and none while the whole fleet does badly, when more attempts only add to it.
- * Whether the further attempt is safe is for {@link AttemptGuard}.
+ * Decides whether a request gets an additional attempt, as a retry or a hedged request. Limited by
+ * the {@link RetryBudget}, and denied while the whole fleet is unhealthy, when more attempts would
+ * only add load. Whether an attempt is safe is decided by {@link AttemptGuard}.
  */
 final class RetryPolicy {
   private final RoutingPermissions permissions;
@@ -14,7 +14,7 @@
   private final ResponseTimes times;
   private final RetryBudget budget;
 
-  /** Uses rules of {@code rules} that have been made before this one. */
+  /** Uses components of {@code rules} that are initialized before this one. */
   RetryPolicy(RoutingPermissions permissions, RouterRules rules) {
     this.permissions = permissions;
     this.clock = rules.clock;
@@ -25,19 +25,19 @@
     this.budget = new RetryBudget(permissions);
   }
 
-  /** A request has arrived and earns its part of a further attempt. */
+  /** Adds to the retry budget. */
   void requestArrived() {
     budget.requestArrived(ring.size());
   }
 
-  /** A further attempt is made. */
+  /** Spends one additional attempt. */
   void spend() {
     budget.spend();
   }
 
   /**
-   * Whether the budget holds a further attempt and the fleet is well enough for one. Where hedging
-   * is not allowed the fleet counts as unwell at half the share of bad samples.
+   * Whether the budget holds an attempt and the fleet is healthy enough. Without hedging, half the
+   * share of failed samples already denies additional attempts.
    */
   boolean allowsFurtherAttempt() {
     boolean fleetUnhealthy = permissions.hedging() ? outliers.isFleetUnhealthy() : outliers.isFleetDegraded();
@@ -45,9 +45,9 @@
   }
 
   /**
-   * Whether a request whose attempt has failed is tried again: where {@link #allowsFurtherAttempt}
-   * holds, the attempt went to a cache, the key is not at fault (see {@link KeyFailures}) and there
-   * is time for an answer.
+   * Whether a request is retried after a failed attempt: {@link #allowsFurtherAttempt} holds, the
+   * attempt went to a cache, the key is not at fault (see {@link KeyFailures}) and there is time
+   * for a response.
    */
   boolean allowsRetry(RequestState request, AttemptState failed) {
     return failed.toCache()
--- a/src/main/java/beaconturn/decision/RingRouter.java
+++ b/src/main/java/beaconturn/decision/RingRouter.java
@@ -1,12 +1,12 @@
 package beaconturn.decision;
 
 /**
- * The routing policy of one router: consistent hashing with bounded loads, and what keeps it sound
- * when caches, keys, the origin or the endpoint list fail. It only hands events on: {@link
- * RequestCoordinator} takes requests from arrival to end, {@link ServerRegistry} keeps the servers,
- * and each rule is a class of its own (see {@link RouterRules}).
+ * Routing policy of one router: consistent hashing with bounded loads, protected against failures
+ * of caches, keys, the origin and the endpoint list. Only dispatches events: {@link
+ * RequestCoordinator} drives requests, {@link ServerRegistry} tracks servers, and each rule is a
+ * class of its own (see {@link RouterRules}).
  *
- * <p>One thread calls; the router knows only its settings, its seed and the events it is given.
+ * <p>Not thread-safe; depends only on its settings, its seed and the events it receives.
  */
 public final class RingRouter implements RoutingPolicy {
   private final RoutingSettings settings;
@@ -14,8 +14,8 @@
   private final RequestCoordinator coordinator;
 
   /**
-   * The successor of another router: what is known of servers by their ids stays, all else starts
-   * afresh. The older one may still finish its requests.
+   * Creates the successor of another router. Learned server state is kept by server id; everything
+   * else is new. The predecessor may still complete its requests.
    */
   public RingRouter(
       RoutingSettings settings,
@@ -29,7 +29,7 @@
     applyWarmStart(predecessor.warmStartState());
   }
 
-  /** A router that starts empty; its first list follows. */
+  /** Creates a router without servers; the first endpoint list follows as an event. */
   public RingRouter(RoutingSettings settings, long seed, long nowNanos, RoutingActions actions) {
     this(settings, seed, nowNanos, actions, true);
   }
--- a/src/main/java/beaconturn/decision/RouterRules.java
+++ b/src/main/java/beaconturn/decision/RouterRules.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** The rules of one router, made from its settings and connected with each other. */
+/** Creates and connects the rules of one router. */
 final class RouterRules {
   final EventClock clock;
   final ResponseTimes times;
@@ -19,7 +19,7 @@
   final OutlierDetector outliers;
   final ConnectionFailures connections;
   final LoadBounds bounds;
-  final KeySpread spread;
+  final KeySpread keySpread;
   final ServerSelector selector;
   final RetryPolicy retries;
   final HedgingPolicy hedging;
@@ -45,7 +45,7 @@
     connections = new ConnectionFailures(permissions, clock, random);
     LoadReports reports = new LoadReports(clock, settings.loadReportFields());
     bounds = new LoadBounds(settings, load, reports, admission.originLimit());
-    spread = new KeySpread(settings, ring);
+    keySpread = new KeySpread(settings, ring);
     selector = new ServerSelector(settings, random, this);
     retries = new RetryPolicy(permissions, this);
     hedging = new HedgingPolicy(settings, clock, times, retries);
--- a/src/main/java/beaconturn/decision/RoutingActions.java
+++ b/src/main/java/beaconturn/decision/RoutingActions.java
@@ -1,37 +1,38 @@
 package beaconturn.decision;
 
 /**
- * What a routing policy can have done by its host. Every call takes effect at the time of the event
- * that is being handled, on its thread, and none calls the policy back.
+ * Actions that a routing policy requests from its host. Each call takes effect at the time of the
+ * event being handled, on its thread, and never calls the policy back.
  */
 public interface RoutingActions {
-  /** Starts the request's next attempt; it ends as timed out after {@code timeoutNanos}. */
+  /** Starts the next attempt of the request, which times out after {@code timeoutNanos}. */
   void send(long requestId, long serverId, long timeoutNanos);
 
-  /** Stops waiting for one attempt; its end is an event all the same. */
+  /** Cancels an attempt; its end is still reported as an event. */
   void cancel(long requestId, int attempt);
 
   /**
-   * Final answer: rejected, and safe to try again after {@code retryAfterNanos} (0 for no advice).
+   * Completes the request as rejected; the client may retry after {@code retryAfterNanos} (0 for no
+   * advice).
    */
   void reject(long requestId, long retryAfterNanos, GiveUpReason reason);
 
-  /** Final answer: failed, with nothing promised. */
+  /** Completes the request as failed; it may or may not have had its effect. */
   void fail(long requestId, GiveUpReason reason);
 
-  /** Asks for a {@link RoutingEvent.TimerFired} that brings the token back. */
+  /** Requests a {@link RoutingEvent.TimerFired} that returns the token. */
   void setTimer(long delayNanos, long token);
 
   /** Subscribes to the endpoint list and its changes, or unsubscribes. */
   void watchEndpoints(boolean on);
 
-  /** Asks once for the whole endpoint list. */
+  /** Requests the complete endpoint list once. */
   void fetchEndpoints();
 
   /** Sends a health check to a server. */
   void probe(long serverId);
 
-  /** Sends bytes to one peer router, or to all of them with -1. */
+  /** Sends a message to one peer router, or to all of them with -1. */
   void sendToPeer(int peer, byte[] body);
 
   /** Closes the idle connections to a server. */
--- a/src/main/java/beaconturn/decision/RoutingEvent.java
+++ b/src/main/java/beaconturn/decision/RoutingEvent.java
@@ -3,27 +3,27 @@
 import java.util.List;
 
 /**
- * Everything that can happen to a router. Times are nanoseconds of the host's monotonic clock,
- * lengths of time are nanoseconds.
+ * Events that a routing policy receives. Times are nanoseconds of the host's monotonic clock,
+ * durations are nanoseconds.
  */
 public sealed interface RoutingEvent {
-  /** What a router that this one follows had learned; comes before any request. */
+  /** State learned by the predecessor of this router; precedes any request. */
   record WarmStarted(WarmStartState state) implements RoutingEvent {}
 
   /**
    * An operator's override of one server has changed.
    *
-   * @param excluded whether it is kept out of use, whatever the endpoint list says; when that ends
-   *     it counts as started
-   * @param atNanos when the operator decided
+   * @param excluded whether the server is kept out of service regardless of the endpoint list; when
+   *     that ends, the server counts as started
+   * @param atNanos when the operator made the change
    */
   record OperatorOverrideChanged(long serverId, boolean excluded, long atNanos)
       implements RoutingEvent {}
 
   /**
-   * An endpoint list, a change of it, or the failure to get it.
+   * An endpoint list, a change of it, or a failure to retrieve it.
    *
-   * @param version the version that discovery gives it
+   * @param version version assigned by discovery
    */
   record EndpointsUpdated(long version, EndpointListKind kind, List<Endpoint> endpoints)
       implements RoutingEvent {}
@@ -31,13 +31,13 @@
   /**
    * A request has arrived.
    *
-   * @param tenant index among the tenants of the settings
-   * @param workHintNanos the work that it is expected to need; 0 for unknown
-   * @param key the key that it is for; 0 for none
-   * @param requestClass index among the classes of the settings
-   * @param remainingNanos how long its client still waits
-   * @param clientRetry whether its client has tried before
-   * @param size its size as its client tells it; no rule uses it
+   * @param tenant index among the configured tenants
+   * @param workHintNanos expected work; 0 if unknown
+   * @param key identifies the requested key; 0 for none
+   * @param requestClass index among the configured classes
+   * @param remainingNanos how long the client still waits
+   * @param clientRetry whether the client has sent this request before
+   * @param size size of the request according to its client; currently unused
    */
   record RequestArrived(
       long requestId,
@@ -51,18 +51,17 @@
       double size)
       implements RoutingEvent {}
 
-  /** The answer of a streamed request has begun to go to the client. */
+  /** A streamed response has started to be sent to the client. */
   record ResponseStarted(long requestId, long elapsedNanos, long serverId, int attempt)
       implements RoutingEvent {}
 
   /**
    * An attempt has ended.
    *
-   * @param elapsedNanos how long it took
-   * @param requestClosed whether its request needs no further answer
-   * @param attempt its number in the request, from 0
-   * @param loadReport the figures that came with the answer, by the fields of the settings; may be
-   *     empty
+   * @param elapsedNanos duration of the attempt
+   * @param requestClosed whether the request needs no further response
+   * @param attempt index of the attempt in its request, from 0
+   * @param loadReport values of the configured load report fields; may be empty
    */
   record AttemptClosed(
       long requestId,
@@ -75,10 +74,10 @@
       float[] loadReport)
       implements RoutingEvent {}
 
-  /** The client has left; no answer is owed. */
+  /** The client has disconnected and expects no response. */
   record RequestCancelled(long requestId) implements RoutingEvent {}
 
-  /** A timer set earlier is due. */
+  /** A timer has expired. */
   record TimerFired(long token) implements RoutingEvent {}
 
   /** A health check has ended. */
@@ -89,6 +88,6 @@
   /** A message from another router has arrived. */
   record PeerMessageReceived(int from, byte[] body) implements RoutingEvent {}
 
-  /** The weights of zones have changed. */
+  /** The zone weights have changed. */
   record ZoneWeightsChanged(ZoneWeights weights) implements RoutingEvent {}
 }
--- a/src/main/java/beaconturn/decision/RoutingPermissions.java
+++ b/src/main/java/beaconturn/decision/RoutingPermissions.java
@@ -1,18 +1,18 @@
 package beaconturn.decision;
 
 /**
- * What the site allows a router to do.
+ * What the deployment permits a router to do.
  *
  * @param cancel whether attempts may be cancelled
  * @param peers whether routers may send messages to each other
- * @param probes whether servers may be sent health checks
- * @param retryAfter whether rejected clients may be told when to come back
- * @param hedging whether a request may have two attempts open at once
- * @param maxAttempts the most attempts of one request
- * @param maxRetryAfterNanos the latest that clients may be told to come back
- * @param maxRequestsPerConnection the most requests that share one connection
- * @param connectTimeoutNanos how long a connection may take to open
- * @param connectionIdleNanos a connection that is idle for so long is closed
+ * @param probes whether health checks may be sent to servers
+ * @param retryAfter whether rejected clients may be given a retry delay
+ * @param hedging whether a request may have two open attempts at once
+ * @param maxAttempts maximum number of attempts per request
+ * @param maxRetryAfterNanos longest retry delay given to clients
+ * @param maxRequestsPerConnection maximum number of requests in flight on one connection
+ * @param connectTimeoutNanos how long opening a connection may take
+ * @param connectionIdleNanos how long an idle connection stays open
  */
 public record RoutingPermissions(
     boolean cancel,
--- a/src/main/java/beaconturn/decision/RoutingPolicy.java
+++ b/src/main/java/beaconturn/decision/RoutingPolicy.java
@@ -2,17 +2,17 @@
 
 import java.util.TreeMap;
 
-/** Decides for one router; one thread calls, and policies share nothing with each other. */
+/** Decides for one router. Not thread-safe; instances share no state. */
 public interface RoutingPolicy {
   /** Handles one event at the given time of the host's monotonic clock. */
   void handle(long nowNanos, RoutingEvent event);
 
-  /** What a router that follows should begin with; null for nothing. */
+  /** Returns the state for a successor to start from; null for none. */
   default WarmStartState warmStartState() {
     return null;
   }
 
-  /** How it treats each server now. */
+  /** Returns the current status of each server. */
   default RoutingView view() {
     return new RoutingView(new TreeMap<>());
   }
--- a/src/main/java/beaconturn/decision/RoutingSettings.java
+++ b/src/main/java/beaconturn/decision/RoutingSettings.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * All settings of a routing policy.
+ * Settings of a routing policy.
  *
- * @param routerIndex which of the routers this one is, from 0; no rule uses it
- * @param routerCount how many routers serve the same caches
+ * @param routerIndex index of this router, from 0; currently unused
+ * @param routerCount number of routers that share the caches
  * @param zone the router's own zone
  * @param pollsDiscovery whether the policy itself subscribes to the endpoint list
- * @param stableRatings whether ratings in the list compare sizes and do not follow load; only then
- *     are they used
- * @param priorityByWork whether requests count by their work; no rule uses it
- * @param overQuotaPriorityWeight factor on the priority of requests beyond their tenant's quota
- * @param tickNanos how far apart the host handles events; no rule uses it
- * @param loadReportFields the fields of load reports, in their order
+ * @param stableRatings whether ratings in the endpoint list describe sizes rather than current
+ *     load; ratings are only used if so
+ * @param priorityByWork whether requests are weighted by their work; currently unused
+ * @param overQuotaPriorityWeight factor on the priority of requests over quota
+ * @param tickNanos interval at which the host handles events; currently unused
+ * @param loadReportFields names of the load report fields, in order
  */
 public record RoutingSettings(
     int routerIndex,
@@ -31,7 +31,7 @@
     RoutingPermissions permissions,
     OriginSettings origin,
     List<String> loadReportFields) {
-  /** The deadline of the class that has the longest, in nanoseconds; 0 without classes. */
+  /** Returns the longest deadline of all classes, in nanoseconds; 0 without classes. */
   public long longestDeadlineNanos() {
     return classes.stream().mapToLong(RequestClass::deadlineNanos).max().orElse(0);
   }
--- a/src/main/java/beaconturn/decision/RoutingView.java
+++ b/src/main/java/beaconturn/decision/RoutingView.java
@@ -2,14 +2,14 @@
 
 import java.util.SortedMap;
 
-/** How a router treats each server that it knows, by the servers' ids. */
+/** Status of each server known to a router, by server id. */
 public record RoutingView(SortedMap<Long, ServerStatus> servers) {
-  /** How many servers are listed. */
+  /** Returns the number of listed servers. */
   public int listed() {
     return (int) servers.values().stream().filter(status -> status != ServerStatus.GONE).count();
   }
 
-  /** How many of them get no ordinary requests. */
+  /** Returns the number of listed servers that get no regular requests. */
   public int avoided() {
     return (int) servers.values().stream().filter(RoutingView::isAvoided).count();
   }
--- a/src/main/java/beaconturn/decision/SafetyLimits.java
+++ b/src/main/java/beaconturn/decision/SafetyLimits.java
@@ -1,19 +1,19 @@
 package beaconturn.decision;
 
 /**
- * The figures behind the four rules: no request lost, no effect twice, drains kept, servers that
- * warm up not overloaded.
+ * Parameters of the safety rules: every request gets a response, no effect happens twice, draining
+ * servers get no requests, warming servers are not overloaded.
  *
- * @param responseSlackNanos how late past its deadline an answer may be
- * @param pollIntervalNanos how often the endpoint list is asked for
- * @param coldCapacityShare part of its capacity that a server has when it starts
- * @param warmUpNanos how long a server warms up
- * @param drainGraceNanos how long after a notified drain requests may still be sent; no rule uses
- *     it, as none is sent
- * @param overloadMultiple a server is overloaded at this multiple of its capacity
+ * @param responseSlackNanos how long after its deadline a response may still arrive
+ * @param pollIntervalNanos poll interval of the endpoint list
+ * @param coldCapacityShare share of its capacity that a server has when it starts
+ * @param warmUpNanos duration of the warm-up
+ * @param drainGraceNanos how long after notification of a drain requests may still be sent;
+ *     currently unused, since none are sent
+ * @param overloadMultiple multiple of its capacity at which a server is overloaded
  * @param overloadNanos how long an overload has to last to count
- * @param removalIsAdvisory whether only the state of draining binds; a server that the list calls
- *     gone, or leaves out, may then still be sent to
+ * @param removalIsAdvisory whether only the draining state is binding; requests may then still be
+ *     sent to a server that the list omits or reports as gone
  */
 public record SafetyLimits(
     long responseSlackNanos,
--- a/src/main/java/beaconturn/decision/ServerChoice.java
+++ b/src/main/java/beaconturn/decision/ServerChoice.java
@@ -3,18 +3,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Collects the caches that one walk along the ring has come by, and gives the best of them; reused
- * from walk to walk.
+ * Collects the candidates of one walk along the ring and returns the best of them. Reused from walk
+ * to walk.
  */
 final class ServerChoice {
   private final SplittableRandom random;
 
-  /** Caches in this zone come first; negative for no preference. */
+  /** Caches in this zone are preferred; negative for no preference. */
   private final int preferredZone;
 
   private ServerState chosen;
   private int tiedCandidates;
-  private ServerState leastLoaded;
+  private ServerState leastLoadedFull;
   private ServerState lastResort;
 
   ServerChoice(SplittableRandom random, int preferredZone) {
@@ -22,15 +22,14 @@
     this.preferredZone = preferredZone;
   }
 
-  /** Forgets the last walk. */
   void clear() {
     chosen = null;
     tiedCandidates = 0;
-    leastLoaded = null;
+    leastLoadedFull = null;
     lastResort = null;
   }
 
-  /** A cache with capacity; chance decides between those that are alike. */
+  /** Adds a cache with capacity; ties are broken at random. */
   void addWithCapacity(ServerState server) {
     int preference = chosen == null ? 1 : preference(server) - preference(chosen);
     if (preference > 0) {
@@ -48,21 +47,24 @@
     return server.zone() == preferredZone ? 1 : 0;
   }
 
-  /** A cache that has no capacity left. */
+  /** Adds a cache without capacity. */
   void addFull(ServerState server) {
-    leastLoaded = ServerState.lessLoaded(leastLoaded, server);
+    leastLoadedFull = ServerState.lessLoaded(leastLoadedFull, server);
   }
 
-  /** A cache that is passed over as long as there is another. */
+  /** Adds a cache that is used only if there is no other. */
   void addLastResort(ServerState server) {
     lastResort = ServerState.lessLoaded(lastResort, server);
   }
 
-  /** One with capacity; all full: the least loaded; null if the walk came by none. */
+  /**
+   * Returns a cache with capacity; otherwise the least loaded full one, then the last resort; null
+   * if the walk found none.
+   */
   ServerState best() {
     if (chosen != null) {
       return chosen;
     }
-    return leastLoaded != null ? leastLoaded : lastResort;
+    return leastLoadedFull != null ? leastLoadedFull : lastResort;
   }
 }
--- a/src/main/java/beaconturn/decision/ServerConnectivity.java
+++ b/src/main/java/beaconturn/decision/ServerConnectivity.java
@@ -1,40 +1,40 @@
 package beaconturn.decision;
 
-/** What is known of the connections to one server. */
+/** State of the router's connections to one server. */
 final class ServerConnectivity {
   private long openUntilNanos;
 
-  /** When opening a connection failed last; 0 for never. */
+  /** When opening a connection last failed; 0 for never. */
   private long failedAtNanos;
 
-  /** Takes over all that another router has found. */
+  /** Copies the state found by another router. */
   void copyFrom(ServerConnectivity other) {
     openUntilNanos = other.openUntilNanos;
     failedAtNanos = other.failedAtNanos;
   }
 
-  /** Whether a connection should be open, as long as nothing but idleness closes it. */
+  /** Whether a connection is expected to be open, assuming that only idleness closes it. */
   boolean isOpen(long nowNanos) {
     return nowNanos < openUntilNanos;
   }
 
   /** Whether opening a connection has failed within the given time. */
-  boolean failedWithin(long memoryNanos, long nowNanos) {
-    return failedAtNanos != 0 && nowNanos - failedAtNanos < memoryNanos;
+  boolean failedWithin(long periodNanos, long nowNanos) {
+    return failedAtNanos != 0 && nowNanos - failedAtNanos < periodNanos;
   }
 
-  /** The server has answered on a connection, which stays open until then if nothing uses it. */
-  void responded(long openUntil) {
-    openUntilNanos = openUntil;
+  /** Records a response on a connection that, if idle, stays open until the given time. */
+  void responded(long untilNanos) {
+    openUntilNanos = untilNanos;
   }
 
-  /** Opening a connection has failed. */
+  /** Records a failure to open a connection. */
   void failed(long nowNanos) {
     failedAtNanos = nowNanos;
     openUntilNanos = 0;
   }
 
-  /** The server has started afresh: an earlier failure says nothing of it. */
+  /** Clears the failure after a restart of the server. */
   void clearFailure() {
     failedAtNanos = 0;
   }
--- a/src/main/java/beaconturn/decision/ServerLoad.java
+++ b/src/main/java/beaconturn/decision/ServerLoad.java
@@ -1,14 +1,12 @@
 package beaconturn.decision;
 
-/**
- * Attempts in flight, as a count and smoothed over time, as the article on bounded loads advises.
- */
+/** Attempts in flight, as a count and smoothed over time, as recommended for bounded loads. */
 final class ServerLoad {
   private int inFlight;
   private double smoothedInFlight;
   private long smoothedAtNanos;
 
-  /** Adds to the count; the smoothed load is brought up to now first. */
+  /** Changes the count after bringing the smoothed load up to date. */
   void change(int delta, long nowNanos, double smoothingNanos) {
     smoothed(nowNanos, smoothingNanos);
     inFlight += delta;
@@ -18,7 +16,7 @@
     return inFlight;
   }
 
-  /** Brings the smoothed load up to now and returns it. */
+  /** Brings the smoothed load up to date and returns it. */
   double smoothed(long nowNanos, double smoothingNanos) {
     double elapsedNanos = nowNanos - smoothedAtNanos;
     smoothedInFlight +=
--- a/src/main/java/beaconturn/decision/ServerRegistry.java
+++ b/src/main/java/beaconturn/decision/ServerRegistry.java
@@ -8,15 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * All servers that the router knows: the endpoint list and operators decide which of them are on
- * the ring, and which are origins.
+ * Tracks all servers known to the router. The endpoint list and operator overrides determine which
+ * of them are on the ring and which are origins.
  */
 final class ServerRegistry {
   private final RoutingSettings settings;
   private final HashRing ring;
   private final EndpointWatch watch;
 
-  /** By id, in the order in which they became known. */
+  /** Servers by id, in the order in which they became known. */
   private final Map<Long, ServerState> servers = new LinkedHashMap<>();
 
   private final List<ServerState> origins = new ArrayList<>();
@@ -27,7 +27,7 @@
     this.watch = watch;
   }
 
-  /** Takes over all servers of the router that this one follows. */
+  /** Takes over the servers of the predecessor. */
   void continueFrom(ServerRegistry predecessor) {
     boolean sameReports = settings.loadReportFields().equals(predecessor.settings.loadReportFields());
     predecessor.servers.forEach(
@@ -36,7 +36,7 @@
     refresh();
   }
 
-  /** Takes over a list, a change of it, or the failure to get it. */
+  /** Applies an endpoint list, a change of it, or a failure to retrieve it. */
   void listUpdated(RoutingEvent.EndpointsUpdated list) {
     if (list.kind() == EndpointListKind.FAILED) {
       watch.updateFailed();
@@ -58,13 +58,13 @@
     refresh();
   }
 
-  /** An operator excludes a server or brings it back. */
+  /** Applies an operator override. */
   void overrideChanged(RoutingEvent.OperatorOverrideChanged change) {
     server(change.serverId()).operatorOverride(change.excluded(), change.atNanos());
     refresh();
   }
 
-  /** An attempt has ended; its end may confirm that its server is gone. */
+  /** Records the end of an attempt, which may confirm the removal of its server. */
   void attemptEnded(AttemptState attempt, AttemptOutcome outcome) {
     if (attempt.server().attemptEnded(outcome)) {
       refresh();
@@ -75,7 +75,7 @@
     return servers.computeIfAbsent(id, ServerState::new);
   }
 
-  /** Puts usable servers on the ring or among the origins, and forgets those that are gone. */
+  /** Puts usable servers on the ring or among the origins, and drops removed ones. */
   private void refresh() {
     servers.values().removeIf(ServerState::isRemovable);
     origins.clear();
@@ -88,12 +88,12 @@
     ring.replaceMembers(caches);
   }
 
-  /** Whether the router itself sends fetches to the server. */
+  /** Whether the server is an origin to which the router itself sends fetches. */
   boolean isOrigin(ServerState server) {
     return settings.origin().cacheAside() && server.kind() == settings.origin().kind();
   }
 
-  /** The origin server with the fewest attempts in flight; null if there is none. */
+  /** Returns the origin server with the fewest attempts in flight; null if there is none. */
   ServerState leastLoadedOrigin() {
     ServerState least = null;
     for (ServerState origin : origins) {
@@ -102,7 +102,7 @@
     return least;
   }
 
-  /** How the router treats each server that it knows. */
+  /** Returns the status of each known server. */
   RoutingView view(SlowStart slowStart) {
     SortedMap<Long, ServerStatus> statuses = new TreeMap<>();
     for (ServerState server : servers.values()) {
--- a/src/main/java/beaconturn/decision/ServerSelector.java
+++ b/src/main/java/beaconturn/decision/ServerSelector.java
@@ -3,9 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Selects the cache that a request goes to: the home cache of its key, or the next one clockwise
- * that has capacity under {@link LoadBounds}; if all are full, the least loaded. Zone weights
- * narrow the walk to one zone.
+ * Selects the cache for a request: the home of its key, or the next cache clockwise with capacity
+ * under {@link LoadBounds}; if all are full, the least loaded. Zone weights restrict the walk to
+ * one zone.
  */
 final class ServerSelector {
   private static final int ANY_ZONE = -1;
@@ -20,7 +20,7 @@
   private final ServerChoice choice;
   private ZoneWeights zoneWeights = ZoneWeights.UNWEIGHTED;
 
-  /** Uses rules of {@code rules} that have been made before this one. */
+  /** Uses components of {@code rules} that are initialized before this one. */
   ServerSelector(RoutingSettings settings, SplittableRandom random, RouterRules rules) {
     this.ring = rules.ring;
     this.guard = rules.guard;
@@ -28,7 +28,7 @@
     this.outliers = rules.outliers;
     this.connections = rules.connections;
     this.bounds = rules.bounds;
-    this.spread = rules.spread;
+    this.spread = rules.keySpread;
     this.choice = new ServerChoice(random, settings.origin().cacheAside() ? settings.zone() : ANY_ZONE);
   }
 
@@ -40,7 +40,7 @@
     zoneWeights = weights;
   }
 
-  /** The cache that the request goes to next; null if none may get it. */
+  /** Returns the cache for the next attempt; null if none is eligible. */
   ServerState select(RequestState request) {
     if (zoneWeights.zones().isEmpty()) {
       return select(request, ANY_ZONE);
--- a/src/main/java/beaconturn/decision/ServerState.java
+++ b/src/main/java/beaconturn/decision/ServerState.java
@@ -1,8 +1,8 @@
 package beaconturn.decision;
 
 /**
- * What a router knows of one cache or origin server: how the endpoint list and operators have it,
- * and, in parts of its own, what the rules have found of it.
+ * State of one cache or origin server: its entry in the endpoint list, operator overrides, and the
+ * state that each rule keeps for it.
  */
 final class ServerState {
   private final long id;
@@ -18,12 +18,10 @@
   private double rating;
   private long listedBootTimeNanos;
 
-  /**
-   * When it last started, as late as that can have been by the router's own clock; 0 for long ago.
-   */
+  /** Latest possible time of its last start, by the router's own clock; 0 for long ago. */
   private long startedAtNanos;
 
-  /** When an operator brought it back into use; 0 where the endpoint list knows a later start. */
+  /** When an operator readmitted it; 0 if the endpoint list reports a later start. */
   private long readmittedAtNanos;
 
   private long excludedAtNanos;
@@ -36,8 +34,8 @@
   private boolean unresponsive;
 
   /**
-   * Whether an advisory list has removed it and it has not been unresponsive yet; it is still used until
-   * it is.
+   * Whether an advisory list removed the server while it was responsive; it stays in use until it
+   * is unresponsive.
    */
   private boolean removalUnconfirmed;
 
@@ -51,34 +49,33 @@
   }
 
   /**
-   * The same server for a router with other settings. Both share the slow-start budget, because
-   * both send while the older one finishes its requests.
+   * Creates the state of the same server for a router with other settings. Both share the
+   * slow-start budget, because both send while the predecessor completes its requests.
    */
   ServerState successor(boolean sameReports, boolean useRating) {
-    ServerState next = new ServerState(id, slowStartBudget);
-    next.zone = zone;
-    next.cell = cell;
-    next.kind = kind;
-    next.health = health;
-    next.unresponsive = unresponsive;
-    next.removalUnconfirmed = removalUnconfirmed;
-    next.rating = useRating ? rating : 1;
-    next.listedBootTimeNanos = listedBootTimeNanos;
-    next.startedAtNanos = startedAtNanos;
-    next.readmittedAtNanos = readmittedAtNanos;
-    next.excludedAtNanos = excludedAtNanos;
-    next.excluded = excluded;
-    next.connection.copyFrom(connection);
-    next.outlier.copyFrom(outlier);
+    ServerState successor = new ServerState(id, slowStartBudget);
+    successor.zone = zone;
+    successor.cell = cell;
+    successor.kind = kind;
+    successor.health = health;
+    successor.unresponsive = unresponsive;
+    successor.removalUnconfirmed = removalUnconfirmed;
+    successor.rating = useRating ? rating : 1;
+    successor.listedBootTimeNanos = listedBootTimeNanos;
+    successor.startedAtNanos = startedAtNanos;
+    successor.readmittedAtNanos = readmittedAtNanos;
+    successor.excludedAtNanos = excludedAtNanos;
+    successor.excluded = excluded;
+    successor.connection.copyFrom(connection);
+    successor.outlier.copyFrom(outlier);
     if (sameReports) {
-      next.loadReport.copyFrom(loadReport);
+      successor.loadReport.copyFrom(loadReport);
     }
-    return next;
+    return successor;
   }
 
   /**
-   * Takes over what an endpoint list says of it; a start that is new here counts as one at {@code
-   * startNanos}.
+   * Applies an entry of an endpoint list; a new boot time counts as a start at {@code startNanos}.
    */
   void update(Endpoint endpoint, boolean useRating, boolean removalIsAdvisory, long startNanos) {
     if (endpoint.bootTimeNanos() != listedBootTimeNanos) {
@@ -99,8 +96,8 @@
   }
 
   /**
-   * A list leaves it out, or calls it gone. Where removals are advisory, as lists are wrong at
-   * times, a ready server stays in use until an attempt at it ends without a response.
+   * Handles removal from the list. With advisory removal, since lists may be wrong, a ready server
+   * stays in use until an attempt ends without a response.
    */
   void removedFromList(boolean removalIsAdvisory) {
     removalUnconfirmed = removalIsAdvisory && health == EndpointHealth.READY && !unresponsive;
@@ -110,8 +107,8 @@
   }
 
   /**
-   * An operator excludes it, or brings it back. A server that is back counts as started at that
-   * time, unless the list knows a start while it was excluded.
+   * Excludes the server or readmits it. A readmitted server counts as started at that time, unless
+   * the list reports a start while it was excluded.
    */
   void operatorOverride(boolean exclude, long atNanos) {
     if (!exclude && (excluded || !isListed())) {
@@ -125,8 +122,8 @@
   }
 
   /**
-   * An attempt has ended. True if the set of servers in use changes by that: the server's removal
-   * is confirmed now, or nothing more is to be remembered of it.
+   * Records the end of an attempt. Returns whether the set of known servers changes: the server's
+   * removal is confirmed, or its state can be dropped.
    */
   boolean attemptEnded(AttemptOutcome outcome) {
     if (outcome.serverResponded()) {
@@ -142,19 +139,21 @@
     return removalConfirmed || isRemovable();
   }
 
-  /** The server has started afresh: what was learned of it before holds no more. */
+  /** Resets learned state after a restart of the server. */
   private void restarted() {
     outlier.reset();
     connection.clearFailure();
     slowStartBudget.reset();
   }
 
-  /** Since when it warms up, by the list or by an operator who brought it back; 0 for long ago. */
+  /**
+   * Returns when the warm-up started, by the list or by an operator's readmission; 0 for long ago.
+   */
   long warmUpStartNanos() {
     return Math.max(readmittedAtNanos, startedAtNanos);
   }
 
-  /** Whether the two drop each other's repeats of a request with an idempotency key. */
+  /** Whether both servers deduplicate repeats of a request with an idempotency key together. */
   boolean deduplicatesWith(ServerState other, DeduplicationScope scope) {
     return switch (scope) {
       case ALL -> true;
@@ -167,20 +166,17 @@
     return health != EndpointHealth.GONE;
   }
 
-  /** Whether new requests may go to it. */
+  /** Whether the server accepts new requests. */
   boolean isUsable() {
     return health == EndpointHealth.READY && !excluded;
   }
 
-  /**
-   * Whether nothing is to be remembered of it: what an operator excludes stays so when it is listed
-   * again.
-   */
+  /** Whether the state can be dropped; operator overrides outlive removal from the list. */
   boolean isRemovable() {
     return !isListed() && load.inFlight() == 0 && !excluded && readmittedAtNanos == 0;
   }
 
-  /** How a router treats it now; {@code warmingUp} says whether it still warms up. */
+  /** Returns the current status of the server. */
   ServerStatus status(boolean warmingUp) {
     if (!isListed()) {
       return ServerStatus.GONE;
@@ -197,7 +193,10 @@
     return warmingUp ? ServerStatus.WARMING : ServerStatus.ACTIVE;
   }
 
-  /** The one with fewer attempts in flight, the first of two alike; the first may be null. */
+  /**
+   * Returns the server with fewer attempts in flight, the first one on a tie; {@code first} may be
+   * null.
+   */
   static ServerState lessLoaded(ServerState first, ServerState second) {
     boolean secondIsLess = first == null || second.load.inFlight() < first.load.inFlight();
     return secondIsLess ? second : first;
@@ -215,17 +214,17 @@
     return kind;
   }
 
-  /** Its size against others; 1 where ratings are not used. */
+  /** Returns the relative size; 1 if ratings are not used. */
   double rating() {
     return rating;
   }
 
-  /** How many attempts it has responded to. */
+  /** Returns the number of attempts to which the server has responded. */
   long responses() {
     return responses;
   }
 
-  /** What it may get while it warms up; see {@link SlowStart}. */
+  /** Returns the request budget during warm-up; see {@link SlowStart}. */
   TokenBucket slowStartBudget() {
     return slowStartBudget;
   }
--- a/src/main/java/beaconturn/decision/ServerStatus.java
+++ b/src/main/java/beaconturn/decision/ServerStatus.java
@@ -1,17 +1,17 @@
 package beaconturn.decision;
 
-/** How a router treats a server that it knows. */
+/** How a router treats a known server. */
 public enum ServerStatus {
-  /** Gets what the ring gives it. */
+  /** Gets regular requests. */
   ACTIVE,
-  /** Has started a while ago, and gets no more than {@link SlowStart} allows. */
+  /** Started recently and is limited by {@link SlowStart}. */
   WARMING,
-  /** Draining by the endpoint list: gets no new requests. */
+  /** Draining according to the endpoint list; gets no new requests. */
   DRAINING,
-  /** Not listed any more. */
+  /** No longer listed. */
   GONE,
-  /** Excluded by an operator, or by what all routers have agreed on. */
+  /** Excluded by an operator or by a configuration that all routers have agreed on. */
   EXCLUDED,
-  /** Passed over but for trials; see {@link OutlierDetector}. */
+  /** Gets trial requests only; see {@link OutlierDetector}. */
   EJECTED
 }
--- a/src/main/java/beaconturn/decision/SlowStart.java
+++ b/src/main/java/beaconturn/decision/SlowStart.java
@@ -3,20 +3,20 @@
 import java.util.SplittableRandom;
 
 /**
- * Slow start: a cache that has just started, or that an operator has brought back, gets no more
- * than its guaranteed share of what caches can carry, rising evenly until it is warmed up.
+ * Slow start: a cache that has just started, or was readmitted by an operator, gets at most its
+ * guaranteed share of a cache's capacity, which rises linearly until it is warmed up.
  */
 final class SlowStart {
   /**
-   * Part of the overload multiple that is spent on a cache that warms up; the rest is for chance
-   * and for heavy requests.
+   * Fraction of the overload multiple that is given to a warming cache; the rest is a margin for
+   * variance and expensive requests.
    */
   private static final double BUDGET_SHARE = 0.8;
 
-  /** A budget's burst, as a part of what comes in within the time of an overload. */
+  /** Burst of a budget, as a fraction of the tokens earned within the duration of an overload. */
   private static final double BURST_OVERLOAD_SHARE = 1.0 / 4;
 
-  /** Rates are measured over this part of the time of warming up. */
+  /** Window of rate measurements, as a fraction of the warm-up time. */
   private static final double RATE_WINDOW_SHARE = 1.0 / 4;
 
   private final SafetyLimits limits;
@@ -33,53 +33,54 @@
     this.responseRate = new EventRate(rateWindowNanos(limits));
   }
 
-  /** Over how long rates of requests and responseRate are measured, in nanoseconds. */
+  /** Returns the window over which request and response rates are measured, in nanoseconds. */
   static double rateWindowNanos(SafetyLimits limits) {
     return limits.warmUpNanos() * RATE_WINDOW_SHARE;
   }
 
-  /** Begins with rates of responseRate that another router has counted. */
+  /** Starts from the response rates counted by another router. */
   void warmStart(double responsesPerNano, double peakPerNano) {
     responseRate.warmStart(responsesPerNano, peakPerNano, clock.nowNanos());
   }
 
-  /** A cache has answered: what caches answer at the peak is what they can carry. */
+  /** Counts a response; the peak rate of responses indicates the capacity of the caches. */
   void cacheResponded() {
     responseRate.count(clock.nowNanos());
   }
 
-  /** Answers of all caches to this router, in responseRate a nanosecond. */
+  /** Returns the rate of responses of all caches to this router, per nanosecond. */
   double responsesPerNano() {
     return responseRate.perNano(clock.nowNanos());
   }
 
-  /** The recent peak of the same. */
+  /** Returns the recent peak of the response rate, per nanosecond. */
   double peakResponsesPerNano() {
     return responseRate.peakPerNano(clock.nowNanos());
   }
 
-  /** Whether a server still warms up. */
+  /** Whether the server is still warming up. */
   boolean isWarmingUp(ServerState server) {
     return guaranteedShare(server) < 1;
   }
 
-  /** Part of its capacity that a server has for certain: an even rise from the first share to 1. */
+  /** Returns the share of its capacity that a server certainly has, rising linearly to 1. */
   private double guaranteedShare(ServerState server) {
     long sinceNanos = server.warmUpStartNanos();
     if (sinceNanos == 0) {
       return 1;
     }
-    double age = Math.max(0, clock.nowNanos() - sinceNanos) / (double) limits.warmUpNanos();
-    if (age >= 1) {
+    double warmUpProgress = Math.max(0, clock.nowNanos() - sinceNanos) / (double) limits.warmUpNanos();
+    if (warmUpProgress >= 1) {
       return 1;
     }
-    return limits.coldCapacityShare() + (1 - limits.coldCapacityShare()) * age;
+    return limits.coldCapacityShare() + (1 - limits.coldCapacityShare()) * warmUpProgress;
   }
 
   /**
-   * Whether a request may go to the server. Each router holds one that warms up to its own mean
-   * rate at a cache, times the guaranteed share, times a part of the overload multiple, so that all
-   * routers together keep to the limit. The first call for a start draws.
+   * Whether the server's budget allows a request. Each router limits a warming server to the
+   * router's own mean rate per cache, times the guaranteed share, times a fraction of the overload
+   * multiple, so that all routers together respect the limit. Draws from the random source at the
+   * first call after a start.
    */
   boolean hasBudget(ServerState server) {
     double share = guaranteedShare(server);
@@ -93,7 +94,7 @@
     return server.slowStartBudget().hasToken();
   }
 
-  /** An attempt is sent to the server. */
+  /** Spends one request of the server's budget. */
   void spend(ServerState server) {
     server.slowStartBudget().take();
   }
--- a/src/main/java/beaconturn/decision/Tenant.java
+++ b/src/main/java/beaconturn/decision/Tenant.java
@@ -3,7 +3,7 @@
 /**
  * One customer.
  *
- * @param quotaPerSecond requests a second over all routers; 0 for no quota
- * @param share its usual part of all requests, 0 to 1
+ * @param quotaPerSecond requests per second over all routers; 0 for no quota
+ * @param share expected fraction of all requests, 0 to 1
  */
 public record Tenant(double quotaPerSecond, double share) {}
--- a/src/main/java/beaconturn/decision/TimerToken.java
+++ b/src/main/java/beaconturn/decision/TimerToken.java
@@ -1,12 +1,12 @@
 package beaconturn.decision;
 
 /**
- * What a timer was set for, as the token that comes back when it fires: the kind in the low 2 bits,
- * above it 6 bits for the number of an attempt, above these the id of the request.
+ * Purpose of a timer, encoded as the token that returns when it fires: the kind in the low 2 bits,
+ * then 6 bits for the attempt index, then the request id.
  *
- * @param kind what is due
+ * @param kind what the timer is for
  * @param requestId the request; 0 for timers of the router itself
- * @param attempt the number of the attempt; 0 for timers of the whole request
+ * @param attempt index of the attempt; 0 for timers of the whole request
  */
 record TimerToken(TimerKind kind, long requestId, int attempt) {
   private static final int KIND_BITS = 2;
@@ -15,15 +15,15 @@
   private static final long KIND_MASK = (1 << KIND_BITS) - 1;
   private static final long ATTEMPT_MASK = (1 << ATTEMPT_BITS) - 1;
 
-  /** What is due when a timer fires. */
+  /** What a timer is for. */
   enum TimerKind {
-    /** The attempt counts as late, if it is still open. */
+    /** The attempt is late if it is still open. */
     ATTEMPT_LATE(0),
-    /** The request has been queued as long as it may. */
+    /** The request has reached its maximum time in the queue. */
     QUEUE_TIMEOUT(1),
-    /** The endpoint list is asked for again. */
+    /** The endpoint list is requested again. */
     RESUBSCRIBE(2),
-    /** No timer of this router. */
+    /** Not a timer of this router. */
     UNKNOWN(3);
 
     private final int code;
--- a/src/main/java/beaconturn/decision/TokenBucket.java
+++ b/src/main/java/beaconturn/decision/TokenBucket.java
@@ -3,36 +3,39 @@
 import java.util.SplittableRandom;
 
 /**
- * A token bucket whose rate and burst are given at each refill. A new bucket starts with a random
- * part of one token: whole first tokens of hundreds of routers would all be spent at once.
+ * Token bucket whose rate and burst are given at each refill. A new bucket starts with a random
+ * fraction of one token: with a whole token each, hundreds of routers would spend them all at once.
  */
 final class TokenBucket {
   private double tokens;
-  private boolean started;
-  private long filledAtNanos;
+  private boolean initialized;
+  private long refilledAtNanos;
 
-  /** Adds what has come in since the last refill, up to the burst; the first one draws. */
+  /**
+   * Adds the tokens earned since the last refill, up to the burst. Draws from the random source at
+   * the first refill.
+   */
   void refill(long nowNanos, double tokensPerNano, double burstTokens, SplittableRandom random) {
-    if (started) {
-      tokens = Math.min(burstTokens, tokens + tokensPerNano * (nowNanos - filledAtNanos));
+    if (initialized) {
+      tokens = Math.min(burstTokens, tokens + tokensPerNano * (nowNanos - refilledAtNanos));
     } else {
       tokens = random.nextDouble();
     }
-    started = true;
-    filledAtNanos = nowNanos;
+    initialized = true;
+    refilledAtNanos = nowNanos;
   }
 
   boolean hasToken() {
     return tokens >= 1;
   }
 
-  /** Takes a token whether or not there is one: the balance may become negative. */
+  /** Takes a token even if there is none; the balance may become negative. */
   void take() {
     tokens--;
   }
 
-  /** Makes it a new bucket again. */
+  /** Resets the bucket to its initial state. */
   void reset() {
-    started = false;
+    initialized = false;
   }
 }
--- a/src/main/java/beaconturn/decision/WarmStartState.java
+++ b/src/main/java/beaconturn/decision/WarmStartState.java
@@ -3,12 +3,11 @@
 import java.util.stream.DoubleStream;
 
 /**
- * The few figures with which a router that follows another begins. The settings that they are
- * compared with are the follower's own.
+ * Learned state with which the successor of a router starts.
  *
- * @param responsesPerNano rate of answers of caches
- * @param peakResponsesPerNano its recent peak
- * @param responseTimeNanos mean time of answers
+ * @param responsesPerNano response rate of all caches
+ * @param peakResponsesPerNano recent peak of the response rate
+ * @param responseTimeNanos mean response time of caches
  * @param fetchTimeNanos mean time of fetches from the origin
  * @param cacheLimit limit on attempts in flight at caches
  * @param originLimit limit on fetches in flight
@@ -20,7 +19,7 @@
     double fetchTimeNanos,
     double cacheLimit,
     double originLimit) {
-  /** Whether they can be figures of a router at all. */
+  /** Whether all values are within their possible ranges. */
   public boolean isValid() {
     return DoubleStream.of(
                 responsesPerNano,
--- a/src/main/java/beaconturn/decision/ZoneWeights.java
+++ b/src/main/java/beaconturn/decision/ZoneWeights.java
@@ -4,32 +4,35 @@
 import java.util.function.IntFunction;
 
 /**
- * How the keys are divided among zones, by the hash of the key. Each weight is a number of {@link
- * #TOTAL_WEIGHT} parts of all keys; keys beyond the sum of the weights are sent nowhere.
+ * Division of keys among zones, by the hash of the key. Each weight is in units of {@link
+ * #TOTAL_WEIGHT} for all keys; keys beyond the sum of the weights are not sent to any zone.
  *
- * <p>A key that finds no server in its zone goes to the router's own zone, and to the others in use
- * only if {@code overflow} allows it or its zone has no more than a trial weight.
+ * <p>If a key's zone has no eligible server, the router's own zone takes it, and other zones in use
+ * take it only if {@code overflow} is set or the key's zone has at most a trial weight.
  *
- * @param zones indexes of zones, the router's own first
- * @param weights the weight of each zone, in the same order
- * @param overflow whether any zone in use may take keys that find no server in theirs
+ * @param zones zone indexes, the router's own first
+ * @param weights weight of each zone, in the same order
+ * @param overflow whether any zone in use may take keys whose zone has no eligible server
  */
 public record ZoneWeights(List<Integer> zones, List<Integer> weights, boolean overflow) {
-  /** The weight of all keys. */
+  /** Weight of all keys. */
   public static final int TOTAL_WEIGHT = 1000;
 
   /**
-   * The largest weight that counts as a trial: requests that must not be repeated are sent by it
-   * only if there is no other way.
+   * Largest weight of a trial zone; requests that must not be repeated are sent there only as a
+   * last resort.
    */
   public static final int MAX_TRIAL_WEIGHT = 50;
 
-  /** Any zone, by the ring alone. */
+  /** No weights: all zones are used according to the ring alone. */
   public static final ZoneWeights UNWEIGHTED = new ZoneWeights(List.of(), List.of(), true);
 
   private static final int ANY_ZONE = -1;
 
-  /** How many of the servers get more than trials; at least one where zones are weighted. */
+  /**
+   * Returns the number of servers in zones above a trial weight; at least one if zones are
+   * weighted.
+   */
   int serversInUse(List<ServerState> servers) {
     if (zones.isEmpty()) {
       return servers.size();
@@ -43,21 +46,21 @@
     return Math.max(1, count);
   }
 
-  /** Whether more than trials go to the zone. */
+  /** Whether the zone has more than a trial weight. */
   boolean isInUse(int zone) {
-    return zones.isEmpty() || (zones.contains(zone) && isMoreThanTrial(zones.indexOf(zone)));
+    return zones.isEmpty() || (zones.contains(zone) && exceedsTrialWeight(zones.indexOf(zone)));
   }
 
-  private boolean isMoreThanTrial(int index) {
+  private boolean exceedsTrialWeight(int index) {
     return weights.get(index) > MAX_TRIAL_WEIGHT;
   }
 
   /**
-   * What the finder finds in the zone that the hash belongs to, or else in another zone that may
-   * take its keys; null if none. The finder is asked for one zone after the other, or once for zone
-   * -1, which stands for all of them.
+   * Returns the first result of the finder, asked for the zone of the hash and then for the other
+   * zones that may take its keys; null if there is none. Without weights, the finder is asked once
+   * for zone -1, which stands for all zones.
    *
-   * @param trialAllowed whether what is looked for may go where it might fail
+   * @param trialAllowed whether the request may be sent where it is likely to fail
    */
   <T> T findFirst(long hash, boolean trialAllowed, IntFunction<T> finder) {
     if (zones.isEmpty()) {
@@ -67,23 +70,23 @@
     if (chosen == weights.size()) {
       return null;
     }
-    boolean trial = !isMoreThanTrial(chosen);
-    boolean asLastResort = trial && !trialAllowed;
-    T found = asLastResort ? null : finder.apply(zones.get(chosen));
+    boolean trialZone = !exceedsTrialWeight(chosen);
+    boolean onlyAsLastResort = trialZone && !trialAllowed;
+    T found = onlyAsLastResort ? null : finder.apply(zones.get(chosen));
     for (int i = 0; found == null && i < weights.size(); i++) {
-      if (i != chosen && isMoreThanTrial(i) && (i == 0 || overflow || trial)) {
+      if (i != chosen && exceedsTrialWeight(i) && (i == 0 || overflow || trialZone)) {
         found = finder.apply(zones.get(i));
       }
     }
-    return found == null && asLastResort ? finder.apply(zones.get(chosen)) : found;
+    return found == null && onlyAsLastResort ? finder.apply(zones.get(chosen)) : found;
   }
 
-  /** The zone whose part of the keys the hash is in; the number of zones for none. */
+  /** Returns the index of the zone that the hash belongs to; the number of zones for none. */
   private int indexFor(long hash) {
-    int part = (int) Long.remainderUnsigned(KeyHash.mix(~hash), TOTAL_WEIGHT);
+    int keyShare = (int) Long.remainderUnsigned(KeyHash.mix(~hash), TOTAL_WEIGHT);
     int index = 0;
-    while (index < weights.size() && part >= weights.get(index)) {
-      part -= weights.get(index);
+    while (index < weights.size() && keyShare >= weights.get(index)) {
+      keyShare -= weights.get(index);
       index++;
     }
     return index;
--- a/src/main/java/beaconturn/sim/ActionCode.java
+++ b/src/main/java/beaconturn/sim/ActionCode.java
@@ -1,6 +1,6 @@
 package beaconturn.sim;
 
-/** The codes of records that the simulator receives; the first byte of each. */
+/** Codes of the records sent to the simulator, the first byte of each. */
 final class ActionCode {
   static final int WATCH_ENDPOINTS = 1;
   static final int PROBE = 2;
@@ -14,10 +14,10 @@
   static final int SEND = 10;
   static final int FAIL = 11;
 
-  /** The records that follow are of the instance named here. */
+  /** Names the instance whose actions follow. */
   static final int INSTANCE_SELECTED = 12;
 
-  /** The instance's decisions have failed. */
+  /** Reports that the routing policy of the instance failed. */
   static final int FAULT = 13;
 
   private ActionCode() {}
--- a/src/main/java/beaconturn/sim/ActionWriter.java
+++ b/src/main/java/beaconturn/sim/ActionWriter.java
@@ -8,19 +8,19 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Writes the actions of one reply as records of the simulator's wire; each run of actions is headed
- * by the instance that takes them.
+ * Encodes the actions of one reply in the simulator's wire format. Consecutive actions of an
+ * instance follow one record that names it.
  */
 final class ActionWriter {
   private static final int INITIAL_CAPACITY_BYTES = 1 << 16;
 
-  /** The number of records and the number of bytes that follow, 4 bytes each. */
+  /** Number of records and number of record bytes, 4 bytes each. */
   private static final int HEADER_BYTES = 8;
 
   private static final int HEADER_RECORDS_OFFSET = 0;
   private static final int HEADER_LENGTH_OFFSET = 4;
 
-  /** An instance record and the code of the next record. */
+  /** A record that names an instance, and the code of the next record. */
   private static final int RECORD_START_BYTES = 6;
 
   private static final int REQUEST_BYTES = 4;
@@ -30,8 +30,8 @@
   private static final int TOKEN_BYTES = 8;
   private static final int PEER_BYTES = 2;
   private static final int LENGTH_BYTES = 2;
-  private static final int LONGEST_TEXT_BYTES = 400;
-  private static final int EVERY_PEER = 0xffff;
+  private static final int MAX_TEXT_BYTES = 400;
+  private static final int ALL_PEERS = 0xffff;
   private static final int NO_INSTANCE = -1;
 
   private ByteBuffer out = WireFields.littleEndian(new byte[INITIAL_CAPACITY_BYTES]);
@@ -46,7 +46,7 @@
     currentInstance = NO_INSTANCE;
   }
 
-  /** Completes the reply's header and writes it out. */
+  /** Completes the header and writes the reply. */
   void finish(OutputStream to) throws IOException {
     out.putInt(HEADER_RECORDS_OFFSET, records);
     out.putInt(HEADER_LENGTH_OFFSET, out.position() - HEADER_BYTES);
@@ -54,14 +54,14 @@
     to.flush();
   }
 
-  /** The actions of one instance. */
+  /** Returns a receiver for the actions of one instance. */
   RoutingActions actionsOf(int instance) {
     return new InstanceActions(instance);
   }
 
-  /** Reports that the instance's decisions failed. */
+  /** Reports that the routing policy of the instance failed. */
   void fault(int instance, String text) {
-    startRecord(instance, ActionCode.FAULT, LENGTH_BYTES + LONGEST_TEXT_BYTES);
+    startRecord(instance, ActionCode.FAULT, LENGTH_BYTES + MAX_TEXT_BYTES);
     putText(text);
   }
 
@@ -88,7 +88,7 @@
 
   private void putText(String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    int length = Math.min(bytes.length, LONGEST_TEXT_BYTES);
+    int length = Math.min(bytes.length, MAX_TEXT_BYTES);
     out.putShort((short) length).put(bytes, 0, length);
   }
 
@@ -99,75 +99,75 @@
       this.instance = instance;
     }
 
-    private ByteBuffer start(int code, int bodyBytes) {
+    private ByteBuffer startAction(int code, int bodyBytes) {
       startRecord(instance, code, bodyBytes);
       return out;
     }
 
     @Override
     public void send(long requestId, long serverId, long timeoutNanos) {
-      start(ActionCode.SEND, REQUEST_BYTES + SERVER_BYTES + TIME_BYTES).putInt((int) requestId);
+      startAction(ActionCode.SEND, REQUEST_BYTES + SERVER_BYTES + TIME_BYTES).putInt((int) requestId);
       WireFields.putServerId(out, serverId);
       out.putLong(timeoutNanos);
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-      start(ActionCode.CANCEL, REQUEST_BYTES + ATTEMPT_BYTES)
+      startAction(ActionCode.CANCEL, REQUEST_BYTES + ATTEMPT_BYTES)
           .putInt((int) requestId)
           .putShort((short) attempt);
     }
 
     @Override
     public void reject(long requestId, long retryAfterNanos, GiveUpReason reason) {
-      start(ActionCode.REJECT, REQUEST_BYTES + TIME_BYTES)
+      startAction(ActionCode.REJECT, REQUEST_BYTES + TIME_BYTES)
           .putInt((int) requestId)
           .putLong(retryAfterNanos);
     }
 
     @Override
     public void fail(long requestId, GiveUpReason reason) {
-      start(ActionCode.FAIL, REQUEST_BYTES).putInt((int) requestId);
+      startAction(ActionCode.FAIL, REQUEST_BYTES).putInt((int) requestId);
     }
 
     @Override
     public void setTimer(long delayNanos, long token) {
-      start(ActionCode.SET_TIMER, TIME_BYTES + TOKEN_BYTES).putLong(delayNanos).putLong(token);
+      startAction(ActionCode.SET_TIMER, TIME_BYTES + TOKEN_BYTES).putLong(delayNanos).putLong(token);
     }
 
     @Override
     public void watchEndpoints(boolean on) {
-      start(ActionCode.WATCH_ENDPOINTS, 1).put((byte) (on ? 1 : 0));
+      startAction(ActionCode.WATCH_ENDPOINTS, 1).put((byte) (on ? 1 : 0));
     }
 
     @Override
     public void fetchEndpoints() {
-      start(ActionCode.FETCH_ENDPOINTS, 0);
+      startAction(ActionCode.FETCH_ENDPOINTS, 0);
     }
 
     @Override
     public void probe(long serverId) {
-      start(ActionCode.PROBE, SERVER_BYTES);
+      startAction(ActionCode.PROBE, SERVER_BYTES);
       WireFields.putServerId(out, serverId);
     }
 
     @Override
     public void sendToPeer(int peer, byte[] body) {
-      start(ActionCode.PEER_MESSAGE, PEER_BYTES + LENGTH_BYTES + body.length)
-          .putShort((short) (peer < 0 ? EVERY_PEER : peer))
+      startAction(ActionCode.PEER_MESSAGE, PEER_BYTES + LENGTH_BYTES + body.length)
+          .putShort((short) (peer < 0 ? ALL_PEERS : peer))
           .putShort((short) body.length)
           .put(body);
     }
 
     @Override
     public void closeIdleConnections(long serverId) {
-      start(ActionCode.CLOSE_IDLE, SERVER_BYTES);
+      startAction(ActionCode.CLOSE_IDLE, SERVER_BYTES);
       WireFields.putServerId(out, serverId);
     }
 
     @Override
     public void log(String text) {
-      start(ActionCode.LOG, LENGTH_BYTES + LONGEST_TEXT_BYTES);
+      startAction(ActionCode.LOG, LENGTH_BYTES + MAX_TEXT_BYTES);
       putText(text);
     }
   }
--- a/src/main/java/beaconturn/sim/EventCode.java
+++ b/src/main/java/beaconturn/sim/EventCode.java
@@ -1,6 +1,6 @@
 package beaconturn.sim;
 
-/** The codes of records that the simulator sends; the first byte of each. */
+/** Codes of the records received from the simulator, the first byte of each. */
 final class EventCode {
   static final int INSTANCE_STARTED = 1;
   static final int ENDPOINTS_UPDATED = 2;
@@ -13,7 +13,7 @@
   static final int PEER_MESSAGE = 9;
   static final int INSTANCE_STOPPED = 10;
 
-  /** The records that follow are for the instance named here. */
+  /** Names the instance that receives the following records. */
   static final int INSTANCE_SELECTED = 11;
 
   private EventCode() {}
--- a/src/main/java/beaconturn/sim/InstanceStart.java
+++ b/src/main/java/beaconturn/sim/InstanceStart.java
@@ -9,13 +9,12 @@
 import java.util.Map;
 
 /**
- * How an instance starts.
+ * Parameters with which an instance starts.
  *
- * @param seed the seed of its random draws
- * @param settings its settings
+ * @param seed seed of the random source
  */
 record InstanceStart(long seed, RoutingSettings settings) {
-  /** Reads a record: the seed, then the settings as lines {@code key=value}. */
+  /** Reads the seed and the settings, which are lines {@code key=value}. */
   static InstanceStart read(ByteBuffer in) throws SimulatorProtocolException {
     long seed = in.getLong();
     byte[] text = WireFields.bytes(in, in.getInt());
--- a/src/main/java/beaconturn/sim/SimulatorCodec.java
+++ b/src/main/java/beaconturn/sim/SimulatorCodec.java
@@ -11,14 +11,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * Reads the simulator's records as events of the routing policy, and maps the wire's codes to the
- * values that they stand for.
- */
+/** Decodes the simulator's records into events of the routing policy. */
 final class SimulatorCodec {
   private static final int ENDPOINT_BYTES = 23;
 
-  /** Options of an arrival, one bit each. */
+  /** Bits of the options field of a request. */
   private static final int WORK_HINT_VALID = 1;
 
   private static final int CLIENT_RETRY = 2;
@@ -51,7 +48,7 @@
 
   private SimulatorCodec() {}
 
-  /** Reads what follows the code of an event for a running instance. */
+  /** Decodes the body of an event for a running instance. */
   static RoutingEvent event(int code, ByteBuffer in, RoutingSettings settings)
       throws SimulatorProtocolException {
     return switch (code) {
@@ -63,7 +60,7 @@
           new RoutingEvent.RequestCancelled(WireFields.requestId(in));
       case EventCode.TIMER_FIRED -> new RoutingEvent.TimerFired(in.getLong());
       case EventCode.PROBE_COMPLETED -> probeCompleted(in);
-      case EventCode.PEER_MESSAGE -> peerMessage(in);
+      case EventCode.PEER_MESSAGE -> peerMessageReceived(in);
       default -> throw new SimulatorProtocolException("unknown event code " + code);
     };
   }
@@ -71,11 +68,11 @@
   private static RoutingEvent.EndpointsUpdated endpointsUpdated(ByteBuffer in)
       throws SimulatorProtocolException {
     long version = in.getLong();
-    EndpointListKind kind = byCode(LIST_KINDS_BY_CODE, in, "list mode");
+    EndpointListKind kind = byCode(LIST_KINDS_BY_CODE, in, "endpoint list kind");
     int count = in.getInt();
     if (count < 0 || count > in.remaining() / ENDPOINT_BYTES) {
       throw new SimulatorProtocolException(
-          "server list of " + count + " entries does not fit its batch");
+          "endpoint list of " + count + " entries exceeds the rest of its batch");
     }
     List<Endpoint> endpoints = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
@@ -137,8 +134,8 @@
     long elapsedNanos = in.getLong();
     boolean requestClosed = WireFields.unsignedByte(in) != 0;
     long serverId = WireFields.serverId(in);
-    AttemptOutcome outcome = byCode(OUTCOMES_BY_CODE, in, "attempt state");
-    CacheStatus cacheStatus = byCode(CACHE_STATUSES_BY_CODE, in, "remark");
+    AttemptOutcome outcome = byCode(OUTCOMES_BY_CODE, in, "attempt outcome");
+    CacheStatus cacheStatus = byCode(CACHE_STATUSES_BY_CODE, in, "cache status");
     int attempt = WireFields.unsignedShort(in);
     float[] loadReport = WireFields.loadReport(in);
     return new RoutingEvent.AttemptClosed(
@@ -155,24 +152,24 @@
   private static RoutingEvent.ProbeCompleted probeCompleted(ByteBuffer in)
       throws SimulatorProtocolException {
     long serverId = WireFields.serverId(in);
-    AttemptOutcome outcome = byCode(OUTCOMES_BY_CODE, in, "probe state");
+    AttemptOutcome outcome = byCode(OUTCOMES_BY_CODE, in, "probe outcome");
     long elapsedNanos = in.getLong();
     float[] loadReport = WireFields.loadReport(in);
     return new RoutingEvent.ProbeCompleted(serverId, outcome, elapsedNanos, loadReport);
   }
 
-  private static RoutingEvent.PeerMessageReceived peerMessage(ByteBuffer in) {
+  private static RoutingEvent.PeerMessageReceived peerMessageReceived(ByteBuffer in) {
     int from = WireFields.unsignedShort(in);
     int length = WireFields.unsignedShort(in);
     return new RoutingEvent.PeerMessageReceived(from, WireFields.bytes(in, length));
   }
 
-  /** Reads a code of one byte; {@code what} names the field in the error. */
-  private static <T> T byCode(List<T> values, ByteBuffer in, String what)
+  /** Reads a one-byte code; {@code fieldName} names the field in the error. */
+  private static <T> T byCode(List<T> values, ByteBuffer in, String fieldName)
       throws SimulatorProtocolException {
     int code = WireFields.unsignedByte(in);
     if (code >= values.size()) {
-      throw new SimulatorProtocolException("unknown " + what + " " + code);
+      throw new SimulatorProtocolException("unknown " + fieldName + " " + code);
     }
     return values.get(code);
   }
--- a/src/main/java/beaconturn/sim/SimulatorHost.java
+++ b/src/main/java/beaconturn/sim/SimulatorHost.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 
 /**
- * Hosts the routing policies of many simulated routers: reads batches of events, hands each event
- * to its instance, and answers every batch with one reply. One thread calls.
+ * Hosts the routing policies of many simulated routers: reads batches of events, delivers each
+ * event to its instance, and writes one reply per batch. Not thread-safe.
  */
 public final class SimulatorHost {
-  /** The time, the length of the records in bytes, and their number. */
+  /** Time, length of the records in bytes, and number of records. */
   private static final int HEADER_BYTES = 16;
 
   private static final int HEADER_TIME_OFFSET = 0;
@@ -35,10 +35,10 @@
   private byte[] body = new byte[INITIAL_CAPACITY_BYTES];
   private long batches;
 
-  /** One simulated router and the settings that it was started with. */
+  /** One simulated router with its settings. */
   private record Instance(RoutingSettings settings, RoutingPolicy policy) {}
 
-  /** A host on the given streams. */
+  /** Creates a host that reads events from {@code in} and writes replies to {@code out}. */
   public SimulatorHost(InputStream in, OutputStream out) {
     this.in = in;
     this.out = out;
@@ -47,7 +47,7 @@
   /**
    * Serves until the input ends between two batches.
    *
-   * @throws SimulatorProtocolException if the input does not follow the wire
+   * @throws SimulatorProtocolException if the input is malformed
    */
   public void run() throws IOException, SimulatorProtocolException {
     while (readBatch()) {
@@ -62,16 +62,16 @@
   }
 
   private boolean readBatch() throws IOException, SimulatorProtocolException {
-    int read = in.readNBytes(headerBytes, 0, HEADER_BYTES);
-    if (read == 0) {
+    int bytesRead = in.readNBytes(headerBytes, 0, HEADER_BYTES);
+    if (bytesRead == 0) {
       return false;
     }
     int length = header.getInt(HEADER_LENGTH_OFFSET);
-    if (read < HEADER_BYTES) {
+    if (bytesRead < HEADER_BYTES) {
       throw new SimulatorProtocolException("batch " + batches + ": input ends inside the header");
     }
     if (length < 0) {
-      throw new SimulatorProtocolException("batch " + batches + ": unreadable length " + length);
+      throw new SimulatorProtocolException("batch " + batches + ": invalid length of records: " + length);
     }
     if (length > body.length) {
       body = new byte[length + length / 2];
@@ -108,39 +108,39 @@
     }
   }
 
-  private SimulatorProtocolException malformed(int position, String what) {
-    return new SimulatorProtocolException("batch " + batches + ", byte " + position + ": " + what);
+  private SimulatorProtocolException malformed(int position, String problem) {
+    return new SimulatorProtocolException("batch " + batches + ", byte " + position + ": " + problem);
   }
 
-  private void handleRecord(long nowNanos, int id, int code, ByteBuffer records)
+  private void handleRecord(long nowNanos, int instanceId, int code, ByteBuffer records)
       throws SimulatorProtocolException {
     if (code == EventCode.INSTANCE_STARTED) {
       InstanceStart start = InstanceStart.read(records);
       RoutingPolicy policy =
-          new RingRouter(start.settings(), start.seed(), nowNanos, reply.actionsOf(id));
-      instances.put(id, new Instance(start.settings(), policy));
+          new RingRouter(start.settings(), start.seed(), nowNanos, reply.actionsOf(instanceId));
+      instances.put(instanceId, new Instance(start.settings(), policy));
       return;
     }
-    Instance instance = instances.get(id);
+    Instance instance = instances.get(instanceId);
     if (instance == null) {
       throw new SimulatorProtocolException(
-          "event " + code + " for instance " + id + ", which is not up");
+          "event " + code + " for instance " + instanceId + ", which is not running");
     }
     if (code == EventCode.INSTANCE_STOPPED) {
-      instances.remove(id);
+      instances.remove(instanceId);
       return;
     }
-    deliver(nowNanos, id, instance, SimulatorCodec.event(code, records, instance.settings()));
+    deliver(nowNanos, instanceId, instance, SimulatorCodec.event(code, records, instance.settings()));
   }
 
-  /** What fails in the policy ends one instance's event and not the host. */
-  private void deliver(long nowNanos, int id, Instance instance, RoutingEvent event) {
+  /** Confines an exception of the routing policy to the instance and event that caused it. */
+  private void deliver(long nowNanos, int instanceId, Instance instance, RoutingEvent event) {
     try {
       instance.policy().handle(nowNanos, event);
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
       String origin = trace.length > 0 ? " at " + trace[0] : "";
-      reply.fault(id, "decision module: " + e + origin);
+      reply.fault(instanceId, "decision module: " + e + origin);
     }
   }
 }
--- a/src/main/java/beaconturn/sim/SimulatorProtocolException.java
+++ b/src/main/java/beaconturn/sim/SimulatorProtocolException.java
@@ -1,10 +1,10 @@
 package beaconturn.sim;
 
-/** Input that does not follow the wire; the message says what is wrong and where. */
+/** Malformed input from the simulator; the message says what is wrong and where. */
 public final class SimulatorProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Makes an exception with one plain line. */
+  /** Creates an exception with a one-line message. */
   public SimulatorProtocolException(String message) {
     super(message);
   }
--- a/src/main/java/beaconturn/sim/WireFields.java
+++ b/src/main/java/beaconturn/sim/WireFields.java
@@ -4,7 +4,9 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 
-/** Fields of the simulator's wire: all numbers little-endian, all counts unsigned. */
+/**
+ * Reads and writes fields of the simulator's wire format: little-endian numbers, unsigned counts.
+ */
 final class WireFields {
   private static final int BYTE_MASK = 0xff;
   private static final int SHORT_MASK = 0xffff;
@@ -31,8 +33,8 @@
   }
 
   /**
-   * Four address bytes, first byte first, then the port: packed so that {@link #putServerId} can
-   * undo it.
+   * Reads a server id: four address bytes in network order, then the port. {@link #putServerId} is
+   * the inverse.
    */
   static long serverId(ByteBuffer in) {
     long address = Integer.reverseBytes(in.getInt()) & INT_MASK;
@@ -44,7 +46,11 @@
     out.putShort((short) serverId);
   }
 
-  /** So many bytes; throws {@link BufferUnderflowException} where there are fewer. */
+  /**
+   * Reads {@code count} bytes.
+   *
+   * @throws BufferUnderflowException if fewer bytes remain
+   */
   static byte[] bytes(ByteBuffer in, int count) {
     if (count < 0 || count > in.remaining()) {
       throw new BufferUnderflowException();
@@ -54,7 +60,7 @@
     return bytes;
   }
 
-  /** A load report: the number of its figures, then each. */
+  /** Reads a load report: the number of values, then each value. */
   static float[] loadReport(ByteBuffer in) {
     int count = unsignedByte(in);
     if (count == 0) {
--- a/src/main/java/beaconturn/sim/package-info.java
+++ b/src/main/java/beaconturn/sim/package-info.java
@@ -1,2 +1,2 @@
-/** The adapter that hosts routing policies on the simulator's wire; it decides nothing. */
+/** Adapter that hosts routing policies for the simulator; makes no decisions itself. */
 package beaconturn.sim;
