--- a/src/test/java/beaconturn/decision/AdmissionControllerTest.java
+++ b/src/test/java/beaconturn/decision/AdmissionControllerTest.java
@@ -1,8 +1,8 @@
 package beaconturn.decision;
 
-import static beaconturn.decision.Harness.MS;
-import static beaconturn.decision.Harness.READ;
-import static beaconturn.decision.Harness.SECOND;
+import static beaconturn.decision.RouterHarness.MS;
+import static beaconturn.decision.RouterHarness.READ;
+import static beaconturn.decision.RouterHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,109 +11,108 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When a request is rejected, and how limits on attempts in flight are learned. */
+/** Tests admission of requests and adaptation of the concurrency limits. */
 class AdmissionControllerTest {
   @Test
-  void requestsBeyondQuotaAreShedFirstThoughLimitsAreBelowOne() {
-    Harness h =
-        new Harness(
-            Harness.settings(false, 400, List.of(new Tenant(40, 0.5), new Tenant(400, 0.5))));
-    h.caches(6);
-    int[] refused = new int[2];
+  void requestsOverQuotaAreShedFirstAtLimitsBelowOne() {
+    RouterHarness harness =
+        new RouterHarness(
+            RouterHarness.settings(false, 400, List.of(new Tenant(40, 0.5), new Tenant(400, 0.5))));
+    harness.addCaches(6);
+    int[] rejected = new int[2];
     for (int i = 0; i < 600; i++) {
-      h.now += 100 * MS;
+      harness.nowNanos += 100 * MS;
       int tenant = i % 4 == 0 ? 1 : 0;
-      int before = h.refused.size();
-      h.router.handle(
-          h.now, new RoutingEvent.RequestArrived(i, tenant, 0, i, READ, SECOND, false, false, 0));
-      refused[tenant] += h.refused.size() - before;
-      if (h.refused.size() == before) {
-        h.hit(400 * MS);
+      int before = harness.rejected.size();
+      harness.router.handle(
+          harness.nowNanos, new RoutingEvent.RequestArrived(i, tenant, 0, i, READ, SECOND, false, false, 0));
+      rejected[tenant] += harness.rejected.size() - before;
+      if (harness.rejected.size() == before) {
+        harness.respondFromCache(400 * MS);
       }
     }
-    assertEquals(0, refused[1]);
-    assertTrue(refused[0] > 200, "refused beyond the quota: " + refused[0]);
+    assertEquals(0, rejected[1]);
+    assertTrue(rejected[0] > 200, "rejected over quota: " + rejected[0]);
   }
 
   /**
-   * Guards against a short spell of slow answers that shuts requests out long after it: the limit
-   * in flight falls to one a cache, and by one in as many answers it would take seconds to come
-   * back.
+   * Guards against rejections long after a short slow period: increasing the limit by one per round
+   * of responses would take seconds to recover.
    */
   @Test
-  void cacheLimitGrowsAgainSoonAfterSlowAnswers() {
-    assertEquals(List.of(), rejectedAfterSlowAnswers(0));
+  void cacheLimitRecoversSoonAfterSlowResponses() {
+    assertEquals(List.of(), rejectedAfterSlowResponses(0));
   }
 
   /**
-   * Guards against hits that teach nothing because the key is new here: one of many routers seldom
-   * meets a key twice, so nearly all its answers are of that kind, and its limit stayed low.
+   * Guards against ignoring hits on keys that are new to the router: with many routers nearly all
+   * hits are of that kind, and the limit would stay low.
    */
   @Test
-  void hitsOnKeysThatAreNewHereMakeCacheLimitGrowToo() {
-    assertEquals(List.of(), rejectedAfterSlowAnswers(1000));
+  void hitsOnNewKeysIncreaseCacheLimit() {
+    assertEquals(List.of(), rejectedAfterSlowResponses(1000));
   }
 
   /**
-   * Sixty slow answers on known keys, sixty quick ones on keys that many further, then thirty at
-   * once.
+   * Sends 60 slow reads of known keys and 60 fast reads of keys shifted by {@code keyOffset}, then
+   * returns the rejections among 30 concurrent reads.
    */
-  private static List<Long> rejectedAfterSlowAnswers(int further) {
-    Harness h = new Harness(Harness.settings(false));
-    h.caches(8);
-    Harness.homes(h, 30);
+  private static List<Long> rejectedAfterSlowResponses(int keyOffset) {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    harness.addCaches(8);
+    RouterHarness.homeCaches(harness, 30);
     for (int i = 1; i <= 60; i++) {
-      h.arrive(100 + i, READ, (i % 30 + 1) * 7919L);
-      h.now += 50 * MS;
-      h.hit(900 * MS);
+      harness.arrive(100 + i, READ, (i % 30 + 1) * 7919L);
+      harness.nowNanos += 50 * MS;
+      harness.respondFromCache(900 * MS);
     }
     for (int i = 1; i <= 60; i++) {
-      h.arrive(200 + i, READ, (further + i % 30 + 1) * 7919L);
-      h.now += 20 * MS;
-      h.hit(20 * MS);
+      harness.arrive(200 + i, READ, (keyOffset + i % 30 + 1) * 7919L);
+      harness.nowNanos += 20 * MS;
+      harness.respondFromCache(20 * MS);
     }
-    h.refused.clear();
+    harness.rejected.clear();
     for (int i = 1; i <= 30; i++) {
-      h.arrive(300 + i, READ, i * 7919L);
+      harness.arrive(300 + i, READ, i * 7919L);
     }
-    return h.refused;
+    return harness.rejected;
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void readsAreNotHeldToOriginLimitWhereHitsAreNotReported(boolean reported) {
-    Harness h =
+  void readsAreNotSubjectToOriginLimitWithoutHitReports(boolean reported) {
+    RouterHarness harness =
         reported
-            ? new Harness(Harness.settings(false, 100, List.of()))
-            : Harness.withoutHedging(false, 100, 0);
-    h.caches(6);
+            ? new RouterHarness(RouterHarness.settings(false, 100, List.of()))
+            : RouterHarness.withoutHedging(false, 100, 0);
+    harness.addCaches(6);
     for (int i = 0; i < 60; i++) {
-      h.now += 100 * MS;
-      h.arrive(i, Harness.UNSAFE, i);
-      h.close(h.last(), 0, AttemptOutcome.ERROR, false);
+      harness.nowNanos += 100 * MS;
+      harness.arrive(i, RouterHarness.UNSAFE, i);
+      harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.ERROR, false);
     }
-    int before = h.sends.size();
-    h.reads(100, 110, 0, (s, n) -> {});
-    assertEquals(!reported, h.sends.size() - before == 10, "sent: " + (h.sends.size() - before));
+    int before = harness.sends.size();
+    harness.reads(100, 110, 0, (s, n) -> {});
+    assertEquals(!reported, harness.sends.size() - before == 10, "sent: " + (harness.sends.size() - before));
   }
 
   @Test
   void timeoutsDoNotShrinkCacheLimitWithoutHedging() {
-    Harness h = Harness.withoutHedging(false, 100, 6);
-    h.reads(
+    RouterHarness harness = RouterHarness.withoutHedging(false, 100, 6);
+    harness.reads(
         0,
         300,
         100 * MS,
         (s, n) -> {
-          boolean lost = s.request() % 3 == 0;
-          h.close(
+          boolean lost = s.requestId() % 3 == 0;
+          harness.closeAttempt(
               s,
               n,
               lost ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
               !lost,
               (lost ? 2000 : 50) * MS);
         });
-    // A lost request is itself refused, unless a further attempt is earned.
-    assertTrue(h.refused.size() <= 100, "refused of 300: " + h.refused.size());
+    // A lost request is itself rejected unless the retry budget holds an attempt.
+    assertTrue(harness.rejected.size() <= 100, "rejected of 300: " + harness.rejected.size());
   }
 }
--- a/src/test/java/beaconturn/decision/AttemptFeedbackTest.java
+++ b/src/test/java/beaconturn/decision/AttemptFeedbackTest.java
@@ -1,8 +1,8 @@
 package beaconturn.decision;
 
-import static beaconturn.decision.Harness.MS;
-import static beaconturn.decision.Harness.READ;
-import static beaconturn.decision.Harness.SECOND;
+import static beaconturn.decision.RouterHarness.MS;
+import static beaconturn.decision.RouterHarness.READ;
+import static beaconturn.decision.RouterHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
@@ -10,63 +10,63 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Where caches fetch: whether a late answer counts against the cache or against the origin, and
- * what an answer may hold that its client takes slowly.
+ * Tests in read-through mode whether late responses count against the cache or the origin, and how
+ * streamed responses are counted.
  */
 class AttemptFeedbackTest {
   private static final int CACHES = 12;
-  private final Harness h = new Harness(Harness.settings(false));
+  private final RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
   private long request;
 
   AttemptFeedbackTest() {
-    h.caches(CACHES);
+    harness.addCaches(CACHES);
     for (int i = 0; i < 60; i++) {
       fetch();
-      h.close(h.last(), 0, AttemptOutcome.OK, true);
-      h.pass(20 * MS);
+      harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.OK, true);
+      harness.advance(20 * MS);
     }
   }
 
-  /** A read of a key that no cache is known to hold. */
-  private Harness.Send fetch() {
+  /** Reads a key that no cache is known to hold. */
+  private RouterHarness.Send fetch() {
     request++;
-    h.arrive(request, READ, request);
-    return h.last();
+    harness.arrive(request, READ, request);
+    return harness.lastSend();
   }
 
   private int sendsSince(Runnable events) {
-    int before = h.sends.size();
+    int before = harness.sends.size();
     events.run();
-    return h.sends.size() - before;
+    return harness.sends.size() - before;
   }
 
   @Test
-  void lateFetchAtSilentCacheIsHedged() {
+  void lateFetchAtUnresponsiveCacheIsHedged() {
     fetch();
-    assertEquals(1, sendsSince(() -> h.pass(SECOND / 2)));
+    assertEquals(1, sendsSince(() -> harness.advance(SECOND / 2)));
   }
 
-  /** Hedges of fetches that the origin holds up only add to it, and past any limit in flight. */
+  /** Hedging fetches that the origin delays would only add to its load. */
   @Test
-  void lateFetchAtCacheThatAnswersOthersIsNotHedged() {
-    Harness.Send late = fetch();
-    Harness.Send other = fetch();
-    while (other.server() != late.server()) {
-      h.close(other, 0, AttemptOutcome.OK, true);
+  void lateFetchAtResponsiveCacheIsNotHedged() {
+    RouterHarness.Send late = fetch();
+    RouterHarness.Send other = fetch();
+    while (other.serverId() != late.serverId()) {
+      harness.closeAttempt(other, 0, AttemptOutcome.OK, true);
       other = fetch();
     }
-    h.pass(MS);
-    h.close(other, 0, AttemptOutcome.OK, true);
-    assertEquals(0, sendsSince(() -> h.pass(SECOND / 2)));
+    harness.advance(MS);
+    harness.closeAttempt(other, 0, AttemptOutcome.OK, true);
+    assertEquals(0, sendsSince(() -> harness.advance(SECOND / 2)));
   }
 
-  /** Timeouts of silent caches must not shrink the fetches that all others may have out. */
+  /** Timeouts of unresponsive caches must not reduce the fetch capacity of all others. */
   @Test
-  void timeoutsOfSilentCachesDoNotShrinkOriginLimit() {
+  void timeoutsOfUnresponsiveCachesDoNotReduceOriginLimit() {
     for (int i = 0; i < 2 * CACHES; i++) {
-      Harness.Send silent = fetch();
-      h.now += SECOND;
-      h.close(silent, 0, AttemptOutcome.TIMEOUT, true);
+      RouterHarness.Send unanswered = fetch();
+      harness.nowNanos += SECOND;
+      harness.closeAttempt(unanswered, 0, AttemptOutcome.TIMEOUT, true);
     }
     assertEquals(
         CACHES,
@@ -78,18 +78,18 @@
             }));
   }
 
-  /** The same timeouts at caches that answer others are the origin's, and its limit does shrink. */
+  /** Timeouts at caches that respond to other attempts are the origin's, and reduce its limit. */
   @Test
-  void timeoutsAtCachesThatAnswerOthersShrinkOriginLimit() {
+  void timeoutsAtResponsiveCachesReduceOriginLimit() {
     for (int i = 0; i < 2 * CACHES; i++) {
-      Harness.Send slow = fetch();
-      h.now += SECOND;
-      Harness.Send other = fetch();
-      for (int k = 0; k < CACHES && other.server() != slow.server(); k++) {
+      RouterHarness.Send slow = fetch();
+      harness.nowNanos += SECOND;
+      RouterHarness.Send other = fetch();
+      for (int k = 0; k < CACHES && other.serverId() != slow.serverId(); k++) {
         other = fetch();
       }
-      h.close(other, 0, AttemptOutcome.REJECTED, true);
-      h.close(slow, 0, AttemptOutcome.TIMEOUT, true);
+      harness.closeAttempt(other, 0, AttemptOutcome.REJECTED, true);
+      harness.closeAttempt(slow, 0, AttemptOutcome.TIMEOUT, true);
     }
     assertEquals(
         0,
@@ -102,15 +102,14 @@
   }
 
   /**
-   * A fetch through a cache takes half the aim when nothing is crowded: that must not shrink the
-   * limit.
+   * A read-through fetch takes half of the objective without load, which must not reduce the limit.
    */
   @Test
-  void fetchesWithinTwoThirdsOfTheirObjectiveDoNotShrinkOriginLimit() {
+  void fetchesWithinTwoThirdsOfObjectiveDoNotReduceOriginLimit() {
     for (int i = 0; i < 4 * CACHES; i++) {
       fetch();
-      h.now += 2 * SECOND / 3;
-      h.fetched(2 * SECOND / 3);
+      harness.nowNanos += 2 * SECOND / 3;
+      harness.respondAfterFetch(2 * SECOND / 3);
     }
     assertEquals(
         CACHES,
@@ -122,42 +121,42 @@
             }));
   }
 
-  private void begins(Harness.Send send) {
-    h.router.handle(
-        h.now, new RoutingEvent.ResponseStarted(send.request(), 20 * MS, send.server(), 0));
+  private void startResponse(RouterHarness.Send send) {
+    harness.router.handle(
+        harness.nowNanos, new RoutingEvent.ResponseStarted(send.requestId(), 20 * MS, send.serverId(), 0));
   }
 
   @Test
-  void requestThatWaitsForStreamedKeyGoesToItsCacheAtFirstBytes() {
-    Harness.Send leader = fetch();
-    assertEquals(0, sendsSince(() -> h.arrive(200, READ, leader.request())), "one fetch a key");
-    assertEquals(1, sendsSince(() -> begins(leader)));
-    assertEquals(List.of(200L, leader.server()), List.of(h.last().request(), h.last().server()));
-    assertEquals(0, sendsSince(() -> h.close(leader, 0, AttemptOutcome.OK, true)));
-    assertEquals(List.of(), h.refused);
+  void requestWaitingForStreamedKeyIsSentToItsCacheWhenResponseStarts() {
+    RouterHarness.Send leader = fetch();
+    assertEquals(0, sendsSince(() -> harness.arrive(200, READ, leader.requestId())), "one fetch per key");
+    assertEquals(1, sendsSince(() -> startResponse(leader)));
+    assertEquals(List.of(200L, leader.serverId()), List.of(harness.lastSend().requestId(), harness.lastSend().serverId()));
+    assertEquals(0, sendsSince(() -> harness.closeAttempt(leader, 0, AttemptOutcome.OK, true)));
+    assertEquals(List.of(), harness.rejected);
   }
 
-  /** After late answers each limit is a part of what caches were at work on. */
+  /** After late responses, each limit is a fraction of the attempts that caches were serving. */
   @Test
-  void streamedAnswersAreNotCountedInLimits() {
+  void streamedResponsesDoNotCountAgainstLimits() {
     for (int i = 0; i < 4 * CACHES; i++) {
-      begins(fetch());
+      startResponse(fetch());
     }
-    h.reads(200, 260, SECOND, (send, attempt) -> h.hit(SECOND));
-    h.refused.clear();
+    harness.reads(200, 260, SECOND, (send, attempt) -> harness.respondFromCache(SECOND));
+    harness.rejected.clear();
     assertEquals(1, sendsSince(this::fetch));
-    assertEquals(List.of(), h.refused);
+    assertEquals(List.of(), harness.rejected);
   }
 
-  /** The mechanism's load stays own sends in flight: a transfer still counts for the walk. */
+  /** A streamed response that the client is still receiving counts as load in the ring walk. */
   @Test
-  void streamedAnswersAreCountedInLoad() {
-    long home = h.home(5);
+  void streamedResponsesCountAsLoad() {
+    long home = harness.homeCache(5);
     for (int i = 200; i < 202; i++) {
-      h.arrive(i, READ, 5);
-      begins(h.last());
+      harness.arrive(i, READ, 5);
+      startResponse(harness.lastSend());
     }
-    h.arrive(202, READ, 5);
-    assertNotEquals(home, h.last().server(), "two are its cap among caches at rest");
+    harness.arrive(202, READ, 5);
+    assertNotEquals(home, harness.lastSend().serverId(), "a cache has a cap of two while others are idle");
   }
 }
--- a/src/test/java/beaconturn/decision/ConnectionFailuresTest.java
+++ b/src/test/java/beaconturn/decision/ConnectionFailuresTest.java
@@ -1,26 +1,26 @@
 package beaconturn.decision;
 
-import static beaconturn.decision.Harness.MS;
+import static beaconturn.decision.RouterHarness.MS;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
 
-/** Caches that give no connection. */
+/** Tests the avoidance of caches to which connections fail. */
 class ConnectionFailuresTest {
   @Test
-  void whileConnectionsFailOnlyCachesWithOpenOnesAreAskedButForAFew() {
-    Harness h = Harness.withoutHedging(false, 1, 10);
-    h.reads(
+  void cachesWithoutOpenConnectionsAreAvoidedWhileConnectionsFail() {
+    RouterHarness harness = RouterHarness.withoutHedging(false, 1, 10);
+    harness.reads(
         0,
         400,
         20 * MS,
         (s, n) ->
-            h.close(
+            harness.closeAttempt(
                 s,
                 n,
-                s.server() <= 3 ? AttemptOutcome.OK : AttemptOutcome.CONNECT_FAILED,
-                s.server() <= 3));
-    long dialled = h.sends.stream().filter(s -> s.request() >= 200 && s.server() > 3).count();
-    assertTrue(dialled > 0 && dialled < 100, "dials that failed in 200 requests: " + dialled);
+                s.serverId() <= 3 ? AttemptOutcome.OK : AttemptOutcome.CONNECT_FAILED,
+                s.serverId() <= 3));
+    long failedConnects = harness.sends.stream().filter(s -> s.requestId() >= 200 && s.serverId() > 3).count();
+    assertTrue(failedConnects > 0 && failedConnects < 100, "failed connection attempts in 200 requests: " + failedConnects);
   }
 }
--- a/src/test/java/beaconturn/decision/DecisionRulesTest.java
+++ b/src/test/java/beaconturn/decision/DeterminismTest.java
@@ -25,17 +25,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What decides depends on its settings and its events alone, so that the same events give the same
- * actions.
+ * Verifies that the decision package depends on its settings and events alone, so that the same
+ * events cause the same actions.
  */
-class DecisionRulesTest {
+class DeterminismTest {
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("beaconturn.decision");
 
-  /** Their order is that of hash values, some of which differ from one process to the next. */
-  private static final Set<String> UNORDERED =
+  /** Collections with an unspecified iteration order, which may differ between processes. */
+  private static final Set<String> UNORDERED_TYPES =
       Set.of(
           HashMap.class.getName(),
           HashSet.class.getName(),
@@ -43,14 +43,14 @@
           ConcurrentHashMap.class.getName());
 
   @Test
-  void noMapOrSetHasAnOrderOfChance() {
+  void noUnorderedMapsOrSetsAreCreated() {
     noClasses()
         .should()
         .callConstructorWhere(
             DescribedPredicate.describe(
                 "makes an unordered map or set",
                 call ->
-                    UNORDERED.contains(call.getTargetOwner().getName())
+                    UNORDERED_TYPES.contains(call.getTargetOwner().getName())
                         && !call.getOriginOwner().isAssignableTo(LinkedHashMap.class)))
         .check(CLASSES);
     noClasses()
@@ -68,11 +68,11 @@
   }
 
   @Test
-  void nothingIsKeptInStaticState() {
+  void noStaticStateIsKept() {
     fields().that().areStatic().should().beFinal().andShould(holdNoState()).check(CLASSES);
   }
 
-  /** What the compiler adds, such as the values of an enumeration, nobody writes to. */
+  /** Ignores synthetic fields, such as the values of an enumeration. */
   private static ArchCondition<JavaField> holdNoState() {
     return new ArchCondition<>("hold no array, collection or map") {
       @Override
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void chanceComesFromTheSeedAndTimeFromTheHost() {
+  void noRandomnessClocksOrIoAreUsed() {
     noClasses()
         .should()
         .dependOnClassesThat()
--- a/src/test/java/beaconturn/decision/EndpointWatchTest.java
+++ b/src/test/java/beaconturn/decision/EndpointWatchTest.java
@@ -1,8 +1,8 @@
 package beaconturn.decision;
 
-import static beaconturn.decision.Harness.MS;
-import static beaconturn.decision.Harness.READ;
-import static beaconturn.decision.Harness.SECOND;
+import static beaconturn.decision.RouterHarness.MS;
+import static beaconturn.decision.RouterHarness.READ;
+import static beaconturn.decision.RouterHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.HashSet;
@@ -10,40 +10,40 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Endpoint lists that fail, and what lists take off the ring. */
+/** Tests failures of the endpoint list and the removal of caches by lists. */
 class EndpointWatchTest {
   @Test
-  void fullListThatOmitsCacheTakesItOffRing() {
-    Harness h = new Harness(Harness.settings(false));
-    h.caches(3);
-    h.list(EndpointListKind.FULL, Harness.cache(2));
-    Set<Long> used = new HashSet<>(Harness.homes(h, 100).values());
+  void cacheOmittedFromFullListIsRemovedFromRing() {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    harness.addCaches(3);
+    harness.updateEndpoints(EndpointListKind.FULL, RouterHarness.readyEndpoint(2));
+    Set<Long> used = new HashSet<>(RouterHarness.homeCaches(harness, 100).values());
     assertEquals(Set.of(2L), used);
   }
 
   @Test
-  void failedWatchIsAskedAgainLaterAndListStays() {
-    Harness h = new Harness(Harness.settings(false));
-    assertEquals(List.of("watch true"), h.actions);
-    h.caches(2);
-    h.list(EndpointListKind.FAILED);
-    assertEquals(1, h.actions.stream().filter("watch true"::equals).count());
-    h.pass(5 * SECOND);
-    assertEquals(2, h.actions.stream().filter("watch true"::equals).count());
-    h.arrive(1, READ, 5);
-    assertEquals(1, h.sends.size());
+  void failedWatchIsRenewedAndListIsKept() {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    assertEquals(List.of("watch true"), harness.actions);
+    harness.addCaches(2);
+    harness.updateEndpoints(EndpointListKind.FAILED);
+    assertEquals(1, harness.actions.stream().filter("watch true"::equals).count());
+    harness.advance(5 * SECOND);
+    assertEquals(2, harness.actions.stream().filter("watch true"::equals).count());
+    harness.arrive(1, READ, 5);
+    assertEquals(1, harness.sends.size());
   }
 
   /**
-   * A change counts as notified some seconds after it can be reached, however seldom lists need be
-   * asked for.
+   * A change has to be received within seconds after discovery is reachable, however long the poll
+   * interval is.
    */
   @Test
-  void listThatFailsAgainAndAgainIsAskedForEverySecondOrSo() {
-    RoutingSettings s = Harness.settings(true);
+  void backoffOfFailingWatchIsBounded() {
+    RoutingSettings s = RouterHarness.settings(true);
     SafetyLimits r = s.safetyLimits();
-    Harness h =
-        new Harness(
+    RouterHarness harness =
+        new RouterHarness(
             new RoutingSettings(
                 s.routerIndex(),
                 s.routerCount(),
@@ -68,11 +68,11 @@
                 s.origin(),
                 s.loadReportFields()));
     for (int i = 0; i < 20; i++) {
-      h.list(EndpointListKind.FAILED);
-      long before = h.actions.stream().filter("watch true"::equals).count();
-      h.pass(1200 * MS);
+      harness.updateEndpoints(EndpointListKind.FAILED);
+      long before = harness.actions.stream().filter("watch true"::equals).count();
+      harness.advance(1200 * MS);
       assertEquals(
-          before + 1, h.actions.stream().filter("watch true"::equals).count(), "failure " + i);
+          before + 1, harness.actions.stream().filter("watch true"::equals).count(), "failure " + i);
     }
   }
 }
--- a/src/test/java/beaconturn/decision/HedgingPolicyTest.java
+++ b/src/test/java/beaconturn/decision/HedgingPolicyTest.java
@@ -1,8 +1,8 @@
 package beaconturn.decision;
 
-import static beaconturn.decision.Harness.MS;
-import static beaconturn.decision.Harness.READ;
-import static beaconturn.decision.Harness.SECOND;
+import static beaconturn.decision.RouterHarness.MS;
+import static beaconturn.decision.RouterHarness.READ;
+import static beaconturn.decision.RouterHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,57 +12,57 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When an attempt is late, and what follows. */
+/** Tests when an attempt is late and what follows. */
 class HedgingPolicyTest {
   @Test
-  void attemptEndsAtObjectiveWhereLateAnswerIsWorthNothingUnlessCachesFetch() {
+  void attemptTimesOutAtObjectiveInCacheAsideModeIfLateResponseIsWorthless() {
     for (boolean cacheAside : List.of(true, false)) {
-      Harness h = new Harness(Harness.settings(cacheAside));
-      h.list(EndpointListKind.CACHED, Harness.cache(1), Harness.cache(2), Harness.origin(50));
-      h.arrive(1, READ, 5, 2 * SECOND);
-      assertEquals(cacheAside ? SECOND : 2 * SECOND, h.last().allowFor());
-      h.close(h.last(), 0, AttemptOutcome.OK, true);
-      h.arrive(2, READ, 5, 2 * SECOND);
-      assertEquals(cacheAside ? SECOND : 2 * SECOND, h.last().allowFor());
-      h.arrive(3, Harness.UNSAFE, 6, 2 * SECOND);
-      assertEquals(2 * SECOND, h.last().allowFor());
+      RouterHarness harness = new RouterHarness(RouterHarness.settings(cacheAside));
+      harness.updateEndpoints(EndpointListKind.CACHED, RouterHarness.readyEndpoint(1), RouterHarness.readyEndpoint(2), RouterHarness.originEndpoint(50));
+      harness.arrive(1, READ, 5, 2 * SECOND);
+      assertEquals(cacheAside ? SECOND : 2 * SECOND, harness.lastSend().timeoutNanos());
+      harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.OK, true);
+      harness.arrive(2, READ, 5, 2 * SECOND);
+      assertEquals(cacheAside ? SECOND : 2 * SECOND, harness.lastSend().timeoutNanos());
+      harness.arrive(3, RouterHarness.UNSAFE, 6, 2 * SECOND);
+      assertEquals(2 * SECOND, harness.lastSend().timeoutNanos());
     }
   }
 
-  /** A cache that fetches goes on with what is called off: there the attempt stays out. */
+  /** A read-through cache continues a cancelled fetch, so that the attempt stays open there. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void lateAttemptIsMovedWithoutHedgingUnlessCachesFetch(boolean cacheAside) {
-    Harness h = Harness.withoutHedging(cacheAside, 1, 6);
-    h.reads(0, 50, 0, (s, n) -> h.hit(50 * MS));
-    h.arrive(100, READ, 5);
-    Harness.Send first = h.last();
+  void lateAttemptIsReroutedWithoutHedgingInCacheAsideModeOnly(boolean cacheAside) {
+    RouterHarness harness = RouterHarness.withoutHedging(cacheAside, 1, 6);
+    harness.reads(0, 50, 0, (s, n) -> harness.respondFromCache(50 * MS));
+    harness.arrive(100, READ, 5);
+    RouterHarness.Send first = harness.lastSend();
     for (int i = 0; i < 5; i++) {
-      h.pass(99 * MS);
-      h.serve(200 + i, 2000 + i);
+      harness.advance(99 * MS);
+      harness.readFromCache(200 + i, 2000 + i);
     }
-    assertEquals(List.of(), h.actions.stream().filter(a -> a.startsWith("cancel")).toList());
-    h.pass((cacheAside ? 10 : 505) * MS);
-    List<String> calledOff = h.actions.stream().filter(a -> a.startsWith("cancel")).toList();
-    assertEquals(cacheAside ? List.of("cancel 100 0") : List.of(), calledOff);
+    assertEquals(List.of(), harness.actions.stream().filter(a -> a.startsWith("cancel")).toList());
+    harness.advance((cacheAside ? 10 : 505) * MS);
+    List<String> cancelActions = harness.actions.stream().filter(a -> a.startsWith("cancel")).toList();
+    assertEquals(cacheAside ? List.of("cancel 100 0") : List.of(), cancelActions);
     if (cacheAside) {
-      int sent = h.sends.size();
-      h.close(first, 0, AttemptOutcome.CANCELLED, false);
-      assertEquals(sent + 1, h.sends.size());
-      assertNotEquals(first.server(), h.last().server());
+      int sentBefore = harness.sends.size();
+      harness.closeAttempt(first, 0, AttemptOutcome.CANCELLED, false);
+      assertEquals(sentBefore + 1, harness.sends.size());
+      assertNotEquals(first.serverId(), harness.lastSend().serverId());
     }
   }
 
   @Test
-  void heavyRequestIsLateLaterThanLightOne() {
-    Harness h = new Harness(Harness.settings(false));
-    h.caches(6);
+  void requestWithMoreWorkBecomesLateLater() {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    harness.addCaches(6);
     for (int i = 0; i < 100; i++) {
-      h.sized(i, 10 * MS);
-      h.now += 20 * MS;
+      harness.lateAfterNanos(i, 10 * MS);
+      harness.nowNanos += 20 * MS;
     }
-    long usual = h.sized(200, 10 * MS);
-    assertTrue(h.sized(201, 80 * MS) > usual + 100 * MS, "usual: " + usual);
-    assertEquals(usual, h.sized(202, MS), MS);
+    long lateAfterUsualWorkNanos = harness.lateAfterNanos(200, 10 * MS);
+    assertTrue(harness.lateAfterNanos(201, 80 * MS) > lateAfterUsualWorkNanos + 100 * MS, "late after (nanoseconds), for usual work: " + lateAfterUsualWorkNanos);
+    assertEquals(lateAfterUsualWorkNanos, harness.lateAfterNanos(202, MS), MS);
   }
 }
--- a/src/test/java/beaconturn/decision/KeyFailuresTest.java
+++ b/src/test/java/beaconturn/decision/KeyFailuresTest.java
@@ -1,55 +1,58 @@
 package beaconturn.decision;
 
-import static beaconturn.decision.Harness.MS;
-import static beaconturn.decision.Harness.READ;
+import static beaconturn.decision.RouterHarness.MS;
+import static beaconturn.decision.RouterHarness.READ;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
 
-/** Keys that fail at whatever cache takes them. */
+/** Tests keys that fail at every cache. */
 class KeyFailuresTest {
-  /** Bad requests: their key fails wherever it goes, and the caches are well. */
+  /** Errors caused by a key must not count against the caches. */
   @Test
-  void errorsThatFollowKeyDoNotCountAgainstCachesAndAreNotRetried() {
-    Harness h = new Harness(Harness.settings(false));
-    h.caches(6);
-    h.reads(0, 60, 5 * MS, (send, attempt) -> h.close(send, attempt, AttemptOutcome.OK, true));
-    int before = h.sends.size();
+  void errorsOfFailingKeyDoNotEjectCachesAndAreNotRetried() {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    harness.addCaches(6);
+    harness.reads(0, 60, 5 * MS, (send, attempt) -> harness.closeAttempt(send, attempt, AttemptOutcome.OK, true));
+    int before = harness.sends.size();
     for (int i = 0; i < 200; i++) {
-      h.now += 5 * MS;
-      int first = h.sends.size();
-      h.arrive(1000 + i, READ, 7);
-      for (int k = first; k < h.sends.size(); k++) {
-        h.close(h.sends.get(k), k - first, AttemptOutcome.ERROR, false, MS);
+      harness.nowNanos += 5 * MS;
+      int first = harness.sends.size();
+      harness.arrive(1000 + i, READ, 7);
+      for (int k = first; k < harness.sends.size(); k++) {
+        harness.closeAttempt(harness.sends.get(k), k - first, AttemptOutcome.ERROR, false, MS);
       }
-      h.serve(5000 + i, 20_000 + i);
+      harness.readFromCache(5000 + i, 20_000 + i);
     }
-    long bad = h.sends.stream().skip(before).filter(s -> s.request() < 5000).count();
-    assertTrue(bad > 50 && bad < 150, "some trials, no further attempts: " + bad);
-    assertTrue(h.router.view().servers().values().stream().allMatch(s -> s == ServerStatus.ACTIVE));
-    h.arrive(9000, READ, 30_000);
-    h.close(h.last(), 0, AttemptOutcome.ERROR, false, MS);
-    assertEquals(9000, h.last().request(), "another key is tried again");
-    assertTrue(h.refused.stream().filter(r -> r == 9000).findAny().isEmpty());
+    long failingKeySends = harness.sends.stream().skip(before).filter(s -> s.requestId() < 5000).count();
+    assertTrue(failingKeySends > 50 && failingKeySends < 150, "sends for the failing key: " + failingKeySends);
+    assertTrue(harness.router.view().servers().values().stream().allMatch(s -> s == ServerStatus.ACTIVE));
+    harness.arrive(9000, READ, 30_000);
+    harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.ERROR, false, MS);
+    assertEquals(9000, harness.lastSend().requestId(), "other keys are retried");
+    assertTrue(harness.rejected.stream().filter(r -> r == 9000).findAny().isEmpty());
   }
 
-  /** Each cache that takes the key is reset: it takes two with it, and hardly any more. */
+  /**
+   * Each cache that receives the key resets the connection; two caches are affected, hardly any
+   * more.
+   */
   @Test
-  void keyThatBringsDownWhateverTakesItIsNotSentOn() {
-    Harness h = new Harness(Harness.settings(false));
-    h.caches(8);
-    h.reads(0, 60, 5 * MS, (send, attempt) -> h.close(send, attempt, AttemptOutcome.OK, true));
-    int before = h.sends.size();
+  void keyThatResetsConnectionsIsSentToFewCaches() {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    harness.addCaches(8);
+    harness.reads(0, 60, 5 * MS, (send, attempt) -> harness.closeAttempt(send, attempt, AttemptOutcome.OK, true));
+    int before = harness.sends.size();
     for (int i = 0; i < 100; i++) {
-      h.now += 5 * MS;
-      int first = h.sends.size();
-      h.arrive(1000 + i, READ, 7);
-      for (int k = first; k < h.sends.size(); k++) {
-        h.close(h.sends.get(k), k - first, AttemptOutcome.RESET, false, MS);
+      harness.nowNanos += 5 * MS;
+      int first = harness.sends.size();
+      harness.arrive(1000 + i, READ, 7);
+      for (int k = first; k < harness.sends.size(); k++) {
+        harness.closeAttempt(harness.sends.get(k), k - first, AttemptOutcome.RESET, false, MS);
       }
     }
-    assertTrue(h.sends.size() - before < 50, "sent " + (h.sends.size() - before) + " times");
-    assertEquals(100, h.refused.size());
+    assertTrue(harness.sends.size() - before < 50, "sent " + (harness.sends.size() - before) + " times");
+    assertEquals(100, harness.rejected.size());
   }
 }
--- a/src/test/java/beaconturn/decision/KeySpreadTest.java
+++ b/src/test/java/beaconturn/decision/KeySpreadTest.java
@@ -1,7 +1,7 @@
 package beaconturn.decision;
 
-import static beaconturn.decision.Harness.MS;
-import static beaconturn.decision.Harness.READ;
+import static beaconturn.decision.RouterHarness.MS;
+import static beaconturn.decision.RouterHarness.READ;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,47 +12,50 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Over how many caches a hot key is spread. */
+/** Tests the spread of hot keys over caches. */
 class KeySpreadTest {
   @Test
-  void hotKeyIsSpreadAtFewRequestsInFlight() {
-    Harness h = new Harness(Harness.settings(false, 100, List.of()));
-    h.caches(20);
-    Map<Long, Integer> hot = new HashMap<>();
-    Set<Long> tail = new HashSet<>();
+  void hotKeyIsSpreadWithFewRequestsInFlight() {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false, 100, List.of()));
+    harness.addCaches(20);
+    Map<Long, Integer> hotKeySends = new HashMap<>();
+    Set<Long> coldKeyCaches = new HashSet<>();
     for (int i = 0; i < 400; i++) {
-      h.now += 300 * MS;
-      h.arrive(i, READ, i % 4 == 0 ? 5 : 1000 + i);
+      harness.nowNanos += 300 * MS;
+      harness.arrive(i, READ, i % 4 == 0 ? 5 : 1000 + i);
       if (i % 4 == 0) {
-        hot.merge(h.last().server(), 1, Integer::sum);
+        hotKeySends.merge(harness.lastSend().serverId(), 1, Integer::sum);
       }
-      h.close(h.last(), 0, AttemptOutcome.OK, true);
+      harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.OK, true);
     }
-    assertTrue(hot.size() >= 5 && hot.values().stream().allMatch(n -> n <= 40), hot.toString());
+    assertTrue(hotKeySends.size() >= 5 && hotKeySends.values().stream().allMatch(n -> n <= 40), hotKeySends.toString());
     for (int i = 0; i < 5; i++) {
-      h.arrive(9000 + i, READ, 77);
-      tail.add(h.last().server());
-      h.close(h.last(), 0, AttemptOutcome.OK, true);
-      Harness.homes(h, 60);
+      harness.arrive(9000 + i, READ, 77);
+      coldKeyCaches.add(harness.lastSend().serverId());
+      harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.OK, true);
+      RouterHarness.homeCaches(harness, 60);
     }
-    assertEquals(1, tail.size());
+    assertEquals(1, coldKeyCaches.size());
   }
 
-  /** Where the origin is asked beside the caches; where caches fetch, over those of all zones. */
+  /**
+   * In cache-aside mode only caches of the router's own zone are used, in read-through mode those
+   * of all zones.
+   */
   @Test
-  void spreadKeyGoesEvenlyToCachesOfOwnZone() {
+  void hotKeyIsSpreadEvenlyOverCachesOfOwnZone() {
     for (boolean cacheAside : new boolean[] {true, false}) {
-      Harness h = new Harness(Harness.settings(cacheAside, 40, List.of()));
-      h.caches(8);
+      RouterHarness harness = new RouterHarness(RouterHarness.settings(cacheAside, 40, List.of()));
+      harness.addCaches(8);
       for (int i = 0; i < 400; i++) {
-        h.now += 5 * MS;
-        h.serve(i, 7);
+        harness.nowNanos += 5 * MS;
+        harness.readFromCache(i, 7);
       }
-      Map<Long, Integer> to = new HashMap<>();
-      h.sends.stream().skip(200).forEach(s -> to.merge(s.server(), 1, Integer::sum));
+      Map<Long, Integer> sendsByCache = new HashMap<>();
+      harness.sends.stream().skip(200).forEach(s -> sendsByCache.merge(s.serverId(), 1, Integer::sum));
       assertEquals(
-          cacheAside ? Set.of(2L, 4L, 6L, 8L) : Set.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L), to.keySet());
-      assertTrue(to.values().stream().allMatch(n -> n > 200 / to.size() / 2), to.toString());
+          cacheAside ? Set.of(2L, 4L, 6L, 8L) : Set.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L), sendsByCache.keySet());
+      assertTrue(sendsByCache.values().stream().allMatch(n -> n > 200 / sendsByCache.size() / 2), sendsByCache.toString());
     }
   }
 }
--- a/src/test/java/beaconturn/decision/OriginFetchesTest.java
+++ b/src/test/java/beaconturn/decision/OriginFetchesTest.java
@@ -1,36 +1,36 @@
 package beaconturn.decision;
 
-import static beaconturn.decision.Harness.READ;
-import static beaconturn.decision.Harness.SECOND;
+import static beaconturn.decision.RouterHarness.READ;
+import static beaconturn.decision.RouterHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One fetch a key, and who goes on when it ends. */
+/** Tests coalesced fetches and what happens when they end. */
 class OriginFetchesTest {
   @Test
-  void othersWaitForFetchOfKeyAndGoWhereItIsStored() {
-    Harness h = Harness.cacheAside(2);
-    h.miss(1, 5);
-    long home = h.sends.get(0).server();
-    Harness.Send fetch = h.last();
-    assertEquals(50L, fetch.server());
-    h.arrive(2, READ, 5);
-    assertEquals(2, h.sends.size());
-    h.close(fetch, 1, AttemptOutcome.OK, true);
-    assertEquals(new Harness.Send(2, home, SECOND), h.last());
+  void requestsForFetchedKeyWaitAndAreSentToItsCache() {
+    RouterHarness harness = RouterHarness.cacheAside(2);
+    harness.readMissing(1, 5);
+    long home = harness.sends.get(0).serverId();
+    RouterHarness.Send fetch = harness.lastSend();
+    assertEquals(50L, fetch.serverId());
+    harness.arrive(2, READ, 5);
+    assertEquals(2, harness.sends.size());
+    harness.closeAttempt(fetch, 1, AttemptOutcome.OK, true);
+    assertEquals(new RouterHarness.Send(2, home, SECOND), harness.lastSend());
   }
 
   @Test
-  void failedFetchIsHandedToNextInLine() {
-    Harness h = Harness.cacheAside(1);
-    h.miss(1, 5);
-    Harness.Send fetch = h.last();
-    h.arrive(2, READ, 5);
-    h.close(fetch, 1, AttemptOutcome.ERROR, false);
-    assertEquals(List.of(1L), h.refused);
-    assertEquals(2L, h.last().request());
-    assertEquals(50L, h.last().server());
+  void failedFetchIsRepeatedByNextWaitingRequest() {
+    RouterHarness harness = RouterHarness.cacheAside(1);
+    harness.readMissing(1, 5);
+    RouterHarness.Send fetch = harness.lastSend();
+    harness.arrive(2, READ, 5);
+    harness.closeAttempt(fetch, 1, AttemptOutcome.ERROR, false);
+    assertEquals(List.of(1L), harness.rejected);
+    assertEquals(2L, harness.lastSend().requestId());
+    assertEquals(50L, harness.lastSend().serverId());
   }
 }
--- a/src/test/java/beaconturn/decision/OutlierDetectorTest.java
+++ b/src/test/java/beaconturn/decision/OutlierDetectorTest.java
@@ -1,8 +1,8 @@
 package beaconturn.decision;
 
-import static beaconturn.decision.Harness.MS;
-import static beaconturn.decision.Harness.READ;
-import static beaconturn.decision.Harness.SECOND;
+import static beaconturn.decision.RouterHarness.MS;
+import static beaconturn.decision.RouterHarness.READ;
+import static beaconturn.decision.RouterHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,74 +10,71 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** When a cache is ejected. */
+/** Tests the ejection of caches. */
 class OutlierDetectorTest {
-  @SuppressWarnings("ReferenceEquality") // Two sends may be alike.
+  @SuppressWarnings("ReferenceEquality") // Two sends may be equal.
   @Test
-  void quickErrorsDoNotKeepTheirKeys() {
-    Harness h = new Harness(Harness.settings(false));
-    h.caches(6);
-    h.arrive(1, READ, 5);
-    long sick = h.last().server();
-    int toSick = 0;
+  void fastFailingCacheLosesItsKeys() {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    harness.addCaches(6);
+    harness.arrive(1, READ, 5);
+    long failing = harness.lastSend().serverId();
+    int sendsToFailing = 0;
     for (int i = 0; i < 40; i++) {
-      h.now += 10 * MS;
-      h.arrive(100 + i, READ, 5);
-      Harness.Send first = h.last();
-      if (first.server() == sick) {
-        toSick++;
-        h.close(first, 0, AttemptOutcome.ERROR, false);
+      harness.nowNanos += 10 * MS;
+      harness.arrive(100 + i, READ, 5);
+      RouterHarness.Send first = harness.lastSend();
+      if (first.serverId() == failing) {
+        sendsToFailing++;
+        harness.closeAttempt(first, 0, AttemptOutcome.ERROR, false);
       }
-      int attempt = h.last() == first ? 0 : 1;
-      h.close(h.last(), attempt, AttemptOutcome.OK, true);
+      int attempt = harness.lastSend() == first ? 0 : 1;
+      harness.closeAttempt(harness.lastSend(), attempt, AttemptOutcome.OK, true);
     }
-    assertTrue(toSick >= 3 && toSick < 20, "sends to the failing cache: " + toSick);
+    assertTrue(sendsToFailing >= 3 && sendsToFailing < 20, "sends to the failing cache: " + sendsToFailing);
   }
 
-  /** Nothing was heard of it for long, while the others answered. */
+  /** The cache has received no requests for a long time while others responded. */
   @Test
-  void oneBadAnswerIsEnoughWhereAnswersAreRare() {
-    Harness h = new Harness(Harness.settings(false));
-    h.caches(6);
-    Harness.homes(h, 60);
-    long home = h.home(5);
+  void singleFailureEjectsCacheWithRareResponses() {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    harness.addCaches(6);
+    RouterHarness.homeCaches(harness, 60);
+    long home = harness.homeCache(5);
     long other =
-        LongStream.range(100, 200).filter(key -> h.home(key) != home).findFirst().orElseThrow();
+        LongStream.range(100, 200).filter(key -> harness.homeCache(key) != home).findFirst().orElseThrow();
     for (int i = 0; i < 300; i++) {
-      h.now += SECOND / 10;
-      h.serve(1000 + i, other);
+      harness.nowNanos += SECOND / 10;
+      harness.readFromCache(1000 + i, other);
     }
-    h.arrive(500, READ, 5);
-    assertEquals(home, h.last().server());
-    h.close(h.last(), 0, AttemptOutcome.ERROR, false);
-    h.close(h.last(), 1, AttemptOutcome.OK, true);
-    assertEquals(ServerStatus.EJECTED, h.router.view().servers().get(home));
-    h.arrive(501, READ, 5);
-    assertNotEquals(home, h.last().server());
+    harness.arrive(500, READ, 5);
+    assertEquals(home, harness.lastSend().serverId());
+    harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.ERROR, false);
+    harness.closeAttempt(harness.lastSend(), 1, AttemptOutcome.OK, true);
+    assertEquals(ServerStatus.EJECTED, harness.router.view().servers().get(home));
+    harness.arrive(501, READ, 5);
+    assertNotEquals(home, harness.lastSend().serverId());
   }
 
-  /**
-   * No descriptor, no port: the failure of this machine is held against no cache, and is tried
-   * elsewhere.
-   */
+  /** Lack of a descriptor or port on the router's machine must not count against any cache. */
   @Test
-  void whatThisMachineFailsToSendEjectsNoCache() {
-    Harness h = new Harness(Harness.settings(false));
-    h.caches(6);
-    h.served(1, 40, 20 * MS, 1);
-    h.reads(
+  void localSendFailuresEjectNoCache() {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    harness.addCaches(6);
+    harness.countReadsSentTo(1, 40, 20 * MS, 1);
+    harness.reads(
         100,
         200,
         20 * MS,
         (send, attempt) -> {
-          boolean unsent = send.server() == 1;
-          h.close(send, attempt, unsent ? AttemptOutcome.NOT_SENT : AttemptOutcome.OK, !unsent);
+          boolean unsent = send.serverId() == 1;
+          harness.closeAttempt(send, attempt, unsent ? AttemptOutcome.NOT_SENT : AttemptOutcome.OK, !unsent);
         });
     assertTrue(
-        h.router.view().servers().values().stream().allMatch(s -> s == ServerStatus.ACTIVE),
-        h.router.view()::toString);
-    int before = h.sends.size();
-    h.reads(300, 340, 20 * MS, (send, attempt) -> h.close(send, attempt, AttemptOutcome.OK, true));
-    assertTrue(h.sends.size() - before >= 40, "traffic returns at once");
+        harness.router.view().servers().values().stream().allMatch(s -> s == ServerStatus.ACTIVE),
+        harness.router.view()::toString);
+    int before = harness.sends.size();
+    harness.reads(300, 340, 20 * MS, (send, attempt) -> harness.closeAttempt(send, attempt, AttemptOutcome.OK, true));
+    assertTrue(harness.sends.size() - before >= 40, "all caches are used again");
   }
 }
--- a/src/test/java/beaconturn/decision/RoutingCharacterizationTest.java
+++ b/src/test/java/beaconturn/decision/RoutingCharacterizationTest.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All decisions of a router, bit for bit: several thousand seeded events a setting, and the digest
- * of every action in order. A digest that changes says that a decision has changed, or the order of
- * random draws: where that is not meant, the change is at fault and not the digest.
+ * Pins all decisions of a router: digests of every action, in order, for several thousand seeded
+ * events per setting. A digest changes if a decision or the order of random draws changes; unless
+ * that is intended, the change is at fault and not the digest.
  */
 class RoutingCharacterizationTest {
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1000 * MS;
   private static final int ARRIVALS = 5000;
 
-  private static final RoutingPermissions HEDGED = permissions(true, true, true, 4);
-  private static final RoutingPermissions ALONE = permissions(true, true, false, 3);
-  private static final RoutingPermissions BARE = permissions(false, false, true, 2);
+  private static final RoutingPermissions WITH_HEDGING = permissions(true, true, true, 4);
+  private static final RoutingPermissions WITHOUT_HEDGING = permissions(true, true, false, 3);
+  private static final RoutingPermissions MINIMAL = permissions(false, false, true, 2);
 
   private static RoutingPermissions permissions(
       boolean cancel, boolean retryAfter, boolean hedging, int maxAttempts) {
@@ -30,139 +30,139 @@
 
   private static List<RequestClass> classes() {
     return List.of(
-        type(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 1, 0, false),
-        type(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 4, 2, false),
-        type(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 2, 1, false),
-        type(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 2, 0, false),
-        type(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 1, 1, false),
-        type(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 3, 1, false),
-        type(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 1, 1, true));
+        requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 1, 0, false),
+        requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 4, 2, false),
+        requestClass(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 2, 1, false),
+        requestClass(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 2, 0, false),
+        requestClass(Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 1, 1, false),
+        requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 3, 1, false),
+        requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 1, 1, true));
   }
 
-  private static RequestClass type(
+  private static RequestClass requestClass(
       Idempotency idempotency,
       DeduplicationScope scope,
-      double weight,
-      double lateWeight,
+      double priorityWeight,
+      double latePriorityWeight,
       boolean streamed) {
     return new RequestClass(
-        idempotency, scope, 230 * MS, 90 * MS, 600 * MS, weight, lateWeight, streamed);
+        idempotency, scope, 230 * MS, 90 * MS, 600 * MS, priorityWeight, latePriorityWeight, streamed);
   }
 
   private static RoutingSettings settings(
-      boolean cacheAside, int routers, RoutingPermissions permissions, boolean other) {
+      boolean cacheAside, int routerCount, RoutingPermissions permissions, boolean alternative) {
     SafetyLimits limits =
-        new SafetyLimits(20 * MS, 2 * SECOND, 0.2, 3 * SECOND, 250 * MS, 3, SECOND, other);
+        new SafetyLimits(20 * MS, 2 * SECOND, 0.2, 3 * SECOND, 250 * MS, 3, SECOND, alternative);
     OriginSettings origin =
         new OriginSettings(
             cacheAside, cacheAside ? SeededTraffic.ORIGIN_KIND : -1, false, permissions.hedging(), 0, 0);
     return new RoutingSettings(
         0,
-        routers,
+        routerCount,
         1,
-        !other,
-        other,
+        !alternative,
+        alternative,
         false,
         0.1,
         5 * MS,
         classes(),
-        List.of(new Tenant(0, 0.5), new Tenant(40 * routers, 0.1), new Tenant(60 * routers, 0.4)),
+        List.of(new Tenant(0, 0.5), new Tenant(40 * routerCount, 0.1), new Tenant(60 * routerCount, 0.4)),
         limits,
         permissions,
         origin,
-        other ? List.of("queue", "busy_reqs") : List.of());
+        alternative ? List.of("queue", "busy_reqs") : List.of());
   }
 
-  private static SeededTraffic play(SeededTraffic.Shape shape, String digest) {
-    SeededTraffic traffic = new SeededTraffic(shape, 4711);
-    String played = traffic.play();
+  private static SeededTraffic runAndCompare(SeededTraffic.Scenario scenario, String expectedDigest) {
+    SeededTraffic traffic = new SeededTraffic(scenario, 4711);
+    String actualDigest = traffic.run();
     Map<String, Integer> counts = traffic.counts();
     assertEquals(0, traffic.unanswered(), counts::toString);
-    assertEquals(digest, played, counts::toString);
+    assertEquals(expectedDigest, actualDigest, counts::toString);
     return traffic;
   }
 
-  private static void assertTaken(SeededTraffic traffic, String... kinds) {
+  private static void assertActionsTaken(SeededTraffic traffic, String... kinds) {
     assertTrue(traffic.counts().keySet().containsAll(Set.of(kinds)), traffic.counts()::toString);
   }
 
   @Test
-  void asideWithHedging() {
+  void cacheAsideWithHedging() {
     SeededTraffic traffic =
-        play(
-            new SeededTraffic.Shape(
-                settings(true, 1, HEDGED, false), ARRIVALS, 8, 6 * MS, false, false, null),
+        runAndCompare(
+            new SeededTraffic.Scenario(
+                settings(true, 1, WITH_HEDGING, false), ARRIVALS, 8, 6 * MS, false, false, null),
             "c5a49f5cb86273b268365dfbe3d54f142f9bb9c935b9cb6f087bcd392a660856");
-    assertTaken(traffic, "send", "cancel", "timer", "watch", "refuse FAILING_KEY");
+    assertActionsTaken(traffic, "send", "cancel", "timer", "watch", "refuse FAILING_KEY");
   }
 
   @Test
-  void asideWithoutHedging() {
+  void cacheAsideWithoutHedging() {
     SeededTraffic traffic =
-        play(
-            new SeededTraffic.Shape(
-                settings(true, 4, ALONE, false),
+        runAndCompare(
+            new SeededTraffic.Scenario(
+                settings(true, 4, WITHOUT_HEDGING, false),
                 ARRIVALS,
                 6,
                 8 * MS,
                 false,
                 true,
-                settings(true, 3, ALONE, false)),
+                settings(true, 3, WITHOUT_HEDGING, false)),
             "a40124cfc980f37f89cdb2de1bacbae6599c071233bac60f8abf78894b9c098a");
-    assertTaken(traffic, "refuse OVERLOADED", "refuse TOO_LATE");
+    assertActionsTaken(traffic, "refuse OVERLOADED", "refuse TOO_LATE");
   }
 
   @Test
-  void asideInZonesWithLoadReports() {
+  void cacheAsideInZonesWithLoadReports() {
     SeededTraffic traffic =
-        play(
-            new SeededTraffic.Shape(
-                settings(true, 2, BARE, true),
+        runAndCompare(
+            new SeededTraffic.Scenario(
+                settings(true, 2, MINIMAL, true),
                 ARRIVALS,
                 9,
                 2 * MS,
                 true,
                 false,
-                settings(true, 2, BARE, false)),
+                settings(true, 2, MINIMAL, false)),
             "8c4afd658fc5c9ac8561bf527c261c557193c020b2b6be170977840c62a2c8ab");
-    assertTaken(traffic, "fail RETRY_NOT_EARNED");
+    assertActionsTaken(traffic, "fail RETRY_NOT_EARNED");
   }
 
   @Test
-  void throughWithHedging() {
+  void readThroughWithHedging() {
     SeededTraffic traffic =
-        play(
-            new SeededTraffic.Shape(
-                settings(false, 12, HEDGED, false),
+        runAndCompare(
+            new SeededTraffic.Scenario(
+                settings(false, 12, WITH_HEDGING, false),
                 ARRIVALS,
                 8,
                 5 * MS,
                 false,
                 true,
-                settings(false, 12, HEDGED, true)),
+                settings(false, 12, WITH_HEDGING, true)),
             "1ac0a950c13f11835df7560df25fccc10dd7cacff745bc505f0d78cb978d9035");
-    assertTaken(traffic, "refuse QUEUE_TIMEOUT");
+    assertActionsTaken(traffic, "refuse QUEUE_TIMEOUT");
   }
 
   @Test
-  void throughWithoutHedging() {
-    play(
-        new SeededTraffic.Shape(
-            settings(false, 3, ALONE, true), ARRIVALS, 5, 5 * MS, false, false, null),
+  void readThroughWithoutHedging() {
+    runAndCompare(
+        new SeededTraffic.Scenario(
+            settings(false, 3, WITHOUT_HEDGING, true), ARRIVALS, 5, 5 * MS, false, false, null),
         "34fb6aad4f614857ccbbba8758c59dc357c1c58dcd3b2ea0f1e073b54f2f74ba");
   }
 
   @Test
-  void throughInZonesWithLoadReports() {
-    play(
-        new SeededTraffic.Shape(
-            settings(false, 30, HEDGED, true),
+  void readThroughInZonesWithLoadReports() {
+    runAndCompare(
+        new SeededTraffic.Scenario(
+            settings(false, 30, WITH_HEDGING, true),
             ARRIVALS,
             9,
             2 * MS,
             true,
             false,
-            settings(false, 30, BARE, true)),
+            settings(false, 30, MINIMAL, true)),
         "26f742fe9c6abf7c86a38e201113ef4f96293c337fae3b1ded0ba98eaf417386");
   }
 }
--- a/src/test/java/beaconturn/decision/SeededFaults.java
+++ b/src/test/java/beaconturn/decision/SeededFaults.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** What goes wrong around the router of {@link SeededTraffic}, drawn from the same seed. */
+/** Injects faults around the router of {@link SeededTraffic}, drawn from the same seed. */
 final class SeededFaults {
   private static final long MS = SeededTraffic.MS;
   private static final Fault[] FAULTS = Fault.values();
   private final SeededTraffic traffic;
 
-  /** What can go wrong; a restart is twice as likely as the others. */
+  /** Kinds of faults; a restart is listed twice to make it twice as likely. */
   private enum Fault {
     SLOW_SERVER,
     FAILING_SERVER,
@@ -19,7 +19,7 @@
     OPERATOR_OVERRIDE,
     ZONE_WEIGHTS,
     RESTART,
-    RESTART_TOO,
+    SECOND_RESTART,
     DRAIN,
     REMOVAL,
     NEW_RATING,
@@ -34,86 +34,86 @@
     this.traffic = traffic;
   }
 
-  /** Lets something go wrong now, and again before long, as long as requests arrive. */
-  void next() {
-    if (traffic.arrived >= traffic.shape.arrivals()) {
+  /** Injects a fault and schedules the next one, as long as requests arrive. */
+  void injectNext() {
+    if (traffic.arrivedCount >= traffic.scenario.arrivals()) {
       return;
     }
-    SeededServer server = traffic.servers.get(1L + traffic.chance.nextInt(traffic.shape.caches()));
-    long until = (100 + traffic.chance.nextInt(900)) * MS;
-    disturb(FAULTS[traffic.chance.nextInt(FAULTS.length)], server, until);
-    traffic.after((50 + traffic.chance.nextInt(150)) * MS, this::next);
+    SeededServer server = traffic.servers.get(1L + traffic.random.nextInt(traffic.scenario.caches()));
+    long delayNanos = (100 + traffic.random.nextInt(900)) * MS;
+    inject(FAULTS[traffic.random.nextInt(FAULTS.length)], server, delayNanos);
+    traffic.schedule((50 + traffic.random.nextInt(150)) * MS, this::injectNext);
   }
 
-  private void disturb(Fault fault, SeededServer server, long until) {
+  private void inject(Fault fault, SeededServer server, long delayNanos) {
     switch (fault) {
       case SLOW_SERVER -> {
         server.slowness = 12;
-        traffic.after(until, () -> server.slowness = 1);
+        traffic.schedule(delayNanos, () -> server.slowness = 1);
       }
       case FAILING_SERVER -> {
         server.errorPercent = 70;
-        traffic.after(until, () -> server.errorPercent = 0);
+        traffic.schedule(delayNanos, () -> server.errorPercent = 0);
       }
       case UNREACHABLE_SERVER -> {
         server.down = true;
-        traffic.after(until, () -> server.down = false);
+        traffic.schedule(delayNanos, () -> server.down = false);
       }
       case BURST -> {
-        traffic.pace = 0.15;
-        traffic.after(until, () -> traffic.pace = 1);
+        traffic.arrivalGapFactor = 0.15;
+        traffic.schedule(delayNanos, () -> traffic.arrivalGapFactor = 1);
       }
       case SLOW_ORIGIN -> {
         traffic.originSlowness = 12;
-        traffic.after(until, () -> traffic.originSlowness = 1);
+        traffic.schedule(delayNanos, () -> traffic.originSlowness = 1);
       }
-      case ROUTER_MACHINE -> traffic.machineFailsUntil = traffic.now + until / 8;
+      case ROUTER_MACHINE -> traffic.machineFailsUntilNanos = traffic.nowNanos + delayNanos / 8;
       case OPERATOR_OVERRIDE -> {
-        traffic.after(0, () -> override(server, true));
-        traffic.after(until, () -> override(server, false));
+        traffic.schedule(0, () -> overrideServer(server, true));
+        traffic.schedule(delayNanos, () -> overrideServer(server, false));
       }
-      case ZONE_WEIGHTS -> weigh();
-      default -> disturbList(fault, server, until);
+      case ZONE_WEIGHTS -> changeZoneWeights();
+      default -> injectListFault(fault, server, delayNanos);
     }
   }
 
-  private void disturbList(Fault fault, SeededServer server, long until) {
+  private void injectListFault(Fault fault, SeededServer server, long delayNanos) {
     switch (fault) {
-      case RESTART, RESTART_TOO -> {
-        server.bootTime = traffic.now - traffic.chance.nextInt(1000) * MS;
+      case RESTART, SECOND_RESTART -> {
+        server.bootTimeNanos = traffic.nowNanos - traffic.random.nextInt(1000) * MS;
         server.keys.clear();
-        traffic.delta(server);
+        traffic.sendDelta(server);
       }
       case DRAIN -> {
         server.health = EndpointHealth.DRAINING;
-        traffic.delta(server);
-        traffic.after(until, () -> ready(server));
+        traffic.sendDelta(server);
+        traffic.schedule(delayNanos, () -> restore(server));
       }
       case REMOVAL -> {
         server.health = EndpointHealth.GONE;
-        traffic.delta(server);
-        traffic.after(until, () -> ready(server));
+        traffic.sendDelta(server);
+        traffic.schedule(delayNanos, () -> restore(server));
       }
       case NEW_RATING -> {
-        server.rating = 0.5 + traffic.chance.nextDouble() * 3;
-        traffic.delta(server);
+        server.rating = 0.5 + traffic.random.nextDouble() * 3;
+        traffic.sendDelta(server);
       }
-      case FAILED_LIST -> traffic.list(EndpointListKind.FAILED, List.of());
+      case FAILED_LIST -> traffic.sendList(EndpointListKind.FAILED, List.of());
       case INCOMPLETE_LIST -> {
-        List<Endpoint> most = traffic.wholeList();
-        most.removeIf(e -> e.serverId() == server.id);
-        traffic.list(EndpointListKind.FULL, most);
-        traffic.after(until, () -> traffic.list(EndpointListKind.FULL, traffic.wholeList()));
+        List<Endpoint> incompleteList = traffic.fullList();
+        incompleteList.removeIf(e -> e.serverId() == server.id);
+        traffic.sendList(EndpointListKind.FULL, incompleteList);
+        traffic.schedule(delayNanos, () -> traffic.sendList(EndpointListKind.FULL, traffic.fullList()));
       }
-      case CACHED_LIST -> traffic.list(EndpointListKind.CACHED, traffic.wholeList());
+      case CACHED_LIST -> traffic.sendList(EndpointListKind.CACHED, traffic.fullList());
       case FAILING_ORIGIN -> {
         SeededServer origin = traffic.servers.get(SeededTraffic.FIRST_ORIGIN);
         SeededServer failing = origin == null ? server : origin;
         failing.errorPercent = 40;
-        traffic.after(until, () -> failing.errorPercent = 0);
+        traffic.schedule(delayNanos, () -> failing.errorPercent = 0);
       }
       default -> {
-        traffic.port.handle(new RoutingEvent.TimerFired(traffic.chance.nextLong()));
+        traffic.port.handle(new RoutingEvent.TimerFired(traffic.random.nextLong()));
         traffic.port.handle(
             new RoutingEvent.ProbeCompleted(
                 server.id, AttemptOutcome.OK, MS, SeededTraffic.NO_REPORT));
@@ -123,22 +123,22 @@
     }
   }
 
-  private void ready(SeededServer server) {
+  private void restore(SeededServer server) {
     server.health = EndpointHealth.READY;
-    traffic.delta(server);
+    traffic.sendDelta(server);
   }
 
-  private void override(SeededServer server, boolean excluded) {
-    traffic.port.handle(new RoutingEvent.OperatorOverrideChanged(server.id, excluded, traffic.now));
+  private void overrideServer(SeededServer server, boolean excluded) {
+    traffic.port.handle(new RoutingEvent.OperatorOverrideChanged(server.id, excluded, traffic.nowNanos));
   }
 
-  private void weigh() {
-    if (!traffic.shape.zoneWeights()) {
+  private void changeZoneWeights() {
+    if (!traffic.scenario.zoneWeights()) {
       return;
     }
-    boolean overflow = traffic.chance.nextBoolean();
+    boolean overflow = traffic.random.nextBoolean();
     ZoneWeights weights =
-        switch (traffic.chance.nextInt(4)) {
+        switch (traffic.random.nextInt(4)) {
           case 0 -> ZoneWeights.UNWEIGHTED;
           case 1 -> new ZoneWeights(List.of(0, 1, 2), List.of(600, 300, 100), overflow);
           case 2 -> new ZoneWeights(List.of(0, 1), List.of(960, 40), overflow);
--- a/src/test/java/beaconturn/decision/SeededServer.java
+++ b/src/test/java/beaconturn/decision/SeededServer.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** A cache or origin server of {@link SeededTraffic}, and how it is doing at the moment. */
+/** Cache or origin server of {@link SeededTraffic}. */
 final class SeededServer {
   private static final int CAPACITY_KEYS = 60;
 
@@ -12,16 +12,16 @@
   int cell;
   EndpointHealth health = EndpointHealth.READY;
   double rating = 1;
-  long bootTime;
+  long bootTimeNanos;
 
-  /** Its answer times are this multiple of the usual. */
+  /** Factor on response times. */
   double slowness = 1;
 
   int errorPercent;
   boolean down;
   int inFlight;
 
-  /** The keys that it holds. */
+  /** Cached keys. */
   final Map<Long, Boolean> keys = new LruMap<>(CAPACITY_KEYS);
 
   SeededServer(long id, int kind) {
@@ -31,8 +31,8 @@
     this.cell = (int) (id % 4);
   }
 
-  /** Its entry in the endpoint list. */
+  /** Returns the entry in the endpoint list. */
   Endpoint endpoint() {
-    return new Endpoint(id, zone, kind, cell, health, rating, bootTime);
+    return new Endpoint(id, zone, kind, cell, health, rating, bootTimeNanos);
   }
 }
--- a/src/test/java/beaconturn/decision/SeededTraffic.java
+++ b/src/test/java/beaconturn/decision/SeededTraffic.java
@@ -13,9 +13,9 @@
 import java.util.TreeMap;
 
 /**
- * A small closed-loop model of clients, cache servers, an origin and discovery around a {@link
- * RingRouter}: everything that happens is drawn from one seed, and every action of the router goes
- * into a digest. It claims no likeness to a real fleet; it only has to reach every rule.
+ * Closed-loop model of clients, cache servers, an origin and discovery around a {@link RingRouter}.
+ * All events are drawn from one seed, and every action of the router goes into a digest. The model
+ * is not realistic; it only has to exercise every rule.
  */
 final class SeededTraffic {
   static final int ORIGIN_KIND = 9;
@@ -23,8 +23,8 @@
   static final long FIRST_ORIGIN = 900;
   static final float[] NO_REPORT = {};
 
-  /** What a scenario has beside its settings. */
-  record Shape(
+  /** Parameters of a run. */
+  record Scenario(
       RoutingSettings settings,
       int arrivals,
       int caches,
@@ -33,132 +33,134 @@
       boolean warmStart,
       RoutingSettings successor) {}
 
-  private record Due(long at, long order, Runnable what) implements Comparable<Due> {
+  private record ScheduledTask(long atNanos, long order, Runnable task) implements Comparable<ScheduledTask> {
     @Override
-    public int compareTo(Due other) {
-      int byTime = Long.compare(at, other.at);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
+    public int compareTo(ScheduledTask other) {
+      int timeOrder = Long.compare(atNanos, other.atNanos);
+      return timeOrder != 0 ? timeOrder : Long.compare(order, other.order);
     }
   }
 
   private static final class Attempt {
     final SeededServer server;
     final int index;
-    final long sentAt;
+    final long sentAtNanos;
     boolean open = true;
 
-    Attempt(SeededServer server, int index, long sentAt) {
+    Attempt(SeededServer server, int index, long sentAtNanos) {
       this.server = server;
       this.index = index;
-      this.sentAt = sentAt;
+      this.sentAtNanos = sentAtNanos;
     }
   }
 
-  private static final class Client {
+  private static final class ClientRequest {
     final long id;
     final RoutingEvent.RequestArrived arrival;
-    final RequestClass type;
-    final Port port;
+    final RequestClass requestClass;
+    final RouterPort port;
     final List<Attempt> attempts = new ArrayList<>();
     SeededServer missedAt;
     boolean done;
 
-    Client(RoutingEvent.RequestArrived arrival, RequestClass type, Port port) {
+    ClientRequest(RoutingEvent.RequestArrived arrival, RequestClass requestClass, RouterPort port) {
       this.id = arrival.requestId();
       this.arrival = arrival;
-      this.type = type;
+      this.requestClass = requestClass;
       this.port = port;
     }
   }
 
-  final Shape shape;
-  final SplittableRandom chance;
+  final Scenario scenario;
+  final SplittableRandom random;
   private final MessageDigest digest;
-  private final PriorityQueue<Due> queue = new PriorityQueue<>();
-  private final Map<Long, Client> clients = new HashMap<>();
+  private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
+  private final Map<Long, ClientRequest> clientRequests = new HashMap<>();
   final Map<Long, SeededServer> servers = new TreeMap<>();
   private final Map<String, Integer> counts = new TreeMap<>();
-  Port port;
-  long now = 10_000_000 * MS;
+  RouterPort port;
+  long nowNanos = 10_000_000 * MS;
   private long order;
-  int arrived;
-  private long requests;
+  int arrivedCount;
+  private long requestCount;
 
-  /** Gaps between arrivals are this multiple of the usual. */
-  double pace = 1;
+  /** Factor on the gaps between arrivals. */
+  double arrivalGapFactor = 1;
 
-  /** Answer times of the origin are this multiple of the usual. */
+  /** Factor on the response times of the origin. */
   double originSlowness = 1;
 
   /** Until when sends fail on the router's own machine, in nanoseconds. */
-  long machineFailsUntil;
+  long machineFailsUntilNanos;
 
-  SeededTraffic(Shape shape, long seed) {
-    this.shape = shape;
-    this.chance = new SplittableRandom(seed);
+  SeededTraffic(Scenario scenario, long seed) {
+    this.scenario = scenario;
+    this.random = new SplittableRandom(seed);
     try {
       this.digest = MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException(e);
     }
-    for (int i = 1; i <= shape.caches(); i++) {
+    for (int i = 1; i <= scenario.caches(); i++) {
       servers.put((long) i, new SeededServer(i, i % 4 == 0 ? 1 : 0));
     }
-    if (shape.settings().origin().cacheAside()) {
+    if (scenario.settings().origin().cacheAside()) {
       servers.put(FIRST_ORIGIN, new SeededServer(FIRST_ORIGIN, ORIGIN_KIND));
       servers.put(FIRST_ORIGIN + 1, new SeededServer(FIRST_ORIGIN + 1, ORIGIN_KIND));
     }
   }
 
-  /** Plays all of it and returns the digest of the actions. */
-  String play() {
-    port = new Port();
-    port.router = new RingRouter(shape.settings(), 77, now, port);
-    if (shape.warmStart()) {
+  /** Runs the scenario and returns the digest of the actions. */
+  String run() {
+    port = new RouterPort();
+    port.router = new RingRouter(scenario.settings(), 77, nowNanos, port);
+    if (scenario.warmStart()) {
       port.handle(new RoutingEvent.WarmStarted(new WarmStartState(2e-7, 4e-7, 6e6, 2e7, 400, 300)));
     }
-    list(EndpointListKind.CACHED, wholeList());
-    after(0, this::arrive);
-    after(200 * MS, new SeededFaults(this)::next);
-    after(300 * MS, this::look);
+    sendList(EndpointListKind.CACHED, fullList());
+    schedule(0, this::arriveNext);
+    schedule(200 * MS, new SeededFaults(this)::injectNext);
+    schedule(300 * MS, this::recordState);
     while (!queue.isEmpty()) {
-      Due next = queue.poll();
-      now = Math.max(now, next.at());
-      next.what().run();
+      ScheduledTask next = queue.poll();
+      nowNanos = Math.max(nowNanos, next.atNanos());
+      next.task().run();
     }
-    look();
+    recordState();
     return HexFormat.of().formatHex(digest.digest());
   }
 
-  /** How often each kind of action was taken. */
+  /** Returns the number of actions by kind. */
   Map<String, Integer> counts() {
     return counts;
   }
 
-  /** Requests that were neither answered nor given up, and whose clients did not leave. */
-  long unanswered() {
-    return clients.values().stream().filter(c -> !c.done).count();
+  /** Returns the number of requests without a response whose clients have not disconnected. */
+  long unansweredCount() {
+    return clientRequests.values().stream().filter(c -> !c.done).count();
   }
 
-  void after(long delay, Runnable what) {
-    queue.add(new Due(now + delay, order++, what));
+  void schedule(long delayNanos, Runnable task) {
+    queue.add(new ScheduledTask(nowNanos + delayNanos, order++, task));
   }
 
   private void record(String kind, String rest) {
     counts.merge(kind, 1, Integer::sum);
-    digest.update((now + " " + kind + " " + rest + "\n").getBytes(StandardCharsets.UTF_8));
+    digest.update((nowNanos + " " + kind + " " + rest + "\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  private void look() {
+  private void recordState() {
     record("view", port.router.view().servers().toString());
-    record("state", text(port.router.warmStartState()));
-    if (arrived < shape.arrivals()) {
-      after(300 * MS, this::look);
+    record("state", describe(port.router.warmStartState()));
+    if (arrivedCount < scenario.arrivals()) {
+      schedule(300 * MS, this::recordState);
     }
   }
 
-  /** The labels are the digests' own, so that they do not follow the names of the components. */
-  private static String text(WarmStartState state) {
+  /**
+   * Formats the state with labels that are part of the digest and independent of component names.
+   */
+  private static String describe(WarmStartState state) {
     return "WarmStartState[answers="
         + state.responsesPerNano()
         + ", peak="
@@ -174,103 +176,101 @@
         + "]";
   }
 
-  // ---- clients
 
-  private void arrive() {
-    if (arrived++ >= shape.arrivals()) {
+  private void arriveNext() {
+    if (arrivedCount++ >= scenario.arrivals()) {
       return;
     }
-    if (arrived == shape.arrivals() / 2 && shape.successor() != null) {
-      Port next = new Port();
-      next.router = new RingRouter(shape.successor(), 78, now, next, port.router);
+    if (arrivedCount == scenario.arrivals() / 2 && scenario.successor() != null) {
+      RouterPort next = new RouterPort();
+      next.router = new RingRouter(scenario.successor(), 78, nowNanos, next, port.router);
       port = next;
     }
-    int requestClass = pickClass();
-    boolean write = chance.nextInt(10) < (requestClass < 2 ? 1 : 7);
-    int tenant = chance.nextInt(Math.max(1, shape.settings().tenants().size()));
-    long key = pickKey();
-    long hint = chance.nextInt(3) == 0 ? (1 + chance.nextInt(40)) * MS / 4 : 0;
-    request(tenant, hint, key, requestClass, write, false);
-    long gap = (long) (shape.meanGapNanos() * pace * (0.2 + 1.6 * chance.nextDouble()));
-    after(gap, this::arrive);
+    int requestClass = drawClass();
+    boolean write = random.nextInt(10) < (requestClass < 2 ? 1 : 7);
+    int tenant = random.nextInt(Math.max(1, scenario.settings().tenants().size()));
+    long key = drawKey();
+    long workHintNanos = random.nextInt(3) == 0 ? (1 + random.nextInt(40)) * MS / 4 : 0;
+    request(tenant, workHintNanos, key, requestClass, write, false);
+    long gapNanos = (long) (scenario.meanGapNanos() * arrivalGapFactor * (0.2 + 1.6 * random.nextDouble()));
+    schedule(gapNanos, this::arriveNext);
   }
 
-  private int pickClass() {
-    int roll = chance.nextInt(20);
-    int classes = shape.settings().classes().size();
+  private int drawClass() {
+    int roll = random.nextInt(20);
+    int classes = scenario.settings().classes().size();
     return roll < 13 ? roll % 2 : roll % classes;
   }
 
-  private long pickKey() {
-    int roll = chance.nextInt(100);
+  private long drawKey() {
+    int roll = random.nextInt(100);
     if (roll < 2) {
       return 0;
     }
     if (roll < 25) {
       return 7L + roll % 3;
     }
-    int spread = chance.nextInt(300);
+    int spread = random.nextInt(300);
     return 10 + (long) spread * spread / 300;
   }
 
   private void request(
-      int tenant, long hint, long key, int requestClass, boolean write, boolean again) {
-    RequestClass type = shape.settings().classes().get(requestClass);
-    long id = ++requests;
-    long left = type.deadlineNanos() / (1 + chance.nextInt(3));
+      int tenant, long workHintNanos, long key, int requestClass, boolean write, boolean clientRetry) {
+    RequestClass type = scenario.settings().classes().get(requestClass);
+    long id = ++requestCount;
+    long remainingNanos = type.deadlineNanos() / (1 + random.nextInt(3));
     RoutingEvent.RequestArrived arrival =
-        new RoutingEvent.RequestArrived(id, tenant, hint, key, requestClass, left, again, write, 0);
-    Client client = new Client(arrival, type, port);
-    clients.put(id, client);
-    after(left, () -> leave(client));
-    if (chance.nextInt(40) == 0) {
-      after(1L + chance.nextInt((int) (30 * MS)), () -> leave(client));
-    }
-    client.port.handle(arrival);
+        new RoutingEvent.RequestArrived(id, tenant, workHintNanos, key, requestClass, remainingNanos, clientRetry, write, 0);
+    ClientRequest request = new ClientRequest(arrival, type, port);
+    clientRequests.put(id, request);
+    schedule(remainingNanos, () -> disconnect(request));
+    if (random.nextInt(40) == 0) {
+      schedule(1L + random.nextInt((int) (30 * MS)), () -> disconnect(request));
+    }
+    request.port.handle(arrival);
   }
 
-  private void leave(Client client) {
-    if (!client.done) {
-      client.done = true;
-      client.port.handle(new RoutingEvent.RequestCancelled(client.id));
-      retryLater(client);
+  private void disconnect(ClientRequest request) {
+    if (!request.done) {
+      request.done = true;
+      request.port.handle(new RoutingEvent.RequestCancelled(request.id));
+      retryLater(request);
     }
   }
 
-  private void retryLater(Client client) {
-    if (chance.nextInt(3) == 0 && requests < 3L * shape.arrivals()) {
-      RoutingEvent.RequestArrived a = client.arrival;
-      long delay = 1L + chance.nextInt((int) (60 * MS));
-      after(
-          delay,
-          () -> request(a.tenant(), a.workHintNanos(), a.key(), a.requestClass(), a.write(), true));
+  private void retryLater(ClientRequest request) {
+    if (random.nextInt(3) == 0 && requestCount < 3L * scenario.arrivals()) {
+      RoutingEvent.RequestArrived arrival = request.arrival;
+      long delayNanos = 1L + random.nextInt((int) (60 * MS));
+      schedule(
+          delayNanos,
+          () -> request(arrival.tenant(), arrival.workHintNanos(), arrival.key(), arrival.requestClass(), arrival.write(), true));
     }
   }
 
-  // ---- servers
 
-  private void start(Client client, SeededServer server, long allowFor) {
-    Attempt attempt = new Attempt(server, client.attempts.size(), now);
-    client.attempts.add(attempt);
+  private void startAttempt(ClientRequest request, SeededServer server, long timeoutNanos) {
+    Attempt attempt = new Attempt(server, request.attempts.size(), nowNanos);
+    request.attempts.add(attempt);
     server.inFlight++;
-    AttemptOutcome outcome = outcome(client, server);
-    long elapsed = elapsed(client, server, outcome);
-    if (elapsed >= allowFor) {
-      after(allowFor, () -> end(client, attempt, AttemptOutcome.TIMEOUT, CacheStatus.NONE));
+    AttemptOutcome outcome = outcome(request, server);
+    long elapsedNanos = elapsedNanos(request, server, outcome);
+    if (elapsedNanos >= timeoutNanos) {
+      schedule(timeoutNanos, () -> closeAttempt(request, attempt, AttemptOutcome.TIMEOUT, CacheStatus.NONE));
       return;
     }
-    CacheStatus status = status(client, server, outcome);
-    long whole = status == CacheStatus.MISS ? Math.min(elapsed * 4, allowFor - 1) : elapsed;
-    if (outcome == AttemptOutcome.OK && client.type.streamed()) {
-      after(whole / 2, () -> begin(client, attempt));
+    CacheStatus status = status(request, server, outcome);
+    long totalNanos = status == CacheStatus.MISS ? Math.min(elapsedNanos * 4, timeoutNanos - 1) : elapsedNanos;
+    if (outcome == AttemptOutcome.OK && request.requestClass.streamed()) {
+      schedule(totalNanos / 2, () -> startResponse(request, attempt));
     }
-    after(whole, () -> end(client, attempt, outcome, status));
+    schedule(totalNanos, () -> closeAttempt(request, attempt, outcome, status));
   }
 
-  private AttemptOutcome outcome(Client client, SeededServer server) {
-    int roll = chance.nextInt(100);
+  private AttemptOutcome outcome(ClientRequest request, SeededServer server) {
+    int roll = random.nextInt(100);
     boolean origin = server.kind == ORIGIN_KIND;
-    if (now < machineFailsUntil && roll < 60) {
+    if (nowNanos < machineFailsUntilNanos && roll < 60) {
       return AttemptOutcome.NOT_SENT;
     }
     if (server.down) {
@@ -279,89 +279,88 @@
     if (server.inFlight > 12 && roll < 50) {
       return AttemptOutcome.REJECTED;
     }
-    if (roll < server.errorPercent || (!origin && client.arrival.key() % 37 == 36 && roll < 80)) {
+    if (roll < server.errorPercent || (!origin && request.arrival.key() % 37 == 36 && roll < 80)) {
       return roll % 3 == 0 ? AttemptOutcome.RESET : AttemptOutcome.ERROR;
     }
-    boolean cacheLacks =
-        shape.settings().origin().cacheAside()
+    boolean cacheMisses =
+        scenario.settings().origin().cacheAside()
             && !origin
-            && !client.arrival.write()
-            && server.keys.get(client.arrival.key()) == null;
-    return cacheLacks ? AttemptOutcome.MISS : AttemptOutcome.OK;
+            && !request.arrival.write()
+            && server.keys.get(request.arrival.key()) == null;
+    return cacheMisses ? AttemptOutcome.MISS : AttemptOutcome.OK;
   }
 
-  private long elapsed(Client client, SeededServer server, AttemptOutcome outcome) {
+  private long elapsedNanos(ClientRequest request, SeededServer server, AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.TIMEOUT) {
       return Long.MAX_VALUE;
     }
     if (outcome == AttemptOutcome.NOT_SENT) {
       return MS / 10;
     }
-    long usual = (long) ((2 + 4 * chance.nextDouble()) * MS);
-    long work = usual + client.arrival.workHintNanos() / 2;
-    double busy = server.slowness * (1 + server.inFlight / 6.0);
-    double rare = chance.nextInt(50) == 0 ? 15 : 1;
-    double origin = server.kind == ORIGIN_KIND ? 3 * originSlowness : 1;
-    return Math.max(1, (long) (work * busy * rare * origin));
+    long baseNanos = (long) ((2 + 4 * random.nextDouble()) * MS);
+    long workNanos = baseNanos + request.arrival.workHintNanos() / 2;
+    double loadFactor = server.slowness * (1 + server.inFlight / 6.0);
+    double slowOutlierFactor = random.nextInt(50) == 0 ? 15 : 1;
+    double originFactor = server.kind == ORIGIN_KIND ? 3 * originSlowness : 1;
+    return Math.max(1, (long) (workNanos * loadFactor * slowOutlierFactor * originFactor));
   }
 
-  private CacheStatus status(Client client, SeededServer server, AttemptOutcome outcome) {
-    OriginSettings origin = shape.settings().origin();
+  private CacheStatus status(ClientRequest request, SeededServer server, AttemptOutcome outcome) {
+    OriginSettings origin = scenario.settings().origin();
     if (origin.cacheAside() || outcome != AttemptOutcome.OK || !origin.reportsCacheHits()) {
       return CacheStatus.NONE;
     }
-    boolean holds = server.keys.get(client.arrival.key()) != null;
-    return holds && !client.arrival.write() ? CacheStatus.HIT : CacheStatus.MISS;
+    boolean holds = server.keys.get(request.arrival.key()) != null;
+    return holds && !request.arrival.write() ? CacheStatus.HIT : CacheStatus.MISS;
   }
 
-  private void begin(Client client, Attempt attempt) {
-    if (attempt.open && !client.done) {
-      client.port.handle(
+  private void startResponse(ClientRequest request, Attempt attempt) {
+    if (attempt.open && !request.done) {
+      request.port.handle(
           new RoutingEvent.ResponseStarted(
-              client.id, now - attempt.sentAt, attempt.server.id, attempt.index));
+              request.id, nowNanos - attempt.sentAtNanos, attempt.server.id, attempt.index));
     }
   }
 
-  private void end(Client client, Attempt attempt, AttemptOutcome outcome, CacheStatus status) {
+  private void closeAttempt(ClientRequest request, Attempt attempt, AttemptOutcome outcome, CacheStatus status) {
     if (!attempt.open) {
       return;
     }
     attempt.open = false;
     attempt.server.inFlight--;
     if (outcome == AttemptOutcome.MISS) {
-      client.missedAt = client.missedAt == null ? attempt.server : client.missedAt;
+      request.missedAt = request.missedAt == null ? attempt.server : request.missedAt;
     }
     if (outcome == AttemptOutcome.OK) {
-      SeededServer keeper = attempt.server.kind == ORIGIN_KIND ? client.missedAt : attempt.server;
-      if (keeper != null) {
-        keeper.keys.put(client.arrival.key(), true);
+      SeededServer holder = attempt.server.kind == ORIGIN_KIND ? request.missedAt : attempt.server;
+      if (holder != null) {
+        holder.keys.put(request.arrival.key(), true);
       }
     }
-    client.done |= outcome == AttemptOutcome.OK;
+    request.done |= outcome == AttemptOutcome.OK;
     RoutingEvent.AttemptClosed closed =
         new RoutingEvent.AttemptClosed(
-            client.id,
-            now - attempt.sentAt,
-            client.done,
+            request.id,
+            nowNanos - attempt.sentAtNanos,
+            request.done,
             attempt.server.id,
             outcome,
             status,
             attempt.index,
             report(attempt.server, outcome));
-    client.port.handle(closed);
-    if (chance.nextInt(200) == 0) {
-      client.port.handle(closed);
+    request.port.handle(closed);
+    if (random.nextInt(200) == 0) {
+      request.port.handle(closed);
     }
   }
 
   private float[] report(SeededServer server, AttemptOutcome outcome) {
-    boolean none = shape.settings().loadReportFields().isEmpty() || !outcome.serverResponded();
+    boolean none = scenario.settings().loadReportFields().isEmpty() || !outcome.serverResponded();
     return none ? NO_REPORT : new float[] {0.5f, server.inFlight * (server.id == 2 ? 9 : 1)};
   }
 
-  // ---- endpoint lists
 
-  List<Endpoint> wholeList() {
+  List<Endpoint> fullList() {
     List<Endpoint> entries = new ArrayList<>();
     for (SeededServer server : servers.values()) {
       if (server.health != EndpointHealth.GONE) {
@@ -371,72 +370,72 @@
     return entries;
   }
 
-  void delta(SeededServer server) {
-    list(EndpointListKind.DELTA, List.of(server.endpoint()));
+  void sendDelta(SeededServer server) {
+    sendList(EndpointListKind.DELTA, List.of(server.endpoint()));
   }
 
-  void list(EndpointListKind kind, List<Endpoint> entries) {
+  void sendList(EndpointListKind kind, List<Endpoint> entries) {
     port.handle(new RoutingEvent.EndpointsUpdated(order, kind, entries));
   }
 
-  /** One router and the way its actions take effect; a router that was replaced keeps its own. */
-  final class Port implements RoutingActions {
+  /** Connects one router to the model; a replaced router keeps its own port. */
+  final class RouterPort implements RoutingActions {
     private RingRouter router;
 
     void handle(RoutingEvent event) {
-      router.handle(now, event);
+      router.handle(nowNanos, event);
     }
 
     @Override
-    public void send(long request, long server, long allowFor) {
-      record("send", request + " " + server + " " + allowFor);
-      start(clients.get(request), servers.get(server), allowFor);
+    public void send(long requestId, long serverId, long timeoutNanos) {
+      record("send", requestId + " " + serverId + " " + timeoutNanos);
+      startAttempt(clientRequests.get(requestId), servers.get(serverId), timeoutNanos);
     }
 
     @Override
-    public void cancel(long request, int attempt) {
-      record("cancel", request + " " + attempt);
-      Client client = clients.get(request);
-      Attempt a = client.attempts.get(attempt);
-      int roll = chance.nextInt(10);
+    public void cancel(long requestId, int attempt) {
+      record("cancel", requestId + " " + attempt);
+      ClientRequest request = clientRequests.get(requestId);
+      Attempt cancelled = request.attempts.get(attempt);
+      int roll = random.nextInt(10);
       AttemptOutcome outcome = roll < 2 ? AttemptOutcome.SUPERSEDED : AttemptOutcome.CANCELLED;
-      after(roll * MS / 4, () -> end(client, a, outcome, CacheStatus.NONE));
+      schedule(roll * MS / 4, () -> closeAttempt(request, cancelled, outcome, CacheStatus.NONE));
     }
 
     @Override
-    public void reject(long request, long retryAfter, GiveUpReason why) {
-      record("refuse " + why, request + " " + retryAfter);
-      over(request);
+    public void reject(long requestId, long retryAfterNanos, GiveUpReason reason) {
+      record("refuse " + reason, requestId + " " + retryAfterNanos);
+      complete(requestId);
     }
 
     @Override
-    public void fail(long request, GiveUpReason why) {
-      record("fail " + why, Long.toString(request));
-      over(request);
+    public void fail(long requestId, GiveUpReason reason) {
+      record("fail " + reason, Long.toString(requestId));
+      complete(requestId);
     }
 
-    private void over(long request) {
-      Client client = clients.get(request);
-      client.done = true;
-      retryLater(client);
+    private void complete(long requestId) {
+      ClientRequest request = clientRequests.get(requestId);
+      request.done = true;
+      retryLater(request);
     }
 
     @Override
-    public void setTimer(long delay, long token) {
-      record("timer", delay + " " + token);
-      after(delay, () -> handle(new RoutingEvent.TimerFired(token)));
+    public void setTimer(long delayNanos, long token) {
+      record("timer", delayNanos + " " + token);
+      schedule(delayNanos, () -> handle(new RoutingEvent.TimerFired(token)));
     }
 
     @Override
     public void watchEndpoints(boolean on) {
       record("watch", Boolean.toString(on));
-      boolean fails = chance.nextInt(4) == 0;
-      after(
-          (1 + chance.nextInt(20)) * MS,
+      boolean fails = random.nextInt(4) == 0;
+      schedule(
+          (1 + random.nextInt(20)) * MS,
           () ->
-              list(
+              sendList(
                   fails ? EndpointListKind.FAILED : EndpointListKind.FULL,
-                  fails ? List.of() : wholeList()));
+                  fails ? List.of() : fullList()));
     }
 
     @Override
@@ -445,8 +444,8 @@
     }
 
     @Override
-    public void probe(long server) {
-      record("probe", Long.toString(server));
+    public void probe(long serverId) {
+      record("probe", Long.toString(serverId));
     }
 
     @Override
@@ -455,8 +454,8 @@
     }
 
     @Override
-    public void closeIdleConnections(long server) {
-      record("close idle", Long.toString(server));
+    public void closeIdleConnections(long serverId) {
+      record("close idle", Long.toString(serverId));
     }
 
     @Override
--- a/src/test/java/beaconturn/decision/SlowStartTest.java
+++ b/src/test/java/beaconturn/decision/SlowStartTest.java
@@ -1,90 +1,88 @@
 package beaconturn.decision;
 
-import static beaconturn.decision.Harness.MS;
-import static beaconturn.decision.Harness.SECOND;
+import static beaconturn.decision.RouterHarness.MS;
+import static beaconturn.decision.RouterHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a cache is warming up, and how much it gets. */
+/** Tests when a cache is warming up and how many requests it gets. */
 class SlowStartTest {
   @Test
-  void cacheThatWarmsUpIsHeldToItsBudget() {
-    Harness h = new Harness(Harness.settings(false));
-    h.list(EndpointListKind.CACHED, Harness.cache(1), Harness.cache(2), Harness.cache(3));
-    Harness.homes(h, 300);
-    h.list(EndpointListKind.DELTA, Harness.entry(4, EndpointHealth.READY, h.now));
-    h.sends.clear();
-    Harness.homes(h, 300);
-    long toNewCache = h.sends.stream().filter(s -> s.server() == 4).count();
-    assertTrue(toNewCache <= 2, "sent to the cache that warms up at once: " + toNewCache);
+  void warmingCacheIsLimitedToItsBudget() {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    harness.updateEndpoints(EndpointListKind.CACHED, RouterHarness.readyEndpoint(1), RouterHarness.readyEndpoint(2), RouterHarness.readyEndpoint(3));
+    RouterHarness.homeCaches(harness, 300);
+    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(4, EndpointHealth.READY, harness.nowNanos));
+    harness.sends.clear();
+    RouterHarness.homeCaches(harness, 300);
+    long sendsToNewCache = harness.sends.stream().filter(s -> s.serverId() == 4).count();
+    assertTrue(sendsToNewCache <= 2, "sent to the warming cache: " + sendsToNewCache);
   }
 
   /**
-   * A list tells starts by the wall clock, which may have been stepped by an hour: it must not make
-   * a cache warm.
+   * Lists contain wall-clock boot times; a stepped wall clock must not make a cache count as warm.
    */
   @Test
-  void warmingUpDependsOnNoWallClock() {
-    for (long step : new long[] {-3600 * SECOND, 0, 3600 * SECOND}) {
-      Harness h = new Harness(Harness.settings(false));
-      h.caches(3);
-      h.list(EndpointListKind.FULL, Harness.cache(1), Harness.cache(2), Harness.cache(3));
-      h.list(EndpointListKind.DELTA, Harness.entry(4, EndpointHealth.READY, h.now + step));
-      assertEquals(ServerStatus.WARMING, h.router.view().servers().get(4L), "step " + step);
-      h.now += 19 * SECOND;
-      h.list(EndpointListKind.DELTA);
-      assertEquals(ServerStatus.WARMING, h.router.view().servers().get(4L), "step " + step);
-      h.now += 2 * SECOND;
-      h.list(EndpointListKind.DELTA);
-      assertEquals(ServerStatus.ACTIVE, h.router.view().servers().get(4L), "step " + step);
+  void warmUpDoesNotDependOnWallClock() {
+    for (long clockStepNanos : new long[] {-3600 * SECOND, 0, 3600 * SECOND}) {
+      RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+      harness.addCaches(3);
+      harness.updateEndpoints(EndpointListKind.FULL, RouterHarness.readyEndpoint(1), RouterHarness.readyEndpoint(2), RouterHarness.readyEndpoint(3));
+      harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(4, EndpointHealth.READY, harness.nowNanos + clockStepNanos));
+      assertEquals(ServerStatus.WARMING, harness.router.view().servers().get(4L), "clock step in nanoseconds: " + clockStepNanos);
+      harness.nowNanos += 19 * SECOND;
+      harness.updateEndpoints(EndpointListKind.DELTA);
+      assertEquals(ServerStatus.WARMING, harness.router.view().servers().get(4L), "clock step in nanoseconds: " + clockStepNanos);
+      harness.nowNanos += 2 * SECOND;
+      harness.updateEndpoints(EndpointListKind.DELTA);
+      assertEquals(ServerStatus.ACTIVE, harness.router.view().servers().get(4L), "clock step in nanoseconds: " + clockStepNanos);
     }
   }
 
   /**
-   * The same for a router that has just begun: only what started long before any step counts as
-   * warm.
+   * For a new router, only servers that started long before any possible clock step count as warm.
    */
   @Test
-  void firstListMakesOnlyThoseWarmThatStartedLongAgo() {
-    Harness h = new Harness(Harness.settings(false));
-    h.now += 7200 * SECOND;
-    h.list(
+  void firstListTreatsOnlyLongRunningServersAsWarm() {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    harness.nowNanos += 7200 * SECOND;
+    harness.updateEndpoints(
         EndpointListKind.CACHED,
-        Harness.entry(1, EndpointHealth.READY, h.now - 3700 * SECOND),
-        Harness.entry(2, EndpointHealth.READY, h.now - 3500 * SECOND));
-    assertEquals(ServerStatus.ACTIVE, h.router.view().servers().get(1L));
-    assertEquals(ServerStatus.WARMING, h.router.view().servers().get(2L));
-    h.now += 21 * SECOND;
-    h.list(EndpointListKind.DELTA);
-    assertEquals(ServerStatus.ACTIVE, h.router.view().servers().get(2L));
+        RouterHarness.endpoint(1, EndpointHealth.READY, harness.nowNanos - 3700 * SECOND),
+        RouterHarness.endpoint(2, EndpointHealth.READY, harness.nowNanos - 3500 * SECOND));
+    assertEquals(ServerStatus.ACTIVE, harness.router.view().servers().get(1L));
+    assertEquals(ServerStatus.WARMING, harness.router.view().servers().get(2L));
+    harness.nowNanos += 21 * SECOND;
+    harness.updateEndpoints(EndpointListKind.DELTA);
+    assertEquals(ServerStatus.ACTIVE, harness.router.view().servers().get(2L));
   }
 
   @Test
-  void manyRoutersTogetherKeepToBudgetOfCacheThatWarmsUp() {
-    int routers = 200;
-    long toNewCache = 0;
-    for (int i = 0; i < routers; i++) {
-      Harness h = new Harness(Harness.settings(false, routers, List.of()), i);
-      h.caches(10);
+  void manyRoutersTogetherRespectBudgetOfWarmingCache() {
+    int routerCount = 200;
+    long sendsToNewCache = 0;
+    for (int i = 0; i < routerCount; i++) {
+      RouterHarness harness = new RouterHarness(RouterHarness.settings(false, routerCount, List.of()), i);
+      harness.addCaches(10);
       for (int k = 0; k < 40; k++) {
-        h.now += 100 * MS;
-        h.serve(k, i * 1000L + k);
+        harness.nowNanos += 100 * MS;
+        harness.readFromCache(k, i * 1000L + k);
       }
-      h.list(EndpointListKind.DELTA, Harness.entry(11, EndpointHealth.READY, h.now));
-      h.sends.clear();
+      harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(11, EndpointHealth.READY, harness.nowNanos));
+      harness.sends.clear();
       for (int k = 100; k < 150; k++) {
-        h.now += 20 * MS;
-        h.serve(k, i * 1000L + k);
+        harness.nowNanos += 20 * MS;
+        harness.readFromCache(k, i * 1000L + k);
       }
-      toNewCache += h.sends.stream().filter(s -> s.server() == 11).count();
+      sendsToNewCache += harness.sends.stream().filter(s -> s.serverId() == 11).count();
     }
-    // Up to then ten requests a second at each router, one for each warm cache; the settings
-    // allow three times the first share of at least 0.2, which is 0.25 at the second's end.
+    // Each router sent ten requests per second before, one per warm cache. The settings allow three
+    // times the guaranteed share, which rises from 0.2 to less than 0.25 within the second.
     assertTrue(
-        toNewCache > 0 && toNewCache <= 3 * 0.25 * routers,
-        "sent to the cache that warms up: " + toNewCache);
+        sendsToNewCache > 0 && sendsToNewCache <= 3 * 0.25 * routerCount,
+        "sent to the warming cache: " + sendsToNewCache);
   }
 }
--- a/src/test/java/beaconturn/decision/ZoneWeightsTest.java
+++ b/src/test/java/beaconturn/decision/ZoneWeightsTest.java
@@ -8,109 +8,112 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Keys go to zones by weights; caches with even ids are in zone 0. */
+/** Tests the division of keys among zones; caches with even ids are in zone 0. */
 class ZoneWeightsTest {
   private static final int KEYS = 2000;
 
-  private static ZoneWeights weights(int near, int far, boolean overflow) {
-    return new ZoneWeights(List.of(0, 1), List.of(near, far), overflow);
+  private static ZoneWeights weights(int zone0Weight, int zone1Weight, boolean overflow) {
+    return new ZoneWeights(List.of(0, 1), List.of(zone0Weight, zone1Weight), overflow);
   }
 
-  /** The keys that go to zone 1 first; each request is answered at once. */
-  private static Set<Long> far(Harness h) {
-    Set<Long> far = new HashSet<>();
+  /** Returns the keys whose first request is sent to zone 1; each request succeeds immediately. */
+  private static Set<Long> keysSentToZone1(RouterHarness harness) {
+    Set<Long> keysSentToZone1 = new HashSet<>();
     for (long key = 1; key <= KEYS; key++) {
-      if (sent(h, key, Harness.READ) && h.last().server() % 2 == 1) {
-        far.add(key);
+      if (sent(harness, key, RouterHarness.READ) && harness.lastSend().serverId() % 2 == 1) {
+        keysSentToZone1.add(key);
       }
     }
-    return far;
+    return keysSentToZone1;
   }
 
-  private static Harness weighted(ZoneWeights weights) {
-    Harness h = new Harness(Harness.settings(false));
-    h.caches(8);
-    h.router.handle(h.now, new RoutingEvent.ZoneWeightsChanged(weights));
-    return h;
+  private static RouterHarness weighted(ZoneWeights weights) {
+    RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
+    harness.addCaches(8);
+    harness.router.handle(harness.nowNanos, new RoutingEvent.ZoneWeightsChanged(weights));
+    return harness;
   }
 
-  /** Whether the request was sent anywhere; it is answered at once then. */
-  private static boolean sent(Harness h, long key, int type) {
-    int before = h.sends.size();
-    h.now += Harness.MS;
-    h.arrive(h.now, type, key);
-    boolean sent = h.sends.size() > before;
+  /** Sends a request; returns whether it was sent to a cache, which then responds immediately. */
+  private static boolean sent(RouterHarness harness, long key, int type) {
+    int before = harness.sends.size();
+    harness.nowNanos += RouterHarness.MS;
+    harness.arrive(harness.nowNanos, type, key);
+    boolean sent = harness.sends.size() > before;
     if (sent) {
-      h.close(h.last(), 0, AttemptOutcome.OK, true);
+      harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.OK, true);
     }
     return sent;
   }
 
   @Test
-  void weightedPartOfKeysGoesFarAndAlwaysTheSameFirst() {
-    Set<Long> some = far(weighted(weights(900, 100, true)));
-    Set<Long> more = far(weighted(weights(700, 300, true)));
-    assertTrue(some.size() > KEYS * 0.07 && some.size() < KEYS * 0.13, some.size() + " of " + KEYS);
-    assertTrue(more.size() > KEYS * 0.26 && more.size() < KEYS * 0.34, more.size() + " of " + KEYS);
-    assertTrue(more.containsAll(some), "the far cache servers go on with what they have");
-    assertEquals(Set.of(), far(weighted(weights(1000, 0, true))));
+  void zoneGetsItsWeightOfKeysAndKeepsThemAtHigherWeights() {
+    Set<Long> atLowWeight = keysSentToZone1(weighted(weights(900, 100, true)));
+    Set<Long> atHigherWeight = keysSentToZone1(weighted(weights(700, 300, true)));
+    assertTrue(atLowWeight.size() > KEYS * 0.07 && atLowWeight.size() < KEYS * 0.13, atLowWeight.size() + " of " + KEYS);
+    assertTrue(atHigherWeight.size() > KEYS * 0.26 && atHigherWeight.size() < KEYS * 0.34, atHigherWeight.size() + " of " + KEYS);
+    assertTrue(atHigherWeight.containsAll(atLowWeight), "zone 1 keeps its keys at a higher weight");
+    assertEquals(Set.of(), keysSentToZone1(weighted(weights(1000, 0, true))));
   }
 
-  /** What is missing to the whole is rejected at once, and sent nowhere. */
+  /** Keys beyond the sum of the weights are rejected immediately and not sent. */
   @Test
-  void whatNoZoneIsWeightedForIsRejectedAtOnce() {
-    Harness h = weighted(weights(500, 100, true));
-    int refused = 0;
+  void keysBeyondAllWeightsAreRejectedImmediately() {
+    RouterHarness harness = weighted(weights(500, 100, true));
+    int rejected = 0;
     for (long key = 1; key <= KEYS; key++) {
-      refused += sent(h, key, Harness.READ) ? 0 : 1;
-      assertEquals(refused, h.refused.size());
+      rejected += sent(harness, key, RouterHarness.READ) ? 0 : 1;
+      assertEquals(rejected, harness.rejected.size());
     }
-    assertTrue(refused > KEYS * 0.35 && refused < KEYS * 0.45, refused + " of " + KEYS);
+    assertTrue(rejected > KEYS * 0.35 && rejected < KEYS * 0.45, rejected + " of " + KEYS);
   }
 
-  /** A trial may fail: nothing that must not be repeated goes by it, nor a second attempt. */
+  /** Requests that must not be repeated, and second attempts, avoid a trial zone. */
   @Test
-  void trialsAreOnlyIdempotentRequests() {
-    Harness h = weighted(weights(ZoneWeights.MAX_TRIAL_WEIGHT, 950, true));
+  void onlyIdempotentRequestsAreSentToTrialZone() {
+    RouterHarness harness = weighted(weights(ZoneWeights.MAX_TRIAL_WEIGHT, 950, true));
     for (long key = 1; key <= KEYS; key++) {
-      assertTrue(sent(h, key, Harness.UNSAFE));
-      assertEquals(1, h.last().server() % 2, "key " + key);
+      assertTrue(sent(harness, key, RouterHarness.UNSAFE));
+      assertEquals(1, harness.lastSend().serverId() % 2, "key " + key);
     }
-    assertTrue(KEYS - far(h).size() > KEYS * 0.03, "reads are tried there");
+    assertTrue(KEYS - keysSentToZone1(harness).size() > KEYS * 0.03, "reads are sent to the trial zone");
   }
 
-  /** The own zone takes over what another has no server for; another one only with overflow. */
+  /**
+   * The router's own zone takes keys of a zone without servers; other zones do so only with
+   * overflow.
+   */
   @Test
-  void whatZoneCannotTakeGoesNearAndElsewhereOnlyWithOverflow() {
-    Harness h = weighted(weights(700, 300, true));
+  void keysOfFailedZoneGoToOwnZoneAndToOthersOnlyWithOverflow() {
+    RouterHarness harness = weighted(weights(700, 300, true));
     for (long server = 1; server <= 8; server += 2) {
-      h.operatorOverride(server, true);
+      harness.operatorOverride(server, true);
     }
-    assertEquals(Set.of(), far(h), "all near");
+    assertEquals(Set.of(), keysSentToZone1(harness), "all keys go to zone 0");
     for (boolean overflow : new boolean[] {true, false}) {
-      Harness emptied = weighted(weights(700, 300, overflow));
+      RouterHarness withoutZone0 = weighted(weights(700, 300, overflow));
       for (long server = 2; server <= 8; server += 2) {
-        emptied.operatorOverride(server, true);
+        withoutZone0.operatorOverride(server, true);
       }
-      int taken = 0;
+      int sentCount = 0;
       for (long key = 1; key <= KEYS; key++) {
-        taken += sent(emptied, key, Harness.READ) ? 1 : 0;
+        sentCount += sent(withoutZone0, key, RouterHarness.READ) ? 1 : 0;
       }
-      assertTrue(overflow ? taken == KEYS : taken < KEYS * 0.35, taken + " of " + KEYS);
+      assertTrue(overflow ? sentCount == KEYS : sentCount < KEYS * 0.35, sentCount + " of " + KEYS);
     }
   }
 
-  /** A router that follows another under new settings goes on with the same weights. */
+  /** A successor under new settings keeps the zone weights. */
   @Test
-  void successorKeepsWeights() {
-    Harness h = weighted(weights(1000, 0, true));
-    RingRouter next = new RingRouter(Harness.settings(false), 9, h.now, h, h.router);
+  void successorKeepsZoneWeights() {
+    RouterHarness harness = weighted(weights(1000, 0, true));
+    RingRouter next = new RingRouter(RouterHarness.settings(false), 9, harness.nowNanos, harness, harness.router);
     for (long key = 1; key <= 200; key++) {
       next.handle(
-          h.now,
+          harness.nowNanos,
           new RoutingEvent.RequestArrived(
-              10_000 + key, 0, 0, key, 0, 2 * Harness.SECOND, false, false, 0));
-      assertEquals(0, h.last().server() % 2);
+              10_000 + key, 0, 0, key, 0, 2 * RouterHarness.SECOND, false, false, 0));
+      assertEquals(0, harness.lastSend().serverId() % 2);
     }
   }
 }
