--- a/src/test/java/beaconturn/sim/package-info.java
+++ b/src/test/java/beaconturn/sim/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the sim package. */
+/** Tests of the simulator adapter. */
 package beaconturn.sim;
