--- a/src/main/java/beaconturn/decision/ClientRetries.java
+++ b/src/main/java/beaconturn/decision/ClientRetries.java
@@ -34,9 +34,9 @@
   /** Returns until when a response to an arriving request meets its objective, in nanoseconds. */
   long objectiveEndNanos(
       RoutingEvent.RequestArrived arrival, RequestClass requestClass, long logicalRequest) {
-    long endsNanos = clock.nowNanos() + requestClass.latencyObjectiveNanos();
-    Long earlier = arrival.clientRetry() ? objectiveEndNanosByRequest.remove(logicalRequest) : null;
-    return earlier == null ? endsNanos : Math.min(earlier, endsNanos);
+    long endNanos = clock.nowNanos() + requestClass.latencyObjectiveNanos();
+    Long earlierEndNanos = arrival.clientRetry() ? objectiveEndNanosByRequest.remove(logicalRequest) : null;
+    return earlierEndNanos == null ? endNanos : Math.min(earlierEndNanos, endNanos);
   }
 
   /** Records a request that ended without a response. */
--- a/src/main/java/beaconturn/decision/HashRing.java
+++ b/src/main/java/beaconturn/decision/HashRing.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Consistent-hash ring of caches with clockwise traversal. Points depend only on server ids,
- * ratings and kinds, so that builtPoints routers agree and a membership change moves few keys. Supports one
- * walk at a time.
+ * Consistent-hash ring of caches with clockwise traversal. Point positions depend only on server
+ * ids, so that all routers agree and a membership change moves few keys. Supports one walk at a
+ * time.
  */
 final class HashRing {
   /** Virtual points of a cache of average rating. */
--- a/src/main/java/beaconturn/decision/LoadReport.java
+++ b/src/main/java/beaconturn/decision/LoadReport.java
@@ -12,8 +12,8 @@
   }
 
   /** Records the number of requests that the server reports to be executing. */
-  void update(double requests, long nowNanos) {
-    busyRequests = requests;
+  void update(double reportedBusyRequests, long nowNanos) {
+    busyRequests = reportedBusyRequests;
     reportedAtNanos = nowNanos;
   }
 
--- a/src/main/java/beaconturn/decision/ResponseTimes.java
+++ b/src/main/java/beaconturn/decision/ResponseTimes.java
@@ -1,7 +1,7 @@
 package beaconturn.decision;
 
 /**
- * Tracks response averageNanos per request class, over all classes, and of fetches from the origin, and
+ * Tracks response times per request class, over all classes, and of fetches from the origin, and
  * derives when a response is late.
  */
 final class ResponseTimes {
@@ -53,17 +53,17 @@
     return expectedNanos > 0 ? expectedNanos / workNanos.add(expectedNanos) : 1;
   }
 
-  /** Returns the response averageNanos of all classes. */
+  /** Returns the response times of all classes. */
   MovingAverage responseNanos() {
     return responseNanos;
   }
 
-  /** Returns the response averageNanos of one class. */
+  /** Returns the response times of one class. */
   MovingAverage responseNanosOf(int requestClass) {
     return responseNanosByClass[requestClass];
   }
 
-  /** Returns the averageNanos of fetches from the origin. */
+  /** Returns the times of fetches from the origin. */
   MovingAverage fetchNanos() {
     return fetchNanos;
   }
--- a/src/main/java/beaconturn/decision/RingRouter.java
+++ b/src/main/java/beaconturn/decision/RingRouter.java
@@ -53,14 +53,14 @@
     rules.clock.moveTo(nowNanos);
     if (event instanceof RoutingEvent.RequestArrived arrival) {
       coordinator.requestArrived(arrival);
-    } else if (event instanceof RoutingEvent.AttemptClosed end) {
-      coordinator.attemptClosed(end);
+    } else if (event instanceof RoutingEvent.AttemptClosed closed) {
+      coordinator.attemptClosed(closed);
     } else if (event instanceof RoutingEvent.TimerFired timer) {
       timerFired(TimerToken.decode(timer.token()));
     } else if (event instanceof RoutingEvent.RequestCancelled cancellation) {
       coordinator.requestCancelled(cancellation);
-    } else if (event instanceof RoutingEvent.ResponseStarted start) {
-      coordinator.responseStarted(start);
+    } else if (event instanceof RoutingEvent.ResponseStarted started) {
+      coordinator.responseStarted(started);
     } else if (event instanceof RoutingEvent.EndpointsUpdated list) {
       rules.registry.listUpdated(list);
     } else if (event instanceof RoutingEvent.OperatorOverrideChanged change) {
--- a/src/main/java/beaconturn/decision/ZoneWeights.java
+++ b/src/main/java/beaconturn/decision/ZoneWeights.java
@@ -83,10 +83,10 @@
 
   /** Returns the index of the zone that the hash belongs to; the number of zones for none. */
   private int indexFor(long hash) {
-    int keyShare = (int) Long.remainderUnsigned(KeyHash.mix(~hash), TOTAL_WEIGHT);
+    int position = (int) Long.remainderUnsigned(KeyHash.mix(~hash), TOTAL_WEIGHT);
     int index = 0;
-    while (index < weights.size() && keyShare >= weights.get(index)) {
-      keyShare -= weights.get(index);
+    while (index < weights.size() && position >= weights.get(index)) {
+      position -= weights.get(index);
       index++;
     }
     return index;
--- a/src/main/java/beaconturn/sim/SimulatorHost.java
+++ b/src/main/java/beaconturn/sim/SimulatorHost.java
@@ -85,16 +85,16 @@
   private void handleBatch(long nowNanos, int length, int count) throws SimulatorProtocolException {
     ByteBuffer records = WireFields.littleEndian(body);
     records.limit(length);
-    int instance = NO_INSTANCE;
+    int instanceId = NO_INSTANCE;
     int recordStart = 0;
     try {
       for (int i = 0; i < count; i++) {
         recordStart = records.position();
         int code = WireFields.unsignedByte(records);
         if (code == EventCode.INSTANCE_SELECTED) {
-          instance = records.getInt();
+          instanceId = records.getInt();
         } else {
-          handleRecord(nowNanos, instance, code, records);
+          handleRecord(nowNanos, instanceId, code, records);
         }
       }
     } catch (BufferUnderflowException e) {
--- a/src/test/java/beaconturn/decision/AdmissionControllerTest.java
+++ b/src/test/java/beaconturn/decision/AdmissionControllerTest.java
@@ -92,22 +92,22 @@
       harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.ERROR, false);
     }
     int before = harness.sends.size();
-    harness.reads(100, 110, 0, (s, n) -> {});
+    harness.reads(100, 110, 0, (send, attempt) -> {});
     assertEquals(!reported, harness.sends.size() - before == 10, "sent: " + (harness.sends.size() - before));
   }
 
   @Test
-  void timeoutsDoNotShrinkCacheLimitWithoutHedging() {
+  void timeoutsDoNotReduceCacheLimitWithoutHedging() {
     RouterHarness harness = RouterHarness.withoutHedging(false, 100, 6);
     harness.reads(
         0,
         300,
         100 * MS,
-        (s, n) -> {
-          boolean lost = s.requestId() % 3 == 0;
+        (send, attempt) -> {
+          boolean lost = send.requestId() % 3 == 0;
           harness.closeAttempt(
-              s,
-              n,
+              send,
+              attempt,
               lost ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
               !lost,
               (lost ? 2000 : 50) * MS);
--- a/src/test/java/beaconturn/decision/ConnectionFailuresTest.java
+++ b/src/test/java/beaconturn/decision/ConnectionFailuresTest.java
@@ -14,13 +14,13 @@
         0,
         400,
         20 * MS,
-        (s, n) ->
+        (send, attempt) ->
             harness.closeAttempt(
-                s,
-                n,
-                s.serverId() <= 3 ? AttemptOutcome.OK : AttemptOutcome.CONNECT_FAILED,
-                s.serverId() <= 3));
-    long failedConnects = harness.sends.stream().filter(s -> s.requestId() >= 200 && s.serverId() > 3).count();
+                send,
+                attempt,
+                send.serverId() <= 3 ? AttemptOutcome.OK : AttemptOutcome.CONNECT_FAILED,
+                send.serverId() <= 3));
+    long failedConnects = harness.sends.stream().filter(send -> send.requestId() >= 200 && send.serverId() > 3).count();
     assertTrue(failedConnects > 0 && failedConnects < 100, "failed connection attempts in 200 requests: " + failedConnects);
   }
 }
--- a/src/test/java/beaconturn/decision/EndpointWatchTest.java
+++ b/src/test/java/beaconturn/decision/EndpointWatchTest.java
@@ -40,33 +40,33 @@
    */
   @Test
   void backoffOfFailingWatchIsBounded() {
-    RoutingSettings s = RouterHarness.settings(true);
-    SafetyLimits r = s.safetyLimits();
+    RoutingSettings settings = RouterHarness.settings(true);
+    SafetyLimits limits = settings.safetyLimits();
     RouterHarness harness =
         new RouterHarness(
             new RoutingSettings(
-                s.routerIndex(),
-                s.routerCount(),
-                s.zone(),
+                settings.routerIndex(),
+                settings.routerCount(),
+                settings.zone(),
                 true,
-                s.stableRatings(),
-                s.priorityByWork(),
-                s.overQuotaPriorityWeight(),
-                s.tickNanos(),
-                s.classes(),
-                s.tenants(),
+                settings.stableRatings(),
+                settings.priorityByWork(),
+                settings.overQuotaPriorityWeight(),
+                settings.tickNanos(),
+                settings.classes(),
+                settings.tenants(),
                 new SafetyLimits(
-                    r.responseSlackNanos(),
+                    limits.responseSlackNanos(),
                     3600 * SECOND,
-                    r.coldCapacityShare(),
-                    r.warmUpNanos(),
-                    r.drainGraceNanos(),
-                    r.overloadMultiple(),
-                    r.overloadNanos(),
+                    limits.coldCapacityShare(),
+                    limits.warmUpNanos(),
+                    limits.drainGraceNanos(),
+                    limits.overloadMultiple(),
+                    limits.overloadNanos(),
                     false),
-                s.permissions(),
-                s.origin(),
-                s.loadReportFields()));
+                settings.permissions(),
+                settings.origin(),
+                settings.loadReportFields()));
     for (int i = 0; i < 20; i++) {
       harness.updateEndpoints(EndpointListKind.FAILED);
       long before = harness.actions.stream().filter("watch true"::equals).count();
--- a/src/test/java/beaconturn/decision/HashRingTest.java
+++ b/src/test/java/beaconturn/decision/HashRingTest.java
@@ -28,11 +28,11 @@
     harness.addCaches(8);
     Map<Long, Long> before = RouterHarness.homeCaches(harness, 400);
     harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.readyEndpoint(9));
-    Map<Long, Long> joinFetch = RouterHarness.homeCaches(harness, 400);
+    Map<Long, Long> homesAfterJoin = RouterHarness.homeCaches(harness, 400);
     int moved = 0;
     for (long key : before.keySet()) {
-      if (!before.get(key).equals(joinFetch.get(key))) {
-        assertEquals(9L, joinFetch.get(key));
+      if (!before.get(key).equals(homesAfterJoin.get(key))) {
+        assertEquals(9L, homesAfterJoin.get(key));
         moved++;
       }
     }
@@ -49,8 +49,8 @@
         LongStream.rangeClosed(1, 12)
             .mapToObj(id -> new Endpoint(id, 0, (int) (id + 1) % 2, 0, EndpointHealth.READY, 1, 0))
             .toArray(Endpoint[]::new));
-    harness.reads(0, 2000, 200 * MS, (s, n) -> harness.respondFromCache((s.serverId() % 2 == 0 ? 90 : 30) * MS));
-    long slow = harness.sends.stream().filter(s -> s.requestId() >= 1000 && s.serverId() % 2 == 0).count();
+    harness.reads(0, 2000, 200 * MS, (send, attempt) -> harness.respondFromCache((send.serverId() % 2 == 0 ? 90 : 30) * MS));
+    long slow = harness.sends.stream().filter(send -> send.requestId() >= 1000 && send.serverId() % 2 == 0).count();
     assertTrue(slow > 150 && slow < 350, "of 1000 sent to slow caches: " + slow);
   }
 }
--- a/src/test/java/beaconturn/decision/HedgingPolicyTest.java
+++ b/src/test/java/beaconturn/decision/HedgingPolicyTest.java
@@ -34,7 +34,7 @@
   @ValueSource(booleans = {true, false})
   void lateAttemptIsReroutedWithoutHedgingInCacheAsideModeOnly(boolean cacheAside) {
     RouterHarness harness = RouterHarness.withoutHedging(cacheAside, 1, 6);
-    harness.reads(0, 50, 0, (s, n) -> harness.respondFromCache(50 * MS));
+    harness.reads(0, 50, 0, (send, attempt) -> harness.respondFromCache(50 * MS));
     harness.arrive(100, READ, 5);
     RouterHarness.Send first = harness.lastSend();
     for (int i = 0; i < 5; i++) {
--- a/src/test/java/beaconturn/decision/KeyFailuresTest.java
+++ b/src/test/java/beaconturn/decision/KeyFailuresTest.java
@@ -25,9 +25,9 @@
       }
       harness.readFromCache(5000 + i, 20_000 + i);
     }
-    long failingKeySends = harness.sends.stream().skip(before).filter(s -> s.requestId() < 5000).count();
+    long failingKeySends = harness.sends.stream().skip(before).filter(send -> send.requestId() < 5000).count();
     assertTrue(failingKeySends > 50 && failingKeySends < 150, "sends for the failing key: " + failingKeySends);
-    assertTrue(harness.router.view().servers().values().stream().allMatch(s -> s == ServerStatus.ACTIVE));
+    assertTrue(harness.router.view().servers().values().stream().allMatch(status -> status == ServerStatus.ACTIVE));
     harness.arrive(9000, READ, 30_000);
     harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.ERROR, false, MS);
     assertEquals(9000, harness.lastSend().requestId(), "other keys are retried");
--- a/src/test/java/beaconturn/decision/KeySpreadTest.java
+++ b/src/test/java/beaconturn/decision/KeySpreadTest.java
@@ -52,7 +52,7 @@
         harness.readFromCache(i, 7);
       }
       Map<Long, Integer> sendsByCache = new HashMap<>();
-      harness.sends.stream().skip(200).forEach(s -> sendsByCache.merge(s.serverId(), 1, Integer::sum));
+      harness.sends.stream().skip(200).forEach(send -> sendsByCache.merge(send.serverId(), 1, Integer::sum));
       assertEquals(
           cacheAside ? Set.of(2L, 4L, 6L, 8L) : Set.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L), sendsByCache.keySet());
       assertTrue(sendsByCache.values().stream().allMatch(n -> n > 200 / sendsByCache.size() / 2), sendsByCache.toString());
--- a/src/test/java/beaconturn/decision/LoadBoundsTest.java
+++ b/src/test/java/beaconturn/decision/LoadBoundsTest.java
@@ -64,7 +64,7 @@
       harness.arrive(100 + i, READ, 5);
     }
     Map<Long, Integer> load = new HashMap<>();
-    harness.sends.forEach(s -> load.merge(s.serverId(), 1, Integer::sum));
+    harness.sends.forEach(send -> load.merge(send.serverId(), 1, Integer::sum));
     assertEquals(7, harness.sends.size());
     assertEquals(harness.sends.get(0).serverId(), harness.sends.get(1).serverId());
     assertNotEquals(harness.sends.get(0).serverId(), harness.sends.get(2).serverId());
@@ -134,7 +134,7 @@
     harness.arrive(1, READ, 5);
     long home = harness.lastSend().serverId();
     harness.respondFromCache(50 * MS, 60);
-    harness.reads(500, 560, 0, (s, n) -> harness.respondFromCache(50 * MS, s.serverId() == home ? 60 : 2));
+    harness.reads(500, 560, 0, (send, attempt) -> harness.respondFromCache(50 * MS, send.serverId() == home ? 60 : 2));
     for (int i = 0; i < 20; i++) {
       harness.nowNanos += 10 * MS;
       harness.readMissing(100 + i, 1000 + i);
--- a/src/test/java/beaconturn/decision/OutlierDetectorTest.java
+++ b/src/test/java/beaconturn/decision/OutlierDetectorTest.java
@@ -71,7 +71,7 @@
           harness.closeAttempt(send, attempt, unsent ? AttemptOutcome.NOT_SENT : AttemptOutcome.OK, !unsent);
         });
     assertTrue(
-        harness.router.view().servers().values().stream().allMatch(s -> s == ServerStatus.ACTIVE),
+        harness.router.view().servers().values().stream().allMatch(status -> status == ServerStatus.ACTIVE),
         harness.router.view()::toString);
     int before = harness.sends.size();
     harness.reads(300, 340, 20 * MS, (send, attempt) -> harness.closeAttempt(send, attempt, AttemptOutcome.OK, true));
--- a/src/test/java/beaconturn/decision/RoutingCharacterizationTest.java
+++ b/src/test/java/beaconturn/decision/RoutingCharacterizationTest.java
@@ -49,6 +49,10 @@
         idempotency, scope, 230 * MS, 90 * MS, 600 * MS, priorityWeight, latePriorityWeight, streamed);
   }
 
+  /**
+   * Returns settings; {@code alternative} disables polling of discovery, and enables ratings,
+   * advisory removal and load reports.
+   */
   private static RoutingSettings settings(
       boolean cacheAside, int routerCount, RoutingPermissions permissions, boolean alternative) {
     SafetyLimits limits =
@@ -77,7 +81,7 @@
     SeededTraffic traffic = new SeededTraffic(scenario, 4711);
     String actualDigest = traffic.run();
     Map<String, Integer> counts = traffic.counts();
-    assertEquals(0, traffic.unanswered(), counts::toString);
+    assertEquals(0, traffic.unansweredCount(), counts::toString);
     assertEquals(expectedDigest, actualDigest, counts::toString);
     return traffic;
   }
--- a/src/test/java/beaconturn/decision/SafetyRulesTest.java
+++ b/src/test/java/beaconturn/decision/SafetyRulesTest.java
@@ -84,13 +84,13 @@
    */
   @Test
   void requestWithIdempotencyKeyIsNotRetriedIfWrittenAfterItsWindow() {
-    for (long after : new long[] {4550 * MS, 4650 * MS}) {
+    for (long elapsedNanos : new long[] {4550 * MS, 4650 * MS}) {
       RouterHarness harness = readThroughHarness();
       harness.arrive(100, KEYED_ALL, 5, 20 * SECOND);
-      harness.nowNanos += after;
+      harness.nowNanos += elapsedNanos;
       harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.RESET, false);
-      long sent = harness.sends.stream().filter(s -> s.requestId() == 100).count();
-      assertEquals(after < 4600 * MS ? 2 : 1, sent, "after " + after);
+      long sent = harness.sends.stream().filter(send -> send.requestId() == 100).count();
+      assertEquals(elapsedNanos < 4600 * MS ? 2 : 1, sent, "nanoseconds after the first attempt: " + elapsedNanos);
     }
   }
 
@@ -247,7 +247,7 @@
       next.handle(
           harness.nowNanos, new RoutingEvent.RequestArrived(key, 0, 0, key, READ, SECOND, false, false, 0));
     }
-    assertEquals(List.of(), harness.sends.stream().filter(s -> s.serverId() == 1).toList());
+    assertEquals(List.of(), harness.sends.stream().filter(send -> send.serverId() == 1).toList());
     assertTrue(harness.sends.size() > 10);
   }
 
@@ -342,12 +342,12 @@
   void newBootTimeKeepsRequestInFlightAndLimitsCacheToBudget() {
     RouterHarness harness = readThroughHarness();
     harness.arrive(100, READ, 5);
-    RouterHarness.Send excluded = harness.lastSend();
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(out.serverId(), EndpointHealth.READY, harness.nowNanos));
+    RouterHarness.Send inFlight = harness.lastSend();
+    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(inFlight.serverId(), EndpointHealth.READY, harness.nowNanos));
     harness.arrive(101, READ, 5);
-    harness.closeAttempt(excluded, 0, AttemptOutcome.RESET, false);
+    harness.closeAttempt(inFlight, 0, AttemptOutcome.RESET, false);
     assertTrue(
-        harness.sends.stream().skip(1).noneMatch(s -> s.serverId() == out.serverId()), harness.sends.toString());
+        harness.sends.stream().skip(1).noneMatch(send -> send.serverId() == inFlight.serverId()), harness.sends.toString());
   }
 
   @Test
@@ -357,6 +357,6 @@
     for (int i = 0; i < 8000; i++) {
       harness.readFromCache(i, i + 1);
     }
-    assertEquals(400, harness.sends.stream().map(RouterHarness.Send::server).distinct().count());
+    assertEquals(400, harness.sends.stream().map(RouterHarness.Send::serverId).distinct().count());
   }
 }
--- a/src/test/java/beaconturn/decision/SeededTraffic.java
+++ b/src/test/java/beaconturn/decision/SeededTraffic.java
@@ -137,7 +137,7 @@
 
   /** Returns the number of requests without a response whose clients have not disconnected. */
   long unansweredCount() {
-    return clientRequests.values().stream().filter(c -> !c.done).count();
+    return clientRequests.values().stream().filter(request -> !request.done).count();
   }
 
   void schedule(long delayNanos, Runnable task) {
--- a/src/test/java/beaconturn/decision/SlowStartTest.java
+++ b/src/test/java/beaconturn/decision/SlowStartTest.java
@@ -18,7 +18,7 @@
     harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(4, EndpointHealth.READY, harness.nowNanos));
     harness.sends.clear();
     RouterHarness.homeCaches(harness, 300);
-    long sendsToNewCache = harness.sends.stream().filter(s -> s.serverId() == 4).count();
+    long sendsToNewCache = harness.sends.stream().filter(send -> send.serverId() == 4).count();
     assertTrue(sendsToNewCache <= 2, "sent to the warming cache: " + sendsToNewCache);
   }
 
@@ -77,7 +77,7 @@
         harness.nowNanos += 20 * MS;
         harness.readFromCache(k, i * 1000L + k);
       }
-      sendsToNewCache += harness.sends.stream().filter(s -> s.serverId() == 11).count();
+      sendsToNewCache += harness.sends.stream().filter(send -> send.serverId() == 11).count();
     }
     // Each router sent ten requests per second before, one per warm cache. The settings allow three
     // times the guaranteed share, which rises from 0.2 to less than 0.25 within the second.
