--- a/src/main/java/beaconturn/sim/SimulatorCodec.java
+++ b/src/main/java/beaconturn/sim/SimulatorCodec.java
@@ -72,7 +72,7 @@
     int count = in.getInt();
     if (count < 0 || count > in.remaining() / ENDPOINT_BYTES) {
       throw new SimulatorProtocolException(
-          "endpoint list of " + count + " entries exceeds the rest of its batch");
+          "endpoint list of " + count + " entries does not fit in its batch");
     }
     List<Endpoint> endpoints = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
