--- a/src/main/java/beaconturn/decision/AdmissionController.java
+++ b/src/main/java/beaconturn/decision/AdmissionController.java
@@ -40,7 +40,8 @@
     this.random = random;
     this.keyFailures = keyFailures;
     boolean cacheAside = settings.origin().cacheAside();
-    double slowFetchObjectiveShare = cacheAside ? SLOW_OBJECTIVE_SHARE : SLOW_OBJECTIVE_SHARE_READ_THROUGH;
+    double slowFetchObjectiveShare =
+        cacheAside ? SLOW_OBJECTIVE_SHARE : SLOW_OBJECTIVE_SHARE_READ_THROUGH;
     this.cacheLimit = new ConcurrencyLimit(settings, clock, random, SLOW_OBJECTIVE_SHARE);
     this.originLimit = new ConcurrencyLimit(settings, clock, random, slowFetchObjectiveShare);
     this.highestWeight =
@@ -66,7 +67,8 @@
     if (keyFailures.isRejectionDrawn(request.key(), random)) {
       return GiveUpReason.FAILING_KEY;
     }
-    if (request.requestClass().isWorthlessWhenLate() && request.objectiveEndNanos() <= clock.nowNanos()) {
+    if (request.requestClass().isWorthlessWhenLate()
+        && request.objectiveEndNanos() <= clock.nowNanos()) {
       return GiveUpReason.TOO_LATE;
     }
     boolean sentToOrigin = settings.origin().cacheAside() && request.isWrite();
@@ -75,7 +77,8 @@
   }
 
   private boolean admits(RequestState request, ConcurrencyLimit limit) {
-    double limitShare = LOWEST_PRIORITY_LIMIT_SHARE + (1 - LOWEST_PRIORITY_LIMIT_SHARE) * priority(request);
+    double limitShare =
+        LOWEST_PRIORITY_LIMIT_SHARE + (1 - LOWEST_PRIORITY_LIMIT_SHARE) * priority(request);
     return limit.hasCapacityWithin(limitShare) && !exceedsSpareCapacity(request, limit);
   }
 
--- a/src/main/java/beaconturn/decision/AttemptFeedback.java
+++ b/src/main/java/beaconturn/decision/AttemptFeedback.java
@@ -60,7 +60,10 @@
   }
 
   private void recordCacheResponse(
-      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed closed, boolean fetched) {
+      RequestState request,
+      AttemptState attempt,
+      RoutingEvent.AttemptClosed closed,
+      boolean fetched) {
     ServerState server = attempt.server();
     if (!request.isWrite() && !cacheAside) {
       rules.cachedKeys.recordResponse(
--- a/src/main/java/beaconturn/decision/AttemptGuard.java
+++ b/src/main/java/beaconturn/decision/AttemptGuard.java
@@ -46,8 +46,7 @@
    * only after both.
    */
   private boolean isWithinDeduplicationWindow(RequestState request, AttemptState first) {
-    long writtenByNanos =
-        clock.nowNanos() + permissions.connectTimeoutNanos() + MAX_STALL_NANOS;
+    long writtenByNanos = clock.nowNanos() + permissions.connectTimeoutNanos() + MAX_STALL_NANOS;
     return writtenByNanos - first.sentAtNanos() < request.requestClass().deduplicationWindowNanos();
   }
 
--- a/src/main/java/beaconturn/decision/ClientRetries.java
+++ b/src/main/java/beaconturn/decision/ClientRetries.java
@@ -35,7 +35,8 @@
   long objectiveEndNanos(
       RoutingEvent.RequestArrived arrival, RequestClass requestClass, long logicalRequest) {
     long endNanos = clock.nowNanos() + requestClass.latencyObjectiveNanos();
-    Long earlierEndNanos = arrival.clientRetry() ? objectiveEndNanosByRequest.remove(logicalRequest) : null;
+    Long earlierEndNanos =
+        arrival.clientRetry() ? objectiveEndNanosByRequest.remove(logicalRequest) : null;
     return earlierEndNanos == null ? endNanos : Math.min(earlierEndNanos, endNanos);
   }
 
--- a/src/main/java/beaconturn/decision/ConcurrencyLimit.java
+++ b/src/main/java/beaconturn/decision/ConcurrencyLimit.java
@@ -112,7 +112,9 @@
     boolean busy = slowness.value() > BUSY_OBJECTIVE_SHARE;
     boolean slow = slowness.value() > slowObjectiveShare;
     spareLimit =
-        busy ? decreased(spareLimit, decreaseDue, 1.0 / routerCount) : increased(spareLimit, 1 / spareLimit);
+        busy
+            ? decreased(spareLimit, decreaseDue, 1.0 / routerCount)
+            : increased(spareLimit, 1 / spareLimit);
     limit = slow ? decreased(limit, decreaseDue, minLimit) : increased(limit, growth(busy));
     if (decreaseDue && busy) {
       decreasedAtNanos = clock.nowNanos();
--- a/src/main/java/beaconturn/decision/EndpointWatch.java
+++ b/src/main/java/beaconturn/decision/EndpointWatch.java
@@ -74,7 +74,8 @@
    */
   long startedAtNanos(Endpoint endpoint) {
     long ageNanos = clock.nowNanos() - endpoint.bootTimeNanos();
-    boolean startedLongAgo = !listReceived && ageNanos > MAX_CLOCK_STEP_NANOS + limits.warmUpNanos();
+    boolean startedLongAgo =
+        !listReceived && ageNanos > MAX_CLOCK_STEP_NANOS + limits.warmUpNanos();
     return startedLongAgo ? 0 : clock.nowNanos();
   }
 
--- a/src/main/java/beaconturn/decision/EventRate.java
+++ b/src/main/java/beaconturn/decision/EventRate.java
@@ -34,9 +34,7 @@
     return peakCount / windowNanos;
   }
 
-  /**
-   * Returns the recent peak less one standard deviation of its count, in events per nanosecond.
-   */
+  /** Returns the recent peak less one standard deviation of its count, in events per nanosecond. */
   double conservativePeakPerNano(long nowNanos) {
     decay(nowNanos);
     return Math.max(0, peakCount - Math.sqrt(peakCount)) / windowNanos;
--- a/src/main/java/beaconturn/decision/GiveUpPolicy.java
+++ b/src/main/java/beaconturn/decision/GiveUpPolicy.java
@@ -45,8 +45,10 @@
     if (!permissions.retryAfter()) {
       return 0;
     }
-    double objectiveShare = MIN_RETRY_AFTER_OBJECTIVE_SHARE + RETRY_AFTER_JITTER_SHARE * random.nextDouble();
-    long objectiveBasedNanos = (long) (request.requestClass().latencyObjectiveNanos() * objectiveShare);
+    double objectiveShare =
+        MIN_RETRY_AFTER_OBJECTIVE_SHARE + RETRY_AFTER_JITTER_SHARE * random.nextDouble();
+    long objectiveBasedNanos =
+        (long) (request.requestClass().latencyObjectiveNanos() * objectiveShare);
     return request.isOverQuota()
         ? permissions.maxRetryAfterNanos()
         : Math.min(permissions.maxRetryAfterNanos(), objectiveBasedNanos);
--- a/src/main/java/beaconturn/decision/HashRing.java
+++ b/src/main/java/beaconturn/decision/HashRing.java
@@ -113,6 +113,7 @@
 
   private long pointsOf(ServerState server, double ratingUnit) {
     double size = server.rating() / ratingUnit / kindLatencies.relativeTime(server.kind());
-    return Math.round(POINTS_PER_SERVER * Math.max(MIN_RELATIVE_SIZE, Math.min(MAX_RELATIVE_SIZE, size)));
+    return Math.round(
+        POINTS_PER_SERVER * Math.max(MIN_RELATIVE_SIZE, Math.min(MAX_RELATIVE_SIZE, size)));
   }
 }
--- a/src/main/java/beaconturn/decision/HedgingPolicy.java
+++ b/src/main/java/beaconturn/decision/HedgingPolicy.java
@@ -38,7 +38,8 @@
       return lateAfterNanos;
     }
     // Rerouting a late attempt discards the time already spent waiting.
-    double minNanos = request.requestClass().latencyObjectiveNanos() * MIN_OBJECTIVE_SHARE_BEFORE_REROUTE;
+    double minNanos =
+        request.requestClass().latencyObjectiveNanos() * MIN_OBJECTIVE_SHARE_BEFORE_REROUTE;
     return Math.max((long) minNanos, lateAfterNanos);
   }
 
--- a/src/main/java/beaconturn/decision/KeySpread.java
+++ b/src/main/java/beaconturn/decision/KeySpread.java
@@ -41,7 +41,8 @@
    */
   int serverCountFor(RequestState request) {
     int maxServers = Math.min(ring.size(), settings.routerCount() / LoadBounds.MIN_CAP);
-    double maxCapacityShare = settings.origin().cacheAside() ? MAX_CAPACITY_SHARE_CACHE_ASIDE : MAX_CAPACITY_SHARE;
+    double maxCapacityShare =
+        settings.origin().cacheAside() ? MAX_CAPACITY_SHARE_CACHE_ASIDE : MAX_CAPACITY_SHARE;
     int neededServers = (int) Math.ceil(request.keyShare() / maxCapacityShare * ring.size());
     return Math.max(1, Math.min(maxServers, neededServers));
   }
--- a/src/main/java/beaconturn/decision/LoadBounds.java
+++ b/src/main/java/beaconturn/decision/LoadBounds.java
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Returns the cap when one more request joins {@code totalInFlight} requests in flight on {@code servers}
-   * caches, and each cache may exceed the mean by the ratio {@code excess}.
+   * Returns the cap when one more request joins {@code totalInFlight} requests in flight on {@code
+   * servers} caches, and each cache may exceed the mean by the ratio {@code excess}.
    */
   static int cap(int totalInFlight, int servers, double excess) {
     double bound = (1 + excess) * (totalInFlight + 1) / Math.max(1, servers);
--- a/src/main/java/beaconturn/decision/OutlierDetector.java
+++ b/src/main/java/beaconturn/decision/OutlierDetector.java
@@ -114,7 +114,8 @@
   }
 
   private boolean isOutlier(OutlierState state) {
-    double maxFailureShare = state.ejected ? READMISSION_FAILURE_SHARE : EJECTION_FAILURE_SHARE + fleetFailureShare;
+    double maxFailureShare =
+        state.ejected ? READMISSION_FAILURE_SHARE : EJECTION_FAILURE_SHARE + fleetFailureShare;
     return state.failureShare > maxFailureShare;
   }
 
--- a/src/main/java/beaconturn/decision/RequestCoordinator.java
+++ b/src/main/java/beaconturn/decision/RequestCoordinator.java
@@ -26,7 +26,6 @@
     this.fetches = new OriginFetches(settings, actions, rules, this);
   }
 
-
   void requestArrived(RoutingEvent.RequestArrived arrival) {
     RequestState request = newRequest(arrival);
     requests.put(request.id(), request);
@@ -44,7 +43,8 @@
   private RequestState newRequest(RoutingEvent.RequestArrived arrival) {
     RequestClass requestClass = settings.classes().get(arrival.requestClass());
     long logicalRequest = rules.clientRetries.logicalRequest(arrival);
-    long objectiveEndNanos = rules.clientRetries.objectiveEndNanos(arrival, requestClass, logicalRequest);
+    long objectiveEndNanos =
+        rules.clientRetries.objectiveEndNanos(arrival, requestClass, logicalRequest);
     long deadlineNanos = rules.clock.nowNanos() + arrival.remainingNanos();
     // In cache-aside mode, an attempt is cut off when its response has lost its value: the cache
     // would otherwise keep working on it and delay the next request. In read-through mode, cutting
@@ -126,7 +126,6 @@
     }
   }
 
-
   private void continueAfter(
       RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed closed) {
     if (request.isDone()) {
@@ -235,7 +234,6 @@
     }
   }
 
-
   /**
    * Gives a request up: rejects it if a client retry is harmless, otherwise fails it. All requests
    * that the policy gives up pass through here.
--- a/src/main/java/beaconturn/decision/ResponseTimes.java
+++ b/src/main/java/beaconturn/decision/ResponseTimes.java
@@ -73,7 +73,8 @@
    * latency objective while there are no samples.
    */
   long lateAfterNanos(RequestState request, boolean fetchesFromOrigin) {
-    MovingAverage averageNanos = fetchesFromOrigin ? fetchNanos : responseNanosByClass[request.classIndex()];
+    MovingAverage averageNanos =
+        fetchesFromOrigin ? fetchNanos : responseNanosByClass[request.classIndex()];
     if (!averageNanos.hasSamples()) {
       return request.requestClass().latencyObjectiveNanos();
     }
--- a/src/main/java/beaconturn/decision/RetryPolicy.java
+++ b/src/main/java/beaconturn/decision/RetryPolicy.java
@@ -40,7 +40,8 @@
    * share of failed samples already denies additional attempts.
    */
   boolean allowsFurtherAttempt() {
-    boolean fleetUnhealthy = permissions.hedging() ? outliers.isFleetUnhealthy() : outliers.isFleetDegraded();
+    boolean fleetUnhealthy =
+        permissions.hedging() ? outliers.isFleetUnhealthy() : outliers.isFleetDegraded();
     return budget.hasAttempt() && !fleetUnhealthy;
   }
 
--- a/src/main/java/beaconturn/decision/ServerRegistry.java
+++ b/src/main/java/beaconturn/decision/ServerRegistry.java
@@ -29,7 +29,8 @@
 
   /** Takes over the servers of the predecessor. */
   void continueFrom(ServerRegistry predecessor) {
-    boolean sameReports = settings.loadReportFields().equals(predecessor.settings.loadReportFields());
+    boolean sameReports =
+        settings.loadReportFields().equals(predecessor.settings.loadReportFields());
     predecessor.servers.forEach(
         (id, server) -> servers.put(id, server.successor(sameReports, settings.stableRatings())));
     watch.continueFrom(predecessor.watch);
--- a/src/main/java/beaconturn/decision/ServerSelector.java
+++ b/src/main/java/beaconturn/decision/ServerSelector.java
@@ -29,7 +29,8 @@
     this.connections = rules.connections;
     this.bounds = rules.bounds;
     this.spread = rules.keySpread;
-    this.choice = new ServerChoice(random, settings.origin().cacheAside() ? settings.zone() : ANY_ZONE);
+    this.choice =
+        new ServerChoice(random, settings.origin().cacheAside() ? settings.zone() : ANY_ZONE);
   }
 
   ZoneWeights zoneWeights() {
@@ -56,7 +57,9 @@
     boolean allowsUnreachable = connections.allowsUnreachable(request);
     choice.clear();
     ring.startWalk(request.hash());
-    for (ServerState server = ring.next(); server != null && remainingServers > 0; server = ring.next()) {
+    for (ServerState server = ring.next();
+        server != null && remainingServers > 0;
+        server = ring.next()) {
       if (!isCandidate(request, server, zone)) {
         continue;
       }
--- a/src/main/java/beaconturn/decision/SlowStart.java
+++ b/src/main/java/beaconturn/decision/SlowStart.java
@@ -69,7 +69,8 @@
     if (sinceNanos == 0) {
       return 1;
     }
-    double warmUpProgress = Math.max(0, clock.nowNanos() - sinceNanos) / (double) limits.warmUpNanos();
+    double warmUpProgress =
+        Math.max(0, clock.nowNanos() - sinceNanos) / (double) limits.warmUpNanos();
     if (warmUpProgress >= 1) {
       return 1;
     }
--- a/src/main/java/beaconturn/sim/ActionWriter.java
+++ b/src/main/java/beaconturn/sim/ActionWriter.java
@@ -106,7 +106,8 @@
 
     @Override
     public void send(long requestId, long serverId, long timeoutNanos) {
-      startAction(ActionCode.SEND, REQUEST_BYTES + SERVER_BYTES + TIME_BYTES).putInt((int) requestId);
+      startAction(ActionCode.SEND, REQUEST_BYTES + SERVER_BYTES + TIME_BYTES)
+          .putInt((int) requestId);
       WireFields.putServerId(out, serverId);
       out.putLong(timeoutNanos);
     }
@@ -132,7 +133,9 @@
 
     @Override
     public void setTimer(long delayNanos, long token) {
-      startAction(ActionCode.SET_TIMER, TIME_BYTES + TOKEN_BYTES).putLong(delayNanos).putLong(token);
+      startAction(ActionCode.SET_TIMER, TIME_BYTES + TOKEN_BYTES)
+          .putLong(delayNanos)
+          .putLong(token);
     }
 
     @Override
--- a/src/main/java/beaconturn/sim/SimulatorHost.java
+++ b/src/main/java/beaconturn/sim/SimulatorHost.java
@@ -71,7 +71,8 @@
       throw new SimulatorProtocolException("batch " + batches + ": input ends inside the header");
     }
     if (length < 0) {
-      throw new SimulatorProtocolException("batch " + batches + ": invalid length of records: " + length);
+      throw new SimulatorProtocolException(
+          "batch " + batches + ": invalid length of records: " + length);
     }
     if (length > body.length) {
       body = new byte[length + length / 2];
@@ -109,7 +110,8 @@
   }
 
   private SimulatorProtocolException malformed(int position, String problem) {
-    return new SimulatorProtocolException("batch " + batches + ", byte " + position + ": " + problem);
+    return new SimulatorProtocolException(
+        "batch " + batches + ", byte " + position + ": " + problem);
   }
 
   private void handleRecord(long nowNanos, int instanceId, int code, ByteBuffer records)
@@ -130,7 +132,8 @@
       instances.remove(instanceId);
       return;
     }
-    deliver(nowNanos, instanceId, instance, SimulatorCodec.event(code, records, instance.settings()));
+    deliver(
+        nowNanos, instanceId, instance, SimulatorCodec.event(code, records, instance.settings()));
   }
 
   /** Confines an exception of the routing policy to the instance and event that caused it. */
--- a/src/test/java/beaconturn/decision/AdmissionControllerTest.java
+++ b/src/test/java/beaconturn/decision/AdmissionControllerTest.java
@@ -25,7 +25,8 @@
       int tenant = i % 4 == 0 ? 1 : 0;
       int before = harness.rejected.size();
       harness.router.handle(
-          harness.nowNanos, new RoutingEvent.RequestArrived(i, tenant, 0, i, READ, SECOND, false, false, 0));
+          harness.nowNanos,
+          new RoutingEvent.RequestArrived(i, tenant, 0, i, READ, SECOND, false, false, 0));
       rejected[tenant] += harness.rejected.size() - before;
       if (harness.rejected.size() == before) {
         harness.respondFromCache(400 * MS);
@@ -93,7 +94,8 @@
     }
     int before = harness.sends.size();
     harness.reads(100, 110, 0, (send, attempt) -> {});
-    assertEquals(!reported, harness.sends.size() - before == 10, "sent: " + (harness.sends.size() - before));
+    assertEquals(
+        !reported, harness.sends.size() - before == 10, "sent: " + (harness.sends.size() - before));
   }
 
   @Test
--- a/src/test/java/beaconturn/decision/AttemptFeedbackTest.java
+++ b/src/test/java/beaconturn/decision/AttemptFeedbackTest.java
@@ -123,15 +123,19 @@
 
   private void startResponse(RouterHarness.Send send) {
     harness.router.handle(
-        harness.nowNanos, new RoutingEvent.ResponseStarted(send.requestId(), 20 * MS, send.serverId(), 0));
+        harness.nowNanos,
+        new RoutingEvent.ResponseStarted(send.requestId(), 20 * MS, send.serverId(), 0));
   }
 
   @Test
   void requestWaitingForStreamedKeyIsSentToItsCacheWhenResponseStarts() {
     RouterHarness.Send leader = fetch();
-    assertEquals(0, sendsSince(() -> harness.arrive(200, READ, leader.requestId())), "one fetch per key");
+    assertEquals(
+        0, sendsSince(() -> harness.arrive(200, READ, leader.requestId())), "one fetch per key");
     assertEquals(1, sendsSince(() -> startResponse(leader)));
-    assertEquals(List.of(200L, leader.serverId()), List.of(harness.lastSend().requestId(), harness.lastSend().serverId()));
+    assertEquals(
+        List.of(200L, leader.serverId()),
+        List.of(harness.lastSend().requestId(), harness.lastSend().serverId()));
     assertEquals(0, sendsSince(() -> harness.closeAttempt(leader, 0, AttemptOutcome.OK, true)));
     assertEquals(List.of(), harness.rejected);
   }
@@ -157,6 +161,7 @@
       startResponse(harness.lastSend());
     }
     harness.arrive(202, READ, 5);
-    assertNotEquals(home, harness.lastSend().serverId(), "a cache has a cap of two while others are idle");
+    assertNotEquals(
+        home, harness.lastSend().serverId(), "a cache has a cap of two while others are idle");
   }
 }
--- a/src/test/java/beaconturn/decision/ClientRetriesTest.java
+++ b/src/test/java/beaconturn/decision/ClientRetriesTest.java
@@ -16,7 +16,8 @@
     harness.nowNanos += 400 * MS;
     harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.TIMEOUT, false);
     harness.nowNanos += 600 * MS;
-    harness.closeAttempt(harness.lastSend(), harness.sends.size() - 1, AttemptOutcome.TIMEOUT, false);
+    harness.closeAttempt(
+        harness.lastSend(), harness.sends.size() - 1, AttemptOutcome.TIMEOUT, false);
     assertEquals(List.of(1L), harness.rejected);
     int sent = harness.sends.size();
     harness.readWithHint(2, 5, 0, true);
--- a/src/test/java/beaconturn/decision/ConnectionFailuresTest.java
+++ b/src/test/java/beaconturn/decision/ConnectionFailuresTest.java
@@ -20,7 +20,12 @@
                 attempt,
                 send.serverId() <= 3 ? AttemptOutcome.OK : AttemptOutcome.CONNECT_FAILED,
                 send.serverId() <= 3));
-    long failedConnects = harness.sends.stream().filter(send -> send.requestId() >= 200 && send.serverId() > 3).count();
-    assertTrue(failedConnects > 0 && failedConnects < 100, "failed connection attempts in 200 requests: " + failedConnects);
+    long failedConnects =
+        harness.sends.stream()
+            .filter(send -> send.requestId() >= 200 && send.serverId() > 3)
+            .count();
+    assertTrue(
+        failedConnects > 0 && failedConnects < 100,
+        "failed connection attempts in 200 requests: " + failedConnects);
   }
 }
--- a/src/test/java/beaconturn/decision/EndpointWatchTest.java
+++ b/src/test/java/beaconturn/decision/EndpointWatchTest.java
@@ -72,7 +72,9 @@
       long before = harness.actions.stream().filter("watch true"::equals).count();
       harness.advance(1200 * MS);
       assertEquals(
-          before + 1, harness.actions.stream().filter("watch true"::equals).count(), "failure " + i);
+          before + 1,
+          harness.actions.stream().filter("watch true"::equals).count(),
+          "failure " + i);
     }
   }
 }
--- a/src/test/java/beaconturn/decision/HashRingTest.java
+++ b/src/test/java/beaconturn/decision/HashRingTest.java
@@ -37,7 +37,8 @@
       }
     }
     assertTrue(moved > 10 && moved < 120, "moved " + moved);
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(9, EndpointHealth.GONE, 0));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA, RouterHarness.endpoint(9, EndpointHealth.GONE, 0));
     assertEquals(before, RouterHarness.homeCaches(harness, 400));
   }
 
@@ -49,8 +50,15 @@
         LongStream.rangeClosed(1, 12)
             .mapToObj(id -> new Endpoint(id, 0, (int) (id + 1) % 2, 0, EndpointHealth.READY, 1, 0))
             .toArray(Endpoint[]::new));
-    harness.reads(0, 2000, 200 * MS, (send, attempt) -> harness.respondFromCache((send.serverId() % 2 == 0 ? 90 : 30) * MS));
-    long slow = harness.sends.stream().filter(send -> send.requestId() >= 1000 && send.serverId() % 2 == 0).count();
+    harness.reads(
+        0,
+        2000,
+        200 * MS,
+        (send, attempt) -> harness.respondFromCache((send.serverId() % 2 == 0 ? 90 : 30) * MS));
+    long slow =
+        harness.sends.stream()
+            .filter(send -> send.requestId() >= 1000 && send.serverId() % 2 == 0)
+            .count();
     assertTrue(slow > 150 && slow < 350, "of 1000 sent to slow caches: " + slow);
   }
 }
--- a/src/test/java/beaconturn/decision/HedgingPolicyTest.java
+++ b/src/test/java/beaconturn/decision/HedgingPolicyTest.java
@@ -18,7 +18,11 @@
   void attemptTimesOutAtObjectiveInCacheAsideModeIfLateResponseIsWorthless() {
     for (boolean cacheAside : List.of(true, false)) {
       RouterHarness harness = new RouterHarness(RouterHarness.settings(cacheAside));
-      harness.updateEndpoints(EndpointListKind.CACHED, RouterHarness.readyEndpoint(1), RouterHarness.readyEndpoint(2), RouterHarness.originEndpoint(50));
+      harness.updateEndpoints(
+          EndpointListKind.CACHED,
+          RouterHarness.readyEndpoint(1),
+          RouterHarness.readyEndpoint(2),
+          RouterHarness.originEndpoint(50));
       harness.arrive(1, READ, 5, 2 * SECOND);
       assertEquals(cacheAside ? SECOND : 2 * SECOND, harness.lastSend().timeoutNanos());
       harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.OK, true);
@@ -43,7 +47,8 @@
     }
     assertEquals(List.of(), harness.actions.stream().filter(a -> a.startsWith("cancel")).toList());
     harness.advance((cacheAside ? 10 : 505) * MS);
-    List<String> cancelActions = harness.actions.stream().filter(a -> a.startsWith("cancel")).toList();
+    List<String> cancelActions =
+        harness.actions.stream().filter(a -> a.startsWith("cancel")).toList();
     assertEquals(cacheAside ? List.of("cancel 100 0") : List.of(), cancelActions);
     if (cacheAside) {
       int sentBefore = harness.sends.size();
@@ -62,7 +67,9 @@
       harness.nowNanos += 20 * MS;
     }
     long lateAfterUsualWorkNanos = harness.lateAfterNanos(200, 10 * MS);
-    assertTrue(harness.lateAfterNanos(201, 80 * MS) > lateAfterUsualWorkNanos + 100 * MS, "late after (nanoseconds), for usual work: " + lateAfterUsualWorkNanos);
+    assertTrue(
+        harness.lateAfterNanos(201, 80 * MS) > lateAfterUsualWorkNanos + 100 * MS,
+        "late after (nanoseconds), for usual work: " + lateAfterUsualWorkNanos);
     assertEquals(lateAfterUsualWorkNanos, harness.lateAfterNanos(202, MS), MS);
   }
 }
--- a/src/test/java/beaconturn/decision/KeyFailuresTest.java
+++ b/src/test/java/beaconturn/decision/KeyFailuresTest.java
@@ -14,7 +14,11 @@
   void errorsOfFailingKeyDoNotEjectCachesAndAreNotRetried() {
     RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
     harness.addCaches(6);
-    harness.reads(0, 60, 5 * MS, (send, attempt) -> harness.closeAttempt(send, attempt, AttemptOutcome.OK, true));
+    harness.reads(
+        0,
+        60,
+        5 * MS,
+        (send, attempt) -> harness.closeAttempt(send, attempt, AttemptOutcome.OK, true));
     int before = harness.sends.size();
     for (int i = 0; i < 200; i++) {
       harness.nowNanos += 5 * MS;
@@ -25,9 +29,14 @@
       }
       harness.readFromCache(5000 + i, 20_000 + i);
     }
-    long failingKeySends = harness.sends.stream().skip(before).filter(send -> send.requestId() < 5000).count();
-    assertTrue(failingKeySends > 50 && failingKeySends < 150, "sends for the failing key: " + failingKeySends);
-    assertTrue(harness.router.view().servers().values().stream().allMatch(status -> status == ServerStatus.ACTIVE));
+    long failingKeySends =
+        harness.sends.stream().skip(before).filter(send -> send.requestId() < 5000).count();
+    assertTrue(
+        failingKeySends > 50 && failingKeySends < 150,
+        "sends for the failing key: " + failingKeySends);
+    assertTrue(
+        harness.router.view().servers().values().stream()
+            .allMatch(status -> status == ServerStatus.ACTIVE));
     harness.arrive(9000, READ, 30_000);
     harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.ERROR, false, MS);
     assertEquals(9000, harness.lastSend().requestId(), "other keys are retried");
@@ -42,7 +51,11 @@
   void keyThatResetsConnectionsIsSentToFewCaches() {
     RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
     harness.addCaches(8);
-    harness.reads(0, 60, 5 * MS, (send, attempt) -> harness.closeAttempt(send, attempt, AttemptOutcome.OK, true));
+    harness.reads(
+        0,
+        60,
+        5 * MS,
+        (send, attempt) -> harness.closeAttempt(send, attempt, AttemptOutcome.OK, true));
     int before = harness.sends.size();
     for (int i = 0; i < 100; i++) {
       harness.nowNanos += 5 * MS;
@@ -52,7 +65,8 @@
         harness.closeAttempt(harness.sends.get(k), k - first, AttemptOutcome.RESET, false, MS);
       }
     }
-    assertTrue(harness.sends.size() - before < 50, "sent " + (harness.sends.size() - before) + " times");
+    assertTrue(
+        harness.sends.size() - before < 50, "sent " + (harness.sends.size() - before) + " times");
     assertEquals(100, harness.rejected.size());
   }
 }
--- a/src/test/java/beaconturn/decision/KeySpreadTest.java
+++ b/src/test/java/beaconturn/decision/KeySpreadTest.java
@@ -28,7 +28,9 @@
       }
       harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.OK, true);
     }
-    assertTrue(hotKeySends.size() >= 5 && hotKeySends.values().stream().allMatch(n -> n <= 40), hotKeySends.toString());
+    assertTrue(
+        hotKeySends.size() >= 5 && hotKeySends.values().stream().allMatch(n -> n <= 40),
+        hotKeySends.toString());
     for (int i = 0; i < 5; i++) {
       harness.arrive(9000 + i, READ, 77);
       coldKeyCaches.add(harness.lastSend().serverId());
@@ -52,10 +54,15 @@
         harness.readFromCache(i, 7);
       }
       Map<Long, Integer> sendsByCache = new HashMap<>();
-      harness.sends.stream().skip(200).forEach(send -> sendsByCache.merge(send.serverId(), 1, Integer::sum));
+      harness.sends.stream()
+          .skip(200)
+          .forEach(send -> sendsByCache.merge(send.serverId(), 1, Integer::sum));
       assertEquals(
-          cacheAside ? Set.of(2L, 4L, 6L, 8L) : Set.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L), sendsByCache.keySet());
-      assertTrue(sendsByCache.values().stream().allMatch(n -> n > 200 / sendsByCache.size() / 2), sendsByCache.toString());
+          cacheAside ? Set.of(2L, 4L, 6L, 8L) : Set.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L),
+          sendsByCache.keySet());
+      assertTrue(
+          sendsByCache.values().stream().allMatch(n -> n > 200 / sendsByCache.size() / 2),
+          sendsByCache.toString());
     }
   }
 }
--- a/src/test/java/beaconturn/decision/LoadBoundsTest.java
+++ b/src/test/java/beaconturn/decision/LoadBoundsTest.java
@@ -58,7 +58,11 @@
       harness.updateEndpoints(EndpointListKind.FULL, RouterHarness.readyEndpoint(i));
       harness.readFromCache(i, 5);
     }
-    harness.updateEndpoints(EndpointListKind.FULL, RouterHarness.readyEndpoint(1), RouterHarness.readyEndpoint(2), RouterHarness.readyEndpoint(3));
+    harness.updateEndpoints(
+        EndpointListKind.FULL,
+        RouterHarness.readyEndpoint(1),
+        RouterHarness.readyEndpoint(2),
+        RouterHarness.readyEndpoint(3));
     harness.sends.clear();
     for (int i = 0; i < 7; i++) {
       harness.arrive(100 + i, READ, 5);
@@ -104,7 +108,10 @@
 
   @Test
   void cacheReportingFarAboveMeanIsAvoidedTemporarily() {
-    RouterHarness harness = new RouterHarness(RouterHarness.withLoadReport(RouterHarness.settings(false, 20, List.of()), "busy_reqs"));
+    RouterHarness harness =
+        new RouterHarness(
+            RouterHarness.withLoadReport(
+                RouterHarness.settings(false, 20, List.of()), "busy_reqs"));
     harness.addCaches(6);
     RouterHarness.homeCaches(harness, 20);
     RouterHarness.homeCaches(harness, 20);
@@ -128,17 +135,23 @@
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void reportedLoadIsIgnoredWhileOriginLacksCapacity(boolean originBusy) {
-    RouterHarness harness = new RouterHarness(RouterHarness.withLoadReport(RouterHarness.settings(true), "busy_reqs"));
+    RouterHarness harness =
+        new RouterHarness(RouterHarness.withLoadReport(RouterHarness.settings(true), "busy_reqs"));
     harness.addCaches(6);
     harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.originEndpoint(50));
     harness.arrive(1, READ, 5);
     long home = harness.lastSend().serverId();
     harness.respondFromCache(50 * MS, 60);
-    harness.reads(500, 560, 0, (send, attempt) -> harness.respondFromCache(50 * MS, send.serverId() == home ? 60 : 2));
+    harness.reads(
+        500,
+        560,
+        0,
+        (send, attempt) -> harness.respondFromCache(50 * MS, send.serverId() == home ? 60 : 2));
     for (int i = 0; i < 20; i++) {
       harness.nowNanos += 10 * MS;
       harness.readMissing(100 + i, 1000 + i);
-      harness.closeAttempt(harness.lastSend(), 1, AttemptOutcome.OK, true, (originBusy ? 900 : 50) * MS);
+      harness.closeAttempt(
+          harness.lastSend(), 1, AttemptOutcome.OK, true, (originBusy ? 900 : 50) * MS);
     }
     harness.arrive(2, READ, 5);
     assertEquals(originBusy, harness.lastSend().serverId() == home);
--- a/src/test/java/beaconturn/decision/OutlierDetectorTest.java
+++ b/src/test/java/beaconturn/decision/OutlierDetectorTest.java
@@ -31,7 +31,9 @@
       int attempt = harness.lastSend() == first ? 0 : 1;
       harness.closeAttempt(harness.lastSend(), attempt, AttemptOutcome.OK, true);
     }
-    assertTrue(sendsToFailing >= 3 && sendsToFailing < 20, "sends to the failing cache: " + sendsToFailing);
+    assertTrue(
+        sendsToFailing >= 3 && sendsToFailing < 20,
+        "sends to the failing cache: " + sendsToFailing);
   }
 
   /** The cache has received no requests for a long time while others responded. */
@@ -42,7 +44,10 @@
     RouterHarness.homeCaches(harness, 60);
     long home = harness.homeCache(5);
     long other =
-        LongStream.range(100, 200).filter(key -> harness.homeCache(key) != home).findFirst().orElseThrow();
+        LongStream.range(100, 200)
+            .filter(key -> harness.homeCache(key) != home)
+            .findFirst()
+            .orElseThrow();
     for (int i = 0; i < 300; i++) {
       harness.nowNanos += SECOND / 10;
       harness.readFromCache(1000 + i, other);
@@ -68,13 +73,19 @@
         20 * MS,
         (send, attempt) -> {
           boolean unsent = send.serverId() == 1;
-          harness.closeAttempt(send, attempt, unsent ? AttemptOutcome.NOT_SENT : AttemptOutcome.OK, !unsent);
+          harness.closeAttempt(
+              send, attempt, unsent ? AttemptOutcome.NOT_SENT : AttemptOutcome.OK, !unsent);
         });
     assertTrue(
-        harness.router.view().servers().values().stream().allMatch(status -> status == ServerStatus.ACTIVE),
+        harness.router.view().servers().values().stream()
+            .allMatch(status -> status == ServerStatus.ACTIVE),
         harness.router.view()::toString);
     int before = harness.sends.size();
-    harness.reads(300, 340, 20 * MS, (send, attempt) -> harness.closeAttempt(send, attempt, AttemptOutcome.OK, true));
+    harness.reads(
+        300,
+        340,
+        20 * MS,
+        (send, attempt) -> harness.closeAttempt(send, attempt, AttemptOutcome.OK, true));
     assertTrue(harness.sends.size() - before >= 40, "all caches are used again");
   }
 }
--- a/src/test/java/beaconturn/decision/RouterHarness.java
+++ b/src/test/java/beaconturn/decision/RouterHarness.java
@@ -53,7 +53,8 @@
     return settings(cacheAside, routerCount, tenants, 6);
   }
 
-  static RoutingSettings settings(boolean cacheAside, int routerCount, List<Tenant> tenants, int maxAttempts) {
+  static RoutingSettings settings(
+      boolean cacheAside, int routerCount, List<Tenant> tenants, int maxAttempts) {
     List<RequestClass> classes =
         List.of(
             requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
@@ -120,12 +121,16 @@
         new RoutingPermissions(
             true, false, false, true, false, 3, 2 * SECOND, 32, 250 * MS, 10 * SECOND);
     OriginSettings origin =
-        new OriginSettings(settings.origin().cacheAside(), settings.origin().kind(), false, false, 0, 0);
+        new OriginSettings(
+            settings.origin().cacheAside(), settings.origin().kind(), false, false, 0, 0);
     return copyOf(settings, permissions, origin, settings.loadReportFields());
   }
 
   private static RoutingSettings copyOf(
-      RoutingSettings settings, RoutingPermissions permissions, OriginSettings origin, List<String> loadReportFields) {
+      RoutingSettings settings,
+      RoutingPermissions permissions,
+      OriginSettings origin,
+      List<String> loadReportFields) {
     return new RoutingSettings(
         settings.routerIndex(),
         settings.routerCount(),
@@ -165,7 +170,8 @@
 
   /** Creates a router without hedging and without hit reports of read-through caches. */
   static RouterHarness withoutHedging(boolean cacheAside, int routerCount, int caches) {
-    RouterHarness harness = new RouterHarness(withoutHedgingOrHitReports(settings(cacheAside, routerCount, List.of())));
+    RouterHarness harness =
+        new RouterHarness(withoutHedgingOrHitReports(settings(cacheAside, routerCount, List.of())));
     harness.addCaches(caches);
     return harness;
   }
@@ -206,7 +212,9 @@
   void arrive(long requestId, int requestClass, long key, long remainingNanos) {
     boolean write = requestClass != READ;
     router.handle(
-        nowNanos, new RoutingEvent.RequestArrived(requestId, 0, 0, key, requestClass, remainingNanos, false, write, 0));
+        nowNanos,
+        new RoutingEvent.RequestArrived(
+            requestId, 0, 0, key, requestClass, remainingNanos, false, write, 0));
   }
 
   /**
@@ -230,15 +238,22 @@
    */
   long countReadsSentTo(int from, int to, long gapNanos, long serverId) {
     int before = sends.size();
-    reads(from, to, gapNanos, (send, attempt) -> closeAttempt(send, attempt, AttemptOutcome.OK, true));
-    return sends.subList(before, sends.size()).stream().filter(send -> send.serverId() == serverId).count();
+    reads(
+        from,
+        to,
+        gapNanos,
+        (send, attempt) -> closeAttempt(send, attempt, AttemptOutcome.OK, true));
+    return sends.subList(before, sends.size()).stream()
+        .filter(send -> send.serverId() == serverId)
+        .count();
   }
 
   /** Sends a read with the given expected work (0 if unknown), or a client retry of one. */
   void readWithHint(long requestId, long key, long workHintNanos, boolean clientRetry) {
     router.handle(
         nowNanos,
-        new RoutingEvent.RequestArrived(requestId, 0, workHintNanos, key, READ, 2 * SECOND, clientRetry, false, 0));
+        new RoutingEvent.RequestArrived(
+            requestId, 0, workHintNanos, key, READ, 2 * SECOND, clientRetry, false, 0));
   }
 
   /**
@@ -268,7 +283,8 @@
     closeAttempt(send, attempt, outcome, requestClosed, 50 * MS);
   }
 
-  void closeAttempt(Send send, int attempt, AttemptOutcome outcome, boolean requestClosed, long elapsedNanos) {
+  void closeAttempt(
+      Send send, int attempt, AttemptOutcome outcome, boolean requestClosed, long elapsedNanos) {
     router.handle(
         nowNanos,
         new RoutingEvent.AttemptClosed(
@@ -296,7 +312,14 @@
     router.handle(
         nowNanos,
         new RoutingEvent.AttemptClosed(
-            lastSend().requestId(), elapsedNanos, true, lastSend().serverId(), AttemptOutcome.OK, cacheStatus, 0, report));
+            lastSend().requestId(),
+            elapsedNanos,
+            true,
+            lastSend().serverId(),
+            AttemptOutcome.OK,
+            cacheStatus,
+            0,
+            report));
   }
 
   /** Fires all timers due within the given duration, in order, and advances the clock. */
--- a/src/test/java/beaconturn/decision/RoutingCharacterizationTest.java
+++ b/src/test/java/beaconturn/decision/RoutingCharacterizationTest.java
@@ -46,7 +46,14 @@
       double latePriorityWeight,
       boolean streamed) {
     return new RequestClass(
-        idempotency, scope, 230 * MS, 90 * MS, 600 * MS, priorityWeight, latePriorityWeight, streamed);
+        idempotency,
+        scope,
+        230 * MS,
+        90 * MS,
+        600 * MS,
+        priorityWeight,
+        latePriorityWeight,
+        streamed);
   }
 
   /**
@@ -59,7 +66,12 @@
         new SafetyLimits(20 * MS, 2 * SECOND, 0.2, 3 * SECOND, 250 * MS, 3, SECOND, alternative);
     OriginSettings origin =
         new OriginSettings(
-            cacheAside, cacheAside ? SeededTraffic.ORIGIN_KIND : -1, false, permissions.hedging(), 0, 0);
+            cacheAside,
+            cacheAside ? SeededTraffic.ORIGIN_KIND : -1,
+            false,
+            permissions.hedging(),
+            0,
+            0);
     return new RoutingSettings(
         0,
         routerCount,
@@ -70,14 +82,18 @@
         0.1,
         5 * MS,
         classes(),
-        List.of(new Tenant(0, 0.5), new Tenant(40 * routerCount, 0.1), new Tenant(60 * routerCount, 0.4)),
+        List.of(
+            new Tenant(0, 0.5),
+            new Tenant(40 * routerCount, 0.1),
+            new Tenant(60 * routerCount, 0.4)),
         limits,
         permissions,
         origin,
         alternative ? List.of("queue", "busy_reqs") : List.of());
   }
 
-  private static SeededTraffic runAndCompare(SeededTraffic.Scenario scenario, String expectedDigest) {
+  private static SeededTraffic runAndCompare(
+      SeededTraffic.Scenario scenario, String expectedDigest) {
     SeededTraffic traffic = new SeededTraffic(scenario, 4711);
     String actualDigest = traffic.run();
     Map<String, Integer> counts = traffic.counts();
--- a/src/test/java/beaconturn/decision/SafetyRulesTest.java
+++ b/src/test/java/beaconturn/decision/SafetyRulesTest.java
@@ -90,7 +90,10 @@
       harness.nowNanos += elapsedNanos;
       harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.RESET, false);
       long sent = harness.sends.stream().filter(send -> send.requestId() == 100).count();
-      assertEquals(elapsedNanos < 4600 * MS ? 2 : 1, sent, "nanoseconds after the first attempt: " + elapsedNanos);
+      assertEquals(
+          elapsedNanos < 4600 * MS ? 2 : 1,
+          sent,
+          "nanoseconds after the first attempt: " + elapsedNanos);
     }
   }
 
@@ -112,7 +115,8 @@
     harness.arrive(100, READ, 5);
     long home = harness.lastSend().serverId();
     harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.OK, true);
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.DRAINING, 0));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.DRAINING, 0));
     for (int i = 0; i < 20; i++) {
       harness.arrive(200 + i, READ, 5);
       assertTrue(harness.lastSend().serverId() != home);
@@ -125,32 +129,40 @@
    */
   @Test
   void removedCacheIsUsedUntilUnresponsiveWithAdvisoryRemoval() {
-    RouterHarness harness = new RouterHarness(RouterHarness.withAdvisoryRemoval(RouterHarness.settings(false)));
+    RouterHarness harness =
+        new RouterHarness(RouterHarness.withAdvisoryRemoval(RouterHarness.settings(false)));
     harness.addCaches(4);
     long home = harness.homeCache(5);
-    harness.updateEndpoints(EndpointListKind.FULL, RouterHarness.endpoint(home % 4 + 1, EndpointHealth.READY, 0));
+    harness.updateEndpoints(
+        EndpointListKind.FULL, RouterHarness.endpoint(home % 4 + 1, EndpointHealth.READY, 0));
     assertEquals(home, harness.homeCache(5), "omitted from a full list");
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.GONE, 0));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.GONE, 0));
     assertEquals(home, harness.homeCache(5), "listed as gone");
     harness.arrive(100, READ, 5);
     harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.CONNECT_FAILED, false);
     assertTrue(harness.lastSend().serverId() != home, "listed as gone and unresponsive");
     harness.closeAttempt(harness.lastSend(), 1, AttemptOutcome.OK, true);
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.READY, 0));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.READY, 0));
     assertEquals(home, harness.homeCache(5), "listed again");
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.DRAINING, 0));
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.GONE, 0));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.DRAINING, 0));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.GONE, 0));
     assertTrue(harness.homeCache(5) != home, "gone after draining");
   }
 
   @Test
   void unresponsiveCacheGetsNoRequestsAfterAdvisoryRemoval() {
-    RouterHarness harness = new RouterHarness(RouterHarness.withAdvisoryRemoval(RouterHarness.settings(false)));
+    RouterHarness harness =
+        new RouterHarness(RouterHarness.withAdvisoryRemoval(RouterHarness.settings(false)));
     harness.addCaches(4);
     long home = harness.homeCache(5);
     harness.arrive(100, READ, 5);
     harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.RESET, false);
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.GONE, 0));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.GONE, 0));
     assertTrue(harness.homeCache(5) != home);
   }
 
@@ -177,19 +189,26 @@
     harness.operatorOverride(excluded, true);
     harness.operatorOverride(excluded, true);
     assertEquals(1, harness.router.view().avoided());
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(excluded, EndpointHealth.READY, harness.nowNanos));
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(excluded, EndpointHealth.GONE, 0));
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(excluded, EndpointHealth.READY, harness.nowNanos + 1));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA,
+        RouterHarness.endpoint(excluded, EndpointHealth.READY, harness.nowNanos));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA, RouterHarness.endpoint(excluded, EndpointHealth.GONE, 0));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA,
+        RouterHarness.endpoint(excluded, EndpointHealth.READY, harness.nowNanos + 1));
     harness.addCaches(6);
     assertEquals(0, harness.countReadsSentTo(300, 500, 10 * MS, excluded));
     harness.operatorOverride(excluded, false);
     assertEquals(0, harness.router.view().avoided());
     long sendCount = harness.countReadsSentTo(500, 1500, MS, excluded);
-    assertTrue(sendCount > 0 && sendCount < 120, sendCount + " of 1000 sends; an even share is 167");
+    assertTrue(
+        sendCount > 0 && sendCount < 120, sendCount + " of 1000 sends; an even share is 167");
     LongStream.rangeClosed(1, 6).forEach(i -> harness.operatorOverride(i, true));
     harness.arrive(1500, READ, 5);
     assertTrue(
-        harness.actions.get(harness.actions.size() - 1).matches("reject 1500 [1-9][0-9]*"), "all caches are excluded");
+        harness.actions.get(harness.actions.size() - 1).matches("reject 1500 [1-9][0-9]*"),
+        "all caches are excluded");
   }
 
   /** A start reported by the list during the exclusion determines the warm-up progress. */
@@ -203,7 +222,9 @@
       harness.operatorOverride(server, true);
       harness.nowNanos += SECOND;
       if (listed == 1) {
-        harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(server, EndpointHealth.READY, harness.nowNanos));
+        harness.updateEndpoints(
+            EndpointListKind.DELTA,
+            RouterHarness.endpoint(server, EndpointHealth.READY, harness.nowNanos));
       }
       harness.countReadsSentTo(1200, 2200, 10 * MS, server);
       harness.operatorOverride(server, false);
@@ -223,11 +244,15 @@
     for (boolean warmStart : new boolean[] {false, true}) {
       RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
       if (warmStart) {
-        harness.router.handle(harness.nowNanos, new RoutingEvent.WarmStarted(before.router.warmStartState()));
+        harness.router.handle(
+            harness.nowNanos, new RoutingEvent.WarmStarted(before.router.warmStartState()));
       }
       LongStream.rangeClosed(1, 6)
           .forEach(
-              i -> harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(i, EndpointHealth.READY, harness.nowNanos)));
+              i ->
+                  harness.updateEndpoints(
+                      EndpointListKind.DELTA,
+                      RouterHarness.endpoint(i, EndpointHealth.READY, harness.nowNanos)));
       harness.countReadsSentTo(1, 401, 5 * MS, 0);
       assertTrue(
           warmStart ? harness.sends.size() > 120 : harness.sends.size() < 60,
@@ -241,11 +266,13 @@
     RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
     harness.operatorOverride(1, true);
     harness.addCaches(2);
-    RingRouter next = new RingRouter(RouterHarness.settings(false), 1, harness.nowNanos, harness, harness.router);
+    RingRouter next =
+        new RingRouter(RouterHarness.settings(false), 1, harness.nowNanos, harness, harness.router);
     assertEquals(1, next.view().avoided());
     for (int key = 1; key < 50; key++) {
       next.handle(
-          harness.nowNanos, new RoutingEvent.RequestArrived(key, 0, 0, key, READ, SECOND, false, false, 0));
+          harness.nowNanos,
+          new RoutingEvent.RequestArrived(key, 0, 0, key, READ, SECOND, false, false, 0));
     }
     assertEquals(List.of(), harness.sends.stream().filter(send -> send.serverId() == 1).toList());
     assertTrue(harness.sends.size() > 10);
@@ -258,7 +285,8 @@
     long home = harness.sends.get(0).serverId();
     RouterHarness.Send fetch = harness.lastSend();
     harness.arrive(2, READ, 5);
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.DRAINING, 0));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA, RouterHarness.endpoint(home, EndpointHealth.DRAINING, 0));
     harness.closeAttempt(fetch, 1, AttemptOutcome.OK, true);
     assertEquals(3 - home, harness.lastSend().serverId());
   }
@@ -328,7 +356,8 @@
     harness.updateEndpoints(EndpointListKind.CACHED, RouterHarness.originEndpoint(50));
     harness.arrive(2, READ, 5);
     harness.updateEndpoints(EndpointListKind.DELTA);
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(1, EndpointHealth.DRAINING, 0));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA, RouterHarness.endpoint(1, EndpointHealth.DRAINING, 0));
     harness.arrive(3, READ, 5);
     assertEquals(List.of(1L, 2L, 3L), harness.rejected);
     assertEquals(List.of(), harness.sends);
@@ -343,11 +372,14 @@
     RouterHarness harness = readThroughHarness();
     harness.arrive(100, READ, 5);
     RouterHarness.Send inFlight = harness.lastSend();
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(inFlight.serverId(), EndpointHealth.READY, harness.nowNanos));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA,
+        RouterHarness.endpoint(inFlight.serverId(), EndpointHealth.READY, harness.nowNanos));
     harness.arrive(101, READ, 5);
     harness.closeAttempt(inFlight, 0, AttemptOutcome.RESET, false);
     assertTrue(
-        harness.sends.stream().skip(1).noneMatch(send -> send.serverId() == inFlight.serverId()), harness.sends.toString());
+        harness.sends.stream().skip(1).noneMatch(send -> send.serverId() == inFlight.serverId()),
+        harness.sends.toString());
   }
 
   @Test
--- a/src/test/java/beaconturn/decision/SeededFaults.java
+++ b/src/test/java/beaconturn/decision/SeededFaults.java
@@ -39,7 +39,8 @@
     if (traffic.arrivedCount >= traffic.scenario.arrivals()) {
       return;
     }
-    SeededServer server = traffic.servers.get(1L + traffic.random.nextInt(traffic.scenario.caches()));
+    SeededServer server =
+        traffic.servers.get(1L + traffic.random.nextInt(traffic.scenario.caches()));
     long delayNanos = (100 + traffic.random.nextInt(900)) * MS;
     inject(FAULTS[traffic.random.nextInt(FAULTS.length)], server, delayNanos);
     traffic.schedule((50 + traffic.random.nextInt(150)) * MS, this::injectNext);
@@ -103,7 +104,8 @@
         List<Endpoint> incompleteList = traffic.fullList();
         incompleteList.removeIf(e -> e.serverId() == server.id);
         traffic.sendList(EndpointListKind.FULL, incompleteList);
-        traffic.schedule(delayNanos, () -> traffic.sendList(EndpointListKind.FULL, traffic.fullList()));
+        traffic.schedule(
+            delayNanos, () -> traffic.sendList(EndpointListKind.FULL, traffic.fullList()));
       }
       case CACHED_LIST -> traffic.sendList(EndpointListKind.CACHED, traffic.fullList());
       case FAILING_ORIGIN -> {
@@ -129,7 +131,8 @@
   }
 
   private void overrideServer(SeededServer server, boolean excluded) {
-    traffic.port.handle(new RoutingEvent.OperatorOverrideChanged(server.id, excluded, traffic.nowNanos));
+    traffic.port.handle(
+        new RoutingEvent.OperatorOverrideChanged(server.id, excluded, traffic.nowNanos));
   }
 
   private void changeZoneWeights() {
--- a/src/test/java/beaconturn/decision/SeededTraffic.java
+++ b/src/test/java/beaconturn/decision/SeededTraffic.java
@@ -33,7 +33,8 @@
       boolean warmStart,
       RoutingSettings successor) {}
 
-  private record ScheduledTask(long atNanos, long order, Runnable task) implements Comparable<ScheduledTask> {
+  private record ScheduledTask(long atNanos, long order, Runnable task)
+      implements Comparable<ScheduledTask> {
     @Override
     public int compareTo(ScheduledTask other) {
       int timeOrder = Long.compare(atNanos, other.atNanos);
@@ -176,7 +177,6 @@
         + "]";
   }
 
-
   private void arriveNext() {
     if (arrivedCount++ >= scenario.arrivals()) {
       return;
@@ -192,7 +192,8 @@
     long key = drawKey();
     long workHintNanos = random.nextInt(3) == 0 ? (1 + random.nextInt(40)) * MS / 4 : 0;
     request(tenant, workHintNanos, key, requestClass, write, false);
-    long gapNanos = (long) (scenario.meanGapNanos() * arrivalGapFactor * (0.2 + 1.6 * random.nextDouble()));
+    long gapNanos =
+        (long) (scenario.meanGapNanos() * arrivalGapFactor * (0.2 + 1.6 * random.nextDouble()));
     schedule(gapNanos, this::arriveNext);
   }
 
@@ -215,12 +216,18 @@
   }
 
   private void request(
-      int tenant, long workHintNanos, long key, int requestClass, boolean write, boolean clientRetry) {
+      int tenant,
+      long workHintNanos,
+      long key,
+      int requestClass,
+      boolean write,
+      boolean clientRetry) {
     RequestClass type = scenario.settings().classes().get(requestClass);
     long id = ++requestCount;
     long remainingNanos = type.deadlineNanos() / (1 + random.nextInt(3));
     RoutingEvent.RequestArrived arrival =
-        new RoutingEvent.RequestArrived(id, tenant, workHintNanos, key, requestClass, remainingNanos, clientRetry, write, 0);
+        new RoutingEvent.RequestArrived(
+            id, tenant, workHintNanos, key, requestClass, remainingNanos, clientRetry, write, 0);
     ClientRequest request = new ClientRequest(arrival, type, port);
     clientRequests.put(id, request);
     schedule(remainingNanos, () -> disconnect(request));
@@ -244,11 +251,17 @@
       long delayNanos = 1L + random.nextInt((int) (60 * MS));
       schedule(
           delayNanos,
-          () -> request(arrival.tenant(), arrival.workHintNanos(), arrival.key(), arrival.requestClass(), arrival.write(), true));
+          () ->
+              request(
+                  arrival.tenant(),
+                  arrival.workHintNanos(),
+                  arrival.key(),
+                  arrival.requestClass(),
+                  arrival.write(),
+                  true));
     }
   }
 
-
   private void startAttempt(ClientRequest request, SeededServer server, long timeoutNanos) {
     Attempt attempt = new Attempt(server, request.attempts.size(), nowNanos);
     request.attempts.add(attempt);
@@ -256,11 +269,14 @@
     AttemptOutcome outcome = outcome(request, server);
     long elapsedNanos = elapsedNanos(request, server, outcome);
     if (elapsedNanos >= timeoutNanos) {
-      schedule(timeoutNanos, () -> closeAttempt(request, attempt, AttemptOutcome.TIMEOUT, CacheStatus.NONE));
+      schedule(
+          timeoutNanos,
+          () -> closeAttempt(request, attempt, AttemptOutcome.TIMEOUT, CacheStatus.NONE));
       return;
     }
     CacheStatus status = status(request, server, outcome);
-    long totalNanos = status == CacheStatus.MISS ? Math.min(elapsedNanos * 4, timeoutNanos - 1) : elapsedNanos;
+    long totalNanos =
+        status == CacheStatus.MISS ? Math.min(elapsedNanos * 4, timeoutNanos - 1) : elapsedNanos;
     if (outcome == AttemptOutcome.OK && request.requestClass.streamed()) {
       schedule(totalNanos / 2, () -> startResponse(request, attempt));
     }
@@ -322,7 +338,8 @@
     }
   }
 
-  private void closeAttempt(ClientRequest request, Attempt attempt, AttemptOutcome outcome, CacheStatus status) {
+  private void closeAttempt(
+      ClientRequest request, Attempt attempt, AttemptOutcome outcome, CacheStatus status) {
     if (!attempt.open) {
       return;
     }
@@ -359,7 +376,6 @@
     return none ? NO_REPORT : new float[] {0.5f, server.inFlight * (server.id == 2 ? 9 : 1)};
   }
 
-
   List<Endpoint> fullList() {
     List<Endpoint> entries = new ArrayList<>();
     for (SeededServer server : servers.values()) {
--- a/src/test/java/beaconturn/decision/SlowStartTest.java
+++ b/src/test/java/beaconturn/decision/SlowStartTest.java
@@ -13,9 +13,14 @@
   @Test
   void warmingCacheIsLimitedToItsBudget() {
     RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
-    harness.updateEndpoints(EndpointListKind.CACHED, RouterHarness.readyEndpoint(1), RouterHarness.readyEndpoint(2), RouterHarness.readyEndpoint(3));
+    harness.updateEndpoints(
+        EndpointListKind.CACHED,
+        RouterHarness.readyEndpoint(1),
+        RouterHarness.readyEndpoint(2),
+        RouterHarness.readyEndpoint(3));
     RouterHarness.homeCaches(harness, 300);
-    harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(4, EndpointHealth.READY, harness.nowNanos));
+    harness.updateEndpoints(
+        EndpointListKind.DELTA, RouterHarness.endpoint(4, EndpointHealth.READY, harness.nowNanos));
     harness.sends.clear();
     RouterHarness.homeCaches(harness, 300);
     long sendsToNewCache = harness.sends.stream().filter(send -> send.serverId() == 4).count();
@@ -30,15 +35,30 @@
     for (long clockStepNanos : new long[] {-3600 * SECOND, 0, 3600 * SECOND}) {
       RouterHarness harness = new RouterHarness(RouterHarness.settings(false));
       harness.addCaches(3);
-      harness.updateEndpoints(EndpointListKind.FULL, RouterHarness.readyEndpoint(1), RouterHarness.readyEndpoint(2), RouterHarness.readyEndpoint(3));
-      harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(4, EndpointHealth.READY, harness.nowNanos + clockStepNanos));
-      assertEquals(ServerStatus.WARMING, harness.router.view().servers().get(4L), "clock step in nanoseconds: " + clockStepNanos);
+      harness.updateEndpoints(
+          EndpointListKind.FULL,
+          RouterHarness.readyEndpoint(1),
+          RouterHarness.readyEndpoint(2),
+          RouterHarness.readyEndpoint(3));
+      harness.updateEndpoints(
+          EndpointListKind.DELTA,
+          RouterHarness.endpoint(4, EndpointHealth.READY, harness.nowNanos + clockStepNanos));
+      assertEquals(
+          ServerStatus.WARMING,
+          harness.router.view().servers().get(4L),
+          "clock step in nanoseconds: " + clockStepNanos);
       harness.nowNanos += 19 * SECOND;
       harness.updateEndpoints(EndpointListKind.DELTA);
-      assertEquals(ServerStatus.WARMING, harness.router.view().servers().get(4L), "clock step in nanoseconds: " + clockStepNanos);
+      assertEquals(
+          ServerStatus.WARMING,
+          harness.router.view().servers().get(4L),
+          "clock step in nanoseconds: " + clockStepNanos);
       harness.nowNanos += 2 * SECOND;
       harness.updateEndpoints(EndpointListKind.DELTA);
-      assertEquals(ServerStatus.ACTIVE, harness.router.view().servers().get(4L), "clock step in nanoseconds: " + clockStepNanos);
+      assertEquals(
+          ServerStatus.ACTIVE,
+          harness.router.view().servers().get(4L),
+          "clock step in nanoseconds: " + clockStepNanos);
     }
   }
 
@@ -65,13 +85,16 @@
     int routerCount = 200;
     long sendsToNewCache = 0;
     for (int i = 0; i < routerCount; i++) {
-      RouterHarness harness = new RouterHarness(RouterHarness.settings(false, routerCount, List.of()), i);
+      RouterHarness harness =
+          new RouterHarness(RouterHarness.settings(false, routerCount, List.of()), i);
       harness.addCaches(10);
       for (int k = 0; k < 40; k++) {
         harness.nowNanos += 100 * MS;
         harness.readFromCache(k, i * 1000L + k);
       }
-      harness.updateEndpoints(EndpointListKind.DELTA, RouterHarness.endpoint(11, EndpointHealth.READY, harness.nowNanos));
+      harness.updateEndpoints(
+          EndpointListKind.DELTA,
+          RouterHarness.endpoint(11, EndpointHealth.READY, harness.nowNanos));
       harness.sends.clear();
       for (int k = 100; k < 150; k++) {
         harness.nowNanos += 20 * MS;
--- a/src/test/java/beaconturn/decision/ZoneWeightsTest.java
+++ b/src/test/java/beaconturn/decision/ZoneWeightsTest.java
@@ -50,8 +50,12 @@
   void zoneGetsItsWeightOfKeysAndKeepsThemAtHigherWeights() {
     Set<Long> atLowWeight = keysSentToZone1(weighted(weights(900, 100, true)));
     Set<Long> atHigherWeight = keysSentToZone1(weighted(weights(700, 300, true)));
-    assertTrue(atLowWeight.size() > KEYS * 0.07 && atLowWeight.size() < KEYS * 0.13, atLowWeight.size() + " of " + KEYS);
-    assertTrue(atHigherWeight.size() > KEYS * 0.26 && atHigherWeight.size() < KEYS * 0.34, atHigherWeight.size() + " of " + KEYS);
+    assertTrue(
+        atLowWeight.size() > KEYS * 0.07 && atLowWeight.size() < KEYS * 0.13,
+        atLowWeight.size() + " of " + KEYS);
+    assertTrue(
+        atHigherWeight.size() > KEYS * 0.26 && atHigherWeight.size() < KEYS * 0.34,
+        atHigherWeight.size() + " of " + KEYS);
     assertTrue(atHigherWeight.containsAll(atLowWeight), "zone 1 keeps its keys at a higher weight");
     assertEquals(Set.of(), keysSentToZone1(weighted(weights(1000, 0, true))));
   }
@@ -76,7 +80,8 @@
       assertTrue(sent(harness, key, RouterHarness.UNSAFE));
       assertEquals(1, harness.lastSend().serverId() % 2, "key " + key);
     }
-    assertTrue(KEYS - keysSentToZone1(harness).size() > KEYS * 0.03, "reads are sent to the trial zone");
+    assertTrue(
+        KEYS - keysSentToZone1(harness).size() > KEYS * 0.03, "reads are sent to the trial zone");
   }
 
   /**
@@ -107,7 +112,8 @@
   @Test
   void successorKeepsZoneWeights() {
     RouterHarness harness = weighted(weights(1000, 0, true));
-    RingRouter next = new RingRouter(RouterHarness.settings(false), 9, harness.nowNanos, harness, harness.router);
+    RingRouter next =
+        new RingRouter(RouterHarness.settings(false), 9, harness.nowNanos, harness, harness.router);
     for (long key = 1; key <= 200; key++) {
       next.handle(
           harness.nowNanos,
--- a/src/test/java/beaconturn/sim/SimulatorHostTest.java
+++ b/src/test/java/beaconturn/sim/SimulatorHostTest.java
@@ -73,27 +73,54 @@
 
   @Test
   void arrivingRequestIsSentToOnlyCache() throws Exception {
-    String reply = HexFormat.of().formatHex(run(batch(4, INSTANCE_SELECTED + instanceStarted(SETTINGS) + ENDPOINTS_UPDATED + REQUEST_ARRIVED)));
+    String reply =
+        HexFormat.of()
+            .formatHex(
+                run(
+                    batch(
+                        4,
+                        INSTANCE_SELECTED
+                            + instanceStarted(SETTINGS)
+                            + ENDPOINTS_UPDATED
+                            + REQUEST_ARRIVED)));
     String send = "0c03000000" + "0a" + "c4913a5d" + "0a124a07431f" + "00c2eb0b00000000";
     assertTrue(reply.contains(send), reply);
   }
 
   @Test
   void instanceCanStopAndStartInOneBatch() throws Exception {
-    String records = INSTANCE_SELECTED + instanceStarted(SETTINGS) + "0a" + instanceStarted(SETTINGS) + ENDPOINTS_UPDATED;
+    String records =
+        INSTANCE_SELECTED
+            + instanceStarted(SETTINGS)
+            + "0a"
+            + instanceStarted(SETTINGS)
+            + ENDPOINTS_UPDATED;
     assertEquals(8, run(batch(5, records)).length);
   }
 
   @Test
   void malformedInputIsReported() {
     assertTrue(protocolError(BATCH_TIME).contains("inside the header"));
-    assertTrue(protocolError(BATCH_TIME + littleEndian(9) + littleEndian(1) + INSTANCE_SELECTED).contains("inside the records"));
+    assertTrue(
+        protocolError(BATCH_TIME + littleEndian(9) + littleEndian(1) + INSTANCE_SELECTED)
+            .contains("inside the records"));
     assertTrue(protocolError(batch(1, INSTANCE_SELECTED + "00")).contains("bytes left"));
     assertTrue(protocolError(batch(2, INSTANCE_SELECTED)).contains("past the end"));
-    assertTrue(protocolError(batch(3, INSTANCE_SELECTED + instanceStarted(SETTINGS) + "63")).contains("unknown event code 99"));
+    assertTrue(
+        protocolError(batch(3, INSTANCE_SELECTED + instanceStarted(SETTINGS) + "63"))
+            .contains("unknown event code 99"));
     String withoutRouterCount = instanceStarted(SETTINGS.replace("replicas_of_me=1\n", ""));
-    assertTrue(protocolError(batch(2, INSTANCE_SELECTED + withoutRouterCount)).contains("replicas_of_me"));
+    assertTrue(
+        protocolError(batch(2, INSTANCE_SELECTED + withoutRouterCount)).contains("replicas_of_me"));
     String unknownClass = REQUEST_ARRIVED.replace("91" + "00" + "00c2", "91" + "05" + "00c2");
-    assertTrue(protocolError(batch(4, INSTANCE_SELECTED + instanceStarted(SETTINGS) + ENDPOINTS_UPDATED + unknownClass)).contains("class 5 out of range"));
+    assertTrue(
+        protocolError(
+                batch(
+                    4,
+                    INSTANCE_SELECTED
+                        + instanceStarted(SETTINGS)
+                        + ENDPOINTS_UPDATED
+                        + unknownClass))
+            .contains("class 5 out of range"));
   }
 }
