--- a/src/main/java/beaconturn/decision/OutlierState.java
+++ b/src/main/java/beaconturn/decision/OutlierState.java
@@ -1,33 +1,33 @@
 package beaconturn.decision;
 
-/** What {@link OutlierDetector} keeps of one server; it alone writes these fields. */
+/** Outlier detection state of one server, written only by {@link OutlierDetector}. */
 final class OutlierState {
-  /** Moving share of samples that were bad, 0 to 1. */
-  double badShare;
+  /** Moving average of failed samples, 0 to 1. */
+  double failureShare;
 
   /** Time of the last sample; 0 before the first. */
   long sampledAtNanos;
 
   boolean ejected;
 
-  /** From one trial of an ejected server to the next, as a multiple of the mean answer time. */
-  double trialGapAnswerTimes;
+  /** Delay between trials of an ejected server, in mean response times. */
+  double trialGapResponseTimes;
 
-  /** From when on an ejected server may get a trial. */
+  /** Earliest time of the next trial of an ejected server. */
   long trialAtNanos;
 
-  /** Takes over all that another router has found. */
+  /** Copies the state found by another router. */
   void copyFrom(OutlierState other) {
-    badShare = other.badShare;
+    failureShare = other.failureShare;
     sampledAtNanos = other.sampledAtNanos;
     ejected = other.ejected;
-    trialGapAnswerTimes = other.trialGapAnswerTimes;
+    trialGapResponseTimes = other.trialGapResponseTimes;
     trialAtNanos = other.trialAtNanos;
   }
 
-  /** The server has started afresh: nothing is held against it. */
+  /** Clears failures after a restart of the server. */
   void reset() {
-    badShare = 0;
+    failureShare = 0;
     ejected = false;
   }
 }
--- a/src/main/java/beaconturn/decision/RequestCoordinator.java
+++ b/src/main/java/beaconturn/decision/RequestCoordinator.java
@@ -4,31 +4,28 @@
 import java.util.Map;
 
 /**
- * Takes each request from its arrival to its end: asks the rules at every step and carries out what
- * they say. It holds the requests; which step follows an attempt is decided in {@code
- * continueAfter}.
+ * Drives each request from arrival to completion: consults the rules at every step and carries out
+ * their decisions. Owns all open requests.
  */
 final class RequestCoordinator implements RequestDispatcher {
-  /** In the place of an attempt's number: no attempt. */
+  /** Attempt index that stands for no attempt. */
   private static final int NO_ATTEMPT = -1;
 
   private final RoutingSettings settings;
   private final RoutingActions actions;
   private final RouterRules rules;
   private final OriginFetches fetches;
-  private final boolean aside;
+  private final boolean cacheAside;
   private final Map<Long, RequestState> requests = new LinkedHashMap<>();
 
   RequestCoordinator(RoutingSettings settings, RoutingActions actions, RouterRules rules) {
     this.settings = settings;
     this.actions = actions;
     this.rules = rules;
-    this.aside = settings.origin().aside();
+    this.cacheAside = settings.origin().cacheAside();
     this.fetches = new OriginFetches(settings, actions, rules, this);
   }
 
-  // ---- events
-
   void requestArrived(RoutingEvent.RequestArrived arrival) {
     RequestState request = newRequest(arrival);
     requests.put(request.id(), request);
@@ -36,30 +33,31 @@
     GiveUpReason rejection = rules.admission.rejection(request);
     if (rejection != null) {
       giveUp(request, rejection);
-    } else if (aside && request.isWrite()) {
-      fetches.askOrigin(request);
-    } else if (!fetches.joined(request)) {
+    } else if (cacheAside && request.isWrite()) {
+      fetches.sendToOrigin(request);
+    } else if (!fetches.joinFetch(request)) {
       sendToCache(request);
     }
   }
 
   private RequestState newRequest(RoutingEvent.RequestArrived arrival) {
-    RequestClass type = settings.classes().get(arrival.requestClass());
+    RequestClass requestClass = settings.classes().get(arrival.requestClass());
     long logicalRequest = rules.clientRetries.logicalRequest(arrival);
-    long objectiveEnds = rules.clientRetries.objectiveEndsNanos(arrival, type, logicalRequest);
-    long deadline = rules.clock.nowNanos() + arrival.remainingNanos();
-    // Where the router asks the origin itself, an answer that has become worthless is not waited
-    // for: the cache would go on with it and be late for the next request. Where caches fetch, to
-    // cut the attempt would throw the fetch away.
-    boolean cutAtObjective = aside && type.isWorthlessLate();
-    long due = cutAtObjective ? Math.min(deadline, objectiveEnds) : deadline;
+    long objectiveEndNanos =
+        rules.clientRetries.objectiveEndNanos(arrival, requestClass, logicalRequest);
+    long deadlineNanos = rules.clock.nowNanos() + arrival.remainingNanos();
+    // In cache-aside mode, an attempt is cut off when its response has lost its value: the cache
+    // would otherwise keep working on it and delay the next request. In read-through mode, cutting
+    // it off would discard the fetch.
+    boolean cutAtObjective = cacheAside && requestClass.isWorthlessWhenLate();
+    long dueNanos = cutAtObjective ? Math.min(deadlineNanos, objectiveEndNanos) : deadlineNanos;
     return new RequestState(
         arrival,
-        type,
-        new RequestTimes(deadline, objectiveEnds, due),
+        requestClass,
+        new RequestTimes(deadlineNanos, objectiveEndNanos, dueNanos),
         logicalRequest,
         rules.quotas.isBeyondQuota(arrival.tenant()),
-        rules.spread.requestArrived(arrival.key(), arrival.write()),
+        rules.keySpread.requestArrived(arrival.key(), arrival.write()),
         rules.times.workRatio(arrival.workHintNanos()));
   }
 
@@ -71,20 +69,19 @@
   }
 
   /**
-   * A streamed answer has begun to go to the client: the request's other attempts are cancelled.
-   * What is left of the answer goes at the client's pace; a cache that fetches for itself has the
-   * object by now, so that the attempt no longer counts against the limits and requests that wait
-   * for the key go on.
+   * Handles the start of a streamed response: the request's other attempts are cancelled. The rest
+   * of the response is paced by the client, and a read-through cache already has the object, so
+   * that the attempt no longer counts against the limits and requests waiting for the key proceed.
    */
-  void responseStarted(RoutingEvent.ResponseStarted start) {
-    RequestState request = requests.get(start.requestId());
+  void responseStarted(RoutingEvent.ResponseStarted started) {
+    RequestState request = requests.get(started.requestId());
     if (request == null) {
       return;
     }
-    request.beginStreaming();
-    cancelOpenAttempts(request, start.attempt());
-    if (!aside) {
-      AttemptState attempt = request.attempts().get(start.attempt());
+    request.startStreaming();
+    cancelOpenAttempts(request, started.attempt());
+    if (!cacheAside) {
+      AttemptState attempt = request.attempts().get(started.attempt());
       request.setKeyHolder(attempt.server());
       rules.admission.attemptServed(attempt);
       fetches.fetchEnded(request, true);
@@ -92,25 +89,25 @@
     }
   }
 
-  void attemptClosed(RoutingEvent.AttemptClosed end) {
-    RequestState request = requests.get(end.requestId());
+  void attemptClosed(RoutingEvent.AttemptClosed closed) {
+    RequestState request = requests.get(closed.requestId());
     if (request == null
-        || end.attempt() >= request.attempts().size()
-        || !request.attempts().get(end.attempt()).isOpen()) {
+        || closed.attempt() >= request.attempts().size()
+        || !request.attempts().get(closed.attempt()).isOpen()) {
       return;
     }
-    AttemptState attempt = request.attempts().get(end.attempt());
-    attempt.close(end.outcome());
+    AttemptState attempt = request.attempts().get(closed.attempt());
+    attempt.close(closed.outcome());
     rules.admission.attemptServed(attempt);
     rules.load.attemptEnded(attempt);
-    rules.registry.attemptEnded(attempt, end.outcome());
+    rules.registry.attemptEnded(attempt, closed.outcome());
     if (attempt.toCache()) {
-      rules.feedback.cacheAttemptEnded(request, attempt, end);
+      rules.feedback.cacheAttemptEnded(request, attempt, closed);
     }
     if (attempt.fetchesFromOrigin()) {
-      rules.feedback.fetchEnded(request, attempt, end);
+      rules.feedback.fetchEnded(request, attempt, closed);
     }
-    continueAfter(request, attempt, end);
+    continueAfter(request, attempt, closed);
     fetches.sendQueued();
   }
 
@@ -129,33 +126,30 @@
     }
   }
 
-  // ---- steps of a request
-
   private void continueAfter(
-      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed end) {
+      RequestState request, AttemptState attempt, RoutingEvent.AttemptClosed closed) {
     if (request.isDone()) {
       if (!request.hasOpenAttempt()) {
         requests.remove(request.id());
       }
-    } else if (request.isMoving() && end.outcome() == AttemptOutcome.CANCELLED) {
-      request.setMoving(false);
+    } else if (request.isRerouting() && closed.outcome() == AttemptOutcome.CANCELLED) {
+      request.setRerouting(false);
       retry(request, attempt);
-    } else if (end.requestClosed()) {
-      if (attempt.toCache() && !aside) {
+    } else if (closed.requestClosed()) {
+      if (attempt.toCache() && !cacheAside) {
         request.setKeyHolder(attempt.server());
       }
-      conclude(request, end.outcome() == AttemptOutcome.OK);
+      conclude(request, closed.outcome() == AttemptOutcome.OK);
     } else {
-      continueUnanswered(request, attempt, end.outcome());
+      continueOpenRequest(request, attempt, closed.outcome());
     }
   }
 
-  /** Decides what follows an attempt that did not end its request. */
-  private void continueUnanswered(
+  /** Decides what follows an attempt that did not complete its request. */
+  private void continueOpenRequest(
       RequestState request, AttemptState attempt, AttemptOutcome outcome) {
     if (rules.clock.nowNanos() >= request.dueNanos()) {
-      // An end that is handled a tick late may come when no time is left: to queue the request
-      // would lose it.
+      // An event handled one tick late may leave no time, and a queued request would then be lost.
       giveUp(request, GiveUpReason.TOO_LATE);
     } else if (outcome == AttemptOutcome.MISS && attempt.toCache()) {
       if (request.keyHolder() == null) {
@@ -186,8 +180,8 @@
     HedgingPolicy.LateAction action = rules.hedging.actionWhenLate(request, attempt);
     if (action == HedgingPolicy.LateAction.HEDGE) {
       hedge(request);
-    } else if (action == HedgingPolicy.LateAction.MOVE) {
-      request.setMoving(true);
+    } else if (action == HedgingPolicy.LateAction.REROUTE) {
+      request.setRerouting(true);
       cancelOpenAttempts(request, NO_ATTEMPT);
     }
   }
@@ -240,11 +234,9 @@
     }
   }
 
-  // ---- ends
-
   /**
-   * The one place where the policy gives a request up: rejects it where a repeat is harmless, else
-   * fails it.
+   * Gives a request up: rejects it if a client retry is harmless, otherwise fails it. All requests
+   * that the policy gives up pass through here.
    */
   @Override
   public void giveUp(RequestState request, GiveUpReason reason) {
@@ -260,19 +252,19 @@
   }
 
   /**
-   * Ends a request: cancels its open attempts and lets requests that wait for its fetch go on.
-   * Without effect if it has ended before.
+   * Completes a request: cancels its open attempts and releases the requests that wait for its
+   * fetch. Does nothing if the request is already done.
    */
-  private void conclude(RequestState request, boolean answered) {
+  private void conclude(RequestState request, boolean succeeded) {
     if (request.isDone()) {
       return;
     }
     request.finish();
-    if (!answered) {
-      rules.clientRetries.unanswered(request);
+    if (!succeeded) {
+      rules.clientRetries.requestUnanswered(request);
     }
     cancelOpenAttempts(request, NO_ATTEMPT);
-    fetches.requestEnded(request, answered);
+    fetches.requestEnded(request, succeeded);
     if (!request.hasOpenAttempt()) {
       requests.remove(request.id());
     }
--- a/src/main/java/beaconturn/decision/RetryBudget.java
+++ b/src/main/java/beaconturn/decision/RetryBudget.java
@@ -1,34 +1,34 @@
 package beaconturn.decision;
 
 /**
- * Budget of further attempts, retries and hedges together: each arrival adds a part of one, each
- * further attempt takes one.
+ * Budget for retries and hedged requests together: each arriving request earns a fraction of an
+ * attempt, each additional attempt spends one.
  */
 final class RetryBudget {
   /**
-   * Part of a further attempt that each arrival earns, for each attempt that the settings allow
-   * beyond the first.
+   * Fraction of an attempt earned per arriving request, for each attempt permitted beyond the
+   * first.
    */
   private static final double EARNED_PER_ARRIVAL = 0.05;
 
   private final double earnedPerArrival;
-  private double attempts;
+  private double availableAttempts;
 
   RetryBudget(RoutingPermissions permissions) {
     this.earnedPerArrival = EARNED_PER_ARRIVAL * (permissions.maxAttempts() - 1);
   }
 
-  /** A request has arrived; the budget holds no more attempts than there are caches. */
+  /** Adds to the budget, which is capped at one attempt per cache. */
   void requestArrived(int caches) {
-    attempts = Math.min(Math.max(1, caches), attempts + earnedPerArrival);
+    availableAttempts = Math.min(Math.max(1, caches), availableAttempts + earnedPerArrival);
   }
 
   boolean hasAttempt() {
-    return attempts >= 1;
+    return availableAttempts >= 1;
   }
 
-  /** A further attempt is made. */
+  /** Spends one additional attempt. */
   void spend() {
-    attempts--;
+    availableAttempts--;
   }
 }
--- a/src/main/java/beaconturn/decision/RingRouter.java
+++ b/src/main/java/beaconturn/decision/RingRouter.java
@@ -1,12 +1,12 @@
 package beaconturn.decision;
 
 /**
- * The routing policy of one router: consistent hashing with bounded loads, and what keeps it sound
- * when caches, keys, the origin or the endpoint list fail. It only hands events on: {@link
- * RequestCoordinator} takes requests from arrival to end, {@link ServerRegistry} keeps the servers,
- * and each rule is a class of its own (see {@link RouterRules}).
+ * Routing policy of one router: consistent hashing with bounded loads, protected against failures
+ * of caches, keys, the origin and the endpoint list. Only dispatches events: {@link
+ * RequestCoordinator} drives requests, {@link ServerRegistry} tracks servers, and each rule is a
+ * class of its own (see {@link RouterRules}).
  *
- * <p>One thread calls; the router knows only its settings, its seed and the events it is given.
+ * <p>Not thread-safe; depends only on its settings, its seed and the events it receives.
  */
 public final class RingRouter implements RoutingPolicy {
   private final RoutingSettings settings;
@@ -14,22 +14,22 @@
   private final RequestCoordinator coordinator;
 
   /**
-   * The successor of another router: what is known of servers by their ids stays, all else starts
-   * afresh. The older one may still finish its requests.
+   * Creates the successor of another router. Learned server state is kept by server id; everything
+   * else is new. The predecessor may still complete its requests.
    */
   public RingRouter(
       RoutingSettings settings,
       long seed,
       long nowNanos,
       RoutingActions actions,
-      RingRouter before) {
-    this(settings, seed, nowNanos, actions, !before.settings.pollsDiscovery());
-    rules.selector.setZoneWeights(before.rules.selector.zoneWeights());
-    rules.registry.continueFrom(before.rules.registry);
-    applyWarmStart(before.warmStartState());
+      RingRouter predecessor) {
+    this(settings, seed, nowNanos, actions, !predecessor.settings.pollsDiscovery());
+    rules.selector.setZoneWeights(predecessor.rules.selector.zoneWeights());
+    rules.registry.continueFrom(predecessor.rules.registry);
+    applyWarmStart(predecessor.warmStartState());
   }
 
-  /** A router that starts empty; its first list follows. */
+  /** Creates a router without servers; the first endpoint list follows as an event. */
   public RingRouter(RoutingSettings settings, long seed, long nowNanos, RoutingActions actions) {
     this(settings, seed, nowNanos, actions, true);
   }
@@ -53,14 +53,14 @@
     rules.clock.moveTo(nowNanos);
     if (event instanceof RoutingEvent.RequestArrived arrival) {
       coordinator.requestArrived(arrival);
-    } else if (event instanceof RoutingEvent.AttemptClosed end) {
-      coordinator.attemptClosed(end);
+    } else if (event instanceof RoutingEvent.AttemptClosed closed) {
+      coordinator.attemptClosed(closed);
     } else if (event instanceof RoutingEvent.TimerFired timer) {
       timerFired(TimerToken.decode(timer.token()));
     } else if (event instanceof RoutingEvent.RequestCancelled cancellation) {
       coordinator.requestCancelled(cancellation);
-    } else if (event instanceof RoutingEvent.ResponseStarted start) {
-      coordinator.responseStarted(start);
+    } else if (event instanceof RoutingEvent.ResponseStarted started) {
+      coordinator.responseStarted(started);
     } else if (event instanceof RoutingEvent.EndpointsUpdated list) {
       rules.registry.listUpdated(list);
     } else if (event instanceof RoutingEvent.OperatorOverrideChanged change) {
@@ -81,18 +81,18 @@
   }
 
   private void applyWarmStart(WarmStartState state) {
-    rules.slowStart.begin(state.answersPerNano(), state.peakAnswersPerNano());
-    rules.times.begin(state.answerTimeNanos(), state.fetchTimeNanos());
-    rules.admission.cacheLimit().begin(state.cacheLimit());
-    rules.admission.originLimit().begin(state.originLimit());
+    rules.slowStart.warmStart(state.responsesPerNano(), state.peakResponsesPerNano());
+    rules.times.warmStart(state.responseTimeNanos(), state.fetchTimeNanos());
+    rules.admission.cacheLimit().warmStart(state.cacheLimit());
+    rules.admission.originLimit().warmStart(state.originLimit());
   }
 
   @Override
   public WarmStartState warmStartState() {
     return new WarmStartState(
-        rules.slowStart.answersPerNano(),
-        rules.slowStart.peakAnswersPerNano(),
-        rules.times.answerNanos().mean(),
+        rules.slowStart.responsesPerNano(),
+        rules.slowStart.peakResponsesPerNano(),
+        rules.times.responseNanos().mean(),
         rules.times.fetchNanos().mean(),
         rules.admission.cacheLimit().limit(),
         rules.admission.originLimit().limit());
--- a/src/main/java/beaconturn/decision/ServerLoad.java
+++ b/src/main/java/beaconturn/decision/ServerLoad.java
@@ -1,28 +1,26 @@
 package beaconturn.decision;
 
-/**
- * Attempts in flight, as a count and smoothed over time, as the article on bounded loads advises.
- */
+/** Attempts in flight, as a count and smoothed over time, as recommended for bounded loads. */
 final class ServerLoad {
   private int inFlight;
   private double smoothedInFlight;
   private long smoothedAtNanos;
 
-  /** Adds to the count; the smoothed load is brought up to now first. */
-  void change(int difference, long nowNanos, double smoothingNanos) {
+  /** Changes the count after bringing the smoothed load up to date. */
+  void change(int delta, long nowNanos, double smoothingNanos) {
     smoothed(nowNanos, smoothingNanos);
-    inFlight += difference;
+    inFlight += delta;
   }
 
   int inFlight() {
     return inFlight;
   }
 
-  /** Brings the smoothed load up to now and returns it. */
+  /** Brings the smoothed load up to date and returns it. */
   double smoothed(long nowNanos, double smoothingNanos) {
-    double passedNanos = nowNanos - smoothedAtNanos;
+    double elapsedNanos = nowNanos - smoothedAtNanos;
     smoothedInFlight +=
-        (inFlight - smoothedInFlight) * passedNanos / (passedNanos + smoothingNanos);
+        (inFlight - smoothedInFlight) * elapsedNanos / (elapsedNanos + smoothingNanos);
     smoothedAtNanos = nowNanos;
     return smoothedInFlight;
   }
--- a/src/main/java/beaconturn/decision/ServerSelector.java
+++ b/src/main/java/beaconturn/decision/ServerSelector.java
@@ -3,9 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Selects the cache that a request goes to: the home cache of its key, or the next one clockwise
- * that has capacity under {@link LoadBounds}; if all are full, the least loaded. Zone weights
- * narrow the walk to one zone.
+ * Selects the cache for a request: the home of its key, or the next cache clockwise with capacity
+ * under {@link LoadBounds}; if all are full, the least loaded. Zone weights restrict the walk to
+ * one zone.
  */
 final class ServerSelector {
   private static final int ANY_ZONE = -1;
@@ -18,9 +18,9 @@
   private final LoadBounds bounds;
   private final KeySpread spread;
   private final ServerChoice choice;
-  private ZoneWeights zoneWeights = ZoneWeights.ANYWHERE;
+  private ZoneWeights zoneWeights = ZoneWeights.UNWEIGHTED;
 
-  /** Uses rules of {@code rules} that have been made before this one. */
+  /** Uses components of {@code rules} that are initialized before this one. */
   ServerSelector(RoutingSettings settings, SplittableRandom random, RouterRules rules) {
     this.ring = rules.ring;
     this.guard = rules.guard;
@@ -28,8 +28,9 @@
     this.outliers = rules.outliers;
     this.connections = rules.connections;
     this.bounds = rules.bounds;
-    this.spread = rules.spread;
-    this.choice = new ServerChoice(random, settings.origin().aside() ? settings.zone() : ANY_ZONE);
+    this.spread = rules.keySpread;
+    this.choice =
+        new ServerChoice(random, settings.origin().cacheAside() ? settings.zone() : ANY_ZONE);
   }
 
   ZoneWeights zoneWeights() {
@@ -40,34 +41,36 @@
     zoneWeights = weights;
   }
 
-  /** The cache that the request goes to next; null if none may get it. */
+  /** Returns the cache for the next attempt; null if none is eligible. */
   ServerState select(RequestState request) {
     if (zoneWeights.zones().isEmpty()) {
       return select(request, ANY_ZONE);
     }
-    return zoneWeights.first(
-        request.hash(), request.isFitForTrial(), zone -> select(request, zone));
+    return zoneWeights.findFirst(
+        request.hash(), request.mayJoinTrial(), zone -> select(request, zone));
   }
 
   private ServerState select(RequestState request, int zone) {
     int servers = zoneWeights.serversInUse(ring.members());
     int cap = bounds.cap(servers);
-    int serversWanted = spread.serversFor(request);
-    boolean mayTryUnreachable = connections.mayTryUnreachable(request);
+    int remainingServers = spread.serverCountFor(request);
+    boolean allowsUnreachable = connections.allowsUnreachable(request);
     choice.clear();
     ring.startWalk(request.hash());
-    for (ServerState s = ring.next(); s != null && serversWanted > 0; s = ring.next()) {
-      if (!isCandidate(request, s, zone)) {
+    for (ServerState server = ring.next();
+        server != null && remainingServers > 0;
+        server = ring.next()) {
+      if (!isCandidate(request, server, zone)) {
         continue;
       }
-      if (outliers.isPassedOver(s, request)
-          || (!mayTryUnreachable && connections.isUnreachable(s))) {
-        choice.addPassedOver(s);
-      } else if (s.load().inFlight() < cap && !bounds.isFull(s, servers)) {
-        choice.addWithCapacity(s);
-        serversWanted--;
+      if (outliers.isSkipped(server, request)
+          || (!allowsUnreachable && connections.isUnreachable(server))) {
+        choice.addLastResort(server);
+      } else if (server.load().inFlight() < cap && !bounds.isFull(server, servers)) {
+        choice.addWithCapacity(server);
+        remainingServers--;
       } else {
-        choice.addFull(s);
+        choice.addFull(server);
       }
     }
     return choice.best();
