--- a/src/main/java/beaconturn/agreement/ConfigCodec.java
+++ b/src/main/java/beaconturn/agreement/ConfigCodec.java
@@ -202,11 +202,11 @@
   }
 
   private static boolean isPresent(Json json, String name) {
-    return !(json.get(name) instanceof Json.Nothing);
+    return !(json.get(name) instanceof Json.Null);
   }
 
   private static boolean decodeFlag(Json json, String name) throws AgreementException {
-    if (!(json.get(name) instanceof Json.Flag flag)) {
+    if (!(json.get(name) instanceof Json.Bool flag)) {
       throw new AgreementException(name + ": neither true nor false");
     }
     return flag.value();
--- a/src/main/java/beaconturn/agreement/PersistedConfig.java
+++ b/src/main/java/beaconturn/agreement/PersistedConfig.java
@@ -49,7 +49,7 @@
   }
 
   private static Json encode(ConfigVersion version) {
-    return version == null ? new Json.Nothing() : new Json.Text(ConfigCodec.encode(version));
+    return version == null ? new Json.Null() : new Json.Text(ConfigCodec.encode(version));
   }
 
   /**
--- a/src/main/java/beaconturn/agreement/StoredJson.java
+++ b/src/main/java/beaconturn/agreement/StoredJson.java
@@ -52,10 +52,10 @@
       return json;
     }
     if (value instanceof Boolean flag) {
-      return new Json.Flag(flag);
+      return new Json.Bool(flag);
     }
     if (value instanceof Number number) {
-      return new Json.Figure(number.toString());
+      return new Json.NumberLiteral(number.toString());
     }
     return new Json.Text(value.toString());
   }
--- a/src/main/java/beaconturn/cli/ServeCommand.java
+++ b/src/main/java/beaconturn/cli/ServeCommand.java
@@ -36,11 +36,11 @@
           reload(serving.get());
         });
     Lifecycle lifecycle = new Lifecycle();
-    if (Long.getLong(Clock.OFF, 0) != 0) {
+    if (Long.getLong(Clock.OFFSET_PROPERTY, 0) != 0) {
       Logger.getLogger(ServeCommand.class.getName())
           .warning(
               "the wall clock is "
-                  + Long.getLong(Clock.OFF) / MILLI
+                  + Long.getLong(Clock.OFFSET_PROPERTY) / MILLI
                   + " ms off, as a rehearsal has it");
     }
     try {
--- a/src/main/java/beaconturn/core/AttemptMetrics.java
+++ b/src/main/java/beaconturn/core/AttemptMetrics.java
@@ -12,7 +12,7 @@
   private List<RequestMetrics> sinks = List.of();
 
   /** Says where to count from here on. */
-  void countIn(List<RequestMetrics> metrics) {
+  void setSinks(List<RequestMetrics> metrics) {
     sinks = List.copyOf(metrics);
   }
 
--- a/src/main/java/beaconturn/core/AttemptResult.java
+++ b/src/main/java/beaconturn/core/AttemptResult.java
@@ -11,14 +11,14 @@
  * @param endedAtNanos when, by the router's clock
  * @param cacheStatus what the cache server said about the key
  * @param loadReport the figures that came with the answer, or {@link #NO_LOAD_REPORT}
- * @param answer the answer for the client, or null unless a cache server gave one whole
+ * @param response the answer for the client, or null unless a cache server gave one whole
  */
 public record AttemptResult(
     AttemptOutcome outcome,
     long endedAtNanos,
     CacheStatus cacheStatus,
     float[] loadReport,
-    Slice answer) {
+    Slice response) {
   /** In the place of a load report where none came. */
   public static final float[] NO_LOAD_REPORT = {};
 
--- a/src/main/java/beaconturn/core/AttemptRunner.java
+++ b/src/main/java/beaconturn/core/AttemptRunner.java
@@ -69,7 +69,7 @@
   }
 
   private void timedOut(OutboundAttempt attempt) {
-    ended(attempt, AttemptResult.of(AttemptOutcome.TIMEOUT, context.clock().now()));
+    attemptEnded(attempt, AttemptResult.of(AttemptOutcome.TIMEOUT, context.clock().now()));
   }
 
   /** Cancels one attempt of a request; without effect if it is over. */
@@ -79,7 +79,7 @@
       return;
     }
     OutboundAttempt attempt = entry.attempts().get(attemptNumber);
-    if (!attempt.isOver()) {
+    if (!attempt.hasEnded()) {
       endWhileDeciding(policy, attempt, entry, AttemptOutcome.CANCELLED);
       context.servers().abort(attempt);
     }
@@ -114,15 +114,15 @@
    * Passes on an answer that has begun. The first attempt whose answer begins has the request; any
    * other's answer is cancelled.
    */
-  void streamingBegan(RoutingMessage.StreamingBegan began) {
+  void streamingStarted(RoutingMessage.StreamingStarted began) {
     OutboundAttempt attempt = began.attempt();
     RequestTable.RequestEntry entry = context.requests().get(attempt.requestId());
-    if (attempt.isOver() || entry.isClosed() || entry.streamingAttempt() != null) {
+    if (attempt.hasEnded() || entry.isClosed() || entry.streamingAttempt() != null) {
       began.response().cancel();
       return;
     }
-    attempt.answerBegan();
-    entry.streamingBegan(attempt);
+    attempt.responseStarted();
+    entry.streamingStarted(attempt);
     entry.request().startStreaming(began.response());
     context
         .dispatcher()
@@ -130,13 +130,13 @@
             entry.policy(),
             new RoutingEvent.ResponseStarted(
                 attempt.requestId(),
-                Math.max(0, began.beganAtNanos() - attempt.sentAtNanos()),
+                Math.max(0, began.startedAtNanos() - attempt.sentAtNanos()),
                 attempt.serverId(),
                 attempt.number()));
   }
 
   /** Ends an attempt and answers its request if it can; without effect if it had ended before. */
-  void ended(OutboundAttempt attempt, AttemptResult result) {
+  void attemptEnded(OutboundAttempt attempt, AttemptResult result) {
     if (!attempt.end(result.outcome())) {
       return;
     }
@@ -148,7 +148,7 @@
     context.metrics().attemptEnded(entry, attempt, result);
     if (result.outcome() == AttemptOutcome.OK && !entry.isClosed()) {
       context.requests().close(entry);
-      entry.request().answered(result.answer());
+      entry.request().respond(result.response());
     }
     boolean closed = entry.isClosed();
     context.requests().attemptEnded(entry);
--- a/src/main/java/beaconturn/core/CacheServerClients.java
+++ b/src/main/java/beaconturn/core/CacheServerClients.java
@@ -19,9 +19,9 @@
   /**
    * Begins nothing new at a cache server that an operator has excluded, whatever the endpoint list
    * says, until it is taken back; false, and nothing happens, if no listed server has that number,
-   * unless it {@code mayBeUnlisted}.
+   * unless it {@code allowUnlisted}.
    */
-  boolean override(long serverId, boolean excluded, boolean mayBeUnlisted);
+  boolean override(long serverId, boolean excluded, boolean allowUnlisted);
 
   /**
    * A cache server as the endpoint list has it.
--- a/src/main/java/beaconturn/core/ClientRequest.java
+++ b/src/main/java/beaconturn/core/ClientRequest.java
@@ -34,7 +34,7 @@
   List<Slice> encode(long waitMillis);
 
   /**
-   * Has the client get the answer of a cache server as it comes. What follows is {@link #answered}
+   * Has the client get the answer of a cache server as it comes. What follows is {@link #respond}
    * with null once it is whole, or one of the other answers, at which what was begun is broken off.
    *
    * @throws UnsupportedOperationException if answers of the request's protocol come whole
@@ -44,11 +44,11 @@
   }
 
   /** Answers the client as a cache server did; null where the answer has been streamed. */
-  void answered(Slice answer);
+  void respond(Slice answer);
 
   /** Rejects the request; the client may come again after so long, where 0 gives no advice. */
-  void rejected(long retryAfterNanos);
+  void reject(long retryAfterNanos);
 
   /** Answers the client that the request failed. */
-  void failed();
+  void fail();
 }
--- a/src/main/java/beaconturn/core/Clock.java
+++ b/src/main/java/beaconturn/core/Clock.java
@@ -9,12 +9,12 @@
    * A property of the JVM by which only the rehearsal kit has a router believe in a wall clock that
    * is so many nanoseconds off.
    */
-  String OFF = "beaconturn.clockOff";
+  String OFFSET_PROPERTY = "beaconturn.clockOff";
 
   /** The machine's clock, read once; from then on the monotonic one, which no correction moves. */
   static Clock system() {
     long started = System.nanoTime();
-    long epoch = System.currentTimeMillis() * 1_000_000 + Long.getLong(OFF, 0);
+    long epoch = System.currentTimeMillis() * 1_000_000 + Long.getLong(OFFSET_PROPERTY, 0);
     return () -> epoch + (System.nanoTime() - started);
   }
 }
--- a/src/main/java/beaconturn/core/Mailbox.java
+++ b/src/main/java/beaconturn/core/Mailbox.java
@@ -23,11 +23,11 @@
 
   /** Posts without waiting; false if the mailbox is full. */
   public boolean offer(T message) {
-    return offerLeaving(0, message);
+    return offerReserving(0, message);
   }
 
   /** Posts without waiting, but only if room for so many more stays; false if not. */
-  public synchronized boolean offerLeaving(int room, T message) {
+  public synchronized boolean offerReserving(int room, T message) {
     if (capacity - queue.size() <= room) {
       return false;
     }
--- a/src/main/java/beaconturn/core/OutboundAttempt.java
+++ b/src/main/java/beaconturn/core/OutboundAttempt.java
@@ -79,7 +79,7 @@
   }
 
   /** Its answer has begun: no time limit for answers that do not come holds any more. */
-  void answerBegan() {
+  void responseStarted() {
     timeout.cancel();
   }
 
@@ -105,12 +105,12 @@
    * Whether it is still to be written: it is not over, its time is not up and its client waits. For
    * any thread.
    */
-  public boolean isWanted(long nowNanos) {
+  public boolean mayBeWritten(long nowNanos) {
     return !over && nowNanos < timesOutAtNanos() && request.isAwaited();
   }
 
   /** Whether it has ended or was cancelled; what is over is not written any more. Any thread. */
-  public boolean isOver() {
+  public boolean hasEnded() {
     return over;
   }
 }
--- a/src/main/java/beaconturn/core/PolicyActions.java
+++ b/src/main/java/beaconturn/core/PolicyActions.java
@@ -33,7 +33,7 @@
     RequestTable.RequestEntry entry = context.requests().get(requestId);
     if (entry != null && !entry.isClosed()) {
       context.requests().close(entry);
-      entry.request().rejected(retryAfterNanos);
+      entry.request().reject(retryAfterNanos);
       context.eventLog().rejected(entry, reason, context.clock().now());
     }
   }
@@ -43,7 +43,7 @@
     RequestTable.RequestEntry entry = context.requests().get(requestId);
     if (entry != null && !entry.isClosed()) {
       context.requests().close(entry);
-      entry.request().failed();
+      entry.request().fail();
       context.eventLog().failed(entry, reason, context.clock().now());
     }
   }
--- a/src/main/java/beaconturn/core/RequestDescription.java
+++ b/src/main/java/beaconturn/core/RequestDescription.java
@@ -8,7 +8,7 @@
  * @param write whether it changes its key's value
  * @param clientRetry whether its client has asked before
  * @param tenantIndex its tenant, by the order of the settings
- * @param hint how much work it is likely to be, in nanoseconds; 0 where nobody says
+ * @param workHintNanos how much work it is likely to be, in nanoseconds; 0 where nobody says
  * @param size its size as its client states it, 0 where it does not
  */
 public record RequestDescription(
@@ -17,5 +17,5 @@
     boolean write,
     boolean clientRetry,
     int tenantIndex,
-    long hint,
+    long workHintNanos,
     double size) {}
--- a/src/main/java/beaconturn/core/RequestTable.java
+++ b/src/main/java/beaconturn/core/RequestTable.java
@@ -63,7 +63,7 @@
     }
 
     /** The attempt's answer is streamed from here on, however long that takes. */
-    void streamingBegan(OutboundAttempt attempt) {
+    void streamingStarted(OutboundAttempt attempt) {
       streamingAttempt = attempt;
       overdue.cancel();
     }
--- a/src/main/java/beaconturn/core/RoutingEngine.java
+++ b/src/main/java/beaconturn/core/RoutingEngine.java
@@ -74,14 +74,14 @@
       handleUrgent(urgent);
     } else if (message instanceof RoutingMessage.RequestReceived received) {
       requestReceived(received.request());
-    } else if (message instanceof RoutingMessage.ClientLeft left) {
+    } else if (message instanceof RoutingMessage.ClientDisconnected left) {
       withdraw(context.requests().of(left.request()));
     } else if (message instanceof RoutingMessage.AttemptCompleted ended) {
-      attempts.ended(ended.attempt(), ended.result());
-    } else if (message instanceof RoutingMessage.StreamingBegan began) {
-      attempts.streamingBegan(began);
+      attempts.attemptEnded(ended.attempt(), ended.result());
+    } else if (message instanceof RoutingMessage.StreamingStarted began) {
+      attempts.streamingStarted(began);
     } else if (message instanceof RoutingMessage.WarmStartReceived received) {
-      deliver(policies.current(), new RoutingEvent.WarmStarted(received.learned()));
+      deliver(policies.current(), new RoutingEvent.WarmStarted(received.state()));
     }
   }
 
@@ -121,19 +121,19 @@
     boolean known =
         context
             .servers()
-            .override(override.serverId(), override.excluded(), override.mayBeUnlisted());
+            .override(override.serverId(), override.excluded(), override.allowUnlisted());
     if (known) {
       deliverToAll(
           new RoutingEvent.OperatorOverrideChanged(
               override.serverId(), override.excluded(), override.atNanos()));
     }
-    override.whetherKnown().accept(known);
+    override.onApplied().accept(known);
   }
 
   private void stop() {
     stopping = true;
     for (RequestTable.RequestEntry open : context.requests().open()) {
-      open.request().failed();
+      open.request().fail();
       withdraw(open);
     }
   }
@@ -144,7 +144,7 @@
     HostedPolicy policy = stopping ? null : policies.of(request);
     if (policy == null) {
       // Never sent anywhere, so it may be asked again.
-      request.rejected(0);
+      request.reject(0);
       return;
     }
     long lastAnswerNanos =
@@ -165,7 +165,7 @@
     return new RoutingEvent.RequestArrived(
         entry.id(),
         description.tenantIndex(),
-        description.hint(),
+        description.workHintNanos(),
         description.keyHash(),
         description.classIndex(),
         entry.request().deadlineNanos() - nowNanos,
@@ -181,7 +181,7 @@
   private void failUnanswered(RequestTable.RequestEntry entry) {
     if (entry != null && !entry.isClosed()) {
       LOG.warning("request " + entry.request().id() + " had no answer from the module; failed");
-      entry.request().failed();
+      entry.request().fail();
       withdraw(entry);
     }
   }
@@ -194,8 +194,8 @@
   }
 
   /** Counts requests and attempts in these metrics from here on. */
-  public void countIn(List<RequestMetrics> metrics) {
-    context.metrics().countIn(metrics);
+  public void setMetrics(List<RequestMetrics> metrics) {
+    context.metrics().setSinks(metrics);
   }
 
   /** Tells the metrics what the policy in force makes of the endpoint list. */
@@ -225,7 +225,7 @@
   }
 
   /** Runs the timers that are due. */
-  public void runDue() {
+  public void runDueTimers() {
     Runnable action = context.timers().takeDue(context.clock().now());
     while (action != null) {
       action.run();
--- a/src/main/java/beaconturn/core/RoutingMessage.java
+++ b/src/main/java/beaconturn/core/RoutingMessage.java
@@ -14,7 +14,7 @@
   record RequestReceived(ClientRequest request) implements RoutingMessage {}
 
   /** The client of a request has gone. */
-  record ClientLeft(ClientRequest request) implements RoutingMessage {}
+  record ClientDisconnected(ClientRequest request) implements RoutingMessage {}
 
   /** An attempt has ended. */
   record AttemptCompleted(OutboundAttempt attempt, AttemptResult result)
@@ -24,14 +24,14 @@
    * The answer to an attempt has begun, and goes on as a stream.
    *
    * @param attempt the attempt
-   * @param beganAtNanos when the answer's first bytes came
+   * @param startedAtNanos when the answer's first bytes came
    * @param response the answer
    */
-  record StreamingBegan(OutboundAttempt attempt, long beganAtNanos, StreamingResponse response)
+  record StreamingStarted(OutboundAttempt attempt, long startedAtNanos, StreamingResponse response)
       implements RoutingMessage {}
 
   /** What another process of this router had learned. */
-  record WarmStartReceived(WarmStartState learned) implements RoutingMessage {}
+  record WarmStartReceived(WarmStartState state) implements RoutingMessage {}
 
   /** Discovery has answered or failed. */
   record EndpointUpdateReceived(EndpointUpdate update) implements Urgent {}
@@ -42,15 +42,15 @@
    * @param serverId the cache server
    * @param excluded whether it is to be out of use
    * @param atNanos since when it counts as started, where it is taken back
-   * @param mayBeUnlisted whether the override holds even if no listed server has that number yet
-   * @param whetherKnown hears, on the routing thread, whether the override is in force
+   * @param allowUnlisted whether the override holds even if no listed server has that number yet
+   * @param onApplied hears, on the routing thread, whether the override is in force
    */
   record OverrideRequested(
       long serverId,
       boolean excluded,
       long atNanos,
-      boolean mayBeUnlisted,
-      Consumer<Boolean> whetherKnown)
+      boolean allowUnlisted,
+      Consumer<Boolean> onApplied)
       implements Urgent {}
 
   /** Keys go to zones by these weights from here on. */
--- a/src/main/java/beaconturn/core/RoutingThread.java
+++ b/src/main/java/beaconturn/core/RoutingThread.java
@@ -113,7 +113,7 @@
       if (message != null) {
         engine.handle(message);
       }
-      engine.runDue();
+      engine.runDueTimers();
     } catch (RuntimeException | Error e) {
       LOG.log(Level.SEVERE, "module actor failed on a message and goes on", e);
     }
--- a/src/main/java/beaconturn/net/RouterAssembly.java
+++ b/src/main/java/beaconturn/net/RouterAssembly.java
@@ -152,7 +152,7 @@
                 inputs.hasFleetConfig() ? inputs.fleetConfig()::mayWrite : () -> true));
     RoutingEngine engine =
         inputs.customization().engine(inputs.config(), clock, cacheServers, discovery);
-    engine.countIn(metrics.attempts(inputs.zoneWeights()));
+    engine.setMetrics(metrics.attempts(inputs.zoneWeights()));
     return engine;
   }
 
--- a/src/main/java/beaconturn/net/StartupWarmUp.java
+++ b/src/main/java/beaconturn/net/StartupWarmUp.java
@@ -41,7 +41,7 @@
   private final RouterSettings settings;
   private final RequestParser requestParser;
   private final CacheResponseReader responseReader;
-  private final RespReader respReader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
+  private final RespReader respReader = new RespReader(RespReader.MAX_VALUE_BYTES);
   private final Queue<OutboundAttempt> attemptsOut = new ArrayDeque<>();
   private final RoutingEngine engine;
   private final PendingRequestIds pendingIds = new PendingRequestIds();
@@ -70,7 +70,7 @@
   void run() throws ProtocolException, InvalidCommandException {
     for (int round = 0; round < ROUNDS; round++) {
       nowNanos += ROUND_NANOS;
-      engine.runDue();
+      engine.runDueTimers();
       engine.handle(
           new RoutingMessage.RequestReceived(
               requestParser.parse(command(round).items(), nowNanos, pendingIds)));
--- a/src/main/java/beaconturn/net/client/ClientConnection.java
+++ b/src/main/java/beaconturn/net/client/ClientConnection.java
@@ -353,7 +353,7 @@
 
   /** Answers the command at hand with an error in its place. Poller thread only. */
   protected void rejected(String reason) {
-    writer.take(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
+    writer.take(ResponseSlot.of(RespWriter.error("ERR " + reason)));
   }
 
   /**
@@ -363,7 +363,7 @@
   protected final void malformed(String reason) {
     state.end(EndReason.MALFORMED);
     context.eventLog().malformed(number, reason, writer.owed(), context.clock().now());
-    writer.take(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
+    writer.take(ResponseSlot.of(RespWriter.error("ERR " + reason)));
     writer.finish();
     reader.inputEnded(writer.outputEndedAtNanos() == NEVER);
   }
--- a/src/main/java/beaconturn/net/client/ClientInputBuffer.java
+++ b/src/main/java/beaconturn/net/client/ClientInputBuffer.java
@@ -24,7 +24,7 @@
   private record Arrival(long upToByte, long atNanos) {}
 
   private final InputBuffer buffer = new InputBuffer();
-  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
+  private final RespReader reader = new RespReader(RespReader.MAX_VALUE_BYTES);
   private final Deque<Arrival> arrivals = new ArrayDeque<>(2);
   private long receivedBytes;
   private long lastArrivedAtNanos;
--- a/src/main/java/beaconturn/net/client/CommandDispatcher.java
+++ b/src/main/java/beaconturn/net/client/CommandDispatcher.java
@@ -68,7 +68,7 @@
     request.taken();
     if (arrivedAtNanos > state.drainingSinceNanos()) {
       boolean mayTellWhen = request.settings().permissions().retryAfter();
-      request.rejected(mayTellWhen ? RETRY_ELSEWHERE_NANOS : 0);
+      request.reject(mayTellWhen ? RETRY_ELSEWHERE_NANOS : 0);
     } else {
       context.routing().accept(new RoutingMessage.RequestReceived(request));
     }
@@ -79,9 +79,9 @@
       case "PING" ->
           context.lifecycle().ready()
               ? RespWriter.simple("PONG")
-              : RespWriter.failure("ERR starting");
+              : RespWriter.error("ERR starting");
       case "CLIENT", "SELECT" -> RespWriter.simple("OK");
-      default -> RespWriter.failure("ERR unknown command");
+      default -> RespWriter.error("ERR unknown command");
     };
   }
 
@@ -98,8 +98,8 @@
   /** Answers all that is open as failed. Poller thread only. */
   void failAll() {
     for (RespClientRequest request : pending.unanswered()) {
-      request.failed();
-      context.routing().accept(new RoutingMessage.ClientLeft(request));
+      request.fail();
+      context.routing().accept(new RoutingMessage.ClientDisconnected(request));
     }
   }
 
@@ -108,7 +108,7 @@
     for (RespClientRequest request : requests) {
       // First what the threads that write to cache servers look at.
       request.abandoned();
-      context.routing().accept(new RoutingMessage.ClientLeft(request));
+      context.routing().accept(new RoutingMessage.ClientDisconnected(request));
     }
   }
 }
--- a/src/main/java/beaconturn/net/client/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -113,7 +113,7 @@
   @Override
   public List<Slice> encode(long waitMillis) {
     List<Slice> pieces = new ArrayList<>(4);
-    pieces.add(RespWriter.listOf(parts.value() == null ? 4 : 5));
+    pieces.add(RespWriter.arrayHeader(parts.value() == null ? 4 : 5));
     pieces.add(parts.head());
     pieces.add(RespWriter.bulk(parts.attributesWith(waitMillis)));
     if (parts.value() != null) {
@@ -128,23 +128,23 @@
   }
 
   @Override
-  public void answered(Slice answer) {
+  public void respond(Slice answer) {
     end(RequestEnd.ANSWERED, answer == null ? ClientWriter.END : answer);
   }
 
   /** Rounded up, so that no client comes again before it should. */
   @Override
-  public void rejected(long retryAfterNanos) {
+  public void reject(long retryAfterNanos) {
     end(
         RequestEnd.REJECTED,
-        RespWriter.failure(
+        RespWriter.error(
             retryAfterNanos <= 0
                 ? "BUSY"
                 : "BUSY " + (retryAfterNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI));
   }
 
   @Override
-  public void failed() {
-    end(RequestEnd.FAILED, RespWriter.failure("ERR failed"));
+  public void fail() {
+    end(RequestEnd.FAILED, RespWriter.error("ERR failed"));
   }
 }
--- a/src/main/java/beaconturn/net/server/CacheConnection.java
+++ b/src/main/java/beaconturn/net/server/CacheConnection.java
@@ -54,7 +54,7 @@
   private final CacheResponseReader responseReader;
   private final CacheConnectionListener listener;
   private final InputBuffer input = new InputBuffer();
-  private final RespReader respReader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
+  private final RespReader respReader = new RespReader(RespReader.MAX_VALUE_BYTES);
 
   /** Null while idle. */
   private OutboundAttempt attempt;
@@ -169,7 +169,7 @@
    */
   private void writeRequest() throws IOException {
     long nowNanos = clock.now();
-    if (!attempt.isWanted(nowNanos) || !listener.mayWrite()) {
+    if (!attempt.mayBeWritten(nowNanos) || !listener.mayWrite()) {
       outcomeIfUnwritten = AttemptOutcome.SUPERSEDED;
       throw new IOException("not wanted any more");
     }
@@ -201,7 +201,7 @@
       throws IOException, ProtocolException {
     long nowNanos = clock.now();
     BoundedPipe pipe = new BoundedPipe();
-    listener.responseBegun(attempt, nowNanos, pipe);
+    listener.responseStarted(attempt, nowNanos, pipe);
     socket.socket().setSoTimeout(RESPONSE_SILENCE_TIMEOUT_MILLIS);
     try {
       AttemptResult result = large.stream(from, input, responseReader, pipe, nowNanos);
--- a/src/main/java/beaconturn/net/server/CacheConnectionListener.java
+++ b/src/main/java/beaconturn/net/server/CacheConnectionListener.java
@@ -13,7 +13,7 @@
   boolean mayWrite();
 
   /** A large response has begun at this time and goes on through the pipe. */
-  void responseBegun(OutboundAttempt attempt, long atNanos, BoundedPipe pipe);
+  void responseStarted(OutboundAttempt attempt, long atNanos, BoundedPipe pipe);
 
   /** An attempt has ended; if {@code reusable} the connection is idle and the listener's now. */
   void attemptEnded(
--- a/src/main/java/beaconturn/net/server/CacheResponseReader.java
+++ b/src/main/java/beaconturn/net/server/CacheResponseReader.java
@@ -35,7 +35,7 @@
     if (response instanceof RespValue.Array array && array.items() != null) {
       return readServed(array.items(), nowNanos);
     }
-    if (response instanceof RespValue.Failure failure) {
+    if (response instanceof RespValue.SimpleError failure) {
       String code = failure.text().toString().split(" ", 2)[0];
       if (code.equals("BUSY")) {
         return AttemptResult.of(AttemptOutcome.REJECTED, nowNanos);
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -76,7 +76,7 @@
   /** Posts an attempt without waiting; false if there is no room. For the routing thread. */
   boolean send(OutboundAttempt attempt) {
     boolean posted =
-        environment.thread().offerLeavingRoom(this, new CacheServerTask.SendAttempt(attempt));
+        environment.thread().offerReserving(this, new CacheServerTask.SendAttempt(attempt));
     if (posted) {
       sendsPosted++;
     }
@@ -226,10 +226,10 @@
   }
 
   private void begin(OutboundAttempt attempt) {
-    if (attempt.isOver()) {
+    if (attempt.hasEnded()) {
       return;
     }
-    if (!acceptsRequests || !attempt.isWanted(now())) {
+    if (!acceptsRequests || !attempt.mayBeWritten(now())) {
       endUnsent(attempt, AttemptOutcome.SUPERSEDED);
       return;
     }
--- a/src/main/java/beaconturn/net/server/CacheServerPool.java
+++ b/src/main/java/beaconturn/net/server/CacheServerPool.java
@@ -157,10 +157,10 @@
   }
 
   @Override
-  public boolean override(long serverId, boolean exclude, boolean mayBeUnlisted) {
+  public boolean override(long serverId, boolean exclude, boolean allowUnlisted) {
     PooledServer server = servers.get(serverId);
     boolean listed = server != null && !server.isGone();
-    if (!listed && !mayBeUnlisted && !excluded.contains(serverId)) {
+    if (!listed && !allowUnlisted && !excluded.contains(serverId)) {
       return false;
     }
     boolean changed = exclude ? excluded.add(serverId) : excluded.remove(serverId);
--- a/src/main/java/beaconturn/net/server/CacheServerThread.java
+++ b/src/main/java/beaconturn/net/server/CacheServerThread.java
@@ -59,8 +59,8 @@
   /**
    * Posts without waiting; false if that would leave no room for what must not be lost. Any thread.
    */
-  boolean offerLeavingRoom(CacheServer server, CacheServerTask task) {
-    return mailbox.offerLeaving(RESERVED_CAPACITY, new AddressedTask(server, task));
+  boolean offerReserving(CacheServer server, CacheServerTask task) {
+    return mailbox.offerReserving(RESERVED_CAPACITY, new AddressedTask(server, task));
   }
 
   /** Posts without waiting: for the routing thread. */
--- a/src/main/java/beaconturn/net/server/ConnectionReporter.java
+++ b/src/main/java/beaconturn/net/server/ConnectionReporter.java
@@ -32,8 +32,8 @@
   }
 
   @Override
-  public void responseBegun(OutboundAttempt attempt, long atNanos, BoundedPipe pipe) {
-    environment.routingThread().accept(new RoutingMessage.StreamingBegan(attempt, atNanos, pipe));
+  public void responseStarted(OutboundAttempt attempt, long atNanos, BoundedPipe pipe) {
+    environment.routingThread().accept(new RoutingMessage.StreamingStarted(attempt, atNanos, pipe));
   }
 
   @Override
--- a/src/main/java/beaconturn/net/server/LargeResponseStream.java
+++ b/src/main/java/beaconturn/net/server/LargeResponseStream.java
@@ -48,7 +48,7 @@
       position++;
     }
     if (!isLineEnd(input, position)
-        || size <= RespReader.LONGEST_VALUE_BYTES
+        || size <= RespReader.MAX_VALUE_BYTES
         || size > LARGEST_VALUE_BYTES) {
       return null;
     }
@@ -78,22 +78,22 @@
   /**
    * Streams the value into the pipe and reads what stands behind it.
    *
-   * @param beganAtNanos when the first bytes came, which is the time of the result
+   * @param startedAtNanos when the first bytes came, which is the time of the result
    */
   AttemptResult stream(
       InputStream from,
       InputBuffer input,
       CacheResponseReader responseReader,
       BoundedPipe pipe,
-      long beganAtNanos)
+      long startedAtNanos)
       throws IOException, ProtocolException {
     pipe.put(Slice.of("$" + valueBytes + "\r\n"));
     streamValue(from, input, pipe);
     readLineEnd(from, input);
-    RespReader rest = new RespReader(RespReader.LONGEST_VALUE_BYTES);
+    RespReader rest = new RespReader(RespReader.MAX_VALUE_BYTES);
     RespValue status = readValue(rest, from, input);
     RespValue report = readValue(rest, from, input);
-    AttemptResult result = responseReader.readStreamed(status, report, beganAtNanos);
+    AttemptResult result = responseReader.readStreamed(status, report, startedAtNanos);
     pipe.put(Slice.of("\r\n"));
     pipe.end();
     return result;
--- a/src/main/java/beaconturn/protocol/HttpWriter.java
+++ b/src/main/java/beaconturn/protocol/HttpWriter.java
@@ -21,7 +21,7 @@
   }
 
   /** A response with a body of JSON, on a connection that is kept. */
-  public static Slice answer(int status, String body) {
+  public static Slice response(int status, String body) {
     return withBody("HTTP/1.1 " + status + (status == STATUS_OK ? " OK" : " Error"), body);
   }
 
--- a/src/main/java/beaconturn/protocol/Json.java
+++ b/src/main/java/beaconturn/protocol/Json.java
@@ -15,18 +15,18 @@
   record Text(String value) implements Json {}
 
   /** A number, as it was written, so that no digit of a long one is lost. */
-  record Figure(String digits) implements Json {}
+  record NumberLiteral(String digits) implements Json {}
 
   /** True or false. */
-  record Flag(boolean value) implements Json {}
+  record Bool(boolean value) implements Json {}
 
   /** The null. */
-  record Nothing() implements Json {}
+  record Null() implements Json {}
 
   /** The member of that name; the null where there is none or this is no object. */
   default Json get(String name) {
     Json found = this instanceof Members m ? m.values().get(name) : null;
-    return found == null ? new Nothing() : found;
+    return found == null ? new Null() : found;
   }
 
   /** The items of an array; none if this is something else. */
@@ -39,9 +39,9 @@
     if (this instanceof Text t) {
       return t.value();
     }
-    if (this instanceof Figure f) {
+    if (this instanceof NumberLiteral f) {
       return f.digits();
     }
-    return this instanceof Flag flag ? Boolean.toString(flag.value()) : fallback;
+    return this instanceof Bool flag ? Boolean.toString(flag.value()) : fallback;
   }
 }
--- a/src/main/java/beaconturn/protocol/JsonReader.java
+++ b/src/main/java/beaconturn/protocol/JsonReader.java
@@ -47,9 +47,9 @@
       case '{' -> readMembers(depth);
       case '[' -> readItems(depth);
       case '"' -> new Json.Text(readString());
-      case 't' -> readWord("true", new Json.Flag(true));
-      case 'f' -> readWord("false", new Json.Flag(false));
-      case 'n' -> readWord("null", new Json.Nothing());
+      case 't' -> readWord("true", new Json.Bool(true));
+      case 'f' -> readWord("false", new Json.Bool(false));
+      case 'n' -> readWord("null", new Json.Null());
       default -> readNumber();
     };
   }
@@ -149,7 +149,7 @@
     if (!digits.matches(NUMBER)) {
       throw malformed("expected a value");
     }
-    return new Json.Figure(digits);
+    return new Json.NumberLiteral(digits);
   }
 
   private Json readWord(String word, Json value) throws ProtocolException {
--- a/src/main/java/beaconturn/protocol/RespReader.java
+++ b/src/main/java/beaconturn/protocol/RespReader.java
@@ -10,7 +10,7 @@
  */
 public final class RespReader {
   /** The protocol's limit of a value, in bytes. */
-  public static final int LONGEST_VALUE_BYTES = 1 << 16;
+  public static final int MAX_VALUE_BYTES = 1 << 16;
 
   private static final int LONGEST_LINE_BYTES = 1024;
   private static final int MOST_ITEMS = 64;
@@ -56,9 +56,9 @@
     }
     Slice rest = line.part(1, line.length());
     return switch (line.at(0)) {
-      case '+' -> new RespValue.Simple(frame(begin), rest);
-      case '-' -> new RespValue.Failure(frame(begin), rest);
-      case ':' -> new RespValue.Whole(frame(begin), number(rest));
+      case '+' -> new RespValue.SimpleString(frame(begin), rest);
+      case '-' -> new RespValue.SimpleError(frame(begin), rest);
+      case ':' -> new RespValue.Int(frame(begin), number(rest));
       case '$' -> readString(begin, number(rest));
       case '*' -> readArray(begin, number(rest), depth);
       default -> throw new ProtocolException("unknown type of value");
--- a/src/main/java/beaconturn/protocol/RespValue.java
+++ b/src/main/java/beaconturn/protocol/RespValue.java
@@ -8,13 +8,13 @@
   Slice frame();
 
   /** A line that begins with a plus. */
-  record Simple(Slice frame, Slice text) implements RespValue {}
+  record SimpleString(Slice frame, Slice text) implements RespValue {}
 
   /** A line that begins with a minus. */
-  record Failure(Slice frame, Slice text) implements RespValue {}
+  record SimpleError(Slice frame, Slice text) implements RespValue {}
 
   /** A whole number. */
-  record Whole(Slice frame, long value) implements RespValue {}
+  record Int(Slice frame, long value) implements RespValue {}
 
   /** A string of bytes; {@code bytes} is null for the null string. */
   record Bulk(Slice frame, Slice bytes) implements RespValue {}
--- a/src/main/java/beaconturn/protocol/RespWriter.java
+++ b/src/main/java/beaconturn/protocol/RespWriter.java
@@ -10,7 +10,7 @@
   private RespWriter() {}
 
   /** The header of a list of so many items. */
-  public static Slice listOf(int count) {
+  public static Slice arrayHeader(int count) {
     return Slice.of("*" + count + "\r\n");
   }
 
@@ -38,7 +38,7 @@
   }
 
   /** An error; whatever could end its line is replaced. */
-  public static Slice failure(String text) {
+  public static Slice error(String text) {
     String line = text.replaceAll("[^ -~]", "?");
     return Slice.of("-" + line.substring(0, Math.min(line.length(), LONGEST_ERROR_CHARS)) + "\r\n");
   }
--- a/src/main/java/beaconturn/rehearsal/ClientCommands.java
+++ b/src/main/java/beaconturn/rehearsal/ClientCommands.java
@@ -29,7 +29,7 @@
       attributes.append(",r=1");
     }
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    add(out, RespWriter.listOf(write ? 5 : 4));
+    add(out, RespWriter.arrayHeader(write ? 5 : 4));
     add(out, RespWriter.bulk(write ? "C.SET" : "C.GET"));
     add(out, RespWriter.bulk(one.planned().key()));
     add(out, RespWriter.bulk(one.id()));
@@ -61,7 +61,7 @@
       return HistoryEvent.ClientOutcome.SERVED;
     }
     boolean busy =
-        value instanceof RespValue.Failure failure
+        value instanceof RespValue.SimpleError failure
             && failure.text().toString().split(" ", 2)[0].equals("BUSY");
     return busy ? HistoryEvent.ClientOutcome.REJECTED : HistoryEvent.ClientOutcome.FAILED;
   }
@@ -75,7 +75,7 @@
 
   /** When a refusal allows another try, in nanoseconds; 0 where it does not say. */
   static long retryAfter(RespValue value) {
-    if (value instanceof RespValue.Failure failure) {
+    if (value instanceof RespValue.SimpleError failure) {
       String[] words = failure.text().toString().split(" ");
       if (words.length == 2 && words[0].equals("BUSY") && words[1].matches("[0-9]{1,9}")) {
         return Long.parseLong(words[1]) * MILLI;
--- a/src/main/java/beaconturn/rehearsal/FaultCommands.java
+++ b/src/main/java/beaconturn/rehearsal/FaultCommands.java
@@ -133,7 +133,7 @@
       return -1;
     }
     OptionalLong time =
-        at + 1 < words.size() ? Units.time(words.get(at + 1)) : OptionalLong.empty();
+        at + 1 < words.size() ? Units.parseDuration(words.get(at + 1)) : OptionalLong.empty();
     if (time.isEmpty()) {
       throw new IllegalArgumentException(
           "no time behind '" + word + "', for example " + word + " 4s");
@@ -161,7 +161,7 @@
   private static double delay(String word) {
     return word.isEmpty()
         ? USUAL_DELAY
-        : Units.time(word)
+        : Units.parseDuration(word)
             .orElseThrow(() -> new IllegalArgumentException("'" + word + "' is no time"));
   }
 
--- a/src/main/java/beaconturn/rehearsal/JsonObjectBuilder.java
+++ b/src/main/java/beaconturn/rehearsal/JsonObjectBuilder.java
@@ -22,17 +22,17 @@
 
   /** Puts a boolean. */
   JsonObjectBuilder put(String name, boolean value) {
-    return put(name, new Json.Flag(value));
+    return put(name, new Json.Bool(value));
   }
 
   /** Puts an integer. */
   JsonObjectBuilder put(String name, long value) {
-    return put(name, new Json.Figure(Long.toString(value)));
+    return put(name, new Json.NumberLiteral(Long.toString(value)));
   }
 
   /** Puts a number. */
   JsonObjectBuilder put(String name, double value) {
-    return put(name, new Json.Figure(Double.toString(value)));
+    return put(name, new Json.NumberLiteral(Double.toString(value)));
   }
 
   /** Puts an array. */
--- a/src/main/java/beaconturn/rehearsal/JsonReport.java
+++ b/src/main/java/beaconturn/rehearsal/JsonReport.java
@@ -20,7 +20,7 @@
 
   /** Returns the JSON text, ended by a new line. */
   String write() {
-    Json agreement = report.fleet() == null ? new Json.Nothing() : agreement();
+    Json agreement = report.fleet() == null ? new Json.Null() : agreement();
     Json object =
         new JsonObjectBuilder()
             .put("scenario", report.scenario().name())
@@ -112,7 +112,7 @@
 
   private static Json delayMillis(VersionTimeline version, long at) {
     return at < 0
-        ? new Json.Nothing()
-        : new Json.Figure(Double.toString((at - version.proposed()) / NANOS_PER_MILLI));
+        ? new Json.Null()
+        : new Json.NumberLiteral(Double.toString((at - version.proposed()) / NANOS_PER_MILLI));
   }
 }
--- a/src/main/java/beaconturn/rehearsal/PipelinedClient.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClient.java
@@ -66,7 +66,7 @@
   /** When the last answer came, or 0; for the reading thread. */
   private volatile long answeredAt;
 
-  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
+  private final RespReader reader = new RespReader(RespReader.MAX_VALUE_BYTES);
   // Guarded by this:
   private final Deque<SequentialClient.Try> waiting = new ArrayDeque<>();
   private final Deque<Command> open = new ArrayDeque<>();
@@ -329,7 +329,7 @@
   }
 
   private void answered(Command one, RespValue value) throws ProtocolException {
-    if (one == null || (one.asked == null && !(value instanceof RespValue.Failure))) {
+    if (one == null || (one.asked == null && !(value instanceof RespValue.SimpleError))) {
       // From here on nobody can tell which answer belongs to which command.
       throw new ProtocolException("an answer that nobody asked for");
     }
--- a/src/main/java/beaconturn/rehearsal/ProcessLauncher.java
+++ b/src/main/java/beaconturn/rehearsal/ProcessLauncher.java
@@ -93,7 +93,7 @@
       command.addAll(List.of("--features", start.features().toString()));
     }
     if (start.clockOff() != 0) {
-      command.add(1, "-D" + Clock.OFF + "=" + start.clockOff());
+      command.add(1, "-D" + Clock.OFFSET_PROPERTY + "=" + start.clockOff());
     }
     ProcessBuilder builder =
         new ProcessBuilder(command)
--- a/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
+++ b/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
@@ -33,7 +33,7 @@
             .put("sockets", spec.sockets())
             .build();
     Json control =
-        addresses.control() == null ? new Json.Nothing() : new Json.Text(addresses.control());
+        addresses.control() == null ? new Json.Null() : new Json.Text(addresses.control());
     return JsonWriter.write(
         new JsonObjectBuilder()
             .put("name", spec.name())
--- a/src/main/java/beaconturn/rehearsal/SequentialClient.java
+++ b/src/main/java/beaconturn/rehearsal/SequentialClient.java
@@ -38,7 +38,7 @@
   private final boolean crowded;
   private final BlockingQueue<Try> next = new LinkedBlockingQueue<>();
   private final InputBuffer in = new InputBuffer();
-  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
+  private final RespReader reader = new RespReader(RespReader.MAX_VALUE_BYTES);
   private Socket socket;
   private String lastId = "";
   private boolean used;
@@ -185,7 +185,7 @@
         new HistoryEvent.ResponseReceived(at, one.id(), kind, ClientCommands.digest(value)));
     boolean keep =
         value != null
-            && (kind != HistoryEvent.ClientOutcome.FAILED || value instanceof RespValue.Failure);
+            && (kind != HistoryEvent.ClientOutcome.FAILED || value instanceof RespValue.SimpleError);
     owner.done(this, new Result(one, kind, at, ClientCommands.retryAfter(value)), keep);
     return keep;
   }
--- a/src/main/java/beaconturn/release/RolloutPlanCodec.java
+++ b/src/main/java/beaconturn/release/RolloutPlanCodec.java
@@ -39,7 +39,7 @@
   }
 
   private static Json encode(ConfigContent content) {
-    return content == null ? new Json.Nothing() : ConfigCodec.contentJson(content);
+    return content == null ? new Json.Null() : ConfigCodec.contentJson(content);
   }
 
   private static Json encode(RegressionBounds bounds) {
--- a/src/main/java/beaconturn/standin/net/DiscoverySession.java
+++ b/src/main/java/beaconturn/standin/net/DiscoverySession.java
@@ -47,7 +47,7 @@
 
   private void request(HttpRequest request) throws ProtocolException {
     if (!request.method().equals("GET") || !request.path().equals("/registry/instances")) {
-      write(HttpWriter.answer(NOT_FOUND, "{}"));
+      write(HttpWriter.response(NOT_FOUND, "{}"));
       return;
     }
     String after = request.parameter("after", "");
@@ -68,17 +68,17 @@
 
   @Override
   public void news(DiscoveryModel.News news) {
-    write(HttpWriter.answer(OK, JsonWriter.write(form.apply(news))));
+    write(HttpWriter.response(OK, JsonWriter.write(form.apply(news))));
   }
 
   @Override
   public void failed() {
-    write(HttpWriter.answer(UNAVAILABLE, "{}"));
+    write(HttpWriter.response(UNAVAILABLE, "{}"));
   }
 
   @Override
   protected void unreadable(String why) {
-    write(HttpWriter.answer(NOT_FOUND, "{}"));
+    write(HttpWriter.response(NOT_FOUND, "{}"));
   }
 
   @Override
--- a/src/main/java/beaconturn/standin/net/EmulatedFleetServer.java
+++ b/src/main/java/beaconturn/standin/net/EmulatedFleetServer.java
@@ -137,8 +137,8 @@
 
   private Json form(int router, DiscoveryModel.News news) {
     Map<String, Json> members = new LinkedHashMap<>();
-    members.put("seq", new Json.Figure(Long.toString(news.version())));
-    members.put("whole", new Json.Flag(news.whole()));
+    members.put("seq", new Json.NumberLiteral(Long.toString(news.version())));
+    members.put("whole", new Json.Bool(news.whole()));
     members.put(
         "hosts", new Json.Items(news.entries().stream().map(e -> form(router, e)).toList()));
     return new Json.Members(members);
@@ -152,10 +152,10 @@
     line.put("dial", new Json.Text(dial.getHostString() + ":" + dial.getPort()));
     line.put("site", new Json.Text(entry.site()));
     line.put("class", new Json.Text(entry.kind()));
-    line.put("block", new Json.Figure(Integer.toString(entry.block())));
+    line.put("block", new Json.NumberLiteral(Integer.toString(entry.block())));
     line.put("health", new Json.Text(entry.health().name().toLowerCase(Locale.ROOT)));
-    line.put("share", new Json.Figure(Double.toString(entry.share())));
-    line.put("born_ms", new Json.Figure(Long.toString(entry.born() / MILLI)));
+    line.put("share", new Json.NumberLiteral(Double.toString(entry.share())));
+    line.put("born_ms", new Json.NumberLiteral(Long.toString(entry.born() / MILLI)));
     return new Json.Members(line);
   }
 
--- a/src/main/java/beaconturn/standin/net/RespSession.java
+++ b/src/main/java/beaconturn/standin/net/RespSession.java
@@ -26,7 +26,7 @@
   private static final int LONG_LINE = 4096;
   private final EmulatedFleet world;
   private final long number;
-  private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
+  private final RespReader reader = new RespReader(RespReader.MAX_VALUE_BYTES);
   private CacheServerModel.Session session;
   private CacheServerModel cache;
   private int router;
@@ -80,7 +80,7 @@
       case "C.GET", "C.SET" -> request(items, word.equals("C.SET"));
       case "PING" -> write(RespWriter.simple("PONG"));
       case "CLIENT", "SELECT" -> write(RespWriter.simple("OK"));
-      default -> write(RespWriter.failure("ERR unknown command"));
+      default -> write(RespWriter.error("ERR unknown command"));
     }
   }
 
@@ -128,7 +128,7 @@
   @Override
   protected void unreadable(String why) {
     world.recorder().unreadable(loop.agenda().now(), cache.listing().host(), router, why);
-    write(RespWriter.failure("SYNTAX " + why));
+    write(RespWriter.error("SYNTAX " + why));
   }
 
   @Override
@@ -143,15 +143,15 @@
     } else if (reply instanceof CacheResponse.Spoilt spoilt) {
       write(spoilt(spoilt));
     } else if (reply instanceof CacheResponse.Busy) {
-      write(RespWriter.failure("BUSY"));
+      write(RespWriter.error("BUSY"));
     } else {
-      write(RespWriter.failure("ERR failed"));
+      write(RespWriter.error("ERR failed"));
     }
   }
 
   private static Slice value(CacheResponse.Value value, String report) {
     ByteArrayOutputStream all = gather();
-    add(all, RespWriter.listOf(3));
+    add(all, RespWriter.arrayHeader(3));
     add(all, RespWriter.bulk(value.bytes()));
     String how =
         value.how() == CacheResponse.How.WRITTEN
--- a/src/main/java/beaconturn/standin/net/StoreSession.java
+++ b/src/main/java/beaconturn/standin/net/StoreSession.java
@@ -54,18 +54,18 @@
       if (path.equals("/v3/kv/txn") && front.losesThis()) {
         reset();
       } else if (answer == null) {
-        write(HttpWriter.answer(NOT_FOUND, "{\"code\":5,\"message\":\"Not Found\"}"));
+        write(HttpWriter.response(NOT_FOUND, "{\"code\":5,\"message\":\"Not Found\"}"));
       } else {
-        write(HttpWriter.answer(OK, JsonWriter.write(answer)));
+        write(HttpWriter.response(OK, JsonWriter.write(answer)));
       }
     } catch (ProtocolException | IllegalArgumentException e) {
       write(
-          HttpWriter.answer(
+          HttpWriter.response(
               BAD,
               JsonWriter.write(
                   object(
                       "code",
-                      new Json.Figure("3"),
+                      new Json.NumberLiteral("3"),
                       "message",
                       new Json.Text(String.valueOf(e.getMessage()))))));
     }
@@ -144,7 +144,7 @@
                   key(delete.get("key")), key(delete.get("range_end")), null, 0));
     }
     return model.swap(conditions, changes)
-        ? object("header", header(), "succeeded", new Json.Flag(true))
+        ? object("header", header(), "succeeded", new Json.Bool(true))
         : object("header", header());
   }
 
@@ -186,7 +186,7 @@
 
   @Override
   protected void unreadable(String why) {
-    write(HttpWriter.answer(BAD, "{}"));
+    write(HttpWriter.response(BAD, "{}"));
   }
 
   @Override
--- a/src/main/java/beaconturn/toml/TomlSection.java
+++ b/src/main/java/beaconturn/toml/TomlSection.java
@@ -143,7 +143,7 @@
     }
     JsonNode value = node.get(key);
     OptionalLong durationNanos =
-        value.isTextual() ? Units.time(value.textValue()) : OptionalLong.empty();
+        value.isTextual() ? Units.parseDuration(value.textValue()) : OptionalLong.empty();
     if (durationNanos.isEmpty()) {
       throw invalid(key, "not a time, write for example \"1.5s\" or \"300ms\"");
     }
@@ -161,7 +161,7 @@
     }
     JsonNode value = node.get(key);
     OptionalLong sizeBytes =
-        value.isTextual() ? Units.size(value.textValue()) : OptionalLong.empty();
+        value.isTextual() ? Units.parseSize(value.textValue()) : OptionalLong.empty();
     if (sizeBytes.isEmpty()) {
       throw invalid(key, "not a size, write for example \"512B\" or \"64MB\"");
     }
--- a/src/main/java/beaconturn/toml/Units.java
+++ b/src/main/java/beaconturn/toml/Units.java
@@ -13,7 +13,7 @@
   private Units() {}
 
   /** Returns the nanoseconds of a duration such as "1.5s" or "300ms"; nothing where it is none. */
-  public static OptionalLong time(String text) {
+  public static OptionalLong parseDuration(String text) {
     Matcher m = TIME.matcher(text.trim());
     if (!m.matches()) {
       return OptionalLong.empty();
@@ -30,7 +30,7 @@
   }
 
   /** Returns the bytes of a size such as "64MB"; nothing where it is none. */
-  public static OptionalLong size(String text) {
+  public static OptionalLong parseSize(String text) {
     Matcher m = SIZE.matcher(text.trim());
     if (!m.matches()) {
       return OptionalLong.empty();
--- a/src/test/java/beaconturn/core/MailboxTest.java
+++ b/src/test/java/beaconturn/core/MailboxTest.java
@@ -26,9 +26,9 @@
   @Test
   void someRoomCanBeKeptFree() {
     Mailbox<Integer> mailbox = new Mailbox<>(4);
-    assertTrue(mailbox.offerLeaving(2, 1));
-    assertTrue(mailbox.offerLeaving(2, 2));
-    assertFalse(mailbox.offerLeaving(2, 3));
+    assertTrue(mailbox.offerReserving(2, 1));
+    assertTrue(mailbox.offerReserving(2, 2));
+    assertFalse(mailbox.offerReserving(2, 3));
     assertTrue(mailbox.offer(3));
   }
 
--- a/src/test/java/beaconturn/core/RoutingEngineTest.java
+++ b/src/test/java/beaconturn/core/RoutingEngineTest.java
@@ -180,7 +180,7 @@
     sending(100 * MILLI);
     FakeRequest request = arrive();
     now += 100 * MILLI;
-    engine.runDue();
+    engine.runDueTimers();
     assertEquals(servers.sent, servers.aborted);
     assertEquals(AttemptOutcome.TIMEOUT, lastClosed().outcome());
     assertEquals(List.of(), request.answers, "what follows is the policy's to decide");
@@ -238,8 +238,8 @@
   void aClientThatLeavesIsWithdrawnOnce() {
     sending(0);
     FakeRequest request = arrive();
-    engine.handle(new RoutingMessage.ClientLeft(request));
-    engine.handle(new RoutingMessage.ClientLeft(request));
+    engine.handle(new RoutingMessage.ClientDisconnected(request));
+    engine.handle(new RoutingMessage.ClientDisconnected(request));
     engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("late")));
     assertEquals(List.of(), request.answers);
     assertEquals(
@@ -251,7 +251,7 @@
   void aRequestThatTheModuleForgetsFailsWithinTheSlack() {
     FakeRequest request = arrive();
     now += 400 * MILLI + settings.safetyLimits().answerSlackNanos();
-    engine.runDue();
+    engine.runDueTimers();
     assertEquals(List.of("failed"), request.answers);
   }
 
@@ -282,7 +282,7 @@
     arrive();
     assertEquals(10 * MILLI, engine.untilNextTimerNanos(1000 * MILLI));
     now += 20 * MILLI;
-    engine.runDue();
+    engine.runDueTimers();
     assertEquals(
         List.of(1L, 2L, 3L),
         events.stream()
@@ -422,17 +422,17 @@
     }
 
     @Override
-    public void answered(Slice answer) {
+    public void respond(Slice answer) {
       answers.add("served " + answer);
     }
 
     @Override
-    public void rejected(long retryAfter) {
+    public void reject(long retryAfter) {
       answers.add("refused " + retryAfter / MILLI);
     }
 
     @Override
-    public void failed() {
+    public void fail() {
       answers.add("failed");
     }
   }
@@ -469,8 +469,8 @@
     }
 
     @Override
-    public boolean override(long server, boolean excluded, boolean mayBeUnlisted) {
-      return mayBeUnlisted || server != 0;
+    public boolean override(long server, boolean excluded, boolean allowUnlisted) {
+      return allowUnlisted || server != 0;
     }
   }
 
--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/BrokenRouter.java
@@ -128,7 +128,7 @@
         || ended.result().outcome() != AttemptOutcome.OK) {
       return message;
     }
-    Slice answer = ended.result().answer();
+    Slice answer = ended.result().response();
     Slice other = before;
     before = answer;
     if (++count % SOME != 0 || other == null) {
--- a/src/test/java/beaconturn/net/OperatorOverridesTest.java
+++ b/src/test/java/beaconturn/net/OperatorOverridesTest.java
@@ -43,7 +43,7 @@
             null,
             null,
             new ProcessEnvironment(any, false, folder),
-            new Json.Nothing());
+            new Json.Null());
     operators =
         new OperatorOverrides(
             config,
--- a/src/test/java/beaconturn/net/RouterServerTest.java
+++ b/src/test/java/beaconturn/net/RouterServerTest.java
@@ -109,7 +109,7 @@
         known,
         settings,
         surroundings,
-        new Json.Nothing());
+        new Json.Null());
   }
 
   /**
--- a/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
@@ -138,7 +138,7 @@
     now.addAndGet(3 * SECOND);
     connections.sweep(now.get());
     late.start();
-    arrived().answered(Slice.of("+v\r\n"));
+    arrived().respond(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
   }
 
@@ -149,7 +149,7 @@
   @Test
   void overALoweredMostOneGoesForOneThatComes() throws Exception {
     client.write(GET);
-    arrived().answered(Slice.of("+v\r\n"));
+    arrived().respond(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     awaitQuiet();
     TestPeer.Line first = client;
@@ -180,7 +180,7 @@
   @Test
   void halfACommandBehindAWholeOneIsClosedInTheSameTime() throws Exception {
     client.write(GET);
-    arrived().answered(Slice.of("+v\r\n"));
+    arrived().respond(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     awaitQuiet();
     now.addAndGet(SECOND);
@@ -199,7 +199,7 @@
     awaitHalfRead();
     now.addAndGet(3 * SECOND);
     connections.sweep(now.get());
-    call.answered(Slice.of("+v\r\n"));
+    call.respond(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
   }
 
@@ -218,7 +218,7 @@
   @Test
   void aQuietConnectionIsEndedBetweenRequestsAfterSomeSeconds() throws Exception {
     client.write(GET);
-    arrived().answered(Slice.of("+v\r\n"));
+    arrived().respond(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     awaitQuiet();
     connections.sweep(now.get() + 2 * SECOND);
@@ -240,7 +240,7 @@
     ClientRequest call = arrived();
     now.addAndGet(SECOND / 2);
     crowded.sweep(now.get());
-    call.answered(Slice.of("+v\r\n"));
+    call.respond(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     crowded.sweep(now.get());
     client.write("*1\r\n$4\r\nPING\r\n");
@@ -290,7 +290,7 @@
     client.hangUp();
     for (int i = 0; i < open; i++) {
       assertTrue(
-          module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft, "number " + i);
+          module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientDisconnected, "number " + i);
     }
     TestPeer.until(() -> connections.count() == 0);
     assertEquals(0, module.size());
@@ -375,7 +375,7 @@
     client.write(get("waits"));
     awaitHalfRead();
     now.addAndGet(SECOND);
-    first.answered(Slice.of("+v\r\n"));
+    first.respond(Slice.of("+v\r\n"));
     assertEquals(before + SECOND * 3 / 2, arrived().deadlineNanos());
   }
 
@@ -390,7 +390,7 @@
     now.addAndGet(3 * SECOND);
     connections.sweep(now.get());
     release.countDown();
-    arrived().answered(Slice.of("+v\r\n"));
+    arrived().respond(Slice.of("+v\r\n"));
     assertEquals("+v", rests.answer());
   }
 
@@ -414,7 +414,7 @@
         () ->
             rejected.get() == 1 && stoppingConnection.partialCommandSinceNanos() == Long.MAX_VALUE);
     assertEquals(1, ids.count());
-    early.answered(Slice.of("+v\r\n"));
+    early.respond(Slice.of("+v\r\n"));
     assertEquals("+v", stopping.answer());
     assertEquals("-BUSY 50", stopping.answer());
     TestPeer.until(
@@ -447,8 +447,8 @@
     toModule = module::add;
     release.countDown();
     ClientRequest early = arrived();
-    arrived().answered(Slice.of("+late\r\n"));
-    early.answered(Slice.of("+early\r\n"));
+    arrived().respond(Slice.of("+late\r\n"));
+    early.respond(Slice.of("+early\r\n"));
     assertEquals("+early", client.answer());
     assertEquals("+late", client.answer());
     assertEquals("end", client.answer());
@@ -461,7 +461,7 @@
     client.write(GET);
     ClientRequest call = arrived();
     connections.stop();
-    call.answered(Slice.of("+v\r\n"));
+    call.respond(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     assertEquals("end", client.answer());
   }
@@ -491,12 +491,12 @@
     client.write(GET);
     ClientRequest call = arrived();
     assertEquals(1, ids.count());
-    call.rejected(0);
+    call.reject(0);
     assertEquals(0, ids.count());
     client.write(GET);
     arrived();
     client.hangUp();
-    assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft);
+    assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientDisconnected);
     TestPeer.until(() -> ids.count() == 0);
   }
 
@@ -527,15 +527,15 @@
             + "*1\r\n:5\r\n"
             + get("last"));
     ClientRequest first = arrived();
-    arrived().answered(Slice.of("+last\r\n"));
-    first.answered(Slice.of("+first\r\n"));
+    arrived().respond(Slice.of("+last\r\n"));
+    first.respond(Slice.of("+first\r\n"));
     assertEquals("+first", client.answer());
     for (int i = 0; i < 5; i++) {
       assertTrue(client.answer().startsWith("-ERR "), "command " + i);
     }
     assertEquals("+last", client.answer());
     client.write(get("another"));
-    arrived().answered(Slice.of("+another\r\n"));
+    arrived().respond(Slice.of("+another\r\n"));
     assertEquals("+another", client.answer());
     assertEquals(0, ids.count());
   }
@@ -552,7 +552,7 @@
     connections.makeRoom(now.get());
     connections.makeRoom(now.get());
     begun.write(GET.substring(9));
-    arrived().answered(Slice.of("+v\r\n"));
+    arrived().respond(Slice.of("+v\r\n"));
     assertEquals("+v", begun.answer());
   }
 
@@ -587,7 +587,7 @@
         () -> resting.partialCommandSinceNanos() < Long.MAX_VALUE || resting.isLeaving());
     awaitPollerRound();
     rests.write(GET.substring(9));
-    arrived().answered(Slice.of("+v\r\n"));
+    arrived().respond(Slice.of("+v\r\n"));
     assertEquals("+v", rests.answer());
   }
 
@@ -613,7 +613,7 @@
     assertEquals(0, module.size());
     now.addAndGet(SECOND / 10);
     connections.sweep(now.get());
-    arrived().answered(Slice.of("+v\r\n"));
+    arrived().respond(Slice.of("+v\r\n"));
   }
 
   /** The router's own failure on a connection frees nobody of an answer. */
--- a/src/test/java/beaconturn/net/server/CacheResponseReaderTest.java
+++ b/src/test/java/beaconturn/net/server/CacheResponseReaderTest.java
@@ -27,7 +27,7 @@
     in.ensureRoom();
     System.arraycopy(bytes, 0, in.array(), in.end(), bytes.length);
     in.filled(bytes.length);
-    return replies.read(new RespReader(RespReader.LONGEST_VALUE_BYTES).next(in), 1);
+    return replies.read(new RespReader(RespReader.MAX_VALUE_BYTES).next(in), 1);
   }
 
   @Test
@@ -65,6 +65,6 @@
 
   @Test
   void theValueGoesOnAsItCame() throws Exception {
-    assertEquals("$2\r\nva\r\n", read("$-1\r\n").answer().toString());
+    assertEquals("$2\r\nva\r\n", read("$-1\r\n").response().toString());
   }
 }
--- a/src/test/java/beaconturn/net/server/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerTest.java
@@ -142,7 +142,7 @@
       AttemptResult outcome = outcome(send(server(peer)));
       assertEquals(AttemptOutcome.OK, outcome.outcome());
       assertEquals(CacheStatus.MISS, outcome.cacheStatus());
-      assertEquals("$2\r\nva\r\n", outcome.answer().toString());
+      assertEquals("$2\r\nva\r\n", outcome.response().toString());
     }
   }
 
@@ -224,7 +224,7 @@
     }
 
     @Override
-    public void responseBegun(OutboundAttempt attempt, long atNanos, BoundedPipe pipe) {}
+    public void responseStarted(OutboundAttempt attempt, long atNanos, BoundedPipe pipe) {}
 
     @Override
     public void attemptEnded(
@@ -613,7 +613,7 @@
       awaitQuiet(server);
       assertNull(
           module.stream()
-              .filter(m -> ((RoutingMessage.AttemptCompleted) m).result().answer() != null)
+              .filter(m -> ((RoutingMessage.AttemptCompleted) m).result().response() != null)
               .findAny()
               .orElse(null));
       over.countDown();
--- a/src/test/java/beaconturn/protocol/HttpReaderTest.java
+++ b/src/test/java/beaconturn/protocol/HttpReaderTest.java
@@ -103,7 +103,7 @@
 
   @Test
   void anAnswerThatIsWrittenReadsTheSame() throws ProtocolException {
-    HttpResponse read = reader.next(Bytes.buffer(HttpWriter.answer(503, "{}").toString()), false);
+    HttpResponse read = reader.next(Bytes.buffer(HttpWriter.response(503, "{}").toString()), false);
     assertEquals(503, read.status());
     assertEquals("{}", read.body().toString());
     assertTrue(read.keepAlive());
--- a/src/test/java/beaconturn/standin/net/StandInSpeed.java
+++ b/src/test/java/beaconturn/standin/net/StandInSpeed.java
@@ -152,7 +152,7 @@
   private static byte[] command(int line, int count) {
     String id = String.format("%08x%08x", line, count);
     String text =
-        RespWriter.listOf(4).toString()
+        RespWriter.arrayHeader(4).toString()
             + RespWriter.bulk("C.GET")
             + RespWriter.bulk("k" + count % KEYS)
             + RespWriter.bulk(id)
