--- a/src/main/java/beaconturn/core/AttemptMetrics.java
+++ b/src/main/java/beaconturn/core/AttemptMetrics.java
@@ -6,12 +6,12 @@
 import beaconturn.stats.RequestMetrics;
 import java.util.List;
 
-/** The count of requests and attempts in the router's metrics. Routing thread only. */
+/** Records requests and attempts in the router's metrics. Confined to the routing thread. */
 final class AttemptMetrics {
-  /** Where to count; empty where nobody asks. */
+  /** Empty if nothing is recorded. */
   private List<RequestMetrics> sinks = List.of();
 
-  /** Says where to count from here on. */
+  /** Sets the metrics in which requests and attempts are recorded from now on. */
   void setSinks(List<RequestMetrics> metrics) {
     sinks = List.copyOf(metrics);
   }
@@ -28,12 +28,12 @@
       return;
     }
     AttemptOutcome outcome = result.outcome();
-    boolean answered = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
+    boolean responded = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
     long tookNanos = result.endedAtNanos() - attempt.sentAtNanos();
     boolean late = tookNanos > entry.latencyObjectiveNanos();
     CacheLookup lookup = lookup(result.cacheStatus());
     for (RequestMetrics metrics : sinks) {
-      metrics.attemptEnded(attempt.serverId(), answered, lookup, tookNanos, late);
+      metrics.attemptEnded(attempt.serverId(), responded, lookup, tookNanos, late);
     }
   }
 
--- a/src/main/java/beaconturn/core/AttemptResult.java
+++ b/src/main/java/beaconturn/core/AttemptResult.java
@@ -5,13 +5,13 @@
 import beaconturn.protocol.Slice;
 
 /**
- * How an attempt ended.
+ * The result of an attempt.
  *
- * @param outcome how it ended
- * @param endedAtNanos when, by the router's clock
- * @param cacheStatus what the cache server said about the key
- * @param loadReport the figures that came with the answer, or {@link #NO_LOAD_REPORT}
- * @param response the answer for the client, or null unless a cache server gave one whole
+ * @param outcome how the attempt ended
+ * @param endedAtNanos when it ended, by the router's clock
+ * @param cacheStatus whether the cache server had the key
+ * @param loadReport the values of the response's load report, or {@link #NO_LOAD_REPORT}
+ * @param response the response for the client; null if there is none or it was streamed
  */
 public record AttemptResult(
     AttemptOutcome outcome,
@@ -19,10 +19,10 @@
     CacheStatus cacheStatus,
     float[] loadReport,
     Slice response) {
-  /** In the place of a load report where none came. */
+  /** Stands for a missing load report. */
   public static final float[] NO_LOAD_REPORT = {};
 
-  /** An end without an answer. */
+  /** A result without a response. */
   public static AttemptResult of(AttemptOutcome outcome, long endedAtNanos) {
     return new AttemptResult(outcome, endedAtNanos, CacheStatus.NONE, NO_LOAD_REPORT, null);
   }
--- a/src/main/java/beaconturn/core/AttemptRunner.java
+++ b/src/main/java/beaconturn/core/AttemptRunner.java
@@ -6,8 +6,8 @@
 import java.util.logging.Logger;
 
 /**
- * Carries out attempts: sends them to cache servers, and ends each of them once, as it is answered,
- * fails, runs out of time or is cancelled. Routing thread only.
+ * Sends attempts to cache servers and ends each of them exactly once: with a response, a failure, a
+ * timeout or a cancellation. Confined to the routing thread.
  */
 final class AttemptRunner {
   private static final Logger LOG = Logger.getLogger(RoutingEngine.class.getName());
@@ -20,14 +20,19 @@
   /**
    * Sends the request's next attempt.
    *
-   * @param policy the policy that decided so; it hears of the attempt's end
-   * @param timeoutNanos how long the attempt may take; 0 for all that its client waits
+   * @param policy the policy that sends the attempt and is notified of its end
+   * @param timeoutNanos how long the attempt may take; 0 for the time until the client's deadline
    */
   void send(HostedPolicy policy, long requestId, long serverId, long timeoutNanos) {
     RequestTable.RequestEntry entry = context.requests().get(requestId);
     int maxAttempts = policy.settings().permissions().maxAttempts();
     if (entry == null || entry.isClosed() || entry.attempts().size() >= maxAttempts) {
-      LOG.warning("send for request " + requestId + ", which may not have it: not sent");
+      LOG.warning(
+          "attempt of request "
+              + requestId
+              + " not sent: the request is closed or has had all of its "
+              + maxAttempts
+              + " attempts");
       enqueueNotSent(policy, requestId, serverId, entry);
       return;
     }
@@ -38,7 +43,7 @@
     long leftNanos = Math.max(0, entry.request().deadlineNanos() - now);
     long allowedNanos = timeoutNanos == 0 ? leftNanos : Math.min(leftNanos, timeoutNanos);
     OutboundAttempt attempt = context.requests().addAttempt(entry, serverId, now, allowedNanos);
-    attempt.timeout(context.timers().at(attempt.timesOutAtNanos(), () -> timedOut(attempt)));
+    attempt.setTimeoutTimer(context.timers().at(attempt.timesOutAtNanos(), () -> timedOut(attempt)));
     if (!context.servers().send(attempt)) {
       endWhileDeciding(policy, attempt, entry, AttemptOutcome.CONNECT_FAILED);
     }
@@ -65,14 +70,14 @@
 
   private String serverName(long serverId) {
     CacheServerClients.ListedServer listed = context.servers().listed(serverId);
-    return listed == null ? "a server that is not listed" : listed.name();
+    return listed == null ? "unlisted server " + serverId : listed.name();
   }
 
   private void timedOut(OutboundAttempt attempt) {
     attemptEnded(attempt, AttemptResult.of(AttemptOutcome.TIMEOUT, context.clock().now()));
   }
 
-  /** Cancels one attempt of a request; without effect if it is over. */
+  /** Cancels one attempt of a request; no effect if the attempt has ended. */
   void cancel(HostedPolicy policy, long requestId, int attemptNumber) {
     RequestTable.RequestEntry entry = context.requests().get(requestId);
     if (entry == null || attemptNumber >= entry.attempts().size()) {
@@ -86,7 +91,8 @@
   }
 
   /**
-   * Ends an attempt while the policy acts: it hears of it once it has handled the event at hand.
+   * Ends an attempt during an action of the policy, which is notified once it has handled the
+   * current event.
    */
   private void endWhileDeciding(
       HostedPolicy policy,
@@ -111,36 +117,39 @@
   }
 
   /**
-   * Passes on an answer that has begun. The first attempt whose answer begins has the request; any
-   * other's answer is cancelled.
+   * Forwards a streamed response to the client if it is the request's first; a later response of
+   * another attempt is cancelled.
    */
-  void streamingStarted(RoutingMessage.StreamingStarted began) {
-    OutboundAttempt attempt = began.attempt();
+  void streamingStarted(RoutingMessage.StreamingStarted started) {
+    OutboundAttempt attempt = started.attempt();
     RequestTable.RequestEntry entry = context.requests().get(attempt.requestId());
     if (attempt.hasEnded() || entry.isClosed() || entry.streamingAttempt() != null) {
-      began.response().cancel();
+      started.response().cancel();
       return;
     }
     attempt.responseStarted();
     entry.streamingStarted(attempt);
-    entry.request().startStreaming(began.response());
+    entry.request().startStreaming(started.response());
     context
         .dispatcher()
         .deliver(
             entry.policy(),
             new RoutingEvent.ResponseStarted(
                 attempt.requestId(),
-                Math.max(0, began.startedAtNanos() - attempt.sentAtNanos()),
+                Math.max(0, started.startedAtNanos() - attempt.sentAtNanos()),
                 attempt.serverId(),
                 attempt.number()));
   }
 
-  /** Ends an attempt and answers its request if it can; without effect if it had ended before. */
+  /**
+   * Ends an attempt and, on success, completes its request; no effect if the attempt had already
+   * ended.
+   */
   void attemptEnded(OutboundAttempt attempt, AttemptResult result) {
     if (!attempt.end(result.outcome())) {
       return;
     }
-    // On the wire first: what the policy sends next must not meet an attempt that is still out.
+    // Abort before the policy is notified: its next attempt must not overlap with this one.
     if (result.outcome() == AttemptOutcome.TIMEOUT) {
       context.servers().abort(attempt);
     }
--- a/src/main/java/beaconturn/core/CacheServerClients.java
+++ b/src/main/java/beaconturn/core/CacheServerClients.java
@@ -1,38 +1,39 @@
 package beaconturn.core;
 
-/** The cache servers as the routing thread acts on them. Routing thread only; no call may block. */
+/** The routing thread's access to the cache servers. Routing thread only; no call may block. */
 public interface CacheServerClients {
   /**
-   * Starts an attempt, whose result comes back as a message; false if nothing was or will be sent.
+   * Starts an attempt, whose result arrives as a message; false if the attempt cannot be started and
+   * nothing will be written.
    */
   boolean send(OutboundAttempt attempt);
 
-  /** Ends an attempt that is over on the wire, before it returns; nothing comes back. */
+  /** Closes the connection of an ended attempt before this call returns; no message follows. */
   void abort(OutboundAttempt attempt);
 
   /** Closes idle connections to a cache server. */
   void closeIdle(long serverId);
 
-  /** Follows a change of the endpoint list. */
+  /** Applies an endpoint update. */
   void follow(EndpointUpdate update);
 
   /**
-   * Begins nothing new at a cache server that an operator has excluded, whatever the endpoint list
-   * says, until it is taken back; false, and nothing happens, if no listed server has that number,
-   * unless it {@code allowUnlisted}.
+   * Sets or lifts an operator's exclusion of a cache server; an excluded server gets no new
+   * attempts, whatever its state in the endpoint list. False, without effect, if no listed server
+   * has that id and {@code allowUnlisted} is not set.
    */
   boolean override(long serverId, boolean excluded, boolean allowUnlisted);
 
   /**
-   * A cache server as the endpoint list has it.
+   * A cache server as stated in the endpoint list.
    *
-   * @param name its name
-   * @param zone its zone, by the order of the settings
-   * @param bootTimeNanos when it started, by the router's clock; 0 for long ago
+   * @param name the server's name
+   * @param zone the index of its zone in the settings
+   * @param bootTimeNanos when it started, in nanoseconds since the Unix epoch; 0 if unknown
    */
   record ListedServer(String name, int zone, long bootTimeNanos) {}
 
-  /** What the endpoint list says of a cache server, or null if none has that number. */
+  /** The cache server with that id, or null if none is listed. */
   default ListedServer listed(long serverId) {
     return null;
   }
--- a/src/main/java/beaconturn/core/ClientRequest.java
+++ b/src/main/java/beaconturn/core/ClientRequest.java
@@ -5,50 +5,51 @@
 import java.util.List;
 
 /**
- * One request of a client, whatever protocol it came in. Exactly one of the three answers is given,
- * by the routing thread; none of them may block. Any thread may ask for what the request says.
+ * A client's request, independent of its protocol. The routing thread completes it exactly once, by
+ * {@link #respond}, {@link #reject} or {@link #fail}, none of which may block. Any thread may read
+ * its properties.
  */
 public interface ClientRequest {
-  /** What the request says of itself. */
+  /** The properties that the policy decides by. */
   RequestDescription description();
 
-  /** The id that its client gave it, for the log. */
+  /** The id that the client assigned, for logs. */
   default String id() {
     return "unknown";
   }
 
-  /** The settings that it was read under, which tell its class; null means those in force. */
+  /** The settings that the request was read under, which define its class; null for the current. */
   default RoutingSettings settings() {
     return null;
   }
 
-  /** Whether the client still waits for its answer. */
+  /** Whether the client still waits for the response. */
   default boolean isAwaited() {
     return true;
   }
 
-  /** When the client stops waiting, by the router's clock. */
+  /** When the client stops waiting, in nanoseconds of the router's clock. */
   long deadlineNanos();
 
-  /** The request's bytes for a cache server that is told to answer within so many milliseconds. */
+  /** Encodes the request for a cache server, with {@code waitMillis} as the time limit it states. */
   List<Slice> encode(long waitMillis);
 
   /**
-   * Has the client get the answer of a cache server as it comes. What follows is {@link #respond}
-   * with null once it is whole, or one of the other answers, at which what was begun is broken off.
+   * Starts streaming a cache server's response to the client. Once the response is complete, {@link
+   * #respond} follows with null; {@link #reject} or {@link #fail} instead abort the stream.
    *
-   * @throws UnsupportedOperationException if answers of the request's protocol come whole
+   * @throws UnsupportedOperationException if the request's protocol does not stream responses
    */
   default void startStreaming(StreamingResponse response) {
-    throw new UnsupportedOperationException("answers of this protocol come whole");
+    throw new UnsupportedOperationException("the protocol does not stream responses");
   }
 
-  /** Answers the client as a cache server did; null where the answer has been streamed. */
-  void respond(Slice answer);
+  /** Forwards a cache server's response to the client; null if it has been streamed. */
+  void respond(Slice response);
 
-  /** Rejects the request; the client may come again after so long, where 0 gives no advice. */
+  /** Rejects the request; the client may retry after that time, 0 for no advice. */
   void reject(long retryAfterNanos);
 
-  /** Answers the client that the request failed. */
+  /** Sends the client an error response. */
   void fail();
 }
--- a/src/main/java/beaconturn/core/Clock.java
+++ b/src/main/java/beaconturn/core/Clock.java
@@ -1,20 +1,20 @@
 package beaconturn.core;
 
-/** Where the time comes from; nanoseconds since 1970, never going back. */
+/** A clock that never goes backwards. */
 public interface Clock {
-  /** The time now. */
+  /** The current time, in nanoseconds since the Unix epoch. */
   long now();
 
   /**
-   * A property of the JVM by which only the rehearsal kit has a router believe in a wall clock that
-   * is so many nanoseconds off.
+   * The system property with an offset of the wall clock in nanoseconds. Set only by rehearsals, to
+   * simulate a wrong clock.
    */
   String OFFSET_PROPERTY = "beaconturn.clockOff";
 
-  /** The machine's clock, read once; from then on the monotonic one, which no correction moves. */
+  /** A clock that starts at the wall-clock time and then follows the monotonic system clock. */
   static Clock system() {
-    long started = System.nanoTime();
-    long epoch = System.currentTimeMillis() * 1_000_000 + Long.getLong(OFFSET_PROPERTY, 0);
-    return () -> epoch + (System.nanoTime() - started);
+    long startNanos = System.nanoTime();
+    long epochNanos = System.currentTimeMillis() * 1_000_000 + Long.getLong(OFFSET_PROPERTY, 0);
+    return () -> epochNanos + (System.nanoTime() - startNanos);
   }
 }
--- a/src/main/java/beaconturn/core/EndpointDiscovery.java
+++ b/src/main/java/beaconturn/core/EndpointDiscovery.java
@@ -1,10 +1,10 @@
 package beaconturn.core;
 
-/** Discovery as the routing thread asks it. Routing thread only; no call may block. */
+/** The routing thread's access to discovery. Routing thread only; no call may block. */
 public interface EndpointDiscovery {
-  /** Starts or stops a watch on changes of the endpoint list. */
+  /** Starts or stops watching the endpoint list for changes. */
   void watch(boolean on);
 
-  /** Asks once for the complete endpoint list. */
+  /** Requests the complete endpoint list once. */
   void fetch();
 }
--- a/src/main/java/beaconturn/core/EndpointUpdate.java
+++ b/src/main/java/beaconturn/core/EndpointUpdate.java
@@ -6,29 +6,29 @@
 import java.util.List;
 
 /**
- * A change of the endpoint list, with the addresses that the policy does not need.
+ * An update of the endpoint list, including the addresses, which the policy does not use.
  *
- * @param version the list's version after it
- * @param kind whether it is complete, a change, or a failure to get one
- * @param endpoints the endpoints that it names
+ * @param version the version of the list after the update
+ * @param kind whether the update is a complete list, a change, or a failed call
+ * @param endpoints the endpoints in the update
  */
 public record EndpointUpdate(
     long version, EndpointListKind kind, List<AddressedEndpoint> endpoints) {
   /**
-   * One endpoint with its addresses.
+   * An endpoint with its addresses.
    *
-   * @param endpoint what the policy knows of it
-   * @param host its name, from which its number comes
-   * @param dialAddress where this router reaches it, as host:port
+   * @param endpoint the endpoint's properties for the policy
+   * @param host the name whose hash is the server id
+   * @param dialAddress the address to connect to, as host:port
    */
   public record AddressedEndpoint(Endpoint endpoint, String host, String dialAddress) {}
 
-  /** What is made of a poll that failed, or a watch that broke. */
+  /** The update that reports a failed fetch or watch. */
   public static EndpointUpdate failed() {
     return new EndpointUpdate(0, EndpointListKind.FAILED, List.of());
   }
 
-  /** The event that the policy gets of it. */
+  /** The policy event for this update. */
   RoutingEvent.EndpointsUpdated event() {
     return new RoutingEvent.EndpointsUpdated(
         version, kind, endpoints.stream().map(AddressedEndpoint::endpoint).toList());
--- a/src/main/java/beaconturn/core/EngineContext.java
+++ b/src/main/java/beaconturn/core/EngineContext.java
@@ -1,16 +1,16 @@
 package beaconturn.core;
 
 /**
- * What the parts of a {@link RoutingEngine} share. Routing thread only.
+ * The components that the parts of a {@link RoutingEngine} share. Confined to the routing thread.
  *
  * @param clock the router's clock
  * @param servers the cache servers
- * @param discovery where the endpoint list comes from
- * @param requests the requests that are not over yet
- * @param timers what is due when
+ * @param discovery the source of the endpoint list
+ * @param requests the open requests
+ * @param timers the pending timers
  * @param dispatcher delivers events to policies
- * @param eventLog the log of single requests
- * @param metrics where requests and attempts are counted
+ * @param eventLog logs rejected, failed and retried requests
+ * @param metrics records requests and attempts
  */
 record EngineContext(
     Clock clock,
--- a/src/main/java/beaconturn/core/EventDispatcher.java
+++ b/src/main/java/beaconturn/core/EventDispatcher.java
@@ -8,8 +8,8 @@
 import java.util.logging.Logger;
 
 /**
- * Delivery of events to policies, one at a time: an event that a policy's own action causes is
- * delivered once the policy has handled the event at hand. Routing thread only.
+ * Delivers events to policies one at a time: an event that a policy's action causes is delivered
+ * after the policy has handled the current event. Confined to the routing thread.
  */
 final class EventDispatcher {
   private static final Logger LOG = Logger.getLogger(RoutingEngine.class.getName());
@@ -17,25 +17,29 @@
   private record QueuedEvent(HostedPolicy recipient, RoutingEvent event) {}
 
   private final Clock clock;
-  private final LongConsumer onArrivalFailed;
+  private final LongConsumer onArrivalFailure;
   private final Queue<QueuedEvent> queue = new ArrayDeque<>();
 
-  /** Nothing to deliver; {@code onArrivalFailed} hears of requests whose arrival failed, by id. */
-  EventDispatcher(Clock clock, LongConsumer onArrivalFailed) {
+  /**
+   * Creates a dispatcher with an empty queue.
+   *
+   * @param onArrivalFailure receives the id of each request whose arrival a policy failed to handle
+   */
+  EventDispatcher(Clock clock, LongConsumer onArrivalFailure) {
     this.clock = clock;
-    this.onArrivalFailed = onArrivalFailed;
+    this.onArrivalFailure = onArrivalFailure;
   }
 
-  /** Has the event delivered after the one at hand; for what policies do while they handle one. */
+  /** Queues an event that a policy's action causes, for delivery after the current event. */
   void enqueue(HostedPolicy recipient, RoutingEvent event) {
     queue.add(new QueuedEvent(recipient, event));
   }
 
-  /** Delivers the event, then the events that the policies' own actions caused. */
+  /** Delivers the event, then the events that the policies' actions cause. */
   void deliver(HostedPolicy recipient, RoutingEvent event) {
     enqueue(recipient, event);
     if (queue.size() > 1) {
-      // One is being handled: this one follows it.
+      // The loop of an outer call delivers it.
       return;
     }
     while (!queue.isEmpty()) {
@@ -44,15 +48,16 @@
     }
   }
 
-  /** One event that a policy fails on must not end the router, nor strand its request. */
+  /** Contains a policy's failure, which must neither stop the router nor leave a request open. */
   private void handle(QueuedEvent next) {
     RoutingEvent event = next.event();
     try {
       next.recipient().handle(clock.now(), event);
     } catch (RuntimeException | StackOverflowError e) {
-      LOG.log(Level.SEVERE, "decision module failed on " + event.getClass().getSimpleName(), e);
+      LOG.log(
+          Level.SEVERE, "routing policy failed to handle " + event.getClass().getSimpleName(), e);
       if (event instanceof RoutingEvent.RequestArrived arrival) {
-        onArrivalFailed.accept(arrival.requestId());
+        onArrivalFailure.accept(arrival.requestId());
       }
     }
   }
--- a/src/main/java/beaconturn/core/HostedPolicy.java
+++ b/src/main/java/beaconturn/core/HostedPolicy.java
@@ -6,8 +6,8 @@
 import java.util.function.Function;
 
 /**
- * One routing policy with the settings that it was made for. Once another has replaced it, it goes
- * on with the requests that it has. Routing thread only.
+ * A routing policy and the settings that it was created with. A replaced policy still handles its
+ * open requests. Confined to the routing thread.
  */
 final class HostedPolicy {
   private final RoutingSettings settings;
@@ -15,7 +15,7 @@
   private boolean replaced;
   private long replacedAtNanos;
 
-  /** The policy that the factory makes for this very host, whose actions the policy will take. */
+  /** Creates the policy with the factory, which receives this host to build the policy's actions. */
   HostedPolicy(RoutingSettings settings, Function<HostedPolicy, RoutingPolicy> factory) {
     this.settings = settings;
     this.policy = factory.apply(this);
@@ -33,13 +33,13 @@
     policy.handle(nowNanos, event);
   }
 
-  /** Notes that another policy is in force from here on. */
-  void replaced(long nowNanos) {
+  /** Records that another policy has become the current one. */
+  void markReplaced(long nowNanos) {
     replaced = true;
     replacedAtNanos = nowNanos;
   }
 
-  /** Whether it was replaced so long ago that no request of its settings can be open any more. */
+  /** Whether no request that was read under the settings can still be open. */
   boolean isObsolete(long nowNanos) {
     long longestRequestNanos =
         settings.safetyLimits().answerSlackNanos() + settings.longestDeadlineNanos();
--- a/src/main/java/beaconturn/core/Lifecycle.java
+++ b/src/main/java/beaconturn/core/Lifecycle.java
@@ -2,14 +2,11 @@
 
 import java.util.logging.Logger;
 
-/**
- * The phases of the program from start to exit, as one object that only moves forward. Any thread
- * may call.
- */
+/** Tracks the phase of the process, which only advances. Safe for any thread. */
 public final class Lifecycle {
   private static final Logger LOG = Logger.getLogger(Lifecycle.class.getName());
 
-  /** The phases, in order; a router that fails to start goes from the first to the last. */
+  /** The phases in order; a router that fails to start goes from the first directly to the last. */
   public enum Phase {
     STARTING,
     SERVING,
@@ -19,17 +16,17 @@
 
   private Phase phase = Phase.STARTING;
 
-  /** The phase now. */
+  /** The current phase. */
   public synchronized Phase phase() {
     return phase;
   }
 
-  /** Whether clients may be told that the router is ready. */
+  /** Whether the router reports itself as ready to clients. */
   public synchronized boolean ready() {
     return phase == Phase.SERVING || phase == Phase.DRAINING;
   }
 
-  /** Moves on to a later phase; false, and nothing happens, if that phase is reached or past. */
+  /** Advances to a later phase; false, without effect, if that phase has already been reached. */
   public synchronized boolean advance(Phase to) {
     if (to.compareTo(phase) <= 0) {
       return false;
@@ -40,7 +37,7 @@
     return true;
   }
 
-  /** Waits until the phase is reached or past. */
+  /** Blocks until the phase or a later one is reached. */
   public synchronized void await(Phase wanted) throws InterruptedException {
     while (phase.compareTo(wanted) < 0) {
       wait();
--- a/src/main/java/beaconturn/core/Mailbox.java
+++ b/src/main/java/beaconturn/core/Mailbox.java
@@ -5,10 +5,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The bounded queue in front of a thread: any thread posts, one takes. It waits on its own monitor:
- * a timed wait on a condition of java.util.concurrent (JDK 17, {@code awaitNanos}) spins once its
- * time is over, until the poster that has begun to wake it goes on. Where threads take turns on one
- * core that turn may never come.
+ * The bounded message queue of a thread: any thread posts, one thread takes. Waits on its own
+ * monitor, because a timed wait on a java.util.concurrent condition (JDK 17, {@code awaitNanos})
+ * that has expired spins until the signalling thread proceeds, which may never happen on one core.
  */
 public final class Mailbox<T> {
   private final int capacity;
@@ -16,19 +15,19 @@
   private final Queue<T> urgent = new ArrayDeque<>();
   private final Queue<T> queue = new ArrayDeque<>();
 
-  /** A mailbox for at most this many messages. */
+  /** Creates a mailbox for {@code capacity} messages, urgent ones not counted. */
   public Mailbox(int capacity) {
     this.capacity = capacity;
   }
 
-  /** Posts without waiting; false if the mailbox is full. */
+  /** Posts a message without waiting; false if the mailbox is full. */
   public boolean offer(T message) {
     return offerReserving(0, message);
   }
 
-  /** Posts without waiting, but only if room for so many more stays; false if not. */
-  public synchronized boolean offerReserving(int room, T message) {
-    if (capacity - queue.size() <= room) {
+  /** Posts a message without waiting; false if fewer than {@code reserved} slots would stay free. */
+  public synchronized boolean offerReserving(int reserved, T message) {
+    if (capacity - queue.size() <= reserved) {
       return false;
     }
     queue.add(message);
@@ -36,7 +35,7 @@
     return true;
   }
 
-  /** Posts, waiting for room: for threads that may wait, which the routing thread may not. */
+  /** Posts a message; blocks while the mailbox is full, so the routing thread must not call it. */
   public synchronized void put(T message) throws InterruptedException {
     while (!offer(message)) {
       wait();
@@ -44,15 +43,15 @@
   }
 
   /**
-   * Posts what is taken before all that waits, but for what was posted so before; there is always
-   * room.
+   * Posts an urgent message, which overtakes all but earlier urgent messages. Never blocks, as the
+   * capacity does not apply.
    */
   public synchronized void putFirst(T message) {
     urgent.add(message);
     notifyAll();
   }
 
-  /** Takes the next message, waiting for it. */
+  /** Takes the next message; blocks while there is none. */
   public synchronized T take() throws InterruptedException {
     while (isEmpty()) {
       wait();
@@ -60,11 +59,13 @@
     return next();
   }
 
-  /** Takes the next message, or null if none comes in so many nanoseconds; up to 1 ms late. */
-  public synchronized T poll(long nanos) throws InterruptedException {
-    long until = System.nanoTime() + nanos;
-    for (long left = nanos; isEmpty() && left > 0; left = until - System.nanoTime()) {
-      TimeUnit.NANOSECONDS.timedWait(this, left);
+  /** Takes the next message, or null if none is posted within the timeout; up to 1 ms late. */
+  public synchronized T poll(long timeoutNanos) throws InterruptedException {
+    long endNanos = System.nanoTime() + timeoutNanos;
+    for (long leftNanos = timeoutNanos;
+        isEmpty() && leftNanos > 0;
+        leftNanos = endNanos - System.nanoTime()) {
+      TimeUnit.NANOSECONDS.timedWait(this, leftNanos);
     }
     return next();
   }
--- a/src/main/java/beaconturn/core/OutboundAttempt.java
+++ b/src/main/java/beaconturn/core/OutboundAttempt.java
@@ -3,8 +3,8 @@
 import beaconturn.decision.AttemptOutcome;
 
 /**
- * One sending of a request to a cache server. The routing thread ends it; the threads that write to
- * cache servers ask whether it is still wanted.
+ * One attempt to serve a request at a cache server. The routing thread ends it; the threads that
+ * write to cache servers check whether it may still be written.
  */
 public final class OutboundAttempt {
   private final long requestId;
@@ -14,22 +14,22 @@
   private final long sentAtNanos;
   private final long allowedNanos;
 
-  /** Written by the routing thread, read by any. */
-  private volatile boolean over;
+  /** Written by the routing thread, read by any thread. */
+  private volatile boolean ended;
 
-  // Routing thread only.
+  // Confined to the routing thread.
   private AttemptOutcome outcome;
-  private TimerQueue.Timer timeout;
+  private TimerQueue.Timer timeoutTimer;
 
   /**
-   * An attempt that begins.
+   * Creates an attempt.
    *
-   * @param requestId the request, by the number that the policy knows it by
-   * @param number how many attempts of the request came before it
-   * @param serverId the cache server, by the number that the policy knows it by
+   * @param requestId the request's id in the policy
+   * @param number the attempt's number within the request, from 0
+   * @param serverId the cache server's id in the policy
    * @param request the request
-   * @param sentAtNanos when it begins, by the router's clock
-   * @param allowedNanos how long it may be out
+   * @param sentAtNanos when the attempt starts, by the router's clock
+   * @param allowedNanos how long the attempt may be in flight
    */
   public OutboundAttempt(
       long requestId,
@@ -46,17 +46,17 @@
     this.allowedNanos = allowedNanos;
   }
 
-  /** The request that is sent. For any thread. */
+  /** The request that is sent. Any thread. */
   public ClientRequest request() {
     return request;
   }
 
-  /** The cache server, by the number that the policy knows it by. For any thread. */
+  /** The cache server's id in the policy. Any thread. */
   public long serverId() {
     return serverId;
   }
 
-  /** When the router stops waiting for this attempt. For any thread. */
+  /** When the attempt times out, by the router's clock. Any thread. */
   public long timesOutAtNanos() {
     return sentAtNanos + allowedNanos;
   }
@@ -73,44 +73,44 @@
     return sentAtNanos;
   }
 
-  /** Sets the timer that ends the attempt if nothing else does; it is cancelled at the end. */
-  void timeout(TimerQueue.Timer timer) {
-    timeout = timer;
+  /** Sets the timer of the attempt's timeout, which is cancelled when the attempt ends. */
+  void setTimeoutTimer(TimerQueue.Timer timer) {
+    timeoutTimer = timer;
   }
 
-  /** Its answer has begun: no time limit for answers that do not come holds any more. */
+  /** Cancels the timeout, which does not apply to a response that is being received. */
   void responseStarted() {
-    timeout.cancel();
+    timeoutTimer.cancel();
   }
 
-  /** How it ended, or null if it has not. */
+  /** The outcome, or null while the attempt is in flight. */
   AttemptOutcome outcome() {
     return outcome;
   }
 
-  /** Notes the attempt's end; false if it had ended before. Routing thread only. */
-  public boolean end(AttemptOutcome how) {
-    boolean first = !over;
+  /** Ends the attempt; false if it had already ended. Routing thread only. */
+  public boolean end(AttemptOutcome finalOutcome) {
+    boolean first = !ended;
     if (first) {
-      outcome = how;
+      outcome = finalOutcome;
     }
-    over = true;
-    if (timeout != null) {
-      timeout.cancel();
+    ended = true;
+    if (timeoutTimer != null) {
+      timeoutTimer.cancel();
     }
     return first;
   }
 
   /**
-   * Whether it is still to be written: it is not over, its time is not up and its client waits. For
-   * any thread.
+   * Whether the attempt may still be written: it has not ended or timed out, and its client is
+   * waiting. Any thread.
    */
   public boolean mayBeWritten(long nowNanos) {
-    return !over && nowNanos < timesOutAtNanos() && request.isAwaited();
+    return !ended && nowNanos < timesOutAtNanos() && request.isAwaited();
   }
 
-  /** Whether it has ended or was cancelled; what is over is not written any more. Any thread. */
+  /** Whether the attempt has an outcome; an ended attempt must not be written. Any thread. */
   public boolean hasEnded() {
-    return over;
+    return ended;
   }
 }
--- a/src/main/java/beaconturn/core/PolicyActions.java
+++ b/src/main/java/beaconturn/core/PolicyActions.java
@@ -5,7 +5,7 @@
 import beaconturn.decision.RoutingEvent;
 import java.util.logging.Logger;
 
-/** The actions of one policy, carried out at once. Routing thread only. */
+/** Carries out the actions of one policy immediately. Confined to the routing thread. */
 final class PolicyActions implements RoutingActions {
   private static final Logger LOG = Logger.getLogger(RoutingEngine.class.getName());
   private final HostedPolicy policy;
@@ -69,12 +69,12 @@
 
   @Override
   public void probe(long serverId) {
-    LOG.warning("probes are not part of this protocol; none sent");
+    LOG.warning("probe of server " + serverId + " not sent: the protocol has no probes");
   }
 
   @Override
   public void sendToPeer(int peer, byte[] body) {
-    LOG.warning("messages between routers are not in use; none sent");
+    LOG.warning("message to router " + peer + " not sent: routers do not exchange messages");
   }
 
   @Override
@@ -84,6 +84,6 @@
 
   @Override
   public void log(String text) {
-    LOG.info("module: " + text);
+    LOG.info("routing policy: " + text);
   }
 }
--- a/src/main/java/beaconturn/core/PolicyGenerations.java
+++ b/src/main/java/beaconturn/core/PolicyGenerations.java
@@ -12,63 +12,62 @@
 import java.util.function.Function;
 
 /**
- * The policies of one router across reloads of its settings: the one in force, and those before it,
- * which go on with the requests that were read under their settings. Routing thread only.
+ * The routing policies of one router across reloads of its settings: the current one, and replaced
+ * ones that still handle requests read under their settings. Confined to the routing thread.
  */
 final class PolicyGenerations {
-  /** The policy in force last. */
+  /** Oldest first; the last one is the current policy. */
   private final Deque<HostedPolicy> policies = new ArrayDeque<>();
 
   private final Function<HostedPolicy, RoutingActions> actions;
 
-  /** No policies yet; {@code actions} makes what each policy acts through. */
+  /** Creates an empty collection; {@code actions} supplies the actions of each policy. */
   PolicyGenerations(Function<HostedPolicy, RoutingActions> actions) {
     this.actions = actions;
   }
 
-  /** Has a policy be in force from here on. */
+  /** Adds a policy, which becomes the current one. */
   void add(RoutingSettings settings, Function<RoutingActions, RoutingPolicy> factory) {
     policies.add(new HostedPolicy(settings, host -> factory.apply(actions.apply(host))));
   }
 
   /**
-   * Replaces the policy in force; what the new one keeps of the old one is the policy's affair.
+   * Replaces the current policy by one that takes over its state as far as the policy allows.
    *
-   * @throws IllegalStateException if the policy in force is of a kind that cannot be replaced
+   * @throws IllegalStateException if the current policy is not a {@link RingRouter}
    */
   void replace(RoutingSettings settings, long seed, long nowNanos) {
     policies.removeIf(policy -> policy.isObsolete(nowNanos));
     HostedPolicy last = current();
     if (!(last.policy() instanceof RingRouter before)) {
-      throw new IllegalStateException("a policy of another kind is not replaced");
+      throw new IllegalStateException("only a RingRouter policy can be replaced");
     }
-    last.replaced(nowNanos);
+    last.markReplaced(nowNanos);
     add(settings, out -> new RingRouter(settings, seed, nowNanos, out, before));
   }
 
-  /** The policy in force. */
+  /** The policy for new requests. */
   HostedPolicy current() {
     return policies.getLast();
   }
 
-  /** All policies that may still have requests, the one in force last. */
+  /** All policies that may still have requests, oldest first. */
   Collection<HostedPolicy> all() {
     return Collections.unmodifiableCollection(policies);
   }
 
   /**
-   * The policy that the request was read for: one that crosses new settings keeps its class's
-   * rules. The latest of them: settings that come back into force have a policy of before, which
-   * was replaced. Null if it has been let go: under other settings the same number may be another
-   * class.
+   * The policy with the settings that the request was read under, so that its class keeps its
+   * meaning across a reload; null if that policy has been removed. Searches from the newest, since
+   * settings that are restored also have an older, replaced policy.
    */
-  @SuppressWarnings("ReferenceEquality") // Settings of that very reload.
+  @SuppressWarnings("ReferenceEquality") // Identifies the reload that produced the settings.
   HostedPolicy of(ClientRequest request) {
     if (request.settings() == null) {
       return current();
     }
-    for (Iterator<HostedPolicy> latest = policies.descendingIterator(); latest.hasNext(); ) {
-      HostedPolicy policy = latest.next();
+    for (Iterator<HostedPolicy> newestFirst = policies.descendingIterator(); newestFirst.hasNext(); ) {
+      HostedPolicy policy = newestFirst.next();
       if (policy.settings() == request.settings()) {
         return policy;
       }
--- a/src/main/java/beaconturn/core/RateLimitedLog.java
+++ b/src/main/java/beaconturn/core/RateLimitedLog.java
@@ -4,9 +4,9 @@
 import java.util.logging.Logger;
 
 /**
- * A log of single events of a kind that may come thousands of times a second: some at once, then a
- * few a second; the next line says how many were left out before it. What must never be left out is
- * logged elsewhere. For any thread.
+ * Logs events that may occur thousands of times a second, limited by a token bucket; the next line
+ * after a gap states how many lines were omitted. Not for messages that must never be lost. Safe
+ * for any thread.
  */
 public final class RateLimitedLog {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -19,7 +19,7 @@
   private boolean started;
   private long omittedLines;
 
-  /** A log of so many lines at once and so many a second after that. */
+  /** Creates a log that permits bursts of lines and a sustained rate. */
   public RateLimitedLog(Logger log, int burstLines, double linesPerSecond) {
     this.log = log;
     this.burstLines = burstLines;
@@ -27,10 +27,7 @@
     this.tokens = burstLines;
   }
 
-  /**
-   * Logs the line if there is budget for it at that time, in nanoseconds; else counts it as left
-   * out.
-   */
+  /** Logs the line if a token is available at that time, else counts it as omitted. */
   public void log(long nowNanos, Supplier<String> line) {
     long omittedBefore;
     synchronized (this) {
--- a/src/main/java/beaconturn/core/RepeatedEventLog.java
+++ b/src/main/java/beaconturn/core/RepeatedEventLog.java
@@ -3,11 +3,11 @@
 import java.util.logging.Logger;
 
 /**
- * A log of something that happens again and again: one line when it begins and one when it is over,
- * never one each time. Not safe for use by several threads at once.
+ * Logs a series of repeated events with one line at its start and one at its end, to keep an
+ * incident from flooding the log. Not thread-safe.
  */
 public final class RepeatedEventLog {
-  private static final long OVER_AFTER_NANOS = 10_000_000_000L;
+  private static final long SERIES_GAP_NANOS = 10_000_000_000L;
   private static final long NANOS_PER_MILLI = 1_000_000;
   private final Logger log;
   private final String event;
@@ -16,19 +16,19 @@
   private long lastAtNanos;
   private int count;
 
-  /** A log of an event that is worth a line from so many times on. */
+  /** Creates a log of series of at least {@code minCount} events. */
   public RepeatedEventLog(Logger log, String event, int minCount) {
     this.log = log;
     this.event = event;
     this.minCount = minCount;
   }
 
-  /** Notes that it happens now. */
+  /** Records an occurrence of the event. */
   public void note(long nowNanos) {
     note(nowNanos, "");
   }
 
-  /** Notes that it happens now, and why; the reason is logged where it begins. */
+  /** Records an occurrence of the event; its reason is logged if it opens a series. */
   public void note(long nowNanos, String reason) {
     check(nowNanos);
     if (count == 0) {
@@ -39,7 +39,7 @@
     if (count == minCount) {
       log.warning(
           event
-              + ": begins, "
+              + ": started, "
               + count
               + " times in "
               + (nowNanos - firstAtNanos) / NANOS_PER_MILLI
@@ -48,19 +48,19 @@
     }
   }
 
-  /** Ends the series if it has not happened for some seconds; to be called again and again. */
+  /** Ends the series if the last event is more than 10 s ago. To be called periodically. */
   public void check(long nowNanos) {
-    if (count > 0 && nowNanos - lastAtNanos >= OVER_AFTER_NANOS) {
+    if (count > 0 && nowNanos - lastAtNanos >= SERIES_GAP_NANOS) {
       end();
     }
   }
 
-  /** Ends the series at once, as something shows that it is over. */
+  /** Ends the series now. */
   public void end() {
     if (count >= minCount) {
       log.info(
           event
-              + ": over, "
+              + ": ended, "
               + count
               + " times in "
               + (lastAtNanos - firstAtNanos) / NANOS_PER_MILLI
--- a/src/main/java/beaconturn/core/RequestDescription.java
+++ b/src/main/java/beaconturn/core/RequestDescription.java
@@ -1,15 +1,15 @@
 package beaconturn.core;
 
 /**
- * What a client's request says of itself.
+ * The properties of a client's request that the policy decides by.
  *
- * @param classIndex its class, by the order of the settings that it was read under
- * @param keyHash the number that stands for its key, 0 for none
- * @param write whether it changes its key's value
- * @param clientRetry whether its client has asked before
- * @param tenantIndex its tenant, by the order of the settings
- * @param workHintNanos how much work it is likely to be, in nanoseconds; 0 where nobody says
- * @param size its size as its client states it, 0 where it does not
+ * @param classIndex the index of its class in the settings that it was read under
+ * @param keyHash the hash of its key, 0 for none
+ * @param write whether it changes the value of its key
+ * @param clientRetry whether the client states that it is a retry
+ * @param tenantIndex the index of its tenant in the settings
+ * @param workHintNanos the expected processing time, 0 if unknown
+ * @param size the size that the client states, 0 if it states none
  */
 public record RequestDescription(
     int classIndex,
--- a/src/main/java/beaconturn/core/RequestTable.java
+++ b/src/main/java/beaconturn/core/RequestTable.java
@@ -8,24 +8,24 @@
 import java.util.function.Function;
 
 /**
- * The requests that are not over yet: unanswered, or with an attempt still out. Routing thread
- * only.
+ * The open requests: those without a response, and those with an attempt still in flight. Confined
+ * to the routing thread.
  */
 final class RequestTable {
   private final Map<Long, RequestEntry> entriesById = new HashMap<>();
-  private final Map<ClientRequest, RequestEntry> unanswered = new IdentityHashMap<>();
+  private final Map<ClientRequest, RequestEntry> awaitingResponse = new IdentityHashMap<>();
   private long lastId;
 
-  /** One request and its attempts, in the order of their sending. */
+  /** One request and its attempts, in the order in which they were sent. */
   static final class RequestEntry {
     private final long id;
     private final ClientRequest request;
     private final HostedPolicy policy;
     private final List<OutboundAttempt> attempts = new ArrayList<>(2);
-    private TimerQueue.Timer overdue;
+    private TimerQueue.Timer deadlineTimer;
     private boolean closed;
     private OutboundAttempt streamingAttempt;
-    private int attemptsOut;
+    private int attemptsInFlight;
 
     private RequestEntry(long id, ClientRequest request, HostedPolicy policy) {
       this.id = id;
@@ -33,7 +33,7 @@
       this.policy = policy;
     }
 
-    /** The policy that decides on it to its end. */
+    /** The policy that handles the request until it is done. */
     HostedPolicy policy() {
       return policy;
     }
@@ -46,90 +46,90 @@
       return request;
     }
 
-    /** All its attempts so far, over or not. */
+    /** All attempts so far, including those that have ended. */
     List<OutboundAttempt> attempts() {
       return attempts;
     }
 
-    /** By how much time after its sending an attempt's answer is late. */
+    /** The latency objective of the request's class. */
     long latencyObjectiveNanos() {
       int classIndex = request.description().classIndex();
       return policy.settings().classes().get(classIndex).latencyObjectiveNanos();
     }
 
-    /** The attempt whose answer is being streamed to the client, or null. */
+    /** The attempt whose response is being streamed to the client, or null. */
     OutboundAttempt streamingAttempt() {
       return streamingAttempt;
     }
 
-    /** The attempt's answer is streamed from here on, however long that takes. */
+    /** Records the attempt whose response is streamed, and cancels the request's deadline timer. */
     void streamingStarted(OutboundAttempt attempt) {
       streamingAttempt = attempt;
-      overdue.cancel();
+      deadlineTimer.cancel();
     }
 
-    /** Whether it has its answer, or nobody waits for one. */
+    /** Whether the request has its response or was cancelled. */
     boolean isClosed() {
       return closed;
     }
   }
 
-  /** Adds a request; {@code timer} makes the one that ends it if nothing else does. */
+  /** Adds a request; {@code timer} starts the timer that fails it at its deadline. */
   RequestEntry add(
       ClientRequest request, HostedPolicy policy, Function<RequestEntry, TimerQueue.Timer> timer) {
     RequestEntry entry = new RequestEntry(++lastId, request, policy);
-    entry.overdue = timer.apply(entry);
+    entry.deadlineTimer = timer.apply(entry);
     entriesById.put(entry.id, entry);
-    unanswered.put(request, entry);
+    awaitingResponse.put(request, entry);
     return entry;
   }
 
-  /** The request of that number, or null once it is over. */
+  /** The entry with that id, or null if the request is done. */
   RequestEntry get(long id) {
     return entriesById.get(id);
   }
 
-  /** The entry of a request that still waits, or null. */
+  /** The entry of a request that has no response yet, or null. */
   RequestEntry of(ClientRequest request) {
-    return unanswered.get(request);
+    return awaitingResponse.get(request);
   }
 
-  /** How many requests have no answer yet. */
+  /** The number of requests that have no response yet. */
   int openCount() {
-    return unanswered.size();
+    return awaitingResponse.size();
   }
 
-  /** The requests that have no answer yet, as of now. */
+  /** A snapshot of the requests that have no response yet. */
   List<RequestEntry> open() {
-    return List.copyOf(unanswered.values());
+    return List.copyOf(awaitingResponse.values());
   }
 
-  /** Begins the request's next attempt, which may be out for so long. */
+  /** Adds the request's next attempt, which may be in flight for {@code allowedNanos}. */
   OutboundAttempt addAttempt(RequestEntry entry, long serverId, long nowNanos, long allowedNanos) {
     OutboundAttempt attempt =
         new OutboundAttempt(
             entry.id, entry.attempts.size(), serverId, entry.request, nowNanos, allowedNanos);
     entry.attempts.add(attempt);
-    entry.attemptsOut++;
+    entry.attemptsInFlight++;
     return attempt;
   }
 
-  /** Notes that the request has its answer, or that nobody waits for one. */
+  /** Marks the request as responded to or cancelled. */
   void close(RequestEntry entry) {
     entry.closed = true;
-    entry.overdue.cancel();
-    unanswered.remove(entry.request);
-    forgetIfOver(entry);
+    entry.deadlineTimer.cancel();
+    awaitingResponse.remove(entry.request);
+    removeIfDone(entry);
   }
 
-  /** Notes that one of the request's attempts has ended. */
+  /** Records that one of the request's attempts has ended. */
   void attemptEnded(RequestEntry entry) {
-    entry.attemptsOut--;
-    forgetIfOver(entry);
+    entry.attemptsInFlight--;
+    removeIfDone(entry);
   }
 
-  private void forgetIfOver(RequestEntry entry) {
-    if (entry.closed && entry.attemptsOut == 0) {
+  private void removeIfDone(RequestEntry entry) {
+    if (entry.closed && entry.attemptsInFlight == 0) {
       entriesById.remove(entry.id);
     }
   }
--- a/src/main/java/beaconturn/core/RouterSettingsReader.java
+++ b/src/main/java/beaconturn/core/RouterSettingsReader.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 
 /**
- * Reader of a router's settings from paths and values, however they came; unknown paths are
- * skipped. The words of the settings are mapped to the code's terms here once.
+ * Reads a router's settings from a map of paths to values; ignores unknown paths. Names in the
+ * settings are mapped to the code's names here only.
  */
 public final class RouterSettingsReader {
-  /** In nanoseconds: longer than any process lives, and far from an overflow. */
-  private static final long UNLIMITED = Long.MAX_VALUE / 4;
+  /** Leaves room for additions without an overflow. */
+  private static final long UNLIMITED_NANOS = Long.MAX_VALUE / 4;
 
   private final Map<String, String> values;
 
@@ -27,41 +27,41 @@
   }
 
   /**
-   * The settings that the values state.
+   * Reads the settings.
    *
-   * @throws SettingsException naming the first one that is missing or unreadable
+   * @throws SettingsException naming the first setting that is missing or invalid
    */
   public static RouterSettings read(Map<String, String> values) throws SettingsException {
     RouterSettingsReader reader = new RouterSettingsReader(values);
     return new RouterSettings(
-        reader.routing(), reader.classNames(), reader.wordList("dcs"), reader.wordList("flavors"));
+        reader.routing(), reader.classNames(), reader.textList("dcs"), reader.textList("flavors"));
   }
 
   private List<String> classNames() throws SettingsException {
     List<String> names = new ArrayList<>();
     for (int i = 0; i < required("classes.count"); i++) {
-      names.add(word("classes." + i + ".name", Integer.toString(i)));
+      names.add(text("classes." + i + ".name", Integer.toString(i)));
     }
     return List.copyOf(names);
   }
 
   private RoutingSettings routing() throws SettingsException {
-    String weights = word("weights", "none");
+    String weights = text("weights", "none");
     return new RoutingSettings(
-        (int) whole("index", 0),
+        (int) integer("index", 0),
         (int) Math.max(1, required("replicas_of_me")),
-        (int) whole("zone", 0),
-        word("discovery", "push").equals("ask"),
+        (int) integer("zone", 0),
+        text("discovery", "push").equals("ask"),
         weights.equals("nominal") || weights.equals("rough"),
-        word("counted_by", "request").equals("work"),
+        text("counted_by", "request").equals("work"),
         number("over_share_worth", 1),
-        whole("tick", 0),
+        integer("tick", 0),
         classes(),
         tenants(),
         safetyLimits(),
         permissions(),
         origin(),
-        wordList("load_report.names"));
+        textList("load_report.names"));
   }
 
   private List<RequestClass> classes() throws SettingsException {
@@ -73,7 +73,7 @@
           new RequestClass(
               idempotency(prefix + "effect"),
               deduplicationScope(prefix + "key_scope"),
-              whole(prefix + "window", 0),
+              integer(prefix + "window", 0),
               positive(prefix + "target", 0),
               positive(prefix + "hard_limit", 0),
               number(prefix + "worth", 1),
@@ -85,7 +85,7 @@
 
   private List<Tenant> tenants() throws SettingsException {
     List<Tenant> tenants = new ArrayList<>();
-    long count = whole("tenants.count", 0);
+    long count = integer("tenants.count", 0);
     for (int i = 0; i < count; i++) {
       String prefix = "tenants." + i + ".";
       tenants.add(new Tenant(number(prefix + "quota_per_s", 0), number(prefix + "share", 0)));
@@ -95,13 +95,13 @@
 
   private SafetyLimits safetyLimits() throws SettingsException {
     return new SafetyLimits(
-        whole("rules.answer_slack", 0),
-        whole("rules.ask_within", UNLIMITED),
+        integer("rules.answer_slack", 0),
+        integer("rules.ask_within", UNLIMITED_NANOS),
         number("rules.cold_share", 1),
-        whole("rules.cold", 0),
-        whole("rules.drain_grace", 0),
+        integer("rules.cold", 0),
+        integer("rules.drain_grace", 0),
         number("rules.fall_multiple", 1),
-        whole("rules.overload_for", UNLIMITED),
+        integer("rules.overload_for", UNLIMITED_NANOS),
         flag("rules.soft_removal", false));
   }
 
@@ -114,78 +114,78 @@
         flag(prefix + "retry_after", false),
         flag(prefix + "second_copies", false),
         (int) positive(prefix + "most_tries", 1),
-        whole(prefix + "max_retry_after", 0),
-        (int) whole(prefix + "multiplex", 1),
-        whole(prefix + "dial_timeout", 0),
-        positive(prefix + "conn_idle", UNLIMITED));
+        integer(prefix + "max_retry_after", 0),
+        (int) integer(prefix + "multiplex", 1),
+        integer(prefix + "dial_timeout", 0),
+        positive(prefix + "conn_idle", UNLIMITED_NANOS));
   }
 
   private OriginSettings origin() throws SettingsException {
     String prefix = "family_info.";
     return new OriginSettings(
-        word(prefix + "mode", "through").equals("aside"),
-        (int) whole(prefix + "origin_kind", -1),
+        text(prefix + "mode", "through").equals("aside"),
+        (int) integer(prefix + "origin_kind", -1),
         flag(prefix + "ordered", false),
-        tellsCacheStatus(prefix + "notes"),
-        whole(prefix + "origin_fall", 0),
+        reportsCacheStatus(prefix + "notes"),
+        integer(prefix + "origin_fall", 0),
         number(prefix + "origin_fall_multiple", 0));
   }
 
-  /** {@code none} or what the numbers mean; where nothing is said answers are taken to tell. */
-  private boolean tellsCacheStatus(String path) throws SettingsException {
-    String word = word(path, "hit");
-    if (!word.equals("none") && !word.contains("hit")) {
-      throw unreadable(path, word);
+  /** Whether responses state hits and misses; the default if the setting is absent. */
+  private boolean reportsCacheStatus(String path) throws SettingsException {
+    String text = text(path, "hit");
+    if (!text.equals("none") && !text.contains("hit")) {
+      throw invalid(path, text);
     }
-    return !word.equals("none");
+    return !text.equals("none");
   }
 
-  private List<String> wordList(String path) {
-    String words = word(path, "");
-    return words.isEmpty() ? List.of() : List.of(words.split(","));
+  private List<String> textList(String path) {
+    String list = text(path, "");
+    return list.isEmpty() ? List.of() : List.of(list.split(","));
   }
 
   private Idempotency idempotency(String path) throws SettingsException {
-    String word = word(path, "");
-    return switch (word) {
+    String text = text(path, "");
+    return switch (text) {
       case "read_like" -> Idempotency.IDEMPOTENT;
       case "idempotency_key" -> Idempotency.IDEMPOTENCY_KEY;
       case "non_idempotent" -> Idempotency.NON_IDEMPOTENT;
-      default -> throw unreadable(path, word);
+      default -> throw invalid(path, text);
     };
   }
 
-  private static SettingsException unreadable(String path, String word) {
-    return new SettingsException("setting " + path + ": missing or unreadable: '" + word + "'");
+  private static SettingsException invalid(String path, String text) {
+    return new SettingsException("setting " + path + ": missing or invalid: '" + text + "'");
   }
 
   private DeduplicationScope deduplicationScope(String path) throws SettingsException {
-    String word = word(path, "all");
-    return switch (word) {
+    String text = text(path, "all");
+    return switch (text) {
       case "all" -> DeduplicationScope.ALL;
       case "zone" -> DeduplicationScope.ZONE;
       case "cell" -> DeduplicationScope.CELL;
-      default -> throw unreadable(path, word);
+      default -> throw invalid(path, text);
     };
   }
 
-  private String word(String path, String fallback) {
+  private String text(String path, String fallback) {
     return values.getOrDefault(path, fallback);
   }
 
   private boolean flag(String path, boolean fallback) throws SettingsException {
-    String word = word(path, Boolean.toString(fallback));
-    if (!word.equals("true") && !word.equals("false")) {
-      throw unreadable(path, word);
+    String text = text(path, Boolean.toString(fallback));
+    if (!text.equals("true") && !text.equals("false")) {
+      throw invalid(path, text);
     }
-    return word.equals("true");
+    return text.equals("true");
   }
 
-  /** A number over 0; a fallback that is not makes it one that must be there. */
+  /** A number above 0; the setting is required if the fallback is not above 0. */
   private long positive(String path, long fallback) throws SettingsException {
-    long value = fallback > 0 ? whole(path, fallback) : required(path);
+    long value = fallback > 0 ? integer(path, fallback) : required(path);
     if (value <= 0) {
-      throw new SettingsException("setting " + path + ": must be over 0, is " + value);
+      throw new SettingsException("setting " + path + ": must be greater than 0, is " + value);
     }
     return value;
   }
@@ -194,10 +194,10 @@
     if (!values.containsKey(path)) {
       throw new SettingsException("setting " + path + ": missing");
     }
-    return whole(path, 0);
+    return integer(path, 0);
   }
 
-  private long whole(String path, long fallback) throws SettingsException {
+  private long integer(String path, long fallback) throws SettingsException {
     return (long) number(path, fallback);
   }
 
--- a/src/main/java/beaconturn/core/RoutingEngine.java
+++ b/src/main/java/beaconturn/core/RoutingEngine.java
@@ -18,9 +18,9 @@
 import java.util.logging.Logger;
 
 /**
- * The host of the routing policy: messages become its events, its actions reach clients, cache
- * servers and discovery. Decides nothing and does no I/O. Routing thread only, but for what the
- * router calls before that thread is started.
+ * Hosts the routing policy: maps messages to policy events and carries out the policy's actions on
+ * clients, cache servers and discovery. Makes no routing decisions and does no I/O. Confined to the
+ * routing thread; the router may call it before that thread starts.
  */
 public final class RoutingEngine {
   private static final Logger LOG = Logger.getLogger(RoutingEngine.class.getName());
@@ -30,7 +30,7 @@
   private final PolicyGenerations policies;
   private boolean stopping;
 
-  /** An engine whose policy starts with the settings and the seed. */
+  /** Creates an engine that runs a {@link RingRouter} with the given settings and random seed. */
   public RoutingEngine(
       RoutingSettings settings,
       long seed,
@@ -45,7 +45,7 @@
         out -> new RingRouter(settings, seed, clock.now(), out));
   }
 
-  /** An engine for the policy that the factory makes, given what it acts through. */
+  /** Creates an engine for the policy that the factory builds on the given actions. */
   public RoutingEngine(
       RoutingSettings settings,
       Clock clock,
@@ -68,18 +68,18 @@
     policies.add(settings, factory);
   }
 
-  /** Handles one message and all that follows from it at once. */
+  /** Handles one message, including all policy events that it causes. */
   public void handle(RoutingMessage message) {
     if (message instanceof RoutingMessage.Urgent urgent) {
       handleUrgent(urgent);
     } else if (message instanceof RoutingMessage.RequestReceived received) {
       requestReceived(received.request());
-    } else if (message instanceof RoutingMessage.ClientDisconnected left) {
-      withdraw(context.requests().of(left.request()));
-    } else if (message instanceof RoutingMessage.AttemptCompleted ended) {
-      attempts.attemptEnded(ended.attempt(), ended.result());
-    } else if (message instanceof RoutingMessage.StreamingStarted began) {
-      attempts.streamingStarted(began);
+    } else if (message instanceof RoutingMessage.ClientDisconnected disconnected) {
+      cancel(context.requests().of(disconnected.request()));
+    } else if (message instanceof RoutingMessage.AttemptCompleted completed) {
+      attempts.attemptEnded(completed.attempt(), completed.result());
+    } else if (message instanceof RoutingMessage.StreamingStarted started) {
+      attempts.streamingStarted(started);
     } else if (message instanceof RoutingMessage.WarmStartReceived received) {
       deliver(policies.current(), new RoutingEvent.WarmStarted(received.state()));
     }
@@ -94,7 +94,7 @@
       deliverToAll(new RoutingEvent.ZoneWeightsChanged(received.weights()));
     } else if (message instanceof RoutingMessage.SettingsReplaced replaced) {
       policies.replace(replaced.settings(), replaced.seed(), context.clock().now());
-      LOG.info("new settings are in force");
+      LOG.info("routing settings replaced; new requests use the new settings");
     } else if (message instanceof RoutingMessage.StopRequested) {
       stop();
     }
@@ -111,30 +111,30 @@
   private void endpointsUpdated(EndpointUpdate update) {
     context.servers().follow(update);
     RoutingEvent.EndpointsUpdated event = update.event();
-    // A list that failed is asked for again by one policy only, the one in force.
+    // Only the current policy retries a failed call to discovery.
     Collection<HostedPolicy> recipients =
         event.kind() == EndpointListKind.FAILED ? List.of(policies.current()) : policies.all();
     recipients.forEach(policy -> deliver(policy, event));
   }
 
   private void override(RoutingMessage.OverrideRequested override) {
-    boolean known =
+    boolean applied =
         context
             .servers()
             .override(override.serverId(), override.excluded(), override.allowUnlisted());
-    if (known) {
+    if (applied) {
       deliverToAll(
           new RoutingEvent.OperatorOverrideChanged(
               override.serverId(), override.excluded(), override.atNanos()));
     }
-    override.onApplied().accept(known);
+    override.onApplied().accept(applied);
   }
 
   private void stop() {
     stopping = true;
     for (RequestTable.RequestEntry open : context.requests().open()) {
       open.request().fail();
-      withdraw(open);
+      cancel(open);
     }
   }
 
@@ -143,11 +143,11 @@
     context.metrics().requestReceived();
     HostedPolicy policy = stopping ? null : policies.of(request);
     if (policy == null) {
-      // Never sent anywhere, so it may be asked again.
+      // No attempt was made, so the client may safely retry.
       request.reject(0);
       return;
     }
-    long lastAnswerNanos =
+    long responseDeadlineNanos =
         request.deadlineNanos() + policy.settings().safetyLimits().answerSlackNanos();
     RequestTable.RequestEntry entry =
         context
@@ -155,7 +155,7 @@
             .add(
                 request,
                 policy,
-                added -> context.timers().at(lastAnswerNanos, () -> failUnanswered(added)));
+                added -> context.timers().at(responseDeadlineNanos, () -> failUnanswered(added)));
     deliver(policy, arrivalOf(entry, now));
   }
 
@@ -175,36 +175,36 @@
   }
 
   /**
-   * Guard against a request without an answer, which shows as a client that waits for its whole
-   * time: whatever the policy forgets or fails on is answered as failed when its time is over.
+   * Fails a request that the policy has not completed by its deadline or whose arrival it failed to
+   * handle, so that a defect of the policy leaves no client without a response.
    */
   private void failUnanswered(RequestTable.RequestEntry entry) {
     if (entry != null && !entry.isClosed()) {
-      LOG.warning("request " + entry.request().id() + " had no answer from the module; failed");
+      LOG.warning("request " + entry.request().id() + " failed: not completed by routing policy");
       entry.request().fail();
-      withdraw(entry);
+      cancel(entry);
     }
   }
 
-  private void withdraw(RequestTable.RequestEntry entry) {
+  private void cancel(RequestTable.RequestEntry entry) {
     if (entry != null && !entry.isClosed()) {
       context.requests().close(entry);
       deliver(entry.policy(), new RoutingEvent.RequestCancelled(entry.id()));
     }
   }
 
-  /** Counts requests and attempts in these metrics from here on. */
+  /** Sets the metrics in which requests and attempts are counted from now on. */
   public void setMetrics(List<RequestMetrics> metrics) {
     context.metrics().setSinks(metrics);
   }
 
-  /** Tells the metrics what the policy in force makes of the endpoint list. */
+  /** Reports how many cache servers the current policy lists and avoids. */
   public void reportServers(RequestMetrics metrics) {
     RoutingView view = policies.current().policy().view();
     metrics.serverCounts(view.listed(), view.avoided());
   }
 
-  /** What the policy in force makes of each cache server that is listed. */
+  /** The status that the current policy assigns to each listed cache server. */
   public Map<CacheServerClients.ListedServer, ServerStatus> serverStatuses() {
     Map<CacheServerClients.ListedServer, ServerStatus> statuses = new LinkedHashMap<>();
     RoutingView view = policies.current().policy().view();
@@ -219,12 +219,11 @@
     return statuses;
   }
 
-  /** What the policy in force has learned, for one that follows it. */
+  /** The state that the current policy hands over to the policy of a successor process. */
   public WarmStartState warmStartState() {
     return policies.current().policy().warmStartState();
   }
 
-  /** Runs the timers that are due. */
   public void runDueTimers() {
     Runnable action = context.timers().takeDue(context.clock().now());
     while (action != null) {
@@ -234,13 +233,13 @@
     context.eventLog().check(context.clock().now());
   }
 
-  /** How long until the next timer, in nanoseconds, at most the given time. */
-  public long untilNextTimerNanos(long atMostNanos) {
+  /** The time until the next timer is due, at most {@code maxNanos}. */
+  public long untilNextTimerNanos(long maxNanos) {
     long now = context.clock().now();
-    return Math.max(0, context.timers().next(now + atMostNanos) - now);
+    return Math.max(0, context.timers().next(now + maxNanos) - now);
   }
 
-  /** How many requests wait for their answer. */
+  /** The number of requests that have no response yet. */
   public int openRequests() {
     return context.requests().openCount();
   }
--- a/src/main/java/beaconturn/core/RoutingMessage.java
+++ b/src/main/java/beaconturn/core/RoutingMessage.java
@@ -5,45 +5,45 @@
 import beaconturn.decision.ZoneWeights;
 import java.util.function.Consumer;
 
-/** A message to the routing thread; any thread may make and post one. */
+/** A message to the routing thread. Immutable; any thread may create and post one. */
 public sealed interface RoutingMessage {
-  /** A message that goes ahead of requests: it binds soon, whatever waits. */
+  /** A message that overtakes queued requests, because it must take effect under any load. */
   sealed interface Urgent extends RoutingMessage {}
 
-  /** A request has come in whole. */
+  /** A complete request was received from a client. */
   record RequestReceived(ClientRequest request) implements RoutingMessage {}
 
-  /** The client of a request has gone. */
+  /** The client of a request closed its connection. */
   record ClientDisconnected(ClientRequest request) implements RoutingMessage {}
 
-  /** An attempt has ended. */
+  /** An attempt ended with a result. */
   record AttemptCompleted(OutboundAttempt attempt, AttemptResult result)
       implements RoutingMessage {}
 
   /**
-   * The answer to an attempt has begun, and goes on as a stream.
+   * The first bytes of an attempt's response were received; the response is streamed.
    *
    * @param attempt the attempt
-   * @param startedAtNanos when the answer's first bytes came
-   * @param response the answer
+   * @param startedAtNanos when the first bytes were received, by the router's clock
+   * @param response the response that is being received
    */
   record StreamingStarted(OutboundAttempt attempt, long startedAtNanos, StreamingResponse response)
       implements RoutingMessage {}
 
-  /** What another process of this router had learned. */
+  /** The routing state of the previous process of this router was received. */
   record WarmStartReceived(WarmStartState state) implements RoutingMessage {}
 
-  /** Discovery has answered or failed. */
+  /** Discovery returned an endpoint list, or a call to it failed. */
   record EndpointUpdateReceived(EndpointUpdate update) implements Urgent {}
 
   /**
-   * An operator excludes a cache server, or takes it back.
+   * An operator excluded a cache server or lifted its exclusion.
    *
    * @param serverId the cache server
-   * @param excluded whether it is to be out of use
-   * @param atNanos since when it counts as started, where it is taken back
-   * @param allowUnlisted whether the override holds even if no listed server has that number yet
-   * @param onApplied hears, on the routing thread, whether the override is in force
+   * @param excluded whether the server is excluded from now on
+   * @param atNanos when the exclusion is lifted: the server's start time for its slow start
+   * @param allowUnlisted whether the override applies even if no server with that id is listed
+   * @param onApplied called on the routing thread with whether the override was applied
    */
   record OverrideRequested(
       long serverId,
@@ -53,12 +53,12 @@
       Consumer<Boolean> onApplied)
       implements Urgent {}
 
-  /** Keys go to zones by these weights from here on. */
+  /** New zone weights apply from now on. */
   record ZoneWeightsReceived(ZoneWeights weights) implements Urgent {}
 
-  /** The process is about to end: what is open is answered now, and so is whatever still comes. */
+  /** The process stops: open requests fail now, and requests received later are rejected. */
   record StopRequested() implements Urgent {}
 
-  /** Other settings are in force from here on. */
+  /** New routing settings apply from now on. */
   record SettingsReplaced(RoutingSettings settings, long seed) implements Urgent {}
 }
--- a/src/main/java/beaconturn/core/RoutingThread.java
+++ b/src/main/java/beaconturn/core/RoutingThread.java
@@ -6,63 +6,64 @@
 import java.util.logging.Logger;
 
 /**
- * The thread that decides: it takes one message at a time from its mailbox, has the {@link
- * RoutingEngine} handle it, and runs the timers that are due. Any thread may post.
+ * The thread on which all routing decisions are made: takes one message at a time from its mailbox,
+ * passes it to the {@link RoutingEngine} and runs the timers that are due. Any thread may post.
  */
 public final class RoutingThread {
   private static final Logger LOG = Logger.getLogger(RoutingThread.class.getName());
   private static final int MAILBOX_CAPACITY = 8192;
   private static final long MAX_WAIT_NANOS = 1_000_000_000;
 
-  /**
-   * How often the observer looks: metrics of the cache servers may be half a second old at most.
-   */
-  private static final long OBSERVE_EVERY_NANOS = 200_000_000;
+  /** Keeps the exported cache server metrics less than half a second old. */
+  private static final long OBSERVATION_INTERVAL_NANOS = 200_000_000;
 
   private final Mailbox<RoutingMessage> mailbox = new Mailbox<>(MAILBOX_CAPACITY);
   private final AtomicBoolean stopped = new AtomicBoolean();
   private final Consumer<RoutingEngine> observer;
   private final Consumer<RoutingEngine> beforeEachStep;
 
-  /** Written by the routing thread, read by any. */
+  /** Written by the routing thread, read by any thread. */
   private volatile int openRequests;
 
-  // Routing thread only, but for what is set before it starts.
+  // Confined to the routing thread once it has started.
   private RoutingEngine engine;
-  private long observedAtNanos;
+  private long lastObservationNanos;
 
   /**
-   * A thread whose engine the observer looks at several times a second, on that thread; null for
-   * never.
+   * Creates a routing thread.
+   *
+   * @param observer called on the routing thread several times a second; null for none
    */
   public RoutingThread(Consumer<RoutingEngine> observer) {
     this(observer, null);
   }
 
   /**
-   * A thread that also runs an action before each step, as the configuration that the policy may
-   * decide by can have ended while this thread waited or was kept from running; null for none.
+   * Creates a routing thread that also runs an action before each step.
+   *
+   * @param observer called on the routing thread several times a second; null for none
+   * @param beforeEachStep checks that the policy's configuration is still valid, which may have
+   *     expired while this thread waited or was not scheduled; null for none
    */
   public RoutingThread(Consumer<RoutingEngine> observer, Consumer<RoutingEngine> beforeEachStep) {
     this.observer = observer;
     this.beforeEachStep = beforeEachStep;
   }
 
-  /** Sets the engine to run; called once, before the thread starts. */
-  public void setEngine(RoutingEngine toRun) {
-    engine = toRun;
+  /** Sets the engine to run. Called once, before the thread starts. */
+  public void setEngine(RoutingEngine newEngine) {
+    engine = newEngine;
   }
 
-  /** Handles a message on the caller's thread, before the routing thread is started. */
+  /** Handles a message on the caller's thread. Only before the routing thread starts. */
   public void handleBeforeStart(RoutingMessage message) {
     step(message);
   }
 
   /**
-   * Posts a message, waiting for room: never called by the routing thread itself. Changes of the
-   * endpoint list go first: the time in which sends to a draining server must end runs while they
-   * wait behind a start's requests. So do operators' overrides and new settings, which bind soon
-   * whatever the load.
+   * Posts a message; blocks while the mailbox is full, so the routing thread itself must not call
+   * it. Urgent messages overtake requests: the grace period of a draining server elapses while an
+   * endpoint update is queued, and overrides and new settings must take effect under any load.
    */
   public void post(RoutingMessage message) {
     try {
@@ -76,12 +77,12 @@
     }
   }
 
-  /** How many requests wait for their answer, as of the last message. */
+  /** The number of requests without a response, as of the last handled message. */
   public int openRequests() {
     return openRequests;
   }
 
-  /** Ends the thread after the message at hand. */
+  /** Stops the thread after the current message. */
   public void stop() {
     stopped.set(true);
   }
@@ -92,17 +93,17 @@
       RoutingMessage message = mailbox.poll(engine.untilNextTimerNanos(maxWaitNanos()));
       step(message);
       openRequests = engine.openRequests();
-      if (observer != null && System.nanoTime() - observedAtNanos >= OBSERVE_EVERY_NANOS) {
-        observedAtNanos = System.nanoTime();
+      if (observer != null && System.nanoTime() - lastObservationNanos >= OBSERVATION_INTERVAL_NANOS) {
+        lastObservationNanos = System.nanoTime();
         observer.accept(engine);
       }
     }
   }
 
-  /** How long the thread may wait for a message before it looks at its engine again. */
+  /** The longest wait for a message before the observer and the step action run again. */
   private long maxWaitNanos() {
-    boolean looks = observer != null || beforeEachStep != null;
-    return looks ? OBSERVE_EVERY_NANOS : MAX_WAIT_NANOS;
+    boolean observesEngine = observer != null || beforeEachStep != null;
+    return observesEngine ? OBSERVATION_INTERVAL_NANOS : MAX_WAIT_NANOS;
   }
 
   private void step(RoutingMessage message) {
@@ -115,7 +116,7 @@
       }
       engine.runDueTimers();
     } catch (RuntimeException | Error e) {
-      LOG.log(Level.SEVERE, "module actor failed on a message and goes on", e);
+      LOG.log(Level.SEVERE, "routing engine failed to handle a message; continuing", e);
     }
   }
 }
--- a/src/main/java/beaconturn/core/SettingsException.java
+++ b/src/main/java/beaconturn/core/SettingsException.java
@@ -1,10 +1,10 @@
 package beaconturn.core;
 
-/** Settings that are missing or unreadable; the message names the first one. */
+/** Thrown for missing or invalid settings; the message names the first one. */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Makes an exception with one plain line. */
+  /** Creates an exception with a one-line message. */
   public SettingsException(String message) {
     super(message);
   }
--- a/src/main/java/beaconturn/core/StreamingResponse.java
+++ b/src/main/java/beaconturn/core/StreamingResponse.java
@@ -1,10 +1,7 @@
 package beaconturn.core;
 
-/**
- * An answer that is passed on while it still comes. Its producer and its request both know it; any
- * thread may call.
- */
+/** A response that is forwarded while it is being received. Safe for any thread. */
 public interface StreamingResponse {
-  /** Has its producer stop, as nobody wants the rest. */
+  /** Tells the producer to stop, as the rest of the response is not needed. */
   void cancel();
 }
--- a/src/main/java/beaconturn/core/TimerQueue.java
+++ b/src/main/java/beaconturn/core/TimerQueue.java
@@ -2,50 +2,50 @@
 
 import java.util.PriorityQueue;
 
-/** Timers in the order of their times, and then of their making. Routing thread only. */
+/** A queue of timers by due time, then by order of creation. Confined to the routing thread. */
 final class TimerQueue {
   private final PriorityQueue<Timer> queue = new PriorityQueue<>();
-  private long timersMade;
+  private long timersCreated;
 
-  /** One action at its time. */
+  /** An action that is due at a time. */
   static final class Timer implements Comparable<Timer> {
-    private final long atNanos;
-    private final long order;
+    private final long dueAtNanos;
+    private final long sequenceNumber;
     private Runnable action;
 
-    private Timer(long atNanos, long order, Runnable action) {
-      this.atNanos = atNanos;
-      this.order = order;
+    private Timer(long dueAtNanos, long sequenceNumber, Runnable action) {
+      this.dueAtNanos = dueAtNanos;
+      this.sequenceNumber = sequenceNumber;
       this.action = action;
     }
 
-    /** Has the action not run, and lets go of what its action holds: requests with their values. */
+    /** Cancels the timer and releases the objects that its action references. */
     void cancel() {
       action = () -> {};
     }
 
     @Override
     public int compareTo(Timer other) {
-      return atNanos != other.atNanos
-          ? Long.compare(atNanos, other.atNanos)
-          : Long.compare(order, other.order);
+      return dueAtNanos != other.dueAtNanos
+          ? Long.compare(dueAtNanos, other.dueAtNanos)
+          : Long.compare(sequenceNumber, other.sequenceNumber);
     }
   }
 
-  /** Has the action run at that time, by the router's clock. */
+  /** Schedules the action at that time of the router's clock. */
   Timer at(long timeNanos, Runnable action) {
-    Timer timer = new Timer(timeNanos, timersMade++, action);
+    Timer timer = new Timer(timeNanos, timersCreated++, action);
     queue.add(timer);
     return timer;
   }
 
-  /** The time of the earliest timer, or the given time if that is earlier. */
-  long next(long atMostNanos) {
-    return queue.isEmpty() ? atMostNanos : Math.min(atMostNanos, queue.peek().atNanos);
+  /** The due time of the earliest timer, at most {@code latestNanos}. */
+  long next(long latestNanos) {
+    return queue.isEmpty() ? latestNanos : Math.min(latestNanos, queue.peek().dueAtNanos);
   }
 
-  /** Takes the action of the earliest timer that is due, or null. */
+  /** Removes the earliest timer that is due and returns its action; null if none is due. */
   Runnable takeDue(long nowNanos) {
-    return queue.isEmpty() || queue.peek().atNanos > nowNanos ? null : queue.poll().action;
+    return queue.isEmpty() || queue.peek().dueAtNanos > nowNanos ? null : queue.poll().action;
   }
 }
--- a/src/main/java/beaconturn/core/package-info.java
+++ b/src/main/java/beaconturn/core/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The host of the routing policy, without any I/O: the routing thread and its mailbox, the engine
- * that turns messages into the policy's events and carries out its actions, the table of requests,
- * timers, settings. {@link beaconturn.core.RoutingThread} is the one thread that decides; types say
- * where others may call.
+ * The routing engine, which hosts the routing policy and does no I/O: the routing thread and its
+ * mailbox, the mapping of messages to policy events and of policy actions to effects, the table of
+ * open requests, timers and settings. All routing decisions are made on {@link
+ * beaconturn.core.RoutingThread}; types that other threads may call say so.
  */
 package beaconturn.core;
--- a/src/test/java/beaconturn/core/LifecycleTest.java
+++ b/src/test/java/beaconturn/core/LifecycleTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void clientsAreWelcomeWhileItServesAndWhileItDrains() {
+  void isReadyWhileServingAndDraining() {
     assertFalse(lifecycle.ready());
     lifecycle.advance(Lifecycle.Phase.SERVING);
     assertTrue(lifecycle.ready());
--- a/src/test/java/beaconturn/core/MailboxTest.java
+++ b/src/test/java/beaconturn/core/MailboxTest.java
@@ -12,7 +12,7 @@
 
 class MailboxTest {
   @Test
-  void aFullMailboxTakesNoMoreAndKeepsTheOrder() throws InterruptedException {
+  void rejectsMessagesWhenFullAndKeepsOrder() throws InterruptedException {
     Mailbox<Integer> mailbox = new Mailbox<>(2);
     assertTrue(mailbox.offer(1));
     assertTrue(mailbox.offer(2));
@@ -22,9 +22,9 @@
     assertNull(mailbox.poll(0));
   }
 
-  /** What may be turned away leaves room for what may not. */
+  /** Messages that may be rejected must leave capacity for those that may not. */
   @Test
-  void someRoomCanBeKeptFree() {
+  void offerReservingKeepsSlotsFree() {
     Mailbox<Integer> mailbox = new Mailbox<>(4);
     assertTrue(mailbox.offerReserving(2, 1));
     assertTrue(mailbox.offerReserving(2, 2));
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void whatIsUrgentIsTakenFirstAndInItsOwnOrder() throws InterruptedException {
+  void takesUrgentMessagesFirstInTheirOrder() throws InterruptedException {
     Mailbox<Integer> mailbox = new Mailbox<>(1);
     mailbox.put(1);
     mailbox.putFirst(2);
@@ -45,7 +45,7 @@
 
   @Test
   @Timeout(20)
-  void aThreadThatPutsIntoAFullMailboxWaitsForRoom() throws Exception {
+  void putBlocksWhileMailboxIsFull() throws Exception {
     Mailbox<Integer> mailbox = new Mailbox<>(1);
     mailbox.put(1);
     FutureTask<Boolean> second =
@@ -54,31 +54,30 @@
               mailbox.put(2);
               return true;
             });
-    started(second, Thread.State.WAITING);
+    start(second, Thread.State.WAITING);
     assertEquals(1, mailbox.take());
     assertEquals(2, mailbox.take());
     assertTrue(second.get());
   }
 
   /**
-   * Guards against waiting on a condition of java.util.concurrent: one whose time is over spins,
-   * without ever giving way, until the poster that is just waking it has gone on; on one core that
-   * may be never.
+   * Guards against a timed wait on a java.util.concurrent condition: once expired, it spins until
+   * the signalling thread proceeds, which may never happen on one core.
    */
   @Test
-  void aTimedWaitIsOnTheMailboxItself() throws Exception {
+  void timedPollWaitsOnOwnMonitor() throws Exception {
     Mailbox<Integer> mailbox = new Mailbox<>(1);
     FutureTask<Integer> taken = new FutureTask<>(() -> mailbox.poll(60_000_000_000L));
-    Object blocker = LockSupport.getBlocker(started(taken, Thread.State.TIMED_WAITING));
+    Object blocker = LockSupport.getBlocker(start(taken, Thread.State.TIMED_WAITING));
     mailbox.put(7);
     assertEquals(7, taken.get());
     assertNull(blocker);
   }
 
-  private static Thread started(FutureTask<?> task, Thread.State until) {
+  private static Thread start(FutureTask<?> task, Thread.State awaitedState) {
     Thread thread = new Thread(task);
     thread.start();
-    while (thread.getState() != until) {
+    while (thread.getState() != awaitedState) {
       Thread.onSpinWait();
     }
     return thread;
--- a/src/test/java/beaconturn/core/RepeatedEventLogTest.java
+++ b/src/test/java/beaconturn/core/RepeatedEventLogTest.java
@@ -13,7 +13,7 @@
   private static final long SECOND = 1_000_000_000;
   private final List<String> lines = new ArrayList<>();
   private final Logger log = Logger.getAnonymousLogger();
-  private final RepeatedEventLog spell = new RepeatedEventLog(log, "it rains", 3);
+  private final RepeatedEventLog events = new RepeatedEventLog(log, "disk full", 3);
 
   RepeatedEventLogTest() {
     log.setUseParentHandlers(false);
@@ -36,26 +36,26 @@
         });
   }
 
-  /** A line for each request would fill the log just when it is read. */
+  /** A line for each event would flood the log during an incident. */
   @Test
-  void oneLineWhenItBeginsAndOneWhenItIsOver() {
+  void logsOneLineAtStartAndOneAtEndOfSeries() {
     for (int i = 0; i < 100; i++) {
-      spell.note(i * SECOND / 10);
+      events.note(i * SECOND / 10);
     }
-    spell.check(15 * SECOND);
-    spell.check(20 * SECOND);
-    spell.check(40 * SECOND);
+    events.check(15 * SECOND);
+    events.check(20 * SECOND);
+    events.check(40 * SECOND);
     assertEquals(
-        List.of("it rains: begins, 3 times in 200 ms", "it rains: over, 100 times in 9900 ms"),
+        List.of("disk full: started, 3 times in 200 ms", "disk full: ended, 100 times in 9900 ms"),
         lines);
   }
 
   @Test
-  void whatHappensSeldomIsNotLogged() {
+  void ignoresInfrequentEvents() {
     for (int i = 0; i < 10; i++) {
-      spell.note(i * 11L * SECOND);
+      events.note(i * 11L * SECOND);
     }
-    spell.end();
+    events.end();
     assertEquals(List.of(), lines);
   }
 }
--- a/src/test/java/beaconturn/core/RouterSettingsReaderTest.java
+++ b/src/test/java/beaconturn/core/RouterSettingsReaderTest.java
@@ -13,7 +13,7 @@
 
 class RouterSettingsReaderTest {
   @Test
-  void readsWhatTheModuleAndTheWireNeed() {
+  void readsRoutingSettingsAndNames() {
     RouterSettings settings = Samples.read();
     assertEquals(List.of("read", "put", "ack"), settings.classNames());
     assertEquals(List.of("east", "west"), settings.zones());
@@ -23,19 +23,19 @@
   }
 
   @Test
-  void namesTheFirstSettingThatIsMissingOrUnreadable() {
-    refused("classes.count", null);
-    refused("classes.1.effect", "sometimes");
-    refused("classes.2.target", "soon");
-    refused("classes.0.key_scope", "town");
-    refused("permissions.second_copies", "perhaps");
-    refused("permissions.conn_idle", "0");
-    refused("family_info.notes", "some");
+  void errorNamesMissingOrInvalidSetting() {
+    assertInvalid("classes.count", null);
+    assertInvalid("classes.1.effect", "sometimes");
+    assertInvalid("classes.2.target", "soon");
+    assertInvalid("classes.0.key_scope", "town");
+    assertInvalid("permissions.second_copies", "perhaps");
+    assertInvalid("permissions.conn_idle", "0");
+    assertInvalid("family_info.notes", "some");
   }
 
-  /** What decides at deployments of another shape leaves one that says nothing of it as it was. */
+  /** Settings of other kinds of deployments must not affect one that leaves them out. */
   @Test
-  void whatIsNotSaidLeavesTheDecisionsAsTheyWere() {
+  void optionalSettingsHaveDefaults() {
     assertTrue(Samples.read().routing().origin().reportsCacheHits());
     RoutingSettings settings =
         Samples.read(
@@ -51,7 +51,7 @@
     assertEquals(7_000_000_000L, settings.permissions().connectionIdleNanos());
   }
 
-  private static void refused(String path, String value) {
+  private static void assertInvalid(String path, String value) {
     Map<String, String> values = Samples.settings();
     values.put(path, value);
     if (value == null) {
--- a/src/test/java/beaconturn/core/RoutingEngineTest.java
+++ b/src/test/java/beaconturn/core/RoutingEngineTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The engine between policy and sockets, with a policy that does what the test says. */
+/** Tests the engine with fake cache servers and a policy that each test scripts. */
 class RoutingEngineTest {
   private static final long MILLI = 1_000_000;
   private static final long SERVER = 7;
@@ -32,8 +32,8 @@
   private final List<RoutingEvent> events = new ArrayList<>();
   private final FakeServers servers = new FakeServers();
 
-  /** So often the list may be watched, and not more. */
-  private int mayWatch;
+  /** How many more times the policy may start or stop a watch. */
+  private int permittedWatches;
 
   private Consumer<RoutingEvent> policy = e -> {};
   private RoutingActions actions;
@@ -52,45 +52,45 @@
             };
           });
 
-  /** Sends every arrival to the one server. */
-  private void sending(long allowFor) {
+  /** Makes the policy send every request to {@link #SERVER}. */
+  private void sendArrivals(long timeoutNanos) {
     policy =
         e -> {
           if (e instanceof RoutingEvent.RequestArrived a) {
-            actions.send(a.requestId(), SERVER, allowFor);
+            actions.send(a.requestId(), SERVER, timeoutNanos);
           }
         };
   }
 
-  private FakeRequest arrive() {
-    return arrive(engine);
+  private FakeRequest receiveRequest() {
+    return receiveRequest(engine);
   }
 
-  private FakeRequest arrive(RoutingEngine at) {
+  private FakeRequest receiveRequest(RoutingEngine target) {
     FakeRequest request = new FakeRequest(now + 400 * MILLI);
-    at.handle(new RoutingMessage.RequestReceived(request));
+    target.handle(new RoutingMessage.RequestReceived(request));
     return request;
   }
 
-  private OutboundAttempt last() {
+  private OutboundAttempt lastSent() {
     return servers.sent.get(servers.sent.size() - 1);
   }
 
-  /** An engine of the real module, which knows this many servers. */
-  private RoutingEngine real(int serverCount) {
-    mayWatch = 1;
-    RoutingEngine real = new RoutingEngine(settings, 5, () -> now, servers, new NoDiscovery());
-    list(
-        real,
+  /** An engine with the production policy and a list of this many servers. */
+  private RoutingEngine engineWithRingRouter(int serverCount) {
+    permittedWatches = 1;
+    RoutingEngine ringEngine = new RoutingEngine(settings, 5, () -> now, servers, new NoDiscovery());
+    updateEndpoints(
+        ringEngine,
         EndpointListKind.FULL,
         EndpointHealth.READY,
         LongStream.rangeClosed(1, serverCount).toArray());
-    return real;
+    return ringEngine;
   }
 
-  private static void list(
-      RoutingEngine to, EndpointListKind kind, EndpointHealth health, long... servers) {
-    to.handle(
+  private static void updateEndpoints(
+      RoutingEngine target, EndpointListKind kind, EndpointHealth health, long... servers) {
+    target.handle(
         new RoutingMessage.EndpointUpdateReceived(
             new EndpointUpdate(
                 1,
@@ -103,63 +103,60 @@
                     .toList())));
   }
 
-  private static void switchSettings(RoutingEngine of) {
-    of.handle(
+  private static void replaceSettings(RoutingEngine target) {
+    target.handle(
         new RoutingMessage.SettingsReplaced(
             Samples.read("permissions.second_copies", "false").routing(), 6));
   }
 
-  private AttemptResult ok(String answer) {
+  private AttemptResult ok(String response) {
     return new AttemptResult(
-        AttemptOutcome.OK, now, CacheStatus.HIT, new float[0], Slice.of(answer));
+        AttemptOutcome.OK, now, CacheStatus.HIT, new float[0], Slice.of(response));
   }
 
-  private RoutingEvent.AttemptClosed lastClosed() {
+  private RoutingEvent.AttemptClosed lastAttemptClosed() {
     return (RoutingEvent.AttemptClosed) events.get(events.size() - 1);
   }
 
   @Test
-  void theFirstAnswerOfACacheServerIsTheClients() {
-    sending(0);
-    FakeRequest request = arrive();
+  void forwardsFirstResponseToClient() {
+    sendArrivals(0);
+    FakeRequest request = receiveRequest();
     now += 30 * MILLI;
     engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("value")));
-    assertEquals(List.of("served value"), request.answers);
-    assertEquals(30 * MILLI, lastClosed().elapsedNanos());
-    assertTrue(lastClosed().requestClosed());
+    assertEquals(List.of("responded value"), request.outcomes);
+    assertEquals(30 * MILLI, lastAttemptClosed().elapsedNanos());
+    assertTrue(lastAttemptClosed().requestClosed());
     assertEquals(0, engine.openRequests());
   }
 
-  /** A process that ends answers what it has taken, and what comes while it does. */
+  /** A process that stops must leave no client without a response. */
   @Test
-  void whatIsOpenAtTheEndIsAnsweredAndCalledOff() {
-    sending(0);
-    FakeRequest open = arrive();
+  void stopFailsOpenRequestsAndRejectsNewOnes() {
+    sendArrivals(0);
+    FakeRequest open = receiveRequest();
     engine.handle(new RoutingMessage.StopRequested());
-    assertEquals(List.of("failed"), open.answers);
+    assertEquals(List.of("failed"), open.outcomes);
     assertEquals(0, engine.openRequests());
     assertTrue(events.get(events.size() - 1) instanceof RoutingEvent.RequestCancelled);
     int sent = servers.sent.size();
-    assertEquals(List.of("refused 0"), arrive().answers);
+    assertEquals(List.of("rejected 0"), receiveRequest().outcomes);
     assertEquals(sent, servers.sent.size());
   }
 
-  /**
-   * Under other settings the same number may be another class, with other rules on what may be
-   * repeated.
-   */
+  /** Under other settings the same class index may be a class with other retry rules. */
   @Test
-  void aRequestOfSettingsThatNobodyHoldsAnyMoreIsRejected() {
-    sending(0);
-    FakeRequest late = new FakeRequest(now + 400 * MILLI);
-    late.settings = Samples.read("classes.0.effect", "non_idempotent").routing();
-    engine.handle(new RoutingMessage.RequestReceived(late));
-    assertEquals(List.of("refused 0"), late.answers);
+  void rejectsRequestReadUnderUnknownSettings() {
+    sendArrivals(0);
+    FakeRequest request = new FakeRequest(now + 400 * MILLI);
+    request.settings = Samples.read("classes.0.effect", "non_idempotent").routing();
+    engine.handle(new RoutingMessage.RequestReceived(request));
+    assertEquals(List.of("rejected 0"), request.outcomes);
     assertEquals(List.of(), servers.sent);
   }
 
   @Test
-  void aSecondAnswerIsDropped() {
+  void dropsSecondResponse() {
     policy =
         e -> {
           if (e instanceof RoutingEvent.RequestArrived a) {
@@ -167,34 +164,34 @@
             actions.send(a.requestId(), SERVER + 1, 0);
           }
         };
-    FakeRequest request = arrive();
+    FakeRequest request = receiveRequest();
     engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(1), ok("one")));
     engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("two")));
     engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("three")));
-    assertEquals(List.of("served one"), request.answers);
+    assertEquals(List.of("responded one"), request.outcomes);
     assertEquals(3, events.size(), "each attempt ends once");
   }
 
   @Test
-  void anAttemptIsTimedOutAndEndedOnTheWire() {
-    sending(100 * MILLI);
-    FakeRequest request = arrive();
+  void abortsAttemptThatTimesOut() {
+    sendArrivals(100 * MILLI);
+    FakeRequest request = receiveRequest();
     now += 100 * MILLI;
     engine.runDueTimers();
     assertEquals(servers.sent, servers.aborted);
-    assertEquals(AttemptOutcome.TIMEOUT, lastClosed().outcome());
-    assertEquals(List.of(), request.answers, "what follows is the policy's to decide");
+    assertEquals(AttemptOutcome.TIMEOUT, lastAttemptClosed().outcome());
+    assertEquals(List.of(), request.outcomes, "the policy decides whether to retry");
   }
 
   @Test
-  void noAttemptOutlivesItsClient() {
-    sending(10_000 * MILLI);
-    arrive();
+  void attemptTimesOutAtClientDeadline() {
+    sendArrivals(10_000 * MILLI);
+    receiveRequest();
     assertEquals(now + 400 * MILLI, servers.sent.get(0).timesOutAtNanos());
   }
 
   @Test
-  void aCancelledAttemptIsEndedOnTheWireAndToldAfterTheEvent() {
+  void abortsCancelledAttemptAndNotifiesPolicyAfterEvent() {
     policy =
         e -> {
           if (e instanceof RoutingEvent.RequestArrived a) {
@@ -203,23 +200,23 @@
             actions.reject(a.requestId(), 20 * MILLI, GiveUpReason.OVERLOADED);
           }
         };
-    FakeRequest request = arrive();
-    assertEquals(List.of("refused 20"), request.answers);
+    FakeRequest request = receiveRequest();
+    assertEquals(List.of("rejected 20"), request.outcomes);
     assertEquals(servers.sent, servers.aborted);
-    assertEquals(AttemptOutcome.CANCELLED, lastClosed().outcome());
+    assertEquals(AttemptOutcome.CANCELLED, lastAttemptClosed().outcome());
   }
 
   @Test
-  void whatCannotBeStartedNeverRan() {
+  void attemptThatCannotStartEndsAsConnectFailed() {
     servers.reachable = false;
-    sending(0);
-    arrive();
-    assertEquals(AttemptOutcome.CONNECT_FAILED, lastClosed().outcome());
+    sendArrivals(0);
+    receiveRequest();
+    assertEquals(AttemptOutcome.CONNECT_FAILED, lastAttemptClosed().outcome());
   }
 
-  /** A send for a request that has its answer would be an effect nobody asked for. */
+  /** An attempt of a completed request could have an unwanted effect. */
   @Test
-  void nothingIsSentForARequestThatIsOver() {
+  void doesNotSendForClosedRequest() {
     policy =
         e -> {
           if (e instanceof RoutingEvent.RequestArrived a) {
@@ -228,49 +225,49 @@
             actions.send(a.requestId(), SERVER, 0);
           }
         };
-    FakeRequest request = arrive();
-    assertEquals(List.of("failed"), request.answers);
+    FakeRequest request = receiveRequest();
+    assertEquals(List.of("failed"), request.outcomes);
     assertEquals(List.of(), servers.sent);
-    assertEquals(AttemptOutcome.SUPERSEDED, lastClosed().outcome());
+    assertEquals(AttemptOutcome.SUPERSEDED, lastAttemptClosed().outcome());
   }
 
   @Test
-  void aClientThatLeavesIsWithdrawnOnce() {
-    sending(0);
-    FakeRequest request = arrive();
+  void cancelsRequestOnceWhenClientDisconnects() {
+    sendArrivals(0);
+    FakeRequest request = receiveRequest();
     engine.handle(new RoutingMessage.ClientDisconnected(request));
     engine.handle(new RoutingMessage.ClientDisconnected(request));
     engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("late")));
-    assertEquals(List.of(), request.answers);
+    assertEquals(List.of(), request.outcomes);
     assertEquals(
         1, events.stream().filter(RoutingEvent.RequestCancelled.class::isInstance).count());
   }
 
-  /** Rule one must hold even against a defect of the module: no request goes without its answer. */
+  /** A defect of the policy must not leave a client without a response. */
   @Test
-  void aRequestThatTheModuleForgetsFailsWithinTheSlack() {
-    FakeRequest request = arrive();
+  void failsRequestThatPolicyNeverCompletes() {
+    FakeRequest request = receiveRequest();
     now += 400 * MILLI + settings.safetyLimits().answerSlackNanos();
     engine.runDueTimers();
-    assertEquals(List.of("failed"), request.answers);
+    assertEquals(List.of("failed"), request.outcomes);
   }
 
   @Test
-  void aModuleThatFailsOnAnArrivalFailsThatRequestAlone() {
+  void policyFailureFailsOnlyThatRequest() {
     policy =
         e -> {
           throw new IllegalStateException("defect");
         };
-    FakeRequest request = arrive();
-    assertEquals(List.of("failed"), request.answers);
-    sending(0);
-    FakeRequest next = arrive();
+    FakeRequest request = receiveRequest();
+    assertEquals(List.of("failed"), request.outcomes);
+    sendArrivals(0);
+    FakeRequest next = receiveRequest();
     engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("value")));
-    assertEquals(List.of("served value"), next.answers);
+    assertEquals(List.of("responded value"), next.outcomes);
   }
 
   @Test
-  void timersComeInTheOrderOfTheirTimes() {
+  void firesTimersInOrderOfDueTime() {
     policy =
         e -> {
           if (e instanceof RoutingEvent.RequestArrived) {
@@ -279,7 +276,7 @@
             actions.setTimer(20 * MILLI, 3);
           }
         };
-    arrive();
+    receiveRequest();
     assertEquals(10 * MILLI, engine.untilNextTimerNanos(1000 * MILLI));
     now += 20 * MILLI;
     engine.runDueTimers();
@@ -291,12 +288,12 @@
             .toList());
   }
 
-  /** At a high rate of large values, what is kept until each deadline fills the heap. */
+  /** At a high rate of large values, requests kept until their deadlines would fill the heap. */
   @Test
   @Timeout(60)
-  void aRequestThatIsOverIsLetGoBeforeItsDeadline() {
-    sending(0);
-    WeakReference<ClientRequest> request = new WeakReference<>(arrive());
+  void releasesCompletedRequestBeforeItsDeadline() {
+    sendArrivals(0);
+    WeakReference<ClientRequest> request = new WeakReference<>(receiveRequest());
     engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.remove(0), ok("value")));
     while (request.get() != null) {
       System.gc();
@@ -305,75 +302,75 @@
   }
 
   @Test
-  void afterASwitchOldRequestsAreAnsweredAndNewOnesServedWithoutANewList() {
-    RoutingEngine real = real(3);
-    FakeRequest before = arrive(real);
-    switchSettings(real);
-    FakeRequest after = arrive(real);
+  void settingsReplacementKeepsOpenRequestsAndEndpointList() {
+    RoutingEngine ringEngine = engineWithRingRouter(3);
+    FakeRequest before = receiveRequest(ringEngine);
+    replaceSettings(ringEngine);
+    FakeRequest after = receiveRequest(ringEngine);
     assertEquals(2, servers.sent.size());
-    real.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(1), ok("new")));
-    real.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("old")));
-    assertEquals(List.of("served old"), before.answers);
-    assertEquals(List.of("served new"), after.answers);
-    assertEquals(0, mayWatch);
+    ringEngine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(1), ok("new")));
+    ringEngine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("old")));
+    assertEquals(List.of("responded old"), before.outcomes);
+    assertEquals(List.of("responded new"), after.outcomes);
+    assertEquals(0, permittedWatches);
   }
 
   @Test
-  void aServerThatDrainsAfterASwitchGetsNothingFromEitherModule() {
-    RoutingEngine real = real(2);
-    FakeRequest before = arrive(real);
-    OutboundAttempt first = last();
-    switchSettings(real);
-    list(real, EndpointListKind.DELTA, EndpointHealth.DRAINING, first.serverId());
-    real.handle(
+  void serverDrainingAfterReplacementGetsNoRequestsFromEitherPolicy() {
+    RoutingEngine ringEngine = engineWithRingRouter(2);
+    FakeRequest before = receiveRequest(ringEngine);
+    OutboundAttempt first = lastSent();
+    replaceSettings(ringEngine);
+    updateEndpoints(ringEngine, EndpointListKind.DELTA, EndpointHealth.DRAINING, first.serverId());
+    ringEngine.handle(
         new RoutingMessage.AttemptCompleted(first, AttemptResult.of(AttemptOutcome.REJECTED, now)));
-    assertEquals(1, before.answers.size());
+    assertEquals(1, before.outcomes.size());
     for (int i = 0; i < 20; i++) {
       now += 10 * MILLI;
-      arrive(real);
+      receiveRequest(ringEngine);
     }
     assertEquals(0, servers.sent.stream().filter(a -> a.serverId() == first.serverId()).count());
     assertNotEquals(0, servers.sent.size());
   }
 
   @Test
-  void aSickServerIsNotTrustedAnewBecauseSettingsChanged() {
-    RoutingEngine real = real(4);
-    arrive(real);
-    long home = last().serverId();
+  void unhealthyServerStaysAvoidedAfterReplacement() {
+    RoutingEngine ringEngine = engineWithRingRouter(4);
+    receiveRequest(ringEngine);
+    long homeServer = lastSent().serverId();
     for (int i = 0; i < 20; i++) {
       now += 20 * MILLI;
-      arrive(real);
-      real.handle(
+      receiveRequest(ringEngine);
+      ringEngine.handle(
           new RoutingMessage.AttemptCompleted(
-              last(),
-              last().serverId() == home ? AttemptResult.of(AttemptOutcome.ERROR, now) : ok("x")));
+              lastSent(),
+              lastSent().serverId() == homeServer ? AttemptResult.of(AttemptOutcome.ERROR, now) : ok("x")));
     }
-    switchSettings(real);
-    int until = servers.sent.size();
+    replaceSettings(ringEngine);
+    int sentBefore = servers.sent.size();
     for (int i = 0; i < 20; i++) {
-      arrive(real);
-      real.handle(new RoutingMessage.AttemptCompleted(last(), ok("x")));
+      receiveRequest(ringEngine);
+      ringEngine.handle(new RoutingMessage.AttemptCompleted(lastSent(), ok("x")));
     }
-    long toSick = servers.sent.stream().skip(until).filter(a -> a.serverId() == home).count();
-    assertTrue(toSick <= 1, "sent to the sick server: " + toSick);
-    assertNotEquals(0, servers.sent.size() - until);
+    long toUnhealthy = servers.sent.stream().skip(sentBefore).filter(a -> a.serverId() == homeServer).count();
+    assertTrue(toUnhealthy <= 1, "attempts at the unhealthy server: " + toUnhealthy);
+    assertNotEquals(0, servers.sent.size() - sentBefore);
   }
 
   /**
-   * What all routers agree on can be what a router began with: requests then went to the module of
-   * the start, which had been replaced, and the one in force heard nothing but news.
+   * Restored settings may be those of a replaced policy, which must not get the requests of the
+   * current one.
    */
   @Test
-  void settingsThatComeBackIntoForceAreThoseOfTheLatestModule() {
-    RoutingSettings began =
+  void restoredSettingsUseTheNewestPolicy() {
+    RoutingSettings initial =
         Samples.read("rules.cold", "4000000000", "rules.cold_share", "0.2").routing();
-    mayWatch = 1;
-    RoutingEngine real = new RoutingEngine(began, 5, () -> now, servers, new NoDiscovery());
-    switchSettings(real);
-    real.handle(new RoutingMessage.SettingsReplaced(began, 7));
+    permittedWatches = 1;
+    RoutingEngine ringEngine = new RoutingEngine(initial, 5, () -> now, servers, new NoDiscovery());
+    replaceSettings(ringEngine);
+    ringEngine.handle(new RoutingMessage.SettingsReplaced(initial, 7));
     servers.bootTime = now;
-    real.handle(
+    ringEngine.handle(
         new RoutingMessage.EndpointUpdateReceived(
             new EndpointUpdate(
                 2,
@@ -382,19 +379,19 @@
                     new EndpointUpdate.AddressedEndpoint(
                         new Endpoint(1, 0, 0, 0, EndpointHealth.READY, 1, now), "", "")))));
     FakeRequest request = new FakeRequest(now + 9000 * MILLI);
-    request.settings = began;
-    for (ServerStatus standing : List.of(ServerStatus.WARMING, ServerStatus.ACTIVE)) {
+    request.settings = initial;
+    for (ServerStatus status : List.of(ServerStatus.WARMING, ServerStatus.ACTIVE)) {
       now += 3000 * MILLI;
-      real.handle(new RoutingMessage.RequestReceived(request));
+      ringEngine.handle(new RoutingMessage.RequestReceived(request));
       assertEquals(
-          Map.of(new CacheServerClients.ListedServer("s1", 0, servers.bootTime), standing),
-          real.serverStatuses());
+          Map.of(new CacheServerClients.ListedServer("s1", 0, servers.bootTime), status),
+          ringEngine.serverStatuses());
     }
   }
 
   private static final class FakeRequest implements ClientRequest {
     private final long deadlineNanos;
-    private final List<String> answers = new ArrayList<>();
+    private final List<String> outcomes = new ArrayList<>();
     private RoutingSettings settings;
 
     FakeRequest(long deadlineNanos) {
@@ -422,18 +419,18 @@
     }
 
     @Override
-    public void respond(Slice answer) {
-      answers.add("served " + answer);
+    public void respond(Slice response) {
+      outcomes.add("responded " + response);
     }
 
     @Override
     public void reject(long retryAfter) {
-      answers.add("refused " + retryAfter / MILLI);
+      outcomes.add("rejected " + retryAfter / MILLI);
     }
 
     @Override
     public void fail() {
-      answers.add("failed");
+      outcomes.add("failed");
     }
   }
 
@@ -464,7 +461,7 @@
     }
 
     @Override
-    public void follow(EndpointUpdate news) {
+    public void follow(EndpointUpdate update) {
       sent.clear();
     }
 
@@ -477,12 +474,12 @@
   private final class NoDiscovery implements EndpointDiscovery {
     @Override
     public void watch(boolean on) {
-      assertTrue(mayWatch-- > 0, "not asked for here");
+      assertTrue(permittedWatches-- > 0, "unexpected call");
     }
 
     @Override
     public void fetch() {
-      throw new AssertionError("not asked for here");
+      throw new AssertionError("unexpected call");
     }
   }
 }
--- a/src/test/java/beaconturn/core/Samples.java
+++ b/src/test/java/beaconturn/core/Samples.java
@@ -3,11 +3,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Settings for tests, as paths and values. */
+/** Router settings for tests, as paths and values. */
 public final class Samples {
   private Samples() {}
 
-  /** One safe, one keyed and one unsafe class; the list is asked for. */
+  /**
+   * One idempotent class, one with an idempotency key and one non-idempotent; the endpoint list is
+   * pulled.
+   */
   public static Map<String, String> settings() {
     Map<String, String> values = new HashMap<>();
     String[] effects = {"read_like", "idempotency_key", "non_idempotent"};
@@ -36,7 +39,7 @@
     return values;
   }
 
-  /** The same settings, read; each path is followed by its value where that is to be another. */
+  /** The sample settings after reading; {@code changes} are pairs of a path and another value. */
   public static RouterSettings read(String... changes) {
     Map<String, String> values = settings();
     for (int i = 0; i < changes.length; i += 2) {
--- a/src/test/java/beaconturn/core/package-info.java
+++ b/src/test/java/beaconturn/core/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the core, without I/O and with a clock that the test moves. */
+/** Tests of the routing engine, without I/O and with a clock that the test controls. */
 package beaconturn.core;
