--- a/src/main/java/beaconturn/core/CacheServerClients.java
+++ b/src/main/java/beaconturn/core/CacheServerClients.java
@@ -15,7 +15,7 @@
   void closeIdle(long serverId);
 
   /** Applies an endpoint update. */
-  void follow(EndpointUpdate update);
+  void applyUpdate(EndpointUpdate update);
 
   /**
    * Sets or lifts an operator's exclusion of a cache server; an excluded server gets no new
--- a/src/main/java/beaconturn/core/RoutingEngine.java
+++ b/src/main/java/beaconturn/core/RoutingEngine.java
@@ -109,7 +109,7 @@
   }
 
   private void endpointsUpdated(EndpointUpdate update) {
-    context.servers().follow(update);
+    context.servers().applyUpdate(update);
     RoutingEvent.EndpointsUpdated event = update.event();
     // Only the current policy retries a failed call to discovery.
     Collection<HostedPolicy> recipients =
--- a/src/main/java/beaconturn/net/StartupWarmUp.java
+++ b/src/main/java/beaconturn/net/StartupWarmUp.java
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void follow(EndpointUpdate update) {
+    public void applyUpdate(EndpointUpdate update) {
       attemptsOut.clear();
     }
 
--- a/src/main/java/beaconturn/net/server/CacheConnection.java
+++ b/src/main/java/beaconturn/net/server/CacheConnection.java
@@ -19,32 +19,32 @@
 import java.util.logging.Logger;
 
 /**
- * One connection to a cache server, which carries one request at a time: responses come in order,
- * so a second request would wait for the first, and giving one up would cut off the other.
+ * A connection to a cache server, with at most one request in flight: responses arrive in order, so
+ * a second request would wait for the first, and aborting one would abort the other.
  *
- * <p>It belongs to a worker thread from the begin of {@link #carry} until the listener hears that
- * the attempt has ended and the connection is reusable; while it is idle it belongs to the {@link
- * CacheServer}. Its input buffer goes with it; slices of the buffer that a result holds stay valid,
- * as the buffer never overwrites bytes. {@link #close} and {@link #reset} may come from any thread.
+ * <p>Owned by a worker thread from the call of {@link #execute} until the listener is notified that
+ * the attempt has ended with the connection reusable; owned by the {@link CacheServer} while idle.
+ * The input buffer changes owner with it; slices of the buffer in a result stay valid, as the buffer
+ * never overwrites bytes. {@link #close} and {@link #reset} may be called by any thread.
  */
 final class CacheConnection {
   private static final Logger LOG = Logger.getLogger(CacheConnection.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long SHORTEST_CONNECT_TIMEOUT_MILLIS = 1;
-  private static final long SHORTEST_DEADLINE_MILLIS = 1;
+  private static final long MIN_CONNECT_TIMEOUT_MILLIS = 1;
+  private static final long MIN_DEADLINE_MILLIS = 1;
 
-  /** A server that sends nothing for so long in the middle of a response will not complete it. */
+  /** How long a server may send nothing in the middle of a streamed response. */
   private static final int RESPONSE_SILENCE_TIMEOUT_MILLIS = 10_000;
 
   private static final int NO_READ_TIMEOUT = 0;
 
-  /** How a connection stands when its worker thread lets go of it. */
+  /** The state of a connection when its worker thread releases it. */
   private enum StateAfterAttempt {
-    /** Handed over to the listener, which may have given it to another thread already. */
+    /** Released to the listener; another thread may already own it. */
     IDLE,
     /** Found dead before anything was written. */
     STALE,
-    /** Failed while the attempt was out on it. */
+    /** Failed while the attempt was in flight. */
     BROKEN
   }
 
@@ -61,7 +61,7 @@
 
   private boolean requestWritten;
 
-  /** How the attempt ends if the connection does before all of the request is written. */
+  /** The attempt's outcome if the connection fails before the request is completely written. */
   private AttemptOutcome outcomeIfUnwritten;
 
   CacheConnection(
@@ -80,9 +80,10 @@
   }
 
   /**
-   * Writes the attempt, connecting first if need be, and reads its response; on a worker thread.
+   * Writes the attempt, connecting first if necessary, and reads its response. Runs on a worker
+   * thread.
    */
-  void carry(OutboundAttempt next) {
+  void execute(OutboundAttempt next) {
     attempt = next;
     requestWritten = false;
     outcomeIfUnwritten = AttemptOutcome.CONNECT_FAILED;
@@ -90,12 +91,12 @@
     try {
       state = exchange();
     } catch (ProtocolException e) {
-      LOG.finer("cache server at " + address() + ": " + e.getMessage());
-      listener.unreadableResponse();
+      LOG.finer("malformed response from " + address() + ": " + e.getMessage());
+      listener.malformedResponse();
     } catch (IOException e) {
-      LOG.finer("connection to " + address() + " ended: " + e.getMessage());
+      LOG.finer("connection to " + address() + " failed: " + e.getMessage());
     } finally {
-      leave(state, next);
+      release(state, next);
     }
   }
 
@@ -109,14 +110,14 @@
     return readResponse();
   }
 
-  /** The last step of the worker thread; an idle connection is another thread's by now. */
-  private void leave(StateAfterAttempt state, OutboundAttempt carried) {
+  /** The worker thread's last step; another thread may already own an idle connection. */
+  private void release(StateAfterAttempt state, OutboundAttempt executed) {
     if (state == StateAfterAttempt.IDLE) {
       return;
     }
     close();
     if (state == StateAfterAttempt.STALE) {
-      listener.connectionStale(carried);
+      listener.connectionStale(executed);
     } else {
       endBrokenAttempt();
       listener.connectionClosed();
@@ -124,37 +125,39 @@
   }
 
   /**
-   * Whether the idle connection can carry a request: the peer has not closed it, and no bytes wait
-   * unread, as what came behind a response would be taken for the next one. For the thread that has
-   * the connection; never waits for the peer.
+   * Whether the idle connection can be reused: the peer has not closed it and no unread bytes are
+   * pending, which would be taken for the next response. For the thread that owns the connection;
+   * never blocks.
    */
   boolean isAlive() {
-    int unasked = socket.readWithoutWaiting();
-    if (unasked > 0) {
-      listener.unreadableResponse();
+    int unexpectedBytes = socket.readWithoutWaiting();
+    if (unexpectedBytes > 0) {
+      listener.malformedResponse();
     }
-    return unasked == 0;
+    return unexpectedBytes == 0;
   }
 
-  /** Ends the connection in order, and with it whatever is out on it. Any thread, no wait. */
+  /** Closes the connection and thereby any attempt in flight on it. Any thread; never blocks. */
   void close() {
     socket.close();
   }
 
-  /** Gives up what is out by a reset, so that no kernel delivers it later. Any thread, no wait. */
+  /**
+   * Aborts the attempt in flight by a TCP reset, so that the kernel does not deliver its data later.
+   * Any thread; never blocks.
+   */
   void reset() {
     socket.reset();
   }
 
   private void connect() throws IOException {
     long timeoutNanos = Math.min(connectTimeoutNanos, attempt.timesOutAtNanos() - clock.now());
-    // What fails before the peer could have a say, for want of a descriptor or a port, is this
-    // machine's failure and must not count against the server.
+    // A local failure, such as no free descriptor or port, must not count against the server.
     outcomeIfUnwritten = AttemptOutcome.NOT_SENT;
     socket.open();
     try {
       socket.connect(
-          (int) Math.max(SHORTEST_CONNECT_TIMEOUT_MILLIS, timeoutNanos / NANOS_PER_MILLI));
+          (int) Math.max(MIN_CONNECT_TIMEOUT_MILLIS, timeoutNanos / NANOS_PER_MILLI));
     } catch (ConnectException | NoRouteToHostException | SocketTimeoutException e) {
       outcomeIfUnwritten = AttemptOutcome.CONNECT_FAILED;
       throw e;
@@ -163,19 +166,19 @@
   }
 
   /**
-   * Looks once more whether the request is to be written at all: while it waited for its thread or
-   * connection it may have been given up, its client may have gone, or the server may have begun to
-   * drain, and then it must not reach the server.
+   * Checks again that the request may be written: while it waited for a thread or a connection, it
+   * may have been aborted, its client may have disconnected, or the server may have started to
+   * drain.
    */
   private void writeRequest() throws IOException {
     long nowNanos = clock.now();
     if (!attempt.mayBeWritten(nowNanos) || !listener.mayWrite()) {
       outcomeIfUnwritten = AttemptOutcome.SUPERSEDED;
-      throw new IOException("not wanted any more");
+      throw new IOException("attempt ended, timed out or no longer permitted before it was written");
     }
     long deadlineMillis =
         Math.max(
-            SHORTEST_DEADLINE_MILLIS, (attempt.timesOutAtNanos() - nowNanos) / NANOS_PER_MILLI);
+            MIN_DEADLINE_MILLIS, (attempt.timesOutAtNanos() - nowNanos) / NANOS_PER_MILLI);
     Sockets.write(socket.socket().getOutputStream(), attempt.request().encode(deadlineMillis));
     requestWritten = true;
     listener.requestWritten();
@@ -196,7 +199,7 @@
     return StateAfterAttempt.BROKEN;
   }
 
-  /** Whatever goes wrong, the pipe is ended: its client's connection waits for the rest. */
+  /** Always closes the pipe, as the client's connection waits for the rest of the response. */
   private StateAfterAttempt streamResponse(LargeResponseStream large, InputStream from)
       throws IOException, ProtocolException {
     long nowNanos = clock.now();
@@ -212,19 +215,19 @@
     }
   }
 
-  /** Bytes behind a response make it no worse, but end the connection. */
+  /** Excess bytes after a response leave its result valid, but the connection must be closed. */
   private StateAfterAttempt endAttempt(AttemptResult result) throws ProtocolException {
     OutboundAttempt ended = attempt;
     attempt = null;
     boolean reusable = input.size() == 0;
     listener.attemptEnded(this, ended, result, reusable);
     if (!reusable) {
-      throw new ProtocolException("more behind an answer");
+      throw new ProtocolException(input.size() + " excess bytes after a response");
     }
     return StateAfterAttempt.IDLE;
   }
 
-  /** The connection broke: whether its request may have run depends on its last byte. */
+  /** Ends the attempt of a failed connection; the server may have run a completely written one. */
   private void endBrokenAttempt() {
     if (attempt == null) {
       return;
--- a/src/main/java/beaconturn/net/server/CacheConnectionListener.java
+++ b/src/main/java/beaconturn/net/server/CacheConnectionListener.java
@@ -5,29 +5,29 @@
 import beaconturn.net.io.BoundedPipe;
 
 /**
- * Receives the events of a {@link CacheConnection}, on the thread that has the connection; a call
- * may wait for room in a mailbox.
+ * Receives the events of a {@link CacheConnection}, on the thread that owns the connection. Calls
+ * may block while a mailbox is full.
  */
 interface CacheConnectionListener {
-  /** Whether an attempt may still be written to the server. Never waits. */
+  /** Whether an attempt may still be written to the server. Never blocks. */
   boolean mayWrite();
 
-  /** A large response has begun at this time and goes on through the pipe. */
+  /** A large response started at this time and is streamed through the pipe. */
   void responseStarted(OutboundAttempt attempt, long atNanos, BoundedPipe pipe);
 
-  /** An attempt has ended; if {@code reusable} the connection is idle and the listener's now. */
+  /** An attempt ended; a {@code reusable} connection is idle and owned by the listener now. */
   void attemptEnded(
       CacheConnection connection, OutboundAttempt attempt, AttemptResult result, boolean reusable);
 
-  /** The connection was dead before the attempt was written on it, and is closed. */
+  /** The connection was dead before the attempt was written, and is closed. */
   void connectionStale(OutboundAttempt attempt);
 
-  /** The last byte of an attempt's request has been written. */
+  /** An attempt's request was completely written. */
   void requestWritten();
 
-  /** Bytes came that are no response, or came with no request out. */
-  void unreadableResponse();
+  /** A malformed response was received, or bytes while no request was in flight. */
+  void malformedResponse();
 
-  /** The connection has ended while a worker thread had it. */
+  /** The connection was closed while a worker thread owned it. */
   void connectionClosed();
 }
--- a/src/main/java/beaconturn/net/server/CacheResponseReader.java
+++ b/src/main/java/beaconturn/net/server/CacheResponseReader.java
@@ -9,34 +9,34 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Maps responses of cache servers to attempt results. Immutable; for any thread. */
+/** Maps responses of cache servers to attempt results. Immutable; safe for any thread. */
 public final class CacheResponseReader {
   private static final int RESPONSE_ITEMS = 3;
-  private static final int LONGEST_NUMBER_CHARS = 32;
+  private static final int MAX_NUMBER_CHARS = 32;
   private static final float NO_VALUE = -1;
   private static final String MALFORMED_RESPONSE =
-      "an answer that is not made of a value, a word and a load report";
+      "response is not an array of a value, a cache status and a load report";
 
   private final List<String> loadReportFields;
   private final boolean cacheAside;
 
-  /** A reader of responses under these settings. */
+  /** Creates a reader for responses under these settings. */
   public CacheResponseReader(RoutingSettings settings) {
     this.loadReportFields = settings.loadReportFields();
     this.cacheAside = settings.origin().aside();
   }
 
   /**
-   * The result that the response stands for.
+   * Maps a response to its result.
    *
-   * @throws ProtocolException if it stands for none; its connection cannot be used any further
+   * @throws ProtocolException if the response is malformed; its connection must be closed
    */
   public AttemptResult read(RespValue response, long nowNanos) throws ProtocolException {
     if (response instanceof RespValue.Array array && array.items() != null) {
       return readServed(array.items(), nowNanos);
     }
-    if (response instanceof RespValue.SimpleError failure) {
-      String code = failure.text().toString().split(" ", 2)[0];
+    if (response instanceof RespValue.SimpleError error) {
+      String code = error.text().toString().split(" ", 2)[0];
       if (code.equals("BUSY")) {
         return AttemptResult.of(AttemptOutcome.REJECTED, nowNanos);
       }
@@ -44,11 +44,11 @@
         return AttemptResult.of(AttemptOutcome.ERROR, nowNanos);
       }
     }
-    throw new ProtocolException("an answer that is no value, error or refusal");
+    throw new ProtocolException("response is neither a value array nor a BUSY or ERR error");
   }
 
   /**
-   * The result of a response whose value has been streamed to the client already.
+   * The result of a response whose value has already been streamed to the client.
    *
    * @throws ProtocolException if the cache status is not a string
    */
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Three items: the value or receipt, the cache status, and the load report. The first two are
-   * strings, perhaps null; only the report may be anything.
+   * Reads an array of three items: the value or receipt, the cache status and the load report. The
+   * first two must be strings, which may be null; the report may be of any type.
    */
   private AttemptResult readServed(List<RespValue> items, long nowNanos) throws ProtocolException {
     if (items.size() != RESPONSE_ITEMS
@@ -90,45 +90,45 @@
   }
 
   /**
-   * The figures of a load report in the order of the settings. A report that lacks one counts as
-   * none: averages must not be made of some servers' figures and not others'.
+   * The values of a load report in the order of the settings. An incomplete report counts as
+   * missing, so that averages over servers are made from complete reports only.
    */
   private float[] loadReport(RespValue report) {
     String text = text(report);
     if (text.isEmpty() || loadReportFields.isEmpty()) {
       return AttemptResult.NO_LOAD_REPORT;
     }
-    float[] figures = new float[loadReportFields.size()];
-    Arrays.fill(figures, NO_VALUE);
+    float[] values = new float[loadReportFields.size()];
+    Arrays.fill(values, NO_VALUE);
     int found = 0;
     for (String pair : text.split("[,; ]+")) {
-      if (readFigure(pair, figures)) {
+      if (readField(pair, values)) {
         found++;
       }
     }
-    return found == figures.length ? figures : AttemptResult.NO_LOAD_REPORT;
+    return found == values.length ? values : AttemptResult.NO_LOAD_REPORT;
   }
 
-  /** Reads {@code NAME=NUMBER} into its place; false if it is none that is still wanted. */
-  private boolean readFigure(String pair, float[] figures) {
+  /** Reads {@code NAME=NUMBER}; false if it is malformed, unknown or a repetition. */
+  private boolean readField(String pair, float[] values) {
     int equals = pair.indexOf('=');
     int index = equals < 0 ? -1 : loadReportFields.indexOf(pair.substring(0, equals));
-    if (index < 0 || figures[index] >= 0) {
+    if (index < 0 || values[index] >= 0) {
       return false;
     }
-    figures[index] = number(pair.substring(equals + 1));
-    return figures[index] >= 0;
+    values[index] = number(pair.substring(equals + 1));
+    return values[index] >= 0;
   }
 
   /**
-   * A number of a load report; {@link #NO_VALUE} if it is none, negative or infinite, as such a
-   * figure would stay in the averages that decisions are made from.
+   * Parses a number of a load report; {@link #NO_VALUE} if it is malformed, negative or infinite, as
+   * such a value would distort the routing policy's averages permanently.
    */
   private static float number(String digits) {
-    boolean readable =
-        digits.length() <= LONGEST_NUMBER_CHARS
+    boolean valid =
+        digits.length() <= MAX_NUMBER_CHARS
             && digits.matches("[0-9]+(\\.[0-9]+)?([eE][-+]?[0-9]+)?");
-    float value = readable ? Float.parseFloat(digits) : NO_VALUE;
+    float value = valid ? Float.parseFloat(digits) : NO_VALUE;
     return Float.isInfinite(value) ? NO_VALUE : value;
   }
 
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -11,42 +11,42 @@
 import java.util.logging.Logger;
 
 /**
- * One cache server: an actor that owns the connections to it and never waits for the peer.
+ * The actor of one cache server: owns the connections to the server and never waits for it.
  *
- * <p>Three kinds of threads meet here. The routing thread calls {@link #send}, {@link #abort} and
- * the other methods that post a {@link CacheServerTask}. The {@link CacheServerThread} runs the
- * tasks and owns all fields that are not marked otherwise. Worker threads run one connection each
- * and report through {@link ConnectionReporter}. A connection, with its buffers, belongs to the
- * worker that carries an attempt on it, and to this actor while it is idle.
+ * <p>Used by three kinds of threads. The routing thread calls {@link #send}, {@link #abort} and the
+ * other methods that post a {@link CacheServerTask}. The {@link CacheServerThread} runs the tasks
+ * and owns all fields that are not marked otherwise. Worker threads run one connection each and
+ * report through {@link ConnectionReporter}. A connection and its buffers belong to the worker
+ * thread that runs an attempt on it, and to this actor while the connection is idle.
  */
 final class CacheServer {
   private static final Logger LOG = Logger.getLogger(CacheServer.class.getName());
-  private static final int UNANSWERED_TO_LOG = 3;
-  private static final int UNREADABLE_TO_LOG = 1;
+  private static final int MIN_UNANSWERED_TO_LOG = 3;
+  private static final int MIN_MALFORMED_TO_LOG = 1;
 
   private final CacheServerEnvironment environment;
   private final String host;
 
-  /** The connections in use; written by the actor, read by the routing thread to abort. */
+  /** The connections in use. Written by the actor, read by the routing thread to abort. */
   private final Map<OutboundAttempt, CacheConnection> inUse = new ConcurrentHashMap<>();
 
   private final IdleConnections idle;
   private final CacheConnectionListener connectionListener;
   private final RepeatedEventLog unanswered;
-  private final RepeatedEventLog unreadable;
+  private final RepeatedEventLog malformed;
   private InetSocketAddress address;
   private boolean retired;
 
-  /** Open connections, idle ones included; written by the actor, read by the routing thread. */
+  /** Open connections, including idle ones. Written by the actor, read by the routing thread. */
   private volatile int connectionCount;
 
-  /** Sends that the actor has handled; written by the actor, read by the routing thread. */
+  /** Sends that the actor has handled. Written by the actor, read by the routing thread. */
   private volatile int sendsHandled;
 
-  /** Sends that were posted to the actor; for the routing thread alone. */
+  /** Sends posted to the actor. Routing thread only. */
   private int sendsPosted;
 
-  /** Set by the routing thread, read by all. */
+  /** Written by the routing thread, read by any thread. */
   private volatile boolean acceptsRequests = true;
 
   CacheServer(CacheServerEnvironment environment, String host, InetSocketAddress address) {
@@ -57,15 +57,15 @@
     this.idle = new IdleConnections(environment.idleTimeoutNanos(), this::onConnectionClosed);
     this.unanswered =
         new RepeatedEventLog(
-            LOG, "cache server " + host + " leaves attempts unanswered", UNANSWERED_TO_LOG);
-    this.unreadable =
+            LOG, "cache server " + host + " does not respond to attempts", MIN_UNANSWERED_TO_LOG);
+    this.malformed =
         new RepeatedEventLog(
-            LOG, "cache server " + host + " sends what cannot be read", UNREADABLE_TO_LOG);
+            LOG, "cache server " + host + " sends malformed responses", MIN_MALFORMED_TO_LOG);
   }
 
-  /** Makes the actor known to its thread; called once, before anything else. */
+  /** Registers the actor with its thread. Called once, before any other method. */
   void start() {
-    tell(new CacheServerTask.JoinThread());
+    post(new CacheServerTask.JoinThread());
   }
 
   @Override
@@ -73,7 +73,7 @@
     return host;
   }
 
-  /** Posts an attempt without waiting; false if there is no room. For the routing thread. */
+  /** Posts an attempt without waiting; false if the mailbox is full. Routing thread only. */
   boolean send(OutboundAttempt attempt) {
     boolean posted =
         environment.thread().offerReserving(this, new CacheServerTask.SendAttempt(attempt));
@@ -84,75 +84,75 @@
   }
 
   /**
-   * Ends the attempt's connection before this method returns, so that another attempt sent next
-   * never meets it at a server; closing a socket does not wait. An attempt that has not begun yet
-   * will not begin, as it is over. For the routing thread.
+   * Resets the attempt's connection before this method returns, so that the request's next attempt
+   * does not overlap with this one; never blocks. An attempt that has not been written yet will not
+   * be, as it has ended. Routing thread only.
    */
   void abort(OutboundAttempt attempt) {
-    CacheConnection used = inUse.get(attempt);
-    if (used != null) {
-      used.reset();
+    CacheConnection connection = inUse.get(attempt);
+    if (connection != null) {
+      connection.reset();
     }
-    tell(new CacheServerTask.AbortAttempt(attempt));
+    post(new CacheServerTask.AbortAttempt(attempt));
   }
 
   /**
-   * Sets whether the server takes new requests; if not, a send that still waits here or for its
-   * connection ends as superseded: the failure guarded against is a request that reaches a server
-   * after the router was notified that it drains. Any thread may call it.
+   * Sets whether the server accepts new requests. If not, attempts that are queued or connecting end
+   * as superseded, so that no request is written after the router was notified that the server is
+   * draining. Any thread.
    */
   void acceptsRequests(boolean accepts) {
     acceptsRequests = accepts;
   }
 
-  /** Whether the server takes new requests; any thread. */
+  /** Whether the server accepts new requests. Any thread. */
   boolean acceptsRequests() {
     return acceptsRequests;
   }
 
   void closeIdle() {
-    tell(new CacheServerTask.CloseIdle());
+    post(new CacheServerTask.CloseIdle());
   }
 
-  /** Has new connections go to that address, and closes idle ones to another. */
-  void address(InetSocketAddress newAddress) {
-    tell(new CacheServerTask.ChangeAddress(newAddress));
+  /** Sets the address of new connections and closes idle connections to any other address. */
+  void setAddress(InetSocketAddress newAddress) {
+    post(new CacheServerTask.ChangeAddress(newAddress));
   }
 
   /**
-   * Whether no connection is open and no send waits to be handled. An actor that was dropped before
-   * that could no longer abort the attempt of such a send. For the routing thread.
+   * Whether no connection is open and no send is queued. Until then the actor must not be dropped,
+   * as it may have to abort an attempt. Routing thread only.
    */
-  boolean isQuiet() {
+  boolean isInactive() {
     return sendsHandled == sendsPosted && connectionCount == 0;
   }
 
-  /** Ends the actor once its last connection is closed. */
+  /** Stops the actor once its last connection is closed. */
   void retire() {
-    tell(new CacheServerTask.RetireServer());
+    post(new CacheServerTask.RetireServer());
   }
 
-  private void tell(CacheServerTask task) {
-    environment.thread().tell(this, task);
+  private void post(CacheServerTask task) {
+    environment.thread().postOrDrop(this, task);
   }
 
-  /** Whether it was retired and no connection is open. For the actor's thread, as all below. */
+  /** Whether the actor is retired and has no open connection. Actor's thread, as all below. */
   boolean hasEnded() {
     return retired && connectionCount == 0;
   }
 
-  /** Closes connections that are idle for too long or dead, and logs what has ended. */
+  /** Closes expired and dead idle connections, and logs the end of event series. */
   void maintain() {
     idle.closeExpired(now());
     idle.closeDead();
     unanswered.check(now());
-    unreadable.check(now());
+    malformed.check(now());
   }
 
-  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actor's thread alone.
+  @SuppressWarnings("NonAtomicVolatileUpdate") // Only the actor's thread writes it.
   void onSend(OutboundAttempt attempt) {
     try {
-      begin(attempt);
+      startAttempt(attempt);
     } finally {
       sendsHandled = sendsHandled + 1;
     }
@@ -168,23 +168,23 @@
   void onConnectionStale(OutboundAttempt attempt) {
     onConnectionClosed();
     if (inUse.remove(attempt) != null) {
-      begin(attempt);
+      startAttempt(attempt);
     }
   }
 
-  void onUnreadableResponse() {
-    unreadable.note(now());
+  void onMalformedResponse() {
+    malformed.note(now());
   }
 
-  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actor's thread alone.
+  @SuppressWarnings("NonAtomicVolatileUpdate") // Only the actor's thread writes it.
   void onConnectionClosed() {
     connectionCount--;
     environment.connectionLimit().release();
   }
 
-  void onAddress(InetSocketAddress newAddress) {
+  void onAddressChanged(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
-      LOG.info(host + ": address changes from " + address + " to " + newAddress);
+      LOG.info("cache server " + host + ": address changed from " + address + " to " + newAddress);
       address = newAddress;
       idle.closeAll();
     }
@@ -208,7 +208,7 @@
       unanswered.end();
     }
     if (ended.reusable()) {
-      keepOrClose(ended.connection(), wasInUse, ended.result().endedAtNanos());
+      reuseOrClose(ended.connection(), wasInUse, ended.result().endedAtNanos());
     }
   }
 
@@ -216,8 +216,8 @@
     return outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.RESET;
   }
 
-  /** A connection whose attempt was aborted meanwhile is closed, as is one to an old address. */
-  private void keepOrClose(CacheConnection connection, boolean wasInUse, long idleSinceNanos) {
+  /** Closes the connection if its attempt was aborted or it leads to a former address. */
+  private void reuseOrClose(CacheConnection connection, boolean wasInUse, long idleSinceNanos) {
     if (wasInUse && !retired && connection.address().equals(address)) {
       idle.add(connection, idleSinceNanos);
     } else {
@@ -225,7 +225,7 @@
     }
   }
 
-  private void begin(OutboundAttempt attempt) {
+  private void startAttempt(OutboundAttempt attempt) {
     if (attempt.hasEnded()) {
       return;
     }
@@ -236,18 +236,18 @@
     idle.closeExpired(now());
     CacheConnection settled = idle.takeSettled(now());
     if (settled != null) {
-      carry(attempt, settled);
+      runOn(attempt, settled);
     } else if (acquireConnection()) {
-      carry(attempt, newConnection());
+      runOn(attempt, newConnection());
     } else {
       endUnsent(attempt, AttemptOutcome.NOT_SENT);
     }
   }
 
   /**
-   * Takes a place among the connections for a new one; where none is free, the one idle for longest
-   * makes room. That happens where responses come faster than connections settle, so that each
-   * request takes a new one.
+   * Reserves capacity for a new connection, closing the longest idle connection if the limit is
+   * reached. This occurs when responses arrive faster than connections settle, as each request then
+   * opens a new connection.
    */
   private boolean acquireConnection() {
     if (environment.connectionLimit().tryAcquire()) {
@@ -257,19 +257,19 @@
     return environment.connectionLimit().tryAcquire();
   }
 
-  @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the actor's thread alone.
+  @SuppressWarnings("NonAtomicVolatileUpdate") // Only the actor's thread writes it.
   private CacheConnection newConnection() {
     connectionCount++;
     return new CacheConnection(address, environment, connectionListener);
   }
 
-  private void carry(OutboundAttempt attempt, CacheConnection connection) {
+  private void runOn(OutboundAttempt attempt, CacheConnection connection) {
     inUse.put(attempt, connection);
     try {
-      environment.workers().run(() -> connection.carry(attempt));
+      environment.workers().run(() -> connection.execute(attempt));
     } catch (OutOfMemoryError e) {
-      // No thread could be had for it: nothing was written, and the connection is given back.
-      LOG.warning(host + ": no thread for a connection");
+      // Nothing was written, so the connection can be released.
+      LOG.warning("cache server " + host + ": cannot start a thread; attempt not sent");
       inUse.remove(attempt);
       connection.close();
       onConnectionClosed();
--- a/src/main/java/beaconturn/net/server/CacheServerEnvironment.java
+++ b/src/main/java/beaconturn/net/server/CacheServerEnvironment.java
@@ -8,18 +8,19 @@
 import java.util.function.Consumer;
 
 /**
- * What the cache servers of one router share. Safe for any thread.
+ * The components that the cache servers of one router share. Safe for any thread.
  *
  * @param clock the router's clock
- * @param routingThread takes attempts' ends and first bytes; may make the caller wait for room
- * @param connectionLimit bounds the open connections to all cache servers together
- * @param responseReader turns responses into attempt results
- * @param connectTimeoutNanos the longest that a connection may take to come up
- * @param idleTimeoutNanos a connection idle for longer is closed
+ * @param routingThread receives results and starts of streamed responses; may block while its
+ *     mailbox is full
+ * @param connectionLimit limits the open connections to all cache servers together
+ * @param responseReader maps responses to attempt results
+ * @param connectTimeoutNanos the timeout for opening a connection
+ * @param idleTimeoutNanos how long a connection may stay idle before it is closed
  * @param metrics counts the attempts that were written
  * @param thread runs the actors of all cache servers
- * @param workers lends a thread to each attempt that is out
- * @param mayWrite whether the configuration in force still permits writing an attempt
+ * @param workers provides a thread for each attempt in flight
+ * @param mayWrite whether the current configuration still permits writing an attempt
  */
 public record CacheServerEnvironment(
     Clock clock,
--- a/src/main/java/beaconturn/net/server/CacheServerPool.java
+++ b/src/main/java/beaconturn/net/server/CacheServerPool.java
@@ -16,21 +16,21 @@
 import java.util.logging.Logger;
 
 /**
- * The cache servers of the endpoint list, each with its actor; keeps up with endpoint updates and
- * operator overrides. For the routing thread alone.
+ * The actors of the cache servers on the endpoint list; applies endpoint updates and operator
+ * overrides. Confined to the routing thread.
  */
 public final class CacheServerPool implements CacheServerClients {
   private static final Logger LOG = Logger.getLogger(CacheServerPool.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** A cache server as the endpoint list has it, and its actor. */
+  /** A cache server as stated in the endpoint list, and its actor. */
   private record PooledServer(
       CacheServer actor, String host, int zone, EndpointHealth health, long bootTimeNanos) {
     boolean isGone() {
       return health == EndpointHealth.GONE;
     }
 
-    /** Whether the list says the same of the server as it does now. */
+    /** Whether the server's state is the same in the new endpoint list. */
     boolean sameState(Endpoint entry) {
       return health == entry.health() && bootTimeNanos == entry.bootTimeNanos();
     }
@@ -39,20 +39,20 @@
   private final CacheServerEnvironment environment;
   private final Map<Long, PooledServer> servers = new HashMap<>();
 
-  /** Servers that operators have excluded, by id, whether or not they are on the list. */
+  /** The ids of servers excluded by operators, listed or not. */
   private final Set<Long> excluded = new HashSet<>();
 
-  /** How many in {@link #servers} are gone but may still have attempts or connections out. */
+  /** The number of {@link #servers} that are gone but may still have attempts or connections. */
   private int goneCount;
 
-  /** An empty pool. */
+  /** Creates an empty pool. */
   public CacheServerPool(CacheServerEnvironment environment) {
     this.environment = environment;
   }
 
   @Override
   public boolean send(OutboundAttempt attempt) {
-    dropEnded();
+    retireInactive();
     PooledServer server = servers.get(attempt.serverId());
     return server != null && !server.isGone() && server.actor().send(attempt);
   }
@@ -74,24 +74,24 @@
   }
 
   @Override
-  public void follow(EndpointUpdate update) {
+  public void applyUpdate(EndpointUpdate update) {
     if (update.kind() == EndpointListKind.FAILED) {
       return;
     }
-    dropEnded();
+    retireInactive();
     List<String> changes = new ArrayList<>();
     Set<Long> listed = new HashSet<>();
     for (EndpointUpdate.AddressedEndpoint member : update.endpoints()) {
       listed.add(member.endpoint().serverId());
-      followMember(member, changes);
+      updateMember(member, changes);
     }
     if (update.kind() != EndpointListKind.DELTA) {
       removeAllBut(listed, changes);
     }
     if (!changes.isEmpty()) {
-      // One line: in a large fleet a line for each server costs the routing thread more than the
-      // update itself.
-      LOG.info("list " + update.version() + ": " + String.join("; ", changes));
+      // One line per update: in a large fleet, logging a line per server costs the routing thread
+      // more than applying the update.
+      LOG.info("endpoint list " + update.version() + ": " + String.join("; ", changes));
     }
   }
 
@@ -101,7 +101,7 @@
     missing.forEach(serverId -> remove(serverId, changes));
   }
 
-  private void followMember(EndpointUpdate.AddressedEndpoint member, List<String> changes) {
+  private void updateMember(EndpointUpdate.AddressedEndpoint member, List<String> changes) {
     Endpoint entry = member.endpoint();
     if (entry.health() == EndpointHealth.GONE) {
       remove(entry.serverId(), changes);
@@ -111,7 +111,7 @@
     if (old == null || !old.sameState(entry)) {
       changes.add(describe(member));
     }
-    CacheServer actor = old == null ? startActor(member) : followKnown(old, member);
+    CacheServer actor = old == null ? startActor(member) : updateKnown(old, member);
     servers.put(
         entry.serverId(),
         new PooledServer(
@@ -136,14 +136,14 @@
     return actor;
   }
 
-  private CacheServer followKnown(PooledServer old, EndpointUpdate.AddressedEndpoint member) {
+  private CacheServer updateKnown(PooledServer old, EndpointUpdate.AddressedEndpoint member) {
     if (old.isGone()) {
       goneCount--;
     }
-    old.actor().address(Sockets.address(member.dialAddress()));
+    old.actor().setAddress(Sockets.address(member.dialAddress()));
     if (old.bootTimeNanos() != member.endpoint().bootTimeNanos()) {
-      // A connection from before the restart is dead, even where the peer's end never arrived: a
-      // request written to it would be lost.
+      // Connections from before the restart are dead even if no FIN was received; a request written
+      // to one would be lost.
       old.actor().closeIdle();
     }
     return old.actor();
@@ -165,7 +165,7 @@
     }
     boolean changed = exclude ? excluded.add(serverId) : excluded.remove(serverId);
     if (changed && listed) {
-      // Operators restart a server while it is out: what is connected now is dead at its return.
+      // The server may be restarted while it is excluded, which leaves its connections dead.
       server.actor().closeIdle();
       updateAcceptance(serverId);
     }
@@ -181,8 +181,8 @@
   }
 
   /**
-   * Marks a server as gone. It keeps its actor while attempts are out, as they may still be
-   * answered or given up.
+   * Marks a server as gone. Its actor is kept while attempts are in flight, which may still complete
+   * or be aborted.
    */
   private void remove(long serverId, List<String> changes) {
     PooledServer server = servers.get(serverId);
@@ -199,22 +199,22 @@
   }
 
   /**
-   * Retires the actors of servers that are gone and have nothing out. Also called at each send, as
-   * endpoint updates may be long in coming.
+   * Retires the actors of gone servers without attempts or connections. Also called on each send, as
+   * endpoint updates may be rare.
    */
-  private void dropEnded() {
+  private void retireInactive() {
     if (goneCount > 0) {
       int before = servers.size();
-      servers.values().removeIf(CacheServerPool::retireIfQuiet);
+      servers.values().removeIf(CacheServerPool::retireIfInactive);
       goneCount -= before - servers.size();
     }
   }
 
-  private static boolean retireIfQuiet(PooledServer server) {
-    boolean over = server.isGone() && server.actor().isQuiet();
-    if (over) {
+  private static boolean retireIfInactive(PooledServer server) {
+    boolean retire = server.isGone() && server.actor().isInactive();
+    if (retire) {
       server.actor().retire();
     }
-    return over;
+    return retire;
   }
 }
--- a/src/main/java/beaconturn/net/server/CacheServerTask.java
+++ b/src/main/java/beaconturn/net/server/CacheServerTask.java
@@ -5,22 +5,22 @@
 import java.net.InetSocketAddress;
 
 /**
- * A message to the actor of one cache server. Posted by any thread; {@link #applyTo} runs on the
- * {@link CacheServerThread} alone.
+ * A task for the actor of one cache server. Posted by any thread; {@link #applyTo} runs on the
+ * {@link CacheServerThread} only.
  */
 sealed interface CacheServerTask {
-  /** Has the actor do what the message says. */
+  /** Runs the task on the actor. */
   void applyTo(CacheServer server);
 
-  /** The actor joins its thread, which from then on looks after its idle connections. */
+  /** Registers the actor with its thread, which then maintains its idle connections. */
   record JoinThread() implements CacheServerTask {
     @Override
     public void applyTo(CacheServer server) {
-      // Whoever sends a first message is known to the thread from then on.
+      // The thread registers the actor of any task that it handles.
     }
   }
 
-  /** Write an attempt on a connection. */
+  /** Writes an attempt to a connection. */
   record SendAttempt(OutboundAttempt attempt) implements CacheServerTask {
     @Override
     public void applyTo(CacheServer server) {
@@ -28,7 +28,7 @@
     }
   }
 
-  /** An attempt was given up; its connection, if it had one, is closed already. */
+  /** An attempt was aborted; its connection, if any, is already closed. */
   record AbortAttempt(OutboundAttempt attempt) implements CacheServerTask {
     @Override
     public void applyTo(CacheServer server) {
@@ -36,7 +36,7 @@
     }
   }
 
-  /** An attempt has ended; its connection is the actor's again if it is {@code reusable}. */
+  /** An attempt ended; a {@code reusable} connection is returned to the actor. */
   record AttemptEnded(
       CacheConnection connection, OutboundAttempt attempt, AttemptResult result, boolean reusable)
       implements CacheServerTask {
@@ -46,7 +46,7 @@
     }
   }
 
-  /** The idle connection chosen for an attempt was dead, is closed, and nothing was written. */
+  /** The idle connection selected for an attempt was dead; it is closed and nothing was written. */
   record ConnectionStale(OutboundAttempt attempt) implements CacheServerTask {
     @Override
     public void applyTo(CacheServer server) {
@@ -54,15 +54,15 @@
     }
   }
 
-  /** The cache server has sent bytes that are no response, or came unasked. */
-  record UnreadableResponse() implements CacheServerTask {
+  /** The cache server sent a malformed response, or bytes without a request. */
+  record MalformedResponse() implements CacheServerTask {
     @Override
     public void applyTo(CacheServer server) {
-      server.onUnreadableResponse();
+      server.onMalformedResponse();
     }
   }
 
-  /** A connection has ended while a worker thread had it. */
+  /** A connection was closed while a worker thread owned it. */
   record ConnectionClosed() implements CacheServerTask {
     @Override
     public void applyTo(CacheServer server) {
@@ -70,15 +70,15 @@
     }
   }
 
-  /** New connections go to this address. */
+  /** Changes the address of new connections. */
   record ChangeAddress(InetSocketAddress address) implements CacheServerTask {
     @Override
     public void applyTo(CacheServer server) {
-      server.onAddress(address);
+      server.onAddressChanged(address);
     }
   }
 
-  /** Close all idle connections. */
+  /** Closes all idle connections. */
   record CloseIdle() implements CacheServerTask {
     @Override
     public void applyTo(CacheServer server) {
@@ -86,7 +86,7 @@
     }
   }
 
-  /** End the actor once its last connection is closed. */
+  /** Stops the actor once its last connection is closed. */
   record RetireServer() implements CacheServerTask {
     @Override
     public void applyTo(CacheServer server) {
--- a/src/main/java/beaconturn/net/server/CacheServerThread.java
+++ b/src/main/java/beaconturn/net/server/CacheServerThread.java
@@ -8,19 +8,19 @@
 import java.util.logging.Logger;
 
 /**
- * The one thread on which the actors of all cache servers take turns, task by task: none of them
- * ever waits for a peer, and a thread for each of some hundred cache servers would cost a router
- * that sees little traffic more memory and a longer start than all that it serves.
+ * The thread on which the actors of all cache servers run their tasks. Actors never block on a peer,
+ * so they can share a thread; one thread per server would cost memory and startup time in a fleet
+ * of hundreds.
  */
 public final class CacheServerThread {
   private static final Logger LOG = Logger.getLogger(CacheServerThread.class.getName());
   private static final int MAILBOX_CAPACITY = 16_384;
 
-  /** Places that sends leave free, for what must not be lost: aborts, ends and closes. */
+  /** Slots that sends leave free for aborts, results and closes, which must not be lost. */
   private static final int RESERVED_CAPACITY = MAILBOX_CAPACITY / 2;
 
-  private static final long LONGEST_MAINTENANCE_INTERVAL_NANOS = 1_000_000_000;
-  private static final long SHORTEST_MAINTENANCE_INTERVAL_NANOS = 10_000_000;
+  private static final long MAX_MAINTENANCE_INTERVAL_NANOS = 1_000_000_000;
+  private static final long MIN_MAINTENANCE_INTERVAL_NANOS = 10_000_000;
   private static final int MAINTENANCES_PER_IDLE_TIMEOUT = 4;
 
   private record AddressedTask(CacheServer server, CacheServerTask task) {}
@@ -28,49 +28,48 @@
   private final Mailbox<AddressedTask> mailbox = new Mailbox<>(MAILBOX_CAPACITY);
   private final long maintenanceIntervalNanos;
 
-  /** The servers whose actors have not ended; for this thread alone. */
+  /** The servers whose actors have not stopped. Confined to this thread. */
   private final Set<CacheServer> servers = new LinkedHashSet<>();
 
-  /** Written by this thread alone. */
+  /** Written by this thread only, read by any thread. */
   private volatile int serverCount;
 
-  /**
-   * A thread that looks after all actors several times in the time that a connection may stay idle.
-   */
+  /** Creates a thread that runs the actors' maintenance several times per idle timeout. */
   public CacheServerThread(long idleTimeoutNanos) {
     this.maintenanceIntervalNanos =
         Math.max(
-            SHORTEST_MAINTENANCE_INTERVAL_NANOS,
+            MIN_MAINTENANCE_INTERVAL_NANOS,
             Math.min(
-                LONGEST_MAINTENANCE_INTERVAL_NANOS,
+                MAX_MAINTENANCE_INTERVAL_NANOS,
                 idleTimeoutNanos / MAINTENANCES_PER_IDLE_TIMEOUT));
   }
 
-  /** Starts the thread; called once. */
+  /** Starts the thread. Called once. */
   public void start() {
     Threads.supervised("cache-servers", this::run);
   }
 
-  /** How many cache servers have an actor; any thread. */
+  /** The number of actors that have not stopped. Any thread. */
   int serverCount() {
     return serverCount;
   }
 
   /**
-   * Posts without waiting; false if that would leave no room for what must not be lost. Any thread.
+   * Posts a task without waiting; false if it would use the slots reserved for tasks that must not
+   * be lost. Any thread.
    */
   boolean offerReserving(CacheServer server, CacheServerTask task) {
     return mailbox.offerReserving(RESERVED_CAPACITY, new AddressedTask(server, task));
   }
 
-  /** Posts without waiting: for the routing thread. */
-  void tell(CacheServer server, CacheServerTask task) {
+  /** Posts a task without waiting; logs an error if the mailbox is full. For the routing thread. */
+  void postOrDrop(CacheServer server, CacheServerTask task) {
     if (!mailbox.offer(new AddressedTask(server, task))) {
-      LOG.severe(server + ": mailbox full, lost " + task);
+      LOG.severe("cache server " + server + ": mailbox full, dropped " + task);
     }
   }
 
-  /** Posts, waiting for room: for the worker threads. */
+  /** Posts a task; blocks while the mailbox is full. For worker threads. */
   void post(CacheServer server, CacheServerTask task) {
     try {
       mailbox.put(new AddressedTask(server, task));
@@ -80,35 +79,35 @@
   }
 
   private void run() throws InterruptedException {
-    long maintainedAtNanos = System.nanoTime();
+    long lastMaintenanceNanos = System.nanoTime();
     while (true) {
-      long waitNanos = maintenanceIntervalNanos - (System.nanoTime() - maintainedAtNanos);
+      long waitNanos = maintenanceIntervalNanos - (System.nanoTime() - lastMaintenanceNanos);
       AddressedTask next = mailbox.poll(Math.max(0, waitNanos));
       if (next != null) {
         handle(next);
       }
-      if (System.nanoTime() - maintainedAtNanos >= maintenanceIntervalNanos) {
-        maintainedAtNanos = System.nanoTime();
-        servers.forEach(server -> guarded(server, server::maintain));
+      if (System.nanoTime() - lastMaintenanceNanos >= maintenanceIntervalNanos) {
+        lastMaintenanceNanos = System.nanoTime();
+        servers.forEach(server -> runGuarded(server, server::maintain));
       }
     }
   }
 
   private void handle(AddressedTask addressed) {
     CacheServer server = addressed.server();
-    guarded(server, () -> addressed.task().applyTo(server));
+    runGuarded(server, () -> addressed.task().applyTo(server));
     boolean changed = server.hasEnded() ? servers.remove(server) : servers.add(server);
     if (changed) {
       serverCount = servers.size();
     }
   }
 
-  /** A defect that shows at one cache server must not end the thread of all. */
-  private static void guarded(CacheServer server, Runnable step) {
+  /** Contains a failure in one actor, which must not stop the thread of all. */
+  private static void runGuarded(CacheServer server, Runnable step) {
     try {
       step.run();
     } catch (RuntimeException | Error e) {
-      LOG.log(Level.SEVERE, server + ": actor failed on a message and goes on", e);
+      LOG.log(Level.SEVERE, "cache server " + server + ": task failed; continuing", e);
     }
   }
 }
--- a/src/main/java/beaconturn/net/server/CacheSocket.java
+++ b/src/main/java/beaconturn/net/server/CacheSocket.java
@@ -11,15 +11,12 @@
 
 /**
  * The socket of one connection to a cache server. Opened once; {@link #close} and {@link #reset}
- * may be called by any thread, all else by the thread that has the connection.
+ * may be called by any thread, other methods by the thread that owns the connection.
  */
 final class CacheSocket {
   private static final Logger LOG = Logger.getLogger(CacheSocket.class.getName());
 
-  /**
-   * A whole request fits into the kernel's buffer, so that writing one to a silent peer never
-   * blocks.
-   */
+  /** Holds a complete request, so that writing one to an unresponsive peer does not block. */
   private static final int SEND_BUFFER_BYTES = 128 * 1024;
 
   private final InetSocketAddress address;
@@ -34,25 +31,24 @@
     return address;
   }
 
-  /** Whether a descriptor was ever opened for it. */
+  /** Whether the socket was ever opened. */
   boolean isOpened() {
     return channel != null;
   }
 
-  /** Takes a descriptor; fails for want of one, or if the connection was closed already. */
+  /** Opens a descriptor; fails if none is available or the connection is already closed. */
   void open() throws IOException {
     channel = SocketChannel.open();
     if (closed) {
-      // Whoever closed it found no channel to close: without this look the attempt that was given
-      // up would be written all the same.
-      throw new IOException("given up");
+      // A concurrent close found no channel; without this check an aborted attempt would still be
+      // written.
+      throw new IOException("connection closed before it was opened");
     }
     Socket socket = channel.socket();
     socket.setTcpNoDelay(true);
     socket.setSendBufferSize(SEND_BUFFER_BYTES);
   }
 
-  /** Connects, waiting so long at most. */
   void connect(int timeoutMillis) throws IOException {
     socket().connect(address, timeoutMillis);
   }
@@ -62,10 +58,7 @@
     return channel.socket();
   }
 
-  /**
-   * Reads at most one byte without waiting: 0 if there is none yet, below 0 if the connection has
-   * ended.
-   */
+  /** Reads at most one byte without waiting: 0 if none is available, negative if closed. */
   int readWithoutWaiting() {
     try {
       channel.configureBlocking(false);
@@ -77,7 +70,7 @@
     }
   }
 
-  /** Ends the connection, and whatever is out on it; takes no lock that a writer holds. */
+  /** Closes the connection without taking a lock that a writer may hold. */
   void close() {
     closed = true;
     SocketChannel open = channel;
@@ -87,9 +80,9 @@
   }
 
   /**
-   * Ends the connection by a reset, and not by an orderly end: behind a network that was cut the
-   * kernel would go on for minutes to deliver what it still holds, and a request given up long ago
-   * would run then.
+   * Closes the connection by a TCP reset instead of a FIN: across a network partition the kernel
+   * would keep retransmitting buffered data for minutes, and the server could run a request long
+   * after it was aborted.
    */
   void reset() {
     SocketChannel open = channel;
@@ -97,7 +90,7 @@
       try {
         open.setOption(StandardSocketOptions.SO_LINGER, 0);
       } catch (IOException e) {
-        LOG.finer("connection to " + address + " has ended by itself: " + e.getMessage());
+        LOG.finer("connection to " + address + " is already closed: " + e.getMessage());
       }
     }
     close();
--- a/src/main/java/beaconturn/net/server/ConnectionReporter.java
+++ b/src/main/java/beaconturn/net/server/ConnectionReporter.java
@@ -6,8 +6,8 @@
 import beaconturn.net.io.BoundedPipe;
 
 /**
- * Hands what happens on the connections of one cache server on to its actor and to the routing
- * thread; runs on worker threads, which may wait for room in a mailbox.
+ * Reports events on the connections of one cache server to its actor and to the routing thread. Runs
+ * on worker threads, which may block while a mailbox is full.
  */
 final class ConnectionReporter implements CacheConnectionListener {
   private final CacheServer server;
@@ -26,7 +26,7 @@
   @Override
   public void attemptEnded(
       CacheConnection connection, OutboundAttempt attempt, AttemptResult result, boolean reusable) {
-    // The actor first: what the routing thread sends next finds the connection idle.
+    // Notify the actor first, so that the routing thread's next attempt finds the connection idle.
     post(new CacheServerTask.AttemptEnded(connection, attempt, result, reusable));
     environment.routingThread().accept(new RoutingMessage.AttemptCompleted(attempt, result));
   }
@@ -47,8 +47,8 @@
   }
 
   @Override
-  public void unreadableResponse() {
-    post(new CacheServerTask.UnreadableResponse());
+  public void malformedResponse() {
+    post(new CacheServerTask.MalformedResponse());
   }
 
   @Override
--- a/src/main/java/beaconturn/net/server/IdleConnections.java
+++ b/src/main/java/beaconturn/net/server/IdleConnections.java
@@ -5,39 +5,38 @@
 import java.util.Iterator;
 
 /**
- * The idle connections to one cache server, the one used last first. Nobody reads from an idle
- * connection, so whoever closes it also has it counted as closed. For the {@link CacheServerThread}
- * alone.
+ * The idle connections to one cache server, most recently used first. No thread reads from an idle
+ * connection, so closing one here also reports it as closed. Confined to the {@link
+ * CacheServerThread}.
  */
 final class IdleConnections {
   /**
-   * A connection is not used again sooner than this after its last response. Otherwise a second,
-   * unasked response that comes just behind the first would be taken for that of the next request,
-   * and a client would get another key's value. After this time such bytes are there, and the
-   * connection is found not to be alive.
+   * How long a connection is not reused after a response. A duplicate response that arrives just
+   * after the first would otherwise be taken for the response to the next request, and its client
+   * would get the value of another key. After this time such bytes are detected as unexpected.
    */
   private static final long SETTLE_NANOS = 5_000_000;
 
   private record IdleCacheConnection(CacheConnection connection, long idleSinceNanos) {}
 
   private final long idleTimeoutNanos;
-  private final Runnable closed;
+  private final Runnable onClosed;
   private final Deque<IdleCacheConnection> connections = new ArrayDeque<>();
 
-  /** None yet; {@code closed} runs once for each connection that is closed here. */
-  IdleConnections(long idleTimeoutNanos, Runnable closed) {
+  /** Creates an empty collection; {@code onClosed} runs once for each connection closed here. */
+  IdleConnections(long idleTimeoutNanos, Runnable onClosed) {
     this.idleTimeoutNanos = idleTimeoutNanos;
-    this.closed = closed;
+    this.onClosed = onClosed;
   }
 
-  /** Keeps a connection that has been idle since that time. */
+  /** Adds a connection that has been idle since that time. */
   void add(CacheConnection connection, long idleSinceNanos) {
     connections.push(new IdleCacheConnection(connection, idleSinceNanos));
   }
 
   /**
-   * Removes and returns a settled connection, or null. The one used last goes first, so that those
-   * too many grow old and close.
+   * Removes and returns the most recently used settled connection, so that surplus connections reach
+   * their idle timeout; null if there is none.
    */
   CacheConnection takeSettled(long nowNanos) {
     long settledBefore = nowNanos - SETTLE_NANOS;
@@ -51,14 +50,14 @@
     return null;
   }
 
-  /** Closes the connection that has been idle for longest, if there is one. */
+  /** Closes the connection that has been idle longest, if any. */
   void closeOldest() {
     if (!connections.isEmpty()) {
       close(connections.pollLast().connection());
     }
   }
 
-  /** Closes what has been idle for longer than the timeout. */
+  /** Closes the connections that have been idle longer than the timeout. */
   void closeExpired(long nowNanos) {
     long oldestNanos = nowNanos - idleTimeoutNanos;
     while (!connections.isEmpty() && connections.peekLast().idleSinceNanos() < oldestNanos) {
@@ -66,7 +65,7 @@
     }
   }
 
-  /** Closes what the peer has closed, or has sent unasked bytes on. */
+  /** Closes the connections that the peer has closed or sent unexpected bytes on. */
   void closeDead() {
     for (Iterator<IdleCacheConnection> all = connections.iterator(); all.hasNext(); ) {
       CacheConnection next = all.next().connection();
@@ -77,15 +76,14 @@
     }
   }
 
-  /** Closes all. */
   void closeAll() {
     connections.forEach(idle -> close(idle.connection()));
     connections.clear();
   }
 
-  /** Closes a connection that nobody reads from any more and counts it as closed. */
+  /** Closes an idle connection and reports it as closed. */
   void close(CacheConnection connection) {
     connection.close();
-    closed.run();
+    onClosed.run();
   }
 }
--- a/src/main/java/beaconturn/net/server/LargeResponseStream.java
+++ b/src/main/java/beaconturn/net/server/LargeResponseStream.java
@@ -12,18 +12,18 @@
 import java.io.InputStream;
 
 /**
- * A response whose value is too large to be held whole: it is streamed to the client as it comes.
- * The last two bytes of the value are held back until what stands behind it has been read: if that
- * is malformed, the client must not get a response that looks complete.
+ * Streams a response to the client while it is received, as its value is too large to be buffered.
+ * The line end after the value is held back until the rest of the response has been read: if that is
+ * malformed, the client must not get a response that looks complete.
  *
- * <p>For the worker thread that has the connection; pieces handed to the pipe are not written to
+ * <p>For the worker thread that owns the connection; pieces passed to the pipe are not modified
  * afterwards.
  */
 public final class LargeResponseStream {
   /** The largest value that is streamed. */
-  static final int LARGEST_VALUE_BYTES = 4 << 20;
+  static final int MAX_STREAMED_VALUE_BYTES = 4 << 20;
 
-  private static final int LONGEST_HEAD_BYTES = 32;
+  private static final int MAX_HEAD_BYTES = 32;
   private static final int LINE_END_BYTES = 2;
   private static final String HEAD_START = "*3\r\n$";
 
@@ -34,7 +34,7 @@
   }
 
   /**
-   * The large response that begins here, whose head is then consumed; null if none begins here or
+   * The large response at the start of the buffer, whose head is consumed; null if there is none or
    * its head is incomplete.
    */
   public static LargeResponseStream at(InputBuffer input) {
@@ -43,13 +43,13 @@
     }
     int position = HEAD_START.length();
     long size = 0;
-    while (position < LONGEST_HEAD_BYTES && isDigit(input, position)) {
+    while (position < MAX_HEAD_BYTES && isDigit(input, position)) {
       size = size * 10 + input.at(position) - '0';
       position++;
     }
     if (!isLineEnd(input, position)
         || size <= RespReader.MAX_VALUE_BYTES
-        || size > LARGEST_VALUE_BYTES) {
+        || size > MAX_STREAMED_VALUE_BYTES) {
       return null;
     }
     input.consume(position + LINE_END_BYTES);
@@ -76,9 +76,9 @@
   }
 
   /**
-   * Streams the value into the pipe and reads what stands behind it.
+   * Streams the value into the pipe and reads the rest of the response.
    *
-   * @param startedAtNanos when the first bytes came, which is the time of the result
+   * @param startedAtNanos when the first bytes were received, which becomes the result's end time
    */
   AttemptResult stream(
       InputStream from,
@@ -110,18 +110,18 @@
     }
   }
 
-  private static Slice takeBuffered(InputBuffer input, int mostBytes) {
-    int size = Math.min(input.size(), mostBytes);
+  private static Slice takeBuffered(InputBuffer input, int maxBytes) {
+    int size = Math.min(input.size(), maxBytes);
     Slice piece = input.slice(0, size);
     input.consume(size);
     return piece;
   }
 
-  private static Slice read(InputStream from, int mostBytes) throws IOException {
-    byte[] bytes = new byte[Math.min(Sockets.MAX_TRANSFER_BYTES, mostBytes)];
+  private static Slice read(InputStream from, int maxBytes) throws IOException {
+    byte[] bytes = new byte[Math.min(Sockets.MAX_TRANSFER_BYTES, maxBytes)];
     int count = from.read(bytes);
     if (count < 0) {
-      throw new IOException("ended in the middle of a value");
+      throw new IOException("connection closed in the middle of a value");
     }
     return new Slice(bytes, 0, count);
   }
@@ -132,7 +132,7 @@
       readMore(from, input);
     }
     if (!isLineEnd(input, 0)) {
-      throw new ProtocolException("string not ended where it said");
+      throw new ProtocolException("no line end after a value of the stated length");
     }
     input.consume(LINE_END_BYTES);
   }
@@ -149,7 +149,7 @@
 
   private static void readMore(InputStream from, InputBuffer input) throws IOException {
     if (!Sockets.read(from, input)) {
-      throw new IOException("ended in the middle of an answer");
+      throw new IOException("connection closed in the middle of a response");
     }
   }
 }
--- a/src/main/java/beaconturn/net/server/WorkerPool.java
+++ b/src/main/java/beaconturn/net/server/WorkerPool.java
@@ -8,9 +8,9 @@
 import java.util.logging.Logger;
 
 /**
- * Threads that run one job at a time and wait a while for the next; safe for any thread. The one
- * that came back last is used first, so that those too many wait in vain and end. Each waits on its
- * own monitor, for the reason that {@link beaconturn.core.Mailbox} gives.
+ * A pool of threads that grows on demand; the most recently used idle thread is used first, so that
+ * surplus threads reach their keep-alive time and stop. Each thread waits on its own monitor, for
+ * the reason stated at {@link beaconturn.core.Mailbox}. Safe for any thread.
  */
 public final class WorkerPool {
   private static final Logger LOG = Logger.getLogger(WorkerPool.class.getName());
@@ -20,21 +20,21 @@
   private final Deque<PooledThread> idle = new ArrayDeque<>();
   private int threadCount;
 
-  /** Threads of that name that end when they have waited so long for a job. */
+  /** Creates a pool of threads with that name, which stop after that time without a job. */
   public WorkerPool(String threadName, long keepAliveNanos) {
     this.threadName = threadName;
     this.keepAliveNanos = keepAliveNanos;
   }
 
   /**
-   * Runs the job on a thread that waits, or on a new one.
+   * Runs the job on an idle thread or a new one.
    *
-   * @throws OutOfMemoryError if no thread can be had; the job will not run
+   * @throws OutOfMemoryError if no thread can be started; the job will not run
    */
   void run(Runnable job) {
-    PooledThread waiting = takeIdleOrCountNew();
-    if (waiting != null) {
-      waiting.assign(job);
+    PooledThread idleThread = takeIdleOrCountNew();
+    if (idleThread != null) {
+      idleThread.assign(job);
       return;
     }
     boolean started = false;
@@ -48,18 +48,18 @@
     }
   }
 
-  /** How many threads there are, at work or waiting. */
+  /** The number of threads, busy and idle. */
   synchronized int threadCount() {
     return threadCount;
   }
 
-  /** Null if none waits; the one that the caller then starts is counted already. */
+  /** Takes an idle thread; null if there is none, and the new thread to start is then counted. */
   private synchronized PooledThread takeIdleOrCountNew() {
-    PooledThread waiting = idle.pollFirst();
-    if (waiting == null) {
+    PooledThread idleThread = idle.pollFirst();
+    if (idleThread == null) {
       threadCount++;
     }
-    return waiting;
+    return idleThread;
   }
 
   private synchronized void threadEnded() {
@@ -70,7 +70,7 @@
     idle.addFirst(thread);
   }
 
-  /** False if the thread was chosen for a job meanwhile. */
+  /** False if the thread has already been taken for a job. */
   private synchronized boolean removeIdle(PooledThread thread) {
     return idle.remove(thread);
   }
@@ -100,7 +100,7 @@
       try {
         job.run();
       } catch (RuntimeException | Error e) {
-        LOG.log(Level.SEVERE, threadName + ": a job failed, and its thread goes on", e);
+        LOG.log(Level.SEVERE, "job failed on a " + threadName + " thread; continuing", e);
       }
     }
 
@@ -116,9 +116,9 @@
     }
 
     /**
-     * The next job, or null once this thread has waited long enough and nobody has chosen it. A job
-     * could be lost where it is assigned just as the wait ends: whoever was chosen is not idle any
-     * more, and waits on for the job that is on its way.
+     * Waits for the next job; null if the keep-alive time has passed. If this thread was taken for a
+     * job just as the time passed, it is no longer in the idle list and waits for that job, which
+     * would otherwise be lost.
      */
     private Runnable awaitNext() throws InterruptedException {
       addIdle(this);
@@ -129,13 +129,13 @@
       return takeAssigned();
     }
 
-    /** Waits for a job for so long; whether there is one. */
+    /** Waits for a job at most that time; true if one was assigned. */
     private synchronized boolean awaitAssigned(long timeoutNanos) throws InterruptedException {
-      long beganNanos = System.nanoTime();
+      long startNanos = System.nanoTime();
       long leftNanos = timeoutNanos;
       while (assigned == null && leftNanos > 0) {
         TimeUnit.NANOSECONDS.timedWait(this, leftNanos);
-        leftNanos = timeoutNanos - (System.nanoTime() - beganNanos);
+        leftNanos = timeoutNanos - (System.nanoTime() - startNanos);
       }
       return assigned != null;
     }
--- a/src/main/java/beaconturn/net/server/package-info.java
+++ b/src/main/java/beaconturn/net/server/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The cache servers' side of a router. {@link beaconturn.net.server.CacheServerPool} follows the
- * endpoint list and has one {@link beaconturn.net.server.CacheServer} actor for each server; all
- * actors share the {@link beaconturn.net.server.CacheServerThread}. Each attempt that is out
- * occupies one thread of the {@link beaconturn.net.server.WorkerPool}, with a small stack, which
- * runs a {@link beaconturn.net.server.CacheConnection} with blocking reads and writes; {@link
- * beaconturn.net.server.CacheResponseReader} maps what comes back.
+ * The router's connections to cache servers. {@link beaconturn.net.server.CacheServerPool} tracks
+ * the endpoint list and keeps one {@link beaconturn.net.server.CacheServer} actor per server; all
+ * actors share the {@link beaconturn.net.server.CacheServerThread}. Each attempt in flight occupies
+ * one small-stack thread of the {@link beaconturn.net.server.WorkerPool}, which runs a {@link
+ * beaconturn.net.server.CacheConnection} with blocking reads and writes; {@link
+ * beaconturn.net.server.CacheResponseReader} maps responses to results.
  */
 package beaconturn.net.server;
--- a/src/test/java/beaconturn/core/RoutingEngineTest.java
+++ b/src/test/java/beaconturn/core/RoutingEngineTest.java
@@ -461,7 +461,7 @@
     }
 
     @Override
-    public void follow(EndpointUpdate update) {
+    public void applyUpdate(EndpointUpdate update) {
       sent.clear();
     }
 
--- a/src/test/java/beaconturn/net/discovery/package-info.java
+++ b/src/test/java/beaconturn/net/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** Tests. */
+/** Tests of the discovery client, over real sockets. */
 package beaconturn.net.discovery;
--- a/src/test/java/beaconturn/net/server/CacheResponseReaderTest.java
+++ b/src/test/java/beaconturn/net/server/CacheResponseReaderTest.java
@@ -15,34 +15,32 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The load report in an answer; an answer is good whatever its report is. */
+/** Tests the load report of a response; a malformed report must not make the response fail. */
 class CacheResponseReaderTest {
   private static AttemptResult read(String report) throws Exception {
     Map<String, String> settings = Samples.settings();
     settings.put("load_report.names", "busy_reqs,svc_ms");
-    CacheResponseReader replies =
+    CacheResponseReader reader =
         new CacheResponseReader(RouterSettingsReader.read(settings).routing());
     byte[] bytes = ("*3\r\n$2\r\nva\r\n$3\r\nhit\r\n" + report).getBytes(StandardCharsets.UTF_8);
     InputBuffer in = new InputBuffer();
     in.ensureRoom();
     System.arraycopy(bytes, 0, in.array(), in.end(), bytes.length);
     in.filled(bytes.length);
-    return replies.read(new RespReader(RespReader.MAX_VALUE_BYTES).next(in), 1);
+    return reader.read(new RespReader(RespReader.MAX_VALUE_BYTES).next(in), 1);
   }
 
   @Test
-  void aReportIsReadInTheOrderOfTheSettings() throws Exception {
+  void readsLoadReportInOrderOfSettings() throws Exception {
     assertArrayEquals(
         new float[] {3, 1.5f},
         read(RespWriter.bulk("svc_ms=1.5,busy_reqs=3").toString()).loadReport());
   }
 
-  /**
-   * A figure that is infinite or negative would stay in the averages that decisions are made from.
-   */
+  /** An infinite or negative value would distort the routing policy's averages permanently. */
   @Test
-  void aReportThatCannotBeReadIsNone() throws Exception {
-    for (String wrong :
+  void ignoresMalformedLoadReport() throws Exception {
+    for (String invalid :
         List.of(
             "svc_ms=1",
             "svc_ms=1e99,busy_reqs=3",
@@ -53,18 +51,18 @@
             "noise",
             "svc_ms=1,svc_ms=2",
             "svc_ms=1,busy_reqs=0x1p3")) {
-      AttemptResult outcome = read(RespWriter.bulk(wrong).toString());
-      assertEquals(AttemptOutcome.OK, outcome.outcome(), wrong);
-      assertEquals(0, outcome.loadReport().length, wrong);
+      AttemptResult result = read(RespWriter.bulk(invalid).toString());
+      assertEquals(AttemptOutcome.OK, result.outcome(), invalid);
+      assertEquals(0, result.loadReport().length, invalid);
     }
-    for (String odd : List.of(":7\r\n", "$-1\r\n", "+x\r\n", "*0\r\n")) {
-      assertEquals(AttemptOutcome.OK, read(odd).outcome(), odd);
-      assertEquals(0, read(odd).loadReport().length, odd);
+    for (String otherType : List.of(":7\r\n", "$-1\r\n", "+x\r\n", "*0\r\n")) {
+      assertEquals(AttemptOutcome.OK, read(otherType).outcome(), otherType);
+      assertEquals(0, read(otherType).loadReport().length, otherType);
     }
   }
 
   @Test
-  void theValueGoesOnAsItCame() throws Exception {
+  void forwardsValueUnchanged() throws Exception {
     assertEquals("$2\r\nva\r\n", read("$-1\r\n").response().toString());
   }
 }
--- a/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
@@ -29,13 +29,13 @@
 
 class CacheServerPoolTest {
   private static final long SECOND = 1_000_000_000;
-  private static final int MANY = 200;
+  private static final int SERVER_COUNT = 200;
   private final Clock clock = Clock.system();
   private final WorkerPool workers = new WorkerPool("fleet-cache", SECOND / 100);
-  private final BlockingQueue<RoutingMessage> module = new LinkedBlockingQueue<>();
+  private final BlockingQueue<RoutingMessage> routingMessages = new LinkedBlockingQueue<>();
   private final CacheServerEnvironment environment =
       CacheServerTest.environment(
-          clock, module::add, new ConnectionLimit(9), SECOND / 100, workers);
+          clock, routingMessages::add, new ConnectionLimit(9), SECOND / 100, workers);
   private final CacheServerPool pool = new CacheServerPool(environment);
 
   private static EndpointUpdate.AddressedEndpoint member(
@@ -45,7 +45,7 @@
   }
 
   private OutboundAttempt attempt(long server) {
-    ClientRequest call =
+    ClientRequest request =
         new RespClientRequest(
             new RequestDescription(0, 1, false, false, 0, 0, 0),
             clock.now() + 100 * SECOND,
@@ -54,12 +54,12 @@
                 Slice.of("id"),
                 Map.of("d", "1"),
                 null),
-            CacheServerTest.READ,
+            CacheServerTest.READING,
             () -> {});
-    return new OutboundAttempt(1, 0, server, call, clock.now(), 100 * SECOND);
+    return new OutboundAttempt(1, 0, server, request, clock.now(), 100 * SECOND);
   }
 
-  private static TestPeer cache() {
+  private static TestPeer cacheServer() {
     return new TestPeer(
         line -> {
           while (!line.command().equals("end")) {
@@ -68,12 +68,12 @@
         });
   }
 
-  /** On a long day servers go again and again; the actor of each must go with it, news or not. */
+  /** Guards against a leak of actors in a fleet whose servers are replaced over time. */
   @Test
   @Timeout(60)
-  void theActorOfAServerThatIsGoneEndsWithoutFurtherNews() throws Exception {
-    try (TestPeer peer = cache()) {
-      pool.follow(
+  void actorOfGoneServerStopsWithoutFurtherUpdates() throws Exception {
+    try (TestPeer peer = cacheServer()) {
+      pool.applyUpdate(
           new EndpointUpdate(
               1,
               EndpointListKind.FULL,
@@ -81,45 +81,42 @@
                   member(1, EndpointHealth.READY, peer), member(2, EndpointHealth.READY, peer))));
       assertTrue(pool.send(attempt(1)));
       TestPeer.until(() -> environment.thread().serverCount() == 2);
-      pool.follow(
+      pool.applyUpdate(
           new EndpointUpdate(
               2, EndpointListKind.DELTA, List.of(member(1, EndpointHealth.GONE, peer))));
       assertFalse(pool.send(attempt(1)), "nothing is sent to a server that is gone");
-      OutboundAttempt givenUp = attempt(2);
-      givenUp.end(AttemptOutcome.CANCELLED);
+      OutboundAttempt ended = attempt(2);
+      ended.end(AttemptOutcome.CANCELLED);
       TestPeer.until(
           () -> {
-            pool.send(givenUp);
+            pool.send(ended);
             return environment.thread().serverCount() == 1;
           });
     }
   }
 
-  /**
-   * Threads cost a start and memory: they go by what is out at once, not by how many servers there
-   * are.
-   */
+  /** Guards against a thread per server, which would cost memory and startup time. */
   @Test
   @Timeout(60)
-  void threadsGoByWhatIsOutAndAreGivenBack() throws Exception {
-    try (TestPeer peer = cache()) {
-      pool.follow(
+  void threadCountFollowsAttemptsInFlight() throws Exception {
+    try (TestPeer peer = cacheServer()) {
+      pool.applyUpdate(
           new EndpointUpdate(
               1,
               EndpointListKind.FULL,
-              LongStream.range(0, MANY)
+              LongStream.range(0, SERVER_COUNT)
                   .mapToObj(id -> member(id, EndpointHealth.READY, peer))
                   .toList()));
-      TestPeer.until(() -> environment.thread().serverCount() == MANY);
-      int most = 0;
-      for (long id = 0; id < MANY; id++) {
+      TestPeer.until(() -> environment.thread().serverCount() == SERVER_COUNT);
+      int maxThreads = 0;
+      for (long id = 0; id < SERVER_COUNT; id++) {
         assertTrue(pool.send(attempt(id)));
-        RoutingMessage.AttemptCompleted ended = (RoutingMessage.AttemptCompleted) module.take();
-        assertEquals(AttemptOutcome.OK, ended.result().outcome());
-        most = Math.max(most, workers.threadCount());
+        RoutingMessage.AttemptCompleted completed = (RoutingMessage.AttemptCompleted) routingMessages.take();
+        assertEquals(AttemptOutcome.OK, completed.result().outcome());
+        maxThreads = Math.max(maxThreads, workers.threadCount());
         pool.closeIdle(id);
       }
-      assertTrue(most <= 3, most + " threads for one request at a time");
+      assertTrue(maxThreads <= 3, maxThreads + " threads for one request at a time");
       TestPeer.until(() -> workers.threadCount() == 0);
     }
   }
--- a/src/test/java/beaconturn/net/server/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerTest.java
@@ -33,54 +33,54 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** What comes back from a cache server, outcome by outcome of the protocol's table. */
+/** Tests the mapping of a cache server's behaviour to attempt outcomes, over real sockets. */
 public class CacheServerTest {
   private static final long SECOND = 1_000_000_000;
   private static final String VALUE = "*3\r\n$2\r\nva\r\n$4\r\nmiss\r\n$-1\r\n";
   private final Clock system = Clock.system();
-  private final AtomicLong passed = new AtomicLong();
+  private final AtomicLong clockOffsetNanos = new AtomicLong();
 
-  /** The time at which the clock stands still, or 0 while it goes. */
-  private final AtomicLong still = new AtomicLong();
+  /** The time at which the clock is frozen, or 0 while it runs. */
+  private final AtomicLong frozenAtNanos = new AtomicLong();
 
-  private final Clock clock = () -> still.get() != 0 ? still.get() : system.now() + passed.get();
-  private final BlockingQueue<RoutingMessage> module = new LinkedBlockingQueue<>();
-  public static final RespClientRequest.Reading READ =
+  private final Clock clock = () -> frozenAtNanos.get() != 0 ? frozenAtNanos.get() : system.now() + clockOffsetNanos.get();
+  private final BlockingQueue<RoutingMessage> routingMessages = new LinkedBlockingQueue<>();
+  public static final RespClientRequest.Reading READING =
       new RespClientRequest.Reading(null, "read", 0, RequestMetrics.NONE);
   private int sent;
 
   static CacheServerEnvironment environment(
       Clock clock,
-      Consumer<RoutingMessage> module,
-      ConnectionLimit places,
-      long idleTime,
+      Consumer<RoutingMessage> routingMessages,
+      ConnectionLimit connectionLimit,
+      long idleTimeoutNanos,
       WorkerPool workers) {
-    CacheServerThread actors = new CacheServerThread(idleTime);
-    actors.start();
+    CacheServerThread thread = new CacheServerThread(idleTimeoutNanos);
+    thread.start();
     return new CacheServerEnvironment(
         clock,
-        module,
-        places,
+        routingMessages,
+        connectionLimit,
         new CacheResponseReader(Samples.read().routing()),
         SECOND,
-        idleTime,
+        idleTimeoutNanos,
         RequestMetrics.NONE,
-        actors,
+        thread,
         workers,
         () -> true);
   }
 
-  private CacheServer server(InetSocketAddress dial, int connections, long idleTime) {
+  private CacheServer server(InetSocketAddress address, int connections, long idleTimeoutNanos) {
     CacheServer server =
         new CacheServer(
             environment(
                 clock,
-                module::add,
+                routingMessages::add,
                 new ConnectionLimit(connections),
-                idleTime,
+                idleTimeoutNanos,
                 new WorkerPool("test-cache", SECOND)),
             "s-1",
-            dial);
+            address);
     server.start();
     return server;
   }
@@ -91,7 +91,7 @@
 
   private OutboundAttempt attempt(Slice value) {
     String name = "key-" + sent;
-    ClientRequest call =
+    ClientRequest request =
         new RespClientRequest(
             new RequestDescription(0, 1, false, false, 0, 0, 0),
             clock.now() + 100 * SECOND,
@@ -100,36 +100,36 @@
                 Slice.of("id"),
                 Map.of("d", "1"),
                 value),
-            READ,
+            READING,
             () -> {});
-    return new OutboundAttempt(++sent, 0, 7, call, clock.now(), 100 * SECOND);
+    return new OutboundAttempt(++sent, 0, 7, request, clock.now(), 100 * SECOND);
   }
 
-  /** Sends once the connections of earlier answers have settled. */
+  /** Sends an attempt after the connections of earlier responses have settled. */
   private OutboundAttempt send(CacheServer server) {
-    passed.addAndGet(SECOND);
+    clockOffsetNanos.addAndGet(SECOND);
     OutboundAttempt attempt = attempt(null);
     assertTrue(server.send(attempt));
     return attempt;
   }
 
-  private AttemptResult outcome(OutboundAttempt of) throws InterruptedException {
-    RoutingMessage.AttemptCompleted ended =
-        (RoutingMessage.AttemptCompleted) module.poll(20, TimeUnit.SECONDS);
-    assertNotNull(ended, "no outcome");
-    assertEquals(of, ended.attempt());
-    return ended.result();
+  private AttemptResult awaitResult(OutboundAttempt attempt) throws InterruptedException {
+    RoutingMessage.AttemptCompleted completed =
+        (RoutingMessage.AttemptCompleted) routingMessages.poll(20, TimeUnit.SECONDS);
+    assertNotNull(completed, "no result");
+    assertEquals(attempt, completed.attempt());
+    return completed.result();
   }
 
-  private void expect(AttemptOutcome ending, TestPeer.Script script) throws InterruptedException {
+  private void assertOutcome(AttemptOutcome expected, TestPeer.Script script) throws InterruptedException {
     try (TestPeer peer = new TestPeer(script)) {
-      assertEquals(ending, outcome(send(server(peer))).outcome());
-      assertEquals(1, peer.connections(), "nothing is sent again by itself");
+      assertEquals(expected, awaitResult(send(server(peer))).outcome());
+      assertEquals(1, peer.connections(), "the attempt is not retried");
     }
   }
 
   @Test
-  void anArrayIsServedWithItsNoteInHoweverManyPieces() throws InterruptedException {
+  void readsResponseThatArrivesByteByByte() throws InterruptedException {
     try (TestPeer peer =
         new TestPeer(
             line -> {
@@ -139,16 +139,16 @@
               }
               line.command();
             })) {
-      AttemptResult outcome = outcome(send(server(peer)));
-      assertEquals(AttemptOutcome.OK, outcome.outcome());
-      assertEquals(CacheStatus.MISS, outcome.cacheStatus());
-      assertEquals("$2\r\nva\r\n", outcome.response().toString());
+      AttemptResult result = awaitResult(send(server(peer)));
+      assertEquals(AttemptOutcome.OK, result.outcome());
+      assertEquals(CacheStatus.MISS, result.cacheStatus());
+      assertEquals("$2\r\nva\r\n", result.response().toString());
     }
   }
 
   @Test
-  void anErrorMayHaveRun() throws InterruptedException {
-    expect(
+  void errorResponseEndsAsError() throws InterruptedException {
+    assertOutcome(
         AttemptOutcome.ERROR,
         line -> {
           line.command();
@@ -157,66 +157,66 @@
         });
   }
 
-  /** Guards against a send that waited here while its router was told that the server drains. */
+  /** Guards against writing an attempt that was queued when the server started to drain. */
   @Test
-  void whatStillWaitsWhenItsServerDrainsIsNotWritten() throws InterruptedException {
+  void doesNotWriteQueuedAttemptToDrainingServer() throws InterruptedException {
     try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
       CacheServer server = server(peer);
       server.acceptsRequests(false);
-      assertEquals(AttemptOutcome.SUPERSEDED, outcome(send(server)).outcome());
+      assertEquals(AttemptOutcome.SUPERSEDED, awaitResult(send(server)).outcome());
       assertEquals(0, peer.connections());
     }
   }
 
-  /** The client's close reaches the module later than those who write: they look themselves. */
+  /** A writer checks the client itself, as the routing thread is notified of a disconnect later. */
   @Test
-  void whatNobodyWaitsForIsNotWritten() throws InterruptedException {
+  void doesNotWriteAttemptOfAbandonedRequest() throws InterruptedException {
     try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
       CacheServer server = server(peer);
-      passed.addAndGet(SECOND);
+      clockOffsetNanos.addAndGet(SECOND);
       OutboundAttempt attempt = attempt(null);
       ((RespClientRequest) attempt.request()).abandoned();
       assertTrue(server.send(attempt));
-      assertEquals(AttemptOutcome.SUPERSEDED, outcome(attempt).outcome());
+      assertEquals(AttemptOutcome.SUPERSEDED, awaitResult(attempt).outcome());
       assertEquals(0, peer.connections());
     }
   }
 
-  /** Nobody is told of a time that is over, in however small a number. */
+  /** A request must not reach a server with a deadline that has already passed. */
   @Test
-  void whatHasNoTimeLeftIsNotWritten() throws InterruptedException {
+  void doesNotWriteAttemptThatHasTimedOut() throws InterruptedException {
     try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
       CacheServer server = server(peer);
       OutboundAttempt attempt = attempt(null);
-      passed.addAndGet(101 * SECOND);
+      clockOffsetNanos.addAndGet(101 * SECOND);
       assertTrue(server.send(attempt));
-      assertEquals(AttemptOutcome.SUPERSEDED, outcome(attempt).outcome());
+      assertEquals(AttemptOutcome.SUPERSEDED, awaitResult(attempt).outcome());
       assertEquals(0, peer.connections());
     }
   }
 
-  /** A connection that comes up after its client has gone carries nothing. */
+  /** The client may disconnect while the connection is being opened. */
   @Test
-  void aClientThatLeavesWhileTheConnectionComesUpIsNotWrittenFor() throws Exception {
+  void doesNotWriteIfRequestIsAbandonedWhileConnecting() throws Exception {
     try (TestPeer peer = new TestPeer(line -> line.note(line.command()))) {
       CacheConnection connection =
           new CacheConnection(
               peer.address(),
               environment(
                   clock,
-                  module::add,
+                  routingMessages::add,
                   new ConnectionLimit(1),
                   60 * SECOND,
                   new WorkerPool("test-cache", SECOND)),
               new IgnoringListener());
       OutboundAttempt attempt = attempt(null);
       ((RespClientRequest) attempt.request()).abandoned();
-      connection.carry(attempt);
+      connection.execute(attempt);
       assertEquals("end", peer.note());
     }
   }
 
-  /** Permits every write and hears nothing. */
+  /** Permits every write and ignores all events. */
   private static final class IgnoringListener implements CacheConnectionListener {
     @Override
     public boolean mayWrite() {
@@ -240,15 +240,15 @@
     public void requestWritten() {}
 
     @Override
-    public void unreadableResponse() {}
+    public void malformedResponse() {}
 
     @Override
     public void connectionClosed() {}
   }
 
   @Test
-  void busyNeverRan() throws InterruptedException {
-    expect(
+  void busyResponseEndsAsRejected() throws InterruptedException {
+    assertOutcome(
         AttemptOutcome.REJECTED,
         line -> {
           line.command();
@@ -257,15 +257,15 @@
   }
 
   @Test
-  void aConnectionThatEndsAfterTheLastByteIsAReset() throws InterruptedException {
-    expect(AttemptOutcome.RESET, TestPeer.Line::command);
-    expect(
+  void connectionLostAfterRequestWasWrittenEndsAsReset() throws InterruptedException {
+    assertOutcome(AttemptOutcome.RESET, TestPeer.Line::command);
+    assertOutcome(
         AttemptOutcome.RESET,
         line -> {
           line.command();
           line.reset();
         });
-    expect(
+    assertOutcome(
         AttemptOutcome.RESET,
         line -> {
           line.command();
@@ -274,8 +274,8 @@
   }
 
   @Test
-  void anAnswerUnlikeTheProtocolIsNoValue() throws InterruptedException {
-    expect(
+  void responseOfAnotherProtocolEndsAsReset() throws InterruptedException {
+    assertOutcome(
         AttemptOutcome.RESET,
         line -> {
           line.command();
@@ -284,13 +284,10 @@
         });
   }
 
-  /**
-   * It has run, so it is no failed connect; and what else comes on that connection belongs to
-   * nothing.
-   */
+  /** The request may have run, and later bytes on the connection cannot be assigned to a request. */
   @Test
-  void aSpoiltAnswerMayHaveRunAndItsConnectionIsClosed() throws InterruptedException {
-    for (String spoilt :
+  void malformedResponseEndsAsResetAndClosesConnection() throws InterruptedException {
+    for (String malformed :
         List.of(
             ":5\r\n",
             "+OK\r\n",
@@ -311,20 +308,18 @@
           new TestPeer(
               line -> {
                 line.command();
-                line.write(spoilt);
+                line.write(malformed);
                 line.note(line.command());
               })) {
-        assertEquals(AttemptOutcome.RESET, outcome(send(server(peer))).outcome(), spoilt);
-        assertTrue(List.of("end", "broken").contains(peer.note()), spoilt);
+        assertEquals(AttemptOutcome.RESET, awaitResult(send(server(peer))).outcome(), malformed);
+        assertTrue(List.of("end", "broken").contains(peer.note()), malformed);
       }
     }
   }
 
-  /**
-   * A second copy right behind a good answer must not be taken for the answer of the next request.
-   */
+  /** A duplicate after a valid response must not be taken for the response to the next request. */
   @Test
-  void aGoodAnswerWithMoreBehindItIsServedAndItsConnectionClosed() throws InterruptedException {
+  void excessBytesAfterResponseCloseConnection() throws InterruptedException {
     for (String more : List.of(VALUE, VALUE.substring(0, 5), "noise")) {
       try (TestPeer peer =
           new TestPeer(
@@ -334,47 +329,41 @@
                 line.note(line.command());
               })) {
         CacheServer server = server(peer);
-        assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
+        assertEquals(AttemptOutcome.OK, awaitResult(send(server)).outcome());
         assertTrue(List.of("end", "broken").contains(peer.note()));
-        assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
+        assertEquals(AttemptOutcome.OK, awaitResult(send(server)).outcome());
         assertEquals(2, peer.connections());
       }
     }
   }
 
-  /**
-   * The same where the rest comes one read later, on a connection that stands idle, whole or in
-   * part.
-   */
+  /** As above, with the excess bytes arriving when the connection is already idle. */
   @Test
-  void whatComesOnAnIdleConnectionClosesIt() throws InterruptedException {
+  void bytesOnIdleConnectionCloseIt() throws InterruptedException {
     for (String more : List.of(VALUE, VALUE.substring(0, 5), "n")) {
-      CountDownLatch later = new CountDownLatch(1);
+      CountDownLatch responseRead = new CountDownLatch(1);
       try (TestPeer peer =
           new TestPeer(
               line -> {
                 line.command();
                 line.write(VALUE);
-                later.await();
+                responseRead.await();
                 line.write(more);
                 line.note(line.command());
               })) {
         CacheServer server = server(peer);
-        assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
-        later.countDown();
+        assertEquals(AttemptOutcome.OK, awaitResult(send(server)).outcome());
+        responseRead.countDown();
         assertTrue(List.of("end", "broken").contains(peer.note()));
-        assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
+        assertEquals(AttemptOutcome.OK, awaitResult(send(server)).outcome());
         assertEquals(2, peer.connections());
       }
     }
   }
 
-  /**
-   * What an answer brings behind itself may still be on its way when the next request wants to go
-   * out.
-   */
+  /** Excess bytes after a response may still be in transit when the next attempt is sent. */
   @Test
-  void aConnectionIsNotUsedAgainAtTheMomentOfItsAnswer() throws InterruptedException {
+  void doesNotReuseConnectionBeforeItSettles() throws InterruptedException {
     try (TestPeer peer =
         new TestPeer(
             line -> {
@@ -383,35 +372,35 @@
               }
             })) {
       CacheServer server = server(peer);
-      outcome(send(server));
-      passed.addAndGet(-system.now() - passed.get());
+      awaitResult(send(server));
+      clockOffsetNanos.addAndGet(-system.now() - clockOffsetNanos.get());
       OutboundAttempt next = attempt(null);
       assertTrue(server.send(next));
-      assertEquals(AttemptOutcome.OK, outcome(next).outcome());
+      assertEquals(AttemptOutcome.OK, awaitResult(next).outcome());
       assertEquals(2, peer.connections());
     }
   }
 
   @Test
-  void aRefusedConnectionNeverRan() throws InterruptedException {
+  void refusedConnectionEndsAsConnectFailed() throws InterruptedException {
     TestPeer peer = new TestPeer(TestPeer.Line::command);
     peer.close();
-    assertEquals(AttemptOutcome.CONNECT_FAILED, outcome(send(server(peer))).outcome());
+    assertEquals(AttemptOutcome.CONNECT_FAILED, awaitResult(send(server(peer))).outcome());
   }
 
   @Test
-  void withoutAPlaceForAConnectionNothingRan() throws InterruptedException {
-    CountDownLatch over = new CountDownLatch(1);
-    try (TestPeer peer = new TestPeer(line -> over.await())) {
+  void attemptOverConnectionLimitEndsAsNotSent() throws InterruptedException {
+    CountDownLatch done = new CountDownLatch(1);
+    try (TestPeer peer = new TestPeer(line -> done.await())) {
       CacheServer server = server(peer.address(), 1, 60 * SECOND);
       send(server);
-      assertEquals(AttemptOutcome.NOT_SENT, outcome(send(server)).outcome());
-      over.countDown();
+      assertEquals(AttemptOutcome.NOT_SENT, awaitResult(send(server)).outcome());
+      done.countDown();
     }
   }
 
   @Test
-  void connectionsAreUsedAgainOneRequestAtATime() throws InterruptedException {
+  void reusesConnectionForSequentialRequests() throws InterruptedException {
     try (TestPeer peer =
         new TestPeer(
             line -> {
@@ -422,22 +411,22 @@
             })) {
       CacheServer server = server(peer);
       for (int i = 0; i < 5; i++) {
-        assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
+        assertEquals(AttemptOutcome.OK, awaitResult(send(server)).outcome());
         assertEquals("key-" + i, peer.note());
       }
       assertEquals(1, peer.connections());
     }
   }
 
-  /** A request behind another would wait for it, and giving one up would cut off the other. */
+  /** A pipelined request would wait for the one before it, and aborting one would abort both. */
   @Test
-  void requestsAtOnceGetConnectionsOfTheirOwn() throws InterruptedException {
-    CountDownLatch over = new CountDownLatch(1);
+  void concurrentRequestsUseSeparateConnections() throws InterruptedException {
+    CountDownLatch done = new CountDownLatch(1);
     try (TestPeer peer =
         new TestPeer(
             line -> {
               line.note(line.command());
-              over.await();
+              done.await();
             })) {
       CacheServer server = server(peer);
       send(server);
@@ -445,37 +434,34 @@
       peer.note();
       peer.note();
       assertEquals(2, peer.connections());
-      over.countDown();
+      done.countDown();
     }
   }
 
   /**
-   * Nothing proves an attempt over but the end of its connection; and a reset, after which no
-   * kernel goes on to deliver what a cut network holds up.
+   * Without a reset, the kernel could still deliver the request of an aborted attempt after a
+   * network partition.
    */
   @Test
-  void anAttemptGivenUpResetsItsConnection() throws InterruptedException {
+  void abortResetsConnection() throws InterruptedException {
     try (TestPeer peer =
         new TestPeer(
             line -> {
               line.command();
-              line.note("begun");
+              line.note("received");
               line.note(line.command());
             })) {
       CacheServer server = server(peer);
       OutboundAttempt attempt = send(server);
-      assertEquals("begun", peer.note());
+      assertEquals("received", peer.note());
       server.abort(attempt);
       assertEquals("broken", peer.note());
     }
   }
 
-  /**
-   * Connections that have not settled are not used again, and hold no place against a request
-   * either.
-   */
+  /** A connection that has not settled cannot be reused and must not block a new one. */
   @Test
-  void answersFasterThanConnectionsSettleFindAPlace() throws InterruptedException {
+  void unsettledConnectionsDoNotExhaustConnectionLimit() throws InterruptedException {
     try (TestPeer peer =
         new TestPeer(
             line -> {
@@ -484,21 +470,21 @@
               line.note(line.command());
             })) {
       CacheServer server = server(peer.address(), 1, 60 * SECOND);
-      // However late the second one is sent: the first connection must not have settled by then.
-      still.set(system.now());
+      // With the clock frozen, the first connection never settles.
+      frozenAtNanos.set(system.now());
       for (int i = 0; i < 2; i++) {
         OutboundAttempt attempt = attempt(null);
         assertTrue(server.send(attempt));
-        assertEquals(AttemptOutcome.OK, outcome(attempt).outcome());
+        assertEquals(AttemptOutcome.OK, awaitResult(attempt).outcome());
       }
       assertEquals("end", peer.note());
       assertEquals(2, peer.connections());
     }
   }
 
-  /** What was given up on its way must not run: a copy of it may already be out elsewhere. */
+  /** The request's next attempt may already be in flight at another server. */
   @Test
-  void anAttemptGivenUpBeforeItWasBegunIsNotWritten() throws InterruptedException {
+  void doesNotWriteAttemptAbortedBeforeItStarted() throws InterruptedException {
     try (TestPeer peer =
         new TestPeer(
             line -> {
@@ -508,12 +494,12 @@
               }
             })) {
       CacheServer server = server(peer);
-      outcome(send(server));
-      OutboundAttempt givenUp = attempt(null);
-      givenUp.end(AttemptOutcome.CANCELLED);
-      assertTrue(server.send(givenUp));
-      server.abort(givenUp);
-      outcome(send(server));
+      awaitResult(send(server));
+      OutboundAttempt aborted = attempt(null);
+      aborted.end(AttemptOutcome.CANCELLED);
+      assertTrue(server.send(aborted));
+      server.abort(aborted);
+      awaitResult(send(server));
       assertEquals("key-0", peer.note());
       assertEquals("key-2", peer.note());
       assertEquals(List.of(), peer.notesLeft());
@@ -521,7 +507,7 @@
   }
 
   @Test
-  void aConnectionThatThePeerHasClosedIsNotWrittenTo() throws InterruptedException {
+  void doesNotWriteToConnectionClosedByPeer() throws InterruptedException {
     try (TestPeer peer =
         new TestPeer(
             line -> {
@@ -531,25 +517,25 @@
               line.note("closed");
             })) {
       CacheServer server = server(peer);
-      assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
+      assertEquals(AttemptOutcome.OK, awaitResult(send(server)).outcome());
       peer.note();
-      assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
+      assertEquals(AttemptOutcome.OK, awaitResult(send(server)).outcome());
       assertEquals(2, peer.connections());
       peer.note();
-      // Nobody sends any more, and what the peer has closed still gives its place back.
-      awaitQuiet(server);
+      // Connections closed by the peer are released even if no further attempt is sent.
+      awaitInactive(server);
     }
   }
 
-  private static void awaitQuiet(CacheServer server) {
-    while (!server.isQuiet()) {
+  private static void awaitInactive(CacheServer server) {
+    while (!server.isInactive()) {
       Thread.onSpinWait();
     }
   }
 
-  /** The cache server closes idle connections; a request that crosses that would end as a reset. */
+  /** A request that crosses the server's close of an idle connection would end as a reset. */
   @Test
-  void idleConnectionsAreRetiredByTheRouterFirst() throws InterruptedException {
+  void closesIdleConnectionAfterTimeout() throws InterruptedException {
     try (TestPeer peer =
         new TestPeer(
             line -> {
@@ -557,13 +543,13 @@
               line.write(VALUE);
               line.note(line.command());
             })) {
-      outcome(send(server(peer.address(), 10, SECOND / 20)));
+      awaitResult(send(server(peer.address(), 10, SECOND / 20)));
       assertEquals("end", peer.note());
     }
   }
 
   @Test
-  void aNewAddressIsUsedFromThenOn() throws InterruptedException {
+  void usesNewAddressForNewConnections() throws InterruptedException {
     try (TestPeer old =
             new TestPeer(
                 line -> {
@@ -579,23 +565,23 @@
                   line.command();
                 })) {
       CacheServer server = server(old);
-      outcome(send(server));
-      server.address(next.address());
-      assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
+      awaitResult(send(server));
+      server.setAddress(next.address());
+      assertEquals(AttemptOutcome.OK, awaitResult(send(server)).outcome());
       assertEquals("C.GET", next.note());
       assertEquals("end", old.note(), "the idle connection to the old address is closed");
     }
   }
 
-  /** A peer that reads nothing must not hold up what is sent to it next, nor what is given up. */
+  /** A peer that reads nothing must not block later sends or aborts. */
   @Test
-  void aSilentPeerHoldsUpNothing() throws InterruptedException {
-    CountDownLatch over = new CountDownLatch(1);
+  void unresponsivePeerBlocksNeitherSendsNorAborts() throws InterruptedException {
+    CountDownLatch done = new CountDownLatch(1);
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.note("there");
-              over.await();
+              line.note("connected");
+              done.await();
             })) {
       CacheServer server = server(peer);
       Slice value = Slice.of("$65536\r\n" + "v".repeat(65536) + "\r\n");
@@ -610,13 +596,13 @@
       for (OutboundAttempt attempt : attempts) {
         server.abort(attempt);
       }
-      awaitQuiet(server);
+      awaitInactive(server);
       assertNull(
-          module.stream()
+          routingMessages.stream()
               .filter(m -> ((RoutingMessage.AttemptCompleted) m).result().response() != null)
               .findAny()
               .orElse(null));
-      over.countDown();
+      done.countDown();
     }
   }
 }
--- a/src/test/java/beaconturn/net/server/WorkerPoolTest.java
+++ b/src/test/java/beaconturn/net/server/WorkerPoolTest.java
@@ -14,29 +14,29 @@
 
 @Timeout(60)
 class WorkerPoolTest {
-  private static final long LONG = 3_600_000_000_000L;
-  private final BlockingQueue<Thread> ran = new LinkedBlockingQueue<>();
+  private static final long KEEP_ALIVE_NANOS = 3_600_000_000_000L;
+  private final BlockingQueue<Thread> usedThreads = new LinkedBlockingQueue<>();
 
   private Thread run(WorkerPool workers) throws InterruptedException {
-    workers.run(() -> ran.add(Thread.currentThread()));
-    return ran.take();
+    workers.run(() -> usedThreads.add(Thread.currentThread()));
+    return usedThreads.take();
   }
 
-  /** Round robin among all would keep each of them busy enough never to end. */
+  /** Round robin would keep every thread busy enough to never reach its keep-alive time. */
   @Test
-  void theThreadThatCameBackLastIsUsedFirst() throws Exception {
-    WorkerPool workers = new WorkerPool("test", LONG);
-    CountDownLatch over = new CountDownLatch(1);
+  void usesMostRecentlyIdleThreadFirst() throws Exception {
+    WorkerPool workers = new WorkerPool("test", KEEP_ALIVE_NANOS);
+    CountDownLatch done = new CountDownLatch(1);
     workers.run(
         () -> {
-          ran.add(Thread.currentThread());
+          usedThreads.add(Thread.currentThread());
           try {
-            over.await();
+            done.await();
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
-    Thread busy = ran.take();
+    Thread busy = usedThreads.take();
     Thread other = run(workers);
     assertNotSame(busy, other);
     for (int i = 0; i < 50; i++) {
@@ -44,12 +44,12 @@
       assertSame(other, run(workers));
     }
     assertEquals(2, workers.threadCount());
-    over.countDown();
+    done.countDown();
   }
 
-  /** Guards against a job given to a thread at the moment when its wait is over. */
+  /** Guards against losing a job that is assigned to a thread just as its wait ends. */
   @Test
-  void noJobIsLostAtTheEndOfAThreadsWait() throws Exception {
+  void losesNoJobWhenKeepAliveTimeEnds() throws Exception {
     WorkerPool workers = new WorkerPool("test", 1);
     for (int i = 0; i < 2000; i++) {
       run(workers);
@@ -58,11 +58,11 @@
   }
 
   @Test
-  void aJobThatFailsEndsNothing() throws Exception {
-    WorkerPool workers = new WorkerPool("test", LONG);
+  void failedJobDoesNotStopPool() throws Exception {
+    WorkerPool workers = new WorkerPool("test", KEEP_ALIVE_NANOS);
     workers.run(
         () -> {
-          throw new IllegalStateException("as the test wants");
+          throw new IllegalStateException("thrown by the test");
         });
     run(workers);
     assertTrue(workers.threadCount() <= 2);
--- a/src/test/java/beaconturn/toml/package-info.java
+++ b/src/test/java/beaconturn/toml/package-info.java
@@ -1,2 +1,2 @@
-/** Tests. */
+/** Tests of the TOML reader. */
 package beaconturn.toml;
