--- a/src/main/java/beaconturn/protocol/HttpReader.java
+++ b/src/main/java/beaconturn/protocol/HttpReader.java
@@ -4,23 +4,23 @@
 import java.util.Locale;
 
 /**
- * Reads responses and requests of HTTP/1.1 out of a buffer as they become whole. Each call begins
- * anew at the first unparsed byte, and consumes nothing unless it returns a whole message. For one
- * thread; bodies are slices of the buffer, or copies where they came in chunks.
+ * An incremental reader of HTTP/1.1 responses and requests. Each call starts at the first unparsed
+ * byte and consumes nothing unless it returns a complete message. For one thread; bodies are slices
+ * of the buffer, or copies if they were chunked.
  */
 public final class HttpReader {
-  private static final int LONGEST_LINE_BYTES = 8192;
+  private static final int MAX_LINE_BYTES = 8192;
   private static final int STATUS_NO_CONTENT = 204;
   private static final int STATUS_NOT_MODIFIED = 304;
   private static final int LINE_END_BYTES = 2;
-  private static final int HEX = 16;
+  private static final int HEX_RADIX = 16;
 
-  /** In the place of a length: the body goes on to the end of the connection. */
+  /** A body length: the body ends when the connection is closed. */
   private static final int UNTIL_CLOSE = -1;
 
-  private final int longestBodyBytes;
+  private final int maxBodyBytes;
 
-  // Of the message at hand:
+  // State of the current message.
   private InputBuffer input;
   private int position;
   private int status;
@@ -28,16 +28,16 @@
   private boolean chunked;
   private boolean keepAlive;
 
-  /** A reader that takes bodies of at most so many bytes. */
-  public HttpReader(int longestBodyBytes) {
-    this.longestBodyBytes = longestBodyBytes;
+  /** Creates a reader that accepts bodies up to that size. */
+  public HttpReader(int maxBodyBytes) {
+    this.maxBodyBytes = maxBodyBytes;
   }
 
   /**
-   * The next response if it is whole, else null.
+   * The next response, or null if it is incomplete.
    *
-   * @param ended whether no more bytes will come
-   * @throws ProtocolException if it is none, or too long
+   * @param ended whether the connection is closed, so that no more bytes follow
+   * @throws ProtocolException if the response is malformed or too long
    */
   public HttpResponse next(InputBuffer buffer, boolean ended) throws ProtocolException {
     input = buffer;
@@ -54,9 +54,9 @@
   }
 
   /**
-   * The next request if it is whole, with its body, else null.
+   * The next request with its body, or null if it is incomplete.
    *
-   * @throws ProtocolException if it is none, or too long
+   * @throws ProtocolException if the request is malformed or too long
    */
   public HttpRequest nextRequest(InputBuffer buffer) throws ProtocolException {
     input = buffer;
@@ -67,7 +67,7 @@
     }
     String[] words = line.toString().split(" ");
     if (words.length != 3 || !words[2].matches("HTTP/1\\.[01]")) {
-      throw new ProtocolException("no HTTP/1 request");
+      throw new ProtocolException("malformed HTTP/1 request line");
     }
     keepAlive = words[2].endsWith("1.1");
     bodyBytes = 0;
@@ -80,7 +80,7 @@
     return new HttpRequest(words[0], words[1], body, keepAlive);
   }
 
-  /** Reads the status line and the headers; false if they are not whole. */
+  /** Reads the status line and the headers; false if they are incomplete. */
   private boolean readResponseHead() throws ProtocolException {
     Slice line = readLine();
     if (line == null) {
@@ -88,7 +88,7 @@
     }
     String first = line.toString();
     if (!first.matches("HTTP/1\\.[01] [0-9]{3}( .*)?")) {
-      throw new ProtocolException("no HTTP/1 answer");
+      throw new ProtocolException("malformed HTTP/1 status line");
     }
     keepAlive = first.startsWith("HTTP/1.1");
     status = Integer.parseInt(first.substring(9, 12));
@@ -98,7 +98,7 @@
     return readHeaders();
   }
 
-  /** Reads headers up to the empty line; false if they are not whole. */
+  /** Reads headers up to the empty line; false if they are incomplete. */
   private boolean readHeaders() throws ProtocolException {
     for (Slice line = readLine(); line != null; line = readLine()) {
       if (line.length() == 0) {
@@ -127,8 +127,9 @@
   }
 
   private int contentLength(String digits) throws ProtocolException {
-    if (!digits.matches("[0-9]{1,9}") || Integer.parseInt(digits) > longestBodyBytes) {
-      throw new ProtocolException("HTTP body of " + digits + " bytes");
+    if (!digits.matches("[0-9]{1,9}") || Integer.parseInt(digits) > maxBodyBytes) {
+      throw new ProtocolException(
+          "invalid HTTP content length " + digits + ", maximum is " + maxBodyBytes + " bytes");
     }
     return Integer.parseInt(digits);
   }
@@ -136,8 +137,8 @@
   private Slice readPlainBody(boolean ended) throws ProtocolException {
     int available = input.size() - position;
     int length = bodyBytes == UNTIL_CLOSE ? available : bodyBytes;
-    if (length > longestBodyBytes) {
-      throw new ProtocolException("HTTP body too long");
+    if (length > maxBodyBytes) {
+      throw new ProtocolException("HTTP body exceeds " + maxBodyBytes + " bytes");
     }
     if ((bodyBytes == UNTIL_CLOSE && !ended) || available < length) {
       return null;
@@ -158,8 +159,8 @@
       if (size == 0) {
         return readTrailer() ? new Slice(body.toByteArray(), 0, body.size()) : null;
       }
-      if (body.size() + size > longestBodyBytes) {
-        throw new ProtocolException("HTTP body too long");
+      if (body.size() + size > maxBodyBytes) {
+        throw new ProtocolException("HTTP body exceeds " + maxBodyBytes + " bytes");
       }
       if (input.size() < position + size + LINE_END_BYTES) {
         return null;
@@ -174,16 +175,16 @@
     position += size;
     Slice end = readLine();
     if (end == null || end.length() != 0) {
-      throw new ProtocolException("HTTP chunk not ended where it said");
+      throw new ProtocolException("no line end after an HTTP chunk of the stated size");
     }
   }
 
   private static int chunkSize(String line) throws ProtocolException {
     String digits = line.split(";", 2)[0].trim();
     if (!digits.matches("[0-9a-fA-F]{1,7}")) {
-      throw new ProtocolException("unreadable size of an HTTP chunk");
+      throw new ProtocolException("malformed HTTP chunk size");
     }
-    return Integer.parseInt(digits, HEX);
+    return Integer.parseInt(digits, HEX_RADIX);
   }
 
   private boolean readTrailer() throws ProtocolException {
@@ -195,7 +196,7 @@
     return false;
   }
 
-  /** The next line without its end, or null if it is not whole. */
+  /** The next line without its line end, or null if it is incomplete. */
   private Slice readLine() throws ProtocolException {
     for (int i = position; i < input.size(); i++) {
       if (input.at(i) == '\n') {
@@ -205,8 +206,8 @@
         position = i + 1;
         return line;
       }
-      if (i - position > LONGEST_LINE_BYTES) {
-        throw new ProtocolException("HTTP line too long");
+      if (i - position > MAX_LINE_BYTES) {
+        throw new ProtocolException("HTTP line exceeds " + MAX_LINE_BYTES + " bytes");
       }
     }
     return null;
--- a/src/main/java/beaconturn/protocol/HttpRequest.java
+++ b/src/main/java/beaconturn/protocol/HttpRequest.java
@@ -1,12 +1,12 @@
 package beaconturn.protocol;
 
 /**
- * A request of HTTP/1.1.
+ * An HTTP/1.1 request.
  *
- * @param method as it was sent
- * @param target path and query as they were sent
- * @param body a slice of the buffer that it was read from; empty if there is none
- * @param keepAlive whether the connection can be used again
+ * @param method the method as received
+ * @param target the path and query as received
+ * @param body a slice of the input buffer; empty if there is none
+ * @param keepAlive whether the connection can be reused
  */
 public record HttpRequest(String method, String target, Slice body, boolean keepAlive) {
   /** The path, without the query. */
@@ -14,7 +14,7 @@
     return target.split("\\?", 2)[0];
   }
 
-  /** The value of that name in the query, or the fallback where it is not given. */
+  /** The value of a query parameter, or the fallback if it is absent. */
   public String parameter(String name, String fallback) {
     String[] parts = target.split("\\?", 2);
     if (parts.length == 2) {
--- a/src/main/java/beaconturn/protocol/HttpResponse.java
+++ b/src/main/java/beaconturn/protocol/HttpResponse.java
@@ -1,10 +1,10 @@
 package beaconturn.protocol;
 
 /**
- * A response of HTTP/1.1.
+ * An HTTP/1.1 response.
  *
- * @param status the three-digit status
- * @param body a slice of the buffer that it was read from, or a copy; empty if there is none
- * @param keepAlive whether the connection can be used again
+ * @param status the status code
+ * @param body a slice of the input buffer or a copy; empty if there is none
+ * @param keepAlive whether the connection can be reused
  */
 public record HttpResponse(int status, Slice body, boolean keepAlive) {}
--- a/src/main/java/beaconturn/protocol/HttpWriter.java
+++ b/src/main/java/beaconturn/protocol/HttpWriter.java
@@ -3,32 +3,32 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Encodes HTTP/1.1 requests and responses. No state; for any thread. */
+/** Encodes HTTP/1.1 requests and responses. Stateless; safe for any thread. */
 public final class HttpWriter {
   private static final int STATUS_OK = 200;
 
   private HttpWriter() {}
 
-  /** A request for the path that asks to keep the connection. */
+  /** A GET request on a persistent connection. */
   public static Slice get(String path, String host) {
     return Slice.of(
         "GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n");
   }
 
-  /** A request that carries a body of JSON and asks to keep the connection. */
+  /** A POST request with a JSON body on a persistent connection. */
   public static Slice post(String path, String host, String body) {
     return withBody("POST " + path + " HTTP/1.1\r\nHost: " + host, body);
   }
 
-  /** A response with a body of JSON, on a connection that is kept. */
+  /** A response with a JSON body on a persistent connection. */
   public static Slice response(int status, String body) {
     return withBody("HTTP/1.1 " + status + (status == STATUS_OK ? " OK" : " Error"), body);
   }
 
-  private static Slice withBody(String first, String body) {
+  private static Slice withBody(String firstLine, String body) {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     byte[] head =
-        (first
+        (firstLine
                 + "\r\nContent-Type: application/json\r\nContent-Length: "
                 + bytes.length
                 + "\r\n\r\n")
--- a/src/main/java/beaconturn/protocol/InputBuffer.java
+++ b/src/main/java/beaconturn/protocol/InputBuffer.java
@@ -1,30 +1,30 @@
 package beaconturn.protocol;
 
 /**
- * Bytes read but not yet parsed. Read bytes are never moved or overwritten: when the array is full,
- * what is unparsed is copied to a new one, so that slices of the old stay valid as long as somebody
- * holds them. For one thread at a time.
+ * A buffer of received but unparsed bytes. Received bytes are never moved or overwritten: when the
+ * array is full, the unparsed bytes are copied to a new one, so that slices of the old array stay
+ * valid. For one thread at a time.
  */
 public final class InputBuffer {
   private static final int CHUNK_BYTES = 4096;
-  private static final int LEAST_ROOM_BYTES = 512;
+  private static final int MIN_FREE_BYTES = 512;
   private static final byte[] NO_BYTES = {};
 
   private byte[] bytes = NO_BYTES;
 
-  /** Where unparsed bytes begin and end in the array. */
+  /** The range of unparsed bytes in the array. */
   private int start;
 
   private int end;
 
-  /** The size of the message at hand as far as it is known, else 0. */
+  /** The minimum size of the current message if known, else 0. */
   private int expectedBytes;
 
-  /** Makes room for at least some bytes and returns how many fit behind {@link #end}. */
+  /** Ensures free space for reading and returns the number of free bytes after {@link #end}. */
   public int ensureRoom() {
     int unparsed = end - start;
     boolean sizeKnown = expectedBytes > unparsed;
-    int neededBytes = (sizeKnown ? expectedBytes : unparsed) + LEAST_ROOM_BYTES;
+    int neededBytes = (sizeKnown ? expectedBytes : unparsed) + MIN_FREE_BYTES;
     if (bytes.length - start < neededBytes) {
       byte[] next = new byte[Math.max(CHUNK_BYTES, nextCapacity(unparsed, sizeKnown))];
       System.arraycopy(bytes, start, next, 0, unparsed);
@@ -37,23 +37,23 @@
 
   private int nextCapacity(int unparsed, boolean sizeKnown) {
     if (sizeKnown) {
-      return expectedBytes + LEAST_ROOM_BYTES;
+      return expectedBytes + MIN_FREE_BYTES;
     }
-    // Behind a value whose size was known little is left to come: doubling wastes its size again.
+    // Little follows a value of known size, so doubling the array would waste memory.
     return expectedBytes > 0 ? unparsed + CHUNK_BYTES : 2 * unparsed;
   }
 
-  /** Notes that the message at hand has at least so many bytes, so that its array is made once. */
+  /** Sets the minimum size of the current message, so that its array is allocated only once. */
   public void expect(int sizeBytes) {
     expectedBytes = sizeBytes;
   }
 
-  /** Whether the message at hand is known to need an array beyond the usual. */
+  /** Whether the current message is known to need an array larger than the default. */
   public boolean isLarge() {
     return expectedBytes > CHUNK_BYTES;
   }
 
-  /** The size of the message at hand as far as it is known, else 0. */
+  /** The minimum size of the current message if known, else 0. */
   public int expectedBytes() {
     return expectedBytes;
   }
@@ -63,32 +63,32 @@
     return bytes;
   }
 
-  /** Where the next byte goes in the array. */
+  /** The array index of the next byte to read. */
   public int end() {
     return end;
   }
 
-  /** Notes that so many bytes were read. */
+  /** Records that {@code count} bytes were read into the array. */
   public void filled(int count) {
     end += count;
   }
 
-  /** How many bytes are unparsed. */
+  /** The number of unparsed bytes. */
   public int size() {
     return end - start;
   }
 
-  /** The unparsed byte at the position, counted from 0. */
+  /** The unparsed byte at a position, from 0. */
   public byte at(int position) {
     return bytes[start + position];
   }
 
-  /** A slice of the unparsed bytes, without a copy. */
+  /** A slice of the unparsed bytes, which shares the array. */
   public Slice slice(int from, int length) {
     return new Slice(bytes, start + from, length);
   }
 
-  /** Notes that so many bytes are parsed; the array of a large message is let go with it. */
+  /** Marks {@code count} bytes as parsed; releases the array of a large message with its last. */
   public void consume(int count) {
     start += count;
     expectedBytes = 0;
--- a/src/main/java/beaconturn/protocol/Json.java
+++ b/src/main/java/beaconturn/protocol/Json.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON value. Not to be changed once it has been read. */
+/** A JSON value. Must not be modified after it has been read. */
 public sealed interface Json {
-  /** An object; the names keep their order. */
+  /** An object; members keep their order. */
   record Members(Map<String, Json> values) implements Json {}
 
   /** An array. */
@@ -14,34 +14,33 @@
   /** A string. */
   record Text(String value) implements Json {}
 
-  /** A number, as it was written, so that no digit of a long one is lost. */
+  /** A number as written, so that long numbers lose no digits. */
   record NumberLiteral(String digits) implements Json {}
 
-  /** True or false. */
+  /** A boolean. */
   record Bool(boolean value) implements Json {}
 
-  /** The null. */
   record Null() implements Json {}
 
-  /** The member of that name; the null where there is none or this is no object. */
+  /** The member of that name; {@link Null} if there is none or this is not an object. */
   default Json get(String name) {
-    Json found = this instanceof Members m ? m.values().get(name) : null;
+    Json found = this instanceof Members members ? members.values().get(name) : null;
     return found == null ? new Null() : found;
   }
 
-  /** The items of an array; none if this is something else. */
+  /** The items of an array; empty if this is not an array. */
   default List<Json> items() {
-    return this instanceof Items i ? i.values() : List.of();
+    return this instanceof Items array ? array.values() : List.of();
   }
 
-  /** The text or digits of a plain value, or the fallback where there is none. */
+  /** A string, number or boolean as text; the fallback for any other value. */
   default String word(String fallback) {
-    if (this instanceof Text t) {
-      return t.value();
+    if (this instanceof Text text) {
+      return text.value();
     }
-    if (this instanceof NumberLiteral f) {
-      return f.digits();
+    if (this instanceof NumberLiteral number) {
+      return number.digits();
     }
-    return this instanceof Bool flag ? Boolean.toString(flag.value()) : fallback;
+    return this instanceof Bool bool ? Boolean.toString(bool.value()) : fallback;
   }
 }
--- a/src/main/java/beaconturn/protocol/JsonReader.java
+++ b/src/main/java/beaconturn/protocol/JsonReader.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads one JSON text out of a slice. */
+/** Reads a JSON text, with limits on nesting and string length. */
 public final class JsonReader {
-  private static final int DEEPEST_NESTING = 32;
-  private static final int LONGEST_STRING_CHARS = 1 << 16;
+  private static final int MAX_DEPTH = 32;
+  private static final int MAX_STRING_CHARS = 1 << 16;
   private static final int ESCAPED_DIGITS = 4;
-  private static final int HEX = 16;
+  private static final int HEX_RADIX = 16;
   private static final int BITS_PER_HEX_DIGIT = 4;
   private static final String WHITE_SPACE = " \t\r\n";
   private static final String NUMBER_CHARS = "+-.eE0123456789";
@@ -24,9 +24,9 @@
   }
 
   /**
-   * The value that the whole slice holds.
+   * Reads the value that the slice consists of.
    *
-   * @throws ProtocolException if it is no JSON, or exceeds a limit
+   * @throws ProtocolException if the slice is not valid JSON or exceeds a limit
    */
   public static Json read(Slice text) throws ProtocolException {
     JsonReader reader = new JsonReader(text.toString());
@@ -39,7 +39,7 @@
   }
 
   private Json readValue(int depth) throws ProtocolException {
-    if (depth > DEEPEST_NESTING) {
+    if (depth > MAX_DEPTH) {
       throw malformed("nested too deeply");
     }
     skipSpace();
@@ -47,9 +47,9 @@
       case '{' -> readMembers(depth);
       case '[' -> readItems(depth);
       case '"' -> new Json.Text(readString());
-      case 't' -> readWord("true", new Json.Bool(true));
-      case 'f' -> readWord("false", new Json.Bool(false));
-      case 'n' -> readWord("null", new Json.Null());
+      case 't' -> readLiteral("true", new Json.Bool(true));
+      case 'f' -> readLiteral("false", new Json.Bool(false));
+      case 'n' -> readLiteral("null", new Json.Null());
       default -> readNumber();
     };
   }
@@ -88,7 +88,7 @@
     return new Json.Items(values);
   }
 
-  /** Whether another element follows; else the end has been read. */
+  /** Reads a comma or the end character; true if another element follows. */
   private boolean readSeparator(char end) throws ProtocolException {
     char c = peek();
     if (c != ',' && c != end) {
@@ -103,7 +103,7 @@
     StringBuilder out = new StringBuilder();
     while (peek() != '"') {
       char c = text.charAt(position++);
-      if (c < ' ' || out.length() > LONGEST_STRING_CHARS) {
+      if (c < ' ' || out.length() > MAX_STRING_CHARS) {
         throw malformed("string with a control character or too long");
       }
       out.append(c == '\\' ? readEscaped() : c);
@@ -130,7 +130,7 @@
   private char readUnicode() throws ProtocolException {
     int value = 0;
     for (int i = 0; i < ESCAPED_DIGITS; i++) {
-      int digit = Character.digit(peek(), HEX);
+      int digit = Character.digit(peek(), HEX_RADIX);
       if (digit < 0) {
         throw malformed("expected four hexadecimal digits");
       }
@@ -152,11 +152,11 @@
     return new Json.NumberLiteral(digits);
   }
 
-  private Json readWord(String word, Json value) throws ProtocolException {
-    if (!text.startsWith(word, position)) {
+  private Json readLiteral(String literal, Json value) throws ProtocolException {
+    if (!text.startsWith(literal, position)) {
       throw malformed("expected a value");
     }
-    position += word.length();
+    position += literal.length();
     return value;
   }
 
--- a/src/main/java/beaconturn/protocol/JsonWriter.java
+++ b/src/main/java/beaconturn/protocol/JsonWriter.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes JSON values as text. No state; for any thread. */
+/** Writes JSON values as text. Stateless; safe for any thread. */
 public final class JsonWriter {
   private JsonWriter() {}
 
-  /** The value without any white space. */
+  /** The value as text without white space. */
   public static String write(Json value) {
     StringBuilder out = new StringBuilder();
     write(value, out);
--- a/src/main/java/beaconturn/protocol/ProtocolException.java
+++ b/src/main/java/beaconturn/protocol/ProtocolException.java
@@ -1,12 +1,10 @@
 package beaconturn.protocol;
 
-/**
- * Input that does not follow its protocol or exceeds a size limit; the message says what is wrong.
- */
+/** Thrown for input that violates its protocol or exceeds a size limit. */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Makes an exception with one plain line. */
+  /** Creates an exception with a one-line message. */
   public ProtocolException(String message) {
     super(message);
   }
--- a/src/main/java/beaconturn/protocol/RespReader.java
+++ b/src/main/java/beaconturn/protocol/RespReader.java
@@ -4,36 +4,36 @@
 import java.util.List;
 
 /**
- * Reads RESP2 values out of a buffer as they become whole. Each call begins anew at the first
- * unparsed byte, and consumes nothing unless it returns a whole value. For one thread; what values
- * hold are slices of the buffer.
+ * An incremental reader of RESP2 values. Each call starts at the first unparsed byte and consumes
+ * nothing unless it returns a complete value. For one thread; values hold slices of the buffer.
+ * Error messages are sent to clients.
  */
 public final class RespReader {
-  /** The protocol's limit of a value, in bytes. */
+  /** The largest value that the protocol permits. */
   public static final int MAX_VALUE_BYTES = 1 << 16;
 
-  private static final int LONGEST_LINE_BYTES = 1024;
-  private static final int MOST_ITEMS = 64;
-  private static final int DEEPEST_NESTING = 4;
-  private static final int MOST_DIGITS = 18;
+  private static final int MAX_LINE_BYTES = 1024;
+  private static final int MAX_ITEMS = 64;
+  private static final int MAX_DEPTH = 4;
+  private static final int MAX_DIGITS = 18;
   private static final int LINE_END_BYTES = 2;
   private static final long NULL_LENGTH = -1;
 
-  private final int longestStringBytes;
+  private final int maxStringBytes;
 
-  // Of the value at hand:
+  // State of the current call.
   private InputBuffer input;
   private int position;
 
-  /** A reader that takes strings of at most so many bytes. */
-  public RespReader(int longestStringBytes) {
-    this.longestStringBytes = longestStringBytes;
+  /** Creates a reader that accepts strings up to that size. */
+  public RespReader(int maxStringBytes) {
+    this.maxStringBytes = maxStringBytes;
   }
 
   /**
-   * The next value if it is whole, else null.
+   * The next value, or null if it is incomplete.
    *
-   * @throws ProtocolException if it is none, or exceeds a limit
+   * @throws ProtocolException if the value is malformed or exceeds a limit
    */
   public RespValue next(InputBuffer buffer) throws ProtocolException {
     input = buffer;
@@ -46,7 +46,7 @@
   }
 
   private RespValue readValue(int depth) throws ProtocolException {
-    int begin = position;
+    int start = position;
     Slice line = readLine();
     if (line == null) {
       return null;
@@ -56,20 +56,20 @@
     }
     Slice rest = line.part(1, line.length());
     return switch (line.at(0)) {
-      case '+' -> new RespValue.SimpleString(frame(begin), rest);
-      case '-' -> new RespValue.SimpleError(frame(begin), rest);
-      case ':' -> new RespValue.Int(frame(begin), number(rest));
-      case '$' -> readString(begin, number(rest));
-      case '*' -> readArray(begin, number(rest), depth);
+      case '+' -> new RespValue.SimpleString(frame(start), rest);
+      case '-' -> new RespValue.SimpleError(frame(start), rest);
+      case ':' -> new RespValue.Int(frame(start), number(rest));
+      case '$' -> readString(start, number(rest));
+      case '*' -> readArray(start, number(rest), depth);
       default -> throw new ProtocolException("unknown type of value");
     };
   }
 
-  private RespValue readString(int begin, long length) throws ProtocolException {
+  private RespValue readString(int start, long length) throws ProtocolException {
     if (length == NULL_LENGTH) {
-      return new RespValue.Bulk(frame(begin), null);
+      return new RespValue.Bulk(frame(start), null);
     }
-    if (length < 0 || length > longestStringBytes) {
+    if (length < 0 || length > maxStringBytes) {
       throw new ProtocolException("string of " + length + " bytes");
     }
     int from = position;
@@ -82,14 +82,14 @@
       throw new ProtocolException("string not ended where it said");
     }
     position = end + LINE_END_BYTES;
-    return new RespValue.Bulk(frame(begin), input.slice(from, (int) length));
+    return new RespValue.Bulk(frame(start), input.slice(from, (int) length));
   }
 
-  private RespValue readArray(int begin, long count, int depth) throws ProtocolException {
+  private RespValue readArray(int start, long count, int depth) throws ProtocolException {
     if (count == NULL_LENGTH) {
-      return new RespValue.Array(frame(begin), null);
+      return new RespValue.Array(frame(start), null);
     }
-    if (count < 0 || count > MOST_ITEMS || depth >= DEEPEST_NESTING) {
+    if (count < 0 || count > MAX_ITEMS || depth >= MAX_DEPTH) {
       throw new ProtocolException("list of " + count + " items at depth " + depth);
     }
     List<RespValue> items = new ArrayList<>((int) count);
@@ -100,14 +100,14 @@
       }
       items.add(item);
     }
-    return new RespValue.Array(frame(begin), items);
+    return new RespValue.Array(frame(start), items);
   }
 
-  private Slice frame(int begin) {
-    return input.slice(begin, position - begin);
+  private Slice frame(int start) {
+    return input.slice(start, position - start);
   }
 
-  /** The next line without its end, or null if it is not whole. */
+  /** The next line without its line end, or null if it is incomplete. */
   private Slice readLine() throws ProtocolException {
     for (int i = position; i < input.size(); i++) {
       if (input.at(i) == '\n') {
@@ -118,8 +118,8 @@
         position = i + 1;
         return line;
       }
-      if (i - position > LONGEST_LINE_BYTES) {
-        throw new ProtocolException("line over " + LONGEST_LINE_BYTES + " bytes");
+      if (i - position > MAX_LINE_BYTES) {
+        throw new ProtocolException("line over " + MAX_LINE_BYTES + " bytes");
       }
     }
     return null;
@@ -128,7 +128,7 @@
   private static long number(Slice digits) throws ProtocolException {
     boolean negative = digits.length() > 0 && digits.at(0) == '-';
     int first = negative ? 1 : 0;
-    if (digits.length() == first || digits.length() > MOST_DIGITS) {
+    if (digits.length() == first || digits.length() > MAX_DIGITS) {
       throw new ProtocolException("unreadable number");
     }
     long value = 0;
--- a/src/main/java/beaconturn/protocol/RespValue.java
+++ b/src/main/java/beaconturn/protocol/RespValue.java
@@ -2,23 +2,23 @@
 
 import java.util.List;
 
-/** One value of RESP2; {@code frame} is all its bytes as they were read. */
+/** A RESP2 value; {@code frame} contains its encoded bytes. */
 public sealed interface RespValue {
-  /** All bytes of the value, its header included. */
+  /** The encoded bytes of the value, including its header. */
   Slice frame();
 
-  /** A line that begins with a plus. */
+  /** A simple string, encoded as a line with the prefix {@code +}. */
   record SimpleString(Slice frame, Slice text) implements RespValue {}
 
-  /** A line that begins with a minus. */
+  /** A simple error, encoded as a line with the prefix {@code -}. */
   record SimpleError(Slice frame, Slice text) implements RespValue {}
 
-  /** A whole number. */
+  /** A 64-bit integer. */
   record Int(Slice frame, long value) implements RespValue {}
 
-  /** A string of bytes; {@code bytes} is null for the null string. */
+  /** A bulk string; {@code bytes} is null for the null bulk string. */
   record Bulk(Slice frame, Slice bytes) implements RespValue {}
 
-  /** A list of values; {@code items} is null for the null list. */
+  /** An array; {@code items} is null for the null array. */
   record Array(Slice frame, List<RespValue> items) implements RespValue {}
 }
--- a/src/main/java/beaconturn/protocol/RespWriter.java
+++ b/src/main/java/beaconturn/protocol/RespWriter.java
@@ -3,23 +3,23 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Encodes RESP2 values. No state; for any thread. */
+/** Encodes RESP2 values. Stateless; safe for any thread. */
 public final class RespWriter {
-  private static final int LONGEST_ERROR_CHARS = 200;
+  private static final int MAX_ERROR_CHARS = 200;
 
   private RespWriter() {}
 
-  /** The header of a list of so many items. */
+  /** The header of an array of {@code count} items. */
   public static Slice arrayHeader(int count) {
     return Slice.of("*" + count + "\r\n");
   }
 
-  /** A string of bytes, given as ASCII text. */
+  /** A bulk string of ASCII text. */
   public static Slice bulk(String text) {
     return Slice.of("$" + text.length() + "\r\n" + text + "\r\n");
   }
 
-  /** A string of bytes; {@code null} makes the null string. */
+  /** A bulk string; null for the null bulk string. */
   public static Slice bulk(byte[] bytes) {
     if (bytes == null) {
       return Slice.of("$-1\r\n");
@@ -32,14 +32,14 @@
     return new Slice(all, 0, all.length);
   }
 
-  /** A plain answer. */
+  /** A simple string. */
   public static Slice simple(String text) {
     return Slice.of("+" + text + "\r\n");
   }
 
-  /** An error; whatever could end its line is replaced. */
+  /** A simple error; replaces characters outside printable ASCII and truncates long texts. */
   public static Slice error(String text) {
     String line = text.replaceAll("[^ -~]", "?");
-    return Slice.of("-" + line.substring(0, Math.min(line.length(), LONGEST_ERROR_CHARS)) + "\r\n");
+    return Slice.of("-" + line.substring(0, Math.min(line.length(), MAX_ERROR_CHARS)) + "\r\n");
   }
 }
--- a/src/main/java/beaconturn/protocol/Slice.java
+++ b/src/main/java/beaconturn/protocol/Slice.java
@@ -4,15 +4,15 @@
 import java.util.Arrays;
 
 /**
- * A range of bytes in the array that they were read into, which is not copied. Whoever reads into
- * the array never overwrites them while a slice is in use; safe for any thread.
+ * A range of bytes in a shared array. The bytes are never overwritten while a slice of them is in
+ * use, so slices are safe for any thread.
  */
 public final class Slice {
   private final byte[] bytes;
   private final int from;
   private final int length;
 
-  /** The range of {@code length} bytes that begins at {@code from}. */
+  /** Creates a slice of {@code length} bytes that starts at the index {@code from}. */
   public Slice(byte[] bytes, int from, int length) {
     if (from < 0 || length < 0 || from > bytes.length - length) {
       throw new IndexOutOfBoundsException("slice of " + length + " bytes at " + from);
@@ -22,38 +22,37 @@
     this.length = length;
   }
 
-  /** The bytes of an ASCII text. */
+  /** A slice with the bytes of an ASCII text. */
   public static Slice of(String text) {
     byte[] all = text.getBytes(StandardCharsets.US_ASCII);
     return new Slice(all, 0, all.length);
   }
 
-  /** The array that holds the bytes; not to be written to. */
+  /** The array that contains the bytes. Must not be modified. */
   public byte[] array() {
     return bytes;
   }
 
-  /** Where the range begins in the array. */
+  /** The index of the first byte in the array. */
   public int from() {
     return from;
   }
 
-  /** How many bytes there are. */
+  /** The number of bytes. */
   public int length() {
     return length;
   }
 
-  /** The byte at the position. */
   public byte at(int position) {
     return bytes[from + position];
   }
 
-  /** The bytes from {@code begin} to before {@code end}, without a copy. */
-  public Slice part(int begin, int end) {
-    return new Slice(bytes, from + begin, end - begin);
+  /** The bytes from {@code start}, inclusive, to {@code end}, exclusive, sharing the array. */
+  public Slice part(int start, int end) {
+    return new Slice(bytes, from + start, end - start);
   }
 
-  /** Whether the bytes are those of the ASCII text. */
+  /** Whether the bytes equal an ASCII text. */
   public boolean is(String text) {
     if (text.length() != length) {
       return false;
@@ -66,7 +65,7 @@
     return true;
   }
 
-  /** A copy of the bytes, for what must outlive the buffer. */
+  /** A copy of the bytes, which does not retain the shared array. */
   public byte[] copy() {
     return Arrays.copyOfRange(bytes, from, from + length);
   }
--- a/src/test/java/beaconturn/net/discovery/DiscoveryWatcherTest.java
+++ b/src/test/java/beaconturn/net/discovery/DiscoveryWatcherTest.java
@@ -152,9 +152,9 @@
     }
   }
 
-  /** A stack overflow in the parser must be reported, so that the policy requests the list again. */
+  /** A response that the parser rejects must be reported, so that the policy requests it again. */
   @Test
-  void reportsResponseThatOverflowsParserAsFailure() throws Exception {
+  void reportsDeeplyNestedResponseAsFailure() throws Exception {
     String deep = "[".repeat(200_000);
     try (TestPeer discoveryPeer =
         new TestPeer(
--- a/src/test/java/beaconturn/protocol/Bytes.java
+++ b/src/test/java/beaconturn/protocol/Bytes.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Feeds text into a buffer as a socket would, a few bytes at a time. */
+/** Fills input buffers in tests as a socket would, byte by byte. */
 public final class Bytes {
   private Bytes() {}
 
@@ -14,7 +14,7 @@
     }
   }
 
-  /** A buffer that holds the text, unparsed. */
+  /** A buffer with the text as unparsed bytes. */
   public static InputBuffer buffer(String text) {
     InputBuffer in = new InputBuffer();
     feed(in, text);
--- a/src/test/java/beaconturn/protocol/HttpReaderTest.java
+++ b/src/test/java/beaconturn/protocol/HttpReaderTest.java
@@ -21,11 +21,11 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nb\r\n3;x=y\r\nody\r\n0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\nTrailer: t\r\n\r\n"
       })
-  void anAnswerIsReadOnceItsLastByteIsThereAndNotBefore(String text) throws ProtocolException {
+  void readsResponseOnceItIsComplete(String text) throws ProtocolException {
     InputBuffer in = new InputBuffer();
     for (int i = 0; i < text.length() - 1; i++) {
       Bytes.feed(in, text.substring(i, i + 1));
-      assertNull(reader.next(in, false), "whole after " + (i + 1) + " bytes");
+      assertNull(reader.next(in, false), "complete after " + (i + 1) + " bytes");
     }
     Bytes.feed(in, text.substring(text.length() - 1));
     HttpResponse response = reader.next(in, false);
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aBodyWithoutALengthEndsWithItsConnection() throws ProtocolException {
+  void bodyWithoutLengthEndsWithConnection() throws ProtocolException {
     InputBuffer in = Bytes.buffer("HTTP/1.1 200 OK\r\n\r\nbody");
     assertNull(reader.next(in, false));
     HttpResponse response = reader.next(in, true);
@@ -45,12 +45,12 @@
   }
 
   @Test
-  void anAnswerCutOffIsNotWhole() throws ProtocolException {
+  void truncatedResponseIsIncomplete() throws ProtocolException {
     assertNull(reader.next(Bytes.buffer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), true));
   }
 
   @Test
-  void closeAndOldVersionsEndTheConnection() throws ProtocolException {
+  void closeHeaderAndHttp10DisableKeepAlive() throws ProtocolException {
     String head = " 503 x\r\nContent-Length: 0\r\n";
     InputBuffer closing = Bytes.buffer("HTTP/1.1" + head + "Connection: close\r\n\r\n");
     assertFalse(reader.next(closing, false).keepAlive());
@@ -69,17 +69,17 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n65\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n"
       })
-  void malformedAnswersAndThoseBeyondTheLimitsAreRefused(String text) {
+  void rejectsMalformedAndOversizedResponses(String text) {
     assertThrows(ProtocolException.class, () -> reader.next(Bytes.buffer(text), false));
   }
 
   @Test
-  void aRequestIsReadWithItsParameters() throws ProtocolException {
+  void readsRequestWithParameters() throws ProtocolException {
     String text = "GET /registry/instances?after=41&wait_ms=20000 HTTP/1.1\r\nHost: x\r\n\r\n";
     InputBuffer in = new InputBuffer();
     for (int i = 0; i < text.length() - 1; i++) {
       Bytes.feed(in, text.substring(i, i + 1));
-      assertNull(reader.nextRequest(in), "whole after " + (i + 1) + " bytes");
+      assertNull(reader.nextRequest(in), "complete after " + (i + 1) + " bytes");
     }
     Bytes.feed(
         in, text.substring(text.length() - 1) + "GET /b HTTP/1.0\r\nContent-Length: 2\r\n\r\nxy");
@@ -92,17 +92,17 @@
     HttpRequest second = reader.nextRequest(in);
     assertEquals("/b", second.target());
     assertFalse(second.keepAlive());
-    assertEquals(0, in.size(), "its body is read and left out");
+    assertEquals(0, in.size(), "the body is consumed");
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"GET /\r\n\r\n", "GET / HTTP/2\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"})
-  void whatIsNoRequestIsTurnedAway(String text) {
+  void rejectsMalformedRequests(String text) {
     assertThrows(ProtocolException.class, () -> reader.nextRequest(Bytes.buffer(text)));
   }
 
   @Test
-  void anAnswerThatIsWrittenReadsTheSame() throws ProtocolException {
+  void readsWrittenResponse() throws ProtocolException {
     HttpResponse read = reader.next(Bytes.buffer(HttpWriter.response(503, "{}").toString()), false);
     assertEquals(503, read.status());
     assertEquals("{}", read.body().toString());
--- a/src/test/java/beaconturn/protocol/JsonReaderTest.java
+++ b/src/test/java/beaconturn/protocol/JsonReaderTest.java
@@ -43,12 +43,12 @@
         "1.",
         "\"a\tb\""
       })
-  void malformedTextIsRefused(String text) {
+  void rejectsMalformedText(String text) {
     assertThrows(ProtocolException.class, () -> JsonReader.read(Slice.of(text)));
   }
 
   @Test
-  void everyTextCutShortIsRefused() {
+  void rejectsEveryTruncatedText() {
     String text = "{\"a\":[1,{\"b\":\"c\\n\"}],\"d\":false}";
     for (int i = 0; i < text.length(); i++) {
       String part = text.substring(0, i);
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void deepNestingIsRefusedBeforeItFillsTheStack() {
+  void rejectsDeepNestingWithoutStackOverflow() {
     String text = "[".repeat(100_000);
     assertThrows(ProtocolException.class, () -> JsonReader.read(Slice.of(text)));
   }
--- a/src/test/java/beaconturn/protocol/JsonWriterTest.java
+++ b/src/test/java/beaconturn/protocol/JsonWriterTest.java
@@ -15,7 +15,7 @@
         "true",
         "{\"a\":[1,2.5e3,{\"b\":\"x\\\\y\\\"z\\u0001\"}],\"c\":false}"
       })
-  void whatIsWrittenReadsTheSame(String text) throws ProtocolException {
+  void readingAndWritingPreservesText(String text) throws ProtocolException {
     Json value = JsonReader.read(Slice.of(text));
     assertEquals(text, JsonWriter.write(value));
   }
--- a/src/test/java/beaconturn/protocol/RespReaderTest.java
+++ b/src/test/java/beaconturn/protocol/RespReaderTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class RespReaderTest {
-  private static final int LONGEST = 32;
-  private final RespReader reader = new RespReader(LONGEST);
+  private static final int MAX_STRING_BYTES = 32;
+  private final RespReader reader = new RespReader(MAX_STRING_BYTES);
 
   @ParameterizedTest
   @ValueSource(
@@ -29,11 +29,11 @@
         "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n",
         "*2\r\n*1\r\n:1\r\n+x\r\n"
       })
-  void aValueIsReadOnceItsLastByteIsThereAndNotBefore(String text) throws ProtocolException {
+  void readsValueOnceItIsComplete(String text) throws ProtocolException {
     InputBuffer in = new InputBuffer();
     for (int i = 0; i < text.length() - 1; i++) {
       Bytes.feed(in, text.substring(i, i + 1));
-      assertNull(reader.next(in), "whole after " + (i + 1) + " bytes");
+      assertNull(reader.next(in), "complete after " + (i + 1) + " bytes");
     }
     Bytes.feed(in, text.substring(text.length() - 1));
     assertEquals(text, reader.next(in).frame().toString());
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void valuesBehindEachOtherAreReadOneByOne() throws ProtocolException {
+  void readsConsecutiveValues() throws ProtocolException {
     InputBuffer in = Bytes.buffer("+a\r\n:7\r\n$1\r\nb\r\n+c");
     assertEquals("a", assertInstanceOf(RespValue.SimpleString.class, reader.next(in)).text().toString());
     assertEquals(7, assertInstanceOf(RespValue.Int.class, reader.next(in)).value());
@@ -67,18 +67,18 @@
         "$9999999999999999999\r\n",
         ":1-\r\n"
       })
-  void malformedInputAndInputBeyondTheLimitsIsRefused(String text) {
+  void rejectsMalformedAndOversizedInput(String text) {
     assertThrows(ProtocolException.class, () -> reader.next(Bytes.buffer(text)));
   }
 
   @Test
-  void aLineWithoutEndIsRefusedBeforeItFillsTheMemory() {
+  void rejectsOverlongLine() {
     InputBuffer in = Bytes.buffer("+" + "x".repeat(2000));
     assertThrows(ProtocolException.class, () -> reader.next(in));
   }
 
   @Test
-  void slicesStayAsTheyWereWhileMoreIsRead() throws ProtocolException {
+  void slicesStayValidWhileMoreIsRead() throws ProtocolException {
     InputBuffer in = Bytes.buffer("$5\r\nfirst\r\n");
     Slice first = ((RespValue.Bulk) reader.next(in)).bytes();
     for (int i = 0; i < 2000; i++) {
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void whatFollowsALargeValueDoesNotDoubleItsArray() throws ProtocolException {
+  void doesNotDoubleArrayAfterLargeValue() throws ProtocolException {
     InputBuffer in = Bytes.buffer("*2\r\n$60000\r\n");
     RespReader large = new RespReader(60_000);
     assertNull(large.next(in));
@@ -100,17 +100,15 @@
     assertEquals(2, ((RespValue.Array) large.next(in)).items().size());
   }
 
-  /**
-   * Doubling would take twice the memory of a large value, and hundreds of them are held at once.
-   */
+  /** Doubling would waste memory, as hundreds of large values are buffered at the same time. */
   @Test
-  void aLargeValueGetsAnArrayOfItsOwnSizeWhichIsLetGoWithIt() throws ProtocolException {
+  void allocatesExactArrayForLargeValueAndReleasesIt() throws ProtocolException {
     RespReader large = new RespReader(60_000);
     InputBuffer in = Bytes.buffer("$60000\r\n" + "v".repeat(1000));
     assertNull(large.next(in));
     assertTrue(in.isLarge());
     Bytes.feed(in, "v".repeat(59_000) + "\r\n");
-    // Behind it there is room for what shows whether the stream has ended.
+    // The free space after the value lets the next read detect the end of the stream.
     assertEquals(60_000 + 10 + 512, in.array().length);
     assertEquals(60_000, ((RespValue.Bulk) large.next(in)).bytes().length());
     assertFalse(in.isLarge());
--- a/src/test/java/beaconturn/protocol/RespWriterTest.java
+++ b/src/test/java/beaconturn/protocol/RespWriterTest.java
@@ -14,9 +14,9 @@
   }
 
   @Test
-  void bytesOfAnyKindAreReadAsTheyWereWritten() throws ProtocolException {
-    byte[] odd = {0, '\r', '\n', (byte) 0xff, '$'};
-    assertArrayEquals(odd, read(RespWriter.bulk(odd)).bytes().copy());
+  void readsWrittenBinaryString() throws ProtocolException {
+    byte[] binary = {0, '\r', '\n', (byte) 0xff, '$'};
+    assertArrayEquals(binary, read(RespWriter.bulk(binary)).bytes().copy());
     assertEquals(0, read(RespWriter.bulk(new byte[0])).bytes().length());
     assertNull(read(RespWriter.bulk((byte[]) null)).bytes());
   }
