--- a/src/main/java/beaconturn/stats/CacheLookup.java
+++ b/src/main/java/beaconturn/stats/CacheLookup.java
@@ -1,11 +1,11 @@
 package beaconturn.stats;
 
-/** How a cache server had the key that it answered for. */
+/** Whether a cache server had the requested key, as its response states. */
 public enum CacheLookup {
-  /** It had the key. */
+  /** The cache had the key. */
   HIT,
-  /** It had to get the key from its origin. */
+  /** The cache did not have the key. */
   MISS,
-  /** It did not say. */
+  /** The response does not state it. */
   UNKNOWN
 }
--- a/src/main/java/beaconturn/stats/Counters.java
+++ b/src/main/java/beaconturn/stats/Counters.java
@@ -7,26 +7,26 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * The metrics of one process from its start on; any thread, without a lock. What a class that the
- * settings have no more had counted stays counted.
+ * The metrics of one process since its start. Lock-free and safe for any thread. Keeps the counts of
+ * request classes that have been removed from the settings.
  */
 public class Counters implements RequestMetrics {
-  /** The ends of requests that are shown, in the order of the output. */
-  private static final List<RequestEnd> SHOWN_ENDS =
+  /** The request ends that are exported, in output order. */
+  private static final List<RequestEnd> EXPORTED_ENDS =
       List.of(RequestEnd.ANSWERED, RequestEnd.REJECTED, RequestEnd.FAILED);
 
-  /** How the requests of one class ended. */
+  /** The counts of one class's requests by their end. */
   private static final class RequestClassCounters {
-    private final LongAdder answered = new LongAdder();
+    private final LongAdder succeeded = new LongAdder();
     private final LongAdder rejected = new LongAdder();
     private final LongAdder failed = new LongAdder();
 
     private LongAdder of(RequestEnd end) {
       return switch (end) {
-        case ANSWERED -> answered;
+        case ANSWERED -> succeeded;
         case REJECTED -> rejected;
         case FAILED -> failed;
-        case ABANDONED -> throw new IllegalArgumentException("not counted by class");
+        case ABANDONED -> throw new IllegalArgumentException("abandoned requests are not counted by class");
       };
     }
   }
@@ -77,19 +77,16 @@
     (accepted ? configsAccepted : configsInvalid).increment();
   }
 
-  /**
-   * All metrics as they are now, in a fixed order; what is counted meanwhile may be in some and not
-   * others.
-   */
+  /** All current metrics, in a fixed order. Not an atomic snapshot. */
   public List<Metric> read() {
     List<Metric> all = new ArrayList<>();
-    for (RequestEnd end : SHOWN_ENDS) {
+    for (RequestEnd end : EXPORTED_ENDS) {
       classes.forEach(
           (name, counters) ->
               all.add(new Metric(end.metricName() + "." + name, counters.of(end).sum(), false)));
     }
     all.add(new Metric("sends", attemptsWritten.sum(), false));
-    // An end may be summed before the accept that it belongs to.
+    // A concurrent read may see a request's end but not its start.
     all.add(new Metric("current", Math.max(0, openRequests.sum()), true));
     all.add(new Metric("cluster_size", serversListed, true));
     all.add(new Metric("cluster_unhealthy", serversAvoided, true));
--- a/src/main/java/beaconturn/stats/HealthCounters.java
+++ b/src/main/java/beaconturn/stats/HealthCounters.java
@@ -7,9 +7,7 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.LongSupplier;
 
-/**
- * Counters that also tell how well a process and the cache servers that it uses answer; any thread.
- */
+/** Counters that include the health of the process and its cache servers. Safe for any thread. */
 public final class HealthCounters extends Counters {
   private static final long NANOS_PER_MICRO = 1000;
 
@@ -19,22 +17,22 @@
   private final LongAdder misses = new LongAdder();
   private final Map<Long, CacheServerCounters> servers = new ConcurrentHashMap<>();
 
-  /** What one cache server made of the attempts that it got. */
+  /** The attempt counts of one cache server. */
   private static final class CacheServerCounters {
-    private final LongAdder answered = new LongAdder();
-    private final LongAdder unanswered = new LongAdder();
+    private final LongAdder responded = new LongAdder();
+    private final LongAdder failed = new LongAdder();
     private final LongAdder hits = new LongAdder();
     private final LongAdder hitMicros = new LongAdder();
 
     private void addTo(List<Metric> all, String name) {
-      all.add(new Metric("cache_good." + name, answered.sum(), false));
-      all.add(new Metric("cache_bad." + name, unanswered.sum(), false));
+      all.add(new Metric("cache_good." + name, responded.sum(), false));
+      all.add(new Metric("cache_bad." + name, failed.sum(), false));
       all.add(new Metric("cache_hits." + name, hits.sum(), false));
       all.add(new Metric("cache_hit_micros." + name, hitMicros.sum(), false));
     }
   }
 
-  /** Counts by the router's clock, in nanoseconds. */
+  /** Creates counters that use the router's clock, in nanoseconds. */
   public HealthCounters(LongSupplier clock) {
     this.clock = clock;
   }
@@ -48,21 +46,23 @@
 
   @Override
   public void attemptEnded(
-      long serverId, boolean answered, CacheLookup lookup, long tookNanos, boolean late) {
+      long serverId, boolean responded, CacheLookup lookup, long tookNanos, boolean late) {
     CacheServerCounters server = servers.computeIfAbsent(serverId, id -> new CacheServerCounters());
-    (answered ? server.answered : server.unanswered).increment();
-    if (answered && lookup == CacheLookup.HIT) {
+    (responded ? server.responded : server.failed).increment();
+    if (responded && lookup == CacheLookup.HIT) {
       hits.increment();
       server.hits.increment();
       server.hitMicros.add(tookNanos / NANOS_PER_MICRO);
-    } else if (answered && lookup == CacheLookup.MISS) {
+    } else if (responded && lookup == CacheLookup.MISS) {
       misses.increment();
     }
   }
 
   /**
-   * The health metrics as they are now. Of cache servers those that are named here, by their ids;
-   * whoever else was counted is forgotten.
+   * The current health metrics, including those of the given cache servers. Removes the counts of
+   * all other cache servers.
+   *
+   * @param serverNames the names of the cache servers to include, by id
    */
   public List<Metric> health(Map<Long, String> serverNames) {
     servers.keySet().retainAll(serverNames.keySet());
--- a/src/main/java/beaconturn/stats/Metric.java
+++ b/src/main/java/beaconturn/stats/Metric.java
@@ -1,10 +1,10 @@
 package beaconturn.stats;
 
 /**
- * One metric as it is now.
+ * The current value of a metric.
  *
- * @param name as operators know it
- * @param value now
- * @param gauge whether it may fall; else it only grows from the start of the process on
+ * @param name the name under which it is exported
+ * @param value the current value
+ * @param gauge true for a gauge, false for a counter since the start of the process
  */
 public record Metric(String name, long value, boolean gauge) {}
--- a/src/main/java/beaconturn/stats/RequestEnd.java
+++ b/src/main/java/beaconturn/stats/RequestEnd.java
@@ -2,13 +2,13 @@
 
 /** How a request ended, each in exactly one way. */
 public enum RequestEnd {
-  /** With a value or receipt. */
+  /** With a successful response. */
   ANSWERED("answered"),
-  /** With a refusal that promises no effect. */
+  /** With a rejection, which guarantees that the request had no effect. */
   REJECTED("deferred"),
-  /** With an error that promises nothing. */
+  /** With an error; the request may have had an effect. */
   FAILED("errored"),
-  /** Its client has gone; not counted by class. */
+  /** The client disconnected; not counted by class. */
   ABANDONED("abandoned");
 
   private final String metricName;
@@ -17,7 +17,7 @@
     this.metricName = metricName;
   }
 
-  /** The first part of the metric's name, as operators know it. */
+  /** The first part of the exported metric's name. */
   String metricName() {
     return metricName;
   }
--- a/src/main/java/beaconturn/stats/RequestMetrics.java
+++ b/src/main/java/beaconturn/stats/RequestMetrics.java
@@ -1,45 +1,43 @@
 package beaconturn.stats;
 
-/** Where the work of one process is counted; any thread may call, and no call waits. */
+/** Receives the events that the metrics of one process count. Any thread; never blocks. */
 public interface RequestMetrics {
-  /** Counts nothing: for a router whose metrics nobody can ask for. */
+  /** Counts nothing: for a router that exports no metrics. */
   RequestMetrics NONE = new RequestMetrics() {};
 
-  /** A request has been accepted. */
+  /** A request was accepted. */
   default void requestAccepted() {}
 
-  /** A request that had been accepted is over; its class is the one that it was accepted with. */
+  /** An accepted request of that class ended. */
   default void requestEnded(String requestClass, RequestEnd end) {}
 
-  /** An attempt has been written whole to a cache server. */
+  /** An attempt's request was completely written to a cache server. */
   default void attemptWritten() {}
 
-  /** A request has been answered that was to be answered by this time of the router's clock. */
+  /** A request whose latency objective ends at this time of the router's clock succeeded. */
   default void answeredWithObjective(long objectiveAtNanos) {}
 
-  /** A request has come to the routing policy. */
+  /** A request was passed to the routing policy. */
   default void requestRouted() {}
 
   /**
-   * An attempt is over.
+   * An attempt ended.
    *
-   * @param serverId of its cache server
-   * @param answered whether the cache server answered it
-   * @param lookup how the cache server had the key
-   * @param tookNanos from its sending to its end
-   * @param late whether it was over after the latency objective of its class
+   * @param serverId the id of the cache server
+   * @param responded whether the cache server responded with a value or a miss
+   * @param lookup whether the cache server had the key
+   * @param tookNanos the time from sending the attempt to its end
+   * @param late whether the attempt took longer than the latency objective of its class
    */
   default void attemptEnded(
-      long serverId, boolean answered, CacheLookup lookup, long tookNanos, boolean late) {}
+      long serverId, boolean responded, CacheLookup lookup, long tookNanos, boolean late) {}
 
-  /** How many cache servers are listed, and how many of them are excluded or ejected. */
+  /** The number of listed cache servers, and of those that are excluded or ejected. */
   default void serverCounts(int listed, int avoided) {}
 
-  /** A configuration was accepted at a reload, or not. */
+  /** A reload accepted a configuration or found it invalid. */
   default void configReloaded(boolean accepted) {}
 
-  /**
-   * The settings in force have this class, which is shown from now on though nothing is counted.
-   */
+  /** Declares a request class of the settings, which is exported from now on even if it is 0. */
   default void declareClass(String requestClass) {}
 }
--- a/src/main/java/beaconturn/toml/KeyPositions.java
+++ b/src/main/java/beaconturn/toml/KeyPositions.java
@@ -5,10 +5,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Line numbers of the keys of a TOML text, which the parser does not keep. */
+/** The line numbers of keys in a TOML text, which the TOML parser does not provide. */
 final class KeyPositions {
   private static final Pattern TABLE = Pattern.compile("\\s*\\[\\s*([^\\[\\]]+?)\\s*]\\s*(#.*)?");
-  private static final Pattern ITEM =
+  private static final Pattern TABLE_ARRAY_ITEM =
       Pattern.compile("\\s*\\[\\[\\s*([^\\[\\]]+?)\\s*]]\\s*(#.*)?");
   private static final Pattern KEY = Pattern.compile("\\s*([A-Za-z0-9_.\\-\"']+)\\s*=.*");
   private final Map<String, Integer> lineByPath = new HashMap<>();
@@ -16,28 +16,28 @@
 
   KeyPositions(String text) {
     String table = "";
-    int number = 0;
+    int lineNumber = 0;
     for (String line : text.split("\n", -1)) {
-      number++;
-      Matcher item = ITEM.matcher(line);
-      Matcher head = TABLE.matcher(line);
+      lineNumber++;
+      Matcher item = TABLE_ARRAY_ITEM.matcher(line);
+      Matcher header = TABLE.matcher(line);
       Matcher key = KEY.matcher(line);
       if (item.matches()) {
         int index = itemCounts.merge(item.group(1), 1, Integer::sum) - 1;
         table = item.group(1) + "[" + index + "]";
-        lineByPath.putIfAbsent(item.group(1), number);
-        lineByPath.put(table, number);
-      } else if (head.matches()) {
-        table = head.group(1);
-        lineByPath.putIfAbsent(table, number);
+        lineByPath.putIfAbsent(item.group(1), lineNumber);
+        lineByPath.put(table, lineNumber);
+      } else if (header.matches()) {
+        table = header.group(1);
+        lineByPath.putIfAbsent(table, lineNumber);
       } else if (key.matches()) {
         String name = key.group(1).replaceAll("[\"']", "");
-        lineByPath.putIfAbsent(table.isEmpty() ? name : table + "." + name, number);
+        lineByPath.putIfAbsent(table.isEmpty() ? name : table + "." + name, lineNumber);
       }
     }
   }
 
-  /** Returns the line of the key, or of the nearest enclosing table that has one; 1 at least. */
+  /** Returns the line of the key or of its nearest enclosing table; 1 if neither has one. */
   int lineOf(String path) {
     String at = path;
     while (!at.isEmpty()) {
--- a/src/main/java/beaconturn/toml/TomlException.java
+++ b/src/main/java/beaconturn/toml/TomlException.java
@@ -1,10 +1,10 @@
 package beaconturn.toml;
 
-/** An invalid file; the message is one line: FILE:LINE: KEY: what is wrong, what is allowed. */
+/** Thrown for an invalid file; the message is one line in the form FILE:LINE: KEY: problem. */
 public final class TomlException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Makes an exception with the whole line. */
+  /** Creates an exception with the complete line. */
   public TomlException(String line) {
     super(line);
   }
--- a/src/main/java/beaconturn/toml/TomlSection.java
+++ b/src/main/java/beaconturn/toml/TomlSection.java
@@ -11,9 +11,8 @@
 import java.util.Set;
 
 /**
- * One table of an operators' TOML file. Each key is asked for by name with the value that holds
- * where it is not given; at the end {@link #rejectUnknownKeys} rejects keys that nobody has asked
- * for.
+ * A table of an operator's TOML file. Keys are read by name with a default value; after all reads,
+ * {@link #rejectUnknownKeys} rejects the keys that were not read. Not thread-safe.
  */
 public final class TomlSection {
   private final String file;
@@ -30,7 +29,12 @@
     this.node = node;
   }
 
-  /** The whole file; {@code file} is its name in messages. */
+  /**
+   * Parses a file.
+   *
+   * @param file the file's name for error messages
+   * @throws TomlException if the text is not valid TOML
+   */
   public static TomlSection read(String file, String text) throws TomlException {
     try {
       return new TomlSection(file, new KeyPositions(text), "", new TomlMapper().readTree(text));
@@ -41,13 +45,13 @@
     }
   }
 
-  /** Returns whether the key is given. */
+  /** Returns whether the key is present. */
   public boolean has(String key) {
     requestedKeys.add(key);
     return node != null && node.has(key);
   }
 
-  /** What is wrong with a key's value, as an exception to throw. */
+  /** Creates an exception for the key, with the file and line; {@code what} states the problem. */
   public TomlException invalid(String key, String what) {
     String fullPath = pathOf(key);
     return new TomlException(
@@ -67,12 +71,12 @@
       return defaultValue;
     }
     if (!node.get(key).isTextual()) {
-      throw invalid(key, "not a text, which stands in quotes");
+      throw invalid(key, "not a string, write it in quotes");
     }
     return node.get(key).textValue();
   }
 
-  /** Returns a string that has to be one of the allowed ones. */
+  /** Returns a string, which must be one of the allowed values. */
   public String choice(String key, String defaultValue, List<String> allowed) throws TomlException {
     String text = text(key, defaultValue);
     if (!allowed.contains(text)) {
@@ -89,12 +93,12 @@
     List<String> texts = new ArrayList<>();
     for (JsonNode item : node.get(key)) {
       if (!item.isTextual()) {
-        throw invalid(key, "not a list of texts");
+        throw invalid(key, "not a list of strings");
       }
       texts.add(item.textValue());
     }
     if (!node.get(key).isArray()) {
-      throw invalid(key, "not a list of texts");
+      throw invalid(key, "not a list of strings");
     }
     return List.copyOf(texts);
   }
@@ -110,7 +114,7 @@
     return node.get(key).booleanValue();
   }
 
-  /** Returns a number within bounds, both included. */
+  /** Returns a number within inclusive bounds. */
   public double number(String key, double defaultValue, double minimum, double maximum)
       throws TomlException {
     if (!has(key)) {
@@ -127,7 +131,7 @@
     return value;
   }
 
-  /** Returns an integer within bounds, both included. */
+  /** Returns an integer within inclusive bounds. */
   public int integer(String key, int defaultValue, int minimum, int maximum) throws TomlException {
     double value = number(key, defaultValue, minimum, maximum);
     if (value != Math.rint(value)) {
@@ -137,9 +141,10 @@
   }
 
   /** Returns a duration such as "1.5s" or "300ms", in nanoseconds. */
-  public long durationNanos(String key, long defaultValue, long minimum) throws TomlException {
+  public long durationNanos(String key, long defaultNanos, long minimumNanos)
+      throws TomlException {
     if (!has(key)) {
-      return defaultValue;
+      return defaultNanos;
     }
     JsonNode value = node.get(key);
     OptionalLong durationNanos =
@@ -148,16 +153,16 @@
       throw invalid(key, "not a time, write for example \"1.5s\" or \"300ms\"");
     }
     long nanos = durationNanos.getAsLong();
-    if (nanos < minimum) {
-      throw invalid(key, "too short, at least " + minimum / 1e9 + "s is needed");
+    if (nanos < minimumNanos) {
+      throw invalid(key, "too short, at least " + minimumNanos / 1e9 + "s is needed");
     }
     return nanos;
   }
 
   /** Returns a size such as "64MB", in bytes. */
-  public long sizeBytes(String key, long defaultValue, long minimum) throws TomlException {
+  public long sizeBytes(String key, long defaultBytes, long minimumBytes) throws TomlException {
     if (!has(key)) {
-      return defaultValue;
+      return defaultBytes;
     }
     JsonNode value = node.get(key);
     OptionalLong sizeBytes =
@@ -166,13 +171,13 @@
       throw invalid(key, "not a size, write for example \"512B\" or \"64MB\"");
     }
     long bytes = sizeBytes.getAsLong();
-    if (bytes < minimum) {
-      throw invalid(key, "too small, at least " + minimum + "B is needed");
+    if (bytes < minimumBytes) {
+      throw invalid(key, "too small, at least " + minimumBytes + "B is needed");
     }
     return bytes;
   }
 
-  /** Returns a table below this one; an empty one where it is not given. */
+  /** Returns a subtable; an empty one if the key is absent. */
   public TomlSection table(String key) throws TomlException {
     JsonNode found = has(key) ? node.get(key) : null;
     if (found != null && !found.isObject()) {
@@ -181,7 +186,7 @@
     return subsection(key, found);
   }
 
-  /** Returns the tables of an array, which is empty where it is not given. */
+  /** Returns the tables of an array of tables; an empty list if the key is absent. */
   public List<TomlSection> tables(String key) throws TomlException {
     List<TomlSection> all = new ArrayList<>();
     if (has(key)) {
@@ -204,7 +209,7 @@
     return section;
   }
 
-  /** Rejects keys that no reader has requested, here and in all tables below. */
+  /** Rejects keys that were not read, in this table and all subtables that were read. */
   public void rejectUnknownKeys() throws TomlException {
     if (node != null) {
       for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
@@ -219,9 +224,9 @@
     }
   }
 
-  private static String formatted(double figure) {
-    return figure == Math.rint(figure) && Math.abs(figure) < 1e15
-        ? Long.toString((long) figure)
-        : Double.toString(figure);
+  private static String formatted(double value) {
+    return value == Math.rint(value) && Math.abs(value) < 1e15
+        ? Long.toString((long) value)
+        : Double.toString(value);
   }
 }
--- a/src/main/java/beaconturn/toml/package-info.java
+++ b/src/main/java/beaconturn/toml/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Operators' files in TOML, read with checks: every wrong value is one line that names the file,
- * the line and the key, and says what is allowed. No I/O.
+ * Reads and validates operators' TOML files. Errors are one line with the file, the line number, the
+ * key and the permitted values. No I/O.
  */
 package beaconturn.toml;
--- a/src/test/java/beaconturn/stats/HealthCountersTest.java
+++ b/src/test/java/beaconturn/stats/HealthCountersTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** The health metrics, whose names the agents of a release know. */
+/** Tests the health metrics, whose names rollout agents rely on. */
 class HealthCountersTest {
   private final AtomicLong nowNanos = new AtomicLong(100);
   private final HealthCounters counters = new HealthCounters(nowNanos::get);
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void attemptsAreCountedByServerUnderTheNamesThatAgentsKnow() {
+  void exportsAttemptsByServerUnderDocumentedNames() {
     counters.answeredWithObjective(100);
     counters.answeredWithObjective(99);
     counters.attemptEnded(7, true, CacheLookup.HIT, 5_000, false);
@@ -38,9 +38,9 @@
         health(Map.of(7L, "s-1", 8L, "s-2")));
   }
 
-  /** Servers come and go for as long as a router lives: what is kept of them must not grow. */
+  /** Guards against a leak in a fleet whose servers are replaced over time. */
   @Test
-  void aServerThatIsNotNamedAnyMoreIsForgotten() {
+  void removesCountsOfServersNoLongerNamed() {
     counters.attemptEnded(7, true, CacheLookup.HIT, 5_000, false);
     health(Map.of(8L, "s-2"));
     assertEquals(List.of("late:0", "hits:1", "misses:0"), health(Map.of(7L, "s-1")));
--- a/src/test/java/beaconturn/toml/TomlSectionTest.java
+++ b/src/test/java/beaconturn/toml/TomlSectionTest.java
@@ -30,16 +30,16 @@
     return TomlSection.read("f.toml", text);
   }
 
-  private interface Question {
-    void ask() throws TomlException;
+  private interface Read {
+    void run() throws TomlException;
   }
 
-  private static void wrong(String line, Question question) {
-    assertEquals(line, assertThrows(TomlException.class, question::ask).getMessage());
+  private static void assertError(String message, Read read) {
+    assertEquals(message, assertThrows(TomlException.class, read::run).getMessage());
   }
 
   @Test
-  void valuesAreReadAndWhatIsNotGivenHasItsUsualValue() throws TomlException {
+  void readsValuesAndDefaults() throws TomlException {
     TomlSection file = read(TEXT);
     TomlSection fleet = file.table("fleet");
     TomlSection stall = file.tables("fault").get(1);
@@ -56,38 +56,38 @@
   }
 
   @Test
-  void aWrongValueIsOneLineWithFileLineAndKey() throws TomlException {
+  void errorNamesFileLineAndKey() throws TomlException {
     TomlSection file = read(TEXT);
     TomlSection fleet = file.table("fleet");
-    wrong(
+    assertError(
         "f.toml:5: fleet.caches: out of range, allowed is 5 to 9",
         () -> fleet.integer("caches", 5, 5, 9));
-    wrong("f.toml:6: fleet.speed: not a whole number", () -> fleet.integer("speed", 1, 0, 9));
-    wrong(
+    assertError("f.toml:6: fleet.speed: not a whole number", () -> fleet.integer("speed", 1, 0, 9));
+    assertError(
         "f.toml:5: fleet.caches: not a time, write for example \"1.5s\" or \"300ms\"",
         () -> fleet.durationNanos("caches", 0, 0));
-    wrong(
+    assertError(
         "f.toml:7: fleet.wait: too short, at least 2.0s is needed",
         () -> fleet.durationNanos("wait", 0, 2_000_000_000L));
-    wrong("f.toml:2: name: not a number", () -> file.number("name", 1, 0, 2));
-    wrong(
+    assertError("f.toml:2: name: not a number", () -> file.number("name", 1, 0, 2));
+    assertError(
         "f.toml:9: fault[0].kind: unknown 'slow', allowed are a, b",
         () -> file.tables("fault").get(0).choice("kind", "a", List.of("a", "b")));
-    wrong("f.toml:2: name: not a table, write [name]", () -> file.table("name"));
-    wrong("f.toml:4: fleet: not a list of tables, write [[fleet]]", () -> file.tables("fleet"));
+    assertError("f.toml:2: name: not a table, write [name]", () -> file.table("name"));
+    assertError("f.toml:4: fleet: not a list of tables, write [[fleet]]", () -> file.tables("fleet"));
   }
 
   @Test
-  void aKeyThatNobodyAsksForIsTurnedAwayWhereverItStands() throws TomlException {
+  void rejectsUnknownKeyInSubtable() throws TomlException {
     TomlSection file = read(TEXT);
     file.text("name", "");
     file.table("fleet").integer("caches", 1, 1, 9);
     file.tables("fault");
-    wrong("f.toml:6: fleet.speed: unknown key, allowed are caches", file::rejectUnknownKeys);
+    assertError("f.toml:6: fleet.speed: unknown key, allowed are caches", file::rejectUnknownKeys);
   }
 
   @Test
-  void whatIsNoTomlNamesItsLine() {
+  void syntaxErrorNamesFileAndLine() {
     String message = assertThrows(TomlException.class, () -> read("a = 1\nb = = 2\n")).getMessage();
     assertTrue(message.startsWith("f.toml:2: not TOML: "), message);
     assertEquals(1, message.lines().count());
