--- a/src/main/java/beaconturn/net/client/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -71,14 +71,14 @@
    * and is not whole is broken off: the client has part of it, and can only fail.
    */
   private void end(RequestEnd end, Slice answer) {
-    boolean brokenOff = stream() != null && end != RequestEnd.ANSWERED;
+    boolean brokenOff = stream() != null && end != RequestEnd.SUCCEEDED;
     if (!fill(answer)) {
       return;
     }
     boolean countsAsError = brokenOff && end != RequestEnd.ABANDONED;
     reading.metrics().requestEnded(reading.className(), countsAsError ? RequestEnd.FAILED : end);
-    if (end == RequestEnd.ANSWERED) {
-      reading.metrics().answeredWithObjective(reading.objectiveAtNanos());
+    if (end == RequestEnd.SUCCEEDED) {
+      reading.metrics().requestSucceeded(reading.objectiveAtNanos());
     }
     if (brokenOff) {
       stream().breakOff();
@@ -129,7 +129,7 @@
 
   @Override
   public void respond(Slice answer) {
-    end(RequestEnd.ANSWERED, answer == null ? ClientWriter.END : answer);
+    end(RequestEnd.SUCCEEDED, answer == null ? ClientWriter.END : answer);
   }
 
   /** Rounded up, so that no client comes again before it should. */
--- a/src/main/java/beaconturn/stats/Counters.java
+++ b/src/main/java/beaconturn/stats/Counters.java
@@ -13,7 +13,7 @@
 public class Counters implements RequestMetrics {
   /** The request ends that are exported, in output order. */
   private static final List<RequestEnd> EXPORTED_ENDS =
-      List.of(RequestEnd.ANSWERED, RequestEnd.REJECTED, RequestEnd.FAILED);
+      List.of(RequestEnd.SUCCEEDED, RequestEnd.REJECTED, RequestEnd.FAILED);
 
   /** The counts of one class's requests by their end. */
   private static final class RequestClassCounters {
@@ -23,7 +23,7 @@
 
     private LongAdder of(RequestEnd end) {
       return switch (end) {
-        case ANSWERED -> succeeded;
+        case SUCCEEDED -> succeeded;
         case REJECTED -> rejected;
         case FAILED -> failed;
         case ABANDONED -> throw new IllegalArgumentException("abandoned requests are not counted by class");
--- a/src/main/java/beaconturn/stats/HealthCounters.java
+++ b/src/main/java/beaconturn/stats/HealthCounters.java
@@ -38,7 +38,7 @@
   }
 
   @Override
-  public void answeredWithObjective(long objectiveAtNanos) {
+  public void requestSucceeded(long objectiveAtNanos) {
     if (clock.getAsLong() > objectiveAtNanos) {
       late.increment();
     }
--- a/src/main/java/beaconturn/stats/RequestEnd.java
+++ b/src/main/java/beaconturn/stats/RequestEnd.java
@@ -3,7 +3,7 @@
 /** How a request ended, each in exactly one way. */
 public enum RequestEnd {
   /** With a successful response. */
-  ANSWERED("answered"),
+  SUCCEEDED("answered"),
   /** With a rejection, which guarantees that the request had no effect. */
   REJECTED("deferred"),
   /** With an error; the request may have had an effect. */
--- a/src/main/java/beaconturn/stats/RequestMetrics.java
+++ b/src/main/java/beaconturn/stats/RequestMetrics.java
@@ -15,7 +15,7 @@
   default void attemptWritten() {}
 
   /** A request whose latency objective ends at this time of the router's clock succeeded. */
-  default void answeredWithObjective(long objectiveAtNanos) {}
+  default void requestSucceeded(long objectiveAtNanos) {}
 
   /** A request was passed to the routing policy. */
   default void requestRouted() {}
--- a/src/test/java/beaconturn/stats/HealthCountersTest.java
+++ b/src/test/java/beaconturn/stats/HealthCountersTest.java
@@ -21,8 +21,8 @@
 
   @Test
   void exportsAttemptsByServerUnderDocumentedNames() {
-    counters.answeredWithObjective(100);
-    counters.answeredWithObjective(99);
+    counters.requestSucceeded(100);
+    counters.requestSucceeded(99);
     counters.attemptEnded(7, true, CacheLookup.HIT, 5_000, false);
     counters.attemptEnded(7, true, CacheLookup.MISS, 9_000, true);
     counters.attemptEnded(7, false, CacheLookup.UNKNOWN, 9_000, true);
