--- a/src/main/java/beaconturn/core/AttemptRunner.java
+++ b/src/main/java/beaconturn/core/AttemptRunner.java
@@ -45,7 +45,7 @@
     OutboundAttempt attempt = context.requests().addAttempt(entry, serverId, now, allowedNanos);
     attempt.setTimeoutTimer(context.timers().at(attempt.timesOutAtNanos(), () -> timedOut(attempt)));
     if (!context.servers().send(attempt)) {
-      endWhileDeciding(policy, attempt, entry, AttemptOutcome.CONNECT_FAILED);
+      endDuringAction(policy, attempt, entry, AttemptOutcome.CONNECT_FAILED);
     }
   }
 
@@ -85,7 +85,7 @@
     }
     OutboundAttempt attempt = entry.attempts().get(attemptNumber);
     if (!attempt.hasEnded()) {
-      endWhileDeciding(policy, attempt, entry, AttemptOutcome.CANCELLED);
+      endDuringAction(policy, attempt, entry, AttemptOutcome.CANCELLED);
       context.servers().abort(attempt);
     }
   }
@@ -94,7 +94,7 @@
    * Ends an attempt during an action of the policy, which is notified once it has handled the
    * current event.
    */
-  private void endWhileDeciding(
+  private void endDuringAction(
       HostedPolicy policy,
       OutboundAttempt attempt,
       RequestTable.RequestEntry entry,
--- a/src/main/java/beaconturn/net/discovery/EndpointListParser.java
+++ b/src/main/java/beaconturn/net/discovery/EndpointListParser.java
@@ -94,12 +94,12 @@
     }
   }
 
-  private static EndpointHealth health(String word) throws ProtocolException {
-    return switch (word) {
+  private static EndpointHealth health(String name) throws ProtocolException {
+    return switch (name) {
       case "ready" -> EndpointHealth.READY;
       case "draining" -> EndpointHealth.DRAINING;
       case "gone" -> EndpointHealth.GONE;
-      default -> throw new ProtocolException("unknown health '" + word + "'");
+      default -> throw new ProtocolException("unknown health '" + name + "'");
     };
   }
 
--- a/src/main/java/beaconturn/net/server/CacheResponseReader.java
+++ b/src/main/java/beaconturn/net/server/CacheResponseReader.java
@@ -54,11 +54,11 @@
    */
   AttemptResult readStreamed(RespValue status, RespValue report, long atNanos)
       throws ProtocolException {
-    if (!(status instanceof RespValue.Bulk word)) {
+    if (!(status instanceof RespValue.Bulk statusText)) {
       throw new ProtocolException(MALFORMED_RESPONSE);
     }
     return new AttemptResult(
-        AttemptOutcome.OK, atNanos, cacheStatus(word), loadReport(report), null);
+        AttemptOutcome.OK, atNanos, cacheStatus(statusText), loadReport(report), null);
   }
 
   /**
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -65,7 +65,7 @@
 
   /** Registers the actor with its thread. Called once, before any other method. */
   void start() {
-    post(new CacheServerTask.JoinThread());
+    post(new CacheServerTask.RegisterActor());
   }
 
   @Override
--- a/src/main/java/beaconturn/net/server/CacheServerTask.java
+++ b/src/main/java/beaconturn/net/server/CacheServerTask.java
@@ -13,7 +13,7 @@
   void applyTo(CacheServer server);
 
   /** Registers the actor with its thread, which then maintains its idle connections. */
-  record JoinThread() implements CacheServerTask {
+  record RegisterActor() implements CacheServerTask {
     @Override
     public void applyTo(CacheServer server) {
       // The thread registers the actor of any task that it handles.
--- a/src/main/java/beaconturn/protocol/HttpReader.java
+++ b/src/main/java/beaconturn/protocol/HttpReader.java
@@ -65,11 +65,11 @@
     if (line == null) {
       return null;
     }
-    String[] words = line.toString().split(" ");
-    if (words.length != 3 || !words[2].matches("HTTP/1\\.[01]")) {
+    String[] parts = line.toString().split(" ");
+    if (parts.length != 3 || !parts[2].matches("HTTP/1\\.[01]")) {
       throw new ProtocolException("malformed HTTP/1 request line");
     }
-    keepAlive = words[2].endsWith("1.1");
+    keepAlive = parts[2].endsWith("1.1");
     bodyBytes = 0;
     chunked = false;
     Slice body = readHeaders() ? readPlainBody(false) : null;
@@ -77,7 +77,7 @@
       return null;
     }
     buffer.consume(position);
-    return new HttpRequest(words[0], words[1], body, keepAlive);
+    return new HttpRequest(parts[0], parts[1], body, keepAlive);
   }
 
   /** Reads the status line and the headers; false if they are incomplete. */
--- a/src/main/java/beaconturn/stats/RequestEnd.java
+++ b/src/main/java/beaconturn/stats/RequestEnd.java
@@ -1,6 +1,6 @@
 package beaconturn.stats;
 
-/** How a request ended, each in exactly one way. */
+/** How a request ended. Each request ends in exactly one of these ways. */
 public enum RequestEnd {
   /** With a successful response. */
   SUCCEEDED("answered"),
