--- a/src/main/java/beaconturn/core/AttemptRunner.java
+++ b/src/main/java/beaconturn/core/AttemptRunner.java
@@ -43,7 +43,8 @@
     long leftNanos = Math.max(0, entry.request().deadlineNanos() - now);
     long allowedNanos = timeoutNanos == 0 ? leftNanos : Math.min(leftNanos, timeoutNanos);
     OutboundAttempt attempt = context.requests().addAttempt(entry, serverId, now, allowedNanos);
-    attempt.setTimeoutTimer(context.timers().at(attempt.timesOutAtNanos(), () -> timedOut(attempt)));
+    attempt.setTimeoutTimer(
+        context.timers().at(attempt.timesOutAtNanos(), () -> timedOut(attempt)));
     if (!context.servers().send(attempt)) {
       endDuringAction(policy, attempt, entry, AttemptOutcome.CONNECT_FAILED);
     }
@@ -70,7 +71,7 @@
 
   private String serverName(long serverId) {
     CacheServerClients.ListedServer listed = context.servers().listed(serverId);
-    return listed == null ? "unlisted server " + serverId : listed.name();
+    return listed == null ? "an unlisted server" : listed.name();
   }
 
   private void timedOut(OutboundAttempt attempt) {
--- a/src/main/java/beaconturn/core/CacheServerClients.java
+++ b/src/main/java/beaconturn/core/CacheServerClients.java
@@ -3,8 +3,8 @@
 /** The routing thread's access to the cache servers. Routing thread only; no call may block. */
 public interface CacheServerClients {
   /**
-   * Starts an attempt, whose result arrives as a message; false if the attempt cannot be started and
-   * nothing will be written.
+   * Starts an attempt, whose result arrives as a message; false if the attempt cannot be started
+   * and nothing will be written.
    */
   boolean send(OutboundAttempt attempt);
 
--- a/src/main/java/beaconturn/core/ClientRequest.java
+++ b/src/main/java/beaconturn/core/ClientRequest.java
@@ -31,7 +31,9 @@
   /** When the client stops waiting, in nanoseconds of the router's clock. */
   long deadlineNanos();
 
-  /** Encodes the request for a cache server, with {@code waitMillis} as the time limit it states. */
+  /**
+   * Encodes the request for a cache server, with {@code waitMillis} as the time limit it states.
+   */
   List<Slice> encode(long waitMillis);
 
   /**
--- a/src/main/java/beaconturn/core/HostedPolicy.java
+++ b/src/main/java/beaconturn/core/HostedPolicy.java
@@ -15,7 +15,9 @@
   private boolean replaced;
   private long replacedAtNanos;
 
-  /** Creates the policy with the factory, which receives this host to build the policy's actions. */
+  /**
+   * Creates the policy with the factory, which receives this host to build the policy's actions.
+   */
   HostedPolicy(RoutingSettings settings, Function<HostedPolicy, RoutingPolicy> factory) {
     this.settings = settings;
     this.policy = factory.apply(this);
--- a/src/main/java/beaconturn/core/Mailbox.java
+++ b/src/main/java/beaconturn/core/Mailbox.java
@@ -25,7 +25,9 @@
     return offerReserving(0, message);
   }
 
-  /** Posts a message without waiting; false if fewer than {@code reserved} slots would stay free. */
+  /**
+   * Posts a message without waiting; false if fewer than {@code reserved} slots would stay free.
+   */
   public synchronized boolean offerReserving(int reserved, T message) {
     if (capacity - queue.size() <= reserved) {
       return false;
--- a/src/main/java/beaconturn/core/PolicyActions.java
+++ b/src/main/java/beaconturn/core/PolicyActions.java
@@ -69,12 +69,12 @@
 
   @Override
   public void probe(long serverId) {
-    LOG.warning("probe of server " + serverId + " not sent: the protocol has no probes");
+    LOG.warning("probe not sent: the protocol has no probes");
   }
 
   @Override
   public void sendToPeer(int peer, byte[] body) {
-    LOG.warning("message to router " + peer + " not sent: routers do not exchange messages");
+    LOG.warning("message to another router not sent: routers do not exchange messages");
   }
 
   @Override
--- a/src/main/java/beaconturn/core/PolicyGenerations.java
+++ b/src/main/java/beaconturn/core/PolicyGenerations.java
@@ -66,7 +66,8 @@
     if (request.settings() == null) {
       return current();
     }
-    for (Iterator<HostedPolicy> newestFirst = policies.descendingIterator(); newestFirst.hasNext(); ) {
+    for (Iterator<HostedPolicy> newestFirst = policies.descendingIterator();
+        newestFirst.hasNext(); ) {
       HostedPolicy policy = newestFirst.next();
       if (policy.settings() == request.settings()) {
         return policy;
--- a/src/main/java/beaconturn/core/RequestEventLog.java
+++ b/src/main/java/beaconturn/core/RequestEventLog.java
@@ -70,7 +70,7 @@
 
   private static String attemptOutcomes(RequestTable.RequestEntry entry) {
     return entry.attempts().stream()
-        .map(a -> a.outcome() == null ? "in flight" : a.outcome().toString())
+        .map(a -> a.outcome() == null ? "IN_FLIGHT" : a.outcome().toString())
         .collect(Collectors.joining(" ", "[", "]"));
   }
 }
--- a/src/main/java/beaconturn/core/RoutingThread.java
+++ b/src/main/java/beaconturn/core/RoutingThread.java
@@ -93,7 +93,8 @@
       RoutingMessage message = mailbox.poll(engine.untilNextTimerNanos(maxWaitNanos()));
       step(message);
       openRequests = engine.openRequests();
-      if (observer != null && System.nanoTime() - lastObservationNanos >= OBSERVATION_INTERVAL_NANOS) {
+      if (observer != null
+          && System.nanoTime() - lastObservationNanos >= OBSERVATION_INTERVAL_NANOS) {
         lastObservationNanos = System.nanoTime();
         observer.accept(engine);
       }
--- a/src/main/java/beaconturn/net/discovery/DiscoveryClient.java
+++ b/src/main/java/beaconturn/net/discovery/DiscoveryClient.java
@@ -15,8 +15,8 @@
 import java.util.List;
 
 /**
- * An HTTP client of discovery at one address, over one persistent connection. For one thread, except
- * {@link #shutDown}.
+ * An HTTP client of discovery at one address, over one persistent connection. For one thread,
+ * except {@link #shutDown}.
  */
 final class DiscoveryClient {
   private static final int MAX_BODY_BYTES = 1 << 22;
@@ -40,7 +40,8 @@
   /**
    * Sends a GET request and returns the body of the response. Closes the connection on any error.
    *
-   * @throws SocketTimeoutException if the connection is open but the response is not received in time
+   * @throws SocketTimeoutException if the connection is open but the response is not received in
+   *     time
    * @throws IOException if the connection fails or the status is not 200
    * @throws ProtocolException if the response is not HTTP/1.1
    */
--- a/src/main/java/beaconturn/net/discovery/DiscoveryWatcher.java
+++ b/src/main/java/beaconturn/net/discovery/DiscoveryWatcher.java
@@ -134,7 +134,8 @@
       discoveryResponded = true;
       return accept(start.client(), body, lastWatchSucceeded);
     } catch (SocketTimeoutException e) {
-      // The connection is dead. Retry at once without backoff, as the router soon counts as notified
+      // The connection is dead. Retry at once without backoff, as the router soon counts as
+      // notified
       // of missed changes; the random waits spread the calls of the routers that this affects.
       LOG.info("endpoint list: watch timed out without a response; reconnecting");
       return true;
@@ -176,9 +177,9 @@
   }
 
   /**
-   * Reports a failed call, whatever its cause: without the report, the routing policy would wait for
-   * changes that no watch would deliver. Returns whether to continue watching: true if discovery has
-   * moved meanwhile, as a failure at the former address does not matter.
+   * Reports a failed call, whatever its cause: without the report, the routing policy would wait
+   * for changes that no watch would deliver. Returns whether to continue watching: true if
+   * discovery has moved meanwhile, as a failure at the former address does not matter.
    */
   private boolean fail(DiscoveryClient client, Throwable reason, boolean lastSucceeded) {
     boolean moved = !target.deliver(client, EndpointUpdate.failed());
--- a/src/main/java/beaconturn/net/discovery/WatchBackoff.java
+++ b/src/main/java/beaconturn/net/discovery/WatchBackoff.java
@@ -9,12 +9,11 @@
  * @param maxWaitMillis a watch waits between three quarters of this time and all of it
  * @param silenceMarginMillis how long after its wait a watch without a response counts as dead
  */
-public record WatchBackoff(
-    SplittableRandom random, int maxWaitMillis, int silenceMarginMillis) {
+public record WatchBackoff(SplittableRandom random, int maxWaitMillis, int silenceMarginMillis) {
   /**
    * A router counts as notified of a change 6 s after discovery had it. A dead watch takes at most
-   * this wait plus the margin, which leaves half of the 6 s for a slow connection and a slow response
-   * of the next watch.
+   * this wait plus the margin, which leaves half of the 6 s for a slow connection and a slow
+   * response of the next watch.
    */
   private static final int DEFAULT_MAX_WAIT_MILLIS = 2_000;
 
--- a/src/main/java/beaconturn/net/server/CacheConnection.java
+++ b/src/main/java/beaconturn/net/server/CacheConnection.java
@@ -24,8 +24,8 @@
  *
  * <p>Owned by a worker thread from the call of {@link #execute} until the listener is notified that
  * the attempt has ended with the connection reusable; owned by the {@link CacheServer} while idle.
- * The input buffer changes owner with it; slices of the buffer in a result stay valid, as the buffer
- * never overwrites bytes. {@link #close} and {@link #reset} may be called by any thread.
+ * The input buffer changes owner with it; slices of the buffer in a result stay valid, as the
+ * buffer never overwrites bytes. {@link #close} and {@link #reset} may be called by any thread.
  */
 final class CacheConnection {
   private static final Logger LOG = Logger.getLogger(CacheConnection.class.getName());
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Aborts the attempt in flight by a TCP reset, so that the kernel does not deliver its data later.
-   * Any thread; never blocks.
+   * Aborts the attempt in flight by a TCP reset, so that the kernel does not deliver its data
+   * later. Any thread; never blocks.
    */
   void reset() {
     socket.reset();
@@ -156,8 +156,7 @@
     outcomeIfUnwritten = AttemptOutcome.NOT_SENT;
     socket.open();
     try {
-      socket.connect(
-          (int) Math.max(MIN_CONNECT_TIMEOUT_MILLIS, timeoutNanos / NANOS_PER_MILLI));
+      socket.connect((int) Math.max(MIN_CONNECT_TIMEOUT_MILLIS, timeoutNanos / NANOS_PER_MILLI));
     } catch (ConnectException | NoRouteToHostException | SocketTimeoutException e) {
       outcomeIfUnwritten = AttemptOutcome.CONNECT_FAILED;
       throw e;
@@ -174,11 +173,11 @@
     long nowNanos = clock.now();
     if (!attempt.mayBeWritten(nowNanos) || !listener.mayWrite()) {
       outcomeIfUnwritten = AttemptOutcome.SUPERSEDED;
-      throw new IOException("attempt ended, timed out or no longer permitted before it was written");
+      throw new IOException(
+          "attempt ended, timed out or no longer permitted before it was written");
     }
     long deadlineMillis =
-        Math.max(
-            MIN_DEADLINE_MILLIS, (attempt.timesOutAtNanos() - nowNanos) / NANOS_PER_MILLI);
+        Math.max(MIN_DEADLINE_MILLIS, (attempt.timesOutAtNanos() - nowNanos) / NANOS_PER_MILLI);
     Sockets.write(socket.socket().getOutputStream(), attempt.request().encode(deadlineMillis));
     requestWritten = true;
     listener.requestWritten();
--- a/src/main/java/beaconturn/net/server/CacheResponseReader.java
+++ b/src/main/java/beaconturn/net/server/CacheResponseReader.java
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Parses a number of a load report; {@link #NO_VALUE} if it is malformed, negative or infinite, as
-   * such a value would distort the routing policy's averages permanently.
+   * Parses a number of a load report; {@link #NO_VALUE} if it is malformed, negative or infinite,
+   * as such a value would distort the routing policy's averages permanently.
    */
   private static float number(String digits) {
     boolean valid =
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -97,9 +97,9 @@
   }
 
   /**
-   * Sets whether the server accepts new requests. If not, attempts that are queued or connecting end
-   * as superseded, so that no request is written after the router was notified that the server is
-   * draining. Any thread.
+   * Sets whether the server accepts new requests. If not, attempts that are queued or connecting
+   * end as superseded, so that no request is written after the router was notified that the server
+   * is draining. Any thread.
    */
   void acceptsRequests(boolean accepts) {
     acceptsRequests = accepts;
@@ -184,7 +184,7 @@
 
   void onAddressChanged(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
-      LOG.info("cache server " + host + ": address changed from " + address + " to " + newAddress);
+      LOG.info(host + ": cache server address changed from " + address + " to " + newAddress);
       address = newAddress;
       idle.closeAll();
     }
@@ -269,7 +269,7 @@
       environment.workers().run(() -> connection.execute(attempt));
     } catch (OutOfMemoryError e) {
       // Nothing was written, so the connection can be released.
-      LOG.warning("cache server " + host + ": cannot start a thread; attempt not sent");
+      LOG.warning(host + ": cannot start a thread for a cache connection; attempt not sent");
       inUse.remove(attempt);
       connection.close();
       onConnectionClosed();
--- a/src/main/java/beaconturn/net/server/CacheServerPool.java
+++ b/src/main/java/beaconturn/net/server/CacheServerPool.java
@@ -181,8 +181,8 @@
   }
 
   /**
-   * Marks a server as gone. Its actor is kept while attempts are in flight, which may still complete
-   * or be aborted.
+   * Marks a server as gone. Its actor is kept while attempts are in flight, which may still
+   * complete or be aborted.
    */
   private void remove(long serverId, List<String> changes) {
     PooledServer server = servers.get(serverId);
@@ -199,8 +199,8 @@
   }
 
   /**
-   * Retires the actors of gone servers without attempts or connections. Also called on each send, as
-   * endpoint updates may be rare.
+   * Retires the actors of gone servers without attempts or connections. Also called on each send,
+   * as endpoint updates may be rare.
    */
   private void retireInactive() {
     if (goneCount > 0) {
--- a/src/main/java/beaconturn/net/server/CacheServerThread.java
+++ b/src/main/java/beaconturn/net/server/CacheServerThread.java
@@ -8,9 +8,9 @@
 import java.util.logging.Logger;
 
 /**
- * The thread on which the actors of all cache servers run their tasks. Actors never block on a peer,
- * so they can share a thread; one thread per server would cost memory and startup time in a fleet
- * of hundreds.
+ * The thread on which the actors of all cache servers run their tasks. Actors never block on a
+ * peer, so they can share a thread; one thread per server would cost memory and startup time in a
+ * fleet of hundreds.
  */
 public final class CacheServerThread {
   private static final Logger LOG = Logger.getLogger(CacheServerThread.class.getName());
@@ -40,8 +40,7 @@
         Math.max(
             MIN_MAINTENANCE_INTERVAL_NANOS,
             Math.min(
-                MAX_MAINTENANCE_INTERVAL_NANOS,
-                idleTimeoutNanos / MAINTENANCES_PER_IDLE_TIMEOUT));
+                MAX_MAINTENANCE_INTERVAL_NANOS, idleTimeoutNanos / MAINTENANCES_PER_IDLE_TIMEOUT));
   }
 
   /** Starts the thread. Called once. */
@@ -65,7 +64,7 @@
   /** Posts a task without waiting; logs an error if the mailbox is full. For the routing thread. */
   void postOrDrop(CacheServer server, CacheServerTask task) {
     if (!mailbox.offer(new AddressedTask(server, task))) {
-      LOG.severe("cache server " + server + ": mailbox full, dropped " + task);
+      LOG.severe(server + ": cache server mailbox full, dropped " + task);
     }
   }
 
@@ -107,7 +106,7 @@
     try {
       step.run();
     } catch (RuntimeException | Error e) {
-      LOG.log(Level.SEVERE, "cache server " + server + ": task failed; continuing", e);
+      LOG.log(Level.SEVERE, server + ": cache server task failed; continuing", e);
     }
   }
 }
--- a/src/main/java/beaconturn/net/server/ConnectionReporter.java
+++ b/src/main/java/beaconturn/net/server/ConnectionReporter.java
@@ -6,8 +6,8 @@
 import beaconturn.net.io.BoundedPipe;
 
 /**
- * Reports events on the connections of one cache server to its actor and to the routing thread. Runs
- * on worker threads, which may block while a mailbox is full.
+ * Reports events on the connections of one cache server to its actor and to the routing thread.
+ * Runs on worker threads, which may block while a mailbox is full.
  */
 final class ConnectionReporter implements CacheConnectionListener {
   private final CacheServer server;
--- a/src/main/java/beaconturn/net/server/IdleConnections.java
+++ b/src/main/java/beaconturn/net/server/IdleConnections.java
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Removes and returns the most recently used settled connection, so that surplus connections reach
-   * their idle timeout; null if there is none.
+   * Removes and returns the most recently used settled connection, so that surplus connections
+   * reach their idle timeout; null if there is none.
    */
   CacheConnection takeSettled(long nowNanos) {
     long settledBefore = nowNanos - SETTLE_NANOS;
--- a/src/main/java/beaconturn/net/server/LargeResponseStream.java
+++ b/src/main/java/beaconturn/net/server/LargeResponseStream.java
@@ -13,8 +13,8 @@
 
 /**
  * Streams a response to the client while it is received, as its value is too large to be buffered.
- * The line end after the value is held back until the rest of the response has been read: if that is
- * malformed, the client must not get a response that looks complete.
+ * The line end after the value is held back until the rest of the response has been read: if that
+ * is malformed, the client must not get a response that looks complete.
  *
  * <p>For the worker thread that owns the connection; pieces passed to the pipe are not modified
  * afterwards.
--- a/src/main/java/beaconturn/net/server/WorkerPool.java
+++ b/src/main/java/beaconturn/net/server/WorkerPool.java
@@ -100,7 +100,7 @@
       try {
         job.run();
       } catch (RuntimeException | Error e) {
-        LOG.log(Level.SEVERE, "job failed on a " + threadName + " thread; continuing", e);
+        LOG.log(Level.SEVERE, threadName + ": job failed on a worker thread; continuing", e);
       }
     }
 
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Waits for the next job; null if the keep-alive time has passed. If this thread was taken for a
-     * job just as the time passed, it is no longer in the idle list and waits for that job, which
+     * Waits for the next job; null if the keep-alive time has passed. If this thread was taken for
+     * a job just as the time passed, it is no longer in the idle list and waits for that job, which
      * would otherwise be lost.
      */
     private Runnable awaitNext() throws InterruptedException {
--- a/src/main/java/beaconturn/rehearsal/SequentialClient.java
+++ b/src/main/java/beaconturn/rehearsal/SequentialClient.java
@@ -185,7 +185,8 @@
         new HistoryEvent.ResponseReceived(at, one.id(), kind, ClientCommands.digest(value)));
     boolean keep =
         value != null
-            && (kind != HistoryEvent.ClientOutcome.FAILED || value instanceof RespValue.SimpleError);
+            && (kind != HistoryEvent.ClientOutcome.FAILED
+                || value instanceof RespValue.SimpleError);
     owner.done(this, new Result(one, kind, at, ClientCommands.retryAfter(value)), keep);
     return keep;
   }
--- a/src/main/java/beaconturn/stats/Counters.java
+++ b/src/main/java/beaconturn/stats/Counters.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * The metrics of one process since its start. Lock-free and safe for any thread. Keeps the counts of
- * request classes that have been removed from the settings.
+ * The metrics of one process since its start. Lock-free and safe for any thread. Keeps the counts
+ * of request classes that have been removed from the settings.
  */
 public class Counters implements RequestMetrics {
   /** The request ends that are exported, in output order. */
@@ -26,7 +26,8 @@
         case SUCCEEDED -> succeeded;
         case REJECTED -> rejected;
         case FAILED -> failed;
-        case ABANDONED -> throw new IllegalArgumentException("abandoned requests are not counted by class");
+        case ABANDONED ->
+            throw new IllegalArgumentException("abandoned requests are not counted by class");
       };
     }
   }
--- a/src/main/java/beaconturn/toml/TomlSection.java
+++ b/src/main/java/beaconturn/toml/TomlSection.java
@@ -141,8 +141,7 @@
   }
 
   /** Returns a duration such as "1.5s" or "300ms", in nanoseconds. */
-  public long durationNanos(String key, long defaultNanos, long minimumNanos)
-      throws TomlException {
+  public long durationNanos(String key, long defaultNanos, long minimumNanos) throws TomlException {
     if (!has(key)) {
       return defaultNanos;
     }
--- a/src/main/java/beaconturn/toml/Units.java
+++ b/src/main/java/beaconturn/toml/Units.java
@@ -7,7 +7,8 @@
 
 /** Parses durations and sizes with units, as used in operators' files and commands. */
 public final class Units {
-  private static final Pattern DURATION = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*(us|ms|s|min|h)");
+  private static final Pattern DURATION =
+      Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*(us|ms|s|min|h)");
   private static final Pattern SIZE = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*(B|KB|MB|GB)");
 
   private Units() {}
@@ -36,6 +37,7 @@
       return OptionalLong.empty();
     }
     int exponent = List.of("B", "KB", "MB", "GB").indexOf(matcher.group(2));
-    return OptionalLong.of(Math.round(Double.parseDouble(matcher.group(1)) * Math.pow(1024, exponent)));
+    return OptionalLong.of(
+        Math.round(Double.parseDouble(matcher.group(1)) * Math.pow(1024, exponent)));
   }
 }
--- a/src/test/java/beaconturn/core/RoutingEngineTest.java
+++ b/src/test/java/beaconturn/core/RoutingEngineTest.java
@@ -79,7 +79,8 @@
   /** An engine with the production policy and a list of this many servers. */
   private RoutingEngine engineWithRingRouter(int serverCount) {
     permittedWatches = 1;
-    RoutingEngine ringEngine = new RoutingEngine(settings, 5, () -> now, servers, new NoDiscovery());
+    RoutingEngine ringEngine =
+        new RoutingEngine(settings, 5, () -> now, servers, new NoDiscovery());
     updateEndpoints(
         ringEngine,
         EndpointListKind.FULL,
@@ -344,7 +345,9 @@
       ringEngine.handle(
           new RoutingMessage.AttemptCompleted(
               lastSent(),
-              lastSent().serverId() == homeServer ? AttemptResult.of(AttemptOutcome.ERROR, now) : ok("x")));
+              lastSent().serverId() == homeServer
+                  ? AttemptResult.of(AttemptOutcome.ERROR, now)
+                  : ok("x")));
     }
     replaceSettings(ringEngine);
     int sentBefore = servers.sent.size();
@@ -352,7 +355,8 @@
       receiveRequest(ringEngine);
       ringEngine.handle(new RoutingMessage.AttemptCompleted(lastSent(), ok("x")));
     }
-    long toUnhealthy = servers.sent.stream().skip(sentBefore).filter(a -> a.serverId() == homeServer).count();
+    long toUnhealthy =
+        servers.sent.stream().skip(sentBefore).filter(a -> a.serverId() == homeServer).count();
     assertTrue(toUnhealthy <= 1, "attempts at the unhealthy server: " + toUnhealthy);
     assertNotEquals(0, servers.sent.size() - sentBefore);
   }
--- a/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
@@ -290,7 +290,8 @@
     client.hangUp();
     for (int i = 0; i < open; i++) {
       assertTrue(
-          module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientDisconnected, "number " + i);
+          module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientDisconnected,
+          "number " + i);
     }
     TestPeer.until(() -> connections.count() == 0);
     assertEquals(0, module.size());
--- a/src/test/java/beaconturn/net/discovery/DiscoveryWatcherTest.java
+++ b/src/test/java/beaconturn/net/discovery/DiscoveryWatcherTest.java
@@ -48,7 +48,8 @@
   }
 
   private EndpointUpdate nextUpdate() throws InterruptedException {
-    return ((RoutingMessage.EndpointUpdateReceived) routingMessages.poll(20, TimeUnit.SECONDS)).update();
+    return ((RoutingMessage.EndpointUpdateReceived) routingMessages.poll(20, TimeUnit.SECONDS))
+        .update();
   }
 
   /** With a backoff, the next watch would start after the router counts as notified of a change. */
--- a/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
@@ -111,7 +111,8 @@
       int maxThreads = 0;
       for (long id = 0; id < SERVER_COUNT; id++) {
         assertTrue(pool.send(attempt(id)));
-        RoutingMessage.AttemptCompleted completed = (RoutingMessage.AttemptCompleted) routingMessages.take();
+        RoutingMessage.AttemptCompleted completed =
+            (RoutingMessage.AttemptCompleted) routingMessages.take();
         assertEquals(AttemptOutcome.OK, completed.result().outcome());
         maxThreads = Math.max(maxThreads, workers.threadCount());
         pool.closeIdle(id);
--- a/src/test/java/beaconturn/net/server/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerTest.java
@@ -43,7 +43,8 @@
   /** The time at which the clock is frozen, or 0 while it runs. */
   private final AtomicLong frozenAtNanos = new AtomicLong();
 
-  private final Clock clock = () -> frozenAtNanos.get() != 0 ? frozenAtNanos.get() : system.now() + clockOffsetNanos.get();
+  private final Clock clock =
+      () -> frozenAtNanos.get() != 0 ? frozenAtNanos.get() : system.now() + clockOffsetNanos.get();
   private final BlockingQueue<RoutingMessage> routingMessages = new LinkedBlockingQueue<>();
   public static final RespClientRequest.Reading READING =
       new RespClientRequest.Reading(null, "read", 0, RequestMetrics.NONE);
@@ -121,7 +122,8 @@
     return completed.result();
   }
 
-  private void assertOutcome(AttemptOutcome expected, TestPeer.Script script) throws InterruptedException {
+  private void assertOutcome(AttemptOutcome expected, TestPeer.Script script)
+      throws InterruptedException {
     try (TestPeer peer = new TestPeer(script)) {
       assertEquals(expected, awaitResult(send(server(peer))).outcome());
       assertEquals(1, peer.connections(), "the attempt is not retried");
@@ -284,7 +286,9 @@
         });
   }
 
-  /** The request may have run, and later bytes on the connection cannot be assigned to a request. */
+  /**
+   * The request may have run, and later bytes on the connection cannot be assigned to a request.
+   */
   @Test
   void malformedResponseEndsAsResetAndClosesConnection() throws InterruptedException {
     for (String malformed :
--- a/src/test/java/beaconturn/protocol/RespReaderTest.java
+++ b/src/test/java/beaconturn/protocol/RespReaderTest.java
@@ -43,7 +43,8 @@
   @Test
   void readsConsecutiveValues() throws ProtocolException {
     InputBuffer in = Bytes.buffer("+a\r\n:7\r\n$1\r\nb\r\n+c");
-    assertEquals("a", assertInstanceOf(RespValue.SimpleString.class, reader.next(in)).text().toString());
+    assertEquals(
+        "a", assertInstanceOf(RespValue.SimpleString.class, reader.next(in)).text().toString());
     assertEquals(7, assertInstanceOf(RespValue.Int.class, reader.next(in)).value());
     assertEquals("b", assertInstanceOf(RespValue.Bulk.class, reader.next(in)).bytes().toString());
     assertNull(reader.next(in));
--- a/src/test/java/beaconturn/toml/TomlSectionTest.java
+++ b/src/test/java/beaconturn/toml/TomlSectionTest.java
@@ -74,7 +74,8 @@
         "f.toml:9: fault[0].kind: unknown 'slow', allowed are a, b",
         () -> file.tables("fault").get(0).choice("kind", "a", List.of("a", "b")));
     assertError("f.toml:2: name: not a table, write [name]", () -> file.table("name"));
-    assertError("f.toml:4: fleet: not a list of tables, write [[fleet]]", () -> file.tables("fleet"));
+    assertError(
+        "f.toml:4: fleet: not a list of tables, write [[fleet]]", () -> file.tables("fleet"));
   }
 
   @Test
