--- a/src/main/java/beaconturn/net/PlannedStop.java
+++ b/src/main/java/beaconturn/net/PlannedStop.java
@@ -114,7 +114,7 @@
   /** Ends the connections of clients until there is none, or until that time. */
   private void endClients(long untilNanos) throws InterruptedException {
     while (clients.count() > 0 && clock.now() < untilNanos) {
-      clients.stop();
+      clients.drain();
       clients.sweep(clock.now());
       Thread.sleep(POLL_INTERVAL_MILLIS);
     }
--- a/src/main/java/beaconturn/net/client/ClientConnection.java
+++ b/src/main/java/beaconturn/net/client/ClientConnection.java
@@ -1,6 +1,6 @@
 package beaconturn.net.client;
 
-import beaconturn.net.client.ConnectionState.EndProposal;
+import beaconturn.net.client.ConnectionState.CloseProposal;
 import beaconturn.net.io.Sockets;
 import beaconturn.protocol.ProtocolException;
 import beaconturn.protocol.RespValue;
@@ -15,26 +15,26 @@
 import java.util.logging.Logger;
 
 /**
- * One client's connection: what happens on it in which order, and how it ends. {@link
- * ConnectionState} says how far it is, {@link CommandReader} reads its commands, {@link
- * CommandDispatcher} hands the requests over, {@link ClientWriter} writes the answers.
+ * One client connection: orders the events on the connection and decides how it closes. {@link
+ * ConnectionState} holds the phase, {@link CommandReader} reads commands, {@link CommandDispatcher}
+ * submits requests to the routing thread, {@link ClientWriter} writes responses.
  *
- * <p>The poller's thread reads and takes commands. The sweeper, which is the thread that calls
- * {@link ClientConnections#sweep} now and then, and the listener propose ends, and threads that
- * have an answer write it; so each method says who may call it.
+ * <p>The poller thread reads and processes commands. The sweeper (the thread that calls {@link
+ * ClientConnections#sweep} periodically) and the listener propose closes; any thread that has a
+ * response writes the response. Each method therefore states which threads may call it.
  */
 public class ClientConnection {
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
 
-  /** How long a client may take to close its end of a connection that the router has ended. */
+  /** Time for a client to close its side after the router has shut down its output. */
   static final long LINGER_NANOS = 250_000_000;
 
-  /** How long a planned stop waits for the rest of a command that has begun. */
+  /** Time for the rest of a partial command to arrive during a graceful shutdown. */
   private static final long PARTIAL_COMMAND_AT_STOP_NANOS = 1_000_000_000;
 
   private static final long NEVER = Long.MAX_VALUE;
 
-  // For any thread.
+  // Used by any thread.
   private final SocketChannel channel;
   private final ConnectionContext context;
   private final ConnectionState state = new ConnectionState();
@@ -44,19 +44,19 @@
   private final long number;
   private final long openedAtNanos;
 
-  // Poller thread only, but for what the reader's methods allow to others.
+  // Poller thread only, except for those methods of the reader that any thread may call.
   private final CommandReader reader;
 
-  /** Poller thread only. Null until the poller has turned to the connection first. */
+  /** Poller thread only. Null until the connection is registered with the selector. */
   private SelectionKey key;
 
-  /** A connection that has been accepted; nothing is read before {@link #start}. */
+  /** Creates a connection for an accepted channel; nothing is read before {@link #start}. */
   public ClientConnection(SocketChannel channel, ConnectionContext context) {
     this.channel = channel;
     this.context = context;
     this.number = context.eventLog().connectionOpened();
     this.openedAtNanos = context.clock().now();
-    this.writer = new ClientWriter(channel, context.clock(), this::answersWritten);
+    this.writer = new ClientWriter(channel, context.clock(), this::onResponsesWritten);
     this.largePermits = new LargeRequestPermits(context.largeRequests());
     this.dispatcher = new CommandDispatcher(context, state, writer);
     this.reader =
@@ -64,79 +64,94 @@
             channel, context.clock(), state, writer, largePermits, this::handleCommand);
   }
 
-  /** Has the poller read from the connection from now on. For the thread that accepted it. */
+  /**
+   * Registers the connection with the poller, which reads from now on. Called by the accepting
+   * thread.
+   */
   public void start() {
     context.poller().schedule(this);
   }
 
-  // What the sweeper and the listener look at. For any thread.
+  // State that the sweeper and the listener query. For any thread.
 
-  /** Since when no request is out and none half read, or {@code Long.MAX_VALUE} if one is. */
+  /**
+   * When the connection became idle; {@code Long.MAX_VALUE} while a request is in flight, a command
+   * is partially read or a close is proposed.
+   */
   long idleSinceNanos() {
     return reader.partial().exists() || state.hasProposal() ? NEVER : writer.idleSinceNanos();
   }
 
   /**
-   * Since when half a command waits for the rest, or {@code Long.MAX_VALUE} if none does. It counts
-   * from the first byte: a client that sends one now and then would else hold its place for ever.
+   * When the first byte of the partial command arrived, or {@code Long.MAX_VALUE} if there is none.
+   * Later bytes do not reset the time: a client that trickles bytes must not keep its connection
+   * open.
    */
   public long partialCommandSinceNanos() {
-    return reader.partial().beganAtNanos();
+    return reader.partial().startedAtNanos();
   }
 
-  /** Since when the client has sent nothing at all, or {@code Long.MAX_VALUE} if it has. */
-  long silentSinceNanos() {
-    boolean hasSent = reader.commandSeen() || reader.partial().exists();
-    return hasSent || isLeaving() || outputEndedAtNanos() != NEVER ? NEVER : openedAtNanos;
+  /**
+   * When the connection was accepted, or {@code Long.MAX_VALUE} once the client has sent a byte or
+   * the connection is closing.
+   */
+  long awaitingFirstByteSinceNanos() {
+    boolean hasSent = reader.hasReceivedCommand() || reader.partial().exists();
+    return hasSent || isClosingOrClosed() || outputShutdownAtNanos() != NEVER ? NEVER : openedAtNanos;
   }
 
   /**
-   * Since when nothing more has come of half a command, or {@code Long.MAX_VALUE} if none waits.
+   * When the last bytes of the partial command arrived, or {@code Long.MAX_VALUE} if there is no
+   * partial command that waits for its client alone.
    */
   long stalledSinceNanos() {
     boolean stalled =
         reader.partial().exists()
             && !state.hasProposal()
-            && !reader.waitsForRoom()
+            && !reader.isThrottled()
             && writer.idleSinceNanos() != NEVER;
     return stalled ? reader.partial().lastBytesAtNanos() : NEVER;
   }
 
-  /** Since when an answer is being written, or {@code Long.MAX_VALUE} if none is. */
+  /**
+   * When the client last accepted bytes of the response being written, or {@code Long.MAX_VALUE} if
+   * no response is being written.
+   */
   long writingSinceNanos() {
     return writer.writingSinceNanos();
   }
 
-  /** Since when the client is awaited to close its end, or {@code Long.MAX_VALUE} if it is not. */
-  long outputEndedAtNanos() {
-    return writer.outputEndedAtNanos();
+  /** When the router shut down its output, or {@code Long.MAX_VALUE} if the output is open. */
+  long outputShutdownAtNanos() {
+    return writer.outputShutdownAtNanos();
   }
 
-  /** Whether it is about to be closed, or is and still has its descriptor. */
-  boolean isLeaving() {
+  /** Whether a close is proposed, or the connection is closed and its descriptor not yet free. */
+  boolean isClosingOrClosed() {
     return state.hasProposal() || state.isClosed();
   }
 
-  // How it ends.
+  // Closing.
 
   /**
-   * Closes the connection unless an answer is owed or more has come meanwhile. A command that has
-   * begun keeps it open, unless the reason is that very command. For any thread.
+   * Proposes to close the connection. The poller thread drops the proposal if a response is
+   * outstanding or a command has arrived meanwhile. A partial command also keeps the connection
+   * open, unless that command is the reason. For any thread.
    */
-  void endIfQuiet(EndReason reason) {
+  void proposeClose(CloseReason reason) {
     if (writer.idleSinceNanos() != NEVER
-        && !reader.waitsForRoom()
-        && state.propose(reader.partial().proposeEnd(reason))) {
+        && !reader.isThrottled()
+        && state.propose(reader.partial().proposeClose(reason))) {
       context.poller().schedule(this);
     }
   }
 
   /**
-   * Ends the connection as soon as nothing is owed on it: what has come by now is served, what
-   * comes later is rejected at once, so that a client that always has something out does not keep
-   * it open. To be called again and again, by any thread.
+   * Drains the connection for a graceful shutdown: commands that arrived before the first call are
+   * served, later ones are rejected, and the output is shut down once no response is outstanding.
+   * Called repeatedly until the connection is closed. For any thread.
    */
-  void stop() {
+  void drain() {
     state.drain(context.clock().now());
     if (writer.idleSinceNanos() != NEVER) {
       context.poller().schedule(this);
@@ -144,88 +159,84 @@
   }
 
   /**
-   * Takes up the end that was proposed, after a last look. Poller thread only.
+   * Closes the connection as proposed, unless a last read finds a command. Poller thread only.
    *
-   * <p>Guard against a request that is lost with its connection: what the kernel holds may be a
-   * whole command that a poller with too much to do has not read, and its client would see only the
-   * end. It holds because the look and the close follow each other on the one thread that reads:
-   * what comes between them stays unread, and the client learns from the reset that nobody has it.
-   * A command that begins at the last look gets its time; no other does.
+   * <p>Prevents losing a request with its connection: the kernel may hold a whole command that a
+   * busy poller has not read. The last read and the close follow each other on the only thread that
+   * reads, so a command that arrives in between stays unread, and the client learns from the reset
+   * that its command was not processed.
    */
-  private void endUnlessMoreCame() throws IOException {
-    EndProposal proposal = state.takeProposal();
+  private void closeUnlessCommandArrived() throws IOException {
+    CloseProposal proposal = state.takeProposal();
     PartialCommand partial = reader.partial();
-    if (nothingCame()
-        && (!partial.exists() || mayEndOverCommand(partial.isReasonOf(proposal)))
-        && writer.finishIfIdle()) {
+    if (noCommandArrived()
+        && (!partial.exists() || mayCloseOverPartialCommand(partial.isReasonFor(proposal)))
+        && writer.shutdownOutputIfIdle()) {
       close(proposal.reason());
     }
   }
 
   /**
-   * Whether the connection may end over the command that is half read. Poller thread only.
+   * Whether the connection may close although a command is partially read. Poller thread only.
    *
-   * @param commandIsReason whether that command is the reason for the end
+   * @param commandIsReason whether that command is the reason for the close
    */
-  protected boolean mayEndOverCommand(boolean commandIsReason) {
+  protected boolean mayCloseOverPartialCommand(boolean commandIsReason) {
     return commandIsReason;
   }
 
   /**
-   * Ends the sending at a planned stop, after a last look. Poller thread only.
+   * Shuts down the output at a graceful shutdown, unless a last read finds a command. Poller thread
+   * only.
    *
-   * <p>Guard against a last answer that is cut off by a reset, and against a request that is read
-   * and cannot be answered: the connection is only half closed, as the answer may still be on its
-   * way, and from then on nothing is read, so that the client knows that nobody has what it sent.
+   * <p>The connection is only half closed, so that a reset cannot cut off the last response on its
+   * way. Nothing is read afterwards: a request that was read could no longer be answered.
    */
-  private void finishUnlessMoreCame() throws IOException {
+  private void shutdownOutputUnlessCommandArrived() throws IOException {
     PartialCommand partial = reader.partial();
-    boolean tooLate =
+    boolean timedOut =
         partial.exists()
-            && context.clock().now() - Math.max(partial.beganAtNanos(), state.drainingSinceNanos())
+            && context.clock().now() - Math.max(partial.startedAtNanos(), state.drainingSinceNanos())
                 > PARTIAL_COMMAND_AT_STOP_NANOS;
-    if (nothingCame() && (tooLate || !partial.exists()) && writer.finishIfIdle()) {
-      state.end(EndReason.PLANNED_STOP);
+    if (noCommandArrived() && (timedOut || !partial.exists()) && writer.shutdownOutputIfIdle()) {
+      state.startClosing(CloseReason.GRACEFUL_SHUTDOWN);
     }
   }
 
-  /** Reads once more; whether no whole command has come or waits. Poller thread only. */
-  private boolean nothingCame() throws IOException {
-    int before = reader.commandsTaken();
-    if (!reader.waitsForRoom()) {
-      read(context.poller().lookedAtNanos());
+  /** Reads once more and returns whether no whole command arrived or waits. Poller thread only. */
+  private boolean noCommandArrived() throws IOException {
+    int processedBefore = reader.commandsProcessed();
+    if (!reader.isThrottled()) {
+      read(context.poller().lastSelectAtNanos());
     }
-    return !state.isClosed() && !reader.waitsForRoom() && reader.commandsTaken() == before;
+    return !state.isClosed() && !reader.isThrottled() && reader.commandsProcessed() == processedBefore;
   }
 
-  /**
-   * Closes at once, whatever is out: nobody waits for what it still had. For any thread but the
-   * routing thread.
-   */
-  void close(EndReason reason) {
-    if (!state.close(reason)) {
+  /** Closes at once and cancels all requests in flight. For any thread but the routing thread. */
+  void close(CloseReason reason) {
+    if (!state.markClosed(reason)) {
       return;
     }
     Sockets.close(channel);
-    int unwritten = writer.abandon();
-    List<RespClientRequest> unanswered = dispatcher.unanswered();
-    context.eventLog().ended(number, reason, unanswered, unwritten, context.clock().now());
+    int unwritten = writer.discardPending();
+    List<RespClientRequest> unanswered = dispatcher.unansweredRequests();
+    context.eventLog().closed(number, reason, unanswered, unwritten, context.clock().now());
     dispatcher.abandon(unanswered);
     largePermits.releaseAll();
     context.poller().releaseClosed(this);
   }
 
-  /** Its descriptor can be used by another. Poller thread only. */
-  void released() {
-    context.whenReleased().accept(this);
+  /** Reports that the descriptor is free. Poller thread only. */
+  void onReleased() {
+    context.onReleased().accept(this);
   }
 
-  // What the poller calls. Poller thread only.
+  // Events from the poller. Poller thread only.
 
   /**
-   * Reads and writes what can be.
+   * Writes and reads as far as the socket is ready.
    *
-   * @param arrivedAtNanos the earliest time at which what can be read can have come
+   * @param arrivedAtNanos the earliest time at which the readable bytes can have arrived
    */
   void onReady(SelectionKey readyKey, long arrivedAtNanos) {
     guarded(
@@ -239,18 +250,18 @@
         });
   }
 
-  /** Takes up what has been put off; the first time, the connection is made known to the poller. */
+  /** Performs scheduled work; the first call registers the connection with the selector. */
   void onScheduled(Selector selector) {
     guarded(
         () -> {
           if (key == null) {
             key = channel.register(selector, SelectionKey.OP_READ, this);
           }
-          handOverCommands();
+          processCommands();
           if (state.hasProposal()) {
-            endUnlessMoreCame();
+            closeUnlessCommandArrived();
           } else if (state.phase() == ConnectionState.ConnectionPhase.DRAINING) {
-            finishUnlessMoreCame();
+            shutdownOutputUnlessCommandArrived();
           }
         });
   }
@@ -259,51 +270,45 @@
     void run() throws IOException;
   }
 
-  /**
-   * Runs a step of this connection on the poller's thread; whatever it throws ends this connection
-   * alone.
-   */
+  /** Runs a step on the poller thread; an exception or error closes this connection only. */
   private void guarded(SocketStep step) {
     try {
       if (!state.isClosed()) {
         step.run();
-        awaitNext();
+        updateInterestOps();
       }
     } catch (IOException e) {
-      LOG.finer("client connection ended: " + e.getMessage());
-      close(EndReason.CLIENT_LEFT);
+      LOG.finer("client connection closed: " + e.getMessage());
+      close(CloseReason.CLIENT_DISCONNECTED);
     } catch (CancelledKeyException e) {
-      // Its channel was closed as its sending could not be ended: the client had reset it.
-      close(EndReason.CLIENT_LEFT);
+      // The channel was closed because the client had reset the connection.
+      close(CloseReason.CLIENT_DISCONNECTED);
     } catch (RuntimeException | Error e) {
-      failed(e);
+      handleInternalError(e);
     }
   }
 
-  /**
-   * Handles a defect of the router: the requests that are open are answered as failed, then the
-   * connection ends.
-   */
-  private void failed(Throwable failure) {
-    LOG.log(Level.WARNING, "client connection " + number + " failed and ends", failure);
+  /** Handles an internal error: pending requests fail, then the connection closes. */
+  private void handleInternalError(Throwable failure) {
+    LOG.log(Level.WARNING, "internal error on client connection " + number + "; its requests fail and it closes", failure);
     try {
-      if (state.isEnding()) {
-        close(EndReason.DEFECT);
+      if (state.isClosing()) {
+        close(CloseReason.INTERNAL_ERROR);
         return;
       }
       dispatcher.failAll();
-      malformed("internal error");
-      awaitNext();
+      closeWithError("internal error");
+      updateInterestOps();
     } catch (RuntimeException | Error e) {
-      LOG.log(Level.WARNING, "client connection " + number + " failed again and is closed", e);
-      close(EndReason.DEFECT);
+      LOG.log(Level.WARNING, "internal error on client connection " + number + " while handling an error; it closes now", e);
+      close(CloseReason.INTERNAL_ERROR);
     }
   }
 
-  private void awaitNext() {
-    EndReason broken = writer.brokenBy();
-    if (broken != null) {
-      close(broken);
+  private void updateInterestOps() {
+    CloseReason writeFailure = writer.failureReason();
+    if (writeFailure != null) {
+      close(writeFailure);
     } else if (!state.isClosed()) {
       int read = reader.wantsToRead() ? SelectionKey.OP_READ : 0;
       int write = writer.isBlocked() ? SelectionKey.OP_WRITE : 0;
@@ -314,86 +319,89 @@
   }
 
   private void read(long arrivedAtNanos) throws IOException {
-    if (state.isEnding()) {
-      if (reader.discards() && !reader.discard()) {
-        close(EndReason.MALFORMED);
+    if (state.isClosing()) {
+      if (reader.discardsInput() && !reader.discard()) {
+        close(CloseReason.PROTOCOL_ERROR);
       }
       return;
     }
     int bytes = reader.fill(arrivedAtNanos);
     if (bytes < 0) {
-      // What came just before the end is not handled: nobody waits for it.
-      close(EndReason.CLIENT_LEFT);
+      // Commands that arrived just before the end of the stream are dropped: their client is gone.
+      close(CloseReason.CLIENT_DISCONNECTED);
     } else if (bytes > 0) {
-      handOverCommands();
+      processCommands();
     }
   }
 
-  private void handOverCommands() {
+  private void processCommands() {
     try {
-      reader.handOverCommands();
+      reader.processCommands();
     } catch (ProtocolException e) {
-      malformed(e.getMessage());
+      closeWithError(e.getMessage());
     }
   }
 
   /**
-   * Hands one whole command over; if it is wrong it is answered with an error in its place, which
-   * concerns no other command.
+   * Dispatches a whole command. An invalid command gets an error as its response and affects no
+   * other command.
    */
   private void handleCommand(RespValue command) {
     try {
       dispatcher.dispatch(command, reader.lastArrivedAtNanos());
     } catch (InvalidCommandException e) {
-      reader.noteRejection();
+      reader.recordRejection();
       context.eventLog().rejected(number, command, e.getMessage(), context.clock().now());
-      rejected(e.getMessage());
+      respondWithError(e.getMessage());
     }
   }
 
-  /** Answers the command at hand with an error in its place. Poller thread only. */
-  protected void rejected(String reason) {
-    writer.take(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
+  /** Responds to the current command with an error. Poller thread only. */
+  protected void respondWithError(String reason) {
+    writer.enqueue(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
   }
 
   /**
-   * Input that cannot be split into commands: what came before it is answered, then one error, then
-   * the connection ends. Poller thread only.
+   * Closes the connection after the responses to earlier commands and one final error. Used when
+   * the input cannot be split into commands. Poller thread only.
    */
-  protected final void malformed(String reason) {
-    state.end(EndReason.MALFORMED);
-    context.eventLog().malformed(number, reason, writer.owed(), context.clock().now());
-    writer.take(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
-    writer.finish();
-    reader.inputEnded(writer.outputEndedAtNanos() == NEVER);
+  protected final void closeWithError(String reason) {
+    state.startClosing(CloseReason.PROTOCOL_ERROR);
+    context.eventLog().protocolError(number, reason, writer.pendingResponses(), context.clock().now());
+    writer.enqueue(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
+    writer.shutdownOutputAfterPending();
+    reader.stopReading(writer.outputShutdownAtNanos() == NEVER);
   }
 
-  // What follows from answers that have been written.
+  // Events from the writer.
 
   /**
-   * Answers have been written; when all are, nothing of them is kept while the connection is idle.
-   * For any thread.
+   * Runs after responses have been written; once none is outstanding, their requests and permits
+   * are released. For any thread.
    */
-  private void answersWritten(boolean idle) {
+  private void onResponsesWritten(boolean idle) {
     if (idle) {
-      dispatcher.forgetAnswered();
-      if (!largePermits.forCommandAtHand()) {
+      dispatcher.removeAnswered();
+      if (!largePermits.heldForCurrentCommand()) {
         largePermits.releaseAll();
       }
     }
-    // At a planned stop the end follows the last answer at once: what came between would be
-    // rejected.
-    if (reader.waitsForRoom()
+    // During a graceful shutdown the close follows the last response at once; requests that arrive
+    // in between would be rejected.
+    if (reader.isThrottled()
         || writer.isBlocked()
-        || writer.brokenBy() != null
+        || writer.failureReason() != null
         || (idle && state.isDraining())) {
       context.poller().schedule(this);
     }
   }
 
-  /** Has a connection whose commands wait for room look again. For any thread. */
-  void retryWaiting() {
-    if (reader.waitsForRoom()) {
+  /**
+   * Schedules a connection whose commands are throttled, to check whether they may proceed. For any
+   * thread.
+   */
+  void rescheduleIfThrottled() {
+    if (reader.isThrottled()) {
       context.poller().schedule(this);
     }
   }
--- a/src/main/java/beaconturn/net/client/ClientConnections.java
+++ b/src/main/java/beaconturn/net/client/ClientConnections.java
@@ -8,119 +8,117 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The open connections of clients: how many there may be, and which are ended when. Any thread may
- * call; the listener's makes room, the sweeper's sweeps and stops.
+ * Tracks the open client connections, enforces their limit and closes idle and slow ones. Methods
+ * may be called by any thread; the listener thread calls {@link #makeRoom}, the sweeper thread
+ * {@link #sweep} and {@link #drain}.
  */
 public final class ClientConnections {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** A client that takes no byte for so long is not coming back for its answer. */
+  /** Time without progress after which a response is given up. */
   private static final long WRITE_TIMEOUT_NANOS = 10_000 * NANOS_PER_MILLI;
 
-  /**
-   * How long a command may take from its first byte: 2 s, and what the way here and a busy poller
-   * add.
-   */
+  /** Time for a command to arrive whole from its first byte: 2 s plus network and poller delay. */
   private static final long COMMAND_TIMEOUT_NANOS = 2_500 * NANOS_PER_MILLI;
 
-  /** How long a new client may take to its first byte. */
+  /** Time for a new client to send its first byte. */
   private static final long FIRST_BYTE_TIMEOUT_NANOS = 1_000 * NANOS_PER_MILLI;
 
-  /** A connection with nothing open is ended after so long: it has a descriptor. */
+  /** Idle time after which a connection is closed to free its descriptor. */
   private static final long IDLE_TIMEOUT_NANOS = 2_100 * NANOS_PER_MILLI;
 
-  /** The first request of a client that has just connected should arrive before it makes room. */
+  /** Time for a new client to send its first request before the connection may be evicted. */
   private static final long NEW_CLIENT_GRACE_NANOS = 30 * NANOS_PER_MILLI;
 
-  /** Clients that write in pieces send the next one sooner. */
-  private static final long STALLED_COMMAND_NANOS = 500 * NANOS_PER_MILLI;
-
-  /** Where connections run short, one may be ended when it has been idle for so long. */
-  private static final long IDLE_TIMEOUT_WHEN_CROWDED_NANOS = 100 * NANOS_PER_MILLI;
-
   /**
-   * One connection, and one in this many of the limit, may be open beyond it while those that make
-   * room are on their way out.
+   * Time without progress after which a partial command no longer protects its connection from
+   * eviction.
    */
-  private static final int LEAVING_DIVISOR = 16;
+  private static final long STALLED_COMMAND_TIMEOUT_NANOS = 500 * NANOS_PER_MILLI;
+
+  /** Idle time after which a connection above the soft limit is closed. */
+  private static final long IDLE_TIMEOUT_ABOVE_SOFT_LIMIT_NANOS = 100 * NANOS_PER_MILLI;
 
   /**
-   * How many times, at a millisecond each, the poller is waited for; it goes round far sooner than
-   * that.
+   * While evicted connections close, 1 + limit / this divisor connections may be open beyond the
+   * limit.
    */
-  private static final int POLLER_WAIT_ROUNDS = 20;
+  private static final int CLOSING_EXCESS_DIVISOR = 16;
+
+  /** Number of waits, of a millisecond each, for the poller to close evicted connections. */
+  private static final int MAX_POLLER_WAITS = 20;
 
   private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
   private volatile int limit;
-  private volatile int crowdedAbove;
+  private volatile int softLimit;
 
   private record IdleClient(ClientConnection connection, long sinceNanos) {}
 
   /**
-   * No connections yet.
+   * Creates an empty set of connections.
    *
-   * @param limit how many there may be
-   * @param crowdedAbove above how many those that are idle are ended sooner
+   * @param limit maximum number of open connections
+   * @param softLimit number of connections above which idle ones are closed sooner
    */
-  public ClientConnections(int limit, int crowdedAbove) {
+  public ClientConnections(int limit, int softLimit) {
     this.limit = limit;
-    this.crowdedAbove = crowdedAbove;
+    this.softLimit = softLimit;
   }
 
-  /** Sets other limits from here on; see the constructor. */
-  public void setLimits(int newLimit, int newCrowdedAbove) {
+  /** Replaces the limits; see the constructor. */
+  public void setLimits(int newLimit, int newSoftLimit) {
     limit = newLimit;
-    crowdedAbove = newCrowdedAbove;
+    softLimit = newSoftLimit;
   }
 
-  /** Counts a connection that has been accepted. */
+  /** Adds an accepted connection. */
   public void add(ClientConnection connection) {
     connections.add(connection);
   }
 
-  /** Forgets a connection whose descriptor is free. */
+  /** Removes a connection whose descriptor is free. */
   public void remove(ClientConnection connection) {
     connections.remove(connection);
   }
 
-  /** How many connections have a descriptor. */
+  /** Returns the number of connections that hold a descriptor. */
   public int count() {
     return connections.size();
   }
 
   /**
-   * Makes room for one more; false if all are at work. Those that have sent nothing at all go
-   * first, the oldest before others: many that connect and say nothing must not cost the usual
-   * clients theirs. Then the one that has been idle longest, and last one whose command has stood
-   * still for a while: a client that writes slowly goes on. Each counts until its descriptor is
-   * free, so a few more than the limit may be open meanwhile; beyond that the poller is waited for,
-   * some milliseconds. Where the limit has been lowered, one goes for one that comes.
+   * Makes room for one more connection by evicting another if the limit is reached; false if all
+   * are in use. Connections that have sent nothing are evicted first, the oldest before others, so
+   * that clients that only connect do not displace active ones; then the connection that has been
+   * idle longest; then one with a stalled partial command. Each counts until its descriptor is
+   * free, so the limit may be exceeded slightly; beyond that the call waits some milliseconds for
+   * the poller. After the limit has been lowered, each new connection replaces one.
    */
   public boolean makeRoom(long nowNanos) {
     if (connections.size() < limit) {
       return true;
     }
-    return endOneFor(nowNanos) && fewAreLeaving();
+    return evictOne(nowNanos) && awaitClosing();
   }
 
-  private boolean endOneFor(long nowNanos) {
+  private boolean evictOne(long nowNanos) {
     Optional<ClientConnection> unused =
-        oldest(ClientConnection::silentSinceNanos, nowNanos - NEW_CLIENT_GRACE_NANOS)
+        oldest(ClientConnection::awaitingFirstByteSinceNanos, nowNanos - NEW_CLIENT_GRACE_NANOS)
             .or(() -> oldest(ClientConnection::idleSinceNanos, nowNanos));
     if (unused.isPresent()) {
-      unused.get().endIfQuiet(EndReason.MAKES_ROOM);
+      unused.get().proposeClose(CloseReason.EVICTED);
       return true;
     }
     Optional<ClientConnection> stalled =
-        oldest(ClientConnection::stalledSinceNanos, nowNanos - STALLED_COMMAND_NANOS);
-    stalled.ifPresent(c -> c.endIfQuiet(EndReason.STALLED_COMMAND));
+        oldest(ClientConnection::stalledSinceNanos, nowNanos - STALLED_COMMAND_TIMEOUT_NANOS);
+    stalled.ifPresent(c -> c.proposeClose(CloseReason.STALLED_COMMAND));
     return stalled.isPresent();
   }
 
-  private boolean fewAreLeaving() {
-    for (int round = 0; round < POLLER_WAIT_ROUNDS; round++) {
-      long leaving = connections.stream().filter(ClientConnection::isLeaving).count();
-      if (leaving <= 1 + limit / LEAVING_DIVISOR) {
+  private boolean awaitClosing() {
+    for (int round = 0; round < MAX_POLLER_WAITS; round++) {
+      long closing = connections.stream().filter(ClientConnection::isClosingOrClosed).count();
+      if (closing <= 1 + limit / CLOSING_EXCESS_DIVISOR) {
         return true;
       }
       LockSupport.parkNanos(NANOS_PER_MILLI);
@@ -135,62 +133,61 @@
         .min(Comparator.comparingLong(sinceNanos));
   }
 
-  /** Ends the connections as soon as nothing is owed on them; to be called again and again. */
-  public void stop() {
-    connections.forEach(ClientConnection::stop);
+  /** Drains all connections for a graceful shutdown; called repeatedly until none is open. */
+  public void drain() {
+    connections.forEach(ClientConnection::drain);
   }
 
   /**
-   * Ends the connections whose clients have stopped reading or writing, do not close their end, or
-   * have been idle for too long, and has those that wait for room look again. To be called again
-   * and again.
+   * Closes connections whose clients have stopped reading or writing, do not close their side, or
+   * have been idle too long, and reschedules throttled ones. Called periodically.
    */
   public void sweep(long nowNanos) {
     closeUnresponsive(nowNanos);
-    endSlowAndIdle(nowNanos);
-    endLongestIdle(connections.size() - crowdedAbove, nowNanos - IDLE_TIMEOUT_WHEN_CROWDED_NANOS);
-    connections.forEach(ClientConnection::retryWaiting);
+    closeSlowAndIdle(nowNanos);
+    evictLongestIdle(connections.size() - softLimit, nowNanos - IDLE_TIMEOUT_ABOVE_SOFT_LIMIT_NANOS);
+    connections.forEach(ClientConnection::rescheduleIfThrottled);
   }
 
   private void closeUnresponsive(long nowNanos) {
     connections.stream()
         .filter(c -> c.writingSinceNanos() < nowNanos - WRITE_TIMEOUT_NANOS)
-        .forEach(c -> c.close(EndReason.ANSWER_NOT_TAKEN));
+        .forEach(c -> c.close(CloseReason.WRITE_TIMEOUT));
     connections.stream()
-        .filter(c -> c.outputEndedAtNanos() < nowNanos - ClientConnection.LINGER_NANOS)
-        .forEach(c -> c.close(EndReason.LINGERED));
+        .filter(c -> c.outputShutdownAtNanos() < nowNanos - ClientConnection.LINGER_NANOS)
+        .forEach(c -> c.close(CloseReason.LINGER_TIMEOUT));
   }
 
   /**
-   * Proposes an end for connections that are idle, silent or slow with a command. None of them ends
-   * while a request is out: the other answers on it are owed first.
+   * Proposes to close connections that are idle, have sent nothing, or are slow with a command.
+   * None of them closes while a response is outstanding.
    */
-  private void endSlowAndIdle(long nowNanos) {
+  private void closeSlowAndIdle(long nowNanos) {
     connections.stream()
         .filter(c -> c.partialCommandSinceNanos() < nowNanos - COMMAND_TIMEOUT_NANOS)
-        .forEach(c -> c.endIfQuiet(EndReason.SLOW_COMMAND));
+        .forEach(c -> c.proposeClose(CloseReason.COMMAND_TIMEOUT));
     connections.stream()
-        .filter(c -> c.silentSinceNanos() < nowNanos - FIRST_BYTE_TIMEOUT_NANOS)
+        .filter(c -> c.awaitingFirstByteSinceNanos() < nowNanos - FIRST_BYTE_TIMEOUT_NANOS)
         .filter(c -> c.partialCommandSinceNanos() == Long.MAX_VALUE)
-        .forEach(c -> c.endIfQuiet(EndReason.SILENT));
+        .forEach(c -> c.proposeClose(CloseReason.FIRST_BYTE_TIMEOUT));
     connections.stream()
         .filter(c -> c.idleSinceNanos() < nowNanos - IDLE_TIMEOUT_NANOS)
-        .forEach(c -> c.endIfQuiet(EndReason.IDLE));
+        .forEach(c -> c.proposeClose(CloseReason.IDLE_TIMEOUT));
   }
 
   /**
-   * Ends so many of those that are idle, the longest first. Clients have a limit of their own on
-   * the connections that they keep: where each asks once and stays, they reach it before the limit
-   * here.
+   * Proposes to close the given number of idle connections, the longest idle first. Clients limit
+   * the connections that they keep open; idle ones that stay open would use up that limit before
+   * the limit here is reached.
    */
-  private void endLongestIdle(int count, long beforeNanos) {
+  private void evictLongestIdle(int count, long beforeNanos) {
     if (count > 0) {
       connections.stream()
           .map(c -> new IdleClient(c, c.idleSinceNanos()))
           .filter(idle -> idle.sinceNanos() < beforeNanos)
           .sorted(Comparator.comparingLong(IdleClient::sinceNanos))
           .limit(count)
-          .forEach(idle -> idle.connection().endIfQuiet(EndReason.MAKES_ROOM));
+          .forEach(idle -> idle.connection().proposeClose(CloseReason.EVICTED));
     }
   }
 }
--- a/src/main/java/beaconturn/net/client/ClientEventLog.java
+++ b/src/main/java/beaconturn/net/client/ClientEventLog.java
@@ -10,42 +10,41 @@
 import java.util.stream.Collectors;
 
 /**
- * The log of single events on clients' connections: commands that are rejected, and why connections
- * end. A connection that ends while an answer is owed on it, and not by its client, is always
- * logged, with every id that goes without an answer; other lines are bounded in their rate. Nothing
- * is done for a request that is answered as usual. For any thread.
+ * Logs rejected commands and closes of client connections. A close by the router while responses
+ * are outstanding is always logged, with the ids of the unanswered requests; all other lines are
+ * rate-limited. Requests that are answered normally are not logged. For any thread.
  */
 public final class ClientEventLog {
   private static final Logger LOG = Logger.getLogger(ClientEventLog.class.getName());
   private static final int BURST_LINES = 20;
   private static final double LINES_PER_SECOND = 2;
 
-  /** Where a request's id stands among the words of its command. */
+  /** Index of the request id among the arguments of a command. */
   private static final int ID_INDEX = 2;
 
   private static final int MAX_ID_LENGTH = 32;
   private final AtomicLong connectionCount = new AtomicLong();
   private final RateLimitedLog rejectionLog =
       new RateLimitedLog(LOG, BURST_LINES, LINES_PER_SECOND);
-  private final RateLimitedLog malformedLog =
+  private final RateLimitedLog protocolErrorLog =
       new RateLimitedLog(LOG, BURST_LINES, LINES_PER_SECOND);
 
-  /** A budget for each reason: many idle connections that are ended hide no other end. */
-  private final Map<EndReason, RateLimitedLog> endLogs = new EnumMap<>(EndReason.class);
+  /** One limit per reason, so that many closes for one reason do not hide those for another. */
+  private final Map<CloseReason, RateLimitedLog> closeLogs = new EnumMap<>(CloseReason.class);
 
-  /** A log with all its budgets untouched. */
+  /** Creates a log with full rate limits. */
   public ClientEventLog() {
-    for (EndReason reason : EndReason.values()) {
-      endLogs.put(reason, new RateLimitedLog(LOG, BURST_LINES, LINES_PER_SECOND));
+    for (CloseReason reason : CloseReason.values()) {
+      closeLogs.put(reason, new RateLimitedLog(LOG, BURST_LINES, LINES_PER_SECOND));
     }
   }
 
-  /** Gives a new connection its number, from 1. */
+  /** Returns the number of a new connection, starting at 1. */
   long connectionOpened() {
     return connectionCount.incrementAndGet();
   }
 
-  /** A whole command got an error in its place. */
+  /** Logs that a whole command was answered with an error. */
   void rejected(long connectionNumber, RespValue command, String cause, long nowNanos) {
     rejectionLog.log(
         nowNanos,
@@ -59,13 +58,13 @@
   }
 
   private static String idOf(RespValue command) {
-    boolean named =
+    boolean hasId =
         command instanceof RespValue.Array array
             && array.items() != null
             && array.items().size() > ID_INDEX
             && array.items().get(ID_INDEX) instanceof RespValue.Bulk id
             && id.bytes() != null;
-    if (!named) {
+    if (!hasId) {
       return "without an id";
     }
     String text =
@@ -73,47 +72,51 @@
     return text.substring(0, Math.min(MAX_ID_LENGTH, text.length())).replaceAll("[^!-~]", "?");
   }
 
-  /** What came on a connection cannot be split into commands; it ends after so many answers. */
-  void malformed(long connectionNumber, String cause, int owed, long nowNanos) {
-    malformedLog.log(
+  /**
+   * Logs input that cannot be split into commands; the connection closes after the pending
+   * responses.
+   */
+  void protocolError(long connectionNumber, String cause, int pendingResponses, long nowNanos) {
+    protocolErrorLog.log(
         nowNanos,
         () ->
             "connection "
                 + connectionNumber
-                + ": malformed input: "
+                + ": protocol error: "
                 + cause
-                + "; ends after "
-                + owed
-                + " answers");
+                + "; closes after "
+                + pendingResponses
+                + " pending responses");
   }
 
   /**
-   * A connection ends.
+   * Logs that a connection closes.
    *
-   * @param unanswered the requests that have no answer
-   * @param unwritten how many answers, of these or others, were not written whole
+   * @param unanswered the requests without a response
+   * @param unwritten the number of responses that were not written whole, including those of
+   *     unanswered requests
    */
-  void ended(
+  void closed(
       long connectionNumber,
-      EndReason reason,
+      CloseReason reason,
       Collection<RespClientRequest> unanswered,
       int unwritten,
       long nowNanos) {
-    if (!reason.isByClient() && unwritten > 0) {
+    if (!reason.isClientInitiated() && unwritten > 0) {
       String ids = unanswered.stream().map(RespClientRequest::id).collect(Collectors.joining(" "));
       LOG.warning(
           "connection "
               + connectionNumber
-              + " ends with "
+              + " closes with "
               + unwritten
-              + " answers owed: "
+              + " responses outstanding: "
               + reason
-              + "; unanswered: "
+              + "; unanswered requests: "
               + ids);
-    } else if (reason.isNotable()) {
-      endLogs
+    } else if (reason.isLogged()) {
+      closeLogs
           .get(reason)
-          .log(nowNanos, () -> "connection " + connectionNumber + " ends: " + reason);
+          .log(nowNanos, () -> "connection " + connectionNumber + " closes: " + reason);
     }
   }
 }
--- a/src/main/java/beaconturn/net/client/ClientInputBuffer.java
+++ b/src/main/java/beaconturn/net/client/ClientInputBuffer.java
@@ -12,13 +12,13 @@
 import java.util.Deque;
 
 /**
- * The input of one client that nobody has handled yet. All that the kernel holds is read before a
- * command is taken from it, as far as there is room, so that the end of the stream is seen before
- * the commands in front of it are handled. Remembers when bytes arrived: a command's time runs from
- * its last byte, however long it waits to be handled. Poller thread only.
+ * Buffers the input of one client that is not yet processed. All that the kernel holds is read, as
+ * far as there is room, before a command is taken, so that the end of the stream is seen before the
+ * preceding commands are processed. Records when bytes arrived: the deadline of a command counts
+ * from its last byte, however long the command waits in the buffer. Poller thread only.
  */
 final class ClientInputBuffer {
-  /** So much is read ahead of what is handled; a client that sends on behind it waits. */
+  /** Maximum number of unprocessed bytes; a client that sends more is held back by its socket. */
   static final int READ_AHEAD_BYTES = 16 * 1024;
 
   private record Arrival(long upToByte, long atNanos) {}
@@ -29,15 +29,15 @@
   private long receivedBytes;
   private long lastArrivedAtNanos;
 
-  /** Whether all that is here is a part of one command: its last byte is yet to come. */
+  /** Whether the buffer holds only a part of one command, whose last byte is yet to arrive. */
   private boolean onlyPartial = true;
 
   /**
-   * Reads what is there.
+   * Reads the available bytes.
    *
-   * @param arrivedAtNanos the earliest time at which the bytes can have come
+   * @param arrivedAtNanos the earliest time at which the bytes can have arrived
    * @param largeAllowed whether a large command may be read whole
-   * @return how many bytes came, or less than none if the client has ended its sending
+   * @return the number of bytes read, or a negative number at the end of the stream
    */
   int fill(SocketChannel from, long arrivedAtNanos, boolean largeAllowed) throws IOException {
     int total = 0;
@@ -61,15 +61,15 @@
   }
 
   /**
-   * Whether there is room for more, or the end of the stream is still to be looked for behind a
-   * large command.
+   * Whether there is room for more bytes. Behind a large command one more byte is wanted, to detect
+   * the end of the stream.
    */
   boolean wantsMore(boolean largeAllowed) {
     return buffer.size() < READ_AHEAD_BYTES
         || (largeAllowed && buffer.size() <= buffer.expectedBytes());
   }
 
-  /** Takes the next command that is whole, or returns null. */
+  /** Removes and returns the next whole command, or returns null if there is none. */
   RespValue next() throws ProtocolException {
     RespValue command = reader.next(buffer);
     onlyPartial = command == null;
@@ -83,17 +83,16 @@
     return command;
   }
 
-  /** When the last byte of the command taken last arrived. */
+  /** When the last byte of the most recently returned command arrived. */
   long lastArrivedAtNanos() {
     return lastArrivedAtNanos;
   }
 
-  /** Whether nothing is left. */
   boolean isEmpty() {
     return buffer.size() == 0;
   }
 
-  /** Whether the command at hand is known to be a large one. */
+  /** Whether the next command is known to be a large one. */
   boolean holdsLargeCommand() {
     return buffer.isLarge();
   }
--- a/src/main/java/beaconturn/net/client/ClientPoller.java
+++ b/src/main/java/beaconturn/net/client/ClientPoller.java
@@ -14,71 +14,67 @@
 import java.util.logging.Logger;
 
 /**
- * The one thread that reads from all clients, as their bytes come. Most clients' connections are
- * idle at any time: a blocked thread for each is memory, and work each time that a limit on the
- * processor stops and continues the router, whether the client speaks or not.
+ * Reads from all client connections on one thread, as their bytes arrive. Most connections are idle
+ * at any time, and a blocked thread for each would cost memory and scheduling work.
  */
 public final class ClientPoller {
   private static final Logger LOG = Logger.getLogger(ClientPoller.class.getName());
-  private static final long NOT_YET = Long.MIN_VALUE;
+  private static final long UNKNOWN = Long.MIN_VALUE;
 
-  /** Between failures of the selector itself: a lasting one must not spin. */
+  /** Pause after a selector failure, so that a persistent failure does not spin. */
   private static final long FAILURE_PAUSE_NANOS = 10_000_000;
 
-  /** How long the poller waits at the most before it looks at the clock. */
+  /** Maximum wait for events before the clock is read again. */
   private static final long MAX_WAIT_MILLIS = 50;
 
-  /**
-   * A wait that took so long did not end when it should: the process stood still, or had no
-   * processor.
-   */
+  /** A wait longer than this means that the process was stopped or starved of CPU. */
   private static final long PROCESS_STALL_NANOS = 200_000_000;
 
   private final Selector selector;
   private final Clock clock;
   private final long maxWaitMillis;
 
-  // For any thread.
+  // Used by any thread.
   private final Queue<ClientConnection> scheduled = new ConcurrentLinkedQueue<>();
   private final Queue<ClientConnection> closed = new ConcurrentLinkedQueue<>();
 
   // Poller thread only.
   private final List<ClientConnection> releasing = new ArrayList<>();
-  private long lookedAtNanos;
+  private long lastSelectAtNanos;
   private long arrivedAtNanos;
 
-  /** A poller that has not been started. */
+  /** Creates a poller; {@link #start} starts its thread. */
   public ClientPoller(Clock clock) throws IOException {
     this(clock, MAX_WAIT_MILLIS);
   }
 
   /**
-   * A poller that waits for so many milliseconds at the most; 0 is without end, for a clock that
-   * jumps.
+   * Creates a poller that waits at most the given time for events; 0 waits without limit, for tests
+   * whose clock jumps.
    */
   public ClientPoller(Clock clock, long maxWaitMillis) throws IOException {
     this.clock = clock;
     this.maxWaitMillis = maxWaitMillis;
     this.selector = Selector.open();
-    this.lookedAtNanos = clock.now();
+    this.lastSelectAtNanos = clock.now();
   }
 
-  /** Starts the thread, which runs as long as the process. */
+  /** Starts the poller thread, which runs as long as the process. */
   public void start() {
     Threads.supervised("clients", this::run);
   }
 
   /**
-   * When the kernel was last asked for what has come; what is read now without having been found
-   * then came later. Poller thread only.
+   * When the selector was last polled. Bytes that were not reported then arrived later. Poller
+   * thread only.
    */
-  long lookedAtNanos() {
-    return lookedAtNanos;
+  long lastSelectAtNanos() {
+    return lastSelectAtNanos;
   }
 
   /**
-   * Has the connection look, on the poller's thread, at what there is to do. For any thread; never
-   * waits.
+   * Schedules a call of {@link ClientConnection#onScheduled} on the poller thread. For any thread;
+   * never blocks.
    */
   void schedule(ClientConnection connection) {
     scheduled.add(connection);
@@ -86,8 +82,8 @@
   }
 
   /**
-   * Tells the connection, just closed, when its descriptor is free: once the selector has gone
-   * round. For any thread; never waits.
+   * Reports a closed connection's descriptor as free after the next selection. For any thread;
+   * never blocks.
    */
   void releaseClosed(ClientConnection connection) {
     closed.add(connection);
@@ -100,47 +96,46 @@
         for (ClientConnection c = closed.poll(); c != null; c = closed.poll()) {
           releasing.add(c);
         }
-        look();
-        releasing.forEach(ClientConnection::released);
+        pollOnce();
+        releasing.forEach(ClientConnection::onReleased);
         releasing.clear();
         for (ClientConnection c = scheduled.poll(); c != null; c = scheduled.poll()) {
           c.onScheduled(selector);
         }
       } catch (IOException e) {
-        LOG.log(Level.SEVERE, "reading from clients failed and goes on", e);
+        LOG.log(Level.SEVERE, "client poller failed to select; reading from clients continues", e);
         LockSupport.parkNanos(FAILURE_PAUSE_NANOS);
       }
     }
   }
 
   /**
-   * Asks the kernel once for what has come, and waits for something if nothing has.
+   * Polls the selector once, and waits for events if there are none.
    *
-   * <p>Guard against a deadline that is passed on too late, which shows as an answer that a client
-   * has given up waiting for: what is there at once may have come at any time since the last look,
-   * while this thread was busy, so that look's time counts; what has to be waited for comes as the
-   * wait ends. A process that was stopped meanwhile cannot tell when what it then finds came: at
-   * the earliest when the wait began, and that is what counts.
+   * <p>Determines when readable bytes arrived, as a client's deadline counts from their arrival.
+   * Bytes that are ready at once may have arrived at any time since the last poll while this thread
+   * was busy, so the time of that poll counts. Bytes that end a wait arrived as the wait ended.
+   * After a wait during which the process was stopped, the start of the wait counts.
    */
-  private void look() throws IOException {
-    arrivedAtNanos = lookedAtNanos;
-    lookedAtNanos = clock.now();
-    // That look takes a wake-up with it: what was scheduled before it must not be waited for.
+  private void pollOnce() throws IOException {
+    arrivedAtNanos = lastSelectAtNanos;
+    lastSelectAtNanos = clock.now();
+    // selectNow consumes a wake-up, so work scheduled before it must be checked for here.
     if (selector.selectNow(this::onReady) == 0
         && scheduled.isEmpty()
         && closed.isEmpty()
         && releasing.isEmpty()) {
-      arrivedAtNanos = NOT_YET;
+      arrivedAtNanos = UNKNOWN;
       selector.select(this::onReady, maxWaitMillis);
-      lookedAtNanos = arrivedAtNanos == NOT_YET ? clock.now() : arrivedAtNanos;
+      lastSelectAtNanos = arrivedAtNanos == UNKNOWN ? clock.now() : arrivedAtNanos;
     }
   }
 
   private void onReady(SelectionKey key) {
-    if (arrivedAtNanos == NOT_YET) {
+    if (arrivedAtNanos == UNKNOWN) {
       long now = clock.now();
-      boolean stoodStill = now - lookedAtNanos > PROCESS_STALL_NANOS;
-      arrivedAtNanos = stoodStill ? lookedAtNanos : now;
+      boolean processStalled = now - lastSelectAtNanos > PROCESS_STALL_NANOS;
+      arrivedAtNanos = processStalled ? lastSelectAtNanos : now;
     }
     ((ClientConnection) key.attachment()).onReady(key, arrivedAtNanos);
   }
--- a/src/main/java/beaconturn/net/client/ClientWriter.java
+++ b/src/main/java/beaconturn/net/client/ClientWriter.java
@@ -12,28 +12,28 @@
 import java.util.Objects;
 
 /**
- * Writes a client's answers in the order of the commands, on whatever thread has the next one. Any
- * thread may call any method; none waits: what the client does not take yet is written when the
- * poller says that it can be.
+ * Writes a client's responses in the order of its commands, on the thread that completes the next
+ * one. Any thread may call any method; none blocks: bytes that the socket does not accept are
+ * written when the poller reports it writable.
  */
 final class ClientWriter {
-  /** In the place of an answer: the output ends here. */
-  static final Slice END = Slice.of("");
+  /** Takes the place of a response: the output is shut down here. */
+  static final Slice END_OF_OUTPUT = Slice.of("");
 
   private static final int MAX_PIPELINED = 32;
 
   /**
-   * Answers may be this many behind one that its client is slow to take; else they would fill the
-   * heap.
+   * Limit on the responses queued behind one that the client reads slowly, to bound the heap they
+   * use.
    */
   private static final int MAX_PIPELINED_BEHIND_BLOCKED = 2;
 
   private static final long NEVER = Long.MAX_VALUE;
 
-  /** Told of what a writer has done; called without a lock, on any thread. */
+  /** Notified of the writer's progress; called without a lock, on any thread. */
   interface WriteListener {
-    /** Some answers have been written, or could not be; {@code idle} if none is owed any more. */
-    void answersWritten(boolean idle);
+    /** Responses have been written or have failed; {@code idle} if none is outstanding any more. */
+    void onResponsesWritten(boolean idle);
   }
 
   private final SocketChannel channel;
@@ -41,13 +41,13 @@
   private final WriteListener listener;
   // Guarded by this.
   private final Deque<ResponseSlot> slots = new ArrayDeque<>(2);
-  private ByteBuffer pending;
+  private ByteBuffer unwritten;
   private long writingSinceNanos = NEVER;
-  private int unanswered;
-  private boolean ending;
-  private EndReason brokenBy;
+  private int pendingResponses;
+  private boolean closing;
+  private CloseReason failureReason;
   private long idleSinceNanos;
-  private long outputEndedAtNanos = NEVER;
+  private long outputShutdownAtNanos = NEVER;
 
   ClientWriter(SocketChannel channel, Clock clock, WriteListener listener) {
     this.channel = channel;
@@ -57,149 +57,154 @@
   }
 
   /**
-   * Since when no answer is owed, or {@code Long.MAX_VALUE} if one is, or the connection is ending.
+   * When the last response was written, or {@code Long.MAX_VALUE} if one is outstanding or the
+   * connection is closing.
    */
   synchronized long idleSinceNanos() {
-    return unanswered == 0 && !ending ? idleSinceNanos : NEVER;
+    return pendingResponses == 0 && !closing ? idleSinceNanos : NEVER;
   }
 
-  /** Since when an answer is being written, or {@code Long.MAX_VALUE} if none is. */
+  /**
+   * When the client last accepted bytes of the response being written, or {@code Long.MAX_VALUE} if
+   * no response is being written.
+   */
   synchronized long writingSinceNanos() {
     return writingSinceNanos;
   }
 
-  /** Since when the client is awaited to close its end, or {@code Long.MAX_VALUE} if it is not. */
-  synchronized long outputEndedAtNanos() {
-    return outputEndedAtNanos;
+  /** When the output was shut down, or {@code Long.MAX_VALUE} if it is open. */
+  synchronized long outputShutdownAtNanos() {
+    return outputShutdownAtNanos;
   }
 
-  /** How many answers are owed. */
-  synchronized int owed() {
-    return unanswered;
+  /** The number of outstanding responses. */
+  synchronized int pendingResponses() {
+    return pendingResponses;
   }
 
-  /** Whether an answer waits for its client to take more. */
+  /** Whether a response waits for the socket to become writable. */
   synchronized boolean isBlocked() {
-    return pending != null;
+    return unwritten != null;
   }
 
-  /** Why the connection has failed under an answer, or null if it has not. */
-  synchronized EndReason brokenBy() {
-    return brokenBy;
+  /** Why writing failed, or null if it has not. */
+  synchronized CloseReason failureReason() {
+    return failureReason;
   }
 
   /**
-   * Whether the next command may be read; if not, the listener hears of it when something is
-   * written.
+   * Whether the next command may be processed; if not, the listener is notified after the next
+   * write.
    */
-  synchronized boolean hasRoom() {
-    return unanswered <= MAX_PIPELINED
-        && (pending == null || unanswered <= MAX_PIPELINED_BEHIND_BLOCKED);
+  synchronized boolean hasCapacity() {
+    return pendingResponses <= MAX_PIPELINED
+        && (unwritten == null || pendingResponses <= MAX_PIPELINED_BEHIND_BLOCKED);
   }
 
-  /** Gives the slot the next place; false if the connection is ending and takes no more. */
-  boolean take(ResponseSlot slot) {
+  /** Appends the slot to the response queue; false if the connection is closing. */
+  boolean enqueue(ResponseSlot slot) {
     synchronized (this) {
-      if (ending) {
+      if (closing) {
         return false;
       }
-      unanswered++;
+      pendingResponses++;
       slots.add(slot);
     }
-    slot.whenFilled(this::write);
+    slot.whenAvailable(this::write);
     return true;
   }
 
   /**
-   * Ends the connection if no answer is owed; false if one is. Only its sending: closing all of it
-   * would reset it under a request that crosses, and with it the last answer on its way.
+   * Shuts down the output if no response is outstanding; false if one is. The input stays open: a
+   * full close would reset the connection if a request arrives meanwhile, and the last response
+   * could be lost.
    */
-  boolean finishIfIdle() {
+  boolean shutdownOutputIfIdle() {
     synchronized (this) {
       if (idleSinceNanos() == NEVER) {
         return false;
       }
-      ending = true;
+      closing = true;
     }
-    endOutput();
+    shutdownOutput();
     return true;
   }
 
-  /** Ends the sending after what is owed. */
-  void finish() {
+  /** Shuts down the output after the outstanding responses. */
+  void shutdownOutputAfterPending() {
     synchronized (this) {
-      if (ending) {
+      if (closing) {
         return;
       }
-      ending = true;
-      slots.add(ResponseSlot.of(END));
+      closing = true;
+      slots.add(ResponseSlot.of(END_OF_OUTPUT));
     }
     write();
   }
 
   /**
-   * Drops all that waits to be written, as the connection is closed.
+   * Drops all responses that are not written, as the connection is closed.
    *
-   * @return how many answers that were
+   * @return the number of dropped responses
    */
-  synchronized int abandon() {
-    ending = true;
+  synchronized int discardPending() {
+    closing = true;
     slots.stream().map(ResponseSlot::stream).filter(Objects::nonNull).forEach(BoundedPipe::cancel);
     slots.clear();
-    pending = null;
+    unwritten = null;
     writingSinceNanos = NEVER;
-    return unanswered;
+    return pendingResponses;
   }
 
-  /** Writes what there is of the answers, up to the first that is not there yet. */
+  /** Writes the available responses, up to the first that is not complete or streaming. */
   void write() {
-    int owedBefore;
-    int owedAfter;
+    int pendingBefore;
+    int pendingAfter;
     boolean notifyListener;
     synchronized (this) {
-      owedBefore = unanswered;
+      pendingBefore = pendingResponses;
       try {
         flush();
-      } catch (BrokenOffException e) {
-        breakUnder(EndReason.ANSWER_BROKE_OFF);
+      } catch (TruncatedResponseException e) {
+        failWith(CloseReason.RESPONSE_TRUNCATED);
       } catch (IOException e) {
-        breakUnder(EndReason.CLIENT_LEFT);
+        failWith(CloseReason.CLIENT_DISCONNECTED);
       }
-      owedAfter = unanswered;
-      notifyListener = brokenBy != null || pending != null || owedAfter < owedBefore;
+      pendingAfter = pendingResponses;
+      notifyListener = failureReason != null || unwritten != null || pendingAfter < pendingBefore;
     }
     if (notifyListener) {
-      listener.answersWritten(owedAfter == 0 && owedBefore > 0);
+      listener.onResponsesWritten(pendingAfter == 0 && pendingBefore > 0);
     }
   }
 
-  private void breakUnder(EndReason reason) {
-    brokenBy = reason;
-    abandon();
+  private void failWith(CloseReason reason) {
+    failureReason = reason;
+    discardPending();
   }
 
-  /** Thrown where an answer that has begun to go out will not be whole. */
-  private static final class BrokenOffException extends IOException {
+  /** Thrown if a response that is partially written cannot be completed. */
+  private static final class TruncatedResponseException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    BrokenOffException() {
-      super("the answer broke off");
+    TruncatedResponseException() {
+      super("response truncated: its cache server failed before the response was complete");
     }
   }
 
   private void flush() throws IOException {
-    while (pending != null || nextPiece()) {
-      int from = pending.position();
-      boolean writtenWhole = Sockets.writeSome(channel, pending);
-      // From the last byte that the client took: a large answer may take long as long as it goes
-      // on.
-      if (pending.position() > from || writingSinceNanos == NEVER) {
+    while (unwritten != null || nextChunk()) {
+      int from = unwritten.position();
+      boolean writtenWhole = Sockets.writeSome(channel, unwritten);
+      // Counted from the last byte accepted: a large response may take long as long as it
+      // progresses.
+      if (unwritten.position() > from || writingSinceNanos == NEVER) {
         writingSinceNanos = clock.now();
       }
       if (!writtenWhole) {
         return;
       }
-      pending = null;
+      unwritten = null;
       writingSinceNanos = NEVER;
       if (slots.peek().stream() == null) {
         completeFirst();
@@ -207,33 +212,33 @@
     }
   }
 
-  /** Notes that the first answer has gone out whole. */
+  /** Removes the first response, which has been written whole. */
   private void completeFirst() {
     slots.poll();
-    unanswered--;
+    pendingResponses--;
     idleSinceNanos = clock.now();
   }
 
   /**
-   * Takes what is to be written next, if it is there; answers that are streamed give a piece at a
+   * Sets the next chunk to write, if one is available; a streamed response yields one chunk at a
    * time.
    */
-  private boolean nextPiece() throws IOException {
+  private boolean nextChunk() throws IOException {
     while (!slots.isEmpty()) {
-      Slice piece = slots.peek().nextPiece();
-      if (piece == null) {
+      Slice chunk = slots.peek().nextChunk();
+      if (chunk == null) {
         return false;
       }
-      if (piece == BoundedPipe.BROKEN) {
-        throw new BrokenOffException();
+      if (chunk == BoundedPipe.ABORTED) {
+        throw new TruncatedResponseException();
       }
-      if (piece == END) {
+      if (chunk == END_OF_OUTPUT) {
         slots.poll();
-        endOutput();
+        shutdownOutput();
         return false;
       }
-      if (piece != BoundedPipe.END) {
-        pending = ByteBuffer.wrap(piece.array(), piece.from(), piece.length());
+      if (chunk != BoundedPipe.END) {
+        unwritten = ByteBuffer.wrap(chunk.array(), chunk.from(), chunk.length());
         return true;
       }
       completeFirst();
@@ -241,9 +246,9 @@
     return false;
   }
 
-  private void endOutput() {
+  private void shutdownOutput() {
     synchronized (this) {
-      outputEndedAtNanos = Math.min(outputEndedAtNanos, clock.now());
+      outputShutdownAtNanos = Math.min(outputShutdownAtNanos, clock.now());
     }
     try {
       channel.shutdownOutput();
--- a/src/main/java/beaconturn/net/client/CommandDispatcher.java
+++ b/src/main/java/beaconturn/net/client/CommandDispatcher.java
@@ -8,15 +8,14 @@
 import java.util.Locale;
 
 /**
- * Turns one client's commands into requests, hands them over to the routing thread, and tells it of
- * those that nobody waits for any more. Keeps the requests that have no answer yet.
+ * Turns the commands of one client into requests, submits them to the routing thread, and reports
+ * requests whose client is gone. Keeps the requests that have no response yet.
  */
 final class CommandDispatcher {
   /**
-   * When a client that is rejected at a planned stop may come again: another router answers it
-   * then.
+   * Retry delay for requests rejected during a graceful shutdown; another router serves the retry.
    */
-  private static final long RETRY_ELSEWHERE_NANOS = 50_000_000;
+  private static final long DRAINING_RETRY_AFTER_NANOS = 50_000_000;
 
   private final ConnectionContext context;
   private final ConnectionState state;
@@ -30,21 +29,21 @@
   }
 
   /**
-   * Gives a command its place among the answers, and hands it over if it is a request. Poller
-   * thread only.
+   * Assigns a command its position among the responses, and submits the command if it is a request.
+   * Poller thread only.
    *
-   * @param arrivedAtNanos when the command's last byte came
-   * @throws InvalidCommandException if its words or values are wrong; it has no place then
+   * @param arrivedAtNanos when the command's last byte arrived
+   * @throws InvalidCommandException if its arguments are invalid; no position is assigned then
    */
   void dispatch(RespValue command, long arrivedAtNanos) throws InvalidCommandException {
     List<RespValue> words = words(command);
     Slice name = ((RespValue.Bulk) words.get(0)).bytes();
     if (RequestParser.isRequest(name)) {
-      handOver(
+      submit(
           context.parser().get().parse(words, arrivedAtNanos, context.pendingIds()),
           arrivedAtNanos);
     } else {
-      writer.take(ResponseSlot.of(answerItself(name.toString().toUpperCase(Locale.ROOT))));
+      writer.enqueue(ResponseSlot.of(localResponse(name.toString().toUpperCase(Locale.ROOT))));
     }
   }
 
@@ -59,22 +58,22 @@
     throw new InvalidCommandException("expected a command");
   }
 
-  private void handOver(RespClientRequest request, long arrivedAtNanos) {
-    if (!writer.take(request)) {
-      request.fill(ClientWriter.END);
+  private void submit(RespClientRequest request, long arrivedAtNanos) {
+    if (!writer.enqueue(request)) {
+      request.fill(ClientWriter.END_OF_OUTPUT);
       return;
     }
     pending.add(request);
-    request.taken();
+    request.accepted();
     if (arrivedAtNanos > state.drainingSinceNanos()) {
-      boolean mayTellWhen = request.settings().permissions().retryAfter();
-      request.rejected(mayTellWhen ? RETRY_ELSEWHERE_NANOS : 0);
+      boolean mayStateRetryAfter = request.settings().permissions().retryAfter();
+      request.rejected(mayStateRetryAfter ? DRAINING_RETRY_AFTER_NANOS : 0);
     } else {
       context.routing().accept(new RoutingMessage.RequestReceived(request));
     }
   }
 
-  private Slice answerItself(String commandName) {
+  private Slice localResponse(String commandName) {
     return switch (commandName) {
       case "PING" ->
           context.lifecycle().ready()
@@ -85,17 +84,17 @@
     };
   }
 
-  /** The requests that have no answer. For any thread. */
-  List<RespClientRequest> unanswered() {
+  /** Returns the requests without a response. For any thread. */
+  List<RespClientRequest> unansweredRequests() {
     return pending.unanswered();
   }
 
-  /** Keeps nothing of the requests that have their answers. For any thread. */
-  void forgetAnswered() {
-    pending.forgetAnswered();
+  /** Releases the requests that have their response. For any thread. */
+  void removeAnswered() {
+    pending.removeAnswered();
   }
 
-  /** Answers all that is open as failed. Poller thread only. */
+  /** Fails all pending requests. Poller thread only. */
   void failAll() {
     for (RespClientRequest request : pending.unanswered()) {
       request.failed();
@@ -103,10 +102,10 @@
     }
   }
 
-  /** Calls the requests off: nobody waits for them any more. Not for the routing thread. */
+  /** Cancels requests whose client is gone. Not for the routing thread. */
   void abandon(List<RespClientRequest> requests) {
     for (RespClientRequest request : requests) {
-      // First what the threads that write to cache servers look at.
+      // Marked first: threads that write to cache servers skip requests that are not awaited.
       request.abandoned();
       context.routing().accept(new RoutingMessage.ClientLeft(request));
     }
--- a/src/main/java/beaconturn/net/client/CommandReader.java
+++ b/src/main/java/beaconturn/net/client/CommandReader.java
@@ -10,13 +10,14 @@
 import java.util.function.Consumer;
 
 /**
- * Reads one client's commands and hands them over one by one, as far as there is room for their
- * answers. Reading goes on ahead of commands that wait, so that the client's close is seen.
+ * Reads one client's commands and passes them to the handler one by one, as far as there is
+ * capacity for their responses. Input is read ahead of throttled commands, so that a close by the
+ * client is detected.
  *
- * <p>For the poller's thread, except for the methods that say otherwise.
+ * <p>For the poller thread, except for methods that say otherwise.
  */
 final class CommandReader {
-  /** How much of what follows malformed input is read, so that the error before it can arrive. */
+  /** Limit on the input discarded after a protocol error, so that the error response can arrive. */
   private static final int DISCARD_LIMIT_BYTES = 32 * 1024;
 
   private final SocketChannel channel;
@@ -26,16 +27,16 @@
   private final LargeRequestPermits largePermits;
   private final Consumer<RespValue> handler;
 
-  // Written by the poller's thread, read by any.
+  // Written by the poller thread, read by any.
   private final PartialCommand partial = new PartialCommand();
-  private volatile boolean commandSeen;
-  private volatile boolean waitsForRoom;
+  private volatile boolean commandReceived;
+  private volatile boolean throttled;
 
   // Poller thread only.
   private final ClientInputBuffer input = new ClientInputBuffer();
   private final RejectionRateLimit rejections;
   private int discardedBytes;
-  private int commandsTaken;
+  private int commandsProcessed;
 
   CommandReader(
       SocketChannel channel,
@@ -53,75 +54,74 @@
     this.rejections = new RejectionRateLimit(clock);
   }
 
-  /** The command that has begun to arrive. For any thread. */
+  /** The command that has partially arrived. For any thread. */
   PartialCommand partial() {
     return partial;
   }
 
   /** Whether the client has sent a whole command yet. For any thread. */
-  boolean commandSeen() {
-    return commandSeen;
+  boolean hasReceivedCommand() {
+    return commandReceived;
   }
 
   /**
-   * Whether commands wait for room among the answers, for the pace of rejections, or for a permit
-   * for a large request. For any thread.
+   * Whether commands wait for pipeline capacity, for the rejection rate limit, or for a
+   * large-request permit. For any thread.
    */
-  boolean waitsForRoom() {
-    return waitsForRoom;
+  boolean isThrottled() {
+    return throttled;
   }
 
-  /** How many whole commands have been taken so far. */
-  int commandsTaken() {
-    return commandsTaken;
+  int commandsProcessed() {
+    return commandsProcessed;
   }
 
-  /** When the last byte of the command at hand arrived. */
+  /** When the last byte of the current command arrived. */
   long lastArrivedAtNanos() {
     return input.lastArrivedAtNanos();
   }
 
-  /** Notes that the command at hand was rejected; too many of them have the next ones wait. */
-  void noteRejection() {
-    rejections.note();
+  /** Counts the current command as rejected; above the limit the next commands are throttled. */
+  void recordRejection() {
+    rejections.recordRejection();
   }
 
   /**
-   * Whether the socket is to be watched for bytes. While commands wait for room reading goes on
-   * ahead, to see a client's close.
+   * Whether the socket is to be watched for bytes. Throttled commands do not stop reading, so that
+   * a close by the client is detected.
    */
   boolean wantsToRead() {
-    if (state.isEnding()) {
-      return discards() && !waitsForRoom;
+    if (state.isClosing()) {
+      return discardsInput() && !throttled;
     }
-    return input.wantsMore(largePermits.forCommandAtHand());
+    return input.wantsMore(largePermits.heldForCurrentCommand());
   }
 
   /**
-   * Reads what the socket holds.
+   * Reads the available bytes.
    *
-   * @param arrivedAtNanos the earliest time at which the bytes can have come
-   * @return how many bytes came, or less than none if the client has ended its sending
+   * @param arrivedAtNanos the earliest time at which the bytes can have arrived
+   * @return the number of bytes read, or a negative number at the end of the stream
    */
   int fill(long arrivedAtNanos) throws IOException {
-    int bytes = input.fill(channel, arrivedAtNanos, largePermits.forCommandAtHand());
+    int bytes = input.fill(channel, arrivedAtNanos, largePermits.heldForCurrentCommand());
     if (bytes > 0) {
       partial.bytesArrived(clock.now());
     }
     return bytes;
   }
 
-  /** Whether the connection ends over its input, of which a little more is read and dropped. */
-  boolean discards() {
-    return state.endReason() == EndReason.MALFORMED;
+  /** Whether the connection closes over a protocol error and further input is discarded. */
+  boolean discardsInput() {
+    return state.closeReason() == CloseReason.PROTOCOL_ERROR;
   }
 
   /**
-   * Reads on a little behind malformed input, without looking: unread bytes would reset the error
-   * on its way. Not to the end, which clients that send without end or 60 MB don't reach: they
-   * would have the processor to themselves.
+   * Reads and discards a bounded part of the input after a protocol error. Unread bytes would cause
+   * a reset that can cut off the error response; reading without a bound would let one client
+   * occupy the poller.
    *
-   * @return false once the client has ended its sending, or enough has been read
+   * @return false at the end of the stream or once the limit is reached
    */
   boolean discard() throws IOException {
     int bytes = channel.read(ByteBuffer.allocate(Sockets.MAX_TRANSFER_BYTES));
@@ -130,55 +130,56 @@
   }
 
   /**
-   * Hands over the commands that are whole, as far as there is room for their answers.
+   * Processes the whole commands in the buffer, as far as there is capacity for their responses.
    *
-   * @throws ProtocolException if what came cannot be split into commands
+   * @throws ProtocolException if the input cannot be split into commands
    */
-  void handOverCommands() throws ProtocolException {
+  void processCommands() throws ProtocolException {
     RespValue command = nextCommand();
     while (command != null) {
-      commandsTaken++;
-      commandSeen = true;
+      commandsProcessed++;
+      commandReceived = true;
       largePermits.commandCompleted();
       handler.accept(command);
-      notePartial();
+      updatePartial();
       command = nextCommand();
     }
-    if (input.holdsLargeCommand() && !largePermits.forCommandAtHand() && state.takesCommands()) {
-      // Without a permit the command waits unread until the poller turns to it again; the time for
-      // a command does not run meanwhile.
+    if (input.holdsLargeCommand() && !largePermits.heldForCurrentCommand() && state.acceptsCommands()) {
+      // Without a permit the command stays unread until the poller checks again; its timeout does
+      // not run meanwhile.
       if (!largePermits.tryAcquire()) {
-        waitsForRoom = true;
+        throttled = true;
       }
     }
   }
 
-  private void notePartial() {
+  private void updatePartial() {
     if (input.isEmpty()) {
       partial.completed();
     } else {
-      partial.completedBeforeNext(clock.now());
+      partial.nextStarted(clock.now());
     }
   }
 
   private RespValue nextCommand() throws ProtocolException {
-    if (!state.takesCommands()) {
+    if (!state.acceptsCommands()) {
       return null;
     }
-    // Set before it is asked: who writes the answer that makes room must see that it is waited for.
-    waitsForRoom = true;
-    if (!writer.hasRoom() || rejections.exhausted()) {
+    // Set before the check: the thread that writes a response and frees capacity must see that a
+    // command waits for it.
+    throttled = true;
+    if (!writer.hasCapacity() || rejections.isExceeded()) {
       return null;
     }
-    waitsForRoom = false;
+    throttled = false;
     return input.next();
   }
 
   /**
-   * Input that cannot be split into commands has ended the connection. While answers are owed, what
-   * follows stays unread; after that it waits until the sweep closes the connection.
+   * Stops reading after a protocol error. If responses are outstanding, the
+   * input stays unread until the sweep closes the connection; otherwise it is discarded up to a limit.
    */
-  void inputEnded(boolean answersOwed) {
-    waitsForRoom = answersOwed;
+  void stopReading(boolean responsesOutstanding) {
+    throttled = responsesOutstanding;
   }
 }
--- a/src/main/java/beaconturn/net/client/ConnectionContext.java
+++ b/src/main/java/beaconturn/net/client/ConnectionContext.java
@@ -8,17 +8,17 @@
 import java.util.function.Supplier;
 
 /**
- * What all clients' connections share of the router round them.
+ * Dependencies that all client connections of a router share.
  *
- * @param parser gives the parser for the settings in force
+ * @param parser supplies the parser for the active settings
  * @param clock the router's clock
  * @param lifecycle whether the router is ready
- * @param routing takes messages for the routing thread; may wait for room
+ * @param routing accepts messages for the routing thread; may block while its queue is full
  * @param poller the thread that reads from all clients
- * @param pendingIds the ids of the requests that wait for their answer
+ * @param pendingIds the ids of the requests without a response
  * @param largeRequests permits for large requests
- * @param eventLog the log of single events on connections
- * @param whenReleased told of a closed connection once its descriptor is free
+ * @param eventLog logs rejected commands and closes
+ * @param onReleased notified of a closed connection once its descriptor is free
  */
 public record ConnectionContext(
     Supplier<RequestParser> parser,
@@ -29,4 +29,4 @@
     PendingRequestIds pendingIds,
     Semaphore largeRequests,
     ClientEventLog eventLog,
-    Consumer<ClientConnection> whenReleased) {}
+    Consumer<ClientConnection> onReleased) {}
--- a/src/main/java/beaconturn/net/client/ConnectionState.java
+++ b/src/main/java/beaconturn/net/client/ConnectionState.java
@@ -1,55 +1,56 @@
 package beaconturn.net.client;
 
 /**
- * Where one client's connection stands on its way from open to closed. A phase is only ever
- * followed by a later one, and every change of phase goes through {@link #moveTo}.
+ * The phase of one client connection. A phase can only be followed by a later one, and every change
+ * goes through {@link #moveTo}.
  *
- * <p>Who sets which phase: {@link #drain} is called by the thread that runs a planned stop, {@link
- * #end} by the poller's thread alone, {@link #close} by the poller's thread and by a thread that
- * sweeps connections. The routing thread sets none.
+ * <p>{@link #drain} is called by the thread that runs a graceful shutdown, {@link #startClosing} by
+ * the poller thread alone, {@link #markClosed} by the poller thread and by the sweeper. The routing
+ * thread changes no phase.
  *
- * <p>Before the end there may be a proposal to end: a thread that sweeps connections or accepts new
- * ones makes it with {@link #propose}, and the poller's thread, after one more look at the socket,
- * takes it with {@link #takeProposal} and either closes the connection or drops the proposal.
+ * <p>A close may be proposed first: the sweeper or the listener calls {@link #propose}; the poller
+ * thread reads from the socket once more, takes the proposal with {@link #takeProposal}, and either
+ * closes the connection or drops the proposal.
  *
- * <p>Any thread may call any method; none waits for longer than it takes to write a few fields.
+ * <p>Any thread may call any method; none blocks for longer than a few field writes.
  */
 final class ConnectionState {
   private static final long NEVER = Long.MAX_VALUE;
 
-  /** The phases, in the order in which a connection goes through them; any may be left out. */
+  /** The phases, in the order in which a connection passes through them; any may be skipped. */
   enum ConnectionPhase {
     /** Commands are read and served. */
     OPEN,
-    /** At a planned stop: what came before it is served, what comes later is rejected. */
+    /** Graceful shutdown: commands that arrived before it are served, later ones are rejected. */
     DRAINING,
     /**
-     * No further command is taken. The sending has ended or ends after the answers that are owed.
+     * No further command is accepted. The output is shut down, or will be after the outstanding
+     * responses.
      */
-    ENDING,
-    /** The socket is closed; the descriptor is free once the poller's selector has gone round. */
+    CLOSING,
+    /** The socket is closed; its descriptor is free after the poller's next selection. */
     CLOSED;
 
-    /** Whether a connection in this phase may go on to the other one. */
-    boolean mayBecome(ConnectionPhase next) {
+    /** Whether a connection in this phase may move to the other phase. */
+    boolean canMoveTo(ConnectionPhase next) {
       return next.compareTo(this) > 0;
     }
   }
 
   /**
-   * A wish to end the connection, with what was known of the command that was arriving then.
+   * A proposal to close the connection, with the state of the partial command at that time.
    *
-   * @param reason why the connection is to end
-   * @param beganAtNanos when the partial command had begun, or {@code Long.MAX_VALUE} for none
-   * @param lastBytesAtNanos when bytes had come last
+   * @param reason why the connection is to close
+   * @param startedAtNanos when the partial command started, or {@code Long.MAX_VALUE} for none
+   * @param lastBytesAtNanos when bytes last arrived
    */
-  record EndProposal(EndReason reason, long beganAtNanos, long lastBytesAtNanos) {}
+  record CloseProposal(CloseReason reason, long startedAtNanos, long lastBytesAtNanos) {}
 
   // Written under this object's lock, read by any thread.
   private volatile ConnectionPhase phase = ConnectionPhase.OPEN;
   private volatile long drainingSinceNanos = NEVER;
-  private volatile EndProposal proposal;
-  private volatile EndReason endReason;
+  private volatile CloseProposal proposal;
+  private volatile CloseReason closeReason;
 
   ConnectionPhase phase() {
     return phase;
@@ -59,31 +60,31 @@
     return phase == ConnectionPhase.CLOSED;
   }
 
-  boolean isEnding() {
-    return phase == ConnectionPhase.ENDING;
+  boolean isClosing() {
+    return phase == ConnectionPhase.CLOSING;
   }
 
-  /** Whether further commands of the client are handled. */
-  boolean takesCommands() {
-    return phase.compareTo(ConnectionPhase.ENDING) < 0;
+  /** Whether further commands of the client are processed. */
+  boolean acceptsCommands() {
+    return phase.compareTo(ConnectionPhase.CLOSING) < 0;
   }
 
-  /** Why the connection is ending or closed, or null while it is open or draining. */
-  EndReason endReason() {
-    return endReason;
+  /** Why the connection is closing or closed, or null while it is open or draining. */
+  CloseReason closeReason() {
+    return closeReason;
   }
 
-  /** Since when the router has been stopping, or {@code Long.MAX_VALUE} if it is not. */
+  /** When the graceful shutdown started, or {@code Long.MAX_VALUE} if it has not. */
   long drainingSinceNanos() {
     return drainingSinceNanos;
   }
 
-  /** Whether the connection has been told of a planned stop, in whatever phase it was then. */
+  /** Whether a graceful shutdown has started, in whatever phase the connection was then. */
   boolean isDraining() {
     return drainingSinceNanos != NEVER;
   }
 
-  /** Notes a planned stop; only the first call counts. */
+  /** Starts a graceful shutdown; only the first call counts. */
   synchronized void drain(long nowNanos) {
     if (drainingSinceNanos == NEVER) {
       drainingSinceNanos = nowNanos;
@@ -92,50 +93,48 @@
   }
 
   /**
-   * Proposes an end, in place of one that was proposed before; false, and without effect, on a
-   * connection that is ending or closed.
+   * Proposes a close, replacing any earlier proposal; false, and without effect, on a connection
+   * that is closing or closed.
    *
-   * <p>Guard against a request without an answer: an end that is proposed while the poller ends the
-   * sending would have it look at the socket once more, and what it read then could not be answered
-   * any more. So nothing is proposed from {@link ConnectionPhase#ENDING} on, under one lock with
-   * that change.
+   * <p>Prevents a request without a response: a proposal made while the poller shuts down the
+   * output would cause another read from the socket, and a command found by that read could no
+   * longer be answered. The lock excludes proposals from {@link ConnectionPhase#CLOSING} on.
    */
-  synchronized boolean propose(EndProposal proposed) {
-    if (!takesCommands()) {
+  synchronized boolean propose(CloseProposal proposed) {
+    if (!acceptsCommands()) {
       return false;
     }
     proposal = proposed;
     return true;
   }
 
-  /** Whether an end has been proposed and neither taken up nor dropped yet. */
   boolean hasProposal() {
     return proposal != null;
   }
 
-  /** Takes the proposal, which is gone then; null if there is none. */
-  synchronized EndProposal takeProposal() {
-    EndProposal taken = proposal;
+  /** Removes and returns the proposal, or returns null if there is none. */
+  synchronized CloseProposal takeProposal() {
+    CloseProposal taken = proposal;
     proposal = null;
     return taken;
   }
 
-  /** From here on no command is taken; false if that, or the close, has been so before. */
-  synchronized boolean end(EndReason reason) {
-    return moveTo(ConnectionPhase.ENDING, reason);
+  /** Stops accepting commands; false if the connection is already closing or closed. */
+  synchronized boolean startClosing(CloseReason reason) {
+    return moveTo(ConnectionPhase.CLOSING, reason);
   }
 
-  /** Marks the connection as closed; true for the one caller that has to close it. */
-  synchronized boolean close(EndReason reason) {
+  /** Marks the connection as closed; true for the one caller that has to close the socket. */
+  synchronized boolean markClosed(CloseReason reason) {
     return moveTo(ConnectionPhase.CLOSED, reason);
   }
 
-  private boolean moveTo(ConnectionPhase next, EndReason reason) {
-    if (!phase.mayBecome(next)) {
+  private boolean moveTo(ConnectionPhase next, CloseReason reason) {
+    if (!phase.canMoveTo(next)) {
       return false;
     }
     if (reason != null) {
-      endReason = reason;
+      closeReason = reason;
       proposal = null;
     }
     phase = next;
--- a/src/main/java/beaconturn/net/client/LargeRequestPermits.java
+++ b/src/main/java/beaconturn/net/client/LargeRequestPermits.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * One connection's part of the permits for large requests, which are held in memory until they are
- * answered. The permits themselves are shared by all connections.
+ * The permits for large requests that one connection holds. Large requests are kept in memory until
+ * they are answered; the semaphore is shared by all connections.
  */
 final class LargeRequestPermits {
   private final Semaphore shared;
@@ -12,36 +12,40 @@
   /** Guarded by this. */
   private int held;
 
-  /** Whether the command that is arriving has a permit. Written by the poller, read by any. */
-  private volatile boolean forCommandAtHand;
+  /**
+   * Whether the command that is arriving has a permit. Written by the poller, read by any thread.
+   */
+  private volatile boolean heldForCurrentCommand;
 
   LargeRequestPermits(Semaphore shared) {
     this.shared = shared;
   }
 
-  /** Whether the command that is arriving may be read whole, however large. For any thread. */
-  boolean forCommandAtHand() {
-    return forCommandAtHand;
+  /** Whether the command that is arriving may be read whole, whatever its size. For any thread. */
+  boolean heldForCurrentCommand() {
+    return heldForCurrentCommand;
   }
 
-  /** Takes a permit for the command that is arriving; false if none is left. Poller thread only. */
+  /**
+   * Acquires a permit for the command that is arriving; false if none is left. Poller thread only.
+   */
   boolean tryAcquire() {
     if (!shared.tryAcquire()) {
       return false;
     }
-    forCommandAtHand = true;
+    heldForCurrentCommand = true;
     synchronized (this) {
       held++;
     }
     return true;
   }
 
-  /** The command that was arriving is whole; its permit is kept. Poller thread only. */
+  /** Ends the arrival of a command; its permit is held until the connection is idle. Poller thread only. */
   void commandCompleted() {
-    forCommandAtHand = false;
+    heldForCurrentCommand = false;
   }
 
-  /** Gives all permits back. For any thread. */
+  /** Releases all permits of this connection. For any thread. */
   synchronized void releaseAll() {
     shared.release(held);
     held = 0;
--- a/src/main/java/beaconturn/net/client/Listener.java
+++ b/src/main/java/beaconturn/net/client/Listener.java
@@ -16,27 +16,27 @@
 import java.util.logging.Logger;
 
 /**
- * Accepts connections of clients until it is closed. A socket that was inherited belongs to other
- * processes too: it is never closed, only accepted from no more, and what waits in its queue is
- * theirs. It never blocks, as blocking is a property of the socket itself, and the other process
- * may take what woke this one.
+ * Accepts client connections until closed. An inherited socket is shared with other processes: this
+ * process never closes it, only stops accepting, and leaves its queue to the others. The socket is
+ * always non-blocking: blocking mode is a property of the socket itself, and another process may
+ * accept the connection that woke this one.
  */
 public final class Listener {
   private static final Logger LOG = Logger.getLogger(Listener.class.getName());
   private static final int BACKLOG = 1024;
   private static final long FAILURE_PAUSE_MILLIS = 10;
   private static final long MAX_CLOSE_MILLIS = 1_000;
-  private static final int MAX_LAST_TRIES = 20;
+  private static final int MAX_FINAL_ATTEMPTS = 20;
 
   private final ServerSocketChannel server;
   private final boolean shared;
   private final Selector selector;
   private final Consumer<SocketChannel> onAccepted;
   private final RepeatedEventLog failures =
-      new RepeatedEventLog(LOG, "accepting connections fails", 1);
+      new RepeatedEventLog(LOG, "accepting client connections fails", 1);
   private volatile boolean closed;
 
-  /** Null until it is started. */
+  /** Null until started. */
   private Thread acceptingThread;
 
   private Listener(ServerSocketChannel server, boolean shared, Consumer<SocketChannel> onAccepted)
@@ -58,34 +58,34 @@
     return new Listener(server, false, onAccepted);
   }
 
-  /** Accepts on the listening socket that came as descriptor 0. */
+  /** Accepts on the listening socket inherited as descriptor 0. */
   public static Listener inherited(Consumer<SocketChannel> onAccepted) throws IOException {
     Channel channel = System.inheritedChannel();
     if (!(channel instanceof ServerSocketChannel server)) {
-      throw new IOException("descriptor 0 is no listening socket");
+      throw new IOException("descriptor 0 is not a listening socket");
     }
     return sharing(server, onAccepted);
   }
 
-  /** Accepts on a listening socket that others hold too. */
+  /** Accepts on a listening socket that other processes hold too. */
   public static Listener sharing(ServerSocketChannel socket, Consumer<SocketChannel> onAccepted)
       throws IOException {
     return new Listener(socket, true, onAccepted);
   }
 
-  /** The address that is listened on. */
+  /** The local address of the listening socket. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.socket().getLocalSocketAddress();
   }
 
-  /** Begins to accept. */
+  /** Starts accepting. */
   public void start() {
     acceptingThread = Threads.supervised("listener", this::acceptUntilClosed);
   }
 
   /**
-   * Accepts nothing more, but for what the kernel has accepted by now: whoever wrote a request
-   * there would lose it. Returns when that is done.
+   * Stops accepting, after the connections that the kernel has already accepted on an unshared
+   * socket: their clients may have sent requests. Blocks until that is done.
    */
   public void close() throws InterruptedException {
     closed = true;
@@ -105,45 +105,48 @@
         selector.selectedKeys().clear();
         acceptAll();
       } catch (IOException | RuntimeException | Error e) {
-        // Out of descriptors, or a client gone while it waited: the next one may do better.
+        // Out of descriptors, or the client disconnected while queued: the next accept may succeed.
         failures.note(System.nanoTime(), e.toString());
         Thread.sleep(FAILURE_PAUSE_MILLIS);
       }
     }
-    acceptLast();
-    // A closed channel's descriptor is freed when the selector lets go of it.
+    acceptRemaining();
+    // The descriptor of a closed channel is freed only when the selector is closed.
     Sockets.close(selector);
   }
 
   private void acceptAll() throws IOException {
     for (SocketChannel client = nextClient(); client != null; client = nextClient()) {
-      handOver(client);
+      passOn(client);
     }
   }
 
   /**
-   * What waits in the queue of a socket that is shared, another process takes once this one is
-   * closed.
+   * Accepts the next connection, or returns null. The queue of a shared socket is left to the other
+   * process once this listener is closed.
    */
   private SocketChannel nextClient() throws IOException {
     return closed && shared ? null : server.accept();
   }
 
-  private void acceptLast() throws InterruptedException {
+  private void acceptRemaining() throws InterruptedException {
     boolean done = false;
-    for (int tries = 0; !done && tries < MAX_LAST_TRIES; tries++) {
+    for (int attempt = 0; !done && attempt < MAX_FINAL_ATTEMPTS; attempt++) {
       try {
         acceptAll();
         done = true;
       } catch (IOException | RuntimeException | Error e) {
-        LOG.log(Level.WARNING, "accept failed at the end: " + e);
+        LOG.log(Level.WARNING, "accepting a queued connection failed while closing the listener: " + e);
         Thread.sleep(FAILURE_PAUSE_MILLIS);
       }
     }
   }
 
-  /** What fails here is closed: a channel that nobody knows keeps its descriptor for good. */
-  private void handOver(SocketChannel client) throws IOException {
+  /**
+   * Configures and passes on a connection. Closes the channel on a failure, as its descriptor would
+   * leak.
+   */
+  private void passOn(SocketChannel client) throws IOException {
     try {
       client.setOption(StandardSocketOptions.TCP_NODELAY, true);
       client.configureBlocking(false);
--- a/src/main/java/beaconturn/net/client/PartialCommand.java
+++ b/src/main/java/beaconturn/net/client/PartialCommand.java
@@ -1,59 +1,58 @@
 package beaconturn.net.client;
 
-import beaconturn.net.client.ConnectionState.EndProposal;
+import beaconturn.net.client.ConnectionState.CloseProposal;
 
 /**
- * The command of a connection that has begun to arrive and is not whole: since when, and when bytes
- * came last. Written by the poller's thread, read by any.
+ * Timing of the command that has partially arrived on a connection. Written by the poller thread,
+ * read by any.
  */
 final class PartialCommand {
   private static final long NEVER = Long.MAX_VALUE;
-  private volatile long beganAtNanos = NEVER;
+  private volatile long startedAtNanos = NEVER;
   private volatile long lastBytesAtNanos;
 
-  /** Notes that bytes have come. */
+  /** Records that bytes have arrived. */
   void bytesArrived(long nowNanos) {
     lastBytesAtNanos = nowNanos;
-    beganAtNanos = Math.min(beganAtNanos, nowNanos);
+    startedAtNanos = Math.min(startedAtNanos, nowNanos);
   }
 
-  /** Notes that a whole command has been taken, and nothing is there behind it. */
+  /** Records that a whole command was taken and no bytes follow. */
   void completed() {
-    beganAtNanos = NEVER;
+    startedAtNanos = NEVER;
   }
 
-  /** Notes that a whole command has been taken, and bytes of another are there already. */
-  void completedBeforeNext(long nowNanos) {
-    beganAtNanos = nowNanos;
+  /** Records that a whole command was taken and bytes of the next one follow. */
+  void nextStarted(long nowNanos) {
+    startedAtNanos = nowNanos;
   }
 
-  /** Whether there is one. */
   boolean exists() {
-    return beganAtNanos != NEVER;
+    return startedAtNanos != NEVER;
   }
 
-  /** Since when it has been arriving, or {@code Long.MAX_VALUE} if there is none. */
-  long beganAtNanos() {
-    return beganAtNanos;
+  /** When the first bytes were seen, or {@code Long.MAX_VALUE} if there is no partial command. */
+  long startedAtNanos() {
+    return startedAtNanos;
   }
 
-  /** When bytes came last. */
+  /** When the last bytes arrived. */
   long lastBytesAtNanos() {
     return lastBytesAtNanos;
   }
 
-  /** A proposal to end the connection that names this command as it is now. */
-  EndProposal proposeEnd(EndReason reason) {
-    return new EndProposal(reason, beganAtNanos, lastBytesAtNanos);
+  /** Creates a proposal to close the connection that records the current state of this command. */
+  CloseProposal proposeClose(CloseReason reason) {
+    return new CloseProposal(reason, startedAtNanos, lastBytesAtNanos);
   }
 
   /**
-   * Whether the proposal is about the command that is here now, and, where that stood still, no
-   * more of it has come since.
+   * Whether the proposal was made because of the current command; for a stalled command, also
+   * whether no more bytes have arrived since.
    */
-  boolean isReasonOf(EndProposal proposal) {
+  boolean isReasonFor(CloseProposal proposal) {
     return switch (proposal.reason()) {
-      case SLOW_COMMAND -> beganAtNanos == proposal.beganAtNanos();
+      case COMMAND_TIMEOUT -> startedAtNanos == proposal.startedAtNanos();
       case STALLED_COMMAND -> lastBytesAtNanos == proposal.lastBytesAtNanos();
       default -> false;
     };
--- a/src/main/java/beaconturn/net/client/PendingRequestIds.java
+++ b/src/main/java/beaconturn/net/client/PendingRequestIds.java
@@ -6,26 +6,23 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The ids of the requests that wait for their answer, of all clients. A second request under an id
- * that is open would be answered in the place of the first, or the first in its; so it is rejected.
- * For any thread.
+ * The ids of pending requests, over all clients. A second request with the same id is rejected, as
+ * the responses of the two could be confused. For any thread.
  */
 public final class PendingRequestIds {
-  private final Set<String> open = ConcurrentHashMap.newKeySet();
+  private final Set<String> reserved = ConcurrentHashMap.newKeySet();
 
-  /** Opens the id; false if it is open. */
-  boolean open(Slice id) {
-    return open.add(text(id));
+  /** Reserves the id; false if a pending request has it. */
+  boolean reserve(Slice id) {
+    return reserved.add(text(id));
   }
 
-  /** Frees the id. */
-  void close(Slice id) {
-    open.remove(text(id));
+  void release(Slice id) {
+    reserved.remove(text(id));
   }
 
-  /** How many ids are open. */
   int count() {
-    return open.size();
+    return reserved.size();
   }
 
   private static String text(Slice id) {
--- a/src/main/java/beaconturn/net/client/RejectionRateLimit.java
+++ b/src/main/java/beaconturn/net/client/RejectionRateLimit.java
@@ -3,39 +3,35 @@
 import beaconturn.core.Clock;
 
 /**
- * The limit on how many commands of one connection are rejected in a while. A client that sends
- * wrong commands as fast as it gets their errors would have the router's processor to itself;
- * beyond the pace its next commands wait. Poller thread only.
+ * Limits how many commands of one connection are rejected per time window. Commands beyond the
+ * limit wait, so that a client that sends invalid commands in a loop cannot occupy the poller.
+ * Poller thread only.
  */
 final class RejectionRateLimit {
-  /**
-   * Rejections in a window beyond which commands wait; clients do not send so many by mistake or by
-   * chance.
-   */
+  /** Rejections per window beyond which commands wait; above what a client sends by mistake. */
   private static final int MAX_REJECTIONS = 16;
 
-  /** Length of a window; connections that wait are looked at again about as often. */
+  /** Length of a window, about the interval at which throttled connections are rechecked. */
   private static final long WINDOW_NANOS = 50_000_000;
 
   private final Clock clock;
-  private long windowBeganNanos;
+  private long windowStartNanos;
   private int rejections;
 
   RejectionRateLimit(Clock clock) {
     this.clock = clock;
   }
 
-  /** A command has been rejected. */
-  void note() {
-    if (rejections == 0 || clock.now() - windowBeganNanos >= WINDOW_NANOS) {
-      windowBeganNanos = clock.now();
+  void recordRejection() {
+    if (rejections == 0 || clock.now() - windowStartNanos >= WINDOW_NANOS) {
+      windowStartNanos = clock.now();
       rejections = 0;
     }
     rejections++;
   }
 
   /** Whether the next command is to wait. */
-  boolean exhausted() {
-    return rejections >= MAX_REJECTIONS && clock.now() - windowBeganNanos < WINDOW_NANOS;
+  boolean isExceeded() {
+    return rejections >= MAX_REJECTIONS && clock.now() - windowStartNanos < WINDOW_NANOS;
   }
 }
--- a/src/main/java/beaconturn/net/client/RequestParser.java
+++ b/src/main/java/beaconturn/net/client/RequestParser.java
@@ -14,17 +14,14 @@
 import java.util.StringJoiner;
 import java.util.regex.Pattern;
 
-/**
- * Parser of clients' commands into requests: key, id and a list of names and values. The words of
- * the wire are mapped here once. Any thread may call.
- */
+/** Parses commands of clients into requests: key, id and a list of attributes. For any thread. */
 public final class RequestParser {
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int KEY_DIGITS = 16;
   private static final int MAX_NAME_LENGTH = 128;
   private static final int MAX_ATTRIBUTES = 16;
 
-  /** Where the words of a command stand. */
+  /** Indexes of the arguments of a command. */
   private static final int COMMAND = 0;
 
   private static final int KEY = 1;
@@ -35,46 +32,46 @@
   private static final int SET_WORDS = 5;
 
   /**
-   * Plain decimals only: what Java takes besides, such as 5d, 0x1p3 or NaN, no cache server can
-   * read.
+   * Plain decimals only: cache servers cannot parse other forms that Java accepts, such as 5d,
+   * 0x1p3 or NaN.
    */
   private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,9})?");
 
   private static final Pattern ATTRIBUTE = Pattern.compile("[A-Za-z0-9_]{1,32}=[!-+\\--~]{1,256}");
 
-  /** A wait of more than so many times its class's deadline is a mistake of the client's. */
+  /** A client's wait above this multiple of its class's deadline is rejected as a mistake. */
   private static final double MAX_WAIT_PER_DEADLINE = 2;
 
   private final RouterSettings settings;
-  private final RouterSettings settingsBefore;
+  private final RouterSettings previousSettings;
   private final RequestMetrics metrics;
 
-  /** A parser of requests under these settings, which are counted in the metrics. */
+  /** Creates a parser for these settings that counts requests in the metrics. */
   public RequestParser(RouterSettings settings, RequestMetrics metrics) {
     this(settings, settings, metrics);
   }
 
   /**
-   * The same after settings have changed: a request that was sent under {@code settingsBefore} may
-   * wait for as long as its class allowed then.
+   * Creates a parser for changed settings: a request sent under {@code previousSettings} may wait
+   * as long as its class allowed then.
    */
   public RequestParser(
-      RouterSettings settings, RouterSettings settingsBefore, RequestMetrics metrics) {
+      RouterSettings settings, RouterSettings previousSettings, RequestMetrics metrics) {
     this.settings = settings;
-    this.settingsBefore = settingsBefore;
+    this.previousSettings = previousSettings;
     this.metrics = metrics;
   }
 
   /**
-   * The parts that go on to a cache server.
+   * The parts of a command that are forwarded to a cache server.
    *
-   * @param head the command, the key and the id as read
-   * @param id the request's id
-   * @param attributes names and values, in the order in which they came
-   * @param value what a write writes, as read, or null
+   * @param head the command, key and id as received
+   * @param id the request id
+   * @param attributes names and values, in the order received
+   * @param value the value of a write as received, or null
    */
   public record Parts(Slice head, Slice id, Map<String, String> attributes, Slice value) {
-    String attributesWith(long waitMillis) {
+    String attributesWithWait(long waitMillis) {
       StringJoiner out = new StringJoiner(",");
       attributes.forEach(
           (name, value) ->
@@ -83,24 +80,27 @@
     }
   }
 
-  /** Whether a command of this name is a request, and not one that the router answers itself. */
+  /**
+   * Whether a command of this name is a request, rather than a command that the router answers
+   * itself.
+   */
   static boolean isRequest(Slice command) {
     return command.is("C.GET") || command.is("C.SET");
   }
 
   /**
-   * Makes a request of a command. Nothing that a cache server could not use gets past here, and its
-   * id is open from here on until it has its answer.
+   * Parses a command into a request and reserves its id until the request is answered. Everything
+   * that a cache server could not use is rejected here.
    *
-   * @param words the command's words
+   * @param words the arguments of the command, its name first
    * @param readAtNanos when its last byte was read
-   * @param ids the ids that are open
-   * @throws InvalidCommandException if a word or a value is wrong, or the id is open
+   * @param ids the ids of pending requests
+   * @throws InvalidCommandException if an argument is invalid or a pending request has the id
    */
   public RespClientRequest parse(List<RespValue> words, long readAtNanos, PendingRequestIds ids)
       throws InvalidCommandException {
-    boolean write = text(words, COMMAND).is("C.SET");
-    if (words.size() != (write ? SET_WORDS : GET_WORDS)) {
+    boolean isWrite = text(words, COMMAND).is("C.SET");
+    if (words.size() != (isWrite ? SET_WORDS : GET_WORDS)) {
       throw new InvalidCommandException("wrong number of arguments");
     }
     Map<String, String> attributes = attributes(text(words, ATTRIBUTES).toString());
@@ -112,19 +112,19 @@
         && !attributes.containsKey("k")) {
       throw new InvalidCommandException("k is missing");
     }
-    long key = keyNumber(name(words, KEY, "key"));
+    long key = keyHash(name(words, KEY, "key"));
     Slice id = name(words, ID, "id");
-    Parts parts = new Parts(head(words), id, attributes, write ? words.get(VALUE).frame() : null);
-    RequestDescription description = description(classIndex, key, write, attributes);
-    if (!ids.open(id)) {
+    Parts parts = new Parts(head(words), id, attributes, isWrite ? words.get(VALUE).frame() : null);
+    RequestDescription description = description(classIndex, key, isWrite, attributes);
+    if (!ids.reserve(id)) {
       throw new InvalidCommandException("a request of this id is open");
     }
     long objectiveAtNanos = readAtNanos + requestClass.latencyObjectiveNanos();
-    RespClientRequest.Reading reading =
-        new RespClientRequest.Reading(
+    RespClientRequest.ParseContext parseContext =
+        new RespClientRequest.ParseContext(
             settings.routing(), attributes.get("c"), objectiveAtNanos, metrics);
     return new RespClientRequest(
-        description, readAtNanos + waitNanos, parts, reading, () -> ids.close(id));
+        description, readAtNanos + waitNanos, parts, parseContext, () -> ids.release(id));
   }
 
   private int classIndex(Map<String, String> attributes) throws InvalidCommandException {
@@ -135,13 +135,13 @@
     return index;
   }
 
-  /** How long the client waits for its answer. */
+  /** How long the client waits for its response, from attribute {@code d}. */
   private long waitNanos(Map<String, String> attributes, RequestClass requestClass)
       throws InvalidCommandException {
     double wait = number(attributes, "d", 0) * NANOS_PER_MILLI;
     boolean tooLong =
         wait > MAX_WAIT_PER_DEADLINE * requestClass.deadlineNanos()
-            && wait > MAX_WAIT_PER_DEADLINE * deadlineBeforeNanos(attributes.get("c"));
+            && wait > MAX_WAIT_PER_DEADLINE * previousDeadlineNanos(attributes.get("c"));
     if (wait < 1 || tooLong) {
       throw new InvalidCommandException("d is missing or out of range");
     }
@@ -155,28 +155,28 @@
   }
 
   private static RequestDescription description(
-      int classIndex, long key, boolean write, Map<String, String> attributes)
+      int classIndex, long key, boolean isWrite, Map<String, String> attributes)
       throws InvalidCommandException {
     boolean clientRetry = "1".equals(attributes.get("r"));
     return new RequestDescription(
-        classIndex, key, write, clientRetry, 0, 0, number(attributes, "size", 0));
+        classIndex, key, isWrite, clientRetry, 0, 0, number(attributes, "size", 0));
   }
 
-  /** The deadline of the class under the settings before; 0 where they did not have it. */
-  private long deadlineBeforeNanos(String className) {
-    int earlier = settingsBefore.classNames().indexOf(className);
-    return earlier < 0 ? 0 : settingsBefore.routing().classes().get(earlier).deadlineNanos();
+  /** The deadline of the class under the previous settings, or 0 if they did not have the class. */
+  private long previousDeadlineNanos(String className) {
+    int earlier = previousSettings.classNames().indexOf(className);
+    return earlier < 0 ? 0 : previousSettings.routing().classes().get(earlier).deadlineNanos();
   }
 
-  /** A key or an id: not empty, not endless, and of bytes that can be seen. */
+  /** Returns a key or an id: of limited length, not empty, of visible ASCII characters. */
   private static Slice name(List<RespValue> words, int index, String what)
       throws InvalidCommandException {
     Slice name = text(words, index);
-    boolean sound = name.length() > 0 && name.length() <= MAX_NAME_LENGTH;
-    for (int i = 0; sound && i < name.length(); i++) {
-      sound = name.at(i) > ' ' && name.at(i) <= '~';
+    boolean valid = name.length() > 0 && name.length() <= MAX_NAME_LENGTH;
+    for (int i = 0; valid && i < name.length(); i++) {
+      valid = name.at(i) > ' ' && name.at(i) <= '~';
     }
-    if (!sound) {
+    if (!valid) {
       throw new InvalidCommandException(what + " is empty, too long or of odd bytes");
     }
     return name;
@@ -212,8 +212,11 @@
     return value == null ? fallback : Double.parseDouble(value);
   }
 
-  /** Keys are 16 hexadecimal digits; any other is hashed, alike at every router. */
-  private static long keyNumber(Slice key) {
+  /**
+   * Parses a key of 16 hexadecimal digits; any other key is hashed, with the same result at every
+   * router.
+   */
+  private static long keyHash(Slice key) {
     long value = 0;
     boolean hex = key.length() == KEY_DIGITS;
     for (int i = 0; hex && i < key.length(); i++) {
--- a/src/main/java/beaconturn/net/client/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -13,8 +13,8 @@
 import java.util.List;
 
 /**
- * A request that came as a RESP2 command, and the place of its answer on the client's connection.
- * Any thread may call any method.
+ * A request received as a RESP2 command, and its position among the responses of the client
+ * connection. Any thread may call any method.
  */
 public final class RespClientRequest extends ResponseSlot implements ClientRequest {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -22,72 +22,75 @@
   private final RequestDescription description;
   private final long deadlineNanos;
   private final RequestParser.Parts parts;
-  private final Reading reading;
-  private final Runnable whenFilled;
+  private final ParseContext parseContext;
+  private final Runnable onCompleted;
 
   /**
-   * What a request was read under.
+   * The conditions under which a request was parsed.
    *
-   * @param settings the settings in force then; its class is one of theirs
-   * @param className the name of its class, under which it is counted
-   * @param objectiveAtNanos when the client wants its answer; after that it is late
-   * @param metrics where it is counted
+   * @param settings the settings active at that time; the request's class is one of theirs
+   * @param className the name of its class, under which the request is counted
+   * @param objectiveAtNanos when its latency objective expires
+   * @param metrics counts the request
    */
-  public record Reading(
+  public record ParseContext(
       RoutingSettings settings, String className, long objectiveAtNanos, RequestMetrics metrics) {}
 
-  /** A request without an answer; {@code whenFilled} runs once it has one, or is abandoned. */
+  /**
+   * Creates a request without a response; {@code onCompleted} runs once the request is answered or
+   * abandoned.
+   */
   public RespClientRequest(
       RequestDescription description,
       long deadlineNanos,
       RequestParser.Parts parts,
-      Reading reading,
-      Runnable whenFilled) {
+      ParseContext parseContext,
+      Runnable onCompleted) {
     this.description = description;
     this.deadlineNanos = deadlineNanos;
     this.parts = parts;
-    this.reading = reading;
-    this.whenFilled = whenFilled;
+    this.parseContext = parseContext;
+    this.onCompleted = onCompleted;
   }
 
-  /** The request's id, as its client gave it. */
+  /** The request id given by the client. */
   @Override
   public String id() {
     return parts.id().toString();
   }
 
-  /** Counts the request: from now on an answer is owed. */
-  void taken() {
-    reading.metrics().requestAccepted();
+  /** Counts the request as accepted: from now on a response is outstanding. */
+  void accepted() {
+    parseContext.metrics().requestAccepted();
   }
 
-  /** Ends the request without an answer, as nobody waits for one any more. */
+  /** Ends the request without a response, as its client is gone. */
   public void abandoned() {
-    end(RequestEnd.ABANDONED, ClientWriter.END);
+    complete(RequestEnd.ABANDONED, ClientWriter.END_OF_OUTPUT);
   }
 
   /**
-   * Ends the request with its answer; only the first call counts. A streamed answer that has begun
-   * and is not whole is broken off: the client has part of it, and can only fail.
+   * Completes the request; only the first call counts. A streamed response that is incomplete is
+   * aborted, as its client has received a part of it.
    */
-  private void end(RequestEnd end, Slice answer) {
-    boolean brokenOff = stream() != null && end != RequestEnd.ANSWERED;
-    if (!fill(answer)) {
+  private void complete(RequestEnd end, Slice response) {
+    boolean truncated = stream() != null && end != RequestEnd.ANSWERED;
+    if (!fill(response)) {
       return;
     }
-    boolean countsAsError = brokenOff && end != RequestEnd.ABANDONED;
-    reading.metrics().requestEnded(reading.className(), countsAsError ? RequestEnd.FAILED : end);
+    boolean countsAsError = truncated && end != RequestEnd.ABANDONED;
+    parseContext.metrics().requestEnded(parseContext.className(), countsAsError ? RequestEnd.FAILED : end);
     if (end == RequestEnd.ANSWERED) {
-      reading.metrics().answeredWithObjective(reading.objectiveAtNanos());
+      parseContext.metrics().answeredWithObjective(parseContext.objectiveAtNanos());
     }
-    if (brokenOff) {
-      stream().breakOff();
+    if (truncated) {
+      stream().abort();
     }
   }
 
   @Override
   void onFilled() {
-    whenFilled.run();
+    onCompleted.run();
   }
 
   @Override
@@ -97,7 +100,7 @@
 
   @Override
   public RoutingSettings settings() {
-    return reading.settings();
+    return parseContext.settings();
   }
 
   @Override
@@ -112,14 +115,14 @@
 
   @Override
   public List<Slice> encode(long waitMillis) {
-    List<Slice> pieces = new ArrayList<>(4);
-    pieces.add(RespWriter.listOf(parts.value() == null ? 4 : 5));
-    pieces.add(parts.head());
-    pieces.add(RespWriter.bulk(parts.attributesWith(waitMillis)));
+    List<Slice> chunks = new ArrayList<>(4);
+    chunks.add(RespWriter.listOf(parts.value() == null ? 4 : 5));
+    chunks.add(parts.head());
+    chunks.add(RespWriter.bulk(parts.attributesWithWait(waitMillis)));
     if (parts.value() != null) {
-      pieces.add(parts.value());
+      chunks.add(parts.value());
     }
-    return pieces;
+    return chunks;
   }
 
   @Override
@@ -128,14 +131,14 @@
   }
 
   @Override
-  public void answered(Slice answer) {
-    end(RequestEnd.ANSWERED, answer == null ? ClientWriter.END : answer);
+  public void answered(Slice response) {
+    complete(RequestEnd.ANSWERED, response == null ? ClientWriter.END_OF_OUTPUT : response);
   }
 
-  /** Rounded up, so that no client comes again before it should. */
+  /** Rounds the delay up to whole milliseconds, so that no client retries too early. */
   @Override
   public void rejected(long retryAfterNanos) {
-    end(
+    complete(
         RequestEnd.REJECTED,
         RespWriter.failure(
             retryAfterNanos <= 0
@@ -145,6 +148,6 @@
 
   @Override
   public void failed() {
-    end(RequestEnd.FAILED, RespWriter.failure("ERR failed"));
+    complete(RequestEnd.FAILED, RespWriter.failure("ERR failed"));
   }
 }
--- a/src/main/java/beaconturn/net/client/ResponseSlot.java
+++ b/src/main/java/beaconturn/net/client/ResponseSlot.java
@@ -4,92 +4,93 @@
 import beaconturn.protocol.Slice;
 
 /**
- * The place of one answer in the order of a client's connection. It is filled once; any thread may
- * call any method.
+ * The position of one response among the responses of a client connection. Filled once; any thread
+ * may call any method.
  */
 class ResponseSlot {
-  /** The answer, or null as long as there is none. Written under this object's lock. */
-  private volatile Slice bytes;
+  /** The response, or null while there is none. Written under this object's lock. */
+  private volatile Slice response;
 
   /**
-   * The pipe that the answer comes by, piece by piece; null if it comes whole. Written under this
-   * object's lock.
+   * The pipe that supplies a streamed response, or null if the response is written whole. Written
+   * under this object's lock.
    */
   private volatile BoundedPipe stream;
 
   /** Guarded by this. */
-  private Runnable whenMore = () -> {};
+  private Runnable onAvailable = () -> {};
 
-  /** A place whose answer is there from the start. */
-  static ResponseSlot of(Slice answer) {
+  /** Creates a slot that is already filled. */
+  static ResponseSlot of(Slice bytes) {
     ResponseSlot slot = new ResponseSlot();
-    slot.fill(answer);
+    slot.fill(bytes);
     return slot;
   }
 
-  /** Has the answer come piece by piece; it is over, as any other, when it is filled in. */
+  /** Streams the response from the pipe; the response is complete once the slot is filled. */
   final void startStream(BoundedPipe started) {
     Runnable action;
     synchronized (this) {
-      if (bytes != null) {
+      if (response != null) {
         started.cancel();
         return;
       }
       stream = started;
-      action = whenMore;
+      action = onAvailable;
     }
-    started.whenMore(action);
+    started.onAvailable(action);
     action.run();
   }
 
-  /** The pipe that the answer comes by, or null if it comes whole. */
+  /** The pipe that supplies a streamed response, or null if the response is written whole. */
   final BoundedPipe stream() {
     return stream;
   }
 
-  /** What goes out next: the answer, or a piece of its stream; null if that is not there yet. */
-  final Slice nextPiece() {
-    // In this order: an answer that is streamed has its stream before it is filled in.
-    Slice whole = bytes;
+  /**
+   * Returns the whole response or the next chunk of a streamed one, or null if none is available.
+   */
+  final Slice nextChunk() {
+    // Read in this order: a streamed response has its stream before the slot is filled.
+    Slice whole = response;
     return stream != null ? stream.next() : whole;
   }
 
-  /** Fills in the answer; false for one that comes second, which is dropped. */
-  final boolean fill(Slice answer) {
+  /** Fills in the response; false if the slot is already filled. */
+  final boolean fill(Slice bytes) {
     Runnable action;
     synchronized (this) {
-      if (bytes != null) {
+      if (response != null) {
         return false;
       }
       onFilled();
-      bytes = answer;
-      action = whenMore;
+      response = bytes;
+      action = onAvailable;
     }
     action.run();
     return true;
   }
 
-  /** Says what to do once the answer is there, which may be now. */
-  final void whenFilled(Runnable action) {
+  /** Sets the action that runs once a response is available; runs it now if there is one. */
+  final void whenAvailable(Runnable action) {
     synchronized (this) {
-      if (bytes == null) {
-        whenMore = action;
+      if (response == null) {
+        onAvailable = action;
         return;
       }
     }
     action.run();
   }
 
-  /** Called once, before the answer can be seen. */
+  /** Called once, before the response is visible. */
   void onFilled() {}
 
-  /** Whether it has its answer. */
   final boolean isFilled() {
-    return bytes != null;
+    return response != null;
   }
 
-  /** The answer, or null if there is none yet. */
+  /** The response, or null if there is none yet. */
   final Slice bytes() {
-    return bytes;
+    return response;
   }
 }
--- a/src/main/java/beaconturn/net/io/BoundedPipe.java
+++ b/src/main/java/beaconturn/net/io/BoundedPipe.java
@@ -16,7 +16,7 @@
   public static final Slice END = Slice.of("");
 
   /** In the place of a piece: the answer broke off. */
-  public static final Slice BROKEN = Slice.of("");
+  public static final Slice ABORTED = Slice.of("");
 
   private static final int CAPACITY_BYTES = 32 * 1024;
 
@@ -24,15 +24,15 @@
   private final Deque<Slice> pieces = new ArrayDeque<>();
   private int heldBytes;
 
-  /** {@link #END} or {@link #BROKEN} once no further piece will come, else null. */
+  /** {@link #END} or {@link #ABORTED} once no further piece will come, else null. */
   private Slice terminator;
 
   private boolean cancelled;
-  private Runnable whenMore = () -> {};
+  private Runnable onAvailable = () -> {};
 
   /** Sets what to do whenever a piece has come; some may be there already. For any thread. */
-  public synchronized void whenMore(Runnable action) {
-    whenMore = action;
+  public synchronized void onAvailable(Runnable action) {
+    onAvailable = action;
   }
 
   /**
@@ -65,8 +65,8 @@
   }
 
   /** Marks the answer as broken off: no further piece will come, though it is not whole. */
-  public void breakOff() {
-    finish(BROKEN);
+  public void abort() {
+    finish(ABORTED);
   }
 
   private void finish(Slice how) {
@@ -81,12 +81,12 @@
   private void notifyTaker() {
     Runnable action;
     synchronized (this) {
-      action = whenMore;
+      action = onAvailable;
     }
     action.run();
   }
 
-  /** Takes the next piece, {@link #END}, {@link #BROKEN}, or null if none is there yet. */
+  /** Takes the next piece, {@link #END}, {@link #ABORTED}, or null if none is there yet. */
   public synchronized Slice next() {
     Slice piece = pieces.poll();
     if (piece == null) {
--- a/src/main/java/beaconturn/net/server/CacheConnection.java
+++ b/src/main/java/beaconturn/net/server/CacheConnection.java
@@ -208,7 +208,7 @@
       socket.socket().setSoTimeout(NO_READ_TIMEOUT);
       return endAttempt(result);
     } finally {
-      pipe.breakOff();
+      pipe.abort();
     }
   }
 
--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/BrokenRouter.java
@@ -80,8 +80,8 @@
       case ENDS_AT_REJECTION ->
           new ClientConnection(client, site) {
             @Override
-            protected void rejected(String reason) {
-              malformed(reason);
+            protected void respondWithError(String reason) {
+              closeWithError(reason);
             }
           };
       case ENDS_OVER_COMMANDS ->
@@ -93,7 +93,7 @@
             }
 
             @Override
-            protected boolean mayEndOverCommand(boolean commandIsReason) {
+            protected boolean mayCloseOverPartialCommand(boolean commandIsReason) {
               return true;
             }
           };
--- a/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
@@ -33,24 +33,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Which connections of clients are closed when; the clock is the test's. */
+/** Closing and draining of client connections, with a clock controlled by the test. */
 @Timeout(60)
 class ClientConnectionsTest {
-  private static final long SECOND = 1_000_000_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
   private static final String GET =
       "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$2\r\nid\r\n$13\r\nc=read,d=1500\r\n";
-  private final AtomicLong now = new AtomicLong(SECOND);
-  private Clock clock = now::get;
-  private final BlockingQueue<RoutingMessage> module = new LinkedBlockingQueue<>();
-  private Consumer<RoutingMessage> toModule = module::add;
+  private final AtomicLong nowNanos = new AtomicLong(SECOND_NANOS);
+  private Clock clock = nowNanos::get;
+  private final BlockingQueue<RoutingMessage> routingQueue = new LinkedBlockingQueue<>();
+  private Consumer<RoutingMessage> routing = routingQueue::add;
   private final PendingRequestIds ids = new PendingRequestIds();
-  private final AtomicInteger rejected = new AtomicInteger();
+  private final AtomicInteger rejectedCount = new AtomicInteger();
   private final RequestMetrics metrics =
       new RequestMetrics() {
         @Override
         public void requestEnded(String requestClass, RequestEnd end) {
           if (end == RequestEnd.REJECTED) {
-            rejected.incrementAndGet();
+            rejectedCount.incrementAndGet();
           }
         }
       };
@@ -64,15 +64,15 @@
   void connect() throws IOException {
     server =
         ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-    poller = new ClientPoller(now::get, 0);
+    poller = new ClientPoller(nowNanos::get, 0);
     poller.start();
     connect(poller);
   }
 
-  private void connect(ClientPoller reads) throws IOException {
-    Socket from = new Socket(InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
-    from.setSoTimeout(20_000);
-    client = new TestPeer.Line(from, new LinkedBlockingQueue<>());
+  private void connect(ClientPoller connectionPoller) throws IOException {
+    Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
+    socket.setSoTimeout(20_000);
+    client = new TestPeer.Line(socket, new LinkedBlockingQueue<>());
     SocketChannel accepted = server.accept();
     accepted.configureBlocking(false);
     connection =
@@ -82,8 +82,8 @@
                 () -> new RequestParser(Samples.read(), metrics),
                 () -> clock.now(),
                 new Lifecycle(),
-                message -> toModule.accept(message),
-                reads,
+                message -> routing.accept(message),
+                connectionPoller,
                 ids,
                 new Semaphore(9),
                 new ClientEventLog(),
@@ -98,156 +98,158 @@
     server.close();
   }
 
-  private ClientRequest arrived() throws InterruptedException {
-    return ((RoutingMessage.RequestReceived) module.poll(20, TimeUnit.SECONDS)).request();
+  private ClientRequest nextRequest() throws InterruptedException {
+    return ((RoutingMessage.RequestReceived) routingQueue.poll(20, TimeUnit.SECONDS)).request();
   }
 
-  private void awaitHalfRead() throws Exception {
+  private void awaitPartialCommand() throws Exception {
     TestPeer.until(() -> connection.partialCommandSinceNanos() < Long.MAX_VALUE);
   }
 
-  /** Silence for ever, and half a command renewed byte by byte, would hold a place for ever. */
+  /**
+   * Guards against connections held open without any input, or by a command that trickles in byte
+   * by byte.
+   */
   @Test
-  void aClientWithoutOneWholeCommandIsClosedHoweverItGoesOn() throws Exception {
+  void closesClientWithoutWholeCommandAfterCommandTimeout() throws Exception {
     client.write("*4\r\n$5\r\n");
-    awaitHalfRead();
-    now.addAndGet(SECOND);
-    connections.sweep(now.get());
+    awaitPartialCommand();
+    nowNanos.addAndGet(SECOND_NANOS);
+    connections.sweep(nowNanos.get());
     client.write("C.G");
     assertEquals(1, connections.count());
-    now.addAndGet(SECOND * 3 / 2 + 1);
-    awaitSwept();
+    nowNanos.addAndGet(SECOND_NANOS * 3 / 2 + 1);
+    sweepUntilAllClosed();
     assertEquals("end", client.answer());
   }
 
-  /** A sweep while the poller reads passes the connection by; the next one does not. */
-  private void awaitSwept() throws Exception {
+  /**
+   * Sweeps until no connection is open; a sweep may skip a connection that the poller is reading.
+   */
+  private void sweepUntilAllClosed() throws Exception {
     TestPeer.until(
         () -> {
-          connections.sweep(now.get());
+          connections.sweep(nowNanos.get());
           return connections.count() == 0;
         });
   }
 
-  /** A poller that has too much to do has not read what its client wrote long ago. */
+  /** A busy poller may not have read a request that arrived long ago. */
   @Test
-  void whatTheKernelHoldsIsLookedAtBeforeASilentConnectionIsClosed() throws Exception {
-    ClientPoller late = new ClientPoller(now::get, 0);
-    connect(late);
+  void readsFromSocketBeforeClosingSilentConnection() throws Exception {
+    ClientPoller latePoller = new ClientPoller(nowNanos::get, 0);
+    connect(latePoller);
     client.write(GET);
-    now.addAndGet(3 * SECOND);
-    connections.sweep(now.get());
-    late.start();
-    arrived().answered(Slice.of("+v\r\n"));
+    nowNanos.addAndGet(3 * SECOND_NANOS);
+    connections.sweep(nowNanos.get());
+    latePoller.start();
+    nextRequest().answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
   }
 
   /**
-   * In an upgrade each process keeps to half; a client that comes then must not meet a close for
-   * it.
+   * During an upgrade each process keeps half of the connections; new clients must still be
+   * accepted.
    */
   @Test
-  void overALoweredMostOneGoesForOneThatComes() throws Exception {
+  void evictsOneConnectionPerNewOneAboveLoweredLimit() throws Exception {
     client.write(GET);
-    arrived().answered(Slice.of("+v\r\n"));
+    nextRequest().answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
-    awaitQuiet();
+    awaitIdle();
     TestPeer.Line first = client;
     connect(poller);
     connect(poller);
     assertEquals(3, connections.count());
-    now.addAndGet(SECOND / 2);
-    assertTrue(connections.makeRoom(now.get()));
-    assertTrue(connections.makeRoom(now.get()));
-    // One at which the poller has not looked yet may have been chosen twice.
-    TestPeer.until(() -> connections.makeRoom(now.get()) && first.ended());
+    nowNanos.addAndGet(SECOND_NANOS / 2);
+    assertTrue(connections.makeRoom(nowNanos.get()));
+    assertTrue(connections.makeRoom(nowNanos.get()));
+    // A connection that the poller has not processed yet may be chosen twice.
+    TestPeer.until(() -> connections.makeRoom(nowNanos.get()) && first.ended());
   }
 
   /**
-   * A descriptor is free when the selector has gone round; counted as free before, they run out.
+   * Guards against running out of descriptors: a closed channel's descriptor is free only after the
+   * next selection.
    */
   @Test
-  void aClosedConnectionCountsUntilItsDescriptorIsFree() throws Exception {
-    ClientPoller late = new ClientPoller(now::get, 0);
-    connect(late);
-    connection.close(EndReason.CLIENT_LEFT);
+  void countsClosedConnectionUntilDescriptorIsFree() throws Exception {
+    ClientPoller latePoller = new ClientPoller(nowNanos::get, 0);
+    connect(latePoller);
+    connection.close(CloseReason.CLIENT_DISCONNECTED);
     assertEquals(2, connections.count());
-    late.start();
+    latePoller.start();
     TestPeer.until(() -> connections.count() == 1);
   }
 
-  /** The same for half a command on a connection that has been of use before. */
   @Test
-  void halfACommandBehindAWholeOneIsClosedInTheSameTime() throws Exception {
+  void closesOnPartialCommandAfterWholeOneWithinSameTimeout() throws Exception {
     client.write(GET);
-    arrived().answered(Slice.of("+v\r\n"));
+    nextRequest().answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
-    awaitQuiet();
-    now.addAndGet(SECOND);
+    awaitIdle();
+    nowNanos.addAndGet(SECOND_NANOS);
     client.write("*4\r\n$5\r\n");
-    awaitHalfRead();
-    now.addAndGet(SECOND * 5 / 2 + 1);
-    awaitSwept();
+    awaitPartialCommand();
+    nowNanos.addAndGet(SECOND_NANOS * 5 / 2 + 1);
+    sweepUntilAllClosed();
     assertEquals("end", client.answer());
   }
 
-  /** An answer that is owed is not lost for the half command behind its request. */
+  /** A partial command must not cost the client the response to an earlier request. */
   @Test
-  void aRequestThatIsOutKeepsItsConnectionOpen() throws Exception {
+  void keepsConnectionOpenWhileRequestIsInFlight() throws Exception {
     client.write(GET + "*4\r\n$5\r\n");
-    ClientRequest call = arrived();
-    awaitHalfRead();
-    now.addAndGet(3 * SECOND);
-    connections.sweep(now.get());
-    call.answered(Slice.of("+v\r\n"));
+    ClientRequest request = nextRequest();
+    awaitPartialCommand();
+    nowNanos.addAndGet(3 * SECOND_NANOS);
+    connections.sweep(nowNanos.get());
+    request.answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
   }
 
   /**
-   * The client has its answer a little before the poller has noted that nothing of a command is
+   * The client may receive its response before the poller has recorded that no partial command is
    * left.
    */
-  private void awaitQuiet() throws Exception {
+  private void awaitIdle() throws Exception {
     TestPeer.until(() -> connection.idleSinceNanos() < Long.MAX_VALUE);
   }
 
-  /**
-   * Clients that ask once and stay cost descriptors and memory; they are let go where places are
-   * short.
-   */
+  /** Idle clients that keep their connections use descriptors and memory. */
   @Test
-  void aQuietConnectionIsEndedBetweenRequestsAfterSomeSeconds() throws Exception {
+  void closesIdleConnectionAfterIdleTimeout() throws Exception {
     client.write(GET);
-    arrived().answered(Slice.of("+v\r\n"));
+    nextRequest().answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
-    awaitQuiet();
-    connections.sweep(now.get() + 2 * SECOND);
+    awaitIdle();
+    connections.sweep(nowNanos.get() + 2 * SECOND_NANOS);
     assertEquals(1, connections.count());
-    now.addAndGet(3 * SECOND);
-    connections.sweep(now.get());
+    nowNanos.addAndGet(3 * SECOND_NANOS);
+    connections.sweep(nowNanos.get());
     assertEquals("end", client.answer());
   }
 
   /**
-   * Clients that ask once and stay fill the third of the descriptors that they may hold, and ask no
-   * more; so quiet connections go long before the most is reached.
+   * Above the soft limit idle connections are closed sooner, before clients reach their own limits
+   * on open connections.
    */
   @Test
-  void overAnEasyNumberQuietConnectionsAreLetGoSooner() throws Exception {
-    ClientConnections crowded = new ClientConnections(9, 0);
-    crowded.add(connection);
+  void closesIdleConnectionSoonerAboveSoftLimit() throws Exception {
+    ClientConnections crowdedConnections = new ClientConnections(9, 0);
+    crowdedConnections.add(connection);
     client.write(GET);
-    ClientRequest call = arrived();
-    now.addAndGet(SECOND / 2);
-    crowded.sweep(now.get());
-    call.answered(Slice.of("+v\r\n"));
+    ClientRequest request = nextRequest();
+    nowNanos.addAndGet(SECOND_NANOS / 2);
+    crowdedConnections.sweep(nowNanos.get());
+    request.answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
-    crowded.sweep(now.get());
+    crowdedConnections.sweep(nowNanos.get());
     client.write("*1\r\n$4\r\nPING\r\n");
     assertEquals("-ERR starting", client.answer());
-    awaitQuiet();
-    now.addAndGet(SECOND / 2);
-    crowded.sweep(now.get());
+    awaitIdle();
+    nowNanos.addAndGet(SECOND_NANOS / 2);
+    crowdedConnections.sweep(nowNanos.get());
     assertEquals("end", client.answer());
   }
 
@@ -259,47 +261,47 @@
         + "\r\n$13\r\nc=read,d=1500\r\n";
   }
 
-  /** A client that has gone waits for nothing: what it wrote just before is not sent on. */
+  /** A request whose client has disconnected must not be forwarded. */
   @Test
-  void aRequestWhoseClientHasClosedBehindItIsNotHandled() throws Exception {
-    ClientPoller late = new ClientPoller(now::get, 0);
-    connect(late);
+  void dropsRequestOfDisconnectedClient() throws Exception {
+    ClientPoller latePoller = new ClientPoller(nowNanos::get, 0);
+    connect(latePoller);
     client.write(GET);
     client.hangUp();
-    late.start();
+    latePoller.start();
     TestPeer.until(() -> connections.count() == 1);
-    assertEquals(0, module.size());
+    assertEquals(0, routingQueue.size());
   }
 
   /**
-   * Commands that wait for room must not hide that their client has gone, nor be sent on
+   * Throttled commands must neither hide the disconnect of their client nor be forwarded
    * afterwards.
    */
   @Test
-  void aCloseIsSeenBehindCommandsThatWaitForRoom() throws Exception {
-    StringBuilder many = new StringBuilder();
+  void detectsDisconnectBehindThrottledCommands() throws Exception {
+    StringBuilder commands = new StringBuilder();
     for (int i = 0; i < 60; i++) {
-      many.append(get("id" + i));
+      commands.append(get("id" + i));
     }
-    client.write(many.toString());
-    int open = 0;
-    while (open < 33) {
-      arrived();
-      open++;
+    client.write(commands.toString());
+    int pending = 0;
+    while (pending < 33) {
+      nextRequest();
+      pending++;
     }
     client.hangUp();
-    for (int i = 0; i < open; i++) {
+    for (int i = 0; i < pending; i++) {
       assertTrue(
-          module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft, "number " + i);
+          routingQueue.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft, "number " + i);
     }
     TestPeer.until(() -> connections.count() == 0);
-    assertEquals(0, module.size());
+    assertEquals(0, routingQueue.size());
     assertEquals(0, ids.count());
   }
 
-  /** The clients' poller is kept busy with another connection until the latch is released. */
-  private void whileThePollerIsBusy(CountDownLatch busy, CountDownLatch release) throws Exception {
-    toModule =
+  /** Keeps the poller busy with another connection until the latch is released. */
+  private void blockPoller(CountDownLatch busy, CountDownLatch release) throws Exception {
+    routing =
         message -> {
           busy.countDown();
           TestPeer.await(release);
@@ -307,196 +309,200 @@
     connect(poller);
     client.write(get("other"));
     busy.await();
-    toModule = module::add;
+    routing = routingQueue::add;
   }
 
-  /**
-   * What lay in the kernel while the poller had other things to do has less time left than it says.
-   */
+  /** The deadline counts from arrival, even while the poller is busy with other connections. */
   @Test
-  void aDeadlineRunsWhileItsRequestLiesInTheKernel() throws Exception {
+  void countsDeadlineWhilePollerIsBusy() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    TestPeer.Line waits = client;
+    TestPeer.Line waitingClient = client;
     awaitRegistered();
-    whileThePollerIsBusy(new CountDownLatch(1), release);
-    long before = now.get();
-    waits.write(GET);
-    now.addAndGet(SECOND);
+    blockPoller(new CountDownLatch(1), release);
+    long sentAtNanos = nowNanos.get();
+    waitingClient.write(GET);
+    nowNanos.addAndGet(SECOND_NANOS);
     release.countDown();
-    assertEquals(before + SECOND * 3 / 2, arrived().deadlineNanos());
+    assertEquals(sentAtNanos + SECOND_NANOS * 3 / 2, nextRequest().deadlineNanos());
   }
 
   /**
-   * Who was stopped while it waited finds what came long ago, and its clients have less time left.
+   * After the process was stopped during a wait, the deadline counts from the start of that wait.
    */
   @Test
-  void aDeadlineRunsWhileTheProcessIsStopped() throws Exception {
-    AtomicLong arrivedAt = new AtomicLong();
-    toModule =
+  void countsDeadlineWhileProcessIsStopped() throws Exception {
+    AtomicLong arrivedAtNanos = new AtomicLong();
+    routing =
         message -> {
-          arrivedAt.set(now.get());
-          module.add(message);
+          arrivedAtNanos.set(nowNanos.get());
+          routingQueue.add(message);
         };
-    // Each look at the clock by the poller finds it a second later: no wait ends when it should.
+    // Each clock reading by the poller advances the time by a second, so that every wait seems too
+    // long.
     clock =
         () ->
-            Thread.currentThread().getName().equals("clients") ? now.addAndGet(SECOND) : now.get();
-    ClientPoller stopped = new ClientPoller(() -> clock.now());
-    connect(stopped);
-    stopped.start();
+            Thread.currentThread().getName().equals("clients") ? nowNanos.addAndGet(SECOND_NANOS) : nowNanos.get();
+    ClientPoller stoppedPoller = new ClientPoller(() -> clock.now());
+    connect(stoppedPoller);
+    stoppedPoller.start();
     awaitRegistered();
     client.write(GET);
-    long deadline = arrived().deadlineNanos();
-    // From the begin of the wait, a second before its end, which was a second ago.
-    long latest = arrivedAt.get() - 2 * SECOND + SECOND * 3 / 2;
-    assertTrue(deadline <= latest, deadline + " is after " + latest);
+    long deadlineNanos = nextRequest().deadlineNanos();
+    // The request counts as arrived at the start of the wait: a second before its end, itself a
+    // second ago.
+    long latestDeadlineNanos = arrivedAtNanos.get() - 2 * SECOND_NANOS + SECOND_NANOS * 3 / 2;
+    assertTrue(deadlineNanos <= latestDeadlineNanos, deadlineNanos + " is after " + latestDeadlineNanos);
   }
 
-  /** The poller has made the connection known to its selector once it has answered on it. */
+  /** The poller has registered the connection once it has responded on it. */
   private void awaitRegistered() throws Exception {
     client.write("*1\r\n$4\r\nPING\r\n");
     assertEquals("-ERR starting", client.answer());
-    awaitQuiet();
+    awaitIdle();
   }
 
-  /**
-   * The same for one that was read and waits behind others: its time runs from its own last byte.
-   */
+  /** The deadline of a throttled command counts from its own last byte. */
   @Test
-  void aDeadlineRunsWhileItsRequestWaitsForRoom() throws Exception {
+  void countsDeadlineWhileCommandIsThrottled() throws Exception {
     for (int i = 0; i < 33; i++) {
       client.write(get("id" + i));
     }
-    ClientRequest first = arrived();
+    ClientRequest first = nextRequest();
     for (int i = 1; i < 33; i++) {
-      arrived();
+      nextRequest();
     }
-    long before = now.get();
+    long sentAtNanos = nowNanos.get();
     client.write(get("waits"));
-    awaitHalfRead();
-    now.addAndGet(SECOND);
+    awaitPartialCommand();
+    nowNanos.addAndGet(SECOND_NANOS);
     first.answered(Slice.of("+v\r\n"));
-    assertEquals(before + SECOND * 3 / 2, arrived().deadlineNanos());
+    assertEquals(sentAtNanos + SECOND_NANOS * 3 / 2, nextRequest().deadlineNanos());
   }
 
-  /** A request that crosses the end of its resting connection is served, or else left unread. */
+  /**
+   * A request that arrives while its idle connection is being closed is either served or left
+   * unread.
+   */
   @Test
-  void aRestingConnectionIsNotEndedOverARequestThatLiesInTheKernel() throws Exception {
+  void servesRequestThatArrivesBeforeIdleClose() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    TestPeer.Line rests = client;
+    TestPeer.Line idleClient = client;
     awaitRegistered();
-    whileThePollerIsBusy(new CountDownLatch(1), release);
-    rests.write(GET);
-    now.addAndGet(3 * SECOND);
-    connections.sweep(now.get());
+    blockPoller(new CountDownLatch(1), release);
+    idleClient.write(GET);
+    nowNanos.addAndGet(3 * SECOND_NANOS);
+    connections.sweep(nowNanos.get());
     release.countDown();
-    arrived().answered(Slice.of("+v\r\n"));
-    assertEquals("+v", rests.answer());
+    nextRequest().answered(Slice.of("+v\r\n"));
+    assertEquals("+v", idleClient.answer());
   }
 
   /**
-   * A client that always has something out must not keep its connection to the end of a planned
-   * stop.
+   * A client that always has a request in flight must not keep its connection open during a
+   * graceful shutdown.
    */
   @Test
-  void atAPlannedStopWhatComesLateIsRefusedAndTheConnectionEndsAfterTheLastAnswer()
+  void rejectsLateRequestsAndClosesAfterLastResponseWhileDraining()
       throws Exception {
-    TestPeer.Line stopping = client;
-    ClientConnection stoppingConnection = connection;
+    TestPeer.Line drainingClient = client;
+    ClientConnection drainingConnection = connection;
     client.write(get("early"));
-    ClientRequest early = arrived();
-    connections.stop();
-    now.addAndGet(SECOND / 10);
-    // What comes before the poller's next look may have come before the stop, and would be served.
+    ClientRequest early = nextRequest();
+    connections.drain();
+    nowNanos.addAndGet(SECOND_NANOS / 10);
+    // Input read before the poller's next selection may have arrived before the shutdown and would
+    // be served.
     awaitPollerRound();
-    stopping.write(get("late"));
+    drainingClient.write(get("late"));
     TestPeer.until(
         () ->
-            rejected.get() == 1 && stoppingConnection.partialCommandSinceNanos() == Long.MAX_VALUE);
+            rejectedCount.get() == 1 && drainingConnection.partialCommandSinceNanos() == Long.MAX_VALUE);
     assertEquals(1, ids.count());
     early.answered(Slice.of("+v\r\n"));
-    assertEquals("+v", stopping.answer());
-    assertEquals("-BUSY 50", stopping.answer());
+    assertEquals("+v", drainingClient.answer());
+    assertEquals("-BUSY 50", drainingClient.answer());
     TestPeer.until(
         () -> {
-          connections.stop();
-          return stopping.ended();
+          connections.drain();
+          return drainingClient.ended();
         });
-    assertEquals(0, module.size());
+    assertEquals(0, routingQueue.size());
   }
 
   /**
-   * A request lies in the kernel while the poller is busy, and a planned stop begins meanwhile. The
-   * poller cannot tell whether it came before the stop; so it is served.
+   * A request that arrives while the poller is busy and the shutdown starts may have arrived before
+   * it, so it is served.
    */
   @Test
-  void atAPlannedStopWhatMayHaveComeBeforeItIsServed() throws Exception {
+  void servesRequestThatMayHaveArrivedBeforeDraining() throws Exception {
     CountDownLatch busy = new CountDownLatch(1);
     CountDownLatch release = new CountDownLatch(1);
-    toModule =
+    routing =
         message -> {
-          module.add(message);
+          routingQueue.add(message);
           busy.countDown();
           TestPeer.await(release);
         };
     client.write(get("early"));
     busy.await();
-    connections.stop();
-    now.addAndGet(SECOND / 10);
+    connections.drain();
+    nowNanos.addAndGet(SECOND_NANOS / 10);
     client.write(get("late"));
-    toModule = module::add;
+    routing = routingQueue::add;
     release.countDown();
-    ClientRequest early = arrived();
-    arrived().answered(Slice.of("+late\r\n"));
+    ClientRequest early = nextRequest();
+    nextRequest().answered(Slice.of("+late\r\n"));
     early.answered(Slice.of("+early\r\n"));
     assertEquals("+early", client.answer());
     assertEquals("+late", client.answer());
     assertEquals("end", client.answer());
-    assertEquals(0, rejected.get());
+    assertEquals(0, rejectedCount.get());
   }
 
-  /** The client's next request would find the connection open for a moment, and be refused. */
+  /**
+   * Otherwise the client's next request would be rejected on a connection that is about to close.
+   */
   @Test
-  void atAPlannedStopTheEndFollowsTheLastAnswerByItself() throws Exception {
+  void closesAfterLastResponseWhileDraining() throws Exception {
     client.write(GET);
-    ClientRequest call = arrived();
-    connections.stop();
-    call.answered(Slice.of("+v\r\n"));
+    ClientRequest request = nextRequest();
+    connections.drain();
+    request.answered(Slice.of("+v\r\n"));
     assertEquals("+v", client.answer());
     assertEquals("end", client.answer());
   }
 
   /**
-   * What the router reads it has to answer; so after the end of its sending it reads nothing more.
+   * A request that was read would need a response, which cannot be sent after the output is shut
+   * down.
    */
   @Test
-  void afterAPlannedStopHasEndedAConnectionNothingMoreIsReadOnIt() throws Exception {
+  void readsNothingAfterOutputShutdown() throws Exception {
     awaitRegistered();
     TestPeer.until(
         () -> {
-          connections.stop();
-          return connection.outputEndedAtNanos() < Long.MAX_VALUE;
+          connections.drain();
+          return connection.outputShutdownAtNanos() < Long.MAX_VALUE;
         });
     client.write(GET);
-    now.addAndGet(SECOND);
-    awaitSwept();
-    assertEquals(0, module.size());
+    nowNanos.addAndGet(SECOND_NANOS);
+    sweepUntilAllClosed();
+    assertEquals(0, routingQueue.size());
     assertEquals(0, ids.count());
-    assertThrows(IOException.class, () -> client.write("x"), "reset over unread bytes");
+    assertThrows(IOException.class, () -> client.write("x"), "expected a reset over unread bytes");
   }
 
-  /** What is kept for an id goes with its answer. */
   @Test
-  void anIdIsForgottenWithItsAnswer() throws Exception {
+  void releasesIdWithResponse() throws Exception {
     client.write(GET);
-    ClientRequest call = arrived();
+    ClientRequest request = nextRequest();
     assertEquals(1, ids.count());
-    call.rejected(0);
+    request.rejected(0);
     assertEquals(0, ids.count());
     client.write(GET);
-    arrived();
+    nextRequest();
     client.hangUp();
-    assertTrue(module.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft);
+    assertTrue(routingQueue.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft);
     TestPeer.until(() -> ids.count() == 0);
   }
 
@@ -513,11 +519,9 @@
         + "\r\n";
   }
 
-  /**
-   * An error in the values of one command is answered in its place; the framing around it is sound.
-   */
+  /** An invalid argument of one command does not affect the framing of the others. */
   @Test
-  void aCommandThatIsRejectedCostsThoseBehindItNothing() throws Exception {
+  void rejectedCommandDoesNotAffectOthers() throws Exception {
     client.write(
         get("first")
             + get("none-left", "0")
@@ -526,8 +530,8 @@
             + get("first")
             + "*1\r\n:5\r\n"
             + get("last"));
-    ClientRequest first = arrived();
-    arrived().answered(Slice.of("+last\r\n"));
+    ClientRequest first = nextRequest();
+    nextRequest().answered(Slice.of("+last\r\n"));
     first.answered(Slice.of("+first\r\n"));
     assertEquals("+first", client.answer());
     for (int i = 0; i < 5; i++) {
@@ -535,63 +539,63 @@
     }
     assertEquals("+last", client.answer());
     client.write(get("another"));
-    arrived().answered(Slice.of("+another\r\n"));
+    nextRequest().answered(Slice.of("+another\r\n"));
     assertEquals("+another", client.answer());
     assertEquals(0, ids.count());
   }
 
-  /** Its first command has begun: the client is at work, however many wait for its place. */
+  /** A client that has started its first command is active and must not be evicted. */
   @Test
-  void aClientThatHasBegunItsFirstCommandDoesNotMakeRoom() throws Exception {
+  void doesNotEvictClientWithPartialFirstCommand() throws Exception {
     awaitRegistered();
     connect(poller);
     client.write(GET.substring(0, 9));
-    awaitHalfRead();
-    now.addAndGet(SECOND / 10);
-    TestPeer.Line begun = client;
-    connections.makeRoom(now.get());
-    connections.makeRoom(now.get());
-    begun.write(GET.substring(9));
-    arrived().answered(Slice.of("+v\r\n"));
-    assertEquals("+v", begun.answer());
+    awaitPartialCommand();
+    nowNanos.addAndGet(SECOND_NANOS / 10);
+    TestPeer.Line partialClient = client;
+    connections.makeRoom(nowNanos.get());
+    connections.makeRoom(nowNanos.get());
+    partialClient.write(GET.substring(9));
+    nextRequest().answered(Slice.of("+v\r\n"));
+    assertEquals("+v", partialClient.answer());
   }
 
   /**
-   * A part of a command that comes after its connection was chosen to end, and is read before the
-   * poller turns to that end.
+   * Part of a command is read after the close was proposed and before the poller processes the
+   * proposal.
    */
   @Test
-  void anEndThatWasChosenBeforeACommandBeganIsCalledOff() throws Exception {
-    TestPeer.Line rests = client;
-    ClientConnection resting = connection;
+  void dropsCloseProposalWhenCommandStarts() throws Exception {
+    TestPeer.Line idleClient = client;
+    ClientConnection idleConnection = connection;
     awaitRegistered();
     CountDownLatch busy = new CountDownLatch(1);
     CountDownLatch release = new CountDownLatch(1);
     CountDownLatch busyAgain = new CountDownLatch(1);
     CountDownLatch releaseAgain = new CountDownLatch(1);
-    whileThePollerIsBusy(busy, release);
-    toModule =
+    blockPoller(busy, release);
+    routing =
         message -> {
           busyAgain.countDown();
           TestPeer.await(releaseAgain);
         };
-    // One look of the poller finds both, in this order, and is held up at the first.
+    // One selection reports both connections in this order, and the poller blocks on the first.
     client.write(get("again"));
-    rests.write(GET.substring(0, 9));
+    idleClient.write(GET.substring(0, 9));
     release.countDown();
     busyAgain.await();
-    toModule = module::add;
-    resting.endIfQuiet(EndReason.IDLE);
+    routing = routingQueue::add;
+    idleConnection.proposeClose(CloseReason.IDLE_TIMEOUT);
     releaseAgain.countDown();
     TestPeer.until(
-        () -> resting.partialCommandSinceNanos() < Long.MAX_VALUE || resting.isLeaving());
+        () -> idleConnection.partialCommandSinceNanos() < Long.MAX_VALUE || idleConnection.isClosingOrClosed());
     awaitPollerRound();
-    rests.write(GET.substring(9));
-    arrived().answered(Slice.of("+v\r\n"));
-    assertEquals("+v", rests.answer());
+    idleClient.write(GET.substring(9));
+    nextRequest().answered(Slice.of("+v\r\n"));
+    assertEquals("+v", idleClient.answer());
   }
 
-  /** Whatever the poller was called for before has been done. */
+  /** Returns once the poller has processed everything scheduled before. */
   private void awaitPollerRound() throws Exception {
     connect(poller);
     client.write("*1\r\n$4\r\nPING\r\n");
@@ -599,32 +603,32 @@
   }
 
   /**
-   * A client that sends wrong commands as fast as it gets their errors waits; it is not cut off for
-   * it.
+   * Guards against a client that sends invalid commands in a loop; it is throttled but not
+   * disconnected.
    */
   @Test
-  void rejectionsBeyondTheirPaceWaitAndWhatStandsBehindThemIsServed() throws Exception {
+  void throttlesRejectionsAndServesCommandsBehindThem() throws Exception {
     client.write("*1\r\n:5\r\n".repeat(20) + get("behind"));
     for (int i = 0; i < 16; i++) {
       assertTrue(client.answer().startsWith("-ERR "), "command " + i);
     }
-    connections.sweep(now.get());
+    connections.sweep(nowNanos.get());
     awaitPollerRound();
-    assertEquals(0, module.size());
-    now.addAndGet(SECOND / 10);
-    connections.sweep(now.get());
-    arrived().answered(Slice.of("+v\r\n"));
+    assertEquals(0, routingQueue.size());
+    nowNanos.addAndGet(SECOND_NANOS / 10);
+    connections.sweep(nowNanos.get());
+    nextRequest().answered(Slice.of("+v\r\n"));
   }
 
-  /** The router's own failure on a connection frees nobody of an answer. */
+  /** An internal error must not leave a request without a response. */
   @Test
-  void aDefectFailsWhatIsOpenAndEndsTheConnectionAfterIt() throws Exception {
+  void internalErrorFailsPendingRequestsThenClosesConnection() throws Exception {
     client.write(get("open"));
-    arrived();
-    toModule =
+    nextRequest();
+    routing =
         message -> {
           if (message instanceof RoutingMessage.RequestReceived) {
-            throw new IllegalStateException("put in by the test");
+            throw new IllegalStateException("injected by the test");
           }
         };
     client.write(get("fails"));
@@ -636,21 +640,21 @@
   }
 
   /**
-   * Half-begun crowds must not keep others out; a client that writes slowly must not be taken for
-   * one.
+   * Clients that stall within a command must not keep others out; slow but progressing clients stay
+   * connected.
    */
   @Test
-  void aCommandThatStandsStillMakesRoomLastOfAll() throws Exception {
+  void evictsStalledCommandLast() throws Exception {
     client.write(GET.substring(0, 9));
-    awaitHalfRead();
-    now.addAndGet(SECOND * 2 / 5);
-    assertFalse(connections.makeRoom(now.get()));
+    awaitPartialCommand();
+    nowNanos.addAndGet(SECOND_NANOS * 2 / 5);
+    assertFalse(connections.makeRoom(nowNanos.get()));
     client.write(GET.substring(9, 12));
-    TestPeer.until(() -> connection.stalledSinceNanos() == now.get());
-    now.addAndGet(SECOND * 2 / 5);
-    assertFalse(connections.makeRoom(now.get()));
-    now.addAndGet(SECOND / 5);
-    assertTrue(connections.makeRoom(now.get()));
+    TestPeer.until(() -> connection.stalledSinceNanos() == nowNanos.get());
+    nowNanos.addAndGet(SECOND_NANOS * 2 / 5);
+    assertFalse(connections.makeRoom(nowNanos.get()));
+    nowNanos.addAndGet(SECOND_NANOS / 5);
+    assertTrue(connections.makeRoom(nowNanos.get()));
     assertEquals("end", client.answer());
   }
 }
--- a/src/test/java/beaconturn/net/client/ClientEventLogTest.java
+++ b/src/test/java/beaconturn/net/client/ClientEventLogTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What is said of clients' connections, and that a flood of lines hides no lost answer. */
+/** Log lines about client connections; rate limiting must not hide lost responses. */
 class ClientEventLogTest {
-  private static final long SECOND = 1_000_000_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
   private final Logger log = Logger.getLogger(ClientEventLog.class.getName());
   private final List<LogRecord> lines = new ArrayList<>();
   private final ClientEventLog events = new ClientEventLog();
-  private final Handler kept =
+  private final Handler recordingHandler =
       new Handler() {
         @Override
         public void publish(LogRecord line) {
@@ -40,48 +40,47 @@
       };
 
   @BeforeEach
-  void listen() {
-    log.addHandler(kept);
+  void addLogHandler() {
+    log.addHandler(recordingHandler);
   }
 
   @AfterEach
-  void leave() {
-    log.removeHandler(kept);
+  void removeLogHandler() {
+    log.removeHandler(recordingHandler);
   }
 
   @Test
-  void aFloodOfRejectionsIsBoundedAndSaysWhatWasLeftOut() {
+  void rateLimitsRejectionsAndCountsOmittedLines() {
     for (int i = 0; i < 1000; i++) {
-      events.rejected(7, command("C.GET", "key", "id" + i), "odd", SECOND);
+      events.rejected(7, command("C.GET", "key", "id" + i), "odd", SECOND_NANOS);
     }
     assertEquals(20, lines.size());
     assertEquals("connection 7: command id0 rejected: odd", lines.get(0).getMessage());
-    events.rejected(8, command("C.GET"), "no name", 2 * SECOND);
+    events.rejected(8, command("C.GET"), "no name", 2 * SECOND_NANOS);
     assertEquals(
         "connection 8: command without an id rejected: no name (980 such lines left out before)",
         lines.get(20).getMessage());
   }
 
   @Test
-  void aConnectionThatEndsOverOwedAnswersIsAlwaysNamedWithTheirIds() {
+  void alwaysLogsCloseWithOutstandingResponses() {
     for (int i = 0; i < 1000; i++) {
-      events.ended(i, EndReason.MAKES_ROOM, List.of(), 0, SECOND);
+      events.closed(i, CloseReason.EVICTED, List.of(), 0, SECOND_NANOS);
     }
     int before = lines.size();
-    events.ended(1001, EndReason.MALFORMED, List.of(call("a1"), call("b2")), 3, SECOND);
+    events.closed(1001, CloseReason.PROTOCOL_ERROR, List.of(request("a1"), request("b2")), 3, SECOND_NANOS);
     assertEquals(before + 1, lines.size());
     assertEquals(Level.WARNING, lines.get(before).getLevel());
-    String said = lines.get(before).getMessage();
+    String message = lines.get(before).getMessage();
     assertTrue(
-        said.contains("1001 ends with 3 answers owed: malformed input") && said.endsWith("a1 b2"),
-        said);
+        message.contains("1001 closes with 3 responses outstanding: protocol error") && message.endsWith("a1 b2"),
+        message);
   }
 
-  /** Who leaves knows that nothing will come. */
   @Test
-  void aClientThatLeavesOrIsIdleIsNotWorthALine() {
-    events.ended(1, EndReason.CLIENT_LEFT, List.of(call("a1")), 1, SECOND);
-    events.ended(2, EndReason.IDLE, List.of(), 0, SECOND);
+  void doesNotLogDisconnectOrIdleTimeout() {
+    events.closed(1, CloseReason.CLIENT_DISCONNECTED, List.of(request("a1")), 1, SECOND_NANOS);
+    events.closed(2, CloseReason.IDLE_TIMEOUT, List.of(), 0, SECOND_NANOS);
     assertEquals(List.of(), lines);
   }
 
@@ -93,10 +92,10 @@
             .toList());
   }
 
-  private static RespClientRequest call(String id) {
+  private static RespClientRequest request(String id) {
     return new RespClientRequest(
         new RequestDescription(0, 1, false, false, 0, 0, 0),
-        SECOND,
+        SECOND_NANOS,
         new RequestParser.Parts(Slice.of(id), Slice.of(id), Map.of(), null),
         CacheServerTest.READ,
         () -> {});
--- a/src/test/java/beaconturn/net/client/ClientWriterTest.java
+++ b/src/test/java/beaconturn/net/client/ClientWriterTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 
 class ClientWriterTest {
-  private static final int LARGE = 32 << 20;
+  private static final int LARGE_BYTES = 32 << 20;
   private ServerSocketChannel server;
   private Socket client;
   private SocketChannel channel;
@@ -34,11 +34,11 @@
     client = new Socket(InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
     channel = server.accept();
     channel.configureBlocking(false);
-    writer = new ClientWriter(channel, Clock.system(), quiet -> {});
+    writer = new ClientWriter(channel, Clock.system(), idle -> {});
   }
 
   @AfterEach
-  void end() throws IOException {
+  void closeSockets() throws IOException {
     client.close();
     channel.close();
     server.close();
@@ -48,25 +48,22 @@
     return new String(client.getInputStream().readNBytes(count), StandardCharsets.ISO_8859_1);
   }
 
-  /**
-   * A client that asks on and reads nothing must not have its answers pile up in the router's
-   * memory.
-   */
+  /** Responses to a client that sends requests but reads nothing must not accumulate in memory. */
   @Test
   @Timeout(60)
-  void behindAWriteThatIsStuckNoMoreRequestsAreTaken() throws Exception {
-    writer.take(ResponseSlot.of(new Slice(new byte[LARGE], 0, LARGE)));
+  void hasNoCapacityBehindBlockedWrite() throws Exception {
+    writer.enqueue(ResponseSlot.of(new Slice(new byte[LARGE_BYTES], 0, LARGE_BYTES)));
     assertTrue(writer.isBlocked());
-    writer.take(ResponseSlot.of(Slice.of("+b\r\n")));
-    assertTrue(writer.hasRoom());
-    writer.take(ResponseSlot.of(Slice.of("+c\r\n")));
-    assertFalse(writer.hasRoom());
-    Thread taker =
+    writer.enqueue(ResponseSlot.of(Slice.of("+b\r\n")));
+    assertTrue(writer.hasCapacity());
+    writer.enqueue(ResponseSlot.of(Slice.of("+c\r\n")));
+    assertFalse(writer.hasCapacity());
+    Thread reader =
         Threads.start(
             "test-taker",
             () -> {
               try {
-                client.getInputStream().readNBytes(LARGE);
+                client.getInputStream().readNBytes(LARGE_BYTES);
               } catch (IOException e) {
                 Sockets.close(client);
               }
@@ -74,38 +71,36 @@
     while (writer.isBlocked()) {
       writer.write();
     }
-    taker.join();
-    assertTrue(writer.hasRoom());
+    reader.join();
+    assertTrue(writer.hasCapacity());
     assertEquals("+b\r\n+c\r\n", read(8));
   }
 
-  /** Whichever answer is there first, the client gets them in the order of its commands. */
   @Test
   @Timeout(60)
-  void answersAreWrittenInTheOrderOfTheCommands() throws Exception {
+  void writesResponsesInCommandOrder() throws Exception {
     ResponseSlot first = new ResponseSlot();
     ResponseSlot second = new ResponseSlot();
-    writer.take(first);
-    writer.take(second);
+    writer.enqueue(first);
+    writer.enqueue(second);
     second.fill(Slice.of("+2\r\n"));
-    assertFalse(writer.finishIfIdle());
+    assertFalse(writer.shutdownOutputIfIdle());
     first.fill(Slice.of("+1\r\n"));
     first.fill(Slice.of("+never\r\n"));
-    assertTrue(writer.finishIfIdle());
-    assertFalse(writer.take(ResponseSlot.of(Slice.of("+3\r\n"))));
+    assertTrue(writer.shutdownOutputIfIdle());
+    assertFalse(writer.enqueue(ResponseSlot.of(Slice.of("+3\r\n"))));
     assertEquals("+1\r\n+2\r\n", read(99));
   }
 
-  /** What is owed is written before the connection ends, however late it comes. */
   @Test
   @Timeout(60)
-  void theEndComesBehindWhatIsOwed() throws Exception {
-    ResponseSlot owed = new ResponseSlot();
-    writer.take(owed);
-    writer.finish();
-    assertFalse(writer.take(new ResponseSlot()));
-    assertEquals(Long.MAX_VALUE, writer.outputEndedAtNanos());
-    owed.fill(Slice.of("+1\r\n"));
+  void shutsDownOutputAfterPendingResponses() throws Exception {
+    ResponseSlot pendingSlot = new ResponseSlot();
+    writer.enqueue(pendingSlot);
+    writer.shutdownOutputAfterPending();
+    assertFalse(writer.enqueue(new ResponseSlot()));
+    assertEquals(Long.MAX_VALUE, writer.outputShutdownAtNanos());
+    pendingSlot.fill(Slice.of("+1\r\n"));
     assertEquals("+1\r\n", read(99));
   }
 }
--- a/src/test/java/beaconturn/net/client/ConnectionStateTest.java
+++ b/src/test/java/beaconturn/net/client/ConnectionStateTest.java
@@ -6,131 +6,131 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beaconturn.net.client.ConnectionState.ConnectionPhase;
-import beaconturn.net.client.ConnectionState.EndProposal;
+import beaconturn.net.client.ConnectionState.CloseProposal;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The phases of a connection, and which may follow which. */
+/** Phases of a connection and their transitions. */
 @Timeout(60)
 class ConnectionStateTest {
-  private static final EndProposal IDLE = new EndProposal(EndReason.IDLE, Long.MAX_VALUE, 0);
+  private static final CloseProposal IDLE_PROPOSAL = new CloseProposal(CloseReason.IDLE_TIMEOUT, Long.MAX_VALUE, 0);
   private final ConnectionState state = new ConnectionState();
 
   @Test
-  void aPhaseIsFollowedByLaterOnesOnly() {
+  void movesOnlyToLaterPhases() {
     List<ConnectionPhase> phases =
         List.of(
             ConnectionPhase.OPEN,
             ConnectionPhase.DRAINING,
-            ConnectionPhase.ENDING,
+            ConnectionPhase.CLOSING,
             ConnectionPhase.CLOSED);
     assertEquals(phases, List.of(ConnectionPhase.values()));
     for (ConnectionPhase from : phases) {
       for (ConnectionPhase to : phases) {
         assertEquals(
-            phases.indexOf(to) > phases.indexOf(from), from.mayBecome(to), from + " " + to);
+            phases.indexOf(to) > phases.indexOf(from), from.canMoveTo(to), from + " " + to);
       }
     }
   }
 
   @Test
-  void aNewConnectionTakesCommands() {
+  void newConnectionAcceptsCommands() {
     assertEquals(ConnectionPhase.OPEN, state.phase());
-    assertTrue(state.takesCommands());
+    assertTrue(state.acceptsCommands());
     assertFalse(state.isDraining());
     assertFalse(state.hasProposal());
-    assertNull(state.endReason());
+    assertNull(state.closeReason());
   }
 
   @Test
-  void aDrainingConnectionStillTakesCommandsAndKeepsItsFirstTime() {
+  void drainingConnectionAcceptsCommandsAndKeepsFirstTime() {
     state.drain(5);
     state.drain(9);
     assertEquals(ConnectionPhase.DRAINING, state.phase());
     assertEquals(5, state.drainingSinceNanos());
-    assertTrue(state.takesCommands());
+    assertTrue(state.acceptsCommands());
   }
 
   @Test
-  void anEndingConnectionTakesNoCommandAndKeepsItsReason() {
-    assertTrue(state.end(EndReason.MALFORMED));
-    assertFalse(state.end(EndReason.PLANNED_STOP));
-    assertTrue(state.isEnding());
-    assertFalse(state.takesCommands());
-    assertEquals(EndReason.MALFORMED, state.endReason());
+  void closingConnectionAcceptsNoCommandAndKeepsReason() {
+    assertTrue(state.startClosing(CloseReason.PROTOCOL_ERROR));
+    assertFalse(state.startClosing(CloseReason.GRACEFUL_SHUTDOWN));
+    assertTrue(state.isClosing());
+    assertFalse(state.acceptsCommands());
+    assertEquals(CloseReason.PROTOCOL_ERROR, state.closeReason());
   }
 
-  /** Its last answer is on its way: nothing that is read may count as in time any more. */
+  /** While the last response is being sent, no further command may count as in time. */
   @Test
-  void aPlannedStopIsNotedOnAnEndingConnectionTooButOpensItNoMore() {
-    state.end(EndReason.MALFORMED);
+  void drainIsRecordedOnClosingConnectionWithoutReopeningIt() {
+    state.startClosing(CloseReason.PROTOCOL_ERROR);
     state.drain(5);
-    assertTrue(state.isEnding());
+    assertTrue(state.isClosing());
     assertTrue(state.isDraining());
     assertEquals(5, state.drainingSinceNanos());
   }
 
   @Test
-  void aConnectionIsClosedFromEveryPhaseAndOnce() {
+  void closesOnceFromAnyPhase() {
     state.drain(5);
-    state.end(EndReason.PLANNED_STOP);
-    assertTrue(state.close(EndReason.LINGERED));
-    assertFalse(state.close(EndReason.CLIENT_LEFT));
-    assertFalse(state.end(EndReason.MALFORMED));
+    state.startClosing(CloseReason.GRACEFUL_SHUTDOWN);
+    assertTrue(state.markClosed(CloseReason.LINGER_TIMEOUT));
+    assertFalse(state.markClosed(CloseReason.CLIENT_DISCONNECTED));
+    assertFalse(state.startClosing(CloseReason.PROTOCOL_ERROR));
     assertTrue(state.isClosed());
-    assertEquals(EndReason.LINGERED, state.endReason());
+    assertEquals(CloseReason.LINGER_TIMEOUT, state.closeReason());
   }
 
   @Test
-  void aProposalIsTakenOnceAndChangesNoPhase() {
-    assertTrue(state.propose(IDLE));
+  void proposalIsTakenOnceAndKeepsPhase() {
+    assertTrue(state.propose(IDLE_PROPOSAL));
     assertTrue(state.hasProposal());
     assertEquals(ConnectionPhase.OPEN, state.phase());
-    assertEquals(IDLE, state.takeProposal());
+    assertEquals(IDLE_PROPOSAL, state.takeProposal());
     assertNull(state.takeProposal());
     assertFalse(state.hasProposal());
   }
 
   @Test
-  void aProposalOutlivesTheBeginOfAPlannedStop() {
-    state.propose(IDLE);
+  void proposalSurvivesDrain() {
+    state.propose(IDLE_PROPOSAL);
     state.drain(5);
     assertTrue(state.hasProposal());
   }
 
   /**
-   * A connection whose sending has ended must not be looked at once more for an end that was chosen
-   * at the same moment: what that look read could not be answered any more.
+   * Otherwise the poller would read from a connection whose output is shut down, and could not
+   * respond to what it read.
    */
   @Test
-  void nothingIsProposedOnAConnectionThatEndsAndWhatWasIsDropped() {
-    state.propose(IDLE);
-    state.end(EndReason.PLANNED_STOP);
+  void dropsAndRefusesProposalsOnceClosing() {
+    state.propose(IDLE_PROPOSAL);
+    state.startClosing(CloseReason.GRACEFUL_SHUTDOWN);
     assertFalse(state.hasProposal());
-    assertFalse(state.propose(IDLE));
+    assertFalse(state.propose(IDLE_PROPOSAL));
     assertNull(state.takeProposal());
-    state.close(EndReason.LINGERED);
-    assertFalse(state.propose(IDLE));
+    state.markClosed(CloseReason.LINGER_TIMEOUT);
+    assertFalse(state.propose(IDLE_PROPOSAL));
   }
 
-  /** Whoever closes answers for what is open: two that did would call it off twice. */
+  /** The thread that closes a connection cancels its requests, which must happen once. */
   @Test
-  void ofManyThreadsThatCloseOneDoes() throws Exception {
-    CountDownLatch begin = new CountDownLatch(1);
+  void exactlyOneThreadCloses() throws Exception {
+    CountDownLatch start = new CountDownLatch(1);
     AtomicInteger closedBy = new AtomicInteger();
-    Runnable closes =
+    Runnable closeTask =
         () -> {
-          await(begin);
-          if (state.close(EndReason.CLIENT_LEFT)) {
+          await(start);
+          if (state.markClosed(CloseReason.CLIENT_DISCONNECTED)) {
             closedBy.incrementAndGet();
           }
         };
-    List<Thread> threads = List.of(new Thread(closes), new Thread(closes), new Thread(closes));
+    List<Thread> threads = List.of(new Thread(closeTask), new Thread(closeTask), new Thread(closeTask));
     threads.forEach(Thread::start);
-    begin.countDown();
+    start.countDown();
     for (Thread thread : threads) {
       thread.join();
     }
--- a/src/test/java/beaconturn/net/client/ListenerTest.java
+++ b/src/test/java/beaconturn/net/client/ListenerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Accepting clients, up to the end and in spite of failures. */
+/** Accepting clients: shutdown and recovery from failures. */
 @Timeout(60)
 class ListenerTest {
   private final BlockingQueue<SocketChannel> accepted = new LinkedBlockingQueue<>();
@@ -25,38 +25,35 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
   }
 
-  /**
-   * What the kernel has accepted a client has written to: closing the socket under it would lose a
-   * request.
-   */
+  /** Clients may have sent requests on connections that wait in the kernel's queue. */
   @Test
-  void whatTheKernelHasAcceptedIsAcceptedBeforeTheEnd() throws Exception {
-    CountDownLatch busy = new CountDownLatch(1);
-    CountDownLatch release = new CountDownLatch(1);
+  void acceptsQueuedConnectionsBeforeClosing() throws Exception {
+    CountDownLatch firstAccepted = new CountDownLatch(1);
+    CountDownLatch resume = new CountDownLatch(1);
     Listener listener =
         Listener.bind(
             anyPort(),
             channel -> {
-              if (busy.getCount() > 0) {
-                busy.countDown();
-                TestPeer.await(release);
-                throw new IllegalStateException("of the test's own: accepting stops for a moment");
+              if (firstAccepted.getCount() > 0) {
+                firstAccepted.countDown();
+                TestPeer.await(resume);
+                throw new IllegalStateException("injected by the test: accepting pauses");
               }
               accepted.add(channel);
             });
     listener.start();
     try (TestPeer.Line first = TestPeer.Line.to(listener.address())) {
       first.write("x");
-      busy.await();
-      try (TestPeer.Line waits = TestPeer.Line.to(listener.address())) {
-        waits.write("x");
+      firstAccepted.await();
+      try (TestPeer.Line queuedClient = TestPeer.Line.to(listener.address())) {
+        queuedClient.write("x");
         Thread closer = Threads.start("test-close", () -> closeQuietly(listener));
         TestPeer.until(
             () ->
                 closer.getState() == Thread.State.TIMED_WAITING
                     || closer.getState() == Thread.State.TERMINATED);
-        release.countDown();
-        assertNotNull(accepted.poll(20, TimeUnit.SECONDS), "the one in the kernel's queue");
+        resume.countDown();
+        assertNotNull(accepted.poll(20, TimeUnit.SECONDS), "the connection in the kernel's queue");
         closer.join();
       }
     }
@@ -70,16 +67,16 @@
     }
   }
 
-  /** One client that fails whoever takes it must not keep the others out. */
+  /** A failure with one client must not keep others out. */
   @Test
-  void acceptingGoesOnAfterAFailure() throws Exception {
+  void continuesAcceptingAfterFailure() throws Exception {
     AtomicInteger failures = new AtomicInteger();
     Listener listener =
         Listener.bind(
             anyPort(),
             channel -> {
               if (failures.incrementAndGet() <= 3) {
-                throw new OutOfMemoryError("of the test's own");
+                throw new OutOfMemoryError("injected by the test");
               }
               accepted.add(channel);
             });
--- a/src/test/java/beaconturn/net/server/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerTest.java
@@ -45,8 +45,8 @@
 
   private final Clock clock = () -> still.get() != 0 ? still.get() : system.now() + passed.get();
   private final BlockingQueue<RoutingMessage> module = new LinkedBlockingQueue<>();
-  public static final RespClientRequest.Reading READ =
-      new RespClientRequest.Reading(null, "read", 0, RequestMetrics.NONE);
+  public static final RespClientRequest.ParseContext READ =
+      new RespClientRequest.ParseContext(null, "read", 0, RequestMetrics.NONE);
   private int sent;
 
   static CacheServerEnvironment environment(
