--- a/src/main/java/beaconturn/net/ActiveSettings.java
+++ b/src/main/java/beaconturn/net/ActiveSettings.java
@@ -5,9 +5,9 @@
 import beaconturn.stats.RequestMetrics;
 
 /**
- * The settings in force and the parser that reads requests under them. Read by any thread; replaced
- * by one thread at a time: by the routing thread where routers agree on a configuration, else by
- * the thread that reloads.
+ * The active settings and the parser that reads requests under them. Read by any thread; replaced
+ * by one thread at a time: the routing thread where routers agree on a configuration, otherwise the
+ * reloading thread.
  */
 final class ActiveSettings {
   private final RequestMetrics metrics;
@@ -15,27 +15,26 @@
   private volatile RequestParser parser;
 
   /**
-   * No settings before the first {@link #activate}; each class of requests is declared to the
-   * metrics.
+   * Creates an object without settings; {@link #activate} sets the first ones and declares their
+   * request classes to the metrics.
    */
   ActiveSettings(RequestMetrics metrics) {
     this.metrics = metrics;
   }
 
-  /** Requests are read under these settings from here on. */
+  /** Replaces the settings; requests parsed from now on use them. */
   void activate(RouterSettings next) {
-    RouterSettings before = settings == null ? next : settings;
+    RouterSettings previous = settings == null ? next : settings;
     settings = next;
     next.classNames().forEach(metrics::declareClass);
-    parser = new RequestParser(next, before, metrics);
+    parser = new RequestParser(next, previous, metrics);
   }
 
-  /** The settings in force. */
   RouterSettings current() {
     return settings;
   }
 
-  /** Reads requests under the settings in force. */
+  /** The parser for the active settings. */
   RequestParser parser() {
     return parser;
   }
--- a/src/main/java/beaconturn/net/ClientAcceptor.java
+++ b/src/main/java/beaconturn/net/ClientAcceptor.java
@@ -9,7 +9,7 @@
 import java.nio.channels.SocketChannel;
 import java.util.logging.Logger;
 
-/** Takes accepted connections of clients into service; for the listener's thread alone. */
+/** Puts accepted client connections into service. Listener thread only. */
 final class ClientAcceptor {
   private static final Logger LOG = Logger.getLogger(ClientAcceptor.class.getName());
 
@@ -17,8 +17,8 @@
   private final ConnectionContext context;
   private final RouterCustomization customization;
   private final Clock clock;
-  private final RepeatedEventLog turnedAway =
-      new RepeatedEventLog(LOG, "new client connections are turned away", 1);
+  private final RepeatedEventLog rejectedConnections =
+      new RepeatedEventLog(LOG, "new client connections are closed, as no connection can be evicted for them", 1);
 
   ClientAcceptor(
       ClientConnections connections,
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Serves the connection, or closes it where there is no room: the one accepting thread must not
-   * be held up by clients that keep others at work.
+   * Serves the connection, or closes it if there is no room: the only accepting thread must not
+   * wait for busy clients.
    */
   void accept(SocketChannel channel) {
     if (connections.makeRoom(clock.now())) {
@@ -42,8 +42,8 @@
       connection.start();
     } else {
       Sockets.close(channel);
-      turnedAway.note(clock.now());
+      rejectedConnections.note(clock.now());
     }
-    turnedAway.check(clock.now());
+    rejectedConnections.check(clock.now());
   }
 }
--- a/src/main/java/beaconturn/net/ConfigReloader.java
+++ b/src/main/java/beaconturn/net/ConfigReloader.java
@@ -11,8 +11,8 @@
 import java.util.logging.Logger;
 
 /**
- * The actor that reads the configuration anew when asked, and brings what may change in a running
- * router into force: settings, unless routers agree on them, and discovery's address.
+ * Reloads the configuration on request and activates those parts that can change in a running
+ * router: the settings, unless routers agree on them, and the address of discovery.
  */
 final class ConfigReloader {
   private static final Logger LOG = Logger.getLogger(ConfigReloader.class.getName());
@@ -23,13 +23,16 @@
   private final Consumer<RouterSettings> activate;
   private final RequestMetrics metrics;
 
-  /** The configuration in force; for the reloading thread alone. */
-  private RouterConfig inForce;
+  /** The active configuration; reloading thread only. */
+  private RouterConfig activeConfig;
 
-  /** Holds one request: a reading that is yet to begin covers all that ask for it. */
+  /** Holds at most one request: a reload that has not started covers all requests for it. */
   private final Mailbox<Boolean> requests = new Mailbox<>(1);
 
-  /** {@code activate} gets new settings right after the routing thread. */
+  /**
+   * Creates a reloader; {@code activate} receives new settings after the routing thread has
+   * received them.
+   */
   ConfigReloader(
       RouterInputs inputs,
       DiscoveryWatcher discovery,
@@ -37,19 +40,18 @@
       Consumer<RouterSettings> activate,
       RequestMetrics metrics) {
     this.inputs = inputs;
-    this.inForce = inputs.config();
+    this.activeConfig = inputs.config();
     this.discovery = discovery;
     this.routingThread = routingThread;
     this.activate = activate;
     this.metrics = metrics;
   }
 
-  /** Starts the reloading thread. */
   void start() {
     Threads.supervised("reload", this::run);
   }
 
-  /** Asks for a reload without waiting; any thread. */
+  /** Requests a reload without waiting. For any thread. */
   void requestReload() {
     requests.offer(true);
   }
@@ -60,7 +62,7 @@
     }
   }
 
-  /** Reads the configuration anew and applies it; on the reloading thread. */
+  /** Reads and applies the configuration. Reloading thread only. */
   void reload() {
     try {
       RouterConfig next = inputs.source().read();
@@ -69,39 +71,40 @@
       metrics.configReloaded(true);
     } catch (ConfigException e) {
       metrics.configReloaded(false);
-      LOG.warning("new configuration not taken, the old one stays in force: " + e.getMessage());
+      LOG.warning("new configuration rejected, the previous one stays active: " + e.getMessage());
     } catch (RuntimeException | Error e) {
       metrics.configReloaded(false);
-      LOG.log(Level.SEVERE, "reading the new configuration failed, the old one stays in force", e);
+      LOG.log(Level.SEVERE, "reloading the configuration failed, the previous one stays active", e);
     }
   }
 
-  /** All of a configuration or nothing: it is checked whole before any of it is in force. */
+  /** Applies a configuration as a whole: all of it is checked before any of it becomes active. */
   private void apply(RouterConfig next) throws ConfigException {
     check(next);
-    if (!inForce.settings().equals(next.settings())) {
-      // The routing thread first: it must know the classes of the requests that are read next.
+    if (!activeConfig.settings().equals(next.settings())) {
+      // The routing thread first: it must know the classes of requests that are parsed under the
+      // new settings.
       routingThread.accept(
           new RoutingMessage.SettingsReplaced(next.settings().routing(), next.seed()));
       activate.accept(next.settings());
     }
-    inForce = next;
+    activeConfig = next;
   }
 
   private void check(RouterConfig next) throws ConfigException {
-    String missing = next.lacks(inForce);
+    String missing = next.firstMissingKey(activeConfig);
     if (missing != null) {
       throw new ConfigException(
-          missing + ": is missing, or of another type than in the file in force");
+          missing + ": is missing, or of another type than in the active configuration");
     }
-    if (!inForce.settings().isWireCompatibleWith(next.settings())) {
+    if (!activeConfig.settings().isWireCompatibleWith(next.settings())) {
       throw new ConfigException(
-          "settings: tenants, reports, places or times of connections have "
+          "settings: tenants, load reports, zones or connection timeouts have "
               + "changed, which needs a restart");
     }
-    if (inputs.hasFleetConfig() && !inForce.settings().equals(next.settings())) {
+    if (inputs.hasFleetConfig() && !activeConfig.settings().equals(next.settings())) {
       throw new ConfigException(
-          "settings: have changed, and are agreed on with other routers: see "
+          "settings: have changed, but are agreed on with other routers; use "
               + "'agreement propose'");
     }
   }
--- a/src/main/java/beaconturn/net/ConfigShape.java
+++ b/src/main/java/beaconturn/net/ConfigShape.java
@@ -5,17 +5,19 @@
 import java.util.Map;
 
 /**
- * Compares which keys two configuration files have, and of which types their values are. A file
- * that is cut or half edited must not pass for one that leaves out on purpose what has a default: a
- * router would go on under defaults that nobody chose.
+ * Compares the keys and value types of two configuration files. Guards against a truncated or
+ * half-edited file: missing keys would silently be replaced by their defaults.
  */
 final class ConfigShape {
-  /** The endpoint list, which changes all the time. */
+  /** The endpoint list, which changes all the time and is not compared. */
   private static final String ENDPOINT_LIST = "known";
 
   private ConfigShape() {}
 
-  /** The path of the first key that is missing or of another type now, or null. */
+  /**
+   * Returns the path of the first key that is missing now or has another type, or null if there is
+   * none.
+   */
   static String firstMissing(Json earlier, Json now) {
     return firstMissing("", earlier, now);
   }
@@ -48,7 +50,7 @@
     return null;
   }
 
-  /** Each item must have what the first one had. */
+  /** Each item must have the keys of the first earlier item. */
   private static String firstMissingItem(String path, Json earlierItem, List<Json> now) {
     for (int i = 0; i < now.size(); i++) {
       String missing = firstMissing(path + "." + i, earlierItem, now.get(i));
--- a/src/main/java/beaconturn/net/ConnectionBudget.java
+++ b/src/main/java/beaconturn/net/ConnectionBudget.java
@@ -1,65 +1,64 @@
 package beaconturn.net;
 
 /**
- * How many connections a router may hold, so that neither its descriptors nor its memory run out: a
- * client takes a few KB, a connection to a cache server a thread.
+ * Limits on the connections of a router, so that it runs out of neither descriptors nor memory: a
+ * client connection takes a few KB, a connection to a cache server takes a thread.
  *
- * @param clients open connections of clients at most
- * @param clientsBeforeReclaim above so many, quiet connections of clients are closed sooner
- * @param cacheConnections open connections to cache servers at most, each of which may need a
- *     thread
- * @param largeRequests requests of the largest size that are held at once
+ * @param clients maximum number of open client connections
+ * @param clientSoftLimit number of client connections above which idle ones are closed sooner
+ * @param cacheConnections maximum number of open connections to cache servers, each of which may
+ *     need a thread
+ * @param largeRequests maximum number of requests of the largest size held at once
  */
 record ConnectionBudget(
-    int clients, int clientsBeforeReclaim, int cacheConnections, int largeRequests) {
+    int clients, int clientSoftLimit, int cacheConnections, int largeRequests) {
   /**
-   * Descriptors for everything but connections: the jar, the log, discovery, the listener, the
-   * JVM's.
+   * Descriptors that are not for connections: the jar, the log, discovery, the listener, the JVM.
    */
   private static final int OTHER_DESCRIPTORS = 48;
 
   private static final int KB_PER_MB = 1024;
 
-  /** The part of the memory that the start command gives the heap, in tenths. */
+  /** Tenths of the memory that the start command gives to the heap. */
   private static final int HEAP_TENTHS = 3;
 
-  /** What the JVM takes beside its heap with no connection open. */
+  /** Memory of the JVM outside the heap, with no connection open. */
   private static final int JVM_BASE_MB = 40;
 
   /** Stack and bookkeeping of a thread, with the shadow pages that the start command sets. */
   private static final int THREAD_KB = 56;
 
-  private static final int FEWEST_THREADS = 64;
+  private static final int MIN_THREADS = 64;
 
   /** Heap that a request of the largest size takes until it is answered. */
   private static final int LARGE_REQUEST_KB = 66;
 
   /**
-   * Large requests get one in this many parts of the heap: values go out and come in, and the
-   * collector needs room to move them.
+   * The part of the heap for large requests; the rest leaves room for responses and for the garbage
+   * collector.
    */
-  private static final int HEAP_PARTS = 6;
+  private static final int LARGE_REQUEST_HEAP_DIVISOR = 6;
 
-  private static final int MOST_LARGE_REQUESTS = 96;
+  private static final int MAX_LARGE_REQUESTS = 96;
 
   /**
    * Descriptors of clients are divided into this many parts: 16 for open connections, one for those
-   * on their way out.
+   * that are closing.
    */
   private static final int CLIENT_PARTS = 17;
 
   private static final int OPEN_CLIENT_PARTS = 16;
 
-  /** Idle clients make room once one in this many of all descriptors is in use by clients. */
-  private static final int RECLAIM_PART = 4;
+  /** Idle clients are closed sooner once clients use more than this part of all descriptors. */
+  private static final int SOFT_LIMIT_DIVISOR = 4;
 
-  /** The budget of a process that may have so many descriptors and so much memory. */
+  /** Computes the budget of a process with the given number of descriptors and amount of memory. */
   static ConnectionBudget of(int descriptors, int memoryMb) {
     int forConnections = descriptors - OTHER_DESCRIPTORS;
     int clients = (forConnections / 2 - 1) * OPEN_CLIENT_PARTS / CLIENT_PARTS;
     int cacheConnections = Math.min(forConnections / 2, threads(memoryMb));
     return new ConnectionBudget(
-        clients, descriptors / RECLAIM_PART, cacheConnections, largeRequests(memoryMb));
+        clients, descriptors / SOFT_LIMIT_DIVISOR, cacheConnections, largeRequests(memoryMb));
   }
 
   private static int heapMb(int memoryMb) {
@@ -68,11 +67,11 @@
 
   private static int threads(int memoryMb) {
     int forThreadsMb = memoryMb - heapMb(memoryMb) - JVM_BASE_MB;
-    return Math.max(FEWEST_THREADS, forThreadsMb * KB_PER_MB / THREAD_KB);
+    return Math.max(MIN_THREADS, forThreadsMb * KB_PER_MB / THREAD_KB);
   }
 
   private static int largeRequests(int memoryMb) {
-    int fitting = heapMb(memoryMb) * KB_PER_MB / HEAP_PARTS / LARGE_REQUEST_KB;
-    return Math.max(1, Math.min(MOST_LARGE_REQUESTS, fitting));
+    int requestsThatFit = heapMb(memoryMb) * KB_PER_MB / LARGE_REQUEST_HEAP_DIVISOR / LARGE_REQUEST_KB;
+    return Math.max(1, Math.min(MAX_LARGE_REQUESTS, requestsThatFit));
   }
 }
--- a/src/main/java/beaconturn/net/FleetConfigApplier.java
+++ b/src/main/java/beaconturn/net/FleetConfigApplier.java
@@ -10,8 +10,8 @@
 import java.util.logging.Logger;
 
 /**
- * Brings what routers have agreed on into force. {@link #beforeStep} runs on the routing thread,
- * which owns all fields that are not marked otherwise.
+ * Applies the configuration and zone weights that routers have agreed on. {@link #beforeStep} runs
+ * on the routing thread, which owns all fields not marked otherwise.
  */
 final class FleetConfigApplier {
   private static final Logger LOG = Logger.getLogger(FleetConfigApplier.class.getName());
@@ -25,16 +25,16 @@
   private long settingsSwitches;
 
   /**
-   * The configuration that the engine is under, null before the first; written by the routing
-   * thread, read by any.
+   * The configuration applied to the engine, null before the first. Written by the routing thread,
+   * read by any.
    */
   private volatile FleetConfigSource.DueConfig applied;
 
   /**
-   * Nothing is in force yet.
+   * Creates an applier that has not applied a configuration yet.
    *
-   * @param fetchEndpointList asks discovery for the whole list, without waiting
-   * @param excludedByOperators servers that stay out when the fleet lets go of them
+   * @param fetchEndpointList requests the whole endpoint list from discovery, without waiting
+   * @param excludedByOperators cache servers that stay excluded when the fleet includes them again
    */
   FleetConfigApplier(
       RouterInputs inputs,
@@ -49,23 +49,23 @@
     this.excludedByOperators = excludedByOperators;
   }
 
-  /** Whether all routers have agreed to leave the cache server out; any thread. */
+  /** Whether all routers have agreed to exclude the cache server. For any thread. */
   boolean isExcluded(String server) {
     FleetConfigSource.DueConfig now = applied;
     return now != null && now.excludedServers().contains(server);
   }
 
   /**
-   * Puts the engine under what is due, if that is something else. Called before each step of the
-   * engine: an agreed configuration may have changed, or its lease ended while the thread was kept
-   * from running, and no decision may be made under one that is over.
+   * Applies what is due to the engine, if it has changed. Called before each step of the engine:
+   * the agreed configuration may have changed, or its lease may have expired while the thread was
+   * not running, and no decision may be made under an expired one.
    */
   void beforeStep(RoutingEngine engine) {
     applyZoneWeights(engine);
     applyConfig(engine);
   }
 
-  @SuppressWarnings("ReferenceEquality") // The source hands out another object for a change.
+  @SuppressWarnings("ReferenceEquality") // The source returns another object after a change.
   private void applyZoneWeights(RoutingEngine engine) {
     ZoneWeightsSource source = inputs.zoneWeights();
     ZoneWeights due = source == null ? zoneWeights : source.dueWeights();
@@ -75,19 +75,19 @@
     }
   }
 
-  @SuppressWarnings("ReferenceEquality") // The source hands out another object for a change.
+  @SuppressWarnings("ReferenceEquality") // The source returns another object after a change.
   private void applyConfig(RoutingEngine engine) {
     FleetConfigSource.DueConfig due = inputs.fleetConfig().dueConfig();
     if (due == applied) {
       return;
     }
-    FleetConfigSource.DueConfig before = applied;
+    FleetConfigSource.DueConfig previous = applied;
     applied = due;
     switchSettings(engine, due);
-    Set<String> excludedBefore = before == null ? Set.of() : before.excludedServers();
-    updateExcluded(engine, excludedBefore, due.excludedServers());
-    long oldestListBefore = before == null ? 0 : before.oldestListVersion();
-    if (due.oldestListVersion() > oldestListBefore) {
+    Set<String> previouslyExcluded = previous == null ? Set.of() : previous.excludedServers();
+    updateExcluded(engine, previouslyExcluded, due.excludedServers());
+    long previousOldestList = previous == null ? 0 : previous.oldestListVersion();
+    if (due.oldestListVersion() > previousOldestList) {
       fetchEndpointList.run();
     }
     inputs.fleetConfig().configApplied(due);
@@ -105,18 +105,18 @@
     settings.activate(due.settings());
   }
 
-  private void updateExcluded(RoutingEngine engine, Set<String> before, Set<String> due) {
+  private void updateExcluded(RoutingEngine engine, Set<String> previous, Set<String> due) {
     long nowNanos = clock.now();
     due.stream()
-        .filter(server -> !before.contains(server))
+        .filter(server -> !previous.contains(server))
         .forEach(server -> exclude(engine, server, true, nowNanos));
-    before.stream()
+    previous.stream()
         .filter(server -> !due.contains(server) && !excludedByOperators.test(server))
         .forEach(server -> exclude(engine, server, false, nowNanos));
   }
 
-  private static void exclude(RoutingEngine engine, String server, boolean out, long nowNanos) {
+  private static void exclude(RoutingEngine engine, String server, boolean excluded, long nowNanos) {
     engine.handle(
-        new RoutingMessage.OverrideRequested(Fnv1a.of(server), out, nowNanos, true, known -> {}));
+        new RoutingMessage.OverrideRequested(Fnv1a.of(server), excluded, nowNanos, true, known -> {}));
   }
 }
--- a/src/main/java/beaconturn/net/FleetConfigSource.java
+++ b/src/main/java/beaconturn/net/FleetConfigSource.java
@@ -7,18 +7,17 @@
 import java.util.Set;
 
 /**
- * The source of the configuration that routers agree on, as the rest of a router knows it; it runs
- * on a thread of its own. Not there, and nothing of it loaded, unless the operators' file turns it
- * on.
+ * Supplies the configuration that routers agree on; runs on its own thread. Present, and its
+ * classes loaded, only where the operators' file enables agreement.
  */
 public interface FleetConfigSource extends Runnable {
   /**
-   * A configuration that is to be in force.
+   * A configuration that is to be active.
    *
-   * @param settings of this router under it
-   * @param excludedServers names of the cache servers that nothing new is sent to
-   * @param oldestListVersion endpoint lists of earlier versions are not acted on
-   * @param content what it was made of, for comparison
+   * @param settings the settings of this router under it
+   * @param excludedServers names of the cache servers that receive no new requests
+   * @param oldestListVersion endpoint lists of earlier versions are ignored
+   * @param content the agreed content that the settings were derived from, for comparison
    * @param description which version it is, in words
    */
   record DueConfig(
@@ -27,48 +26,56 @@
       long oldestListVersion,
       Object content,
       String description) {
-    /** Whether it was made of this content and is described so. */
+    /** Whether the configuration was derived from this content and has this description. */
     public boolean isSameAs(Object otherContent, String otherDescription) {
       return content.equals(otherContent) && description.equals(otherDescription);
     }
   }
 
   /**
-   * Waits for a short time until the store has told what may be acted on, or has failed to: a
-   * router that serves before it has asked would act on what may be over. Called once, before the
-   * first client is accepted.
+   * Waits a short time until the store has reported the configuration or has failed to: a router
+   * that served earlier could act on an expired configuration. Called once, before the first client
+   * is accepted.
    */
   void awaitFirstConfig();
 
   /**
-   * What is to be in force now; the same object as long as nothing changes. Any thread, no wait.
+   * The configuration that is to be active now; the same object as long as nothing changes. For any
+   * thread, never blocks.
    */
   DueConfig dueConfig();
 
   /**
-   * Lists before this version are not taken, by what is in force and by what was acked. Any thread,
-   * no wait.
+   * The oldest endpoint list version accepted under the active and the acknowledged configuration.
+   * For any thread, never blocks.
    */
   long oldestListVersion();
 
-  /** A list of that version has been handed to the routing thread; any thread, no wait. */
+  /**
+   * Reports that an endpoint list of that version was passed to the routing thread. For any thread,
+   * never blocks.
+   */
   void listReceived(long version);
 
-  /** What the routing engine has been put under; called on its thread. */
+  /** Reports that the configuration was applied to the routing engine. Routing thread only. */
   void configApplied(DueConfig config);
 
   /**
-   * Whether what the policy decided may still be written to a cache server: not where the lease
-   * that it was decided under has ended and something else is due. Any thread, no wait.
+   * Whether decisions of the policy may still be sent to a cache server: false if the lease that
+   * they were made under has expired and another configuration is due. For any thread, never
+   * blocks.
    */
   boolean mayWrite();
 
   /**
-   * Takes this router's view of each cache server, for whoever counts which are out; any thread, no
-   * wait.
+   * Reports this router's view of each cache server, from which unavailable servers are counted.
+   * For any thread, never blocks.
    */
   void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> statuses);
 
-  /** The router ends as planned: nobody need wait for it. Takes a second at the most. */
+  /**
+   * Leaves the fleet at a graceful shutdown, so that the other routers need not wait for this one.
+   * Blocks for at most a second.
+   */
   void leave();
 }
--- a/src/main/java/beaconturn/net/HealthMetrics.java
+++ b/src/main/java/beaconturn/net/HealthMetrics.java
@@ -17,9 +17,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Health metrics that agents of a release ask a router for, beside the counters of the admin
- * address: how late it answers, what resources it holds, and how each cache server answers it. Only
- * where routers agree. Safe for any thread.
+ * Health metrics for the agents of a rollout, in addition to the counters of the admin address:
+ * lateness of responses, resources in use, and the results of each cache server. Only where routers
+ * agree. For any thread.
  */
 final class HealthMetrics {
   private static final Path PROCESS_STATUS = Path.of("/proc/self/status");
@@ -29,50 +29,50 @@
 
   private final HealthCounters counters;
   private final IntSupplier connections;
-  private final IntSupplier mostConnections;
+  private final IntSupplier maxConnections;
 
-  /** Names of the cache servers by their ids; replaced as a whole. */
+  /** Names of the cache servers by id; replaced as a whole. */
   private volatile SortedMap<Long, String> serverNames = new TreeMap<>();
 
   /**
-   * Metrics with nothing counted.
+   * Creates metrics with nothing counted.
    *
-   * @param clock the router's, in nanoseconds
-   * @param connections open connections of clients
-   * @param mostConnections how many there may be
+   * @param clock the router's clock, in nanoseconds
+   * @param connections number of open client connections
+   * @param maxConnections limit of client connections
    */
-  HealthMetrics(LongSupplier clock, IntSupplier connections, IntSupplier mostConnections) {
+  HealthMetrics(LongSupplier clock, IntSupplier connections, IntSupplier maxConnections) {
     this.counters = new HealthCounters(clock);
     this.connections = connections;
-    this.mostConnections = mostConnections;
+    this.maxConnections = maxConnections;
   }
 
-  /** Where requests and attempts are counted. */
+  /** Counts requests and attempts. */
   Counters counters() {
     return counters;
   }
 
-  /** Sets the cache servers that are known now. */
-  void servers(Collection<CacheServerClients.ListedServer> servers) {
+  /** Sets the known cache servers. */
+  void setServers(Collection<CacheServerClients.ListedServer> servers) {
     SortedMap<Long, String> names = new TreeMap<>();
     servers.forEach(server -> names.put(Fnv1a.of(server.name()), server.name()));
     serverNames = names;
   }
 
-  /** All of them as they are now. */
+  /** Returns the current values of all metrics. */
   List<Metric> read() {
     List<Metric> all = new ArrayList<>(counters.health(serverNames));
     long cores = Runtime.getRuntime().availableProcessors();
     all.add(new Metric("memory_kb", residentKb(), true));
     all.add(
-        new Metric("cpu_ms", ProcessPauseDetector.processorTimeNanos() / NANOS_PER_MILLI, false));
+        new Metric("cpu_ms", ProcessPauseDetector.cpuTimeNanos() / NANOS_PER_MILLI, false));
     all.add(new Metric("cores_thousandth", cores * THOUSANDTHS, true));
     all.add(new Metric("connections", connections.getAsInt(), true));
-    all.add(new Metric("most_connections", mostConnections.getAsInt(), true));
+    all.add(new Metric("most_connections", maxConnections.getAsInt(), true));
     return all;
   }
 
-  /** Resident memory as the kernel accounts for it (proc(5)); 0 where it does not tell. */
+  /** Resident memory from the kernel (proc(5)), or 0 if it is not available. */
   private static long residentKb() {
     try {
       return Files.readAllLines(PROCESS_STATUS).stream()
--- a/src/main/java/beaconturn/net/MaintenanceLoop.java
+++ b/src/main/java/beaconturn/net/MaintenanceLoop.java
@@ -8,9 +8,8 @@
 import java.util.logging.Logger;
 
 /**
- * What a router does now and then beside its work, on a thread of its own, the sweeper: it notices
- * pauses of the process, closes client connections whose time is over, and keeps to its part of the
- * limits.
+ * Periodic maintenance on its own thread, the sweeper: detects pauses of the process, closes client
+ * connections that have timed out, and updates this process's share of the limits.
  */
 final class MaintenanceLoop {
   private static final Logger LOG = Logger.getLogger(MaintenanceLoop.class.getName());
@@ -35,14 +34,14 @@
     this.handover = handover;
   }
 
-  /** Starts the thread, which ends when the router has stopped. */
+  /** Starts the thread, which exits once the router has stopped. */
   void start() {
     Threads.supervised("sweeper", this::run);
   }
 
   private void run() throws InterruptedException {
     ProcessPauseDetector pauses =
-        new ProcessPauseDetector(clock, ProcessPauseDetector::processorTimeNanos);
+        new ProcessPauseDetector(clock, ProcessPauseDetector::cpuTimeNanos);
     while (lifecycle.phase() != Lifecycle.Phase.STOPPED) {
       String pause = pauses.check();
       if (pause != null) {
--- a/src/main/java/beaconturn/net/OperatorOverrides.java
+++ b/src/main/java/beaconturn/net/OperatorOverrides.java
@@ -20,9 +20,9 @@
 import java.util.function.Predicate;
 
 /**
- * What operators may do to a router: the admin address, and the cache servers that they have
- * excluded. Only where an admin address is set; else none of it is loaded. Calls come on the admin
- * server's thread; {@link #isExcluded} is for any thread.
+ * The admin address and the cache servers that operators have excluded. Loaded only where an admin
+ * address is configured. Commands arrive on the admin server's thread; {@link #isExcluded} is for
+ * any thread.
  */
 final class OperatorOverrides implements AdminOperations {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -40,8 +40,8 @@
   /**
    * Binds the admin address.
    *
-   * @param excludedByFleet servers that all routers have agreed to leave out, which no call here
-   *     brings back
+   * @param excludedByFleet servers that all routers have agreed to exclude, which no command here
+   *     includes again
    * @throws IOException if the address cannot be bound
    */
   OperatorOverrides(
@@ -62,7 +62,7 @@
         new AdminServer(config.adminAddress(), this, metrics.counters(), file, clock::now);
   }
 
-  /** Answers calls from here on; what operators said before this process began is posted first. */
+  /** Starts the admin server, after applying the overrides stored by earlier processes. */
   void start() {
     file.read().forEach(override -> applyOverride(override, true, known -> {}));
     Threads.start("operators", adminServer);
@@ -103,7 +103,7 @@
     } else {
       excluded.remove(override.id());
       if (excludedByFleet.test(override.id())) {
-        // Back as far as this router's operators go; it takes force once the fleet lets go.
+        // The override is recorded; the server is used again once the fleet no longer excludes it.
         known.accept(true);
         return;
       }
@@ -114,8 +114,8 @@
   }
 
   /**
-   * When it was said, on this process's clock. The file outlives a start of the machine, at which
-   * its monotonic clock begins anew: a time that is yet to come counts as now.
+   * The time of the override on this process's clock. The monotonic clock restarts with the
+   * machine, which the file outlives, so a time in the future counts as now.
    */
   private long atNanos(ServerOverride override) {
     long agoMillis = Math.max(0, MonotonicMillis.millis() - override.atMillis());
--- a/src/main/java/beaconturn/net/PeerProcess.java
+++ b/src/main/java/beaconturn/net/PeerProcess.java
@@ -4,8 +4,8 @@
 import beaconturn.net.control.MonotonicMillis;
 
 /**
- * The other process of this router during an upgrade, known by the files in the folder that both
- * have. {@link #isRunning} is for one thread at a time.
+ * The other process of this router during an upgrade, detected through files in a shared folder.
+ * {@link #isRunning} is for one thread at a time.
  */
 final class PeerProcess {
   private static final String SLOTS_FILE = "seats";
@@ -19,18 +19,17 @@
     this.upgradeState = new UpgradeState(config.stateFile(STATE_FILE));
   }
 
-  /** Whether it runs now. */
   boolean isRunning() {
     return slots.isOtherTaken();
   }
 
-  /** What it has left for this process, or null. */
+  /** The state that the other process has stored for this one, or null. */
   WarmStartState warmStart() {
     return upgradeState.read(MonotonicMillis.millis());
   }
 
-  /** Leaves it what this one has learned. */
-  void leave(WarmStartState learned) {
-    upgradeState.write(learned, MonotonicMillis.millis());
+  /** Stores this process's state for the other one. */
+  void writeState(WarmStartState state) {
+    upgradeState.write(state, MonotonicMillis.millis());
   }
 }
--- a/src/main/java/beaconturn/net/ProcessHandover.java
+++ b/src/main/java/beaconturn/net/ProcessHandover.java
@@ -6,24 +6,24 @@
 import beaconturn.net.io.ConnectionLimit;
 
 /**
- * How this process of a router gets along with another one that serves on the same listening socket
- * during an upgrade: they keep to the router's limits together, and the one that ends leaves what
- * it has learned to the next.
+ * Coordinates this process with another process of the same router on the same listening socket
+ * during an upgrade: the two share the router's limits, and the old one passes its warm-start state
+ * to the new one.
  *
- * <p>{@link #update} is for the maintenance thread, {@link #learned} for the routing thread, {@link
- * #warmStart} for the thread that starts the router; the rest is for any thread.
+ * <p>{@link #update} is for the maintenance thread, {@link #recordState} for the routing thread,
+ * {@link #warmStart} for the thread that starts the router; all else is for any thread.
  */
 final class ProcessHandover {
   private final RouterConfig config;
 
-  /** Null where no other process of this router can run beside this one. */
+  /** Null if no other process of this router can run at the same time. */
   private final PeerProcess peer;
 
-  /** Written by the maintenance thread alone. */
+  /** Written by the maintenance thread only. */
   private volatile boolean peerRunning;
 
-  /** What the router has learned since the last update; null if nothing was noted. */
-  private volatile WarmStartState learned;
+  /** The latest warm-start state since the last update, or null if none was recorded. */
+  private volatile WarmStartState latestState;
 
   ProcessHandover(RouterConfig config) {
     this.config = config;
@@ -31,40 +31,43 @@
     this.peerRunning = peer != null && peer.isRunning();
   }
 
-  /** Whether another process of this router runs beside this one, as of the last update. */
+  /** Whether another process of this router was running at the last update. */
   boolean isPeerRunning() {
     return peerRunning;
   }
 
-  /** How many connections this process may hold: half of the descriptors beside another one. */
+  /**
+   * The connection limits of this process: based on half of the descriptors while another process
+   * runs.
+   */
   ConnectionBudget budget() {
     int processes = peerRunning ? 2 : 1;
     return ConnectionBudget.of(config.sockets() / processes, config.memoryMb());
   }
 
-  /** Notes what the routing engine has learned, to be left to the next process. */
-  void learned(WarmStartState state) {
-    learned = state;
+  /** Records the state of the routing engine, to be passed to the next process. */
+  void recordState(WarmStartState state) {
+    latestState = state;
   }
 
-  /** What another process has left for this one, or null. */
+  /** The state that another process has stored for this one, or null. */
   WarmStartState warmStart() {
     return peer == null ? null : peer.warmStart();
   }
 
-  /** Looks for the other process and keeps to this one's part of the limits. */
+  /** Checks for the other process, applies this one's share of the limits, and stores its state. */
   void update(ClientConnections clients, ConnectionLimit cacheConnections, Lifecycle lifecycle) {
     if (peer == null) {
       return;
     }
     peerRunning = peer.isRunning();
     ConnectionBudget budget = budget();
-    clients.setLimits(budget.clients(), budget.clientsBeforeReclaim());
+    clients.setLimits(budget.clients(), budget.clientSoftLimit());
     cacheConnections.setLimit(budget.cacheConnections());
-    WarmStartState latest = learned;
-    learned = null;
+    WarmStartState latest = latestState;
+    latestState = null;
     if (peerRunning && latest != null && lifecycle.phase() == Lifecycle.Phase.SERVING) {
-      peer.leave(latest);
+      peer.writeState(latest);
     }
   }
 }
--- a/src/main/java/beaconturn/net/ProcessPauseDetector.java
+++ b/src/main/java/beaconturn/net/ProcessPauseDetector.java
@@ -8,56 +8,56 @@
 import java.util.function.LongSupplier;
 
 /**
- * Notices that this process stood still, and tells how much processor time went by meanwhile: next
- * to none says that it was kept from running, much says that the JVM itself was at work. For one
+ * Detects pauses of this process, and how much CPU time it used meanwhile: almost none means that
+ * the process was stopped or starved of CPU, much means that the JVM itself was busy. For one
  * thread.
  */
 final class ProcessPauseDetector {
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long SHORTEST_PAUSE_NANOS = 500 * NANOS_PER_MILLI;
+  private static final long MIN_PAUSE_NANOS = 500 * NANOS_PER_MILLI;
 
-  /** The kernel tells processor times in hundredths of a second, whatever its own clock. */
+  /** The kernel reports CPU times in hundredths of a second, independent of its own clock rate. */
   private static final long NANOS_PER_TICK = 10 * NANOS_PER_MILLI;
 
-  private static final int LONGEST_STAT_BYTES = 1024;
+  private static final int MAX_STAT_BYTES = 1024;
 
-  /** Position of the user time in /proc/PID/stat, counted from behind the name, from 0. */
+  /** Index of the user time in /proc/PID/stat, counted from 0 after the process name. */
   private static final int USER_TIME_FIELD = 11;
 
   private static final int SYSTEM_TIME_FIELD = 12;
 
   private final Clock clock;
-  private final LongSupplier processorTimeNanos;
-  private long checkedAtNanos;
-  private long processorTimeThenNanos;
+  private final LongSupplier cpuTimeNanos;
+  private long lastCheckAtNanos;
+  private long lastCpuTimeNanos;
 
-  /** {@code processorTimeNanos} is what the process has used so far. */
-  ProcessPauseDetector(Clock clock, LongSupplier processorTimeNanos) {
+  /** Creates a detector; {@code cpuTimeNanos} supplies the CPU time used so far. */
+  ProcessPauseDetector(Clock clock, LongSupplier cpuTimeNanos) {
     this.clock = clock;
-    this.processorTimeNanos = processorTimeNanos;
-    this.checkedAtNanos = clock.now();
-    this.processorTimeThenNanos = processorTimeNanos.getAsLong();
+    this.cpuTimeNanos = cpuTimeNanos;
+    this.lastCheckAtNanos = clock.now();
+    this.lastCpuTimeNanos = cpuTimeNanos.getAsLong();
   }
 
   /**
-   * The processor time of this process as the kernel accounts for it, to 10 ms; 0 where it does not
-   * tell. One small file, as this is asked twenty times a second: {@link ProcessHandle.Info} also
-   * reads the command line and asks the C library for the user's name each time.
+   * The CPU time of this process from the kernel, to 10 ms; 0 if not available. Reads one small
+   * file, as this is called twenty times a second: {@link ProcessHandle.Info} also reads the
+   * command line and looks up the user name.
    */
-  static long processorTimeNanos() {
+  static long cpuTimeNanos() {
     try (InputStream in = new FileInputStream("/proc/self/stat")) {
-      return processorTimeNanos(
-          new String(in.readNBytes(LONGEST_STAT_BYTES), StandardCharsets.US_ASCII));
+      return cpuTimeNanos(
+          new String(in.readNBytes(MAX_STAT_BYTES), StandardCharsets.US_ASCII));
     } catch (IOException e) {
       return 0;
     }
   }
 
   /**
-   * User and system time of a line of /proc/PID/stat (proc(5)); the name before them may hold
-   * anything, closing parentheses included.
+   * User plus system time from a line of /proc/PID/stat (proc(5)). The process name before them may
+   * contain any character, including closing parentheses.
    */
-  static long processorTimeNanos(String stat) {
+  static long cpuTimeNanos(String stat) {
     String[] fields = stat.substring(stat.lastIndexOf(')') + 1).trim().split(" ");
     if (fields.length <= SYSTEM_TIME_FIELD) {
       return 0;
@@ -68,23 +68,23 @@
   }
 
   /**
-   * A description of the pause since the last check, or null if there was none worth telling; to be
-   * called far more often than that.
+   * Returns a description of the pause since the last check, or null if there was none; called far
+   * more often than the shortest pause that is reported.
    */
   String check() {
     long nowNanos = clock.now();
-    long usedNanos = processorTimeNanos.getAsLong();
+    long usedNanos = cpuTimeNanos.getAsLong();
     String pause = null;
-    if (nowNanos - checkedAtNanos > SHORTEST_PAUSE_NANOS) {
+    if (nowNanos - lastCheckAtNanos > MIN_PAUSE_NANOS) {
       pause =
-          "stood still for "
-              + (nowNanos - checkedAtNanos) / NANOS_PER_MILLI
-              + " ms, with "
-              + (usedNanos - processorTimeThenNanos) / NANOS_PER_MILLI
-              + " ms of processor time";
+          "process paused for "
+              + (nowNanos - lastCheckAtNanos) / NANOS_PER_MILLI
+              + " ms, using "
+              + (usedNanos - lastCpuTimeNanos) / NANOS_PER_MILLI
+              + " ms of CPU time";
     }
-    checkedAtNanos = nowNanos;
-    processorTimeThenNanos = usedNanos;
+    lastCheckAtNanos = nowNanos;
+    lastCpuTimeNanos = usedNanos;
     return pause;
   }
 }
--- a/src/main/java/beaconturn/net/ProcessSlots.java
+++ b/src/main/java/beaconturn/net/ProcessSlots.java
@@ -10,10 +10,10 @@
 import java.util.logging.Logger;
 
 /**
- * Tells whether another process of this router runs beside this one: each holds the lock on one of
- * two bytes of a file, and the kernel frees that of a process however it ends. Where no slot can be
- * had the router counts as never alone, which costs it half of its connections and exceeds no
- * limit. For one thread at a time.
+ * Detects whether another process of this router is running: each process locks one of two bytes of
+ * a file, and the kernel releases the lock however the process exits. If no slot can be locked, the
+ * other process is assumed to run, which halves the connection limits but exceeds none. For one
+ * thread at a time.
  */
 final class ProcessSlots implements Closeable {
   private static final Logger LOG = Logger.getLogger(ProcessSlots.class.getName());
@@ -23,27 +23,30 @@
   /** Null if the file cannot be opened. */
   private FileChannel file;
 
-  /** Null as long as no slot could be had. */
+  /** Null until a slot is locked. */
   private FileLock ownSlot;
 
-  /** Takes a slot; the file is made if it is not there. */
+  /** Locks a slot; creates the file if it does not exist. */
   ProcessSlots(Path path) {
     try {
       file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
       takeSlot();
     } catch (IOException e) {
-      LOG.warning("no telling whether another process of this router runs: " + e);
+      LOG.warning("cannot lock a process slot; assuming that another process of this router runs: " + e);
     }
   }
 
-  /** Tried again as long as it fails: the other process may have been looking just then. */
+  /**
+   * Repeated at each check until it succeeds: the other process may be probing this slot at the
+   * moment.
+   */
   private void takeSlot() throws IOException {
     for (int slot = 0; slot < SLOT_COUNT && ownSlot == null; slot++) {
       ownSlot = tryLock(slot);
     }
   }
 
-  /** Whether another process has the other slot. */
+  /** Whether another process holds the other slot. */
   boolean isOtherTaken() {
     try {
       if (ownSlot == null && file != null) {
@@ -56,18 +59,18 @@
   }
 
   private boolean isOtherFree() throws IOException {
-    FileLock other = tryLock(SLOT_COUNT - 1 - (int) ownSlot.position());
-    if (other != null) {
-      other.release();
+    FileLock otherSlot = tryLock(SLOT_COUNT - 1 - (int) ownSlot.position());
+    if (otherSlot != null) {
+      otherSlot.release();
     }
-    return other != null;
+    return otherSlot != null;
   }
 
   private FileLock tryLock(int slot) throws IOException {
     try {
       return file.tryLock(slot, SLOT_BYTES, false);
     } catch (OverlappingFileLockException e) {
-      // Another router in this same process: a test's.
+      // Held by another router in the same process, as in tests.
       return null;
     }
   }
--- a/src/main/java/beaconturn/net/RouterAssembly.java
+++ b/src/main/java/beaconturn/net/RouterAssembly.java
@@ -24,15 +24,15 @@
 import java.util.function.Consumer;
 
 /**
- * The parts of one router, and what each is built from. Building binds the admin address and takes
- * a process slot, and starts no thread. Immutable once built.
+ * Builds and holds the components of one router. Building binds the admin address and locks a
+ * process slot but starts no thread. Immutable once built.
  *
- * <p>The parts refer to each other in circles: messages go from clients, cache servers and
- * discovery to the routing thread and actions back. The circles are closed by the private methods
- * from {@link #post} on, which are called only after all parts are there.
+ * <p>The components refer to each other in cycles: messages go from clients, cache servers and
+ * discovery to the routing thread, and actions back. The private methods from {@link #post} on
+ * close the cycles and are only called after all components are built.
  */
 final class RouterAssembly {
-  /** A thread for requests that are out ends when it has waited so long for the next. */
+  /** Idle time after which a worker thread for cache server connections exits. */
   private static final long WORKER_KEEP_ALIVE_NANOS = 500_000_000;
 
   private final RouterInputs inputs;
@@ -64,7 +64,7 @@
     ConnectionBudget budget = handover.budget();
     Consumer<RoutingMessage> inbox = inputs.customization().inbox(routingThread::post);
     this.cacheConnections = new ConnectionLimit(budget.cacheConnections());
-    this.clients = new ClientConnections(budget.clients(), budget.clientsBeforeReclaim());
+    this.clients = new ClientConnections(budget.clients(), budget.clientSoftLimit());
     this.acceptor = buildAcceptor(inbox, budget);
     this.endpointList = new StartupEndpointList(clock, inputs.fleetConfig());
     this.discovery = buildDiscovery(inbox);
@@ -73,9 +73,9 @@
     routingThread.setEngine(buildEngine(inbox));
   }
 
-  /** Null where no admin address is set: nothing of it is loaded then. */
+  /** Null if no admin address is configured; its classes are not loaded then. */
   private OperatorOverrides buildOperators() throws IOException {
-    return metrics.hasReader()
+    return metrics.isEnabled()
         ? new OperatorOverrides(
             inputs.config(),
             inputs.lifecycle(),
@@ -86,7 +86,7 @@
         : null;
   }
 
-  /** Null where routers do not agree: nothing of it is loaded then. */
+  /** Null if routers do not agree on a configuration; its classes are not loaded then. */
   private FleetConfigApplier buildFleetConfigApplier() {
     return inputs.hasFleetConfig()
         ? new FleetConfigApplier(
@@ -124,7 +124,7 @@
         config.initialEndpoints().version(),
         message -> {
           inbox.accept(message);
-          endpointList.received(message);
+          endpointList.onDiscoveryReply(message);
         },
         inputs.hasFleetConfig() ? inputs.fleetConfig()::oldestListVersion : () -> 0,
         WatchBackoff.of(config.seed()));
@@ -156,7 +156,10 @@
     return engine;
   }
 
-  /** The router closes idle connections well before the cache servers do. */
+  /**
+   * Half the configured time, so that the router closes idle connections before the cache servers
+   * do.
+   */
   private long cacheIdleTimeoutNanos() {
     return inputs.config().settings().routing().permissions().connectionIdleNanos() / 2;
   }
@@ -197,7 +200,7 @@
     return poller;
   }
 
-  /** Null where no admin address is set. */
+  /** Null if no admin address is configured. */
   OperatorOverrides operators() {
     return operators;
   }
@@ -238,7 +241,7 @@
     return new MaintenanceLoop(clock, inputs.lifecycle(), clients, cacheConnections, handover);
   }
 
-  PlannedStop plannedStop() {
-    return new PlannedStop(inputs, clock, settings, clients, routingThread, operators);
+  GracefulShutdown gracefulShutdown() {
+    return new GracefulShutdown(inputs, clock, settings, clients, routingThread, operators);
   }
 }
--- a/src/main/java/beaconturn/net/RouterConfig.java
+++ b/src/main/java/beaconturn/net/RouterConfig.java
@@ -7,18 +7,18 @@
 import java.nio.file.Path;
 
 /**
- * The configuration of one router on real sockets. Immutable.
+ * The configuration of one router. Immutable.
  *
- * @param name of the router, unique among those that agree
- * @param listenAddress where clients connect, unless the listening socket is inherited
- * @param discoveryAddress discovery's address
- * @param seed of all random draws
- * @param sockets how many descriptors this router may have, over all its processes
- * @param memoryMb the memory that this process may take
- * @param initialEndpoints the endpoint list to begin with; it may be old
- * @param settings of the routing policy and the wire
- * @param environment what the process's surroundings add
- * @param document the file's JSON as it was read
+ * @param name name of the router, unique among routers that agree
+ * @param listenAddress address for clients, unless the listening socket is inherited
+ * @param discoveryAddress address of discovery
+ * @param seed seed of all random draws
+ * @param sockets maximum number of descriptors of this router, over all its processes
+ * @param memoryMb maximum memory of this process
+ * @param initialEndpoints endpoint list to start with; may be outdated
+ * @param settings settings of the routing policy and the wire protocol
+ * @param environment configuration from the environment of the process
+ * @param document the JSON document that was read
  */
 public record RouterConfig(
     String name,
@@ -31,12 +31,12 @@
     RouterSettings settings,
     ProcessEnvironment environment,
     Json document) {
-  /** Where a configuration can be read again and again. */
+  /** A source that the configuration can be read from repeatedly. */
   public interface Source {
     /**
-     * The configuration as it is now.
+     * Reads the current configuration.
      *
-     * @throws ConfigException if it is none that a router could start with
+     * @throws ConfigException if a router cannot start with it
      */
     RouterConfig read() throws ConfigException;
   }
@@ -52,23 +52,23 @@
   }
 
   /**
-   * The file of that kind which the next process of this router should find; null if no folder
-   * outlives the process.
+   * The path of a state file that the next process of this router reads, or null if there is no
+   * state folder.
    */
   public Path stateFile(String kind) {
     if (environment.stateFolder() == null) {
       return null;
     }
-    // Names come from operators, and must not lead out of the folder.
+    // Names come from operators and must not lead out of the folder.
     String safeName = name.replaceAll("[^A-Za-z0-9-]", "_");
     return environment.stateFolder().resolve("beaconturn-" + safeName + "." + kind);
   }
 
   /**
-   * The first key that the earlier configuration had and this one lacks or has with another type,
-   * as a path; null if there is none. The endpoint list does not count.
+   * Returns the path of the first key that the earlier configuration had and that is missing here
+   * or has another type, or null if there is none. The endpoint list is not compared.
    */
-  public String lacks(RouterConfig earlier) {
+  public String firstMissingKey(RouterConfig earlier) {
     return ConfigShape.firstMissing(earlier.document, document);
   }
 }
--- a/src/main/java/beaconturn/net/RouterConfigReader.java
+++ b/src/main/java/beaconturn/net/RouterConfigReader.java
@@ -17,9 +17,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads a router's configuration from its JSON file and the process's environment variables. */
+/** Reads a router's configuration from a JSON file and environment variables. */
 public final class RouterConfigReader {
-  private static final int FEWEST_DESCRIPTORS = 64;
+  private static final int MIN_DESCRIPTORS = 64;
   private static final int DEFAULT_DESCRIPTORS = 1024;
   private static final int DEFAULT_MEMORY_MB = 192;
   private static final int SEED_RADIX = 16;
@@ -29,7 +29,7 @@
 
   /**
    * Reads the file; the variables PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_CONTROL
-   * overrule it, and PROXY_FD says that the listening socket is inherited.
+   * override its values, and PROXY_FD states that the listening socket is inherited.
    *
    * @throws ConfigException if the file cannot be read or a router cannot start with it
    */
@@ -48,15 +48,14 @@
       throws ProtocolException, SettingsException {
     RouterSettings settings = RouterSettingsReader.read(flatten(json.get("settings")));
     ProcessEnvironment environment = environment(json, variables);
-    // Two processes of one router keep to its limits together. Memory that is taken is not given
-    // back, so each has half of it from the start; descriptors are shared out as long as there are
-    // two.
+    // Two processes of one router share its limits. A JVM does not return memory, so each process
+    // gets half of it from the start; descriptors are divided only while both run.
     int processes = environment.sharesListener() ? 2 : 1;
     int descriptors = descriptors(json, processes);
     return new RouterConfig(
-        overruled(json, "name", "router", variables, "PROXY_NAME"),
-        address("listen", overruled(json, "listen", "", variables, "PROXY_LISTEN")),
-        address("discovery", overruled(json, "discovery", "", variables, "PROXY_DISCOVERY")),
+        overridable(json, "name", "router", variables, "PROXY_NAME"),
+        address("listen", overridable(json, "listen", "", variables, "PROXY_LISTEN")),
+        address("discovery", overridable(json, "discovery", "", variables, "PROXY_DISCOVERY")),
         seed(json.get("seed").word("0")),
         descriptors,
         limit(json, "memory_mb", DEFAULT_MEMORY_MB) / processes,
@@ -66,22 +65,22 @@
         json);
   }
 
-  private static String overruled(
+  private static String overridable(
       Json json, String key, String fallback, Map<String, String> variables, String variable) {
     return variables.getOrDefault(variable, json.get(key).word(fallback));
   }
 
   private static int descriptors(Json json, int processes) {
     int descriptors = limit(json, "sockets", DEFAULT_DESCRIPTORS);
-    if (descriptors < processes * FEWEST_DESCRIPTORS) {
+    if (descriptors < processes * MIN_DESCRIPTORS) {
       throw new IllegalArgumentException(
-          "limits.sockets: at least " + processes * FEWEST_DESCRIPTORS + " are needed");
+          "limits.sockets: at least " + processes * MIN_DESCRIPTORS + " descriptors are needed");
     }
     return descriptors;
   }
 
   private static ProcessEnvironment environment(Json json, Map<String, String> variables) {
-    String control = overruled(json, "control", "", variables, "PROXY_CONTROL");
+    String control = overridable(json, "control", "", variables, "PROXY_CONTROL");
     String descriptor = variables.getOrDefault("PROXY_FD", "");
     if (!descriptor.isEmpty() && !descriptor.equals(INHERITED_DESCRIPTOR)) {
       throw new IllegalArgumentException(
@@ -122,7 +121,10 @@
     }
   }
 
-  /** Nested values as paths: members by name, items by number, plain lists joined by commas. */
+  /**
+   * Flattens nested values to paths: members by name, items by index, lists of plain values joined
+   * by commas.
+   */
   private static Map<String, String> flatten(Json settings) {
     Map<String, String> values = new HashMap<>();
     flatten("", settings, values);
--- a/src/main/java/beaconturn/net/RouterCustomization.java
+++ b/src/main/java/beaconturn/net/RouterCustomization.java
@@ -11,17 +11,17 @@
 import java.util.function.Consumer;
 
 /**
- * Parts of a router that tests replace by defective ones, to prove that what watches over routers
- * notices. The defaults are what every router in service has.
+ * Replaces components of a router by defective ones, so that tests can prove that checks detect the
+ * defects. The defaults are used in production.
  */
 interface RouterCustomization {
-  /** Nothing replaced. */
+  /** Replaces nothing. */
   RouterCustomization NONE = new RouterCustomization() {};
 
-  /** How long a start waits for discovery's first answer, or its failure. */
+  /** Time that a start waits for discovery's first reply or failure. */
   long FIRST_LIST_TIMEOUT_NANOS = 250_000_000;
 
-  /** The engine that the routing thread runs. */
+  /** Creates the engine that the routing thread runs. */
   default RoutingEngine engine(
       RouterConfig config,
       Clock clock,
@@ -31,17 +31,17 @@
         config.settings().routing(), config.seed(), clock, cacheServers, discovery);
   }
 
-  /** How long a start waits for discovery's first answer, or its failure. */
+  /** Time that a start waits for discovery's first reply or failure, in nanoseconds. */
   default long firstListTimeoutNanos() {
     return FIRST_LIST_TIMEOUT_NANOS;
   }
 
-  /** How a client's connection is served. */
+  /** Creates the connection that serves a client. */
   default ClientConnection connection(SocketChannel channel, ConnectionContext context) {
     return new ClientConnection(channel, context);
   }
 
-  /** Where clients, cache servers and discovery post their messages. */
+  /** Wraps the consumer to which clients, cache servers and discovery post their messages. */
   default Consumer<RoutingMessage> inbox(Consumer<RoutingMessage> mailbox) {
     return mailbox;
   }
--- a/src/main/java/beaconturn/net/RouterInputs.java
+++ b/src/main/java/beaconturn/net/RouterInputs.java
@@ -3,14 +3,14 @@
 import beaconturn.core.Lifecycle;
 
 /**
- * What a router is built from.
+ * The inputs that a router is built from.
  *
- * @param config the configuration to start with
- * @param source where a reload reads the configuration anew
+ * @param config the initial configuration
+ * @param source source of the configuration for reloads
  * @param lifecycle the phases of the process
- * @param customization parts that tests replace
- * @param fleetConfig the configuration that routers agree on; null where they do not
- * @param zoneWeights the zone weights that routers agree on; null where they do not
+ * @param customization components that tests replace
+ * @param fleetConfig the configuration that routers agree on; null if they do not
+ * @param zoneWeights the zone weights that routers agree on; null if they do not
  */
 record RouterInputs(
     RouterConfig config,
--- a/src/main/java/beaconturn/net/RouterMetrics.java
+++ b/src/main/java/beaconturn/net/RouterMetrics.java
@@ -8,36 +8,36 @@
 import java.util.function.LongSupplier;
 
 /**
- * What a router counts of its own work; immutable.
+ * The metrics of a router. Immutable.
  *
- * @param counters null where no admin address is set, as nobody could ask for them
- * @param health null unless an admin address is set and routers agree
+ * @param counters null if no admin address is configured, as they could not be read
+ * @param health null unless an admin address is configured and routers agree
  */
 record RouterMetrics(Counters counters, HealthMetrics health) {
-  /** The metrics that a router of this configuration needs. */
+  /** Creates the metrics that a router with these inputs needs. */
   static RouterMetrics of(
-      RouterInputs inputs, LongSupplier clock, IntSupplier connections, IntSupplier most) {
+      RouterInputs inputs, LongSupplier clock, IntSupplier connections, IntSupplier maxConnections) {
     if (inputs.config().adminAddress() == null) {
       return new RouterMetrics(null, null);
     }
     if (!inputs.hasFleetConfig()) {
       return new RouterMetrics(new Counters(), null);
     }
-    HealthMetrics health = new HealthMetrics(clock, connections, most);
+    HealthMetrics health = new HealthMetrics(clock, connections, maxConnections);
     return new RouterMetrics(health.counters(), health);
   }
 
-  /** Whether an admin address is set, where operators can ask for metrics. */
-  boolean hasReader() {
+  /** Whether an admin address is configured, through which metrics can be read. */
+  boolean isEnabled() {
     return counters != null;
   }
 
-  /** Where requests are counted. */
+  /** Counts requests. */
   RequestMetrics requests() {
     return counters == null ? RequestMetrics.NONE : counters;
   }
 
-  /** Where the routing engine counts attempts; empty where nobody asks. */
+  /** The metrics that the routing engine counts attempts in; empty if none can be read. */
   List<RequestMetrics> attempts(ZoneWeightsSource zoneWeights) {
     List<RequestMetrics> all = new ArrayList<>();
     if (health != null) {
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -13,22 +13,22 @@
 import java.util.logging.Logger;
 
 /**
- * One router on real sockets: starts its parts, reloads its configuration, and stops as planned.
- * {@link #start} and {@link #drain} run on the caller's thread; {@link #reload} and {@link #drain}
- * may come from other threads at any time.
+ * One router on real sockets: starts its components, reloads its configuration, and shuts down
+ * gracefully. {@link #start} and {@link #drain} run on the caller's thread; {@link #reload} and
+ * {@link #drain} may be called by other threads at any time.
  */
 public final class RouterServer {
   private static final Logger LOG = Logger.getLogger(RouterServer.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final RouterInputs inputs;
-  private final RouterAssembly parts;
+  private final RouterAssembly components;
 
   /** Null until the router serves. */
   private volatile Listener listener;
 
   /**
-   * A router that shares nothing with others; a reload reads from the source. No client is accepted
+   * Creates a router without agreement; a reload reads from the source. No client is accepted
    * before {@link #start}.
    *
    * @throws IOException if the admin address cannot be bound
@@ -39,8 +39,8 @@
   }
 
   /**
-   * A router that agrees with others; {@code fleetConfig} and {@code zoneWeights} null mean that it
-   * does not.
+   * Creates a router that agrees with others, unless {@code fleetConfig} and {@code zoneWeights}
+   * are null.
    *
    * @throws IOException if the admin address cannot be bound
    */
@@ -56,46 +56,46 @@
             config, source, lifecycle, RouterCustomization.NONE, fleetConfig, zoneWeights));
   }
 
-  /** A router some of whose parts may be replaced, for tests. */
+  /** Creates a router with replaceable components, for tests. */
   RouterServer(RouterInputs inputs) throws IOException {
     this.inputs = inputs;
-    this.parts = new RouterAssembly(inputs);
+    this.components = new RouterAssembly(inputs);
   }
 
   /**
-   * Starts all actors and binds the clients' address last: from then on the kernel accepts, and
-   * what a client writes to a connection that was accepted is owed an answer in time, however long
-   * a router that is still compiling, or has not received its list, would take to read it.
+   * Starts all threads and binds the listening address last: once it is bound the kernel accepts
+   * connections, whose requests need a response in time even if the router is still compiling or
+   * waiting for its endpoint list.
    *
-   * @throws IOException if the clients' address cannot be bound
+   * @throws IOException if the listening address cannot be bound
    */
   public void start() throws IOException {
-    if (parts.operators() != null) {
-      parts.operators().start();
+    if (components.operators() != null) {
+      components.operators().start();
     }
     warmUp();
     startFleetConfig();
-    parts.cacheServerThread().start();
+    components.cacheServerThread().start();
     startRouting();
     startDiscovery();
-    parts.reloader().start();
-    parts.poller().start();
-    parts.maintenanceLoop().start();
-    awaitWhatToActOn();
+    components.reloader().start();
+    components.poller().start();
+    components.maintenanceLoop().start();
+    awaitStartupState();
     inputs.lifecycle().advance(Lifecycle.Phase.SERVING);
     if (inputs.lifecycle().phase() != Lifecycle.Phase.SERVING) {
-      // Told to stop while it started: whom it accepted now nobody would answer.
+      // A shutdown was requested during the start: accepted clients would get no response.
       return;
     }
     listen();
   }
 
-  /** A router whose first requests are slow is better than none. */
+  /** Continues on a failure: slow first requests are better than no router. */
   private void warmUp() {
     try {
-      long beganNanos = parts.clock().now();
+      long startedAtNanos = components.clock().now();
       new StartupWarmUp(inputs.config()).run();
-      LOG.info("warmed up in " + (parts.clock().now() - beganNanos) / NANOS_PER_MILLI + " ms");
+      LOG.info("warmed up in " + (components.clock().now() - startedAtNanos) / NANOS_PER_MILLI + " ms");
     } catch (ProtocolException | InvalidCommandException | RuntimeException e) {
       LOG.log(Level.WARNING, "warm-up failed", e);
     }
@@ -105,39 +105,41 @@
     if (inputs.hasFleetConfig()) {
       Threads.start("agreement", inputs.fleetConfig());
       if (inputs.zoneWeights() != null) {
-        Threads.start("places", inputs.zoneWeights());
+        Threads.start("zones", inputs.zoneWeights());
       }
     }
   }
 
-  /** The routing thread begins with the list and with what the process before has left. */
+  /**
+   * Starts the routing thread with the initial endpoint list and the state of the previous process.
+   */
   private void startRouting() {
-    RoutingMessage.EndpointUpdateReceived known =
+    RoutingMessage.EndpointUpdateReceived initialList =
         new RoutingMessage.EndpointUpdateReceived(inputs.config().initialEndpoints());
-    parts.endpointList().known(known);
-    parts.routingThread().handleBeforeStart(known);
-    WarmStartState warmStart = parts.handover().warmStart();
+    components.endpointList().recordInitial(initialList);
+    components.routingThread().handleBeforeStart(initialList);
+    WarmStartState warmStart = components.handover().warmStart();
     if (warmStart != null) {
-      parts.routingThread().handleBeforeStart(new RoutingMessage.WarmStartReceived(warmStart));
+      components.routingThread().handleBeforeStart(new RoutingMessage.WarmStartReceived(warmStart));
     }
-    Threads.supervised("module", parts.routingThread()::run);
+    Threads.supervised("routing", components.routingThread()::run);
   }
 
   private void startDiscovery() {
-    parts.discovery().start();
-    if (!parts.settings().current().routing().pollsDiscovery()) {
-      // Where lists are pushed the policy does not ask for them, but here a watch is the only way
-      // to be notified: without it no drain would ever be heard of.
-      parts.discovery().watch(true);
+    components.discovery().start();
+    if (!components.settings().current().routing().pollsDiscovery()) {
+      // With pushed lists the policy does not request a watch, but without one here no drain would
+      // be noticed.
+      components.discovery().watch(true);
     }
   }
 
-  private void awaitWhatToActOn() {
+  private void awaitStartupState() {
     if (inputs.hasFleetConfig()) {
       inputs.fleetConfig().awaitFirstConfig();
-      parts.endpointList().awaitAgreedVersion();
+      components.endpointList().awaitAgreedVersion();
     }
-    parts
+    components
         .endpointList()
         .awaitDiscovery(
             inputs.customization().firstListTimeoutNanos(),
@@ -148,38 +150,38 @@
     RouterConfig config = inputs.config();
     listener =
         config.sharesListener()
-            ? Listener.inherited(parts.acceptor()::accept)
-            : Listener.bind(config.listenAddress(), parts.acceptor()::accept);
+            ? Listener.inherited(components.acceptor()::accept)
+            : Listener.bind(config.listenAddress(), components.acceptor()::accept);
     listener.start();
     LOG.info(
         config.name()
             + " serves on "
             + listener.address()
             + "; at most "
-            + parts.handover().budget().cacheConnections()
-            + " threads for requests that are out at cache servers");
+            + components.handover().budget().cacheConnections()
+            + " threads for connections to cache servers");
   }
 
-  /** Asks for a new reading of the configuration; never waits, and may come in any phase. */
+  /** Requests a reload of the configuration; never blocks. Allowed in any phase. */
   public void reload() {
-    parts.reloader().requestReload();
+    components.reloader().requestReload();
   }
 
-  /** Where operators call, or null where they cannot. */
+  /** The admin address, or null if none is configured. */
   public InetSocketAddress adminAddress() {
-    return parts.operators() == null ? null : parts.operators().address();
+    return components.operators() == null ? null : components.operators().address();
   }
 
-  /** Where clients connect; only after {@link #start}. */
+  /** The address for clients; valid only after {@link #start}. */
   public InetSocketAddress address() {
     return listener.address();
   }
 
   /**
-   * Stops as planned, answering all that was taken; returns when the router has stopped. Does
-   * nothing if it is stopping already.
+   * Shuts down gracefully, responding to all accepted requests; returns when the router has
+   * stopped. Does nothing if a shutdown is already running.
    */
   public void drain() throws InterruptedException {
-    parts.plannedStop().run(() -> listener);
+    components.gracefulShutdown().run(() -> listener);
   }
 }
--- a/src/main/java/beaconturn/net/RoutingEngineObserver.java
+++ b/src/main/java/beaconturn/net/RoutingEngineObserver.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Hands on what the routing engine knows to those who ask for it: metrics, other routers and the
- * next process. {@link #observe} runs on the routing thread, several times a second.
+ * Publishes the state of the routing engine to metrics, other routers and the next process. {@link
+ * #observe} runs on the routing thread, several times a second.
  */
 final class RoutingEngineObserver {
   private final RouterInputs inputs;
@@ -20,26 +20,26 @@
     this.handover = handover;
   }
 
-  /** Whether anybody asks for what the engine knows. */
+  /** Whether any of the recipients exists. */
   boolean isNeeded() {
-    return metrics.hasReader() || inputs.config().sharesListener() || inputs.hasFleetConfig();
+    return metrics.isEnabled() || inputs.config().sharesListener() || inputs.hasFleetConfig();
   }
 
-  /** Hands on what the engine knows now; waits for nobody. */
+  /** Publishes the current state of the engine; never blocks. */
   void observe(RoutingEngine engine) {
     engine.reportServers(metrics.requests());
     if (inputs.hasFleetConfig()) {
-      handOnStatuses(engine.serverStatuses());
+      publishStatuses(engine.serverStatuses());
     }
     if (handover.isPeerRunning()) {
-      handover.learned(engine.warmStartState());
+      handover.recordState(engine.warmStartState());
     }
   }
 
-  private void handOnStatuses(Map<CacheServerClients.ListedServer, ServerStatus> statuses) {
+  private void publishStatuses(Map<CacheServerClients.ListedServer, ServerStatus> statuses) {
     inputs.fleetConfig().serverStatuses(statuses);
     if (metrics.health() != null) {
-      metrics.health().servers(statuses.keySet());
+      metrics.health().setServers(statuses.keySet());
     }
     if (inputs.zoneWeights() != null) {
       inputs.zoneWeights().serverStatuses(statuses);
--- a/src/main/java/beaconturn/net/StartupEndpointList.java
+++ b/src/main/java/beaconturn/net/StartupEndpointList.java
@@ -9,13 +9,12 @@
 import java.util.logging.Logger;
 
 /**
- * The endpoint list as a start waits for it. Lists are received on any thread; the thread that
- * starts the router waits.
+ * Waits at startup for an endpoint list that is recent enough. Lists are received on any thread;
+ * the thread that starts the router waits.
  *
- * <p>The failure guarded against: the list that a router is started with may be old, and a change
- * that discovery has counts as notified from the first moment of a process. A router that served at
- * once would send requests to servers that drain. The waits are bounded, as a router with an old
- * list is better than none.
+ * <p>Guards against sending requests to draining servers: the configured list may be old, and
+ * discovery counts a change as delivered from the start of the process on. The waits are bounded,
+ * as a router with an old list is better than none.
  */
 final class StartupEndpointList {
   private static final Logger LOG = Logger.getLogger(StartupEndpointList.class.getName());
@@ -24,10 +23,10 @@
 
   private final Clock clock;
 
-  /** Null where routers do not agree. */
+  /** Null if routers do not agree on a configuration. */
   private final FleetConfigSource fleetConfig;
 
-  private final CountDownLatch discoveryAnswered = new CountDownLatch(1);
+  private final CountDownLatch discoveryReplied = new CountDownLatch(1);
   private volatile long receivedVersion;
 
   StartupEndpointList(Clock clock, FleetConfigSource fleetConfig) {
@@ -35,38 +34,38 @@
     this.fleetConfig = fleetConfig;
   }
 
-  /** Notes the list that the router was started with. */
-  void known(RoutingMessage.EndpointUpdateReceived message) {
-    note(message);
+  /** Records the initial endpoint list from the configuration. */
+  void recordInitial(RoutingMessage.EndpointUpdateReceived message) {
+    recordVersion(message);
   }
 
-  /** Notes what discovery has answered, or that it failed to; the routing thread has it already. */
-  void received(RoutingMessage message) {
-    note(message);
-    discoveryAnswered.countDown();
+  /** Records a reply of discovery, or its failure, after it was posted to the routing thread. */
+  void onDiscoveryReply(RoutingMessage message) {
+    recordVersion(message);
+    discoveryReplied.countDown();
   }
 
-  private void note(RoutingMessage message) {
+  private void recordVersion(RoutingMessage message) {
     if (fleetConfig != null
-        && message instanceof RoutingMessage.EndpointUpdateReceived news
-        && news.update().kind() != EndpointListKind.FAILED) {
-      receivedVersion = news.update().version();
+        && message instanceof RoutingMessage.EndpointUpdateReceived received
+        && received.update().kind() != EndpointListKind.FAILED) {
+      receivedVersion = received.update().version();
       fleetConfig.listReceived(receivedVersion);
     }
   }
 
-  /** Waits for discovery's first answer or failure. */
-  void awaitDiscovery(long timeoutNanos, long knownVersion) {
+  /** Waits for discovery's first reply or failure. */
+  void awaitDiscovery(long timeoutNanos, long initialVersion) {
     try {
-      if (!discoveryAnswered.await(timeoutNanos, TimeUnit.NANOSECONDS)) {
-        LOG.info("discovery is slow to answer: goes on with list " + knownVersion);
+      if (!discoveryReplied.await(timeoutNanos, TimeUnit.NANOSECONDS)) {
+        LOG.info("discovery has not replied in time; starting with endpoint list version " + initialVersion);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Waits for a list that is no older than what all routers act on by now. */
+  /** Waits for a list that is at least as recent as the agreed configuration requires. */
   void awaitAgreedVersion() {
     long untilNanos = clock.now() + AGREED_LIST_TIMEOUT_NANOS;
     while (isTooOld() && clock.now() < untilNanos) {
@@ -74,11 +73,11 @@
     }
     if (isTooOld()) {
       LOG.warning(
-          "list "
+          "endpoint list version "
               + receivedVersion
-              + " is older than what is agreed on, "
+              + " is older than the agreed version "
               + fleetConfig.dueConfig().oldestListVersion()
-              + ", and discovery tells no newer one: serves on it");
+              + " and discovery has no newer one; serving with it");
     }
   }
 
--- a/src/main/java/beaconturn/net/StartupWarmUp.java
+++ b/src/main/java/beaconturn/net/StartupWarmUp.java
@@ -23,18 +23,18 @@
 import java.util.Queue;
 
 /**
- * Runs requests through a routing engine of its own before the router serves: parsers, decisions
- * and writers are then compiled when the first client comes. All in memory, nothing is sent to
- * anybody. For the thread that starts the router.
+ * Runs requests through a separate routing engine before the router serves, so that parsers,
+ * decisions and encoders are compiled when the first client connects. Works in memory and sends
+ * nothing. For the thread that starts the router.
  */
 final class StartupWarmUp {
   private static final int ROUNDS = 120;
-  private static final long ROUND_NANOS = 5_000_000;
+  private static final long ROUND_INTERVAL_NANOS = 5_000_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final int KEYS = 500;
+  private static final int KEY_COUNT = 500;
 
-  /** Attempts that stay out while the next request comes, as in service. */
-  private static final int ATTEMPTS_LEFT_OUT = 2;
+  /** Attempts that remain in flight while the next request arrives, as in service. */
+  private static final int ATTEMPTS_IN_FLIGHT = 2;
 
   private static final String RESPONSE = "*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n";
 
@@ -42,7 +42,7 @@
   private final RequestParser requestParser;
   private final CacheResponseReader responseReader;
   private final RespReader respReader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
-  private final Queue<OutboundAttempt> attemptsOut = new ArrayDeque<>();
+  private final Queue<OutboundAttempt> attemptsInFlight = new ArrayDeque<>();
   private final RoutingEngine engine;
   private final PendingRequestIds pendingIds = new PendingRequestIds();
   private long nowNanos = 1;
@@ -57,25 +57,25 @@
             config.seed(),
             () -> nowNanos,
             new InMemoryCacheServers(),
-            new UnchangingDiscovery());
+            new StaticDiscovery());
     engine.handle(new RoutingMessage.EndpointUpdateReceived(config.initialEndpoints()));
   }
 
   /**
-   * Runs all rounds; each ends with the answers to what was sent two rounds before.
+   * Runs all rounds; each ends with the responses to requests sent two rounds before.
    *
-   * @throws ProtocolException never, as long as what is written here can be read
-   * @throws InvalidCommandException never, as long as the settings name a class
+   * @throws ProtocolException never, as the generated messages are well-formed
+   * @throws InvalidCommandException never, as long as the settings have a class
    */
   void run() throws ProtocolException, InvalidCommandException {
     for (int round = 0; round < ROUNDS; round++) {
-      nowNanos += ROUND_NANOS;
+      nowNanos += ROUND_INTERVAL_NANOS;
       engine.runDue();
       engine.handle(
           new RoutingMessage.RequestReceived(
               requestParser.parse(command(round).items(), nowNanos, pendingIds)));
-      while (attemptsOut.size() > ATTEMPTS_LEFT_OUT) {
-        answer(attemptsOut.remove());
+      while (attemptsInFlight.size() > ATTEMPTS_IN_FLIGHT) {
+        respond(attemptsInFlight.remove());
       }
     }
   }
@@ -85,7 +85,7 @@
     return (RespValue.Array)
         parse(
             "*4\r\n$5\r\nC.GET\r\n$16\r\n"
-                + hex(round % KEYS + 1)
+                + hex(round % KEY_COUNT + 1)
                 + "\r\n$16\r\n"
                 + hex(round)
                 + "\r\n$"
@@ -107,7 +107,7 @@
     return HexFormat.of().toHexDigits(number);
   }
 
-  private void answer(OutboundAttempt attempt) throws ProtocolException {
+  private void respond(OutboundAttempt attempt) throws ProtocolException {
     attempt.request().encode(1);
     engine.handle(
         new RoutingMessage.AttemptCompleted(
@@ -127,22 +127,22 @@
   private final class InMemoryCacheServers implements CacheServerClients {
     @Override
     public boolean send(OutboundAttempt attempt) {
-      return attemptsOut.add(attempt);
+      return attemptsInFlight.add(attempt);
     }
 
     @Override
     public void abort(OutboundAttempt attempt) {
-      attemptsOut.remove(attempt);
+      attemptsInFlight.remove(attempt);
     }
 
     @Override
     public void closeIdle(long serverId) {
-      attemptsOut.removeIf(attempt -> attempt.serverId() == serverId);
+      attemptsInFlight.removeIf(attempt -> attempt.serverId() == serverId);
     }
 
     @Override
     public void follow(EndpointUpdate update) {
-      attemptsOut.clear();
+      attemptsInFlight.clear();
     }
 
     @Override
@@ -151,16 +151,16 @@
     }
   }
 
-  /** The warm-up's engine keeps to the list that it was given. */
-  private static final class UnchangingDiscovery implements EndpointDiscovery {
+  /** Discovery whose endpoint list never changes. */
+  private static final class StaticDiscovery implements EndpointDiscovery {
     @Override
     public void watch(boolean on) {
-      // The list stays as it is.
+      // Nothing to watch.
     }
 
     @Override
     public void fetch() {
-      // Nor is it asked for whole.
+      // Nothing to fetch.
     }
   }
 }
--- a/src/main/java/beaconturn/net/UpgradeState.java
+++ b/src/main/java/beaconturn/net/UpgradeState.java
@@ -11,25 +11,25 @@
 import java.util.zip.CRC32C;
 
 /**
- * The file in which one process of a router leaves its warm-start state to the next in an upgrade;
- * written to a new file that is renamed. Version 2, big-endian: the mark {@code BTLEARN2}, a
- * checksum of all that follows it (CRC-32C in 8 bytes), the machine's monotonic time in
- * milliseconds, and six doubles. A file that is torn or damaged is ignored as a whole: a router
- * that began with figures of one could reject what it can serve.
+ * The file in which a process of a router stores its warm-start state for the next process during
+ * an upgrade. Written to a temporary file that is renamed. Format version 2, big-endian: the magic
+ * number {@code BTLEARN2}, a checksum of all that follows (CRC-32C in 8 bytes), the machine's
+ * monotonic time in milliseconds, and six doubles. A truncated or damaged file is ignored as a
+ * whole: wrong values could make the router reject requests that it can serve.
  */
 final class UpgradeState {
   private static final Logger LOG = Logger.getLogger(UpgradeState.class.getName());
 
   /** {@code BTLEARN2} in ASCII. */
-  private static final long MARK = 0x42544c4541524e32L;
+  private static final long MAGIC = 0x42544c4541524e32L;
 
-  private static final int FIGURE_COUNT = 6;
+  private static final int VALUE_COUNT = 6;
   private static final int CHECKSUM_OFFSET_BYTES = Long.BYTES;
   private static final int CHECKED_OFFSET_BYTES = 2 * Long.BYTES;
-  private static final int FILE_BYTES = 3 * Long.BYTES + FIGURE_COUNT * Double.BYTES;
+  private static final int FILE_BYTES = 3 * Long.BYTES + VALUE_COUNT * Double.BYTES;
 
-  /** A file older than this is of an upgrade long past, and is ignored. */
-  private static final long LONGEST_AGE_MILLIS = 10_000;
+  /** Age above which a file belongs to an earlier upgrade and is ignored. */
+  private static final long MAX_AGE_MILLIS = 10_000;
 
   private final Path file;
 
@@ -37,20 +37,20 @@
     this.file = file;
   }
 
-  /** Leaves the state as it is at this time of {@link beaconturn.net.control.MonotonicMillis}. */
+  /** Stores the state, with a time of {@link beaconturn.net.control.MonotonicMillis}. */
   void write(WarmStartState state, long nowMillis) {
-    Path aside = file.resolveSibling(file.getFileName() + ".new");
+    Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
     try {
-      Files.write(aside, encode(state, nowMillis));
-      Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE);
+      Files.write(temporaryFile, encode(state, nowMillis));
+      Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException e) {
-      LOG.warning("nothing is left to the next process: " + e);
+      LOG.warning("storing the warm-start state for the next process failed: " + e);
     }
   }
 
   private static byte[] encode(WarmStartState state, long nowMillis) {
     ByteBuffer out = ByteBuffer.allocate(FILE_BYTES);
-    out.putLong(MARK)
+    out.putLong(MAGIC)
         .putLong(0)
         .putLong(nowMillis)
         .putDouble(state.answersPerNano())
@@ -63,37 +63,37 @@
     return out.array();
   }
 
-  private static long checksum(byte[] whole) {
+  private static long checksum(byte[] fileBytes) {
     CRC32C checksum = new CRC32C();
-    checksum.update(whole, CHECKED_OFFSET_BYTES, whole.length - CHECKED_OFFSET_BYTES);
+    checksum.update(fileBytes, CHECKED_OFFSET_BYTES, fileBytes.length - CHECKED_OFFSET_BYTES);
     return checksum.getValue();
   }
 
-  /** What another process left lately, or null. */
+  /** Reads the state that another process stored recently, or returns null. */
   WarmStartState read(long nowMillis) {
     try {
       if (Files.size(file) != FILE_BYTES) {
-        throw new IOException("of another length");
+        throw new IOException("unexpected file length");
       }
       return decode(Files.readAllBytes(file), nowMillis);
     } catch (NoSuchFileException e) {
       return null;
     } catch (IOException e) {
-      LOG.warning(file + ": not followed: " + e);
+      LOG.warning(file + ": warm-start state ignored: " + e);
       return null;
     }
   }
 
-  /** Null if the file is too old. */
-  private static WarmStartState decode(byte[] whole, long nowMillis) throws IOException {
-    ByteBuffer in = ByteBuffer.wrap(whole);
-    if (in.getLong() != MARK || in.getLong() != checksum(whole)) {
-      throw new IOException("of another form, or damaged");
+  /** Returns null if the file is too old. */
+  private static WarmStartState decode(byte[] fileBytes, long nowMillis) throws IOException {
+    ByteBuffer in = ByteBuffer.wrap(fileBytes);
+    if (in.getLong() != MAGIC || in.getLong() != checksum(fileBytes)) {
+      throw new IOException("unknown format or wrong checksum");
     }
-    if (Math.abs(nowMillis - in.getLong()) > LONGEST_AGE_MILLIS) {
+    if (Math.abs(nowMillis - in.getLong()) > MAX_AGE_MILLIS) {
       return null;
     }
-    // Java evaluates arguments from left to right, in the order in which they were written.
+    // Java evaluates arguments from left to right, which is the order of the fields in the file.
     WarmStartState state =
         new WarmStartState(
             in.getDouble(),
@@ -103,7 +103,7 @@
             in.getDouble(),
             in.getDouble());
     if (!state.isValid()) {
-      throw new IOException("figures that no router has");
+      throw new IOException("values out of range");
     }
     return state;
   }
--- a/src/main/java/beaconturn/net/ZoneWeightsSource.java
+++ b/src/main/java/beaconturn/net/ZoneWeightsSource.java
@@ -7,20 +7,19 @@
 import java.util.Map;
 
 /**
- * The source of the zone weights that routers agree on: to which zones keys go. It runs on a thread
- * of its own and hears of attempts as they are counted. Not there, and nothing of it loaded, unless
- * the operators' file turns it on.
+ * Supplies the zone weights that routers agree on; runs on its own thread and receives attempts as
+ * they are counted. Present, and its classes loaded, only where the operators' file enables zones.
  */
 public interface ZoneWeightsSource extends Runnable, RequestMetrics {
   /**
-   * The weights that are to be in force now; the same object as long as nothing changes. Any
-   * thread, no wait.
+   * The weights that are to be active now; the same object as long as nothing changes. For any
+   * thread, never blocks.
    */
   ZoneWeights dueWeights();
 
-  /** Takes this router's view of each cache server; any thread, no wait. */
+  /** Reports this router's view of each cache server. For any thread, never blocks. */
   void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> statuses);
 
-  /** The router ends as planned. */
+  /** Leaves the fleet at a graceful shutdown. */
   void leave();
 }
--- a/src/main/java/beaconturn/net/io/BoundedPipe.java
+++ b/src/main/java/beaconturn/net/io/BoundedPipe.java
@@ -7,43 +7,46 @@
 import java.util.Deque;
 
 /**
- * A bounded buffer between the thread that reads a large answer and those that write it to its
- * client: a few pieces at the most. The reader waits while it is full; whoever writes to the client
- * never waits.
+ * A bounded buffer between the thread that reads a large response from a cache server and the
+ * threads that write it to the client. The producer blocks while the buffer is full; the consumer
+ * never blocks.
  */
 public final class BoundedPipe implements StreamingResponse {
-  /** In the place of a piece: all of the answer has been taken. */
+  /** Marks the end of the response in place of a chunk. */
   public static final Slice END = Slice.of("");
 
-  /** In the place of a piece: the answer broke off. */
+  /** Marks an incomplete response in place of a chunk: its producer has failed. */
   public static final Slice ABORTED = Slice.of("");
 
   private static final int CAPACITY_BYTES = 32 * 1024;
 
   // Guarded by this.
-  private final Deque<Slice> pieces = new ArrayDeque<>();
-  private int heldBytes;
+  private final Deque<Slice> chunks = new ArrayDeque<>();
+  private int bufferedBytes;
 
-  /** {@link #END} or {@link #ABORTED} once no further piece will come, else null. */
+  /** {@link #END} or {@link #ABORTED} once no further chunk will be added, otherwise null. */
   private Slice terminator;
 
   private boolean cancelled;
   private Runnable onAvailable = () -> {};
 
-  /** Sets what to do whenever a piece has come; some may be there already. For any thread. */
+  /**
+   * Sets the action that runs whenever a chunk is added; chunks may be available already. For any
+   * thread.
+   */
   public synchronized void onAvailable(Runnable action) {
     onAvailable = action;
   }
 
   /**
-   * Adds a piece, waiting for room. For the one producer.
+   * Adds a chunk; blocks while the pipe is full. For the only producer.
    *
-   * @throws IOException if nobody wants the answer any more
+   * @throws IOException if the pipe has been cancelled
    */
-  public void put(Slice piece) throws IOException {
+  public void put(Slice chunk) throws IOException {
     synchronized (this) {
       try {
-        while (heldBytes >= CAPACITY_BYTES && !cancelled) {
+        while (bufferedBytes >= CAPACITY_BYTES && !cancelled) {
           wait();
         }
       } catch (InterruptedException e) {
@@ -51,34 +54,34 @@
         cancelled = true;
       }
       if (cancelled) {
-        throw new IOException("nobody takes this answer any more");
+        throw new IOException("pipe cancelled: the client of the response has disconnected");
       }
-      pieces.add(piece);
-      heldBytes += piece.length();
+      chunks.add(chunk);
+      bufferedBytes += chunk.length();
     }
-    notifyTaker();
+    notifyConsumer();
   }
 
-  /** Marks the answer as whole: all pieces have been put. */
+  /** Marks the response as complete: all chunks have been added. */
   public void end() {
     finish(END);
   }
 
-  /** Marks the answer as broken off: no further piece will come, though it is not whole. */
+  /** Marks the response as incomplete: no further chunk will be added. */
   public void abort() {
     finish(ABORTED);
   }
 
-  private void finish(Slice how) {
+  private void finish(Slice marker) {
     synchronized (this) {
       if (terminator == null) {
-        terminator = how;
+        terminator = marker;
       }
     }
-    notifyTaker();
+    notifyConsumer();
   }
 
-  private void notifyTaker() {
+  private void notifyConsumer() {
     Runnable action;
     synchronized (this) {
       action = onAvailable;
@@ -86,21 +89,24 @@
     action.run();
   }
 
-  /** Takes the next piece, {@link #END}, {@link #ABORTED}, or null if none is there yet. */
+  /**
+   * Removes the next chunk, or returns {@link #END}, {@link #ABORTED}, or null if none is
+   * available.
+   */
   public synchronized Slice next() {
-    Slice piece = pieces.poll();
-    if (piece == null) {
+    Slice chunk = chunks.poll();
+    if (chunk == null) {
       return terminator;
     }
-    heldBytes -= piece.length();
+    bufferedBytes -= chunk.length();
     notifyAll();
-    return piece;
+    return chunk;
   }
 
   @Override
   public synchronized void cancel() {
     cancelled = true;
-    pieces.clear();
+    chunks.clear();
     notifyAll();
   }
 }
--- a/src/main/java/beaconturn/net/io/ConnectionLimit.java
+++ b/src/main/java/beaconturn/net/io/ConnectionLimit.java
@@ -1,19 +1,18 @@
 package beaconturn.net.io;
 
 /**
- * A limit on how many connections there are at once. It may change; those over a new limit stay
- * until they end. Any thread may call.
+ * A limit on the number of concurrent connections. Can be changed; connections above a lowered
+ * limit stay open. For any thread.
  */
 public final class ConnectionLimit {
   private int limit;
   private int count;
 
-  /** A limit of so many, of which none is taken. */
   public ConnectionLimit(int limit) {
     this.limit = limit;
   }
 
-  /** Counts one more connection; false, and without effect, if there are as many as may be. */
+  /** Counts one more connection; false, and without effect, if the limit is reached. */
   public synchronized boolean tryAcquire() {
     if (count >= limit) {
       return false;
@@ -27,7 +26,6 @@
     count--;
   }
 
-  /** Sets another limit. */
   public synchronized void setLimit(int newLimit) {
     limit = newLimit;
   }
--- a/src/main/java/beaconturn/net/io/Fnv1a.java
+++ b/src/main/java/beaconturn/net/io/Fnv1a.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The 64-bit FNV-1a hash, which gives a name its number: the same at every router and after every
- * start. Any thread may call.
+ * The 64-bit FNV-1a hash, which maps names to ids that are the same at every router and after every
+ * restart. For any thread.
  */
 public final class Fnv1a {
   private static final long OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -13,13 +13,13 @@
 
   private Fnv1a() {}
 
-  /** The number of a cache server, from its name, which is the same at every router. */
+  /** The id of a cache server, from its name. */
   public static long of(String name) {
     byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
     return of(new Slice(bytes, 0, bytes.length));
   }
 
-  /** The number of a name in bytes. */
+  /** The hash of a name in bytes. */
   public static long of(Slice name) {
     long hash = OFFSET_BASIS;
     for (int i = 0; i < name.length(); i++) {
--- a/src/main/java/beaconturn/net/io/Sockets.java
+++ b/src/main/java/beaconturn/net/io/Sockets.java
@@ -12,16 +12,19 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** Reads and writes that all connections share. Any thread may call. */
+/** Reads and writes shared by all connections. For any thread. */
 public final class Sockets {
   private static final int WRITE_BUFFER_BYTES = 2048;
 
-  /** Each thread keeps a buffer outside the heap as large as its largest read or write. */
+  /**
+   * Limits the direct buffer that the JDK caches for each thread, which is as large as its largest
+   * transfer.
+   */
   public static final int MAX_TRANSFER_BYTES = 8 * 1024;
 
   private Sockets() {}
 
-  /** Reads what is there, waiting for the first byte; false at the end of the stream. */
+  /** Reads the available bytes, blocking for the first; false at the end of the stream. */
   public static boolean read(InputStream from, InputBuffer into) throws IOException {
     int room = Math.min(MAX_TRANSFER_BYTES, into.ensureRoom());
     int bytes = from.read(into.array(), into.end(), room);
@@ -32,19 +35,19 @@
     return true;
   }
 
-  /** Writes small pieces as one, so that a message of many of them is one packet. */
-  public static void write(OutputStream to, List<Slice> pieces) throws IOException {
+  /** Writes small chunks together, so that a message of many chunks is one packet. */
+  public static void write(OutputStream to, List<Slice> chunks) throws IOException {
     BufferedOutputStream out = new BufferedOutputStream(to, WRITE_BUFFER_BYTES);
-    for (Slice piece : pieces) {
-      for (int written = 0; written < piece.length(); written += MAX_TRANSFER_BYTES) {
-        int length = Math.min(MAX_TRANSFER_BYTES, piece.length() - written);
-        out.write(piece.array(), piece.from() + written, length);
+    for (Slice chunk : chunks) {
+      for (int written = 0; written < chunk.length(); written += MAX_TRANSFER_BYTES) {
+        int length = Math.min(MAX_TRANSFER_BYTES, chunk.length() - written);
+        out.write(chunk.array(), chunk.from() + written, length);
       }
     }
     out.flush();
   }
 
-  /** Writes as much as the peer takes without waiting; true once all is written. */
+  /** Writes as much as the socket accepts without blocking; true once all is written. */
   public static boolean writeSome(SocketChannel to, ByteBuffer bytes) throws IOException {
     int end = bytes.limit();
     int written = 1;
@@ -56,20 +59,20 @@
     return bytes.position() == end;
   }
 
-  /** Closes without waiting; a socket that is closed already stays so. */
+  /** Closes a socket, ignoring errors; a closed socket stays closed. */
   public static void close(Closeable socket) {
     try {
       socket.close();
     } catch (IOException e) {
-      // There is nothing left to do with a socket that fails to close.
+      // Nothing can be done about a socket that fails to close.
       return;
     }
   }
 
   /**
-   * The address that a text names as host:port, without asking any name service.
+   * Parses an address of the form host:port without a name lookup.
    *
-   * @throws IllegalArgumentException if the text is none
+   * @throws IllegalArgumentException if the text is not such an address
    */
   public static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
--- a/src/main/java/beaconturn/net/io/Threads.java
+++ b/src/main/java/beaconturn/net/io/Threads.java
@@ -4,16 +4,14 @@
 import java.util.logging.Logger;
 
 /**
- * Factory of the platform threads: daemons with small stacks, whose failures are logged and end
- * nothing else. Any thread may call.
+ * Creates platform threads: daemons with small stacks, whose failures are logged and affect no
+ * other thread. For any thread.
  */
 public final class Threads {
   private static final Logger LOG = Logger.getLogger(Threads.class.getName());
   private static final long STACK_BYTES = 192 * 1024;
 
-  /**
-   * Between a failure of a supervised loop and its next beginning: a lasting failure must not spin.
-   */
+  /** Pause before a failed loop is restarted, so that a persistent failure does not spin. */
   private static final long RESTART_PAUSE_MILLIS = 10;
 
   private Threads() {}
@@ -25,8 +23,8 @@
   }
 
   /**
-   * Starts a thread that the router cannot do without: whatever its loop throws is logged, and the
-   * loop begins anew after a pause. It ends when the loop returns or is interrupted.
+   * Starts a thread that the router cannot do without: any failure of its loop is logged, and the
+   * loop is restarted after a pause. Exits when the loop returns or is interrupted.
    */
   public static Thread supervised(String name, Loop loop) {
     return start(name, () -> supervise(name, loop));
@@ -34,7 +32,7 @@
 
   private static void supervise(String name, Loop loop) {
     try {
-      while (!finished(name, loop)) {
+      while (!runOnce(name, loop)) {
         Thread.sleep(RESTART_PAUSE_MILLIS);
       }
     } catch (InterruptedException e) {
@@ -42,7 +40,7 @@
     }
   }
 
-  private static boolean finished(String name, Loop loop) throws InterruptedException {
+  private static boolean runOnce(String name, Loop loop) throws InterruptedException {
     try {
       loop.run();
       return true;
@@ -52,12 +50,12 @@
     }
   }
 
-  /** Without memory even the log may fail, which must not end the thread either. */
+  /** Logs a failure. Logging may fail too if memory is exhausted, which must not end the thread. */
   private static void report(String name, Throwable failure) {
     try {
-      LOG.log(Level.SEVERE, "thread " + name + " failed and begins anew", failure);
+      LOG.log(Level.SEVERE, "thread " + name + " failed and is restarted", failure);
     } catch (RuntimeException | Error e) {
-      // There is nowhere left to say it.
+      // Nothing more can be done.
       return;
     }
   }
--- a/src/main/java/beaconturn/net/io/package-info.java
+++ b/src/main/java/beaconturn/net/io/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What all connections of a router share: sockets, threads, bounded pipes and limits. It depends on
- * no other part of the adapters.
+ * Sockets, threads, bounded pipes and limits shared by all connections of a router. Depends on no
+ * other package of the adapters.
  */
 package beaconturn.net.io;
--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/BrokenRouter.java
@@ -30,36 +30,33 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/**
- * Routers with a defect each, put in on purpose: what watches over routers must name every one of
- * them.
- */
+/** Routers with one injected defect each, for tests that prove that the invariants detect it. */
 public final class BrokenRouter implements RouterCustomization {
-  private static final int SOME = 15;
-  private static final long TOO_LONG = 60_000_000_000L;
+  private static final int DEFECT_INTERVAL = 15;
+  private static final long EXTRA_AGE_NANOS = 60_000_000_000L;
   private final Defect defect;
   private int count;
-  private Slice before;
+  private Slice previousResponse;
 
-  /** What is wrong with a router. */
+  /** The injected defect. */
   public enum Defect {
-    /** Nothing: the same router as it should be. */
+    /** No defect. */
     NONE,
-    /** Now and then a client gets its answer twice. */
+    /** Some clients receive their response twice. */
     ANSWERS_TWICE,
-    /** An unsafe request that may have run is sent again. */
+    /** Retries non-idempotent requests that may have been executed. */
     REPEATS_UNSAFE,
-    /** News of drains are not heard. */
+    /** Endpoint updates that drain a server are ignored. */
     IGNORES_DRAINS,
-    /** Now and then a request is forgotten. */
+    /** Some requests are lost. */
     LOSES,
-    /** Every cache server is taken for a warm one. */
+    /** Slow start is skipped: every cache server counts as warm. */
     OVERRUNS_COLD,
-    /** Now and then a client gets the answer of another. */
+    /** Some clients receive the response of another request. */
     SWAPS_ANSWERS,
-    /** A command that is rejected ends its connection, whatever stands behind it. */
+    /** A rejected command closes its connection, whatever follows it. */
     ENDS_AT_REJECTION,
-    /** Connections are ended over commands that have begun. */
+    /** Connections are closed while a command is partially read. */
     ENDS_OVER_COMMANDS
   }
 
@@ -67,7 +64,7 @@
     this.defect = defect;
   }
 
-  /** A router with the defect; not started yet. */
+  /** Creates a router with the defect, not started yet. */
   public static RouterServer of(Defect defect, RouterConfig config) throws IOException {
     return new RouterServer(
         new RouterInputs(
@@ -75,21 +72,21 @@
   }
 
   @Override
-  public ClientConnection connection(SocketChannel client, ConnectionContext site) {
+  public ClientConnection connection(SocketChannel client, ConnectionContext context) {
     return switch (defect) {
       case ENDS_AT_REJECTION ->
-          new ClientConnection(client, site) {
+          new ClientConnection(client, context) {
             @Override
             protected void respondWithError(String reason) {
               closeWithError(reason);
             }
           };
       case ENDS_OVER_COMMANDS ->
-          new ClientConnection(client, site) {
+          new ClientConnection(client, context) {
             @Override
             public long partialCommandSinceNanos() {
-              // Long ago, however soon it is.
-              return super.partialCommandSinceNanos() - TOO_LONG;
+              // Older than any timeout.
+              return super.partialCommandSinceNanos() - EXTRA_AGE_NANOS;
             }
 
             @Override
@@ -97,48 +94,49 @@
               return true;
             }
           };
-      default -> new ClientConnection(client, site);
+      default -> new ClientConnection(client, context);
     };
   }
 
   @Override
   public Consumer<RoutingMessage> inbox(Consumer<RoutingMessage> mailbox) {
     return message -> {
-      RoutingMessage passed = spoil(message);
+      RoutingMessage passed = applyDefect(message);
       if (passed != null) {
         mailbox.accept(passed);
       }
     };
   }
 
-  private synchronized RoutingMessage spoil(RoutingMessage message) {
+  private synchronized RoutingMessage applyDefect(RoutingMessage message) {
     if (message instanceof RoutingMessage.RequestReceived && defect == Defect.LOSES) {
-      return ++count % SOME == 0 ? null : message;
+      return ++count % DEFECT_INTERVAL == 0 ? null : message;
     }
-    if (message instanceof RoutingMessage.EndpointUpdateReceived news
+    if (message instanceof RoutingMessage.EndpointUpdateReceived received
         && defect == Defect.IGNORES_DRAINS) {
-      // The sockets too: they would hold a send back that the module should not have made.
+      // Also rewritten for the cache server clients, which would otherwise hold back requests to
+      // draining servers.
       return new RoutingMessage.EndpointUpdateReceived(
           new EndpointUpdate(
-              news.update().version(),
-              news.update().kind(),
-              news.update().endpoints().stream().map(BrokenRouter::undrained).toList()));
+              received.update().version(),
+              received.update().kind(),
+              received.update().endpoints().stream().map(BrokenRouter::undrained).toList()));
     }
-    if (!(message instanceof RoutingMessage.AttemptCompleted ended)
-        || ended.result().outcome() != AttemptOutcome.OK) {
+    if (!(message instanceof RoutingMessage.AttemptCompleted completed)
+        || completed.result().outcome() != AttemptOutcome.OK) {
       return message;
     }
-    Slice answer = ended.result().answer();
-    Slice other = before;
-    before = answer;
-    if (++count % SOME != 0 || other == null) {
+    Slice response = completed.result().answer();
+    Slice otherResponse = previousResponse;
+    previousResponse = response;
+    if (++count % DEFECT_INTERVAL != 0 || otherResponse == null) {
       return message;
     }
     return switch (defect) {
       case ANSWERS_TWICE ->
-          new RoutingMessage.AttemptCompleted(ended.attempt(), with(ended.result(), twice(answer)));
+          new RoutingMessage.AttemptCompleted(completed.attempt(), with(completed.result(), twice(response)));
       case SWAPS_ANSWERS ->
-          new RoutingMessage.AttemptCompleted(ended.attempt(), with(ended.result(), other));
+          new RoutingMessage.AttemptCompleted(completed.attempt(), with(completed.result(), otherResponse));
       default -> message;
     };
   }
@@ -160,19 +158,19 @@
             m.dialAddress());
   }
 
-  private static AttemptResult with(AttemptResult outcome, Slice answer) {
+  private static AttemptResult with(AttemptResult outcome, Slice response) {
     return new AttemptResult(
         outcome.outcome(),
         outcome.endedAtNanos(),
         outcome.cacheStatus(),
         outcome.loadReport(),
-        answer);
+        response);
   }
 
-  private static Slice twice(Slice answer) {
-    byte[] both = new byte[2 * answer.length()];
-    System.arraycopy(answer.copy(), 0, both, 0, answer.length());
-    System.arraycopy(answer.copy(), 0, both, answer.length(), answer.length());
+  private static Slice twice(Slice response) {
+    byte[] both = new byte[2 * response.length()];
+    System.arraycopy(response.copy(), 0, both, 0, response.length());
+    System.arraycopy(response.copy(), 0, both, response.length(), response.length());
     return new Slice(both, 0, both.length);
   }
 
@@ -185,17 +183,17 @@
         clock,
         fleet,
         list,
-        out -> {
-          RoutingPolicy module = new RingRouter(settings, config.seed(), clock.now(), out);
+        actions -> {
+          RoutingPolicy policy = new RingRouter(settings, config.seed(), clock.now(), actions);
           return switch (defect) {
-            case OVERRUNS_COLD -> (now, event) -> module.handle(now, warm(event));
-            case REPEATS_UNSAFE -> new Repeater(settings, module, out);
-            default -> module;
+            case OVERRUNS_COLD -> (now, event) -> policy.handle(now, asWarm(event));
+            case REPEATS_UNSAFE -> new RetryingPolicy(settings, policy, actions);
+            default -> policy;
           };
         });
   }
 
-  private static RoutingEvent warm(RoutingEvent event) {
+  private static RoutingEvent asWarm(RoutingEvent event) {
     if (!(event instanceof RoutingEvent.EndpointsUpdated list)) {
       return event;
     }
@@ -209,18 +207,18 @@
     return new RoutingEvent.EndpointsUpdated(list.version(), list.kind(), entries);
   }
 
-  /** Sends unsafe requests again after a reset, behind the module's back. */
-  private static final class Repeater implements RoutingPolicy {
+  /** Retries non-idempotent requests after a reset, bypassing the routing policy. */
+  private static final class RetryingPolicy implements RoutingPolicy {
     private final RoutingSettings settings;
-    private final RoutingPolicy module;
-    private final RoutingActions out;
-    private final Set<Long> unsafe = new HashSet<>();
+    private final RoutingPolicy policy;
+    private final RoutingActions actions;
+    private final Set<Long> nonIdempotentRequests = new HashSet<>();
     private final Map<Long, Long> servers = new HashMap<>();
 
-    private Repeater(RoutingSettings settings, RoutingPolicy module, RoutingActions out) {
+    private RetryingPolicy(RoutingSettings settings, RoutingPolicy policy, RoutingActions actions) {
       this.settings = settings;
-      this.module = module;
-      this.out = out;
+      this.policy = policy;
+      this.actions = actions;
     }
 
     @Override
@@ -229,18 +227,18 @@
         list.endpoints().forEach(e -> servers.put(e.serverId(), e.serverId()));
       } else if (event instanceof RoutingEvent.RequestArrived a
           && settings.classes().get(a.requestClass()).idempotency() == Idempotency.NON_IDEMPOTENT) {
-        unsafe.add(a.requestId());
+        nonIdempotentRequests.add(a.requestId());
       } else if (event instanceof RoutingEvent.AttemptClosed e
-          && unsafe.contains(e.requestId())
+          && nonIdempotentRequests.contains(e.requestId())
           && !e.requestClosed()
           && e.outcome() == AttemptOutcome.RESET
           && e.attempt() == 0) {
         List<Long> others = new ArrayList<>(servers.keySet());
         others.remove(e.serverId());
-        out.send(e.requestId(), others.get(0), 0);
+        actions.send(e.requestId(), others.get(0), 0);
         return;
       }
-      module.handle(now, event);
+      policy.handle(now, event);
     }
   }
 }
--- a/src/test/java/beaconturn/net/ConnectionBudgetTest.java
+++ b/src/test/java/beaconturn/net/ConnectionBudgetTest.java
@@ -7,18 +7,17 @@
 
 class ConnectionBudgetTest {
   /**
-   * With all connections in use neither the descriptors nor the memory of a thread each may run
-   * out.
+   * All connections together must exceed neither the descriptors nor the memory for their threads.
    */
   @ParameterizedTest
   @CsvSource({"1024, 192", "1024, 128", "256, 192", "64, 64", "256, 32", "4096, 2048"})
-  void allConnectionsTogetherStayWithinTheLimits(int sockets, int memoryMb) {
-    ConnectionBudget capacity = ConnectionBudget.of(sockets, memoryMb);
-    assertTrue(capacity.clients() > 0 && capacity.cacheConnections() > 0);
-    int ending = 1 + capacity.clients() / 16;
-    assertTrue(capacity.clients() + ending + capacity.cacheConnections() < sockets - 20);
-    int left = memoryMb - memoryMb * 3 / 10 - 40;
-    assertTrue(capacity.cacheConnections() <= Math.max(64, left * 1024 / 45));
-    assertTrue(2 * 66 * capacity.largeRequests() <= memoryMb * 3 / 10 * 1024);
+  void staysWithinDescriptorAndMemoryLimits(int sockets, int memoryMb) {
+    ConnectionBudget budget = ConnectionBudget.of(sockets, memoryMb);
+    assertTrue(budget.clients() > 0 && budget.cacheConnections() > 0);
+    int closing = 1 + budget.clients() / 16;
+    assertTrue(budget.clients() + closing + budget.cacheConnections() < sockets - 20);
+    int memoryForThreadsMb = memoryMb - memoryMb * 3 / 10 - 40;
+    assertTrue(budget.cacheConnections() <= Math.max(64, memoryForThreadsMb * 1024 / 45));
+    assertTrue(2 * 66 * budget.largeRequests() <= memoryMb * 3 / 10 * 1024);
   }
 }
--- a/src/test/java/beaconturn/net/OperatorOverridesTest.java
+++ b/src/test/java/beaconturn/net/OperatorOverridesTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators say of one router, beside what the whole fleet has agreed to leave out. */
+/** Overrides by operators of one router, combined with the servers that the fleet excludes. */
 class OperatorOverridesTest {
   @TempDir private Path folder;
   private final List<RoutingMessage> posted = new ArrayList<>();
-  private final Set<String> heldOut = new HashSet<>();
-  private final List<Boolean> known = new ArrayList<>();
+  private final Set<String> excludedByFleet = new HashSet<>();
+  private final List<Boolean> acknowledged = new ArrayList<>();
   private OperatorOverrides operators;
 
   @BeforeEach
@@ -50,7 +50,7 @@
             new Lifecycle(),
             () -> 0,
             posted::add,
-            heldOut::contains,
+            excludedByFleet::contains,
             new RouterMetrics(new Counters(), null));
   }
 
@@ -59,15 +59,15 @@
     operators.close();
   }
 
-  private void say(boolean out) {
-    operators.applyOverride(new ServerOverride("c1", out, 5), true, known::add);
+  private void override(boolean excluded) {
+    operators.applyOverride(new ServerOverride("c1", excluded, 5), true, acknowledged::add);
   }
 
   @Test
-  void aCallBringsBackWhatACallLeftOut() {
-    say(true);
+  void includesServerThatOperatorExcluded() {
+    override(true);
     assertTrue(operators.isExcluded("c1"));
-    say(false);
+    override(false);
     assertFalse(operators.isExcluded("c1"));
     assertEquals(
         List.of(true, false),
@@ -75,41 +75,41 @@
   }
 
   /**
-   * The module reckons from it how warm a cache server is: the wall clock, which may be stepped,
-   * has no say.
+   * The time of an override decides how warm a cache server counts; wall clock steps must not
+   * affect it.
    */
   @Test
-  void whenSomethingWasSaidIsToldByTheClockOfThisProcess() {
+  void convertsOverrideTimeToProcessClock() {
     operators.applyOverride(
-        new ServerOverride("c1", false, MonotonicMillis.millis() - 5000), true, known::add);
-    long at = ((RoutingMessage.OverrideRequested) posted.get(0)).atNanos();
-    assertTrue(at <= -5_000_000_000L && at > -60_000_000_000L, () -> "at " + at);
+        new ServerOverride("c1", false, MonotonicMillis.millis() - 5000), true, acknowledged::add);
+    long atNanos = ((RoutingMessage.OverrideRequested) posted.get(0)).atNanos();
+    assertTrue(atNanos <= -5_000_000_000L && atNanos > -60_000_000_000L, () -> "at " + atNanos);
     operators.applyOverride(
-        new ServerOverride("c1", false, MonotonicMillis.millis() + 3_600_000), true, known::add);
+        new ServerOverride("c1", false, MonotonicMillis.millis() + 3_600_000), true, acknowledged::add);
     assertEquals(
         0,
         ((RoutingMessage.OverrideRequested) posted.get(1)).atNanos(),
         "nothing was said later than now");
   }
 
-  /** The call is answered, as it holds once the fleet lets go; until then nobody sends there. */
+  /** The command is acknowledged and takes effect once the fleet no longer excludes the server. */
   @Test
-  void whatTheFleetHoldsOutNoCallAtOneRouterBringsBack() {
-    heldOut.add("c1");
-    say(false);
+  void operatorCannotIncludeServerExcludedByFleet() {
+    excludedByFleet.add("c1");
+    override(false);
     assertEquals(List.of(), posted);
-    assertEquals(List.of(true), known);
+    assertEquals(List.of(true), acknowledged);
   }
 
   /**
-   * It is out for two reasons: the fleet's end of it must not bring back what operators left out
-   * here.
+   * A server excluded by both the fleet and an operator stays excluded when the fleet includes it
+   * again.
    */
   @Test
-  void whatOperatorsLeftOutStaysSoWhateverTheFleetHoldsOut() {
-    heldOut.add("c1");
-    say(true);
-    heldOut.clear();
+  void operatorExclusionOutlastsFleetExclusion() {
+    excludedByFleet.add("c1");
+    override(true);
+    excludedByFleet.clear();
     assertTrue(operators.isExcluded("c1"));
     assertEquals(1, posted.size());
   }
--- a/src/test/java/beaconturn/net/PlantedAgreement.java
+++ b/src/test/java/beaconturn/net/PlantedAgreement.java
@@ -22,77 +22,77 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A router's part in the agreement with a defect, put in on purpose: the account must name it. */
+/** A router's member of the agreement with an injected defect, which the invariants must detect. */
 public final class PlantedAgreement implements FleetConfigSource {
   private static final long SECOND = 1_000_000_000;
   private final Defect defect;
-  private final AgreementSubsystem sound;
+  private final AgreementSubsystem member;
   private final StoreClient store;
-  private DueConfig held;
-  private volatile DueConfig early;
-  private volatile boolean left;
+  private DueConfig keptConfig;
+  private volatile DueConfig earlyConfig;
+  private volatile boolean stopped;
 
-  /** What is wrong with it. */
+  /** The injected defect. */
   public enum Defect {
-    /** It goes on with the version that it has, whatever becomes of its lease. */
+    /** Keeps its version after its lease has expired. */
     IGNORES_LEASE,
-    /** It takes a version into force as soon as it is proposed. */
+    /** Applies a version as soon as it is proposed. */
     RUNS_AHEAD,
-    /** The same, seen by what it repeats. */
+    /** Keeps its version after its lease has expired, and retries requests under it. */
     REPEATS,
-    /** It claims to have whatever list a version asks for, and takes any. */
+    /** Claims to have any endpoint list that a version requires, and accepts any list. */
     CLAIMS_LISTS
   }
 
-  private PlantedAgreement(Defect defect, AgreementSubsystem sound, StoreClient store) {
+  private PlantedAgreement(Defect defect, AgreementSubsystem member, StoreClient store) {
     this.defect = defect;
-    this.sound = sound;
+    this.member = member;
     this.store = store;
   }
 
-  /** The part of a router as its operators' file has it, with the defect. */
+  /** Creates the member for a router and its operators' file, with the defect. */
   public static PlantedAgreement of(Defect defect, Path features, RouterConfig router)
       throws IOException {
     Matcher port = Pattern.compile("127\\.0\\.0\\.1:([0-9]+)").matcher(Files.readString(features));
     if (!port.find()) {
       throw new IOException("no endpoint in " + features);
     }
-    List<InetSocketAddress> at =
+    List<InetSocketAddress> endpoints =
         List.of(new InetSocketAddress("127.0.0.1", Integer.parseInt(port.group(1))));
-    AgreementSubsystem sound =
+    AgreementSubsystem member =
         new AgreementSubsystem(
             new AgreementConfig(
-                at, "/rehearsal", new AgreementTiming(SECOND, 0.01, SECOND / 2), null),
+                endpoints, "/rehearsal", new AgreementTiming(SECOND, 0.01, SECOND / 2), null),
             router);
-    return new PlantedAgreement(defect, sound, new StoreClient(at, SECOND));
+    return new PlantedAgreement(defect, member, new StoreClient(endpoints, SECOND));
   }
 
   @Override
   public void run() {
     if (defect == Defect.RUNS_AHEAD) {
-      Threads.start("runs-ahead", this::ahead);
+      Threads.start("runs-ahead", this::followProposals);
     }
-    sound.run();
+    member.run();
   }
 
-  private void ahead() {
+  private void followProposals() {
     AgreementKeys keys = new AgreementKeys("/rehearsal");
-    while (!left) {
+    while (!stopped) {
       if (store.ask(new StoreRequest.Read(keys.commonPrefix()))
-          instanceof StoreResponse.Success given) {
-        given.entries().stream()
-            .filter(p -> p.key().endsWith("/next"))
-            .forEach(p -> take(p.value()));
+          instanceof StoreResponse.Success success) {
+        success.entries().stream()
+            .filter(entry -> entry.key().endsWith("/next"))
+            .forEach(entry -> applyEarly(entry.value()));
       }
     }
   }
 
-  private void take(String text) {
+  private void applyEarly(String text) {
     try {
       ConfigVersion next = ConfigCodec.decodeVersion(text);
-      DueConfig now = sound.dueConfig();
-      if (early == null || !early.description().equals("early " + next.number())) {
-        early =
+      DueConfig now = member.dueConfig();
+      if (earlyConfig == null || !earlyConfig.description().equals("early " + next.number())) {
+        earlyConfig =
             new DueConfig(
                 now.settings(),
                 next.content().excludedServers(),
@@ -107,29 +107,28 @@
 
   @Override
   public DueConfig dueConfig() {
-    DueConfig sounds = sound.dueConfig();
+    DueConfig memberConfig = member.dueConfig();
     if (defect == Defect.RUNS_AHEAD) {
-      return early == null ? sounds : early;
+      return earlyConfig == null ? memberConfig : earlyConfig;
     }
     if (defect == Defect.CLAIMS_LISTS) {
-      return sounds;
+      return memberConfig;
     }
-    // Once it has a version of its own, it holds on to that until it is told of another one in
-    // force.
-    if (held == null || sounds.description().matches("version [0-9]+")) {
-      held = sounds;
+    // Keeps the version that it has until a different one is active.
+    if (keptConfig == null || memberConfig.description().matches("version [0-9]+")) {
+      keptConfig = memberConfig;
     }
-    return held;
+    return keptConfig;
   }
 
   @Override
   public void awaitFirstConfig() {
-    sound.awaitFirstConfig();
+    member.awaitFirstConfig();
   }
 
   @Override
-  public void configApplied(DueConfig force) {
-    sound.configApplied(force);
+  public void configApplied(DueConfig config) {
+    member.configApplied(config);
   }
 
   @Override
@@ -139,12 +138,12 @@
 
   @Override
   public void listReceived(long version) {
-    sound.listReceived(defect == Defect.CLAIMS_LISTS ? Long.MAX_VALUE : version);
+    member.listReceived(defect == Defect.CLAIMS_LISTS ? Long.MAX_VALUE : version);
   }
 
   @Override
-  public void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> caches) {
-    sound.serverStatuses(caches);
+  public void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> statuses) {
+    member.serverStatuses(statuses);
   }
 
   @Override
@@ -154,7 +153,7 @@
 
   @Override
   public void leave() {
-    left = true;
-    sound.leave();
+    stopped = true;
+    member.leave();
   }
 }
--- a/src/test/java/beaconturn/net/RouterConfigTest.java
+++ b/src/test/java/beaconturn/net/RouterConfigTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class RouterConfigTest {
-  private static final String SOUND =
+  private static final String VALID_CONFIG =
       """
         {"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500",
          "seed":"8c1f30d27a5be964",
@@ -51,7 +51,7 @@
 
   @TempDir private Path folder;
   private final List<RoutingMessage> posted = new ArrayList<>();
-  private final List<RouterSettings> inForce = new ArrayList<>();
+  private final List<RouterSettings> activated = new ArrayList<>();
   private final Counters counters = new Counters();
   private final Deque<String> files = new ArrayDeque<>();
 
@@ -66,8 +66,8 @@
   }
 
   @Test
-  void readsAllThatARouterIsTold() throws ConfigException {
-    RouterConfig config = read(SOUND, Map.of());
+  void readsAllKeys() throws ConfigException {
+    RouterConfig config = read(VALID_CONFIG, Map.of());
     assertEquals("n3", config.name());
     assertEquals(6379, config.listenAddress().getPort());
     assertEquals(0x8c1f30d27a5be964L, config.seed());
@@ -86,80 +86,79 @@
     assertTrue(config.settings().routing().loadReportFields().isEmpty());
   }
 
-  /** Every router must place the same keys alike, whatever address it reaches a cache server at. */
+  /** All routers must assign the same keys to a server, whatever address they reach it at. */
   @Test
-  void theNumberOfACacheServerComesFromItsNameAlone() throws ConfigException {
-    long here = read(SOUND, Map.of()).initialEndpoints().endpoints().get(0).endpoint().serverId();
-    RouterConfig there = read(SOUND.replace("10.1.0.18", "127.9.1.4"), Map.of());
+  void serverIdDependsOnNameOnly() throws ConfigException {
+    long here = read(VALID_CONFIG, Map.of()).initialEndpoints().endpoints().get(0).endpoint().serverId();
+    RouterConfig there = read(VALID_CONFIG.replace("10.1.0.18", "127.9.1.4"), Map.of());
     assertEquals(here, there.initialEndpoints().endpoints().get(0).endpoint().serverId());
     assertEquals("127.9.1.4:6379", there.initialEndpoints().endpoints().get(0).dialAddress());
     assertNotEquals(here, there.initialEndpoints().endpoints().get(1).endpoint().serverId());
   }
 
-  /** One line that cannot be read must not hide the others. */
   @Test
-  void anUnreadableLineOfTheListIsLeftOut() throws ConfigException {
+  void skipsUnreadableEndpoint() throws ConfigException {
     assertEquals(
         1,
-        read(SOUND.replace("\"ready\"", "\"odd\""), Map.of())
+        read(VALID_CONFIG.replace("\"ready\"", "\"odd\""), Map.of())
             .initialEndpoints()
             .endpoints()
             .size());
     assertEquals(
         1,
-        read(SOUND.replace("10.1.0.18:6379", "here"), Map.of())
+        read(VALID_CONFIG.replace("10.1.0.18:6379", "here"), Map.of())
             .initialEndpoints()
             .endpoints()
             .size());
   }
 
   @Test
-  void variablesOverruleTheFile() throws ConfigException {
-    RouterConfig config = read(SOUND, Map.of("PROXY_LISTEN", "127.0.0.9:7000", "PROXY_NAME", "n9"));
+  void variablesOverrideFile() throws ConfigException {
+    RouterConfig config = read(VALID_CONFIG, Map.of("PROXY_LISTEN", "127.0.0.9:7000", "PROXY_NAME", "n9"));
     assertEquals("n9", config.name());
     assertEquals(7000, config.listenAddress().getPort());
   }
 
   @Test
-  void whatIsWrongIsSaidInOneLine() {
-    refused("", "ends too early");
-    refused(SOUND.replace("127.0.0.1:6379", "nowhere"), "listen");
-    refused(SOUND.replace("127.0.0.1:8500", ""), "discovery");
-    refused(SOUND.replace("8c1f", "seed"), "seed");
-    refused(SOUND.replace("\"known\"", "\"other\""), "hosts");
-    refused(SOUND.replace("read_like", "odd"), "classes.0.effect");
-    refused(SOUND.replace("\"sockets\":512", "\"sockets\":10"), "sockets");
+  void reportsErrorsInOneLine() {
+    assertRejected("", "ends too early");
+    assertRejected(VALID_CONFIG.replace("127.0.0.1:6379", "nowhere"), "listen");
+    assertRejected(VALID_CONFIG.replace("127.0.0.1:8500", ""), "discovery");
+    assertRejected(VALID_CONFIG.replace("8c1f", "seed"), "seed");
+    assertRejected(VALID_CONFIG.replace("\"known\"", "\"other\""), "hosts");
+    assertRejected(VALID_CONFIG.replace("read_like", "odd"), "classes.0.effect");
+    assertRejected(VALID_CONFIG.replace("\"sockets\":512", "\"sockets\":10"), "sockets");
   }
 
   /**
-   * What tells places or reports apart must not change under the lists that were read; all else
-   * does.
+   * Zones and load report fields must not change, as received endpoint lists and reports refer to
+   * them.
    */
   @Test
-  void aReloadTakesSettingsThatLeaveTheWireAloneAndNoOthers() throws ConfigException {
-    ConfigReloader reloads = reloads(SOUND);
-    files.add(SOUND.replace("[\"east\"", "[\"north\""));
-    files.add(SOUND.replace("1500000000", "900000000"));
+  void reloadAppliesOnlyWireCompatibleSettings() throws ConfigException {
+    ConfigReloader reloader = reloader(VALID_CONFIG);
+    files.add(VALID_CONFIG.replace("[\"east\"", "[\"north\""));
+    files.add(VALID_CONFIG.replace("1500000000", "900000000"));
     RouterConfig last = read(files.getLast(), Map.of());
-    reloads.reload();
+    reloader.reload();
     assertEquals(List.of(), posted);
-    assertEquals(List.of(), inForce);
-    reloads.reload();
+    assertEquals(List.of(), activated);
+    reloader.reload();
     assertEquals(
         List.of(new RoutingMessage.SettingsReplaced(last.settings().routing(), last.seed())),
         posted);
-    assertEquals(List.of(last.settings()), inForce);
+    assertEquals(List.of(last.settings()), activated);
     assertTrue(counters.read().contains(new Metric("conf_loaded", 1, false)));
     assertTrue(counters.read().contains(new Metric("conf_invalid", 1, false)));
   }
 
-  /** Empty, cut anywhere, short of any key, of another type, or with nothing to wait or to try. */
+  /** Empty, truncated, without some key, with another type, or with a zero limit. */
   @Test
-  void aFileThatIsNotWholeChangesNothing() throws ConfigException {
-    String sound =
-        SOUND.replace("\"tenants\"", "\"permissions\":{\"most_tries\":3},\"tenants\"").strip();
-    ConfigReloader reloads = reloads(sound);
-    String other = sound.replace("1500000000", "900000000").replace("8500", "8501");
+  void incompleteFileChangesNothing() throws ConfigException {
+    String valid =
+        VALID_CONFIG.replace("\"tenants\"", "\"permissions\":{\"most_tries\":3},\"tenants\"").strip();
+    ConfigReloader reloader = reloader(valid);
+    String other = valid.replace("1500000000", "900000000").replace("8500", "8501");
     IntStream.range(0, other.length()).forEach(end -> files.add(other.substring(0, end)));
     String settings = other.substring(other.indexOf("\"settings\""));
     Pattern.compile("\"([a-z_]+)\":")
@@ -168,24 +167,24 @@
         .map(key -> key.group(1))
         .forEach(key -> files.add(other.replace("\"" + key + "\":", "\"x_" + key + "\":")));
     Stream.of("0", "-1", "\"x\"", "\"3\"", "null")
-        .forEach(wrong -> files.add(other.replace("\"most_tries\":3", "\"most_tries\":" + wrong)));
+        .forEach(invalid -> files.add(other.replace("\"most_tries\":3", "\"most_tries\":" + invalid)));
     files.add(other.replace("900000000", "0"));
     files.add(other.replace("\"classes\":[", "\"classes\":[{\"name\":\"new\"},"));
-    int wrong = files.size();
+    int invalid = files.size();
     while (!files.isEmpty()) {
-      reloads.reload();
+      reloader.reload();
     }
     assertEquals(List.of(), posted);
-    assertEquals(List.of(), inForce);
-    assertTrue(counters.read().contains(new Metric("conf_invalid", wrong, false)));
+    assertEquals(List.of(), activated);
+    assertTrue(counters.read().contains(new Metric("conf_invalid", invalid, false)));
     files.add(other);
-    reloads.reload();
+    reloader.reload();
     assertEquals(1, posted.size());
-    assertEquals(1, inForce.size());
+    assertEquals(1, activated.size());
   }
 
-  /** A router that began with this text, and finds the files one by one. */
-  private ConfigReloader reloads(String text) throws ConfigException {
+  /** Creates a reloader that starts with this text and then reads the queued files. */
+  private ConfigReloader reloader(String text) throws ConfigException {
     RouterConfig first = read(text, Map.of());
     return new ConfigReloader(
         new RouterInputs(
@@ -203,11 +202,11 @@
             () -> 0,
             WatchBackoff.of(1)),
         posted::add,
-        inForce::add,
+        activated::add,
         counters);
   }
 
-  private void refused(String text, String reason) {
+  private void assertRejected(String text, String reason) {
     String message = assertThrows(ConfigException.class, () -> read(text, Map.of())).getMessage();
     assertTrue(message.contains(reason), message);
     assertFalse(message.contains("\n"), message);
--- a/src/test/java/beaconturn/net/RouterServerTest.java
+++ b/src/test/java/beaconturn/net/RouterServerTest.java
@@ -37,35 +37,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A whole router between a client, a cache server and discovery of the test's own. */
+/** A router between a client, a cache server and discovery that the test controls. */
 class RouterServerTest {
   private static final String VALUE = "*3\r\n$2\r\nva\r\n$3\r\nhit\r\n$-1\r\n";
   private static final String GET =
       "*4\r\n$5\r\nC.GET\r\n$16\r\n00000000000000a1\r\n$2\r\nid\r\n$13\r\n" + "c=read,d=1500\r\n";
-  private static final ProcessEnvironment OPERATED =
+  private static final ProcessEnvironment WITH_ADMIN_ADDRESS =
       new ProcessEnvironment(new InetSocketAddress("127.0.0.1", 0), false, null);
   private static final int SOCKETS = 100;
   private static final int MEMORY_MB = 192;
-  private final CountDownLatch over = new CountDownLatch(1);
+  private final CountDownLatch finished = new CountDownLatch(1);
   private final Lifecycle lifecycle = new Lifecycle();
-  private final TestPeer silentRegistry =
+  private final TestPeer silentDiscovery =
       new TestPeer(
           line -> {
             line.httpHead();
-            over.await();
+            finished.await();
           });
   private final BlockingQueue<RouterConfig> newConfigs = new LinkedBlockingQueue<>();
-  private ProcessEnvironment surroundings = ProcessEnvironment.NONE;
+  private ProcessEnvironment environment = ProcessEnvironment.NONE;
   private RouterSettings settings = Samples.read();
   private RouterServer router;
 
   @AfterEach
-  void end() {
-    over.countDown();
-    silentRegistry.close();
+  void closeDiscovery() {
+    finished.countDown();
+    silentDiscovery.close();
   }
 
-  /** Begins a planned stop, which goes on beside the test. */
+  /** Starts a graceful shutdown on another thread. */
   private FutureTask<Void> drain() throws InterruptedException {
     FutureTask<Void> drain =
         new FutureTask<>(
@@ -90,37 +90,34 @@
         + "\",\"share\":1.0,\"born_ms\":0}]}";
   }
 
-  private RouterConfig config(TestPeer cache, TestPeer registry) throws ProtocolException {
-    return config(new InetSocketAddress("127.0.0.1", 0), cache, registry);
+  private RouterConfig config(TestPeer cache, TestPeer discovery) throws ProtocolException {
+    return config(new InetSocketAddress("127.0.0.1", 0), cache, discovery);
   }
 
-  private RouterConfig config(InetSocketAddress listen, TestPeer cache, TestPeer registry)
+  private RouterConfig config(InetSocketAddress listen, TestPeer cache, TestPeer discovery)
       throws ProtocolException {
-    EndpointUpdate known =
+    EndpointUpdate initialList =
         new EndpointListParser(settings)
             .readInitial(JsonReader.read(Slice.of(list(4, true, cache, "ready"))));
     return new RouterConfig(
         "r1",
         listen,
-        registry.address(),
+        discovery.address(),
         1,
         SOCKETS,
         MEMORY_MB,
-        known,
+        initialList,
         settings,
-        surroundings,
+        environment,
         new Json.Nothing());
   }
 
-  /**
-   * What a reload finds: the next configuration that the test has laid ready, or none that is
-   * readable.
-   */
-  private RouterConfig reread() throws ConfigException {
+  /** Supplies the next configuration queued by the test to a reload, or fails if there is none. */
+  private RouterConfig nextConfig() throws ConfigException {
     RouterConfig next = newConfigs.poll();
     if (next == null) {
-      over.countDown();
-      throw new ConfigException("nothing there");
+      finished.countDown();
+      throw new ConfigException("no configuration");
     }
     return next;
   }
@@ -131,30 +128,24 @@
     }
   }
 
-  /**
-   * A stop that comes while the router starts finds no listener to close: none may be bound after
-   * it.
-   */
+  /** A shutdown during the start finds no listener to close; none may be bound afterwards. */
   @Test
-  void aRouterThatIsToldToStopWhileItStartsAcceptsNobody() throws Exception {
+  void acceptsNoClientWhenDrainedWhileStarting() throws Exception {
     InetSocketAddress address = freeAddress();
-    try (TestPeer cache = answering()) {
-      router = new RouterServer(config(address, cache, silentRegistry), this::reread, lifecycle);
+    try (TestPeer cache = respondingCache()) {
+      router = new RouterServer(config(address, cache, silentDiscovery), this::nextConfig, lifecycle);
       router.drain();
       router.start();
       assertThrows(ConnectException.class, () -> TestPeer.Line.to(address));
     }
   }
 
-  /**
-   * What the kernel accepts is owed an answer: a router that still starts must not have it
-   * accepted.
-   */
+  /** Accepted connections need responses, which a starting router cannot send in time. */
   @Test
-  void nobodyIsAcceptedBeforeTheRouterServes() throws Exception {
+  void acceptsNoClientBeforeServing() throws Exception {
     InetSocketAddress address = freeAddress();
-    try (TestPeer cache = answering()) {
-      router = new RouterServer(config(address, cache, silentRegistry), this::reread, lifecycle);
+    try (TestPeer cache = respondingCache()) {
+      router = new RouterServer(config(address, cache, silentDiscovery), this::nextConfig, lifecycle);
       assertThrows(ConnectException.class, () -> TestPeer.Line.to(address));
       router.start();
       try (TestPeer.Line client = TestPeer.Line.to(address)) {
@@ -162,28 +153,28 @@
         assertEquals("+PONG", client.answer());
         client.write(GET);
         client.answer();
-        assertEquals("C.GET", cache.note().split(" ")[0], "the list that it knew is in force");
+        assertEquals("C.GET", cache.note().split(" ")[0], "the initial endpoint list is active");
       }
     }
   }
 
   /**
-   * There the module asks for nothing, and a router that did not watch would never hear of a drain.
+   * With pushed lists the policy does not request a watch, without which no drain would be noticed.
    */
   @Test
-  void aDrainIsHeardAlsoWhereSettingsSayThatListsArePushed() throws Exception {
+  void watchesDiscoveryWithPushedLists() throws Exception {
     settings = Samples.read("discovery", "push");
-    try (TestPeer cache = answering();
-        TestPeer registry =
+    try (TestPeer cache = respondingCache();
+        TestPeer discovery =
             new TestPeer(
                 line -> {
                   line.note(line.httpHead().split(" ")[1]);
                   line.http(200, list(5, false, cache, "draining"));
                   line.httpHead();
-                  over.await();
+                  finished.await();
                 });
-        TestPeer.Line client = start(cache, registry)) {
-      assertEquals("/registry/instances?after=4&wait_ms=1", registry.note());
+        TestPeer.Line client = start(cache, discovery)) {
+      assertEquals("/registry/instances?after=4&wait_ms=1", discovery.note());
       client.write(GET);
       assertTrue(client.answer().startsWith("-BUSY"));
       assertEquals(List.of(), cache.notesLeft());
@@ -191,32 +182,32 @@
   }
 
   /**
-   * What discovery has may count as told from a process's first moment: nobody is accepted before
-   * its word.
+   * Discovery counts a change as delivered from the start of the process on, so the first list must
+   * arrive before clients are accepted.
    */
   @Test
-  void nobodyIsAcceptedBeforeDiscoveryHasBeenHeard() throws Exception {
+  void acceptsNoClientBeforeDiscoveryReplies() throws Exception {
     InetSocketAddress address = freeAddress();
-    try (TestPeer cache = answering();
-        TestPeer registry =
+    try (TestPeer cache = respondingCache();
+        TestPeer discovery =
             new TestPeer(
                 line -> {
                   line.httpHead();
                   try (TestPeer.Line early = TestPeer.Line.to(address)) {
                     early.write("x");
-                    line.note("accepted before discovery was heard");
+                    line.note("accepted before discovery replied");
                   } catch (ConnectException e) {
-                    line.note("nobody is accepted yet");
+                    line.note("not accepted yet");
                   }
                   line.http(200, list(5, false, cache, "ready"));
                   line.httpHead();
-                  over.await();
+                  finished.await();
                 })) {
       router =
           new RouterServer(
               new RouterInputs(
-                  config(address, cache, registry),
-                  this::reread,
+                  config(address, cache, discovery),
+                  this::nextConfig,
                   lifecycle,
                   new RouterCustomization() {
                     @Override
@@ -227,19 +218,19 @@
                   null,
                   null));
       router.start();
-      assertEquals("nobody is accepted yet", registry.note());
+      assertEquals("not accepted yet", discovery.note());
     }
   }
 
-  private TestPeer.Line start(TestPeer cache, TestPeer registry)
+  private TestPeer.Line start(TestPeer cache, TestPeer discovery)
       throws IOException, ProtocolException {
-    RouterConfig config = config(cache, registry);
-    router = new RouterServer(config, this::reread, lifecycle);
+    RouterConfig config = config(cache, discovery);
+    router = new RouterServer(config, this::nextConfig, lifecycle);
     router.start();
     return TestPeer.Line.to(router.address());
   }
 
-  private static TestPeer answering() {
+  private static TestPeer respondingCache() {
     return new TestPeer(
         line -> {
           for (String c = line.command(); !c.equals("end"); c = line.command()) {
@@ -250,21 +241,21 @@
         });
   }
 
-  private static TestPeer answeringAfter(CountDownLatch slow) {
+  private static TestPeer cacheRespondingAfter(CountDownLatch resumeCache) {
     return new TestPeer(
         line -> {
           line.command();
-          line.note("begun");
-          slow.await();
+          line.note("received");
+          resumeCache.await();
           line.write(VALUE);
           line.command();
         });
   }
 
   @Test
-  void aRequestGoesToTheCacheServerAndItsAnswerToTheClient() throws Exception {
-    try (TestPeer cache = answering();
-        TestPeer.Line client = start(cache, silentRegistry)) {
+  void forwardsRequestAndResponse() throws Exception {
+    try (TestPeer cache = respondingCache();
+        TestPeer.Line client = start(cache, silentDiscovery)) {
       client.write("*1\r\n$4\r\nPING\r\n");
       assertEquals("+PONG", client.answer());
       client.write(
@@ -280,14 +271,14 @@
   }
 
   @Test
-  void answersComeInTheOrderOfTheCommands() throws Exception {
-    CountDownLatch slow = new CountDownLatch(1);
-    try (TestPeer cache = answeringAfter(slow);
-        TestPeer.Line client = start(cache, silentRegistry)) {
+  void respondsInCommandOrder() throws Exception {
+    CountDownLatch resumeCache = new CountDownLatch(1);
+    try (TestPeer cache = cacheRespondingAfter(resumeCache);
+        TestPeer.Line client = start(cache, silentDiscovery)) {
       client.write(
           GET + "*1\r\n$4\r\nPING\r\n*1\r\n$5\r\nHELLO\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n");
       cache.note();
-      slow.countDown();
+      resumeCache.countDown();
       assertEquals("$2\r\nva", client.answer());
       assertEquals("+PONG", client.answer());
       assertEquals("-ERR unknown command", client.answer());
@@ -296,26 +287,26 @@
   }
 
   @Test
-  void aClientThatLeavesCallsItsRequestOff() throws Exception {
+  void disconnectCancelsRequest() throws Exception {
     try (TestPeer cache =
             new TestPeer(
                 line -> {
                   line.command();
-                  line.note("begun");
+                  line.note("received");
                   line.note(line.command());
                 });
-        TestPeer.Line client = start(cache, silentRegistry)) {
+        TestPeer.Line client = start(cache, silentDiscovery)) {
       client.write(GET);
-      assertEquals("begun", cache.note());
+      assertEquals("received", cache.note());
       client.hangUp();
       assertEquals("broken", cache.note());
     }
   }
 
   @Test
-  void malformedInputGetsOneErrorAfterWhatCameBeforeItAndEnds() throws Exception {
-    try (TestPeer cache = answering();
-        TestPeer.Line client = start(cache, silentRegistry)) {
+  void protocolErrorClosesConnectionAfterEarlierResponses() throws Exception {
+    try (TestPeer cache = respondingCache();
+        TestPeer.Line client = start(cache, silentDiscovery)) {
       client.write(GET + "GET / HTTP/1.1\r\nHost: x\r\n\r\n" + GET);
       assertEquals("$2\r\nva", client.answer());
       assertTrue(client.answer().startsWith("-ERR "));
@@ -324,11 +315,11 @@
   }
 
   @Test
-  void requestsThatLackWhatTheyNeedAreRejectedInTheirPlace() throws Exception {
-    try (TestPeer cache = answering();
-        TestPeer.Line first = start(cache, silentRegistry)) {
+  void rejectsInvalidAttributes() throws Exception {
+    try (TestPeer cache = respondingCache();
+        TestPeer.Line first = start(cache, silentDiscovery)) {
       first.hangUp();
-      for (String wrong :
+      for (String invalid :
           new String[] {
             "c=none,d=100",
             "c=read",
@@ -349,14 +340,14 @@
             "c=read,d=100,size=x",
             "c=read,d=100," + "x=y,".repeat(20) + "z=z"
           }) {
-        rejected("a", "id", wrong);
+        assertRejected("a", "id", invalid);
       }
       assertEquals(List.of(), cache.notesLeft());
     }
   }
 
-  /** One error in its place, and what stands behind it is answered. */
-  private void rejected(String key, String id, String attributes) throws Exception {
+  /** Asserts one error response, and that the next command is still answered. */
+  private void assertRejected(String key, String id, String attributes) throws Exception {
     try (TestPeer.Line client = TestPeer.Line.to(router.address())) {
       client.write(
           "*4\r\n$5\r\nC.GET\r\n"
@@ -369,27 +360,27 @@
     }
   }
 
-  /** A cache server turns such names away, and its errors would be held against it. */
+  /** A cache server rejects such keys and ids, and its errors would count against it. */
   @Test
-  void keysAndIdsThatNoCacheServerCouldUseReachNone() throws Exception {
-    try (TestPeer cache = answering();
-        TestPeer.Line first = start(cache, silentRegistry)) {
+  void rejectsInvalidKeysAndIds() throws Exception {
+    try (TestPeer cache = respondingCache();
+        TestPeer.Line first = start(cache, silentDiscovery)) {
       first.hangUp();
-      for (String wrong : new String[] {"", "a b", "a\u0001b", "x".repeat(200), "a\u007f"}) {
-        rejected(wrong, "id", "c=read,d=100");
-        rejected("key", wrong, "c=read,d=100");
+      for (String invalid : new String[] {"", "a b", "a\u0001b", "x".repeat(200), "a\u007f"}) {
+        assertRejected(invalid, "id", "c=read,d=100");
+        assertRejected("key", invalid, "c=read,d=100");
       }
       assertEquals(List.of(), cache.notesLeft());
     }
   }
 
   /**
-   * Served, refused, failed, abandoned, unreadable: each counts once at the most, nothing stays
-   * open.
+   * Each request counts at most once, whether served, rejected, failed, abandoned or invalid, and
+   * none stays open.
    */
   @Test
-  void everyRequestEndsInOneOfTheFigures() throws Exception {
-    surroundings = OPERATED;
+  void countsEachRequestOnce() throws Exception {
+    environment = WITH_ADMIN_ADDRESS;
     try (TestPeer cache =
             new TestPeer(
                 line -> {
@@ -401,26 +392,27 @@
                     line.write(c.contains(" bad ") ? "-ERR failed\r\n" : VALUE);
                   }
                 });
-        TestPeer.Line client = start(cache, silentRegistry)) {
-      client.write(GET + write("bad") + GET.replace("id", "i2"));
+        TestPeer.Line client = start(cache, silentDiscovery)) {
+      client.write(GET + setCommand("bad") + GET.replace("id", "i2"));
       assertEquals("$2\r\nva", client.answer());
       assertEquals("-ERR failed", client.answer());
       assertEquals("$2\r\nva", client.answer());
-      client.write(write("hang"));
+      client.write(setCommand("hang"));
       assertEquals("hang", cache.note());
-      assertEquals("1", figures("current"));
+      assertEquals("1", metrics("current"));
       client.hangUp();
       assertEquals("broken", cache.note());
-      rejected("a", "id", "c=none,d=100");
-      assertEquals("ACK\n", call("disable-server s-1"));
+      assertRejected("a", "id", "c=none,d=100");
+      assertEquals("ACK\n", adminCommand("disable-server s-1"));
       try (TestPeer.Line other = TestPeer.Line.to(router.address())) {
         other.write(GET);
         assertTrue(other.answer().startsWith("-BUSY"));
       }
-      // A request is counted once its answer is written: the client may have it before.
+      // A request is counted after its response is written, so the client may see the response
+      // first.
       TestPeer.until(
           () ->
-              figures(
+              metrics(
                       "answered.read",
                       "deferred.read",
                       "answered.ack",
@@ -429,256 +421,258 @@
                       "current",
                       "cluster_size")
                   .equals("2 1 0 1 4 0 1"));
-      TestPeer.until(() -> figures("cluster_unhealthy").equals("1"));
-      assertEquals("NAK no cache server has this id\n", call("disable-server s-2"));
+      TestPeer.until(() -> metrics("cluster_unhealthy").equals("1"));
+      assertEquals("NAK no cache server has this id\n", adminCommand("disable-server s-2"));
     }
   }
 
   /**
-   * New clients name the new class at once; what is open ends under the class that it was taken
-   * with.
+   * New requests use the new class at once; open requests end under the class that they were
+   * accepted with.
    */
   @Test
-  void aClassThatIsDroppedKeepsItsOpenRequestsAndItsFigures() throws Exception {
-    surroundings = OPERATED;
-    CountDownLatch slow = new CountDownLatch(1);
-    try (TestPeer cache = answeringAfter(slow);
-        TestPeer.Line client = start(cache, silentRegistry)) {
+  void removedClassKeepsOpenRequestsAndMetrics() throws Exception {
+    environment = WITH_ADMIN_ADDRESS;
+    CountDownLatch resumeCache = new CountDownLatch(1);
+    try (TestPeer cache = cacheRespondingAfter(resumeCache);
+        TestPeer.Line client = start(cache, silentDiscovery)) {
       client.write(GET);
-      assertEquals("begun", cache.note());
+      assertEquals("received", cache.note());
       settings = Samples.read("classes.0.name", "fresh");
-      newConfigs.add(config(cache, silentRegistry));
+      newConfigs.add(config(cache, silentDiscovery));
       router.reload();
-      TestPeer.until(() -> figures("conf_loaded").equals("1"));
-      rejected("a", "i2", "c=read,d=100");
-      slow.countDown();
+      TestPeer.until(() -> metrics("conf_loaded").equals("1"));
+      assertRejected("a", "i2", "c=read,d=100");
+      resumeCache.countDown();
       assertEquals("$2\r\nva", client.answer());
-      // It is counted once it is written: the client may have it before.
-      TestPeer.until(() -> figures("answered.read", "answered.fresh").equals("1 0"));
+      // A request is counted after its response is written, so the client may see the response
+      // first.
+      TestPeer.until(() -> metrics("answered.read", "answered.fresh").equals("1 0"));
     }
   }
 
-  /** A client that was sent off under longer deadlines cannot know of the new ones yet. */
+  /** A client may not know yet that the deadlines have become shorter. */
   @Test
-  void aWaitOfTheSettingsBeforeIsStillInRange() throws Exception {
-    surroundings = OPERATED;
-    try (TestPeer cache = answering();
-        TestPeer.Line client = start(cache, silentRegistry)) {
+  void acceptsWaitAllowedByPreviousSettings() throws Exception {
+    environment = WITH_ADMIN_ADDRESS;
+    try (TestPeer cache = respondingCache();
+        TestPeer.Line client = start(cache, silentDiscovery)) {
       settings = Samples.read("classes.0.hard_limit", "500000000");
-      newConfigs.add(config(cache, silentRegistry));
+      newConfigs.add(config(cache, silentDiscovery));
       router.reload();
-      TestPeer.until(() -> figures("conf_loaded").equals("1"));
+      TestPeer.until(() -> metrics("conf_loaded").equals("1"));
       client.write(GET);
       assertEquals("$2\r\nva", client.answer());
-      rejected("a", "i2", "c=read,d=4001");
+      assertRejected("a", "i2", "c=read,d=4001");
     }
   }
 
-  private static String write(String id) {
+  private static String setCommand(String id) {
     return "*5\r\n$5\r\nC.SET\r\n$16\r\n00000000000000a1\r\n"
         + RespWriter.bulk(id)
         + "$17\r\nc=ack,d=1500,k=k7\r\n$1\r\nx\r\n";
   }
 
-  private String call(String line) throws IOException {
-    try (TestPeer.Line caller = TestPeer.Line.to(router.adminAddress())) {
-      caller.write(line + "\n");
-      return caller.rest();
+  private String adminCommand(String line) throws IOException {
+    try (TestPeer.Line operator = TestPeer.Line.to(router.adminAddress())) {
+      operator.write(line + "\n");
+      return operator.rest();
     }
   }
 
-  /** The values of these figures, as shown at one call. */
-  private String figures(String... names) throws IOException {
-    String shown = call("show-stat");
+  /** Returns the values of the metrics from one call, separated by blanks. */
+  private String metrics(String... names) throws IOException {
+    String reply = adminCommand("show-stat");
     return String.join(
         " ",
         Stream.of(names)
-            .map(name -> shown.replaceAll("(?s).*\\bapp." + name + ":([0-9]+)[|].*", "$1"))
+            .map(name -> reply.replaceAll("(?s).*\\bapp." + name + ":([0-9]+)[|].*", "$1"))
             .toList());
   }
 
-  /** Two open requests of one id could get each other's answers. */
+  /** Two pending requests with the same id could receive each other's responses. */
   @Test
-  void anIdThatIsOpenIsTurnedAwayAndTheFirstKeepsItsAnswer() throws Exception {
-    CountDownLatch slow = new CountDownLatch(1);
-    try (TestPeer cache = answeringAfter(slow);
-        TestPeer.Line client = start(cache, silentRegistry);
+  void rejectsIdOfPendingRequest() throws Exception {
+    CountDownLatch resumeCache = new CountDownLatch(1);
+    try (TestPeer cache = cacheRespondingAfter(resumeCache);
+        TestPeer.Line client = start(cache, silentDiscovery);
         TestPeer.Line other = TestPeer.Line.to(router.address())) {
       client.write(GET);
       cache.note();
       other.write(GET + "*1\r\n$4\r\nPING\r\n");
       assertTrue(other.answer().startsWith("-ERR "));
       assertEquals("+PONG", other.answer());
-      slow.countDown();
+      resumeCache.countDown();
       assertEquals("$2\r\nva", client.answer());
     }
   }
 
   /**
-   * Clients that send half a command hold no place that others need: they would look at work, and
-   * the one thread that accepts would wait for them.
+   * Partial commands must not make their connections count as active, as the accepting thread would
+   * then reject or block new clients.
    */
   @Test
-  void manyHalfSentCommandsDoNotKeepOtherClientsOut() throws Exception {
-    try (TestPeer cache = answering();
-        TestPeer.Line first = start(cache, silentRegistry)) {
+  void partialCommandsDoNotBlockOtherClients() throws Exception {
+    try (TestPeer cache = respondingCache();
+        TestPeer.Line first = start(cache, silentDiscovery)) {
       first.hangUp();
-      List<TestPeer.Line> half = new ArrayList<>();
+      List<TestPeer.Line> partialClients = new ArrayList<>();
       for (int i = 0; i < 2 * ConnectionBudget.of(SOCKETS, MEMORY_MB).clients(); i++) {
         TestPeer.Line line = TestPeer.Line.to(router.address());
-        half.add(line);
+        partialClients.add(line);
         line.write("*4\r\n$5\r\nC.G");
       }
-      assertEquals("$2\r\nva", answerOnSomeConnection());
-      half.forEach(TestPeer.Line::hangUp);
+      assertEquals("$2\r\nva", responseOnAnyConnection());
+      partialClients.forEach(TestPeer.Line::hangUp);
     }
   }
 
-  /** One that is turned away at the most connections comes again on a new one, as clients do. */
-  private String answerOnSomeConnection() throws Exception {
-    String answer = "end";
-    while (answer.equals("end")) {
+  /**
+   * Sends a request on new connections until one is served, as clients do when the connection limit
+   * is reached.
+   */
+  private String responseOnAnyConnection() throws Exception {
+    String response = "end";
+    while (response.equals("end")) {
       try (TestPeer.Line client = TestPeer.Line.to(router.address())) {
         client.write(GET);
-        answer = client.answer();
+        response = client.answer();
       } catch (IOException e) {
-        answer = "end";
+        response = "end";
       }
     }
-    return answer;
+    return response;
   }
 
   @Test
-  void whenNothingAnswersTheClientIsToldInItsTime() throws Exception {
+  void rejectsRequestWithinDeadlineWhenServerIsSilent() throws Exception {
     try (TestPeer cache =
             new TestPeer(
                 line -> {
                   line.command();
-                  over.await();
+                  finished.await();
                 });
-        TestPeer.Line client = start(cache, silentRegistry)) {
+        TestPeer.Line client = start(cache, silentDiscovery)) {
       client.write(GET.replace("d=1500", "d=0150"));
       assertTrue(client.answer().startsWith("-BUSY"));
     }
   }
 
-  /** Discovery counts a watch as broken if the next call comes late, and the version must go on. */
+  /** Discovery counts a watch as broken if the next call is late; the version must advance. */
   @Test
-  void aWatchGoesOnFromTheVersionItHasHeardOf() throws Exception {
-    TestPeer[] cache = {answering()};
-    try (TestPeer registry =
+  void watchContinuesFromReceivedVersion() throws Exception {
+    TestPeer[] cache = {respondingCache()};
+    try (TestPeer discovery =
             new TestPeer(
                 line -> {
                   line.note(line.httpHead().split(" ")[1]);
                   line.http(200, list(5, false, cache[0], "draining"));
                   line.note(line.httpHead().split(" ")[1]);
-                  over.await();
+                  finished.await();
                 });
-        TestPeer.Line client = start(cache[0], registry)) {
-      assertTrue(registry.note().startsWith("/registry/instances?after=4&wait_ms="));
-      assertTrue(registry.note().startsWith("/registry/instances?after=5&wait_ms="));
+        TestPeer.Line client = start(cache[0], discovery)) {
+      assertTrue(discovery.note().startsWith("/registry/instances?after=4&wait_ms="));
+      assertTrue(discovery.note().startsWith("/registry/instances?after=5&wait_ms="));
       client.write(GET);
       assertTrue(client.answer().startsWith("-BUSY"), "the only cache server is draining");
-      assertEquals(1, registry.connections());
+      assertEquals(1, discovery.connections());
     } finally {
       cache[0].close();
     }
   }
 
   @Test
-  void aWatchThatFailsIsBegunAgainAndTheListStaysInForce() throws Exception {
-    try (TestPeer cache = answering();
-        TestPeer registry =
+  void retriesFailedWatchAndKeepsList() throws Exception {
+    try (TestPeer cache = respondingCache();
+        TestPeer discovery =
             new TestPeer(
                 line -> {
                   line.note(line.httpHead().split("&wait_ms=")[0]);
                   line.http(503, "");
                 });
-        TestPeer.Line client = start(cache, registry)) {
-      String first = registry.note();
-      assertEquals(first, registry.note());
-      assertEquals(first, registry.note());
+        TestPeer.Line client = start(cache, discovery)) {
+      String first = discovery.note();
+      assertEquals(first, discovery.note());
+      assertEquals(first, discovery.note());
       client.write(GET);
       assertEquals("$2\r\nva", client.answer());
     }
   }
 
   /**
-   * A new configuration names another discovery: the open watch on the old one ends, though it
-   * never answered, and the new one is asked for the whole list at once, as its versions are its
-   * own.
+   * A reload that names another discovery cancels the watch on the old one, even while it is
+   * pending, and fetches the whole list from the new one, whose versions are independent.
    */
   @Test
-  void aReloadMovesTheWatchToTheNewAddressAgainAndAgain() throws Exception {
-    TestPeer[] cache = {answering()};
-    TestPeer.Script serving =
+  void reloadMovesWatchToNewAddress() throws Exception {
+    TestPeer[] cache = {respondingCache()};
+    TestPeer.Script discoveryScript =
         line -> {
           line.note(line.httpHead().split(" ")[1]);
           line.http(200, list(1, true, cache[0], "draining"));
           line.note(line.httpHead().split(" ")[1]);
-          line.note(line.httpHead().isEmpty() ? "dropped" : "asked again");
+          line.note(line.httpHead().isEmpty() ? "dropped" : "requested again");
         };
-    try (TestPeer old =
+    try (TestPeer oldDiscovery =
             new TestPeer(
                 line -> {
                   line.note(line.httpHead().split(" ")[1]);
-                  line.note(line.httpHead().isEmpty() ? "dropped" : "asked again");
+                  line.note(line.httpHead().isEmpty() ? "dropped" : "requested again");
                   line.http(200, list(9, true, cache[0], "ready"));
                 });
-        TestPeer second = new TestPeer(serving);
-        TestPeer third = new TestPeer(serving);
-        TestPeer.Line client = start(cache[0], old)) {
-      assertTrue(old.note().startsWith("/registry/instances?after=4&wait_ms="));
-      for (TestPeer next : List.of(second, third)) {
-        newConfigs.add(config(cache[0], next));
+        TestPeer secondDiscovery = new TestPeer(discoveryScript);
+        TestPeer thirdDiscovery = new TestPeer(discoveryScript);
+        TestPeer.Line client = start(cache[0], oldDiscovery)) {
+      assertTrue(oldDiscovery.note().startsWith("/registry/instances?after=4&wait_ms="));
+      for (TestPeer newDiscovery : List.of(secondDiscovery, thirdDiscovery)) {
+        newConfigs.add(config(cache[0], newDiscovery));
         router.reload();
-        assertEquals("/registry/instances", next.note());
-        assertTrue(next.note().startsWith("/registry/instances?after=1&wait_ms="));
+        assertEquals("/registry/instances", newDiscovery.note());
+        assertTrue(newDiscovery.note().startsWith("/registry/instances?after=1&wait_ms="));
       }
-      assertEquals("dropped", old.note());
-      assertEquals("dropped", second.note());
+      assertEquals("dropped", oldDiscovery.note());
+      assertEquals("dropped", secondDiscovery.note());
       client.write(GET);
       assertTrue(
-          client.answer().startsWith("-BUSY"), "the new list counts: the cache server drains");
-      assertEquals(List.of(), third.notesLeft());
+          client.answer().startsWith("-BUSY"), "the new list is active, in which the only cache server drains");
+      assertEquals(List.of(), thirdDiscovery.notesLeft());
     } finally {
       cache[0].close();
     }
   }
 
-  /** A file that cannot be read must neither stop the router nor end the watch that it has. */
+  /** An unreadable file must neither stop the router nor end its watch. */
   @Test
-  void aReloadThatFindsNothingReadableLeavesEverythingAsItIs() throws Exception {
-    TestPeer[] caches = {answering()};
+  void failedReloadChangesNothing() throws Exception {
+    TestPeer[] caches = {respondingCache()};
     try (TestPeer cache = caches[0];
-        TestPeer registry =
+        TestPeer discovery =
             new TestPeer(
                 line -> {
                   line.note(line.httpHead().split(" ")[1]);
-                  over.await();
+                  finished.await();
                   line.http(200, list(5, false, caches[0], "ready"));
                   line.note(line.httpHead().split(" ")[1]);
                 });
-        TestPeer.Line client = start(cache, registry)) {
-      assertTrue(registry.note().startsWith("/registry/instances?after=4&wait_ms="));
+        TestPeer.Line client = start(cache, discovery)) {
+      assertTrue(discovery.note().startsWith("/registry/instances?after=4&wait_ms="));
       router.reload();
-      over.await();
-      assertTrue(registry.note().startsWith("/registry/instances?after=5&wait_ms="));
-      assertEquals(1, registry.connections());
+      finished.await();
+      assertTrue(discovery.note().startsWith("/registry/instances?after=5&wait_ms="));
+      assertEquals(1, discovery.connections());
       client.write(GET);
       assertEquals("$2\r\nva", client.answer());
     }
   }
 
   /**
-   * A planned stop: what was taken is answered, connections end between requests, then nobody
-   * listens.
+   * Accepted requests are answered, idle connections are closed, and then the listener is closed.
    */
   @Test
-  void aDrainAnswersWhatItHasTakenAndClosesBetweenRequests() throws Exception {
-    CountDownLatch slow = new CountDownLatch(1);
-    try (TestPeer cache = answeringAfter(slow);
-        TestPeer.Line client = start(cache, silentRegistry);
+  void drainAnswersAcceptedRequestsAndClosesIdleConnections() throws Exception {
+    CountDownLatch resumeCache = new CountDownLatch(1);
+    try (TestPeer cache = cacheRespondingAfter(resumeCache);
+        TestPeer.Line client = start(cache, silentDiscovery);
         TestPeer.Line idle = TestPeer.Line.to(router.address())) {
       idle.write("*1\r\n$4\r\nPING\r\n");
       assertEquals("+PONG", idle.answer());
@@ -687,11 +681,11 @@
       FutureTask<Void> drain = drain();
       try (TestPeer.Line late = TestPeer.Line.to(router.address())) {
         late.write("*1\r\n$4\r\nPING\r\n");
-        assertEquals("+PONG", late.answer(), "new connections still come after the announcement");
+        assertEquals("+PONG", late.answer(), "new connections still arrive after the announcement");
         assertEquals("end", late.answer());
       }
       assertEquals("end", idle.answer());
-      slow.countDown();
+      resumeCache.countDown();
       assertEquals("$2\r\nva", client.answer());
       assertEquals("end", client.answer());
       idle.hangUp();
@@ -703,51 +697,50 @@
   }
 
   /**
-   * The process is killed 3.7 s after the announcement at the latest, however long clients would
-   * wait.
+   * The process is killed 3.7 s after the announcement, so longer deadlines must not be waited for.
    */
   @Test
-  void aDrainWaitsForNoLongerThanTheProcessLives() throws Exception {
+  void drainFailsRequestsBeforeProcessIsKilled() throws Exception {
     settings = Samples.read("classes.0.hard_limit", "60000000000");
     try (TestPeer cache =
             new TestPeer(
                 line -> {
                   line.command();
-                  line.note("begun");
-                  over.await();
+                  line.note("received");
+                  finished.await();
                 });
-        TestPeer.Line client = start(cache, silentRegistry)) {
+        TestPeer.Line client = start(cache, silentDiscovery)) {
       client.write(GET.replace("$13\r\nc=read,d=1500", "$14\r\nc=read,d=60000"));
-      assertEquals("begun", cache.note());
+      assertEquals("received", cache.note());
       FutureTask<Void> drain = drain();
-      // Long before the deadline, and in the time that the test's clients wait for anything.
+      // Fails long before the request's deadline and within the socket timeout of the test client.
       assertEquals("-ERR failed", client.answer());
       client.hangUp();
       drain.get();
     }
   }
 
-  /** At the most connections a new client takes the place of one that is between requests. */
+  /** At the connection limit a new client replaces an idle one. */
   @Test
-  void quietConnectionsMakeRoomForNewOnes() throws Exception {
-    try (TestPeer cache = answering();
-        TestPeer.Line first = start(cache, silentRegistry)) {
+  void evictsIdleConnectionsForNewOnes() throws Exception {
+    try (TestPeer cache = respondingCache();
+        TestPeer.Line first = start(cache, silentDiscovery)) {
       first.write(GET);
       assertEquals("$2\r\nva", first.answer());
-      List<TestPeer.Line> more = new ArrayList<>();
+      List<TestPeer.Line> clients = new ArrayList<>();
       for (int i = 0; i < ConnectionBudget.of(SOCKETS, MEMORY_MB).clients() + 5; i++) {
         TestPeer.Line line = TestPeer.Line.to(router.address());
-        more.add(line);
+        clients.add(line);
         line.write("*1\r\n$4\r\nPING\r\n");
         assertEquals("+PONG", line.answer());
       }
       assertEquals("end", first.answer());
-      more.forEach(TestPeer.Line::hangUp);
+      clients.forEach(TestPeer.Line::hangUp);
     }
   }
 
   @Test
-  void largeValuesGoThroughWholeInBothDirections() throws Exception {
+  void forwardsLargeValuesInBothDirections() throws Exception {
     String value = "v".repeat(1 << 16);
     try (TestPeer cache =
             new TestPeer(
@@ -757,7 +750,7 @@
                     line.write("*3\r\n$65536\r\n" + value + "\r\n$3\r\nhit\r\n$-1\r\n");
                   }
                 });
-        TestPeer.Line client = start(cache, silentRegistry)) {
+        TestPeer.Line client = start(cache, silentDiscovery)) {
       for (int i = 0; i < 3; i++) {
         client.write(
             "*5\r\n$5\r\nC.SET\r\n$1\r\na\r\n$2\r\nid\r\n"
@@ -769,21 +762,21 @@
     }
   }
 
-  /** Answers of 4 MiB. */
+  /** Responses of 4 MiB. */
   @Nested
   @Timeout(60)
-  class LargeAnswers {
+  class LargeResponses {
     private static final String HEAD = "$" + (4 << 20) + "\r\n";
     private static final String HALF = "x".repeat(2 << 20);
-    private static final String LARGE = GET.replace("a1", "b2").replace("id", "xl");
-    private final CountDownLatch goOn = new CountDownLatch(1);
+    private static final String GET_LARGE = GET.replace("a1", "b2").replace("id", "xl");
+    private final CountDownLatch resume = new CountDownLatch(1);
     private final TestPeer cache =
         new TestPeer(
             line -> {
               for (String c = line.command(); !c.equals("end"); c = line.command()) {
                 if (c.contains(" xl ")) {
                   line.write("*3\r\n" + HEAD + HALF);
-                  goOn.await();
+                  resume.await();
                   line.write(HALF + "\r\n$3\r\nhit\r\n$-1\r\n");
                 } else {
                   line.write(VALUE);
@@ -792,24 +785,25 @@
             });
 
     @AfterEach
-    void endCache() {
+    void closeCache() {
       cache.close();
     }
 
     /**
-     * A client that has the first half of an answer before its cache server has written the second.
+     * Returns a client that has received the first half of a response, before the cache server has
+     * sent the second.
      */
-    private TestPeer.Line halfWay() throws IOException, ProtocolException {
-      TestPeer.Line client = start(cache, silentRegistry);
-      client.write(LARGE);
+    private TestPeer.Line startLargeResponse() throws IOException, ProtocolException {
+      TestPeer.Line client = start(cache, silentDiscovery);
+      client.write(GET_LARGE);
       client.expect(HEAD + HALF);
       return client;
     }
 
     @Test
-    void theFirstHalfGoesOnBeforeTheSecondHasComeAndTheConnectionServesOn() throws Exception {
-      try (TestPeer.Line client = halfWay()) {
-        goOn.countDown();
+    void streamsResponseAndReusesConnection() throws Exception {
+      try (TestPeer.Line client = startLargeResponse()) {
+        resume.countDown();
         client.expect(HALF + "\r\n");
         client.write(GET);
         assertEquals("$2\r\nva", client.answer());
@@ -818,15 +812,15 @@
     }
 
     /**
-     * What it does not take waits in its own cache server's connection; the others see nothing of
-     * it.
+     * What a slow client does not read stays in its own cache server connection and delays no one
+     * else.
      */
     @Test
-    void aClientThatStopsReadingHoldsUpNobodyElse() throws Exception {
-      goOn.countDown();
-      try (TestPeer.Line slow = start(cache, silentRegistry);
+    void slowReaderDoesNotDelayOthers() throws Exception {
+      resume.countDown();
+      try (TestPeer.Line slow = start(cache, silentDiscovery);
           TestPeer.Line other = TestPeer.Line.to(router.address())) {
-        slow.write(LARGE);
+        slow.write(GET_LARGE);
         slow.expect(HEAD);
         for (int i = 0; i < 50; i++) {
           other.write(GET);
@@ -837,26 +831,26 @@
     }
 
     @Test
-    void anAnswerThatBreaksOffEndsItsClientsConnection() throws Exception {
+    void truncatedResponseClosesClientConnection() throws Exception {
       for (String rest : new String[] {"", HALF + "xx", HALF + "\r\n+odd\r\n"}) {
-        try (TestPeer breaking =
+        try (TestPeer truncatingCache =
                 new TestPeer(
                     line -> {
                       line.command();
                       line.write("*3\r\n" + HEAD + HALF + rest);
                     });
-            TestPeer.Line client = start(breaking, silentRegistry)) {
-          client.write(LARGE);
+            TestPeer.Line client = start(truncatingCache, silentDiscovery)) {
+          client.write(GET_LARGE);
           assertThrows(EOFException.class, () -> client.expect(HEAD + HALF + HALF + "\r\n"), rest);
         }
       }
     }
 
     @Test
-    void aStopWaitsForWhatIsBeingPassedOn() throws Exception {
-      try (TestPeer.Line client = halfWay()) {
+    void drainWaitsForStreamedResponse() throws Exception {
+      try (TestPeer.Line client = startLargeResponse()) {
         FutureTask<Void> stop = drain();
-        goOn.countDown();
+        resume.countDown();
         client.expect(HALF + "\r\n");
         assertNull(client.read());
         client.hangUp();
@@ -864,15 +858,15 @@
       }
     }
 
-    /** Only whole heads of what is larger than usual and not beyond all bounds. */
+    /** Recognizes only complete heads of large responses within the size limit. */
     @Test
-    void aHeadIsKnownInPiecesAndTakesNoMemoryForWhatItDeclares() {
+    void detectsLargeResponseFromItsHead() {
       String head = "*3\r\n" + HEAD;
       for (int i = 0; i < head.length(); i++) {
         assertNull(LargeResponseStream.at(Bytes.buffer(head.substring(0, i))));
       }
       assertNotNull(LargeResponseStream.at(Bytes.buffer(head)));
-      for (String none :
+      for (String invalidHead :
           new String[] {
             "*3\r\n$65536\r\n",
             "*3\r\n$4194305\r\n",
@@ -882,7 +876,7 @@
             "*3\r\n$-1\r\n",
             "*3\r\n$70000\n\n"
           }) {
-        assertNull(LargeResponseStream.at(Bytes.buffer(none)), none);
+        assertNull(LargeResponseStream.at(Bytes.buffer(invalidHead)), invalidHead);
       }
     }
   }
--- a/src/test/java/beaconturn/net/TestPeer.java
+++ b/src/test/java/beaconturn/net/TestPeer.java
@@ -27,14 +27,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/**
- * A server of the test's own on an ephemeral loopback port; the script says what each connection
- * does.
- */
+/** A scripted server on an ephemeral loopback port. */
 public final class TestPeer implements Closeable {
   private static final int SECONDS = 20;
 
-  /** What one connection does, on a thread of its own; the connection is closed when it returns. */
+  /** Serves one connection on its own thread; the connection is closed when it returns. */
   public interface Script {
     void serve(Line line) throws IOException, ProtocolException, InterruptedException;
   }
@@ -54,7 +51,7 @@
     Threads.start("test-peer", this::accept);
   }
 
-  /** Holds the calling thread until the latch is released, where it may not throw. */
+  /** Waits for the latch without throwing a checked exception. */
   public static void await(CountDownLatch latch) {
     try {
       latch.await();
@@ -63,7 +60,7 @@
     }
   }
 
-  /** Waits for what another thread does. */
+  /** Waits until the condition holds. */
   public static void until(Callable<Boolean> done) throws Exception {
     while (!done.call()) {
       if (Thread.interrupted()) {
@@ -81,7 +78,7 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** The next thing that a script has noted; fails if none comes. */
+  /** Returns the next note of a script; fails if there is none in time. */
   public String note() throws InterruptedException {
     String note = notes.poll(SECONDS, TimeUnit.SECONDS);
     if (note == null) {
@@ -130,7 +127,7 @@
     }
   }
 
-  /** One connection, from whichever end the test holds. */
+  /** One connection, from the client or the server side. */
   public static final class Line implements Closeable {
     private final Socket socket;
     private final BlockingQueue<String> notes;
@@ -180,12 +177,12 @@
       return value;
     }
 
-    /** Says nothing more, and still listens. */
+    /** Shuts down the output; the input stays open. */
     public void endOutput() throws IOException {
       socket.shutdownOutput();
     }
 
-    /** Whether the peer has ended; waits a moment for it. */
+    /** Whether the peer has closed the connection; waits briefly for it. */
     public boolean ended() throws IOException {
       socket.setSoTimeout(1);
       try {
@@ -195,19 +192,19 @@
       }
     }
 
-    /** All that still comes, until the peer ends. */
+    /** Reads everything until the peer closes the connection. */
     public String rest() throws IOException {
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads just so many bytes as the text has, and checks that they are the text. */
+    /** Reads as many bytes as the text has and asserts that they are equal to it. */
     void expect(String text) throws IOException {
       byte[] bytes = new byte[text.length()];
       new DataInputStream(socket.getInputStream()).readFully(bytes);
       assertEquals(text, new String(bytes, StandardCharsets.ISO_8859_1));
     }
 
-    /** The next command's words joined by blanks, or "end". */
+    /** The arguments of the next command joined by blanks, or "end". */
     public String command() throws IOException, ProtocolException {
       RespValue value = read();
       if (value == null) {
@@ -219,13 +216,13 @@
               .items().stream().map(item -> ((RespValue.Bulk) item).bytes().toString()).toList());
     }
 
-    /** The next answer's bytes without the last line end, or "end". */
+    /** The bytes of the next response without the last line end, or "end". */
     public String answer() throws IOException, ProtocolException {
       RespValue value = read();
       return value == null ? "end" : value.frame().toString().trim();
     }
 
-    /** The lines of an HTTP request's head, or an empty text at the end of the stream. */
+    /** The head of an HTTP request, or an empty string at the end of the stream. */
     public String httpHead() throws IOException {
       StringBuilder head = new StringBuilder();
       while (head.indexOf("\r\n\r\n") < 0) {
@@ -242,7 +239,7 @@
       write("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Ends the connection as a process that dies does: the peer sees a reset. */
+    /** Closes the connection with a reset, as a killed process does. */
     public void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
--- a/src/test/java/beaconturn/net/UpgradeTest.java
+++ b/src/test/java/beaconturn/net/UpgradeTest.java
@@ -23,15 +23,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Two processes of one router in an upgrade: what is left to the next, seats, the socket that both
- * have.
+ * Two processes of one router during an upgrade: warm-start state, process slots, shared listening
+ * socket.
  */
 @Timeout(30)
 class UpgradeTest {
-  private static final WarmStartState LEARNED = new WarmStartState(1e-7, 2e-7, 4e7, 8e7, 12, 1e9);
+  private static final WarmStartState STATE = new WarmStartState(1e-7, 2e-7, 4e7, 8e7, 12, 1e9);
 
-  /** As the first build with this form wrote it. */
-  private static final String LEARNED_AT_5000_MILLIS =
+  /** As the first version of this format wrote it. */
+  private static final String STATE_AT_5000_MILLIS_HEX =
       "42544c4541524e32"
           + "00000000d721de5e"
           + "0000000000001388"
@@ -46,21 +46,21 @@
   private final BlockingQueue<SocketChannel> accepted = new LinkedBlockingQueue<>();
 
   @Test
-  void whatIsLeftIsReadWhileItIsFreshAndNotIfItIsCutOrChangedAnywhere() throws IOException {
+  void readsFreshStateAndIgnoresDamagedFile() throws IOException {
     Path path = folder.resolve("learned");
     UpgradeState file = new UpgradeState(path);
     assertNull(file.read(5000));
-    file.write(LEARNED, 5000);
-    assertEquals(LEARNED, file.read(9000));
+    file.write(STATE, 5000);
+    assertEquals(STATE, file.read(9000));
     assertNull(file.read(60_000));
     file.write(new WarmStartState(Double.NaN, 0, 0, 0, 1, 1), 5000);
     assertNull(file.read(5000));
-    file.write(LEARNED, 5000);
-    byte[] whole = Files.readAllBytes(path);
-    for (int i = 0; i < whole.length; i++) {
-      Files.write(path, Arrays.copyOf(whole, i));
+    file.write(STATE, 5000);
+    byte[] intact = Files.readAllBytes(path);
+    for (int i = 0; i < intact.length; i++) {
+      Files.write(path, Arrays.copyOf(intact, i));
       assertNull(file.read(5000), "cut at " + i);
-      byte[] changed = whole.clone();
+      byte[] changed = intact.clone();
       changed[i] ^= 1;
       Files.write(path, changed);
       assertNull(file.read(5000), "changed at " + i);
@@ -68,23 +68,23 @@
   }
 
   /**
-   * At an upgrade the process of the build before leaves the file and that of this build reads it,
-   * or the other way round after a roll-back: its bytes are the same in both.
+   * After an upgrade or a roll-back the file may have been written by another build, so its bytes
+   * must not change.
    */
   @Test
-  void aFileOfTheBuildBeforeIsReadAndWrittenByteForByte() throws IOException {
+  void keepsFileFormatOfEarlierBuilds() throws IOException {
     Path path = folder.resolve("learned");
-    byte[] before = HexFormat.of().parseHex(LEARNED_AT_5000_MILLIS);
+    byte[] before = HexFormat.of().parseHex(STATE_AT_5000_MILLIS_HEX);
     Files.write(path, before);
     UpgradeState file = new UpgradeState(path);
-    assertEquals(LEARNED, file.read(9000));
+    assertEquals(STATE, file.read(9000));
     Files.delete(path);
-    file.write(LEARNED, 5000);
+    file.write(STATE, 5000);
     assertArrayEquals(before, Files.readAllBytes(path));
   }
 
   @Test
-  void eachOfTwoProcessesSeesTheOtherAsLongAsItRunsAndWithoutAFileIsNeverAlone()
+  void detectsOtherProcessAndAssumesOneWithoutFile()
       throws IOException {
     Path path = folder.resolve("seats");
     ProcessSlots first = new ProcessSlots(path);
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void oneThatStopsLeavesTheSharedSocketAndItsQueueToTheOther()
+  void closingListenerLeavesSharedSocketAndQueueToOther()
       throws IOException, InterruptedException {
     try (ServerSocketChannel shared = ServerSocketChannel.open()) {
       shared.bind(new InetSocketAddress("127.0.0.1", 0));
--- a/src/test/java/beaconturn/net/io/ThreadsTest.java
+++ b/src/test/java/beaconturn/net/io/ThreadsTest.java
@@ -10,33 +10,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Threads that the router cannot do without. */
+/** Supervised threads restart after failures. */
 @Timeout(60)
 class ThreadsTest {
   @Test
-  void aSupervisedLoopBeginsAnewAfterWhateverItThrows() throws Exception {
-    BlockingQueue<Throwable> throwing =
+  void restartsSupervisedLoopAfterAnyThrowable() throws Exception {
+    BlockingQueue<Throwable> failures =
         new LinkedBlockingQueue<>(
             List.of(
                 new IllegalStateException("one"),
                 new StackOverflowError(),
                 new OutOfMemoryError("three")));
-    BlockingQueue<String> ran = new LinkedBlockingQueue<>();
+    BlockingQueue<String> completions = new LinkedBlockingQueue<>();
     Thread thread =
         Threads.supervised(
             "test-loop",
             () -> {
-              Throwable next = throwing.poll();
+              Throwable next = failures.poll();
               if (next instanceof Error e) {
                 throw e;
               }
               if (next instanceof RuntimeException e) {
                 throw e;
               }
-              ran.add("to its end");
+              completions.add("to its end");
             });
-    assertEquals("to its end", ran.poll(20, TimeUnit.SECONDS));
+    assertEquals("to its end", completions.poll(20, TimeUnit.SECONDS));
     thread.join();
-    assertTrue(throwing.isEmpty());
+    assertTrue(failures.isEmpty());
   }
 }
--- a/src/test/java/beaconturn/net/package-info.java
+++ b/src/test/java/beaconturn/net/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the sockets against peers of their own on ephemeral loopback ports. */
+/** Tests of a router on real sockets, against peers on ephemeral loopback ports. */
 package beaconturn.net;
