--- a/src/test/java/beaconturn/net/PlantedAgreement.java
+++ b/src/test/java/beaconturn/net/FaultyAgreement.java
@@ -23,7 +23,7 @@
 import java.util.regex.Pattern;
 
 /** A router's member of the agreement with an injected defect, which the invariants must detect. */
-public final class PlantedAgreement implements FleetConfigSource {
+public final class FaultyAgreement implements FleetConfigSource {
   private static final long SECOND = 1_000_000_000;
   private final Defect defect;
   private final AgreementSubsystem member;
@@ -44,14 +44,14 @@
     CLAIMS_LISTS
   }
 
-  private PlantedAgreement(Defect defect, AgreementSubsystem member, StoreClient store) {
+  private FaultyAgreement(Defect defect, AgreementSubsystem member, StoreClient store) {
     this.defect = defect;
     this.member = member;
     this.store = store;
   }
 
   /** Creates the member for a router and its operators' file, with the defect. */
-  public static PlantedAgreement of(Defect defect, Path features, RouterConfig router)
+  public static FaultyAgreement of(Defect defect, Path features, RouterConfig router)
       throws IOException {
     Matcher port = Pattern.compile("127\\.0\\.0\\.1:([0-9]+)").matcher(Files.readString(features));
     if (!port.find()) {
@@ -64,7 +64,7 @@
             new AgreementConfig(
                 endpoints, "/rehearsal", new AgreementTiming(SECOND, 0.01, SECOND / 2), null),
             router);
-    return new PlantedAgreement(defect, member, new StoreClient(endpoints, SECOND));
+    return new FaultyAgreement(defect, member, new StoreClient(endpoints, SECOND));
   }
 
   @Override
--- a/src/test/java/beaconturn/net/BrokenRouter.java
+++ b/src/test/java/beaconturn/net/FaultyRouter.java
@@ -31,7 +31,7 @@
 import java.util.function.Consumer;
 
 /** Routers with one injected defect each, for tests that prove that the invariants detect it. */
-public final class BrokenRouter implements RouterCustomization {
+public final class FaultyRouter implements RouterCustomization {
   private static final int DEFECT_INTERVAL = 15;
   private static final long EXTRA_AGE_NANOS = 60_000_000_000L;
   private final Defect defect;
@@ -43,24 +43,24 @@
     /** No defect. */
     NONE,
     /** Some clients receive their response twice. */
-    ANSWERS_TWICE,
+    DUPLICATES_RESPONSES,
     /** Retries non-idempotent requests that may have been executed. */
-    REPEATS_UNSAFE,
+    RETRIES_NON_IDEMPOTENT,
     /** Endpoint updates that drain a server are ignored. */
     IGNORES_DRAINS,
     /** Some requests are lost. */
-    LOSES,
+    LOSES_REQUESTS,
     /** Slow start is skipped: every cache server counts as warm. */
-    OVERRUNS_COLD,
+    IGNORES_SLOW_START,
     /** Some clients receive the response of another request. */
-    SWAPS_ANSWERS,
+    SWAPS_RESPONSES,
     /** A rejected command closes its connection, whatever follows it. */
-    ENDS_AT_REJECTION,
+    CLOSES_ON_REJECTION,
     /** Connections are closed while a command is partially read. */
-    ENDS_OVER_COMMANDS
+    CLOSES_ON_PARTIAL_COMMAND
   }
 
-  private BrokenRouter(Defect defect) {
+  private FaultyRouter(Defect defect) {
     this.defect = defect;
   }
 
@@ -68,20 +68,20 @@
   public static RouterServer of(Defect defect, RouterConfig config) throws IOException {
     return new RouterServer(
         new RouterInputs(
-            config, () -> config, new Lifecycle(), new BrokenRouter(defect), null, null));
+            config, () -> config, new Lifecycle(), new FaultyRouter(defect), null, null));
   }
 
   @Override
   public ClientConnection connection(SocketChannel client, ConnectionContext context) {
     return switch (defect) {
-      case ENDS_AT_REJECTION ->
+      case CLOSES_ON_REJECTION ->
           new ClientConnection(client, context) {
             @Override
             protected void respondWithError(String reason) {
               closeWithError(reason);
             }
           };
-      case ENDS_OVER_COMMANDS ->
+      case CLOSES_ON_PARTIAL_COMMAND ->
           new ClientConnection(client, context) {
             @Override
             public long partialCommandSinceNanos() {
@@ -109,7 +109,7 @@
   }
 
   private synchronized RoutingMessage applyDefect(RoutingMessage message) {
-    if (message instanceof RoutingMessage.RequestReceived && defect == Defect.LOSES) {
+    if (message instanceof RoutingMessage.RequestReceived && defect == Defect.LOSES_REQUESTS) {
       return ++count % DEFECT_INTERVAL == 0 ? null : message;
     }
     if (message instanceof RoutingMessage.EndpointUpdateReceived received
@@ -120,7 +120,7 @@
           new EndpointUpdate(
               received.update().version(),
               received.update().kind(),
-              received.update().endpoints().stream().map(BrokenRouter::undrained).toList()));
+              received.update().endpoints().stream().map(FaultyRouter::undrained).toList()));
     }
     if (!(message instanceof RoutingMessage.AttemptCompleted completed)
         || completed.result().outcome() != AttemptOutcome.OK) {
@@ -133,9 +133,9 @@
       return message;
     }
     return switch (defect) {
-      case ANSWERS_TWICE ->
+      case DUPLICATES_RESPONSES ->
           new RoutingMessage.AttemptCompleted(completed.attempt(), with(completed.result(), twice(response)));
-      case SWAPS_ANSWERS ->
+      case SWAPS_RESPONSES ->
           new RoutingMessage.AttemptCompleted(completed.attempt(), with(completed.result(), otherResponse));
       default -> message;
     };
@@ -186,8 +186,8 @@
         actions -> {
           RoutingPolicy policy = new RingRouter(settings, config.seed(), clock.now(), actions);
           return switch (defect) {
-            case OVERRUNS_COLD -> (now, event) -> policy.handle(now, asWarm(event));
-            case REPEATS_UNSAFE -> new RetryingPolicy(settings, policy, actions);
+            case IGNORES_SLOW_START -> (now, event) -> policy.handle(now, asWarm(event));
+            case RETRIES_NON_IDEMPOTENT -> new RetryingPolicy(settings, policy, actions);
             default -> policy;
           };
         });
--- a/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
+++ b/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
@@ -6,7 +6,7 @@
 
 import beaconturn.cli.EmbeddedLauncher;
 import beaconturn.history.InvariantResult;
-import beaconturn.net.BrokenRouter;
+import beaconturn.net.FaultyRouter;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -86,7 +86,7 @@
 
   @TempDir private Path folder;
 
-  private void play(BrokenRouter.Defect defect, String fault, Consumer<List<String>> broken)
+  private void play(FaultyRouter.Defect defect, String fault, Consumer<List<String>> broken)
       throws Exception {
     Path below = Files.createDirectory(folder.resolve(defect.name()));
     Plays.of(
@@ -107,17 +107,17 @@
 
   @ParameterizedTest
   @CsvSource({
-    "ANSWERS_TWICE, one-answer, none",
-    "LOSES, one-answer, none",
-    "SWAPS_ANSWERS, made-for-it, none",
-    "REPEATS_UNSAFE, no-effect-twice, resets",
+    "DUPLICATES_RESPONSES, one-answer, none",
+    "LOSES_REQUESTS, one-answer, none",
+    "SWAPS_RESPONSES, made-for-it, none",
+    "RETRIES_NON_IDEMPOTENT, no-effect-twice, resets",
     "IGNORES_DRAINS, drains-kept, drain",
-    "OVERRUNS_COLD, cold-kept, restart",
-    "ENDS_AT_REJECTION, one-answer, pipelines",
-    "ENDS_OVER_COMMANDS, one-answer, pieces"
+    "IGNORES_SLOW_START, cold-kept, restart",
+    "CLOSES_ON_REJECTION, one-answer, pipelines",
+    "CLOSES_ON_PARTIAL_COMMAND, one-answer, pieces"
   })
   void theDefectIsNamedAndTheSameDayWithoutItBreaksNothing(
-      BrokenRouter.Defect defect, String rule, String day) throws Exception {
+      FaultyRouter.Defect defect, String rule, String day) throws Exception {
     String fault =
         switch (day) {
           case "resets" -> RESETS;
@@ -128,8 +128,8 @@
           default -> "";
         };
     play(defect, fault, broken -> assertTrue(broken.contains(rule), defect + " broke " + broken));
-    if (!fault.isEmpty() || defect == BrokenRouter.Defect.LOSES) {
-      play(BrokenRouter.Defect.NONE, fault, broken -> assertEquals(List.of(), broken));
+    if (!fault.isEmpty() || defect == FaultyRouter.Defect.LOSES_REQUESTS) {
+      play(FaultyRouter.Defect.NONE, fault, broken -> assertEquals(List.of(), broken));
     }
   }
 
@@ -137,7 +137,7 @@
   void aRouterOfThisProcessCannotBeKilled() throws Exception {
     Scenario scenario =
         ScenarioReader.read("day.toml", "[[fault]]\nkind = \"router-kill\"\n", null);
-    RouterLauncher launcher = launcher(BrokenRouter.Defect.NONE);
+    RouterLauncher launcher = launcher(FaultyRouter.Defect.NONE);
     IOException e =
         assertThrows(
             IOException.class, () -> new Rehearsal(scenario, launcher, folder, text -> {}).play());
@@ -145,7 +145,7 @@
   }
 
   /** Routers of this process with one defect. */
-  private static RouterLauncher launcher(BrokenRouter.Defect defect) {
-    return new EmbeddedLauncher(config -> BrokenRouter.of(defect, config));
+  private static RouterLauncher launcher(FaultyRouter.Defect defect) {
+    return new EmbeddedLauncher(config -> FaultyRouter.of(defect, config));
   }
 }
--- a/src/test/java/beaconturn/rehearsal/PlantedAgreementPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/PlantedAgreementPlayTest.java
@@ -4,7 +4,7 @@
 
 import beaconturn.core.Lifecycle;
 import beaconturn.history.InvariantResult;
-import beaconturn.net.PlantedAgreement;
+import beaconturn.net.FaultyAgreement;
 import beaconturn.net.RouterServer;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Timeout;
@@ -18,7 +18,7 @@
   @TempDir private Path folder;
 
   /** What a defect is seen by, where it is not by the servers that versions hold out. */
-  private static String day(PlantedAgreement.Defect defect) {
+  private static String day(FaultyAgreement.Defect defect) {
     return switch (defect) {
       case REPEATS ->
           AgreementPlayTest.DAY
@@ -55,8 +55,8 @@
 
   /** Such a day with one router that has a defect: it is named, and nobody else. */
   @ParameterizedTest
-  @EnumSource(PlantedAgreement.Defect.class)
-  void aPlantedRouterIsNamed(PlantedAgreement.Defect defect) throws Exception {
+  @EnumSource(FaultyAgreement.Defect.class)
+  void aPlantedRouterIsNamed(FaultyAgreement.Defect defect) throws Exception {
     Plays.of(
         day(defect),
         new FirstRouterDefective(
@@ -66,7 +66,7 @@
                         c,
                         () -> c,
                         new Lifecycle(),
-                        PlantedAgreement.of(defect, features, c),
+                        FaultyAgreement.of(defect, features, c),
                         null)),
         folder,
         (report, logs) -> {
