--- a/src/main/java/beaconturn/net/ConfigReloader.java
+++ b/src/main/java/beaconturn/net/ConfigReloader.java
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Applies a configuration as a whole: all of it is checked before any of it becomes active. */
+  /** Applies a configuration completely: all of it is checked before any of it becomes active. */
   private void apply(RouterConfig next) throws ConfigException {
     check(next);
     if (!activeConfig.settings().equals(next.settings())) {
--- a/src/main/java/beaconturn/net/HealthMetrics.java
+++ b/src/main/java/beaconturn/net/HealthMetrics.java
@@ -31,7 +31,7 @@
   private final IntSupplier connections;
   private final IntSupplier maxConnections;
 
-  /** Names of the cache servers by id; replaced as a whole. */
+  /** Names of the cache servers by id; replaced completely on a change. */
   private volatile SortedMap<Long, String> serverNames = new TreeMap<>();
 
   /**
--- a/src/main/java/beaconturn/net/client/ClientConnection.java
+++ b/src/main/java/beaconturn/net/client/ClientConnection.java
@@ -30,7 +30,7 @@
   static final long LINGER_NANOS = 250_000_000;
 
   /** Time for the rest of a partial command to arrive during a graceful shutdown. */
-  private static final long PARTIAL_COMMAND_AT_STOP_NANOS = 1_000_000_000;
+  private static final long PARTIAL_COMMAND_DRAIN_TIMEOUT_NANOS = 1_000_000_000;
 
   private static final long NEVER = Long.MAX_VALUE;
 
@@ -54,7 +54,7 @@
   public ClientConnection(SocketChannel channel, ConnectionContext context) {
     this.channel = channel;
     this.context = context;
-    this.number = context.eventLog().connectionOpened();
+    this.number = context.eventLog().nextConnectionNumber();
     this.openedAtNanos = context.clock().now();
     this.writer = new ClientWriter(channel, context.clock(), this::onResponsesWritten);
     this.largePermits = new LargeRequestPermits(context.largeRequests());
@@ -97,7 +97,7 @@
    */
   long awaitingFirstByteSinceNanos() {
     boolean hasSent = reader.hasReceivedCommand() || reader.partial().exists();
-    return hasSent || isClosingOrClosed() || outputShutdownAtNanos() != NEVER ? NEVER : openedAtNanos;
+    return hasSent || isCloseProposedOrClosed() || outputShutdownAtNanos() != NEVER ? NEVER : openedAtNanos;
   }
 
   /**
@@ -127,7 +127,7 @@
   }
 
   /** Whether a close is proposed, or the connection is closed and its descriptor not yet free. */
-  boolean isClosingOrClosed() {
+  boolean isCloseProposedOrClosed() {
     return state.hasProposal() || state.isClosed();
   }
 
@@ -161,7 +161,7 @@
   /**
    * Closes the connection as proposed, unless a last read finds a command. Poller thread only.
    *
-   * <p>Prevents losing a request with its connection: the kernel may hold a whole command that a
+   * <p>Prevents losing a request with its connection: the kernel may hold a complete command that a
    * busy poller has not read. The last read and the close follow each other on the only thread that
    * reads, so a command that arrives in between stays unread, and the client learns from the reset
    * that its command was not processed.
@@ -197,13 +197,13 @@
     boolean timedOut =
         partial.exists()
             && context.clock().now() - Math.max(partial.startedAtNanos(), state.drainingSinceNanos())
-                > PARTIAL_COMMAND_AT_STOP_NANOS;
+                > PARTIAL_COMMAND_DRAIN_TIMEOUT_NANOS;
     if (noCommandArrived() && (timedOut || !partial.exists()) && writer.shutdownOutputIfIdle()) {
       state.startClosing(CloseReason.GRACEFUL_SHUTDOWN);
     }
   }
 
-  /** Reads once more and returns whether no whole command arrived or waits. Poller thread only. */
+  /** Reads once more and returns whether no complete command arrived or waits. Poller thread only. */
   private boolean noCommandArrived() throws IOException {
     int processedBefore = reader.commandsProcessed();
     if (!reader.isThrottled()) {
@@ -327,7 +327,7 @@
     }
     int bytes = reader.fill(arrivedAtNanos);
     if (bytes < 0) {
-      // Commands that arrived just before the end of the stream are dropped: their client is gone.
+      // Commands that arrived just before the end of the stream are dropped: their client has disconnected.
       close(CloseReason.CLIENT_DISCONNECTED);
     } else if (bytes > 0) {
       processCommands();
@@ -343,7 +343,7 @@
   }
 
   /**
-   * Dispatches a whole command. An invalid command gets an error as its response and affects no
+   * Dispatches a complete command. An invalid command gets an error as its response and affects no
    * other command.
    */
   private void handleCommand(RespValue command) {
@@ -362,8 +362,8 @@
   }
 
   /**
-   * Closes the connection after the responses to earlier commands and one final error. Used when
-   * the input cannot be split into commands. Poller thread only.
+   * Closes the connection after the responses to earlier commands and one final error: the input
+   * cannot be split into commands, or an internal error occurred. Poller thread only.
    */
   protected final void closeWithError(String reason) {
     state.startClosing(CloseReason.PROTOCOL_ERROR);
--- a/src/main/java/beaconturn/net/client/ClientConnections.java
+++ b/src/main/java/beaconturn/net/client/ClientConnections.java
@@ -10,7 +10,7 @@
 /**
  * Tracks the open client connections, enforces their limit and closes idle and slow ones. Methods
  * may be called by any thread; the listener thread calls {@link #makeRoom}, the sweeper thread
- * {@link #sweep} and {@link #drain}.
+ * {@link #sweep}, and the thread that runs a graceful shutdown {@link #drain} and {@link #sweep}.
  */
 public final class ClientConnections {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -18,7 +18,7 @@
   /** Time without progress after which a response is given up. */
   private static final long WRITE_TIMEOUT_NANOS = 10_000 * NANOS_PER_MILLI;
 
-  /** Time for a command to arrive whole from its first byte: 2 s plus network and poller delay. */
+  /** Time for a command to arrive completely from its first byte: 2 s plus network and poller delay. */
   private static final long COMMAND_TIMEOUT_NANOS = 2_500 * NANOS_PER_MILLI;
 
   /** Time for a new client to send its first byte. */
@@ -117,7 +117,7 @@
 
   private boolean awaitClosing() {
     for (int round = 0; round < MAX_POLLER_WAITS; round++) {
-      long closing = connections.stream().filter(ClientConnection::isClosingOrClosed).count();
+      long closing = connections.stream().filter(ClientConnection::isCloseProposedOrClosed).count();
       if (closing <= 1 + limit / CLOSING_EXCESS_DIVISOR) {
         return true;
       }
--- a/src/main/java/beaconturn/net/client/ClientEventLog.java
+++ b/src/main/java/beaconturn/net/client/ClientEventLog.java
@@ -40,11 +40,11 @@
   }
 
   /** Returns the number of a new connection, starting at 1. */
-  long connectionOpened() {
+  long nextConnectionNumber() {
     return connectionCount.incrementAndGet();
   }
 
-  /** Logs that a whole command was answered with an error. */
+  /** Logs that a complete command was answered with an error. */
   void rejected(long connectionNumber, RespValue command, String cause, long nowNanos) {
     rejectionLog.log(
         nowNanos,
@@ -93,7 +93,7 @@
    * Logs that a connection closes.
    *
    * @param unanswered the requests without a response
-   * @param unwritten the number of responses that were not written whole, including those of
+   * @param unwritten the number of responses that were not written completely, including those of
    *     unanswered requests
    */
   void closed(
--- a/src/main/java/beaconturn/net/client/ClientInputBuffer.java
+++ b/src/main/java/beaconturn/net/client/ClientInputBuffer.java
@@ -36,7 +36,7 @@
    * Reads the available bytes.
    *
    * @param arrivedAtNanos the earliest time at which the bytes can have arrived
-   * @param largeAllowed whether a large command may be read whole
+   * @param largeAllowed whether a large command may be read completely
    * @return the number of bytes read, or a negative number at the end of the stream
    */
   int fill(SocketChannel from, long arrivedAtNanos, boolean largeAllowed) throws IOException {
@@ -69,7 +69,7 @@
         || (largeAllowed && buffer.size() <= buffer.expectedBytes());
   }
 
-  /** Removes and returns the next whole command, or returns null if there is none. */
+  /** Removes and returns the next complete command, or returns null if there is none. */
   RespValue next() throws ProtocolException {
     RespValue command = reader.next(buffer);
     onlyPartial = command == null;
--- a/src/main/java/beaconturn/net/client/ClientWriter.java
+++ b/src/main/java/beaconturn/net/client/ClientWriter.java
@@ -212,7 +212,7 @@
     }
   }
 
-  /** Removes the first response, which has been written whole. */
+  /** Removes the first response, which has been written completely. */
   private void completeFirst() {
     slots.poll();
     pendingResponses--;
--- a/src/main/java/beaconturn/net/client/CloseReason.java
+++ b/src/main/java/beaconturn/net/client/CloseReason.java
@@ -22,7 +22,7 @@
    * The listener or the sweeper closes an idle connection to stay within the connection limits.
    */
   EVICTED("evicted to make room for other connections"),
-  /** The sweeper saw a command that did not arrive whole within the command timeout. */
+  /** The sweeper saw a command that did not arrive completely within the command timeout. */
   COMMAND_TIMEOUT("command still incomplete at its timeout"),
   /**
    * The listener closes a connection whose partial command makes no progress, to stay within
--- a/src/main/java/beaconturn/net/client/CommandDispatcher.java
+++ b/src/main/java/beaconturn/net/client/CommandDispatcher.java
@@ -9,7 +9,7 @@
 
 /**
  * Turns the commands of one client into requests, submits them to the routing thread, and reports
- * requests whose client is gone. Keeps the requests that have no response yet.
+ * requests whose client has disconnected. Keeps the requests that have no response yet.
  */
 final class CommandDispatcher {
   /**
@@ -102,7 +102,7 @@
     }
   }
 
-  /** Cancels requests whose client is gone. Not for the routing thread. */
+  /** Cancels requests whose client has disconnected. Not for the routing thread. */
   void abandon(List<RespClientRequest> requests) {
     for (RespClientRequest request : requests) {
       // Marked first: threads that write to cache servers skip requests that are not awaited.
--- a/src/main/java/beaconturn/net/client/CommandReader.java
+++ b/src/main/java/beaconturn/net/client/CommandReader.java
@@ -59,7 +59,7 @@
     return partial;
   }
 
-  /** Whether the client has sent a whole command yet. For any thread. */
+  /** Whether the client has sent a complete command yet. For any thread. */
   boolean hasReceivedCommand() {
     return commandReceived;
   }
@@ -130,7 +130,7 @@
   }
 
   /**
-   * Processes the whole commands in the buffer, as far as there is capacity for their responses.
+   * Processes the complete commands in the buffer, as far as there is capacity for their responses.
    *
    * @throws ProtocolException if the input cannot be split into commands
    */
--- a/src/main/java/beaconturn/net/client/LargeRequestPermits.java
+++ b/src/main/java/beaconturn/net/client/LargeRequestPermits.java
@@ -21,7 +21,7 @@
     this.shared = shared;
   }
 
-  /** Whether the command that is arriving may be read whole, whatever its size. For any thread. */
+  /** Whether the command that is arriving may be read completely, whatever its size. For any thread. */
   boolean heldForCurrentCommand() {
     return heldForCurrentCommand;
   }
--- a/src/main/java/beaconturn/net/client/PartialCommand.java
+++ b/src/main/java/beaconturn/net/client/PartialCommand.java
@@ -17,12 +17,12 @@
     startedAtNanos = Math.min(startedAtNanos, nowNanos);
   }
 
-  /** Records that a whole command was taken and no bytes follow. */
+  /** Records that a complete command was taken and no bytes follow. */
   void completed() {
     startedAtNanos = NEVER;
   }
 
-  /** Records that a whole command was taken and bytes of the next one follow. */
+  /** Records that a complete command was taken and bytes of the next one follow. */
   void nextStarted(long nowNanos) {
     startedAtNanos = nowNanos;
   }
@@ -31,7 +31,7 @@
     return startedAtNanos != NEVER;
   }
 
-  /** When the first bytes were seen, or {@code Long.MAX_VALUE} if there is no partial command. */
+  /** When the first bytes arrived, or {@code Long.MAX_VALUE} if there is no partial command. */
   long startedAtNanos() {
     return startedAtNanos;
   }
--- a/src/main/java/beaconturn/net/client/RequestParser.java
+++ b/src/main/java/beaconturn/net/client/RequestParser.java
@@ -107,7 +107,7 @@
     int classIndex = classIndex(attributes);
     RequestClass requestClass = settings.routing().classes().get(classIndex);
     long waitNanos = waitNanos(attributes, requestClass);
-    if (write
+    if (isWrite
         && requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
         && !attributes.containsKey("k")) {
       throw new InvalidCommandException("k is missing");
--- a/src/main/java/beaconturn/net/client/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -64,7 +64,7 @@
     parseContext.metrics().requestAccepted();
   }
 
-  /** Ends the request without a response, as its client is gone. */
+  /** Ends the request without a response, as its client has disconnected. */
   public void abandoned() {
     complete(RequestEnd.ABANDONED, ClientWriter.END_OF_OUTPUT);
   }
--- a/src/main/java/beaconturn/net/client/ResponseSlot.java
+++ b/src/main/java/beaconturn/net/client/ResponseSlot.java
@@ -12,7 +12,7 @@
   private volatile Slice response;
 
   /**
-   * The pipe that supplies a streamed response, or null if the response is written whole. Written
+   * The pipe that supplies a streamed response, or null if the response is not streamed. Written
    * under this object's lock.
    */
   private volatile BoundedPipe stream;
@@ -42,13 +42,13 @@
     action.run();
   }
 
-  /** The pipe that supplies a streamed response, or null if the response is written whole. */
+  /** The pipe that supplies a streamed response, or null if the response is not streamed. */
   final BoundedPipe stream() {
     return stream;
   }
 
   /**
-   * Returns the whole response or the next chunk of a streamed one, or null if none is available.
+   * Returns the complete response or the next chunk of a streamed one, or null if none is available.
    */
   final Slice nextChunk() {
     // Read in this order: a streamed response has its stream before the slot is filled.
--- a/src/test/java/beaconturn/net/OperatorOverridesTest.java
+++ b/src/test/java/beaconturn/net/OperatorOverridesTest.java
@@ -89,7 +89,7 @@
     assertEquals(
         0,
         ((RoutingMessage.OverrideRequested) posted.get(1)).atNanos(),
-        "nothing was said later than now");
+        "an override time in the future counts as now");
   }
 
   /** The command is acknowledged and takes effect once the fleet no longer excludes the server. */
--- a/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
@@ -164,7 +164,7 @@
     nowNanos.addAndGet(SECOND_NANOS / 2);
     assertTrue(connections.makeRoom(nowNanos.get()));
     assertTrue(connections.makeRoom(nowNanos.get()));
-    // A connection that the poller has not processed yet may be chosen twice.
+    // A connection that the poller has not processed yet may be proposed for closing twice.
     TestPeer.until(() -> connections.makeRoom(nowNanos.get()) && first.ended());
   }
 
@@ -588,7 +588,7 @@
     idleConnection.proposeClose(CloseReason.IDLE_TIMEOUT);
     releaseAgain.countDown();
     TestPeer.until(
-        () -> idleConnection.partialCommandSinceNanos() < Long.MAX_VALUE || idleConnection.isClosingOrClosed());
+        () -> idleConnection.partialCommandSinceNanos() < Long.MAX_VALUE || idleConnection.isCloseProposedOrClosed());
     awaitPollerRound();
     idleClient.write(GET.substring(9));
     nextRequest().answered(Slice.of("+v\r\n"));
