--- a/src/main/java/beaconturn/net/ClientAcceptor.java
+++ b/src/main/java/beaconturn/net/ClientAcceptor.java
@@ -18,7 +18,8 @@
   private final RouterCustomization customization;
   private final Clock clock;
   private final RepeatedEventLog rejectedConnections =
-      new RepeatedEventLog(LOG, "new client connections are closed, as no connection can be evicted for them", 1);
+      new RepeatedEventLog(
+          LOG, "new client connections are closed, as no connection can be evicted for them", 1);
 
   ClientAcceptor(
       ClientConnections connections,
--- a/src/main/java/beaconturn/net/ConnectionBudget.java
+++ b/src/main/java/beaconturn/net/ConnectionBudget.java
@@ -10,8 +10,7 @@
  *     need a thread
  * @param largeRequests maximum number of requests of the largest size held at once
  */
-record ConnectionBudget(
-    int clients, int clientSoftLimit, int cacheConnections, int largeRequests) {
+record ConnectionBudget(int clients, int clientSoftLimit, int cacheConnections, int largeRequests) {
   /**
    * Descriptors that are not for connections: the jar, the log, discovery, the listener, the JVM.
    */
@@ -71,7 +70,8 @@
   }
 
   private static int largeRequests(int memoryMb) {
-    int requestsThatFit = heapMb(memoryMb) * KB_PER_MB / LARGE_REQUEST_HEAP_DIVISOR / LARGE_REQUEST_KB;
+    int requestsThatFit =
+        heapMb(memoryMb) * KB_PER_MB / LARGE_REQUEST_HEAP_DIVISOR / LARGE_REQUEST_KB;
     return Math.max(1, Math.min(MAX_LARGE_REQUESTS, requestsThatFit));
   }
 }
--- a/src/main/java/beaconturn/net/FleetConfigApplier.java
+++ b/src/main/java/beaconturn/net/FleetConfigApplier.java
@@ -115,8 +115,10 @@
         .forEach(server -> exclude(engine, server, false, nowNanos));
   }
 
-  private static void exclude(RoutingEngine engine, String server, boolean excluded, long nowNanos) {
+  private static void exclude(
+      RoutingEngine engine, String server, boolean excluded, long nowNanos) {
     engine.handle(
-        new RoutingMessage.OverrideRequested(Fnv1a.of(server), excluded, nowNanos, true, known -> {}));
+        new RoutingMessage.OverrideRequested(
+            Fnv1a.of(server), excluded, nowNanos, true, known -> {}));
   }
 }
--- a/src/main/java/beaconturn/net/HealthMetrics.java
+++ b/src/main/java/beaconturn/net/HealthMetrics.java
@@ -64,8 +64,7 @@
     List<Metric> all = new ArrayList<>(counters.health(serverNames));
     long cores = Runtime.getRuntime().availableProcessors();
     all.add(new Metric("memory_kb", residentKb(), true));
-    all.add(
-        new Metric("cpu_ms", ProcessPauseDetector.cpuTimeNanos() / NANOS_PER_MILLI, false));
+    all.add(new Metric("cpu_ms", ProcessPauseDetector.cpuTimeNanos() / NANOS_PER_MILLI, false));
     all.add(new Metric("cores_thousandth", cores * THOUSANDTHS, true));
     all.add(new Metric("connections", connections.getAsInt(), true));
     all.add(new Metric("most_connections", maxConnections.getAsInt(), true));
--- a/src/main/java/beaconturn/net/ProcessPauseDetector.java
+++ b/src/main/java/beaconturn/net/ProcessPauseDetector.java
@@ -46,8 +46,7 @@
    */
   static long cpuTimeNanos() {
     try (InputStream in = new FileInputStream("/proc/self/stat")) {
-      return cpuTimeNanos(
-          new String(in.readNBytes(MAX_STAT_BYTES), StandardCharsets.US_ASCII));
+      return cpuTimeNanos(new String(in.readNBytes(MAX_STAT_BYTES), StandardCharsets.US_ASCII));
     } catch (IOException e) {
       return 0;
     }
--- a/src/main/java/beaconturn/net/ProcessSlots.java
+++ b/src/main/java/beaconturn/net/ProcessSlots.java
@@ -32,7 +32,8 @@
       file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
       takeSlot();
     } catch (IOException e) {
-      LOG.warning("cannot lock a process slot; assuming that another process of this router runs: " + e);
+      LOG.warning(
+          "cannot lock a process slot; assuming that another process of this router runs: " + e);
     }
   }
 
--- a/src/main/java/beaconturn/net/RouterMetrics.java
+++ b/src/main/java/beaconturn/net/RouterMetrics.java
@@ -16,7 +16,10 @@
 record RouterMetrics(Counters counters, HealthMetrics health) {
   /** Creates the metrics that a router with these inputs needs. */
   static RouterMetrics of(
-      RouterInputs inputs, LongSupplier clock, IntSupplier connections, IntSupplier maxConnections) {
+      RouterInputs inputs,
+      LongSupplier clock,
+      IntSupplier connections,
+      IntSupplier maxConnections) {
     if (inputs.config().adminAddress() == null) {
       return new RouterMetrics(null, null);
     }
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -95,7 +95,8 @@
     try {
       long startedAtNanos = components.clock().now();
       new StartupWarmUp(inputs.config()).run();
-      LOG.info("warmed up in " + (components.clock().now() - startedAtNanos) / NANOS_PER_MILLI + " ms");
+      LOG.info(
+          "warmed up in " + (components.clock().now() - startedAtNanos) / NANOS_PER_MILLI + " ms");
     } catch (ProtocolException | InvalidCommandException | RuntimeException e) {
       LOG.log(Level.WARNING, "warm-up failed", e);
     }
--- a/src/main/java/beaconturn/net/StartupEndpointList.java
+++ b/src/main/java/beaconturn/net/StartupEndpointList.java
@@ -58,7 +58,9 @@
   void awaitDiscovery(long timeoutNanos, long initialVersion) {
     try {
       if (!discoveryReplied.await(timeoutNanos, TimeUnit.NANOSECONDS)) {
-        LOG.info("discovery has not replied in time; starting with endpoint list version " + initialVersion);
+        LOG.info(
+            "discovery has not replied in time; starting with endpoint list version "
+                + initialVersion);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/beaconturn/net/client/ClientConnection.java
+++ b/src/main/java/beaconturn/net/client/ClientConnection.java
@@ -97,7 +97,9 @@
    */
   long awaitingFirstByteSinceNanos() {
     boolean hasSent = reader.hasReceivedCommand() || reader.partial().exists();
-    return hasSent || isCloseProposedOrClosed() || outputShutdownAtNanos() != NEVER ? NEVER : openedAtNanos;
+    return hasSent || isCloseProposedOrClosed() || outputShutdownAtNanos() != NEVER
+        ? NEVER
+        : openedAtNanos;
   }
 
   /**
@@ -196,20 +198,25 @@
     PartialCommand partial = reader.partial();
     boolean timedOut =
         partial.exists()
-            && context.clock().now() - Math.max(partial.startedAtNanos(), state.drainingSinceNanos())
+            && context.clock().now()
+                    - Math.max(partial.startedAtNanos(), state.drainingSinceNanos())
                 > PARTIAL_COMMAND_DRAIN_TIMEOUT_NANOS;
     if (noCommandArrived() && (timedOut || !partial.exists()) && writer.shutdownOutputIfIdle()) {
       state.startClosing(CloseReason.GRACEFUL_SHUTDOWN);
     }
   }
 
-  /** Reads once more and returns whether no complete command arrived or waits. Poller thread only. */
+  /**
+   * Reads once more and returns whether no complete command arrived or waits. Poller thread only.
+   */
   private boolean noCommandArrived() throws IOException {
     int processedBefore = reader.commandsProcessed();
     if (!reader.isThrottled()) {
       read(context.poller().lastSelectAtNanos());
     }
-    return !state.isClosed() && !reader.isThrottled() && reader.commandsProcessed() == processedBefore;
+    return !state.isClosed()
+        && !reader.isThrottled()
+        && reader.commandsProcessed() == processedBefore;
   }
 
   /** Closes at once and cancels all requests in flight. For any thread but the routing thread. */
@@ -290,7 +297,10 @@
 
   /** Handles an internal error: pending requests fail, then the connection closes. */
   private void handleInternalError(Throwable failure) {
-    LOG.log(Level.WARNING, "internal error on client connection " + number + "; its requests fail and it closes", failure);
+    LOG.log(
+        Level.WARNING,
+        "internal error on client connection " + number + "; its requests fail and it closes",
+        failure);
     try {
       if (state.isClosing()) {
         close(CloseReason.INTERNAL_ERROR);
@@ -300,7 +310,12 @@
       closeWithError("internal error");
       updateInterestOps();
     } catch (RuntimeException | Error e) {
-      LOG.log(Level.WARNING, "internal error on client connection " + number + " while handling an error; it closes now", e);
+      LOG.log(
+          Level.WARNING,
+          "internal error on client connection "
+              + number
+              + " while handling an error; it closes now",
+          e);
       close(CloseReason.INTERNAL_ERROR);
     }
   }
@@ -327,7 +342,8 @@
     }
     int bytes = reader.fill(arrivedAtNanos);
     if (bytes < 0) {
-      // Commands that arrived just before the end of the stream are dropped: their client has disconnected.
+      // Commands that arrived just before the end of the stream are dropped: their client has
+      // disconnected.
       close(CloseReason.CLIENT_DISCONNECTED);
     } else if (bytes > 0) {
       processCommands();
@@ -367,7 +383,9 @@
    */
   protected final void closeWithError(String reason) {
     state.startClosing(CloseReason.PROTOCOL_ERROR);
-    context.eventLog().protocolError(number, reason, writer.pendingResponses(), context.clock().now());
+    context
+        .eventLog()
+        .protocolError(number, reason, writer.pendingResponses(), context.clock().now());
     writer.enqueue(ResponseSlot.of(RespWriter.failure("ERR " + reason)));
     writer.shutdownOutputAfterPending();
     reader.stopReading(writer.outputShutdownAtNanos() == NEVER);
--- a/src/main/java/beaconturn/net/client/ClientConnections.java
+++ b/src/main/java/beaconturn/net/client/ClientConnections.java
@@ -18,7 +18,9 @@
   /** Time without progress after which a response is given up. */
   private static final long WRITE_TIMEOUT_NANOS = 10_000 * NANOS_PER_MILLI;
 
-  /** Time for a command to arrive completely from its first byte: 2 s plus network and poller delay. */
+  /**
+   * Time for a command to arrive completely from its first byte: 2 s plus network and poller delay.
+   */
   private static final long COMMAND_TIMEOUT_NANOS = 2_500 * NANOS_PER_MILLI;
 
   /** Time for a new client to send its first byte. */
@@ -145,7 +147,8 @@
   public void sweep(long nowNanos) {
     closeUnresponsive(nowNanos);
     closeSlowAndIdle(nowNanos);
-    evictLongestIdle(connections.size() - softLimit, nowNanos - IDLE_TIMEOUT_ABOVE_SOFT_LIMIT_NANOS);
+    evictLongestIdle(
+        connections.size() - softLimit, nowNanos - IDLE_TIMEOUT_ABOVE_SOFT_LIMIT_NANOS);
     connections.forEach(ClientConnection::rescheduleIfThrottled);
   }
 
--- a/src/main/java/beaconturn/net/client/CloseReason.java
+++ b/src/main/java/beaconturn/net/client/CloseReason.java
@@ -5,28 +5,24 @@
  *
  * <p>Except for {@link #CLIENT_DISCONNECTED}, {@link #WRITE_TIMEOUT}, {@link #RESPONSE_TRUNCATED}
  * and {@link #INTERNAL_ERROR}, a connection closes only after all outstanding responses are
- * written. The sweeper closes the connection itself
- * on {@link #WRITE_TIMEOUT} and {@link #LINGER_TIMEOUT}. All other closes run on the poller thread; those
- * that the sweeper or the listener proposes are dropped if a command has arrived meanwhile.
+ * written. The sweeper closes the connection itself on {@link #WRITE_TIMEOUT} and {@link
+ * #LINGER_TIMEOUT}. All other closes run on the poller thread; those that the sweeper or the
+ * listener proposes are dropped if a command has arrived meanwhile.
  */
 public enum CloseReason {
-  /**
-   * The client closed or reset the connection; its outstanding requests are cancelled.
-   */
+  /** The client closed or reset the connection; its outstanding requests are cancelled. */
   CLIENT_DISCONNECTED("client disconnected"),
   /** The sweeper saw no byte within the first-byte timeout of a new connection. */
   FIRST_BYTE_TIMEOUT("no data received on a new connection"),
   /** The sweeper saw no request within the idle timeout. */
   IDLE_TIMEOUT("idle timeout"),
-  /**
-   * The listener or the sweeper closes an idle connection to stay within the connection limits.
-   */
+  /** The listener or the sweeper closes an idle connection to stay within the connection limits. */
   EVICTED("evicted to make room for other connections"),
   /** The sweeper saw a command that did not arrive completely within the command timeout. */
   COMMAND_TIMEOUT("command still incomplete at its timeout"),
   /**
-   * The listener closes a connection whose partial command makes no progress, to stay within
-   * the connection limit.
+   * The listener closes a connection whose partial command makes no progress, to stay within the
+   * connection limit.
    */
   STALLED_COMMAND("evicted while its partial command made no progress"),
   /**
@@ -43,7 +39,6 @@
   GRACEFUL_SHUTDOWN("graceful shutdown"),
   /**
    * The input cannot be split into commands; earlier commands are answered, followed by one error.
-   *
    */
   PROTOCOL_ERROR("protocol error"),
   /**
--- a/src/main/java/beaconturn/net/client/CommandReader.java
+++ b/src/main/java/beaconturn/net/client/CommandReader.java
@@ -144,7 +144,9 @@
       updatePartial();
       command = nextCommand();
     }
-    if (input.holdsLargeCommand() && !largePermits.heldForCurrentCommand() && state.acceptsCommands()) {
+    if (input.holdsLargeCommand()
+        && !largePermits.heldForCurrentCommand()
+        && state.acceptsCommands()) {
       // Without a permit the command stays unread until the poller checks again; its timeout does
       // not run meanwhile.
       if (!largePermits.tryAcquire()) {
@@ -176,8 +178,8 @@
   }
 
   /**
-   * Stops reading after a protocol error. If responses are outstanding, the
-   * input stays unread until the sweep closes the connection; otherwise it is discarded up to a limit.
+   * Stops reading after a protocol error. If responses are outstanding, the input stays unread
+   * until the sweep closes the connection; otherwise it is discarded up to a limit.
    */
   void stopReading(boolean responsesOutstanding) {
     throttled = responsesOutstanding;
--- a/src/main/java/beaconturn/net/client/InvalidCommandException.java
+++ b/src/main/java/beaconturn/net/client/InvalidCommandException.java
@@ -1,8 +1,8 @@
 package beaconturn.net.client;
 
 /**
- * A command that arrived completely but has invalid arguments. The command is answered with an error,
- * and the commands around it are unaffected, unlike after a {@link
+ * A command that arrived completely but has invalid arguments. The command is answered with an
+ * error, and the commands around it are unaffected, unlike after a {@link
  * beaconturn.protocol.ProtocolException}, where the input cannot be split into commands.
  */
 public final class InvalidCommandException extends Exception {
--- a/src/main/java/beaconturn/net/client/LargeRequestPermits.java
+++ b/src/main/java/beaconturn/net/client/LargeRequestPermits.java
@@ -21,7 +21,9 @@
     this.shared = shared;
   }
 
-  /** Whether the command that is arriving may be read completely, whatever its size. For any thread. */
+  /**
+   * Whether the command that is arriving may be read completely, whatever its size. For any thread.
+   */
   boolean heldForCurrentCommand() {
     return heldForCurrentCommand;
   }
@@ -40,7 +42,10 @@
     return true;
   }
 
-  /** Ends the arrival of a command; its permit is held until the connection is idle. Poller thread only. */
+  /**
+   * Ends the arrival of a command; its permit is held until the connection is idle. Poller thread
+   * only.
+   */
   void commandCompleted() {
     heldForCurrentCommand = false;
   }
--- a/src/main/java/beaconturn/net/client/Listener.java
+++ b/src/main/java/beaconturn/net/client/Listener.java
@@ -136,7 +136,8 @@
         acceptAll();
         done = true;
       } catch (IOException | RuntimeException | Error e) {
-        LOG.log(Level.WARNING, "accepting a queued connection failed while closing the listener: " + e);
+        LOG.log(
+            Level.WARNING, "accepting a queued connection failed while closing the listener: " + e);
         Thread.sleep(FAILURE_PAUSE_MILLIS);
       }
     }
--- a/src/main/java/beaconturn/net/client/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -79,7 +79,9 @@
       return;
     }
     boolean countsAsError = truncated && end != RequestEnd.ABANDONED;
-    parseContext.metrics().requestEnded(parseContext.className(), countsAsError ? RequestEnd.FAILED : end);
+    parseContext
+        .metrics()
+        .requestEnded(parseContext.className(), countsAsError ? RequestEnd.FAILED : end);
     if (end == RequestEnd.ANSWERED) {
       parseContext.metrics().answeredWithObjective(parseContext.objectiveAtNanos());
     }
--- a/src/main/java/beaconturn/net/client/ResponseSlot.java
+++ b/src/main/java/beaconturn/net/client/ResponseSlot.java
@@ -48,7 +48,8 @@
   }
 
   /**
-   * Returns the complete response or the next chunk of a streamed one, or null if none is available.
+   * Returns the complete response or the next chunk of a streamed one, or null if none is
+   * available.
    */
   final Slice nextChunk() {
     // Read in this order: a streamed response has its stream before the slot is filled.
--- a/src/test/java/beaconturn/net/FaultyRouter.java
+++ b/src/test/java/beaconturn/net/FaultyRouter.java
@@ -134,9 +134,11 @@
     }
     return switch (defect) {
       case DUPLICATES_RESPONSES ->
-          new RoutingMessage.AttemptCompleted(completed.attempt(), with(completed.result(), twice(response)));
+          new RoutingMessage.AttemptCompleted(
+              completed.attempt(), with(completed.result(), twice(response)));
       case SWAPS_RESPONSES ->
-          new RoutingMessage.AttemptCompleted(completed.attempt(), with(completed.result(), otherResponse));
+          new RoutingMessage.AttemptCompleted(
+              completed.attempt(), with(completed.result(), otherResponse));
       default -> message;
     };
   }
--- a/src/test/java/beaconturn/net/OperatorOverridesTest.java
+++ b/src/test/java/beaconturn/net/OperatorOverridesTest.java
@@ -85,7 +85,9 @@
     long atNanos = ((RoutingMessage.OverrideRequested) posted.get(0)).atNanos();
     assertTrue(atNanos <= -5_000_000_000L && atNanos > -60_000_000_000L, () -> "at " + atNanos);
     operators.applyOverride(
-        new ServerOverride("c1", false, MonotonicMillis.millis() + 3_600_000), true, acknowledged::add);
+        new ServerOverride("c1", false, MonotonicMillis.millis() + 3_600_000),
+        true,
+        acknowledged::add);
     assertEquals(
         0,
         ((RoutingMessage.OverrideRequested) posted.get(1)).atNanos(),
--- a/src/test/java/beaconturn/net/RouterConfigTest.java
+++ b/src/test/java/beaconturn/net/RouterConfigTest.java
@@ -89,7 +89,8 @@
   /** All routers must assign the same keys to a server, whatever address they reach it at. */
   @Test
   void serverIdDependsOnNameOnly() throws ConfigException {
-    long here = read(VALID_CONFIG, Map.of()).initialEndpoints().endpoints().get(0).endpoint().serverId();
+    long here =
+        read(VALID_CONFIG, Map.of()).initialEndpoints().endpoints().get(0).endpoint().serverId();
     RouterConfig there = read(VALID_CONFIG.replace("10.1.0.18", "127.9.1.4"), Map.of());
     assertEquals(here, there.initialEndpoints().endpoints().get(0).endpoint().serverId());
     assertEquals("127.9.1.4:6379", there.initialEndpoints().endpoints().get(0).dialAddress());
@@ -114,7 +115,8 @@
 
   @Test
   void variablesOverrideFile() throws ConfigException {
-    RouterConfig config = read(VALID_CONFIG, Map.of("PROXY_LISTEN", "127.0.0.9:7000", "PROXY_NAME", "n9"));
+    RouterConfig config =
+        read(VALID_CONFIG, Map.of("PROXY_LISTEN", "127.0.0.9:7000", "PROXY_NAME", "n9"));
     assertEquals("n9", config.name());
     assertEquals(7000, config.listenAddress().getPort());
   }
@@ -156,7 +158,9 @@
   @Test
   void incompleteFileChangesNothing() throws ConfigException {
     String valid =
-        VALID_CONFIG.replace("\"tenants\"", "\"permissions\":{\"most_tries\":3},\"tenants\"").strip();
+        VALID_CONFIG
+            .replace("\"tenants\"", "\"permissions\":{\"most_tries\":3},\"tenants\"")
+            .strip();
     ConfigReloader reloader = reloader(valid);
     String other = valid.replace("1500000000", "900000000").replace("8500", "8501");
     IntStream.range(0, other.length()).forEach(end -> files.add(other.substring(0, end)));
@@ -167,7 +171,8 @@
         .map(key -> key.group(1))
         .forEach(key -> files.add(other.replace("\"" + key + "\":", "\"x_" + key + "\":")));
     Stream.of("0", "-1", "\"x\"", "\"3\"", "null")
-        .forEach(invalid -> files.add(other.replace("\"most_tries\":3", "\"most_tries\":" + invalid)));
+        .forEach(
+            invalid -> files.add(other.replace("\"most_tries\":3", "\"most_tries\":" + invalid)));
     files.add(other.replace("900000000", "0"));
     files.add(other.replace("\"classes\":[", "\"classes\":[{\"name\":\"new\"},"));
     int invalid = files.size();
--- a/src/test/java/beaconturn/net/RouterServerTest.java
+++ b/src/test/java/beaconturn/net/RouterServerTest.java
@@ -133,7 +133,8 @@
   void acceptsNoClientWhenDrainedWhileStarting() throws Exception {
     InetSocketAddress address = freeAddress();
     try (TestPeer cache = respondingCache()) {
-      router = new RouterServer(config(address, cache, silentDiscovery), this::nextConfig, lifecycle);
+      router =
+          new RouterServer(config(address, cache, silentDiscovery), this::nextConfig, lifecycle);
       router.drain();
       router.start();
       assertThrows(ConnectException.class, () -> TestPeer.Line.to(address));
@@ -145,7 +146,8 @@
   void acceptsNoClientBeforeServing() throws Exception {
     InetSocketAddress address = freeAddress();
     try (TestPeer cache = respondingCache()) {
-      router = new RouterServer(config(address, cache, silentDiscovery), this::nextConfig, lifecycle);
+      router =
+          new RouterServer(config(address, cache, silentDiscovery), this::nextConfig, lifecycle);
       assertThrows(ConnectException.class, () -> TestPeer.Line.to(address));
       router.start();
       try (TestPeer.Line client = TestPeer.Line.to(address)) {
@@ -634,7 +636,8 @@
       assertEquals("dropped", secondDiscovery.note());
       client.write(GET);
       assertTrue(
-          client.answer().startsWith("-BUSY"), "the new list is active, in which the only cache server drains");
+          client.answer().startsWith("-BUSY"),
+          "the new list is active, in which the only cache server drains");
       assertEquals(List.of(), thirdDiscovery.notesLeft());
     } finally {
       cache[0].close();
--- a/src/test/java/beaconturn/net/UpgradeTest.java
+++ b/src/test/java/beaconturn/net/UpgradeTest.java
@@ -84,8 +84,7 @@
   }
 
   @Test
-  void detectsOtherProcessAndAssumesOneWithoutFile()
-      throws IOException {
+  void detectsOtherProcessAndAssumesOneWithoutFile() throws IOException {
     Path path = folder.resolve("seats");
     ProcessSlots first = new ProcessSlots(path);
     assertFalse(first.isOtherTaken());
@@ -106,8 +105,7 @@
   }
 
   @Test
-  void closingListenerLeavesSharedSocketAndQueueToOther()
-      throws IOException, InterruptedException {
+  void closingListenerLeavesSharedSocketAndQueueToOther() throws IOException, InterruptedException {
     try (ServerSocketChannel shared = ServerSocketChannel.open()) {
       shared.bind(new InetSocketAddress("127.0.0.1", 0));
       Listener before = Listener.sharing(shared, accepted::add);
--- a/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
@@ -292,7 +292,8 @@
     client.hangUp();
     for (int i = 0; i < pending; i++) {
       assertTrue(
-          routingQueue.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft, "number " + i);
+          routingQueue.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft,
+          "number " + i);
     }
     TestPeer.until(() -> connections.count() == 0);
     assertEquals(0, routingQueue.size());
@@ -341,7 +342,9 @@
     // long.
     clock =
         () ->
-            Thread.currentThread().getName().equals("clients") ? nowNanos.addAndGet(SECOND_NANOS) : nowNanos.get();
+            Thread.currentThread().getName().equals("clients")
+                ? nowNanos.addAndGet(SECOND_NANOS)
+                : nowNanos.get();
     ClientPoller stoppedPoller = new ClientPoller(() -> clock.now());
     connect(stoppedPoller);
     stoppedPoller.start();
@@ -351,7 +354,8 @@
     // The request counts as arrived at the start of the wait: a second before its end, itself a
     // second ago.
     long latestDeadlineNanos = arrivedAtNanos.get() - 2 * SECOND_NANOS + SECOND_NANOS * 3 / 2;
-    assertTrue(deadlineNanos <= latestDeadlineNanos, deadlineNanos + " is after " + latestDeadlineNanos);
+    assertTrue(
+        deadlineNanos <= latestDeadlineNanos, deadlineNanos + " is after " + latestDeadlineNanos);
   }
 
   /** The poller has registered the connection once it has responded on it. */
@@ -402,8 +406,7 @@
    * graceful shutdown.
    */
   @Test
-  void rejectsLateRequestsAndClosesAfterLastResponseWhileDraining()
-      throws Exception {
+  void rejectsLateRequestsAndClosesAfterLastResponseWhileDraining() throws Exception {
     TestPeer.Line drainingClient = client;
     ClientConnection drainingConnection = connection;
     client.write(get("early"));
@@ -416,7 +419,8 @@
     drainingClient.write(get("late"));
     TestPeer.until(
         () ->
-            rejectedCount.get() == 1 && drainingConnection.partialCommandSinceNanos() == Long.MAX_VALUE);
+            rejectedCount.get() == 1
+                && drainingConnection.partialCommandSinceNanos() == Long.MAX_VALUE);
     assertEquals(1, ids.count());
     early.answered(Slice.of("+v\r\n"));
     assertEquals("+v", drainingClient.answer());
@@ -588,7 +592,9 @@
     idleConnection.proposeClose(CloseReason.IDLE_TIMEOUT);
     releaseAgain.countDown();
     TestPeer.until(
-        () -> idleConnection.partialCommandSinceNanos() < Long.MAX_VALUE || idleConnection.isCloseProposedOrClosed());
+        () ->
+            idleConnection.partialCommandSinceNanos() < Long.MAX_VALUE
+                || idleConnection.isCloseProposedOrClosed());
     awaitPollerRound();
     idleClient.write(GET.substring(9));
     nextRequest().answered(Slice.of("+v\r\n"));
--- a/src/test/java/beaconturn/net/client/ClientEventLogTest.java
+++ b/src/test/java/beaconturn/net/client/ClientEventLogTest.java
@@ -68,12 +68,14 @@
       events.closed(i, CloseReason.EVICTED, List.of(), 0, SECOND_NANOS);
     }
     int before = lines.size();
-    events.closed(1001, CloseReason.PROTOCOL_ERROR, List.of(request("a1"), request("b2")), 3, SECOND_NANOS);
+    events.closed(
+        1001, CloseReason.PROTOCOL_ERROR, List.of(request("a1"), request("b2")), 3, SECOND_NANOS);
     assertEquals(before + 1, lines.size());
     assertEquals(Level.WARNING, lines.get(before).getLevel());
     String message = lines.get(before).getMessage();
     assertTrue(
-        message.contains("1001 closes with 3 responses outstanding: protocol error") && message.endsWith("a1 b2"),
+        message.contains("1001 closes with 3 responses outstanding: protocol error")
+            && message.endsWith("a1 b2"),
         message);
   }
 
--- a/src/test/java/beaconturn/net/client/ConnectionStateTest.java
+++ b/src/test/java/beaconturn/net/client/ConnectionStateTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.net.client.ConnectionState.ConnectionPhase;
 import beaconturn.net.client.ConnectionState.CloseProposal;
+import beaconturn.net.client.ConnectionState.ConnectionPhase;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -16,7 +16,8 @@
 /** Phases of a connection and their transitions. */
 @Timeout(60)
 class ConnectionStateTest {
-  private static final CloseProposal IDLE_PROPOSAL = new CloseProposal(CloseReason.IDLE_TIMEOUT, Long.MAX_VALUE, 0);
+  private static final CloseProposal IDLE_PROPOSAL =
+      new CloseProposal(CloseReason.IDLE_TIMEOUT, Long.MAX_VALUE, 0);
   private final ConnectionState state = new ConnectionState();
 
   @Test
@@ -128,7 +129,8 @@
             closedBy.incrementAndGet();
           }
         };
-    List<Thread> threads = List.of(new Thread(closeTask), new Thread(closeTask), new Thread(closeTask));
+    List<Thread> threads =
+        List.of(new Thread(closeTask), new Thread(closeTask), new Thread(closeTask));
     threads.forEach(Thread::start);
     start.countDown();
     for (Thread thread : threads) {
