--- a/src/test/java/beaconturn/net/RouterServerTest.java
+++ b/src/test/java/beaconturn/net/RouterServerTest.java
@@ -50,8 +50,8 @@
   private final Lifecycle lifecycle = new Lifecycle();
   private final TestPeer silentDiscovery =
       new TestPeer(
-          line -> {
-            line.httpHead();
+          connection -> {
+            connection.readHttpHead();
             finished.await();
           });
   private final BlockingQueue<RouterConfig> newConfigs = new LinkedBlockingQueue<>();
@@ -84,7 +84,7 @@
         + ",\"whole\":"
         + whole
         + ",\"hosts\":[{\"host\":\"s-1\",\"dial\":\""
-        + cache.dial()
+        + cache.dialAddress()
         + "\",\"site\":\"east\",\"class\":\"small\",\"block\":0,\"health\":\""
         + health
         + "\",\"share\":1.0,\"born_ms\":0}]}";
@@ -137,7 +137,7 @@
           new RouterServer(config(address, cache, silentDiscovery), this::nextConfig, lifecycle);
       router.drain();
       router.start();
-      assertThrows(ConnectException.class, () -> TestPeer.Line.to(address));
+      assertThrows(ConnectException.class, () -> TestPeer.Connection.to(address));
     }
   }
 
@@ -148,13 +148,13 @@
     try (TestPeer cache = respondingCache()) {
       router =
           new RouterServer(config(address, cache, silentDiscovery), this::nextConfig, lifecycle);
-      assertThrows(ConnectException.class, () -> TestPeer.Line.to(address));
+      assertThrows(ConnectException.class, () -> TestPeer.Connection.to(address));
       router.start();
-      try (TestPeer.Line client = TestPeer.Line.to(address)) {
+      try (TestPeer.Connection client = TestPeer.Connection.to(address)) {
         client.write("*1\r\n$4\r\nPING\r\n");
-        assertEquals("+PONG", client.answer());
+        assertEquals("+PONG", client.readResponse());
         client.write(GET);
-        client.answer();
+        client.readResponse();
         assertEquals("C.GET", cache.note().split(" ")[0], "the initial endpoint list is active");
       }
     }
@@ -169,17 +169,17 @@
     try (TestPeer cache = respondingCache();
         TestPeer discovery =
             new TestPeer(
-                line -> {
-                  line.note(line.httpHead().split(" ")[1]);
-                  line.http(200, list(5, false, cache, "draining"));
-                  line.httpHead();
+                connection -> {
+                  connection.note(connection.readHttpHead().split(" ")[1]);
+                  connection.writeHttpResponse(200, list(5, false, cache, "draining"));
+                  connection.readHttpHead();
                   finished.await();
                 });
-        TestPeer.Line client = start(cache, discovery)) {
+        TestPeer.Connection client = start(cache, discovery)) {
       assertEquals("/registry/instances?after=4&wait_ms=1", discovery.note());
       client.write(GET);
-      assertTrue(client.answer().startsWith("-BUSY"));
-      assertEquals(List.of(), cache.notesLeft());
+      assertTrue(client.readResponse().startsWith("-BUSY"));
+      assertEquals(List.of(), cache.remainingNotes());
     }
   }
 
@@ -193,16 +193,16 @@
     try (TestPeer cache = respondingCache();
         TestPeer discovery =
             new TestPeer(
-                line -> {
-                  line.httpHead();
-                  try (TestPeer.Line early = TestPeer.Line.to(address)) {
+                connection -> {
+                  connection.readHttpHead();
+                  try (TestPeer.Connection early = TestPeer.Connection.to(address)) {
                     early.write("x");
-                    line.note("accepted before discovery replied");
+                    connection.note("accepted before discovery replied");
                   } catch (ConnectException e) {
-                    line.note("not accepted yet");
+                    connection.note("not accepted yet");
                   }
-                  line.http(200, list(5, false, cache, "ready"));
-                  line.httpHead();
+                  connection.writeHttpResponse(200, list(5, false, cache, "ready"));
+                  connection.readHttpHead();
                   finished.await();
                 })) {
       router =
@@ -224,46 +224,48 @@
     }
   }
 
-  private TestPeer.Line start(TestPeer cache, TestPeer discovery)
+  private TestPeer.Connection start(TestPeer cache, TestPeer discovery)
       throws IOException, ProtocolException {
     RouterConfig config = config(cache, discovery);
     router = new RouterServer(config, this::nextConfig, lifecycle);
     router.start();
-    return TestPeer.Line.to(router.address());
+    return TestPeer.Connection.to(router.address());
   }
 
   private static TestPeer respondingCache() {
     return new TestPeer(
-        line -> {
-          for (String c = line.command(); !c.equals("end"); c = line.command()) {
-            line.note(c);
-            line.write(VALUE);
+        connection -> {
+          for (String c = connection.readCommand();
+              !c.equals("end");
+              c = connection.readCommand()) {
+            connection.note(c);
+            connection.write(VALUE);
           }
-          line.note("end");
+          connection.note("end");
         });
   }
 
   private static TestPeer cacheRespondingAfter(CountDownLatch resumeCache) {
     return new TestPeer(
-        line -> {
-          line.command();
-          line.note("received");
+        connection -> {
+          connection.readCommand();
+          connection.note("received");
           resumeCache.await();
-          line.write(VALUE);
-          line.command();
+          connection.write(VALUE);
+          connection.readCommand();
         });
   }
 
   @Test
   void forwardsRequestAndResponse() throws Exception {
     try (TestPeer cache = respondingCache();
-        TestPeer.Line client = start(cache, silentDiscovery)) {
+        TestPeer.Connection client = start(cache, silentDiscovery)) {
       client.write("*1\r\n$4\r\nPING\r\n");
-      assertEquals("+PONG", client.answer());
+      assertEquals("+PONG", client.readResponse());
       client.write(
           "*5\r\n$5\r\nC.SET\r\n$16\r\n00000000000000a1\r\n$2\r\nid\r\n$17\r\n"
               + "c=put,d=1500,k=k7\r\n$1\r\nx\r\n");
-      assertEquals("$2\r\nva", client.answer());
+      assertEquals("$2\r\nva", client.readResponse());
       String[] words = cache.note().split(" ");
       assertEquals("C.SET 00000000000000a1 id", String.join(" ", words[0], words[1], words[2]));
       assertTrue(words[3].matches("c=put,d=[0-9]{1,4},k=k7"), words[3]);
@@ -276,15 +278,15 @@
   void respondsInCommandOrder() throws Exception {
     CountDownLatch resumeCache = new CountDownLatch(1);
     try (TestPeer cache = cacheRespondingAfter(resumeCache);
-        TestPeer.Line client = start(cache, silentDiscovery)) {
+        TestPeer.Connection client = start(cache, silentDiscovery)) {
       client.write(
           GET + "*1\r\n$4\r\nPING\r\n*1\r\n$5\r\nHELLO\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n");
       cache.note();
       resumeCache.countDown();
-      assertEquals("$2\r\nva", client.answer());
-      assertEquals("+PONG", client.answer());
-      assertEquals("-ERR unknown command", client.answer());
-      assertEquals("+OK", client.answer());
+      assertEquals("$2\r\nva", client.readResponse());
+      assertEquals("+PONG", client.readResponse());
+      assertEquals("-ERR unknown command", client.readResponse());
+      assertEquals("+OK", client.readResponse());
     }
   }
 
@@ -292,15 +294,15 @@
   void disconnectCancelsRequest() throws Exception {
     try (TestPeer cache =
             new TestPeer(
-                line -> {
-                  line.command();
-                  line.note("received");
-                  line.note(line.command());
+                connection -> {
+                  connection.readCommand();
+                  connection.note("received");
+                  connection.note(connection.readCommand());
                 });
-        TestPeer.Line client = start(cache, silentDiscovery)) {
+        TestPeer.Connection client = start(cache, silentDiscovery)) {
       client.write(GET);
       assertEquals("received", cache.note());
-      client.hangUp();
+      client.disconnect();
       assertEquals("broken", cache.note());
     }
   }
@@ -308,19 +310,19 @@
   @Test
   void protocolErrorClosesConnectionAfterEarlierResponses() throws Exception {
     try (TestPeer cache = respondingCache();
-        TestPeer.Line client = start(cache, silentDiscovery)) {
+        TestPeer.Connection client = start(cache, silentDiscovery)) {
       client.write(GET + "GET / HTTP/1.1\r\nHost: x\r\n\r\n" + GET);
-      assertEquals("$2\r\nva", client.answer());
-      assertTrue(client.answer().startsWith("-ERR "));
-      assertEquals("end", client.answer());
+      assertEquals("$2\r\nva", client.readResponse());
+      assertTrue(client.readResponse().startsWith("-ERR "));
+      assertEquals("end", client.readResponse());
     }
   }
 
   @Test
   void rejectsInvalidAttributes() throws Exception {
     try (TestPeer cache = respondingCache();
-        TestPeer.Line first = start(cache, silentDiscovery)) {
-      first.hangUp();
+        TestPeer.Connection first = start(cache, silentDiscovery)) {
+      first.disconnect();
       for (String invalid :
           new String[] {
             "c=none,d=100",
@@ -344,21 +346,21 @@
           }) {
         assertRejected("a", "id", invalid);
       }
-      assertEquals(List.of(), cache.notesLeft());
+      assertEquals(List.of(), cache.remainingNotes());
     }
   }
 
   /** Asserts one error response, and that the next command is still answered. */
   private void assertRejected(String key, String id, String attributes) throws Exception {
-    try (TestPeer.Line client = TestPeer.Line.to(router.address())) {
+    try (TestPeer.Connection client = TestPeer.Connection.to(router.address())) {
       client.write(
           "*4\r\n$5\r\nC.GET\r\n"
               + RespWriter.bulk(key)
               + RespWriter.bulk(id)
               + RespWriter.bulk(attributes)
               + "*1\r\n$4\r\nPING\r\n");
-      assertTrue(client.answer().startsWith("-ERR "), attributes);
-      assertEquals("+PONG", client.answer(), attributes);
+      assertTrue(client.readResponse().startsWith("-ERR "), attributes);
+      assertEquals("+PONG", client.readResponse(), attributes);
     }
   }
 
@@ -366,13 +368,13 @@
   @Test
   void rejectsInvalidKeysAndIds() throws Exception {
     try (TestPeer cache = respondingCache();
-        TestPeer.Line first = start(cache, silentDiscovery)) {
-      first.hangUp();
+        TestPeer.Connection first = start(cache, silentDiscovery)) {
+      first.disconnect();
       for (String invalid : new String[] {"", "a b", "a\u0001b", "x".repeat(200), "a\u007f"}) {
         assertRejected(invalid, "id", "c=read,d=100");
         assertRejected("key", invalid, "c=read,d=100");
       }
-      assertEquals(List.of(), cache.notesLeft());
+      assertEquals(List.of(), cache.remainingNotes());
     }
   }
 
@@ -385,30 +387,32 @@
     environment = WITH_ADMIN_ADDRESS;
     try (TestPeer cache =
             new TestPeer(
-                line -> {
-                  for (String c = line.command(); !c.equals("end"); c = line.command()) {
+                connection -> {
+                  for (String c = connection.readCommand();
+                      !c.equals("end");
+                      c = connection.readCommand()) {
                     if (c.contains(" hang ")) {
-                      line.note("hang");
-                      line.note(line.command());
+                      connection.note("hang");
+                      connection.note(connection.readCommand());
                     }
-                    line.write(c.contains(" bad ") ? "-ERR failed\r\n" : VALUE);
+                    connection.write(c.contains(" bad ") ? "-ERR failed\r\n" : VALUE);
                   }
                 });
-        TestPeer.Line client = start(cache, silentDiscovery)) {
+        TestPeer.Connection client = start(cache, silentDiscovery)) {
       client.write(GET + setCommand("bad") + GET.replace("id", "i2"));
-      assertEquals("$2\r\nva", client.answer());
-      assertEquals("-ERR failed", client.answer());
-      assertEquals("$2\r\nva", client.answer());
+      assertEquals("$2\r\nva", client.readResponse());
+      assertEquals("-ERR failed", client.readResponse());
+      assertEquals("$2\r\nva", client.readResponse());
       client.write(setCommand("hang"));
       assertEquals("hang", cache.note());
       assertEquals("1", metrics("current"));
-      client.hangUp();
+      client.disconnect();
       assertEquals("broken", cache.note());
       assertRejected("a", "id", "c=none,d=100");
       assertEquals("ACK\n", adminCommand("disable-server s-1"));
-      try (TestPeer.Line other = TestPeer.Line.to(router.address())) {
+      try (TestPeer.Connection other = TestPeer.Connection.to(router.address())) {
         other.write(GET);
-        assertTrue(other.answer().startsWith("-BUSY"));
+        assertTrue(other.readResponse().startsWith("-BUSY"));
       }
       // A request is counted after its response is written, so the client may see the response
       // first.
@@ -437,7 +441,7 @@
     environment = WITH_ADMIN_ADDRESS;
     CountDownLatch resumeCache = new CountDownLatch(1);
     try (TestPeer cache = cacheRespondingAfter(resumeCache);
-        TestPeer.Line client = start(cache, silentDiscovery)) {
+        TestPeer.Connection client = start(cache, silentDiscovery)) {
       client.write(GET);
       assertEquals("received", cache.note());
       settings = Samples.read("classes.0.name", "fresh");
@@ -446,7 +450,7 @@
       TestPeer.until(() -> metrics("conf_loaded").equals("1"));
       assertRejected("a", "i2", "c=read,d=100");
       resumeCache.countDown();
-      assertEquals("$2\r\nva", client.answer());
+      assertEquals("$2\r\nva", client.readResponse());
       // A request is counted after its response is written, so the client may see the response
       // first.
       TestPeer.until(() -> metrics("answered.read", "answered.fresh").equals("1 0"));
@@ -458,13 +462,13 @@
   void acceptsWaitAllowedByPreviousSettings() throws Exception {
     environment = WITH_ADMIN_ADDRESS;
     try (TestPeer cache = respondingCache();
-        TestPeer.Line client = start(cache, silentDiscovery)) {
+        TestPeer.Connection client = start(cache, silentDiscovery)) {
       settings = Samples.read("classes.0.hard_limit", "500000000");
       newConfigs.add(config(cache, silentDiscovery));
       router.reload();
       TestPeer.until(() -> metrics("conf_loaded").equals("1"));
       client.write(GET);
-      assertEquals("$2\r\nva", client.answer());
+      assertEquals("$2\r\nva", client.readResponse());
       assertRejected("a", "i2", "c=read,d=4001");
     }
   }
@@ -475,10 +479,10 @@
         + "$17\r\nc=ack,d=1500,k=k7\r\n$1\r\nx\r\n";
   }
 
-  private String adminCommand(String line) throws IOException {
-    try (TestPeer.Line operator = TestPeer.Line.to(router.adminAddress())) {
-      operator.write(line + "\n");
-      return operator.rest();
+  private String adminCommand(String command) throws IOException {
+    try (TestPeer.Connection operator = TestPeer.Connection.to(router.adminAddress())) {
+      operator.write(command + "\n");
+      return operator.readRemaining();
     }
   }
 
@@ -497,15 +501,15 @@
   void rejectsIdOfPendingRequest() throws Exception {
     CountDownLatch resumeCache = new CountDownLatch(1);
     try (TestPeer cache = cacheRespondingAfter(resumeCache);
-        TestPeer.Line client = start(cache, silentDiscovery);
-        TestPeer.Line other = TestPeer.Line.to(router.address())) {
+        TestPeer.Connection client = start(cache, silentDiscovery);
+        TestPeer.Connection other = TestPeer.Connection.to(router.address())) {
       client.write(GET);
       cache.note();
       other.write(GET + "*1\r\n$4\r\nPING\r\n");
-      assertTrue(other.answer().startsWith("-ERR "));
-      assertEquals("+PONG", other.answer());
+      assertTrue(other.readResponse().startsWith("-ERR "));
+      assertEquals("+PONG", other.readResponse());
       resumeCache.countDown();
-      assertEquals("$2\r\nva", client.answer());
+      assertEquals("$2\r\nva", client.readResponse());
     }
   }
 
@@ -516,16 +520,16 @@
   @Test
   void partialCommandsDoNotBlockOtherClients() throws Exception {
     try (TestPeer cache = respondingCache();
-        TestPeer.Line first = start(cache, silentDiscovery)) {
-      first.hangUp();
-      List<TestPeer.Line> partialClients = new ArrayList<>();
+        TestPeer.Connection first = start(cache, silentDiscovery)) {
+      first.disconnect();
+      List<TestPeer.Connection> partialClients = new ArrayList<>();
       for (int i = 0; i < 2 * ConnectionBudget.of(SOCKETS, MEMORY_MB).clients(); i++) {
-        TestPeer.Line line = TestPeer.Line.to(router.address());
-        partialClients.add(line);
-        line.write("*4\r\n$5\r\nC.G");
+        TestPeer.Connection connection = TestPeer.Connection.to(router.address());
+        partialClients.add(connection);
+        connection.write("*4\r\n$5\r\nC.G");
       }
       assertEquals("$2\r\nva", responseOnAnyConnection());
-      partialClients.forEach(TestPeer.Line::hangUp);
+      partialClients.forEach(TestPeer.Connection::disconnect);
     }
   }
 
@@ -536,9 +540,9 @@
   private String responseOnAnyConnection() throws Exception {
     String response = "end";
     while (response.equals("end")) {
-      try (TestPeer.Line client = TestPeer.Line.to(router.address())) {
+      try (TestPeer.Connection client = TestPeer.Connection.to(router.address())) {
         client.write(GET);
-        response = client.answer();
+        response = client.readResponse();
       } catch (IOException e) {
         response = "end";
       }
@@ -550,13 +554,13 @@
   void rejectsRequestWithinDeadlineWhenServerIsSilent() throws Exception {
     try (TestPeer cache =
             new TestPeer(
-                line -> {
-                  line.command();
+                connection -> {
+                  connection.readCommand();
                   finished.await();
                 });
-        TestPeer.Line client = start(cache, silentDiscovery)) {
+        TestPeer.Connection client = start(cache, silentDiscovery)) {
       client.write(GET.replace("d=1500", "d=0150"));
-      assertTrue(client.answer().startsWith("-BUSY"));
+      assertTrue(client.readResponse().startsWith("-BUSY"));
     }
   }
 
@@ -566,17 +570,17 @@
     TestPeer[] cache = {respondingCache()};
     try (TestPeer discovery =
             new TestPeer(
-                line -> {
-                  line.note(line.httpHead().split(" ")[1]);
-                  line.http(200, list(5, false, cache[0], "draining"));
-                  line.note(line.httpHead().split(" ")[1]);
+                connection -> {
+                  connection.note(connection.readHttpHead().split(" ")[1]);
+                  connection.writeHttpResponse(200, list(5, false, cache[0], "draining"));
+                  connection.note(connection.readHttpHead().split(" ")[1]);
                   finished.await();
                 });
-        TestPeer.Line client = start(cache[0], discovery)) {
+        TestPeer.Connection client = start(cache[0], discovery)) {
       assertTrue(discovery.note().startsWith("/registry/instances?after=4&wait_ms="));
       assertTrue(discovery.note().startsWith("/registry/instances?after=5&wait_ms="));
       client.write(GET);
-      assertTrue(client.answer().startsWith("-BUSY"), "the only cache server is draining");
+      assertTrue(client.readResponse().startsWith("-BUSY"), "the only cache server is draining");
       assertEquals(1, discovery.connections());
     } finally {
       cache[0].close();
@@ -588,16 +592,16 @@
     try (TestPeer cache = respondingCache();
         TestPeer discovery =
             new TestPeer(
-                line -> {
-                  line.note(line.httpHead().split("&wait_ms=")[0]);
-                  line.http(503, "");
+                connection -> {
+                  connection.note(connection.readHttpHead().split("&wait_ms=")[0]);
+                  connection.writeHttpResponse(503, "");
                 });
-        TestPeer.Line client = start(cache, discovery)) {
+        TestPeer.Connection client = start(cache, discovery)) {
       String first = discovery.note();
       assertEquals(first, discovery.note());
       assertEquals(first, discovery.note());
       client.write(GET);
-      assertEquals("$2\r\nva", client.answer());
+      assertEquals("$2\r\nva", client.readResponse());
     }
   }
 
@@ -609,22 +613,23 @@
   void reloadMovesWatchToNewAddress() throws Exception {
     TestPeer[] cache = {respondingCache()};
     TestPeer.Script discoveryScript =
-        line -> {
-          line.note(line.httpHead().split(" ")[1]);
-          line.http(200, list(1, true, cache[0], "draining"));
-          line.note(line.httpHead().split(" ")[1]);
-          line.note(line.httpHead().isEmpty() ? "dropped" : "requested again");
+        connection -> {
+          connection.note(connection.readHttpHead().split(" ")[1]);
+          connection.writeHttpResponse(200, list(1, true, cache[0], "draining"));
+          connection.note(connection.readHttpHead().split(" ")[1]);
+          connection.note(connection.readHttpHead().isEmpty() ? "dropped" : "requested again");
         };
     try (TestPeer oldDiscovery =
             new TestPeer(
-                line -> {
-                  line.note(line.httpHead().split(" ")[1]);
-                  line.note(line.httpHead().isEmpty() ? "dropped" : "requested again");
-                  line.http(200, list(9, true, cache[0], "ready"));
+                connection -> {
+                  connection.note(connection.readHttpHead().split(" ")[1]);
+                  connection.note(
+                      connection.readHttpHead().isEmpty() ? "dropped" : "requested again");
+                  connection.writeHttpResponse(200, list(9, true, cache[0], "ready"));
                 });
         TestPeer secondDiscovery = new TestPeer(discoveryScript);
         TestPeer thirdDiscovery = new TestPeer(discoveryScript);
-        TestPeer.Line client = start(cache[0], oldDiscovery)) {
+        TestPeer.Connection client = start(cache[0], oldDiscovery)) {
       assertTrue(oldDiscovery.note().startsWith("/registry/instances?after=4&wait_ms="));
       for (TestPeer newDiscovery : List.of(secondDiscovery, thirdDiscovery)) {
         newConfigs.add(config(cache[0], newDiscovery));
@@ -636,9 +641,9 @@
       assertEquals("dropped", secondDiscovery.note());
       client.write(GET);
       assertTrue(
-          client.answer().startsWith("-BUSY"),
+          client.readResponse().startsWith("-BUSY"),
           "the new list is active, in which the only cache server drains");
-      assertEquals(List.of(), thirdDiscovery.notesLeft());
+      assertEquals(List.of(), thirdDiscovery.remainingNotes());
     } finally {
       cache[0].close();
     }
@@ -651,20 +656,20 @@
     try (TestPeer cache = caches[0];
         TestPeer discovery =
             new TestPeer(
-                line -> {
-                  line.note(line.httpHead().split(" ")[1]);
+                connection -> {
+                  connection.note(connection.readHttpHead().split(" ")[1]);
                   finished.await();
-                  line.http(200, list(5, false, caches[0], "ready"));
-                  line.note(line.httpHead().split(" ")[1]);
+                  connection.writeHttpResponse(200, list(5, false, caches[0], "ready"));
+                  connection.note(connection.readHttpHead().split(" ")[1]);
                 });
-        TestPeer.Line client = start(cache, discovery)) {
+        TestPeer.Connection client = start(cache, discovery)) {
       assertTrue(discovery.note().startsWith("/registry/instances?after=4&wait_ms="));
       router.reload();
       finished.await();
       assertTrue(discovery.note().startsWith("/registry/instances?after=5&wait_ms="));
       assertEquals(1, discovery.connections());
       client.write(GET);
-      assertEquals("$2\r\nva", client.answer());
+      assertEquals("$2\r\nva", client.readResponse());
     }
   }
 
@@ -675,27 +680,28 @@
   void drainAnswersAcceptedRequestsAndClosesIdleConnections() throws Exception {
     CountDownLatch resumeCache = new CountDownLatch(1);
     try (TestPeer cache = cacheRespondingAfter(resumeCache);
-        TestPeer.Line client = start(cache, silentDiscovery);
-        TestPeer.Line idle = TestPeer.Line.to(router.address())) {
+        TestPeer.Connection client = start(cache, silentDiscovery);
+        TestPeer.Connection idle = TestPeer.Connection.to(router.address())) {
       idle.write("*1\r\n$4\r\nPING\r\n");
-      assertEquals("+PONG", idle.answer());
+      assertEquals("+PONG", idle.readResponse());
       client.write(GET);
       cache.note();
       FutureTask<Void> drain = drain();
-      try (TestPeer.Line late = TestPeer.Line.to(router.address())) {
+      try (TestPeer.Connection late = TestPeer.Connection.to(router.address())) {
         late.write("*1\r\n$4\r\nPING\r\n");
-        assertEquals("+PONG", late.answer(), "new connections still arrive after the announcement");
-        assertEquals("end", late.answer());
+        assertEquals(
+            "+PONG", late.readResponse(), "new connections still arrive after the announcement");
+        assertEquals("end", late.readResponse());
       }
-      assertEquals("end", idle.answer());
+      assertEquals("end", idle.readResponse());
       resumeCache.countDown();
-      assertEquals("$2\r\nva", client.answer());
-      assertEquals("end", client.answer());
-      idle.hangUp();
-      client.hangUp();
+      assertEquals("$2\r\nva", client.readResponse());
+      assertEquals("end", client.readResponse());
+      idle.disconnect();
+      client.disconnect();
       drain.get();
       assertEquals(Lifecycle.Phase.STOPPED, lifecycle.phase());
-      assertThrows(IOException.class, () -> TestPeer.Line.to(router.address()));
+      assertThrows(IOException.class, () -> TestPeer.Connection.to(router.address()));
     }
   }
 
@@ -707,18 +713,18 @@
     settings = Samples.read("classes.0.hard_limit", "60000000000");
     try (TestPeer cache =
             new TestPeer(
-                line -> {
-                  line.command();
-                  line.note("received");
+                connection -> {
+                  connection.readCommand();
+                  connection.note("received");
                   finished.await();
                 });
-        TestPeer.Line client = start(cache, silentDiscovery)) {
+        TestPeer.Connection client = start(cache, silentDiscovery)) {
       client.write(GET.replace("$13\r\nc=read,d=1500", "$14\r\nc=read,d=60000"));
       assertEquals("received", cache.note());
       FutureTask<Void> drain = drain();
       // Fails long before the request's deadline and within the socket timeout of the test client.
-      assertEquals("-ERR failed", client.answer());
-      client.hangUp();
+      assertEquals("-ERR failed", client.readResponse());
+      client.disconnect();
       drain.get();
     }
   }
@@ -727,18 +733,18 @@
   @Test
   void evictsIdleConnectionsForNewOnes() throws Exception {
     try (TestPeer cache = respondingCache();
-        TestPeer.Line first = start(cache, silentDiscovery)) {
+        TestPeer.Connection first = start(cache, silentDiscovery)) {
       first.write(GET);
-      assertEquals("$2\r\nva", first.answer());
-      List<TestPeer.Line> clients = new ArrayList<>();
+      assertEquals("$2\r\nva", first.readResponse());
+      List<TestPeer.Connection> clients = new ArrayList<>();
       for (int i = 0; i < ConnectionBudget.of(SOCKETS, MEMORY_MB).clients() + 5; i++) {
-        TestPeer.Line line = TestPeer.Line.to(router.address());
-        clients.add(line);
-        line.write("*1\r\n$4\r\nPING\r\n");
-        assertEquals("+PONG", line.answer());
+        TestPeer.Connection connection = TestPeer.Connection.to(router.address());
+        clients.add(connection);
+        connection.write("*1\r\n$4\r\nPING\r\n");
+        assertEquals("+PONG", connection.readResponse());
       }
-      assertEquals("end", first.answer());
-      clients.forEach(TestPeer.Line::hangUp);
+      assertEquals("end", first.readResponse());
+      clients.forEach(TestPeer.Connection::disconnect);
     }
   }
 
@@ -747,19 +753,21 @@
     String value = "v".repeat(1 << 16);
     try (TestPeer cache =
             new TestPeer(
-                line -> {
-                  for (String c = line.command(); !c.equals("end"); c = line.command()) {
-                    line.note(c.endsWith(" " + value) ? "whole" : "cut");
-                    line.write("*3\r\n$65536\r\n" + value + "\r\n$3\r\nhit\r\n$-1\r\n");
+                connection -> {
+                  for (String c = connection.readCommand();
+                      !c.equals("end");
+                      c = connection.readCommand()) {
+                    connection.note(c.endsWith(" " + value) ? "whole" : "cut");
+                    connection.write("*3\r\n$65536\r\n" + value + "\r\n$3\r\nhit\r\n$-1\r\n");
                   }
                 });
-        TestPeer.Line client = start(cache, silentDiscovery)) {
+        TestPeer.Connection client = start(cache, silentDiscovery)) {
       for (int i = 0; i < 3; i++) {
         client.write(
             "*5\r\n$5\r\nC.SET\r\n$1\r\na\r\n$2\r\nid\r\n"
                 + RespWriter.bulk("c=put,d=1900,k=" + i)
                 + RespWriter.bulk(value));
-        assertEquals("$65536\r\n" + value, client.answer());
+        assertEquals("$65536\r\n" + value, client.readResponse());
         assertEquals("whole", cache.note());
       }
     }
@@ -775,14 +783,16 @@
     private final CountDownLatch resume = new CountDownLatch(1);
     private final TestPeer cache =
         new TestPeer(
-            line -> {
-              for (String c = line.command(); !c.equals("end"); c = line.command()) {
+            connection -> {
+              for (String c = connection.readCommand();
+                  !c.equals("end");
+                  c = connection.readCommand()) {
                 if (c.contains(" xl ")) {
-                  line.write("*3\r\n" + HEAD + HALF);
+                  connection.write("*3\r\n" + HEAD + HALF);
                   resume.await();
-                  line.write(HALF + "\r\n$3\r\nhit\r\n$-1\r\n");
+                  connection.write(HALF + "\r\n$3\r\nhit\r\n$-1\r\n");
                 } else {
-                  line.write(VALUE);
+                  connection.write(VALUE);
                 }
               }
             });
@@ -796,20 +806,20 @@
      * Returns a client that has received the first half of a response, before the cache server has
      * sent the second.
      */
-    private TestPeer.Line startLargeResponse() throws IOException, ProtocolException {
-      TestPeer.Line client = start(cache, silentDiscovery);
+    private TestPeer.Connection startLargeResponse() throws IOException, ProtocolException {
+      TestPeer.Connection client = start(cache, silentDiscovery);
       client.write(GET_LARGE);
-      client.expect(HEAD + HALF);
+      client.expectBytes(HEAD + HALF);
       return client;
     }
 
     @Test
     void streamsResponseAndReusesConnection() throws Exception {
-      try (TestPeer.Line client = startLargeResponse()) {
+      try (TestPeer.Connection client = startLargeResponse()) {
         resume.countDown();
-        client.expect(HALF + "\r\n");
+        client.expectBytes(HALF + "\r\n");
         client.write(GET);
-        assertEquals("$2\r\nva", client.answer());
+        assertEquals("$2\r\nva", client.readResponse());
         assertEquals(1, cache.connections());
       }
     }
@@ -821,15 +831,15 @@
     @Test
     void slowReaderDoesNotDelayOthers() throws Exception {
       resume.countDown();
-      try (TestPeer.Line slow = start(cache, silentDiscovery);
-          TestPeer.Line other = TestPeer.Line.to(router.address())) {
+      try (TestPeer.Connection slow = start(cache, silentDiscovery);
+          TestPeer.Connection other = TestPeer.Connection.to(router.address())) {
         slow.write(GET_LARGE);
-        slow.expect(HEAD);
+        slow.expectBytes(HEAD);
         for (int i = 0; i < 50; i++) {
           other.write(GET);
-          assertEquals("$2\r\nva", other.answer());
+          assertEquals("$2\r\nva", other.readResponse());
         }
-        slow.expect(HALF + HALF + "\r\n");
+        slow.expectBytes(HALF + HALF + "\r\n");
       }
     }
 
@@ -838,25 +848,26 @@
       for (String rest : new String[] {"", HALF + "xx", HALF + "\r\n+odd\r\n"}) {
         try (TestPeer truncatingCache =
                 new TestPeer(
-                    line -> {
-                      line.command();
-                      line.write("*3\r\n" + HEAD + HALF + rest);
+                    connection -> {
+                      connection.readCommand();
+                      connection.write("*3\r\n" + HEAD + HALF + rest);
                     });
-            TestPeer.Line client = start(truncatingCache, silentDiscovery)) {
+            TestPeer.Connection client = start(truncatingCache, silentDiscovery)) {
           client.write(GET_LARGE);
-          assertThrows(EOFException.class, () -> client.expect(HEAD + HALF + HALF + "\r\n"), rest);
+          assertThrows(
+              EOFException.class, () -> client.expectBytes(HEAD + HALF + HALF + "\r\n"), rest);
         }
       }
     }
 
     @Test
     void drainWaitsForStreamedResponse() throws Exception {
-      try (TestPeer.Line client = startLargeResponse()) {
+      try (TestPeer.Connection client = startLargeResponse()) {
         FutureTask<Void> stop = drain();
         resume.countDown();
-        client.expect(HALF + "\r\n");
+        client.expectBytes(HALF + "\r\n");
         assertNull(client.read());
-        client.hangUp();
+        client.disconnect();
         stop.get();
       }
     }
--- a/src/test/java/beaconturn/net/TestPeer.java
+++ b/src/test/java/beaconturn/net/TestPeer.java
@@ -29,11 +29,11 @@
 
 /** A scripted server on an ephemeral loopback port. */
 public final class TestPeer implements Closeable {
-  private static final int SECONDS = 20;
+  private static final int TIMEOUT_SECONDS = 20;
 
   /** Serves one connection on its own thread; the connection is closed when it returns. */
   public interface Script {
-    void serve(Line line) throws IOException, ProtocolException, InterruptedException;
+    void serve(Connection connection) throws IOException, ProtocolException, InterruptedException;
   }
 
   private final ServerSocket server;
@@ -74,20 +74,20 @@
     return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
   }
 
-  public String dial() {
+  public String dialAddress() {
     return "127.0.0.1:" + server.getLocalPort();
   }
 
   /** Returns the next note of a script; fails if there is none in time. */
   public String note() throws InterruptedException {
-    String note = notes.poll(SECONDS, TimeUnit.SECONDS);
+    String note = notes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (note == null) {
       throw new AssertionError("the peer saw nothing");
     }
     return note;
   }
 
-  public List<String> notesLeft() {
+  public List<String> remainingNotes() {
     return List.copyOf(notes);
   }
 
@@ -117,7 +117,7 @@
 
   private void run(Socket socket, boolean first) {
     try {
-      script.serve(new Line(socket, notes, first));
+      script.serve(new Connection(socket, notes, first));
     } catch (IOException | ProtocolException e) {
       notes.add("broken");
     } catch (InterruptedException e) {
@@ -128,33 +128,33 @@
   }
 
   /** One connection, from the client or the server side. */
-  public static final class Line implements Closeable {
+  public static final class Connection implements Closeable {
     private final Socket socket;
     private final BlockingQueue<String> notes;
     private final boolean first;
     private final InputBuffer in = new InputBuffer();
     private final RespReader reader = new RespReader(1 << 16);
 
-    public Line(Socket socket, BlockingQueue<String> notes) {
+    public Connection(Socket socket, BlockingQueue<String> notes) {
       this(socket, notes, true);
     }
 
-    private Line(Socket socket, BlockingQueue<String> notes, boolean first) {
+    private Connection(Socket socket, BlockingQueue<String> notes, boolean first) {
       this.socket = socket;
       this.notes = notes;
       this.first = first;
     }
 
     /** Whether this is the first connection to its peer. */
-    public boolean first() {
+    public boolean isFirst() {
       return first;
     }
 
-    public static Line to(InetSocketAddress address) throws IOException {
+    public static Connection to(InetSocketAddress address) throws IOException {
       Socket socket = new Socket(address.getAddress(), address.getPort());
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout(SECONDS * 1000);
-      return new Line(socket, new LinkedBlockingQueue<>());
+      socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
+      return new Connection(socket, new LinkedBlockingQueue<>());
     }
 
     public void note(String text) {
@@ -178,12 +178,12 @@
     }
 
     /** Shuts down the output; the input stays open. */
-    public void endOutput() throws IOException {
+    public void shutdownOutput() throws IOException {
       socket.shutdownOutput();
     }
 
     /** Whether the peer has closed the connection; waits briefly for it. */
-    public boolean ended() throws IOException {
+    public boolean isClosedByPeer() throws IOException {
       socket.setSoTimeout(1);
       try {
         return socket.getInputStream().read() < 0;
@@ -193,19 +193,19 @@
     }
 
     /** Reads everything until the peer closes the connection. */
-    public String rest() throws IOException {
+    public String readRemaining() throws IOException {
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
     /** Reads as many bytes as the text has and asserts that they are equal to it. */
-    void expect(String text) throws IOException {
+    void expectBytes(String text) throws IOException {
       byte[] bytes = new byte[text.length()];
       new DataInputStream(socket.getInputStream()).readFully(bytes);
       assertEquals(text, new String(bytes, StandardCharsets.ISO_8859_1));
     }
 
     /** The arguments of the next command joined by blanks, or "end". */
-    public String command() throws IOException, ProtocolException {
+    public String readCommand() throws IOException, ProtocolException {
       RespValue value = read();
       if (value == null) {
         return "end";
@@ -217,13 +217,13 @@
     }
 
     /** The bytes of the next response without the last line end, or "end". */
-    public String answer() throws IOException, ProtocolException {
+    public String readResponse() throws IOException, ProtocolException {
       RespValue value = read();
       return value == null ? "end" : value.frame().toString().trim();
     }
 
     /** The head of an HTTP request, or an empty string at the end of the stream. */
-    public String httpHead() throws IOException {
+    public String readHttpHead() throws IOException {
       StringBuilder head = new StringBuilder();
       while (head.indexOf("\r\n\r\n") < 0) {
         int c = socket.getInputStream().read();
@@ -235,7 +235,7 @@
       return head.toString();
     }
 
-    public void http(int status, String body) throws IOException {
+    public void writeHttpResponse(int status, String body) throws IOException {
       write("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
@@ -245,13 +245,13 @@
       socket.close();
     }
 
-    public void hangUp() {
+    public void disconnect() {
       Sockets.close(socket);
     }
 
     @Override
     public void close() {
-      hangUp();
+      disconnect();
     }
   }
 }
--- a/src/test/java/beaconturn/net/UpgradeTest.java
+++ b/src/test/java/beaconturn/net/UpgradeTest.java
@@ -110,14 +110,14 @@
       shared.bind(new InetSocketAddress("127.0.0.1", 0));
       Listener before = Listener.sharing(shared, accepted::add);
       before.start();
-      TestPeer.Line.to(before.address()).close();
+      TestPeer.Connection.to(before.address()).close();
       accepted.take().close();
       before.close();
-      TestPeer.Line.to(before.address()).close();
+      TestPeer.Connection.to(before.address()).close();
       Listener after = Listener.sharing(shared, accepted::add);
       after.start();
       accepted.take().close();
-      TestPeer.Line.to(after.address()).close();
+      TestPeer.Connection.to(after.address()).close();
       accepted.take().close();
       after.close();
       assertTrue(shared.isOpen());
--- a/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
@@ -57,7 +57,7 @@
   private final ClientConnections connections = new ClientConnections(1, 1);
   private ServerSocketChannel server;
   private ClientPoller poller;
-  private TestPeer.Line client;
+  private TestPeer.Connection client;
   private ClientConnection connection;
 
   @BeforeEach
@@ -72,7 +72,7 @@
   private void connect(ClientPoller connectionPoller) throws IOException {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
     socket.setSoTimeout(20_000);
-    client = new TestPeer.Line(socket, new LinkedBlockingQueue<>());
+    client = new TestPeer.Connection(socket, new LinkedBlockingQueue<>());
     SocketChannel accepted = server.accept();
     accepted.configureBlocking(false);
     connection =
@@ -120,7 +120,7 @@
     assertEquals(1, connections.count());
     nowNanos.addAndGet(SECOND_NANOS * 3 / 2 + 1);
     sweepUntilAllClosed();
-    assertEquals("end", client.answer());
+    assertEquals("end", client.readResponse());
   }
 
   /**
@@ -144,7 +144,7 @@
     connections.sweep(nowNanos.get());
     latePoller.start();
     nextRequest().answered(Slice.of("+v\r\n"));
-    assertEquals("+v", client.answer());
+    assertEquals("+v", client.readResponse());
   }
 
   /**
@@ -155,9 +155,9 @@
   void evictsOneConnectionPerNewOneAboveLoweredLimit() throws Exception {
     client.write(GET);
     nextRequest().answered(Slice.of("+v\r\n"));
-    assertEquals("+v", client.answer());
+    assertEquals("+v", client.readResponse());
     awaitIdle();
-    TestPeer.Line first = client;
+    TestPeer.Connection first = client;
     connect(poller);
     connect(poller);
     assertEquals(3, connections.count());
@@ -165,7 +165,7 @@
     assertTrue(connections.makeRoom(nowNanos.get()));
     assertTrue(connections.makeRoom(nowNanos.get()));
     // A connection that the poller has not processed yet may be proposed for closing twice.
-    TestPeer.until(() -> connections.makeRoom(nowNanos.get()) && first.ended());
+    TestPeer.until(() -> connections.makeRoom(nowNanos.get()) && first.isClosedByPeer());
   }
 
   /**
@@ -186,14 +186,14 @@
   void closesOnPartialCommandAfterWholeOneWithinSameTimeout() throws Exception {
     client.write(GET);
     nextRequest().answered(Slice.of("+v\r\n"));
-    assertEquals("+v", client.answer());
+    assertEquals("+v", client.readResponse());
     awaitIdle();
     nowNanos.addAndGet(SECOND_NANOS);
     client.write("*4\r\n$5\r\n");
     awaitPartialCommand();
     nowNanos.addAndGet(SECOND_NANOS * 5 / 2 + 1);
     sweepUntilAllClosed();
-    assertEquals("end", client.answer());
+    assertEquals("end", client.readResponse());
   }
 
   /** A partial command must not cost the client the response to an earlier request. */
@@ -205,7 +205,7 @@
     nowNanos.addAndGet(3 * SECOND_NANOS);
     connections.sweep(nowNanos.get());
     request.answered(Slice.of("+v\r\n"));
-    assertEquals("+v", client.answer());
+    assertEquals("+v", client.readResponse());
   }
 
   /**
@@ -221,13 +221,13 @@
   void closesIdleConnectionAfterIdleTimeout() throws Exception {
     client.write(GET);
     nextRequest().answered(Slice.of("+v\r\n"));
-    assertEquals("+v", client.answer());
+    assertEquals("+v", client.readResponse());
     awaitIdle();
     connections.sweep(nowNanos.get() + 2 * SECOND_NANOS);
     assertEquals(1, connections.count());
     nowNanos.addAndGet(3 * SECOND_NANOS);
     connections.sweep(nowNanos.get());
-    assertEquals("end", client.answer());
+    assertEquals("end", client.readResponse());
   }
 
   /**
@@ -243,14 +243,14 @@
     nowNanos.addAndGet(SECOND_NANOS / 2);
     crowdedConnections.sweep(nowNanos.get());
     request.answered(Slice.of("+v\r\n"));
-    assertEquals("+v", client.answer());
+    assertEquals("+v", client.readResponse());
     crowdedConnections.sweep(nowNanos.get());
     client.write("*1\r\n$4\r\nPING\r\n");
-    assertEquals("-ERR starting", client.answer());
+    assertEquals("-ERR starting", client.readResponse());
     awaitIdle();
     nowNanos.addAndGet(SECOND_NANOS / 2);
     crowdedConnections.sweep(nowNanos.get());
-    assertEquals("end", client.answer());
+    assertEquals("end", client.readResponse());
   }
 
   private static String get(String id) {
@@ -267,7 +267,7 @@
     ClientPoller latePoller = new ClientPoller(nowNanos::get, 0);
     connect(latePoller);
     client.write(GET);
-    client.hangUp();
+    client.disconnect();
     latePoller.start();
     TestPeer.until(() -> connections.count() == 1);
     assertEquals(0, routingQueue.size());
@@ -289,7 +289,7 @@
       nextRequest();
       pending++;
     }
-    client.hangUp();
+    client.disconnect();
     for (int i = 0; i < pending; i++) {
       assertTrue(
           routingQueue.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft,
@@ -317,7 +317,7 @@
   @Test
   void countsDeadlineWhilePollerIsBusy() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    TestPeer.Line waitingClient = client;
+    TestPeer.Connection waitingClient = client;
     awaitRegistered();
     blockPoller(new CountDownLatch(1), release);
     long sentAtNanos = nowNanos.get();
@@ -361,7 +361,7 @@
   /** The poller has registered the connection once it has responded on it. */
   private void awaitRegistered() throws Exception {
     client.write("*1\r\n$4\r\nPING\r\n");
-    assertEquals("-ERR starting", client.answer());
+    assertEquals("-ERR starting", client.readResponse());
     awaitIdle();
   }
 
@@ -390,7 +390,7 @@
   @Test
   void servesRequestThatArrivesBeforeIdleClose() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    TestPeer.Line idleClient = client;
+    TestPeer.Connection idleClient = client;
     awaitRegistered();
     blockPoller(new CountDownLatch(1), release);
     idleClient.write(GET);
@@ -398,7 +398,7 @@
     connections.sweep(nowNanos.get());
     release.countDown();
     nextRequest().answered(Slice.of("+v\r\n"));
-    assertEquals("+v", idleClient.answer());
+    assertEquals("+v", idleClient.readResponse());
   }
 
   /**
@@ -407,7 +407,7 @@
    */
   @Test
   void rejectsLateRequestsAndClosesAfterLastResponseWhileDraining() throws Exception {
-    TestPeer.Line drainingClient = client;
+    TestPeer.Connection drainingClient = client;
     ClientConnection drainingConnection = connection;
     client.write(get("early"));
     ClientRequest early = nextRequest();
@@ -423,12 +423,12 @@
                 && drainingConnection.partialCommandSinceNanos() == Long.MAX_VALUE);
     assertEquals(1, ids.count());
     early.answered(Slice.of("+v\r\n"));
-    assertEquals("+v", drainingClient.answer());
-    assertEquals("-BUSY 50", drainingClient.answer());
+    assertEquals("+v", drainingClient.readResponse());
+    assertEquals("-BUSY 50", drainingClient.readResponse());
     TestPeer.until(
         () -> {
           connections.drain();
-          return drainingClient.ended();
+          return drainingClient.isClosedByPeer();
         });
     assertEquals(0, routingQueue.size());
   }
@@ -457,9 +457,9 @@
     ClientRequest early = nextRequest();
     nextRequest().answered(Slice.of("+late\r\n"));
     early.answered(Slice.of("+early\r\n"));
-    assertEquals("+early", client.answer());
-    assertEquals("+late", client.answer());
-    assertEquals("end", client.answer());
+    assertEquals("+early", client.readResponse());
+    assertEquals("+late", client.readResponse());
+    assertEquals("end", client.readResponse());
     assertEquals(0, rejectedCount.get());
   }
 
@@ -472,8 +472,8 @@
     ClientRequest request = nextRequest();
     connections.drain();
     request.answered(Slice.of("+v\r\n"));
-    assertEquals("+v", client.answer());
-    assertEquals("end", client.answer());
+    assertEquals("+v", client.readResponse());
+    assertEquals("end", client.readResponse());
   }
 
   /**
@@ -505,7 +505,7 @@
     assertEquals(0, ids.count());
     client.write(GET);
     nextRequest();
-    client.hangUp();
+    client.disconnect();
     assertTrue(routingQueue.poll(20, TimeUnit.SECONDS) instanceof RoutingMessage.ClientLeft);
     TestPeer.until(() -> ids.count() == 0);
   }
@@ -537,14 +537,14 @@
     ClientRequest first = nextRequest();
     nextRequest().answered(Slice.of("+last\r\n"));
     first.answered(Slice.of("+first\r\n"));
-    assertEquals("+first", client.answer());
+    assertEquals("+first", client.readResponse());
     for (int i = 0; i < 5; i++) {
-      assertTrue(client.answer().startsWith("-ERR "), "command " + i);
+      assertTrue(client.readResponse().startsWith("-ERR "), "command " + i);
     }
-    assertEquals("+last", client.answer());
+    assertEquals("+last", client.readResponse());
     client.write(get("another"));
     nextRequest().answered(Slice.of("+another\r\n"));
-    assertEquals("+another", client.answer());
+    assertEquals("+another", client.readResponse());
     assertEquals(0, ids.count());
   }
 
@@ -556,12 +556,12 @@
     client.write(GET.substring(0, 9));
     awaitPartialCommand();
     nowNanos.addAndGet(SECOND_NANOS / 10);
-    TestPeer.Line partialClient = client;
+    TestPeer.Connection partialClient = client;
     connections.makeRoom(nowNanos.get());
     connections.makeRoom(nowNanos.get());
     partialClient.write(GET.substring(9));
     nextRequest().answered(Slice.of("+v\r\n"));
-    assertEquals("+v", partialClient.answer());
+    assertEquals("+v", partialClient.readResponse());
   }
 
   /**
@@ -570,7 +570,7 @@
    */
   @Test
   void dropsCloseProposalWhenCommandStarts() throws Exception {
-    TestPeer.Line idleClient = client;
+    TestPeer.Connection idleClient = client;
     ClientConnection idleConnection = connection;
     awaitRegistered();
     CountDownLatch busy = new CountDownLatch(1);
@@ -598,14 +598,14 @@
     awaitPollerRound();
     idleClient.write(GET.substring(9));
     nextRequest().answered(Slice.of("+v\r\n"));
-    assertEquals("+v", idleClient.answer());
+    assertEquals("+v", idleClient.readResponse());
   }
 
   /** Returns once the poller has processed everything scheduled before. */
   private void awaitPollerRound() throws Exception {
     connect(poller);
     client.write("*1\r\n$4\r\nPING\r\n");
-    assertEquals("-ERR starting", client.answer());
+    assertEquals("-ERR starting", client.readResponse());
   }
 
   /**
@@ -616,7 +616,7 @@
   void throttlesRejectionsAndServesCommandsBehindThem() throws Exception {
     client.write("*1\r\n:5\r\n".repeat(20) + get("behind"));
     for (int i = 0; i < 16; i++) {
-      assertTrue(client.answer().startsWith("-ERR "), "command " + i);
+      assertTrue(client.readResponse().startsWith("-ERR "), "command " + i);
     }
     connections.sweep(nowNanos.get());
     awaitPollerRound();
@@ -638,10 +638,10 @@
           }
         };
     client.write(get("fails"));
-    assertEquals("-ERR failed", client.answer());
-    assertEquals("-ERR failed", client.answer());
-    assertEquals("-ERR internal error", client.answer());
-    assertEquals("end", client.answer());
+    assertEquals("-ERR failed", client.readResponse());
+    assertEquals("-ERR failed", client.readResponse());
+    assertEquals("-ERR internal error", client.readResponse());
+    assertEquals("end", client.readResponse());
     assertEquals(0, ids.count());
   }
 
@@ -661,6 +661,6 @@
     assertFalse(connections.makeRoom(nowNanos.get()));
     nowNanos.addAndGet(SECOND_NANOS / 5);
     assertTrue(connections.makeRoom(nowNanos.get()));
-    assertEquals("end", client.answer());
+    assertEquals("end", client.readResponse());
   }
 }
--- a/src/test/java/beaconturn/net/client/ListenerTest.java
+++ b/src/test/java/beaconturn/net/client/ListenerTest.java
@@ -42,10 +42,10 @@
               accepted.add(channel);
             });
     listener.start();
-    try (TestPeer.Line first = TestPeer.Line.to(listener.address())) {
+    try (TestPeer.Connection first = TestPeer.Connection.to(listener.address())) {
       first.write("x");
       firstAccepted.await();
-      try (TestPeer.Line queuedClient = TestPeer.Line.to(listener.address())) {
+      try (TestPeer.Connection queuedClient = TestPeer.Connection.to(listener.address())) {
         queuedClient.write("x");
         Thread closer = Threads.start("test-close", () -> closeQuietly(listener));
         TestPeer.until(
@@ -82,11 +82,11 @@
             });
     listener.start();
     for (int i = 0; i < 3; i++) {
-      try (TestPeer.Line failing = TestPeer.Line.to(listener.address())) {
-        assertEquals("", failing.rest());
+      try (TestPeer.Connection failing = TestPeer.Connection.to(listener.address())) {
+        assertEquals("", failing.readRemaining());
       }
     }
-    try (TestPeer.Line client = TestPeer.Line.to(listener.address())) {
+    try (TestPeer.Connection client = TestPeer.Connection.to(listener.address())) {
       client.write("x");
       accepted.poll(20, TimeUnit.SECONDS).close();
     } finally {
--- a/src/test/java/beaconturn/net/control/AdminServerTest.java
+++ b/src/test/java/beaconturn/net/control/AdminServerTest.java
@@ -35,7 +35,7 @@
   private volatile String notReady;
   private final Counters counters = new Counters();
   private final Map<AdminServer, CompletableFuture<Void>> open = new HashMap<>();
-  private final List<TestPeer.Line> callers = new ArrayList<>();
+  private final List<TestPeer.Connection> callers = new ArrayList<>();
   private AdminServer address;
 
   @Override
@@ -79,18 +79,18 @@
     open.keySet().forEach(AdminServer::close);
     // Fails if one of them did: a stop ends the callers that are there.
     open.values().forEach(CompletableFuture::join);
-    callers.forEach(TestPeer.Line::close);
+    callers.forEach(TestPeer.Connection::close);
   }
 
-  private TestPeer.Line say(String text) throws IOException {
-    TestPeer.Line caller = TestPeer.Line.to(address.address());
+  private TestPeer.Connection say(String text) throws IOException {
+    TestPeer.Connection caller = TestPeer.Connection.to(address.address());
     callers.add(caller);
     caller.write(text);
     return caller;
   }
 
   private String call(String text) throws IOException {
-    return say(text).rest();
+    return say(text).readRemaining();
   }
 
   @Test
@@ -104,14 +104,14 @@
   @Test
   void aCallInSingleBytesOrEndedByItsCallersEndIsACall() throws IOException {
     say("half a call");
-    TestPeer.Line slow = say("");
+    TestPeer.Connection slow = say("");
     for (String piece : "ready\n".split("")) {
       slow.write(piece);
     }
-    assertEquals("ACK\n", slow.rest());
-    TestPeer.Line ended = say("ready");
-    ended.endOutput();
-    assertEquals("ACK\n", ended.rest());
+    assertEquals("ACK\n", slow.readRemaining());
+    TestPeer.Connection ended = say("ready");
+    ended.shutdownOutput();
+    assertEquals("ACK\n", ended.readRemaining());
   }
 
   @Test
@@ -136,17 +136,17 @@
     }
     assertEquals("ACK\n", call("ready\n"));
     // The oldest made room long ago.
-    assertEquals("", callers.get(0).rest());
+    assertEquals("", callers.get(0).readRemaining());
     now.addAndGet(6 * SECOND);
-    assertEquals("", callers.get(99).rest());
+    assertEquals("", callers.get(99).readRemaining());
   }
 
   @Test
   void aCallThatTheModuleDoesNotTakeInTimeIsAnsweredAllTheSame() throws Exception {
-    TestPeer.Line caller = say("disable-server s-slow\n");
+    TestPeer.Connection caller = say("disable-server s-slow\n");
     overrides.take();
     now.addAndGet(SECOND);
-    assertEquals("ACK\n", caller.rest());
+    assertEquals("ACK\n", caller.readRemaining());
     assertTrue(Files.readString(file()).contains("out s-slow "));
   }
 
--- a/src/test/java/beaconturn/net/discovery/DiscoveryWatcherTest.java
+++ b/src/test/java/beaconturn/net/discovery/DiscoveryWatcherTest.java
@@ -60,11 +60,11 @@
     try (TestPeer registry =
         new TestPeer(
             line -> {
-              line.note(line.httpHead().split(" ")[1]);
-              if (line.first()) {
+              line.note(line.readHttpHead().split(" ")[1]);
+              if (line.isFirst()) {
                 over.await();
               }
-              line.http(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
+              line.writeHttpResponse(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
               over.await();
             })) {
       watching(registry);
@@ -87,9 +87,9 @@
         new TestPeer(
             line -> {
               while (true) {
-                String path = line.httpHead().split(" ")[1];
+                String path = line.readHttpHead().split(" ")[1];
                 line.note(path);
-                line.http(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
+                line.writeHttpResponse(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
               }
             })) {
       watching(registry);
@@ -138,8 +138,8 @@
     try (TestPeer registry =
         new TestPeer(
             line -> {
-              while (!line.httpHead().isEmpty()) {
-                line.http(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
+              while (!line.readHttpHead().isEmpty()) {
+                line.writeHttpResponse(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
               }
             })) {
       watching(
@@ -164,8 +164,8 @@
     try (TestPeer registry =
         new TestPeer(
             line -> {
-              line.httpHead();
-              line.http(200, "{\"hosts\":" + deep);
+              line.readHttpHead();
+              line.writeHttpResponse(200, "{\"hosts\":" + deep);
             })) {
       watching(registry);
       assertEquals(EndpointListKind.FAILED, nextUpdate().kind());
--- a/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
@@ -41,7 +41,7 @@
   private static EndpointUpdate.AddressedEndpoint member(
       long id, EndpointHealth health, TestPeer peer) {
     return new EndpointUpdate.AddressedEndpoint(
-        new Endpoint(id, 0, 0, 0, health, 1, 0), "fleet-" + id, peer.dial());
+        new Endpoint(id, 0, 0, 0, health, 1, 0), "fleet-" + id, peer.dialAddress());
   }
 
   private OutboundAttempt attempt(long server) {
@@ -62,7 +62,7 @@
   private static TestPeer cache() {
     return new TestPeer(
         line -> {
-          while (!line.command().equals("end")) {
+          while (!line.readCommand().equals("end")) {
             line.write("*3\r\n$2\r\nva\r\n$3\r\nhit\r\n$-1\r\n");
           }
         });
--- a/src/test/java/beaconturn/net/server/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerTest.java
@@ -133,11 +133,11 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.command();
+              line.readCommand();
               for (int i = 0; i < VALUE.length(); i++) {
                 line.write(VALUE.substring(i, i + 1));
               }
-              line.command();
+              line.readCommand();
             })) {
       AttemptResult outcome = outcome(send(server(peer)));
       assertEquals(AttemptOutcome.OK, outcome.outcome());
@@ -151,16 +151,16 @@
     expect(
         AttemptOutcome.ERROR,
         line -> {
-          line.command();
+          line.readCommand();
           line.write("-ERR failed\r\n");
-          line.command();
+          line.readCommand();
         });
   }
 
   /** Guards against a send that waited here while its router was told that the server drains. */
   @Test
   void whatStillWaitsWhenItsServerDrainsIsNotWritten() throws InterruptedException {
-    try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
+    try (TestPeer peer = new TestPeer(TestPeer.Connection::readCommand)) {
       CacheServer server = server(peer);
       server.acceptsRequests(false);
       assertEquals(AttemptOutcome.SUPERSEDED, outcome(send(server)).outcome());
@@ -171,7 +171,7 @@
   /** The client's close reaches the module later than those who write: they look themselves. */
   @Test
   void whatNobodyWaitsForIsNotWritten() throws InterruptedException {
-    try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
+    try (TestPeer peer = new TestPeer(TestPeer.Connection::readCommand)) {
       CacheServer server = server(peer);
       passed.addAndGet(SECOND);
       OutboundAttempt attempt = attempt(null);
@@ -185,7 +185,7 @@
   /** Nobody is told of a time that is over, in however small a number. */
   @Test
   void whatHasNoTimeLeftIsNotWritten() throws InterruptedException {
-    try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
+    try (TestPeer peer = new TestPeer(TestPeer.Connection::readCommand)) {
       CacheServer server = server(peer);
       OutboundAttempt attempt = attempt(null);
       passed.addAndGet(101 * SECOND);
@@ -198,7 +198,7 @@
   /** A connection that comes up after its client has gone carries nothing. */
   @Test
   void aClientThatLeavesWhileTheConnectionComesUpIsNotWrittenFor() throws Exception {
-    try (TestPeer peer = new TestPeer(line -> line.note(line.command()))) {
+    try (TestPeer peer = new TestPeer(line -> line.note(line.readCommand()))) {
       CacheConnection connection =
           new CacheConnection(
               peer.address(),
@@ -251,24 +251,24 @@
     expect(
         AttemptOutcome.REJECTED,
         line -> {
-          line.command();
+          line.readCommand();
           line.write("-BUSY\r\n");
         });
   }
 
   @Test
   void aConnectionThatEndsAfterTheLastByteIsAReset() throws InterruptedException {
-    expect(AttemptOutcome.RESET, TestPeer.Line::command);
+    expect(AttemptOutcome.RESET, TestPeer.Connection::readCommand);
     expect(
         AttemptOutcome.RESET,
         line -> {
-          line.command();
+          line.readCommand();
           line.reset();
         });
     expect(
         AttemptOutcome.RESET,
         line -> {
-          line.command();
+          line.readCommand();
           line.write(VALUE.substring(0, VALUE.length() - 1));
         });
   }
@@ -278,9 +278,9 @@
     expect(
         AttemptOutcome.RESET,
         line -> {
-          line.command();
+          line.readCommand();
           line.write("HTTP/1.1 200 OK\r\n");
-          line.command();
+          line.readCommand();
         });
   }
 
@@ -310,9 +310,9 @@
       try (TestPeer peer =
           new TestPeer(
               line -> {
-                line.command();
+                line.readCommand();
                 line.write(spoilt);
-                line.note(line.command());
+                line.note(line.readCommand());
               })) {
         assertEquals(AttemptOutcome.RESET, outcome(send(server(peer))).outcome(), spoilt);
         assertTrue(List.of("end", "broken").contains(peer.note()), spoilt);
@@ -329,9 +329,9 @@
       try (TestPeer peer =
           new TestPeer(
               line -> {
-                line.command();
+                line.readCommand();
                 line.write(VALUE + more);
-                line.note(line.command());
+                line.note(line.readCommand());
               })) {
         CacheServer server = server(peer);
         assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
@@ -353,11 +353,11 @@
       try (TestPeer peer =
           new TestPeer(
               line -> {
-                line.command();
+                line.readCommand();
                 line.write(VALUE);
                 later.await();
                 line.write(more);
-                line.note(line.command());
+                line.note(line.readCommand());
               })) {
         CacheServer server = server(peer);
         assertEquals(AttemptOutcome.OK, outcome(send(server)).outcome());
@@ -378,7 +378,7 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              while (!line.command().equals("end")) {
+              while (!line.readCommand().equals("end")) {
                 line.write(VALUE);
               }
             })) {
@@ -394,7 +394,7 @@
 
   @Test
   void aRefusedConnectionNeverRan() throws InterruptedException {
-    TestPeer peer = new TestPeer(TestPeer.Line::command);
+    TestPeer peer = new TestPeer(TestPeer.Connection::readCommand);
     peer.close();
     assertEquals(AttemptOutcome.CONNECT_FAILED, outcome(send(server(peer))).outcome());
   }
@@ -415,7 +415,7 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              for (String c = line.command(); !c.equals("end"); c = line.command()) {
+              for (String c = line.readCommand(); !c.equals("end"); c = line.readCommand()) {
                 line.note(c.split(" ")[1]);
                 line.write(VALUE);
               }
@@ -436,7 +436,7 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.note(line.command());
+              line.note(line.readCommand());
               over.await();
             })) {
       CacheServer server = server(peer);
@@ -458,9 +458,9 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.command();
+              line.readCommand();
               line.note("begun");
-              line.note(line.command());
+              line.note(line.readCommand());
             })) {
       CacheServer server = server(peer);
       OutboundAttempt attempt = send(server);
@@ -479,9 +479,9 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.command();
+              line.readCommand();
               line.write(VALUE);
-              line.note(line.command());
+              line.note(line.readCommand());
             })) {
       CacheServer server = server(peer.address(), 1, 60 * SECOND);
       // However late the second one is sent: the first connection must not have settled by then.
@@ -502,7 +502,7 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              for (String c = line.command(); !c.equals("end"); c = line.command()) {
+              for (String c = line.readCommand(); !c.equals("end"); c = line.readCommand()) {
                 line.note(c.split(" ")[1]);
                 line.write(VALUE);
               }
@@ -516,7 +516,7 @@
       outcome(send(server));
       assertEquals("key-0", peer.note());
       assertEquals("key-2", peer.note());
-      assertEquals(List.of(), peer.notesLeft());
+      assertEquals(List.of(), peer.remainingNotes());
     }
   }
 
@@ -525,9 +525,9 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.command();
+              line.readCommand();
               line.write(VALUE);
-              line.hangUp();
+              line.disconnect();
               line.note("closed");
             })) {
       CacheServer server = server(peer);
@@ -553,9 +553,9 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.command();
+              line.readCommand();
               line.write(VALUE);
-              line.note(line.command());
+              line.note(line.readCommand());
             })) {
       outcome(send(server(peer.address(), 10, SECOND / 20)));
       assertEquals("end", peer.note());
@@ -567,16 +567,16 @@
     try (TestPeer old =
             new TestPeer(
                 line -> {
-                  line.command();
+                  line.readCommand();
                   line.write(VALUE);
-                  line.note(line.command());
+                  line.note(line.readCommand());
                 });
         TestPeer next =
             new TestPeer(
                 line -> {
-                  line.note(line.command().split(" ")[0]);
+                  line.note(line.readCommand().split(" ")[0]);
                   line.write(VALUE);
-                  line.command();
+                  line.readCommand();
                 })) {
       CacheServer server = server(old);
       outcome(send(server));
