--- a/src/test/java/beaconturn/net/TestPeer.java
+++ b/src/test/java/beaconturn/net/TestPeer.java
@@ -27,16 +27,13 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/**
- * A server of the test's own on an ephemeral loopback port; the script says what each connection
- * does.
- */
+/** A scripted server on an ephemeral loopback port. */
 public final class TestPeer implements Closeable {
-  private static final int SECONDS = 20;
+  private static final int TIMEOUT_SECONDS = 20;
 
-  /** What one connection does, on a thread of its own; the connection is closed when it returns. */
+  /** Serves one connection on its own thread; the connection is closed when it returns. */
   public interface Script {
-    void serve(Line line) throws IOException, ProtocolException, InterruptedException;
+    void serve(Connection connection) throws IOException, ProtocolException, InterruptedException;
   }
 
   private final ServerSocket server;
@@ -54,7 +51,7 @@
     Threads.start("test-peer", this::accept);
   }
 
-  /** Holds the calling thread until the latch is released, where it may not throw. */
+  /** Waits for the latch without throwing a checked exception. */
   public static void await(CountDownLatch latch) {
     try {
       latch.await();
@@ -63,7 +60,7 @@
     }
   }
 
-  /** Waits for what another thread does. */
+  /** Waits until the condition holds. */
   public static void until(Callable<Boolean> done) throws Exception {
     while (!done.call()) {
       if (Thread.interrupted()) {
@@ -77,20 +74,20 @@
     return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
   }
 
-  public String dial() {
+  public String dialAddress() {
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** The next thing that a script has noted; fails if none comes. */
+  /** Returns the next note of a script; fails if there is none in time. */
   public String note() throws InterruptedException {
-    String note = notes.poll(SECONDS, TimeUnit.SECONDS);
+    String note = notes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (note == null) {
       throw new AssertionError("the peer saw nothing");
     }
     return note;
   }
 
-  public List<String> notesLeft() {
+  public List<String> remainingNotes() {
     return List.copyOf(notes);
   }
 
@@ -120,7 +117,7 @@
 
   private void run(Socket socket, boolean first) {
     try {
-      script.serve(new Line(socket, notes, first));
+      script.serve(new Connection(socket, notes, first));
     } catch (IOException | ProtocolException e) {
       notes.add("broken");
     } catch (InterruptedException e) {
@@ -130,34 +127,34 @@
     }
   }
 
-  /** One connection, from whichever end the test holds. */
-  public static final class Line implements Closeable {
+  /** One connection, from the client or the server side. */
+  public static final class Connection implements Closeable {
     private final Socket socket;
     private final BlockingQueue<String> notes;
     private final boolean first;
     private final InputBuffer in = new InputBuffer();
     private final RespReader reader = new RespReader(1 << 16);
 
-    public Line(Socket socket, BlockingQueue<String> notes) {
+    public Connection(Socket socket, BlockingQueue<String> notes) {
       this(socket, notes, true);
     }
 
-    private Line(Socket socket, BlockingQueue<String> notes, boolean first) {
+    private Connection(Socket socket, BlockingQueue<String> notes, boolean first) {
       this.socket = socket;
       this.notes = notes;
       this.first = first;
     }
 
     /** Whether this is the first connection to its peer. */
-    public boolean first() {
+    public boolean isFirst() {
       return first;
     }
 
-    public static Line to(InetSocketAddress address) throws IOException {
+    public static Connection to(InetSocketAddress address) throws IOException {
       Socket socket = new Socket(address.getAddress(), address.getPort());
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout(SECONDS * 1000);
-      return new Line(socket, new LinkedBlockingQueue<>());
+      socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
+      return new Connection(socket, new LinkedBlockingQueue<>());
     }
 
     public void note(String text) {
@@ -180,13 +177,13 @@
       return value;
     }
 
-    /** Says nothing more, and still listens. */
-    public void endOutput() throws IOException {
+    /** Shuts down the output; the input stays open. */
+    public void shutdownOutput() throws IOException {
       socket.shutdownOutput();
     }
 
-    /** Whether the peer has ended; waits a moment for it. */
-    public boolean ended() throws IOException {
+    /** Whether the peer has closed the connection; waits briefly for it. */
+    public boolean isClosedByPeer() throws IOException {
       socket.setSoTimeout(1);
       try {
         return socket.getInputStream().read() < 0;
@@ -195,20 +192,20 @@
       }
     }
 
-    /** All that still comes, until the peer ends. */
-    public String rest() throws IOException {
+    /** Reads everything until the peer closes the connection. */
+    public String readRemaining() throws IOException {
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads just so many bytes as the text has, and checks that they are the text. */
-    void expect(String text) throws IOException {
+    /** Reads as many bytes as the text has and asserts that they are equal to it. */
+    void expectBytes(String text) throws IOException {
       byte[] bytes = new byte[text.length()];
       new DataInputStream(socket.getInputStream()).readFully(bytes);
       assertEquals(text, new String(bytes, StandardCharsets.ISO_8859_1));
     }
 
-    /** The next command's words joined by blanks, or "end". */
-    public String command() throws IOException, ProtocolException {
+    /** The arguments of the next command joined by blanks, or "end". */
+    public String readCommand() throws IOException, ProtocolException {
       RespValue value = read();
       if (value == null) {
         return "end";
@@ -219,14 +216,14 @@
               .items().stream().map(item -> ((RespValue.Bulk) item).bytes().toString()).toList());
     }
 
-    /** The next answer's bytes without the last line end, or "end". */
-    public String answer() throws IOException, ProtocolException {
+    /** The bytes of the next response without the last line end, or "end". */
+    public String readResponse() throws IOException, ProtocolException {
       RespValue value = read();
       return value == null ? "end" : value.frame().toString().trim();
     }
 
-    /** The lines of an HTTP request's head, or an empty text at the end of the stream. */
-    public String httpHead() throws IOException {
+    /** The head of an HTTP request, or an empty string at the end of the stream. */
+    public String readHttpHead() throws IOException {
       StringBuilder head = new StringBuilder();
       while (head.indexOf("\r\n\r\n") < 0) {
         int c = socket.getInputStream().read();
@@ -238,23 +235,23 @@
       return head.toString();
     }
 
-    public void http(int status, String body) throws IOException {
+    public void writeHttpResponse(int status, String body) throws IOException {
       write("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Ends the connection as a process that dies does: the peer sees a reset. */
+    /** Closes the connection with a reset, as a killed process does. */
     public void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
     }
 
-    public void hangUp() {
+    public void disconnect() {
       Sockets.close(socket);
     }
 
     @Override
     public void close() {
-      hangUp();
+      disconnect();
     }
   }
 }
--- a/src/test/java/beaconturn/net/discovery/DiscoveryWatcherTest.java
+++ b/src/test/java/beaconturn/net/discovery/DiscoveryWatcherTest.java
@@ -58,11 +58,11 @@
     try (TestPeer discoveryPeer =
         new TestPeer(
             line -> {
-              line.note(line.httpHead().split(" ")[1]);
-              if (line.first()) {
+              line.note(line.readHttpHead().split(" ")[1]);
+              if (line.isFirst()) {
                 done.await();
               }
-              line.http(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
+              line.writeHttpResponse(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
               done.await();
             })) {
       startWatch(discoveryPeer);
@@ -83,9 +83,9 @@
         new TestPeer(
             line -> {
               while (true) {
-                String path = line.httpHead().split(" ")[1];
+                String path = line.readHttpHead().split(" ")[1];
                 line.note(path);
-                line.http(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
+                line.writeHttpResponse(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
               }
             })) {
       startWatch(discoveryPeer);
@@ -137,8 +137,8 @@
     try (TestPeer discoveryPeer =
         new TestPeer(
             line -> {
-              while (!line.httpHead().isEmpty()) {
-                line.http(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
+              while (!line.readHttpHead().isEmpty()) {
+                line.writeHttpResponse(200, "{\"seq\":5,\"whole\":false,\"hosts\":[]}");
               }
             })) {
       startWatch(
@@ -160,8 +160,8 @@
     try (TestPeer discoveryPeer =
         new TestPeer(
             line -> {
-              line.httpHead();
-              line.http(200, "{\"hosts\":" + deep);
+              line.readHttpHead();
+              line.writeHttpResponse(200, "{\"hosts\":" + deep);
             })) {
       startWatch(discoveryPeer);
       assertEquals(EndpointListKind.FAILED, nextUpdate().kind());
--- a/src/test/java/beaconturn/net/server/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerTest.java
@@ -46,8 +46,8 @@
   private final Clock clock =
       () -> frozenAtNanos.get() != 0 ? frozenAtNanos.get() : system.now() + clockOffsetNanos.get();
   private final BlockingQueue<RoutingMessage> routingMessages = new LinkedBlockingQueue<>();
-  public static final RespClientRequest.Reading READING =
-      new RespClientRequest.Reading(null, "read", 0, RequestMetrics.NONE);
+  public static final RespClientRequest.ParseContext READING =
+      new RespClientRequest.ParseContext(null, "read", 0, RequestMetrics.NONE);
   private int sent;
 
   static CacheServerEnvironment environment(
@@ -135,11 +135,11 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.command();
+              line.readCommand();
               for (int i = 0; i < VALUE.length(); i++) {
                 line.write(VALUE.substring(i, i + 1));
               }
-              line.command();
+              line.readCommand();
             })) {
       AttemptResult result = awaitResult(send(server(peer)));
       assertEquals(AttemptOutcome.OK, result.outcome());
@@ -153,16 +153,16 @@
     assertOutcome(
         AttemptOutcome.ERROR,
         line -> {
-          line.command();
+          line.readCommand();
           line.write("-ERR failed\r\n");
-          line.command();
+          line.readCommand();
         });
   }
 
   /** Guards against writing an attempt that was queued when the server started to drain. */
   @Test
   void doesNotWriteQueuedAttemptToDrainingServer() throws InterruptedException {
-    try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
+    try (TestPeer peer = new TestPeer(TestPeer.Connection::readCommand)) {
       CacheServer server = server(peer);
       server.acceptsRequests(false);
       assertEquals(AttemptOutcome.SUPERSEDED, awaitResult(send(server)).outcome());
@@ -173,7 +173,7 @@
   /** A writer checks the client itself, as the routing thread is notified of a disconnect later. */
   @Test
   void doesNotWriteAttemptOfAbandonedRequest() throws InterruptedException {
-    try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
+    try (TestPeer peer = new TestPeer(TestPeer.Connection::readCommand)) {
       CacheServer server = server(peer);
       clockOffsetNanos.addAndGet(SECOND);
       OutboundAttempt attempt = attempt(null);
@@ -187,7 +187,7 @@
   /** A request must not reach a server with a deadline that has already passed. */
   @Test
   void doesNotWriteAttemptThatHasTimedOut() throws InterruptedException {
-    try (TestPeer peer = new TestPeer(TestPeer.Line::command)) {
+    try (TestPeer peer = new TestPeer(TestPeer.Connection::readCommand)) {
       CacheServer server = server(peer);
       OutboundAttempt attempt = attempt(null);
       clockOffsetNanos.addAndGet(101 * SECOND);
@@ -200,7 +200,7 @@
   /** The client may disconnect while the connection is being opened. */
   @Test
   void doesNotWriteIfRequestIsAbandonedWhileConnecting() throws Exception {
-    try (TestPeer peer = new TestPeer(line -> line.note(line.command()))) {
+    try (TestPeer peer = new TestPeer(line -> line.note(line.readCommand()))) {
       CacheConnection connection =
           new CacheConnection(
               peer.address(),
@@ -253,24 +253,24 @@
     assertOutcome(
         AttemptOutcome.REJECTED,
         line -> {
-          line.command();
+          line.readCommand();
           line.write("-BUSY\r\n");
         });
   }
 
   @Test
   void connectionLostAfterRequestWasWrittenEndsAsReset() throws InterruptedException {
-    assertOutcome(AttemptOutcome.RESET, TestPeer.Line::command);
+    assertOutcome(AttemptOutcome.RESET, TestPeer.Connection::readCommand);
     assertOutcome(
         AttemptOutcome.RESET,
         line -> {
-          line.command();
+          line.readCommand();
           line.reset();
         });
     assertOutcome(
         AttemptOutcome.RESET,
         line -> {
-          line.command();
+          line.readCommand();
           line.write(VALUE.substring(0, VALUE.length() - 1));
         });
   }
@@ -280,9 +280,9 @@
     assertOutcome(
         AttemptOutcome.RESET,
         line -> {
-          line.command();
+          line.readCommand();
           line.write("HTTP/1.1 200 OK\r\n");
-          line.command();
+          line.readCommand();
         });
   }
 
@@ -311,9 +311,9 @@
       try (TestPeer peer =
           new TestPeer(
               line -> {
-                line.command();
+                line.readCommand();
                 line.write(malformed);
-                line.note(line.command());
+                line.note(line.readCommand());
               })) {
         assertEquals(AttemptOutcome.RESET, awaitResult(send(server(peer))).outcome(), malformed);
         assertTrue(List.of("end", "broken").contains(peer.note()), malformed);
@@ -328,9 +328,9 @@
       try (TestPeer peer =
           new TestPeer(
               line -> {
-                line.command();
+                line.readCommand();
                 line.write(VALUE + more);
-                line.note(line.command());
+                line.note(line.readCommand());
               })) {
         CacheServer server = server(peer);
         assertEquals(AttemptOutcome.OK, awaitResult(send(server)).outcome());
@@ -349,11 +349,11 @@
       try (TestPeer peer =
           new TestPeer(
               line -> {
-                line.command();
+                line.readCommand();
                 line.write(VALUE);
                 responseRead.await();
                 line.write(more);
-                line.note(line.command());
+                line.note(line.readCommand());
               })) {
         CacheServer server = server(peer);
         assertEquals(AttemptOutcome.OK, awaitResult(send(server)).outcome());
@@ -371,7 +371,7 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              while (!line.command().equals("end")) {
+              while (!line.readCommand().equals("end")) {
                 line.write(VALUE);
               }
             })) {
@@ -387,7 +387,7 @@
 
   @Test
   void refusedConnectionEndsAsConnectFailed() throws InterruptedException {
-    TestPeer peer = new TestPeer(TestPeer.Line::command);
+    TestPeer peer = new TestPeer(TestPeer.Connection::readCommand);
     peer.close();
     assertEquals(AttemptOutcome.CONNECT_FAILED, awaitResult(send(server(peer))).outcome());
   }
@@ -408,7 +408,7 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              for (String c = line.command(); !c.equals("end"); c = line.command()) {
+              for (String c = line.readCommand(); !c.equals("end"); c = line.readCommand()) {
                 line.note(c.split(" ")[1]);
                 line.write(VALUE);
               }
@@ -429,7 +429,7 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.note(line.command());
+              line.note(line.readCommand());
               done.await();
             })) {
       CacheServer server = server(peer);
@@ -451,9 +451,9 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.command();
+              line.readCommand();
               line.note("received");
-              line.note(line.command());
+              line.note(line.readCommand());
             })) {
       CacheServer server = server(peer);
       OutboundAttempt attempt = send(server);
@@ -469,9 +469,9 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.command();
+              line.readCommand();
               line.write(VALUE);
-              line.note(line.command());
+              line.note(line.readCommand());
             })) {
       CacheServer server = server(peer.address(), 1, 60 * SECOND);
       // With the clock frozen, the first connection never settles.
@@ -492,7 +492,7 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              for (String c = line.command(); !c.equals("end"); c = line.command()) {
+              for (String c = line.readCommand(); !c.equals("end"); c = line.readCommand()) {
                 line.note(c.split(" ")[1]);
                 line.write(VALUE);
               }
@@ -506,7 +506,7 @@
       awaitResult(send(server));
       assertEquals("key-0", peer.note());
       assertEquals("key-2", peer.note());
-      assertEquals(List.of(), peer.notesLeft());
+      assertEquals(List.of(), peer.remainingNotes());
     }
   }
 
@@ -515,9 +515,9 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.command();
+              line.readCommand();
               line.write(VALUE);
-              line.hangUp();
+              line.disconnect();
               line.note("closed");
             })) {
       CacheServer server = server(peer);
@@ -543,9 +543,9 @@
     try (TestPeer peer =
         new TestPeer(
             line -> {
-              line.command();
+              line.readCommand();
               line.write(VALUE);
-              line.note(line.command());
+              line.note(line.readCommand());
             })) {
       awaitResult(send(server(peer.address(), 10, SECOND / 20)));
       assertEquals("end", peer.note());
@@ -557,16 +557,16 @@
     try (TestPeer old =
             new TestPeer(
                 line -> {
-                  line.command();
+                  line.readCommand();
                   line.write(VALUE);
-                  line.note(line.command());
+                  line.note(line.readCommand());
                 });
         TestPeer next =
             new TestPeer(
                 line -> {
-                  line.note(line.command().split(" ")[0]);
+                  line.note(line.readCommand().split(" ")[0]);
                   line.write(VALUE);
-                  line.command();
+                  line.readCommand();
                 })) {
       CacheServer server = server(old);
       awaitResult(send(server));
