--- a/src/main/java/beaconturn/agreement/ConfigCodec.java
+++ b/src/main/java/beaconturn/agreement/ConfigCodec.java
@@ -125,7 +125,7 @@
   private static Json ruleJson(ClassRule rule) {
     Map<String, Json> members = new LinkedHashMap<>();
     if (rule.idempotency() != null) {
-      members.put("effect", StoredJson.value(IdempotencyWords.encode(rule.idempotency())));
+      members.put("effect", StoredJson.value(IdempotencyCodec.encode(rule.idempotency())));
     }
     if (rule.deduplicationWindowNanos() != null) {
       members.put("window_ms", StoredJson.value(rule.deduplicationWindowNanos() / MILLI_NANOS));
@@ -187,7 +187,7 @@
       return null;
     }
     String word = json.get("effect").word("");
-    ClassIdempotency idempotency = IdempotencyWords.decode(word);
+    ClassIdempotency idempotency = IdempotencyCodec.decode(word);
     if (idempotency == null) {
       throw new AgreementException("class " + name + ": unknown effect '" + word + "'");
     }
--- a/src/main/java/beaconturn/agreement/IdempotencyWords.java
+++ b/src/main/java/beaconturn/agreement/IdempotencyCodec.java
@@ -5,8 +5,8 @@
 /**
  * The words for {@link ClassIdempotency} in the store, in persisted files and those of operators.
  */
-public final class IdempotencyWords {
-  private IdempotencyWords() {}
+public final class IdempotencyCodec {
+  private IdempotencyCodec() {}
 
   /** The word that is written. */
   static String encode(ClassIdempotency idempotency) {
--- a/src/main/java/beaconturn/cli/ContentFile.java
+++ b/src/main/java/beaconturn/cli/ContentFile.java
@@ -2,7 +2,7 @@
 
 import beaconturn.agreement.ClassRule;
 import beaconturn.agreement.ConfigContent;
-import beaconturn.agreement.IdempotencyWords;
+import beaconturn.agreement.IdempotencyCodec;
 import beaconturn.net.ConfigException;
 import beaconturn.toml.TomlException;
 import beaconturn.toml.TomlSection;
@@ -49,7 +49,7 @@
   private static ClassRule rule(TomlSection section) throws TomlException {
     List<String> words = List.of("safe", "keyed", "unsafe");
     return new ClassRule(
-        section.has("effect") ? IdempotencyWords.decode(section.choice("effect", "", words)) : null,
+        section.has("effect") ? IdempotencyCodec.decode(section.choice("effect", "", words)) : null,
         section.has("window") ? (Long) section.durationNanos("window", 0, 0) : null,
         section.has("deadline") ? (Long) section.durationNanos("deadline", 0, MILLI_NANOS) : null);
   }
