--- a/src/main/java/beaconturn/agreement/AgreementTiming.java
+++ b/src/main/java/beaconturn/agreement/AgreementTiming.java
@@ -42,7 +42,7 @@
    * paused acts on nothing; it looks at its lease before its next decision and before its next
    * write.
    */
-  public long statedNanos() {
+  public long maxStalenessNanos() {
     return (long) (leaseNanos * (1 + clockDrift)) + applyNanos;
   }
 
--- a/src/main/java/beaconturn/agreement/package-info.java
+++ b/src/main/java/beaconturn/agreement/package-info.java
@@ -6,7 +6,7 @@
  * beaconturn.agreement.ConfigAdmin} what operators do, and {@link
  * beaconturn.agreement.AgreementTransactions} the steps of a version through the store. What is
  * guaranteed, and how it follows, stands in {@code docs/agreement.md}: never do two routers act on
- * contradicting versions for longer than {@link beaconturn.agreement.AgreementTiming#statedNanos},
+ * contradicting versions for longer than {@link beaconturn.agreement.AgreementTiming#maxStalenessNanos},
  * whatever is cut, paused or lost; and losing the store costs no request.
  */
 package beaconturn.agreement;
--- a/src/main/java/beaconturn/cli/AgreementPrinter.java
+++ b/src/main/java/beaconturn/cli/AgreementPrinter.java
@@ -132,7 +132,7 @@
         timing.requestTimeoutNanos() / SECOND_NANOS,
         timing.storeLeaseSeconds(),
         timing.clockDrift() * 100,
-        timing.statedNanos() / SECOND_NANOS,
+        timing.maxStalenessNanos() / SECOND_NANOS,
         leaseSeconds * (1 + timing.clockDrift()),
         timing.applyNanos() / SECOND_NANOS,
         timing.requestsPerSecond(SMALL_FLEET),
--- a/src/main/java/beaconturn/cli/RandomSearchRunner.java
+++ b/src/main/java/beaconturn/cli/RandomSearchRunner.java
@@ -163,7 +163,7 @@
     stated =
         report.scenario().agreement() == null
             ? 0
-            : report.scenario().agreement().timing().statedNanos();
+            : report.scenario().agreement().timing().maxStalenessNanos();
     System.out.println(
         "storm "
             + seed
--- a/src/main/java/beaconturn/net/OperatorOverrides.java
+++ b/src/main/java/beaconturn/net/OperatorOverrides.java
@@ -82,7 +82,7 @@
   }
 
   @Override
-  public String notReady() {
+  public String notReadyReason() {
     return switch (lifecycle.phase()) {
       case STARTING -> "starting";
       case SERVING -> null;
@@ -98,7 +98,7 @@
   @Override
   public void applyOverride(
       ServerOverride override, boolean fromElsewhere, Consumer<Boolean> known) {
-    if (override.out()) {
+    if (override.excluded()) {
       excluded.add(override.id());
     } else {
       excluded.remove(override.id());
@@ -110,7 +110,7 @@
     }
     routingThread.accept(
         new RoutingMessage.OverrideRequested(
-            Fnv1a.of(override.id()), override.out(), atNanos(override), fromElsewhere, known));
+            Fnv1a.of(override.id()), override.excluded(), atNanos(override), fromElsewhere, known));
   }
 
   /**
--- a/src/main/java/beaconturn/net/control/AdminConnection.java
+++ b/src/main/java/beaconturn/net/control/AdminConnection.java
@@ -65,7 +65,7 @@
   private void execute(AdminCommand command) {
     String text =
         switch (command.verb()) {
-          case READY -> readiness(server.operations().notReady());
+          case READY -> readiness(server.operations().notReadyReason());
           case SHOW_METRICS -> MetricLines.of(server.counters().read());
           case SHOW_HEALTH -> health(server.operations().health());
           case DISABLE_SERVER -> override(command.serverId(), true);
@@ -108,7 +108,7 @@
     }
     server.file().put(override);
     LOG.info(
-        "cache server " + override.id() + (override.out() ? " is out" : " is back") + " by hand");
+        "cache server " + override.id() + (override.excluded() ? " is out" : " is back") + " by hand");
     answer("ACK");
   }
 
--- a/src/main/java/beaconturn/net/control/AdminOperations.java
+++ b/src/main/java/beaconturn/net/control/AdminOperations.java
@@ -10,7 +10,7 @@
  */
 public interface AdminOperations {
   /** Null once a request would be served, else in a few words why not. */
-  String notReady();
+  String notReadyReason();
 
   /** The health metrics of this process and its cache servers, or null where there are none. */
   default List<Metric> health() {
--- a/src/main/java/beaconturn/net/control/ServerOverrideCodec.java
+++ b/src/main/java/beaconturn/net/control/ServerOverrideCodec.java
@@ -27,7 +27,7 @@
   static List<String> encode(Collection<ServerOverride> overrides) {
     List<String> lines = new ArrayList<>(List.of(HEAD));
     for (ServerOverride override : overrides) {
-      String word = override.out() ? OUT : BACK;
+      String word = override.excluded() ? OUT : BACK;
       lines.add(word + " " + override.id() + " " + override.atMillis());
     }
     return lines;
--- a/src/main/java/beaconturn/net/control/ServerOverrideFile.java
+++ b/src/main/java/beaconturn/net/control/ServerOverrideFile.java
@@ -104,7 +104,7 @@
   }
 
   private static boolean isForgotten(ServerOverride override, long nowMillis) {
-    return !override.out() && nowMillis - override.atMillis() > FORGET_BACK_MILLIS;
+    return !override.excluded() && nowMillis - override.atMillis() > FORGET_BACK_MILLIS;
   }
 
   /** What another process has noted since the last look; looks now and then only. */
--- a/src/main/java/beaconturn/rehearsal/Scenario.java
+++ b/src/main/java/beaconturn/rehearsal/Scenario.java
@@ -372,7 +372,7 @@
         shape.warmUpNanos(),
         shape.overloadMultiple(),
         shape.overloadNanos(),
-        agreement == null ? 0 : agreement.timing().statedNanos(),
+        agreement == null ? 0 : agreement.timing().maxStalenessNanos(),
         release == null ? null : releaseTerms(),
         zones == null
             ? null
--- a/src/main/java/beaconturn/rehearsal/TextReport.java
+++ b/src/main/java/beaconturn/rehearsal/TextReport.java
@@ -154,7 +154,7 @@
         "longest contradiction %.0f ms of %.0f ms stated; %.1f calls a"
             + " second at the store; a router held %.1f MB and %d threads at most%n",
         report.contradiction() / NANOS_PER_MILLI,
-        report.scenario().agreement().timing().statedNanos() / NANOS_PER_MILLI,
+        report.scenario().agreement().timing().maxStalenessNanos() / NANOS_PER_MILLI,
         report.fleet().callsPerSecond(),
         report.fleet().footprint().memory() / KB_PER_MB,
         report.fleet().footprint().threads());
--- a/src/main/java/beaconturn/zones/ZoneMember.java
+++ b/src/main/java/beaconturn/zones/ZoneMember.java
@@ -88,7 +88,7 @@
   private static FailoverPlanner planner(ZoneTopology topology, AgreementTiming timing) {
     return new FailoverPlanner(
         topology,
-        FailoverTiming.usual(timing.statedNanos()),
+        FailoverTiming.usual(timing.maxStalenessNanos()),
         WINDOW_NANOS,
         STALE_RENEWALS * timing.renewIntervalNanos(),
         ReportLease.MIN_TTL_SECONDS * SECOND_NANOS / 2);
--- a/src/test/java/beaconturn/agreement/SimulatedAgreement.java
+++ b/src/test/java/beaconturn/agreement/SimulatedAgreement.java
@@ -203,7 +203,7 @@
   private void check(SimulatedMember process, ConfigContent acting) {
     boolean allowed =
         inForce.isEmpty()
-            || (scheduler.now() - inForce.get(0).at() <= TIMING.statedNanos()
+            || (scheduler.now() - inForce.get(0).at() <= TIMING.maxStalenessNanos()
                 && ConfigConflicts.violations(acting, ConfigContent.UNSPECIFIED.withDefaults(BASE))
                     .isEmpty());
     List<String> breaks = List.of();
@@ -211,7 +211,7 @@
       breaks =
           ConfigConflicts.violations(acting, inForce.get(i).version().content().withDefaults(BASE));
       allowed = breaks.isEmpty();
-      if (scheduler.now() - inForce.get(i).at() > TIMING.statedNanos()) {
+      if (scheduler.now() - inForce.get(i).at() > TIMING.maxStalenessNanos()) {
         break;
       }
     }
--- a/src/test/java/beaconturn/cli/InstanceMetricsReaderTest.java
+++ b/src/test/java/beaconturn/cli/InstanceMetricsReaderTest.java
@@ -42,7 +42,7 @@
             new InetSocketAddress("127.0.0.1", 0),
             new AdminOperations() {
               @Override
-              public String notReady() {
+              public String notReadyReason() {
                 return null;
               }
 
--- a/src/test/java/beaconturn/net/control/AdminServerTest.java
+++ b/src/test/java/beaconturn/net/control/AdminServerTest.java
@@ -39,7 +39,7 @@
   private AdminServer address;
 
   @Override
-  public String notReady() {
+  public String notReadyReason() {
     return notReady;
   }
 
@@ -184,8 +184,8 @@
     now.addAndGet(SECOND);
     assertEquals(said, overrides.take());
     assertEquals("ACK\n", call("enable-server s-1\n"));
-    assertEquals(false, overrides.take().out());
+    assertEquals(false, overrides.take().excluded());
     now.addAndGet(SECOND);
-    assertEquals(false, overrides.take().out());
+    assertEquals(false, overrides.take().excluded());
   }
 }
--- a/src/test/java/beaconturn/net/control/ServerOverrideFileTest.java
+++ b/src/test/java/beaconturn/net/control/ServerOverrideFileTest.java
@@ -87,7 +87,7 @@
     Files.writeString(file(), "beaconturn-hand 1\nout s-1 99999999999999\n");
     long before = MonotonicMillis.millis();
     ServerOverride read = reread().get(0);
-    assertTrue(read.out());
+    assertTrue(read.excluded());
     assertTrue(read.atMillis() >= before && read.atMillis() <= MonotonicMillis.millis());
   }
 
