--- a/src/main/java/beaconturn/agreement/AgreementCallbacks.java
+++ b/src/main/java/beaconturn/agreement/AgreementCallbacks.java
@@ -1,21 +1,25 @@
 package beaconturn.agreement;
 
-/** What a member tells and asks its router. Called on the thread that drives the member. */
+/** Callbacks from a member to its router, called on the thread that drives the member. */
 public interface AgreementCallbacks {
   /**
-   * What may be acted on from here on; comes before the store hears anything that follows from it.
+   * Called when the effective configuration changes, before the member sends any store request that
+   * depends on it.
    */
   void effectiveConfigChanged(EffectiveConfig config);
 
-  /** Keeps it for the next start, durably before this returns; false if it cannot be kept. */
+  /**
+   * Persists the configuration for the next start. It is durable when this returns true; returns
+   * false if it could not be written.
+   */
   boolean persist(PersistedConfig config);
 
-  /** Why the router cannot follow the content, or null if it can. */
+  /** Returns why the router cannot apply the content, or null if it can. */
   String objection(ConfigContent content);
 
   /**
-   * Whether the router has what the content asks for, such as its endpoint list; while it has not,
-   * the member neither acks nor nacks and asks again.
+   * Whether the router has everything that the content requires, such as a recent enough endpoint
+   * list. While this returns false the member neither acks nor nacks, and asks again.
    */
   default boolean isReadyFor(ConfigContent content) {
     return true;
--- a/src/main/java/beaconturn/agreement/AgreementException.java
+++ b/src/main/java/beaconturn/agreement/AgreementException.java
@@ -1,12 +1,13 @@
 package beaconturn.agreement;
 
 /**
- * A text of the agreement that cannot be followed, or a step not allowed now; the message says why.
+ * Thrown if stored data cannot be decoded, the store cannot be reached, or an operation is not
+ * allowed in the current state. The message gives the reason.
  */
 public final class AgreementException extends Exception {
   private static final long serialVersionUID = 1;
 
-  /** With what is wrong. */
+  /** Creates an exception with the reason as its message. */
   public AgreementException(String message) {
     super(message);
   }
--- a/src/main/java/beaconturn/agreement/AgreementKeys.java
+++ b/src/main/java/beaconturn/agreement/AgreementKeys.java
@@ -1,28 +1,28 @@
 package beaconturn.agreement;
 
 /**
- * The keys of the agreement in the store, below one prefix for each fleet.
+ * Builds the keys of the agreement in the coordination store. Each fleet has its own prefix.
  *
  * <pre>
- * common/identity  which agreement this is; made once
+ * common/identity  id of the agreement, written once when it is created
  * common/current   the version in force
- * common/previous  the one before it
- * common/next      a version that is proposed
- * common/settled   the last version that all act on
- * common/office    the leader, who takes the steps, on a lease
- * history/N        each version, and history/N.no why one was turned down
- * roster/NAME/I    a member's record: its ack or nack, and the version it acts on; no lease
- * alive/NAME/I     the same member, on its lease
- * sight/NAME/I     what it makes of each cache server, on its lease
+ * common/previous  the version that was in force before
+ * common/next      the proposed version
+ * common/settled   number of the last version that all members act on
+ * common/office    incarnation of the step leader, bound to its lease
+ * history/N        every proposed version; history/N.no holds the reason if it was rejected
+ * roster/NAME/I    member record: its ack or nack and the version it acts on; no lease
+ * alive/NAME/I     liveness entry of the member, bound to its lease
+ * sight/NAME/I     the member's view of each cache server, bound to its lease
  * </pre>
  *
- * @param fleet the prefix
+ * @param fleet prefix of all keys
  */
 public record AgreementKeys(String fleet) {
-  /** Ends the key of the reason why a version was turned down. */
+  /** Suffix of the key that holds the reason for a version's rejection. */
   static final String REJECTION_SUFFIX = ".no";
 
-  /** Begins the keys of all that every member reads. */
+  /** Prefix of the keys that every member reads. */
   public String commonPrefix() {
     return fleet + "/common/";
   }
@@ -51,7 +51,7 @@
     return commonPrefix() + "office";
   }
 
-  /** Begins the keys of all versions there ever were. */
+  /** Prefix of the keys of all versions ever proposed. */
   public String versionsPrefix() {
     return fleet + "/history/";
   }
@@ -64,7 +64,7 @@
     return version(number) + REJECTION_SUFFIX;
   }
 
-  /** Begins the keys of all members' records. */
+  /** Prefix of the keys of all member records. */
   public String membersPrefix() {
     return fleet + "/roster/";
   }
@@ -73,7 +73,7 @@
     return membersPrefix() + name + "/" + incarnation;
   }
 
-  /** Begins the keys of all members that hold leases. */
+  /** Prefix of the liveness keys of all members that hold a lease. */
   public String liveMembersPrefix() {
     return fleet + "/alive/";
   }
@@ -82,7 +82,7 @@
     return liveMembersPrefix() + name + "/" + incarnation;
   }
 
-  /** Begins the keys of what members make of cache servers. */
+  /** Prefix of the keys of the members' endpoint views. */
   public String endpointViewsPrefix() {
     return fleet + "/sight/";
   }
--- a/src/main/java/beaconturn/agreement/AgreementMember.java
+++ b/src/main/java/beaconturn/agreement/AgreementMember.java
@@ -4,12 +4,13 @@
 import java.util.function.Consumer;
 
 /**
- * One router's member of the agreement: a state machine without I/O that asks the store one thing
- * at a time, acks or nacks what is proposed, follows the version in force, and knows at any time
- * what may be acted on.
+ * State machine of one router's membership in the agreement. It sends one store request at a time,
+ * acks or nacks proposed versions, follows the version in force, and derives the effective
+ * configuration of the router.
  *
- * <p>For one thread, which asks {@link #nextRequest} for the request to make and brings its
- * response to {@link #handleResponse}. All times are nanoseconds of that thread's clock.
+ * <p>Performs no I/O. Not thread-safe: the driving thread sends the request that {@link
+ * #nextRequest} returns and passes the response to {@link #handleResponse}. All times are
+ * nanoseconds of that thread's clock.
  */
 public final class AgreementMember {
   private final AgreementKeys keys;
@@ -25,16 +26,17 @@
   private final StepLeader stepLeader;
   private final EndpointViewPublisher viewPublisher;
 
-  /** What the request that is out is for, or null. */
-  private RequestPurpose outstanding;
+  /** Purpose of the request in flight, or null if there is none. */
+  private RequestPurpose purposeInFlight;
 
   private long sentAtNanos;
 
   /**
-   * A member that begins with what was persisted by the process before it.
+   * Creates a member that has not joined yet.
    *
    * @param localContent the router's own configuration, with every field set
-   * @param seed of the random spread of times
+   * @param persisted the state that the previous process of this router persisted
+   * @param seed seed of the jitter
    */
   public AgreementMember(
       AgreementKeys keys,
@@ -75,11 +77,11 @@
   }
 
   /**
-   * The request to make now, or null while there is none before {@link #nextRequestAtNanos}. Only
-   * one is out at a time.
+   * Returns the request to send now, or null if none is due before {@link #nextRequestAtNanos} or
+   * one is in flight.
    */
   public StoreRequest nextRequest(long nowNanos) {
-    if (outstanding != null || nowNanos < backoff.pausedUntilNanos()) {
+    if (purposeInFlight != null || nowNanos < backoff.pausedUntilNanos()) {
       return null;
     }
     sentAtNanos = nowNanos;
@@ -87,7 +89,7 @@
     if (due == null) {
       return null;
     }
-    outstanding = due.purpose();
+    purposeInFlight = due.purpose();
     return due.request();
   }
 
@@ -119,7 +121,7 @@
         : null;
   }
 
-  /** When to ask for the next request, by the clock that {@link #nextRequest} is given. */
+  /** Returns when to call {@link #nextRequest} again. */
   public long nextRequestAtNanos() {
     long atNanos = Math.min(tracker.pollAtNanos(), storeLease.renewAtNanos());
     if (registration.isJoined()) {
@@ -132,10 +134,10 @@
     return Math.max(backoff.pausedUntilNanos(), atNanos);
   }
 
-  /** Takes the response to the request that was out; {@code nowNanos} is when it came. */
+  /** Handles the response to the request in flight, received at {@code nowNanos}. */
   public void handleResponse(long nowNanos, StoreResponse response) {
-    RequestPurpose purpose = outstanding;
-    outstanding = null;
+    RequestPurpose purpose = purposeInFlight;
+    purposeInFlight = null;
     if (!(response instanceof StoreResponse.Success success)) {
       handleFailure(nowNanos, purpose, ((StoreResponse.RequestFailed) response).reason());
       return;
@@ -159,18 +161,18 @@
       case RENEW_LEASE -> handleRenewed(response);
       case READ_COMMON -> handleRead(nowNanos, response);
       case CONFIRM_VERSIONS -> handleConfirmation(response);
-      case READ_NAMESAKES -> registration.handleNamesakes(response);
+      case READ_ROUTER_RECORDS -> registration.handleRouterRecords(response);
       case JOIN -> handleJoin(response);
       case UPDATE_RECORD -> handleRecordUpdate(response);
       case READ_MEMBERS -> stepLeader.handleMembers(response);
       case READ_LIVE_MEMBERS ->
           stepLeader.handleLiveMembers(nowNanos, tracker.snapshot(), response);
-      case TAKE_LEADERSHIP -> tracker.invalidate();
-      case TAKE_STEP -> {
-        stepLeader.handleStepTaken(response);
+      case ACQUIRE_LEADERSHIP -> tracker.invalidate();
+      case COMMIT_STEP -> {
+        stepLeader.handleStepCommitted(response);
         tracker.invalidate();
       }
-      default -> throw new IllegalStateException("no such purpose: " + purpose);
+      default -> throw new IllegalStateException("unhandled request purpose: " + purpose);
     }
   }
 
@@ -180,13 +182,14 @@
       tracker.invalidate();
     }
     if (purpose == RequestPurpose.JOIN) {
-      // It may have come about: what is read next tells, and joining twice is joining once.
-      registration.forgetNamesakes();
+      // The transaction may have been committed. The next read shows it, and a join is idempotent.
+      registration.forgetRouterRecords();
     }
     backoff.countFailure(reason);
     if (!tracker.hasSnapshot() && !follower.hasBasis() && follower.persisted().joined()) {
-      // Nobody to ask whether the record of the process before still stands; it does unless an
-      // operator has declared that router lost, who then must not start it without a store.
+      // The store cannot confirm that the previous process's record still exists. It exists unless
+      // an operator declared the router lost, and such a router must not be started without a
+      // store.
       follower.actOnPersisted();
       publishEffectiveConfig();
     }
@@ -199,7 +202,7 @@
     }
     log.accept("agreement: the lease had ended at the store, joins anew");
     registration.leave();
-    registration.forgetNamesakes();
+    registration.forgetRouterRecords();
     versionLease.drop();
     publishEffectiveConfig();
   }
@@ -211,13 +214,13 @@
       throw new AgreementException(fault);
     }
     backoff.reset();
-    boolean wasVacant = tracker.hasSnapshot() && tracker.snapshot().lacksLeader();
+    boolean lackedLeader = tracker.hasSnapshot() && tracker.snapshot().lacksLeader();
     tracker.handleRead(read, sentAtNanos);
     if (read.agreementId().isEmpty()) {
       return;
     }
-    if (read.lacksLeader() && !wasVacant) {
-      stepLeader.handleVacancy(nowNanos);
+    if (read.lacksLeader() && !lackedLeader) {
+      stepLeader.handleLeaderLost(nowNanos);
     }
     follower.follow(read, registration.isJoined());
     if (registration.isJoined()) {
@@ -241,7 +244,7 @@
   }
 
   private void handleJoin(StoreResponse.Success response) {
-    registration.forgetNamesakes();
+    registration.forgetRouterRecords();
     tracker.invalidate();
     if (response.conditionsHeld()) {
       registration.handleJoined();
@@ -262,15 +265,15 @@
     }
   }
 
-  /** Tells the router what it may act on, now and once its lease is over. */
+  /** Notifies the router of the configuration that applies now and after its lease expires. */
   private void publishEffectiveConfig() {
     callbacks.effectiveConfigChanged(follower.effectiveConfig(versionLease.endNanos()));
   }
 
   /**
-   * The request that publishes what this router makes of its cache servers; null where that stands
-   * in the store, or no lease is held, or the store has other things to mend. It is made beside
-   * {@link #nextRequest}: nothing that is agreed on depends on it.
+   * Returns the request that publishes the router's endpoint view, or null if the view is already
+   * published, no lease is held or the last store request failed. It is independent of {@link
+   * #nextRequest}: no agreement step depends on it.
    */
   public StoreRequest nextViewRequest(EndpointView view) {
     boolean possible =
@@ -280,20 +283,23 @@
         : null;
   }
 
-  /** Takes the response to the request of {@link #nextViewRequest}. */
+  /** Handles the response to the request of {@link #nextViewRequest}. */
   public void handleViewResponse(EndpointView view, StoreResponse response) {
     viewPublisher.handleResponse(view, storeLease.id(), response);
   }
 
-  /** Whether the store has told what may be acted on, or has failed to at least once. */
+  /**
+   * Whether the member has learned which configuration it may act on, or at least one store request
+   * has failed.
+   */
   public boolean hasAskedStore() {
     return follower.hasBasis() || backoff.hasFailures();
   }
 
   /**
-   * The last requests at a planned end, in their order; no response is waited for long. Once the
-   * record is gone others move on without this member's ack: what it has persisted is nothing to
-   * start on, which is persisted first.
+   * Returns the final requests of a planned shutdown, to be sent in this order. Once the record is
+   * deleted, versions come into force without this member's ack, so the member first persists that
+   * a later process must not start on its persisted configuration.
    */
   public List<StoreRequest> leave() {
     if (!registration.isJoined()) {
--- a/src/main/java/beaconturn/agreement/AgreementSnapshot.java
+++ b/src/main/java/beaconturn/agreement/AgreementSnapshot.java
@@ -6,19 +6,19 @@
 import java.util.regex.Pattern;
 
 /**
- * What all members share, as of one revision of the store.
+ * The shared state of the agreement at one revision of the store.
  *
- * @param clusterId which store it is
- * @param storeRevision of the store
- * @param agreementId empty where no agreement was ever begun here
+ * @param clusterId id of the store's cluster
+ * @param storeRevision revision of the store at which the state was read
+ * @param agreementId empty if the store holds no agreement
  * @param current the version in force, or {@link ConfigVersion#NONE}
- * @param previous the one before it, or {@link ConfigVersion#NONE}
- * @param proposed the proposed version, or null where there is none or it cannot be read
- * @param unreadableReason why the proposed version cannot be read, or null
- * @param proposedNumber the number of the proposed version, readable or not; 0 where there is none
- * @param settledNumber the last version that all act on
- * @param leader the incarnation that takes the steps, or empty
- * @param modRevisions when each key was last changed
+ * @param previous the version that was in force before, or {@link ConfigVersion#NONE}
+ * @param proposed the proposed version, or null if there is none or it cannot be decoded
+ * @param unreadableReason why the proposed version cannot be decoded, or null
+ * @param proposedNumber number of the proposed version, decodable or not; 0 if there is none
+ * @param settledNumber number of the last version that all members act on
+ * @param leader incarnation of the step leader, or empty
+ * @param modRevisions revision of the last modification of each key
  */
 public record AgreementSnapshot(
     String clusterId,
@@ -35,9 +35,10 @@
   private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}");
 
   /**
-   * Decodes the response to a read of all common keys.
+   * Decodes the response to a read of all common keys. A proposed version that cannot be decoded is
+   * not an error, see {@link #unreadableReason}.
    *
-   * @throws AgreementException if something other than the proposed version cannot be read
+   * @throws AgreementException if any other value cannot be decoded
    */
   public static AgreementSnapshot of(AgreementKeys keys, StoreResponse.Success response)
       throws AgreementException {
@@ -63,7 +64,7 @@
         modRevisions);
   }
 
-  /** The proposed version as it stands in the store. */
+  /** The proposed version as decoded from the store. */
   private record Proposal(long number, ConfigVersion version, String unreadableReason) {}
 
   private static Proposal proposal(String text) throws AgreementException {
@@ -82,7 +83,7 @@
       throws AgreementException {
     String text = values.getOrDefault(keys.settled(), "0");
     if (!NUMBER.matcher(text).matches()) {
-      throw new AgreementException(keys.settled() + ": not a number");
+      throw new AgreementException(keys.settled() + ": '" + text + "' is not a version number");
     }
     return Long.parseLong(text);
   }
@@ -91,24 +92,22 @@
     return text == null ? ConfigVersion.NONE : ConfigCodec.decodeVersion(text);
   }
 
-  /**
-   * Whether a step is still to be taken: a version is proposed, or not all act on the one in force.
-   */
+  /** Whether a version is proposed, or some member does not act on the version in force yet. */
   public boolean hasOpenStep() {
     return proposedNumber != 0 || settledNumber < current.number();
   }
 
-  /** Whether a step is open and there is no leader to take it. */
+  /** Whether a step is open and there is no leader to commit it. */
   boolean lacksLeader() {
     return hasOpenStep() && leader.isEmpty();
   }
 
-  /** The condition that the key is as it was read here. */
+  /** Returns the condition that the key has not been modified since this snapshot was read. */
   StoreRequest.Condition unchanged(String key) {
     return new StoreRequest.Condition.Unchanged(key, modRevisions.getOrDefault(key, 0L));
   }
 
-  /** The conditions that the same agreement has the same versions in force and proposed. */
+  /** Returns the conditions that the agreement, its current and its proposed version are unchanged. */
   List<StoreRequest.Condition> versionsUnchanged(AgreementKeys keys) {
     return List.of(
         unchanged(keys.agreementId()), unchanged(keys.current()), unchanged(keys.proposed()));
--- a/src/main/java/beaconturn/agreement/AgreementStatus.java
+++ b/src/main/java/beaconturn/agreement/AgreementStatus.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * All that operators see of the agreement.
+ * Status of the agreement as shown to operators.
  *
  * @param snapshot the versions in force and proposed
- * @param members all routers
- * @param liveMemberKeys the keys of those that hold leases
+ * @param members records of all routers
+ * @param liveMemberKeys liveness keys of the routers that hold a lease
  * @param awaitedMembers names of the routers that the open step waits for
  */
 public record AgreementStatus(
--- a/src/main/java/beaconturn/agreement/AgreementStep.java
+++ b/src/main/java/beaconturn/agreement/AgreementStep.java
@@ -1,9 +1,9 @@
 package beaconturn.agreement;
 
 /**
- * One step of a version through the store.
+ * One state transition of a version: proposed, rejected, put in force or settled.
  *
- * @param transaction takes the step where what it was decided on is still so
- * @param description what the step does, in words
+ * @param transaction commits the step if the state that it was decided on is unchanged
+ * @param description text for logs and operators
  */
 public record AgreementStep(StoreRequest.Transaction transaction, String description) {}
--- a/src/main/java/beaconturn/agreement/AgreementTransactions.java
+++ b/src/main/java/beaconturn/agreement/AgreementTransactions.java
@@ -6,21 +6,21 @@
 import java.util.Set;
 
 /**
- * The steps of a version through the store, each one transaction that holds only where what it was
- * decided on is still so: two that take the same step at the same time have taken it once, and
- * nobody can skip one. Any thread.
+ * Builds the transactions that move a version through its states: proposed, in force, settled. Each
+ * is conditional on the state that it was decided on, so concurrent commits of the same step take
+ * effect once and no step can be skipped. Thread-safe.
  */
 public final class AgreementTransactions {
   private static final long NO_LEASE = 0;
 
   private final AgreementKeys keys;
 
-  /** The steps below a fleet's prefix. */
+  /** Creates the transactions of the fleet with these keys. */
   public AgreementTransactions(AgreementKeys keys) {
     this.keys = keys;
   }
 
-  /** Begins an agreement in a store that has none; the id is to be new each time. */
+  /** Creates an agreement in a store that has none; the id must be unique. */
   public StoreRequest.Transaction begin(String agreementId) {
     return new StoreRequest.Transaction(
         List.of(
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Proposes a version of the content.
+   * Proposes a version with the content.
    *
-   * @throws AgreementException while another step is open
+   * @throws AgreementException if the store holds no agreement or another step is open
    */
   public AgreementStep propose(
       AgreementSnapshot snapshot,
@@ -75,9 +75,9 @@
   }
 
   /**
-   * Turns the proposed version down.
+   * Rejects the proposed version.
    *
-   * @throws AgreementException if none is proposed
+   * @throws AgreementException if no version is proposed
    */
   public AgreementStep withdraw(AgreementSnapshot snapshot, String reason)
       throws AgreementException {
@@ -94,14 +94,14 @@
   }
 
   /**
-   * The step that is due, or null while somebody is waited for. A proposed version needs the ack of
-   * every member, also of those out of reach: they may still act on the version in force. One in
-   * force is settled once each member acts on it or has lost its lease, and so acts on nothing that
-   * contradicts it.
+   * Returns the step that is due, or null while a member is awaited. A proposed version needs the
+   * ack of every member, even of unreachable ones, as they may still act on the version in force. A
+   * version in force is settled once every member acts on it or has lost its lease, since a member
+   * without a lease acts on nothing that contradicts it.
    *
-   * @param recordsRead all members' records
-   * @param liveRead the keys of those that hold leases
-   * @throws AgreementException if a record cannot be read
+   * @param recordsRead response to the read of all member records
+   * @param liveRead response to the read of all liveness keys
+   * @throws AgreementException if a record cannot be decoded
    */
   public AgreementStep dueStep(
       AgreementSnapshot snapshot, StoreResponse.Success recordsRead, StoreResponse.Success liveRead)
@@ -129,7 +129,7 @@
     return snapshot.proposed() != null && ackedByAll ? enforce(snapshot, recordsRevision) : null;
   }
 
-  /** Nobody may have joined since the records were read: its ack would be missing. */
+  /** Conditional on unchanged records: the ack of a member that joined later would be missing. */
   private AgreementStep enforce(AgreementSnapshot snapshot, long recordsRevision) {
     List<StoreRequest.Change> changes = new ArrayList<>();
     changes.add(put(keys.current(), ConfigCodec.encode(snapshot.proposed())));
@@ -164,9 +164,10 @@
   }
 
   /**
-   * Names of the members that are waited for: for an ack, or to act on the version in force.
+   * Returns the names of the members that have not acked the proposed version or, if none is
+   * proposed, hold a lease and do not act on the version in force yet.
    *
-   * @param liveRead the keys of members that hold leases
+   * @param liveRead response to the read of all liveness keys
    */
   public List<String> awaitedMembers(
       AgreementSnapshot snapshot, List<MemberRecord> members, StoreResponse.Success liveRead) {
@@ -187,9 +188,9 @@
   }
 
   /**
-   * Decodes all members' records.
+   * Decodes all member records.
    *
-   * @throws AgreementException if one cannot be read
+   * @throws AgreementException if one cannot be decoded
    */
   public static List<MemberRecord> members(StoreResponse.Success recordsRead)
       throws AgreementException {
--- a/src/main/java/beaconturn/agreement/ClassIdempotency.java
+++ b/src/main/java/beaconturn/agreement/ClassIdempotency.java
@@ -1,18 +1,17 @@
 package beaconturn.agreement;
 
 /**
- * Whether requests of a class may run more than once, from the loosest to the strictest; the order
- * of the constants counts.
+ * Whether requests of a class may be executed more than once. The constants are ordered from the
+ * most lenient to the strictest, and comparisons rely on this order.
  */
 public enum ClassIdempotency {
-  /** Any number of times. */
+  /** May be executed any number of times. */
   IDEMPOTENT,
-  /** As often as wanted within the window of its key. */
+  /** May be repeated within the deduplication window of its idempotency key. */
   IDEMPOTENCY_KEY,
-  /** At most once. */
+  /** Must be executed at most once. */
   NON_IDEMPOTENT;
 
-  /** The stricter one. */
   ClassIdempotency stricter(ClassIdempotency other) {
     return compareTo(other) >= 0 ? this : other;
   }
--- a/src/main/java/beaconturn/agreement/ClassRule.java
+++ b/src/main/java/beaconturn/agreement/ClassRule.java
@@ -1,20 +1,20 @@
 package beaconturn.agreement;
 
 /**
- * What a version says of one request class; a field that is null is left as each router is
- * configured.
+ * Settings of one request class in a version. A null field keeps the local configuration of each
+ * router.
  *
- * @param idempotency whether its requests may run more than once
+ * @param idempotency whether requests of the class may be executed more than once
  * @param deduplicationWindowNanos how long cache servers drop repeats of a request with an
  *     idempotency key
- * @param deadlineNanos the longest that a client may wait
+ * @param deadlineNanos maximum time until a client receives its response
  */
 public record ClassRule(
     ClassIdempotency idempotency, Long deduplicationWindowNanos, Long deadlineNanos) {
-  /** Leaves all as each router is configured. */
+  /** Keeps the local configuration of each router. */
   public static final ClassRule UNSPECIFIED = new ClassRule(null, null, null);
 
-  /** This rule where it specifies something, the other elsewhere. */
+  /** Returns this rule with its unspecified fields taken from the defaults. */
   ClassRule withDefaults(ClassRule defaults) {
     return new ClassRule(
         idempotency == null ? defaults.idempotency : idempotency,
--- a/src/main/java/beaconturn/agreement/ConfigAdmin.java
+++ b/src/main/java/beaconturn/agreement/ConfigAdmin.java
@@ -9,19 +9,19 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What operators do with the agreement: each operation reads what stands in the store and takes one
- * step, which holds only where that is still so. Where the response to a step is lost it looks
- * whether the step came about. For one thread, which waits for the store.
+ * Operations on the agreement for operators. Each operation reads the current state and commits one
+ * conditional step. If the response to a proposal is lost, the outcome is read back from the store.
+ * Blocks on the store; not thread-safe.
  *
- * <p>All methods throw an {@link AgreementException} if the store does not answer, or holds what
- * cannot be read.
+ * <p>All methods throw an {@link AgreementException} if a store request fails or stored data cannot
+ * be decoded.
  */
 public final class ConfigAdmin {
   private final AgreementKeys keys;
   private final AgreementTransactions transactions;
   private final CoordinationStore store;
 
-  /** The operations at a store, for one fleet. */
+  /** Creates the operations for the fleet with these keys. */
   public ConfigAdmin(AgreementKeys keys, CoordinationStore store) {
     this.keys = keys;
     this.transactions = new AgreementTransactions(keys);
@@ -33,9 +33,9 @@
   }
 
   /**
-   * What the store has answered.
+   * Sends the request and returns the store's reply.
    *
-   * @throws AgreementException if it has not; the message begins alike everywhere
+   * @throws AgreementException if the request fails; the commands recognize the start of its message
    */
   public static StoreResponse.Success requireSuccess(CoordinationStore store, StoreRequest request)
       throws AgreementException {
@@ -52,32 +52,33 @@
   }
 
   /**
-   * Begins the agreement in an empty store; what was done, in words.
+   * Creates the agreement in an empty store, and returns a description of the result.
    *
-   * @throws AgreementException if another agreement stands there
+   * @throws AgreementException if the store holds another agreement
    */
   public String begin(String agreementId) throws AgreementException {
     StoreResponse response = store.ask(transactions.begin(agreementId));
     String found = readSnapshot().agreementId();
     if (found.isEmpty()) {
-      throw new AgreementException("not begun, try again: " + reasonNotBegun(response));
+      throw new AgreementException(
+          "agreement " + agreementId + " was not created, try again: " + failureReason(response));
     }
     if (!found.equals(agreementId)) {
-      throw new AgreementException("agreement " + found + " stands in this store");
+      throw new AgreementException("this store already holds agreement " + found);
     }
     return "agreement " + agreementId + " is begun";
   }
 
-  private static String reasonNotBegun(StoreResponse response) {
+  private static String failureReason(StoreResponse response) {
     return response instanceof StoreResponse.RequestFailed failed
         ? failed.reason()
-        : "the store holds other things there";
+        : "the store already holds a version in force";
   }
 
   /**
-   * Proposes a content made of the one in force; the number of the version.
+   * Proposes a version whose content is derived from the content in force, and returns its number.
    *
-   * @throws AgreementException if it is not proposed
+   * @throws AgreementException if the version is not proposed
    */
   public long propose(
       UnaryOperator<ConfigContent> change, String author, String reason, long atMillis)
@@ -90,7 +91,7 @@
     if (response instanceof StoreResponse.Success success && success.conditionsHeld()) {
       return number;
     }
-    // The response may be lost, or that of a transaction that was sent twice.
+    // The transaction may have been committed although its response was lost or reports a conflict.
     ConfigVersion proposed = ConfigVersion.of(number, content, author, reason, atMillis);
     if (history().stream().noneMatch(entry -> entry.version().isSameAs(proposed))) {
       throw new AgreementException(
@@ -101,27 +102,27 @@
     return number;
   }
 
-  /** The number of the version that is proposed next. */
+  /** Returns the number that the next proposed version gets. */
   public long nextVersionNumber() throws AgreementException {
     return 1 + history().stream().mapToLong(entry -> entry.version().number()).max().orElse(0);
   }
 
-  /** Proposes the content of the version before the one in force. */
+  /** Proposes the content of the previous version, and returns the number of the new one. */
   public long proposePrevious(String author, String reason, long atMillis)
       throws AgreementException {
     ConfigVersion previous = readSnapshot().previous();
     return propose(current -> previous.content(), author, reason, atMillis);
   }
 
-  /** Turns down what is proposed. */
+  /** Rejects the proposed version. */
   public void withdraw(String reason) throws AgreementException {
-    take(transactions.withdraw(readSnapshot(), reason));
+    commit(transactions.withdraw(readSnapshot(), reason));
   }
 
   /**
-   * Takes the records of a router away that is known to be dead.
+   * Deletes the records of a router that is known to be dead, so that it is no longer awaited.
    *
-   * @throws AgreementException if there are none, or it holds its lease
+   * @throws AgreementException if the router has no records or still holds its lease
    */
   public void declareLost(String name) throws AgreementException {
     StoreResponse.Success records =
@@ -142,19 +143,19 @@
       conditions.add(new StoreRequest.Condition.Unchanged(liveKey, 0));
       changes.add(new StoreRequest.Change.Delete(entry.key()));
     }
-    take(
+    commit(
         new AgreementStep(
             new StoreRequest.Transaction(conditions, changes),
             "router " + name + " is declared lost"));
   }
 
-  private void take(AgreementStep step) throws AgreementException {
+  private void commit(AgreementStep step) throws AgreementException {
     if (!requireSuccess(step.transaction()).conditionsHeld()) {
       throw new AgreementException("not done, things have changed meanwhile: look again");
     }
   }
 
-  /** What stands in the store now. */
+  /** Reads the current status from the store. */
   public AgreementStatus status() throws AgreementException {
     AgreementSnapshot snapshot = readSnapshot();
     StoreResponse.Success records = requireSuccess(new StoreRequest.Read(keys.membersPrefix()));
@@ -167,25 +168,25 @@
         transactions.awaitedMembers(snapshot, members, live));
   }
 
-  /** Whether the member of that record holds its lease. */
+  /** Whether the member held its lease when the status was read. */
   public boolean holdsLease(AgreementStatus status, MemberRecord member) {
     String liveKey = keys.liveMember(member.name(), member.incarnation());
     return status.liveMemberKeys().contains(liveKey);
   }
 
-  /** What routers that hold leases make of the cache servers, by the router's name. */
+  /** Reads the endpoint views of all routers that hold a lease, by router name. */
   public SortedMap<String, EndpointView> endpointViews() throws AgreementException {
     String prefix = keys.endpointViewsPrefix();
     SortedMap<String, EndpointView> views = new TreeMap<>();
     for (StoreResponse.Entry entry : requireSuccess(new StoreRequest.Read(prefix)).entries()) {
-      // Two processes of one router see alike: one vote.
+      // Two processes of one router count as one view.
       String name = entry.key().substring(prefix.length(), entry.key().lastIndexOf('/'));
       views.put(name, EndpointView.decode(entry.value()));
     }
     return views;
   }
 
-  /** All versions, the oldest first. */
+  /** Reads all versions ever proposed, oldest first. */
   public List<VersionHistoryEntry> history() throws AgreementException {
     Map<String, String> values = new LinkedHashMap<>();
     requireSuccess(new StoreRequest.Read(keys.versionsPrefix()))
--- a/src/main/java/beaconturn/agreement/ConfigCodec.java
+++ b/src/main/java/beaconturn/agreement/ConfigCodec.java
@@ -15,9 +15,8 @@
 import java.util.TreeSet;
 
 /**
- * Versions as JSON texts. What is read is checked whole: a field that this build does not know, or
- * a value out of range, is an error, as a router that follows half of a version would contradict
- * the others.
+ * Encodes and decodes versions as JSON. Decoding is strict: an unknown field or a value out of range
+ * is an error, since a router that applies only a part of a version would contradict the others.
  */
 public final class ConfigCodec {
   private static final long MILLI_NANOS = 1_000_000;
@@ -27,7 +26,7 @@
 
   private ConfigCodec() {}
 
-  /** The version as one line. */
+  /** Encodes the version as one line. */
   public static String encode(ConfigVersion version) {
     return JsonWriter.write(
         StoredJson.object(
@@ -46,9 +45,9 @@
   }
 
   /**
-   * The version of a line.
+   * Decodes a version.
    *
-   * @throws AgreementException if it cannot be read whole, or its digest is not that of its text
+   * @throws AgreementException if the text is not a valid version or its digest does not match
    */
   public static ConfigVersion decodeVersion(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
@@ -74,7 +73,7 @@
     return version;
   }
 
-  /** The first half of the SHA-256 of all that a version says, in hexadecimal digits. */
+  /** Returns the first half of the SHA-256 of the version's fields, in hexadecimal digits. */
   static String digest(
       long number, ConfigContent content, String author, String reason, long atMillis) {
     String text =
@@ -99,7 +98,7 @@
     }
   }
 
-  /** A content as JSON; what is not specified does not stand there. */
+  /** Encodes a content as JSON without its unspecified fields. */
   public static Json contentJson(ConfigContent content) {
     Map<String, Json> members = new LinkedHashMap<>();
     if (!content.classes().isEmpty()) {
@@ -137,9 +136,9 @@
   }
 
   /**
-   * The content of a JSON object.
+   * Decodes a content.
    *
-   * @throws AgreementException if it cannot be read whole
+   * @throws AgreementException if a field is unknown or a value is out of range
    */
   public static ConfigContent decodeContent(Json json) throws AgreementException {
     requireOnly(
@@ -212,14 +211,14 @@
     return flag.value();
   }
 
-  private static void requireOnly(Json json, String what, List<String> known)
+  private static void requireOnly(Json json, String objectName, List<String> knownFields)
       throws AgreementException {
     if (!(json instanceof Json.Members members)) {
-      throw new AgreementException(what + ": is missing");
+      throw new AgreementException(objectName + ": is missing");
     }
-    for (String name : members.values().keySet()) {
-      if (!known.contains(name)) {
-        throw new AgreementException(what + ": this build does not know '" + name + "'");
+    for (String field : members.values().keySet()) {
+      if (!knownFields.contains(field)) {
+        throw new AgreementException(objectName + ": this build does not know '" + field + "'");
       }
     }
   }
--- a/src/main/java/beaconturn/agreement/ConfigConflicts.java
+++ b/src/main/java/beaconturn/agreement/ConfigConflicts.java
@@ -5,26 +5,23 @@
 import java.util.Map;
 
 /**
- * Which fields of two versions contradict each other and which merely differ; the table of {@code
- * docs/agreement.md} as code. A field contradicts where acting by one version does what the other
- * forbids: a request run twice, an attempt too many, an attempt at a server that is excluded. A
- * deadline merely differs: each client is held to the one under which its request was read.
- * Contents are to be complete, as {@link ConfigContent#withDefaults} makes them. Pure functions.
+ * Determines which fields of two versions contradict each other, as specified in {@code
+ * docs/agreement.md}. A field contradicts if acting on one version does what the other forbids: a
+ * repeated request, an attempt above the limit, an attempt at an excluded server. Deadlines never
+ * contradict, as each request keeps the deadline under which it was received. All contents must be
+ * complete, see {@link ConfigContent#withDefaults}. Pure functions.
  */
 public final class ConfigConflicts {
   private ConfigConflicts() {}
 
-  /**
-   * The fields in which acting by the one does what the other forbids, or the reverse; empty where
-   * neither does.
-   */
+  /** Returns the fields in which acting on either content does what the other forbids. */
   public static List<String> between(ConfigContent one, ConfigContent other) {
     List<String> fields = new ArrayList<>(violations(one, other));
     violations(other, one).stream().filter(field -> !fields.contains(field)).forEach(fields::add);
     return fields;
   }
 
-  /** The fields in which acting by the content does what the rule forbids. */
+  /** Returns the fields in which acting on the content does what the rule forbids. */
   public static List<String> violations(ConfigContent acting, ConfigContent rule) {
     List<String> fields = new ArrayList<>();
     for (Map.Entry<String, ClassRule> entry : rule.classes().entrySet()) {
@@ -53,8 +50,8 @@
     if (isMoreLenient(acting.idempotency(), rule.idempotency())) {
       fields.add("class." + name + ".effect");
     }
-    // Repeats are sent for as long as the window that is acted on: beyond the other's they run
-    // twice. It counts only where repeats are made by it at all.
+    // A repeat sent after the shorter deduplication window is executed a second time. The window
+    // matters only for classes whose requests are repeated by idempotency key.
     boolean repeatsByKey = acting.idempotency() == ClassIdempotency.IDEMPOTENCY_KEY;
     if (repeatsByKey
         && isMore(acting.deduplicationWindowNanos(), rule.deduplicationWindowNanos())) {
--- a/src/main/java/beaconturn/agreement/ConfigContent.java
+++ b/src/main/java/beaconturn/agreement/ConfigContent.java
@@ -8,15 +8,16 @@
 import java.util.TreeSet;
 
 /**
- * What a version puts in force. Whatever is null or not named is left as each router is configured;
- * names of classes and servers keep an order, so that the same content is the same text everywhere.
+ * The settings of a version. A field that is null and a class that is not named keep the local
+ * configuration of each router. Classes and servers are sorted by name, so that equal contents are
+ * encoded to equal texts.
  *
  * @param classes rules of request classes, by name
- * @param maxAttempts attempts of one request, or null
- * @param hedging whether another attempt may be out while the first is, or null
- * @param minListVersion the oldest version of discovery's endpoint list that a router may act on; 0
- *     where any will do
- * @param excludedServers cache servers that nothing new is sent to, whatever the list says
+ * @param maxAttempts maximum number of attempts of one request, or null
+ * @param hedging whether hedged requests are allowed, or null
+ * @param minListVersion the oldest endpoint list version that a router may act on; 0 for any
+ * @param excludedServers names of the cache servers that get no new requests, whatever their state
+ *     in the endpoint list
  */
 public record ConfigContent(
     SortedMap<String, ClassRule> classes,
@@ -24,17 +25,20 @@
     Boolean hedging,
     long minListVersion,
     SortedSet<String> excludedServers) {
-  /** Leaves all as each router is configured. */
+  /** Keeps the local configuration of each router. */
   public static final ConfigContent UNSPECIFIED =
       new ConfigContent(new TreeMap<>(), null, null, 0, new TreeSet<>());
 
-  /** A content of its own: later changes of the arguments change nothing. */
+  /** Creates a content from copies of the collections. */
   public ConfigContent {
     classes = Collections.unmodifiableSortedMap(new TreeMap<>(classes));
     excludedServers = Collections.unmodifiableSortedSet(new TreeSet<>(excludedServers));
   }
 
-  /** The same settings, with the excluded servers of the other and a list as new as its. */
+  /**
+   * Returns this content with the excluded servers of the other, and an endpoint list version that
+   * is at least that of both.
+   */
   public ConfigContent withExclusionsOf(ConfigContent other) {
     return new ConfigContent(
         classes,
@@ -45,8 +49,8 @@
   }
 
   /**
-   * This content where it specifies something, the other elsewhere; excluded are only the servers
-   * that this one excludes.
+   * Returns this content with its unspecified fields taken from the defaults. The excluded servers
+   * are those of this content alone.
    */
   public ConfigContent withDefaults(ConfigContent defaults) {
     SortedMap<String, ClassRule> merged = new TreeMap<>(defaults.classes);
--- a/src/main/java/beaconturn/agreement/ConfigVersion.java
+++ b/src/main/java/beaconturn/agreement/ConfigVersion.java
@@ -1,14 +1,14 @@
 package beaconturn.agreement;
 
 /**
- * A numbered version; it never changes once it is written, and its number is never given again.
+ * A numbered, immutable version of the configuration. Numbers are never reused.
  *
- * @param number counts from 1; 0 stands for what each router is configured with
- * @param content what it puts in force
+ * @param number counts from 1; 0 stands for the local configuration of each router
+ * @param content the settings that the version puts in force
  * @param author who proposed it
- * @param reason why, in the author's words
- * @param proposedAtMillis when, by the author's clock, Unix time; for people only
- * @param digest of all that stands before, see {@link ConfigCodec#digest}
+ * @param reason the author's reason
+ * @param proposedAtMillis Unix time by the author's clock; informational only
+ * @param digest digest of all other fields, see {@link ConfigCodec#digest}
  */
 public record ConfigVersion(
     long number,
@@ -17,18 +17,18 @@
     String reason,
     long proposedAtMillis,
     String digest) {
-  /** What each router is configured with, before there is any agreement. */
+  /** The local configuration of each router, in force before the first version. */
   public static final ConfigVersion NONE =
       new ConfigVersion(0, ConfigContent.UNSPECIFIED, "", "", 0, "");
 
-  /** A version whose digest is that of its text. */
+  /** Creates a version and computes its digest. */
   public static ConfigVersion of(
       long number, ConfigContent content, String author, String reason, long proposedAtMillis) {
     String digest = ConfigCodec.digest(number, content, author, reason, proposedAtMillis);
     return new ConfigVersion(number, content, author, reason, proposedAtMillis, digest);
   }
 
-  /** Whether it is the one of that number and text. */
+  /** Whether both have the same number and digest. */
   boolean isSameAs(ConfigVersion other) {
     return number == other.number && digest.equals(other.digest);
   }
--- a/src/main/java/beaconturn/agreement/CoordinationStore.java
+++ b/src/main/java/beaconturn/agreement/CoordinationStore.java
@@ -1,7 +1,7 @@
 package beaconturn.agreement;
 
-/** The coordination store, asked one request at a time. */
+/** Synchronous client of the coordination store, for one request at a time. */
 public interface CoordinationStore {
-  /** Sends the request and waits for its response, which may be that there was none. */
+  /** Sends the request and waits for its response, or for its failure. */
   StoreResponse ask(StoreRequest request);
 }
--- a/src/main/java/beaconturn/agreement/EffectiveConfig.java
+++ b/src/main/java/beaconturn/agreement/EffectiveConfig.java
@@ -1,14 +1,14 @@
 package beaconturn.agreement;
 
 /**
- * What a router may act on: one content until its lease ends, another from then on; they are the
- * same where nothing else can have come into force.
+ * The configuration that a router may act on: one content until its lease expires and one from then
+ * on. The two are equal if no other version can have come into force.
  *
- * @param leaseEndNanos the end of the lease, by the router's clock
- * @param whileLeased what is acted on before
- * @param whileLeasedDescription in words
- * @param afterLease what is acted on from then on
- * @param afterLeaseDescription in words
+ * @param leaseEndNanos when the lease expires, by the router's clock
+ * @param whileLeased the content that applies until the lease expires
+ * @param whileLeasedDescription its description for logs
+ * @param afterLease the content that applies after the lease has expired
+ * @param afterLeaseDescription its description for logs
  */
 public record EffectiveConfig(
     long leaseEndNanos,
@@ -16,12 +16,12 @@
     String whileLeasedDescription,
     ConfigContent afterLease,
     String afterLeaseDescription) {
-  /** What may be acted on at the time. */
+  /** Returns the content that applies at the given time. */
   public ConfigContent contentAt(long nowNanos) {
     return nowNanos < leaseEndNanos ? whileLeased : afterLease;
   }
 
-  /** The same in words. */
+  /** Returns the description of {@link #contentAt}. */
   public String descriptionAt(long nowNanos) {
     return nowNanos < leaseEndNanos ? whileLeasedDescription : afterLeaseDescription;
   }
--- a/src/main/java/beaconturn/agreement/EffectiveConfigRules.java
+++ b/src/main/java/beaconturn/agreement/EffectiveConfigRules.java
@@ -1,14 +1,15 @@
 package beaconturn.agreement;
 
-/** Decides what a member may act on, by what it has persisted and acked. Pure functions. */
+/** Derives a member's effective configuration from its persisted state. Pure functions. */
 final class EffectiveConfigRules {
   private static final String STRICT = "strict ground";
 
   private EffectiveConfigRules() {}
 
   /**
-   * The effective configuration of a member that does not know which version is in force: nothing
-   * is sent twice, and what was excluded when it last knew is excluded still, whatever came since.
+   * Returns the effective configuration of a member that does not know which version is in force:
+   * no request is sent more than once, and every server that was excluded in the last known
+   * versions stays excluded.
    */
   static EffectiveConfig withoutBasis(PersistedConfig persisted, ConfigContent localContent) {
     ConfigContent known = persisted.actingVersion().content().withDefaults(localContent);
@@ -21,9 +22,9 @@
   }
 
   /**
-   * The effective configuration of a member that acts on a version until its lease ends. From then
-   * on an acked version may be in force instead, so that only what contradicts neither of the two
-   * may be acted on.
+   * Returns the effective configuration of a member that acts on a version while it holds its
+   * lease. After that the acked version may be in force instead, so the member may only act on what
+   * contradicts neither of the two.
    */
   static EffectiveConfig of(PersistedConfig basis, ConfigContent localContent, long leaseEndNanos) {
     ConfigContent acting = basis.actingVersion().content().withDefaults(localContent);
--- a/src/main/java/beaconturn/agreement/EndpointView.java
+++ b/src/main/java/beaconturn/agreement/EndpointView.java
@@ -9,20 +9,20 @@
 import java.util.TreeMap;
 
 /**
- * What one router makes of the cache servers that it knows.
+ * One router's view of the cache servers that it knows.
  *
- * @param usable names of those that take what the ring gives them, and when they started, as the
- *     endpoint list has it
- * @param unusable names of the others, each with what keeps it out of use
+ * @param usable start times from the endpoint list, by name, of the servers that get their full
+ *     share of the ring
+ * @param unusable status words, by name, of all other servers
  */
 public record EndpointView(SortedMap<String, Long> usable, SortedMap<String, String> unusable) {
-  /** A view of its own: later changes of the arguments change nothing. */
+  /** Creates a view from copies of the maps. */
   public EndpointView {
     usable = Collections.unmodifiableSortedMap(new TreeMap<>(usable));
     unusable = Collections.unmodifiableSortedMap(new TreeMap<>(unusable));
   }
 
-  /** The text that stands in the store. */
+  /** Encodes the view for the store. */
   public String encode() {
     List<Json> in = new ArrayList<>();
     usable.forEach((name, started) -> in.add(StoredJson.object("id", name, "started", started)));
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Decodes a text of the store.
+   * Decodes a view from the store.
    *
-   * @throws AgreementException if it cannot be read
+   * @throws AgreementException if the text is invalid
    */
   public static EndpointView decode(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
--- a/src/main/java/beaconturn/agreement/EndpointViewPublisher.java
+++ b/src/main/java/beaconturn/agreement/EndpointViewPublisher.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Publishes what a router makes of its cache servers, on the lease of its member. Nothing that is
- * agreed on depends on it. For the member's thread.
+ * Publishes a router's endpoint view under its member's lease. No agreement step depends on it.
+ * Confined to the member's thread.
  */
 final class EndpointViewPublisher {
   private final AgreementKeys keys;
   private final MemberIdentity identity;
 
-  /** What stands in the store, and on which lease; null before anything does. */
+  /** The view in the store, or null if none has been published. */
   private EndpointView published;
 
   private long publishedOnLeaseId;
--- a/src/main/java/beaconturn/agreement/IdempotencyCodec.java
+++ b/src/main/java/beaconturn/agreement/IdempotencyCodec.java
@@ -3,12 +3,12 @@
 import java.util.Locale;
 
 /**
- * The words for {@link ClassIdempotency} in the store, in persisted files and those of operators.
+ * Maps {@link ClassIdempotency} to the words used in the store, in persisted files and in operators'
+ * files.
  */
 public final class IdempotencyCodec {
   private IdempotencyCodec() {}
 
-  /** The word that is written. */
   static String encode(ClassIdempotency idempotency) {
     return switch (idempotency) {
       case IDEMPOTENT -> "safe";
@@ -17,7 +17,7 @@
     };
   }
 
-  /** The idempotency that a word stands for, in any case of letters; null for an unknown word. */
+  /** Decodes a word, ignoring case; returns null if the word is unknown. */
   public static ClassIdempotency decode(String word) {
     return switch (word.toUpperCase(Locale.ROOT)) {
       case "SAFE" -> ClassIdempotency.IDEMPOTENT;
--- a/src/main/java/beaconturn/agreement/Jitter.java
+++ b/src/main/java/beaconturn/agreement/Jitter.java
@@ -2,25 +2,25 @@
 
 import java.util.SplittableRandom;
 
-/** Random spread of times, so that many routers do not call the store in step. For one thread. */
+/** Adds jitter to intervals, so that routers do not call the store in step. Not thread-safe. */
 public final class Jitter {
-  /** A time is spread by a fifth to both sides. */
-  private static final int SPREAD_PARTS = 5;
+  /** Intervals vary by a fifth in both directions. */
+  private static final int SPREAD_DIVISOR = 5;
 
   private final SplittableRandom random;
 
-  /** Draws from the seed. */
+  /** Creates a generator; equal seeds give equal sequences. */
   public Jitter(long seed) {
     this.random = new SplittableRandom(seed);
   }
 
-  /** A time about as long, drawn evenly from the spread around it. */
+  /** Returns a time drawn uniformly from a fifth below to a fifth above the given one. */
   public long spreadNanos(long nanos) {
-    long part = Math.max(1, nanos / SPREAD_PARTS);
-    return nanos - part + random.nextLong(2 * part);
+    long spread = Math.max(1, nanos / SPREAD_DIVISOR);
+    return nanos - spread + random.nextLong(2 * spread);
   }
 
-  /** Any time shorter than the given one. */
+  /** Returns a time drawn uniformly from zero up to, but not including, the bound. */
   public long belowNanos(long boundNanos) {
     return random.nextLong(Math.max(1, boundNanos));
   }
--- a/src/main/java/beaconturn/agreement/LastingEjections.java
+++ b/src/main/java/beaconturn/agreement/LastingEjections.java
@@ -5,9 +5,10 @@
 import java.util.Map;
 
 /**
- * Tells which ejections last. Where answers are rare one late answer ejects a cache server until
- * its next trials, some tenths of a second; published to a fleet, that would hold up whatever waits
- * for all to be in service, and take a release back for nothing. For one thread.
+ * Tracks which cache servers have been ejected for a while. At a low request rate a single late
+ * response ejects a server until its next probes, a few tenths of a second later. If such short
+ * ejections were published, they would block operations that wait for all servers to be in service,
+ * and could roll back a release. Not thread-safe.
  */
 public final class LastingEjections {
   private static final long LASTING_NANOS = 1_000_000_000;
@@ -15,16 +16,16 @@
   private final Map<String, Long> ejectedSinceNanos = new HashMap<>();
 
   /**
-   * Whether a cache server that is ejected now has been so for a second.
+   * Whether a server that is ejected now has been ejected for at least a second.
    *
-   * @param nowNanos by any clock, always the same
+   * @param nowNanos the time on a monotonic clock
    */
   public boolean isLasting(String server, long nowNanos) {
     long sinceNanos = ejectedSinceNanos.computeIfAbsent(server, s -> nowNanos);
     return nowNanos - sinceNanos >= LASTING_NANOS;
   }
 
-  /** Forgets all that are not among these: they are ejected no more. */
+  /** Forgets all servers that are no longer ejected. */
   public void retainOnly(Collection<String> ejectedServers) {
     ejectedSinceNanos.keySet().retainAll(ejectedServers);
   }
--- a/src/main/java/beaconturn/agreement/MemberIdentity.java
+++ b/src/main/java/beaconturn/agreement/MemberIdentity.java
@@ -1,10 +1,10 @@
 package beaconturn.agreement;
 
 /**
- * Which router, and which process of it, a member stands for.
+ * Identity of a member: its router and the process of that router.
  *
- * @param name of the router, the same after a restart
- * @param incarnation of this process, never given again
- * @param sharesName whether another process of this name may live beside this one
+ * @param name name of the router, stable over restarts
+ * @param incarnation unique id of this process
+ * @param sharesName whether another process of the same router may run at the same time
  */
 public record MemberIdentity(String name, String incarnation, boolean sharesName) {}
--- a/src/main/java/beaconturn/agreement/MemberRecord.java
+++ b/src/main/java/beaconturn/agreement/MemberRecord.java
@@ -4,14 +4,14 @@
 import beaconturn.protocol.JsonWriter;
 
 /**
- * One member as it stands in the store.
+ * A member's record in the store.
  *
- * @param name of the router, the same after a restart
- * @param incarnation of its process
- * @param ackedNumber the highest version that it has acked
- * @param nackedNumber a version that it has nacked, or 0
- * @param nackReason why it did, else empty
- * @param actingNumber the version that it acts on while it holds its lease
+ * @param name name of the router, stable over restarts
+ * @param incarnation unique id of its process
+ * @param ackedNumber number of the highest version that the member has acked
+ * @param nackedNumber number of the version that the member has nacked last, or 0
+ * @param nackReason why the member nacked that version, or empty
+ * @param actingNumber number of the version that the member acts on while it holds its lease
  */
 public record MemberRecord(
     String name,
@@ -38,9 +38,9 @@
   }
 
   /**
-   * Decodes a text of the store.
+   * Decodes a record from the store.
    *
-   * @throws AgreementException if it cannot be read
+   * @throws AgreementException if the text is invalid
    */
   public static MemberRecord decode(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
--- a/src/main/java/beaconturn/agreement/MemberRegistration.java
+++ b/src/main/java/beaconturn/agreement/MemberRegistration.java
@@ -4,23 +4,22 @@
 import java.util.List;
 
 /**
- * A member's record in the store: how it comes there, is updated and is taken away. For the
- * member's thread.
+ * Creates, updates and removes a member's record in the store. Confined to the member's thread.
  */
 final class MemberRegistration {
   private final AgreementKeys keys;
   private final MemberIdentity identity;
   private boolean joined;
 
-  /** Records of this router's name, or null until they are read. */
-  private StoreResponse.Success namesakes;
+  /** All records of this router, of any incarnation; null until they are read. */
+  private StoreResponse.Success routerRecords;
 
   MemberRegistration(AgreementKeys keys, MemberIdentity identity) {
     this.keys = keys;
     this.identity = identity;
   }
 
-  /** Whether a record of this process stands in the store, as far as it knows. */
+  /** Whether the store holds a record of this process, as far as is known here. */
   boolean isJoined() {
     return joined;
   }
@@ -29,38 +28,38 @@
     joined = true;
   }
 
-  /** The record is gone, or stands there without a lease. */
+  /** Marks the member as not joined: its record is deleted or its lease has expired. */
   void leave() {
     joined = false;
   }
 
-  void handleNamesakes(StoreResponse.Success response) {
-    namesakes = response;
+  void handleRouterRecords(StoreResponse.Success response) {
+    routerRecords = response;
   }
 
-  /** Has the records of this router's name read again before the next attempt to join. */
-  void forgetNamesakes() {
-    namesakes = null;
+  /** Makes the next attempt to join read the records of this router again. */
+  void forgetRouterRecords() {
+    routerRecords = null;
   }
 
-  /** The next request on the way into the store. */
+  /** Returns the next request that is needed to join. */
   PendingRequest joinRequest(AgreementSnapshot snapshot, MemberRecord member, long leaseId) {
-    if (namesakes == null) {
+    if (routerRecords == null) {
       String prefix = keys.membersPrefix() + identity.name() + "/";
-      return new PendingRequest(RequestPurpose.READ_NAMESAKES, new StoreRequest.Read(prefix));
+      return new PendingRequest(RequestPurpose.READ_ROUTER_RECORDS, new StoreRequest.Read(prefix));
     }
     return new PendingRequest(RequestPurpose.JOIN, join(snapshot, member, leaseId));
   }
 
   /**
-   * Holds only on the versions that were read: if a step was taken meanwhile the member reads
-   * again, so that nobody moves on without its ack.
+   * Conditional on the versions that were read: if a step was committed since, the member reads
+   * again, so that no version comes into force without its ack.
    */
   private StoreRequest join(AgreementSnapshot snapshot, MemberRecord member, long leaseId) {
     List<StoreRequest.Change> changes = new ArrayList<>();
     if (!identity.sharesName()) {
-      // Whoever had this name before is dead: its address is this process's.
-      namesakes.entries().stream()
+      // This process has bound the router's address, so earlier incarnations have ended.
+      routerRecords.entries().stream()
           .filter(entry -> !entry.key().equals(recordKey()))
           .forEach(entry -> changes.add(new StoreRequest.Change.Delete(entry.key())));
     }
@@ -70,7 +69,7 @@
     return new StoreRequest.Transaction(snapshot.versionsUnchanged(keys), changes);
   }
 
-  /** Holds only while the record stands: one that was declared lost does not come back by this. */
+  /** Conditional on an existing record, so that a record that was declared lost is not recreated. */
   PendingRequest updateRequest(MemberRecord member) {
     StoreRequest update = new StoreRequest.Transaction(recordExists(), List.of(putRecord(member)));
     return new PendingRequest(RequestPurpose.UPDATE_RECORD, update);
--- a/src/main/java/beaconturn/agreement/PendingRequest.java
+++ b/src/main/java/beaconturn/agreement/PendingRequest.java
@@ -1,4 +1,4 @@
 package beaconturn.agreement;
 
-/** A request to the store and what it is for. */
+/** A store request with its purpose. */
 record PendingRequest(RequestPurpose purpose, StoreRequest request) {}
--- a/src/main/java/beaconturn/agreement/PersistedConfig.java
+++ b/src/main/java/beaconturn/agreement/PersistedConfig.java
@@ -4,15 +4,16 @@
 import beaconturn.protocol.JsonWriter;
 
 /**
- * What a router persists, so that it starts on it where no store is in reach.
+ * State that a router persists, so that it can start while the store is unreachable.
  *
- * @param agreementId empty where there was no agreement
- * @param clusterId of the store that was seen, empty where there was none: one that is restored has
- *     another
- * @param storeRevision the highest that was seen of its store
- * @param joined whether a member's record stands for it; else others may have moved on meanwhile
+ * @param agreementId empty if there was no agreement
+ * @param clusterId cluster id of the store, which changes when the store is restored; empty if no
+ *     store was reached
+ * @param storeRevision the highest store revision seen
+ * @param joined whether the store holds a record of the router; if not, versions may have come into
+ *     force without its ack
  * @param actingVersion the version that the router acts on
- * @param ackedVersion a later version that it has acked, or null
+ * @param ackedVersion a later version that the router has acked, or null
  */
 public record PersistedConfig(
     String agreementId,
@@ -21,7 +22,7 @@
     boolean joined,
     ConfigVersion actingVersion,
     ConfigVersion ackedVersion) {
-  /** Nothing was persisted. */
+  /** State of a router that has persisted nothing. */
   public static final PersistedConfig EMPTY =
       new PersistedConfig("", "", 0, false, ConfigVersion.NONE, null);
 
@@ -30,7 +31,7 @@
         agreementId, clusterId, storeRevision, nowJoined, actingVersion, ackedVersion);
   }
 
-  /** Encodes it as one line of text. */
+  /** Encodes the state as one line. */
   public String encode() {
     return JsonWriter.write(
         StoredJson.object(
@@ -53,9 +54,9 @@
   }
 
   /**
-   * Decodes a line that {@link #encode()} has made.
+   * Decodes the output of {@link #encode()}.
    *
-   * @throws AgreementException if it cannot be read, or the digest of a version is wrong
+   * @throws AgreementException if the text is invalid or the digest of a version does not match
    */
   public static PersistedConfig decode(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
--- a/src/main/java/beaconturn/agreement/RequestPurpose.java
+++ b/src/main/java/beaconturn/agreement/RequestPurpose.java
@@ -1,21 +1,21 @@
 package beaconturn.agreement;
 
-/** What a member's outstanding request to the store is for. */
+/** Purpose of a member's request to the store. */
 enum RequestPurpose {
   GRANT_LEASE,
   RENEW_LEASE,
   READ_COMMON,
   CONFIRM_VERSIONS,
-  READ_NAMESAKES,
+  READ_ROUTER_RECORDS,
   JOIN,
   UPDATE_RECORD,
   READ_MEMBERS,
   READ_LIVE_MEMBERS,
-  TAKE_LEADERSHIP,
-  TAKE_STEP;
+  ACQUIRE_LEADERSHIP,
+  COMMIT_STEP;
 
-  /** Whether it belongs to a step that the leader works on. */
+  /** Whether the request is part of the leader's work on a step. */
   boolean belongsToStep() {
-    return this == TAKE_STEP || this == READ_MEMBERS || this == READ_LIVE_MEMBERS;
+    return this == COMMIT_STEP || this == READ_MEMBERS || this == READ_LIVE_MEMBERS;
   }
 }
--- a/src/main/java/beaconturn/agreement/SnapshotTracker.java
+++ b/src/main/java/beaconturn/agreement/SnapshotTracker.java
@@ -1,12 +1,12 @@
 package beaconturn.agreement;
 
-/** The versions as they were last read, and when they are to be read again. For one thread. */
+/** Holds the snapshot that was read last and schedules the next read. Not thread-safe. */
 final class SnapshotTracker {
   private final AgreementKeys keys;
   private final AgreementTiming timing;
   private final Jitter jitter;
 
-  /** As last read, or null before the first time. */
+  /** The snapshot that was read last, or null before the first read. */
   private AgreementSnapshot snapshot;
 
   private boolean outdated = true;
@@ -27,12 +27,12 @@
     return snapshot != null;
   }
 
-  /** Something has changed: the versions are to be read again. */
+  /** Makes the snapshot be read again, as it may be outdated. */
   void invalidate() {
     outdated = true;
   }
 
-  /** The request that reads the versions, or null while none is due. */
+  /** Returns the request that reads the snapshot, or null while none is due. */
   PendingRequest dueRequest(long nowNanos) {
     if (!outdated && (nowNanos < pollAtNanos || !isPolled())) {
       return null;
@@ -41,14 +41,14 @@
         RequestPurpose.READ_COMMON, new StoreRequest.Read(keys.commonPrefix()));
   }
 
-  /** When it is read again without having been invalidated; far away where it is not. */
+  /** Time of the next poll, or {@link Long#MAX_VALUE} if the snapshot is not polled. */
   long pollAtNanos() {
     return snapshot == null || isPolled() ? pollAtNanos : Long.MAX_VALUE;
   }
 
   /**
-   * Whether the versions are read again and again: while a step is open, or nothing was begun, only
-   * reading shows what others change.
+   * Whether the snapshot is read periodically: while a step is open or no agreement exists, a read
+   * is the only way to learn of changes made by others.
    */
   private boolean isPolled() {
     return snapshot.hasOpenStep() || snapshot.agreementId().isEmpty();
--- a/src/main/java/beaconturn/agreement/StepLeader.java
+++ b/src/main/java/beaconturn/agreement/StepLeader.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * Takes the open step of a version for all members, on whichever member is the leader, or becomes
- * it where there is none. For the member's thread.
+ * Commits the open step if this member is the leader, and acquires the leadership if it is vacant.
+ * Confined to the member's thread.
  */
 final class StepLeader {
   private final AgreementKeys keys;
@@ -15,10 +15,10 @@
   private final String incarnation;
   private final Consumer<String> log;
 
-  /** Before then the next round of reads does not begin. */
+  /** Earliest start of the next round, which reads the member records and then the liveness keys. */
   private long nextRoundNanos;
 
-  /** The members' records as read in this round, or null. */
+  /** The member records read in this round, or null. */
   private StoreResponse.Success members;
 
   /** The step that is due, or null. */
@@ -42,30 +42,30 @@
     return nextRoundNanos;
   }
 
-  /** Whether this member is the leader, or nobody is. */
+  /** Whether this member is the leader or the leadership is vacant. */
   boolean mayLead(AgreementSnapshot snapshot) {
     return snapshot.leader().isEmpty() || snapshot.leader().equals(incarnation);
   }
 
   /**
-   * The leader is gone, which all members see at about the same time: each waits for a random time,
-   * since one that takes its place is enough.
+   * Delays the attempt to acquire the vacant leadership by a random time, as all members notice the
+   * vacancy at about the same time.
    */
-  void handleVacancy(long nowNanos) {
+  void handleLeaderLost(long nowNanos) {
     nextRoundNanos = nowNanos + jitter.belowNanos(timing.renewIntervalNanos());
   }
 
-  /** The next request for the open step, or null while there is none. */
+  /** Returns the next request for the open step, or null while none is due. */
   PendingRequest dueRequest(long nowNanos, AgreementSnapshot snapshot, long leaseId) {
-    boolean roundUnderWay = step != null || members != null;
-    if (!mayLead(snapshot) || (!roundUnderWay && nowNanos < nextRoundNanos)) {
+    boolean roundInProgress = step != null || members != null;
+    if (!mayLead(snapshot) || (!roundInProgress && nowNanos < nextRoundNanos)) {
       return null;
     }
     if (snapshot.leader().isEmpty()) {
-      return new PendingRequest(RequestPurpose.TAKE_LEADERSHIP, takeLeadership(leaseId));
+      return new PendingRequest(RequestPurpose.ACQUIRE_LEADERSHIP, acquireLeadership(leaseId));
     }
     if (step != null) {
-      return new PendingRequest(RequestPurpose.TAKE_STEP, step.transaction());
+      return new PendingRequest(RequestPurpose.COMMIT_STEP, step.transaction());
     }
     if (members == null) {
       return new PendingRequest(
@@ -75,7 +75,7 @@
         RequestPurpose.READ_LIVE_MEMBERS, new StoreRequest.Read(keys.liveMembersPrefix()));
   }
 
-  private StoreRequest takeLeadership(long leaseId) {
+  private StoreRequest acquireLeadership(long leaseId) {
     return new StoreRequest.Transaction(
         List.of(new StoreRequest.Condition.Unchanged(keys.leader(), 0)),
         List.of(new StoreRequest.Change.Put(keys.leader(), incarnation, leaseId)));
@@ -86,9 +86,9 @@
   }
 
   /**
-   * Decides which step is due; while none is, the round is over.
+   * Determines the step that is due, and ends the round if there is none.
    *
-   * @throws AgreementException if a record in the store cannot be read
+   * @throws AgreementException if a record in the store cannot be decoded
    */
   void handleLiveMembers(
       long nowNanos, AgreementSnapshot snapshot, StoreResponse.Success liveMembers)
@@ -100,14 +100,14 @@
     }
   }
 
-  void handleStepTaken(StoreResponse.Success response) {
+  void handleStepCommitted(StoreResponse.Success response) {
     if (response.conditionsHeld()) {
       log.accept("agreement: " + step.description());
     }
     reset();
   }
 
-  /** Ends the round: what it was decided on is to be read anew. */
+  /** Ends the round and discards what was read in it. */
   void reset() {
     step = null;
     members = null;
--- a/src/main/java/beaconturn/agreement/StoreBackoff.java
+++ b/src/main/java/beaconturn/agreement/StoreBackoff.java
@@ -2,15 +2,15 @@
 
 import java.util.function.Consumer;
 
-/** The pause after requests that the store did not answer as it should. For one thread. */
+/** Backs off after failed store requests. Not thread-safe. */
 final class StoreBackoff {
-  /** The pause grows up to the interval of renewals, by this part of it for each failure. */
+  /** The pause grows linearly and reaches the renewal interval after this many failures. */
   private static final int MAX_STEPS = 8;
 
   private final AgreementTiming timing;
   private final Jitter jitter;
   private final Consumer<String> log;
-  private int failuresInSequence;
+  private int consecutiveFailures;
   private String lastReason = "";
   private long pausedUntilNanos;
 
@@ -21,17 +21,17 @@
   }
 
   boolean hasFailures() {
-    return failuresInSequence > 0;
+    return consecutiveFailures > 0;
   }
 
-  /** No request may be made before, by the member's clock. */
+  /** Earliest time of the next request, by the member's clock. */
   long pausedUntilNanos() {
     return pausedUntilNanos;
   }
 
-  /** Counts a failure; its reason is logged where it is another than before. */
+  /** Counts a failure, and logs its reason if it differs from that of the previous failure. */
   void countFailure(String reason) {
-    failuresInSequence++;
+    consecutiveFailures++;
     if (!reason.equals(lastReason)) {
       log.accept("agreement: the store does not answer as it should: " + reason);
     }
@@ -40,16 +40,16 @@
 
   void pauseFrom(long nowNanos) {
     long pauseNanos =
-        timing.renewIntervalNanos() / MAX_STEPS * Math.min(MAX_STEPS, failuresInSequence);
+        timing.renewIntervalNanos() / MAX_STEPS * Math.min(MAX_STEPS, consecutiveFailures);
     pausedUntilNanos = nowNanos + jitter.spreadNanos(pauseNanos);
   }
 
-  /** The store has answered as it should. */
+  /** Ends the backoff after a successful read. */
   void reset() {
-    if (failuresInSequence > 0) {
+    if (consecutiveFailures > 0) {
       log.accept("agreement: the store answers again");
     }
-    failuresInSequence = 0;
+    consecutiveFailures = 0;
     lastReason = "";
   }
 }
--- a/src/main/java/beaconturn/agreement/StoreContinuity.java
+++ b/src/main/java/beaconturn/agreement/StoreContinuity.java
@@ -1,28 +1,28 @@
 package beaconturn.agreement;
 
 /**
- * Checks that the store is still the one that was followed, and not replaced, restored or behind.
- * Pure functions; each gives the fault in words, or null.
+ * Detects a store that was replaced, restored from a backup or lags behind. Pure functions; each
+ * returns a description of the fault, or null.
  */
 final class StoreContinuity {
   private StoreContinuity() {}
 
-  /** What is wrong with any response. */
+  /** Checks the header of a response. */
   static String faultOf(StoreResponse.Success response, PersistedConfig persisted) {
     if (!persisted.clusterId().isEmpty() && !response.clusterId().equals(persisted.clusterId())) {
-      return "it is another cluster, "
+      return "cluster id is "
           + response.clusterId()
-          + " and not "
+          + ", expected "
           + persisted.clusterId()
-          + ": it was restored or replaced";
+          + ": the store was restored or replaced";
     }
     if (response.storeRevision() < persisted.storeRevision()) {
-      return "it is behind what was seen: a member that lags, or an older copy";
+      return "its revision is lower than one seen before: it lags or was restored";
     }
     return null;
   }
 
-  /** What is wrong with the versions that were read. */
+  /** Checks the agreement and the version in force. */
   static String faultOf(AgreementSnapshot snapshot, PersistedConfig persisted) {
     if (persisted.agreementId().isEmpty()) {
       return null;
@@ -30,17 +30,17 @@
     if (!snapshot.agreementId().equals(persisted.agreementId())) {
       String holds =
           snapshot.agreementId().isEmpty() ? "no agreement" : "agreement " + snapshot.agreementId();
-      return "it holds " + holds + " and not " + persisted.agreementId() + ": it was replaced";
+      return "it holds " + holds + ", expected " + persisted.agreementId() + ": it was replaced";
     }
     ConfigVersion acting = persisted.actingVersion();
     ConfigVersion current = snapshot.current();
     boolean rewritten = current.number() == acting.number() && !current.isSameAs(acting);
     if (current.number() < acting.number() || rewritten) {
-      return "it has version "
+      return "version "
           + current.number()
-          + " in force, and "
+          + " is in force there, but version "
           + acting.number()
-          + " was in force before: nobody goes back in time";
+          + " was in force before: the store lost a version";
     }
     return null;
   }
--- a/src/main/java/beaconturn/agreement/StoreLease.java
+++ b/src/main/java/beaconturn/agreement/StoreLease.java
@@ -1,15 +1,15 @@
 package beaconturn.agreement;
 
-/** The store's lease on a member: granted, kept alive, and lost. For the member's thread. */
+/** Tracks the member's lease at the store and its renewals. Confined to the member's thread. */
 final class StoreLease {
-  /** The id while no lease is held. */
+  /** Id that stands for no lease. */
   static final long NONE = 0;
 
   private final AgreementTiming timing;
   private final Jitter jitter;
   private long id = NONE;
 
-  /** When the request was sent that last kept the lease alive. */
+  /** When the last successful grant or keep-alive was sent. */
   private long keptAliveAtNanos;
 
   private long renewAtNanos;
@@ -32,7 +32,7 @@
     return renewAtNanos;
   }
 
-  /** The request that gets or renews the lease, or null while none is due. */
+  /** Returns the request that grants or renews the lease, or null while none is due. */
   PendingRequest dueRequest(long nowNanos) {
     if (id == NONE) {
       return new PendingRequest(
@@ -48,7 +48,7 @@
     scheduleRenewal(sentAtNanos);
   }
 
-  /** Whether the store has kept the lease alive; where it has not, a new one is to be asked for. */
+  /** Returns whether the lease is still alive; if not, a new one is requested next. */
   boolean handleRenewed(long sentAtNanos, StoreResponse.Success response) {
     if (response.leaseTtlSeconds() <= 0) {
       id = NONE;
--- a/src/main/java/beaconturn/agreement/StoreRequest.java
+++ b/src/main/java/beaconturn/agreement/StoreRequest.java
@@ -3,40 +3,39 @@
 import java.util.List;
 
 /**
- * What can be asked of the coordination store; whoever asks gets a {@link StoreResponse}, one
- * request at a time.
+ * A request to the coordination store. The result is a {@link StoreResponse}.
  */
 public sealed interface StoreRequest {
-  /** A new lease that ends after its time to live, unless it is kept alive. */
+  /** Grants a lease that expires after its time to live unless it is kept alive. */
   record Grant(long ttlSeconds) implements StoreRequest {}
 
-  /** The lease's time to live starts anew when the store hears this. */
+  /** Restarts the lease's time to live when the store receives the request. */
   record KeepAlive(long leaseId) implements StoreRequest {}
 
-  /** The lease ends, and all entries on it are deleted. */
+  /** Revokes the lease and deletes all entries bound to it. */
   record Revoke(long leaseId) implements StoreRequest {}
 
-  /** All entries whose keys begin so, as of one revision, read from a quorum. */
+  /** Reads all entries whose keys start with the prefix, at one revision, from a quorum. */
   record Read(String prefix) implements StoreRequest {}
 
-  /** All changes if all conditions hold, else nothing. */
+  /** Applies all changes if all conditions hold, else none. */
   record Transaction(List<Condition> conditions, List<Change> changes) implements StoreRequest {}
 
-  /** What a transaction depends on. */
+  /** A condition of a transaction. */
   sealed interface Condition {
-    /** The entry was last changed at this revision; 0: it does not exist. */
+    /** The entry was last modified at this revision; 0 if it must not exist. */
     record Unchanged(String key, long modRevision) implements Condition {}
 
     /** The entry exists. */
     record Exists(String key) implements Condition {}
 
-    /** No entry whose key begins so was made or changed after this revision of the store. */
+    /** No entry whose key starts with the prefix was created or modified after this revision. */
     record NoneModifiedAfter(String prefix, long storeRevision) implements Condition {}
   }
 
-  /** What a transaction does. */
+  /** A change made by a transaction. */
   sealed interface Change {
-    /** Sets the entry, on the lease unless that is 0. */
+    /** Sets the entry and binds it to the lease, unless the lease id is 0. */
     record Put(String key, String value, long leaseId) implements Change {}
 
     /** Deletes the entry, if it exists. */
--- a/src/main/java/beaconturn/agreement/StoreResponse.java
+++ b/src/main/java/beaconturn/agreement/StoreResponse.java
@@ -2,17 +2,18 @@
 
 import java.util.List;
 
-/** What became of a {@link StoreRequest}. */
+/** Result of a {@link StoreRequest}. */
 public sealed interface StoreResponse {
   /**
-   * The store has answered.
+   * The reply of the store. Fields that do not apply to the request are false, 0 or empty.
    *
-   * @param conditionsHeld whether a transaction's conditions held
-   * @param clusterId which store it is; another id is another store
-   * @param storeRevision how far the store has come
-   * @param entries what was read
-   * @param leaseId of a lease that was granted
-   * @param leaseTtlSeconds for how long that lease lives, 0 if it does not
+   * @param conditionsHeld whether the transaction's conditions held and its changes were applied
+   * @param clusterId id of the store's cluster
+   * @param storeRevision revision of the store
+   * @param entries the entries that were read
+   * @param leaseId id of the granted lease
+   * @param leaseTtlSeconds remaining time to live of the granted or renewed lease, 0 if it has
+   *     expired
    */
   record Success(
       boolean conditionsHeld,
@@ -23,15 +24,15 @@
       long leaseTtlSeconds)
       implements StoreResponse {}
 
-  /** No answer, or one that cannot be used; a transaction may or may not have come about. */
+  /** No reply or an invalid one. A transaction may have been committed nevertheless. */
   record RequestFailed(String reason) implements StoreResponse {}
 
   /**
-   * A key and its value.
+   * An entry of the store.
    *
-   * @param createRevision the revision of the store at which it was made
-   * @param modRevision the one at which it was last changed
-   * @param leaseId of the lease that it is on, or 0
+   * @param createRevision store revision at which the entry was created
+   * @param modRevision store revision at which the entry was last modified
+   * @param leaseId id of the lease that the entry is bound to, or 0
    */
   record Entry(String key, String value, long createRevision, long modRevision, long leaseId) {}
 }
--- a/src/main/java/beaconturn/agreement/StoredJson.java
+++ b/src/main/java/beaconturn/agreement/StoredJson.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds and reads the JSON texts that stand in the coordination store and in persisted files. */
+/** Builds and reads the JSON of the coordination store and of persisted files. */
 public final class StoredJson {
   private StoredJson() {}
 
   /**
-   * The JSON value of a text.
+   * Parses a text.
    *
-   * @throws AgreementException if it is no JSON
+   * @throws AgreementException if the text is not valid JSON
    */
   public static Json parse(String text) throws AgreementException {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
@@ -27,17 +27,17 @@
     }
   }
 
-  /** A list of values. */
+  /** Returns an array of the values. */
   public static Json list(List<Json> items) {
     return new Json.Items(items);
   }
 
-  /** A list of texts. */
+  /** Returns an array of strings. */
   public static Json texts(List<String> texts) {
     return list(texts.stream().map(text -> (Json) new Json.Text(text)).toList());
   }
 
-  /** An object of alternating names and values, in this order. */
+  /** Returns an object with the fields given as alternating names and values, in this order. */
   public static Json object(Object... namesAndValues) {
     Map<String, Json> members = new LinkedHashMap<>();
     for (int i = 0; i < namesAndValues.length; i += 2) {
@@ -46,7 +46,7 @@
     return new Json.Members(members);
   }
 
-  /** JSON as it is, a flag, a number, or the text of anything else. */
+  /** Converts a boolean, a number or JSON as such, and anything else as its string form. */
   static Json value(Object value) {
     if (value instanceof Json json) {
       return json;
@@ -61,10 +61,10 @@
   }
 
   /**
-   * The whole number of a name.
+   * Returns the whole number in a field.
    *
-   * @throws AgreementException if it is missing, no whole number, or not within the bounds, both of
-   *     which are allowed
+   * @throws AgreementException if the field is missing, not a whole number or outside the inclusive
+   *     bounds
    */
   public static long wholeNumber(Json json, String name, long min, long max)
       throws AgreementException {
--- a/src/main/java/beaconturn/agreement/StrictestCommonConfig.java
+++ b/src/main/java/beaconturn/agreement/StrictestCommonConfig.java
@@ -6,14 +6,14 @@
 import java.util.TreeSet;
 
 /**
- * What contradicts neither of two versions: the stricter idempotency, the fewer attempts, the
- * shorter window of repeats, the newer list, and whatever either excludes. Pure functions; that the
- * result contradicts neither is held by a property test.
+ * Computes a content that contradicts neither of two versions: the stricter idempotency, the lower
+ * attempt limit, the shorter deduplication window, the newer endpoint list and the exclusions of
+ * both. Pure functions.
  */
 public final class StrictestCommonConfig {
   private StrictestCommonConfig() {}
 
-  /** What may be acted on while either of two complete contents may be in force. */
+  /** Returns the content to act on while either of two complete contents may be in force. */
   public static ConfigContent between(ConfigContent one, ConfigContent other) {
     SortedMap<String, ClassRule> classes = new TreeMap<>(one.classes());
     other
@@ -30,8 +30,9 @@
   }
 
   /**
-   * What a router may act on that does not know which version is in force: nothing is sent twice,
-   * and what it last knew to be excluded stays so. What else is excluded by now it cannot know.
+   * Returns the content for a router that does not know which version is in force: no request is
+   * sent more than once, and the servers excluded in the last known content stay excluded. Servers
+   * excluded since then are unknown to it.
    */
   public static ConfigContent strict(ConfigContent known) {
     SortedMap<String, ClassRule> classes = new TreeMap<>();
@@ -57,20 +58,20 @@
 
   private static ClassIdempotency stricter(ClassIdempotency one, ClassIdempotency other) {
     if (one == null || other == null) {
-      return first(one, other);
+      return firstNonNull(one, other);
     }
     return one.stricter(other);
   }
 
-  /** The lesser one, where both are specified; of flags false is less than true. */
+  /** Returns the lesser value, or the only one specified; false is less than true. */
   private static <T extends Comparable<T>> T least(T one, T other) {
     if (one == null || other == null) {
-      return first(one, other);
+      return firstNonNull(one, other);
     }
     return one.compareTo(other) <= 0 ? one : other;
   }
 
-  private static <T> T first(T one, T other) {
+  private static <T> T firstNonNull(T one, T other) {
     return one == null ? other : one;
   }
 }
--- a/src/main/java/beaconturn/agreement/VersionFollower.java
+++ b/src/main/java/beaconturn/agreement/VersionFollower.java
@@ -3,8 +3,8 @@
 import java.util.function.Consumer;
 
 /**
- * Follows the version in force, has proposed ones voted on, and persists both. For the member's
- * thread.
+ * Follows the version in force, votes on proposed versions and persists both. Confined to the
+ * member's thread.
  */
 final class VersionFollower {
   private final MemberIdentity identity;
@@ -15,13 +15,13 @@
   private PersistedConfig persisted;
 
   /**
-   * What may be acted on: only what this member's record stands for, or what was persisted by the
-   * process before it, whose record still stands. Null: nothing, others may have moved on without
-   * this member's ack.
+   * The state that the effective configuration is derived from. It is set only while a record of
+   * this process or of its predecessor is in the store; otherwise null, as versions may have come
+   * into force without this member's ack.
    */
   private PersistedConfig basis;
 
-  /** Whether the record in the store lacks something that was decided here. */
+  /** Whether the record in the store must be updated. */
   private boolean recordOutdated;
 
   VersionFollower(
@@ -46,7 +46,7 @@
     return basis != null;
   }
 
-  /** What was persisted may be acted on from here on. */
+  /** Makes the persisted state the basis of the effective configuration. */
   void actOnPersisted() {
     basis = persisted;
   }
@@ -59,7 +59,7 @@
     recordOutdated = false;
   }
 
-  /** The record as it is to stand in the store. */
+  /** Returns the record to be written to the store. */
   MemberRecord memberRecord() {
     long actingNumber = persisted.actingVersion().number();
     ConfigVersion acked = persisted.ackedVersion();
@@ -78,26 +78,26 @@
     recordOutdated = false;
   }
 
-  /** An operator has taken the record away: others move on without this member's ack. */
+  /** An operator has deleted the record, so versions come into force without this member's ack. */
   void handleDeclaredLost() {
     basis = null;
     persistJoined(false);
   }
 
-  /** Persists whether a record stands for what was persisted. */
+  /** Persists whether the store holds a record of this router. */
   void persistJoined(boolean joined) {
     persisted = persisted.withJoined(joined);
     callbacks.persist(persisted);
   }
 
-  /** What may be acted on now, under a lease that ends at the time. */
+  /** Returns the effective configuration under a lease that expires at the given time. */
   EffectiveConfig effectiveConfig(long leaseEndNanos) {
     return basis == null
         ? EffectiveConfigRules.withoutBasis(persisted, localContent)
         : EffectiveConfigRules.of(basis, localContent, leaseEndNanos);
   }
 
-  /** Goes along with the version in force, and votes on the proposed one. */
+  /** Adopts the version in force and votes on the proposed one. */
   void follow(AgreementSnapshot snapshot, boolean joined) {
     PersistedConfig before = persisted;
     long nackedBefore = voter.nackedNumber();
@@ -114,10 +114,10 @@
     }
   }
 
-  /** The acked version above the one in force, or null. */
+  /** Returns the acked version that is newer than the one in force, or null. */
   private ConfigVersion ackedVersion(AgreementSnapshot snapshot) {
     if (snapshot.proposedNumber() == 0) {
-      // What was turned down can come into force no more.
+      // A rejected version can no longer come into force.
       return null;
     }
     ConfigVersion acked = persisted.ackedVersion();
@@ -128,8 +128,8 @@
     return voter.vote(snapshot);
   }
 
-  /** An ack that a restart forgets would be none: it is taken back if it cannot be persisted. */
-  @SuppressWarnings("ReferenceEquality") // The very version, not one alike.
+  /** Replaces an ack that cannot be persisted by a nack, as a restart would forget the ack. */
+  @SuppressWarnings("ReferenceEquality") // Identity tells whether the ack is new.
   private void persistFollowed(AgreementSnapshot snapshot, PersistedConfig before) {
     ConfigVersion acked = persisted.ackedVersion();
     boolean ackedNow = acked != null && acked != before.ackedVersion();
--- a/src/main/java/beaconturn/agreement/VersionHistoryEntry.java
+++ b/src/main/java/beaconturn/agreement/VersionHistoryEntry.java
@@ -1,9 +1,9 @@
 package beaconturn.agreement;
 
 /**
- * A version that was proposed at some time.
+ * A version from the history of all proposed versions.
  *
  * @param version the version
- * @param rejectionReason why it was turned down, or null
+ * @param rejectionReason why it was rejected, or null if it was not
  */
 public record VersionHistoryEntry(ConfigVersion version, String rejectionReason) {}
--- a/src/main/java/beaconturn/agreement/VersionLease.java
+++ b/src/main/java/beaconturn/agreement/VersionLease.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The lease under which a member acts on the version in force: each confirmation that the store's
- * versions are unchanged extends it. For the member's thread.
+ * The lease under which a member acts on the version in force. Each confirmation that the versions
+ * in the store are unchanged extends it. Confined to the member's thread.
  */
 final class VersionLease {
   private static final long NOT_HELD = Long.MIN_VALUE;
@@ -14,7 +14,7 @@
   private final Jitter jitter;
   private long endNanos = NOT_HELD;
   private long confirmAtNanos;
-  private int refutedInSequence;
+  private int consecutiveRefutations;
 
   VersionLease(AgreementKeys keys, AgreementTiming timing, Jitter jitter) {
     this.keys = keys;
@@ -22,7 +22,7 @@
     this.jitter = jitter;
   }
 
-  /** When the lease ends, by the member's clock; long past where none is held. */
+  /** When the lease expires, by the member's clock; {@link Long#MIN_VALUE} if none is held. */
   long endNanos() {
     return endNanos;
   }
@@ -40,8 +40,9 @@
   }
 
   /**
-   * The confirmation that what was read is still so, or null while none is due. It is a transaction
-   * without changes: a store decides that by a quorum, whatever its members answer to reads.
+   * Returns the request that confirms the snapshot, or null while none is due. It is a transaction
+   * without changes, which the store decides by quorum even if one of its members serves stale
+   * reads.
    */
   PendingRequest dueRequest(long nowNanos, AgreementSnapshot snapshot) {
     if (nowNanos < confirmAtNanos) {
@@ -52,19 +53,19 @@
     return new PendingRequest(RequestPurpose.CONFIRM_VERSIONS, confirmation);
   }
 
-  /** Extends the lease, from when the earlier of the two requests was sent that it rests on. */
+  /** Extends the lease, starting when the earlier of confirmation and keep-alive was sent. */
   void handleConfirmed(long sentAtNanos, long keptAliveAtNanos) {
-    refutedInSequence = 0;
+    consecutiveRefutations = 0;
     endNanos = Math.min(sentAtNanos, keptAliveAtNanos) + timing.leaseNanos();
     confirmAtNanos = sentAtNanos + jitter.spreadNanos(timing.renewIntervalNanos());
   }
 
   /**
-   * What was read is no longer so. False once that has come twice in a row: the store then answers
-   * reads from a member that lags.
+   * Counts a confirmation whose conditions did not hold. Returns false from the second consecutive
+   * one on: a lagging member of the store then serves the reads.
    */
   boolean handleRefuted() {
-    refutedInSequence++;
-    return refutedInSequence <= 1;
+    consecutiveRefutations++;
+    return consecutiveRefutations <= 1;
   }
 }
--- a/src/main/java/beaconturn/agreement/VersionVoter.java
+++ b/src/main/java/beaconturn/agreement/VersionVoter.java
@@ -2,19 +2,19 @@
 
 import java.util.function.Consumer;
 
-/** A member's vote on a proposed version: ack, nack, or neither yet. For the member's thread. */
+/** Decides a member's vote on a proposed version. Confined to the member's thread. */
 final class VersionVoter {
   private final ConfigContent localContent;
   private final AgreementCallbacks callbacks;
   private final Consumer<String> log;
 
-  /** The version nacked last, or 0. */
+  /** Number of the version that was nacked last, or 0. */
   private long nackedNumber;
 
   private String nackReason = "";
 
-  /** The version last found to ask for what the router has not; to log it once. */
-  private long awaitedNumber;
+  /** Number of the version that the router was last found not ready for; logged once. */
+  private long notReadyForNumber;
 
   VersionVoter(ConfigContent localContent, AgreementCallbacks callbacks, Consumer<String> log) {
     this.localContent = localContent;
@@ -30,7 +30,7 @@
     return nackReason;
   }
 
-  /** The proposed version if it is acked, else null. */
+  /** Returns the proposed version if the member acks it, or null on a nack or if not ready yet. */
   ConfigVersion vote(AgreementSnapshot snapshot) {
     if (nackedNumber == snapshot.proposedNumber()) {
       return null;
@@ -42,7 +42,7 @@
       return null;
     }
     if (!callbacks.isReadyFor(snapshot.proposed().content().withDefaults(localContent))) {
-      logAwaited(snapshot.proposedNumber());
+      logNotReady(snapshot.proposedNumber());
       return null;
     }
     log.accept("agreement: says yes to version " + snapshot.proposed().number());
@@ -61,9 +61,9 @@
     return callbacks.objection(snapshot.proposed().content().withDefaults(localContent));
   }
 
-  private void logAwaited(long number) {
-    if (awaitedNumber != number) {
-      awaitedNumber = number;
+  private void logNotReady(long number) {
+    if (notReadyForNumber != number) {
+      notReadyForNumber = number;
       log.accept("agreement: has not the list yet that version " + number + " asks for");
     }
   }
