--- a/src/main/java/beaconturn/agreement/StoreContinuity.java
+++ b/src/main/java/beaconturn/agreement/StoreContinuity.java
@@ -40,7 +40,7 @@
           + current.number()
           + " is in force there, but version "
           + acting.number()
-          + " was in force before: the store lost a version";
+          + " was in force before: the store lost or rewrote a version";
     }
     return null;
   }
--- a/src/test/java/beaconturn/agreement/AgreementMemberTest.java
+++ b/src/test/java/beaconturn/agreement/AgreementMemberTest.java
@@ -14,89 +14,86 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The hard cases of the agreement, each caused in virtual time. */
+/** Tests members under partitions, crashes, pauses and store faults, in virtual time. */
 class AgreementMemberTest {
-  private static final long SECOND = SimulatedAgreement.SECOND;
-  private static final long LEASE = SimulatedAgreement.TIMING.leaseNanos();
+  private static final long SECOND_NANOS = SimulatedAgreement.SECOND_NANOS;
+  private static final long LEASE_NANOS = SimulatedAgreement.TIMING.leaseNanos();
 
-  private static ConfigContent out(String... servers) {
+  private static ConfigContent excluding(String... servers) {
     return new ConfigContent(new TreeMap<>(), null, null, 0, new TreeSet<>(List.of(servers)));
   }
 
   private static long propose(SimulatedAgreement fleet, String... servers)
       throws AgreementException {
-    return fleet.admin().propose(now -> out(servers), "op", "why", 0);
+    return fleet.admin().propose(current -> excluding(servers), "op", "why", 0);
   }
 
-  private static SimulatedAgreement begun(int routers) throws AgreementException {
+  private static SimulatedAgreement startedFleet(int routers) throws AgreementException {
     SimulatedAgreement fleet = new SimulatedAgreement(routers, routers);
     fleet.begin();
     assertEquals(routers, fleet.admin().status().members().size());
     return fleet;
   }
 
-  private static void clean(SimulatedAgreement fleet) {
+  private static void assertNoViolations(SimulatedAgreement fleet) {
     assertEquals(List.of(), fleet.violations);
-    assertTrue(fleet.acts > 100);
+    assertTrue(fleet.actionCount > 100);
   }
 
-  private static String acts(SimulatedAgreement fleet, int router) {
-    SimulatedAgreement.SimulatedMember process = fleet.simulatedMembers.get(router);
+  private static String effectiveConfigOf(SimulatedAgreement fleet, int router) {
+    SimulatedAgreement.SimulatedMember process = fleet.members.get(router);
     return process.effectiveConfig.descriptionAt(process.now());
   }
 
   @Test
-  void aVersionComesIntoForceOnlyWithTheYesOfAllAndSettles() throws AgreementException {
-    SimulatedAgreement fleet = begun(5);
-    fleet.simulatedMembers.get(3).cut = true;
+  void versionComesIntoForceOnceAllMembersAckAndThenSettles() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(5);
+    fleet.members.get(3).disconnected = true;
     long first = propose(fleet, "c1");
-    fleet.run(20 * LEASE);
+    fleet.run(20 * LEASE_NANOS);
     assertEquals(List.of("r3"), fleet.admin().status().awaitedMembers());
-    assertTrue(fleet.inForce.isEmpty(), "nobody can tell r3 from one that still acts");
-    assertEquals("its own configuration without a lease", acts(fleet, 3));
-    fleet.simulatedMembers.get(3).cut = false;
-    assertTrue(fleet.settles(first, 10 * SECOND));
-    assertEquals("version 1", acts(fleet, 3));
-    clean(fleet);
+    assertTrue(fleet.versionsInForce.isEmpty(), "r3 may still act on its configuration");
+    assertEquals("its own configuration without a lease", effectiveConfigOf(fleet, 3));
+    fleet.members.get(3).disconnected = false;
+    assertTrue(fleet.settlesWithin(first, 10 * SECOND_NANOS));
+    assertEquals("version 1", effectiveConfigOf(fleet, 3));
+    assertNoViolations(fleet);
   }
 
-  /**
-   * The cut falls between its yes and the version's coming into force: it goes to safe
-   * effectiveConfig.
-   */
+  /** The member loses its connection after its ack and before the version comes into force. */
   @Test
-  void whoIsCutOffAfterItsYesStandsBetweenTheTwo() throws AgreementException {
-    SimulatedAgreement fleet = begun(6);
-    assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
-    fleet.simulatedMembers.get(0).cut = true;
+  void memberDisconnectedAfterAckActsOnCommonConfigOfBothVersions() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(6);
+    assertTrue(fleet.settlesWithin(propose(fleet, "c1"), 10 * SECOND_NANOS));
+    fleet.members.get(0).disconnected = true;
     long second = propose(fleet, "c2");
-    fleet.run(LEASE);
-    fleet.simulatedMembers.get(0).cut = false;
-    while (fleet.simulatedMembers.get(0).persisted.ackedVersion() == null) {
-      fleet.run(SimulatedAgreement.MILLI);
+    fleet.run(LEASE_NANOS);
+    fleet.members.get(0).disconnected = false;
+    while (fleet.members.get(0).persisted.ackedVersion() == null) {
+      fleet.run(SimulatedAgreement.MILLI_NANOS);
     }
-    fleet.simulatedMembers.get(0).cut = true;
-    fleet.run(10 * LEASE);
-    assertEquals(2, fleet.inForce.size());
-    assertEquals("safe ground between version 1 and version 2", acts(fleet, 0));
+    fleet.members.get(0).disconnected = true;
+    fleet.run(10 * LEASE_NANOS);
+    assertEquals(2, fleet.versionsInForce.size());
+    assertEquals("safe ground between version 1 and version 2", effectiveConfigOf(fleet, 0));
     assertEquals(
         new TreeSet<>(List.of("c1", "c2")),
-        fleet.simulatedMembers.get(0).effectiveConfig.afterLease().excludedServers());
-    assertTrue(fleet.settles(second, SECOND), "it holds no lease, and acts on neither alone");
+        fleet.members.get(0).effectiveConfig.afterLease().excludedServers());
+    assertTrue(fleet.settlesWithin(second, SECOND_NANOS), "r0 holds no lease and is not awaited");
     propose(fleet, "c3");
-    fleet.run(10 * LEASE);
-    assertEquals(2, fleet.inForce.size(), "a third version would contradict where it stands");
-    fleet.simulatedMembers.get(0).cut = false;
-    assertTrue(fleet.settles(3, 10 * SECOND));
-    clean(fleet);
+    fleet.run(10 * LEASE_NANOS);
+    assertEquals(2, fleet.versionsInForce.size(), "r0 has not acked the third version");
+    fleet.members.get(0).disconnected = false;
+    assertTrue(fleet.settlesWithin(3, 10 * SECOND_NANOS));
+    assertNoViolations(fleet);
   }
 
   @Test
-  void aNoStopsItAndSaysWhoAndWhy() throws AgreementException {
-    SimulatedAgreement fleet = begun(3);
+  void nackRejectsVersionWithMemberAndReason() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(3);
     propose(fleet, "c1", "c2", "c3");
-    fleet.run(10 * SECOND);
-    assertTrue(fleet.inForce.isEmpty());
+    fleet.run(10 * SECOND_NANOS);
+    assertTrue(fleet.versionsInForce.isEmpty());
     assertTrue(
         fleet
             .admin()
@@ -105,40 +102,41 @@
             .rejectionReason()
             .matches("r[0-2] says no: too few are left"));
     long next = propose(fleet, "c1");
-    assertEquals(2, next, "a number is never given twice");
-    assertTrue(fleet.settles(next, 10 * SECOND));
-    clean(fleet);
+    assertEquals(2, next, "the number of the rejected version must not be reused");
+    assertTrue(fleet.settlesWithin(next, 10 * SECOND_NANOS));
+    assertNoViolations(fleet);
   }
 
-  /**
-   * Whoever acts on an older list than the version asks for would contradict it from the first
-   * moment.
-   */
+  /** A member with an older endpoint list than the version requires would contradict the version. */
   @Test
-  void aRouterThatHasAnOlderListSaysNeitherYesNorNoUntilItHasTheNewer() throws AgreementException {
-    SimulatedAgreement fleet = begun(3);
-    fleet.simulatedMembers.get(1).list = 6;
+  void memberDoesNotVoteUntilItHasRequiredEndpointList() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(3);
+    fleet.members.get(1).listVersion = 6;
     long number =
         fleet
             .admin()
             .propose(
-                now ->
+                current ->
                     new ConfigContent(
-                        now.classes(), now.maxAttempts(), now.hedging(), 7, now.excludedServers()),
+                        current.classes(),
+                        current.maxAttempts(),
+                        current.hedging(),
+                        7,
+                        current.excludedServers()),
                 "op",
                 "why",
                 0);
-    fleet.run(10 * SECOND);
-    assertTrue(fleet.inForce.isEmpty());
+    fleet.run(10 * SECOND_NANOS);
+    assertTrue(fleet.versionsInForce.isEmpty());
     assertEquals(List.of("r1"), fleet.admin().status().awaitedMembers());
-    fleet.simulatedMembers.get(1).list = 7;
-    assertTrue(fleet.settles(number, 10 * SECOND));
-    clean(fleet);
+    fleet.members.get(1).listVersion = 7;
+    assertTrue(fleet.settlesWithin(number, 10 * SECOND_NANOS));
+    assertNoViolations(fleet);
   }
 
   @Test
-  void twoThatProposeAtOnceAreOneAndOneIsToldSo() throws AgreementException {
-    SimulatedAgreement fleet = begun(3);
+  void secondProposalIsRejectedWhileOneIsOpen() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(3);
     propose(fleet, "c1");
     assertEquals(
         "version 1 is proposed and not in force yet",
@@ -146,255 +144,247 @@
   }
 
   @Test
-  void aStepWhoseAnswerIsLostIsDoneOnce() throws AgreementException {
-    SimulatedAgreement fleet = begun(3);
-    fleet.loseNext = 1;
+  void stepWithLostResponseIsCommittedOnce() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(3);
+    fleet.responsesToLose = 1;
     assertEquals(1, propose(fleet, "c1"));
     assertEquals(1, fleet.admin().history().size());
-    fleet.simulatedMembers.forEach(s -> s.oneWay = true);
-    fleet.run(3 * LEASE);
-    fleet.simulatedMembers.forEach(s -> s.oneWay = false);
-    assertTrue(fleet.settles(1, 20 * SECOND));
-    assertEquals(1, fleet.inForce.size());
-    clean(fleet);
+    fleet.members.forEach(s -> s.losesResponses = true);
+    fleet.run(3 * LEASE_NANOS);
+    fleet.members.forEach(s -> s.losesResponses = false);
+    assertTrue(fleet.settlesWithin(1, 20 * SECOND_NANOS));
+    assertEquals(1, fleet.versionsInForce.size());
+    assertNoViolations(fleet);
   }
 
   @Test
-  void whoeverWakesFromALongPauseActsOnNothingOlder() throws AgreementException {
-    SimulatedAgreement fleet = begun(4);
-    assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
+  void memberResumedAfterLongPauseActsOnNoOutdatedVersion() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(4);
+    assertTrue(fleet.settlesWithin(propose(fleet, "c1"), 10 * SECOND_NANOS));
     propose(fleet, "c2");
-    while (fleet.simulatedMembers.get(1).persisted.ackedVersion() == null) {
-      fleet.run(SimulatedAgreement.MILLI);
+    while (fleet.members.get(1).persisted.ackedVersion() == null) {
+      fleet.run(SimulatedAgreement.MILLI_NANOS);
     }
-    fleet.simulatedMembers.get(1).pausedUntil = fleet.scheduler.now() + 20 * LEASE;
-    fleet.run(20 * LEASE - SimulatedAgreement.MILLI);
-    assertEquals(2, fleet.inForce.size());
-    fleet.run(2 * LEASE);
-    clean(fleet);
+    fleet.members.get(1).pausedUntilNanos = fleet.scheduler.now() + 20 * LEASE_NANOS;
+    fleet.run(20 * LEASE_NANOS - SimulatedAgreement.MILLI_NANOS);
+    assertEquals(2, fleet.versionsInForce.size());
+    fleet.run(2 * LEASE_NANOS);
+    assertNoViolations(fleet);
   }
 
   @Test
-  void aRouterThatDiesAfterItsYesIsWaitedForUntilItIsBackOrDeclaredLost()
+  void crashedMemberIsAwaitedUntilRestartedOrDeclaredLost()
       throws AgreementException {
-    SimulatedAgreement fleet = begun(3);
-    fleet.simulatedMembers.get(2).die();
+    SimulatedAgreement fleet = startedFleet(3);
+    fleet.members.get(2).crash();
     propose(fleet, "c1");
     assertEquals(
         "router 'r2' holds its lease: it is alive",
         assertThrows(AgreementException.class, () -> fleet.admin().declareLost("r2")).getMessage());
-    fleet.run(20 * LEASE);
-    assertTrue(fleet.inForce.isEmpty());
+    fleet.run(20 * LEASE_NANOS);
+    assertTrue(fleet.versionsInForce.isEmpty());
     fleet.admin().declareLost("r2");
-    assertTrue(fleet.settles(1, 10 * SECOND));
-    fleet.simulatedMembers.get(2).start();
-    fleet.run(5 * SECOND);
-    assertEquals("version 1", acts(fleet, 2));
-    fleet.simulatedMembers.get(1).die();
+    assertTrue(fleet.settlesWithin(1, 10 * SECOND_NANOS));
+    fleet.members.get(2).start();
+    fleet.run(5 * SECOND_NANOS);
+    assertEquals("version 1", effectiveConfigOf(fleet, 2));
+    fleet.members.get(1).crash();
     propose(fleet, "c2");
-    fleet.run(LEASE);
-    fleet.simulatedMembers.get(1).start();
-    assertTrue(fleet.settles(2, 10 * SECOND));
+    fleet.run(LEASE_NANOS);
+    fleet.members.get(1).start();
+    assertTrue(fleet.settlesWithin(2, 10 * SECOND_NANOS));
     assertEquals(
-        3, fleet.admin().status().members().size(), "the line of the one before it is gone");
-    clean(fleet);
+        3, fleet.admin().status().members().size(), "the crashed process's record must be deleted");
+    assertNoViolations(fleet);
   }
 
   @Test
-  void aStartWithoutAStoreIsOnWhatWasKeptOrRepeatsNothing() throws AgreementException {
-    SimulatedAgreement fleet = begun(3);
-    assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
+  void startWithoutStoreUsesPersistedConfigOrStrictConfig() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(3);
+    assertTrue(fleet.settlesWithin(propose(fleet, "c1"), 10 * SECOND_NANOS));
     for (int i : new int[] {0, 1}) {
-      fleet.simulatedMembers.get(i).die();
-      fleet.simulatedMembers.get(i).cut = true;
-      fleet.simulatedMembers.get(i).restoresPersisted = i == 0;
-      fleet.simulatedMembers.get(i).start();
+      fleet.members.get(i).crash();
+      fleet.members.get(i).disconnected = true;
+      fleet.members.get(i).restoresPersisted = i == 0;
+      fleet.members.get(i).start();
     }
-    fleet.run(5 * SECOND);
-    assertEquals("version 1 without a lease", acts(fleet, 0));
-    assertEquals("strict ground", acts(fleet, 1));
-    clean(fleet);
+    fleet.run(5 * SECOND_NANOS);
+    assertEquals("version 1 without a lease", effectiveConfigOf(fleet, 0));
+    assertEquals("strict ground", effectiveConfigOf(fleet, 1));
+    assertNoViolations(fleet);
   }
 
   /**
-   * After a planned end others move on without its yes: what it persisted is nothing to act on any
-   * more.
+   * After a planned shutdown versions come into force without the member's ack, so its persisted
+   * configuration may be outdated.
    */
   @Test
-  void whoLeftAsPlannedDoesNotStartOnWhatItKept() throws AgreementException {
-    SimulatedAgreement fleet = begun(3);
-    assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
-    SimulatedAgreement.SimulatedMember process = fleet.simulatedMembers.get(1);
+  void memberThatLeftDoesNotStartOnPersistedConfig() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(3);
+    assertTrue(fleet.settlesWithin(propose(fleet, "c1"), 10 * SECOND_NANOS));
+    SimulatedAgreement.SimulatedMember process = fleet.members.get(1);
     process.member.leave().forEach(fleet::serve);
-    process.die();
-    assertTrue(fleet.settles(propose(fleet, "c2"), 10 * SECOND));
-    process.cut = true;
+    process.crash();
+    assertTrue(fleet.settlesWithin(propose(fleet, "c2"), 10 * SECOND_NANOS));
+    process.disconnected = true;
     process.start();
-    fleet.run(10 * LEASE);
-    assertEquals("strict ground", acts(fleet, 1));
+    fleet.run(10 * LEASE_NANOS);
+    assertEquals("strict ground", effectiveConfigOf(fleet, 1));
     assertEquals(
         new TreeSet<>(List.of("c1")),
         process.effectiveConfig.contentAt(process.now()).excludedServers());
-    process.cut = false;
-    fleet.run(SECOND);
-    assertEquals("version 2", acts(fleet, 1));
-    clean(fleet);
+    process.disconnected = false;
+    fleet.run(SECOND_NANOS);
+    assertEquals("version 2", effectiveConfigOf(fleet, 1));
+    assertNoViolations(fleet);
   }
 
-  /**
-   * Until it has asked it knows no more than was persisted; a server that was out then is not sent
-   * to.
-   */
+  /** Before its first read of the store a restarted member only knows the persisted exclusions. */
   @Test
-  void aStartHoldsOutWhatWasKeptUntilItHasAsked() throws AgreementException {
-    SimulatedAgreement fleet = begun(3);
-    assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
-    fleet.simulatedMembers.get(2).cut = true;
+  void persistedExclusionsHoldUntilStoreIsRead() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(3);
+    assertTrue(fleet.settlesWithin(propose(fleet, "c1"), 10 * SECOND_NANOS));
+    fleet.members.get(2).disconnected = true;
     propose(fleet, "c2");
-    SimulatedAgreement.SimulatedMember process = fleet.simulatedMembers.get(1);
+    SimulatedAgreement.SimulatedMember process = fleet.members.get(1);
     while (process.persisted.ackedVersion() == null) {
-      fleet.run(SimulatedAgreement.MILLI);
+      fleet.run(SimulatedAgreement.MILLI_NANOS);
     }
-    process.die();
+    process.crash();
     process.start();
     assertFalse(process.member.hasAskedStore());
-    assertEquals("strict ground", acts(fleet, 1));
+    assertEquals("strict ground", effectiveConfigOf(fleet, 1));
     assertEquals(
         new TreeSet<>(List.of("c1", "c2")),
         process.effectiveConfig.contentAt(process.now()).excludedServers());
-    fleet.run(SECOND);
+    fleet.run(SECOND_NANOS);
     assertTrue(process.member.hasAskedStore());
-    assertEquals("version 1", acts(fleet, 1));
-    clean(fleet);
+    assertEquals("version 1", effectiveConfigOf(fleet, 1));
+    assertNoViolations(fleet);
   }
 
-  /**
-   * Losing the store costs nothing: all go on as they were, whatever stands in its place
-   * afterwards.
-   */
+  /** After a loss of the store all members keep their configuration, whatever replaces the store. */
   @ParameterizedTest
   @ValueSource(strings = {"empty", "older"})
-  void nobodyFollowsAReplacedStore(String how) throws AgreementException {
-    SimulatedAgreement fleet = begun(3);
-    assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
-    assertTrue(fleet.settles(propose(fleet, "c2"), 10 * SECOND));
-    if (how.equals("empty")) {
+  void membersIgnoreReplacedStore(String replacement) throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(3);
+    assertTrue(fleet.settlesWithin(propose(fleet, "c1"), 10 * SECOND_NANOS));
+    assertTrue(fleet.settlesWithin(propose(fleet, "c2"), 10 * SECOND_NANOS));
+    if (replacement.equals("empty")) {
       fleet.store.empty(8);
       fleet.admin().begin("second");
     } else {
       fleet.store.rewind(30);
     }
-    fleet.run(20 * LEASE);
+    fleet.run(20 * LEASE_NANOS);
     for (int i = 0; i < 3; i++) {
-      assertEquals("version 2 without a lease", acts(fleet, i));
+      assertEquals("version 2 without a lease", effectiveConfigOf(fleet, i));
     }
-    clean(fleet);
+    assertNoViolations(fleet);
   }
 
   /**
-   * Whoever had not heard of what the store forgot cannot tell by revisions and versions that it
-   * has.
+   * A member that never read the lost version can recognize the restored store only by its cluster
+   * id.
    */
   @Test
-  void aStoreThatForgetsWhatCameIntoForceIsFollowedByNobody() throws AgreementException {
-    SimulatedAgreement fleet = begun(5);
-    assertTrue(fleet.settles(propose(fleet, "c1"), 10 * SECOND));
+  void membersIgnoreStoreThatLostCommittedVersion() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(5);
+    assertTrue(fleet.settlesWithin(propose(fleet, "c1"), 10 * SECOND_NANOS));
     propose(fleet, "c2");
-    while (fleet.inForce.size() < 2) {
-      fleet.run(SimulatedAgreement.MILLI);
+    while (fleet.versionsInForce.size() < 2) {
+      fleet.run(SimulatedAgreement.MILLI_NANOS);
     }
     fleet.store.rewind(1);
-    fleet.run(20 * LEASE);
+    fleet.run(20 * LEASE_NANOS);
     for (int i = 0; i < 5; i++) {
       assertTrue(
-          acts(fleet, i).equals("version 2 without a lease")
-              || acts(fleet, i).equals("safe ground between version 1 and version 2"),
-          acts(fleet, i));
+          effectiveConfigOf(fleet, i).equals("version 2 without a lease")
+              || effectiveConfigOf(fleet, i).equals("safe ground between version 1 and version 2"),
+          effectiveConfigOf(fleet, i));
     }
-    clean(fleet);
+    assertNoViolations(fleet);
   }
 
   @Test
-  void anOfficeThatDiesIsTakenByAnother() throws AgreementException {
-    SimulatedAgreement fleet = begun(4);
+  void anotherMemberTakesOverFromCrashedLeader() throws AgreementException {
+    SimulatedAgreement fleet = startedFleet(4);
     propose(fleet, "c1");
-    String holder = "";
-    while (holder.isEmpty()) {
-      fleet.run(SimulatedAgreement.MILLI);
-      holder = fleet.admin().status().snapshot().leader();
+    String leader = "";
+    while (leader.isEmpty()) {
+      fleet.run(SimulatedAgreement.MILLI_NANOS);
+      leader = fleet.admin().status().snapshot().leader();
     }
-    int dead = Integer.parseInt(holder.substring(1, holder.indexOf('.')));
-    fleet.simulatedMembers.get(dead).die();
-    fleet.run(20 * LEASE);
-    fleet.simulatedMembers.get(dead).start();
-    assertTrue(fleet.settles(1, 20 * SECOND));
-    clean(fleet);
+    int crashed = Integer.parseInt(leader.substring(1, leader.indexOf('.')));
+    fleet.members.get(crashed).crash();
+    fleet.run(20 * LEASE_NANOS);
+    fleet.members.get(crashed).start();
+    assertTrue(fleet.settlesWithin(1, 20 * SECOND_NANOS));
+    assertNoViolations(fleet);
   }
 
-  /**
-   * Faults by chance, and at the end all is well again: no offence, and the fleet can still agree.
-   */
-  private static SimulatedAgreement randomScenario(long seed, boolean planted)
+  /** Runs a fleet with random faults, then ends all faults and lets the fleet recover. */
+  private static SimulatedAgreement randomScenario(long seed, boolean memberIgnoresLease)
       throws AgreementException {
     SimulatedAgreement fleet = new SimulatedAgreement(seed, 5);
     fleet.begin();
-    fleet.simulatedMembers.get(0).ignoresLease = planted;
+    fleet.members.get(0).ignoresLease = memberIgnoresLease;
     Random random = new Random(seed);
     for (int i = 0; i < 60; i++) {
-      SimulatedAgreement.SimulatedMember process = fleet.simulatedMembers.get(random.nextInt(5));
+      SimulatedAgreement.SimulatedMember process = fleet.members.get(random.nextInt(5));
       switch (random.nextInt(8)) {
-        case 0 -> process.cut = !process.cut;
-        case 1 -> process.oneWay = !process.oneWay;
+        case 0 -> process.disconnected = !process.disconnected;
+        case 1 -> process.losesResponses = !process.losesResponses;
         case 2 ->
-            process.pausedUntil =
-                fleet.scheduler.now() + random.nextInt(6000) * SimulatedAgreement.MILLI;
+            process.pausedUntilNanos =
+                fleet.scheduler.now() + random.nextInt(6000) * SimulatedAgreement.MILLI_NANOS;
         case 3 -> {
-          process.die();
+          process.crash();
           process.start();
         }
         case 4 -> fleet.store.freeze(random.nextBoolean());
-        default -> proposeAny(fleet, random);
+        default -> proposeRandomContent(fleet, random);
       }
-      fleet.run(random.nextInt(3000) * SimulatedAgreement.MILLI);
+      fleet.run(random.nextInt(3000) * SimulatedAgreement.MILLI_NANOS);
     }
     fleet.store.freeze(false);
-    fleet.simulatedMembers.forEach(
+    fleet.members.forEach(
         s -> {
-          s.cut = false;
-          s.oneWay = false;
+          s.disconnected = false;
+          s.losesResponses = false;
         });
-    fleet.run(30 * SECOND);
+    fleet.run(30 * SECOND_NANOS);
     return fleet;
   }
 
-  private static void proposeAny(SimulatedAgreement fleet, Random random) {
+  private static void proposeRandomContent(SimulatedAgreement fleet, Random random) {
     try {
-      fleet.loseNext = random.nextInt(2);
-      ConfigContent content = StrictestCommonConfigTest.any(random);
+      fleet.responsesToLose = random.nextInt(2);
+      ConfigContent content = StrictestCommonConfigTest.randomContent(random);
       fleet.admin().propose(now -> content, "op", "why", 0);
     } catch (AgreementException e) {
-      // Somebody is still waited for, as it should be.
-      fleet.loseNext = 0;
+      // Another step is still open.
+      fleet.responsesToLose = 0;
     }
   }
 
   @Test
-  void inAnyStormNobodyActsAgainstWhatIsInForceBeyondTheStatedTime() throws AgreementException {
+  void staleActionsStayWithinBoundUnderRandomFaults() throws AgreementException {
     long versions = 0;
     for (long seed = 1; seed <= Long.getLong("storms", 60); seed++) {
       SimulatedAgreement fleet = randomScenario(seed, false);
       assertEquals(List.of(), fleet.violations, "seed " + seed);
       AgreementSnapshot seen = fleet.admin().status().snapshot();
-      assertFalse(seen.hasOpenStep(), () -> "still open: " + seen);
+      assertFalse(seen.hasOpenStep(), () -> "a step is still open: " + seen);
       assertNull(seen.proposed());
-      versions += fleet.inForce.size();
+      versions += fleet.versionsInForce.size();
     }
-    assertTrue(versions > 100, "few versions came into force: " + versions);
+    assertTrue(versions > 100, "too few versions came into force: " + versions);
   }
 
-  /** What checks must be able to fail: a router that goes on with its version after its lease. */
+  /** Guards against a check that never fails: the member acts on its version after its lease. */
   @Test
-  void aRouterThatIgnoresItsLeaseIsFound() throws AgreementException {
+  void violationCheckDetectsMemberThatIgnoresItsLease() throws AgreementException {
     int found = 0;
     for (long seed = 1; seed <= 20; seed++) {
       List<String> violations = randomScenario(seed, true).violations;
@@ -402,6 +392,6 @@
       assertTrue(
           violations.stream().allMatch(o -> o.contains("r0 acts against")), violations::toString);
     }
-    assertTrue(found > 0, "it was never seen");
+    assertTrue(found > 0, "no run detected the violation");
   }
 }
--- a/src/test/java/beaconturn/agreement/ConfigCodecTest.java
+++ b/src/test/java/beaconturn/agreement/ConfigCodecTest.java
@@ -9,14 +9,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Routers of two builds share one store while a release is under way: a text that one build writes
- * has to be read by the other, and has to be the very same text, since digests are made of it. The
- * constants are texts that an earlier build has written.
+ * Guards the encoding of stored data: during a rollout routers of two builds share one store, and
+ * digests are computed from the encoded text. The constants were written by an earlier build.
  */
 class ConfigCodecTest {
-  private static final long MILLI = 1_000_000;
+  private static final long MILLI_NANOS = 1_000_000;
 
-  /** A version that says something of every field. */
+  /** A version with a value in every field. */
   static final String FULL =
       """
           {"number":42,"content":{"classes":{"get":{"effect":"safe","deadl\
@@ -27,7 +26,7 @@
           ut, \u00e9tage 3\\u000a","at_ms":1700000000123,"digest":"e0d180b3d6776\
           6c4539f6217c8083d66"}""";
 
-  /** A version that says nothing but who proposed it. */
+  /** A version with an unspecified content. */
   static final String EMPTY =
       """
           {"number":1,"content":{},"author":"op","reason":"","at_ms":0,"di\
@@ -44,10 +43,10 @@
 
   static ConfigVersion full() {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
-    classes.put("get", new ClassRule(ClassIdempotency.IDEMPOTENT, null, 250 * MILLI));
-    classes.put("incr", new ClassRule(ClassIdempotency.IDEMPOTENCY_KEY, 5000 * MILLI, null));
+    classes.put("get", new ClassRule(ClassIdempotency.IDEMPOTENT, null, 250 * MILLI_NANOS));
+    classes.put("incr", new ClassRule(ClassIdempotency.IDEMPOTENCY_KEY, 5000 * MILLI_NANOS, null));
     classes.put(
-        "pay \"now\"", new ClassRule(ClassIdempotency.NON_IDEMPOTENT, 0L, 3_600_000 * MILLI));
+        "pay \"now\"", new ClassRule(ClassIdempotency.NON_IDEMPOTENT, 0L, 3_600_000 * MILLI_NANOS));
     classes.put("rest", ClassRule.UNSPECIFIED);
     return ConfigVersion.of(
         42,
@@ -62,16 +61,16 @@
   }
 
   @Test
-  void aVersionIsWrittenAndReadAsByTheBuildBefore() throws AgreementException {
+  void versionEncodingIsUnchanged() throws AgreementException {
     assertEquals(FULL, ConfigCodec.encode(full()));
     assertEquals(full(), ConfigCodec.decodeVersion(FULL));
     assertEquals(EMPTY, ConfigCodec.encode(empty()));
     assertEquals(empty(), ConfigCodec.decodeVersion(EMPTY));
   }
 
-  /** The effect was always read in any case of letters; a store may hold such a text. */
+  /** Earlier builds ignored the case of the effect, so a store may hold any case. */
   @Test
-  void anEffectIsReadInAnyCaseAndAnUnknownOneIsAnError() throws AgreementException {
+  void effectIsDecodedIgnoringCaseAndUnknownEffectIsRejected() throws AgreementException {
     for (String word : List.of("safe", "Safe", "SAFE")) {
       assertEquals(ClassIdempotency.IDEMPOTENT, effect(word));
     }
@@ -90,26 +89,26 @@
   }
 
   @Test
-  void aMemberRecordIsWrittenAndReadAsByTheBuildBefore() throws AgreementException {
+  void memberRecordEncodingIsUnchanged() throws AgreementException {
     MemberRecord member = new MemberRecord("r1", "1f-77", 42, 41, "too few are left", 40);
     assertEquals(MEMBER, member.encode());
     assertEquals(member, MemberRecord.decode(MEMBER));
   }
 
   @Test
-  void anEndpointViewIsWrittenAndReadAsByTheBuildBefore() throws AgreementException {
-    TreeMap<String, Long> in = new TreeMap<>();
-    in.put("c1", 1_700_000_000_000L);
-    in.put("c2", 0L);
-    TreeMap<String, String> out = new TreeMap<>();
-    out.put("c3", "left out");
-    EndpointView view = new EndpointView(in, out);
+  void endpointViewEncodingIsUnchanged() throws AgreementException {
+    TreeMap<String, Long> usable = new TreeMap<>();
+    usable.put("c1", 1_700_000_000_000L);
+    usable.put("c2", 0L);
+    TreeMap<String, String> unusable = new TreeMap<>();
+    unusable.put("c3", "left out");
+    EndpointView view = new EndpointView(usable, unusable);
     assertEquals(ENDPOINTS, view.encode());
     assertEquals(view, EndpointView.decode(ENDPOINTS));
   }
 
   @Test
-  void whatIsKeptIsWrittenAndReadAsByTheBuildBefore() throws AgreementException {
+  void persistedConfigEncodingIsUnchanged() throws AgreementException {
     assertEquals(PERSISTED, persisted().encode());
     assertEquals(persisted(), PersistedConfig.decode(PERSISTED));
     assertEquals(PERSISTED_NOTHING, PersistedConfig.EMPTY.encode());
--- a/src/test/java/beaconturn/agreement/MemberTraceTest.java
+++ b/src/test/java/beaconturn/agreement/MemberTraceTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Members of two builds work on one store, and their times are spread by random draws whose order
- * matters: what members do stays exactly the same when their code is cut anew. Seeded scenarios
- * with faults hold each request, answer, callback and log line of every member in a digest.
+ * Guards against unintended changes of member behavior, as members of two builds share one store.
+ * Runs seeded scenarios with faults and compares a digest of every request, response, callback and
+ * log line.
  */
 class MemberTraceTest {
   private static final int SCENARIOS = 20;
@@ -21,7 +21,7 @@
   private static final int ROUTERS = 5;
 
   private final MessageDigest digest = sha256();
-  private long lines;
+  private long lineCount;
 
   private static MessageDigest sha256() {
     try {
@@ -32,44 +32,44 @@
   }
 
   private void add(String line) {
-    lines++;
+    lineCount++;
     digest.update((line + "\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  private void play(long seed) throws AgreementException {
+  private void runScenario(long seed) throws AgreementException {
     SimulatedAgreement fleet = new SimulatedAgreement(seed, ROUTERS);
     fleet.trace = this::add;
     fleet.begin();
     Random random = new Random(seed);
     for (int i = 0; i < STEPS; i++) {
-      disturb(fleet, fleet.simulatedMembers.get(random.nextInt(ROUTERS)), random);
-      fleet.run(random.nextInt(2000) * SimulatedAgreement.MILLI);
+      injectFault(fleet, fleet.members.get(random.nextInt(ROUTERS)), random);
+      fleet.run(random.nextInt(2000) * SimulatedAgreement.MILLI_NANOS);
     }
   }
 
-  private static void disturb(
+  private static void injectFault(
       SimulatedAgreement fleet, SimulatedAgreement.SimulatedMember member, Random random) {
     switch (random.nextInt(11)) {
-      case 0 -> member.cut = !member.cut;
-      case 1 -> member.oneWay = !member.oneWay;
-      case 2 -> member.pausedUntil = fleet.scheduler.now() + random.nextInt(6) * 1_000_000_000L;
+      case 0 -> member.disconnected = !member.disconnected;
+      case 1 -> member.losesResponses = !member.losesResponses;
+      case 2 -> member.pausedUntilNanos = fleet.scheduler.now() + random.nextInt(6) * 1_000_000_000L;
       case 3 -> {
         member.member.leave().forEach(fleet::serve);
-        member.die();
+        member.crash();
         member.start();
       }
       case 4 -> fleet.store.freeze(random.nextBoolean());
       case 5 -> {
-        member.die();
+        member.crash();
         member.restoresPersisted = random.nextInt(4) > 0;
         member.start();
       }
       case 6 -> member.canPersist = random.nextInt(3) > 0;
-      case 7 -> member.list = random.nextBoolean() ? 1 : Long.MAX_VALUE;
+      case 7 -> member.listVersion = random.nextBoolean() ? 1 : Long.MAX_VALUE;
       case 8 -> operate(fleet, admin -> admin.declareLost(member.name));
       case 9 -> operate(fleet, admin -> admin.withdraw("not wanted"));
       default -> {
-        ConfigContent content = StrictestCommonConfigTest.any(random);
+        ConfigContent content = StrictestCommonConfigTest.randomContent(random);
         operate(fleet, admin -> admin.propose(now -> content, "op", "why", 0));
       }
     }
@@ -83,19 +83,19 @@
     try {
       operation.on(fleet.admin());
     } catch (AgreementException e) {
-      // Not allowed now: the scenario goes on without it.
+      // The operation is not allowed in the current state.
       fleet.trace.accept(e.getMessage());
     }
   }
 
   @Test
-  void membersDoExactlyWhatTheyDidBefore() throws AgreementException {
+  void tracesMatchRecordedDigest() throws AgreementException {
     for (long seed = 1; seed <= SCENARIOS; seed++) {
-      play(seed);
+      runScenario(seed);
     }
-    assertTrue(lines > 10_000, "too little was done: " + lines);
+    assertTrue(lineCount > 10_000, "too few trace lines: " + lineCount);
     assertEquals(
         "145338 600e80e7354b143524419177ac7f9efee91eaf242846292eee63928b726f96d8",
-        lines + " " + HexFormat.of().formatHex(digest.digest()));
+        lineCount + " " + HexFormat.of().formatHex(digest.digest()));
   }
 }
--- a/src/test/java/beaconturn/agreement/SimulatedAgreement.java
+++ b/src/test/java/beaconturn/agreement/SimulatedAgreement.java
@@ -8,134 +8,134 @@
 import java.util.function.Consumer;
 
 /**
- * Members before a store, in virtual time: calls take a while, get lost on the way there or back,
- * processes stand still, die and come again, and each clock runs at its own pace. Everybody acts
- * all the time, and each act is checked against what was in force.
+ * Simulates a fleet of members and a store in virtual time. Requests and responses are delayed and
+ * lost, processes pause, crash and restart, and clocks drift. At a fixed interval the configuration
+ * that each member acts on is checked against the versions in force.
  */
 final class SimulatedAgreement {
-  static final long MILLI = 1_000_000;
-  static final long SECOND = 1000 * MILLI;
-  static final AgreementTiming TIMING = new AgreementTiming(2 * SECOND, 0.02, 50 * MILLI);
-  static final ConfigContent BASE = StrictestCommonConfigTest.any(new Random(99));
+  static final long MILLI_NANOS = 1_000_000;
+  static final long SECOND_NANOS = 1000 * MILLI_NANOS;
+  static final AgreementTiming TIMING = new AgreementTiming(2 * SECOND_NANOS, 0.02, 50 * MILLI_NANOS);
+  static final ConfigContent LOCAL_CONTENT = StrictestCommonConfigTest.randomContent(new Random(99));
   private static final AgreementKeys KEYS = new AgreementKeys("/fleet");
-  private static final long ACT_EVERY = 20 * MILLI;
+  private static final long ACTION_INTERVAL_NANOS = 20 * MILLI_NANOS;
   final EventScheduler scheduler = new EventScheduler(0);
-  final List<SimulatedMember> simulatedMembers = new ArrayList<>();
+  final List<SimulatedMember> members = new ArrayList<>();
   final List<String> violations = new ArrayList<>();
-  final List<InForce> inForce = new ArrayList<>();
+  final List<VersionInForce> versionsInForce = new ArrayList<>();
 
-  /** Hears each request, answer, callback and log line of every member, as text. */
+  /** Receives every request, response, callback and log line of all members as text. */
   Consumer<String> trace = line -> {};
 
   final Random random;
   final StoreModel store;
-  long acts;
-  int loseNext;
+  long actionCount;
+  int responsesToLose;
 
-  record InForce(long at, ConfigVersion version) {}
+  record VersionInForce(long sinceNanos, ConfigVersion version) {}
 
-  /** One router: what stands between it and the store, and the process that lives at the moment. */
+  /** A router with its current process and its simulated connection to the store. */
   final class SimulatedMember implements AgreementCallbacks {
     final String name;
-    final double pace;
-    boolean cut;
-    boolean oneWay;
+    final double clockRate;
+    boolean disconnected;
+    boolean losesResponses;
     boolean ignoresLease;
     boolean restoresPersisted = true;
 
-    /** False where the disk is full: what is written is never there. */
+    /** False if writes of the persisted configuration fail, as on a full disk. */
     boolean canPersist = true;
 
-    long list = Long.MAX_VALUE;
-    long pausedUntil;
+    long listVersion = Long.MAX_VALUE;
+    long pausedUntilNanos;
     PersistedConfig persisted = PersistedConfig.EMPTY;
     AgreementMember member;
     EffectiveConfig effectiveConfig;
-    int life;
+    int currentProcess;
 
-    private SimulatedMember(String name, double pace) {
+    private SimulatedMember(String name, double clockRate) {
       this.name = name;
-      this.pace = pace;
+      this.clockRate = clockRate;
     }
 
-    /** The time of its own clock. */
+    /** Returns the time of the member's own clock. */
     long now() {
-      return (long) (scheduler.now() * pace);
+      return (long) (scheduler.now() * clockRate);
     }
 
     void start() {
-      int born = ++life;
+      int process = ++currentProcess;
       member =
           new AgreementMember(
               KEYS,
               TIMING,
-              new MemberIdentity(name, name + "." + born, false),
-              BASE,
+              new MemberIdentity(name, name + "." + process, false),
+              LOCAL_CONTENT,
               restoresPersisted ? persisted : PersistedConfig.EMPTY,
               random.nextLong(),
               now(),
               this,
               line -> trace.accept(name + " logs " + line));
-      step(born);
+      step(process);
     }
 
-    void die() {
-      life++;
+    void crash() {
+      currentProcess++;
       member = null;
       effectiveConfig = null;
     }
 
-    private void step(int born) {
-      if (born != life) {
+    private void step(int process) {
+      if (process != currentProcess) {
         return;
       }
-      if (scheduler.now() < pausedUntil) {
-        scheduler.at(pausedUntil, () -> step(born));
+      if (scheduler.now() < pausedUntilNanos) {
+        scheduler.at(pausedUntilNanos, () -> step(process));
         return;
       }
-      StoreRequest call = member.nextRequest(now());
-      trace.accept(scheduler.now() + " " + name + " asks " + TraceText.of(call));
-      if (call == null) {
+      StoreRequest request = member.nextRequest(now());
+      trace.accept(scheduler.now() + " " + name + " asks " + TraceText.of(request));
+      if (request == null) {
         trace.accept("until " + member.nextRequestAtNanos());
-        long wait = (long) ((member.nextRequestAtNanos() - now()) / pace);
-        scheduler.in(Math.max(MILLI, wait), () -> step(born));
+        long waitNanos = (long) ((member.nextRequestAtNanos() - now()) / clockRate);
+        scheduler.in(Math.max(MILLI_NANOS, waitNanos), () -> step(process));
         return;
       }
-      long way = MILLI + random.nextInt(20) * MILLI;
-      boolean hears = !cut;
-      boolean told = hears && !oneWay;
+      long latencyNanos = MILLI_NANOS + random.nextInt(20) * MILLI_NANOS;
+      boolean requestDelivered = !disconnected;
+      boolean responseDelivered = requestDelivered && !losesResponses;
       scheduler.in(
-          way,
+          latencyNanos,
           () -> {
-            StoreResponse answer = hears ? serve(call) : null;
+            StoreResponse response = requestDelivered ? serve(request) : null;
             scheduler.in(
-                told ? way : TIMING.requestTimeoutNanos() - way,
+                responseDelivered ? latencyNanos : TIMING.requestTimeoutNanos() - latencyNanos,
                 () ->
-                    heard(
-                        born,
-                        told && !cut && !oneWay
-                            ? answer
+                    handleResponse(
+                        process,
+                        responseDelivered && !disconnected && !losesResponses
+                            ? response
                             : new StoreResponse.RequestFailed("no answer in time")));
           });
     }
 
-    private void heard(int born, StoreResponse answer) {
-      if (born != life) {
+    private void handleResponse(int process, StoreResponse response) {
+      if (process != currentProcess) {
         return;
       }
-      if (scheduler.now() < pausedUntil) {
-        scheduler.at(pausedUntil, () -> heard(born, answer));
+      if (scheduler.now() < pausedUntilNanos) {
+        scheduler.at(pausedUntilNanos, () -> handleResponse(process, response));
         return;
       }
-      trace.accept(scheduler.now() + " " + name + " hears " + TraceText.of(answer));
-      member.handleResponse(now(), answer);
-      step(born);
+      trace.accept(scheduler.now() + " " + name + " hears " + TraceText.of(response));
+      member.handleResponse(now(), response);
+      step(process);
     }
 
-    private void act() {
-      if (effectiveConfig != null && scheduler.now() >= pausedUntil) {
-        acts++;
-        check(
+    private void checkAction() {
+      if (effectiveConfig != null && scheduler.now() >= pausedUntilNanos) {
+        actionCount++;
+        checkAllowed(
             this, ignoresLease ? effectiveConfig.whileLeased() : effectiveConfig.contentAt(now()));
       }
     }
@@ -155,7 +155,7 @@
 
     @Override
     public boolean isReadyFor(ConfigContent content) {
-      return list >= content.minListVersion();
+      return listVersion >= content.minListVersion();
     }
 
     @Override
@@ -174,98 +174,100 @@
             7,
             (at, revision, key, value) -> {
               if (key.equals(KEYS.commonPrefix() + "current") && value != null) {
-                cameIntoForce(value);
+                recordVersionInForce(value);
               }
             });
     for (int i = 0; i < routers; i++) {
-      simulatedMembers.add(
+      members.add(
           new SimulatedMember("r" + i, 1 + (random.nextDouble() - 0.5) * TIMING.clockDrift()));
     }
-    scheduler.in(0, this::acting);
+    scheduler.in(0, this::checkAllMembers);
   }
 
-  private void cameIntoForce(String text) {
+  private void recordVersionInForce(String text) {
     try {
-      inForce.add(new InForce(scheduler.now(), ConfigCodec.decodeVersion(text)));
+      versionsInForce.add(new VersionInForce(scheduler.now(), ConfigCodec.decodeVersion(text)));
     } catch (AgreementException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private void acting() {
-    simulatedMembers.forEach(SimulatedMember::act);
-    scheduler.in(ACT_EVERY, this::acting);
+  private void checkAllMembers() {
+    members.forEach(SimulatedMember::checkAction);
+    scheduler.in(ACTION_INTERVAL_NANOS, this::checkAllMembers);
   }
 
-  /**
-   * What is acted on must be allowed by a version that is in force, or was within the stated time.
-   */
-  private void check(SimulatedMember process, ConfigContent acting) {
+  /** Requires a version, in force now or within the staleness bound, that allows the action. */
+  private void checkAllowed(SimulatedMember member, ConfigContent acting) {
     boolean allowed =
-        inForce.isEmpty()
-            || (scheduler.now() - inForce.get(0).at() <= TIMING.maxStalenessNanos()
-                && ConfigConflicts.violations(acting, ConfigContent.UNSPECIFIED.withDefaults(BASE))
+        versionsInForce.isEmpty()
+            || (scheduler.now() - versionsInForce.get(0).sinceNanos() <= TIMING.maxStalenessNanos()
+                && ConfigConflicts.violations(acting, ConfigContent.UNSPECIFIED.withDefaults(LOCAL_CONTENT))
                     .isEmpty());
-    List<String> breaks = List.of();
-    for (int i = inForce.size() - 1; i >= 0 && !allowed; i--) {
-      breaks =
-          ConfigConflicts.violations(acting, inForce.get(i).version().content().withDefaults(BASE));
-      allowed = breaks.isEmpty();
-      if (scheduler.now() - inForce.get(i).at() > TIMING.maxStalenessNanos()) {
+    List<String> violatedFields = List.of();
+    for (int i = versionsInForce.size() - 1; i >= 0 && !allowed; i--) {
+      violatedFields =
+          ConfigConflicts.violations(acting, versionsInForce.get(i).version().content().withDefaults(LOCAL_CONTENT));
+      allowed = violatedFields.isEmpty();
+      if (scheduler.now() - versionsInForce.get(i).sinceNanos() > TIMING.maxStalenessNanos()) {
         break;
       }
     }
-    if (!allowed && !strict(breaks, acting)) {
+    if (!allowed && !isAllowedWithoutVersion(violatedFields, acting)) {
       violations.add(
-          scheduler.now() / MILLI
+          scheduler.now() / MILLI_NANOS
               + " ms: "
-              + process.name
+              + member.name
               + " acts against "
-              + breaks
+              + violatedFields
               + " of "
-              + inForce.get(inForce.size() - 1).version().number());
+              + versionsInForce.get(versionsInForce.size() - 1).version().number());
     }
   }
 
-  /** Who does not know what is in force holds out what it knew to be out; it repeats nothing. */
-  private static boolean strict(List<String> breaks, ConfigContent acting) {
+  /**
+   * Whether a member that does not know the version in force may act so: it repeats no request, and
+   * only violates exclusions and list versions that it cannot know.
+   */
+  private static boolean isAllowedWithoutVersion(List<String> violatedFields, ConfigContent acting) {
     return acting.maxAttempts() == 1
         && !acting.hedging()
         && acting.classes().values().stream()
             .allMatch(rule -> rule.idempotency() == ClassIdempotency.NON_IDEMPOTENT)
-        && breaks.stream().allMatch(f -> f.startsWith("out.") || f.equals("oldest_list"));
+        && violatedFields.stream().allMatch(field -> field.startsWith("out.") || field.equals("oldest_list"));
   }
 
-  /** What operators see, at once; the answer to a swap may be lost. */
+  /** Returns the operators' client; responses to its transactions are lost as configured. */
   ConfigAdmin admin() {
     return new ConfigAdmin(
         KEYS,
-        call -> {
-          StoreResponse answer = serve(call);
-          return call instanceof StoreRequest.Transaction && loseNext-- > 0
+        request -> {
+          StoreResponse response = serve(request);
+          return request instanceof StoreRequest.Transaction && responsesToLose-- > 0
               ? new StoreResponse.RequestFailed("lost")
-              : answer;
+              : response;
         });
   }
 
-  StoreResponse serve(StoreRequest call) {
-    return StoreModelClient.of(store, call);
+  StoreResponse serve(StoreRequest request) {
+    return StoreModelClient.of(store, request);
   }
 
-  void run(long time) {
-    scheduler.advance(scheduler.now() + time);
+  void run(long durationNanos) {
+    scheduler.advance(scheduler.now() + durationNanos);
   }
 
-  /** Begins the agreement and has all routers join. */
+  /** Creates the agreement and lets all routers join. */
   void begin() throws AgreementException {
     admin().begin("first");
-    simulatedMembers.forEach(SimulatedMember::start);
-    run(5 * SECOND);
+    members.forEach(SimulatedMember::start);
+    run(5 * SECOND_NANOS);
   }
 
-  /** Runs until the version is in force and settled; false if it is not within the time. */
-  boolean settles(long number, long within) throws AgreementException {
-    for (long end = scheduler.now() + within; scheduler.now() < end; run(100 * MILLI)) {
+  /** Runs until the version is settled; returns false if it is not settled within the timeout. */
+  boolean settlesWithin(long number, long timeoutNanos) throws AgreementException {
+    long endNanos = scheduler.now() + timeoutNanos;
+    for (; scheduler.now() < endNanos; run(100 * MILLI_NANOS)) {
       if (admin().status().snapshot().settledNumber() >= number) {
         return true;
       }
--- a/src/test/java/beaconturn/agreement/StoreModelClient.java
+++ b/src/test/java/beaconturn/agreement/StoreModelClient.java
@@ -4,70 +4,80 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Calls of deciders, answered by the store's model at once. */
+/** Serves store requests synchronously from the store model. */
 public final class StoreModelClient {
   private StoreModelClient() {}
 
-  /** What the store answers to the call. */
-  public static StoreResponse of(StoreModel store, StoreRequest call) {
-    boolean held = false;
-    long lease = 0;
-    long seconds = 0;
-    List<StoreResponse.Entry> pairs = new ArrayList<>();
-    if (call instanceof StoreRequest.Read read) {
+  /** Returns the store's response to the request. */
+  public static StoreResponse of(StoreModel store, StoreRequest request) {
+    boolean conditionsHeld = false;
+    long leaseId = 0;
+    long ttlSeconds = 0;
+    List<StoreResponse.Entry> entries = new ArrayList<>();
+    if (request instanceof StoreRequest.Read read) {
       store
           .range(read.prefix(), end(read.prefix()))
           .forEach(
               p ->
-                  pairs.add(
+                  entries.add(
                       new StoreResponse.Entry(
                           p.key(), p.value(), p.made(), p.changed(), p.lease())));
-    } else if (call instanceof StoreRequest.Grant grant) {
-      lease = store.grant(grant.ttlSeconds());
-      seconds = grant.ttlSeconds();
-    } else if (call instanceof StoreRequest.KeepAlive alive) {
-      seconds = store.keepAlive(alive.leaseId());
-    } else if (call instanceof StoreRequest.Revoke revoke) {
+    } else if (request instanceof StoreRequest.Grant grant) {
+      leaseId = store.grant(grant.ttlSeconds());
+      ttlSeconds = grant.ttlSeconds();
+    } else if (request instanceof StoreRequest.KeepAlive keepAlive) {
+      ttlSeconds = store.keepAlive(keepAlive.leaseId());
+    } else if (request instanceof StoreRequest.Revoke revoke) {
       store.revoke(revoke.leaseId());
-    } else if (call instanceof StoreRequest.Transaction swap) {
+    } else if (request instanceof StoreRequest.Transaction transaction) {
       try {
-        held =
+        conditionsHeld =
             store.swap(
-                swap.conditions().stream().map(StoreModelClient::compare).toList(),
-                swap.changes().stream().map(StoreModelClient::change).toList());
+                transaction.conditions().stream().map(StoreModelClient::compare).toList(),
+                transaction.changes().stream().map(StoreModelClient::change).toList());
       } catch (IllegalArgumentException e) {
         return new StoreResponse.RequestFailed(e.getMessage());
       }
     }
     return new StoreResponse.Success(
-        held, Long.toString(store.cluster()), store.revision(), pairs, lease, seconds);
+        conditionsHeld,
+        Long.toString(store.cluster()),
+        store.revision(),
+        entries,
+        leaseId,
+        ttlSeconds);
   }
 
-  private static StoreModel.Compare compare(StoreRequest.Condition c) {
-    if (c instanceof StoreRequest.Condition.Unchanged u) {
+  private static StoreModel.Compare compare(StoreRequest.Condition condition) {
+    if (condition instanceof StoreRequest.Condition.Unchanged unchanged) {
       return new StoreModel.Compare(
-          u.key(), "", StoreModel.Target.MOD, StoreModel.Result.EQUAL, u.modRevision());
+          unchanged.key(),
+          "",
+          StoreModel.Target.MOD,
+          StoreModel.Result.EQUAL,
+          unchanged.modRevision());
     }
-    if (c instanceof StoreRequest.Condition.Exists s) {
+    if (condition instanceof StoreRequest.Condition.Exists exists) {
       return new StoreModel.Compare(
-          s.key(), "", StoreModel.Target.CREATE, StoreModel.Result.GREATER, 0);
+          exists.key(), "", StoreModel.Target.CREATE, StoreModel.Result.GREATER, 0);
     }
-    StoreRequest.Condition.NoneModifiedAfter n = (StoreRequest.Condition.NoneModifiedAfter) c;
+    StoreRequest.Condition.NoneModifiedAfter noneAfter =
+        (StoreRequest.Condition.NoneModifiedAfter) condition;
     return new StoreModel.Compare(
-        n.prefix(),
-        end(n.prefix()),
+        noneAfter.prefix(),
+        end(noneAfter.prefix()),
         StoreModel.Target.MOD,
         StoreModel.Result.LESS,
-        n.storeRevision() + 1);
+        noneAfter.storeRevision() + 1);
   }
 
-  private static StoreModel.ModelChange change(StoreRequest.Change c) {
-    return c instanceof StoreRequest.Change.Put put
+  private static StoreModel.ModelChange change(StoreRequest.Change change) {
+    return change instanceof StoreRequest.Change.Put put
         ? new StoreModel.ModelChange(put.key(), "", put.value(), put.leaseId())
-        : new StoreModel.ModelChange(((StoreRequest.Change.Delete) c).key(), "", null, 0);
+        : new StoreModel.ModelChange(((StoreRequest.Change.Delete) change).key(), "", null, 0);
   }
 
-  /** Behind all keys that begin so. */
+  /** Returns the first key after all keys with the prefix. */
   private static String end(String prefix) {
     int last = prefix.length() - 1;
     return prefix.substring(0, last) + (char) (prefix.charAt(last) + 1);
--- a/src/test/java/beaconturn/agreement/StrictestCommonConfigTest.java
+++ b/src/test/java/beaconturn/agreement/StrictestCommonConfigTest.java
@@ -14,8 +14,8 @@
 class StrictestCommonConfigTest {
   private static final int PAIRS = 20_000;
 
-  /** Any whole content over two classes and four servers. */
-  static ConfigContent any(Random random) {
+  /** Returns a random complete content with two classes and up to four excluded servers. */
+  static ConfigContent randomContent(Random random) {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
     for (String name : List.of("read", "write")) {
       classes.put(
@@ -25,23 +25,23 @@
               1_000_000L * random.nextInt(4),
               1_000_000L * random.nextInt(4)));
     }
-    TreeSet<String> out = new TreeSet<>();
+    TreeSet<String> excluded = new TreeSet<>();
     for (String server : List.of("c1", "c2", "c3", "c4")) {
       if (random.nextInt(4) == 0) {
-        out.add(server);
+        excluded.add(server);
       }
     }
     return new ConfigContent(
-        classes, 1 + random.nextInt(4), random.nextBoolean(), random.nextInt(3), out);
+        classes, 1 + random.nextInt(4), random.nextBoolean(), random.nextInt(3), excluded);
   }
 
   @Test
-  void theGroundBetweenTwoContradictsNeither() {
+  void commonConfigContradictsNeitherVersion() {
     Random random = new Random(1);
     int contradicting = 0;
     for (int i = 0; i < PAIRS; i++) {
-      ConfigContent one = any(random);
-      ConfigContent other = any(random);
+      ConfigContent one = randomContent(random);
+      ConfigContent other = randomContent(random);
       ConfigContent between = StrictestCommonConfig.between(one, other);
       assertEquals(
           List.of(), ConfigConflicts.violations(between, one), () -> between + " under " + one);
@@ -51,33 +51,33 @@
       assertEquals(one, StrictestCommonConfig.between(one, one));
       contradicting += ConfigConflicts.between(one, other).isEmpty() ? 0 : 1;
     }
-    assertTrue(contradicting > PAIRS / 2, "few of the pairs contradict: " + contradicting);
+    assertTrue(contradicting > PAIRS / 2, "too few pairs contradict each other: " + contradicting);
   }
 
-  /** Whoever knows of no version repeats nothing; only what is held out it cannot know. */
+  /** A strict content may only violate exclusions and list versions that the router cannot know. */
   @Test
-  void strictGroundRepeatsNothingWhateverIsInForce() {
+  void strictConfigNeverRepeatsRequests() {
     Random random = new Random(2);
     for (int i = 0; i < PAIRS; i++) {
-      ConfigContent rule = any(random);
+      ConfigContent rule = randomContent(random);
       for (String field :
-          ConfigConflicts.violations(StrictestCommonConfig.strict(any(random)), rule)) {
+          ConfigConflicts.violations(StrictestCommonConfig.strict(randomContent(random)), rule)) {
         assertTrue(field.startsWith("out.") || field.equals("oldest_list"), field);
       }
     }
   }
 
   @Test
-  void aVersionIsReadAsItWasWrittenAndNothingElseIsTaken() throws AgreementException {
+  void codecRoundTripsVersionsAndRejectsWrongDigestOrUnknownField() throws AgreementException {
     Random random = new Random(3);
     for (int i = 0; i < 500; i++) {
       ConfigVersion version =
-          ConfigVersion.of(1 + i, any(random), "who", "why \"so\"", 1_700_000_000_000L);
+          ConfigVersion.of(1 + i, randomContent(random), "who", "why \"so\"", 1_700_000_000_000L);
       String text = ConfigCodec.encode(version);
       assertEquals(version, ConfigCodec.decodeVersion(text));
-      String spoilt = text.replace("\"number\":" + (1 + i), "\"number\":" + (2 + i));
-      assertFalse(spoilt.equals(text));
-      assertThrows(AgreementException.class, () -> ConfigCodec.decodeVersion(spoilt));
+      String corrupted = text.replace("\"number\":" + (1 + i), "\"number\":" + (2 + i));
+      assertFalse(corrupted.equals(text));
+      assertThrows(AgreementException.class, () -> ConfigCodec.decodeVersion(corrupted));
     }
     String newer =
         ConfigCodec.encode(ConfigVersion.of(1, ConfigContent.UNSPECIFIED, "a", "b", 0))
--- a/src/test/java/beaconturn/agreement/TraceText.java
+++ b/src/test/java/beaconturn/agreement/TraceText.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * Requests, responses and effective configurations as texts that stay the same when types and
- * members are renamed, for digests of what members do.
+ * Formats requests, responses and effective configurations for trace digests. The texts do not
+ * depend on the names of types and members.
  */
 public final class TraceText {
   private TraceText() {}
 
-  /** A request, or that there is none. */
+  /** Formats a request; null stands for no request. */
   public static String of(StoreRequest request) {
     if (request instanceof StoreRequest.Grant grant) {
       return "grant " + grant.ttlSeconds();
@@ -24,10 +24,10 @@
     if (request instanceof StoreRequest.Read read) {
       return "read " + read.prefix();
     }
-    if (request instanceof StoreRequest.Transaction swap) {
+    if (request instanceof StoreRequest.Transaction transaction) {
       List<String> texts = new ArrayList<>();
-      swap.conditions().forEach(condition -> texts.add(condition(condition)));
-      swap.changes().forEach(change -> texts.add(change(change)));
+      transaction.conditions().forEach(condition -> texts.add(condition(condition)));
+      transaction.changes().forEach(change -> texts.add(change(change)));
       return "swap " + texts;
     }
     return "nothing";
@@ -50,27 +50,27 @@
     return "delete " + ((StoreRequest.Change.Delete) change).key();
   }
 
-  /** A response, but for what was read. */
+  /** Formats a response without the contents of its entries. */
   public static String of(StoreResponse response) {
-    if (response instanceof StoreResponse.Success given) {
-      return given.conditionsHeld()
+    if (response instanceof StoreResponse.Success success) {
+      return success.conditionsHeld()
           + " "
-          + given.clusterId()
+          + success.clusterId()
           + " "
-          + given.storeRevision()
+          + success.storeRevision()
           + " "
-          + given.entries().size()
+          + success.entries().size()
           + " "
-          + given.leaseId()
+          + success.leaseId()
           + " "
-          + given.leaseTtlSeconds();
+          + success.leaseTtlSeconds();
     }
     return response instanceof StoreResponse.RequestFailed failed
         ? "failure " + failed.reason()
         : "nothing";
   }
 
-  /** An effective configuration. */
+  /** Formats an effective configuration. */
   public static String of(EffectiveConfig config) {
     return config.leaseEndNanos()
         + " "
--- a/src/test/java/beaconturn/agreement/package-info.java
+++ b/src/test/java/beaconturn/agreement/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Tests of the agreement in virtual time: members before the model of a store, with faults between
- * them.
+ * Tests of the agreement in virtual time: members access a store model through simulated faults.
  */
 package beaconturn.agreement;
