--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -21,15 +21,15 @@
 import java.util.logging.Logger;
 
 /**
- * Runs a router's member of the agreement on a thread of its own: the routing thread never waits
- * for the store, it reads what is due from a field.
+ * Runs a router's member of the agreement on its own thread. The routing thread never waits for the
+ * store; it reads the configuration that applies from a field.
  */
 public final class AgreementSubsystem implements FleetConfigSource, AgreementCallbacks {
   private static final Logger LOG = Logger.getLogger(AgreementSubsystem.class.getName());
   private static final long MAX_LEAVE_NANOS = 1_000_000_000;
 
-  /** A start waits for the store as long as so many requests may take. */
-  private static final int FIRST_REQUESTS = 2;
+  /** The startup waits for the store as long as this many requests may take. */
+  private static final int STARTUP_REQUESTS = 2;
 
   private final AgreementConfig config;
   private final RouterSettings configured;
@@ -38,12 +38,12 @@
   private final DueConfigs dueConfigs;
   private final AgreementMember member;
 
-  /** For the routing thread alone, which reports server statuses. */
+  /** Confined to the routing thread, which reports server statuses. */
   private final EndpointViewBuilder viewBuilder = new EndpointViewBuilder();
 
   private volatile EndpointView latestView;
 
-  /** For the agreement's thread alone. */
+  /** Confined to the agreement thread. */
   private long publishViewAtNanos = Long.MIN_VALUE;
 
   private volatile long listVersion = Long.MIN_VALUE;
@@ -57,7 +57,7 @@
   // Guarded by this:
   private boolean left;
 
-  /** A member that asks nobody before it is run. */
+  /** Creates the subsystem; it sends no request before {@link #run}. */
   public AgreementSubsystem(AgreementConfig config, RouterConfig router) {
     this.config = config;
     this.configured = router.settings();
@@ -90,23 +90,26 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (RuntimeException | Error e) {
-      LOG.log(Level.SEVERE, "the agreement ended: the router goes on to safe ground", e);
+      LOG.log(
+          Level.SEVERE,
+          "agreement: the member's thread failed; the router goes on without renewing its lease",
+          e);
     } finally {
       if (stopped) {
         member.leave().forEach(store::ask);
       }
       store.close();
-      hasLeft();
+      markLeft();
     }
   }
 
-  /** Makes one request, or waits until one may be due. */
+  /** Sends one request, or waits until one may be due. */
   private void drive(StoreClient store) throws InterruptedException {
     StoreRequest request = member.nextRequest(clock.now());
     if (request != null) {
       member.handleResponse(clock.now(), store.ask(request));
       if (!askedStore && member.hasAskedStore()) {
-        hasAskedStore();
+        markStoreAsked();
       }
     } else if (!publishView(store)) {
       long atNanos = Math.min(member.nextRequestAtNanos(), nextPublishAtNanos());
@@ -115,8 +118,8 @@
   }
 
   /**
-   * Publishes this router's view of the cache servers if it has changed, no more often than a lease
-   * is renewed; true if the store was asked.
+   * Publishes the endpoint view if it has changed, at most once per renewal interval. Returns
+   * whether a request was sent.
    */
   private boolean publishView(StoreClient store) {
     if (clock.now() < nextPublishAtNanos()) {
@@ -140,14 +143,14 @@
     latestView = viewBuilder.view(statuses, clock.now());
   }
 
-  private synchronized void hasAskedStore() {
+  private synchronized void markStoreAsked() {
     askedStore = true;
     notifyAll();
   }
 
   @Override
   public synchronized void awaitFirstConfig() {
-    long endNanos = System.nanoTime() + FIRST_REQUESTS * config.timing().requestTimeoutNanos();
+    long endNanos = System.nanoTime() + STARTUP_REQUESTS * config.timing().requestTimeoutNanos();
     try {
       for (long waitNanos = endNanos - System.nanoTime();
           !askedStore && waitNanos > 0;
@@ -159,7 +162,7 @@
     }
   }
 
-  private synchronized void hasLeft() {
+  private synchronized void markLeft() {
     left = true;
     notifyAll();
   }
@@ -216,8 +219,8 @@
   }
 
   /**
-   * Takes the member's record away, so that nobody waits for it; in vain if the store is out of
-   * reach.
+   * Deletes the member's record, so that the other routers do not wait for its acks. Has no effect
+   * if the store is unreachable.
    */
   @Override
   public synchronized void leave() {
--- a/src/main/java/beaconturn/net/agreement/AttemptCounts.java
+++ b/src/main/java/beaconturn/net/agreement/AttemptCounts.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Attempts counted by cache server as they end, on any thread, and added up by zone, on the thread
- * that reports. The sums only grow: counts of servers that are gone stay in their zone's.
+ * Counts finished attempts by cache server, on any thread, and aggregates them by zone, on the
+ * reporting thread. The totals of a zone never decrease: they keep the counts of removed servers.
  */
 final class AttemptCounts {
   private static final long MICRO_NANOS = 1000;
@@ -19,66 +19,76 @@
   private final List<String> zones;
   private final Map<Long, ServerCounts> servers = new ConcurrentHashMap<>();
 
-  /** What of each server's counts is in the sums already. */
-  private final Map<Long, Totals> summed = new HashMap<>();
+  /** The part of each server's counts that is already included in the zone totals. */
+  private final Map<Long, Totals> aggregated = new HashMap<>();
 
-  private final Map<String, Totals> sums = new HashMap<>();
+  private final Map<String, Totals> zoneTotals = new HashMap<>();
 
   AttemptCounts(List<String> zones) {
     this.zones = zones;
   }
 
-  /** What came of attempts at one cache server. */
   private static final class ServerCounts {
-    private final LongAdder good = new LongAdder();
-    private final LongAdder bad = new LongAdder();
-    private final LongAdder goodMicros = new LongAdder();
+    private final LongAdder succeeded = new LongAdder();
+    private final LongAdder failed = new LongAdder();
+    private final LongAdder succeededMicros = new LongAdder();
 
     private Totals totals() {
-      return new Totals(good.sum(), bad.sum(), goodMicros.sum());
+      return new Totals(succeeded.sum(), failed.sum(), succeededMicros.sum());
     }
   }
 
-  /** Counts at one time. */
-  record Totals(long good, long bad, long goodMicros) {
+  /**
+   * Counts at one time.
+   *
+   * @param succeeded attempts that succeeded in time
+   * @param failed attempts that failed or were late
+   * @param succeededMicros total duration of the succeeded attempts
+   */
+  record Totals(long succeeded, long failed, long succeededMicros) {
     static final Totals NONE = new Totals(0, 0, 0);
 
     private Totals plus(Totals other) {
-      return new Totals(good + other.good, bad + other.bad, goodMicros + other.goodMicros);
+      return new Totals(
+          succeeded + other.succeeded,
+          failed + other.failed,
+          succeededMicros + other.succeededMicros);
     }
 
     private Totals minus(Totals other) {
-      return new Totals(good - other.good, bad - other.bad, goodMicros - other.goodMicros);
+      return new Totals(
+          succeeded - other.succeeded,
+          failed - other.failed,
+          succeededMicros - other.succeededMicros);
     }
   }
 
-  /** Counts an attempt that has ended; any thread. */
-  void add(long serverId, boolean goodInTime, long tookNanos) {
+  /** Counts a finished attempt; any thread. */
+  void add(long serverId, boolean succeededInTime, long durationNanos) {
     ServerCounts counts = servers.computeIfAbsent(serverId, id -> new ServerCounts());
-    if (goodInTime) {
-      counts.good.increment();
-      counts.goodMicros.add(tookNanos / MICRO_NANOS);
+    if (succeededInTime) {
+      counts.succeeded.increment();
+      counts.succeededMicros.add(durationNanos / MICRO_NANOS);
     } else {
-      counts.bad.increment();
+      counts.failed.increment();
     }
   }
 
-  /** Adds what came since the last time to the sums of the zones that servers are listed in. */
-  void sumUp(Collection<CacheServerClients.ListedServer> listedServers) {
+  /** Adds the counts since the last call to the totals of the zones that list the servers. */
+  void aggregate(Collection<CacheServerClients.ListedServer> listedServers) {
     for (CacheServerClients.ListedServer listed : listedServers) {
       long serverId = Fnv1a.of(listed.name());
       ServerCounts counts = servers.get(serverId);
       if (counts != null && listed.zone() < zones.size()) {
         Totals now = counts.totals();
-        Totals before = summed.getOrDefault(serverId, Totals.NONE);
-        sums.merge(zones.get(listed.zone()), now.minus(before), Totals::plus);
-        summed.put(serverId, now);
+        Totals before = aggregated.getOrDefault(serverId, Totals.NONE);
+        zoneTotals.merge(zones.get(listed.zone()), now.minus(before), Totals::plus);
+        aggregated.put(serverId, now);
       }
     }
   }
 
-  /** The sums of a zone. */
   Totals of(String zone) {
-    return sums.getOrDefault(zone, Totals.NONE);
+    return zoneTotals.getOrDefault(zone, Totals.NONE);
   }
 }
--- a/src/main/java/beaconturn/net/agreement/DueConfigs.java
+++ b/src/main/java/beaconturn/net/agreement/DueConfigs.java
@@ -7,15 +7,16 @@
 import beaconturn.net.FleetConfigSource.DueConfig;
 
 /**
- * The settings under the effective configuration. The agreement's thread puts it in, the routing
- * thread says what it has applied, and any thread may ask; nobody waits.
+ * Holds the router settings that result from the effective configuration. The agreement thread
+ * updates it, the routing thread reports what it has applied, and any thread may read. No method
+ * blocks.
  */
 final class DueConfigs {
   private final RouterSettings configured;
   private final Clock clock;
   private volatile LeasedConfig leased;
 
-  /** The configuration that the routing thread has applied last. */
+  /** The configuration that the routing thread applied last, or null. */
   private volatile DueConfig applied;
 
   DueConfigs(RouterSettings configured, Clock clock) {
@@ -23,7 +24,7 @@
     this.clock = clock;
   }
 
-  /** On the agreement's thread. */
+  /** Takes a new effective configuration, on the agreement thread. */
   void update(EffectiveConfig config) {
     LeasedConfig before = leased;
     DueConfig whileLeased =
@@ -32,7 +33,7 @@
     leased = new LeasedConfig(config.leaseEndNanos(), whileLeased, afterLease);
   }
 
-  /** The same object where nothing has changed, so that the router need not compare more. */
+  /** Returns the previous object if nothing has changed, so that the router compares identities. */
   private DueConfig dueConfig(ConfigContent content, String description, LeasedConfig before) {
     if (before != null && before.whileLeased().isSameAs(content, description)) {
       return before.whileLeased();
@@ -41,19 +42,19 @@
       return before.afterLease();
     }
     return new DueConfig(
-        SettingsContentMapper.settingsUnder(configured, content),
+        SettingsContentMapper.applyContent(configured, content),
         content.excludedServers(),
         content.minListVersion(),
         content,
         description);
   }
 
-  /** What is to be in force now. */
+  /** Returns the configuration that applies now. */
   DueConfig due() {
     return leased.at(clock.now());
   }
 
-  /** Endpoint lists older than this one are not to be acted on, whether the lease holds or not. */
+  /** Returns the oldest endpoint list version allowed both under the lease and after it. */
   long minListVersion() {
     LeasedConfig now = leased;
     return Math.max(now.whileLeased().oldestListVersion(), now.afterLease().oldestListVersion());
@@ -63,8 +64,8 @@
     applied = config;
   }
 
-  /** Whether what was decided under the applied settings may still be acted on. */
-  @SuppressWarnings("ReferenceEquality") // A shortcut before the comparison.
+  /** Whether decisions made under the applied configuration may still be acted on. */
+  @SuppressWarnings("ReferenceEquality") // Fast path before comparing contents.
   boolean mayWrite() {
     LeasedConfig now = leased;
     DueConfig current = applied;
--- a/src/main/java/beaconturn/net/agreement/EndpointViewBuilder.java
+++ b/src/main/java/beaconturn/net/agreement/EndpointViewBuilder.java
@@ -8,7 +8,10 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Builds what a router publishes of its cache servers. For one thread. */
+/**
+ * Builds the endpoint view that a router publishes. A server counts as usable during a short
+ * ejection. Not thread-safe.
+ */
 final class EndpointViewBuilder {
   private final LastingEjections ejections = new LastingEjections();
 
@@ -25,20 +28,20 @@
           if (isUsable(server.name(), status, nowNanos)) {
             usable.put(server.name(), server.bootTimeNanos());
           } else {
-            unusable.put(server.name(), storedWord(status));
+            unusable.put(server.name(), storedStatus(status));
           }
         });
     return new EndpointView(usable, unusable);
   }
 
   private boolean isUsable(String server, ServerStatus status, long nowNanos) {
-    boolean passingEjection =
+    boolean shortEjection =
         status == ServerStatus.EJECTED && !ejections.isLasting(server, nowNanos);
-    return status == ServerStatus.ACTIVE || passingEjection;
+    return status == ServerStatus.ACTIVE || shortEjection;
   }
 
-  /** The word under which the coordination store keeps a status; other builds read it. */
-  private static String storedWord(ServerStatus status) {
+  /** Returns the word for a status in the coordination store, which other builds read. */
+  private static String storedStatus(ServerStatus status) {
     return switch (status) {
       case ACTIVE -> "in";
       case WARMING -> "warming";
--- a/src/main/java/beaconturn/net/agreement/EtcdCodec.java
+++ b/src/main/java/beaconturn/net/agreement/EtcdCodec.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 
 /**
- * Requests and responses as the JSON of etcd's v3 gateway. Source: etcd's published API reference,
- * v3 (kv, lease), and the mapping of protocol buffers to JSON: bytes in base 64, long numbers as
- * texts, fields that are zero left out.
+ * Encodes requests and decodes responses as the JSON of etcd's v3 gateway, as specified by etcd's
+ * API reference v3 (kv, lease) and the JSON mapping of protocol buffers: bytes in Base64, 64-bit
+ * integers as strings, fields with the value zero omitted.
  */
 final class EtcdCodec {
   private EtcdCodec() {}
 
-  /** The path of the API for a request. */
+  /** Returns the API path of a request. */
   static String path(StoreRequest request) {
     if (request instanceof StoreRequest.Read) {
       return "/v3/kv/range";
@@ -34,7 +34,7 @@
     return request instanceof StoreRequest.KeepAlive ? "/v3/lease/keepalive" : "/v3/lease/revoke";
   }
 
-  /** The body of a request. */
+  /** Encodes the body of a request. */
   static Json body(StoreRequest request) {
     if (request instanceof StoreRequest.Read read) {
       return object("key", bytes(read.prefix()), "range_end", bytes(end(read.prefix())));
@@ -112,15 +112,15 @@
   }
 
   /**
-   * The response to a request.
+   * Decodes the response to a request.
    *
-   * @throws ProtocolException if it is none
+   * @throws ProtocolException if the JSON is not a valid response
    */
   static StoreResponse response(StoreRequest request, Json json) throws ProtocolException {
     Json result = request instanceof StoreRequest.KeepAlive ? json.get("result") : json;
     Json header = result.get("header");
     if (!(header instanceof Json.Members)) {
-      throw new ProtocolException("an answer without a header: " + JsonWriter.write(json));
+      throw new ProtocolException("store response without header: " + JsonWriter.write(json));
     }
     List<StoreResponse.Entry> entries = new ArrayList<>();
     for (Json kv : result.get("kvs").items()) {
@@ -153,11 +153,11 @@
     try {
       return new String(Base64.getDecoder().decode(json.word("")), StandardCharsets.UTF_8);
     } catch (IllegalArgumentException e) {
-      throw new ProtocolException("not in base 64: " + json.word(""));
+      throw new ProtocolException("store response: not valid Base64: " + json.word(""));
     }
   }
 
-  /** The first key behind all that begin so; prefixes end in a slash. */
+  /** Returns the first key after all keys with the prefix, which ends in a slash. */
   private static String end(String prefix) {
     char last = prefix.charAt(prefix.length() - 1);
     return prefix.substring(0, prefix.length() - 1) + (char) (last + 1);
--- a/src/main/java/beaconturn/net/agreement/PersistedConfigFile.java
+++ b/src/main/java/beaconturn/net/agreement/PersistedConfigFile.java
@@ -13,15 +13,15 @@
 import java.util.function.Consumer;
 
 /**
- * The file in which a router persists its part of the agreement for its next start. It is written
- * aside, forced, renamed and forced again, so that a cut at any moment leaves a whole one. For one
- * thread.
+ * The file in which a router persists its agreement state for its next start. A new version is
+ * written to a temporary file, synced and renamed, and the folder is synced, so a crash at any time
+ * leaves a complete file. Not thread-safe.
  */
 final class PersistedConfigFile {
   private final Path file;
   private final Consumer<String> log;
 
-  /** The file of a router in the folder; nothing is kept where that is null. */
+  /** Creates the file of a router in the folder; nothing is persisted if the folder is null. */
   PersistedConfigFile(Path folder, String router, Consumer<String> log) {
     this.file =
         folder == null
@@ -30,7 +30,7 @@
     this.log = log;
   }
 
-  /** What was persisted; a file that is damaged counts as none, and is logged. */
+  /** Reads the persisted state. An invalid file is logged and treated as absent. */
   PersistedConfig read() {
     if (file == null || !Files.exists(file)) {
       return PersistedConfig.EMPTY;
@@ -38,12 +38,12 @@
     try {
       return PersistedConfig.decode(Files.readString(file));
     } catch (IOException | AgreementException e) {
-      log.accept("agreement: " + file + " is not followed: " + e.getMessage());
+      log.accept("agreement: ignoring " + file + ": " + e.getMessage());
       return PersistedConfig.EMPTY;
     }
   }
 
-  /** Whether it will be there after a cut at any moment; true where nothing is to be persisted. */
+  /** Writes the state durably. Returns false on failure, true also if nothing is persisted. */
   boolean write(PersistedConfig config) {
     if (file == null) {
       return true;
--- a/src/main/java/beaconturn/net/agreement/SettingsContentMapper.java
+++ b/src/main/java/beaconturn/net/agreement/SettingsContentMapper.java
@@ -14,11 +14,11 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Converts between the settings of a router and the contents of versions. Pure functions. */
+/** Converts between router settings and version contents. Pure functions. */
 final class SettingsContentMapper {
   private SettingsContentMapper() {}
 
-  /** What a router is configured with, as a complete content. */
+  /** Converts the settings to a complete content without exclusions. */
   static ConfigContent contentOf(RouterSettings settings) {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
     for (int i = 0; i < settings.classNames().size(); i++) {
@@ -26,7 +26,7 @@
       classes.put(
           settings.classNames().get(i),
           new ClassRule(
-              stored(requestClass.idempotency()),
+              toClassIdempotency(requestClass.idempotency()),
               requestClass.deduplicationWindowNanos(),
               requestClass.deadlineNanos()));
     }
@@ -35,7 +35,7 @@
         classes, permissions.maxAttempts(), permissions.hedging(), 0, new TreeSet<>());
   }
 
-  /** Why a router so configured cannot follow the content, or null if it can. */
+  /** Returns why a router with this configuration cannot apply the content, or null if it can. */
   static String objection(RouterSettings configured, ConfigContent content) {
     for (Map.Entry<String, ClassRule> rule : content.classes().entrySet()) {
       int index = configured.classNames().indexOf(rule.getKey());
@@ -51,28 +51,28 @@
     return null;
   }
 
-  /** The settings under a complete content; the same object where they are as configured. */
-  static RouterSettings settingsUnder(RouterSettings configured, ConfigContent content) {
+  /** Applies a complete content to the settings; returns the same object if nothing changes. */
+  static RouterSettings applyContent(RouterSettings configured, ConfigContent content) {
     RoutingSettings routing = configured.routing();
     List<RequestClass> classes = new ArrayList<>();
     for (int i = 0; i < routing.classes().size(); i++) {
       ClassRule rule =
           content.classes().getOrDefault(configured.classNames().get(i), ClassRule.UNSPECIFIED);
-      classes.add(classUnder(routing.classes().get(i), rule));
+      classes.add(applyRule(routing.classes().get(i), rule));
     }
-    RoutingPermissions permissions = permissionsUnder(routing.permissions(), content);
-    RoutingSettings under = withClassesAndPermissions(routing, classes, permissions);
-    return under.equals(routing)
+    RoutingPermissions permissions = applyPermissions(routing.permissions(), content);
+    RoutingSettings applied = withClassesAndPermissions(routing, classes, permissions);
+    return applied.equals(routing)
         ? configured
         : new RouterSettings(
-            under, configured.classNames(), configured.zones(), configured.kinds());
+            applied, configured.classNames(), configured.zones(), configured.kinds());
   }
 
-  private static RequestClass classUnder(RequestClass configured, ClassRule rule) {
+  private static RequestClass applyRule(RequestClass configured, ClassRule rule) {
     Long windowNanos = rule.deduplicationWindowNanos();
     Long deadlineNanos = rule.deadlineNanos();
     return new RequestClass(
-        rule.idempotency() == null ? configured.idempotency() : routed(rule.idempotency()),
+        rule.idempotency() == null ? configured.idempotency() : toIdempotency(rule.idempotency()),
         configured.deduplicationScope(),
         windowNanos == null ? configured.deduplicationWindowNanos() : windowNanos,
         configured.latencyObjectiveNanos(),
@@ -82,7 +82,7 @@
         configured.streamed());
   }
 
-  private static RoutingPermissions permissionsUnder(
+  private static RoutingPermissions applyPermissions(
       RoutingPermissions configured, ConfigContent content) {
     return new RoutingPermissions(
         configured.cancel(),
@@ -116,7 +116,7 @@
         routing.loadReportFields());
   }
 
-  private static ClassIdempotency stored(Idempotency idempotency) {
+  private static ClassIdempotency toClassIdempotency(Idempotency idempotency) {
     return switch (idempotency) {
       case IDEMPOTENT -> ClassIdempotency.IDEMPOTENT;
       case IDEMPOTENCY_KEY -> ClassIdempotency.IDEMPOTENCY_KEY;
@@ -124,7 +124,7 @@
     };
   }
 
-  private static Idempotency routed(ClassIdempotency idempotency) {
+  private static Idempotency toIdempotency(ClassIdempotency idempotency) {
     return switch (idempotency) {
       case IDEMPOTENT -> Idempotency.IDEMPOTENT;
       case IDEMPOTENCY_KEY -> Idempotency.IDEMPOTENCY_KEY;
--- a/src/main/java/beaconturn/net/agreement/StoreClient.java
+++ b/src/main/java/beaconturn/net/agreement/StoreClient.java
@@ -20,8 +20,9 @@
 import java.util.List;
 
 /**
- * Asks an etcd v3 store through its HTTP/JSON gateway, one request at a time over one kept
- * connection; after a request that failed the next member is asked. For one thread, which waits.
+ * Client of an etcd v3 store through its HTTP/JSON gateway. It sends one request at a time over a
+ * persistent connection, and fails over to the next member of the store after a failed request.
+ * Blocking; not thread-safe.
  */
 public final class StoreClient implements CoordinationStore {
   private static final int MAX_BODY_BYTES = 8 << 20;
@@ -30,13 +31,13 @@
   private final List<InetSocketAddress> members;
   private final int timeoutMillis;
 
-  /** The index of the member that is asked. */
-  private int member;
+  /** Index of the member that requests are sent to. */
+  private int memberIndex;
 
   private Socket socket;
   private InputBuffer input;
 
-  /** A client whose requests take at most so long. */
+  /** Creates a client; a request fails after the timeout. */
   public StoreClient(List<InetSocketAddress> members, long timeoutNanos) {
     this.members = List.copyOf(members);
     this.timeoutMillis = (int) Math.max(1, timeoutNanos / MILLI_NANOS);
@@ -47,7 +48,7 @@
     try {
       return EtcdCodec.response(request, post(EtcdCodec.path(request), EtcdCodec.body(request)));
     } catch (SocketTimeoutException e) {
-      return failed("no answer in time");
+      return failed("no reply within " + timeoutMillis + " ms");
     } catch (IOException | ProtocolException | NumberFormatException e) {
       return failed(e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage());
     }
@@ -55,17 +56,17 @@
 
   private StoreResponse failed(String reason) {
     close();
-    member = (member + 1) % members.size();
+    memberIndex = (memberIndex + 1) % members.size();
     return new StoreResponse.RequestFailed(reason);
   }
 
-  /** Ends the connection. */
+  /** Closes the connection; the next request opens a new one. */
   public void close() {
     if (socket != null) {
       try {
         socket.close();
       } catch (IOException e) {
-        // Nothing is left to do with a socket that fails to close.
+        // The socket is dropped in any case.
         input = null;
       }
       socket = null;
@@ -74,7 +75,7 @@
 
   private Json post(String path, Json body) throws IOException, ProtocolException {
     long endNanos = System.nanoTime() + timeoutMillis * MILLI_NANOS;
-    InetSocketAddress address = members.get(member);
+    InetSocketAddress address = members.get(memberIndex);
     if (socket == null) {
       connect(address);
     }
@@ -89,7 +90,7 @@
     Json json = JsonReader.read(response.body());
     if (response.status() != STATUS_OK) {
       String message = json.get("message").word(json.get("error").word(""));
-      throw new IOException("status " + response.status() + " " + message);
+      throw new IOException("store replied with HTTP status " + response.status() + ": " + message);
     }
     return json;
   }
@@ -105,11 +106,11 @@
     HttpReader reader = new HttpReader(MAX_BODY_BYTES);
     boolean open = true;
     while (open) {
-      long leftMillis = (endNanos - System.nanoTime()) / MILLI_NANOS;
-      if (leftMillis <= 0) {
+      long remainingMillis = (endNanos - System.nanoTime()) / MILLI_NANOS;
+      if (remainingMillis <= 0) {
         break;
       }
-      socket.setSoTimeout((int) leftMillis);
+      socket.setSoTimeout((int) remainingMillis);
       int capacityBytes = input.ensureRoom();
       int readBytes = socket.getInputStream().read(input.array(), input.end(), capacityBytes);
       open = readBytes >= 0;
@@ -119,6 +120,9 @@
         return response;
       }
     }
-    throw new IOException(open ? "no answer in time" : "the connection ended before the answer");
+    throw new IOException(
+        open
+            ? "no reply within " + timeoutMillis + " ms"
+            : "store closed the connection before its reply");
   }
 }
--- a/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
@@ -26,13 +26,12 @@
 import java.util.logging.Logger;
 
 /**
- * Runs a router's member of the zones on a thread of its own with a connection of its own to the
- * store.
+ * Runs a router's zone member on its own thread, with its own connection to the store.
  */
 public final class ZonesSubsystem implements ZoneWeightsSource, ZoneReportSource {
   private static final Logger LOG = Logger.getLogger(ZonesSubsystem.class.getName());
 
-  /** A lease that ends is looked for so often at least. */
+  /** Upper bound on the wait, so that an expired lease is noticed in time. */
   private static final long MAX_WAIT_NANOS = 50_000_000;
 
   private final AgreementConfig config;
@@ -46,10 +45,10 @@
   private volatile CachedWeights cachedWeights;
   private volatile boolean stopped;
 
-  /** Zone weights, and what they were made of. */
+  /** Zone weights with the allocation that they were computed from. */
   private record CachedWeights(DueAllocation due, ZoneWeights weights) {}
 
-  /** A member that asks nobody before it is run; its home is the router's zone. */
+  /** Creates the subsystem; it sends no request before {@link #run}. */
   public ZonesSubsystem(AgreementConfig config, ZoneTopology topology, RouterConfig router) {
     this.config = config;
     this.zones = router.settings().zones();
@@ -81,13 +80,16 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (RuntimeException | Error e) {
-      LOG.log(Level.SEVERE, "what is decided of places is not followed any more: near", e);
+      LOG.log(
+          Level.SEVERE,
+          "zones: the member's thread failed; the router falls back to its home zone's allocation",
+          e);
     } finally {
       store.close();
     }
   }
 
-  /** Makes one request, or waits until one may be due. */
+  /** Sends one request, or waits until one may be due. */
   private void drive(StoreClient store) throws InterruptedException {
     member.refresh(clock.now());
     StoreRequest request = member.nextRequest(clock.now());
@@ -147,19 +149,21 @@
   }
 
   @Override
-  public void attemptEnded(long server, boolean good, CacheLookup lookup, long took, boolean late) {
-    attempts.add(server, good && !late, took);
+  public void attemptEnded(
+      long serverId, boolean succeeded, CacheLookup lookup, long durationNanos, boolean late) {
+    attempts.add(serverId, succeeded && !late, durationNanos);
   }
 
   @Override
   public ZoneReport report(String router, long sequenceNumber, long planNumber) {
     Map<CacheServerClients.ListedServer, ServerStatus> statuses = serverStatuses;
-    attempts.sumUp(statuses.keySet());
-    SortedMap<String, ZoneObservations> seen = new TreeMap<>();
+    attempts.aggregate(statuses.keySet());
+    SortedMap<String, ZoneObservations> observations = new TreeMap<>();
     for (int index = 0; index < zones.size(); index++) {
-      seen.put(zones.get(index), observations(index, statuses));
+      observations.put(zones.get(index), observations(index, statuses));
     }
-    return new ZoneReport(router, homeZone, sequenceNumber, planNumber, arrivals.sum(), seen);
+    return new ZoneReport(
+        router, homeZone, sequenceNumber, planNumber, arrivals.sum(), observations);
   }
 
   private ZoneObservations observations(
@@ -171,16 +175,16 @@
             inZone.add(status);
           }
         });
-    long leaving =
+    long leavingCount =
         inZone.stream()
             .filter(status -> status == ServerStatus.GONE || status == ServerStatus.DRAINING)
             .count();
     AttemptCounts.Totals totals = attempts.of(zones.get(zoneIndex));
     return new ZoneObservations(
-        totals.good(),
-        totals.bad(),
-        totals.goodMicros(),
-        (int) (inZone.size() - leaving),
+        totals.succeeded(),
+        totals.failed(),
+        totals.succeededMicros(),
+        (int) (inZone.size() - leavingCount),
         count(inZone, ServerStatus.ACTIVE),
         count(inZone, ServerStatus.EJECTED));
   }
--- a/src/test/java/beaconturn/agreement/AgreementMemberTest.java
+++ b/src/test/java/beaconturn/agreement/AgreementMemberTest.java
@@ -149,9 +149,9 @@
     fleet.responsesToLose = 1;
     assertEquals(1, propose(fleet, "c1"));
     assertEquals(1, fleet.admin().history().size());
-    fleet.members.forEach(s -> s.losesResponses = true);
+    fleet.members.forEach(member -> member.losesResponses = true);
     fleet.run(3 * LEASE_NANOS);
-    fleet.members.forEach(s -> s.losesResponses = false);
+    fleet.members.forEach(member -> member.losesResponses = false);
     assertTrue(fleet.settlesWithin(1, 20 * SECOND_NANOS));
     assertEquals(1, fleet.versionsInForce.size());
     assertNoViolations(fleet);
--- a/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
+++ b/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
@@ -19,51 +19,52 @@
 
 @Timeout(60)
 class AgreementSubsystemTest {
-  private static final long SECOND = 1_000_000_000;
-  private static final AgreementTiming TIMING = new AgreementTiming(60 * SECOND, 0.01, SECOND / 2);
+  private static final long SECOND_NANOS = 1_000_000_000;
+  private static final AgreementTiming TIMING =
+      new AgreementTiming(60 * SECOND_NANOS, 0.01, SECOND_NANOS / 2);
 
-  private static AgreementSubsystem at(InetSocketAddress store) throws Exception {
+  private static AgreementSubsystem subsystem(InetSocketAddress store) throws Exception {
     return new AgreementSubsystem(
         new AgreementConfig(List.of(store), "/f", TIMING, null),
         RouterConfigReader.read(Path.of("examples", "config.json"), Map.of()));
   }
 
-  /** Whoever serves before it has asked acts on what may be over. */
+  /** A router that serves before its first read may act on an outdated configuration. */
   @Test
-  void aStartWaitsUntilTheStoreHasToldWhatIsInForce() throws Exception {
-    try (StoreServer front =
+  void startupWaitsForFirstReadOfStore() throws Exception {
+    try (StoreServer store =
         new StoreServer(0, 42, System::nanoTime, (at, revision, key, value) -> {})) {
-      front.start();
-      StoreClient client = new StoreClient(List.of(front.address()), 20 * SECOND);
+      store.start();
+      StoreClient client = new StoreClient(List.of(store.address()), 20 * SECOND_NANOS);
       new ConfigAdmin(new AgreementKeys("/f"), client).begin("first");
       client.close();
-      AgreementSubsystem agreed = at(front.address());
-      assertEquals("strict ground", agreed.dueConfig().description());
-      Thread thread = new Thread(agreed);
+      AgreementSubsystem agreement = subsystem(store.address());
+      assertEquals("strict ground", agreement.dueConfig().description());
+      Thread thread = new Thread(agreement);
       thread.start();
-      agreed.awaitFirstConfig();
+      agreement.awaitFirstConfig();
       assertTrue(
-          agreed.dueConfig().description().startsWith("its own configuration"),
-          agreed.dueConfig().description());
-      agreed.leave();
+          agreement.dueConfig().description().startsWith("its own configuration"),
+          agreement.dueConfig().description());
+      agreement.leave();
       thread.join();
     }
   }
 
-  /** A store that is not there holds no start up: the first call that fails is enough. */
+  /** An unreachable store must not block the startup: one failed request is enough to go on. */
   @Test
-  void aStartGoesOnWhereNoStoreAnswers() throws Exception {
-    InetSocketAddress nobody = nobody();
-    AgreementSubsystem agreed = at(nobody);
-    Thread thread = new Thread(agreed);
+  void startupContinuesIfStoreIsUnreachable() throws Exception {
+    InetSocketAddress closedAddress = closedAddress();
+    AgreementSubsystem agreement = subsystem(closedAddress);
+    Thread thread = new Thread(agreement);
     thread.start();
-    agreed.awaitFirstConfig();
-    assertEquals("strict ground", agreed.dueConfig().description());
-    agreed.leave();
+    agreement.awaitFirstConfig();
+    assertEquals("strict ground", agreement.dueConfig().description());
+    agreement.leave();
     thread.join();
   }
 
-  private static InetSocketAddress nobody() throws IOException {
+  private static InetSocketAddress closedAddress() throws IOException {
     try (ServerSocket closed = new ServerSocket(0)) {
       return new InetSocketAddress("127.0.0.1", closed.getLocalPort());
     }
--- a/src/test/java/beaconturn/net/agreement/PersistedConfigFileTest.java
+++ b/src/test/java/beaconturn/net/agreement/PersistedConfigFileTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A router is restarted with the next build and has no store in reach: it starts on the file that
- * the build before has written. The text is one that an earlier build has written.
+ * Guards the format of the file: a router that is upgraded while the store is unreachable starts on
+ * the file of the previous build. The constant was written by an earlier build.
  */
 class PersistedConfigFileTest {
   private static final String TEXT =
@@ -52,26 +52,26 @@
   }
 
   @Test
-  void theFileOfTheBuildBeforeIsReadAndWrittenAlike(@TempDir Path folder) throws IOException {
+  void fileFormatIsUnchanged(@TempDir Path folder) throws IOException {
     Path file = folder.resolve("beaconturn-router_1-a.agreed");
     List<String> log = new ArrayList<>();
-    PersistedConfigFile kept = new PersistedConfigFile(folder, "router.1-a", log::add);
-    assertEquals(PersistedConfig.EMPTY, kept.read());
+    PersistedConfigFile configFile = new PersistedConfigFile(folder, "router.1-a", log::add);
+    assertEquals(PersistedConfig.EMPTY, configFile.read());
     Files.writeString(file, TEXT);
-    assertEquals(persisted(), kept.read());
+    assertEquals(persisted(), configFile.read());
     Files.delete(file);
-    assertTrue(kept.write(persisted()));
+    assertTrue(configFile.write(persisted()));
     assertEquals(TEXT, Files.readString(file));
     assertEquals(List.of(), log);
   }
 
   @Test
-  void aDamagedFileCountsAsNoneAndIsLogged(@TempDir Path folder) throws IOException {
+  void corruptFileIsLoggedAndTreatedAsAbsent(@TempDir Path folder) throws IOException {
     Path file = folder.resolve("beaconturn-r1.agreed");
     List<String> log = new ArrayList<>();
     Files.writeString(file, TEXT.replace("calm", "bold"));
     assertEquals(PersistedConfig.EMPTY, new PersistedConfigFile(folder, "r1", log::add).read());
     assertEquals(1, log.size());
-    assertTrue(log.get(0).startsWith("agreement: " + file + " is not followed: version 3 has"));
+    assertTrue(log.get(0).startsWith("agreement: ignoring " + file + ": version 3 has"));
   }
 }
--- a/src/test/java/beaconturn/net/agreement/StoreClientTest.java
+++ b/src/test/java/beaconturn/net/agreement/StoreClientTest.java
@@ -23,125 +23,126 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The client before the store's stand-in, over loopback. */
+/** Tests the client against the store's stand-in over loopback. */
 @Timeout(60)
 class StoreClientTest {
-  private static final long SECOND = 1_000_000_000;
-  private StoreServer front;
+  private static final long SECOND_NANOS = 1_000_000_000;
+  private StoreServer store;
   private StoreClient client;
   @TempDir private Path folder;
 
   @BeforeEach
   void open() throws IOException {
-    front = new StoreServer(0, 42, System::nanoTime, (at, revision, key, value) -> {});
-    front.start();
-    client = new StoreClient(List.of(front.address()), 20 * SECOND);
+    store = new StoreServer(0, 42, System::nanoTime, (at, revision, key, value) -> {});
+    store.start();
+    client = new StoreClient(List.of(store.address()), 20 * SECOND_NANOS);
   }
 
   @AfterEach
   void close() {
     client.close();
-    front.close();
+    store.close();
   }
 
-  private StoreResponse.Success given(StoreRequest call) {
+  private StoreResponse.Success askSuccessfully(StoreRequest request) {
     return assertInstanceOf(
-        StoreResponse.Success.class, client.ask(call), () -> "no answer to " + call);
+        StoreResponse.Success.class, client.ask(request), () -> "request failed: " + request);
   }
 
   private static StoreRequest.Transaction put(
-      String key, String value, long lease, StoreRequest.Condition... conditions) {
+      String key, String value, long leaseId, StoreRequest.Condition... conditions) {
     return new StoreRequest.Transaction(
-        List.of(conditions), List.of(new StoreRequest.Change.Put(key, value, lease)));
+        List.of(conditions), List.of(new StoreRequest.Change.Put(key, value, leaseId)));
   }
 
   @Test
-  void whatIsPutIsReadWithItsRevisions() {
-    assertTrue(given(put("/f/a/x", "1 \u00e9", 0)).conditionsHeld());
-    assertTrue(given(put("/f/a/x", "2 \u00e9", 0)).conditionsHeld());
-    assertTrue(given(put("/f/b/y", "3", 0)).conditionsHeld());
-    StoreResponse.Success read = given(new StoreRequest.Read("/f/a/"));
+  void readReturnsEntriesWithTheirRevisions() {
+    assertTrue(askSuccessfully(put("/f/a/x", "1 \u00e9", 0)).conditionsHeld());
+    assertTrue(askSuccessfully(put("/f/a/x", "2 \u00e9", 0)).conditionsHeld());
+    assertTrue(askSuccessfully(put("/f/b/y", "3", 0)).conditionsHeld());
+    StoreResponse.Success read = askSuccessfully(new StoreRequest.Read("/f/a/"));
     assertEquals(List.of(new StoreResponse.Entry("/f/a/x", "2 \u00e9", 2, 3, 0)), read.entries());
     assertEquals(4, read.storeRevision());
     assertEquals("42", read.clusterId());
   }
 
   @Test
-  void aSwapHoldsOnlyWhereAllItsConditionsDo() {
+  void transactionIsAppliedOnlyIfItsConditionsHold() {
     assertTrue(
-        given(put("/f/x", "1", 0, new StoreRequest.Condition.Unchanged("/f/x", 0)))
+        askSuccessfully(put("/f/x", "1", 0, new StoreRequest.Condition.Unchanged("/f/x", 0)))
             .conditionsHeld());
     assertFalse(
-        given(put("/f/x", "2", 0, new StoreRequest.Condition.Unchanged("/f/x", 0)))
+        askSuccessfully(put("/f/x", "2", 0, new StoreRequest.Condition.Unchanged("/f/x", 0)))
             .conditionsHeld());
     assertTrue(
-        given(put("/f/x", "2", 0, new StoreRequest.Condition.Unchanged("/f/x", 2)))
+        askSuccessfully(put("/f/x", "2", 0, new StoreRequest.Condition.Unchanged("/f/x", 2)))
             .conditionsHeld());
     assertTrue(
-        given(put("/f/z", "1", 0, new StoreRequest.Condition.Exists("/f/x"))).conditionsHeld());
+        askSuccessfully(put("/f/z", "1", 0, new StoreRequest.Condition.Exists("/f/x"))).conditionsHeld());
     assertFalse(
-        given(put("/f/z", "2", 0, new StoreRequest.Condition.Exists("/f/y"))).conditionsHeld());
+        askSuccessfully(put("/f/z", "2", 0, new StoreRequest.Condition.Exists("/f/y"))).conditionsHeld());
     assertTrue(
-        given(put("/g", "1", 0, new StoreRequest.Condition.NoneModifiedAfter("/f/", 4)))
+        askSuccessfully(put("/g", "1", 0, new StoreRequest.Condition.NoneModifiedAfter("/f/", 4)))
             .conditionsHeld());
     assertFalse(
-        given(put("/g", "2", 0, new StoreRequest.Condition.NoneModifiedAfter("/f/", 3)))
+        askSuccessfully(put("/g", "2", 0, new StoreRequest.Condition.NoneModifiedAfter("/f/", 3)))
             .conditionsHeld());
     assertTrue(
-        given(put("/g", "2", 0, new StoreRequest.Condition.NoneModifiedAfter("/h/", 1)))
+        askSuccessfully(put("/g", "2", 0, new StoreRequest.Condition.NoneModifiedAfter("/h/", 1)))
             .conditionsHeld());
   }
 
   @Test
-  void aLeaseTakesItsKeysWithIt() {
-    long lease = given(new StoreRequest.Grant(30)).leaseId();
-    assertTrue(given(put("/f/x", "", lease)).conditionsHeld());
-    assertEquals(30, given(new StoreRequest.KeepAlive(lease)).leaseTtlSeconds());
-    given(new StoreRequest.Revoke(lease));
-    assertEquals(List.of(), given(new StoreRequest.Read("/f/")).entries());
-    assertEquals(0, given(new StoreRequest.KeepAlive(lease)).leaseTtlSeconds());
-    assertInstanceOf(StoreResponse.RequestFailed.class, client.ask(put("/f/x", "", lease)));
+  void revokedLeaseDeletesItsEntries() {
+    long leaseId = askSuccessfully(new StoreRequest.Grant(30)).leaseId();
+    assertTrue(askSuccessfully(put("/f/x", "", leaseId)).conditionsHeld());
+    assertEquals(30, askSuccessfully(new StoreRequest.KeepAlive(leaseId)).leaseTtlSeconds());
+    askSuccessfully(new StoreRequest.Revoke(leaseId));
+    assertEquals(List.of(), askSuccessfully(new StoreRequest.Read("/f/")).entries());
+    assertEquals(0, askSuccessfully(new StoreRequest.KeepAlive(leaseId)).leaseTtlSeconds());
+    assertInstanceOf(StoreResponse.RequestFailed.class, client.ask(put("/f/x", "", leaseId)));
   }
 
   @Test
-  void anAnswerThatIsLostIsAFailureAndTheChangeHasComeAbout() {
-    front.run("lose 1");
+  void lostResponseIsReportedAsFailureAlthoughChangeIsApplied() {
+    store.run("lose 1");
     assertInstanceOf(StoreResponse.RequestFailed.class, client.ask(put("/f/x", "1", 0)));
-    assertEquals(1, given(new StoreRequest.Read("/f/")).entries().size());
+    assertEquals(1, askSuccessfully(new StoreRequest.Read("/f/")).entries().size());
   }
 
   @Test
-  void aSlowStoreIsNotWaitedForAndAnotherMemberIsAskedNext() throws IOException {
-    front.run("slow 30000");
+  void clientFailsOverToNextMemberAfterTimeout() throws IOException {
+    store.run("slow 30000");
     try (StoreServer other =
         new StoreServer(0, 42, System::nanoTime, (at, revision, key, value) -> {})) {
       other.start();
-      List<InetSocketAddress> members = new ArrayList<>(List.of(front.address(), other.address()));
-      StoreClient two = new StoreClient(members, SECOND / 5);
+      List<InetSocketAddress> members = new ArrayList<>(List.of(store.address(), other.address()));
+      StoreClient failoverClient = new StoreClient(members, SECOND_NANOS / 5);
       assertEquals(
-          new StoreResponse.RequestFailed("no answer in time"),
-          two.ask(new StoreRequest.Read("/f/")));
-      assertInstanceOf(StoreResponse.Success.class, two.ask(new StoreRequest.Read("/f/")));
-      two.close();
+          new StoreResponse.RequestFailed("no reply within 200 ms"),
+          failoverClient.ask(new StoreRequest.Read("/f/")));
+      assertInstanceOf(
+          StoreResponse.Success.class, failoverClient.ask(new StoreRequest.Read("/f/")));
+      failoverClient.close();
     }
   }
 
   @Test
-  void aStoreThatIsDownFailsAndComesBackWithWhatItHeld() {
-    given(put("/f/x", "1", 0));
-    front.run("down");
+  void requestsFailWhileStoreIsDownAndSucceedAfterRestart() {
+    askSuccessfully(put("/f/x", "1", 0));
+    store.run("down");
     assertInstanceOf(StoreResponse.RequestFailed.class, client.ask(new StoreRequest.Read("/f/")));
-    front.run("up");
-    assertEquals(1, given(new StoreRequest.Read("/f/")).entries().size());
-    front.run("empty");
-    assertEquals("43", given(new StoreRequest.Read("/f/")).clusterId());
+    store.run("up");
+    assertEquals(1, askSuccessfully(new StoreRequest.Read("/f/")).entries().size());
+    store.run("empty");
+    assertEquals("43", askSuccessfully(new StoreRequest.Read("/f/")).clusterId());
   }
 
   @Test
-  void whatIsKeptIsReadAgainAndADamagedFileCountsAsNone() throws IOException {
-    List<String> said = new ArrayList<>();
+  void persistedConfigIsReadBackAndCorruptFileIsIgnored() throws IOException {
+    List<String> log = new ArrayList<>();
     ConfigVersion acting = ConfigVersion.of(3, ConfigContent.UNSPECIFIED, "a", "b", 5);
-    PersistedConfig kept =
+    PersistedConfig persisted =
         new PersistedConfig(
             "id",
             "42",
@@ -149,12 +150,13 @@
             true,
             acting,
             ConfigVersion.of(4, ConfigContent.UNSPECIFIED, "a", "c", 6));
-    assertTrue(new PersistedConfigFile(folder, "r/1", said::add).write(kept));
-    assertEquals(kept, new PersistedConfigFile(folder, "r/1", said::add).read());
+    assertTrue(new PersistedConfigFile(folder, "r/1", log::add).write(persisted));
+    assertEquals(persisted, new PersistedConfigFile(folder, "r/1", log::add).read());
     Path file = folder.resolve("beaconturn-r_1.agreed");
     Files.writeString(file, Files.readString(file).replace("\\\"number\\\":3", "\\\"number\\\":2"));
-    assertEquals(PersistedConfig.EMPTY, new PersistedConfigFile(folder, "r/1", said::add).read());
-    assertTrue(said.get(0).contains("is not followed: version 2 has digest"), said.toString());
-    assertFalse(new PersistedConfigFile(folder.resolve("gone"), "r1", said::add).write(kept));
+    assertEquals(PersistedConfig.EMPTY, new PersistedConfigFile(folder, "r/1", log::add).read());
+    assertTrue(
+        log.get(0).contains("beaconturn-r_1.agreed: version 2 has digest"), log.toString());
+    assertFalse(new PersistedConfigFile(folder.resolve("gone"), "r1", log::add).write(persisted));
   }
 }
--- a/src/test/java/beaconturn/net/agreement/package-info.java
+++ b/src/test/java/beaconturn/net/agreement/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the agreement's sockets and files, before the store's stand-in on loopback. */
+/** Tests of the agreement's sockets and files against the store's stand-in over loopback. */
 package beaconturn.net.agreement;
