--- a/src/main/java/beaconturn/net/control/AdminCommand.java
+++ b/src/main/java/beaconturn/net/control/AdminCommand.java
@@ -1,13 +1,13 @@
 package beaconturn.net.control;
 
 /**
- * One line of a caller, understood.
+ * A parsed command of the admin address.
  *
- * @param verb what is asked for
- * @param serverId the cache server that it is about, or null if the verb needs none
+ * @param verb the operation
+ * @param serverId id of the cache server that it applies to, or null if the verb takes none
  */
 record AdminCommand(Verb verb, String serverId) {
-  private static final int LONGEST_ID_CHARS = 128;
+  private static final int MAX_ID_CHARS = 128;
 
   /** The commands of the admin address. */
   enum Verb {
@@ -36,9 +36,9 @@
   }
 
   /**
-   * The command of a line; the line's end is not part of it.
+   * Parses a line, given without its line terminator.
    *
-   * @throws InvalidAdminCommandException if the line is no command
+   * @throws InvalidAdminCommandException if the line is not a valid command
    */
   static AdminCommand of(String line) throws InvalidAdminCommandException {
     String[] words = line.strip().split("[ \t]+");
@@ -53,7 +53,7 @@
     if (!verb.needsServerId) {
       return new AdminCommand(verb, null);
     }
-    if (!words[1].matches("[!-~]{1," + LONGEST_ID_CHARS + "}")) {
+    if (!words[1].matches("[!-~]{1," + MAX_ID_CHARS + "}")) {
       throw new InvalidAdminCommandException("the id is too long or of odd characters");
     }
     return new AdminCommand(verb, words[1]);
--- a/src/main/java/beaconturn/net/control/AdminConnection.java
+++ b/src/main/java/beaconturn/net/control/AdminConnection.java
@@ -9,17 +9,20 @@
 import java.util.List;
 import java.util.logging.Logger;
 
-/** One connection on the admin address, for one command; for the admin server's thread alone. */
+/**
+ * One connection to the admin address, which carries one command. Confined to the admin server's
+ * thread.
+ */
 final class AdminConnection {
   private static final Logger LOG = Logger.getLogger(AdminConnection.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long LONGEST_STAY_NANOS = 5_000 * NANOS_PER_MILLI;
+  private static final long MAX_CONNECTION_NANOS = 5_000 * NANOS_PER_MILLI;
 
   /**
-   * An answer is due within a second; a command that the routing thread has not taken by then takes
-   * force all the same.
+   * Callers expect a response within a second. An override that the routing thread has not applied
+   * by then is acknowledged, and is still applied later.
    */
-  private static final long LONGEST_WAIT_NANOS = 700 * NANOS_PER_MILLI;
+  private static final long MAX_OVERRIDE_WAIT_NANOS = 700 * NANOS_PER_MILLI;
 
   private static final long NEVER = Long.MAX_VALUE;
 
@@ -28,12 +31,13 @@
   private final LineReader line = new LineReader();
   private final long openedAtNanos;
 
-  /** What the routing thread has been asked to do, null if nothing waits for it. */
+  /** The override that the routing thread has not applied yet, or null. */
   private ServerOverride pending;
 
-  private long answerAtNanos = NEVER;
+  /** When the response is sent even if the override is still pending. */
+  private long responseAtNanos = NEVER;
 
-  /** Registers the channel, which is not blocking. */
+  /** Registers the channel, which must be non-blocking, with the server's selector. */
   AdminConnection(AdminServer server, SocketChannel channel) throws IOException {
     this.server = server;
     this.channel = channel;
@@ -41,22 +45,22 @@
     channel.register(server.selector(), SelectionKey.OP_READ, this);
   }
 
-  /** The least is closed first where there are too many; one with a command under way never is. */
-  long closeOrder() {
-    return answerAtNanos == NEVER ? openedAtNanos : NEVER;
+  /** Sort key of connections to evict, lowest first; connections with a pending command are last. */
+  long evictionOrder() {
+    return responseAtNanos == NEVER ? openedAtNanos : NEVER;
   }
 
-  /** Reads what has come, and carries out the command once its line is whole. */
+  /** Reads available bytes, and executes the command once its line is complete. */
   void read() {
     try {
       String text = line.read(channel);
       if (text != null) {
-        // Nothing more is asked for: its end of sending must not wake the selector again and again.
+        // No further input is expected. End of input must not wake the selector repeatedly.
         channel.keyFor(server.selector()).interestOps(0);
         execute(AdminCommand.of(text));
       }
     } catch (InvalidAdminCommandException e) {
-      answer("NAK " + e.getMessage());
+      respond("NAK " + e.getMessage());
     } catch (IOException e) {
       close();
     }
@@ -65,37 +69,37 @@
   private void execute(AdminCommand command) {
     String text =
         switch (command.verb()) {
-          case READY -> readiness(server.operations().notReadyReason());
+          case READY -> readinessText(server.operations().notReadyReason());
           case SHOW_METRICS -> MetricLines.of(server.counters().read());
-          case SHOW_HEALTH -> health(server.operations().health());
+          case SHOW_HEALTH -> healthText(server.operations().health());
           case DISABLE_SERVER -> override(command.serverId(), true);
           case ENABLE_SERVER -> override(command.serverId(), false);
         };
     if (text != null) {
-      answer(text);
+      respond(text);
     }
   }
 
-  private static String readiness(String whyNot) {
-    return whyNot == null ? "ACK" : "NAK " + whyNot;
+  private static String readinessText(String notReadyReason) {
+    return notReadyReason == null ? "ACK" : "NAK " + notReadyReason;
   }
 
-  private static String health(List<Metric> metrics) {
+  private static String healthText(List<Metric> metrics) {
     return metrics == null ? "NAK no such call" : MetricLines.of(metrics);
   }
 
-  /** Null, as the answer comes once the routing thread has taken the override. */
-  private String override(String serverId, boolean out) {
-    ServerOverride override = new ServerOverride(serverId, out, MonotonicMillis.millis());
+  /** Returns null, as the response is sent once the routing thread has applied the override. */
+  private String override(String serverId, boolean excluded) {
+    ServerOverride override = new ServerOverride(serverId, excluded, MonotonicMillis.millis());
     pending = override;
-    answerAtNanos = server.nowNanos() + LONGEST_WAIT_NANOS;
+    responseAtNanos = server.nowNanos() + MAX_OVERRIDE_WAIT_NANOS;
     server
         .operations()
         .applyOverride(override, false, known -> server.post(() -> overrideApplied(known)));
     return null;
   }
 
-  /** The routing thread has taken the override, or it is time for the answer without it. */
+  /** Handles the routing thread's acknowledgement, or the end of the wait for it. */
   private void overrideApplied(boolean known) {
     if (pending == null) {
       return;
@@ -103,34 +107,38 @@
     ServerOverride override = pending;
     pending = null;
     if (!known) {
-      answer("NAK no cache server has this id");
+      respond("NAK no cache server has this id");
       return;
     }
     server.file().put(override);
     LOG.info(
-        "cache server " + override.id() + (override.excluded() ? " is out" : " is back") + " by hand");
-    answer("ACK");
+        "cache server "
+            + override.id()
+            + (override.excluded() ? " excluded" : " included again")
+            + " by operator override");
+    respond("ACK");
   }
 
-  /** Answers or closes the connection if its time is over. */
+  /** Responds or closes the connection if its time limit has passed. */
   void check(long nowNanos) {
-    if (nowNanos >= answerAtNanos) {
+    if (nowNanos >= responseAtNanos) {
       overrideApplied(true);
-    } else if (nowNanos - openedAtNanos > LONGEST_STAY_NANOS) {
+    } else if (nowNanos - openedAtNanos > MAX_CONNECTION_NANOS) {
       close();
     }
   }
 
   /**
-   * Answers are small beside the kernel's buffer: one that does not fit is for nobody who reads.
+   * Sends the response with a single write: it fits into an empty send buffer, so a partial write
+   * only affects a caller that does not read.
    */
-  private void answer(String text) {
+  private void respond(String text) {
     try {
       channel.write(ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.US_ASCII)));
       channel.shutdownOutput();
       line.drain(channel);
     } catch (IOException e) {
-      LOG.finer("second address: a caller left before its answer");
+      LOG.finer("admin address: the caller closed its connection before the response");
     }
     close();
   }
--- a/src/main/java/beaconturn/net/control/AdminOperations.java
+++ b/src/main/java/beaconturn/net/control/AdminOperations.java
@@ -5,26 +5,26 @@
 import java.util.function.Consumer;
 
 /**
- * The operations of a router that commands on the admin address reach. Called on the admin server's
- * thread; nothing here waits, whatever the load.
+ * Operations of a router that are available on the admin address. Called on the admin server's
+ * thread; implementations must not block.
  */
 public interface AdminOperations {
-  /** Null once a request would be served, else in a few words why not. */
+  /** Returns null if the router serves requests, else the reason why not. */
   String notReadyReason();
 
-  /** The health metrics of this process and its cache servers, or null where there are none. */
+  /** Returns health metrics of this process and its cache servers, or null if there are none. */
   default List<Metric> health() {
     return null;
   }
 
   /**
-   * Excludes a cache server, or has it used again.
+   * Excludes a cache server or includes it again.
    *
-   * @param override what an operator said
-   * @param fromElsewhere whether another process of this router was called; then it holds even for
-   *     an id that nobody has yet
-   * @param known hears, once the override has taken force, whether any cache server has that id; on
-   *     a thread that must not be held up
+   * @param override the operator's override
+   * @param fromOtherProcess whether another process of this router received the override; it then
+   *     applies even if no server with the id is known yet
+   * @param known called once the override is applied, with whether a server with the id is known;
+   *     must not block the calling thread
    */
-  void applyOverride(ServerOverride override, boolean fromElsewhere, Consumer<Boolean> known);
+  void applyOverride(ServerOverride override, boolean fromOtherProcess, Consumer<Boolean> known);
 }
--- a/src/main/java/beaconturn/net/control/AdminServer.java
+++ b/src/main/java/beaconturn/net/control/AdminServer.java
@@ -19,15 +19,15 @@
 import java.util.logging.Logger;
 
 /**
- * The server of the admin address: one thread, that of {@link #run}, serves all callers and waits
- * for none. A command that has to reach the routing thread is answered when that has taken it, or a
- * little before the answer is due.
+ * Serves the admin address. A single thread, that of {@link #run}, serves all connections with
+ * non-blocking I/O. An override is acknowledged when the routing thread has applied it, or after a
+ * time limit.
  */
 public final class AdminServer implements Runnable {
   private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
 
-  /** Callers that stay and say nothing must not take the router's descriptors. */
-  private static final int MOST_CONNECTIONS = 16;
+  /** Keeps idle callers from exhausting the file descriptors of the router. */
+  private static final int MAX_CONNECTIONS = 16;
 
   private static final long POLL_INTERVAL_MILLIS = 100;
 
@@ -38,20 +38,19 @@
   private final ServerOverrideFile file;
   private final LongSupplier clock;
 
-  /** What other threads have this one do. */
+  /** Tasks that other threads have posted to this server's thread. */
   private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
 
-  /** For the thread of {@link #run} alone. */
+  /** Confined to the thread of {@link #run}. */
   private final List<AdminConnection> connections = new ArrayList<>();
 
   private volatile boolean closed;
 
   /**
-   * Binds the address; nothing is answered before {@link #run}.
+   * Binds the address; no connection is served before {@link #run}.
    *
-   * @param file keeps what operators said, and is followed where another process of this router
-   *     writes it too
-   * @param clock in nanoseconds
+   * @param file stores the overrides, and is polled for those of other processes of this router
+   * @param clock monotonic clock in nanoseconds
    * @throws IOException if the address cannot be bound
    */
   public AdminServer(
@@ -73,12 +72,12 @@
     server.register(selector, SelectionKey.OP_ACCEPT);
   }
 
-  /** Where operators call. */
+  /** Returns the bound address. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.socket().getLocalSocketAddress();
   }
 
-  /** Ends {@link #run} and frees the address; any thread. */
+  /** Stops {@link #run} and releases the address; any thread. */
   public void close() {
     closed = true;
     selector.wakeup();
@@ -90,7 +89,7 @@
       try {
         runOnce();
       } catch (IOException | RuntimeException | Error e) {
-        LOG.log(Level.SEVERE, "a call on the second address failed, others go on", e);
+        LOG.log(Level.SEVERE, "admin address: a command failed; the server keeps running", e);
       }
     }
     List.copyOf(connections).forEach(AdminConnection::close);
@@ -105,7 +104,7 @@
     }
     long nowNanos = clock.getAsLong();
     List.copyOf(connections).forEach(connection -> connection.check(nowNanos));
-    file.changes(nowNanos)
+    file.pollChanges(nowNanos)
         .forEach(override -> operations.applyOverride(override, true, known -> {}));
   }
 
@@ -123,30 +122,30 @@
       if (channel == null) {
         return;
       }
-      if (connections.size() >= MOST_CONNECTIONS) {
+      if (connections.size() >= MAX_CONNECTIONS) {
         closeOldest();
       }
       channel.configureBlocking(false);
       connections.add(new AdminConnection(this, channel));
     } catch (IOException e) {
-      LOG.log(Level.WARNING, "second address: accept failed: " + e);
+      LOG.log(Level.WARNING, "admin address: accept failed: " + e);
     }
   }
 
-  /** Connections whose command is being carried out go last. */
+  /** Closes the oldest connection; those with a pending command are closed last. */
   private void closeOldest() {
     connections.stream()
-        .min(Comparator.comparingLong(AdminConnection::closeOrder))
+        .min(Comparator.comparingLong(AdminConnection::evictionOrder))
         .ifPresent(AdminConnection::close);
   }
 
-  /** Has the thread of {@link #run} do something; any thread, no wait. */
-  void post(Runnable step) {
-    posted.add(step);
+  /** Posts a task to the thread of {@link #run}; any thread, does not block. */
+  void post(Runnable task) {
+    posted.add(task);
     selector.wakeup();
   }
 
-  /** Forgets a connection that is closed. */
+  /** Removes a closed connection. */
   void closed(AdminConnection connection) {
     connections.remove(connection);
   }
@@ -171,11 +170,11 @@
     return clock.getAsLong();
   }
 
-  static void closeQuietly(Closeable what) {
+  static void closeQuietly(Closeable resource) {
     try {
-      what.close();
+      resource.close();
     } catch (IOException e) {
-      LOG.finer("second address: " + e.getMessage());
+      LOG.finer("admin address: close failed: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/beaconturn/net/control/InvalidAdminCommandException.java
+++ b/src/main/java/beaconturn/net/control/InvalidAdminCommandException.java
@@ -1,6 +1,6 @@
 package beaconturn.net.control;
 
-/** A line that is no command; the message is the reason in a few words, for the caller. */
+/** Thrown for a line that is not a valid command. The message is sent to the caller. */
 final class InvalidAdminCommandException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/beaconturn/net/control/LineReader.java
+++ b/src/main/java/beaconturn/net/control/LineReader.java
@@ -5,18 +5,18 @@
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 
-/** Reads the one line that a caller sends, in whatever pieces it comes; for one thread. */
+/** Reads the single line of a connection, in any number of pieces. Not thread-safe. */
 final class LineReader {
-  private static final int LONGEST_LINE_BYTES = 512;
-  private static final int MOST_READS_TO_DRAIN = 16;
+  private static final int MAX_LINE_BYTES = 512;
+  private static final int MAX_DRAIN_READS = 16;
 
-  private final ByteBuffer bytes = ByteBuffer.allocate(LONGEST_LINE_BYTES);
+  private final ByteBuffer bytes = ByteBuffer.allocate(MAX_LINE_BYTES);
 
   /**
-   * The line once it is whole, which the caller's end of sending makes it too; else null.
+   * Returns the line once it is terminated by a newline or the end of input, else null.
    *
    * @throws InvalidAdminCommandException if the line is too long
-   * @throws IOException if the caller ends before it has sent anything, or the connection fails
+   * @throws IOException if the input ends before its first byte, or the connection fails
    */
   String read(SocketChannel from) throws IOException, InvalidAdminCommandException {
     int count = from.read(bytes);
@@ -30,7 +30,7 @@
     }
     boolean ended = count < 0;
     if (ended && bytes.position() == 0) {
-      throw new IOException("ended without a call");
+      throw new IOException("admin address: connection closed before a command was received");
     }
     return ended ? text(bytes.position()) : null;
   }
@@ -40,11 +40,11 @@
   }
 
   /**
-   * Reads and drops what is there. The failure guarded against: closing over unread bytes resets
-   * the connection, and the caller never gets the answer that is on its way.
+   * Reads and discards pending input. Closing a socket with unread input resets the connection, and
+   * the caller would lose the response.
    */
   void drain(SocketChannel from) throws IOException {
-    for (int i = 0; i < MOST_READS_TO_DRAIN; i++) {
+    for (int i = 0; i < MAX_DRAIN_READS; i++) {
       bytes.clear();
       if (from.read(bytes) <= 0) {
         return;
--- a/src/main/java/beaconturn/net/control/MetricLines.java
+++ b/src/main/java/beaconturn/net/control/MetricLines.java
@@ -3,7 +3,7 @@
 import beaconturn.stats.Metric;
 import java.util.List;
 
-/** The text form of metrics: lines of StatsD, and a mark at the end. */
+/** Formats metrics as StatsD lines followed by an end marker. */
 final class MetricLines {
   private static final String PREFIX = "app.";
   private static final String COUNTER = "|c\n";
@@ -12,7 +12,9 @@
 
   private MetricLines() {}
 
-  /** A line {@code app.NAME:VALUE|TYPE} for each metric, then {@code --} without a line's end. */
+  /**
+   * Returns a line {@code app.NAME:VALUE|TYPE} for each metric, then {@code --} without a newline.
+   */
   static String of(List<Metric> metrics) {
     StringBuilder text = new StringBuilder();
     for (Metric metric : metrics) {
--- a/src/main/java/beaconturn/net/control/ServerOverride.java
+++ b/src/main/java/beaconturn/net/control/ServerOverride.java
@@ -1,10 +1,10 @@
 package beaconturn.net.control;
 
 /**
- * What operators said last of one cache server.
+ * An operator override for one cache server.
  *
- * @param id the cache server's name
- * @param excluded whether it is excluded, or back in use
- * @param atMillis when it was said, by {@link MonotonicMillis}
+ * @param id name of the cache server
+ * @param excluded whether the server is excluded, or included again
+ * @param atMillis when the override was received, by {@link MonotonicMillis}
  */
 public record ServerOverride(String id, boolean excluded, long atMillis) {}
--- a/src/main/java/beaconturn/net/control/ServerOverrideFile.java
+++ b/src/main/java/beaconturn/net/control/ServerOverrideFile.java
@@ -15,60 +15,54 @@
 import java.util.logging.Logger;
 
 /**
- * The file of operator overrides: kept for the next process of this router, and followed by the one
- * beside it. Written to a new file that is renamed, under a lock. A file that cannot be written
- * costs only that: the override itself holds in this process. For one thread after the first
- * reading.
+ * Persists operator overrides for the next process of this router, and shares them with a process
+ * that runs at the same time. The file is replaced atomically under a lock. If it cannot be
+ * written, the override still applies in this process. Confined to one thread after the first
+ * {@link #read}.
  */
 public final class ServerOverrideFile {
   private static final Logger LOG = Logger.getLogger(ServerOverrideFile.class.getName());
-  private static final int LARGEST_BYTES = 256 * 1024;
-  private static final long FOLLOW_INTERVAL_NANOS = 100_000_000;
+  private static final int MAX_FILE_BYTES = 256 * 1024;
+  private static final long POLL_INTERVAL_NANOS = 100_000_000;
 
-  /**
-   * A server that came back so long ago is not warming up any more by any settings known; its line
-   * is left out.
-   */
-  private static final long FORGET_BACK_MILLIS = 600_000;
+  /** Longer than any slow start, after which the override of an included server has no effect. */
+  private static final long INCLUDED_RETENTION_MILLIS = 600_000;
 
-  /** Null where nothing outlives the process. */
+  /** Null if overrides are not persisted. */
   private final Path file;
 
   private final boolean shared;
 
-  /** What was said last of each cache server, by its id, in the order of its first being said. */
+  /** The latest override of each cache server by id, in the order of their first overrides. */
   private final Map<String, ServerOverride> overrides = new LinkedHashMap<>();
 
-  /** The overrides that this process has applied, by the cache server's id. */
+  /** The overrides that this process has applied, by cache server id. */
   private final Map<String, ServerOverride> applied = new HashMap<>();
 
-  /** Tells the file that was read or written last from others; null for none. */
-  private Object lastFileMark;
+  /** Identifies the file contents that were read or written last; null if there are none. */
+  private Object lastFileState;
 
-  private long nextFollowNanos;
+  private long nextPollNanos;
 
   /**
-   * Nothing is read yet.
+   * Creates the store without reading the file.
    *
-   * @param file null where nothing outlives the process
-   * @param shared whether another process may write it too
+   * @param file null if overrides are not persisted
+   * @param shared whether another process may write the file too
    */
   public ServerOverrideFile(Path file, boolean shared) {
     this.file = file;
     this.shared = shared;
   }
 
-  /**
-   * All that is known, in the order of its first being said; a damaged file counts as far as it is
-   * sound.
-   */
+  /** Reads all overrides, in the order of their first occurrence. Invalid lines are skipped. */
   public List<ServerOverride> read() {
     load();
     applied.putAll(overrides);
     return List.copyOf(overrides.values());
   }
 
-  /** Notes an override that this process applied, beside what another one has noted meanwhile. */
+  /** Stores an override that this process has applied, and merges those of other processes. */
   void put(ServerOverride override) {
     applied.put(override.id(), override);
     if (file == null) {
@@ -79,13 +73,13 @@
       write(override);
     } catch (IOException e) {
       overrides.put(override.id(), override);
-      LOG.warning("what operators said of cache servers is not kept for the next process: " + e);
+      LOG.warning("operator override cannot be persisted for the next process: " + e);
     }
   }
 
   /**
-   * Reads, changes and writes the file under a lock of its own file: of two processes that wrote at
-   * once, one would lose what its operators said.
+   * Reads, updates and replaces the file under a lock file, so that concurrent writes by two
+   * processes lose no override.
    */
   private void write(ServerOverride override) throws IOException {
     Path lock = file.resolveSibling(file.getFileName() + ".lock");
@@ -94,27 +88,28 @@
         FileLock held = channel.lock()) {
       load();
       overrides.put(override.id(), override);
-      overrides.values().removeIf(other -> isForgotten(other, override.atMillis()));
-      Path aside = file.resolveSibling(file.getFileName() + ".new");
-      Files.write(aside, ServerOverrideCodec.encode(overrides.values()), StandardCharsets.UTF_8);
-      Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE);
-      lastFileMark = fileMark();
-      LOG.finer("kept under " + held);
+      overrides.values().removeIf(other -> isExpired(other, override.atMillis()));
+      Path temporary = file.resolveSibling(file.getFileName() + ".new");
+      Files.write(
+          temporary, ServerOverrideCodec.encode(overrides.values()), StandardCharsets.UTF_8);
+      Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
+      lastFileState = fileState();
+      LOG.finer("overrides written under lock " + held);
     }
   }
 
-  private static boolean isForgotten(ServerOverride override, long nowMillis) {
-    return !override.excluded() && nowMillis - override.atMillis() > FORGET_BACK_MILLIS;
+  private static boolean isExpired(ServerOverride override, long nowMillis) {
+    return !override.excluded() && nowMillis - override.atMillis() > INCLUDED_RETENTION_MILLIS;
   }
 
-  /** What another process has noted since the last look; looks now and then only. */
-  List<ServerOverride> changes(long nowNanos) {
-    if (!shared || file == null || nowNanos < nextFollowNanos) {
+  /** Returns overrides that other processes have stored; reads at most once per poll interval. */
+  List<ServerOverride> pollChanges(long nowNanos) {
+    if (!shared || file == null || nowNanos < nextPollNanos) {
       return List.of();
     }
-    nextFollowNanos = nowNanos + FOLLOW_INTERVAL_NANOS;
-    Object mark = fileMark();
-    if (mark != null && !mark.equals(lastFileMark)) {
+    nextPollNanos = nowNanos + POLL_INTERVAL_NANOS;
+    Object state = fileState();
+    if (state != null && !state.equals(lastFileState)) {
       load();
     }
     List<ServerOverride> changed =
@@ -125,8 +120,8 @@
     return changed;
   }
 
-  /** Each writing makes a new file, which its key tells even where times are coarse. */
-  private Object fileMark() {
+  /** Includes the file key, as each write creates a new file and file times may be coarse. */
+  private Object fileState() {
     try {
       Map<String, Object> attributes = Files.readAttributes(file, "lastModifiedTime,fileKey,size");
       return List.copyOf(attributes.values());
@@ -140,18 +135,18 @@
       return;
     }
     try {
-      lastFileMark = fileMark();
-      if (Files.size(file) > LARGEST_BYTES) {
-        throw new IOException("larger than " + LARGEST_BYTES + " bytes");
+      lastFileState = fileState();
+      if (Files.size(file) > MAX_FILE_BYTES) {
+        throw new IOException("larger than " + MAX_FILE_BYTES + " bytes");
       }
       List<String> lines = Files.readAllLines(file, StandardCharsets.UTF_8);
       ServerOverrideCodec.decode(lines, file.toString()).forEach(this::merge);
     } catch (IOException e) {
-      LOG.warning(file + ": not followed: " + e.getMessage());
+      LOG.warning(file + ": ignoring the override file: " + e.getMessage());
     }
   }
 
-  /** What was said later holds. */
+  /** Keeps the later override. */
   private void merge(ServerOverride override) {
     ServerOverride before = overrides.get(override.id());
     if (before == null || before.atMillis() <= override.atMillis()) {
--- a/src/test/java/beaconturn/LayoutTest.java
+++ b/src/test/java/beaconturn/LayoutTest.java
@@ -10,7 +10,7 @@
 import java.nio.file.Files;
 import org.junit.jupiter.api.Test;
 
-/** Which package may use which: arrows point down only, and what decides or models does no I/O. */
+/** Tests the allowed dependencies between packages, and that decisions and models do no I/O. */
 class LayoutTest {
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
@@ -20,7 +20,7 @@
   private static final String[] ADAPTERS = {
     "beaconturn.net..", "beaconturn.sim..", "beaconturn.standin.net.."
   };
-  private static final String[] NO_IO = {
+  private static final String[] PURE_PACKAGES = {
     "beaconturn.decision..",
     "beaconturn.core..",
     "beaconturn.protocol..",
@@ -35,24 +35,24 @@
     "beaconturn.report.."
   };
 
-  private static void none(String[] of, String... use) {
+  private static void assertNoDependency(String[] from, String... to) {
     noClasses()
         .that()
-        .resideInAnyPackage(of)
+        .resideInAnyPackage(from)
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(use)
+        .resideInAnyPackage(to)
         .check(CLASSES);
   }
 
-  private static String[] at(String... packages) {
+  private static String[] packages(String... packages) {
     return packages;
   }
 
   @Test
-  void nothingBelowUsesTheCommandLineOrTheTools() {
-    none(
-        at(
+  void onlyToolsDependOnTools() {
+    assertNoDependency(
+        packages(
             "beaconturn.net..",
             "beaconturn.sim..",
             "beaconturn.standin..",
@@ -62,20 +62,20 @@
             "beaconturn.protocol..",
             "beaconturn.toml.."),
         TOOLS);
-    none(at("beaconturn.rehearsal.."), "beaconturn.cli..");
+    assertNoDependency(packages("beaconturn.rehearsal.."), "beaconturn.cli..");
   }
 
   @Test
-  void nothingWithoutIoUsesAnAdapter() {
-    none(NO_IO, ADAPTERS);
+  void purePackagesDoNotDependOnAdapters() {
+    assertNoDependency(PURE_PACKAGES, ADAPTERS);
   }
 
   @Test
-  void adaptersDoNotUseEachOther() {
-    none(at("beaconturn.net.."), "beaconturn.sim..", "beaconturn.standin..");
-    // The second address knows the figures and nothing else of the router.
-    none(
-        at("beaconturn.net.control.."),
+  void adaptersDoNotDependOnEachOther() {
+    assertNoDependency(packages("beaconturn.net.."), "beaconturn.sim..", "beaconturn.standin..");
+    // Of the router, the admin address only depends on the metrics.
+    assertNoDependency(
+        packages("beaconturn.net.control.."),
         "beaconturn.net",
         "beaconturn.net.client..",
         "beaconturn.net.server..",
@@ -85,73 +85,73 @@
         "beaconturn.core..",
         "beaconturn.decision..",
         "beaconturn.protocol..");
-    none(at("beaconturn.sim.."), "beaconturn.net..", "beaconturn.standin..");
-    none(
-        at("beaconturn.standin.net.."),
+    assertNoDependency(packages("beaconturn.sim.."), "beaconturn.net..", "beaconturn.standin..");
+    assertNoDependency(
+        packages("beaconturn.standin.net.."),
         "beaconturn.net..",
         "beaconturn.sim..",
         "beaconturn.decision..");
-    none(
-        at("beaconturn.rehearsal.."),
+    assertNoDependency(
+        packages("beaconturn.rehearsal.."),
         "beaconturn.net..",
         "beaconturn.sim..",
         "beaconturn.decision..");
   }
 
   @Test
-  void sidesOfARouterMeetOnlyInItsAssembly() {
+  void partsOfTheRouterAreOnlyConnectedInItsAssembly() {
     String[] others = {"beaconturn.net", "beaconturn.net.agreement..", "beaconturn.net.control.."};
-    none(at("beaconturn.net.client..", "beaconturn.net.server.."), others);
-    none(at("beaconturn.net.discovery..", "beaconturn.net.io.."), others);
-    none(at("beaconturn.net.client.."), "beaconturn.net.server..", "beaconturn.net.discovery..");
-    none(at("beaconturn.net.server.."), "beaconturn.net.client..", "beaconturn.net.discovery..");
-    none(at("beaconturn.net.discovery.."), "beaconturn.net.client..", "beaconturn.net.server..");
-    none(
-        at("beaconturn.net.io.."),
+    assertNoDependency(packages("beaconturn.net.client..", "beaconturn.net.server.."), others);
+    assertNoDependency(packages("beaconturn.net.discovery..", "beaconturn.net.io.."), others);
+    assertNoDependency(packages("beaconturn.net.client.."), "beaconturn.net.server..", "beaconturn.net.discovery..");
+    assertNoDependency(packages("beaconturn.net.server.."), "beaconturn.net.client..", "beaconturn.net.discovery..");
+    assertNoDependency(packages("beaconturn.net.discovery.."), "beaconturn.net.client..", "beaconturn.net.server..");
+    assertNoDependency(
+        packages("beaconturn.net.io.."),
         "beaconturn.net.client..",
         "beaconturn.net.server..",
         "beaconturn.net.discovery..");
   }
 
   @Test
-  void decisionsFiguresAndFormatsStandOnTheirOwn() {
-    none(
-        at("beaconturn.stats.."), "beaconturn.net..", "beaconturn.core..", "beaconturn.decision..");
-    none(
-        at("beaconturn.agreement.."),
+  void decisionsMetricsAndFormatsAreIndependent() {
+    assertNoDependency(
+        packages("beaconturn.stats.."), "beaconturn.net..", "beaconturn.core..", "beaconturn.decision..");
+    assertNoDependency(
+        packages("beaconturn.agreement.."),
         "beaconturn.core..",
         "beaconturn.decision..",
         "beaconturn.standin..",
         "beaconturn.history..");
-    none(
-        at("beaconturn.release.."),
+    assertNoDependency(
+        packages("beaconturn.release.."),
         "beaconturn.core..",
         "beaconturn.decision..",
         "beaconturn.standin..",
         "beaconturn.history..",
         "beaconturn.toml..");
-    none(
-        at("beaconturn.zones.."),
+    assertNoDependency(
+        packages("beaconturn.zones.."),
         "beaconturn.core..",
         "beaconturn.decision..",
         "beaconturn.standin..",
         "beaconturn.history..",
         "beaconturn.toml..",
         "beaconturn.release..");
-    none(
-        at("beaconturn.report.."),
+    assertNoDependency(
+        packages("beaconturn.report.."),
         "beaconturn.core..",
         "beaconturn.rehearsal..",
         "beaconturn.release..");
-    none(at("beaconturn.agreement.."), "beaconturn.release..", "beaconturn.zones..");
-    none(
-        at("beaconturn.decision.."),
+    assertNoDependency(packages("beaconturn.agreement.."), "beaconturn.release..", "beaconturn.zones..");
+    assertNoDependency(
+        packages("beaconturn.decision.."),
         "beaconturn.core..",
         "beaconturn.protocol..",
         "beaconturn.history..",
         "beaconturn.standin..");
-    none(
-        at("beaconturn.protocol..", "beaconturn.toml.."),
+    assertNoDependency(
+        packages("beaconturn.protocol..", "beaconturn.toml.."),
         "beaconturn.core..",
         "beaconturn.decision..",
         "beaconturn.standin..",
@@ -159,24 +159,24 @@
   }
 
   @Test
-  void theModelAndTheAccountDoNotKnowEachOtherNorTheRouter() {
-    none(
-        at("beaconturn.standin"),
+  void standInModelAndHistoryAreIndependentOfEachOtherAndOfTheRouter() {
+    assertNoDependency(
+        packages("beaconturn.standin"),
         "beaconturn.history..",
         "beaconturn.core..",
         "beaconturn.decision..");
-    none(
-        at("beaconturn.history.."),
+    assertNoDependency(
+        packages("beaconturn.history.."),
         "beaconturn.standin..",
         "beaconturn.core..",
         "beaconturn.decision..");
   }
 
   @Test
-  void whatDecidesOrModelsDoesNoIoAndHasNoClock() {
-    none(NO_IO, "java.net..", "java.nio.channels..", "java.nio.file..");
-    none(
-        at(
+  void decisionsAndModelsDoNoIoAndReadNoClock() {
+    assertNoDependency(PURE_PACKAGES, "java.net..", "java.nio.channels..", "java.nio.file..");
+    assertNoDependency(
+        packages(
             "beaconturn.decision..",
             "beaconturn.agreement..",
             "beaconturn.release..",
@@ -205,10 +205,10 @@
   }
 
   @Test
-  void streamsAreForAdaptersBytesInMemoryAside() {
+  void purePackagesUseOnlyInMemoryStreams() {
     noClasses()
         .that()
-        .resideInAnyPackage(NO_IO)
+        .resideInAnyPackage(PURE_PACKAGES)
         .should()
         .dependOnClassesThat(
             DescribedPredicate.describe(
@@ -223,9 +223,9 @@
         .check(CLASSES);
   }
 
-  /** The operators' platform refuses fork, splice and sendfile to a router. */
+  /** The target platform does not permit fork, splice and sendfile. */
   @Test
-  void aRouterStartsNoProgramAndCopiesByPlainCalls() {
+  void routerStartsNoProcessAndCopiesInUserSpace() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -237,12 +237,12 @@
         .should()
         .dependOnClassesThat(
             DescribedPredicate.describe(
-                "start programs",
+                "start processes",
                 c -> c.isEquivalentTo(Process.class) || c.isEquivalentTo(ProcessBuilder.class)))
         .orShould()
         .callMethodWhere(
             DescribedPredicate.describe(
-                "may copy in the kernel or start a program",
+                "may copy in the kernel or start a process",
                 call ->
                     call.getName().matches("exec")
                         || (call.getTargetOwner().isAssignableTo(FileChannel.class)
@@ -253,9 +253,9 @@
   }
 
   @Test
-  void onlyTheKitUsesItsLibraries() {
-    none(
-        at(
+  void routerDoesNotDependOnLibrariesOfTheTools() {
+    assertNoDependency(
+        packages(
             "beaconturn.net..",
             "beaconturn.core..",
             "beaconturn.decision..",
--- a/src/test/java/beaconturn/net/control/AdminServerTest.java
+++ b/src/test/java/beaconturn/net/control/AdminServerTest.java
@@ -25,31 +25,31 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Calls on the second address; the clock is the test's, and so is what the calls reach. */
+/** Tests commands on the admin address with a simulated clock and simulated router operations. */
 @Timeout(30)
 class AdminServerTest implements AdminOperations {
-  private static final long SECOND = 1_000_000_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
   @TempDir private Path folder;
-  private final AtomicLong now = new AtomicLong(SECOND);
+  private final AtomicLong nowNanos = new AtomicLong(SECOND_NANOS);
   private final BlockingQueue<ServerOverride> overrides = new LinkedBlockingQueue<>();
-  private volatile String notReady;
+  private volatile String notReadyReason;
   private final Counters counters = new Counters();
-  private final Map<AdminServer, CompletableFuture<Void>> open = new HashMap<>();
+  private final Map<AdminServer, CompletableFuture<Void>> runningServers = new HashMap<>();
   private final List<TestPeer.Line> callers = new ArrayList<>();
-  private AdminServer address;
+  private AdminServer server;
 
   @Override
   public String notReadyReason() {
-    return notReady;
+    return notReadyReason;
   }
 
-  /** Server {@code s-1} is known; of one that is called {@code s-slow} nothing is heard again. */
+  /** Only {@code s-1} is known; an override of {@code s-slow} is never acknowledged. */
   @Override
   public void applyOverride(
-      ServerOverride override, boolean fromElsewhere, Consumer<Boolean> known) {
+      ServerOverride override, boolean fromOtherProcess, Consumer<Boolean> known) {
     overrides.add(override);
     if (!override.id().equals("s-slow")) {
-      known.accept(fromElsewhere || override.id().equals("s-1"));
+      known.accept(fromOtherProcess || override.id().equals("s-1"));
     }
   }
 
@@ -57,65 +57,66 @@
     return folder.resolve("hand");
   }
 
-  private AdminServer open(boolean shared) throws IOException {
-    AdminServer opened =
+  private AdminServer startServer(boolean sharedFile) throws IOException {
+    AdminServer started =
         new AdminServer(
             new InetSocketAddress("127.0.0.1", 0),
             this,
             counters,
-            new ServerOverrideFile(file(), shared),
-            now::get);
-    open.put(opened, CompletableFuture.runAsync(opened, task -> new Thread(task).start()));
-    return opened;
+            new ServerOverrideFile(file(), sharedFile),
+            nowNanos::get);
+    runningServers.put(
+        started, CompletableFuture.runAsync(started, task -> new Thread(task).start()));
+    return started;
   }
 
   @BeforeEach
   void open() throws IOException {
-    address = open(false);
+    server = startServer(false);
   }
 
   @AfterEach
   void close() {
-    open.keySet().forEach(AdminServer::close);
-    // Fails if one of them did: a stop ends the callers that are there.
-    open.values().forEach(CompletableFuture::join);
+    runningServers.keySet().forEach(AdminServer::close);
+    // Fails the test if a server did not stop cleanly while connections were open.
+    runningServers.values().forEach(CompletableFuture::join);
     callers.forEach(TestPeer.Line::close);
   }
 
-  private TestPeer.Line say(String text) throws IOException {
-    TestPeer.Line caller = TestPeer.Line.to(address.address());
+  private TestPeer.Line send(String text) throws IOException {
+    TestPeer.Line caller = TestPeer.Line.to(server.address());
     callers.add(caller);
     caller.write(text);
     return caller;
   }
 
   private String call(String text) throws IOException {
-    return say(text).rest();
+    return send(text).rest();
   }
 
   @Test
-  void readySaysYesOnceTheRouterServesAndWhyNotBefore() throws IOException {
-    notReady = "starting";
+  void readyIsRejectedWithReasonUntilRouterServes() throws IOException {
+    notReadyReason = "starting";
     assertEquals("NAK starting\n", call("ready\n"));
-    notReady = null;
+    notReadyReason = null;
     assertEquals("ACK\n", call("ready\r\n"));
   }
 
   @Test
-  void aCallInSingleBytesOrEndedByItsCallersEndIsACall() throws IOException {
-    say("half a call");
-    TestPeer.Line slow = say("");
+  void commandInSingleBytesOrWithoutNewlineIsAccepted() throws IOException {
+    send("half a call");
+    TestPeer.Line slow = send("");
     for (String piece : "ready\n".split("")) {
       slow.write(piece);
     }
     assertEquals("ACK\n", slow.rest());
-    TestPeer.Line ended = say("ready");
+    TestPeer.Line ended = send("ready");
     ended.endOutput();
     assertEquals("ACK\n", ended.rest());
   }
 
   @Test
-  void whatIsNoCallGetsANoWithTheReason() throws IOException {
+  void invalidCommandIsRejectedWithReason() throws IOException {
     assertEquals("NAK no such call\n", call("\n"));
     assertEquals("NAK no such call\n", call("GET / HTTP/1.1\n"));
     assertEquals("NAK an id is missing\n", call("disable-server\n"));
@@ -130,28 +131,28 @@
   }
 
   @Test
-  void aHundredSilentCallersHoldUpNobody() throws IOException {
+  void idleConnectionsAreEvictedAndTimeOut() throws IOException {
     for (int i = 0; i < 100; i++) {
-      say("r");
+      send("r");
     }
     assertEquals("ACK\n", call("ready\n"));
-    // The oldest made room long ago.
+    // The oldest connection was evicted.
     assertEquals("", callers.get(0).rest());
-    now.addAndGet(6 * SECOND);
+    nowNanos.addAndGet(6 * SECOND_NANOS);
     assertEquals("", callers.get(99).rest());
   }
 
   @Test
-  void aCallThatTheModuleDoesNotTakeInTimeIsAnsweredAllTheSame() throws Exception {
-    TestPeer.Line caller = say("disable-server s-slow\n");
+  void overrideIsAcknowledgedAfterTimeoutIfRoutingThreadIsBusy() throws Exception {
+    TestPeer.Line caller = send("disable-server s-slow\n");
     overrides.take();
-    now.addAndGet(SECOND);
+    nowNanos.addAndGet(SECOND_NANOS);
     assertEquals("ACK\n", caller.rest());
     assertTrue(Files.readString(file()).contains("out s-slow "));
   }
 
   @Test
-  void figuresAreLinesThatEndWithTheirMark() throws IOException {
+  void metricsAreLinesFollowedByEndMarker() throws IOException {
     counters.declareClass("read");
     counters.requestAccepted();
     counters.requestAccepted();
@@ -177,15 +178,15 @@
   }
 
   @Test
-  void whatOneProcessOfARouterIsToldTheOtherFollows() throws Exception {
-    open(true);
+  void overridesAreAppliedByOtherProcessOfTheRouter() throws Exception {
+    startServer(true);
     assertEquals("ACK\n", call("disable-server s-1\n"));
-    ServerOverride said = overrides.take();
-    now.addAndGet(SECOND);
-    assertEquals(said, overrides.take());
+    ServerOverride override = overrides.take();
+    nowNanos.addAndGet(SECOND_NANOS);
+    assertEquals(override, overrides.take());
     assertEquals("ACK\n", call("enable-server s-1\n"));
     assertEquals(false, overrides.take().excluded());
-    now.addAndGet(SECOND);
+    nowNanos.addAndGet(SECOND_NANOS);
     assertEquals(false, overrides.take().excluded());
   }
 }
--- a/src/test/java/beaconturn/net/control/ServerOverrideFileTest.java
+++ b/src/test/java/beaconturn/net/control/ServerOverrideFileTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators said of cache servers, kept over processes of a router. */
+/** Tests that operator overrides outlive a process and are shared between processes. */
 class ServerOverrideFileTest {
-  private static final ServerOverride OUT = new ServerOverride("s-1", true, 5000);
-  private static final ServerOverride BACK = new ServerOverride("s-2", false, 6000);
+  private static final ServerOverride EXCLUDED = new ServerOverride("s-1", true, 5000);
+  private static final ServerOverride INCLUDED = new ServerOverride("s-2", false, 6000);
 
-  /** As the first build with this form wrote it. */
-  private static final String OUT_AND_BACK = "beaconturn-hand 2\nout s-1 5000\nback s-2 6000\n";
+  /** As written by the first build with version 2 of the format. */
+  private static final String FILE_TEXT = "beaconturn-hand 2\nout s-1 5000\nback s-2 6000\n";
 
   @TempDir private Path folder;
 
@@ -24,19 +24,16 @@
     return folder.resolve("hand");
   }
 
-  /**
-   * The process of the build before leaves the file at an upgrade, and may find it again at a
-   * roll-back: its text is the same in both.
-   */
+  /** Guards the format of the file, which other builds read after an upgrade or a rollback. */
   @Test
-  void aFileOfTheBuildBeforeIsReadAndWrittenByteForByte() throws IOException {
-    Files.writeString(file(), OUT_AND_BACK);
-    assertEquals(List.of(OUT, BACK), reread());
+  void fileFormatIsUnchanged() throws IOException {
+    Files.writeString(file(), FILE_TEXT);
+    assertEquals(List.of(EXCLUDED, INCLUDED), reread());
     Files.delete(file());
     ServerOverrideFile written = new ServerOverrideFile(file(), false);
-    written.put(OUT);
-    written.put(BACK);
-    assertEquals(OUT_AND_BACK, Files.readString(file()));
+    written.put(EXCLUDED);
+    written.put(INCLUDED);
+    assertEquals(FILE_TEXT, Files.readString(file()));
   }
 
   private List<ServerOverride> reread() {
@@ -44,46 +41,43 @@
   }
 
   @Test
-  void theNextProcessFindsWhatWasSaidLast() {
+  void nextProcessReadsLatestOverrides() {
     ServerOverrideFile first = new ServerOverrideFile(file(), false);
-    first.put(OUT);
-    first.put(BACK);
-    assertEquals(List.of(OUT, BACK), reread());
-    ServerOverride again = new ServerOverride("s-1", false, 7000);
-    first.put(again);
-    assertEquals(List.of(again, BACK), reread());
+    first.put(EXCLUDED);
+    first.put(INCLUDED);
+    assertEquals(List.of(EXCLUDED, INCLUDED), reread());
+    ServerOverride later = new ServerOverride("s-1", false, 7000);
+    first.put(later);
+    assertEquals(List.of(later, INCLUDED), reread());
   }
 
   @Test
-  void twoProcessesKeepEachOthersWords() {
+  void overridesOfTwoProcessesAreMerged() {
     ServerOverrideFile first = new ServerOverrideFile(file(), true);
     ServerOverrideFile second = new ServerOverrideFile(file(), true);
-    first.put(OUT);
-    second.put(BACK);
-    assertEquals(List.of(OUT, BACK), reread());
-    assertEquals(List.of(BACK), first.changes(0));
-    assertEquals(List.of(OUT), second.changes(0));
-    assertEquals(List.of(), first.changes(1_000_000_000));
+    first.put(EXCLUDED);
+    second.put(INCLUDED);
+    assertEquals(List.of(EXCLUDED, INCLUDED), reread());
+    assertEquals(List.of(INCLUDED), first.pollChanges(0));
+    assertEquals(List.of(EXCLUDED), second.pollChanges(0));
+    assertEquals(List.of(), first.pollChanges(1_000_000_000));
   }
 
   @Test
-  void aDamagedFileCountsAsFarAsItIsSound() throws IOException {
+  void invalidLinesAreSkippedAndInvalidFilesIgnored() throws IOException {
     Files.writeString(
         file(),
         "beaconturn-hand 2\nout s-1 5000\nout s-3\nodd s-4 1\n" + "back s-2 6000\nout s-5 x");
-    assertEquals(List.of(OUT, BACK), reread());
-    for (String unsound : new String[] {"", "\n", "out s-1 5000\n", "x".repeat(300 * 1024)}) {
-      Files.writeString(file(), unsound);
+    assertEquals(List.of(EXCLUDED, INCLUDED), reread());
+    for (String invalid : new String[] {"", "\n", "out s-1 5000\n", "x".repeat(300 * 1024)}) {
+      Files.writeString(file(), invalid);
       assertEquals(List.of(), reread());
     }
   }
 
-  /**
-   * Its times were those of a wall clock, which may have been an hour off: what it says counts as
-   * said now.
-   */
+  /** Version 1 has wall-clock times, which may be wrong: its overrides count as received now. */
   @Test
-  void aFileOfTheEarlierFormHoldsAndItsTimesDoNot() throws IOException {
+  void version1OverridesApplyWithCurrentTime() throws IOException {
     Files.writeString(file(), "beaconturn-hand 1\nout s-1 99999999999999\n");
     long before = MonotonicMillis.millis();
     ServerOverride read = reread().get(0);
@@ -92,11 +86,11 @@
   }
 
   @Test
-  void aFolderThatCannotBeWrittenCostsOnlyTheKeeping() {
+  void overrideAppliesAlthoughFileCannotBeWritten() {
     folder = folder.resolve("missing");
-    ServerOverrideFile kept = new ServerOverrideFile(file(), true);
-    kept.put(OUT);
-    assertEquals(List.of(OUT), kept.read());
+    ServerOverrideFile unwritable = new ServerOverrideFile(file(), true);
+    unwritable.put(EXCLUDED);
+    assertEquals(List.of(EXCLUDED), unwritable.read());
     assertEquals(List.of(), reread());
   }
 }
--- a/src/test/java/beaconturn/net/control/package-info.java
+++ b/src/test/java/beaconturn/net/control/package-info.java
@@ -1,2 +1,2 @@
-/** Calls on the second address, and what is kept of them. */
+/** Tests of the admin address and of persisted operator overrides. */
 package beaconturn.net.control;
