--- a/src/main/java/beaconturn/agreement/AgreementMember.java
+++ b/src/main/java/beaconturn/agreement/AgreementMember.java
@@ -255,7 +255,7 @@
   }
 
   private void handleRecordUpdate(StoreResponse.Success response) {
-    follower.recordIsCurrent();
+    follower.markRecordCurrent();
     if (!response.conditionsHeld()) {
       log.accept("agreement: was declared lost, joins anew");
       registration.leave();
@@ -272,8 +272,8 @@
 
   /**
    * Returns the request that publishes the router's endpoint view, or null if the view is already
-   * published, no lease is held or the last store request failed. It is independent of {@link
-   * #nextRequest}: no agreement step depends on it.
+   * published, the member has not joined or its store requests are failing. It may be in flight
+   * beside a request of {@link #nextRequest}, as no agreement step depends on it.
    */
   public StoreRequest nextViewRequest(EndpointView view) {
     boolean possible =
--- a/src/main/java/beaconturn/agreement/AgreementTransactions.java
+++ b/src/main/java/beaconturn/agreement/AgreementTransactions.java
@@ -59,7 +59,7 @@
 
   private static void requireNoOpenStep(AgreementSnapshot snapshot) throws AgreementException {
     if (snapshot.agreementId().isEmpty()) {
-      throw new AgreementException("no agreement was begun in this store: see 'agreement init'");
+      throw new AgreementException("this store holds no agreement: see 'agreement init'");
     }
     if (snapshot.proposedNumber() != 0) {
       throw new AgreementException(
--- a/src/main/java/beaconturn/agreement/VersionFollower.java
+++ b/src/main/java/beaconturn/agreement/VersionFollower.java
@@ -55,7 +55,7 @@
     return recordOutdated;
   }
 
-  void recordIsCurrent() {
+  void markRecordCurrent() {
     recordOutdated = false;
   }
 
--- a/src/test/java/beaconturn/agreement/AgreementMemberTest.java
+++ b/src/test/java/beaconturn/agreement/AgreementMemberTest.java
@@ -41,8 +41,8 @@
   }
 
   private static String effectiveConfigOf(SimulatedAgreement fleet, int router) {
-    SimulatedAgreement.SimulatedMember process = fleet.members.get(router);
-    return process.effectiveConfig.descriptionAt(process.now());
+    SimulatedAgreement.SimulatedMember member = fleet.members.get(router);
+    return member.effectiveConfig.descriptionAt(member.now());
   }
 
   @Test
@@ -222,18 +222,18 @@
   void memberThatLeftDoesNotStartOnPersistedConfig() throws AgreementException {
     SimulatedAgreement fleet = startedFleet(3);
     assertTrue(fleet.settlesWithin(propose(fleet, "c1"), 10 * SECOND_NANOS));
-    SimulatedAgreement.SimulatedMember process = fleet.members.get(1);
-    process.member.leave().forEach(fleet::serve);
-    process.crash();
+    SimulatedAgreement.SimulatedMember member = fleet.members.get(1);
+    member.member.leave().forEach(fleet::serve);
+    member.crash();
     assertTrue(fleet.settlesWithin(propose(fleet, "c2"), 10 * SECOND_NANOS));
-    process.disconnected = true;
-    process.start();
+    member.disconnected = true;
+    member.start();
     fleet.run(10 * LEASE_NANOS);
     assertEquals("strict ground", effectiveConfigOf(fleet, 1));
     assertEquals(
         new TreeSet<>(List.of("c1")),
-        process.effectiveConfig.contentAt(process.now()).excludedServers());
-    process.disconnected = false;
+        member.effectiveConfig.contentAt(member.now()).excludedServers());
+    member.disconnected = false;
     fleet.run(SECOND_NANOS);
     assertEquals("version 2", effectiveConfigOf(fleet, 1));
     assertNoViolations(fleet);
@@ -246,19 +246,19 @@
     assertTrue(fleet.settlesWithin(propose(fleet, "c1"), 10 * SECOND_NANOS));
     fleet.members.get(2).disconnected = true;
     propose(fleet, "c2");
-    SimulatedAgreement.SimulatedMember process = fleet.members.get(1);
-    while (process.persisted.ackedVersion() == null) {
+    SimulatedAgreement.SimulatedMember member = fleet.members.get(1);
+    while (member.persisted.ackedVersion() == null) {
       fleet.run(SimulatedAgreement.MILLI_NANOS);
     }
-    process.crash();
-    process.start();
-    assertFalse(process.member.hasAskedStore());
+    member.crash();
+    member.start();
+    assertFalse(member.member.hasAskedStore());
     assertEquals("strict ground", effectiveConfigOf(fleet, 1));
     assertEquals(
         new TreeSet<>(List.of("c1", "c2")),
-        process.effectiveConfig.contentAt(process.now()).excludedServers());
+        member.effectiveConfig.contentAt(member.now()).excludedServers());
     fleet.run(SECOND_NANOS);
-    assertTrue(process.member.hasAskedStore());
+    assertTrue(member.member.hasAskedStore());
     assertEquals("version 1", effectiveConfigOf(fleet, 1));
     assertNoViolations(fleet);
   }
@@ -331,16 +331,16 @@
     fleet.members.get(0).ignoresLease = memberIgnoresLease;
     Random random = new Random(seed);
     for (int i = 0; i < 60; i++) {
-      SimulatedAgreement.SimulatedMember process = fleet.members.get(random.nextInt(5));
+      SimulatedAgreement.SimulatedMember member = fleet.members.get(random.nextInt(5));
       switch (random.nextInt(8)) {
-        case 0 -> process.disconnected = !process.disconnected;
-        case 1 -> process.losesResponses = !process.losesResponses;
+        case 0 -> member.disconnected = !member.disconnected;
+        case 1 -> member.losesResponses = !member.losesResponses;
         case 2 ->
-            process.pausedUntilNanos =
+            member.pausedUntilNanos =
                 fleet.scheduler.now() + random.nextInt(6000) * SimulatedAgreement.MILLI_NANOS;
         case 3 -> {
-          process.crash();
-          process.start();
+          member.crash();
+          member.start();
         }
         case 4 -> fleet.store.freeze(random.nextBoolean());
         default -> proposeRandomContent(fleet, random);
@@ -349,9 +349,9 @@
     }
     fleet.store.freeze(false);
     fleet.members.forEach(
-        s -> {
-          s.disconnected = false;
-          s.losesResponses = false;
+        member -> {
+          member.disconnected = false;
+          member.losesResponses = false;
         });
     fleet.run(30 * SECOND_NANOS);
     return fleet;
@@ -361,7 +361,7 @@
     try {
       fleet.responsesToLose = random.nextInt(2);
       ConfigContent content = StrictestCommonConfigTest.randomContent(random);
-      fleet.admin().propose(now -> content, "op", "why", 0);
+      fleet.admin().propose(current -> content, "op", "why", 0);
     } catch (AgreementException e) {
       // Another step is still open.
       fleet.responsesToLose = 0;
@@ -374,9 +374,9 @@
     for (long seed = 1; seed <= Long.getLong("storms", 60); seed++) {
       SimulatedAgreement fleet = randomScenario(seed, false);
       assertEquals(List.of(), fleet.violations, "seed " + seed);
-      AgreementSnapshot seen = fleet.admin().status().snapshot();
-      assertFalse(seen.hasOpenStep(), () -> "a step is still open: " + seen);
-      assertNull(seen.proposed());
+      AgreementSnapshot snapshot = fleet.admin().status().snapshot();
+      assertFalse(snapshot.hasOpenStep(), () -> "a step is still open: " + snapshot);
+      assertNull(snapshot.proposed());
       versions += fleet.versionsInForce.size();
     }
     assertTrue(versions > 100, "too few versions came into force: " + versions);
@@ -385,13 +385,13 @@
   /** Guards against a check that never fails: the member acts on its version after its lease. */
   @Test
   void violationCheckDetectsMemberThatIgnoresItsLease() throws AgreementException {
-    int found = 0;
+    int detectedRuns = 0;
     for (long seed = 1; seed <= 20; seed++) {
       List<String> violations = randomScenario(seed, true).violations;
-      found += violations.isEmpty() ? 0 : 1;
+      detectedRuns += violations.isEmpty() ? 0 : 1;
       assertTrue(
-          violations.stream().allMatch(o -> o.contains("r0 acts against")), violations::toString);
+          violations.stream().allMatch(violation -> violation.contains("r0 acts against")), violations::toString);
     }
-    assertTrue(found > 0, "no run detected the violation");
+    assertTrue(detectedRuns > 0, "no run detected the violation");
   }
 }
--- a/src/test/java/beaconturn/agreement/MemberTraceTest.java
+++ b/src/test/java/beaconturn/agreement/MemberTraceTest.java
@@ -70,7 +70,7 @@
       case 9 -> operate(fleet, admin -> admin.withdraw("not wanted"));
       default -> {
         ConfigContent content = StrictestCommonConfigTest.randomContent(random);
-        operate(fleet, admin -> admin.propose(now -> content, "op", "why", 0));
+        operate(fleet, admin -> admin.propose(current -> content, "op", "why", 0));
       }
     }
   }
