--- a/src/main/java/beaconturn/agreement/AgreementSnapshot.java
+++ b/src/main/java/beaconturn/agreement/AgreementSnapshot.java
@@ -107,7 +107,9 @@
     return new StoreRequest.Condition.Unchanged(key, modRevisions.getOrDefault(key, 0L));
   }
 
-  /** Returns the conditions that the agreement, its current and its proposed version are unchanged. */
+  /**
+   * Returns the conditions that the agreement, its current and its proposed version are unchanged.
+   */
   List<StoreRequest.Condition> versionsUnchanged(AgreementKeys keys) {
     return List.of(
         unchanged(keys.agreementId()), unchanged(keys.current()), unchanged(keys.proposed()));
--- a/src/main/java/beaconturn/agreement/ConfigAdmin.java
+++ b/src/main/java/beaconturn/agreement/ConfigAdmin.java
@@ -35,7 +35,8 @@
   /**
    * Sends the request and returns the store's reply.
    *
-   * @throws AgreementException if the request fails; the commands recognize the start of its message
+   * @throws AgreementException if the request fails; the commands recognize the start of its
+   *     message
    */
   public static StoreResponse.Success requireSuccess(CoordinationStore store, StoreRequest request)
       throws AgreementException {
--- a/src/main/java/beaconturn/agreement/ConfigCodec.java
+++ b/src/main/java/beaconturn/agreement/ConfigCodec.java
@@ -15,8 +15,9 @@
 import java.util.TreeSet;
 
 /**
- * Encodes and decodes versions as JSON. Decoding is strict: an unknown field or a value out of range
- * is an error, since a router that applies only a part of a version would contradict the others.
+ * Encodes and decodes versions as JSON. Decoding is strict: an unknown field or a value out of
+ * range is an error, since a router that applies only a part of a version would contradict the
+ * others.
  */
 public final class ConfigCodec {
   private static final long MILLI_NANOS = 1_000_000;
--- a/src/main/java/beaconturn/agreement/IdempotencyCodec.java
+++ b/src/main/java/beaconturn/agreement/IdempotencyCodec.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * Maps {@link ClassIdempotency} to the words used in the store, in persisted files and in operators'
- * files.
+ * Maps {@link ClassIdempotency} to the words used in the store, in persisted files and in
+ * operators' files.
  */
 public final class IdempotencyCodec {
   private IdempotencyCodec() {}
--- a/src/main/java/beaconturn/agreement/MemberRegistration.java
+++ b/src/main/java/beaconturn/agreement/MemberRegistration.java
@@ -3,9 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * Creates, updates and removes a member's record in the store. Confined to the member's thread.
- */
+/** Creates, updates and removes a member's record in the store. Confined to the member's thread. */
 final class MemberRegistration {
   private final AgreementKeys keys;
   private final MemberIdentity identity;
@@ -69,7 +67,9 @@
     return new StoreRequest.Transaction(snapshot.versionsUnchanged(keys), changes);
   }
 
-  /** Conditional on an existing record, so that a record that was declared lost is not recreated. */
+  /**
+   * Conditional on an existing record, so that a record that was declared lost is not recreated.
+   */
   PendingRequest updateRequest(MemberRecord member) {
     StoreRequest update = new StoreRequest.Transaction(recordExists(), List.of(putRecord(member)));
     return new PendingRequest(RequestPurpose.UPDATE_RECORD, update);
--- a/src/main/java/beaconturn/agreement/StepLeader.java
+++ b/src/main/java/beaconturn/agreement/StepLeader.java
@@ -15,7 +15,9 @@
   private final String incarnation;
   private final Consumer<String> log;
 
-  /** Earliest start of the next round, which reads the member records and then the liveness keys. */
+  /**
+   * Earliest start of the next round, which reads the member records and then the liveness keys.
+   */
   private long nextRoundNanos;
 
   /** The member records read in this round, or null. */
--- a/src/main/java/beaconturn/agreement/StoreRequest.java
+++ b/src/main/java/beaconturn/agreement/StoreRequest.java
@@ -2,9 +2,7 @@
 
 import java.util.List;
 
-/**
- * A request to the coordination store. The result is a {@link StoreResponse}.
- */
+/** A request to the coordination store. The result is a {@link StoreResponse}. */
 public sealed interface StoreRequest {
   /** Grants a lease that expires after its time to live unless it is kept alive. */
   record Grant(long ttlSeconds) implements StoreRequest {}
--- a/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
@@ -25,9 +25,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/**
- * Runs a router's zone member on its own thread, with its own connection to the store.
- */
+/** Runs a router's zone member on its own thread, with its own connection to the store. */
 public final class ZonesSubsystem implements ZoneWeightsSource, ZoneReportSource {
   private static final Logger LOG = Logger.getLogger(ZonesSubsystem.class.getName());
 
--- a/src/main/java/beaconturn/net/control/AdminConnection.java
+++ b/src/main/java/beaconturn/net/control/AdminConnection.java
@@ -45,7 +45,9 @@
     channel.register(server.selector(), SelectionKey.OP_READ, this);
   }
 
-  /** Sort key of connections to evict, lowest first; connections with a pending command are last. */
+  /**
+   * Sort key of connections to evict, lowest first; connections with a pending command are last.
+   */
   long evictionOrder() {
     return responseAtNanos == NEVER ? openedAtNanos : NEVER;
   }
--- a/src/main/java/beaconturn/rehearsal/JsonReport.java
+++ b/src/main/java/beaconturn/rehearsal/JsonReport.java
@@ -94,7 +94,9 @@
     return new JsonObjectBuilder()
         .put("versions", fleet.passages().stream().map(this::version).toList())
         .put("contradiction_ms", report.contradiction() / NANOS_PER_MILLI)
-        .put("stated_ms", report.scenario().agreement().timing().maxStalenessNanos() / NANOS_PER_MILLI)
+        .put(
+            "stated_ms",
+            report.scenario().agreement().timing().maxStalenessNanos() / NANOS_PER_MILLI)
         .put("calls_per_second", fleet.callsPerSecond())
         .put("router_kb", fleet.footprint().memory())
         .put("router_threads", fleet.footprint().threads())
--- a/src/test/java/beaconturn/LayoutTest.java
+++ b/src/test/java/beaconturn/LayoutTest.java
@@ -103,9 +103,18 @@
     String[] others = {"beaconturn.net", "beaconturn.net.agreement..", "beaconturn.net.control.."};
     assertNoDependency(packages("beaconturn.net.client..", "beaconturn.net.server.."), others);
     assertNoDependency(packages("beaconturn.net.discovery..", "beaconturn.net.io.."), others);
-    assertNoDependency(packages("beaconturn.net.client.."), "beaconturn.net.server..", "beaconturn.net.discovery..");
-    assertNoDependency(packages("beaconturn.net.server.."), "beaconturn.net.client..", "beaconturn.net.discovery..");
-    assertNoDependency(packages("beaconturn.net.discovery.."), "beaconturn.net.client..", "beaconturn.net.server..");
+    assertNoDependency(
+        packages("beaconturn.net.client.."),
+        "beaconturn.net.server..",
+        "beaconturn.net.discovery..");
+    assertNoDependency(
+        packages("beaconturn.net.server.."),
+        "beaconturn.net.client..",
+        "beaconturn.net.discovery..");
+    assertNoDependency(
+        packages("beaconturn.net.discovery.."),
+        "beaconturn.net.client..",
+        "beaconturn.net.server..");
     assertNoDependency(
         packages("beaconturn.net.io.."),
         "beaconturn.net.client..",
@@ -116,7 +125,10 @@
   @Test
   void decisionsMetricsAndFormatsAreIndependent() {
     assertNoDependency(
-        packages("beaconturn.stats.."), "beaconturn.net..", "beaconturn.core..", "beaconturn.decision..");
+        packages("beaconturn.stats.."),
+        "beaconturn.net..",
+        "beaconturn.core..",
+        "beaconturn.decision..");
     assertNoDependency(
         packages("beaconturn.agreement.."),
         "beaconturn.core..",
@@ -143,7 +155,8 @@
         "beaconturn.core..",
         "beaconturn.rehearsal..",
         "beaconturn.release..");
-    assertNoDependency(packages("beaconturn.agreement.."), "beaconturn.release..", "beaconturn.zones..");
+    assertNoDependency(
+        packages("beaconturn.agreement.."), "beaconturn.release..", "beaconturn.zones..");
     assertNoDependency(
         packages("beaconturn.decision.."),
         "beaconturn.core..",
--- a/src/test/java/beaconturn/agreement/AgreementMemberTest.java
+++ b/src/test/java/beaconturn/agreement/AgreementMemberTest.java
@@ -107,7 +107,9 @@
     assertNoViolations(fleet);
   }
 
-  /** A member with an older endpoint list than the version requires would contradict the version. */
+  /**
+   * A member with an older endpoint list than the version requires would contradict the version.
+   */
   @Test
   void memberDoesNotVoteUntilItHasRequiredEndpointList() throws AgreementException {
     SimulatedAgreement fleet = startedFleet(3);
@@ -173,8 +175,7 @@
   }
 
   @Test
-  void crashedMemberIsAwaitedUntilRestartedOrDeclaredLost()
-      throws AgreementException {
+  void crashedMemberIsAwaitedUntilRestartedOrDeclaredLost() throws AgreementException {
     SimulatedAgreement fleet = startedFleet(3);
     fleet.members.get(2).crash();
     propose(fleet, "c1");
@@ -263,7 +264,9 @@
     assertNoViolations(fleet);
   }
 
-  /** After a loss of the store all members keep their configuration, whatever replaces the store. */
+  /**
+   * After a loss of the store all members keep their configuration, whatever replaces the store.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"empty", "older"})
   void membersIgnoreReplacedStore(String replacement) throws AgreementException {
@@ -390,7 +393,8 @@
       List<String> violations = randomScenario(seed, true).violations;
       detectedRuns += violations.isEmpty() ? 0 : 1;
       assertTrue(
-          violations.stream().allMatch(violation -> violation.contains("r0 acts against")), violations::toString);
+          violations.stream().allMatch(violation -> violation.contains("r0 acts against")),
+          violations::toString);
     }
     assertTrue(detectedRuns > 0, "no run detected the violation");
   }
--- a/src/test/java/beaconturn/agreement/MemberTraceTest.java
+++ b/src/test/java/beaconturn/agreement/MemberTraceTest.java
@@ -52,7 +52,8 @@
     switch (random.nextInt(11)) {
       case 0 -> member.disconnected = !member.disconnected;
       case 1 -> member.losesResponses = !member.losesResponses;
-      case 2 -> member.pausedUntilNanos = fleet.scheduler.now() + random.nextInt(6) * 1_000_000_000L;
+      case 2 ->
+          member.pausedUntilNanos = fleet.scheduler.now() + random.nextInt(6) * 1_000_000_000L;
       case 3 -> {
         member.member.leave().forEach(fleet::serve);
         member.crash();
--- a/src/test/java/beaconturn/agreement/SimulatedAgreement.java
+++ b/src/test/java/beaconturn/agreement/SimulatedAgreement.java
@@ -15,8 +15,10 @@
 final class SimulatedAgreement {
   static final long MILLI_NANOS = 1_000_000;
   static final long SECOND_NANOS = 1000 * MILLI_NANOS;
-  static final AgreementTiming TIMING = new AgreementTiming(2 * SECOND_NANOS, 0.02, 50 * MILLI_NANOS);
-  static final ConfigContent LOCAL_CONTENT = StrictestCommonConfigTest.randomContent(new Random(99));
+  static final AgreementTiming TIMING =
+      new AgreementTiming(2 * SECOND_NANOS, 0.02, 50 * MILLI_NANOS);
+  static final ConfigContent LOCAL_CONTENT =
+      StrictestCommonConfigTest.randomContent(new Random(99));
   private static final AgreementKeys KEYS = new AgreementKeys("/fleet");
   private static final long ACTION_INTERVAL_NANOS = 20 * MILLI_NANOS;
   final EventScheduler scheduler = new EventScheduler(0);
@@ -202,12 +204,14 @@
     boolean allowed =
         versionsInForce.isEmpty()
             || (scheduler.now() - versionsInForce.get(0).sinceNanos() <= TIMING.maxStalenessNanos()
-                && ConfigConflicts.violations(acting, ConfigContent.UNSPECIFIED.withDefaults(LOCAL_CONTENT))
+                && ConfigConflicts.violations(
+                        acting, ConfigContent.UNSPECIFIED.withDefaults(LOCAL_CONTENT))
                     .isEmpty());
     List<String> violatedFields = List.of();
     for (int i = versionsInForce.size() - 1; i >= 0 && !allowed; i--) {
       violatedFields =
-          ConfigConflicts.violations(acting, versionsInForce.get(i).version().content().withDefaults(LOCAL_CONTENT));
+          ConfigConflicts.violations(
+              acting, versionsInForce.get(i).version().content().withDefaults(LOCAL_CONTENT));
       allowed = violatedFields.isEmpty();
       if (scheduler.now() - versionsInForce.get(i).sinceNanos() > TIMING.maxStalenessNanos()) {
         break;
@@ -229,12 +233,14 @@
    * Whether a member that does not know the version in force may act so: it repeats no request, and
    * only violates exclusions and list versions that it cannot know.
    */
-  private static boolean isAllowedWithoutVersion(List<String> violatedFields, ConfigContent acting) {
+  private static boolean isAllowedWithoutVersion(
+      List<String> violatedFields, ConfigContent acting) {
     return acting.maxAttempts() == 1
         && !acting.hedging()
         && acting.classes().values().stream()
             .allMatch(rule -> rule.idempotency() == ClassIdempotency.NON_IDEMPOTENT)
-        && violatedFields.stream().allMatch(field -> field.startsWith("out.") || field.equals("oldest_list"));
+        && violatedFields.stream()
+            .allMatch(field -> field.startsWith("out.") || field.equals("oldest_list"));
   }
 
   /** Returns the operators' client; responses to its transactions are lost as configured. */
--- a/src/test/java/beaconturn/net/agreement/StoreClientTest.java
+++ b/src/test/java/beaconturn/net/agreement/StoreClientTest.java
@@ -78,9 +78,11 @@
         askSuccessfully(put("/f/x", "2", 0, new StoreRequest.Condition.Unchanged("/f/x", 2)))
             .conditionsHeld());
     assertTrue(
-        askSuccessfully(put("/f/z", "1", 0, new StoreRequest.Condition.Exists("/f/x"))).conditionsHeld());
+        askSuccessfully(put("/f/z", "1", 0, new StoreRequest.Condition.Exists("/f/x")))
+            .conditionsHeld());
     assertFalse(
-        askSuccessfully(put("/f/z", "2", 0, new StoreRequest.Condition.Exists("/f/y"))).conditionsHeld());
+        askSuccessfully(put("/f/z", "2", 0, new StoreRequest.Condition.Exists("/f/y")))
+            .conditionsHeld());
     assertTrue(
         askSuccessfully(put("/g", "1", 0, new StoreRequest.Condition.NoneModifiedAfter("/f/", 4)))
             .conditionsHeld());
@@ -155,8 +157,7 @@
     Path file = folder.resolve("beaconturn-r_1.agreed");
     Files.writeString(file, Files.readString(file).replace("\\\"number\\\":3", "\\\"number\\\":2"));
     assertEquals(PersistedConfig.EMPTY, new PersistedConfigFile(folder, "r/1", log::add).read());
-    assertTrue(
-        log.get(0).contains("beaconturn-r_1.agreed: version 2 has digest"), log.toString());
+    assertTrue(log.get(0).contains("beaconturn-r_1.agreed: version 2 has digest"), log.toString());
     assertFalse(new PersistedConfigFile(folder.resolve("gone"), "r1", log::add).write(persisted));
   }
 }
