--- a/src/main/java/beaconturn/agreement/AgreementMember.java
+++ b/src/main/java/beaconturn/agreement/AgreementMember.java
@@ -257,7 +257,7 @@
   private void handleRecordUpdate(StoreResponse.Success response) {
     follower.markRecordCurrent();
     if (!response.conditionsHeld()) {
-      log.accept("agreement: was declared lost, joins anew");
+      log.accept("agreement: an operator declared this router lost; joins again");
       registration.leave();
       follower.handleDeclaredLost();
       versionLease.drop();
