--- a/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/ZonesSubsystem.java
@@ -8,7 +8,7 @@
 import beaconturn.net.RouterConfig;
 import beaconturn.net.ZoneWeightsSource;
 import beaconturn.stats.CacheLookup;
-import beaconturn.zones.DueAllocation;
+import beaconturn.zones.EffectiveAllocation;
 import beaconturn.zones.ZoneMember;
 import beaconturn.zones.ZoneObservations;
 import beaconturn.zones.ZoneReport;
@@ -47,7 +47,7 @@
   private volatile boolean stopped;
 
   /** Zone weights, and what they were made of. */
-  private record CachedWeights(DueAllocation due, ZoneWeights weights) {}
+  private record CachedWeights(EffectiveAllocation due, ZoneWeights weights) {}
 
   /** A member that asks nobody before it is run; its home is the router's zone. */
   public ZonesSubsystem(AgreementConfig config, ZoneTopology topology, RouterConfig router) {
@@ -112,7 +112,7 @@
 
   @Override
   public ZoneWeights dueWeights() {
-    DueAllocation due = member.allocationAt(clock.now());
+    EffectiveAllocation due = member.allocationAt(clock.now());
     CachedWeights cached = cachedWeights;
     if (cached == null || !cached.due().equals(due)) {
       cached = new CachedWeights(due, weights(due));
@@ -121,7 +121,7 @@
     return cached.weights();
   }
 
-  private ZoneWeights weights(DueAllocation due) {
+  private ZoneWeights weights(EffectiveAllocation due) {
     List<Integer> zoneIndexes = new ArrayList<>();
     List<Integer> weights = new ArrayList<>();
     due.allocation()
--- a/src/main/java/beaconturn/zones/DueAllocation.java
+++ b/src/main/java/beaconturn/zones/EffectiveAllocation.java
@@ -8,4 +8,4 @@
  *     which theirs has no room
  * @param description where the allocation comes from, in words
  */
-public record DueAllocation(ZoneAllocation allocation, boolean overflow, String description) {}
+public record EffectiveAllocation(ZoneAllocation allocation, boolean overflow, String description) {}
--- a/src/main/java/beaconturn/zones/FailoverPlanner.java
+++ b/src/main/java/beaconturn/zones/FailoverPlanner.java
@@ -11,7 +11,7 @@
  * over waits for its own. For one thread; all times are nanoseconds of its clock.
  *
  * <p>The rules: {@link EvidenceAggregator} (what is known of a zone), {@link ZoneOutages}
- * (confirmation and recovery), {@link SharedOutageRule}, {@link NearWeightRule} (how much a zone
+ * (confirmation and recovery), {@link SharedOutageRule}, {@link HomeWeightRule} (how much a zone
  * serves itself), {@link DestinationRule} (who takes the rest), {@link StepLimits}, and {@link
  * ZoneStateRule}.
  */
@@ -22,7 +22,7 @@
   private final ZoneTraffic traffic;
   private final ZoneOutages outages;
   private final SharedOutageRule sharedOutage;
-  private final NearWeightRule nearWeights;
+  private final HomeWeightRule nearWeights;
   private final DestinationRule destinations;
   private final StepLimits stepLimits;
   private final ZoneStateRule zoneStates;
@@ -57,7 +57,7 @@
     this.sharedOutage =
         new SharedOutageRule(topology, evidence, windowNanos, timing.confirmNanos());
     ZoneCapacity capacity = new ZoneCapacity(topology, evidence, traffic);
-    this.nearWeights = new NearWeightRule(topology, evidence, traffic, capacity, outages, timing);
+    this.nearWeights = new HomeWeightRule(topology, evidence, traffic, capacity, outages, timing);
     this.destinations = new DestinationRule(topology, evidence, traffic, capacity, outages);
     this.stepLimits = new StepLimits(topology, traffic, timing.stepIntervalNanos());
     this.zoneStates = new ZoneStateRule(topology, evidence, timing);
--- a/src/main/java/beaconturn/zones/NearWeightRule.java
+++ b/src/main/java/beaconturn/zones/HomeWeightRule.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 
 /** Decides how many of its keys a zone is to serve itself. For the planner's thread. */
-final class NearWeightRule {
+final class HomeWeightRule {
   /** A spill ends at once where no more than this part of the capacity is wanted. */
   private static final double ENDS_SPILL_LOAD = 0.8;
 
@@ -21,7 +21,7 @@
   /** Since when clearly no more is wanted than a zone carries. */
   private final SortedMap<String, Long> sufficientSinceNanos = new TreeMap<>();
 
-  NearWeightRule(
+  HomeWeightRule(
       ZoneTopology topology,
       EvidenceAggregator evidence,
       ZoneTraffic traffic,
--- a/src/main/java/beaconturn/zones/OwnZoneEvidence.java
+++ b/src/main/java/beaconturn/zones/HomeZoneEvidence.java
@@ -4,7 +4,7 @@
  * Tells whether a router finds its own zone bad, by its own attempts alone. For the member's
  * thread.
  */
-final class OwnZoneEvidence {
+final class HomeZoneEvidence {
   private final String homeZone;
   private final long windowNanos;
 
@@ -14,7 +14,7 @@
   private long windowStartNanos;
   private boolean bad;
 
-  OwnZoneEvidence(String homeZone, long windowNanos) {
+  HomeZoneEvidence(String homeZone, long windowNanos) {
     this.homeZone = homeZone;
     this.windowNanos = windowNanos;
   }
--- a/src/main/java/beaconturn/zones/LeasedAllocation.java
+++ b/src/main/java/beaconturn/zones/LeasedAllocation.java
@@ -1,8 +1,8 @@
 package beaconturn.zones;
 
 /** The allocations that a router sends by until a lease ends, and from then on. */
-record LeasedAllocation(long leaseEndNanos, DueAllocation whileLeased, DueAllocation afterLease) {
-  DueAllocation at(long nowNanos) {
+record LeasedAllocation(long leaseEndNanos, EffectiveAllocation whileLeased, EffectiveAllocation afterLease) {
+  EffectiveAllocation at(long nowNanos) {
     return nowNanos < leaseEndNanos ? whileLeased : afterLease;
   }
 }
--- a/src/main/java/beaconturn/zones/ZoneMember.java
+++ b/src/main/java/beaconturn/zones/ZoneMember.java
@@ -40,7 +40,7 @@
   private final ReportLease reportLease;
   private final ZonePlanFollower follower;
   private final ZonePlanLeader leader;
-  private final OwnZoneEvidence ownEvidence;
+  private final HomeZoneEvidence ownEvidence;
 
   /** What the request that is out is for, or null. */
   private ZoneRequestPurpose outstanding;
@@ -52,7 +52,7 @@
   private volatile LeasedAllocation leased;
 
   /** The allocation that was logged last. */
-  private DueAllocation loggedAllocation;
+  private EffectiveAllocation loggedAllocation;
 
   /**
    * A member in a zone.
@@ -80,7 +80,7 @@
     this.follower = new ZonePlanFollower(keys, topology, timing, router, jitter);
     FailoverPlanner planner = planner(topology, timing);
     this.leader = new ZonePlanLeader(keys, topology, planner, router, jitter, startNanos, log);
-    this.ownEvidence = new OwnZoneEvidence(homeZone, WINDOW_NANOS);
+    this.ownEvidence = new HomeZoneEvidence(homeZone, WINDOW_NANOS);
     this.leased = leasedAllocation();
     this.loggedAllocation = allocationAt(startNanos);
   }
@@ -98,25 +98,25 @@
    * The allocation to send by at a time of the router's clock; any thread may ask, also one that
    * stood still for long.
    */
-  public DueAllocation allocationAt(long nowNanos) {
+  public EffectiveAllocation allocationAt(long nowNanos) {
     return leased.at(nowNanos);
   }
 
   private LeasedAllocation leasedAllocation() {
     ZonePlan plan = follower.plan();
-    DueAllocation planned =
-        new DueAllocation(plan.allocationOf(homeZone), true, "plan " + plan.number());
+    EffectiveAllocation planned =
+        new EffectiveAllocation(plan.allocationOf(homeZone), true, "plan " + plan.number());
     return new LeasedAllocation(follower.leaseEndNanos(), planned, allocationWithoutLease());
   }
 
-  private DueAllocation allocationWithoutLease() {
+  private EffectiveAllocation allocationWithoutLease() {
     if (ownEvidence.isBad()) {
-      return new DueAllocation(
+      return new EffectiveAllocation(
           ZonePlan.withoutLease(topology, homeZone),
           false,
           "its own evidence: its place is bad, no lease");
     }
-    return new DueAllocation(ZonePlan.nearWithTrial(topology, homeZone), false, "no lease: near");
+    return new EffectiveAllocation(ZonePlan.nearWithTrial(topology, homeZone), false, "no lease: near");
   }
 
   /**
@@ -131,7 +131,7 @@
           reportSource.report(router, reportSequenceNumber, planNumber), nowNanos);
     }
     leased = leasedAllocation();
-    DueAllocation due = allocationAt(nowNanos);
+    EffectiveAllocation due = allocationAt(nowNanos);
     if (!due.equals(loggedAllocation)) {
       log.accept("zones: sends by " + due.description() + ", " + due.allocation().weights());
     }
--- a/src/test/java/beaconturn/zones/PoliciesTest.java
+++ b/src/test/java/beaconturn/zones/FailoverPolicyTest.java
@@ -13,7 +13,7 @@
  * four places of two regions with ten cache servers each that carry 1000 a second together. Figures
  * go to the log.
  */
-class PoliciesTest {
+class FailoverPolicyTest {
   private static final long SECOND = SimulatedZones.SECOND;
   private static final Map<String, String> FOUR =
       Map.of("a", "one", "b", "one", "c", "two", "d", "two");
