--- a/src/main/java/beaconturn/cli/ZonesPrinter.java
+++ b/src/main/java/beaconturn/cli/ZonesPrinter.java
@@ -69,8 +69,8 @@
         Locale.ROOT,
         "; %s %d good, %d bad, %d of %d servers warm, %d ejected",
         zone,
-        seen.goodAttempts(),
-        seen.badAttempts(),
+        seen.successfulAttempts(),
+        seen.failedAttempts(),
         seen.warmServers(),
         seen.listedServers(),
         seen.ejectedServers());
--- a/src/main/java/beaconturn/cli/ZonesRunner.java
+++ b/src/main/java/beaconturn/cli/ZonesRunner.java
@@ -65,7 +65,7 @@
       case "show" -> {
         ZonesSnapshot snapshot = admin.readSnapshot();
         ZonesPrinter.printSnapshot(snapshot);
-        RegionDistanceCheck.doubts(topology, snapshot.reports()).forEach(System.out::println);
+        RegionDistanceCheck.warnings(topology, snapshot.reports()).forEach(System.out::println);
       }
       case "history" -> admin.history().forEach(ZonesPrinter::printPlan);
       case "drain" -> {
--- a/src/main/java/beaconturn/zones/EvidenceAggregator.java
+++ b/src/main/java/beaconturn/zones/EvidenceAggregator.java
@@ -67,15 +67,15 @@
 
   /** The bad part of the attempts of a zone's own routers there; 0 where there were none. */
   double badShare(String zone) {
-    long good = pool.recentFromOwn(zone).mapToLong(ZoneObservations::goodAttempts).sum();
-    long bad = pool.recentFromOwn(zone).mapToLong(ZoneObservations::badAttempts).sum();
+    long good = pool.recentFromOwn(zone).mapToLong(ZoneObservations::successfulAttempts).sum();
+    long bad = pool.recentFromOwn(zone).mapToLong(ZoneObservations::failedAttempts).sum();
     return good + bad == 0 ? 0 : bad / (double) (good + bad);
   }
 
   /** The mean time of good answers to a zone's own routers there, 0 where there were none. */
   double answerMicros(String zone) {
-    long good = pool.recentFromOwn(zone).mapToLong(ZoneObservations::goodAttempts).sum();
-    long micros = pool.recentFromOwn(zone).mapToLong(ZoneObservations::goodMicros).sum();
+    long good = pool.recentFromOwn(zone).mapToLong(ZoneObservations::successfulAttempts).sum();
+    long micros = pool.recentFromOwn(zone).mapToLong(ZoneObservations::successMicros).sum();
     return good == 0 ? 0 : micros / (double) good;
   }
 
--- a/src/main/java/beaconturn/zones/FailoverPlanner.java
+++ b/src/main/java/beaconturn/zones/FailoverPlanner.java
@@ -131,7 +131,7 @@
     int currentWeight = draft.base().allocationOf(home).weightOf(home);
     int nearWeight = nearWeights.wantedWeight(draft, home, evacuated);
     if (isOfKind(override, ZoneOverrideKind.WEIGHT)) {
-      nearWeight = Math.min(nearWeight, override.maxNearWeight());
+      nearWeight = Math.min(nearWeight, override.maxHomeWeight());
     }
     if (nearWeight > currentWeight && !drained && !mayReturn(draft, home)) {
       draft.waitFor(home + " has to be good for longer before its keys come back");
--- a/src/main/java/beaconturn/zones/HomeWeightRule.java
+++ b/src/main/java/beaconturn/zones/HomeWeightRule.java
@@ -75,7 +75,7 @@
 
   private int byLoad(PlanDraft draft, String home, double wanted, double carried) {
     int currentWeight = draft.base().allocationOf(home).weightOf(home);
-    int maxWeight = maxNearWeight(topology, home);
+    int maxWeight = maxHomeWeight(topology, home);
     int carriedWeight =
         (int)
             Math.max(
@@ -107,7 +107,7 @@
   }
 
   /** All keys of a zone, but for what is tried elsewhere. */
-  static int maxNearWeight(ZoneTopology topology, String home) {
+  static int maxHomeWeight(ZoneTopology topology, String home) {
     boolean alone = topology.othersByDistance(home).isEmpty();
     return alone
         ? ZoneAllocation.TOTAL_WEIGHT
--- a/src/main/java/beaconturn/zones/RegionDistanceCheck.java
+++ b/src/main/java/beaconturn/zones/RegionDistanceCheck.java
@@ -21,21 +21,21 @@
    * For each zone what its routers measure against the order in which its keys go on: a zone that
    * is named before another and takes clearly longer. In words, empty where nothing is wrong.
    */
-  public static List<String> doubts(ZoneTopology topology, Collection<ZoneReport> reports) {
-    List<String> doubts = new ArrayList<>();
+  public static List<String> warnings(ZoneTopology topology, Collection<ZoneReport> reports) {
+    List<String> warnings = new ArrayList<>();
     for (String home : topology.zones()) {
       List<String> others = topology.othersByDistance(home);
       for (int i = 0; i < others.size(); i++) {
         for (String farther : others.subList(i + 1, others.size())) {
-          addDoubt(doubts, topology, reports, home, others.get(i), farther);
+          addDoubt(warnings, topology, reports, home, others.get(i), farther);
         }
       }
     }
-    return doubts;
+    return warnings;
   }
 
   private static void addDoubt(
-      List<String> doubts,
+      List<String> warnings,
       ZoneTopology topology,
       Collection<ZoneReport> reports,
       String home,
@@ -48,7 +48,7 @@
     if (!nearerRegion.equals(fartherRegion)
         && fartherMicros > 0
         && nearerMicros > CONTRADICTION_FACTOR * fartherMicros) {
-      doubts.add(
+      warnings.add(
           String.format(
               Locale.ROOT,
               "from %s, %s of region %s takes %.1f ms and"
@@ -70,8 +70,8 @@
     for (ZoneReport report : reports) {
       if (report.homeZone().equals(home)) {
         ZoneObservations seen = report.zones().getOrDefault(zone, ZoneObservations.NONE);
-        answers += seen.goodAttempts();
-        micros += seen.goodMicros();
+        answers += seen.successfulAttempts();
+        micros += seen.successMicros();
       }
     }
     return answers < MIN_ANSWERS ? 0 : micros / (double) answers;
--- a/src/main/java/beaconturn/zones/ZoneHealthRules.java
+++ b/src/main/java/beaconturn/zones/ZoneHealthRules.java
@@ -19,11 +19,11 @@
     if (seen.listedServers() == 0) {
       return ZoneHealth.NOT_LISTED;
     }
-    long attempts = seen.goodAttempts() + seen.badAttempts();
-    if (attempts >= MIN_ATTEMPTS && seen.badAttempts() > MAX_BAD_SHARE * attempts) {
+    long attempts = seen.successfulAttempts() + seen.failedAttempts();
+    if (attempts >= MIN_ATTEMPTS && seen.failedAttempts() > MAX_BAD_SHARE * attempts) {
       return ZoneHealth.BROKEN;
     }
-    if (seen.goodAttempts() > seen.badAttempts()) {
+    if (seen.successfulAttempts() > seen.failedAttempts()) {
       // Also where servers are ejected still: by trials alone they come back late, and answers are
       // newer.
       return ZoneHealth.GOOD;
@@ -31,7 +31,7 @@
     // What nobody has tried is not known to be bad: without traffic an ejection only tells what
     // once was.
     boolean mostEjected = 2 * seen.ejectedServers() >= seen.listedServers();
-    return seen.badAttempts() > 0 && mostEjected ? ZoneHealth.BROKEN : ZoneHealth.UNKNOWN;
+    return seen.failedAttempts() > 0 && mostEjected ? ZoneHealth.BROKEN : ZoneHealth.UNKNOWN;
   }
 
   /**
--- a/src/main/java/beaconturn/zones/ZoneObservations.java
+++ b/src/main/java/beaconturn/zones/ZoneObservations.java
@@ -4,17 +4,17 @@
  * What one router has seen of one zone by its own attempts. Counts grow from the start of its
  * process.
  *
- * @param goodAttempts attempts that were answered in time
- * @param badAttempts attempts that failed, were reset, timed out or were answered late
- * @param goodMicros what the good ones took together
+ * @param successfulAttempts attempts that were answered in time
+ * @param failedAttempts attempts that failed, were reset, timed out or were answered late
+ * @param successMicros what the good ones took together
  * @param listedServers cache servers that its endpoint list has there
  * @param warmServers of these, those in service and warmed up
  * @param ejectedServers of these, those that it passes over
  */
 public record ZoneObservations(
-    long goodAttempts,
-    long badAttempts,
-    long goodMicros,
+    long successfulAttempts,
+    long failedAttempts,
+    long successMicros,
     int listedServers,
     int warmServers,
     int ejectedServers) {
@@ -24,9 +24,9 @@
   /** What came since an earlier one of the same process. */
   ZoneObservations since(ZoneObservations earlier) {
     return new ZoneObservations(
-        goodAttempts - earlier.goodAttempts,
-        badAttempts - earlier.badAttempts,
-        goodMicros - earlier.goodMicros,
+        successfulAttempts - earlier.successfulAttempts,
+        failedAttempts - earlier.failedAttempts,
+        successMicros - earlier.successMicros,
         listedServers,
         warmServers,
         ejectedServers);
--- a/src/main/java/beaconturn/zones/ZoneOverride.java
+++ b/src/main/java/beaconturn/zones/ZoneOverride.java
@@ -5,16 +5,16 @@
  *
  * @param zone the zone
  * @param kind what is to be done with its keys
- * @param maxNearWeight for {@link ZoneOverrideKind#WEIGHT}, at most so many thousandths of its keys
+ * @param maxHomeWeight for {@link ZoneOverrideKind#WEIGHT}, at most so many thousandths of its keys
  *     stay near
- * @param remainingNanos how long it counts from when it is given; 0 without end
+ * @param durationNanos how long it counts from when it is given; 0 without end
  * @param author who said so
  * @param reason why
  */
 public record ZoneOverride(
     String zone,
     ZoneOverrideKind kind,
-    int maxNearWeight,
-    long remainingNanos,
+    int maxHomeWeight,
+    long durationNanos,
     String author,
     String reason) {}
--- a/src/main/java/beaconturn/zones/ZoneStateRule.java
+++ b/src/main/java/beaconturn/zones/ZoneStateRule.java
@@ -25,7 +25,7 @@
       boolean linkOnly = evidence.healthOf(home) == ZoneHealth.LINK;
       return linkOnly ? ZoneState.SPLIT : ZoneState.FAILED_OVER;
     }
-    if (step.weightOf(home) >= HomeWeightRule.maxNearWeight(topology, home)) {
+    if (step.weightOf(home) >= HomeWeightRule.maxHomeWeight(topology, home)) {
       return ZoneState.NEAR;
     }
     boolean onlyTried = step.weightOf(home) <= ZoneAllocation.NEAR_TRIAL_WEIGHT;
--- a/src/main/java/beaconturn/zones/ZonesAdmin.java
+++ b/src/main/java/beaconturn/zones/ZonesAdmin.java
@@ -95,10 +95,10 @@
   }
 
   private long grantLease(ZoneOverride override) throws AgreementException {
-    if (override.remainingNanos() == 0) {
+    if (override.durationNanos() == 0) {
       return NO_LEASE;
     }
-    long ttlSeconds = (override.remainingNanos() + SECOND_NANOS - 1) / SECOND_NANOS;
+    long ttlSeconds = (override.durationNanos() + SECOND_NANOS - 1) / SECOND_NANOS;
     return requireSuccess(new StoreRequest.Grant(ttlSeconds)).leaseId();
   }
 
@@ -106,7 +106,7 @@
     return switch (override.kind()) {
       case DRAIN -> "be drained";
       case HOLD -> "stay as it is";
-      case WEIGHT -> "keep at most " + override.maxNearWeight() + " of 1000 of its keys";
+      case WEIGHT -> "keep at most " + override.maxHomeWeight() + " of 1000 of its keys";
     };
   }
 
--- a/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
@@ -107,7 +107,8 @@
           assertTrue(after < 9_000_000_000L, "within five seconds: " + after);
           // The model and the processes say the same of it, or the model is wrong.
           long twin =
-              SimulatedFailover.decidedAfter(report.scenario().agreement().timing(), 3, 1, 50);
+              SimulatedFailover.failoverDelayNanos(
+                  report.scenario().agreement().timing(), 3, 1, 50);
           assertTrue(
               Math.abs(report.crossings().decidedAfterNanos() - twin) < MARGIN,
               "in the model after " + twin + " ns\n" + report.text());
--- a/src/test/java/beaconturn/zones/RegionDistanceCheckTest.java
+++ b/src/test/java/beaconturn/zones/RegionDistanceCheckTest.java
@@ -31,18 +31,20 @@
         List.of(
             "from a, b of region one takes 40.0 ms and c of region two 20.0 ms: are the"
                 + " regions right?"),
-        RegionDistanceCheck.doubts(MAP, List.of(report(60, 40, 60, 20))));
+        RegionDistanceCheck.warnings(MAP, List.of(report(60, 40, 60, 20))));
     assertEquals(
         List.of(),
-        RegionDistanceCheck.doubts(MAP, List.of(report(60, 25, 60, 20))),
+        RegionDistanceCheck.warnings(MAP, List.of(report(60, 25, 60, 20))),
         "answers differ");
-    assertEquals(List.of(), RegionDistanceCheck.doubts(MAP, List.of(report(60, 20, 60, 40))));
+    assertEquals(List.of(), RegionDistanceCheck.warnings(MAP, List.of(report(60, 20, 60, 40))));
     assertEquals(
         List.of(),
-        RegionDistanceCheck.doubts(MAP, List.of(report(60, 40, 10, 20))),
+        RegionDistanceCheck.warnings(MAP, List.of(report(60, 40, 10, 20))),
         "too few to tell");
     ZoneReport half = report(30, 40, 30, 20);
     assertEquals(
-        1, RegionDistanceCheck.doubts(MAP, List.of(half, half)).size(), "of two routers together");
+        1,
+        RegionDistanceCheck.warnings(MAP, List.of(half, half)).size(),
+        "of two routers together");
   }
 }
--- a/src/test/java/beaconturn/zones/SimulatedFailover.java
+++ b/src/test/java/beaconturn/zones/SimulatedFailover.java
@@ -18,7 +18,7 @@
    *
    * @param perSecond requests that each router takes
    */
-  public static long decidedAfter(
+  public static long failoverDelayNanos(
       AgreementTiming timing, int places, int routers, double perSecond) {
     Map<String, String> regions = new TreeMap<>();
     for (int i = 0; i < places; i++) {
