--- a/src/main/java/beaconturn/zones/DestinationRule.java
+++ b/src/main/java/beaconturn/zones/DestinationRule.java
@@ -4,14 +4,17 @@
 import java.util.Map;
 
 /**
- * Decides which zones take the keys that a zone does not serve itself. For the planner's thread.
+ * Selects the zones that serve the keys which a home zone does not serve itself. Confined to the
+ * planner's thread.
  */
 final class DestinationRule {
-  /** Share of bad attempts above which a zone suffers, whether or not it is found bad. */
-  private static final double SUFFERING_BAD_SHARE = 0.25;
+  /**
+   * Share of failed attempts above which a zone counts as degraded, even if it is not unhealthy.
+   */
+  private static final double DEGRADED_FAILURE_SHARE = 0.25;
 
-  /** Share of bad attempts from which keys leave a zone even for one that is slow. */
-  private static final double NEARLY_ALL_BAD_SHARE = 0.9;
+  /** Share of failed attempts in the home zone from which keys move even to a slow zone. */
+  private static final double NEAR_TOTAL_FAILURE_SHARE = 0.9;
 
   private final ZoneTopology topology;
   private final EvidenceAggregator evidence;
@@ -33,90 +36,95 @@
   }
 
   /**
-   * The allocation with that weight near and the rest at the nearest zones that have room; what
-   * none has room for is rejected.
+   * Returns an allocation with the given weight at the home zone. The rest is spread over the other
+   * zones, nearest first, up to their spare capacity; weight that exceeds their capacity is
+   * rejected.
    */
-  ZoneAllocation allocate(PlanDraft draft, String home, int nearWeight) {
+  ZoneAllocation allocate(PlanDraft draft, String home, int homeWeight) {
     Map<String, Integer> weights = new LinkedHashMap<>();
-    weights.put(home, nearWeight);
-    int rest = ZoneAllocation.TOTAL_WEIGHT - nearWeight;
+    weights.put(home, homeWeight);
+    int remaining = ZoneAllocation.TOTAL_WEIGHT - homeWeight;
     for (String other : topology.othersByDistance(home)) {
-      if (rest <= 0) {
+      if (remaining <= 0) {
         break;
       }
-      int weight = weightFor(draft, home, other, rest);
+      int weight = weightFor(draft, home, other, remaining);
       if (weight > 0) {
         weights.put(other, weight);
-        rest -= weight;
+        remaining -= weight;
       }
     }
     if (weights.size() == 1 && !topology.othersByDistance(home).isEmpty()) {
-      // Nobody takes any of it: it stays where it is, and what cannot be served is rejected there.
+      // No zone accepts any of the keys: the allocation stays, and the home zone rejects the
+      // excess.
       return draft.base().allocationOf(home);
     }
     return new ZoneAllocation(weights);
   }
 
-  private int weightFor(PlanDraft draft, String home, String other, int rest) {
-    if (isClosed(draft, home, other)) {
+  private int weightFor(PlanDraft draft, String home, String other, int remaining) {
+    if (isExcluded(draft, home, other)) {
       return 0;
     }
-    if (rest <= ZoneAllocation.TRIAL_WEIGHT) {
-      return rest;
+    if (remaining <= ZoneAllocation.TRIAL_WEIGHT) {
+      return remaining;
     }
-    double wanted = Math.max(1, traffic.requestsPerSecond(home));
-    double room = capacity.roomPerSecond(draft, home, other);
-    return Math.min(rest, (int) Math.max(0, ZoneAllocation.TOTAL_WEIGHT * room / wanted));
+    double demandPerSecond = Math.max(1, traffic.requestsPerSecond(home));
+    double sparePerSecond = capacity.sparePerSecond(draft, home, other);
+    return Math.min(
+        remaining,
+        (int) Math.max(0, ZoneAllocation.TOTAL_WEIGHT * sparePerSecond / demandPerSecond));
   }
 
   /**
-   * Whether the wanted allocation is about the one at hand, so that no plan is made for it: it
-   * differs only in the zones that get trials, or by no more than measured rates differ by chance.
+   * Returns whether the target allocation is too similar to the current one to justify a new plan:
+   * it differs only by trial weights, or by no more than the noise of measured request rates.
    */
-  boolean isAboutTheSame(PlanDraft draft, String home, ZoneAllocation wanted) {
+  boolean isInsignificantChange(PlanDraft draft, String home, ZoneAllocation target) {
     ZoneAllocation current = draft.base().allocationOf(home);
-    return wanted.weightMovedFrom(current) <= ZoneAllocation.TRIAL_WEIGHT
+    return target.weightMovedFrom(current) <= ZoneAllocation.TRIAL_WEIGHT
         || topology.othersByDistance(home).stream()
-            .allMatch(other -> differsByChance(draft, home, other, wanted));
+            .allMatch(other -> differsWithinNoise(draft, home, other, target));
   }
 
-  private boolean differsByChance(
-      PlanDraft draft, String home, String other, ZoneAllocation wanted) {
+  private boolean differsWithinNoise(
+      PlanDraft draft, String home, String other, ZoneAllocation target) {
     int currentWeight = draft.base().allocationOf(home).weightOf(other);
-    double chance =
+    double noise =
         Math.min(
             topology.serverRequestsPerSecond() / 2,
-            traffic.chanceDifference(traffic.requestsPerSecond(other)));
-    double moved =
-        Math.abs(wanted.weightOf(other) - currentWeight)
+            traffic.noiseMargin(traffic.requestsPerSecond(other)));
+    double movedPerSecond =
+        Math.abs(target.weightOf(other) - currentWeight)
             * Math.max(1, traffic.requestsPerSecond(home))
             / ZoneAllocation.TOTAL_WEIGHT;
-    return moved <= chance && !(currentWeight > 0 && isClosed(draft, home, other));
+    return movedPerSecond <= noise && !(currentWeight > 0 && isExcluded(draft, home, other));
   }
 
-  /** Whether nothing of a zone's keys may go to another. */
-  private boolean isClosed(PlanDraft draft, String home, String other) {
+  /** Returns whether the other zone must not receive keys of the home zone. */
+  private boolean isExcluded(PlanDraft draft, String home, String other) {
     return outages.isUnusable(other)
-        || evidence.isBadFrom(home, other)
-        || isNoBetter(draft, home, other)
+        || evidence.isUnhealthyFrom(home, other)
+        || offersNoImprovement(draft, home, other)
         || draft.isDrained(other);
   }
 
   /**
-   * Whether another zone is no better off than the home zone, so that keys gain nothing there: it
-   * suffers as well and not clearly less, or it is slow by itself. Where a cause is shared, some
-   * zones find just more than half of their attempts bad and others just less, or get slow before
-   * they get bad. Slowness does not count at a zone to which keys have been sent already, as they
-   * may be its cause.
+   * Returns whether moving keys to the other zone gains nothing: that zone is degraded to a similar
+   * extent, or it is slow. Under a shared cause some zones fail slightly more than half of their
+   * attempts and others slightly less, or become slow before they fail. Slowness is ignored in a
+   * zone that already receives keys of the home zone, because they may have caused the slowness.
    */
-  private boolean isNoBetter(PlanDraft draft, String home, String other) {
-    double there = evidence.badShare(other);
-    double here = evidence.badShare(home);
-    boolean slowByItself =
+  private boolean offersNoImprovement(PlanDraft draft, String home, String other) {
+    double destinationFailureShare = evidence.failureShare(other);
+    double homeFailureShare = evidence.failureShare(home);
+    boolean slowWithoutFailover =
         draft.base().allocationOf(home).weightOf(other) <= ZoneAllocation.TRIAL_WEIGHT
-            && here < NEARLY_ALL_BAD_SHARE
+            && homeFailureShare < NEAR_TOTAL_FAILURE_SHARE
             && traffic.isSlow(other);
-    boolean suffersAsWell = there > SUFFERING_BAD_SHARE && 2 * there > here;
-    return suffersAsWell || (here > SUFFERING_BAD_SHARE && slowByItself);
+    boolean similarlyDegraded =
+        destinationFailureShare > DEGRADED_FAILURE_SHARE
+            && 2 * destinationFailureShare > homeFailureShare;
+    return similarlyDegraded || (homeFailureShare > DEGRADED_FAILURE_SHARE && slowWithoutFailover);
   }
 }
--- a/src/main/java/beaconturn/zones/EffectiveAllocation.java
+++ b/src/main/java/beaconturn/zones/EffectiveAllocation.java
@@ -1,11 +1,12 @@
 package beaconturn.zones;
 
 /**
- * The allocation that a router sends by now.
+ * The allocation by which a router distributes its requests at present.
  *
- * @param allocation where the keys of its zone go
- * @param overflow whether another zone of the allocation than the router's own may take keys for
- *     which theirs has no room
- * @param description where the allocation comes from, in words
+ * @param allocation distribution of the keys of the router's home zone
+ * @param overflow whether other zones of the allocation may take keys for which the home zone has
+ *     no capacity
+ * @param description origin of the allocation, for the log
  */
-public record EffectiveAllocation(ZoneAllocation allocation, boolean overflow, String description) {}
+public record EffectiveAllocation(
+    ZoneAllocation allocation, boolean overflow, String description) {}
--- a/src/main/java/beaconturn/zones/EvidenceAggregator.java
+++ b/src/main/java/beaconturn/zones/EvidenceAggregator.java
@@ -5,9 +5,10 @@
 import java.util.SortedSet;
 
 /**
- * The reports of all routers, pooled. One router counts as one vote of its zone, whatever it claims
- * to have seen: one that lies is outvoted, one that is stuck is not heard, one that finds all zones
- * bad while its neighbours do not is itself what is broken. For one thread.
+ * Aggregates the reports of all routers into the health, the traffic and the capacity of each zone.
+ * Each router has one vote in its home zone, so that false reports are outvoted. Routers whose
+ * reports are stale are ignored, as are faulty routers: those that see failures everywhere while
+ * their neighbours do not. Not thread-safe.
  */
 final class EvidenceAggregator {
   private final ZoneTopology topology;
@@ -15,111 +16,124 @@
   private ZoneHealthAssessment assessment = new ZoneHealthAssessment();
 
   /**
-   * Evidence over these zones, none at first.
+   * Creates an aggregator without any reports.
    *
-   * @param windowNanos what is compared is what came since about so long ago
-   * @param staleNanos a report that has not grown for so long is not heard
-   * @param maxUnheardNanos a router that is not heard counts for so long, where others of its zone
-   *     are
-   * @param withdrawnNanos a router whose report is gone sooner than so after it grew has left
+   * @param windowNanos length of the window over which observations are compared
+   * @param staleAfterNanos age from which a report without progress is ignored
+   * @param maxSilentNanos how long the traffic of a silent router counts while other routers of its
+   *     zone report
+   * @param withdrawnWithinNanos a report that disappears within this time of its last progress was
+   *     withdrawn by its router on shutdown
    */
   EvidenceAggregator(
       ZoneTopology topology,
       long windowNanos,
-      long staleNanos,
-      long maxUnheardNanos,
-      long withdrawnNanos) {
+      long staleAfterNanos,
+      long maxSilentNanos,
+      long withdrawnWithinNanos) {
     this.topology = topology;
     this.pool =
-        new RouterEvidencePool(topology, windowNanos, staleNanos, maxUnheardNanos, withdrawnNanos);
+        new RouterEvidencePool(
+            topology, windowNanos, staleAfterNanos, maxSilentNanos, withdrawnWithinNanos);
   }
 
-  /** Takes in the reports that stand in the store now, and assesses all zones. */
+  /** Records the reports that the store holds and reassesses all zones. */
   void update(Collection<ZoneReport> reports, long nowNanos) {
     pool.update(reports, nowNanos);
     assessment = new ZoneHealthAssessment(topology, pool, nowNanos);
   }
 
-  /** What all routers together say of a zone. */
+  /** Returns the health of a zone as seen by the routers of all zones. */
   ZoneHealth healthOf(String zone) {
     return assessment.healthOf(zone);
   }
 
-  /** What was found of a zone, in words. */
+  /** Describes the health of a zone for evidence logs and plan reasons. */
   String describe(String zone) {
     return assessment.describe(zone);
   }
 
-  /** Whether the routers of one zone find another, or their own, bad. */
-  boolean isBadFrom(String home, String zone) {
+  /** Returns whether the routers of the home zone see the given zone as unhealthy. */
+  boolean isUnhealthyFrom(String home, String zone) {
     return assessment.viewFrom(home, zone) == ZoneHealth.BROKEN;
   }
 
-  /** Whether the routers of one zone find another, or their own, good. */
-  boolean isGoodFrom(String home, String zone) {
+  /** Returns whether the routers of the home zone see the given zone as healthy. */
+  boolean isHealthyFrom(String home, String zone) {
     return assessment.viewFrom(home, zone) == ZoneHealth.GOOD;
   }
 
-  /** Routers that find nothing good while their neighbours do, by name and incarnation. */
-  SortedSet<String> brokenRouters() {
-    return pool.brokenRouters();
+  /** Returns the faulty routers, each as name and incarnation. */
+  SortedSet<String> faultyRouters() {
+    return pool.faultyRouters();
   }
 
-  /** The bad part of the attempts of a zone's own routers there; 0 where there were none. */
-  double badShare(String zone) {
-    long good = pool.recentFromOwn(zone).mapToLong(ZoneObservations::successfulAttempts).sum();
-    long bad = pool.recentFromOwn(zone).mapToLong(ZoneObservations::failedAttempts).sum();
-    return good + bad == 0 ? 0 : bad / (double) (good + bad);
+  /**
+   * Returns the share of failed attempts by a zone's own routers in that zone; 0 without attempts.
+   */
+  double failureShare(String zone) {
+    long successes = pool.recentAtHome(zone).mapToLong(ZoneObservations::successfulAttempts).sum();
+    long failures = pool.recentAtHome(zone).mapToLong(ZoneObservations::failedAttempts).sum();
+    return successes + failures == 0 ? 0 : failures / (double) (successes + failures);
   }
 
-  /** The mean time of good answers to a zone's own routers there, 0 where there were none. */
-  double answerMicros(String zone) {
-    long good = pool.recentFromOwn(zone).mapToLong(ZoneObservations::successfulAttempts).sum();
-    long micros = pool.recentFromOwn(zone).mapToLong(ZoneObservations::successMicros).sum();
-    return good == 0 ? 0 : micros / (double) good;
+  /**
+   * Returns the mean response time of a zone for its own routers, in microseconds; 0 without
+   * successful attempts.
+   */
+  double meanResponseMicros(String zone) {
+    long successes = pool.recentAtHome(zone).mapToLong(ZoneObservations::successfulAttempts).sum();
+    long micros = pool.recentAtHome(zone).mapToLong(ZoneObservations::successMicros).sum();
+    return successes == 0 ? 0 : micros / (double) successes;
   }
 
-  /** Requests a second that the routers of a zone take, of those that are heard. */
+  /** Returns the requests per second that the reporting routers of a zone receive. */
   double requestsPerSecond(String home, long nowNanos) {
-    return pool.heard(nowNanos)
+    return pool.liveRouters(nowNanos)
         .filter(router -> router.homeZone().equals(home))
         .mapToDouble(router -> Math.max(0, router.requestsPerSecond()))
         .sum();
   }
 
   /**
-   * Requests a second that routers of a zone took which are not heard any more: cut off from the
-   * store they may still serve, at their own zone. Where others of the zone are heard this counts
-   * for a while only, as the clients of a router that was killed go to them; where nobody is heard,
-   * for as long as that is so. A router that has reported only once counts as the mean of its zone.
+   * Returns the requests per second that the silent routers of a zone last reported. Such a router
+   * may be cut off from the store and still serve requests in its zone. While other routers of the
+   * zone report, the rate counts for a limited time, as the clients of a killed router move to
+   * them; otherwise it counts until a router of the zone reports again. A router that has reported
+   * only once counts with the mean rate of its zone.
    */
-  double unheardPerSecond(String home, long nowNanos) {
+  double silentRequestsPerSecond(String home, long nowNanos) {
     double mean =
-        pool.withKnownRate(home).mapToDouble(RouterEvidence::requestsPerSecond).average().orElse(0);
-    return pool.unheardFrom(home, nowNanos)
+        pool.routersWithKnownRate(home)
+            .mapToDouble(RouterEvidence::requestsPerSecond)
+            .average()
+            .orElse(0);
+    return pool.silentRoutersOf(home, nowNanos)
         .mapToDouble(RouterEvidence::requestsPerSecond)
         .map(perSecond -> perSecond < 0 ? mean : perSecond)
         .sum();
   }
 
-  /** Whether any router of a zone has ever reported how much it takes. */
-  boolean hasHeardFrom(String home) {
-    return pool.withKnownRate(home).findAny().isPresent();
+  /** Returns whether any router of a zone has reported a request rate. */
+  boolean hasKnownRate(String home) {
+    return pool.routersWithKnownRate(home).findAny().isPresent();
   }
 
-  /** Cache servers of a zone that are warm, as most routers of any zone have it: the median. */
+  /**
+   * Returns the number of warm cache servers of a zone: the median over the routers of all zones.
+   */
   int warmServers(String zone, long nowNanos) {
     List<Integer> counts =
-        pool.heard(nowNanos)
-            .filter(router -> !pool.isKnownBroken(router))
-            .map(router -> router.latest(zone).warmServers())
+        pool.liveRouters(nowNanos)
+            .filter(router -> !pool.isFaulty(router))
+            .map(router -> router.latestObservations(zone).warmServers())
             .sorted()
             .toList();
     return counts.isEmpty() ? 0 : counts.get(counts.size() / 2);
   }
 
-  /** The last reports of the routers that are heard. */
+  /** Returns the latest reports of the routers that are not silent. */
   Collection<ZoneReport> reports(long nowNanos) {
-    return pool.heard(nowNanos).map(RouterEvidence::last).toList();
+    return pool.liveRouters(nowNanos).map(RouterEvidence::latestReport).toList();
   }
 }
--- a/src/main/java/beaconturn/zones/FailoverPlanner.java
+++ b/src/main/java/beaconturn/zones/FailoverPlanner.java
@@ -6,14 +6,15 @@
 import java.util.TreeMap;
 
 /**
- * Decides what the leader does: from the plan at hand and what routers report to the next plan, or
- * none. What it remembers by itself is evidence and since when it has stood; a leader that takes
- * over waits for its own. For one thread; all times are nanoseconds of its clock.
+ * Derives the leader's next plan from the current plan and the reports of the routers. The planner
+ * keeps only evidence in memory; after a change of leadership the new leader collects its own. Not
+ * thread-safe; all times are nanoseconds of the leader's clock.
  *
- * <p>The rules: {@link EvidenceAggregator} (what is known of a zone), {@link ZoneOutages}
- * (confirmation and recovery), {@link SharedOutageRule}, {@link HomeWeightRule} (how much a zone
- * serves itself), {@link DestinationRule} (who takes the rest), {@link StepLimits}, and {@link
- * ZoneStateRule}.
+ * <p>The decision is composed of {@link EvidenceAggregator} (zone health), {@link ZoneOutages}
+ * (confirmation and recovery), {@link SharedOutageRule} (no failover while most zones are
+ * unhealthy), {@link HomeWeightRule} (weight that the home zone keeps), {@link DestinationRule}
+ * (zones that serve the rest), {@link StepLimits} (size and rate of moves) and {@link
+ * ZoneStateRule} (zone states and flap counts).
  */
 public final class FailoverPlanner {
   private final ZoneTopology topology;
@@ -22,60 +23,64 @@
   private final ZoneTraffic traffic;
   private final ZoneOutages outages;
   private final SharedOutageRule sharedOutage;
-  private final HomeWeightRule nearWeights;
+  private final HomeWeightRule homeWeights;
   private final DestinationRule destinations;
   private final StepLimits stepLimits;
   private final ZoneStateRule zoneStates;
 
-  /** The number of the plan at hand, and since when it stands by this leader's clock. */
+  /** Number of the plan that was last seen in force. */
   private long planNumber = -1;
 
-  private long planSinceNanos;
+  private long planInForceSinceNanos;
   private String waitReason = "";
 
   /**
-   * A planner over these zones.
+   * Creates a planner for the zones of a topology.
    *
-   * @param windowNanos evidence is compared over so long
-   * @param staleNanos a router that reports nothing new for so long is not heard
-   * @param withdrawnNanos a report that is gone sooner than so after it grew was withdrawn by its
-   *     router
+   * @param windowNanos length of the window over which observations are compared
+   * @param staleAfterNanos age from which a report without progress is ignored
+   * @param withdrawnWithinNanos a report that disappears within this time of its last progress was
+   *     withdrawn by its router on shutdown
    */
   public FailoverPlanner(
       ZoneTopology topology,
       FailoverTiming timing,
       long windowNanos,
-      long staleNanos,
-      long withdrawnNanos) {
+      long staleAfterNanos,
+      long withdrawnWithinNanos) {
     this.topology = topology;
     this.timing = timing;
     this.evidence =
         new EvidenceAggregator(
-            topology, windowNanos, staleNanos, timing.maxRecoveryNanos(), withdrawnNanos);
+            topology,
+            windowNanos,
+            staleAfterNanos,
+            timing.maxRecoveryNanos(),
+            withdrawnWithinNanos);
     this.traffic = new ZoneTraffic(evidence, windowNanos);
     this.outages = new ZoneOutages(evidence, timing);
     this.sharedOutage =
         new SharedOutageRule(topology, evidence, windowNanos, timing.confirmNanos());
     ZoneCapacity capacity = new ZoneCapacity(topology, evidence, traffic);
-    this.nearWeights = new HomeWeightRule(topology, evidence, traffic, capacity, outages, timing);
+    this.homeWeights = new HomeWeightRule(topology, evidence, traffic, capacity, outages, timing);
     this.destinations = new DestinationRule(topology, evidence, traffic, capacity, outages);
     this.stepLimits = new StepLimits(topology, traffic, timing.stepIntervalNanos());
     this.zoneStates = new ZoneStateRule(topology, evidence, timing);
   }
 
-  /** What the last decision had to wait for, in words; empty where nothing. */
+  /** Returns why the last decision was deferred; empty if it was not. */
   public String waitReason() {
     return waitReason;
   }
 
-  /** What the evidence says of each zone, and of routers that are alone with theirs, in words. */
+  /** Describes the health of each zone, each faulty router, and whether an outage is shared. */
   public SortedMap<String, String> describeEvidence() {
     SortedMap<String, String> all = new TreeMap<>();
     for (String zone : topology.zones()) {
-      String health = words(evidence.healthOf(zone).name());
+      String health = lowerCaseWords(evidence.healthOf(zone).name());
       all.put(zone, health + ", " + evidence.describe(zone));
     }
-    for (String router : evidence.brokenRouters()) {
+    for (String router : evidence.faultyRouters()) {
       all.put(router, "broken router: finds nothing good while its neighbours do");
     }
     if (sharedOutage.isShared()) {
@@ -84,15 +89,15 @@
     return all;
   }
 
-  private static String words(String name) {
+  private static String lowerCaseWords(String name) {
     return name.toLowerCase(Locale.ROOT).replace('_', ' ');
   }
 
   /**
-   * The next plan, or null while nothing is to change.
+   * Returns the next plan, or null if nothing changes.
    *
-   * @param plan the plan at hand
-   * @param leader the incarnation that makes it
+   * @param plan the plan in force
+   * @param leader name and incarnation of the router that makes the plan
    */
   public ZonePlan next(
       ZonePlan plan,
@@ -104,11 +109,11 @@
     evidence.update(reports, nowNanos);
     if (plan.number() != planNumber) {
       planNumber = plan.number();
-      planSinceNanos = nowNanos;
+      planInForceSinceNanos = nowNanos;
     }
     traffic.update(topology.zones(), nowNanos);
     outages.update(topology.zones(), nowNanos);
-    if (sharedOutage.forbidsMoves(plan, nowNanos)) {
+    if (sharedOutage.blocksMoves(plan, nowNanos)) {
       waitReason = "most places are, or were a moment ago, bad at once: nothing is moved";
       outages.restartConfirmation(nowNanos);
       return null;
@@ -120,7 +125,6 @@
     return next;
   }
 
-  /** Decides on the allocation of one zone. */
   private void decide(PlanDraft draft, String home) {
     ZoneOverride override = draft.overrideOf(home);
     if (isOfKind(override, ZoneOverrideKind.HOLD)) {
@@ -129,23 +133,23 @@
     boolean drained = isOfKind(override, ZoneOverrideKind.DRAIN);
     boolean evacuated = drained || outages.isConfirmed(home, draft.nowNanos());
     int currentWeight = draft.base().allocationOf(home).weightOf(home);
-    int nearWeight = nearWeights.wantedWeight(draft, home, evacuated);
+    int homeWeight = homeWeights.targetWeight(draft, home, evacuated);
     if (isOfKind(override, ZoneOverrideKind.WEIGHT)) {
-      nearWeight = Math.min(nearWeight, override.maxHomeWeight());
+      homeWeight = Math.min(homeWeight, override.maxHomeWeight());
     }
-    if (nearWeight > currentWeight && !drained && !mayReturn(draft, home)) {
-      draft.waitFor(home + " has to be good for longer before its keys come back");
-      nearWeight = currentWeight;
+    if (homeWeight > currentWeight && !drained && !mayRestore(draft, home)) {
+      draft.setWaitReason(home + " has to be good for longer before its keys come back");
+      homeWeight = currentWeight;
     }
-    if (nearWeight > currentWeight) {
+    if (homeWeight > currentWeight) {
       if (!stepLimits.allowsStep(home, draft.nowNanos())) {
         return;
       }
-      nearWeight = Math.min(nearWeight, currentWeight + StepLimits.RETURN_STEP_WEIGHT);
+      homeWeight = Math.min(homeWeight, currentWeight + StepLimits.RETURN_STEP_WEIGHT);
     }
-    ZoneAllocation wanted = destinations.allocate(draft, home, nearWeight);
-    if (nearWeight != currentWeight || !destinations.isAboutTheSame(draft, home, wanted)) {
-      move(draft, home, wanted, evacuated);
+    ZoneAllocation target = destinations.allocate(draft, home, homeWeight);
+    if (homeWeight != currentWeight || !destinations.isInsignificantChange(draft, home, target)) {
+      move(draft, home, target, evacuated);
     }
   }
 
@@ -153,30 +157,30 @@
     return override != null && override.kind() == kind;
   }
 
-  /** Whether more of a zone's keys may come back. */
-  private boolean mayReturn(PlanDraft draft, String home) {
+  /** Returns whether the weight of a zone may be increased again. */
+  private boolean mayRestore(PlanDraft draft, String home) {
     ZoneState state = draft.stateOf(home);
-    if (ZoneState.isAway(state)) {
+    if (ZoneState.isServedElsewhere(state)) {
       return outages.hasRecovered(home, draft.flapCountOf(home), draft.nowNanos());
     }
-    return state != ZoneState.RETURNING || evidence.isGoodFrom(home, home);
+    return state != ZoneState.RETURNING || evidence.isHealthyFrom(home, home);
   }
 
-  private void move(PlanDraft draft, String home, ZoneAllocation wanted, boolean evacuated) {
+  private void move(PlanDraft draft, String home, ZoneAllocation target, boolean evacuated) {
     ZoneAllocation current = draft.base().allocationOf(home);
-    if (StepLimits.isLarge(wanted.weightMovedFrom(current)) && !stepLimits.allowsLargeMove(draft)) {
-      draft.waitFor(home + " waits for another large move");
+    if (StepLimits.isLarge(target.weightMovedFrom(current)) && !stepLimits.allowsLargeMove(draft)) {
+      draft.setWaitReason(home + " waits for another large move");
       return;
     }
-    ZoneAllocation step = stepLimits.limited(home, current, wanted);
+    ZoneAllocation step = stepLimits.limitMove(home, current, target);
     if (step.equals(current)) {
       return;
     }
     if (StepLimits.isLarge(step.weightMovedFrom(current))) {
-      draft.noteLargeMove();
+      draft.recordLargeMove();
     }
     draft.putAllocation(home, step);
-    stepLimits.noteStep(home, draft.nowNanos());
+    stepLimits.recordStep(home, draft.nowNanos());
     ZoneState next = enterState(draft, home, step, evacuated);
     draft.addReason(describe(home, next, step));
   }
@@ -185,12 +189,12 @@
       PlanDraft draft, String home, ZoneAllocation step, boolean evacuated) {
     ZoneState before = draft.stateOf(home);
     ZoneState next = zoneStates.after(before, home, step, evacuated);
-    if (ZoneState.isAway(next) && !ZoneState.isAway(before)) {
-      int countBefore = draft.flapCountBeforeLeaving(home);
+    if (ZoneState.isServedElsewhere(next) && !ZoneState.isServedElsewhere(before)) {
+      int countBefore = draft.flapCountBeforeFailover(home);
       draft.putFlapCount(
-          home, zoneStates.flapCountAfterLeaving(home, countBefore, draft.nowNanos()));
+          home, zoneStates.flapCountAfterFailover(home, countBefore, draft.nowNanos()));
     }
-    zoneStates.noteState(home, next, draft.nowNanos());
+    zoneStates.recordState(home, next, draft.nowNanos());
     draft.putState(home, next);
     return next;
   }
@@ -198,7 +202,7 @@
   private String describe(String home, ZoneState state, ZoneAllocation step) {
     return home
         + " "
-        + words(state.name())
+        + lowerCaseWords(state.name())
         + " "
         + step.weights()
         + ": "
@@ -208,29 +212,29 @@
   }
 
   /**
-   * The plan of a draft; null where nothing changes, or where more would go somewhere before all
-   * have left the plan before.
+   * Returns the plan of a draft, or null if nothing changes or some routers may still act on a plan
+   * before the base plan. Overlapping plans could send more to a zone than its capacity.
    */
   private ZonePlan finish(PlanDraft draft, String leader) {
     if (draft.isUnchanged()) {
       return null;
     }
-    if (!isActedOnByAll(draft.base(), draft.nowNanos())) {
-      draft.waitFor("plan " + draft.base().number() + " is not acted on by all yet");
+    if (!isAdoptedByAll(draft.base(), draft.nowNanos())) {
+      draft.setWaitReason("plan " + draft.base().number() + " is not acted on by all yet");
       return null;
     }
     if (draft.hasLargeMove()) {
-      stepLimits.noteLargeMove(draft.nowNanos());
+      stepLimits.recordLargeMove(draft.nowNanos());
     }
     return draft.toPlan(leader);
   }
 
   /**
-   * Whether no router may act on an older plan any more: the stated time has passed, or all that
-   * are heard say that they act on this one.
+   * Returns whether every router has adopted the plan: the overlap time has passed, or all
+   * reporting routers state that they act on this plan or a later one.
    */
-  private boolean isActedOnByAll(ZonePlan plan, long nowNanos) {
-    return nowNanos - planSinceNanos > timing.statedNanos()
+  private boolean isAdoptedByAll(ZonePlan plan, long nowNanos) {
+    return nowNanos - planInForceSinceNanos > timing.planOverlapNanos()
         || evidence.reports(nowNanos).stream()
             .allMatch(report -> report.planNumber() >= plan.number());
   }
--- a/src/main/java/beaconturn/zones/FailoverTiming.java
+++ b/src/main/java/beaconturn/zones/FailoverTiming.java
@@ -1,27 +1,27 @@
 package beaconturn.zones;
 
 /**
- * The times of decisions on zones.
+ * Timing of failover decisions.
  *
- * @param confirmNanos how long a zone must be bad before its keys move
- * @param recoveryNanos how long it must be good before they come back; doubled with each time that
- *     it flaps
- * @param maxRecoveryNanos the most that this time can become
- * @param stepIntervalNanos from one step of a return or a spill to the next
- * @param statedNanos how long routers may act on a plan after the next one is in force, by their
- *     leases
+ * @param confirmNanos how long a zone must be unhealthy before its keys move
+ * @param recoveryNanos how long a zone must be healthy before its keys return; doubled with each
+ *     flap
+ * @param maxRecoveryNanos upper limit of the doubled recovery time
+ * @param stepIntervalNanos interval between two steps of a return or a spill
+ * @param planOverlapNanos how long routers may act on a plan after the next plan is in force, as
+ *     bounded by their leases
  */
 public record FailoverTiming(
     long confirmNanos,
     long recoveryNanos,
     long maxRecoveryNanos,
     long stepIntervalNanos,
-    long statedNanos) {
+    long planOverlapNanos) {
   private static final long SECOND_NANOS = 1_000_000_000;
 
-  /** The usual ones with that stated time. */
-  public static FailoverTiming usual(long statedNanos) {
+  /** Returns the default timing with the given plan overlap. */
+  public static FailoverTiming withDefaults(long planOverlapNanos) {
     return new FailoverTiming(
-        SECOND_NANOS, 3 * SECOND_NANOS, 60 * SECOND_NANOS, SECOND_NANOS, statedNanos);
+        SECOND_NANOS, 3 * SECOND_NANOS, 60 * SECOND_NANOS, SECOND_NANOS, planOverlapNanos);
   }
 }
--- a/src/main/java/beaconturn/zones/HomeWeightRule.java
+++ b/src/main/java/beaconturn/zones/HomeWeightRule.java
@@ -3,10 +3,10 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Decides how many of its keys a zone is to serve itself. For the planner's thread. */
+/** Decides which weight of its keys a zone serves itself. Confined to the planner's thread. */
 final class HomeWeightRule {
-  /** A spill ends at once where no more than this part of the capacity is wanted. */
-  private static final double ENDS_SPILL_LOAD = 0.8;
+  /** Utilization up to which a spill ends without waiting. */
+  private static final double END_SPILL_LOAD = 0.8;
 
   private final ZoneTopology topology;
   private final EvidenceAggregator evidence;
@@ -15,10 +15,10 @@
   private final ZoneOutages outages;
   private final FailoverTiming timing;
 
-  /** Since when clearly more is wanted than a zone carries. */
+  /** By zone, since when demand has exceeded capacity by more than the noise margin. */
   private final SortedMap<String, Long> overloadedSinceNanos = new TreeMap<>();
 
-  /** Since when clearly no more is wanted than a zone carries. */
+  /** By zone, since when capacity has covered demand including the noise margin. */
   private final SortedMap<String, Long> sufficientSinceNanos = new TreeMap<>();
 
   HomeWeightRule(
@@ -37,34 +37,39 @@
   }
 
   /**
-   * The weight of a zone's own part; {@code evacuated} where its keys are to be served elsewhere.
+   * Returns the weight that a zone should serve itself.
+   *
+   * @param evacuated whether the keys of the zone are to be served elsewhere
    */
-  int wantedWeight(PlanDraft draft, String home, boolean evacuated) {
+  int targetWeight(PlanDraft draft, String home, boolean evacuated) {
     if (evacuated) {
-      return ZoneAllocation.NEAR_TRIAL_WEIGHT;
+      return ZoneAllocation.HOME_TRIAL_WEIGHT;
     }
     int currentWeight = draft.base().allocationOf(home).weightOf(home);
-    if (outages.isBad(home)) {
-      // Bad, but not for long enough yet to move its keys.
+    if (outages.isSuspected(home)) {
+      // The outage is not confirmed yet.
       return currentWeight;
     }
-    double wanted = traffic.requestsPerSecond(home);
-    double carried = capacity.carriedPerSecond(home, draft.nowNanos());
-    boolean unknown = carried <= 0 && evidence.healthOf(home) != ZoneHealth.GOOD;
-    if (wanted <= 0 || unknown) {
+    double demandPerSecond = traffic.requestsPerSecond(home);
+    double capacityPerSecond = capacity.capacityPerSecond(home, draft.nowNanos());
+    boolean unknown = capacityPerSecond <= 0 && evidence.healthOf(home) != ZoneHealth.GOOD;
+    if (demandPerSecond <= 0 || unknown) {
       return currentWeight;
     }
-    noteLoad(home, wanted, carried, draft.nowNanos());
-    return byLoad(draft, home, wanted, carried);
+    recordLoad(home, demandPerSecond, capacityPerSecond, draft.nowNanos());
+    return weightByLoad(draft, home, demandPerSecond, capacityPerSecond);
   }
 
-  private void noteLoad(String home, double wanted, double carried, long nowNanos) {
-    double chance = traffic.chanceDifference(wanted);
-    note(overloadedSinceNanos, home, wanted - chance > carried, nowNanos);
-    note(sufficientSinceNanos, home, wanted + chance <= carried, nowNanos);
+  private void recordLoad(
+      String home, double demandPerSecond, double capacityPerSecond, long nowNanos) {
+    double noiseMargin = traffic.noiseMargin(demandPerSecond);
+    trackSince(
+        overloadedSinceNanos, home, demandPerSecond - noiseMargin > capacityPerSecond, nowNanos);
+    trackSince(
+        sufficientSinceNanos, home, demandPerSecond + noiseMargin <= capacityPerSecond, nowNanos);
   }
 
-  private static void note(
+  private static void trackSince(
       SortedMap<String, Long> sinceNanos, String zone, boolean holds, long nowNanos) {
     if (holds) {
       sinceNanos.putIfAbsent(zone, nowNanos);
@@ -73,26 +78,29 @@
     }
   }
 
-  private int byLoad(PlanDraft draft, String home, double wanted, double carried) {
+  private int weightByLoad(
+      PlanDraft draft, String home, double demandPerSecond, double capacityPerSecond) {
     int currentWeight = draft.base().allocationOf(home).weightOf(home);
     int maxWeight = maxHomeWeight(topology, home);
-    int carriedWeight =
+    int sustainableWeight =
         (int)
             Math.max(
-                ZoneAllocation.NEAR_TRIAL_WEIGHT,
-                Math.min(maxWeight, ZoneAllocation.TOTAL_WEIGHT * carried / wanted));
+                ZoneAllocation.HOME_TRIAL_WEIGHT,
+                Math.min(
+                    maxWeight, ZoneAllocation.TOTAL_WEIGHT * capacityPerSecond / demandPerSecond));
     ZoneState state = draft.stateOf(home);
     if (state == ZoneState.NEAR) {
-      // A spill begins where for a while more is wanted than is carried, and ends well below that.
-      return isOverloaded(home, draft.nowNanos()) ? carriedWeight : currentWeight;
+      // Hysteresis: a spill starts after a confirmed overload and ends well below the capacity.
+      return isOverloaded(home, draft.nowNanos()) ? sustainableWeight : currentWeight;
     }
-    int difference = Math.abs(carriedWeight - currentWeight);
-    boolean little = difference < ZoneAllocation.NEAR_TRIAL_WEIGHT && carriedWeight < maxWeight;
+    int difference = Math.abs(sustainableWeight - currentWeight);
+    boolean insignificant =
+        difference < ZoneAllocation.HOME_TRIAL_WEIGHT && sustainableWeight < maxWeight;
     boolean keepsSpilling =
         state == ZoneState.SPILLING
-            && carriedWeight > currentWeight
-            && !isSufficient(home, wanted, carried, draft.nowNanos());
-    return little || keepsSpilling ? currentWeight : carriedWeight;
+            && sustainableWeight > currentWeight
+            && !isSufficient(home, demandPerSecond, capacityPerSecond, draft.nowNanos());
+    return insignificant || keepsSpilling ? currentWeight : sustainableWeight;
   }
 
   private boolean isOverloaded(String home, long nowNanos) {
@@ -100,13 +108,14 @@
     return nowNanos - sinceNanos >= timing.confirmNanos();
   }
 
-  private boolean isSufficient(String home, double wanted, double carried, long nowNanos) {
+  private boolean isSufficient(
+      String home, double demandPerSecond, double capacityPerSecond, long nowNanos) {
     long sinceNanos = sufficientSinceNanos.getOrDefault(home, nowNanos);
-    return wanted <= ENDS_SPILL_LOAD * carried
+    return demandPerSecond <= END_SPILL_LOAD * capacityPerSecond
         || nowNanos - sinceNanos >= timing.maxRecoveryNanos();
   }
 
-  /** All keys of a zone, but for what is tried elsewhere. */
+  /** Returns all keys of a zone except the trial weight sent to another zone. */
   static int maxHomeWeight(ZoneTopology topology, String home) {
     boolean alone = topology.othersByDistance(home).isEmpty();
     return alone
--- a/src/main/java/beaconturn/zones/HomeZoneEvidence.java
+++ b/src/main/java/beaconturn/zones/HomeZoneEvidence.java
@@ -1,18 +1,18 @@
 package beaconturn.zones;
 
 /**
- * Tells whether a router finds its own zone bad, by its own attempts alone. For the member's
- * thread.
+ * Decides from a router's own attempts whether its home zone is unhealthy, for use without a lease
+ * on a plan. Confined to the member's thread.
  */
 final class HomeZoneEvidence {
   private final String homeZone;
   private final long windowNanos;
 
-  /** The report that began the window, or null. */
-  private ZoneReport before;
+  /** The report at the start of the window, or null before the first window. */
+  private ZoneReport windowStartReport;
 
   private long windowStartNanos;
-  private boolean bad;
+  private boolean unhealthy;
 
   HomeZoneEvidence(String homeZone, long windowNanos) {
     this.homeZone = homeZone;
@@ -20,16 +20,16 @@
   }
 
   boolean isWindowOver(long nowNanos) {
-    return before == null || nowNanos - windowStartNanos >= windowNanos;
+    return windowStartReport == null || nowNanos - windowStartNanos >= windowNanos;
   }
 
-  /** Judges the window that ends with the report, and begins the next. */
+  /** Evaluates the window that ends with the report and starts the next one. */
   void endWindow(ZoneReport report, long nowNanos) {
-    if (before != null) {
-      ZoneObservations seen = observations(report).since(observations(before));
-      bad = ZoneHealthRules.viewOf(seen) == ZoneHealth.BROKEN || seen.listedServers() == 0;
+    if (windowStartReport != null) {
+      ZoneObservations seen = observations(report).since(observations(windowStartReport));
+      unhealthy = ZoneHealthRules.viewOf(seen) == ZoneHealth.BROKEN || seen.listedServers() == 0;
     }
-    before = report;
+    windowStartReport = report;
     windowStartNanos = nowNanos;
   }
 
@@ -37,7 +37,7 @@
     return report.zones().getOrDefault(homeZone, ZoneObservations.NONE);
   }
 
-  boolean isBad() {
-    return bad;
+  boolean isUnhealthy() {
+    return unhealthy;
   }
 }
--- a/src/main/java/beaconturn/zones/PlanDraft.java
+++ b/src/main/java/beaconturn/zones/PlanDraft.java
@@ -6,12 +6,12 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** A plan in the making, from the plan at hand. For the planner's thread. */
+/**
+ * A mutable draft of the next plan, based on the plan in force. Confined to the planner's thread.
+ */
 final class PlanDraft {
-  /**
-   * The count of a zone whose keys never went elsewhere; it has no entry among the counts of flaps.
-   */
-  private static final int NEVER_LEFT = -1;
+  /** Flap count of a zone that never failed over; such a zone has no entry in the flap counts. */
+  private static final int NEVER_FAILED_OVER = -1;
 
   private final ZonePlan base;
   private final Collection<ZoneOverride> overrides;
@@ -32,7 +32,7 @@
     this.flapCounts = new TreeMap<>(base.flapCounts());
   }
 
-  /** The plan at hand. */
+  /** Returns the plan in force. */
   ZonePlan base() {
     return base;
   }
@@ -41,14 +41,19 @@
     return nowNanos;
   }
 
-  /** The override of a zone, or null. */
+  /** Returns the operator override of a zone, or null. */
   ZoneOverride overrideOf(String zone) {
-    return overrides.stream().filter(o -> o.zone().equals(zone)).findFirst().orElse(null);
+    return overrides.stream()
+        .filter(override -> override.zone().equals(zone))
+        .findFirst()
+        .orElse(null);
   }
 
   boolean isDrained(String zone) {
     return overrides.stream()
-        .anyMatch(o -> o.zone().equals(zone) && o.kind() == ZoneOverrideKind.DRAIN);
+        .anyMatch(
+            override ->
+                override.zone().equals(zone) && override.kind() == ZoneOverrideKind.DRAIN);
   }
 
   ZoneState stateOf(String zone) {
@@ -59,17 +64,17 @@
     return flapCounts.getOrDefault(zone, 0);
   }
 
-  int flapCountBeforeLeaving(String zone) {
-    return flapCounts.getOrDefault(zone, NEVER_LEFT);
+  int flapCountBeforeFailover(String zone) {
+    return flapCounts.getOrDefault(zone, NEVER_FAILED_OVER);
   }
 
   /**
-   * The weight that a zone may send to another: routers on the plan at hand still send by its
-   * allocations.
+   * Returns the larger of the base plan's and the draft's weight from a home zone to another zone,
+   * as routers may still act on the base plan.
    */
-  int largestWeight(String home, String zone) {
-    int now = base.allocationOf(home).weightOf(zone);
-    return Math.max(now, allocations.get(home).weightOf(zone));
+  int maxWeight(String home, String zone) {
+    int baseWeight = base.allocationOf(home).weightOf(zone);
+    return Math.max(baseWeight, allocations.get(home).weightOf(zone));
   }
 
   void putAllocation(String home, ZoneAllocation allocation) {
@@ -92,16 +97,16 @@
     return hasLargeMove;
   }
 
-  void noteLargeMove() {
+  void recordLargeMove() {
     hasLargeMove = true;
   }
 
-  /** What the last decision had to wait for, or empty. */
+  /** Returns why the last decision was deferred; empty if it was not. */
   String waitReason() {
     return waitReason;
   }
 
-  void waitFor(String reason) {
+  void setWaitReason(String reason) {
     waitReason = reason;
   }
 
--- a/src/main/java/beaconturn/zones/RegionDistanceCheck.java
+++ b/src/main/java/beaconturn/zones/RegionDistanceCheck.java
@@ -5,12 +5,15 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Checks whether the regions that operators name agree with the times that routers measure. */
+/** Compares the configured regions of zones with the response times that routers measure. */
 public final class RegionDistanceCheck {
-  /** So many good answers tell how far a zone is. */
-  private static final long MIN_ANSWERS = 50;
+  /** Number of successful attempts required for a comparison. */
+  private static final long MIN_RESPONSES = 50;
 
-  /** Answers differ by more than the way: only what is so many times as long is a contradiction. */
+  /**
+   * Ratio of response times above which a measurement contradicts the regions. Response times also
+   * depend on the load of the cache servers.
+   */
   private static final double CONTRADICTION_FACTOR = 1.5;
 
   private static final double MILLI_MICROS = 1000;
@@ -18,8 +21,8 @@
   private RegionDistanceCheck() {}
 
   /**
-   * For each zone what its routers measure against the order in which its keys go on: a zone that
-   * is named before another and takes clearly longer. In words, empty where nothing is wrong.
+   * Returns a warning for each pair of zones in different regions where the zone preferred for
+   * failover responds clearly slower to a home zone's routers than the other zone.
    */
   public static List<String> warnings(ZoneTopology topology, Collection<ZoneReport> reports) {
     List<String> warnings = new ArrayList<>();
@@ -27,14 +30,14 @@
       List<String> others = topology.othersByDistance(home);
       for (int i = 0; i < others.size(); i++) {
         for (String farther : others.subList(i + 1, others.size())) {
-          addDoubt(warnings, topology, reports, home, others.get(i), farther);
+          addWarning(warnings, topology, reports, home, others.get(i), farther);
         }
       }
     }
     return warnings;
   }
 
-  private static void addDoubt(
+  private static void addWarning(
       List<String> warnings,
       ZoneTopology topology,
       Collection<ZoneReport> reports,
@@ -63,17 +66,17 @@
     }
   }
 
-  /** What good answers took the routers of one zone from another; 0 where too few are known. */
+  /** Returns the mean response time in microseconds; 0 if there are too few successful attempts. */
   private static double meanMicros(String home, String zone, Collection<ZoneReport> reports) {
-    long answers = 0;
+    long responses = 0;
     long micros = 0;
     for (ZoneReport report : reports) {
       if (report.homeZone().equals(home)) {
         ZoneObservations seen = report.zones().getOrDefault(zone, ZoneObservations.NONE);
-        answers += seen.successfulAttempts();
+        responses += seen.successfulAttempts();
         micros += seen.successMicros();
       }
     }
-    return answers < MIN_ANSWERS ? 0 : micros / (double) answers;
+    return responses < MIN_RESPONSES ? 0 : micros / (double) responses;
   }
 }
--- a/src/main/java/beaconturn/zones/ReportLease.java
+++ b/src/main/java/beaconturn/zones/ReportLease.java
@@ -5,12 +5,12 @@
 import beaconturn.agreement.StoreRequest;
 import beaconturn.agreement.StoreResponse;
 
-/** The store's lease on a router's report. For the member's thread. */
+/** Holds the store's lease on a router's report. Confined to the member's thread. */
 final class ReportLease {
   /**
-   * A report stays in the store for so long after the last word of its router, which may serve on
-   * without the store: a new leader then has to know of it. Who is heard is told by reports that
-   * grow.
+   * Time for which the store keeps a report after its router's last renewal. A router that is cut
+   * off from the store may still serve requests, and a new leader has to know its traffic. Whether
+   * a router is silent is derived from the progress of its reports, not from this lease.
    */
   static final long MIN_TTL_SECONDS = 60;
 
@@ -36,7 +36,7 @@
     return id;
   }
 
-  /** When the request was sent that last kept the lease alive. */
+  /** Returns the send time of the last request that kept the lease alive. */
   long keptAliveAtNanos() {
     return keptAliveAtNanos;
   }
@@ -45,7 +45,7 @@
     return renewAtNanos;
   }
 
-  /** The request that gets or renews the lease, or null while none is due. */
+  /** Returns the request that obtains or renews the lease, or null if none is due. */
   PendingZoneRequest dueRequest(long nowNanos) {
     if (!isHeld()) {
       long ttlSeconds = Math.max(MIN_TTL_SECONDS, timing.storeLeaseSeconds());
--- a/src/main/java/beaconturn/zones/RouterEvidence.java
+++ b/src/main/java/beaconturn/zones/RouterEvidence.java
@@ -1,77 +1,80 @@
 package beaconturn.zones;
 
-/** What one router has reported: last, and about one and two windows ago. For one thread. */
+/**
+ * Tracks the reports of one router: the latest, and baselines that are one and two windows old. Not
+ * thread-safe.
+ */
 final class RouterEvidence {
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double UNKNOWN_RATE = -1;
 
   private final long windowNanos;
-  private ZoneReport last;
-  private long grewAtNanos;
-  private ZoneReport older;
-  private long olderAtNanos;
-  private ZoneReport newer;
-  private long newerAtNanos;
+  private ZoneReport latestReport;
+  private long advancedAtNanos;
+  private ZoneReport baseline;
+  private long baselineAtNanos;
+  private ZoneReport nextBaseline;
+  private long nextBaselineAtNanos;
   private double requestsPerSecond = UNKNOWN_RATE;
 
   RouterEvidence(long windowNanos) {
     this.windowNanos = windowNanos;
   }
 
-  /** Takes in the report that stands in the store, which may be the one known already. */
+  /** Records the report that the store holds, which may be one that was recorded before. */
   void update(ZoneReport report, long nowNanos) {
-    if (last == null || report.sequenceNumber() > last.sequenceNumber()) {
-      last = report;
-      grewAtNanos = nowNanos;
-      if (older != null) {
-        long arrived = last.arrivals() - older.arrivals();
-        requestsPerSecond = arrived * NANOS_PER_SECOND / (nowNanos - olderAtNanos);
+    if (latestReport == null || report.sequenceNumber() > latestReport.sequenceNumber()) {
+      latestReport = report;
+      advancedAtNanos = nowNanos;
+      if (baseline != null) {
+        long newArrivals = latestReport.arrivals() - baseline.arrivals();
+        requestsPerSecond = newArrivals * NANOS_PER_SECOND / (nowNanos - baselineAtNanos);
       }
     }
-    if (newer == null || nowNanos - newerAtNanos >= windowNanos) {
-      older = newer == null ? last : newer;
-      olderAtNanos = newer == null ? grewAtNanos : newerAtNanos;
-      newer = last;
-      newerAtNanos = grewAtNanos;
+    if (nextBaseline == null || nowNanos - nextBaselineAtNanos >= windowNanos) {
+      baseline = nextBaseline == null ? latestReport : nextBaseline;
+      baselineAtNanos = nextBaseline == null ? advancedAtNanos : nextBaselineAtNanos;
+      nextBaseline = latestReport;
+      nextBaselineAtNanos = advancedAtNanos;
     }
   }
 
-  ZoneReport last() {
-    return last;
+  ZoneReport latestReport() {
+    return latestReport;
   }
 
-  /** When its reports last grew. */
-  long grewAtNanos() {
-    return grewAtNanos;
+  /** Returns when the sequence number of the reports last advanced. */
+  long advancedAtNanos() {
+    return advancedAtNanos;
   }
 
-  /** By what it reported last, or less than 0 until it has reported twice. */
+  /** Returns the latest request rate; negative until the router has reported twice. */
   double requestsPerSecond() {
     return requestsPerSecond;
   }
 
-  /** Name and incarnation. */
+  /** Returns the name and the incarnation, separated by a slash. */
   String router() {
-    return last.router();
+    return latestReport.router();
   }
 
-  /** The name alone, the same after a restart. */
+  /** Returns the name without the incarnation; it is the same after a restart. */
   String routerName() {
-    return last.router().split("/")[0];
+    return latestReport.router().split("/")[0];
   }
 
   String homeZone() {
-    return last.homeZone();
+    return latestReport.homeZone();
   }
 
-  /** What it has seen of a zone since one to two windows ago. */
-  ZoneObservations recent(String zone) {
-    ZoneObservations before = older.zones().getOrDefault(zone, ZoneObservations.NONE);
-    return latest(zone).since(before);
+  /** Returns the observations of a zone over the last one to two windows. */
+  ZoneObservations recentObservations(String zone) {
+    ZoneObservations before = baseline.zones().getOrDefault(zone, ZoneObservations.NONE);
+    return latestObservations(zone).since(before);
   }
 
-  /** What it has seen of a zone since its start. */
-  ZoneObservations latest(String zone) {
-    return last.zones().getOrDefault(zone, ZoneObservations.NONE);
+  /** Returns the observations of a zone since the start of the router's process. */
+  ZoneObservations latestObservations(String zone) {
+    return latestReport.zones().getOrDefault(zone, ZoneObservations.NONE);
   }
 }
--- a/src/main/java/beaconturn/zones/RouterEvidencePool.java
+++ b/src/main/java/beaconturn/zones/RouterEvidencePool.java
@@ -10,145 +10,158 @@
 import java.util.stream.Stream;
 
 /**
- * The reports of all routers, those that are heard and those that were. One that is stuck is not
- * heard, one that is broken is not asked for its views. For one thread.
+ * Keeps the reports of all routers and classifies the routers as live, silent or faulty. Only live
+ * routers that are not faulty vote on zone health. Not thread-safe.
  */
 final class RouterEvidencePool {
   private final ZoneTopology topology;
   private final long windowNanos;
 
-  /** A report that has not grown for so long is not heard. */
-  private final long staleNanos;
+  /** Age from which a report without progress is stale and its router silent. */
+  private final long staleAfterNanos;
 
-  /** One that is not heard counts for so long, where others of its zone are. */
-  private final long maxUnheardNanos;
+  /** How long a silent router counts while other routers of its zone are live. */
+  private final long maxSilentNanos;
 
-  /** One whose report is gone sooner than so after it grew has left. */
-  private final long withdrawnNanos;
+  /** A report that disappears within this time of its last progress was withdrawn. */
+  private final long withdrawnWithinNanos;
 
-  /** By name and incarnation, those whose reports stand in the store. */
-  private final SortedMap<String, RouterEvidence> present = new TreeMap<>();
+  /** Evidence by name and incarnation, for reports that the store holds. */
+  private final SortedMap<String, RouterEvidence> byIncarnation = new TreeMap<>();
 
-  /** By the router's name, as it was heard last; it may serve on, cut off. */
-  private final SortedMap<String, RouterEvidence> latest = new TreeMap<>();
+  /**
+   * Latest evidence by router name. It outlives the report, as a router that is cut off from the
+   * store may still serve requests.
+   */
+  private final SortedMap<String, RouterEvidence> lastSeenByName = new TreeMap<>();
 
-  private final SortedSet<String> broken = new TreeSet<>();
+  private final SortedSet<String> faulty = new TreeSet<>();
 
   RouterEvidencePool(
       ZoneTopology topology,
       long windowNanos,
-      long staleNanos,
-      long maxUnheardNanos,
-      long withdrawnNanos) {
+      long staleAfterNanos,
+      long maxSilentNanos,
+      long withdrawnWithinNanos) {
     this.topology = topology;
     this.windowNanos = windowNanos;
-    this.staleNanos = staleNanos;
-    this.maxUnheardNanos = maxUnheardNanos;
-    this.withdrawnNanos = withdrawnNanos;
+    this.staleAfterNanos = staleAfterNanos;
+    this.maxSilentNanos = maxSilentNanos;
+    this.withdrawnWithinNanos = withdrawnWithinNanos;
   }
 
-  /** Takes in the reports that stand in the store, and finds the routers that are broken. */
+  /** Records the reports that the store holds and detects faulty routers. */
   void update(Collection<ZoneReport> reports, long nowNanos) {
     Set<String> reporting = new TreeSet<>();
     for (ZoneReport report : reports) {
       if (topology.regions().containsKey(report.homeZone())) {
         reporting.add(report.router());
-        present
+        byIncarnation
             .computeIfAbsent(report.router(), router -> new RouterEvidence(windowNanos))
             .update(report, nowNanos);
       }
     }
-    forgetGone(reporting, nowNanos);
-    findBroken(nowNanos);
+    removeDeparted(reporting, nowNanos);
+    detectFaultyRouters(nowNanos);
   }
 
-  private void forgetGone(Set<String> reporting, long nowNanos) {
-    // A report that is gone long before its lease could end was withdrawn: its router has left.
-    present.values().stream()
+  private void removeDeparted(Set<String> reporting, long nowNanos) {
+    // A report that disappears long before its lease could expire was withdrawn on shutdown.
+    byIncarnation.values().stream()
         .filter(router -> !reporting.contains(router.router()))
-        .filter(router -> nowNanos - router.grewAtNanos() < withdrawnNanos)
-        .forEach(router -> latest.remove(router.routerName(), router));
-    present.keySet().retainAll(reporting);
-    present
+        .filter(router -> nowNanos - router.advancedAtNanos() < withdrawnWithinNanos)
+        .forEach(router -> lastSeenByName.remove(router.routerName(), router));
+    byIncarnation.keySet().retainAll(reporting);
+    byIncarnation
         .values()
-        .forEach(router -> latest.merge(router.routerName(), router, RouterEvidencePool::later));
-    latest
+        .forEach(
+            router ->
+                lastSeenByName.merge(router.routerName(), router, RouterEvidencePool::moreRecent));
+    lastSeenByName
         .values()
         .removeIf(
             router ->
-                nowNanos - router.grewAtNanos() > maxUnheardNanos
-                    && !heardFrom(router.homeZone(), nowNanos).isEmpty());
+                nowNanos - router.advancedAtNanos() > maxSilentNanos
+                    && !liveRoutersOf(router.homeZone(), nowNanos).isEmpty());
   }
 
-  private static RouterEvidence later(RouterEvidence one, RouterEvidence other) {
-    return one.grewAtNanos() > other.grewAtNanos() ? one : other;
+  private static RouterEvidence moreRecent(RouterEvidence one, RouterEvidence other) {
+    return one.advancedAtNanos() > other.advancedAtNanos() ? one : other;
   }
 
-  private void findBroken(long nowNanos) {
-    broken.clear();
-    for (RouterEvidence router : present.values()) {
-      if (isBroken(router, nowNanos)) {
-        broken.add(router.router());
+  private void detectFaultyRouters(long nowNanos) {
+    faulty.clear();
+    for (RouterEvidence router : byIncarnation.values()) {
+      if (looksFaulty(router, nowNanos)) {
+        faulty.add(router.router());
       }
     }
   }
 
-  /** Whether a router finds nothing good while most of its neighbours find their zone good. */
-  private boolean isBroken(RouterEvidence router, long nowNanos) {
+  /**
+   * Returns whether a router sees no zone as healthy, and some as unhealthy, while at least half of
+   * its neighbours see their home zone as healthy.
+   */
+  private boolean looksFaulty(RouterEvidence router, long nowNanos) {
     List<ZoneHealth> views =
-        topology.zones().stream().map(zone -> ZoneHealthRules.viewOf(router.recent(zone))).toList();
+        topology.zones().stream()
+            .map(zone -> ZoneHealthRules.viewOf(router.recentObservations(zone)))
+            .toList();
     List<RouterEvidence> neighbours =
-        heardFrom(router.homeZone(), nowNanos).stream().filter(other -> other != router).toList();
-    long good = neighbours.stream().filter(RouterEvidencePool::findsHomeGood).count();
+        liveRoutersOf(router.homeZone(), nowNanos).stream()
+            .filter(other -> other != router)
+            .toList();
+    long healthyNeighbours =
+        neighbours.stream().filter(RouterEvidencePool::findsHomeHealthy).count();
     return views.contains(ZoneHealth.BROKEN)
         && !views.contains(ZoneHealth.GOOD)
-        && good > 0
-        && 2 * good >= neighbours.size();
+        && healthyNeighbours > 0
+        && 2 * healthyNeighbours >= neighbours.size();
   }
 
-  private static boolean findsHomeGood(RouterEvidence router) {
-    return ZoneHealthRules.viewOf(router.recent(router.homeZone())) == ZoneHealth.GOOD;
+  private static boolean findsHomeHealthy(RouterEvidence router) {
+    return ZoneHealthRules.viewOf(router.recentObservations(router.homeZone())) == ZoneHealth.GOOD;
   }
 
-  /** Routers that find nothing good while their neighbours do. */
-  SortedSet<String> brokenRouters() {
-    return broken;
+  /** Returns the faulty routers, each as name and incarnation. */
+  SortedSet<String> faultyRouters() {
+    return faulty;
   }
 
-  /** Routers whose reports grow. */
-  Stream<RouterEvidence> heard(long nowNanos) {
-    return present.values().stream()
-        .filter(router -> nowNanos - router.grewAtNanos() <= staleNanos);
+  /** Returns the routers whose reports advance. */
+  Stream<RouterEvidence> liveRouters(long nowNanos) {
+    return byIncarnation.values().stream()
+        .filter(router -> nowNanos - router.advancedAtNanos() <= staleAfterNanos);
   }
 
-  /** Routers of a zone that are heard and not broken. */
-  List<RouterEvidence> heardFrom(String home, long nowNanos) {
-    return heard(nowNanos)
-        .filter(router -> router.homeZone().equals(home) && !isKnownBroken(router))
+  /** Returns the live routers of a zone that are not faulty. */
+  List<RouterEvidence> liveRoutersOf(String home, long nowNanos) {
+    return liveRouters(nowNanos)
+        .filter(router -> router.homeZone().equals(home) && !isFaulty(router))
         .toList();
   }
 
-  boolean isKnownBroken(RouterEvidence router) {
-    return broken.contains(router.router());
+  boolean isFaulty(RouterEvidence router) {
+    return faulty.contains(router.router());
   }
 
-  /** What a zone's own routers have lately seen of it, also those that are not heard now. */
-  Stream<ZoneObservations> recentFromOwn(String zone) {
-    return present.values().stream()
-        .filter(router -> router.homeZone().equals(zone) && !isKnownBroken(router))
-        .map(router -> router.recent(zone));
+  /** Returns the recent observations of a zone by its own routers, including silent ones. */
+  Stream<ZoneObservations> recentAtHome(String zone) {
+    return byIncarnation.values().stream()
+        .filter(router -> router.homeZone().equals(zone) && !isFaulty(router))
+        .map(router -> router.recentObservations(zone));
   }
 
-  /** Routers of a zone that were heard before and are not now. */
-  Stream<RouterEvidence> unheardFrom(String home, long nowNanos) {
-    return latest.values().stream()
+  /** Returns the routers of a zone that reported before and are silent now. */
+  Stream<RouterEvidence> silentRoutersOf(String home, long nowNanos) {
+    return lastSeenByName.values().stream()
         .filter(router -> router.homeZone().equals(home))
-        .filter(router -> nowNanos - router.grewAtNanos() > staleNanos);
+        .filter(router -> nowNanos - router.advancedAtNanos() > staleAfterNanos);
   }
 
-  /** Routers of a zone that have ever reported how much they take. */
-  Stream<RouterEvidence> withKnownRate(String home) {
-    return latest.values().stream()
+  /** Returns the routers of a zone that have reported a request rate. */
+  Stream<RouterEvidence> routersWithKnownRate(String home) {
+    return lastSeenByName.values().stream()
         .filter(router -> router.homeZone().equals(home) && router.requestsPerSecond() >= 0);
   }
 }
--- a/src/main/java/beaconturn/zones/SharedOutageRule.java
+++ b/src/main/java/beaconturn/zones/SharedOutageRule.java
@@ -3,52 +3,55 @@
 import java.util.List;
 
 /**
- * Decides whether most zones are bad at once: that has a cause which they share, and moving keys
- * helps nobody. For the planner's thread.
+ * Detects outages that most zones share. They have a common cause, for example a slow origin, so
+ * that moving keys between zones would not help. Confined to the planner's thread.
  */
 final class SharedOutageRule {
   private final ZoneTopology topology;
   private final EvidenceAggregator evidence;
 
   /**
-   * For so long after the end of a shared outage nothing is moved: evidence of some zones is older
-   * than of others, so that the end does not show of all at once.
+   * Time for which moves stay blocked after a shared outage. The evidence of the zones differs in
+   * age, so that their recoveries are not seen at the same time.
    */
-  private final long aftermathNanos;
+  private final long settlingNanos;
 
   private boolean shared;
-  private long untilNanos = Long.MIN_VALUE;
+  private long blockedUntilNanos = Long.MIN_VALUE;
 
   SharedOutageRule(
       ZoneTopology topology, EvidenceAggregator evidence, long windowNanos, long confirmNanos) {
     this.topology = topology;
     this.evidence = evidence;
-    this.aftermathNanos = 2 * windowNanos + confirmNanos;
+    this.settlingNanos = 2 * windowNanos + confirmNanos;
   }
 
-  /** Whether keys have to stay where they are. */
-  boolean forbidsMoves(ZonePlan plan, long nowNanos) {
-    shared = areMostBad(plan);
+  /** Returns whether all keys have to stay where they are. */
+  boolean blocksMoves(ZonePlan plan, long nowNanos) {
+    shared = areMostUnhealthy(plan);
     if (shared) {
-      untilNanos = nowNanos + aftermathNanos;
+      blockedUntilNanos = nowNanos + settlingNanos;
     }
-    return nowNanos < untilNanos;
+    return nowNanos < blockedUntilNanos;
   }
 
-  /** Whether the outage was shared when it was last looked at. */
+  /** Returns whether the last check found a shared outage. */
   boolean isShared() {
     return shared;
   }
 
-  /** Whether more than half of the zones that are served near, and two at least, are bad. */
-  private boolean areMostBad(ZonePlan plan) {
-    List<ZoneHealth> servedNear =
+  /**
+   * Returns whether at least two, and more than half, of the zones that serve their own keys are
+   * unhealthy.
+   */
+  private boolean areMostUnhealthy(ZonePlan plan) {
+    List<ZoneHealth> servedAtHome =
         topology.zones().stream()
-            .filter(zone -> !ZoneState.isAway(plan.states().get(zone)))
+            .filter(zone -> !ZoneState.isServedElsewhere(plan.states().get(zone)))
             .map(evidence::healthOf)
             .filter(health -> health != ZoneHealth.UNKNOWN)
             .toList();
-    long bad = servedNear.stream().filter(health -> health == ZoneHealth.BROKEN).count();
-    return bad > 1 && 2 * bad > servedNear.size();
+    long unhealthy = servedAtHome.stream().filter(health -> health == ZoneHealth.BROKEN).count();
+    return unhealthy > 1 && 2 * unhealthy > servedAtHome.size();
   }
 }
--- a/src/main/java/beaconturn/zones/StepLimits.java
+++ b/src/main/java/beaconturn/zones/StepLimits.java
@@ -7,15 +7,17 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** How much of a zone's keys may move at once, and how often. For the planner's thread. */
+/**
+ * Limits how much of a zone's keys moves at once, and how often. Confined to the planner's thread.
+ */
 final class StepLimits {
   /** Weight of one step of a return. */
   static final int RETURN_STEP_WEIGHT = ZoneAllocation.TOTAL_WEIGHT / 4;
 
-  /** Weight from which a move counts as large; of large moves there is one at a time. */
+  /** Weight from which a move counts as large; only one large move is made per interval. */
   private static final int LARGE_MOVE_WEIGHT = 200;
 
-  /** Weight that may always move at once, however few fetches a move may bring. */
+  /** Weight that may always move at once, regardless of the fetch limit. */
   private static final int MIN_LIMIT_WEIGHT = RETURN_STEP_WEIGHT / 2;
 
   private static final long NEVER_NANOS = Long.MIN_VALUE / 2;
@@ -23,8 +25,8 @@
   private final ZoneTopology topology;
   private final ZoneTraffic traffic;
   private final long intervalNanos;
-  private final SortedMap<String, Long> steppedAtNanos = new TreeMap<>();
-  private long largeMoveAtNanos = NEVER_NANOS;
+  private final SortedMap<String, Long> lastStepNanos = new TreeMap<>();
+  private long lastLargeMoveNanos = NEVER_NANOS;
 
   StepLimits(ZoneTopology topology, ZoneTraffic traffic, long intervalNanos) {
     this.topology = topology;
@@ -32,13 +34,13 @@
     this.intervalNanos = intervalNanos;
   }
 
-  /** Whether the last step of a zone is long enough ago for another step of its return. */
+  /** Returns whether the step interval of a zone has passed since its last step. */
   boolean allowsStep(String home, long nowNanos) {
-    return nowNanos - steppedAtNanos.getOrDefault(home, NEVER_NANOS) >= intervalNanos;
+    return nowNanos - lastStepNanos.getOrDefault(home, NEVER_NANOS) >= intervalNanos;
   }
 
-  void noteStep(String home, long nowNanos) {
-    steppedAtNanos.put(home, nowNanos);
+  void recordStep(String home, long nowNanos) {
+    lastStepNanos.put(home, nowNanos);
   }
 
   static boolean isLarge(int movedWeight) {
@@ -46,26 +48,26 @@
   }
 
   boolean allowsLargeMove(PlanDraft draft) {
-    return !draft.hasLargeMove() && draft.nowNanos() - largeMoveAtNanos >= intervalNanos;
+    return !draft.hasLargeMove() && draft.nowNanos() - lastLargeMoveNanos >= intervalNanos;
   }
 
-  void noteLargeMove(long nowNanos) {
-    largeMoveAtNanos = nowNanos;
+  void recordLargeMove(long nowNanos) {
+    lastLargeMoveNanos = nowNanos;
   }
 
-  /** The allocation as far on the way from one to another as may be gone at once. */
-  ZoneAllocation limited(String home, ZoneAllocation from, ZoneAllocation to) {
+  /** Returns the target, or a point on the way to it if the move would exceed the fetch limit. */
+  ZoneAllocation limitMove(String home, ZoneAllocation from, ZoneAllocation to) {
     int moved = to.weightMovedFrom(from);
-    double wanted = Math.max(1, traffic.requestsPerSecond(home));
+    double demandPerSecond = Math.max(1, traffic.requestsPerSecond(home));
     int limit =
         (int)
             Math.max(
                 MIN_LIMIT_WEIGHT,
-                ZoneAllocation.TOTAL_WEIGHT * topology.fetchesPerSecond() / wanted);
-    return moved > limit ? between(from, to, limit / (double) moved) : to;
+                ZoneAllocation.TOTAL_WEIGHT * topology.fetchesPerSecond() / demandPerSecond);
+    return moved > limit ? interpolate(from, to, limit / (double) moved) : to;
   }
 
-  private static ZoneAllocation between(ZoneAllocation from, ZoneAllocation to, double share) {
+  private static ZoneAllocation interpolate(ZoneAllocation from, ZoneAllocation to, double share) {
     List<String> zones = new ArrayList<>(to.zones());
     from.zones().stream().filter(zone -> !zones.contains(zone)).forEach(zones::add);
     Map<String, Integer> weights = new LinkedHashMap<>();
--- a/src/main/java/beaconturn/zones/ZoneAllocation.java
+++ b/src/main/java/beaconturn/zones/ZoneAllocation.java
@@ -7,35 +7,31 @@
 import java.util.Map;
 
 /**
- * Where the keys of one zone go: in thousandths of all of them, by the hash of the key, in this
- * order. What is missing to a thousand is rejected at once. The same keys always go first, so that
- * far cache servers warm up for few.
+ * Distribution of one zone's keys over zones, in thousandths, by key hash and in iteration order.
+ * The weight missing to {@link #TOTAL_WEIGHT} is rejected. The same keys are always moved first, so
+ * that few keys have to be fetched into the cache servers of other zones.
  *
- * @param weights thousandths by zone, the zone itself first
+ * @param weights thousandths by zone, the home zone first
  */
 public record ZoneAllocation(Map<String, Integer> weights) {
-  /** All keys. */
+  /** Weight of all keys. */
   public static final int TOTAL_WEIGHT = 1000;
 
   /**
-   * So small a part is a trial: it tells how a zone does, and nothing that must not be repeated
-   * goes by it.
+   * Weight up to which an allocation to another zone is only a trial, which provides evidence of
+   * that zone. Requests that must not be repeated are not sent as a trial.
    */
   public static final int TRIAL_WEIGHT = 10;
 
-  /**
-   * Where nearly all of a zone's keys are served elsewhere so many are tried there, to see when it
-   * is back.
-   */
-  public static final int NEAR_TRIAL_WEIGHT = 50;
+  /** Weight that stays at a zone whose keys are served elsewhere, to detect its recovery. */
+  public static final int HOME_TRIAL_WEIGHT = 50;
 
-  /** An allocation of its own: later changes of the argument change nothing. */
   public ZoneAllocation {
     weights = Collections.unmodifiableMap(new LinkedHashMap<>(weights));
   }
 
-  /** All keys at the zone itself. */
-  static ZoneAllocation allNear(String home) {
+  /** Returns an allocation of all keys to the home zone. */
+  static ZoneAllocation allAtHome(String home) {
     return new ZoneAllocation(Map.of(home, TOTAL_WEIGHT));
   }
 
@@ -47,12 +43,12 @@
     return weights.values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  /** The zones that it names, in their order. */
+  /** Returns the zones of the allocation, in their order. */
   List<String> zones() {
     return new ArrayList<>(weights.keySet());
   }
 
-  /** The weight of the keys that go elsewhere than by another allocation. */
+  /** Returns the weight of the keys that another allocation sends elsewhere. */
   int weightMovedFrom(ZoneAllocation other) {
     int moved = 0;
     for (Map.Entry<String, Integer> entry : weights.entrySet()) {
--- a/src/main/java/beaconturn/zones/ZoneCapacity.java
+++ b/src/main/java/beaconturn/zones/ZoneCapacity.java
@@ -1,8 +1,6 @@
 package beaconturn.zones;
 
-/**
- * Estimates how many requests a second zones carry, and have room for. For the planner's thread.
- */
+/** Estimates the capacity and the spare capacity of zones. Confined to the planner's thread. */
 final class ZoneCapacity {
   private final ZoneTopology topology;
   private final EvidenceAggregator evidence;
@@ -14,34 +12,35 @@
     this.traffic = traffic;
   }
 
-  /** Requests a second that a zone carries with one of its cache servers gone. */
-  double carriedPerSecond(String zone, long nowNanos) {
+  /** Returns the requests per second that a zone serves after the loss of one cache server. */
+  double capacityPerSecond(String zone, long nowNanos) {
     int warm = evidence.warmServers(zone, nowNanos);
     int counted = warm > 1 ? warm - 1 : warm;
     return counted * topology.serverRequestsPerSecond();
   }
 
   /**
-   * Requests a second that a zone has room for, beside its own and what zones other than {@code
-   * home} may send there. None at a zone from which nothing was ever heard: cut off from the store,
-   * it may serve as much as it can.
+   * Returns the requests per second that a zone can take from the home zone, beside its own and
+   * those that all other zones may send to it. A zone whose routers never reported has no spare
+   * capacity: cut off from the store, they may serve as much as the zone can.
    */
-  double roomPerSecond(PlanDraft draft, String home, String zone) {
-    if (!evidence.hasHeardFrom(zone)) {
+  double sparePerSecond(PlanDraft draft, String home, String zone) {
+    if (!evidence.hasKnownRate(zone)) {
       return 0;
     }
-    double taken = evidence.unheardPerSecond(zone, draft.nowNanos());
+    double reservedPerSecond = evidence.silentRequestsPerSecond(zone, draft.nowNanos());
     for (String other : topology.zones()) {
       if (!other.equals(home)) {
-        int alone = ZonePlan.withoutLease(topology, other).weightOf(zone);
-        int planned = Math.max(draft.largestWeight(other, zone), alone);
-        taken += traffic.requestsPerSecond(other) * planned / ZoneAllocation.TOTAL_WEIGHT;
+        int weightWithoutLease = ZonePlan.withoutLease(topology, other).weightOf(zone);
+        int maxWeight = Math.max(draft.maxWeight(other, zone), weightWithoutLease);
+        reservedPerSecond +=
+            traffic.requestsPerSecond(other) * maxWeight / ZoneAllocation.TOTAL_WEIGHT;
         if (!other.equals(zone)) {
-          double unheard = evidence.unheardPerSecond(other, draft.nowNanos());
-          taken += unheard * alone / ZoneAllocation.TOTAL_WEIGHT;
+          double silentPerSecond = evidence.silentRequestsPerSecond(other, draft.nowNanos());
+          reservedPerSecond += silentPerSecond * weightWithoutLease / ZoneAllocation.TOTAL_WEIGHT;
         }
       }
     }
-    return carriedPerSecond(zone, draft.nowNanos()) - taken;
+    return capacityPerSecond(zone, draft.nowNanos()) - reservedPerSecond;
   }
 }
--- a/src/main/java/beaconturn/zones/ZoneHealth.java
+++ b/src/main/java/beaconturn/zones/ZoneHealth.java
@@ -1,17 +1,17 @@
 package beaconturn.zones;
 
-/** What the pooled evidence says of a zone, or of the way to it from another. */
+/** Health of a zone in the aggregated evidence, or as seen from one zone. */
 public enum ZoneHealth {
-  /** It serves. */
+  /** Most attempts succeed. */
   GOOD,
-  /** Too little is seen of it. */
+  /** There are too few observations. */
   UNKNOWN,
-  /** Whoever sends there finds it bad. */
+  /** All routers that send requests there see it as unhealthy. */
   BROKEN,
-  /** Those of one zone alone find it bad: their way to it is. */
+  /** Only some zones see it as unhealthy: the network between them and the zone is faulty. */
   LINK,
-  /** Nobody has it in the endpoint list any more. */
+  /** No router has it in its endpoint list. */
   NOT_LISTED,
-  /** Some have it in the endpoint list and others do not: lists are late. */
+  /** Only some routers have it in their endpoint lists: some lists are out of date. */
   LATE_LIST
 }
--- a/src/main/java/beaconturn/zones/ZoneHealthAssessment.java
+++ b/src/main/java/beaconturn/zones/ZoneHealthAssessment.java
@@ -5,62 +5,68 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The health of all zones at one time, from each zone's routers and from all together. */
+/**
+ * Health of all zones at one time: as seen by the routers of each zone, and by all routers
+ * together.
+ */
 final class ZoneHealthAssessment {
-  /** What the routers of a zone (the first key) find of each zone (the second). */
+  /** The view of a zone, by the home zone of the observing routers and by the observed zone. */
   private final SortedMap<String, SortedMap<String, ZoneHealth>> views = new TreeMap<>();
 
   private final SortedMap<String, ZoneHealth> healthByZone = new TreeMap<>();
   private final SortedMap<String, String> descriptions = new TreeMap<>();
 
-  /** An assessment of nothing: all is unknown. */
+  /** Creates an assessment in which the health of all zones is unknown. */
   ZoneHealthAssessment() {}
 
-  /** An assessment by the routers that are heard and not broken. */
+  /** Creates an assessment from the live routers that are not faulty. */
   ZoneHealthAssessment(ZoneTopology topology, RouterEvidencePool pool, long nowNanos) {
     for (String home : topology.zones()) {
-      List<RouterEvidence> heard = pool.heardFrom(home, nowNanos);
-      // Of a zone that is cut off nobody knows what it finds.
-      if (!heard.isEmpty()) {
-        views.put(home, viewsOf(topology, heard));
+      List<RouterEvidence> liveRouters = pool.liveRoutersOf(home, nowNanos);
+      // A zone without live routers has no views.
+      if (!liveRouters.isEmpty()) {
+        views.put(home, viewsOf(topology, liveRouters));
       }
     }
     topology.zones().forEach(this::assess);
   }
 
   private static SortedMap<String, ZoneHealth> viewsOf(
-      ZoneTopology topology, List<RouterEvidence> heard) {
-    SortedMap<String, ZoneHealth> found = new TreeMap<>();
+      ZoneTopology topology, List<RouterEvidence> liveRouters) {
+    SortedMap<String, ZoneHealth> viewsByZone = new TreeMap<>();
     for (String zone : topology.zones()) {
       List<ZoneHealth> votes =
-          heard.stream().map(router -> ZoneHealthRules.viewOf(router.recent(zone))).toList();
-      found.put(zone, ZoneHealthRules.majority(votes));
+          liveRouters.stream()
+              .map(router -> ZoneHealthRules.viewOf(router.recentObservations(zone)))
+              .toList();
+      viewsByZone.put(zone, ZoneHealthRules.majority(votes));
     }
-    return found;
+    return viewsByZone;
   }
 
   private void assess(String zone) {
-    List<ZoneHealth> all = new ArrayList<>();
-    List<String> badFrom = new ArrayList<>();
+    List<ZoneHealth> allViews = new ArrayList<>();
+    List<String> unhealthyFrom = new ArrayList<>();
     views.forEach(
-        (home, found) -> {
-          all.add(found.get(zone));
-          if (found.get(zone) == ZoneHealth.BROKEN) {
-            badFrom.add(home);
+        (home, viewsByZone) -> {
+          allViews.add(viewsByZone.get(zone));
+          if (viewsByZone.get(zone) == ZoneHealth.BROKEN) {
+            unhealthyFrom.add(home);
           }
         });
-    boolean anyGood = all.contains(ZoneHealth.GOOD);
-    String bad = "found bad from " + String.join(", ", badFrom);
-    if (!all.isEmpty() && all.stream().allMatch(view -> view == ZoneHealth.NOT_LISTED)) {
+    boolean anyHealthy = allViews.contains(ZoneHealth.GOOD);
+    String unhealthyDescription = "found bad from " + String.join(", ", unhealthyFrom);
+    if (!allViews.isEmpty() && allViews.stream().allMatch(view -> view == ZoneHealth.NOT_LISTED)) {
       put(zone, ZoneHealth.NOT_LISTED, "nobody has it in the list");
-    } else if (!badFrom.isEmpty() && !anyGood) {
-      // Before lists are looked at: those of a zone that has gone change here and there by and by.
-      put(zone, ZoneHealth.BROKEN, bad);
-    } else if (all.contains(ZoneHealth.NOT_LISTED)) {
+    } else if (!unhealthyFrom.isEmpty() && !anyHealthy) {
+      // Checked before the endpoint lists, as the lists of routers change one by one after a zone
+      // loss.
+      put(zone, ZoneHealth.BROKEN, unhealthyDescription);
+    } else if (allViews.contains(ZoneHealth.NOT_LISTED)) {
       put(zone, ZoneHealth.LATE_LIST, "some have it in the list and others do not");
-    } else if (!badFrom.isEmpty()) {
-      put(zone, ZoneHealth.LINK, bad + " alone");
-    } else if (anyGood) {
+    } else if (!unhealthyFrom.isEmpty()) {
+      put(zone, ZoneHealth.LINK, unhealthyDescription + " alone");
+    } else if (anyHealthy) {
       put(zone, ZoneHealth.GOOD, "serves");
     } else {
       put(zone, ZoneHealth.UNKNOWN, "too little is seen");
@@ -72,17 +78,17 @@
     descriptions.put(zone, description);
   }
 
-  /** What all routers together say of a zone. */
+  /** Returns the health of a zone as seen by the routers of all zones. */
   ZoneHealth healthOf(String zone) {
     return healthByZone.getOrDefault(zone, ZoneHealth.UNKNOWN);
   }
 
-  /** What was found of a zone, in words. */
+  /** Describes the health of a zone for evidence logs and plan reasons. */
   String describe(String zone) {
     return descriptions.getOrDefault(zone, "nothing is known");
   }
 
-  /** What the routers of one zone say of another, or of their own. */
+  /** Returns how the routers of the home zone see the given zone. */
   ZoneHealth viewFrom(String home, String zone) {
     return views.containsKey(home) ? views.get(home).get(zone) : ZoneHealth.UNKNOWN;
   }
--- a/src/main/java/beaconturn/zones/ZoneHealthRules.java
+++ b/src/main/java/beaconturn/zones/ZoneHealthRules.java
@@ -2,52 +2,54 @@
 
 import java.util.List;
 
-/** Turns observations into the view of a router, and views into that of a zone. Pure functions. */
+/**
+ * Derives a router's view of a zone from its observations, and a zone's view from its routers.
+ * Stateless.
+ */
 final class ZoneHealthRules {
-  /** So many attempts of a window at least tell something. */
+  /** Attempts of a window required to judge a zone as unhealthy by its failures. */
   private static final long MIN_ATTEMPTS = 4;
 
-  private static final double MAX_BAD_SHARE = 0.5;
+  private static final double MAX_FAILURE_SHARE = 0.5;
 
-  /** Among so many views one that is bad may be outvoted by others that know nothing. */
+  /** Number of views from which a single unhealthy view is outvoted even by unknown ones. */
   private static final int MIN_VIEWS_TO_OUTVOTE = 3;
 
   private ZoneHealthRules() {}
 
-  /** What one router makes of one zone. */
+  /** Returns one router's view of a zone. */
   static ZoneHealth viewOf(ZoneObservations seen) {
     if (seen.listedServers() == 0) {
       return ZoneHealth.NOT_LISTED;
     }
     long attempts = seen.successfulAttempts() + seen.failedAttempts();
-    if (attempts >= MIN_ATTEMPTS && seen.failedAttempts() > MAX_BAD_SHARE * attempts) {
+    if (attempts >= MIN_ATTEMPTS && seen.failedAttempts() > MAX_FAILURE_SHARE * attempts) {
       return ZoneHealth.BROKEN;
     }
     if (seen.successfulAttempts() > seen.failedAttempts()) {
-      // Also where servers are ejected still: by trials alone they come back late, and answers are
-      // newer.
+      // Takes precedence over ejections: with trial traffic alone servers are reinstated late, and
+      // successful attempts are newer evidence.
       return ZoneHealth.GOOD;
     }
-    // What nobody has tried is not known to be bad: without traffic an ejection only tells what
-    // once was.
+    // Without failed attempts a zone is unknown: an ejection without traffic is only past evidence.
     boolean mostEjected = 2 * seen.ejectedServers() >= seen.listedServers();
     return seen.failedAttempts() > 0 && mostEjected ? ZoneHealth.BROKEN : ZoneHealth.UNKNOWN;
   }
 
   /**
-   * The view of most of those that know something. That a zone is not listed counts only if nobody
-   * lists it. Where there are three views or more, one bad view alone does not make the zone bad,
-   * even if the others have seen nothing.
+   * Returns the majority of the views that are healthy or unhealthy. A zone counts as not listed
+   * only if all views agree. With three or more views a single unhealthy view does not make a zone
+   * unhealthy, even if all others are unknown.
    */
   static ZoneHealth majority(List<ZoneHealth> views) {
     if (!views.isEmpty() && views.stream().allMatch(view -> view == ZoneHealth.NOT_LISTED)) {
       return ZoneHealth.NOT_LISTED;
     }
-    long bad = views.stream().filter(view -> view == ZoneHealth.BROKEN).count();
-    long good = views.stream().filter(view -> view == ZoneHealth.GOOD).count();
-    if (bad > good && (bad > 1 || views.size() < MIN_VIEWS_TO_OUTVOTE)) {
+    long unhealthy = views.stream().filter(view -> view == ZoneHealth.BROKEN).count();
+    long healthy = views.stream().filter(view -> view == ZoneHealth.GOOD).count();
+    if (unhealthy > healthy && (unhealthy > 1 || views.size() < MIN_VIEWS_TO_OUTVOTE)) {
       return ZoneHealth.BROKEN;
     }
-    return good > 0 && good >= bad ? ZoneHealth.GOOD : ZoneHealth.UNKNOWN;
+    return healthy > 0 && healthy >= unhealthy ? ZoneHealth.GOOD : ZoneHealth.UNKNOWN;
   }
 }
--- a/src/main/java/beaconturn/zones/ZoneMember.java
+++ b/src/main/java/beaconturn/zones/ZoneMember.java
@@ -9,26 +9,26 @@
 import java.util.function.Consumer;
 
 /**
- * One router's member of the zones: a state machine without I/O that reports what the router sees,
- * follows the plan on a lease, and is the leader where nobody is.
+ * Takes part in zone failover on behalf of one router: reports the router's observations, follows
+ * the plan under a lease, and leads if there is no leader. A state machine without I/O.
  *
- * <p>For one thread, which asks {@link #nextRequest} for the request to make and brings its
- * response to {@link #handleResponse}; {@link #allocationAt} may be called by any. All times are
- * nanoseconds of the router's clock.
+ * <p>Confined to one thread, which sends the requests of {@link #nextRequest} and passes each
+ * response to {@link #handleResponse}. Only {@link #allocationAt} may be called by any thread. All
+ * times are nanoseconds of the router's clock.
  */
 public final class ZoneMember {
   private static final long SECOND_NANOS = 1_000_000_000;
 
-  /** From one decision of the leader to the next. */
+  /** Interval between two decisions of the leader. */
   static final long TICK_NANOS = SECOND_NANOS / 4;
 
-  /** The pause after failures doubles with each, up to this many times the first. */
+  /** The pause doubles with each consecutive failure, up to this multiple of the first one. */
   private static final int MAX_BACKOFF_STEPS = 8;
 
-  /** A router whose report has not grown for so many renewals is not heard. */
+  /** Renewal intervals without progress after which a router's report is stale. */
   private static final int STALE_RENEWALS = 4;
 
-  /** Evidence is compared over so long. */
+  /** Length of the window over which observations are compared. */
   private static final long WINDOW_NANOS = 3 * SECOND_NANOS / 2;
 
   private final ZoneTopology topology;
@@ -40,25 +40,24 @@
   private final ReportLease reportLease;
   private final ZonePlanFollower follower;
   private final ZonePlanLeader leader;
-  private final HomeZoneEvidence ownEvidence;
+  private final HomeZoneEvidence homeEvidence;
 
-  /** What the request that is out is for, or null. */
-  private ZoneRequestPurpose outstanding;
+  /** Purpose of the outstanding request, or null. */
+  private ZoneRequestPurpose pendingPurpose;
 
   private long sentAtNanos;
   private long pausedUntilNanos;
-  private int failuresInSequence;
+  private int consecutiveFailures;
   private long reportSequenceNumber;
   private volatile LeasedAllocation leased;
 
-  /** The allocation that was logged last. */
   private EffectiveAllocation loggedAllocation;
 
   /**
-   * A member in a zone.
+   * Creates a member that has not sent any request.
    *
-   * @param router name and incarnation with a slash between
-   * @param seed of the random spread of times
+   * @param router name and incarnation of the router, separated by a slash
+   * @param seed seed of the jitter
    */
   public ZoneMember(
       ZonesKeys keys,
@@ -78,25 +77,25 @@
     this.jitter = new Jitter(seed);
     this.reportLease = new ReportLease(timing, jitter, startNanos);
     this.follower = new ZonePlanFollower(keys, topology, timing, router, jitter);
-    FailoverPlanner planner = planner(topology, timing);
+    FailoverPlanner planner = createPlanner(topology, timing);
     this.leader = new ZonePlanLeader(keys, topology, planner, router, jitter, startNanos, log);
-    this.ownEvidence = new HomeZoneEvidence(homeZone, WINDOW_NANOS);
+    this.homeEvidence = new HomeZoneEvidence(homeZone, WINDOW_NANOS);
     this.leased = leasedAllocation();
     this.loggedAllocation = allocationAt(startNanos);
   }
 
-  private static FailoverPlanner planner(ZoneTopology topology, AgreementTiming timing) {
+  private static FailoverPlanner createPlanner(ZoneTopology topology, AgreementTiming timing) {
     return new FailoverPlanner(
         topology,
-        FailoverTiming.usual(timing.statedNanos()),
+        FailoverTiming.withDefaults(timing.statedNanos()),
         WINDOW_NANOS,
         STALE_RENEWALS * timing.renewIntervalNanos(),
         ReportLease.MIN_TTL_SECONDS * SECOND_NANOS / 2);
   }
 
   /**
-   * The allocation to send by at a time of the router's clock; any thread may ask, also one that
-   * stood still for long.
+   * Returns the allocation to apply at the given time. Any thread may call this, also after a long
+   * pause of the process: the end of the lease is taken into account.
    */
   public EffectiveAllocation allocationAt(long nowNanos) {
     return leased.at(nowNanos);
@@ -110,24 +109,25 @@
   }
 
   private EffectiveAllocation allocationWithoutLease() {
-    if (ownEvidence.isBad()) {
+    if (homeEvidence.isUnhealthy()) {
       return new EffectiveAllocation(
           ZonePlan.withoutLease(topology, homeZone),
           false,
           "its own evidence: its place is bad, no lease");
     }
-    return new EffectiveAllocation(ZonePlan.nearWithTrial(topology, homeZone), false, "no lease: near");
+    return new EffectiveAllocation(
+        ZonePlan.homeWithTrial(topology, homeZone), false, "no lease: near");
   }
 
   /**
-   * Looks at the router's own evidence and at the lease; to be called before each request and now
-   * and then.
+   * Re-evaluates the router's own evidence and the lease on the plan. To be called before each
+   * request and at regular intervals.
    */
   public void refresh(long nowNanos) {
-    if (ownEvidence.isWindowOver(nowNanos)) {
+    if (homeEvidence.isWindowOver(nowNanos)) {
       boolean hasLease = nowNanos < follower.leaseEndNanos();
       long planNumber = hasLease ? follower.plan().number() : 0;
-      ownEvidence.endWindow(
+      homeEvidence.endWindow(
           reportSource.report(router, reportSequenceNumber, planNumber), nowNanos);
     }
     leased = leasedAllocation();
@@ -139,11 +139,11 @@
   }
 
   /**
-   * The request to make now, or null while there is none before {@link #nextRequestAtNanos}. Only
-   * one is out at a time.
+   * Returns the next request to the store, or null if none is due before {@link
+   * #nextRequestAtNanos} or one is outstanding.
    */
   public StoreRequest nextRequest(long nowNanos) {
-    if (outstanding != null || nowNanos < pausedUntilNanos) {
+    if (pendingPurpose != null || nowNanos < pausedUntilNanos) {
       return null;
     }
     sentAtNanos = nowNanos;
@@ -151,7 +151,7 @@
     if (due == null) {
       return null;
     }
-    outstanding = due.purpose();
+    pendingPurpose = due.purpose();
     return due.request();
   }
 
@@ -172,18 +172,18 @@
     return leader.dueRequest(nowNanos);
   }
 
-  /** When {@link #nextRequest} may have a request again. */
+  /** Returns when {@link #nextRequest} may return a request again. */
   public long nextRequestAtNanos() {
     long atNanos = Math.min(reportLease.renewAtNanos(), follower.reportAtNanos());
     return Math.max(pausedUntilNanos, Math.min(atNanos, leader.nextRequestAtNanos()));
   }
 
-  /** Takes the response to the request that was out; {@code nowNanos} is when it came. */
+  /** Handles the response to the outstanding request, received at {@code nowNanos}. */
   public void handleResponse(long nowNanos, StoreResponse response) {
-    ZoneRequestPurpose purpose = outstanding;
-    outstanding = null;
+    ZoneRequestPurpose purpose = pendingPurpose;
+    pendingPurpose = null;
     if (response instanceof StoreResponse.Success success) {
-      failuresInSequence = 0;
+      consecutiveFailures = 0;
       try {
         handleSuccess(nowNanos, purpose, success);
       } catch (AgreementException e) {
@@ -203,33 +203,33 @@
       case RENEW_LEASE -> reportLease.handleRenewed(sentAtNanos, response);
       case READ_PLAN -> follower.handleRead(response);
       case REPORT -> follower.handleReported(sentAtNanos, reportLease.keptAliveAtNanos(), response);
-      case READ_LEADER -> leader.handleLeader(nowNanos, response);
+      case READ_LEADER -> leader.handleLeaderRead(nowNanos, response);
       case GRANT_LEADER_LEASE -> leader.handleLeaseGranted(sentAtNanos, response);
       case RENEW_LEADER_LEASE -> leader.handleLeaseRenewed(sentAtNanos, response);
-      case READ_ALL -> leader.handleAll(nowNanos, response);
-      case TAKE_STEP -> {
-        if (leader.handleStepTaken(response)) {
+      case READ_SNAPSHOT -> leader.handleSnapshot(nowNanos, response);
+      case COMMIT_STEP -> {
+        if (leader.handleStepResponse(response)) {
           follower.invalidate();
         }
       }
-      default -> throw new IllegalStateException("no such purpose: " + purpose);
+      default -> throw new IllegalStateException("unexpected request purpose: " + purpose);
     }
   }
 
   private void handleFailure(long nowNanos, ZoneRequestPurpose purpose, String reason) {
-    failuresInSequence++;
-    if (failuresInSequence == 1) {
+    consecutiveFailures++;
+    if (consecutiveFailures == 1) {
       log.accept("zones: the store does not answer (" + purpose + "): " + reason);
     }
-    if (purpose == ZoneRequestPurpose.TAKE_STEP) {
+    if (purpose == ZoneRequestPurpose.COMMIT_STEP) {
       leader.handleStepFailed();
     }
-    int doublings = Math.min(failuresInSequence, MAX_BACKOFF_STEPS);
+    int doublings = Math.min(consecutiveFailures, MAX_BACKOFF_STEPS);
     long steps = Math.min(MAX_BACKOFF_STEPS, 1L << doublings);
     pausedUntilNanos = nowNanos + jitter.spreadNanos(TICK_NANOS * steps / 2);
   }
 
-  /** The last requests at a planned end, in their order. */
+  /** Returns the requests to send on shutdown, in this order. */
   public List<StoreRequest> leave() {
     if (!reportLease.isHeld()) {
       return List.of();
--- a/src/main/java/beaconturn/zones/ZoneObservations.java
+++ b/src/main/java/beaconturn/zones/ZoneObservations.java
@@ -1,15 +1,14 @@
 package beaconturn.zones;
 
 /**
- * What one router has seen of one zone by its own attempts. Counts grow from the start of its
- * process.
+ * Observations of one zone by one router. The attempts are counted from the start of its process.
  *
- * @param successfulAttempts attempts that were answered in time
+ * @param successfulAttempts attempts that succeeded in time
  * @param failedAttempts attempts that failed, were reset, timed out or were answered late
- * @param successMicros what the good ones took together
- * @param listedServers cache servers that its endpoint list has there
- * @param warmServers of these, those in service and warmed up
- * @param ejectedServers of these, those that it passes over
+ * @param successMicros total duration of the successful attempts
+ * @param listedServers cache servers of the zone in the router's endpoint list
+ * @param warmServers listed cache servers that are in service and warmed up
+ * @param ejectedServers listed cache servers that the router has ejected
  */
 public record ZoneObservations(
     long successfulAttempts,
@@ -18,10 +17,13 @@
     int listedServers,
     int warmServers,
     int ejectedServers) {
-  /** Nothing was seen. */
+  /** Observations without attempts and servers. */
   public static final ZoneObservations NONE = new ZoneObservations(0, 0, 0, 0, 0, 0);
 
-  /** What came since an earlier one of the same process. */
+  /**
+   * Returns the attempts since earlier observations by the same process, with the current server
+   * counts.
+   */
   ZoneObservations since(ZoneObservations earlier) {
     return new ZoneObservations(
         successfulAttempts - earlier.successfulAttempts,
--- a/src/main/java/beaconturn/zones/ZoneOutages.java
+++ b/src/main/java/beaconturn/zones/ZoneOutages.java
@@ -4,65 +4,70 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Keeps since when zones are bad or good for their own routers. For the planner's thread. */
+/**
+ * Tracks since when zones are unusable or healthy for their own routers. Confined to the planner's
+ * thread.
+ */
 final class ZoneOutages {
-  /** The time that a zone has to be good doubles so often at most. */
+  /** Limit on the doublings of the recovery time by flaps. */
   private static final int MAX_DOUBLINGS = 5;
 
   private final EvidenceAggregator evidence;
   private final FailoverTiming timing;
-  private final SortedMap<String, Long> badSinceNanos = new TreeMap<>();
-  private final SortedMap<String, Long> goodSinceNanos = new TreeMap<>();
+  private final SortedMap<String, Long> unusableSinceNanos = new TreeMap<>();
+  private final SortedMap<String, Long> healthySinceNanos = new TreeMap<>();
 
   ZoneOutages(EvidenceAggregator evidence, FailoverTiming timing) {
     this.evidence = evidence;
     this.timing = timing;
   }
 
-  /** Takes in what the evidence says now. */
+  /** Updates all zones by the current evidence. */
   void update(Collection<String> zones, long nowNanos) {
     for (String zone : zones) {
       if (isUnusable(zone)) {
-        badSinceNanos.putIfAbsent(zone, nowNanos);
-        goodSinceNanos.remove(zone);
+        unusableSinceNanos.putIfAbsent(zone, nowNanos);
+        healthySinceNanos.remove(zone);
       } else {
-        badSinceNanos.remove(zone);
-        if (evidence.isGoodFrom(zone, zone)) {
-          goodSinceNanos.putIfAbsent(zone, nowNanos);
+        unusableSinceNanos.remove(zone);
+        if (evidence.isHealthyFrom(zone, zone)) {
+          healthySinceNanos.putIfAbsent(zone, nowNanos);
         }
       }
     }
   }
 
-  /** Whether the zone's own routers cannot use it, by the evidence as it is. */
+  /** Returns whether the current evidence shows that the zone cannot serve its own routers. */
   boolean isUnusable(String zone) {
     ZoneHealth health = evidence.healthOf(zone);
     return health == ZoneHealth.BROKEN
         || health == ZoneHealth.NOT_LISTED
-        || evidence.isBadFrom(zone, zone);
+        || evidence.isUnhealthyFrom(zone, zone);
   }
 
-  /** Whether it was unusable at the last update, for however short a time. */
-  boolean isBad(String zone) {
-    return badSinceNanos.containsKey(zone);
+  /** Returns whether the zone was unusable at the last update, confirmed or not. */
+  boolean isSuspected(String zone) {
+    return unusableSinceNanos.containsKey(zone);
   }
 
-  /** Whether it has been unusable for long enough to move its keys. */
+  /**
+   * Returns whether the zone has been unusable for the confirmation time, so that its keys move.
+   */
   boolean isConfirmed(String zone, long nowNanos) {
-    return isBad(zone) && nowNanos - badSinceNanos.get(zone) >= timing.confirmNanos();
+    return isSuspected(zone) && nowNanos - unusableSinceNanos.get(zone) >= timing.confirmNanos();
   }
 
-  /** Whether a zone that was bad may be used again, having gone and come back so often. */
+  /** Returns whether an evacuated zone has been healthy for long enough for its number of flaps. */
   boolean hasRecovered(String zone, int flapCount, long nowNanos) {
     long requiredNanos =
         Math.min(
             timing.maxRecoveryNanos(),
             timing.recoveryNanos() << Math.min(MAX_DOUBLINGS, flapCount));
-    return nowNanos - goodSinceNanos.getOrDefault(zone, nowNanos) >= requiredNanos;
+    return nowNanos - healthySinceNanos.getOrDefault(zone, nowNanos) >= requiredNanos;
   }
 
-  /** Zones that are bad count as bad from now on only. */
+  /** Restarts the confirmation time of all unusable zones. */
   void restartConfirmation(long nowNanos) {
-    badSinceNanos.replaceAll((zone, sinceNanos) -> nowNanos);
+    unusableSinceNanos.replaceAll((zone, sinceNanos) -> nowNanos);
   }
 }
--- a/src/main/java/beaconturn/zones/ZoneOverride.java
+++ b/src/main/java/beaconturn/zones/ZoneOverride.java
@@ -1,15 +1,15 @@
 package beaconturn.zones;
 
 /**
- * What an operator has said of a zone; it wins over what is decided by evidence.
+ * An operator's override for a zone. It takes precedence over decisions by evidence.
  *
  * @param zone the zone
- * @param kind what is to be done with its keys
- * @param maxHomeWeight for {@link ZoneOverrideKind#WEIGHT}, at most so many thousandths of its keys
- *     stay near
- * @param durationNanos how long it counts from when it is given; 0 without end
- * @param author who said so
- * @param reason why
+ * @param kind what happens to the keys of the zone
+ * @param maxHomeWeight for {@link ZoneOverrideKind#WEIGHT}, the largest weight that the zone may
+ *     keep
+ * @param durationNanos time from being set until it expires; 0 for no expiry
+ * @param author operator who set it
+ * @param reason why it was set
  */
 public record ZoneOverride(
     String zone,
--- a/src/main/java/beaconturn/zones/ZoneOverrideKind.java
+++ b/src/main/java/beaconturn/zones/ZoneOverrideKind.java
@@ -1,11 +1,11 @@
 package beaconturn.zones;
 
-/** What an operator may say of a zone. The names in lower case stand in the store. */
+/** Kinds of operator overrides. The lower-case names are stored. */
 public enum ZoneOverrideKind {
-  /** Nothing goes there, but for the trial part. */
+  /** Moves all keys but the trial weight to other zones. */
   DRAIN,
-  /** Its allocation stays as it is. */
+  /** Keeps the allocation of the zone as it is. */
   HOLD,
-  /** At most a part of its keys stays. */
+  /** Limits the weight of the keys that the zone serves itself. */
   WEIGHT
 }
--- a/src/main/java/beaconturn/zones/ZonePlan.java
+++ b/src/main/java/beaconturn/zones/ZonePlan.java
@@ -8,15 +8,14 @@
 import java.util.TreeMap;
 
 /**
- * Where the keys of all zones go, and why.
+ * A failover plan: the allocation and the state of every zone.
  *
- * @param number only grows
- * @param allocations by zone
+ * @param number version of the plan, increasing
+ * @param allocations by home zone
  * @param states by zone
- * @param flapCounts how often a zone has gone and come back of late; kept so that another leader
- *     goes on with it
- * @param reason what the last change was for
- * @param leader the incarnation that made it
+ * @param flapCounts recent flaps by zone; part of the plan so that a new leader continues them
+ * @param reason reason of the last change
+ * @param leader name and incarnation of the router that made the plan
  */
 public record ZonePlan(
     long number,
@@ -25,51 +24,53 @@
     SortedMap<String, Integer> flapCounts,
     String reason,
     String leader) {
-  /** A plan of its own: later changes of the arguments change nothing. */
   public ZonePlan {
     allocations = Collections.unmodifiableSortedMap(new TreeMap<>(allocations));
     states = Collections.unmodifiableSortedMap(new TreeMap<>(states));
     flapCounts = Collections.unmodifiableSortedMap(new TreeMap<>(flapCounts));
   }
 
-  /** The plan before any: all near. */
-  public static ZonePlan first(ZoneTopology topology) {
+  /** Returns the plan before any decision: each zone serves its own keys. */
+  public static ZonePlan initial(ZoneTopology topology) {
     SortedMap<String, ZoneAllocation> allocations = new TreeMap<>();
     SortedMap<String, ZoneState> states = new TreeMap<>();
     for (String zone : topology.zones()) {
-      allocations.put(zone, nearWithTrial(topology, zone));
+      allocations.put(zone, homeWithTrial(topology, zone));
       states.put(zone, ZoneState.NEAR);
     }
     return new ZonePlan(0, allocations, states, new TreeMap<>(), "", "");
   }
 
-  /** All near but a trial part at the nearest other zone, which keeps evidence of it. */
-  public static ZoneAllocation nearWithTrial(ZoneTopology topology, String zone) {
-    return withFarWeight(topology, zone, ZoneAllocation.TRIAL_WEIGHT);
+  /** Returns an allocation to the home zone with a trial weight at the nearest other zone. */
+  public static ZoneAllocation homeWithTrial(ZoneTopology topology, String zone) {
+    return withRemoteWeight(topology, zone, ZoneAllocation.TRIAL_WEIGHT);
   }
 
   /**
-   * What a router may do that holds no lease on a plan and finds its own zone bad: its reserve at
-   * the nearest other zone, which every plan leaves to it.
+   * Returns the allocation of a router that holds no lease on a plan and sees its home zone as
+   * unhealthy: it may use the reserve at the nearest other zone, which every plan keeps free.
    */
   public static ZoneAllocation withoutLease(ZoneTopology topology, String zone) {
-    int farWeight = Math.max(ZoneAllocation.TRIAL_WEIGHT, topology.reserveWeight());
-    return withFarWeight(topology, zone, farWeight);
+    int remoteWeight = Math.max(ZoneAllocation.TRIAL_WEIGHT, topology.reserveWeight());
+    return withRemoteWeight(topology, zone, remoteWeight);
   }
 
-  private static ZoneAllocation withFarWeight(ZoneTopology topology, String zone, int farWeight) {
+  private static ZoneAllocation withRemoteWeight(
+      ZoneTopology topology, String zone, int remoteWeight) {
     List<String> others = topology.othersByDistance(zone);
     if (others.isEmpty()) {
-      return ZoneAllocation.allNear(zone);
+      return ZoneAllocation.allAtHome(zone);
     }
     Map<String, Integer> weights = new LinkedHashMap<>();
-    weights.put(zone, ZoneAllocation.TOTAL_WEIGHT - farWeight);
-    weights.put(others.get(0), farWeight);
+    weights.put(zone, ZoneAllocation.TOTAL_WEIGHT - remoteWeight);
+    weights.put(others.get(0), remoteWeight);
     return new ZoneAllocation(weights);
   }
 
-  /** The allocation of a zone; near where the plan does not know it. */
+  /**
+   * Returns the allocation of a zone; all keys stay there if the plan does not contain the zone.
+   */
   public ZoneAllocation allocationOf(String zone) {
-    return allocations.getOrDefault(zone, ZoneAllocation.allNear(zone));
+    return allocations.getOrDefault(zone, ZoneAllocation.allAtHome(zone));
   }
 }
--- a/src/main/java/beaconturn/zones/ZonePlanFollower.java
+++ b/src/main/java/beaconturn/zones/ZonePlanFollower.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Follows the plan in the store: each report that is written while the plan is unchanged extends
- * the lease under which the plan is acted on. For the member's thread.
+ * Follows the plan in the store. Each report that is written while the plan is unchanged extends
+ * the lease on the plan. Confined to the member's thread.
  */
 final class ZonePlanFollower {
   private final ZonesKeys keys;
@@ -28,14 +28,14 @@
     this.router = router;
     this.timing = timing;
     this.jitter = jitter;
-    this.plan = ZonePlan.first(topology);
+    this.plan = ZonePlan.initial(topology);
   }
 
   ZonePlan plan() {
     return plan;
   }
 
-  /** The end of the lease on the plan; long past where none was ever held. */
+  /** Returns the end of the lease on the plan; {@link Long#MIN_VALUE} if none was ever held. */
   long leaseEndNanos() {
     return leaseEndNanos;
   }
@@ -56,7 +56,7 @@
     return new PendingZoneRequest(ZoneRequestPurpose.READ_PLAN, new StoreRequest.Read(keys.plan()));
   }
 
-  /** Writes the report where the plan is unchanged. */
+  /** Returns the request that writes the report if the plan is unchanged. */
   PendingZoneRequest reportRequest(ZoneReport report, long leaseId) {
     StoreRequest.Change put =
         new StoreRequest.Change.Put(keys.report(router), ZonesCodec.encode(report), leaseId);
@@ -68,9 +68,9 @@
   }
 
   /**
-   * Takes the plan that was read.
+   * Adopts the plan that was read.
    *
-   * @throws AgreementException if it cannot be read, or is older than the one known
+   * @throws AgreementException if the plan is invalid, or missing or older than the last one read
    */
   void handleRead(StoreResponse.Success response) throws AgreementException {
     StoreResponse.Entry entry =
@@ -93,24 +93,24 @@
   private void requireNoPlanKnown() throws AgreementException {
     if (plan.number() > 0) {
       throw new AgreementException(
-          "no plan stands there, and plan " + plan.number() + " was known");
+          "the store holds no plan, but plan " + plan.number() + " was read before");
     }
   }
 
   private void requireNotOlder(ZonePlan read) throws AgreementException {
     if (read.number() < plan.number()) {
       throw new AgreementException(
-          "plan "
+          "the store holds plan "
               + read.number()
-              + " stands there, and "
+              + ", which is older than plan "
               + plan.number()
-              + " was known: nobody goes back in time");
+              + " read before");
     }
   }
 
   /**
-   * The report is written, or the plan has changed. The lease counts from when the earlier of the
-   * two requests was sent that it rests on.
+   * Extends the lease if the report was written, else marks the plan as outdated. The lease counts
+   * from the send time of the report or of the last lease renewal, whichever is earlier.
    */
   void handleReported(
       long sentAtNanos, long leaseKeptAliveAtNanos, StoreResponse.Success response) {
--- a/src/main/java/beaconturn/zones/ZonePlanLeader.java
+++ b/src/main/java/beaconturn/zones/ZonePlanLeader.java
@@ -8,11 +8,15 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Becomes the leader where there is none, and makes plans while it is. For the member's thread. */
+/**
+ * Acquires the leadership if there is no leader, and makes plans as the leader. Confined to the
+ * member's thread.
+ */
 final class ZonePlanLeader {
   /**
-   * Time to live of the leader's lease. Short, as nothing moves without a leader; one that has lost
-   * its lease can do nothing, as each step has the leadership for a condition.
+   * Time to live of the leader's lease. It is short, as no keys move without a leader. A leader
+   * that has lost its lease cannot commit a plan, as each transaction is conditional on the
+   * leadership.
    */
   private static final long LEASE_TTL_SECONDS = 2;
 
@@ -26,7 +30,7 @@
   private final Jitter jitter;
   private final Consumer<String> log;
 
-  /** Whether it is the leader, or is about to become it. */
+  /** Whether this member leads or tries to acquire the leadership. */
   private boolean active;
 
   private long checkAtNanos;
@@ -34,10 +38,10 @@
   private long renewAtNanos;
   private long decideAtNanos;
 
-  /** The next plan that {@link #step} puts in force; null where the step takes the leadership. */
+  /** The plan that {@link #step} commits, or null if the step acquires the leadership. */
   private ZonePlan nextPlan;
 
-  /** The transaction to make, or null. */
+  /** The transaction to send, or null. */
   private StoreRequest step;
 
   private String loggedEvidence = "";
@@ -67,12 +71,15 @@
     return new StoreRequest.Revoke(leaseId);
   }
 
-  /** When there may be a request again. */
+  /** Returns when {@link #dueRequest} may return a request again. */
   long nextRequestAtNanos() {
     return active ? Math.min(decideAtNanos, renewAtNanos) : checkAtNanos;
   }
 
-  /** The next request of the leader, or of one that looks whether there is any; null for none. */
+  /**
+   * Returns the next request of the leader or of a member that checks for a leader; null if none is
+   * due.
+   */
   PendingZoneRequest dueRequest(long nowNanos) {
     if (!active) {
       return nowNanos >= checkAtNanos
@@ -87,10 +94,10 @@
       return request(ZoneRequestPurpose.RENEW_LEADER_LEASE, new StoreRequest.KeepAlive(leaseId));
     }
     if (step != null) {
-      return request(ZoneRequestPurpose.TAKE_STEP, step);
+      return request(ZoneRequestPurpose.COMMIT_STEP, step);
     }
     return nowNanos >= decideAtNanos
-        ? request(ZoneRequestPurpose.READ_ALL, new StoreRequest.Read(keys.prefix()))
+        ? request(ZoneRequestPurpose.READ_SNAPSHOT, new StoreRequest.Read(keys.prefix()))
         : null;
   }
 
@@ -98,11 +105,11 @@
     return new PendingZoneRequest(purpose, request);
   }
 
-  void handleLeader(long nowNanos, StoreResponse.Success response) {
+  void handleLeaderRead(long nowNanos, StoreResponse.Success response) {
     active = response.entries().isEmpty();
     decideAtNanos = nowNanos;
-    // Checked often, a leadership that has fallen free is soon taken; the spread keeps routers from
-    // checking in step.
+    // Frequent checks fill a vacant leadership soon; the jitter keeps routers from checking at
+    // once.
     checkAtNanos = nowNanos + jitter.spreadNanos(2 * TICK_NANOS);
   }
 
@@ -119,17 +126,17 @@
   }
 
   /**
-   * Decides on the next step by all that stands in the store.
+   * Decides on the next step from the state of all zones in the store.
    *
-   * @throws AgreementException if something there cannot be read
+   * @throws AgreementException if an entry of the store is invalid
    */
-  void handleAll(long nowNanos, StoreResponse.Success response) throws AgreementException {
+  void handleSnapshot(long nowNanos, StoreResponse.Success response) throws AgreementException {
     ZonesSnapshot snapshot = ZonesSnapshot.of(keys, response);
     decideAtNanos = nowNanos + TICK_NANOS;
     if (snapshot.leader().equals(router)) {
       plan(nowNanos, snapshot);
     } else if (snapshot.leader().isEmpty()) {
-      step = takeLeadership(snapshot);
+      step = acquireLeadership(snapshot);
       nextPlan = null;
     } else {
       active = false;
@@ -138,14 +145,14 @@
     }
   }
 
-  private StoreRequest takeLeadership(ZonesSnapshot snapshot) {
+  private StoreRequest acquireLeadership(ZonesSnapshot snapshot) {
     return new StoreRequest.Transaction(
         List.of(snapshot.unchanged(keys.leader())),
         List.of(new StoreRequest.Change.Put(keys.leader(), router, leaseId)));
   }
 
   private void plan(long nowNanos, ZonesSnapshot snapshot) {
-    ZonePlan plan = snapshot.plan() == null ? ZonePlan.first(topology) : snapshot.plan();
+    ZonePlan plan = snapshot.plan() == null ? ZonePlan.initial(topology) : snapshot.plan();
     nextPlan = planner.next(plan, snapshot.reports(), snapshot.overrides(), router, nowNanos);
     logEvidence();
     if (nextPlan != null) {
@@ -166,7 +173,7 @@
             new StoreRequest.Change.Put(keys.pastPlan(nextPlan.number()), text, NO_LEASE)));
   }
 
-  /** Logs the evidence each time that it has changed. */
+  /** Logs the evidence if it has changed. */
   private void logEvidence() {
     String waitReason = planner.waitReason();
     String waits = waitReason.isEmpty() ? "" : "; waits: " + waitReason;
@@ -177,8 +184,8 @@
     }
   }
 
-  /** Whether a new plan is in force by the step. */
-  boolean handleStepTaken(StoreResponse.Success response) {
+  /** Returns whether the step put a new plan in force. */
+  boolean handleStepResponse(StoreResponse.Success response) {
     boolean planned = response.conditionsHeld() && nextPlan != null;
     if (planned) {
       log.accept("zones: plan " + nextPlan.number() + ": " + nextPlan.reason());
@@ -190,7 +197,7 @@
     return planned;
   }
 
-  /** Drops a step that got no answer: whether it came about is seen when all is read again. */
+  /** Drops a step without a known outcome; the next snapshot shows whether it was committed. */
   void handleStepFailed() {
     step = null;
   }
--- a/src/main/java/beaconturn/zones/ZoneReport.java
+++ b/src/main/java/beaconturn/zones/ZoneReport.java
@@ -5,14 +5,14 @@
 import java.util.TreeMap;
 
 /**
- * What a router writes into the store of what it sees.
+ * A router's report of its observations, as written to the store.
  *
- * @param router its name and incarnation, with a slash between
- * @param homeZone the zone that it is in
- * @param sequenceNumber grows with each report of the process
- * @param planNumber the plan that it acts on, or 0 without a lease on one
- * @param arrivals requests that it has taken since its start
- * @param zones what it sees of each zone
+ * @param router name and incarnation of the router, separated by a slash
+ * @param homeZone zone of the router
+ * @param sequenceNumber increases with each report of the process
+ * @param planNumber number of the plan that the router acts on; 0 without a lease on a plan
+ * @param arrivals requests received since the start of the process
+ * @param zones observations by zone
  */
 public record ZoneReport(
     String router,
@@ -21,7 +21,6 @@
     long planNumber,
     long arrivals,
     SortedMap<String, ZoneObservations> zones) {
-  /** A report of its own: later changes of the arguments change nothing. */
   public ZoneReport {
     zones = Collections.unmodifiableSortedMap(new TreeMap<>(zones));
   }
--- a/src/main/java/beaconturn/zones/ZoneReportSource.java
+++ b/src/main/java/beaconturn/zones/ZoneReportSource.java
@@ -1,13 +1,13 @@
 package beaconturn.zones;
 
-/** A router's own observations of all zones. */
+/** Supplies a router's own observations of all zones. */
 public interface ZoneReportSource {
   /**
-   * What the router has seen since its start, on the member's thread.
+   * Returns the observations since the start of the router. Called on the member's thread.
    *
-   * @param router name and incarnation
-   * @param sequenceNumber of the report
-   * @param planNumber the plan that the router acts on, 0 for none
+   * @param router name and incarnation of the router, separated by a slash
+   * @param sequenceNumber sequence number of the report
+   * @param planNumber number of the plan that the router acts on; 0 without a lease on a plan
    */
   ZoneReport report(String router, long sequenceNumber, long planNumber);
 }
--- a/src/main/java/beaconturn/zones/ZoneRequestPurpose.java
+++ b/src/main/java/beaconturn/zones/ZoneRequestPurpose.java
@@ -1,6 +1,6 @@
 package beaconturn.zones;
 
-/** What a zone member's outstanding request to the store is for. */
+/** Purpose of a zone member's outstanding request to the store. */
 enum ZoneRequestPurpose {
   GRANT_LEASE,
   RENEW_LEASE,
@@ -9,6 +9,6 @@
   READ_LEADER,
   GRANT_LEADER_LEASE,
   RENEW_LEADER_LEASE,
-  READ_ALL,
-  TAKE_STEP
+  READ_SNAPSHOT,
+  COMMIT_STEP
 }
--- a/src/main/java/beaconturn/zones/ZoneState.java
+++ b/src/main/java/beaconturn/zones/ZoneState.java
@@ -1,20 +1,22 @@
 package beaconturn.zones;
 
-/** Where the keys of a zone are served. The names in lower case stand in the store. */
+/** Where the keys of a zone are served. The lower-case names are stored. */
 public enum ZoneState {
-  /** There, but for a trial part. */
+  /** By the zone itself, except for a trial weight. */
   NEAR,
-  /** More is wanted there than it carries: a part is served elsewhere. */
+  /** Partly by other zones, because demand exceeds the capacity of the zone. */
   SPILLING,
-  /** Elsewhere, but for a trial part. */
+  /** By other zones, except for a trial weight. */
   FAILED_OVER,
-  /** They come back by steps. */
+  /** Returning to the zone step by step. */
   RETURNING,
-  /** Elsewhere, since the zone's routers alone do not reach it. */
+  /** By other zones, because only the zone's own routers cannot reach it. */
   SPLIT;
 
-  /** Whether nearly all keys are served elsewhere; a zone of no known state is not away. */
-  static boolean isAway(ZoneState state) {
+  /**
+   * Returns whether nearly all keys are served by other zones; false for an unknown (null) state.
+   */
+  static boolean isServedElsewhere(ZoneState state) {
     return state == FAILED_OVER || state == SPLIT;
   }
 }
--- a/src/main/java/beaconturn/zones/ZoneStateRule.java
+++ b/src/main/java/beaconturn/zones/ZoneStateRule.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 
 /**
- * Decides on the state of a zone after a step, and how often it has flapped. For the planner's
+ * Decides on the state of a zone after a step, and counts its flaps. Confined to the planner's
  * thread.
  */
 final class ZoneStateRule {
@@ -19,7 +19,9 @@
     this.timing = timing;
   }
 
-  /** The state after a step; {@code evacuated} where its keys are to be served elsewhere. */
+  /**
+   * Returns the state after a step; {@code evacuated} if the keys are to be served by other zones.
+   */
   ZoneState after(ZoneState before, String home, ZoneAllocation step, boolean evacuated) {
     if (evacuated) {
       boolean linkOnly = evidence.healthOf(home) == ZoneHealth.LINK;
@@ -28,24 +30,25 @@
     if (step.weightOf(home) >= HomeWeightRule.maxHomeWeight(topology, home)) {
       return ZoneState.NEAR;
     }
-    boolean onlyTried = step.weightOf(home) <= ZoneAllocation.NEAR_TRIAL_WEIGHT;
-    if (ZoneState.isAway(before) && onlyTried) {
-      // Little is seen of a zone that is only tried: that it is not found bad brings nothing back.
+    boolean onlyTried = step.weightOf(home) <= ZoneAllocation.HOME_TRIAL_WEIGHT;
+    if (ZoneState.isServedElsewhere(before) && onlyTried) {
+      // Trial traffic is too little evidence: a zone that is not seen as unhealthy has not
+      // recovered yet.
       return before;
     }
-    boolean returning = ZoneState.isAway(before) || before == ZoneState.RETURNING;
+    boolean returning = ZoneState.isServedElsewhere(before) || before == ZoneState.RETURNING;
     return returning ? ZoneState.RETURNING : ZoneState.SPILLING;
   }
 
-  /** The count of a zone's flaps of late, as its keys go elsewhere again. */
-  int flapCountAfterLeaving(String home, int flapCountBefore, long nowNanos) {
+  /** Returns the recent flaps of a zone whose keys are moved to other zones again. */
+  int flapCountAfterFailover(String home, int flapCountBefore, long nowNanos) {
     boolean longNear =
         nearSinceNanos.containsKey(home)
             && nowNanos - nearSinceNanos.get(home) >= timing.maxRecoveryNanos();
     return longNear ? 0 : flapCountBefore + 1;
   }
 
-  void noteState(String home, ZoneState state, long nowNanos) {
+  void recordState(String home, ZoneState state, long nowNanos) {
     if (state == ZoneState.NEAR) {
       nearSinceNanos.putIfAbsent(home, nowNanos);
     } else {
--- a/src/main/java/beaconturn/zones/ZoneTopology.java
+++ b/src/main/java/beaconturn/zones/ZoneTopology.java
@@ -8,33 +8,32 @@
 import java.util.TreeMap;
 
 /**
- * The zones and what operators say of them.
+ * The zones of a fleet and their operator-defined limits.
  *
- * @param regions the region of each zone
- * @param serverRequestsPerSecond what one warm cache server is known to carry
- * @param fetchesPerSecond requests a second that a move may bring to cache servers which do not
- *     have their keys
+ * @param regions region by zone
+ * @param serverRequestsPerSecond capacity of one warm cache server
+ * @param fetchesPerSecond requests per second that a move may send to cache servers without their
+ *     keys
  * @param reserveWeight thousandths of a zone's keys that its routers may send to the nearest other
- *     zone by themselves
+ *     zone without a plan
  */
 public record ZoneTopology(
     SortedMap<String, String> regions,
     double serverRequestsPerSecond,
     double fetchesPerSecond,
     int reserveWeight) {
-  /** A topology of its own: later changes of the arguments change nothing. */
   public ZoneTopology {
     regions = Collections.unmodifiableSortedMap(new TreeMap<>(regions));
   }
 
-  /** All zones in the order of their names. */
+  /** Returns all zones in alphabetical order. */
   public List<String> zones() {
     return List.copyOf(regions.keySet());
   }
 
   /**
-   * The other zones, the nearest first: those of the region, then the rest, each beginning behind
-   * the zone itself, so that not all zones turn to the same one.
+   * Returns the other zones, nearest first: those of the same region, then the rest. Each group
+   * starts after the zone itself in alphabetical order, so that zones differ in their first choice.
    */
   public List<String> othersByDistance(String zone) {
     List<String> others = new ArrayList<>(regions.keySet());
--- a/src/main/java/beaconturn/zones/ZonesAdmin.java
+++ b/src/main/java/beaconturn/zones/ZonesAdmin.java
@@ -9,11 +9,11 @@
 import java.util.List;
 
 /**
- * What operators do with zones: each operation reads what stands in the store and takes one step.
- * For one thread, which waits for the store.
+ * Operators' access to zones. Each operation reads the current state from the store and makes at
+ * most one change. Blocks the calling thread; not thread-safe.
  *
- * <p>All methods throw an {@link AgreementException} if the store does not answer, or holds what
- * cannot be read.
+ * <p>All methods throw an {@link AgreementException} if the store does not reply or holds invalid
+ * entries.
  */
 public final class ZonesAdmin {
   private static final long SECOND_NANOS = 1_000_000_000;
@@ -23,7 +23,7 @@
   private final ZoneTopology topology;
   private final CoordinationStore store;
 
-  /** The operations at a store, for one fleet. */
+  /** Creates the operations for one fleet. */
   public ZonesAdmin(ZonesKeys keys, ZoneTopology topology, CoordinationStore store) {
     this.keys = keys;
     this.topology = topology;
@@ -34,23 +34,24 @@
     return ConfigAdmin.requireSuccess(store, request);
   }
 
-  /** What stands in the store now. */
+  /** Reads the current state of all zones. */
   public ZonesSnapshot readSnapshot() throws AgreementException {
     return ZonesSnapshot.of(keys, requireSuccess(new StoreRequest.Read(keys.prefix())));
   }
 
   /**
-   * Sets an override; one that is to end by itself is on a lease of the store, which nobody renews.
-   * What was done, in words.
+   * Sets an override and returns a description of the change. An override that expires is stored
+   * under a lease that is never renewed.
    *
-   * @throws AgreementException while another zone is drained, or is not served near: one at a time
+   * @throws AgreementException if the zone is unknown, if it is to be drained while another zone is
+   *     drained or failed over, or if the state changed concurrently
    */
   public String setOverride(ZoneOverride override) throws AgreementException {
     return setOverride(override, new StoreRequest.Transaction(List.of(), List.of()));
   }
 
-  /** The same, in one transaction with something else. */
-  public String setOverride(ZoneOverride override, StoreRequest.Transaction with)
+  /** Sets an override together with additional conditions and changes, in one transaction. */
+  public String setOverride(ZoneOverride override, StoreRequest.Transaction extra)
       throws AgreementException {
     requireKnownZone(override.zone());
     ZonesSnapshot snapshot = readSnapshot();
@@ -59,13 +60,16 @@
     }
     String key = keys.override(override.zone());
     long leaseId = grantLease(override);
-    List<StoreRequest.Condition> conditions = new ArrayList<>(with.conditions());
+    List<StoreRequest.Condition> conditions = new ArrayList<>(extra.conditions());
     conditions.add(snapshot.unchanged(key));
-    List<StoreRequest.Change> changes = new ArrayList<>(with.changes());
+    List<StoreRequest.Change> changes = new ArrayList<>(extra.changes());
     changes.add(new StoreRequest.Change.Put(key, ZonesCodec.encode(override), leaseId));
     StoreRequest transaction = new StoreRequest.Transaction(conditions, changes);
     if (!requireSuccess(transaction).conditionsHeld()) {
-      throw new AgreementException("not done, things have changed meanwhile: look again");
+      throw new AgreementException(
+          "the override of zone '"
+              + override.zone()
+              + "' was not set, as the store changed concurrently: check and retry");
     }
     return override.zone() + " is to " + describe(override);
   }
@@ -73,24 +77,25 @@
   private void requireKnownZone(String zone) throws AgreementException {
     if (!topology.regions().containsKey(zone)) {
       String known = String.join(", ", topology.zones());
-      throw new AgreementException("there is no place '" + zone + "', there are " + known);
+      throw new AgreementException("unknown zone '" + zone + "', the known zones are " + known);
     }
   }
 
   private static void requireAllOthersInService(ZonesSnapshot snapshot, String zone)
       throws AgreementException {
-    List<String> out = new ArrayList<>();
+    List<String> unavailable = new ArrayList<>();
     snapshot
         .outOfService()
         .forEach(
             (other, reason) -> {
               if (!other.equals(zone)) {
-                out.add(other + " (" + reason + ")");
+                unavailable.add(other + " (" + reason + ")");
               }
             });
-    if (!out.isEmpty()) {
+    if (!unavailable.isEmpty()) {
       throw new AgreementException(
-          "one place may be out at once, and out is " + String.join(", ", out));
+          "only one zone may be out of service at a time, and out of service is "
+              + String.join(", ", unavailable));
     }
   }
 
@@ -111,14 +116,14 @@
   }
 
   /**
-   * Takes the override of a zone back. What was done, in words.
+   * Removes the override of a zone and returns a description of the change.
    *
    * @throws AgreementException if there is none
    */
   public String clearOverride(String zone) throws AgreementException {
     ZonesSnapshot snapshot = readSnapshot();
     if (snapshot.overrides().stream().noneMatch(override -> override.zone().equals(zone))) {
-      throw new AgreementException("nothing is said of '" + zone + "'");
+      throw new AgreementException("there is no override of zone '" + zone + "'");
     }
     String key = keys.override(zone);
     requireSuccess(
@@ -127,7 +132,7 @@
     return zone + " goes by evidence again";
   }
 
-  /** All plans, the oldest first. */
+  /** Returns all plans, oldest first. */
   public List<ZonePlan> history() throws AgreementException {
     List<ZonePlan> plans = new ArrayList<>();
     StoreRequest read = new StoreRequest.Read(keys.plansPrefix());
--- a/src/main/java/beaconturn/zones/ZonesCodec.java
+++ b/src/main/java/beaconturn/zones/ZonesCodec.java
@@ -12,10 +12,12 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Plans, reports and overrides as the JSON texts that stand in the store. */
+/** Encodes plans, reports and overrides as the JSON texts kept in the store. */
 public final class ZonesCodec {
-  /** A zone that never went is 0 in the text, one that went once 1. */
-  private static final int NEVER_LEFT = -1;
+  /**
+   * Flap count of a zone that never failed over. Stored counts are greater by one, so that it is 0.
+   */
+  private static final int NEVER_FAILED_OVER = -1;
 
   private ZonesCodec() {}
 
@@ -81,7 +83,7 @@
         (int) number(json, "ejected"));
   }
 
-  /** Encodes a plan, as it stands in force and among the past plans. */
+  /** Encodes a plan, for the plan in force and for the plan history. */
   public static String encode(ZonePlan plan) {
     List<Json> rows = new ArrayList<>();
     plan.allocations()
@@ -109,15 +111,15 @@
         "state",
         word(plan.states().getOrDefault(zone, ZoneState.NEAR)),
         "flaps",
-        plan.flapCounts().getOrDefault(zone, NEVER_LEFT) + 1,
+        plan.flapCounts().getOrDefault(zone, NEVER_FAILED_OVER) + 1,
         "parts",
         StoredJson.list(parts));
   }
 
   /**
-   * Decodes a plan's text.
+   * Decodes a plan.
    *
-   * @throws AgreementException if it cannot be read
+   * @throws AgreementException if the text is invalid
    */
   public static ZonePlan decodePlan(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
@@ -129,7 +131,7 @@
       allocations.put(zone, decodeAllocation(zone, row));
       states.put(zone, decodeState(row.get("state").word("")));
       int flapCount = (int) StoredJson.wholeNumber(row, "flaps", 0, Integer.MAX_VALUE) - 1;
-      if (flapCount > NEVER_LEFT) {
+      if (flapCount > NEVER_FAILED_OVER) {
         flapCounts.put(zone, flapCount);
       }
     }
@@ -150,7 +152,10 @@
     }
     ZoneAllocation allocation = new ZoneAllocation(weights);
     if (weights.isEmpty() || allocation.totalWeight() > ZoneAllocation.TOTAL_WEIGHT) {
-      throw new AgreementException("the row of '" + zone + "' is empty or more than a whole");
+      throw new AgreementException("the allocation of zone '"
+              + zone
+              + "' is empty or its total weight exceeds "
+              + ZoneAllocation.TOTAL_WEIGHT);
     }
     return allocation;
   }
@@ -161,7 +166,7 @@
         return state;
       }
     }
-    throw new AgreementException("no state: '" + word + "'");
+    throw new AgreementException("unknown zone state: '" + word + "'");
   }
 
   static String encode(ZoneOverride override) {
@@ -198,10 +203,10 @@
         return kind;
       }
     }
-    throw new AgreementException("no order: '" + word + "'");
+    throw new AgreementException("unknown override kind: '" + word + "'");
   }
 
-  /** The name in lower case, which other builds read. */
+  /** Returns the lower-case name, the stored form of an enum constant. */
   private static String word(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/beaconturn/zones/ZonesKeys.java
+++ b/src/main/java/beaconturn/zones/ZonesKeys.java
@@ -1,20 +1,20 @@
 package beaconturn.zones;
 
 /**
- * The keys of the zones in the store, below a fleet's prefix.
+ * Keys of zone entries in the store, below the prefix of a fleet.
  *
  * <pre>
- * zones/plan        the plan at hand
- * zones/office      the leader, who decides, on a lease
- * zones/order/P     an operator's override of a zone, on a lease where it is to end by itself
- * zones/seen/N/I    what a router sees, on its lease
+ * zones/plan        the plan in force
+ * zones/office      the leader, under its lease
+ * zones/order/P     an operator override of a zone, under a lease if it expires
+ * zones/seen/N/I    the report of a router, under its lease
  * zones-history/N   each plan
  * </pre>
  *
- * @param fleet the prefix
+ * @param fleet prefix of the fleet
  */
 public record ZonesKeys(String fleet) {
-  /** Begins all keys but those of past plans. */
+  /** Returns the prefix of all keys but those of the plan history. */
   public String prefix() {
     return fleet + "/zones/";
   }
@@ -43,7 +43,7 @@
     return reportsPrefix() + router;
   }
 
-  /** Begins the keys of all plans there ever were. */
+  /** Returns the prefix of the plan history. */
   public String plansPrefix() {
     return fleet + "/zones-history/";
   }
--- a/src/main/java/beaconturn/zones/ZonesSnapshot.java
+++ b/src/main/java/beaconturn/zones/ZonesSnapshot.java
@@ -12,13 +12,13 @@
 import java.util.TreeMap;
 
 /**
- * All that stands in the store of zones, as of one revision.
+ * The state of all zones in the store at one revision.
  *
- * @param plan the plan at hand, or null where there never was one
- * @param leader the incarnation that decides, or empty
- * @param reports of the routers that hold leases of the store
- * @param overrides of operators
- * @param modRevisions when each key was last changed
+ * @param plan the plan in force, or null if there was never one
+ * @param leader name and incarnation of the leader, or empty
+ * @param reports reports of routers whose store leases have not expired
+ * @param overrides operator overrides in effect
+ * @param modRevisions revision of the last change by key
  */
 public record ZonesSnapshot(
     ZonePlan plan,
@@ -27,9 +27,9 @@
     List<ZoneOverride> overrides,
     Map<String, Long> modRevisions) {
   /**
-   * Decodes the response to a read of all of it.
+   * Decodes the response to a read of all zone entries.
    *
-   * @throws AgreementException if something cannot be read
+   * @throws AgreementException if an entry is invalid
    */
   public static ZonesSnapshot of(ZonesKeys keys, StoreResponse.Success response)
       throws AgreementException {
@@ -53,7 +53,7 @@
     return new ZonesSnapshot(plan, leader, reports, overrides, modRevisions);
   }
 
-  /** Zones whose traffic is served elsewhere, or is to be, and why. */
+  /** Returns the zones that are evacuated, returning or drained, with the reasons. */
   public SortedMap<String, String> outOfService() {
     SortedMap<String, String> reasons = new TreeMap<>();
     if (plan != null) {
@@ -74,7 +74,7 @@
     return reasons;
   }
 
-  /** The condition that the key is as it was read here. */
+  /** Returns the condition that a key is unchanged since this snapshot. */
   StoreRequest.Condition unchanged(String key) {
     return new StoreRequest.Condition.Unchanged(key, modRevisions.getOrDefault(key, 0L));
   }
--- a/src/test/java/beaconturn/zones/FailoverPlannerTest.java
+++ b/src/test/java/beaconturn/zones/FailoverPlannerTest.java
@@ -55,19 +55,19 @@
     assertTrue(world.served("east", SECOND) > 0.9, world.said());
     assertEquals(ZoneState.FAILED_OVER, world.plan().states().get("east"));
     assertEquals(
-        ZoneAllocation.TOTAL_WEIGHT - ZoneAllocation.NEAR_TRIAL_WEIGHT,
+        ZoneAllocation.TOTAL_WEIGHT - ZoneAllocation.HOME_TRIAL_WEIGHT,
         world.plan().allocationOf("east").weightOf("west"),
         "the near one has the room");
     assertEquals(0, world.plan().allocationOf("east").weightOf("far"));
     assertTrue(world.peak("west") < 1, "nobody is pushed over");
     world.simulatedZones.get("east").bad = false;
-    while (world.plan().allocationOf("east").weightOf("east") == ZoneAllocation.NEAR_TRIAL_WEIGHT) {
+    while (world.plan().allocationOf("east").weightOf("east") == ZoneAllocation.HOME_TRIAL_WEIGHT) {
       world.run(SECOND / 4);
       assertTrue(world.scheduler.now() < 30 * SECOND, world.said());
     }
     int back = world.plan().allocationOf("east").weightOf("east");
     assertTrue(
-        back > ZoneAllocation.NEAR_TRIAL_WEIGHT && back < ZoneAllocation.TOTAL_WEIGHT / 2,
+        back > ZoneAllocation.HOME_TRIAL_WEIGHT && back < ZoneAllocation.TOTAL_WEIGHT / 2,
         "by steps: " + back + "\n" + world.said());
     world.run(20 * SECOND);
     calm(world);
@@ -166,7 +166,7 @@
     world.simulatedZones.get("east").listed = 0;
     world.run(6 * SECOND);
     assertEquals(
-        ZoneAllocation.NEAR_TRIAL_WEIGHT,
+        ZoneAllocation.HOME_TRIAL_WEIGHT,
         world.plan().allocationOf("east").weightOf("east"),
         world.said());
   }
@@ -362,7 +362,7 @@
       world.simulatedZones.get("east").bad = false;
       long since = world.scheduler.now();
       while (world.plan().allocationOf("east").weightOf("east")
-          <= ZoneAllocation.NEAR_TRIAL_WEIGHT) {
+          <= ZoneAllocation.HOME_TRIAL_WEIGHT) {
         world.run(SECOND / 4);
         assertTrue(world.scheduler.now() - since < 70 * SECOND, world.said());
       }
@@ -430,12 +430,12 @@
             new ZoneOverride("east", ZoneOverrideKind.DRAIN, 0, 20 * SECOND, "op", "work on it"));
     world.run(6 * SECOND);
     assertEquals(
-        ZoneAllocation.NEAR_TRIAL_WEIGHT,
+        ZoneAllocation.HOME_TRIAL_WEIGHT,
         world.plan().allocationOf("east").weightOf("east"),
         world.said());
     assertEquals(
-        "one place may be out at once, and out is east (failed over, drained by op: work"
-            + " on it)",
+        "only one zone may be out of service at a time, and out of service is east (failed over,"
+            + " drained by op: work on it)",
         assertThrows(
                 AgreementException.class,
                 () ->
@@ -458,7 +458,7 @@
     world.admin().clearOverride("west");
     world.run(6 * SECOND);
     assertEquals(
-        ZoneAllocation.NEAR_TRIAL_WEIGHT,
+        ZoneAllocation.HOME_TRIAL_WEIGHT,
         world.plan().allocationOf("west").weightOf("west"),
         world.said());
   }
--- a/src/test/java/beaconturn/zones/FailoverTraceTest.java
+++ b/src/test/java/beaconturn/zones/FailoverTraceTest.java
@@ -51,7 +51,7 @@
     FailoverPlanner planner =
         new FailoverPlanner(reports.topology, timing, 3 * SECOND / 2, 2 * SECOND, 30 * SECOND);
     Random random = new Random(seed);
-    ZonePlan plan = ZonePlan.first(reports.topology);
+    ZonePlan plan = ZonePlan.initial(reports.topology);
     long now = seed * SECOND;
     for (int i = 0; i < PLANNER_TICKS; i++) {
       if (random.nextInt(20) == 0) {
--- a/src/test/java/beaconturn/zones/RandomReports.java
+++ b/src/test/java/beaconturn/zones/RandomReports.java
@@ -22,7 +22,7 @@
 
   /** How a zone is at the moment. */
   private static final class Zone {
-    private double badShare;
+    private double failureShare;
     private long micros = 1000;
     private int listed = SERVERS;
     private int warm = SERVERS;
@@ -74,9 +74,9 @@
     Zone zone = zones.get(anyZone());
     Router router = routers.get(random.nextInt(routers.size()));
     switch (random.nextInt(16)) {
-      case 0 -> zone.badShare = 1;
-      case 1 -> zone.badShare = random.nextDouble();
-      case 2, 3, 4 -> zone.badShare = 0;
+      case 0 -> zone.failureShare = 1;
+      case 1 -> zone.failureShare = random.nextDouble();
+      case 2, 3, 4 -> zone.failureShare = 0;
       case 5 -> zone.micros = 500L + random.nextInt(20_000);
       case 6 -> zone.warm = random.nextInt(SERVERS + 1);
       case 7 -> zone.listed = random.nextInt(3) == 0 ? 0 : SERVERS;
@@ -126,7 +126,7 @@
   }
 
   private void send(Router router, String zone, double sent) {
-    double bad = router.unreached.equals(zone) ? 1 : zones.get(zone).badShare;
+    double bad = router.unreached.equals(zone) ? 1 : zones.get(zone).failureShare;
     double[] counts = router.counts.computeIfAbsent(zone, z -> new double[3]);
     counts[0] += sent * (1 - bad);
     counts[1] += sent * bad;
--- a/src/test/java/beaconturn/zones/SimulatedZones.java
+++ b/src/test/java/beaconturn/zones/SimulatedZones.java
@@ -415,7 +415,7 @@
   ZonePlan plan() {
     try {
       ZonePlan there = admin().readSnapshot().plan();
-      return there == null ? ZonePlan.first(topology) : there;
+      return there == null ? ZonePlan.initial(topology) : there;
     } catch (AgreementException e) {
       throw new IllegalStateException(e);
     }
