--- a/src/main/java/beaconturn/zones/ZoneAllocation.java
+++ b/src/main/java/beaconturn/zones/ZoneAllocation.java
@@ -26,6 +26,7 @@
   /** Weight that stays at a zone whose keys are served elsewhere, to detect its recovery. */
   public static final int HOME_TRIAL_WEIGHT = 50;
 
+  /** Makes defensive copies of mutable arguments. */
   public ZoneAllocation {
     weights = Collections.unmodifiableMap(new LinkedHashMap<>(weights));
   }
--- a/src/main/java/beaconturn/zones/ZoneMember.java
+++ b/src/main/java/beaconturn/zones/ZoneMember.java
@@ -50,7 +50,6 @@
   private int consecutiveFailures;
   private long reportSequenceNumber;
   private volatile LeasedAllocation leased;
-
   private EffectiveAllocation loggedAllocation;
 
   /**
@@ -131,11 +130,12 @@
           reportSource.report(router, reportSequenceNumber, planNumber), nowNanos);
     }
     leased = leasedAllocation();
-    EffectiveAllocation due = allocationAt(nowNanos);
-    if (!due.equals(loggedAllocation)) {
-      log.accept("zones: sends by " + due.description() + ", " + due.allocation().weights());
+    EffectiveAllocation current = allocationAt(nowNanos);
+    if (!current.equals(loggedAllocation)) {
+      log.accept(
+          "zones: sends by " + current.description() + ", " + current.allocation().weights());
     }
-    loggedAllocation = due;
+    loggedAllocation = current;
   }
 
   /**
--- a/src/main/java/beaconturn/zones/ZonePlan.java
+++ b/src/main/java/beaconturn/zones/ZonePlan.java
@@ -24,6 +24,7 @@
     SortedMap<String, Integer> flapCounts,
     String reason,
     String leader) {
+  /** Makes defensive copies of mutable arguments. */
   public ZonePlan {
     allocations = Collections.unmodifiableSortedMap(new TreeMap<>(allocations));
     states = Collections.unmodifiableSortedMap(new TreeMap<>(states));
--- a/src/main/java/beaconturn/zones/ZoneReport.java
+++ b/src/main/java/beaconturn/zones/ZoneReport.java
@@ -21,6 +21,7 @@
     long planNumber,
     long arrivals,
     SortedMap<String, ZoneObservations> zones) {
+  /** Makes defensive copies of mutable arguments. */
   public ZoneReport {
     zones = Collections.unmodifiableSortedMap(new TreeMap<>(zones));
   }
--- a/src/main/java/beaconturn/zones/ZoneTopology.java
+++ b/src/main/java/beaconturn/zones/ZoneTopology.java
@@ -22,6 +22,7 @@
     double serverRequestsPerSecond,
     double fetchesPerSecond,
     int reserveWeight) {
+  /** Makes defensive copies of mutable arguments. */
   public ZoneTopology {
     regions = Collections.unmodifiableSortedMap(new TreeMap<>(regions));
   }
