--- a/src/main/java/beaconturn/zones/PendingZoneRequest.java
+++ b/src/main/java/beaconturn/zones/PendingZoneRequest.java
@@ -2,5 +2,5 @@
 
 import beaconturn.agreement.StoreRequest;
 
-/** A request to the store and what it is for. */
+/** A request to the store with its purpose. */
 record PendingZoneRequest(ZoneRequestPurpose purpose, StoreRequest request) {}
