--- a/src/main/java/beaconturn/cli/InstanceAction.java
+++ b/src/main/java/beaconturn/cli/InstanceAction.java
@@ -23,7 +23,7 @@
 
   /** Starts the command; it is killed where it takes longer than the timeout. */
   void start(InstanceVariant variant, long timeoutNanos) {
-    AgentStore.log(instanceId + " goes to " + variant.word());
+    AgentStore.log(instanceId + " goes to " + variant.serializedName());
     new Thread(() -> outcome = run(variant, timeoutNanos), "action").start();
   }
 
@@ -43,7 +43,7 @@
     try {
       ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command).inheritIO();
       builder.environment().put("PART", instanceId);
-      builder.environment().put("VARIANT", variant.word());
+      builder.environment().put("VARIANT", variant.serializedName());
       Process process = builder.start();
       long timeoutMillis = timeoutNanos / NANOS_PER_MILLI;
       if (!process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS)) {
--- a/src/main/java/beaconturn/cli/InstanceMetricsReader.java
+++ b/src/main/java/beaconturn/cli/InstanceMetricsReader.java
@@ -1,6 +1,6 @@
 package beaconturn.cli;
 
-import beaconturn.release.InstanceMetrics;
+import beaconturn.release.InstanceMetric;
 import beaconturn.release.InstanceSample;
 import java.io.IOException;
 import java.util.EnumMap;
@@ -19,12 +19,12 @@
   private static final long MILLIS_PER_SECOND = 1000;
 
   /** Metrics that routers count of a cache server. */
-  private static final List<InstanceMetrics> CACHE_METRICS =
+  private static final List<InstanceMetric> CACHE_METRICS =
       List.of(
-          InstanceMetrics.SERVED,
-          InstanceMetrics.FAILED,
-          InstanceMetrics.HITS,
-          InstanceMetrics.HIT_MICROS);
+          InstanceMetric.SERVED,
+          InstanceMetric.FAILED,
+          InstanceMetric.HITS,
+          InstanceMetric.HIT_MICROS);
 
   private final String instanceId;
   private final boolean cache;
@@ -34,7 +34,7 @@
   private final Map<String, Map<String, Long>> lastValues = new HashMap<>();
 
   /** Sums over all readings. */
-  private final Map<InstanceMetrics, Long> sums = new EnumMap<>(InstanceMetrics.class);
+  private final Map<InstanceMetric, Long> sums = new EnumMap<>(InstanceMetric.class);
 
   private long lastReadNanos;
 
@@ -69,7 +69,7 @@
       before = Map.of();
     }
     addReading(values);
-    Map<InstanceMetrics, Long> metrics = new EnumMap<>(sums);
+    Map<InstanceMetric, Long> metrics = new EnumMap<>(sums);
     putCounters(metrics, values);
     putGauges(metrics, values, before, nowNanos);
     lastValues.put(address, values);
@@ -84,24 +84,24 @@
   }
 
   private void addReading(Map<String, Long> values) {
-    add(InstanceMetrics.READINGS, 1);
+    add(InstanceMetric.READINGS, 1);
     long listed = Math.max(1, valueOf(values, "cluster_size"));
     add(
-        InstanceMetrics.AVOIDED_MILLIONTHS,
+        InstanceMetric.AVOIDED_MILLIONTHS,
         valueOf(values, "cluster_unhealthy") * MILLION / listed);
-    add(InstanceMetrics.MEMORY_KB, valueOf(values, "memory_kb"));
+    add(InstanceMetric.MEMORY_KB, valueOf(values, "memory_kb"));
   }
 
-  private static void putCounters(Map<InstanceMetrics, Long> metrics, Map<String, Long> values) {
-    metrics.put(InstanceMetrics.SERVED, sumOf(values, "answered."));
-    metrics.put(InstanceMetrics.FAILED, sumOf(values, "deferred.") + sumOf(values, "errored."));
-    metrics.put(InstanceMetrics.LATE, valueOf(values, "late"));
-    metrics.put(InstanceMetrics.HITS, valueOf(values, "hits"));
-    metrics.put(InstanceMetrics.MISSES, valueOf(values, "misses"));
+  private static void putCounters(Map<InstanceMetric, Long> metrics, Map<String, Long> values) {
+    metrics.put(InstanceMetric.SERVED, sumOf(values, "answered."));
+    metrics.put(InstanceMetric.FAILED, sumOf(values, "deferred.") + sumOf(values, "errored."));
+    metrics.put(InstanceMetric.LATE, valueOf(values, "late"));
+    metrics.put(InstanceMetric.HITS, valueOf(values, "hits"));
+    metrics.put(InstanceMetric.MISSES, valueOf(values, "misses"));
   }
 
   private void putGauges(
-      Map<InstanceMetrics, Long> metrics,
+      Map<InstanceMetric, Long> metrics,
       Map<String, Long> values,
       Map<String, Long> before,
       long nowNanos) {
@@ -109,13 +109,13 @@
     if (!before.isEmpty()) {
       long answers = answers(values) - answers(before);
       long cpuMillis = valueOf(values, "cpu_ms") - valueOf(before, "cpu_ms");
-      metrics.put(InstanceMetrics.ANSWERS_PER_SECOND, answers * MILLIS_PER_SECOND / elapsedMillis);
+      metrics.put(InstanceMetric.ANSWERS_PER_SECOND, answers * MILLIS_PER_SECOND / elapsedMillis);
       // Milliseconds of processor time in a second are thousandths of a core.
-      metrics.put(InstanceMetrics.CPU_MILLICORES, cpuMillis * MILLIS_PER_SECOND / elapsedMillis);
+      metrics.put(InstanceMetric.CPU_MILLICORES, cpuMillis * MILLIS_PER_SECOND / elapsedMillis);
     }
-    metrics.put(InstanceMetrics.CPU_LIMIT_MILLICORES, valueOf(values, "cores_thousandth"));
-    metrics.put(InstanceMetrics.CONNECTIONS, valueOf(values, "connections"));
-    metrics.put(InstanceMetrics.MAX_CONNECTIONS, valueOf(values, "most_connections"));
+    metrics.put(InstanceMetric.CPU_LIMIT_MILLICORES, valueOf(values, "cores_thousandth"));
+    metrics.put(InstanceMetric.CONNECTIONS, valueOf(values, "connections"));
+    metrics.put(InstanceMetric.MAX_CONNECTIONS, valueOf(values, "most_connections"));
   }
 
   /**
@@ -145,8 +145,8 @@
     if (before == null) {
       before = values;
     }
-    for (InstanceMetrics metric : CACHE_METRICS) {
-      String name = "cache_" + metric.word() + "." + instanceId;
+    for (InstanceMetric metric : CACHE_METRICS) {
+      String name = "cache_" + metric.serializedName() + "." + instanceId;
       long value = valueOf(values, name);
       long counted = value - valueOf(before, name);
       // A counter that has fallen is one of another process, and began at 0.
@@ -154,7 +154,7 @@
     }
   }
 
-  private void add(InstanceMetrics metric, long value) {
+  private void add(InstanceMetric metric, long value) {
     sums.merge(metric, value, Long::sum);
   }
 
--- a/src/main/java/beaconturn/cli/ReleaseFiles.java
+++ b/src/main/java/beaconturn/cli/ReleaseFiles.java
@@ -39,8 +39,8 @@
         root -> {
           Map<InstanceKind, ReleaseFleet.Group> groups = new EnumMap<>(InstanceKind.class);
           for (InstanceKind kind : InstanceKind.values()) {
-            if (root.has(kind.word() + "s")) {
-              groups.put(kind, group(root.table(kind.word() + "s")));
+            if (root.has(kind.serializedName() + "s")) {
+              groups.put(kind, group(root.table(kind.serializedName() + "s")));
             }
           }
           if (groups.isEmpty()) {
@@ -110,7 +110,7 @@
   private static RolloutPlan plan(TomlSection root, String reason, ReleaseFleet fleet)
       throws TomlException {
     String kindWord = root.choice("kind", "router", List.of("router", "cache"));
-    InstanceKind kind = InstanceKind.ofWord(kindWord).orElseThrow();
+    InstanceKind kind = InstanceKind.ofSerializedName(kindWord).orElseThrow();
     List<List<String>> waves = new ArrayList<>();
     for (TomlSection wave : root.tables("wave")) {
       waves.add(wave.texts("parts", List.of()));
--- a/src/main/java/beaconturn/cli/ReleaseReport.java
+++ b/src/main/java/beaconturn/cli/ReleaseReport.java
@@ -62,8 +62,8 @@
         step.phase() == StepPhase.FAILED,
         List.of(
             step.instanceId(),
-            step.phase().word(),
-            step.variant().word(),
+            step.phase().serializedName(),
+            step.variant().serializedName(),
             Long.toString(step.permitNumber()),
             readyAfter,
             step.failureReason()));
--- a/src/main/java/beaconturn/cli/ReleaseRunner.java
+++ b/src/main/java/beaconturn/cli/ReleaseRunner.java
@@ -124,7 +124,7 @@
   }
 
   private InstanceKind kindOfLost() {
-    return InstanceKind.ofWord(kind).orElse(InstanceKind.ROUTER);
+    return InstanceKind.ofSerializedName(kind).orElse(InstanceKind.ROUTER);
   }
 
   private RolloutPlan readPlan(String file, RolloutSnapshot snapshot) throws ConfigException {
--- a/src/main/java/beaconturn/cli/ReleaseStatusPrinter.java
+++ b/src/main/java/beaconturn/cli/ReleaseStatusPrinter.java
@@ -32,7 +32,7 @@
             "release",
             snapshot.plan() == null ? 0 : snapshot.plan().number(),
             "mode",
-            snapshot.state().mode().word(),
+            snapshot.state().mode().serializedName(),
             "why",
             snapshot.state().reason(),
             "driver",
@@ -48,9 +48,9 @@
         "id",
         step.instanceId(),
         "phase",
-        step.phase().word(),
+        step.phase().serializedName(),
         "variant",
-        step.variant().word(),
+        step.variant().serializedName(),
         "permit",
         step.permitNumber(),
         "why",
@@ -62,7 +62,7 @@
         "number",
         permit.number(),
         "kind",
-        permit.kind().word(),
+        permit.kind().serializedName(),
         "id",
         permit.instanceId(),
         "holder",
@@ -96,9 +96,9 @@
     return "  "
         + step.instanceId()
         + " "
-        + step.phase().word()
+        + step.phase().serializedName()
         + ", "
-        + step.variant().word()
+        + step.variant().serializedName()
         + ", permit "
         + step.permitNumber()
         + reason;
@@ -107,7 +107,7 @@
   private String budgetLine(InstanceKind kind) {
     ReleaseFleet.Group group = snapshot.fleet().group(kind);
     Map<String, String> planned = snapshot.unavailable(kind, Map.of());
-    return kind.word()
+    return kind.serializedName()
         + "s: "
         + group.instanceIds().size()
         + ", at most "
--- a/src/main/java/beaconturn/release/CanaryComparison.java
+++ b/src/main/java/beaconturn/release/CanaryComparison.java
@@ -120,8 +120,8 @@
   }
 
   private boolean hasEnoughHits() {
-    long changedHits = samples.changed().valueOf(InstanceMetrics.HITS);
-    long peerHits = samples.peers().valueOf(InstanceMetrics.HITS);
+    long changedHits = samples.changed().valueOf(InstanceMetric.HITS);
+    long peerHits = samples.peers().valueOf(InstanceMetric.HITS);
     return Math.min(changedHits, peerHits) >= Math.max(1, plan.minAnswers());
   }
 
--- a/src/main/java/beaconturn/release/ComparedSamples.java
+++ b/src/main/java/beaconturn/release/ComparedSamples.java
@@ -22,7 +22,7 @@
 
   /** An agent that reports answers only takes no readings, and has nothing to wait for. */
   private static boolean hasFewReadings(InstanceSample sample) {
-    long readings = sample.valueOf(InstanceMetrics.READINGS);
+    long readings = sample.valueOf(InstanceMetric.READINGS);
     return readings > 0 && readings < MIN_READINGS;
   }
 }
--- a/src/main/java/beaconturn/release/ConfigRollout.java
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -22,7 +22,7 @@
   }
 
   /** Whether all routers act on the configuration of the release. */
-  boolean isInForce(DriverTurn turn) {
+  boolean isInForce(DriverContext turn) {
     ConfigChange change = turn.snapshot().configChange();
     if (change == null) {
       return false;
@@ -31,7 +31,7 @@
   }
 
   /** Brings the configuration into force; null while that waits. */
-  RolloutTransaction advance(DriverTurn turn) {
+  RolloutTransaction advance(DriverContext turn) {
     AgreedVersions agreed = turn.agreed();
     if (agreed == null) {
       turn.waitFor(VERSIONS_UNKNOWN);
@@ -55,7 +55,7 @@
   }
 
   /** Reverts the configuration; null while that waits, and once it is reverted or never was. */
-  RolloutTransaction revert(DriverTurn turn) {
+  RolloutTransaction revert(DriverContext turn) {
     AgreedVersions agreed = turn.agreed();
     if (agreed == null) {
       turn.waitFor(VERSIONS_UNKNOWN);
@@ -84,7 +84,7 @@
   }
 
   /** Forgets a configuration that never came into force, so that there is nothing to revert. */
-  private static RolloutTransaction forget(DriverTurn turn) {
+  private static RolloutTransaction forget(DriverContext turn) {
     String key = turn.keys().configChange();
     return turn.transaction(
         "its settings never came into force",
@@ -96,7 +96,7 @@
    * Proposes a version, in one transaction with the conditions of the driver: one that was replaced
    * can propose nothing.
    */
-  private RolloutTransaction propose(DriverTurn turn, ConfigContent content, ConfigChange change) {
+  private RolloutTransaction propose(DriverContext turn, ConfigContent content, ConfigChange change) {
     AgreementStep proposal;
     try {
       proposal =
--- a/src/main/java/beaconturn/release/DisruptionBudget.java
+++ b/src/main/java/beaconturn/release/DisruptionBudget.java
@@ -19,7 +19,7 @@
     ReleaseFleet.Group group = snapshot.fleet().group(kind);
     String zone = group.zoneOf(instanceId);
     if (zone == null) {
-      return "there is no " + kind.word() + " '" + instanceId + "' in the fleet";
+      return "there is no " + kind.serializedName() + " '" + instanceId + "' in the fleet";
     }
     SortedMap<String, String> others = snapshot.unavailable(kind, unplanned);
     others.remove(instanceId);
--- a/src/main/java/beaconturn/release/DriverTurn.java
+++ b/src/main/java/beaconturn/release/DriverContext.java
@@ -9,7 +9,7 @@
  * One decision of a driver: what it is based on, and why the release waits where nothing is to be
  * done. Confined to the thread of its driver.
  */
-final class DriverTurn {
+final class DriverContext {
   private final RolloutKeys keys;
   private final RolloutTransactions transactions;
   private final String driver;
@@ -28,7 +28,7 @@
    * @param agreed configuration versions, or null where they are not known
    * @param nowNanos by a clock that never goes back
    */
-  DriverTurn(
+  DriverContext(
       RolloutKeys keys,
       RolloutTransactions transactions,
       String driver,
--- a/src/main/java/beaconturn/release/InstanceKind.java
+++ b/src/main/java/beaconturn/release/InstanceKind.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /** Kinds of instances that a fleet consists of. */
-public enum InstanceKind implements StoredWord {
+public enum InstanceKind implements SerializedName {
   /** A router. */
   ROUTER("router"),
   /** A cache server. */
@@ -18,12 +18,12 @@
 
   /** Its word in files, commands and the store. */
   @Override
-  public String word() {
+  public String serializedName() {
     return word;
   }
 
   /** The kind of that word, or empty where no kind has it. */
-  public static Optional<InstanceKind> ofWord(String word) {
+  public static Optional<InstanceKind> ofSerializedName(String word) {
     return Arrays.stream(values()).filter(kind -> kind.word.equals(word)).findFirst();
   }
 }
--- a/src/main/java/beaconturn/release/InstanceMetrics.java
+++ b/src/main/java/beaconturn/release/InstanceMetric.java
@@ -4,7 +4,7 @@
  * Metrics that an agent reports of its instance. Counters grow from the start of a process; gauges
  * are as of the report.
  */
-public enum InstanceMetrics implements StoredWord {
+public enum InstanceMetric implements SerializedName {
   /** Counter: successful answers. */
   SERVED("good", false),
   /** Counter: rejections and errors. */
@@ -37,7 +37,7 @@
   private final String word;
   private final boolean gauge;
 
-  InstanceMetrics(String word, boolean gauge) {
+  InstanceMetric(String word, boolean gauge) {
     this.word = word;
     this.gauge = gauge;
   }
@@ -49,7 +49,7 @@
 
   /** Its word in the store. */
   @Override
-  public String word() {
+  public String serializedName() {
     return word;
   }
 }
--- a/src/main/java/beaconturn/release/InstanceSample.java
+++ b/src/main/java/beaconturn/release/InstanceSample.java
@@ -10,13 +10,13 @@
  * @param process identifies the process of the instance; counters of another one begin anew
  * @param metrics known metrics; those not contained are 0
  */
-public record InstanceSample(String process, Map<InstanceMetrics, Long> metrics) {
+public record InstanceSample(String process, Map<InstanceMetric, Long> metrics) {
   /** No metrics. */
   static final InstanceSample NONE = new InstanceSample("", Map.of());
 
   /** Copies the metrics and leaves out those that are 0. */
   public InstanceSample {
-    Map<InstanceMetrics, Long> known = new EnumMap<>(InstanceMetrics.class);
+    Map<InstanceMetric, Long> known = new EnumMap<>(InstanceMetric.class);
     metrics.forEach(
         (metric, value) -> {
           if (value != 0) {
@@ -29,11 +29,11 @@
   /** A sample that counts answers only. */
   public static InstanceSample ofAnswers(String process, long served, long failed) {
     return new InstanceSample(
-        process, Map.of(InstanceMetrics.SERVED, served, InstanceMetrics.FAILED, failed));
+        process, Map.of(InstanceMetric.SERVED, served, InstanceMetric.FAILED, failed));
   }
 
   /** The value of a metric; 0 where it is not known. */
-  long valueOf(InstanceMetrics metric) {
+  long valueOf(InstanceMetric metric) {
     return metrics.getOrDefault(metric, 0L);
   }
 
@@ -45,8 +45,8 @@
     if (!process.equals(earlier.process)) {
       return this;
     }
-    Map<InstanceMetrics, Long> difference = new EnumMap<>(InstanceMetrics.class);
-    for (InstanceMetrics metric : InstanceMetrics.values()) {
+    Map<InstanceMetric, Long> difference = new EnumMap<>(InstanceMetric.class);
+    for (InstanceMetric metric : InstanceMetric.values()) {
       long before = metric.isGauge() ? 0 : earlier.valueOf(metric);
       difference.put(metric, valueOf(metric) - before);
     }
@@ -55,8 +55,8 @@
 
   /** The sum of the counters of both; gauges are left out, as their sum has no meaning. */
   InstanceSample plus(InstanceSample other) {
-    Map<InstanceMetrics, Long> sum = new EnumMap<>(InstanceMetrics.class);
-    for (InstanceMetrics metric : InstanceMetrics.values()) {
+    Map<InstanceMetric, Long> sum = new EnumMap<>(InstanceMetric.class);
+    for (InstanceMetric metric : InstanceMetric.values()) {
       if (!metric.isGauge()) {
         sum.put(metric, valueOf(metric) + other.valueOf(metric));
       }
@@ -66,16 +66,16 @@
 
   /** All answers. */
   long answers() {
-    return valueOf(InstanceMetrics.SERVED) + valueOf(InstanceMetrics.FAILED);
+    return valueOf(InstanceMetric.SERVED) + valueOf(InstanceMetric.FAILED);
   }
 
   /** The failed share of all answers, from 0 to 1. */
   double failedShare() {
-    return ratio(InstanceMetrics.FAILED, answers());
+    return ratio(InstanceMetric.FAILED, answers());
   }
 
   /** A metric divided by a total; 0 where the total is 0. */
-  double ratio(InstanceMetrics metric, long total) {
+  double ratio(InstanceMetric metric, long total) {
     if (total == 0) {
       return 0;
     }
--- a/src/main/java/beaconturn/release/InstanceVariant.java
+++ b/src/main/java/beaconturn/release/InstanceVariant.java
@@ -1,7 +1,7 @@
 package beaconturn.release;
 
 /** The two variants of an instance that a release is about. */
-public enum InstanceVariant implements StoredWord {
+public enum InstanceVariant implements SerializedName {
   /** What the instance ran before the release. */
   OLD("old"),
   /** What is released. */
@@ -15,7 +15,7 @@
 
   /** Its word in commands, in their environment and in the store. */
   @Override
-  public String word() {
+  public String serializedName() {
     return word;
   }
 }
--- a/src/main/java/beaconturn/release/MeanMeasure.java
+++ b/src/main/java/beaconturn/release/MeanMeasure.java
@@ -14,22 +14,22 @@
  * @param format of one value
  */
 record MeanMeasure(
-    String name, InstanceMetrics sum, InstanceMetrics count, double divisor, String format) {
+    String name, InstanceMetric sum, InstanceMetric count, double divisor, String format) {
   private static final double MILLION = 1e6;
   private static final String WHOLE = "%.0f";
   private static final String FRACTION = "%.3f";
   static final MeanMeasure AVOIDED_SERVERS =
       new MeanMeasure(
           "of the cache servers avoided",
-          InstanceMetrics.AVOIDED_MILLIONTHS,
-          InstanceMetrics.READINGS,
+          InstanceMetric.AVOIDED_MILLIONTHS,
+          InstanceMetric.READINGS,
           MILLION,
           FRACTION);
   static final MeanMeasure MEMORY =
       new MeanMeasure(
-          "kB of memory", InstanceMetrics.MEMORY_KB, InstanceMetrics.READINGS, 1, WHOLE);
+          "kB of memory", InstanceMetric.MEMORY_KB, InstanceMetric.READINGS, 1, WHOLE);
   static final MeanMeasure HIT_TIME =
-      new MeanMeasure("us for a hit", InstanceMetrics.HIT_MICROS, InstanceMetrics.HITS, 1, WHOLE);
+      new MeanMeasure("us for a hit", InstanceMetric.HIT_MICROS, InstanceMetric.HITS, 1, WHOLE);
 
   /**
    * Whether the mean of the changed instance is too high.
--- a/src/main/java/beaconturn/release/ReleaseFleetCodec.java
+++ b/src/main/java/beaconturn/release/ReleaseFleetCodec.java
@@ -31,7 +31,7 @@
                 zones.add(StoredJson.object("site", zone, "parts", StoredJson.texts(instanceIds))));
     return StoredJson.object(
         "kind",
-        kind.word(),
+        kind.serializedName(),
         "most_out",
         group.maxUnavailable(),
         "most_out_of_site",
--- a/src/main/java/beaconturn/release/Rollback.java
+++ b/src/main/java/beaconturn/release/Rollback.java
@@ -16,7 +16,7 @@
   }
 
   /** The next transaction, or null while the rollback waits. */
-  RolloutTransaction nextTransaction(DriverTurn turn) {
+  RolloutTransaction nextTransaction(DriverContext turn) {
     List<String> order = new ArrayList<>(turn.plan().instanceIds());
     Collections.reverse(order);
     boolean allRolledBack = true;
@@ -34,7 +34,7 @@
     return allRolledBack ? finish(turn) : null;
   }
 
-  private RolloutTransaction finish(DriverTurn turn) {
+  private RolloutTransaction finish(DriverContext turn) {
     if (turn.snapshot().configChange() != null) {
       RolloutTransaction transaction = configRollout.revert(turn);
       if (transaction != null || !turn.waitReason().isEmpty()) {
@@ -47,7 +47,7 @@
         turn.snapshot().state().reason());
   }
 
-  private static RolloutTransaction rollBack(DriverTurn turn, RolloutStep step) {
+  private static RolloutTransaction rollBack(DriverContext turn, RolloutStep step) {
     return switch (step.phase()) {
       case GRANTED -> withdraw(turn, step);
       case STARTED -> {
@@ -59,7 +59,7 @@
     };
   }
 
-  private static RolloutTransaction withdraw(DriverTurn turn, RolloutStep step) {
+  private static RolloutTransaction withdraw(DriverContext turn, RolloutStep step) {
     if (step.variant() == InstanceVariant.OLD) {
       turn.waitFor(step.instanceId() + " is to go back");
       return null;
@@ -68,7 +68,7 @@
         turn, step, "", step.instanceId() + " was not begun, its place is given back");
   }
 
-  private static RolloutTransaction afterAction(DriverTurn turn, RolloutStep step) {
+  private static RolloutTransaction afterAction(DriverContext turn, RolloutStep step) {
     if (step.variant() == InstanceVariant.NEW) {
       return toOldVariant(turn, step);
     }
@@ -86,7 +86,7 @@
   }
 
   /** An instance that is not verified yet holds its permit still, and goes back under it. */
-  private static RolloutTransaction toOldVariant(DriverTurn turn, RolloutStep step) {
+  private static RolloutTransaction toOldVariant(DriverContext turn, RolloutStep step) {
     RolloutStep granted =
         StepGrants.step(turn, step.instanceId(), step.permitNumber(), InstanceVariant.OLD);
     return turn.transaction(
@@ -96,7 +96,7 @@
   }
 
   /** An instance that was verified has returned its permit, and needs another. */
-  private static RolloutTransaction afterCheck(DriverTurn turn, RolloutStep step) {
+  private static RolloutTransaction afterCheck(DriverContext turn, RolloutStep step) {
     String objection =
         new DisruptionBudget(turn.snapshot(), turn.plan().kind())
             .objection(step.instanceId(), turn.unplanned());
@@ -108,7 +108,7 @@
   }
 
   private static RolloutTransaction rolledBack(
-      DriverTurn turn, RolloutStep step, String agentIncarnation, String description) {
+      DriverContext turn, RolloutStep step, String agentIncarnation, String description) {
     return turn.transaction(
         description,
         List.of(turn.keys().step(step.instanceId())),
--- a/src/main/java/beaconturn/release/RolloutAgent.java
+++ b/src/main/java/beaconturn/release/RolloutAgent.java
@@ -126,7 +126,7 @@
     return transactions.transaction(
         snapshot,
         incarnation,
-        instanceId + " goes to " + step.variant().word() + " under permit " + step.permitNumber(),
+        instanceId + " goes to " + step.variant().serializedName() + " under permit " + step.permitNumber(),
         List.of(keys.step(instanceId), keys.agent(instanceId)),
         List.of(transactions.put(currentStep)));
   }
@@ -176,7 +176,7 @@
   private String historyText(InstanceVariant variant) {
     String runs = result.ready() ? " runs " : " does not run ";
     String reason = result.failureReason().isEmpty() ? "" : ": " + result.failureReason();
-    return instanceId + runs + variant.word() + reason;
+    return instanceId + runs + variant.serializedName() + reason;
   }
 
   /**
--- a/src/main/java/beaconturn/release/RolloutCodec.java
+++ b/src/main/java/beaconturn/release/RolloutCodec.java
@@ -24,7 +24,7 @@
             "number",
             permit.number(),
             "kind",
-            permit.kind().word(),
+            permit.kind().serializedName(),
             "id",
             permit.instanceId(),
             "holder",
@@ -65,7 +65,7 @@
   static String encode(RolloutState state) {
     return JsonWriter.write(
         StoredJson.object(
-            "mode", state.mode().word(), "why", state.reason(), "by", state.author()));
+            "mode", state.mode().serializedName(), "why", state.reason(), "by", state.author()));
   }
 
   static RolloutState decodeState(String text) throws AgreementException {
@@ -84,9 +84,9 @@
             "permit",
             step.permitNumber(),
             "phase",
-            step.phase().word(),
+            step.phase().serializedName(),
             "variant",
-            step.variant().word(),
+            step.variant().serializedName(),
             "agent",
             step.agentIncarnation(),
             "why",
@@ -114,16 +114,16 @@
   /** The stored text of an instance's metrics. */
   public static String encode(InstanceSample sample) {
     List<Object> members = new ArrayList<>(List.of("process", sample.process()));
-    sample.metrics().forEach((metric, value) -> members.addAll(List.of(metric.word(), value)));
+    sample.metrics().forEach((metric, value) -> members.addAll(List.of(metric.serializedName(), value)));
     return JsonWriter.write(StoredJson.object(members.toArray()));
   }
 
   static InstanceSample decodeSample(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
-    Map<InstanceMetrics, Long> metrics = new EnumMap<>(InstanceMetrics.class);
-    for (InstanceMetrics metric : InstanceMetrics.values()) {
-      if (!StoredFields.text(json, metric.word()).isEmpty()) {
-        metrics.put(metric, StoredFields.number(json, metric.word()));
+    Map<InstanceMetric, Long> metrics = new EnumMap<>(InstanceMetric.class);
+    for (InstanceMetric metric : InstanceMetric.values()) {
+      if (!StoredFields.text(json, metric.serializedName()).isEmpty()) {
+        metrics.put(metric, StoredFields.number(json, metric.serializedName()));
       }
     }
     return new InstanceSample(StoredFields.text(json, "process"), metrics);
--- a/src/main/java/beaconturn/release/RolloutDriver.java
+++ b/src/main/java/beaconturn/release/RolloutDriver.java
@@ -80,22 +80,22 @@
       waitReason = RolloutSnapshot.STORE_REPLACED;
       return null;
     }
-    DriverTurn turn =
-        new DriverTurn(keys, transactions, incarnation, snapshot, observed, agreed, nowNanos);
+    DriverContext turn =
+        new DriverContext(keys, transactions, incarnation, snapshot, observed, agreed, nowNanos);
     observe(turn);
     RolloutTransaction transaction = decide(turn);
     waitReason = turn.waitReason();
     return transaction;
   }
 
-  private void observe(DriverTurn turn) {
+  private void observe(DriverContext turn) {
     Map<String, String> unplanned = turn.unplanned();
     baselines.observe(turn.snapshot(), unplanned, turn.nowNanos());
     verifiedWatch.observe(turn.snapshot(), unplanned, baselines.isDisturbed(), turn.nowNanos());
     load.observe(turn.snapshot(), turn.nowNanos());
   }
 
-  private RolloutTransaction decide(DriverTurn turn) {
+  private RolloutTransaction decide(DriverContext turn) {
     return switch (turn.snapshot().state().mode()) {
       case RUNNING -> rollForward(turn);
       case ROLLING_BACK -> rollback.nextTransaction(turn);
@@ -104,7 +104,7 @@
   }
 
   /** The configuration comes first: what is released may need it, and nothing of it runs yet. */
-  private RolloutTransaction rollForward(DriverTurn turn) {
+  private RolloutTransaction rollForward(DriverContext turn) {
     if (turn.plan().configContent() != null && !configRollout.isInForce(turn)) {
       return configRollout.advance(turn);
     }
--- a/src/main/java/beaconturn/release/RolloutForecast.java
+++ b/src/main/java/beaconturn/release/RolloutForecast.java
@@ -94,7 +94,7 @@
       RolloutPlan plan, RolloutSnapshot snapshot, double soakSeconds) {
     double answersPerSecond =
         snapshot.fleet().group(plan.kind()).instanceIds().stream()
-            .mapToLong(id -> snapshot.sample(id).valueOf(InstanceMetrics.ANSWERS_PER_SECOND))
+            .mapToLong(id -> snapshot.sample(id).valueOf(InstanceMetric.ANSWERS_PER_SECOND))
             .filter(rate -> rate > 0)
             .average()
             .orElse(0);
--- a/src/main/java/beaconturn/release/RolloutMode.java
+++ b/src/main/java/beaconturn/release/RolloutMode.java
@@ -1,7 +1,7 @@
 package beaconturn.release;
 
 /** Modes of a rollout: whether steps are taken, and in which direction. */
-public enum RolloutMode implements StoredWord {
+public enum RolloutMode implements SerializedName {
   /** Instances are changed, wave after wave. */
   RUNNING("running"),
   /**
@@ -26,7 +26,7 @@
 
   /** Its word in the store and in output. */
   @Override
-  public String word() {
+  public String serializedName() {
     return word;
   }
 }
--- a/src/main/java/beaconturn/release/RolloutPlan.java
+++ b/src/main/java/beaconturn/release/RolloutPlan.java
@@ -70,7 +70,7 @@
       return instances;
     }
     if (group.maxUnavailable() < 1 || group.maxUnavailablePerZone() < 1) {
-      return "no " + kind.word() + " may be out at all";
+      return "no " + kind.serializedName() + " may be out at all";
     }
     return failuresObjection(group);
   }
@@ -79,7 +79,7 @@
     Set<String> named = new HashSet<>();
     for (String instanceId : instanceIds()) {
       if (group.zoneOf(instanceId) == null) {
-        return "there is no " + kind.word() + " '" + instanceId + "' in the fleet";
+        return "there is no " + kind.serializedName() + " '" + instanceId + "' in the fleet";
       }
       if (!named.add(instanceId)) {
         return "'" + instanceId + "' stands in it twice";
@@ -104,7 +104,7 @@
             "%s has %d %ss: with %d out and %d that fail none is left",
             zone.getKey(),
             size,
-            kind.word(),
+            kind.serializedName(),
             out,
             tolerated);
       }
--- a/src/main/java/beaconturn/release/RolloutPlanCodec.java
+++ b/src/main/java/beaconturn/release/RolloutPlanCodec.java
@@ -17,7 +17,7 @@
             "number",
             plan.number(),
             "kind",
-            plan.kind().word(),
+            plan.kind().serializedName(),
             "waves",
             StoredJson.list(plan.waves().stream().map(StoredJson::texts).toList()),
             "soak_ns",
--- a/src/main/java/beaconturn/release/RolloutRecorder.java
+++ b/src/main/java/beaconturn/release/RolloutRecorder.java
@@ -75,9 +75,9 @@
             .count();
     return new RolloutTimeSeries.Point(
         atMillis,
-        total.valueOf(InstanceMetrics.SERVED),
-        total.valueOf(InstanceMetrics.FAILED),
-        total.valueOf(InstanceMetrics.LATE),
+        total.valueOf(InstanceMetric.SERVED),
+        total.valueOf(InstanceMetric.FAILED),
+        total.valueOf(InstanceMetric.LATE),
         planned.size(),
         (int) unplanned);
   }
--- a/src/main/java/beaconturn/release/RolloutZoneCapacity.java
+++ b/src/main/java/beaconturn/release/RolloutZoneCapacity.java
@@ -48,30 +48,30 @@
     if (cpu != null) {
       return cpu;
     }
-    double maxConnections = mean(InstanceMetrics.MAX_CONNECTIONS);
+    double maxConnections = mean(InstanceMetric.MAX_CONNECTIONS);
     if (maxConnections <= 0) {
       return null;
     }
-    return objection(sum(InstanceMetrics.CONNECTIONS), "connections", maxConnections);
+    return objection(sum(InstanceMetric.CONNECTIONS), "connections", maxConnections);
   }
 
   /** What operators say of the cores goes before what instances report. */
   private String cpuObjection() {
-    double reportedCores = mean(InstanceMetrics.CPU_LIMIT_MILLICORES) / MILLI;
+    double reportedCores = mean(InstanceMetric.CPU_LIMIT_MILLICORES) / MILLI;
     double cores = required.coresEach() > 0 ? required.coresEach() : reportedCores;
     if (cores <= 0 || reportedCores <= 0) {
       return null;
     }
     return objection(
-        sum(InstanceMetrics.CPU_MILLICORES) / MILLI, "cores", cores * MAX_CPU_UTILIZATION);
+        sum(InstanceMetric.CPU_MILLICORES) / MILLI, "cores", cores * MAX_CPU_UTILIZATION);
   }
 
-  private double sum(InstanceMetrics metric) {
+  private double sum(InstanceMetric metric) {
     return instanceIds.stream().mapToLong(id -> snapshot.sample(id).valueOf(metric)).sum();
   }
 
   /** Mean over the instances that report the metric; 0 where none does. */
-  private double mean(InstanceMetrics metric) {
+  private double mean(InstanceMetric metric) {
     return instanceIds.stream()
         .mapToLong(id -> snapshot.sample(id).valueOf(metric))
         .filter(value -> value > 0)
--- a/src/main/java/beaconturn/release/ShareMeasure.java
+++ b/src/main/java/beaconturn/release/ShareMeasure.java
@@ -12,17 +12,17 @@
  * @param part the events that are counted
  * @param total all events among which they are counted
  */
-record ShareMeasure(String name, InstanceMetrics part, ToLongFunction<InstanceSample> total) {
+record ShareMeasure(String name, InstanceMetric part, ToLongFunction<InstanceSample> total) {
   static final ShareMeasure FAILED =
-      new ShareMeasure("", InstanceMetrics.FAILED, InstanceSample::answers);
+      new ShareMeasure("", InstanceMetric.FAILED, InstanceSample::answers);
   static final ShareMeasure LATE =
       new ShareMeasure(
-          "late", InstanceMetrics.LATE, sample -> sample.valueOf(InstanceMetrics.SERVED));
+          "late", InstanceMetric.LATE, sample -> sample.valueOf(InstanceMetric.SERVED));
   static final ShareMeasure MISSED =
       new ShareMeasure(
           "missed",
-          InstanceMetrics.MISSES,
-          sample -> sample.valueOf(InstanceMetrics.HITS) + sample.valueOf(InstanceMetrics.MISSES));
+          InstanceMetric.MISSES,
+          sample -> sample.valueOf(InstanceMetric.HITS) + sample.valueOf(InstanceMetric.MISSES));
 
   /**
    * Whether the share of the changed instance is too high.
--- a/src/main/java/beaconturn/release/StepGrants.java
+++ b/src/main/java/beaconturn/release/StepGrants.java
@@ -15,7 +15,7 @@
    * have counted the budget at the same time have to count again.
    */
   static RolloutTransaction withNewPermit(
-      DriverTurn turn, String instanceId, InstanceVariant variant) {
+      DriverContext turn, String instanceId, InstanceVariant variant) {
     RolloutSnapshot snapshot = turn.snapshot();
     RolloutPlan plan = turn.plan();
     long number = snapshot.lastPermitNumber() + 1;
@@ -39,7 +39,7 @@
 
   /** The granted step of an instance under a permit. */
   static RolloutStep step(
-      DriverTurn turn, String instanceId, long permitNumber, InstanceVariant variant) {
+      DriverContext turn, String instanceId, long permitNumber, InstanceVariant variant) {
     long start = turn.observed().latestStartNanos().getOrDefault(instanceId, UNKNOWN_START);
     return new RolloutStep(instanceId, permitNumber, StepPhase.GRANTED, variant, "", "", start, 0);
   }
--- a/src/main/java/beaconturn/release/StepPhase.java
+++ b/src/main/java/beaconturn/release/StepPhase.java
@@ -1,7 +1,7 @@
 package beaconturn.release;
 
 /** Phases that an instance goes through in a release. */
-public enum StepPhase implements StoredWord {
+public enum StepPhase implements SerializedName {
   /** The driver has taken a disruption permit for it. */
   GRANTED("granted"),
   /** An agent acts on it, or may have acted. */
@@ -23,7 +23,7 @@
 
   /** Its word in the store and in output. */
   @Override
-  public String word() {
+  public String serializedName() {
     return word;
   }
 }
--- a/src/main/java/beaconturn/release/StoredFields.java
+++ b/src/main/java/beaconturn/release/StoredFields.java
@@ -41,16 +41,16 @@
   /** The kind of an instance. */
   static InstanceKind kind(Json json) throws AgreementException {
     String word = text(json, "kind");
-    return InstanceKind.ofWord(word)
+    return InstanceKind.ofSerializedName(word)
         .orElseThrow(() -> new AgreementException("no kind of part: '" + word + "'"));
   }
 
   /** The constant whose word stands under the key. */
-  static <E extends StoredWord> E constant(Json json, String key, E[] constants)
+  static <E extends SerializedName> E constant(Json json, String key, E[] constants)
       throws AgreementException {
     String word = text(json, key);
     for (E constant : constants) {
-      if (constant.word().equals(word)) {
+      if (constant.serializedName().equals(word)) {
         return constant;
       }
     }
--- a/src/main/java/beaconturn/release/WaveRollout.java
+++ b/src/main/java/beaconturn/release/WaveRollout.java
@@ -18,7 +18,7 @@
   }
 
   /** The next transaction, or null while the release waits. */
-  RolloutTransaction nextTransaction(DriverTurn turn) {
+  RolloutTransaction nextTransaction(DriverContext turn) {
     for (RolloutStep step : turn.snapshot().steps().values()) {
       RolloutTransaction transaction = afterStep(turn, step);
       if (transaction != null) {
@@ -43,7 +43,7 @@
   }
 
   /** What follows from a step that was begun, or null. */
-  private RolloutTransaction afterStep(DriverTurn turn, RolloutStep step) {
+  private RolloutTransaction afterStep(DriverContext turn, RolloutStep step) {
     return switch (step.phase()) {
       case FAILED ->
           turn.rollBack(step.instanceId() + " did not get ready: " + step.failureReason());
@@ -56,7 +56,7 @@
     };
   }
 
-  private RolloutTransaction afterReady(DriverTurn turn, RolloutStep step) {
+  private RolloutTransaction afterReady(DriverContext turn, RolloutStep step) {
     if (step.variant() == InstanceVariant.OLD) {
       return turn.rollBack(
           step.instanceId() + " was brought back by its agent: " + step.failureReason());
@@ -74,7 +74,7 @@
   }
 
   private static RolloutTransaction verified(
-      DriverTurn turn, RolloutStep step, CanaryVerdict verdict) {
+      DriverContext turn, RolloutStep step, CanaryVerdict verdict) {
     RolloutStep verified = step.withPhase(StepPhase.VERIFIED, step.agentIncarnation(), "");
     return turn.transaction(
         step.instanceId() + " has stood the check: " + verdict.explanation(),
@@ -85,7 +85,7 @@
   }
 
   /** Begins the step of the first instance of a wave that may go out. */
-  private RolloutTransaction nextStep(DriverTurn turn, List<String> wave) {
+  private RolloutTransaction nextStep(DriverContext turn, List<String> wave) {
     for (String instanceId : wave) {
       if (turn.snapshot().steps().containsKey(instanceId)) {
         continue;
@@ -99,7 +99,7 @@
     return null;
   }
 
-  private String objection(DriverTurn turn, String instanceId) {
+  private String objection(DriverContext turn, String instanceId) {
     RolloutSnapshot snapshot = turn.snapshot();
     InstanceKind kind = turn.plan().kind();
     String budget =
--- a/src/test/java/beaconturn/cli/InstanceMetricsReaderTest.java
+++ b/src/test/java/beaconturn/cli/InstanceMetricsReaderTest.java
@@ -7,7 +7,7 @@
 import beaconturn.net.control.AdminServer;
 import beaconturn.net.control.ServerOverride;
 import beaconturn.net.control.ServerOverrideFile;
-import beaconturn.release.InstanceMetrics;
+import beaconturn.release.InstanceMetric;
 import beaconturn.release.InstanceSample;
 import beaconturn.stats.Counters;
 import beaconturn.stats.Metric;
@@ -75,7 +75,7 @@
     return "127.0.0.1:" + router.address().getPort();
   }
 
-  private static long of(InstanceSample sample, InstanceMetrics figure) {
+  private static long of(InstanceSample sample, InstanceMetric figure) {
     return sample.metrics().getOrDefault(figure, 0L);
   }
 
@@ -89,24 +89,24 @@
               + " cluster_unhealthy=1");
       health.set("late=3 memory_kb=500 cpu_ms=100 connections=7");
       InstanceSample first = reader.read();
-      assertEquals(15, of(first, InstanceMetrics.SERVED));
-      assertEquals(3, of(first, InstanceMetrics.FAILED));
-      assertEquals(3, of(first, InstanceMetrics.LATE));
-      assertEquals(7, of(first, InstanceMetrics.CONNECTIONS));
+      assertEquals(15, of(first, InstanceMetric.SERVED));
+      assertEquals(3, of(first, InstanceMetric.FAILED));
+      assertEquals(3, of(first, InstanceMetric.LATE));
+      assertEquals(7, of(first, InstanceMetric.CONNECTIONS));
       InstanceSample second = reader.read();
       assertEquals(first.process(), second.process());
-      assertEquals(2, of(second, InstanceMetrics.READINGS));
-      assertEquals(500_000, of(second, InstanceMetrics.AVOIDED_MILLIONTHS), "a quarter, twice");
-      assertEquals(1000, of(second, InstanceMetrics.MEMORY_KB));
+      assertEquals(2, of(second, InstanceMetric.READINGS));
+      assertEquals(500_000, of(second, InstanceMetric.AVOIDED_MILLIONTHS), "a quarter, twice");
+      assertEquals(1000, of(second, InstanceMetric.MEMORY_KB));
       // As many answers as before, and less processor time: it was restarted.
       health.set("late=0 memory_kb=400 cpu_ms=50");
       InstanceSample third = reader.read();
-      assertEquals(1, of(third, InstanceMetrics.READINGS));
-      assertEquals(400, of(third, InstanceMetrics.MEMORY_KB));
+      assertEquals(1, of(third, InstanceMetric.READINGS));
+      assertEquals(400, of(third, InstanceMetric.MEMORY_KB));
       assertEquals(false, third.process().equals(second.process()));
       // A router that knows no such call, as it does not agree.
       health.set(null);
-      assertEquals(15, of(reader.read(), InstanceMetrics.SERVED));
+      assertEquals(15, of(reader.read(), InstanceMetric.SERVED));
     } finally {
       router.close();
     }
@@ -124,16 +124,16 @@
       health.set("cache_good.c.1=100 cache_bad.c.1=3 cache_good.c.10=9");
       other.set("cache_good.c.1=50");
       assertEquals(
-          0, of(reader.read(), InstanceMetrics.SERVED), "counted from when it was first asked");
+          0, of(reader.read(), InstanceMetric.SERVED), "counted from when it was first asked");
       health.set("cache_good.c.1=110 cache_bad.c.1=5");
       other.set("cache_good.c.1=8");
       InstanceSample grown = reader.read();
-      assertEquals(10 + 8, of(grown, InstanceMetrics.SERVED), "the other router was restarted");
-      assertEquals(2, of(grown, InstanceMetrics.FAILED));
+      assertEquals(10 + 8, of(grown, InstanceMetric.SERVED), "the other router was restarted");
+      assertEquals(2, of(grown, InstanceMetric.FAILED));
       gone.close();
       awaitEnd(noMore);
       health.set("cache_good.c.1=111 cache_bad.c.1=5");
-      assertEquals(19, of(reader.read(), InstanceMetrics.SERVED));
+      assertEquals(19, of(reader.read(), InstanceMetric.SERVED));
     } finally {
       router.close();
     }
--- a/src/test/java/beaconturn/release/CanaryComparisonTest.java
+++ b/src/test/java/beaconturn/release/CanaryComparisonTest.java
@@ -32,11 +32,11 @@
 
   /** A sample of words such as {@code good=100 late=3}. */
   private static InstanceSample sample(String words) {
-    Map<InstanceMetrics, Long> metrics = new EnumMap<>(InstanceMetrics.class);
+    Map<InstanceMetric, Long> metrics = new EnumMap<>(InstanceMetric.class);
     for (String word : words.split(" ")) {
       String[] pair = word.split("=");
-      for (InstanceMetrics metric : InstanceMetrics.values()) {
-        if (metric.word().equals(pair[0])) {
+      for (InstanceMetric metric : InstanceMetric.values()) {
+        if (metric.serializedName().equals(pair[0])) {
           metrics.put(metric, Long.parseLong(pair[1]));
         }
       }
--- a/src/test/java/beaconturn/release/ReleaseSettingsTest.java
+++ b/src/test/java/beaconturn/release/ConfigRolloutTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Configuration that comes into force with a release, and is reverted with it. */
-class ReleaseSettingsTest {
+class ConfigRolloutTest {
   private static final AgreementKeys KEYS = new AgreementKeys("/f");
   private static final ConfigContent TWO_ATTEMPTS =
       new ConfigContent(new TreeMap<>(), 2, null, 0, new TreeSet<>());
--- a/src/test/java/beaconturn/release/RolloutCodecTest.java
+++ b/src/test/java/beaconturn/release/RolloutCodecTest.java
@@ -160,8 +160,8 @@
 
   @Test
   void eachMetricIsReadAndWrittenAsBefore() throws AgreementException {
-    Map<InstanceMetrics, Long> values = new EnumMap<>(InstanceMetrics.class);
-    for (InstanceMetrics metric : InstanceMetrics.values()) {
+    Map<InstanceMetric, Long> values = new EnumMap<>(InstanceMetric.class);
+    for (InstanceMetric metric : InstanceMetric.values()) {
       values.put(metric, values.size() + 1L);
     }
     InstanceSample sample = new InstanceSample("p1", values);
