--- a/src/main/java/beaconturn/cli/AgentDriver.java
+++ b/src/main/java/beaconturn/cli/AgentDriver.java
@@ -84,7 +84,7 @@
     RolloutTransaction point =
         recorder.nextTransaction(snapshot, unavailability, System.currentTimeMillis());
     if (point != null) {
-      store.write(point.swap());
+      store.write(point.storeTransaction());
     }
   }
 
--- a/src/main/java/beaconturn/cli/AgentRunner.java
+++ b/src/main/java/beaconturn/cli/AgentRunner.java
@@ -104,7 +104,7 @@
     lease.renew();
     RolloutSnapshot snapshot = store.read();
     if (snapshot == null) {
-      startAction(agent.unreachableStoreRollback(plan, System.nanoTime()));
+      startAction(agent.startSelfRollback(plan, System.nanoTime()));
       return;
     }
     plan = snapshot.plan();
@@ -134,7 +134,7 @@
     RolloutTransaction next = agent.nextTransaction(snapshot, System.nanoTime());
     if (next != null) {
       boolean held = store.execute(next);
-      startAction(agent.transactionAnswered(held, System.nanoTime()));
+      startAction(agent.transactionCompleted(held, System.nanoTime()));
     }
   }
 
--- a/src/main/java/beaconturn/cli/AgentStore.java
+++ b/src/main/java/beaconturn/cli/AgentStore.java
@@ -30,7 +30,7 @@
 
   /** What the store holds, or null where it does not answer or cannot be read. */
   RolloutSnapshot read() {
-    if (!(store.ask(new StoreRequest.Read(keys.all())) instanceof StoreResponse.Success response)) {
+    if (!(store.ask(new StoreRequest.Read(keys.prefix())) instanceof StoreResponse.Success response)) {
       return null;
     }
     try {
@@ -44,7 +44,7 @@
   /** Executes a transaction; whether it held. */
   boolean execute(RolloutTransaction transaction) {
     boolean held =
-        store.ask(transaction.swap()) instanceof StoreResponse.Success response
+        store.ask(transaction.storeTransaction()) instanceof StoreResponse.Success response
             && response.conditionsHeld();
     boolean failedBefore = transaction.description().equals(lastDescription);
     failures = held || !failedBefore ? 0 : failures + 1;
--- a/src/main/java/beaconturn/cli/InstanceMetricsReader.java
+++ b/src/main/java/beaconturn/cli/InstanceMetricsReader.java
@@ -109,7 +109,7 @@
     if (!before.isEmpty()) {
       long answers = answers(values) - answers(before);
       long cpuMillis = valueOf(values, "cpu_ms") - valueOf(before, "cpu_ms");
-      metrics.put(InstanceMetric.ANSWERS_PER_SECOND, answers * MILLIS_PER_SECOND / elapsedMillis);
+      metrics.put(InstanceMetric.RESPONSES_PER_SECOND, answers * MILLIS_PER_SECOND / elapsedMillis);
       // Milliseconds of processor time in a second are thousandths of a core.
       metrics.put(InstanceMetric.CPU_MILLICORES, cpuMillis * MILLIS_PER_SECOND / elapsedMillis);
     }
--- a/src/main/java/beaconturn/cli/ObservedUnavailability.java
+++ b/src/main/java/beaconturn/cli/ObservedUnavailability.java
@@ -39,7 +39,7 @@
         ZonesSnapshot.of(
             zonesKeys,
             ConfigAdmin.requireSuccess(store, new StoreRequest.Read(zonesKeys.prefix())));
-    return unavailability.withZonesOut(zones.outOfService());
+    return unavailability.withZonesOutOfService(zones.outOfService());
   }
 
   private Unavailability routers(ReleaseFleet fleet, AgreementStatus view) {
--- a/src/main/java/beaconturn/cli/ReleaseFiles.java
+++ b/src/main/java/beaconturn/cli/ReleaseFiles.java
@@ -132,12 +132,12 @@
   private static RegressionBounds regressionBounds(TomlSection root) throws TomlException {
     RegressionBounds defaults = RegressionBounds.DEFAULT;
     return new RegressionBounds(
-        root.number("worse", defaults.failed(), 0, 1),
-        root.number("worse_late", defaults.late(), 0, 1),
-        root.number("worse_missed", defaults.missed(), 0, 1),
-        root.number("worse_avoided", defaults.avoidedServers(), 0, 1),
-        root.number("worse_memory", defaults.memory(), 0, MAX_RATIO),
-        root.number("worse_hits", defaults.hitTime(), 0, MAX_RATIO));
+        root.number("worse", defaults.failedShare(), 0, 1),
+        root.number("worse_late", defaults.lateShare(), 0, 1),
+        root.number("worse_missed", defaults.missedShare(), 0, 1),
+        root.number("worse_avoided", defaults.avoidedServersShare(), 0, 1),
+        root.number("worse_memory", defaults.memoryRatio(), 0, MAX_RATIO),
+        root.number("worse_hits", defaults.hitTimeRatio(), 0, MAX_RATIO));
   }
 
   /**
--- a/src/main/java/beaconturn/cli/ReleasePlanPrinter.java
+++ b/src/main/java/beaconturn/cli/ReleasePlanPrinter.java
@@ -22,7 +22,7 @@
    * @throws AgreementException if it cannot be started as things are, with the reason
    */
   void print(RolloutSnapshot snapshot, Map<String, String> unplanned) throws AgreementException {
-    String objection = RolloutAdmin.objection(plan, snapshot);
+    String objection = RolloutAdmin.blockingReason(plan, snapshot);
     if (objection != null) {
       throw new AgreementException(objection);
     }
@@ -46,7 +46,7 @@
               + " %d places left meanwhile%n",
           number,
           String.join(" ", wave.instanceIds()),
-          wave.atOnce(),
+          wave.maxConcurrent(),
           wave.rounds(),
           wave.rounds() * soakSeconds(),
           wave.spareBudget());
@@ -85,13 +85,13 @@
             + " holds %.0f %%"
             + " more memory, or as a cache server takes %.0f %% longer for hits%n",
         plan.readyTimeoutNanos() / NANOS_PER_SECOND,
-        plan.minAnswers(),
-        bounds.failed() * PERCENT,
+        plan.minResponses(),
+        bounds.failedShare() * PERCENT,
         soakSeconds(),
-        bounds.late() * PERCENT,
-        bounds.missed() * PERCENT,
-        bounds.avoidedServers() * PERCENT,
-        bounds.memory() * PERCENT,
-        bounds.hitTime() * PERCENT);
+        bounds.lateShare() * PERCENT,
+        bounds.missedShare() * PERCENT,
+        bounds.avoidedServersShare() * PERCENT,
+        bounds.memoryRatio() * PERCENT,
+        bounds.hitTimeRatio() * PERCENT);
   }
 }
--- a/src/main/java/beaconturn/release/CanaryBaselines.java
+++ b/src/main/java/beaconturn/release/CanaryBaselines.java
@@ -10,7 +10,7 @@
 final class CanaryBaselines {
   private final Map<String, Baseline> baselines = new HashMap<>();
   private final Map<String, Long> inServiceSinceNanos = new HashMap<>();
-  private long calmAtNanos = Long.MIN_VALUE;
+  private long disturbedUntilNanos = Long.MIN_VALUE;
   private boolean disturbed;
 
   /**
@@ -18,13 +18,13 @@
    *
    * @param readyAtNanos when it was first seen ready
    * @param atReady metrics at that time
-   * @param undisturbed metrics when it was in service and no other instance was out by itself; the
+   * @param comparisonStart metrics when it was in service and no other instance was out by itself; the
    *     check compares from there
    */
   record Baseline(
       long readyAtNanos,
       Map<String, InstanceSample> atReady,
-      Map<String, InstanceSample> undisturbed) {}
+      Map<String, InstanceSample> comparisonStart) {}
 
   /** Identifies a step; an instance that goes out again has another permit. */
   static String keyOf(RolloutStep step) {
@@ -73,9 +73,9 @@
     boolean othersOut =
         unplanned.keySet().stream().anyMatch(instanceId -> !holdsPermit(snapshot, instanceId));
     if (othersOut) {
-      calmAtNanos = nowNanos + snapshot.plan().soakNanos();
+      disturbedUntilNanos = nowNanos + snapshot.plan().soakNanos();
     }
-    disturbed = othersOut || nowNanos < calmAtNanos;
+    disturbed = othersOut || nowNanos < disturbedUntilNanos;
   }
 
   private static boolean holdsPermit(RolloutSnapshot snapshot, String instanceId) {
@@ -99,7 +99,7 @@
    */
   private static boolean isAnotherProcess(
       String instanceId, Baseline baseline, Map<String, InstanceSample> samples) {
-    InstanceSample before = baseline.undisturbed().get(instanceId);
+    InstanceSample before = baseline.comparisonStart().get(instanceId);
     InstanceSample now = samples.get(instanceId);
     return before != null && now != null && !now.process().equals(before.process());
   }
--- a/src/main/java/beaconturn/release/CanaryCheck.java
+++ b/src/main/java/beaconturn/release/CanaryCheck.java
@@ -38,7 +38,7 @@
       return whileDisturbed(snapshot, step, baseline);
     }
     CanaryVerdict verdict =
-        CanaryComparison.since(baseline.undisturbed(), snapshot, step.instanceId())
+        CanaryComparison.since(baseline.comparisonStart(), snapshot, step.instanceId())
             .verdict(soaked, ComparisonMode.CHECK);
     if (verdict.outcome() == CanaryVerdict.Outcome.PASSED && !soaked) {
       return CanaryVerdict.pending(verdict.explanation());
--- a/src/main/java/beaconturn/release/CanaryComparison.java
+++ b/src/main/java/beaconturn/release/CanaryComparison.java
@@ -72,11 +72,11 @@
    */
   CanaryVerdict verdict(boolean soaked, ComparisonMode mode) {
     String figures = figures();
-    if (hasFewAnswers()) {
+    if (hasFewResponses()) {
       return CanaryVerdict.pending(figures);
     }
     List<Regression> regressions = new ArrayList<>();
-    addShare(regressions, ShareMeasure.FAILED, plan.regressionBounds().failed(), mode);
+    addShare(regressions, ShareMeasure.FAILED, plan.regressionBounds().failedShare(), mode);
     if (soaked && samples.hasPeers()) {
       if (mode.awaitsReadings() && samples.hasFewReadings()) {
         return CanaryVerdict.pending(figures);
@@ -93,9 +93,9 @@
         Locale.ROOT,
         "%.3f of %d answers bad, %.3f of %d at %d others",
         changed.failedShare(),
-        changed.answers(),
+        changed.responses(),
         peers.failedShare(),
-        peers.answers(),
+        peers.responses(),
         samples.peerCount());
   }
 
@@ -103,26 +103,26 @@
    * Silent peers are no comparison; an instance that has no peers at all is held to the bounds of
    * the plan.
    */
-  private boolean hasFewAnswers() {
-    return samples.changed().answers() < plan.minAnswers()
-        || (samples.hasPeers() && samples.peers().answers() < plan.minAnswers());
+  private boolean hasFewResponses() {
+    return samples.changed().responses() < plan.minResponses()
+        || (samples.hasPeers() && samples.peers().responses() < plan.minResponses());
   }
 
   private void addSoakedMeasures(List<Regression> regressions, ComparisonMode mode) {
     RegressionBounds bounds = plan.regressionBounds();
-    addShare(regressions, ShareMeasure.LATE, bounds.late(), mode);
-    addShare(regressions, ShareMeasure.MISSED, bounds.missed(), mode);
-    add(regressions, MeanMeasure.AVOIDED_SERVERS.compare(samples, bounds.avoidedServers(), 0));
-    add(regressions, MeanMeasure.MEMORY.compare(samples, 0, bounds.memory()));
+    addShare(regressions, ShareMeasure.LATE, bounds.lateShare(), mode);
+    addShare(regressions, ShareMeasure.MISSED, bounds.missedShare(), mode);
+    add(regressions, MeanMeasure.AVOIDED_SERVERS.compare(samples, bounds.avoidedServersShare(), 0));
+    add(regressions, MeanMeasure.MEMORY.compare(samples, 0, bounds.memoryRatio()));
     if (hasEnoughHits()) {
-      add(regressions, MeanMeasure.HIT_TIME.compare(samples, 0, bounds.hitTime()));
+      add(regressions, MeanMeasure.HIT_TIME.compare(samples, 0, bounds.hitTimeRatio()));
     }
   }
 
   private boolean hasEnoughHits() {
     long changedHits = samples.changed().valueOf(InstanceMetric.HITS);
     long peerHits = samples.peers().valueOf(InstanceMetric.HITS);
-    return Math.min(changedHits, peerHits) >= Math.max(1, plan.minAnswers());
+    return Math.min(changedHits, peerHits) >= Math.max(1, plan.minResponses());
   }
 
   private void addShare(
@@ -132,7 +132,7 @@
       ComparisonMode mode) {
     add(
         regressions,
-        measure.compare(samples, allowedDifference, plan.minAnswers(), mode.standardErrors()));
+        measure.compare(samples, allowedDifference, plan.minResponses(), mode.standardErrors()));
   }
 
   private static void add(List<Regression> regressions, Optional<Regression> regression) {
--- a/src/main/java/beaconturn/release/ConfigRollout.java
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -22,60 +22,60 @@
   }
 
   /** Whether all routers act on the configuration of the release. */
-  boolean isInForce(DriverContext turn) {
-    ConfigChange change = turn.snapshot().configChange();
+  boolean isInForce(DriverContext context) {
+    ConfigChange change = context.snapshot().configChange();
     if (change == null) {
       return false;
     }
-    return turn.agreed() == null || turn.agreed().isSettled(change.versionNumber());
+    return context.agreed() == null || context.agreed().isSettled(change.versionNumber());
   }
 
   /** Brings the configuration into force; null while that waits. */
-  RolloutTransaction advance(DriverContext turn) {
-    AgreedVersions agreed = turn.agreed();
+  RolloutTransaction advance(DriverContext context) {
+    AgreedVersions agreed = context.agreed();
     if (agreed == null) {
-      turn.waitFor(VERSIONS_UNKNOWN);
+      context.waitFor(VERSIONS_UNKNOWN);
       return null;
     }
-    ConfigChange change = turn.snapshot().configChange();
+    ConfigChange change = context.snapshot().configChange();
     if (change == null) {
       ConfigContent current = agreed.snapshot().current().content();
       return propose(
-          turn,
-          turn.plan().configContent().withDefaults(current).withExclusionsOf(current),
+          context,
+          context.plan().configContent().withDefaults(current).withExclusionsOf(current),
           new ConfigChange(agreed.nextNumber(), current, 0));
     }
     if (agreed.isRejected(change.versionNumber())) {
-      return turn.rollBack(
+      return context.rollBack(
           "its settings, version " + change.versionNumber() + ", were turned down");
     }
-    turn.waitFor(
+    context.waitFor(
         "version " + change.versionNumber() + " of its settings waits for " + routers(agreed));
     return null;
   }
 
   /** Reverts the configuration; null while that waits, and once it is reverted or never was. */
-  RolloutTransaction revert(DriverContext turn) {
-    AgreedVersions agreed = turn.agreed();
+  RolloutTransaction revert(DriverContext context) {
+    AgreedVersions agreed = context.agreed();
     if (agreed == null) {
-      turn.waitFor(VERSIONS_UNKNOWN);
+      context.waitFor(VERSIONS_UNKNOWN);
       return null;
     }
-    ConfigChange change = turn.snapshot().configChange();
+    ConfigChange change = context.snapshot().configChange();
     boolean revertProposed = change.revertVersionNumber() != 0;
     if (revertProposed && agreed.isSettled(change.revertVersionNumber())) {
       return null;
     }
     if (!revertProposed && agreed.isRejected(change.versionNumber())) {
-      return forget(turn);
+      return forget(context);
     }
     if (!revertProposed || agreed.isRejected(change.revertVersionNumber())) {
       return propose(
-          turn,
+          context,
           change.previousContent().withExclusionsOf(agreed.snapshot().current().content()),
           new ConfigChange(change.versionNumber(), change.previousContent(), agreed.nextNumber()));
     }
-    turn.waitFor(
+    context.waitFor(
         "version "
             + change.revertVersionNumber()
             + ", its settings of before, waits for "
@@ -84,9 +84,9 @@
   }
 
   /** Forgets a configuration that never came into force, so that there is nothing to revert. */
-  private static RolloutTransaction forget(DriverContext turn) {
-    String key = turn.keys().configChange();
-    return turn.transaction(
+  private static RolloutTransaction forget(DriverContext context) {
+    String key = context.keys().configChange();
+    return context.transaction(
         "its settings never came into force",
         List.of(key),
         List.of(new StoreRequest.Change.Delete(key)));
@@ -96,32 +96,32 @@
    * Proposes a version, in one transaction with the conditions of the driver: one that was replaced
    * can propose nothing.
    */
-  private RolloutTransaction propose(DriverContext turn, ConfigContent content, ConfigChange change) {
+  private RolloutTransaction propose(DriverContext context, ConfigContent content, ConfigChange change) {
     AgreementStep proposal;
     try {
       proposal =
           agreements.propose(
-              turn.agreed().snapshot(),
-              turn.agreed().nextNumber(),
+              context.agreed().snapshot(),
+              context.agreed().nextNumber(),
               content,
-              "release " + turn.plan().number(),
-              turn.plan().reason(),
-              turn.agreed().atMillis());
+              "release " + context.plan().number(),
+              context.plan().reason(),
+              context.agreed().atMillis());
     } catch (AgreementException e) {
-      turn.waitFor(e.getMessage());
+      context.waitFor(e.getMessage());
       return null;
     }
     List<StoreRequest.Change> changes = new ArrayList<>(proposal.transaction().changes());
-    changes.add(turn.transactions().put(change));
+    changes.add(context.transactions().put(change));
     RolloutTransaction transaction =
-        turn.transaction(
+        context.transaction(
             "its settings: " + proposal.description(),
-            List.of(turn.keys().configChange()),
+            List.of(context.keys().configChange()),
             changes);
-    List<StoreRequest.Condition> conditions = new ArrayList<>(transaction.swap().conditions());
+    List<StoreRequest.Condition> conditions = new ArrayList<>(transaction.storeTransaction().conditions());
     conditions.addAll(proposal.transaction().conditions());
     return new RolloutTransaction(
-        new StoreRequest.Transaction(conditions, transaction.swap().changes()),
+        new StoreRequest.Transaction(conditions, transaction.storeTransaction().changes()),
         transaction.description());
   }
 
--- a/src/main/java/beaconturn/release/DisruptionBudget.java
+++ b/src/main/java/beaconturn/release/DisruptionBudget.java
@@ -15,7 +15,7 @@
    *
    * @param unplanned instances of the kind that are out without a permit, with reasons
    */
-  String objection(String instanceId, Map<String, String> unplanned) {
+  String blockingReason(String instanceId, Map<String, String> unplanned) {
     ReleaseFleet.Group group = snapshot.fleet().group(kind);
     String zone = group.zoneOf(instanceId);
     if (zone == null) {
@@ -35,12 +35,12 @@
   }
 
   /** The same; also why no step may begin in its zone while another zone is out as a whole. */
-  String objection(String instanceId, Unavailability observed, Map<String, String> unplanned) {
-    String full = objection(instanceId, unplanned);
+  String blockingReason(String instanceId, Unavailability observed, Map<String, String> unplanned) {
+    String full = blockingReason(instanceId, unplanned);
     if (full != null) {
       return full;
     }
-    return observed.zoneObjection(snapshot.fleet().group(kind).zoneOf(instanceId));
+    return observed.zoneBlockingReason(snapshot.fleet().group(kind).zoneOf(instanceId));
   }
 
   private static String waitsFor(
--- a/src/main/java/beaconturn/release/DisruptionPermitAdmin.java
+++ b/src/main/java/beaconturn/release/DisruptionPermitAdmin.java
@@ -52,17 +52,17 @@
     if (held != null) {
       throw new AgreementException(instanceId + " is out under permit " + held.number());
     }
-    String objection =
-        new DisruptionBudget(snapshot, kind).objection(instanceId, observed, observed.reasons());
-    if (objection != null) {
-      throw new AgreementException("no place is free: " + objection);
+    String blockingReason =
+        new DisruptionBudget(snapshot, kind).blockingReason(instanceId, observed, observed.reasons());
+    if (blockingReason != null) {
+      throw new AgreementException("no place is free: " + blockingReason);
     }
     long number = snapshot.lastPermitNumber() + 1;
     return transactions.transaction(
         snapshot,
         author,
         instanceId + " goes out under permit " + number + ": " + reason,
-        List.of(keys.counter(), keys.fleetDefinition()),
+        List.of(keys.permitCounter(), keys.fleetDefinition()),
         List.of(
             transactions.putLastPermitNumber(number),
             transactions.put(new DisruptionPermit(number, kind, instanceId, author, reason))));
@@ -121,9 +121,9 @@
             snapshot,
             author,
             "site " + zone + " is taken out: " + reason,
-            List.of(keys.counter(), keys.fleetDefinition()),
+            List.of(keys.permitCounter(), keys.fleetDefinition()),
             List.of(transactions.putLastPermitNumber(snapshot.lastPermitNumber() + 1)))
-        .swap();
+        .storeTransaction();
   }
 
   private static String zoneOf(RolloutSnapshot snapshot, DisruptionPermit permit) {
--- a/src/main/java/beaconturn/release/DriverContext.java
+++ b/src/main/java/beaconturn/release/DriverContext.java
@@ -21,7 +21,7 @@
   private String waitReason = "";
 
   /**
-   * A turn.
+   * A context.
    *
    * @param driver incarnation of the driver
    * @param observed instances that are out without a permit
--- a/src/main/java/beaconturn/release/InstanceLoad.java
+++ b/src/main/java/beaconturn/release/InstanceLoad.java
@@ -17,12 +17,12 @@
   private MeasuredWindow current;
 
   /** Metrics of all instances at the begin of a window. */
-  private record MeasuredWindow(long beginNanos, Map<String, InstanceSample> samples) {}
+  private record MeasuredWindow(long startNanos, Map<String, InstanceSample> samples) {}
 
   /** Takes note of each snapshot. */
   void observe(RolloutSnapshot snapshot, long nowNanos) {
     long windowNanos = Math.max(MIN_WINDOW_NANOS, snapshot.plan().soakNanos());
-    if (current == null || nowNanos - current.beginNanos() >= windowNanos) {
+    if (current == null || nowNanos - current.startNanos() >= windowNanos) {
       previous = current;
       current = new MeasuredWindow(nowNanos, Map.copyOf(snapshot.samples()));
     }
@@ -34,7 +34,7 @@
    *
    * @param unavailable instances that are out already
    */
-  String objection(
+  String blockingReason(
       RolloutSnapshot snapshot, String instanceId, Set<String> unavailable, long nowNanos) {
     ReleaseFleet.Group group = snapshot.fleet().group(snapshot.plan().kind());
     ReleaseFleet.Capacity required = group.capacity();
@@ -53,38 +53,38 @@
     long remaining = inService - required.toleratedFailures();
     RolloutZoneCapacity capacity =
         new RolloutZoneCapacity(zone, instanceIds, remaining, required, snapshot);
-    if (required.answersPerSecondEach() > 0) {
-      double answersPerSecond = answersPerSecond(snapshot, instanceIds, nowNanos);
-      String objection =
-          capacity.objection(answersPerSecond, "answers a second", required.answersPerSecondEach());
-      if (objection != null) {
-        return objection;
+    if (required.responsesPerSecondPerInstance() > 0) {
+      double responsesPerSecond = responsesPerSecond(snapshot, instanceIds, nowNanos);
+      String blockingReason =
+          capacity.blockingReason(responsesPerSecond, "answers a second", required.responsesPerSecondPerInstance());
+      if (blockingReason != null) {
+        return blockingReason;
       }
     }
-    return capacity.gaugesObjection();
+    return capacity.gaugeBlockingReason();
   }
 
   private static boolean isChecked(RolloutPlan plan, ReleaseFleet.Capacity required) {
     return required.toleratedFailures() >= 0 && plan.kind() == InstanceKind.ROUTER;
   }
 
-  private double answersPerSecond(
+  private double responsesPerSecond(
       RolloutSnapshot snapshot, List<String> instanceIds, long nowNanos) {
-    double answers = 0;
+    double responses = 0;
     for (String instanceId : instanceIds) {
       InstanceSample before = previous.samples().get(instanceId);
       if (before != null) {
-        answers += snapshot.sample(instanceId).since(before).answers();
+        responses += snapshot.sample(instanceId).since(before).responses();
       }
     }
-    return answers * NANOS_PER_SECOND / (nowNanos - previous.beginNanos());
+    return responses * NANOS_PER_SECOND / (nowNanos - previous.startNanos());
   }
 
   /**
    * Why zones could not carry their present load during a plan, with as many instances out as the
    * budget allows; null where they can, or where that is not to be checked.
    */
-  static String objection(RolloutPlan plan, RolloutSnapshot snapshot) {
+  static String blockingReason(RolloutPlan plan, RolloutSnapshot snapshot) {
     ReleaseFleet.Group group = snapshot.fleet().group(plan.kind());
     ReleaseFleet.Capacity required = group.capacity();
     if (!isChecked(plan, required)) {
@@ -97,11 +97,11 @@
       int out = Math.min(budget, (int) instanceIds.stream().filter(planned::contains).count());
       if (out > 0) {
         int remaining = instanceIds.size() - out - required.toleratedFailures();
-        String objection =
+        String blockingReason =
             new RolloutZoneCapacity(zone.getKey(), instanceIds, remaining, required, snapshot)
-                .gaugesObjection();
-        if (objection != null) {
-          return objection;
+                .gaugeBlockingReason();
+        if (blockingReason != null) {
+          return blockingReason;
         }
       }
     }
--- a/src/main/java/beaconturn/release/InstanceMetric.java
+++ b/src/main/java/beaconturn/release/InstanceMetric.java
@@ -24,7 +24,7 @@
   /** Counter: resident memory in kB, over readings. */
   MEMORY_KB("memory", false),
   /** Gauge: answers a second. */
-  ANSWERS_PER_SECOND("rate", true),
+  RESPONSES_PER_SECOND("rate", true),
   /** Gauge: processor time in use, in thousandths of a core. */
   CPU_MILLICORES("busy", true),
   /** Gauge: processor time that may be used, in thousandths of a core. */
--- a/src/main/java/beaconturn/release/InstanceSample.java
+++ b/src/main/java/beaconturn/release/InstanceSample.java
@@ -27,7 +27,7 @@
   }
 
   /** A sample that counts answers only. */
-  public static InstanceSample ofAnswers(String process, long served, long failed) {
+  public static InstanceSample ofResponses(String process, long served, long failed) {
     return new InstanceSample(
         process, Map.of(InstanceMetric.SERVED, served, InstanceMetric.FAILED, failed));
   }
@@ -65,13 +65,13 @@
   }
 
   /** All answers. */
-  long answers() {
+  long responses() {
     return valueOf(InstanceMetric.SERVED) + valueOf(InstanceMetric.FAILED);
   }
 
   /** The failed share of all answers, from 0 to 1. */
   double failedShare() {
-    return ratio(InstanceMetric.FAILED, answers());
+    return ratio(InstanceMetric.FAILED, responses());
   }
 
   /** A metric divided by a total; 0 where the total is 0. */
--- a/src/main/java/beaconturn/release/RegressionBounds.java
+++ b/src/main/java/beaconturn/release/RegressionBounds.java
@@ -1,34 +1,37 @@
 package beaconturn.release;
 
 /**
- * By how much a changed instance may do worse than its peers over the same time.
+ * Bounds on how much worse a changed instance may do than its peers over the same time.
  *
- * @param failed rejections and errors, as a share of all answers
- * @param late answers after their latency objective, as a share of the successful ones
- * @param missed cache misses, as a share of all answers of cache servers
- * @param avoidedServers listed cache servers that it avoids, as a share of all
- * @param memory resident memory, relative to that of the peers
- * @param hitTime duration of hits, relative to that of the peers
+ * @param failedShare allowed difference in rejections and errors, as a share of all responses
+ * @param lateShare allowed difference in responses after their latency objective, as a share of the
+ *     successful ones
+ * @param missedShare allowed difference in cache misses, as a share of all responses of cache
+ *     servers
+ * @param avoidedServersShare allowed difference in avoided cache servers, as a share of the listed
+ *     ones
+ * @param memoryRatio allowed excess of resident memory, relative to the mean of the peers
+ * @param hitTimeRatio allowed excess of the duration of hits, relative to the mean of the peers
  */
 public record RegressionBounds(
-    double failed,
-    double late,
-    double missed,
-    double avoidedServers,
-    double memory,
-    double hitTime) {
-  /** The bounds that hold where a plan does not say others. */
+    double failedShare,
+    double lateShare,
+    double missedShare,
+    double avoidedServersShare,
+    double memoryRatio,
+    double hitTimeRatio) {
+  /** The bounds of a plan that specifies none. */
   public static final RegressionBounds DEFAULT =
       new RegressionBounds(0.02, 0.05, 0.2, 0.34, 0.3, 1);
 
-  /** The default bounds but for the share of failed answers. */
-  public static RegressionBounds ofFailed(double failed) {
+  /** Returns the default bounds with another bound on the share of failed responses. */
+  public static RegressionBounds ofFailedShare(double failedShare) {
     return new RegressionBounds(
-        failed,
-        DEFAULT.late,
-        DEFAULT.missed,
-        DEFAULT.avoidedServers,
-        DEFAULT.memory,
-        DEFAULT.hitTime);
+        failedShare,
+        DEFAULT.lateShare,
+        DEFAULT.missedShare,
+        DEFAULT.avoidedServersShare,
+        DEFAULT.memoryRatio,
+        DEFAULT.hitTimeRatio);
   }
 }
--- a/src/main/java/beaconturn/release/ReleaseFleet.java
+++ b/src/main/java/beaconturn/release/ReleaseFleet.java
@@ -24,13 +24,13 @@
   /**
    * The load that the instances of a zone must be able to carry while some are out.
    *
-   * @param answersPerSecondEach answers a second that one instance can give; 0 where that is not
+   * @param responsesPerSecondPerInstance answers a second that one instance can give; 0 where that is not
    *     said
-   * @param coresEach cores that one instance may use; 0 for as many as it reports itself
+   * @param coresPerInstance cores that one instance may use; 0 for as many as it reports itself
    * @param toleratedFailures instances that may fail beside those that are out; below 0 the load is
    *     not checked
    */
-  public record Capacity(double answersPerSecondEach, double coresEach, int toleratedFailures) {
+  public record Capacity(double responsesPerSecondPerInstance, double coresPerInstance, int toleratedFailures) {
     /** The load is not checked. */
     public static final Capacity UNCHECKED = new Capacity(0, 0, -1);
   }
--- a/src/main/java/beaconturn/release/ReleaseFleetCodec.java
+++ b/src/main/java/beaconturn/release/ReleaseFleetCodec.java
@@ -37,9 +37,9 @@
         "most_out_of_site",
         group.maxUnavailablePerZone(),
         "each_per_s",
-        Double.toString(capacity.answersPerSecondEach()),
+        Double.toString(capacity.responsesPerSecondPerInstance()),
         "cores",
-        Double.toString(capacity.coresEach()),
+        Double.toString(capacity.coresPerInstance()),
         "failures",
         // Stored numbers are never negative, and -1 stands for a load that is not checked.
         capacity.toleratedFailures() + 1,
--- a/src/main/java/beaconturn/release/Rollback.java
+++ b/src/main/java/beaconturn/release/Rollback.java
@@ -16,104 +16,104 @@
   }
 
   /** The next transaction, or null while the rollback waits. */
-  RolloutTransaction nextTransaction(DriverContext turn) {
-    List<String> order = new ArrayList<>(turn.plan().instanceIds());
+  RolloutTransaction nextTransaction(DriverContext context) {
+    List<String> order = new ArrayList<>(context.plan().instanceIds());
     Collections.reverse(order);
     boolean allRolledBack = true;
     for (String instanceId : order) {
-      RolloutStep step = turn.snapshot().steps().get(instanceId);
+      RolloutStep step = context.snapshot().steps().get(instanceId);
       if (step == null || step.phase() == StepPhase.ROLLED_BACK) {
         continue;
       }
       allRolledBack = false;
-      RolloutTransaction transaction = rollBack(turn, step);
+      RolloutTransaction transaction = rollBack(context, step);
       if (transaction != null) {
         return transaction;
       }
     }
-    return allRolledBack ? finish(turn) : null;
+    return allRolledBack ? finish(context) : null;
   }
 
-  private RolloutTransaction finish(DriverContext turn) {
-    if (turn.snapshot().configChange() != null) {
-      RolloutTransaction transaction = configRollout.revert(turn);
-      if (transaction != null || !turn.waitReason().isEmpty()) {
+  private RolloutTransaction finish(DriverContext context) {
+    if (context.snapshot().configChange() != null) {
+      RolloutTransaction transaction = configRollout.revert(context);
+      if (transaction != null || !context.waitReason().isEmpty()) {
         return transaction;
       }
     }
-    return turn.changeMode(
+    return context.changeMode(
         "all parts run again what they ran before",
         RolloutMode.ROLLED_BACK,
-        turn.snapshot().state().reason());
+        context.snapshot().state().reason());
   }
 
-  private static RolloutTransaction rollBack(DriverContext turn, RolloutStep step) {
+  private static RolloutTransaction rollBack(DriverContext context, RolloutStep step) {
     return switch (step.phase()) {
-      case GRANTED -> withdraw(turn, step);
+      case GRANTED -> withdraw(context, step);
       case STARTED -> {
-        turn.waitFor(step.instanceId() + " is acted on");
+        context.waitFor(step.instanceId() + " is acted on");
         yield null;
       }
-      case READY, FAILED -> afterAction(turn, step);
-      case VERIFIED, ROLLED_BACK -> afterCheck(turn, step);
+      case READY, FAILED -> afterAction(context, step);
+      case VERIFIED, ROLLED_BACK -> afterCheck(context, step);
     };
   }
 
-  private static RolloutTransaction withdraw(DriverContext turn, RolloutStep step) {
+  private static RolloutTransaction withdraw(DriverContext context, RolloutStep step) {
     if (step.variant() == InstanceVariant.OLD) {
-      turn.waitFor(step.instanceId() + " is to go back");
+      context.waitFor(step.instanceId() + " is to go back");
       return null;
     }
     return rolledBack(
-        turn, step, "", step.instanceId() + " was not begun, its place is given back");
+        context, step, "", step.instanceId() + " was not begun, its place is given back");
   }
 
-  private static RolloutTransaction afterAction(DriverContext turn, RolloutStep step) {
+  private static RolloutTransaction afterAction(DriverContext context, RolloutStep step) {
     if (step.variant() == InstanceVariant.NEW) {
-      return toOldVariant(turn, step);
+      return toOldVariant(context, step);
     }
     if (step.phase() == StepPhase.FAILED) {
-      turn.waitFor(step.instanceId() + " cannot be brought back: " + step.failureReason());
+      context.waitFor(step.instanceId() + " cannot be brought back: " + step.failureReason());
       return null;
     }
-    String unavailable = turn.unplanned().get(step.instanceId());
+    String unavailable = context.unplanned().get(step.instanceId());
     if (unavailable != null) {
-      turn.waitFor(step.instanceId() + " is not seen back: " + unavailable);
+      context.waitFor(step.instanceId() + " is not seen back: " + unavailable);
       return null;
     }
     return rolledBack(
-        turn, step, step.agentIncarnation(), step.instanceId() + " runs again what it ran before");
+        context, step, step.agentIncarnation(), step.instanceId() + " runs again what it ran before");
   }
 
   /** An instance that is not verified yet holds its permit still, and goes back under it. */
-  private static RolloutTransaction toOldVariant(DriverContext turn, RolloutStep step) {
+  private static RolloutTransaction toOldVariant(DriverContext context, RolloutStep step) {
     RolloutStep granted =
-        StepGrants.step(turn, step.instanceId(), step.permitNumber(), InstanceVariant.OLD);
-    return turn.transaction(
+        StepGrants.step(context, step.instanceId(), step.permitNumber(), InstanceVariant.OLD);
+    return context.transaction(
         step.instanceId() + " goes back under permit " + step.permitNumber(),
-        List.of(turn.keys().step(step.instanceId())),
-        List.of(turn.transactions().put(granted)));
+        List.of(context.keys().step(step.instanceId())),
+        List.of(context.transactions().put(granted)));
   }
 
   /** An instance that was verified has returned its permit, and needs another. */
-  private static RolloutTransaction afterCheck(DriverContext turn, RolloutStep step) {
-    String objection =
-        new DisruptionBudget(turn.snapshot(), turn.plan().kind())
-            .objection(step.instanceId(), turn.unplanned());
-    if (objection == null) {
-      return StepGrants.withNewPermit(turn, step.instanceId(), InstanceVariant.OLD);
+  private static RolloutTransaction afterCheck(DriverContext context, RolloutStep step) {
+    String blockingReason =
+        new DisruptionBudget(context.snapshot(), context.plan().kind())
+            .blockingReason(step.instanceId(), context.unplanned());
+    if (blockingReason == null) {
+      return StepGrants.withNewPermit(context, step.instanceId(), InstanceVariant.OLD);
     }
-    turn.waitFor(step.instanceId() + ": " + objection);
+    context.waitFor(step.instanceId() + ": " + blockingReason);
     return null;
   }
 
   private static RolloutTransaction rolledBack(
-      DriverContext turn, RolloutStep step, String agentIncarnation, String description) {
-    return turn.transaction(
+      DriverContext context, RolloutStep step, String agentIncarnation, String description) {
+    return context.transaction(
         description,
-        List.of(turn.keys().step(step.instanceId())),
+        List.of(context.keys().step(step.instanceId())),
         List.of(
-            turn.transactions().put(step.withPhase(StepPhase.ROLLED_BACK, agentIncarnation, "")),
-            turn.transactions().deletePermit(step.permitNumber())));
+            context.transactions().put(step.withPhase(StepPhase.ROLLED_BACK, agentIncarnation, "")),
+            context.transactions().deletePermit(step.permitNumber())));
   }
 }
--- a/src/main/java/beaconturn/release/RolloutAdmin.java
+++ b/src/main/java/beaconturn/release/RolloutAdmin.java
@@ -64,9 +64,9 @@
   }
 
   /** Why a release cannot be started as things are, or null where it can. */
-  public static String objection(RolloutPlan plan, RolloutSnapshot snapshot) {
-    String objection = plan.objection(snapshot.fleet());
-    return objection != null ? objection : InstanceLoad.objection(plan, snapshot);
+  public static String blockingReason(RolloutPlan plan, RolloutSnapshot snapshot) {
+    String blockingReason = plan.blockingReason(snapshot.fleet());
+    return blockingReason != null ? blockingReason : InstanceLoad.blockingReason(plan, snapshot);
   }
 
   /** Starts a release; its number is the one after that of the last. */
@@ -80,9 +80,9 @@
       throw new AgreementException(
           "release " + snapshot.plan().number() + " is at hand: it " + describe(snapshot.state()));
     }
-    String objection = objection(wanted, snapshot);
-    if (objection != null) {
-      throw new AgreementException(objection);
+    String blockingReason = blockingReason(wanted, snapshot);
+    if (blockingReason != null) {
+      throw new AgreementException(blockingReason);
     }
     long number = snapshot.plan() == null ? 1 : snapshot.plan().number() + 1;
     RolloutPlan plan = wanted.startedAs(number, snapshot.storeId());
--- a/src/main/java/beaconturn/release/RolloutAgent.java
+++ b/src/main/java/beaconturn/release/RolloutAgent.java
@@ -68,7 +68,7 @@
 
   /**
    * The next transaction, or null where none is due. Its response goes to {@link
-   * #transactionAnswered} before the next call.
+   * #transactionCompleted} before the next call.
    *
    * @param nowNanos by a clock that never goes back
    */
@@ -185,7 +185,7 @@
    *
    * @param held whether the transaction held; false also where there was no response
    */
-  public InstanceVariant transactionAnswered(boolean held, long nowNanos) {
+  public InstanceVariant transactionCompleted(boolean held, long nowNanos) {
     if (result != null || currentStep == null) {
       return null;
     }
@@ -217,7 +217,7 @@
    *
    * @param plan as read last, or null
    */
-  public InstanceVariant unreachableStoreRollback(RolloutPlan plan, long nowNanos) {
+  public InstanceVariant startSelfRollback(RolloutPlan plan, long nowNanos) {
     boolean failed = !actionRunning && result != null && !result.ready();
     if (!failed || result.step().variant() == InstanceVariant.OLD) {
       return null;
--- a/src/main/java/beaconturn/release/RolloutDriver.java
+++ b/src/main/java/beaconturn/release/RolloutDriver.java
@@ -80,34 +80,34 @@
       waitReason = RolloutSnapshot.STORE_REPLACED;
       return null;
     }
-    DriverContext turn =
+    DriverContext context =
         new DriverContext(keys, transactions, incarnation, snapshot, observed, agreed, nowNanos);
-    observe(turn);
-    RolloutTransaction transaction = decide(turn);
-    waitReason = turn.waitReason();
+    observe(context);
+    RolloutTransaction transaction = decide(context);
+    waitReason = context.waitReason();
     return transaction;
   }
 
-  private void observe(DriverContext turn) {
-    Map<String, String> unplanned = turn.unplanned();
-    baselines.observe(turn.snapshot(), unplanned, turn.nowNanos());
-    verifiedWatch.observe(turn.snapshot(), unplanned, baselines.isDisturbed(), turn.nowNanos());
-    load.observe(turn.snapshot(), turn.nowNanos());
+  private void observe(DriverContext context) {
+    Map<String, String> unplanned = context.unplanned();
+    baselines.observe(context.snapshot(), unplanned, context.nowNanos());
+    verifiedWatch.observe(context.snapshot(), unplanned, baselines.isDisturbed(), context.nowNanos());
+    load.observe(context.snapshot(), context.nowNanos());
   }
 
-  private RolloutTransaction decide(DriverContext turn) {
-    return switch (turn.snapshot().state().mode()) {
-      case RUNNING -> rollForward(turn);
-      case ROLLING_BACK -> rollback.nextTransaction(turn);
+  private RolloutTransaction decide(DriverContext context) {
+    return switch (context.snapshot().state().mode()) {
+      case RUNNING -> rollForward(context);
+      case ROLLING_BACK -> rollback.nextTransaction(context);
       case HALTED, COMPLETED, ROLLED_BACK, ABANDONED -> null;
     };
   }
 
   /** The configuration comes first: what is released may need it, and nothing of it runs yet. */
-  private RolloutTransaction rollForward(DriverContext turn) {
-    if (turn.plan().configContent() != null && !configRollout.isInForce(turn)) {
-      return configRollout.advance(turn);
+  private RolloutTransaction rollForward(DriverContext context) {
+    if (context.plan().configContent() != null && !configRollout.isInForce(context)) {
+      return configRollout.advance(context);
     }
-    return waveRollout.nextTransaction(turn);
+    return waveRollout.nextTransaction(context);
   }
 }
--- a/src/main/java/beaconturn/release/RolloutForecast.java
+++ b/src/main/java/beaconturn/release/RolloutForecast.java
@@ -26,26 +26,26 @@
    * One wave.
    *
    * @param instanceIds its instances
-   * @param atOnce instances of it that can be out at once
+   * @param maxConcurrent instances of it that can be out at once
    * @param rounds rounds that it takes with as many at once
    * @param spareBudget instances that may go out beside them, as things are
    */
-  public record Wave(List<String> instanceIds, int atOnce, int rounds, int spareBudget) {
+  public record Wave(List<String> instanceIds, int maxConcurrent, int rounds, int spareBudget) {
     private static Wave of(List<String> instanceIds, ReleaseFleet.Group group, int unavailable) {
-      int atOnce = 0;
+      int maxConcurrent = 0;
       int rounds = roundsFor(instanceIds.size(), group.maxUnavailable());
       for (List<String> zone : group.instancesByZone().values()) {
         int inZone = (int) instanceIds.stream().filter(zone::contains).count();
-        atOnce += Math.min(inZone, group.maxUnavailablePerZone());
+        maxConcurrent += Math.min(inZone, group.maxUnavailablePerZone());
         rounds = Math.max(rounds, roundsFor(inZone, group.maxUnavailablePerZone()));
       }
-      atOnce = Math.min(atOnce, group.maxUnavailable());
-      int spareBudget = Math.max(0, group.maxUnavailable() - unavailable - atOnce);
-      return new Wave(instanceIds, atOnce, rounds, spareBudget);
+      maxConcurrent = Math.min(maxConcurrent, group.maxUnavailable());
+      int spareBudget = Math.max(0, group.maxUnavailable() - unavailable - maxConcurrent);
+      return new Wave(instanceIds, maxConcurrent, rounds, spareBudget);
     }
 
-    private static int roundsFor(int instances, int atOnce) {
-      return (instances + atOnce - 1) / atOnce;
+    private static int roundsFor(int instances, int maxConcurrent) {
+      return (instances + maxConcurrent - 1) / maxConcurrent;
     }
   }
 
@@ -92,16 +92,16 @@
 
   private static double checkSeconds(
       RolloutPlan plan, RolloutSnapshot snapshot, double soakSeconds) {
-    double answersPerSecond =
+    double responsesPerSecond =
         snapshot.fleet().group(plan.kind()).instanceIds().stream()
-            .mapToLong(id -> snapshot.sample(id).valueOf(InstanceMetric.ANSWERS_PER_SECOND))
+            .mapToLong(id -> snapshot.sample(id).valueOf(InstanceMetric.RESPONSES_PER_SECOND))
             .filter(rate -> rate > 0)
             .average()
             .orElse(0);
-    if (answersPerSecond == 0) {
+    if (responsesPerSecond == 0) {
       return 0;
     }
-    return Math.max(soakSeconds, plan.minAnswers() / answersPerSecond);
+    return Math.max(soakSeconds, plan.minResponses() / responsesPerSecond);
   }
 
   /** How long the release is likely to take; 0 where too little is known. */
--- a/src/main/java/beaconturn/release/RolloutKeys.java
+++ b/src/main/java/beaconturn/release/RolloutKeys.java
@@ -28,20 +28,20 @@
   private static final String NUMBER_FORMAT = "%09d";
 
   /** Prefix of all that steps are decided on. */
-  public String all() {
+  public String prefix() {
     return fleet + "/release/";
   }
 
   String fleetDefinition() {
-    return all() + "fleet";
+    return prefix() + "fleet";
   }
 
-  String counter() {
-    return all() + "counter";
+  String permitCounter() {
+    return prefix() + "counter";
   }
 
   String permits() {
-    return all() + "permit/";
+    return prefix() + "permit/";
   }
 
   String permit(long number) {
@@ -49,19 +49,19 @@
   }
 
   String plan() {
-    return all() + "plan";
+    return prefix() + "plan";
   }
 
   String state() {
-    return all() + "course";
+    return prefix() + "course";
   }
 
   String configChange() {
-    return all() + "settings";
+    return prefix() + "settings";
   }
 
   String steps() {
-    return all() + "step/";
+    return prefix() + "step/";
   }
 
   String step(String instanceId) {
@@ -69,11 +69,11 @@
   }
 
   String driver() {
-    return all() + "driver";
+    return prefix() + "driver";
   }
 
   String agents() {
-    return all() + "agent/";
+    return prefix() + "agent/";
   }
 
   String agent(String instanceId) {
@@ -81,7 +81,7 @@
   }
 
   String samples() {
-    return all() + "health/";
+    return prefix() + "health/";
   }
 
   /** Key of the metrics of an instance. */
@@ -90,7 +90,7 @@
   }
 
   String historyLength() {
-    return all() + "told";
+    return prefix() + "told";
   }
 
   String history() {
--- a/src/main/java/beaconturn/release/RolloutPlan.java
+++ b/src/main/java/beaconturn/release/RolloutPlan.java
@@ -14,7 +14,7 @@
  * @param kind kind of the instances
  * @param waves instances by wave; a wave begins when all of the one before have been verified
  * @param soakNanos how long an instance is watched once it is ready
- * @param minAnswers answers of an instance that a comparison needs
+ * @param minResponses answers of an instance that a comparison needs
  * @param regressionBounds by how much changed instances may do worse than their peers
  * @param readyTimeoutNanos how long an instance may take to get ready
  * @param selfRollbackNanos after how long without the store an agent brings back by itself what
@@ -29,7 +29,7 @@
     InstanceKind kind,
     List<List<String>> waves,
     long soakNanos,
-    long minAnswers,
+    long minResponses,
     RegressionBounds regressionBounds,
     long readyTimeoutNanos,
     long selfRollbackNanos,
@@ -48,7 +48,7 @@
         kind,
         waves,
         soakNanos,
-        minAnswers,
+        minResponses,
         regressionBounds,
         readyTimeoutNanos,
         selfRollbackNanos,
@@ -63,19 +63,19 @@
   }
 
   /** Why a fleet cannot carry the plan out, or null where it can. */
-  public String objection(ReleaseFleet fleet) {
+  public String blockingReason(ReleaseFleet fleet) {
     ReleaseFleet.Group group = fleet.group(kind);
-    String instances = instancesObjection(group);
+    String instances = instancesBlockingReason(group);
     if (instances != null) {
       return instances;
     }
     if (group.maxUnavailable() < 1 || group.maxUnavailablePerZone() < 1) {
       return "no " + kind.serializedName() + " may be out at all";
     }
-    return failuresObjection(group);
+    return failuresBlockingReason(group);
   }
 
-  private String instancesObjection(ReleaseFleet.Group group) {
+  private String instancesBlockingReason(ReleaseFleet.Group group) {
     Set<String> named = new HashSet<>();
     for (String instanceId : instanceIds()) {
       if (group.zoneOf(instanceId) == null) {
@@ -89,7 +89,7 @@
   }
 
   /** Why a zone would be left without instances if as many fail as are to be tolerated, or null. */
-  private String failuresObjection(ReleaseFleet.Group group) {
+  private String failuresBlockingReason(ReleaseFleet.Group group) {
     int tolerated = group.capacity().toleratedFailures();
     if (tolerated < 0) {
       return null;
--- a/src/main/java/beaconturn/release/RolloutPlanCodec.java
+++ b/src/main/java/beaconturn/release/RolloutPlanCodec.java
@@ -23,7 +23,7 @@
             "soak_ns",
             plan.soakNanos(),
             "samples",
-            plan.minAnswers(),
+            plan.minResponses(),
             "worse",
             encode(plan.regressionBounds()),
             "limit_ns",
@@ -45,17 +45,17 @@
   private static Json encode(RegressionBounds bounds) {
     return StoredJson.object(
         "bad",
-        Double.toString(bounds.failed()),
+        Double.toString(bounds.failedShare()),
         "late",
-        Double.toString(bounds.late()),
+        Double.toString(bounds.lateShare()),
         "missed",
-        Double.toString(bounds.missed()),
+        Double.toString(bounds.missedShare()),
         "avoided",
-        Double.toString(bounds.avoidedServers()),
+        Double.toString(bounds.avoidedServersShare()),
         "memory",
-        Double.toString(bounds.memory()),
+        Double.toString(bounds.memoryRatio()),
         "slower",
-        Double.toString(bounds.hitTime()));
+        Double.toString(bounds.hitTimeRatio()));
   }
 
   static RolloutPlan decode(String text) throws AgreementException {
--- a/src/main/java/beaconturn/release/RolloutSnapshot.java
+++ b/src/main/java/beaconturn/release/RolloutSnapshot.java
@@ -44,7 +44,7 @@
           + " of parts may be old; abandon the release, see who runs what, and begin another";
 
   /**
-   * Decodes the response to a read of {@link RolloutKeys#all()}.
+   * Decodes the response to a read of {@link RolloutKeys#prefix()}.
    *
    * @throws AgreementException if a stored text cannot be read
    */
--- a/src/main/java/beaconturn/release/RolloutSnapshotReader.java
+++ b/src/main/java/beaconturn/release/RolloutSnapshotReader.java
@@ -63,7 +63,7 @@
         permits,
         values.getOrDefault(keys.driver(), ""),
         agents,
-        Long.parseLong(values.getOrDefault(keys.counter(), "0")),
+        Long.parseLong(values.getOrDefault(keys.permitCounter(), "0")),
         Long.parseLong(values.getOrDefault(keys.historyLength(), "0")),
         samples,
         revisions);
--- a/src/main/java/beaconturn/release/RolloutStore.java
+++ b/src/main/java/beaconturn/release/RolloutStore.java
@@ -33,7 +33,7 @@
   }
 
   RolloutSnapshot snapshot() throws AgreementException {
-    return RolloutSnapshot.of(keys, request(new StoreRequest.Read(keys.all())));
+    return RolloutSnapshot.of(keys, request(new StoreRequest.Read(keys.prefix())));
   }
 
   /**
@@ -43,7 +43,7 @@
   String execute(Decision decision) throws AgreementException {
     for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       RolloutTransaction transaction = decision.decide(snapshot());
-      if (request(transaction.swap()).conditionsHeld()) {
+      if (request(transaction.storeTransaction()).conditionsHeld()) {
         return transaction.description();
       }
     }
--- a/src/main/java/beaconturn/release/RolloutTransaction.java
+++ b/src/main/java/beaconturn/release/RolloutTransaction.java
@@ -5,7 +5,7 @@
 /**
  * One step of a release as a transaction of the store.
  *
- * @param swap conditions and changes
+ * @param storeTransaction conditions and changes
  * @param description the step in words, for the history and the log
  */
-public record RolloutTransaction(StoreRequest.Transaction swap, String description) {}
+public record RolloutTransaction(StoreRequest.Transaction storeTransaction, String description) {}
--- a/src/main/java/beaconturn/release/RolloutTransactions.java
+++ b/src/main/java/beaconturn/release/RolloutTransactions.java
@@ -65,7 +65,7 @@
   }
 
   StoreRequest.Change putLastPermitNumber(long number) {
-    return put(keys.counter(), Long.toString(number));
+    return put(keys.permitCounter(), Long.toString(number));
   }
 
   StoreRequest.Change deletePermit(long number) {
--- a/src/main/java/beaconturn/release/RolloutZoneCapacity.java
+++ b/src/main/java/beaconturn/release/RolloutZoneCapacity.java
@@ -24,7 +24,7 @@
   private static final double MAX_CPU_UTILIZATION = 0.8;
 
   /** Why the remaining instances are too few for a load, or null where they are enough. */
-  String objection(double load, String unit, double capacityEach) {
+  String blockingReason(double load, String unit, double capacityEach) {
     if (remaining > 0 && load <= remaining * capacityEach) {
       return null;
     }
@@ -43,8 +43,8 @@
    * Why the remaining instances are too few by the gauges reported last, or null. Where no instance
    * reports a gauge nothing is said of it.
    */
-  String gaugesObjection() {
-    String cpu = cpuObjection();
+  String gaugeBlockingReason() {
+    String cpu = cpuBlockingReason();
     if (cpu != null) {
       return cpu;
     }
@@ -52,17 +52,17 @@
     if (maxConnections <= 0) {
       return null;
     }
-    return objection(sum(InstanceMetric.CONNECTIONS), "connections", maxConnections);
+    return blockingReason(sum(InstanceMetric.CONNECTIONS), "connections", maxConnections);
   }
 
   /** What operators say of the cores goes before what instances report. */
-  private String cpuObjection() {
+  private String cpuBlockingReason() {
     double reportedCores = mean(InstanceMetric.CPU_LIMIT_MILLICORES) / MILLI;
-    double cores = required.coresEach() > 0 ? required.coresEach() : reportedCores;
+    double cores = required.coresPerInstance() > 0 ? required.coresPerInstance() : reportedCores;
     if (cores <= 0 || reportedCores <= 0) {
       return null;
     }
-    return objection(
+    return blockingReason(
         sum(InstanceMetric.CPU_MILLICORES) / MILLI, "cores", cores * MAX_CPU_UTILIZATION);
   }
 
--- a/src/main/java/beaconturn/release/ShareMeasure.java
+++ b/src/main/java/beaconturn/release/ShareMeasure.java
@@ -14,7 +14,7 @@
  */
 record ShareMeasure(String name, InstanceMetric part, ToLongFunction<InstanceSample> total) {
   static final ShareMeasure FAILED =
-      new ShareMeasure("", InstanceMetric.FAILED, InstanceSample::answers);
+      new ShareMeasure("", InstanceMetric.FAILED, InstanceSample::responses);
   static final ShareMeasure LATE =
       new ShareMeasure(
           "late", InstanceMetric.LATE, sample -> sample.valueOf(InstanceMetric.SERVED));
--- a/src/main/java/beaconturn/release/StepGrants.java
+++ b/src/main/java/beaconturn/release/StepGrants.java
@@ -15,32 +15,32 @@
    * have counted the budget at the same time have to count again.
    */
   static RolloutTransaction withNewPermit(
-      DriverContext turn, String instanceId, InstanceVariant variant) {
-    RolloutSnapshot snapshot = turn.snapshot();
-    RolloutPlan plan = turn.plan();
+      DriverContext context, String instanceId, InstanceVariant variant) {
+    RolloutSnapshot snapshot = context.snapshot();
+    RolloutPlan plan = context.plan();
     long number = snapshot.lastPermitNumber() + 1;
     String reason =
         variant == InstanceVariant.NEW ? plan.reason() : "back: " + snapshot.state().reason();
     DisruptionPermit permit =
         new DisruptionPermit(number, plan.kind(), instanceId, "release " + plan.number(), reason);
     Set<String> unavailable =
-        new HashSet<>(snapshot.unavailable(plan.kind(), turn.unplanned()).keySet());
+        new HashSet<>(snapshot.unavailable(plan.kind(), context.unplanned()).keySet());
     unavailable.add(instanceId);
-    RolloutKeys keys = turn.keys();
-    RolloutTransactions transactions = turn.transactions();
-    return turn.transaction(
+    RolloutKeys keys = context.keys();
+    RolloutTransactions transactions = context.transactions();
+    return context.transaction(
         instanceId + " goes out under permit " + number + ", " + unavailable.size() + " out",
-        List.of(keys.counter(), keys.fleetDefinition(), keys.step(instanceId)),
+        List.of(keys.permitCounter(), keys.fleetDefinition(), keys.step(instanceId)),
         List.of(
             transactions.putLastPermitNumber(number),
             transactions.put(permit),
-            transactions.put(step(turn, instanceId, number, variant))));
+            transactions.put(step(context, instanceId, number, variant))));
   }
 
   /** The granted step of an instance under a permit. */
   static RolloutStep step(
-      DriverContext turn, String instanceId, long permitNumber, InstanceVariant variant) {
-    long start = turn.observed().latestStartNanos().getOrDefault(instanceId, UNKNOWN_START);
+      DriverContext context, String instanceId, long permitNumber, InstanceVariant variant) {
+    long start = context.observed().latestStartNanos().getOrDefault(instanceId, UNKNOWN_START);
     return new RolloutStep(instanceId, permitNumber, StepPhase.GRANTED, variant, "", "", start, 0);
   }
 }
--- a/src/main/java/beaconturn/release/Unavailability.java
+++ b/src/main/java/beaconturn/release/Unavailability.java
@@ -52,7 +52,7 @@
   }
 
   /** The same, while the traffic of these zones is served elsewhere. */
-  public Unavailability withZonesOut(Map<String, String> zones) {
+  public Unavailability withZonesOutOfService(Map<String, String> zones) {
     return new Unavailability(reasons, latestStartNanos, majorityStartNanos, new TreeMap<>(zones));
   }
 
@@ -143,7 +143,7 @@
    * Why no step may begin in a zone while another zone is out as a whole, or null where none is:
    * the other zones serve its traffic. In the zone that is out steps do no harm.
    */
-  String zoneObjection(String zone) {
+  String zoneBlockingReason(String zone) {
     return zoneReasons.keySet().stream()
         .filter(other -> !other.equals(zone))
         .findFirst()
--- a/src/main/java/beaconturn/release/WaveRollout.java
+++ b/src/main/java/beaconturn/release/WaveRollout.java
@@ -18,23 +18,23 @@
   }
 
   /** The next transaction, or null while the release waits. */
-  RolloutTransaction nextTransaction(DriverContext turn) {
-    for (RolloutStep step : turn.snapshot().steps().values()) {
-      RolloutTransaction transaction = afterStep(turn, step);
+  RolloutTransaction nextTransaction(DriverContext context) {
+    for (RolloutStep step : context.snapshot().steps().values()) {
+      RolloutTransaction transaction = afterStep(context, step);
       if (transaction != null) {
         return transaction;
       }
     }
-    String regression = verifiedWatch.regression(turn.snapshot(), turn.nowNanos());
+    String regression = verifiedWatch.regression(context.snapshot(), context.nowNanos());
     if (regression != null) {
-      return turn.rollBack(regression);
+      return context.rollBack(regression);
     }
-    for (List<String> wave : turn.plan().waves()) {
-      if (!wave.stream().allMatch(id -> isDone(turn.snapshot().phase(id)))) {
-        return nextStep(turn, wave);
+    for (List<String> wave : context.plan().waves()) {
+      if (!wave.stream().allMatch(id -> isDone(context.snapshot().phase(id)))) {
+        return nextStep(context, wave);
       }
     }
-    return turn.changeMode(
+    return context.changeMode(
         "all parts run what is released", RolloutMode.COMPLETED, "all parts have stood the check");
   }
 
@@ -43,75 +43,75 @@
   }
 
   /** What follows from a step that was begun, or null. */
-  private RolloutTransaction afterStep(DriverContext turn, RolloutStep step) {
+  private RolloutTransaction afterStep(DriverContext context, RolloutStep step) {
     return switch (step.phase()) {
       case FAILED ->
-          turn.rollBack(step.instanceId() + " did not get ready: " + step.failureReason());
+          context.rollBack(step.instanceId() + " did not get ready: " + step.failureReason());
       case GRANTED, STARTED -> {
-        turn.waitFor(step.instanceId() + " is acted on");
+        context.waitFor(step.instanceId() + " is acted on");
         yield null;
       }
-      case READY -> afterReady(turn, step);
+      case READY -> afterReady(context, step);
       case VERIFIED, ROLLED_BACK -> null;
     };
   }
 
-  private RolloutTransaction afterReady(DriverContext turn, RolloutStep step) {
+  private RolloutTransaction afterReady(DriverContext context, RolloutStep step) {
     if (step.variant() == InstanceVariant.OLD) {
-      return turn.rollBack(
+      return context.rollBack(
           step.instanceId() + " was brought back by its agent: " + step.failureReason());
     }
     CanaryVerdict verdict =
-        canaryCheck.verdict(turn.snapshot(), step, turn.unplanned(), turn.nowNanos());
+        canaryCheck.verdict(context.snapshot(), step, context.unplanned(), context.nowNanos());
     return switch (verdict.outcome()) {
-      case REGRESSED -> turn.rollBack(step.instanceId() + " does worse: " + verdict.explanation());
-      case PASSED -> verified(turn, step, verdict);
+      case REGRESSED -> context.rollBack(step.instanceId() + " does worse: " + verdict.explanation());
+      case PASSED -> verified(context, step, verdict);
       case PENDING -> {
-        turn.waitFor(step.instanceId() + " is watched: " + verdict.explanation());
+        context.waitFor(step.instanceId() + " is watched: " + verdict.explanation());
         yield null;
       }
     };
   }
 
   private static RolloutTransaction verified(
-      DriverContext turn, RolloutStep step, CanaryVerdict verdict) {
+      DriverContext context, RolloutStep step, CanaryVerdict verdict) {
     RolloutStep verified = step.withPhase(StepPhase.VERIFIED, step.agentIncarnation(), "");
-    return turn.transaction(
+    return context.transaction(
         step.instanceId() + " has stood the check: " + verdict.explanation(),
-        List.of(turn.keys().step(step.instanceId())),
+        List.of(context.keys().step(step.instanceId())),
         List.of(
-            turn.transactions().put(verified),
-            turn.transactions().deletePermit(step.permitNumber())));
+            context.transactions().put(verified),
+            context.transactions().deletePermit(step.permitNumber())));
   }
 
   /** Begins the step of the first instance of a wave that may go out. */
-  private RolloutTransaction nextStep(DriverContext turn, List<String> wave) {
+  private RolloutTransaction nextStep(DriverContext context, List<String> wave) {
     for (String instanceId : wave) {
-      if (turn.snapshot().steps().containsKey(instanceId)) {
+      if (context.snapshot().steps().containsKey(instanceId)) {
         continue;
       }
-      String objection = objection(turn, instanceId);
-      if (objection == null) {
-        return StepGrants.withNewPermit(turn, instanceId, InstanceVariant.NEW);
+      String blockingReason = blockingReason(context, instanceId);
+      if (blockingReason == null) {
+        return StepGrants.withNewPermit(context, instanceId, InstanceVariant.NEW);
       }
-      turn.waitFor(instanceId + ": " + objection);
+      context.waitFor(instanceId + ": " + blockingReason);
     }
     return null;
   }
 
-  private String objection(DriverContext turn, String instanceId) {
-    RolloutSnapshot snapshot = turn.snapshot();
-    InstanceKind kind = turn.plan().kind();
+  private String blockingReason(DriverContext context, String instanceId) {
+    RolloutSnapshot snapshot = context.snapshot();
+    InstanceKind kind = context.plan().kind();
     String budget =
         new DisruptionBudget(snapshot, kind)
-            .objection(instanceId, turn.observed(), turn.unplanned());
+            .blockingReason(instanceId, context.observed(), context.unplanned());
     if (budget != null) {
       return budget;
     }
-    return load.objection(
+    return load.blockingReason(
         snapshot,
         instanceId,
-        snapshot.unavailable(kind, turn.unplanned()).keySet(),
-        turn.nowNanos());
+        snapshot.unavailable(kind, context.unplanned()).keySet(),
+        context.nowNanos());
   }
 }
--- a/src/test/java/beaconturn/cli/ReleaseFilesTest.java
+++ b/src/test/java/beaconturn/cli/ReleaseFilesTest.java
@@ -28,7 +28,7 @@
     assertEquals(1, fleet.group(InstanceKind.CACHE).maxUnavailable(), "a quarter of four");
     assertEquals("west", fleet.group(InstanceKind.ROUTER).zoneOf("r4"));
     RolloutPlan plan = ReleaseFiles.plan("examples/releases/plan.toml", "why", fleet);
-    assertNull(plan.objection(fleet));
+    assertNull(plan.blockingReason(fleet));
     assertEquals(
         List.of(List.of("r1"), List.of("r2"), List.of("r3"), List.of("r4", "r5")), plan.waves());
   }
--- a/src/test/java/beaconturn/release/CanaryComparisonTest.java
+++ b/src/test/java/beaconturn/release/CanaryComparisonTest.java
@@ -157,11 +157,11 @@
         "-1 | busy=900 cores=1000 | ",
         "1 | good=5 | "
       })
-  void aPlanIsHeldToWhatItsSitesCarry(int spare, String each, String objection)
+  void aPlanIsHeldToWhatItsSitesCarry(int spare, String each, String blockingReason)
       throws AgreementException {
     InMemoryStore store = store(new ReleaseFleet.Capacity(0, 0, spare));
     report(store, each);
-    assertEquals(objection, RolloutAdmin.objection(PLAN, store.snapshot()));
+    assertEquals(blockingReason, RolloutAdmin.blockingReason(PLAN, store.snapshot()));
   }
 
   @Test
@@ -198,7 +198,7 @@
     assertTrue(
         store.commits(driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0)));
     RolloutAgent agent = store.agent("r1", "a", 1);
-    agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0);
+    agent.transactionCompleted(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0);
     agent.actionEnded(true, "", 3_000_000_000L);
     assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 0)));
     store.ask(
--- a/src/test/java/beaconturn/release/ConfigRolloutTest.java
+++ b/src/test/java/beaconturn/release/ConfigRolloutTest.java
@@ -49,7 +49,7 @@
                 List.of(List.of("r1")),
                 0,
                 0,
-                RegressionBounds.ofFailed(0),
+                RegressionBounds.ofFailedShare(0),
                 1,
                 0,
                 "why",
--- a/src/test/java/beaconturn/release/InMemoryStore.java
+++ b/src/test/java/beaconturn/release/InMemoryStore.java
@@ -42,7 +42,7 @@
   }
 
   boolean commits(RolloutTransaction transaction) {
-    return ((StoreResponse.Success) ask(transaction.swap())).conditionsHeld();
+    return ((StoreResponse.Success) ask(transaction.storeTransaction())).conditionsHeld();
   }
 
   private boolean holds(StoreRequest.Condition condition) {
@@ -64,7 +64,7 @@
   RolloutSnapshot snapshot() {
     try {
       return RolloutSnapshot.of(
-          KEYS, (StoreResponse.Success) ask(new StoreRequest.Read(KEYS.all())));
+          KEYS, (StoreResponse.Success) ask(new StoreRequest.Read(KEYS.prefix())));
     } catch (AgreementException e) {
       throw new IllegalStateException(e);
     }
@@ -107,7 +107,7 @@
             List.of(
                 new StoreRequest.Change.Put(
                     KEYS.sample(id),
-                    RolloutCodec.encode(InstanceSample.ofAnswers(process, good, bad)),
+                    RolloutCodec.encode(InstanceSample.ofResponses(process, good, bad)),
                     0))));
   }
 
@@ -155,7 +155,7 @@
                 waves,
                 0,
                 samples,
-                RegressionBounds.ofFailed(0.1),
+                RegressionBounds.ofFailedShare(0.1),
                 1,
                 0,
                 "why",
--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -161,7 +161,7 @@
         case "wants" -> drain = decideDrain();
         default -> {
           drained = true;
-          if (drain.swap() != null && store.commits(drain)) {
+          if (drain.storeTransaction() != null && store.commits(drain)) {
             out("r2 by hand");
           }
         }
@@ -196,7 +196,7 @@
       agent.act = null;
       agent.unreported = held ? "" : agent.unreported;
       RolloutMode mode = store.snapshot().state().mode();
-      agent.running = agent.rolloutAgent.transactionAnswered(held || defect.equals("answer"), 0);
+      agent.running = agent.rolloutAgent.transactionCompleted(held || defect.equals("answer"), 0);
       if (agent.running == null) {
         return;
       }
@@ -239,7 +239,7 @@
       }
       agents.forEach(
           h ->
-              out.append(h.act == null ? "-" : h.act.description() + h.act.swap().changes())
+              out.append(h.act == null ? "-" : h.act.description() + h.act.storeTransaction().changes())
                   .append(h.running)
                   .append(h.failed)
                   .append(h.dead)
@@ -249,7 +249,7 @@
           .append(halted)
           .append(replaced)
           .append(drained)
-          .append(drain == null ? "-" : drain.description() + drain.swap())
+          .append(drain == null ? "-" : drain.description() + drain.storeTransaction())
           .toString();
     }
   }
--- a/src/test/java/beaconturn/release/RolloutCodecTest.java
+++ b/src/test/java/beaconturn/release/RolloutCodecTest.java
@@ -201,7 +201,7 @@
             "/f/release-history/000000012"),
         List.of(
             keys.fleetDefinition(),
-            keys.counter(),
+            keys.permitCounter(),
             keys.permit(12),
             keys.plan(),
             keys.state(),
--- a/src/test/java/beaconturn/release/RolloutDriverTest.java
+++ b/src/test/java/beaconturn/release/RolloutDriverTest.java
@@ -47,7 +47,7 @@
   private void actOn(String instanceId, boolean ready) {
     RolloutAgent agent = store.agent(instanceId, "a", TIMEOUT);
     assertNotNull(
-        agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0),
+        agent.transactionCompleted(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0),
         instanceId);
     agent.actionEnded(ready, ready ? "" : "status 1", 0);
     assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 0)));
@@ -99,7 +99,7 @@
   @Test
   void whileASiteIsOutNoStepBeginsElsewhere() throws AgreementException {
     begin(2, 2, 0);
-    Unavailability west = Unavailability.of(Map.of()).withZonesOut(Map.of("west", "failed over"));
+    Unavailability west = Unavailability.of(Map.of()).withZonesOutOfService(Map.of("west", "failed over"));
     assertNull(driver.nextTransaction(store.snapshot(), west, 0));
     assertEquals("r1: site west is out: failed over", driver.waitReason());
     assertTrue(
@@ -111,7 +111,7 @@
     assertNotNull(
         driver.nextTransaction(
             store.snapshot(),
-            Unavailability.of(Map.of()).withZonesOut(Map.of("east", "drained")),
+            Unavailability.of(Map.of()).withZonesOutOfService(Map.of("east", "drained")),
             0));
   }
 
@@ -363,12 +363,12 @@
     RolloutTransaction late = agent.nextTransaction(store.snapshot(), 0);
     store.admin().halt("wait");
     assertFalse(store.commits(late), "what was decided before the halt holds no more");
-    assertNull(agent.transactionAnswered(false, 0));
+    assertNull(agent.transactionCompleted(false, 0));
     assertNull(agent.nextTransaction(store.snapshot(), 0));
     assertNull(drive(0, Map.of()));
     store.admin().resume("on");
     assertNotNull(
-        agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0));
+        agent.transactionCompleted(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0));
     assertThrows(AgreementException.class, () -> store.admin().resume("again"));
   }
 
@@ -394,7 +394,7 @@
     driveUntilItWaits(0);
     RolloutAgent agent = store.agent("r1", "a", TIMEOUT);
     assertNull(
-        agent.transactionAnswered(
+        agent.transactionCompleted(
             store.commits(agent.nextTransaction(store.snapshot(), 0)), TIMEOUT + 1));
     assertEquals(StepPhase.STARTED, phase("r1"));
     store.admin().halt("wait");
@@ -402,7 +402,7 @@
     store.admin().resume("on");
     assertEquals(
         InstanceVariant.NEW,
-        agent.transactionAnswered(
+        agent.transactionCompleted(
             store.commits(agent.nextTransaction(store.snapshot(), TIMEOUT + 3)), TIMEOUT + 4));
   }
 
@@ -426,13 +426,13 @@
     driveUntilItWaits(0);
     RolloutAgent agent = store.agent("r1", "a", TIMEOUT);
     assertNotNull(
-        agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0));
+        agent.transactionCompleted(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0));
     agent.actionEnded(false, "status 1", 10);
     RolloutPlan plan =
         new RolloutPlan(
-            1, InstanceKind.ROUTER, WAVES, 0, 0, RegressionBounds.ofFailed(0), 1, 50, "", null, "");
-    assertNull(agent.unreachableStoreRollback(plan, 59));
-    assertEquals(InstanceVariant.OLD, agent.unreachableStoreRollback(plan, 60));
+            1, InstanceKind.ROUTER, WAVES, 0, 0, RegressionBounds.ofFailedShare(0), 1, 50, "", null, "");
+    assertNull(agent.startSelfRollback(plan, 59));
+    assertEquals(InstanceVariant.OLD, agent.startSelfRollback(plan, 60));
     agent.actionEnded(true, "", 70);
     assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 80)));
     assertEquals("goes back: r1 was brought back by its agent: ", drive(90, Map.of()));
--- a/src/test/java/beaconturn/release/UnavailabilityTest.java
+++ b/src/test/java/beaconturn/release/UnavailabilityTest.java
@@ -82,7 +82,7 @@
                 List.of(List.of("c1", "c2")),
                 10,
                 0,
-                RegressionBounds.ofFailed(0),
+                RegressionBounds.ofFailedShare(0),
                 READY_TIMEOUT,
                 0,
                 "why",
@@ -100,7 +100,7 @@
   private static void actOn(InMemoryStore store, String id) {
     RolloutAgent agent = store.agent(id, "a", READY_TIMEOUT);
     assertNotNull(
-        agent.transactionAnswered(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0));
+        agent.transactionCompleted(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0));
     agent.actionEnded(true, "", 0);
     assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 0)));
   }
@@ -194,7 +194,7 @@
                 List.of(List.of("c1")),
                 10,
                 0,
-                RegressionBounds.ofFailed(0),
+                RegressionBounds.ofFailedShare(0),
                 READY_TIMEOUT,
                 0,
                 "why",
