--- a/src/main/java/beaconturn/release/ConfigChange.java
+++ b/src/main/java/beaconturn/release/ConfigChange.java
@@ -3,11 +3,11 @@
 import beaconturn.agreement.ConfigContent;
 
 /**
- * The configuration version that goes with a release, once it is proposed.
+ * The configuration version proposed for a release.
  *
- * @param versionNumber number of that version
- * @param previousContent content that was in force before, which a rollback proposes again
- * @param revertVersionNumber number of the version that reverts the change, or 0 where none does
+ * @param versionNumber number of the proposed version
+ * @param previousContent content that was in force before and that a rollback proposes again
+ * @param revertVersionNumber number of the version that reverts the change; 0 before it is proposed
  */
 public record ConfigChange(
     long versionNumber, ConfigContent previousContent, long revertVersionNumber) {}
--- a/src/main/java/beaconturn/release/ConfigRollout.java
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -10,18 +10,17 @@
 import java.util.List;
 
 /**
- * The configuration that goes with a release: in force on all routers before the first wave, and
- * reverted once no instance runs any more what was released.
+ * Rolls out the configuration version that belongs to a release: all routers act on the version
+ * before the first wave, and the version is reverted after all instances have been rolled back.
  */
 final class ConfigRollout {
-  private static final String VERSIONS_UNKNOWN = "what is agreed on is not known";
+  private static final String VERSIONS_UNKNOWN = "configuration versions are not known";
   private final AgreementTransactions agreements;
 
   ConfigRollout(RolloutKeys keys) {
     this.agreements = new AgreementTransactions(new AgreementKeys(keys.fleet()));
   }
 
-  /** Whether all routers act on the configuration of the release. */
   boolean isInForce(DriverContext context) {
     ConfigChange change = context.snapshot().configChange();
     if (change == null) {
@@ -30,7 +29,10 @@
     return context.agreed() == null || context.agreed().isSettled(change.versionNumber());
   }
 
-  /** Brings the configuration into force; null while that waits. */
+  /**
+   * Returns the transaction that proposes the configuration version, or a rollback if the version
+   * was rejected; null while the version is pending.
+   */
   RolloutTransaction advance(DriverContext context) {
     AgreedVersions agreed = context.agreed();
     if (agreed == null) {
@@ -50,11 +52,17 @@
           "its settings, version " + change.versionNumber() + ", were turned down");
     }
     context.waitFor(
-        "version " + change.versionNumber() + " of its settings waits for " + routers(agreed));
+        "configuration version "
+            + change.versionNumber()
+            + " of the release waits for "
+            + awaitedRouters(agreed));
     return null;
   }
 
-  /** Reverts the configuration; null while that waits, and once it is reverted or never was. */
+  /**
+   * Returns the next transaction that reverts the configuration. Null, with a wait reason, while the
+   * reverting version is pending; null without one after the revert is complete.
+   */
   RolloutTransaction revert(DriverContext context) {
     AgreedVersions agreed = context.agreed();
     if (agreed == null) {
@@ -67,7 +75,7 @@
       return null;
     }
     if (!revertProposed && agreed.isRejected(change.versionNumber())) {
-      return forget(context);
+      return deleteConfigChange(context);
     }
     if (!revertProposed || agreed.isRejected(change.revertVersionNumber())) {
       return propose(
@@ -76,15 +84,15 @@
           new ConfigChange(change.versionNumber(), change.previousContent(), agreed.nextNumber()));
     }
     context.waitFor(
-        "version "
+        "configuration version "
             + change.revertVersionNumber()
-            + ", its settings of before, waits for "
-            + routers(agreed));
+            + ", which reverts that of the release, waits for "
+            + awaitedRouters(agreed));
     return null;
   }
 
-  /** Forgets a configuration that never came into force, so that there is nothing to revert. */
-  private static RolloutTransaction forget(DriverContext context) {
+  /** Deletes a rejected configuration change: the version never took effect. */
+  private static RolloutTransaction deleteConfigChange(DriverContext context) {
     String key = context.keys().configChange();
     return context.transaction(
         "its settings never came into force",
@@ -93,8 +101,8 @@
   }
 
   /**
-   * Proposes a version, in one transaction with the conditions of the driver: one that was replaced
-   * can propose nothing.
+   * Returns a transaction that proposes a version under the driver's own conditions, so that a
+   * replaced driver cannot propose one.
    */
   private RolloutTransaction propose(DriverContext context, ConfigContent content, ConfigChange change) {
     AgreementStep proposal;
@@ -118,14 +126,15 @@
             "its settings: " + proposal.description(),
             List.of(context.keys().configChange()),
             changes);
-    List<StoreRequest.Condition> conditions = new ArrayList<>(transaction.storeTransaction().conditions());
+    List<StoreRequest.Condition> conditions =
+        new ArrayList<>(transaction.storeTransaction().conditions());
     conditions.addAll(proposal.transaction().conditions());
     return new RolloutTransaction(
         new StoreRequest.Transaction(conditions, transaction.storeTransaction().changes()),
         transaction.description());
   }
 
-  private static String routers(AgreedVersions agreed) {
+  private static String awaitedRouters(AgreedVersions agreed) {
     return String.join(", ", agreed.waitingFor());
   }
 }
--- a/src/main/java/beaconturn/release/InstanceKind.java
+++ b/src/main/java/beaconturn/release/InstanceKind.java
@@ -3,27 +3,24 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** Kinds of instances that a fleet consists of. */
+/** Kinds of instances in a fleet. */
 public enum InstanceKind implements SerializedName {
-  /** A router. */
   ROUTER("router"),
-  /** A cache server. */
   CACHE("cache");
 
-  private final String word;
+  private final String serializedName;
 
-  InstanceKind(String word) {
-    this.word = word;
+  InstanceKind(String serializedName) {
+    this.serializedName = serializedName;
   }
 
-  /** Its word in files, commands and the store. */
   @Override
   public String serializedName() {
-    return word;
+    return serializedName;
   }
 
-  /** The kind of that word, or empty where no kind has it. */
-  public static Optional<InstanceKind> ofSerializedName(String word) {
-    return Arrays.stream(values()).filter(kind -> kind.word.equals(word)).findFirst();
+  /** Returns the kind with a serialized name; empty if there is none. */
+  public static Optional<InstanceKind> ofSerializedName(String serializedName) {
+    return Arrays.stream(values()).filter(kind -> kind.serializedName.equals(serializedName)).findFirst();
   }
 }
--- a/src/main/java/beaconturn/release/InstanceVariant.java
+++ b/src/main/java/beaconturn/release/InstanceVariant.java
@@ -1,21 +1,20 @@
 package beaconturn.release;
 
-/** The two variants of an instance that a release is about. */
+/** Variants of an instance during a release. */
 public enum InstanceVariant implements SerializedName {
-  /** What the instance ran before the release. */
+  /** The variant that the instance ran before the release. */
   OLD("old"),
-  /** What is released. */
+  /** The variant that is released. */
   NEW("new");
 
-  private final String word;
+  private final String serializedName;
 
-  InstanceVariant(String word) {
-    this.word = word;
+  InstanceVariant(String serializedName) {
+    this.serializedName = serializedName;
   }
 
-  /** Its word in commands, in their environment and in the store. */
   @Override
   public String serializedName() {
-    return word;
+    return serializedName;
   }
 }
--- a/src/main/java/beaconturn/release/RolloutMode.java
+++ b/src/main/java/beaconturn/release/RolloutMode.java
@@ -5,28 +5,27 @@
   /** Instances are changed, wave after wave. */
   RUNNING("running"),
   /**
-   * No step begins. Only an operator halts a release, and only an operator resumes it or rolls it
+   * No step starts. Only an operator halts a release, and only an operator resumes it or rolls it
    * back.
    */
   HALTED("halted"),
-  /** Changed instances are brought back in the reverse order. */
+  /** Changed instances are rolled back in the reverse order of the plan. */
   ROLLING_BACK("backing"),
-  /** All instances run what is released. */
+  /** All instances of the plan run the new variant. */
   COMPLETED("done"),
-  /** All instances run again what they ran before. */
+  /** All instances of the plan run the old variant again. */
   ROLLED_BACK("back"),
-  /** An operator has left all as it was. */
+  /** An operator has ended the release and left all instances as they were. */
   ABANDONED("abandoned");
 
-  private final String word;
+  private final String serializedName;
 
-  RolloutMode(String word) {
-    this.word = word;
+  RolloutMode(String serializedName) {
+    this.serializedName = serializedName;
   }
 
-  /** Its word in the store and in output. */
   @Override
   public String serializedName() {
-    return word;
+    return serializedName;
   }
 }
--- a/src/main/java/beaconturn/release/RolloutStep.java
+++ b/src/main/java/beaconturn/release/RolloutStep.java
@@ -4,14 +4,14 @@
  * The step of one instance in a release.
  *
  * @param instanceId the instance
- * @param permitNumber number of the permit under which it is, or was last, out of service
- * @param phase how far the step is
- * @param variant what the instance is to run
- * @param agentIncarnation the agent that began the step, or empty
- * @param failureReason why it failed, or empty
- * @param previousStartNanos the instance's latest start that any router knew of when the step was
- *     granted, by the clock of discovery; -1 where none was known
- * @param readyAfterNanos how long the instance took to get ready; 0 where that is not known
+ * @param permitNumber number of the latest permit under which the instance was taken out of service
+ * @param phase progress of the step
+ * @param variant the target variant of the instance
+ * @param agentIncarnation incarnation of the agent that started the step; empty before the start
+ * @param failureReason why the step failed; empty if it did not
+ * @param previousStartNanos latest start of the instance that any router reported when the step was
+ *     granted, by the clock of discovery; -1 if no router reported one
+ * @param readyAfterNanos time that the instance took to become ready; 0 if not known
  */
 public record RolloutStep(
     String instanceId,
@@ -22,20 +22,18 @@
     String failureReason,
     long previousStartNanos,
     long readyAfterNanos) {
-  /** Whether the instance is ready and runs that variant. */
-  boolean isReadyWith(InstanceVariant wanted) {
-    return phase == StepPhase.READY && variant == wanted;
+  boolean isReadyWith(InstanceVariant expected) {
+    return phase == StepPhase.READY && variant == expected;
   }
 
-  /** The same step in another phase. */
-  RolloutStep withPhase(StepPhase next, String incarnation, String reason) {
+  RolloutStep withPhase(StepPhase newPhase, String newAgentIncarnation, String newFailureReason) {
     return new RolloutStep(
         instanceId,
         permitNumber,
-        next,
+        newPhase,
         variant,
-        incarnation,
-        reason,
+        newAgentIncarnation,
+        newFailureReason,
         previousStartNanos,
         readyAfterNanos);
   }
--- a/src/main/java/beaconturn/release/SerializedName.java
+++ b/src/main/java/beaconturn/release/SerializedName.java
@@ -1,10 +1,11 @@
 package beaconturn.release;
 
 /**
- * Constants with a word of their own in the store, in files and in output. The word is independent
- * of the constant's name, so that renaming a constant cannot change what builds exchange.
+ * An enum constant with a name of its own in the store, in files and in output. The serialized name
+ * is independent of the constant's name, so that builds that name a constant differently can still
+ * read each other's data.
  */
 public interface SerializedName {
-  /** The word. */
+  /** Returns the name in the store, in files and in output. */
   String serializedName();
 }
--- a/src/main/java/beaconturn/release/StepGrants.java
+++ b/src/main/java/beaconturn/release/StepGrants.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** Grants steps: an instance gets a disruption permit and is to run a variant. */
+/** Builds the transactions and records that grant a step to an instance. */
 final class StepGrants {
-  private static final long UNKNOWN_START = -1;
+  private static final long UNKNOWN_START_NANOS = -1;
 
   private StepGrants() {}
 
   /**
-   * Takes a new permit for an instance. The counter of permits is changed with it, so that all who
-   * have counted the budget at the same time have to count again.
+   * Returns a transaction that grants a step under a new permit. The transaction also changes the
+   * permit counter, so that concurrent decisions on the same budget fail and are made again.
    */
   static RolloutTransaction withNewPermit(
       DriverContext context, String instanceId, InstanceVariant variant) {
@@ -37,10 +37,12 @@
             transactions.put(step(context, instanceId, number, variant))));
   }
 
-  /** The granted step of an instance under a permit. */
+  /** Returns a granted step under an existing permit. */
   static RolloutStep step(
       DriverContext context, String instanceId, long permitNumber, InstanceVariant variant) {
-    long start = context.observed().latestStartNanos().getOrDefault(instanceId, UNKNOWN_START);
-    return new RolloutStep(instanceId, permitNumber, StepPhase.GRANTED, variant, "", "", start, 0);
+    long previousStartNanos =
+        context.observed().latestStartNanos().getOrDefault(instanceId, UNKNOWN_START_NANOS);
+    return new RolloutStep(
+        instanceId, permitNumber, StepPhase.GRANTED, variant, "", "", previousStartNanos, 0);
   }
 }
--- a/src/main/java/beaconturn/release/StepPhase.java
+++ b/src/main/java/beaconturn/release/StepPhase.java
@@ -1,29 +1,28 @@
 package beaconturn.release;
 
-/** Phases that an instance goes through in a release. */
+/** Phases of the step of an instance in a release. */
 public enum StepPhase implements SerializedName {
-  /** The driver has taken a disruption permit for it. */
+  /** The driver has acquired a disruption permit for the instance. */
   GRANTED("granted"),
-  /** An agent acts on it, or may have acted. */
+  /** An agent executes the step, or may have executed it. */
   STARTED("begun"),
-  /** It runs the variant it is to run, and is ready. */
+  /** The instance runs the target variant and is ready. */
   READY("up"),
-  /** It did not get ready in time. */
+  /** The instance did not become ready in time. */
   FAILED("failed"),
-  /** It has passed the canary check, and its permit is returned. */
+  /** The instance has passed the canary check, and its permit is returned. */
   VERIFIED("good"),
-  /** It runs again what it ran before. */
+  /** The instance runs the old variant again, and its permit is returned. */
   ROLLED_BACK("undone");
 
-  private final String word;
+  private final String serializedName;
 
-  StepPhase(String word) {
-    this.word = word;
+  StepPhase(String serializedName) {
+    this.serializedName = serializedName;
   }
 
-  /** Its word in the store and in output. */
   @Override
   public String serializedName() {
-    return word;
+    return serializedName;
   }
 }
--- a/src/main/java/beaconturn/release/StoredFields.java
+++ b/src/main/java/beaconturn/release/StoredFields.java
@@ -7,53 +7,51 @@
 import beaconturn.protocol.Json;
 import java.util.List;
 
-/** Reads members of JSON objects that the store holds of a release. */
+/** Reads typed members from the stored JSON objects of a release. */
 final class StoredFields {
   private StoredFields() {}
 
-  /** A whole number from 0. */
+  /** Reads an integer that is 0 or more. */
   static long number(Json json, String key) throws AgreementException {
     return StoredJson.wholeNumber(json, key, 0, Long.MAX_VALUE);
   }
 
-  /** A decimal number, which is stored as a text; 0 where it is missing. */
+  /** Reads a decimal number, which is stored as a string; 0 if missing. */
   static double decimal(Json json, String key) {
     return Double.parseDouble(json.get(key).word("0"));
   }
 
-  /** A text; empty where it is missing. */
+  /** Reads a string; empty if missing. */
   static String text(Json json, String key) {
     return json.get(key).word("");
   }
 
-  /** The texts of a list. */
   static List<String> texts(Json list) {
     return list.items().stream().map(item -> item.word("")).toList();
   }
 
-  /** A configuration content, or null where it is missing. */
+  /** Reads a configuration content; null if missing. */
   static ConfigContent content(Json json, String key) throws AgreementException {
     return json.get(key) instanceof Json.Members members
         ? ConfigCodec.decodeContent(members)
         : null;
   }
 
-  /** The kind of an instance. */
   static InstanceKind kind(Json json) throws AgreementException {
-    String word = text(json, "kind");
-    return InstanceKind.ofSerializedName(word)
-        .orElseThrow(() -> new AgreementException("no kind of part: '" + word + "'"));
+    String name = text(json, "kind");
+    return InstanceKind.ofSerializedName(name)
+        .orElseThrow(() -> new AgreementException("unknown kind of instance: '" + name + "'"));
   }
 
-  /** The constant whose word stands under the key. */
+  /** Reads the constant with the serialized name under the key. */
   static <E extends SerializedName> E constant(Json json, String key, E[] constants)
       throws AgreementException {
-    String word = text(json, key);
+    String name = text(json, key);
     for (E constant : constants) {
-      if (constant.serializedName().equals(word)) {
+      if (constant.serializedName().equals(name)) {
         return constant;
       }
     }
-    throw new AgreementException(key + ": '" + word + "' is no word of a release");
+    throw new AgreementException(key + ": '" + name + "' is not a known value");
   }
 }
