--- a/src/main/java/beaconturn/release/ConfigRollout.java
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -135,6 +135,6 @@
   }
 
   private static String awaitedRouters(AgreedVersions agreed) {
-    return String.join(", ", agreed.waitingFor());
+    return String.join(", ", agreed.awaitedRouters());
   }
 }
--- a/src/main/java/beaconturn/release/DefaultWaves.java
+++ b/src/main/java/beaconturn/release/DefaultWaves.java
@@ -3,9 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The waves of a plan that names none: one instance, a tenth of the rest, one zone, all others. */
+/**
+ * Builds the waves of a plan that specifies none: one instance, a tenth of the rest, the remainder of
+ * one zone, and all others.
+ */
 public final class DefaultWaves {
-  private static final int TENTH = 10;
+  private static final int SECOND_WAVE_DIVISOR = 10;
   private final List<String> remaining;
   private final List<List<String>> waves = new ArrayList<>();
 
@@ -13,16 +16,16 @@
     remaining = new ArrayList<>(group.instanceIds());
   }
 
-  /** The waves over all instances of a group. */
+  /** Returns the waves over all instances of a group. */
   public static List<List<String>> of(ReleaseFleet.Group group) {
-    DefaultWaves result = new DefaultWaves(group);
-    result.addFirst(1);
-    result.addFirst((result.remaining.size() + TENTH - 1) / TENTH);
-    if (!result.remaining.isEmpty()) {
-      result.addZone(group, group.zoneOf(result.remaining.get(0)));
+    DefaultWaves builder = new DefaultWaves(group);
+    builder.addFirst(1);
+    builder.addFirst((builder.remaining.size() + SECOND_WAVE_DIVISOR - 1) / SECOND_WAVE_DIVISOR);
+    if (!builder.remaining.isEmpty()) {
+      builder.addZone(group, group.zoneOf(builder.remaining.get(0)));
     }
-    result.add(result.remaining);
-    return result.waves;
+    builder.add(builder.remaining);
+    return builder.waves;
   }
 
   private void addFirst(int count) {
--- a/src/main/java/beaconturn/release/DriverContext.java
+++ b/src/main/java/beaconturn/release/DriverContext.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * One decision of a driver: what it is based on, and why the release waits where nothing is to be
- * done. Confined to the thread of its driver.
+ * The inputs of one decision of a driver, and the reason to wait that the decision results in.
+ * Confined to the thread of its driver.
  */
 final class DriverContext {
   private final RolloutKeys keys;
   private final RolloutTransactions transactions;
-  private final String driver;
+  private final String driverIncarnation;
   private final RolloutSnapshot snapshot;
   private final Unavailability observed;
   private final Map<String, String> unplanned;
@@ -21,24 +21,24 @@
   private String waitReason = "";
 
   /**
-   * A context.
+   * Creates the context of one decision.
    *
-   * @param driver incarnation of the driver
-   * @param observed instances that are out without a permit
-   * @param agreed configuration versions, or null where they are not known
-   * @param nowNanos by a clock that never goes back
+   * @param driverIncarnation incarnation of the driver
+   * @param observed instances that are out of service without a permit
+   * @param agreed configuration versions; null if not known
+   * @param nowNanos time by a monotonic clock
    */
   DriverContext(
       RolloutKeys keys,
       RolloutTransactions transactions,
-      String driver,
+      String driverIncarnation,
       RolloutSnapshot snapshot,
       Unavailability observed,
       AgreedVersions agreed,
       long nowNanos) {
     this.keys = keys;
     this.transactions = transactions;
-    this.driver = driver;
+    this.driverIncarnation = driverIncarnation;
     this.snapshot = snapshot;
     this.observed = observed;
     this.unplanned = observed.duringRollout(snapshot);
@@ -66,12 +66,12 @@
     return observed;
   }
 
-  /** Instances of the release's kind that are out without a permit, with reasons. */
+  /** Returns reasons by instance of the release's kind that is out of service without a permit. */
   Map<String, String> unplanned() {
     return unplanned;
   }
 
-  /** Configuration versions, or null where they are not known. */
+  /** Returns the configuration versions; null if not known. */
   AgreedVersions agreed() {
     return agreed;
   }
@@ -80,34 +80,35 @@
     return nowNanos;
   }
 
-  /** Why the release waits; empty where it does not. */
+  /** Returns why the release waits; empty if it does not. */
   String waitReason() {
     return waitReason;
   }
 
-  /** Notes why the release waits; a later reason replaces an earlier one. */
+  /** Sets why the release waits; a later reason replaces an earlier one. */
   void waitFor(String reason) {
     waitReason = reason;
   }
 
   /**
-   * A transaction with the conditions of all that a driver does: it is the driver still, and what
-   * it has decided on is unchanged.
+   * Returns a transaction on condition that this process is still the driver and that the keys which
+   * the decision was based on are unchanged.
    */
   RolloutTransaction transaction(
       String description, List<String> unchangedKeys, List<StoreRequest.Change> changes) {
     List<String> unchanged = new ArrayList<>(unchangedKeys);
     unchanged.add(keys.driver());
-    return transactions.transaction(snapshot, driver, description, unchanged, changes);
+    return transactions.transaction(
+        snapshot, driverIncarnation, description, unchanged, changes);
   }
 
-  /** Puts the rollout in another mode. */
   RolloutTransaction changeMode(String description, RolloutMode mode, String reason) {
     return transaction(
-        description, List.of(), List.of(transactions.put(new RolloutState(mode, reason, driver))));
+        description,
+        List.of(),
+        List.of(transactions.put(new RolloutState(mode, reason, driverIncarnation))));
   }
 
-  /** Begins the rollback. */
   RolloutTransaction rollBack(String reason) {
     return changeMode("goes back: " + reason, RolloutMode.ROLLING_BACK, reason);
   }
--- a/src/main/java/beaconturn/release/ReleaseFleetCodec.java
+++ b/src/main/java/beaconturn/release/ReleaseFleetCodec.java
@@ -11,7 +11,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The stored text of a fleet, as one line of JSON. */
+/** Encodes and decodes a fleet as one line of JSON, for the store. */
 final class ReleaseFleetCodec {
   private ReleaseFleetCodec() {}
 
@@ -41,7 +41,7 @@
         "cores",
         Double.toString(capacity.coresPerInstance()),
         "failures",
-        // Stored numbers are never negative, and -1 stands for a load that is not checked.
+        // Stored as n + 1: stored integers cannot be negative, and -1 disables the load check.
         capacity.toleratedFailures() + 1,
         "sites",
         StoredJson.list(zones));
--- a/src/main/java/beaconturn/release/Rollback.java
+++ b/src/main/java/beaconturn/release/Rollback.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Rolls a release back: instances in the reverse order of the plan, the configuration last. A step
- * that was not begun is withdrawn; an instance that runs the new variant goes back to the old.
+ * Rolls a release back: instances in the reverse order of the plan, then the configuration. A step
+ * that was not started is withdrawn; an instance that runs the new variant is returned to the old.
  */
 final class Rollback {
   private final ConfigRollout configRollout;
@@ -15,7 +15,7 @@
     this.configRollout = configRollout;
   }
 
-  /** The next transaction, or null while the rollback waits. */
+  /** Returns the next transaction; null while the rollback waits. */
   RolloutTransaction nextTransaction(DriverContext context) {
     List<String> order = new ArrayList<>(context.plan().instanceIds());
     Collections.reverse(order);
@@ -51,7 +51,7 @@
     return switch (step.phase()) {
       case GRANTED -> withdraw(context, step);
       case STARTED -> {
-        context.waitFor(step.instanceId() + " is acted on");
+        context.waitFor(step.instanceId() + " has a step in progress");
         yield null;
       }
       case READY, FAILED -> afterAction(context, step);
@@ -61,7 +61,7 @@
 
   private static RolloutTransaction withdraw(DriverContext context, RolloutStep step) {
     if (step.variant() == InstanceVariant.OLD) {
-      context.waitFor(step.instanceId() + " is to go back");
+      context.waitFor(step.instanceId() + " waits for its agent to roll it back");
       return null;
     }
     return rolledBack(
@@ -73,19 +73,22 @@
       return toOldVariant(context, step);
     }
     if (step.phase() == StepPhase.FAILED) {
-      context.waitFor(step.instanceId() + " cannot be brought back: " + step.failureReason());
+      context.waitFor(step.instanceId() + " could not be rolled back: " + step.failureReason());
       return null;
     }
     String unavailable = context.unplanned().get(step.instanceId());
     if (unavailable != null) {
-      context.waitFor(step.instanceId() + " is not seen back: " + unavailable);
+      context.waitFor(step.instanceId() + " is not back in service: " + unavailable);
       return null;
     }
     return rolledBack(
-        context, step, step.agentIncarnation(), step.instanceId() + " runs again what it ran before");
+        context,
+        step,
+        step.agentIncarnation(),
+        step.instanceId() + " runs again what it ran before");
   }
 
-  /** An instance that is not verified yet holds its permit still, and goes back under it. */
+  /** Grants the way back under the permit that an unverified instance still holds. */
   private static RolloutTransaction toOldVariant(DriverContext context, RolloutStep step) {
     RolloutStep granted =
         StepGrants.step(context, step.instanceId(), step.permitNumber(), InstanceVariant.OLD);
@@ -95,7 +98,7 @@
         List.of(context.transactions().put(granted)));
   }
 
-  /** An instance that was verified has returned its permit, and needs another. */
+  /** Grants the way back under a new permit: a verified instance has returned its own. */
   private static RolloutTransaction afterCheck(DriverContext context, RolloutStep step) {
     String blockingReason =
         new DisruptionBudget(context.snapshot(), context.plan().kind())
--- a/src/main/java/beaconturn/release/RolloutAgent.java
+++ b/src/main/java/beaconturn/release/RolloutAgent.java
@@ -6,9 +6,10 @@
 import java.util.function.Supplier;
 
 /**
- * The agent of one instance. It begins an action only by a transaction that holds while the release
- * acts, and acts only if the response came in time, so that a halt binds also an agent that was
- * slow, cut off or paused. Confined to one thread.
+ * Decides the transactions and actions of the agent of one instance. An action starts only after a
+ * transaction that is conditional on the state of the rollout, and only if the store's reply arrived
+ * within the call timeout; a halt therefore also stops an agent that was slow, disconnected or
+ * paused. Confined to one thread.
  */
 public final class RolloutAgent {
   private final RolloutKeys keys;
@@ -17,25 +18,26 @@
   private final String incarnation;
   private final long callTimeoutNanos;
 
-  /** The step that its last transaction was to begin, or whose action runs; or null. */
+  /** The step that the last transaction starts or whose action is running; null if none. */
   private RolloutStep currentStep;
 
-  private long sentAtNanos;
+  private long transactionStartedNanos;
   private boolean actionRunning;
   private long actionStartedNanos;
 
-  /** How the last action ended, until the store holds it; or null. */
+  /** Result of the last action until it is stored; null if none is pending. */
   private ActionResult result;
 
   private record ActionResult(
-      RolloutStep step, boolean ready, String failureReason, long endedNanos, long tookNanos) {}
+      RolloutStep step, boolean ready, String failureReason, long endedNanos, long durationNanos) {}
 
   /**
-   * An agent.
+   * Creates an agent.
    *
-   * @param incarnation identifies this process among agents of the instance
-   * @param callTimeoutNanos a response that took longer allows nothing any more
-   * @param clock gives the time of history lines as a text
+   * @param incarnation identifies this process among the agents of the instance
+   * @param callTimeoutNanos maximum time from a transaction's decision to its reply; a later reply
+   *     does not start an action
+   * @param clock provides the formatted time of history lines
    */
   public RolloutAgent(
       RolloutKeys keys,
@@ -51,8 +53,8 @@
   }
 
   /**
-   * The transaction that makes this process the agent of the instance, bound to its lease; null
-   * where there is an agent.
+   * Returns the transaction that makes this process the agent of the instance, bound to its lease;
+   * null if the instance has an agent.
    */
   public RolloutTransaction acquireLease(RolloutSnapshot snapshot, long leaseId) {
     if (snapshot.agents().containsKey(instanceId)) {
@@ -63,14 +65,14 @@
         new StoreRequest.Transaction(
             List.of(new StoreRequest.Condition.Unchanged(key, 0)),
             List.of(new StoreRequest.Change.Put(key, incarnation, leaseId))),
-        "acts on " + instanceId);
+        "acquires the agent lease of " + instanceId);
   }
 
   /**
-   * The next transaction, or null where none is due. Its response goes to {@link
+   * Returns the next transaction; null if none is due. Its outcome must be passed to {@link
    * #transactionCompleted} before the next call.
    *
-   * @param nowNanos by a clock that never goes back
+   * @param nowNanos time by a monotonic clock
    */
   public RolloutTransaction nextTransaction(RolloutSnapshot snapshot, long nowNanos) {
     RolloutStep step = snapshot.steps().get(instanceId);
@@ -87,12 +89,12 @@
     }
     RolloutMode mode = snapshot.state().mode();
     if (mode == RolloutMode.ROLLING_BACK && isStartedForNewVariant(step)) {
-      return giveUp(snapshot, step);
+      return reportInterrupted(snapshot, step);
     }
     return mayStart(step, mode) ? start(snapshot, step, nowNanos) : null;
   }
 
-  /** The permit of the result is returned, or the store holds the result already. */
+  /** Discards a result that is already stored, or whose permit was returned. */
   private void discardOutdatedResult(RolloutStep step) {
     if (result == null) {
       return;
@@ -110,8 +112,8 @@
   }
 
   /**
-   * Whether an action may begin. A step that stands as started and is not acted on is begun again:
-   * by this agent where the response was lost or late, by another where that one has died.
+   * Returns whether an action may start. A step that is stored as started but has no running action
+   * is started again: by this agent if the reply was lost or late, or by its successor if it died.
    */
   private static boolean mayStart(RolloutStep step, RolloutMode mode) {
     boolean open = step.phase() == StepPhase.GRANTED || step.phase() == StepPhase.STARTED;
@@ -122,7 +124,7 @@
 
   private RolloutTransaction start(RolloutSnapshot snapshot, RolloutStep step, long nowNanos) {
     currentStep = step.withPhase(StepPhase.STARTED, incarnation, "");
-    sentAtNanos = nowNanos;
+    transactionStartedNanos = nowNanos;
     return transactions.transaction(
         snapshot,
         incarnation,
@@ -132,10 +134,10 @@
   }
 
   /**
-   * While the release goes back, a step to the new variant that was started and is not acted on is
-   * reported as failed, so that the driver takes it back.
+   * During a rollback, reports a started step to the new variant without a running action as failed,
+   * so that the driver rolls the instance back.
    */
-  private RolloutTransaction giveUp(RolloutSnapshot snapshot, RolloutStep step) {
+  private RolloutTransaction reportInterrupted(RolloutSnapshot snapshot, RolloutStep step) {
     RolloutStep failed = step.withPhase(StepPhase.FAILED, incarnation, "not acted on");
     return transactions.transaction(
         snapshot,
@@ -146,8 +148,8 @@
   }
 
   /**
-   * Reports how an action has ended, whatever the release is at: only the step must stand as it
-   * was.
+   * Reports the result of an action in any state of the rollout, on condition that the step is
+   * unchanged.
    */
   private RolloutTransaction report(RolloutSnapshot snapshot, RolloutStep step) {
     RolloutStep reported =
@@ -159,7 +161,7 @@
             incarnation,
             result.failureReason(),
             step.previousStartNanos(),
-            result.tookNanos());
+            result.durationNanos());
     List<StoreRequest.Change> changes = new ArrayList<>();
     changes.add(transactions.put(reported));
     changes.addAll(
@@ -180,29 +182,33 @@
   }
 
   /**
-   * Takes the response to the last transaction; the variant that the instance is to be brought to
-   * now, or null.
+   * Processes the outcome of the last transaction. Returns the variant to which the caller must now
+   * bring the instance; null if no action starts.
    *
-   * @param held whether the transaction held; false also where there was no response
+   * @param held whether the conditions held; false also if there was no reply
    */
   public InstanceVariant transactionCompleted(boolean held, long nowNanos) {
     if (result != null || currentStep == null) {
       return null;
     }
-    if (!held || nowNanos - sentAtNanos > callTimeoutNanos) {
+    if (!held || nowNanos - transactionStartedNanos > callTimeoutNanos) {
       currentStep = null;
       return null;
     }
-    return beginAction(nowNanos);
+    return startAction(nowNanos);
   }
 
-  private InstanceVariant beginAction(long nowNanos) {
+  private InstanceVariant startAction(long nowNanos) {
     actionRunning = true;
     actionStartedNanos = nowNanos;
     return currentStep.variant();
   }
 
-  /** Takes the end of the action; the reason of a failure is empty where the instance is ready. */
+  /**
+   * Records the result of the action.
+   *
+   * @param failureReason why the instance is not ready; empty if it is
+   */
   public void actionEnded(boolean ready, String failureReason, long nowNanos) {
     actionRunning = false;
     result =
@@ -212,18 +218,19 @@
   }
 
   /**
-   * Whether the instance is to be brought back though the store does not answer: its action has
-   * failed, and the plan wants it back by now. The variant to bring it to, or null.
+   * Starts the rollback of a failed step while the store is unreachable, if the plan allows it and
+   * its time has come. Returns the variant to which the caller must now bring the instance; null if
+   * no action starts.
    *
-   * @param plan as read last, or null
+   * @param plan plan as last read; null if none was read
    */
   public InstanceVariant startSelfRollback(RolloutPlan plan, long nowNanos) {
     boolean failed = !actionRunning && result != null && !result.ready();
     if (!failed || result.step().variant() == InstanceVariant.OLD) {
       return null;
     }
-    boolean wanted = plan != null && plan.selfRollbackNanos() != 0;
-    if (!wanted || nowNanos - result.endedNanos() < plan.selfRollbackNanos()) {
+    boolean enabled = plan != null && plan.selfRollbackNanos() != 0;
+    if (!enabled || nowNanos - result.endedNanos() < plan.selfRollbackNanos()) {
       return null;
     }
     RolloutStep failedStep = result.step();
@@ -238,6 +245,6 @@
             failedStep.previousStartNanos(),
             0);
     result = null;
-    return beginAction(nowNanos);
+    return startAction(nowNanos);
   }
 }
--- a/src/main/java/beaconturn/release/RolloutCodec.java
+++ b/src/main/java/beaconturn/release/RolloutCodec.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 
 /**
- * The stored texts of what changes while a release is in progress: state, steps, permits, the
- * configuration change and metrics. Each is one line of JSON; builds before and after this one read
- * and write the same keys.
+ * Encodes and decodes the records that change during a release: state, steps, permits, the
+ * configuration change and metrics. Each is stored as one line of JSON. Instances of different builds
+ * exchange these texts, so member names and their order must not change.
  */
 public final class RolloutCodec {
   private RolloutCodec() {}
@@ -92,7 +92,7 @@
             "why",
             step.failureReason(),
             "started",
-            // Stored numbers are never negative, and -1 stands for no known start.
+            // Stored as n + 1: stored integers cannot be negative, and -1 means no known start.
             step.previousStartNanos() + 1,
             "took_ns",
             step.readyAfterNanos()));
@@ -111,7 +111,7 @@
         StoredFields.number(json, "took_ns"));
   }
 
-  /** The stored text of an instance's metrics. */
+  /** Encodes the metrics of an instance. */
   public static String encode(InstanceSample sample) {
     List<Object> members = new ArrayList<>(List.of("process", sample.process()));
     sample.metrics().forEach((metric, value) -> members.addAll(List.of(metric.serializedName(), value)));
--- a/src/main/java/beaconturn/release/RolloutDriver.java
+++ b/src/main/java/beaconturn/release/RolloutDriver.java
@@ -6,10 +6,10 @@
 import java.util.function.Supplier;
 
 /**
- * Drives a release: decides the next transaction from what the store holds. Any process may drive;
- * each transaction holds only while that process holds the lease of the driver. Of its own it keeps
- * since when it has watched instances; a driver that takes over watches them anew. Confined to one
- * thread.
+ * Drives a release: decides the next transaction from a snapshot of the store. Any process may
+ * drive; each transaction is conditional on that process holding the driver lease. The only local
+ * state is what the driver has observed of instances over time; a driver that takes over starts
+ * observing anew. Confined to one thread.
  */
 public final class RolloutDriver {
   private final RolloutKeys keys;
@@ -23,7 +23,12 @@
   private final Rollback rollback;
   private String waitReason = "";
 
-  /** A driver of that incarnation; the clock gives the time of history lines as a text. */
+  /**
+   * Creates a driver.
+   *
+   * @param incarnation identifies this process among drivers
+   * @param clock provides the formatted time of history lines
+   */
   public RolloutDriver(RolloutKeys keys, String incarnation, Supplier<String> clock) {
     this.keys = keys;
     this.incarnation = incarnation;
@@ -33,14 +38,14 @@
     this.rollback = new Rollback(configRollout);
   }
 
-  /** What the release waits for, in words; empty where it does not wait. */
+  /** Returns why the release waits, as of the last decision; empty if it does not. */
   public String waitReason() {
     return waitReason;
   }
 
   /**
-   * The transaction that makes this process the driver, bound to its lease; null where there is a
-   * driver or nothing to drive.
+   * Returns the transaction that makes this process the driver, bound to its lease; null if there is
+   * a driver or no release to drive.
    */
   public RolloutTransaction acquireLease(RolloutSnapshot snapshot, long leaseId) {
     boolean nothingToDrive = snapshot.plan() == null || snapshot.state().isOver();
@@ -51,12 +56,12 @@
         new StoreRequest.Transaction(
             List.of(new StoreRequest.Condition.Unchanged(keys.driver(), 0)),
             List.of(new StoreRequest.Change.Put(keys.driver(), incarnation, leaseId))),
-        "drives the release");
+        "acquires the driver lease");
   }
 
   /**
-   * The next transaction where the configuration versions are not known, or null while the release
-   * waits.
+   * Returns the next transaction without knowledge of the configuration versions; null while the
+   * release waits.
    */
   public RolloutTransaction nextTransaction(
       RolloutSnapshot snapshot, Unavailability observed, long nowNanos) {
@@ -64,11 +69,11 @@
   }
 
   /**
-   * The next transaction, or null while the release waits.
+   * Returns the next transaction; null while the release waits.
    *
-   * @param observed instances that are out without a permit
-   * @param agreed configuration versions, or null where they are not known
-   * @param nowNanos by a clock that never goes back
+   * @param observed instances that are out of service without a permit
+   * @param agreed configuration versions; null if not known
+   * @param nowNanos time by a monotonic clock
    */
   public RolloutTransaction nextTransaction(
       RolloutSnapshot snapshot, Unavailability observed, AgreedVersions agreed, long nowNanos) {
@@ -103,7 +108,7 @@
     };
   }
 
-  /** The configuration comes first: what is released may need it, and nothing of it runs yet. */
+  /** The configuration takes effect before any step, as the new variant may depend on it. */
   private RolloutTransaction rollForward(DriverContext context) {
     if (context.plan().configContent() != null && !configRollout.isInForce(context)) {
       return configRollout.advance(context);
--- a/src/main/java/beaconturn/release/RolloutKeys.java
+++ b/src/main/java/beaconturn/release/RolloutKeys.java
@@ -1,33 +1,33 @@
 package beaconturn.release;
 
 /**
- * Keys of a release in the store, below the prefix of a fleet.
+ * Keys of a release in the store, under the prefix of a fleet.
  *
  * <pre>
  * release/fleet       instances of the fleet and its disruption budget
- * release/counter     number of the last permit
+ * release/counter     number of the last permit issued
  * release/permit/N    a disruption permit
  * release/plan        plan of the current release, or of the last one
  * release/course      state of the rollout
  * release/step/ID     step of an instance
- * release/settings    configuration version that goes with the release, and the content before it
- * release/driver      incarnation of the driver, on a lease
- * release/agent/ID    incarnation of the agent of an instance, on a lease
+ * release/settings    configuration version of the release, and the previous content
+ * release/driver      incarnation of the driver, bound to its lease
+ * release/agent/ID    incarnation of the agent of an instance, bound to its lease
  * release/health/ID   metrics of an instance, reported by its agent
  * release/told        number of lines in the history
  * release-curve/N     time series of release N
  * release-history/N   line N of the history
  * </pre>
  *
- * <p>Time series and history have prefixes of their own: whoever takes a step reads all of {@code
- * release/} and needs neither.
+ * <p>The time series and the history have prefixes of their own, because each decision reads all
+ * keys under {@code release/} and needs neither.
  *
- * @param fleet prefix of the fleet
+ * @param fleet key prefix of the fleet
  */
 public record RolloutKeys(String fleet) {
   private static final String NUMBER_FORMAT = "%09d";
 
-  /** Prefix of all that steps are decided on. */
+  /** Returns the prefix of all keys that decisions depend on. */
   public String prefix() {
     return fleet + "/release/";
   }
@@ -84,7 +84,7 @@
     return prefix() + "health/";
   }
 
-  /** Key of the metrics of an instance. */
+  /** Returns the key of the metrics of an instance. */
   public String sample(String instanceId) {
     return samples() + instanceId;
   }
--- a/src/main/java/beaconturn/release/RolloutPlan.java
+++ b/src/main/java/beaconturn/release/RolloutPlan.java
@@ -10,19 +10,20 @@
 /**
  * The plan of a release.
  *
- * @param number number of the release, from 1
+ * @param number number of the release, from 1; 0 before the release is started
  * @param kind kind of the instances
- * @param waves instances by wave; a wave begins when all of the one before have been verified
- * @param soakNanos how long an instance is watched once it is ready
- * @param minResponses answers of an instance that a comparison needs
- * @param regressionBounds by how much changed instances may do worse than their peers
- * @param readyTimeoutNanos how long an instance may take to get ready
- * @param selfRollbackNanos after how long without the store an agent brings back by itself what
- *     failed; 0 for never
- * @param reason why, for the history
- * @param configContent configuration that comes into force before the first wave and is reverted
- *     last, or null
- * @param storeId the store in which it was started, empty before; in another store nobody acts
+ * @param waves instances by wave; a wave starts after all instances of the previous one are verified
+ * @param soakNanos minimum time that an instance is in service before it is verified
+ * @param minResponses minimum number of responses of an instance for a comparison
+ * @param regressionBounds how much worse changed instances may do than their peers
+ * @param readyTimeoutNanos maximum time that an instance may take to become ready
+ * @param selfRollbackNanos time after a failed step at which an agent that cannot reach the store
+ *     rolls its instance back by itself; 0 disables this
+ * @param reason reason of the release, for the history
+ * @param configContent configuration that takes effect before the first wave and is reverted last;
+ *     null if the release has none
+ * @param storeId cluster identifier of the store in which the release was started, empty before;
+ *     drivers and agents do not act on the plan in another store
  */
 public record RolloutPlan(
     long number,
@@ -36,15 +37,15 @@
     String reason,
     ConfigContent configContent,
     String storeId) {
-  /** Copies the waves. */
+  /** Makes an immutable copy of the waves. */
   public RolloutPlan {
     waves = waves.stream().map(List::copyOf).toList();
   }
 
-  /** The same plan, started as that release in that store. */
-  RolloutPlan startedAs(long releaseNumber, String store) {
+  /** Returns this plan with a release number and the identifier of the store. */
+  RolloutPlan startedAs(long startedNumber, String startedStoreId) {
     return new RolloutPlan(
-        releaseNumber,
+        startedNumber,
         kind,
         waves,
         soakNanos,
@@ -54,15 +55,15 @@
         selfRollbackNanos,
         reason,
         configContent,
-        store);
+        startedStoreId);
   }
 
-  /** All instances in the order in which they are changed. */
+  /** Returns all instances in the order in which they are changed. */
   public List<String> instanceIds() {
     return waves.stream().flatMap(List::stream).toList();
   }
 
-  /** Why a fleet cannot carry the plan out, or null where it can. */
+  /** Returns why the plan cannot be carried out on a fleet; null if it can. */
   public String blockingReason(ReleaseFleet fleet) {
     ReleaseFleet.Group group = fleet.group(kind);
     String instances = instancesBlockingReason(group);
@@ -70,42 +71,46 @@
       return instances;
     }
     if (group.maxUnavailable() < 1 || group.maxUnavailablePerZone() < 1) {
-      return "no " + kind.serializedName() + " may be out at all";
+      return "the disruption budget allows no " + kind.serializedName() + " to be out of service";
     }
     return failuresBlockingReason(group);
   }
 
   private String instancesBlockingReason(ReleaseFleet.Group group) {
-    Set<String> named = new HashSet<>();
+    Set<String> distinct = new HashSet<>();
     for (String instanceId : instanceIds()) {
       if (group.zoneOf(instanceId) == null) {
         return "there is no " + kind.serializedName() + " '" + instanceId + "' in the fleet";
       }
-      if (!named.add(instanceId)) {
-        return "'" + instanceId + "' stands in it twice";
+      if (!distinct.add(instanceId)) {
+        return "'" + instanceId + "' is in the plan twice";
       }
     }
-    return named.isEmpty() ? "it names no part" : null;
+    return distinct.isEmpty() ? "the plan names no parts" : null;
   }
 
-  /** Why a zone would be left without instances if as many fail as are to be tolerated, or null. */
+  /**
+   * Returns why a zone would have no instance in service with the budget used up and the tolerated
+   * number of failures; null if each would have one.
+   */
   private String failuresBlockingReason(ReleaseFleet.Group group) {
     int tolerated = group.capacity().toleratedFailures();
     if (tolerated < 0) {
       return null;
     }
-    Set<String> named = Set.copyOf(instanceIds());
-    int out = Math.min(group.maxUnavailable(), group.maxUnavailablePerZone());
+    Set<String> planned = Set.copyOf(instanceIds());
+    int unavailable = Math.min(group.maxUnavailable(), group.maxUnavailablePerZone());
     for (Map.Entry<String, List<String>> zone : group.instancesByZone().entrySet()) {
       int size = zone.getValue().size();
-      if (size - out - tolerated < 1 && zone.getValue().stream().anyMatch(named::contains)) {
+      if (size - unavailable - tolerated < 1
+          && zone.getValue().stream().anyMatch(planned::contains)) {
         return String.format(
             Locale.ROOT,
-            "%s has %d %ss: with %d out and %d that fail none is left",
+            "%s has %d %ss: with %d out of service and %d failed, none is left",
             zone.getKey(),
             size,
             kind.serializedName(),
-            out,
+            unavailable,
             tolerated);
       }
     }
--- a/src/main/java/beaconturn/release/RolloutPlanCodec.java
+++ b/src/main/java/beaconturn/release/RolloutPlanCodec.java
@@ -7,7 +7,7 @@
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 
-/** The stored text of a plan, as one line of JSON. */
+/** Encodes and decodes a plan as one line of JSON, for the store. */
 final class RolloutPlanCodec {
   private RolloutPlanCodec() {}
 
--- a/src/main/java/beaconturn/release/RolloutRecorder.java
+++ b/src/main/java/beaconturn/release/RolloutRecorder.java
@@ -6,34 +6,38 @@
 import java.util.Set;
 
 /**
- * Records the time series of a release while its driver drives it. A driver that takes over goes on
- * with the series that the store holds. Confined to the thread of its driver.
+ * Records the time series of a release during the rollout. A driver that takes over continues the
+ * stored series. Confined to the thread of its driver.
  */
 public final class RolloutRecorder {
   private final RolloutKeys keys;
   private final long releaseNumber;
   private RolloutTimeSeries series;
 
-  /** Metrics of the last point; null before the first. */
+  /** Metrics by instance at the last point; null before the first snapshot. */
   private Map<String, InstanceSample> lastSamples;
 
-  /** A recorder of that release that goes on with a series. */
+  /**
+   * Creates a recorder.
+   *
+   * @param series series to continue
+   */
   public RolloutRecorder(RolloutKeys keys, long releaseNumber, RolloutTimeSeries series) {
     this.keys = keys;
     this.releaseNumber = releaseNumber;
     this.series = series;
   }
 
-  /** Number of the release that it records. */
   public long releaseNumber() {
     return releaseNumber;
   }
 
   /**
-   * The transaction that stores the next point, or null while none is due; it holds only while the
-   * driver is the same.
+   * Returns the transaction that stores the next point, on condition that the driver is unchanged;
+   * null if no point is due.
    *
-   * @param atMillis wall clock time in milliseconds
+   * @param observed instances that are out of service without a permit
+   * @param atMillis wall clock time
    */
   public RolloutTransaction nextTransaction(
       RolloutSnapshot snapshot, Unavailability observed, long atMillis) {
--- a/src/main/java/beaconturn/release/RolloutSnapshot.java
+++ b/src/main/java/beaconturn/release/RolloutSnapshot.java
@@ -8,21 +8,21 @@
 import java.util.TreeMap;
 
 /**
- * All that the store holds of a release, as of one revision.
+ * The release data in the store at one revision.
  *
- * @param storeId identifies the store
+ * @param storeId cluster identifier of the store
  * @param fleet instances of the fleet and its disruption budget
- * @param plan plan of the current release, or of the last one; null before the first
+ * @param plan plan of the current or the last release; null before the first
  * @param state state of the rollout
  * @param steps steps by instance
- * @param configChange configuration version that goes with the release, or null while none does
+ * @param configChange configuration version of the release; null before one is proposed
  * @param permits disruption permits by number
- * @param driver incarnation of the driver, or empty
- * @param agents incarnation of the agent of each instance
- * @param lastPermitNumber number of the last permit
- * @param historyLength lines in the history
- * @param samples metrics of instances
- * @param revisions revision of the last change of each key
+ * @param driver incarnation of the driver; empty if there is none
+ * @param agents incarnations of agents by instance
+ * @param lastPermitNumber number of the last permit issued; 0 before the first
+ * @param historyLength number of lines in the history
+ * @param samples metrics by instance
+ * @param revisions revision of the last change by key
  */
 public record RolloutSnapshot(
     String storeId,
@@ -38,15 +38,16 @@
     long historyLength,
     SortedMap<String, InstanceSample> samples,
     Map<String, Long> revisions) {
-  /** Why nobody acts on a release of another store. */
+  /** Why drivers and agents do not act on a release that was started in another store. */
   static final String STORE_REPLACED =
-      "the store was restored or replaced since the release began: what it says"
-          + " of parts may be old; abandon the release, see who runs what, and begin another";
+      "the store was restored or replaced since the release was started: its records of"
+          + " parts may be outdated; abandon the release, check what each part runs, and start"
+          + " another release";
 
   /**
    * Decodes the response to a read of {@link RolloutKeys#prefix()}.
    *
-   * @throws AgreementException if a stored text cannot be read
+   * @throws AgreementException if a stored text is invalid
    */
   public static RolloutSnapshot of(RolloutKeys keys, StoreResponse.Success response)
       throws AgreementException {
@@ -54,34 +55,34 @@
   }
 
   /**
-   * Whether the release was started in another store. What this one says of its steps may be older
-   * than what has been done.
+   * Returns whether the current release was started in another store, in which case the steps
+   * recorded here may be outdated.
    */
   boolean storeReplaced() {
     return plan != null && !state.isOver() && !plan.storeId().equals(storeId);
   }
 
-  /** The condition that a key is as it was read here. */
+  /** Returns the condition that a key has not changed since this snapshot. */
   StoreRequest.Condition unchanged(String key) {
     return new StoreRequest.Condition.Unchanged(key, revisions.getOrDefault(key, 0L));
   }
 
-  /** The metrics of an instance; none where its agent has reported none. */
+  /** Returns the metrics of an instance; {@link InstanceSample#NONE} if none are reported. */
   InstanceSample sample(String instanceId) {
     return samples.getOrDefault(instanceId, InstanceSample.NONE);
   }
 
-  /** The phase of an instance, or null where it has no step. */
+  /** Returns the phase of an instance's step; null if there is no step. */
   StepPhase phase(String instanceId) {
     RolloutStep step = steps.get(instanceId);
     return step == null ? null : step.phase();
   }
 
   /**
-   * Unavailable instances of a kind, each with the reason: those that hold a permit and those that
-   * are out without one.
+   * Returns the unavailable instances of a kind with the reasons: instances with a permit, and
+   * instances that are out of service without one.
    *
-   * @param unplanned instances of that kind that are out without a permit, with reasons
+   * @param unplanned reasons by instance of that kind that is out of service without a permit
    */
   public SortedMap<String, String> unavailable(InstanceKind kind, Map<String, String> unplanned) {
     SortedMap<String, String> reasons = new TreeMap<>(unplanned);
--- a/src/main/java/beaconturn/release/RolloutSnapshotReader.java
+++ b/src/main/java/beaconturn/release/RolloutSnapshotReader.java
@@ -7,7 +7,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Decodes a snapshot from the keys and values of the store; for one use. */
+/** Decodes a snapshot from the keys and values of the store. Each reader is used once. */
 final class RolloutSnapshotReader {
   private final RolloutKeys keys;
   private final Map<String, String> values = new HashMap<>();
@@ -23,14 +23,14 @@
 
   RolloutSnapshot read(StoreResponse.Success response) throws AgreementException {
     try {
-      for (StoreResponse.Entry pair : response.entries()) {
-        values.put(pair.key(), pair.value());
-        revisions.put(pair.key(), pair.modRevision());
-        add(pair.key(), pair.value());
+      for (StoreResponse.Entry entry : response.entries()) {
+        values.put(entry.key(), entry.value());
+        revisions.put(entry.key(), entry.modRevision());
+        add(entry.key(), entry.value());
       }
       return snapshot(response.clusterId());
     } catch (IllegalArgumentException e) {
-      throw new AgreementException("what stands of a release cannot be read: " + e.getMessage());
+      throw new AgreementException("the stored data of the release is invalid: " + e.getMessage());
     }
   }
 
--- a/src/main/java/beaconturn/release/RolloutStore.java
+++ b/src/main/java/beaconturn/release/RolloutStore.java
@@ -6,7 +6,7 @@
 import beaconturn.agreement.StoreRequest;
 import beaconturn.agreement.StoreResponse;
 
-/** Reads and changes what the store holds of a release, for commands of operators. */
+/** Reads and changes the release data in the store, for operators' commands. */
 final class RolloutStore {
   private static final int MAX_ATTEMPTS = 5;
   private final RolloutKeys keys;
@@ -15,9 +15,9 @@
   /** Decides on a transaction from a snapshot. */
   interface Decision {
     /**
-     * The transaction.
+     * Returns the transaction to execute.
      *
-     * @throws AgreementException if the command is not allowed as things are, with the reason
+     * @throws AgreementException if the command is not allowed in the current state
      */
     RolloutTransaction decide(RolloutSnapshot snapshot) throws AgreementException;
   }
@@ -27,7 +27,11 @@
     this.store = store;
   }
 
-  /** The response to a request; an exception where the store does not answer. */
+  /**
+   * Sends a request to the store.
+   *
+   * @throws AgreementException if the store does not reply
+   */
   StoreResponse.Success request(StoreRequest request) throws AgreementException {
     return ConfigAdmin.requireSuccess(store, request);
   }
@@ -37,8 +41,8 @@
   }
 
   /**
-   * Carries a decision out and returns its description. Where others have changed the store in
-   * between, it is decided anew.
+   * Executes a decision and returns its description. If a concurrent change makes the transaction
+   * fail, the decision is made again, up to {@value #MAX_ATTEMPTS} attempts in all.
    */
   String execute(Decision decision) throws AgreementException {
     for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
@@ -47,6 +51,8 @@
         return transaction.description();
       }
     }
-    throw new AgreementException("not done, things keep changing: look again");
+    throw new AgreementException("not done: other changes to the store conflicted with all "
+            + MAX_ATTEMPTS
+            + " attempts; check the current state and try again");
   }
 }
--- a/src/main/java/beaconturn/release/RolloutTimeSeries.java
+++ b/src/main/java/beaconturn/release/RolloutTimeSeries.java
@@ -4,29 +4,29 @@
 import java.util.List;
 
 /**
- * Answers and unavailable instances over the time of a release, for its report. Its size is
- * bounded: once it is full, each two neighbours are merged and a point stands for twice the time.
+ * Responses and unavailable instances over the time of a release, for its report. The size is
+ * bounded: when the series is full, neighbouring points are merged and the interval is doubled.
  *
- * @param intervalMillis time that a point stands for
- * @param points the oldest first
+ * @param intervalMillis minimum time between points
+ * @param points points, the oldest first
  */
 public record RolloutTimeSeries(long intervalMillis, List<Point> points) {
   private static final int MAX_POINTS = 240;
   private static final long INITIAL_INTERVAL_MILLIS = 1000;
 
-  /** A series without points. */
+  /** A series without points, at the initial interval. */
   public static final RolloutTimeSeries EMPTY =
       new RolloutTimeSeries(INITIAL_INTERVAL_MILLIS, List.of());
 
   /**
-   * One interval.
+   * Counts over one interval.
    *
-   * @param atMillis its end, by the wall clock of the driver
-   * @param served successful answers
+   * @param atMillis end of the interval, by the wall clock of the driver
+   * @param served successful responses
    * @param failed rejections and errors
-   * @param late successful answers after their latency objective
-   * @param plannedUnavailable instances that were out under a permit at its end
-   * @param unplannedUnavailable instances that were out without a permit at its end
+   * @param late successful responses after their latency objective
+   * @param plannedUnavailable instances out of service under a permit at the end of the interval
+   * @param unplannedUnavailable instances out of service without a permit at the end of the interval
    */
   public record Point(
       long atMillis,
@@ -46,34 +46,33 @@
     }
   }
 
-  /** Copies the points. */
+  /** Makes an immutable copy of the points. */
   public RolloutTimeSeries {
     points = List.copyOf(points);
   }
 
-  /** Whether the next point is due. */
   boolean isDue(long atMillis) {
     return points.isEmpty()
         || atMillis - points.get(points.size() - 1).atMillis() >= intervalMillis;
   }
 
-  /** The series with one more point. */
+  /** Returns the series with one more point; merges points if the series is full. */
   RolloutTimeSeries append(Point point) {
-    List<Point> all = new ArrayList<>(points);
-    all.add(point);
-    if (all.size() <= MAX_POINTS) {
-      return new RolloutTimeSeries(intervalMillis, all);
+    List<Point> extended = new ArrayList<>(points);
+    extended.add(point);
+    if (extended.size() <= MAX_POINTS) {
+      return new RolloutTimeSeries(intervalMillis, extended);
     }
-    return new RolloutTimeSeries(2 * intervalMillis, mergedInPairs(all));
+    return new RolloutTimeSeries(2 * intervalMillis, mergedInPairs(extended));
   }
 
-  private static List<Point> mergedInPairs(List<Point> all) {
+  private static List<Point> mergedInPairs(List<Point> points) {
     List<Point> merged = new ArrayList<>();
-    for (int i = 0; i + 1 < all.size(); i += 2) {
-      merged.add(all.get(i).mergedWith(all.get(i + 1)));
+    for (int i = 0; i + 1 < points.size(); i += 2) {
+      merged.add(points.get(i).mergedWith(points.get(i + 1)));
     }
-    if (all.size() % 2 == 1) {
-      merged.add(all.get(all.size() - 1));
+    if (points.size() % 2 == 1) {
+      merged.add(points.get(points.size() - 1));
     }
     return merged;
   }
--- a/src/main/java/beaconturn/release/RolloutTimeSeriesCodec.java
+++ b/src/main/java/beaconturn/release/RolloutTimeSeriesCodec.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The stored text of a time series, as one line of JSON. */
+/** Encodes and decodes a time series as one line of JSON, for the store. */
 final class RolloutTimeSeriesCodec {
   private RolloutTimeSeriesCodec() {}
 
--- a/src/main/java/beaconturn/release/RolloutTransaction.java
+++ b/src/main/java/beaconturn/release/RolloutTransaction.java
@@ -3,9 +3,10 @@
 import beaconturn.agreement.StoreRequest;
 
 /**
- * One step of a release as a transaction of the store.
+ * A transaction that takes one step of a release, with its description.
  *
  * @param storeTransaction conditions and changes
- * @param description the step in words, for the history and the log
+ * @param description what the transaction does, for the history and the log; empty for a point of
+ *     the time series
  */
 public record RolloutTransaction(StoreRequest.Transaction storeTransaction, String description) {}
--- a/src/main/java/beaconturn/release/RolloutTransactions.java
+++ b/src/main/java/beaconturn/release/RolloutTransactions.java
@@ -6,22 +6,26 @@
 import java.util.function.Supplier;
 
 /**
- * Builds the transactions of a release: what each changes, and on which keys it depends. Each adds
- * a line to the history.
+ * Builds the transactions of a release and the changes that they consist of. Each transaction adds a
+ * line to the history.
  */
 final class RolloutTransactions {
   private final RolloutKeys keys;
   private final Supplier<String> clock;
 
-  /** Transactions on these keys; the clock gives the time of history lines as a text. */
+  /**
+   * Creates a builder.
+   *
+   * @param clock provides the formatted time of history lines
+   */
   RolloutTransactions(RolloutKeys keys, Supplier<String> clock) {
     this.keys = keys;
     this.clock = clock;
   }
 
   /**
-   * A transaction that holds only while the plan, the state of the rollout, the history and the
-   * other keys named are as in the snapshot.
+   * Returns a transaction on condition that the plan, the state of the rollout, the history length
+   * and the given keys are unchanged since the snapshot.
    */
   RolloutTransaction transaction(
       RolloutSnapshot snapshot,
@@ -34,12 +38,13 @@
     conditions.add(snapshot.unchanged(keys.plan()));
     unchangedKeys.forEach(key -> conditions.add(snapshot.unchanged(key)));
     conditions.add(snapshot.unchanged(keys.historyLength()));
-    List<StoreRequest.Change> all = new ArrayList<>(changes);
-    all.addAll(appendHistory(snapshot, author, description));
-    return new RolloutTransaction(new StoreRequest.Transaction(conditions, all), description);
+    List<StoreRequest.Change> allChanges = new ArrayList<>(changes);
+    allChanges.addAll(appendHistory(snapshot, author, description));
+    return new RolloutTransaction(
+        new StoreRequest.Transaction(conditions, allChanges), description);
   }
 
-  /** Adds a line to the history and counts it. */
+  /** Returns the changes that add a line to the history. */
   List<StoreRequest.Change> appendHistory(
       RolloutSnapshot snapshot, String author, String description) {
     long number = snapshot.historyLength() + 1;
--- a/src/main/java/beaconturn/release/WaveRollout.java
+++ b/src/main/java/beaconturn/release/WaveRollout.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Rolls a release forward: checks the instances that have been changed, and begins the next steps
- * of a wave once all of the wave before are verified.
+ * Rolls a release forward: checks changed instances, and grants the steps of a wave after all
+ * instances of the previous wave are verified. Confined to the thread of its driver.
  */
 final class WaveRollout {
   private final CanaryCheck canaryCheck;
@@ -17,7 +17,7 @@
     this.load = load;
   }
 
-  /** The next transaction, or null while the release waits. */
+  /** Returns the next transaction; null while the release waits. */
   RolloutTransaction nextTransaction(DriverContext context) {
     for (RolloutStep step : context.snapshot().steps().values()) {
       RolloutTransaction transaction = afterStep(context, step);
@@ -42,13 +42,13 @@
     return phase == StepPhase.VERIFIED || phase == StepPhase.ROLLED_BACK;
   }
 
-  /** What follows from a step that was begun, or null. */
+  /** Returns the transaction that follows an existing step; null if there is none. */
   private RolloutTransaction afterStep(DriverContext context, RolloutStep step) {
     return switch (step.phase()) {
       case FAILED ->
           context.rollBack(step.instanceId() + " did not get ready: " + step.failureReason());
       case GRANTED, STARTED -> {
-        context.waitFor(step.instanceId() + " is acted on");
+        context.waitFor(step.instanceId() + " has a step in progress");
         yield null;
       }
       case READY -> afterReady(context, step);
@@ -84,7 +84,7 @@
             context.transactions().deletePermit(step.permitNumber())));
   }
 
-  /** Begins the step of the first instance of a wave that may go out. */
+  /** Grants the step of the first instance of a wave that may be taken out of service. */
   private RolloutTransaction nextStep(DriverContext context, List<String> wave) {
     for (String instanceId : wave) {
       if (context.snapshot().steps().containsKey(instanceId)) {
@@ -102,11 +102,11 @@
   private String blockingReason(DriverContext context, String instanceId) {
     RolloutSnapshot snapshot = context.snapshot();
     InstanceKind kind = context.plan().kind();
-    String budget =
+    String budgetReason =
         new DisruptionBudget(snapshot, kind)
             .blockingReason(instanceId, context.observed(), context.unplanned());
-    if (budget != null) {
-      return budget;
+    if (budgetReason != null) {
+      return budgetReason;
     }
     return load.blockingReason(
         snapshot,
