--- a/src/main/java/beaconturn/release/DisruptionBudget.java
+++ b/src/main/java/beaconturn/release/DisruptionBudget.java
@@ -5,15 +5,18 @@
 import java.util.SortedMap;
 
 /**
- * The disruption budget of a fleet as of one snapshot: whether one more instance may go out of
- * service.
+ * Decides whether one more instance may be taken out of service within the disruption budget of the
+ * fleet.
+ *
+ * @param snapshot fleet definition and permits in use
+ * @param kind kind of the instances
  */
 record DisruptionBudget(RolloutSnapshot snapshot, InstanceKind kind) {
   /**
-   * Why an instance may not go out, which is whom it waits for, or null where it may. One that is
-   * unavailable already uses up no more of the budget.
+   * Returns why an instance may not be taken out of service, with the instances that use up the
+   * budget; null if it may. An instance that is already unavailable needs no more of the budget.
    *
-   * @param unplanned instances of the kind that are out without a permit, with reasons
+   * @param unplanned reasons by instance of the kind that is out of service without a permit
    */
   String blockingReason(String instanceId, Map<String, String> unplanned) {
     ReleaseFleet.Group group = snapshot.fleet().group(kind);
@@ -26,26 +29,35 @@
     List<String> sameZone =
         others.keySet().stream().filter(other -> zone.equals(group.zoneOf(other))).toList();
     if (sameZone.size() >= group.maxUnavailablePerZone()) {
-      return waitsFor(sameZone, others, group.maxUnavailablePerZone() + " of " + zone);
+      return limitReached(sameZone, others, group.maxUnavailablePerZone() + " of " + zone);
     }
     if (others.size() >= group.maxUnavailable()) {
-      return waitsFor(List.copyOf(others.keySet()), others, group.maxUnavailable() + " in all");
+      return limitReached(
+          List.copyOf(others.keySet()), others, group.maxUnavailable() + " in all");
     }
     return null;
   }
 
-  /** The same; also why no step may begin in its zone while another zone is out as a whole. */
-  String blockingReason(String instanceId, Unavailability observed, Map<String, String> unplanned) {
-    String full = blockingReason(instanceId, unplanned);
-    if (full != null) {
-      return full;
+  /**
+   * Returns why an instance may not be taken out of service; null if it may. Unlike {@link
+   * #blockingReason(String, Map)}, this also requires that no other zone is out of service.
+   */
+  String blockingReason(
+      String instanceId, Unavailability observed, Map<String, String> unplanned) {
+    String budgetReason = blockingReason(instanceId, unplanned);
+    if (budgetReason != null) {
+      return budgetReason;
     }
     return observed.zoneBlockingReason(snapshot.fleet().group(kind).zoneOf(instanceId));
   }
 
-  private static String waitsFor(
+  private static String limitReached(
       List<String> instanceIds, Map<String, String> reasons, String limit) {
-    List<String> words = instanceIds.stream().map(id -> id + " (" + reasons.get(id) + ")").toList();
-    return "at most " + limit + " may be out, it waits for " + String.join(", ", words);
+    List<String> descriptions =
+        instanceIds.stream().map(id -> id + " (" + reasons.get(id) + ")").toList();
+    return "at most "
+        + limit
+        + " may be out of service; waiting for "
+        + String.join(", ", descriptions);
   }
 }
--- a/src/main/java/beaconturn/release/DisruptionPermit.java
+++ b/src/main/java/beaconturn/release/DisruptionPermit.java
@@ -1,15 +1,15 @@
 package beaconturn.release;
 
 /**
- * The right of an instance to be out of service, counted against the disruption budget. It is taken
- * before a planned step begins and returned once the instance is seen back in service. It is bound
- * to no lease, as its holder may die while the instance is out.
+ * A permit for an instance to be out of service, counted against the disruption budget. It is
+ * acquired before a planned step starts and returned after the instance is observed back in service.
+ * It is not bound to a lease, because the holder may die while the instance is out of service.
  *
- * @param number grows with each permit and is never issued again
+ * @param number permit number; ascending and never reused
  * @param kind kind of the instance
  * @param instanceId the instance
- * @param holder who took it: a release or an operator
- * @param reason why, in the holder's words
+ * @param holder release or operator that acquired the permit
+ * @param reason reason given by the holder
  */
 public record DisruptionPermit(
     long number, InstanceKind kind, String instanceId, String holder, String reason) {}
--- a/src/main/java/beaconturn/release/DisruptionPermitAdmin.java
+++ b/src/main/java/beaconturn/release/DisruptionPermitAdmin.java
@@ -9,9 +9,9 @@
 import java.util.function.Supplier;
 
 /**
- * Operators' commands to disruption permits: drains outside of a release, returns of permits, and
- * the evacuation of a zone. An {@link AgreementException} says why a command is not allowed as
- * things are, or that the store does not answer.
+ * Executes operators' commands on disruption permits: drains outside a release, returns of permits,
+ * and the evacuation of a zone. Methods throw an {@link AgreementException} if the command is not
+ * allowed in the current state or the store does not reply.
  */
 public final class DisruptionPermitAdmin {
   private final RolloutKeys keys;
@@ -19,7 +19,12 @@
   private final RolloutStore store;
   private final String author;
 
-  /** Commands of one operator to one fleet; the clock gives the time of history lines. */
+  /**
+   * Creates the commands of one operator on one fleet.
+   *
+   * @param author name of the operator, for the history
+   * @param clock provides the formatted time of history lines
+   */
   public DisruptionPermitAdmin(
       RolloutKeys keys, CoordinationStore store, String author, Supplier<String> clock) {
     this.keys = keys;
@@ -29,9 +34,9 @@
   }
 
   /**
-   * Takes a permit for an instance outside of a release, for instance for a drain.
+   * Acquires a permit for an instance outside a release, for instance for a drain.
    *
-   * @param observed instances that are out without a permit
+   * @param observed instances that are out of service without a permit
    * @return the number of the permit
    */
   public long takePermit(
@@ -50,12 +55,13 @@
       throws AgreementException {
     DisruptionPermit held = permitOf(snapshot, kind, instanceId);
     if (held != null) {
-      throw new AgreementException(instanceId + " is out under permit " + held.number());
+      throw new AgreementException(instanceId + " already holds permit " + held.number());
     }
     String blockingReason =
-        new DisruptionBudget(snapshot, kind).blockingReason(instanceId, observed, observed.reasons());
+        new DisruptionBudget(snapshot, kind)
+            .blockingReason(instanceId, observed, observed.reasons());
     if (blockingReason != null) {
-      throw new AgreementException("no place is free: " + blockingReason);
+      throw new AgreementException("no permit is available: " + blockingReason);
     }
     long number = snapshot.lastPermitNumber() + 1;
     return transactions.transaction(
@@ -68,7 +74,7 @@
             transactions.put(new DisruptionPermit(number, kind, instanceId, author, reason))));
   }
 
-  /** Returns the permit of an instance that is back in service, or known to be lost. */
+  /** Returns the permit of an instance that is back in service, or permanently lost. */
   public String returnPermit(InstanceKind kind, String instanceId, String reason)
       throws AgreementException {
     return store.execute(snapshot -> returnTransaction(snapshot, kind, instanceId, reason));
@@ -79,13 +85,13 @@
       throws AgreementException {
     DisruptionPermit permit = permitOf(snapshot, kind, instanceId);
     if (permit == null) {
-      throw new AgreementException(instanceId + " holds no place");
+      throw new AgreementException(instanceId + " holds no permit");
     }
     List<StoreRequest.Change> changes = new ArrayList<>();
     changes.add(transactions.deletePermit(permit.number()));
     RolloutStep step = snapshot.steps().get(instanceId);
     if (step != null && step.permitNumber() == permit.number()) {
-      // An agent that acts under the returned permit can report nothing any more.
+      // Ends the step, so that an agent acting under the returned permit cannot report a result.
       changes.add(transactions.put(step.withPhase(StepPhase.ROLLED_BACK, "", reason)));
     }
     return transactions.transaction(
@@ -97,9 +103,9 @@
   }
 
   /**
-   * Conditions and changes of a transaction that takes a whole zone out of service: no instance of
-   * another zone is out under a permit, and whoever takes a permit at the same time has to decide
-   * anew. Empty where no fleet is defined.
+   * Returns the conditions and changes for a transaction that takes a whole zone out of service,
+   * which is allowed if no instance of another zone holds a permit. A change of the permit counter
+   * makes concurrent acquisitions fail. Empty if no fleet is defined.
    */
   public StoreRequest.Transaction zoneEvacuation(String zone, String reason)
       throws AgreementException {
@@ -114,7 +120,7 @@
             .toList();
     if (!others.isEmpty()) {
       throw new AgreementException(
-          "not while parts of other sites are out: " + String.join(", ", others));
+          "not allowed while parts of other sites are out of service: " + String.join(", ", others));
     }
     return transactions
         .transaction(
@@ -135,7 +141,7 @@
     return permit.instanceId() + " (" + holder + ": " + permit.reason() + ")";
   }
 
-  /** The permit of an instance, or null. */
+  /** Returns the permit of an instance; null if it holds none. */
   private static DisruptionPermit permitOf(
       RolloutSnapshot snapshot, InstanceKind kind, String instanceId) {
     return snapshot.permits().values().stream()
--- a/src/main/java/beaconturn/release/ReleaseFleet.java
+++ b/src/main/java/beaconturn/release/ReleaseFleet.java
@@ -10,50 +10,52 @@
 /**
  * The instances of a fleet and its disruption budget.
  *
- * @param groups instances by kind; a kind that is not contained cannot be released
+ * @param groups instances by kind; kinds that are not contained cannot be released
  */
 public record ReleaseFleet(Map<InstanceKind, Group> groups) {
   /** A fleet without instances. */
   public static final ReleaseFleet EMPTY = new ReleaseFleet(Map.of());
 
-  /** Copies the groups. */
+  /** Makes an immutable copy of the groups. */
   public ReleaseFleet {
     groups = groups.isEmpty() ? Map.of() : Collections.unmodifiableMap(new EnumMap<>(groups));
   }
 
   /**
-   * The load that the instances of a zone must be able to carry while some are out.
+   * The capacity of an instance, by which the load of a zone is checked before instances are taken
+   * out of service.
    *
-   * @param responsesPerSecondPerInstance answers a second that one instance can give; 0 where that is not
-   *     said
-   * @param coresPerInstance cores that one instance may use; 0 for as many as it reports itself
-   * @param toleratedFailures instances that may fail beside those that are out; below 0 the load is
-   *     not checked
+   * @param responsesPerSecondPerInstance maximum responses per second of one instance; 0 if unknown
+   * @param coresPerInstance CPU cores that one instance may use; 0 to use the limit that instances
+   *     report
+   * @param toleratedFailures instances of a zone that may fail in addition to those out of service;
+   *     negative to disable the load check
    */
-  public record Capacity(double responsesPerSecondPerInstance, double coresPerInstance, int toleratedFailures) {
-    /** The load is not checked. */
+  public record Capacity(
+      double responsesPerSecondPerInstance, double coresPerInstance, int toleratedFailures) {
+    /** Disables the load check. */
     public static final Capacity UNCHECKED = new Capacity(0, 0, -1);
   }
 
   /**
    * The instances of one kind.
    *
-   * @param maxUnavailable instances that may be out at once in all zones
-   * @param maxUnavailablePerZone instances that may be out at once in one zone
+   * @param maxUnavailable maximum number of unavailable instances in all zones
+   * @param maxUnavailablePerZone maximum number of unavailable instances in one zone
    * @param instancesByZone names of instances by zone
-   * @param capacity load that a zone must be able to carry without those that are out
+   * @param capacity capacity of an instance, for the load check
    */
   public record Group(
       int maxUnavailable,
       int maxUnavailablePerZone,
       SortedMap<String, List<String>> instancesByZone,
       Capacity capacity) {
-    /** Copies the instances. */
+    /** Makes an immutable copy of the map. */
     public Group {
       instancesByZone = Collections.unmodifiableSortedMap(new TreeMap<>(instancesByZone));
     }
 
-    /** A group whose load is not checked. */
+    /** Creates a group without a load check. */
     public Group(
         int maxUnavailable,
         int maxUnavailablePerZone,
@@ -61,7 +63,7 @@
       this(maxUnavailable, maxUnavailablePerZone, instancesByZone, Capacity.UNCHECKED);
     }
 
-    /** The zone of an instance, or null where the group does not contain it. */
+    /** Returns the zone of an instance; null if the group does not contain it. */
     public String zoneOf(String instanceId) {
       for (Map.Entry<String, List<String>> zone : instancesByZone.entrySet()) {
         if (zone.getValue().contains(instanceId)) {
@@ -71,13 +73,13 @@
       return null;
     }
 
-    /** All instances, zone by zone. */
+    /** Returns all instances, ordered by zone. */
     public List<String> instanceIds() {
       return instancesByZone.values().stream().flatMap(List::stream).toList();
     }
   }
 
-  /** The instances of a kind; an empty group where the fleet has none. */
+  /** Returns the instances of a kind; an empty group if the fleet has none. */
   public Group group(InstanceKind kind) {
     return groups.getOrDefault(kind, new Group(0, 0, new TreeMap<>()));
   }
--- a/src/main/java/beaconturn/release/RolloutAdmin.java
+++ b/src/main/java/beaconturn/release/RolloutAdmin.java
@@ -10,9 +10,9 @@
 import java.util.function.Supplier;
 
 /**
- * Operators' commands to releases. Each reads what the store holds and carries out one transaction;
- * an {@link AgreementException} says why a command is not allowed as things are, or that the store
- * does not answer.
+ * Executes operators' commands on releases. Each command reads the store and executes one
+ * transaction. Methods throw an {@link AgreementException} if the command is not allowed in the
+ * current state or the store does not reply. Commands return a description of what was done.
  */
 public final class RolloutAdmin {
   private final RolloutKeys keys;
@@ -20,7 +20,12 @@
   private final RolloutStore store;
   private final String author;
 
-  /** Commands of one operator to one fleet; the clock gives the time of history lines. */
+  /**
+   * Creates the commands of one operator on one fleet.
+   *
+   * @param author name of the operator, for the history
+   * @param clock provides the formatted time of history lines
+   */
   public RolloutAdmin(
       RolloutKeys keys, CoordinationStore store, String author, Supplier<String> clock) {
     this.keys = keys;
@@ -29,28 +34,28 @@
     this.author = author;
   }
 
-  /** What the store holds now. */
+  /** Reads the current release data. */
   public RolloutSnapshot snapshot() throws AgreementException {
     return store.snapshot();
   }
 
-  /** All lines of the history, the oldest first. */
+  /** Reads all lines of the history, the oldest first. */
   public List<String> history() throws AgreementException {
     return store.request(new StoreRequest.Read(keys.history())).entries().stream()
         .map(StoreResponse.Entry::value)
         .toList();
   }
 
-  /** The time series of a release; empty where none was recorded. */
+  /** Reads the time series of a release; empty if none was recorded. */
   public RolloutTimeSeries timeSeries(long releaseNumber) throws AgreementException {
-    List<StoreResponse.Entry> found =
+    List<StoreResponse.Entry> entries =
         store.request(new StoreRequest.Read(keys.timeSeries(releaseNumber))).entries();
-    return found.isEmpty()
+    return entries.isEmpty()
         ? RolloutTimeSeries.EMPTY
-        : RolloutTimeSeriesCodec.decode(found.get(0).value());
+        : RolloutTimeSeriesCodec.decode(entries.get(0).value());
   }
 
-  /** Defines the instances of the fleet and its disruption budget, from the next step on. */
+  /** Defines the instances of the fleet and its disruption budget; applies from the next step. */
   public String defineFleet(ReleaseFleet fleet) throws AgreementException {
     String key = keys.fleetDefinition();
     return store.execute(
@@ -63,29 +68,29 @@
                 List.of(RolloutTransactions.put(key, ReleaseFleetCodec.encode(fleet)))));
   }
 
-  /** Why a release cannot be started as things are, or null where it can. */
+  /** Returns why a release cannot be started in the current state; null if it can. */
   public static String blockingReason(RolloutPlan plan, RolloutSnapshot snapshot) {
     String blockingReason = plan.blockingReason(snapshot.fleet());
     return blockingReason != null ? blockingReason : InstanceLoad.blockingReason(plan, snapshot);
   }
 
-  /** Starts a release; its number is the one after that of the last. */
+  /** Starts a release under the next release number. */
   public String start(RolloutPlan plan) throws AgreementException {
     return store.execute(snapshot -> startTransaction(snapshot, plan));
   }
 
-  private RolloutTransaction startTransaction(RolloutSnapshot snapshot, RolloutPlan wanted)
+  private RolloutTransaction startTransaction(RolloutSnapshot snapshot, RolloutPlan requestedPlan)
       throws AgreementException {
     if (!snapshot.state().isOver()) {
       throw new AgreementException(
-          "release " + snapshot.plan().number() + " is at hand: it " + describe(snapshot.state()));
+          "release " + snapshot.plan().number() + " is not over: it " + describe(snapshot.state()));
     }
-    String blockingReason = blockingReason(wanted, snapshot);
+    String blockingReason = blockingReason(requestedPlan, snapshot);
     if (blockingReason != null) {
       throw new AgreementException(blockingReason);
     }
     long number = snapshot.plan() == null ? 1 : snapshot.plan().number() + 1;
-    RolloutPlan plan = wanted.startedAs(number, snapshot.storeId());
+    RolloutPlan plan = requestedPlan.startedAs(number, snapshot.storeId());
     List<StoreRequest.Change> changes = new ArrayList<>();
     changes.add(RolloutTransactions.put(keys.plan(), RolloutPlanCodec.encode(plan)));
     changes.add(transactions.put(new RolloutState(RolloutMode.RUNNING, plan.reason(), author)));
@@ -109,7 +114,7 @@
     return deletions;
   }
 
-  /** Halts the release: no step begins from now on. */
+  /** Halts the release: no further step starts. */
   public String halt(String reason) throws AgreementException {
     return changeMode(
         "halted",
@@ -119,14 +124,14 @@
   }
 
   /**
-   * Resumes a release that was halted, forwards also where it was being rolled back when it was
-   * halted; to go on with that, see {@link #rollBack}.
+   * Resumes a halted release. It rolls forward, even if it was being rolled back when it was halted;
+   * to continue a rollback, use {@link #rollBack}.
    */
   public String resume(String reason) throws AgreementException {
     return changeMode("goes on", reason, RolloutMode.RUNNING, Set.of(RolloutMode.HALTED));
   }
 
-  /** Rolls all steps back in the reverse order. */
+  /** Rolls all steps back in reverse order. */
   public String rollBack(String reason) throws AgreementException {
     return changeMode(
         "goes back",
@@ -135,7 +140,7 @@
         Set.of(RolloutMode.RUNNING, RolloutMode.HALTED));
   }
 
-  /** Leaves all as it is; instances that are out keep their permits. */
+  /** Ends the release and leaves all instances as they are; permits in use are kept. */
   public String abandon(String reason) throws AgreementException {
     return changeMode(
         "abandoned",
@@ -169,13 +174,13 @@
       throw new AgreementException(
           "not now: release " + snapshot.plan().number() + " " + describe(snapshot.state()));
     }
-    boolean actsOnNothing = mode == RolloutMode.ABANDONED || mode == RolloutMode.HALTED;
-    if (snapshot.storeReplaced() && !actsOnNothing) {
+    boolean endsSteps = mode == RolloutMode.ABANDONED || mode == RolloutMode.HALTED;
+    if (snapshot.storeReplaced() && !endsSteps) {
       throw new AgreementException(RolloutSnapshot.STORE_REPLACED);
     }
   }
 
-  /** The state of a rollout in words, to follow "release N". */
+  /** Returns the state of a rollout in words that follow "release N". */
   public static String describe(RolloutState state) {
     return switch (state.mode()) {
       case RUNNING -> "runs";
--- a/src/main/java/beaconturn/release/Unavailability.java
+++ b/src/main/java/beaconturn/release/Unavailability.java
@@ -11,29 +11,28 @@
 import java.util.TreeMap;
 
 /**
- * Instances that are unavailable without a permit, as observed. An instance that no router vouches
- * for counts as unavailable: a budget that took silence for health would let the last healthy
- * instance be taken out.
+ * Instances that are observed to be out of service without a permit. An instance that no router
+ * reports as usable counts as unavailable; otherwise missing reports could let the last healthy
+ * instance be taken out of service.
  *
- * @param reasons unavailable instances, each with the reason
- * @param latestStartNanos latest start of each cache server that any router knows of, by the clock
- *     of discovery
- * @param majorityStartNanos latest start of each cache server that more than half of the routers
- *     know of, of those in service
- * @param zoneReasons zones whose traffic is served elsewhere, each with the reason
+ * @param reasons reasons by unavailable instance
+ * @param latestStartNanos latest start by cache server that any router reports, by the clock of
+ *     discovery
+ * @param majorityStartNanos latest start by cache server in service that more than half of the
+ *     routers report
+ * @param zoneReasons reasons by zone whose traffic is served elsewhere
  */
 public record Unavailability(
     SortedMap<String, String> reasons,
     SortedMap<String, Long> latestStartNanos,
     SortedMap<String, Long> majorityStartNanos,
     SortedMap<String, String> zoneReasons) {
-  /** How the reason of a router begins for a cache server that it has ejected. */
+  /** Prefix of the reason for a cache server that routers have ejected. */
   static final String EJECTED = "ejected";
 
-  /** No start is known. */
-  private static final long UNKNOWN_START = -1;
+  private static final long UNKNOWN_START_NANOS = -1;
 
-  /** Copies the maps. */
+  /** Makes immutable copies of the maps. */
   public Unavailability {
     reasons = copyOf(reasons);
     latestStartNanos = copyOf(latestStartNanos);
@@ -45,20 +44,20 @@
     return Collections.unmodifiableSortedMap(new TreeMap<>(map));
   }
 
-  /** These instances are unavailable, and no start is known. */
+  /** Returns unavailable instances with reasons, without known starts. */
   static Unavailability of(Map<String, String> reasons) {
     return new Unavailability(
         new TreeMap<>(reasons), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
   }
 
-  /** The same, while the traffic of these zones is served elsewhere. */
+  /** Returns this observation with reasons by zone whose traffic is served elsewhere. */
   public Unavailability withZonesOutOfService(Map<String, String> zones) {
     return new Unavailability(reasons, latestStartNanos, majorityStartNanos, new TreeMap<>(zones));
   }
 
   /**
-   * Routers of the fleet that hold no lease: those that have ended, hang, or are cut off from the
-   * store.
+   * Returns the routers of the fleet that hold no lease, because they are stopped, hang or cannot
+   * reach the store.
    */
   public static Unavailability ofRouters(ReleaseFleet.Group group, Set<String> leaseHolders) {
     SortedMap<String, String> reasons = new TreeMap<>();
@@ -71,37 +70,39 @@
   }
 
   /**
-   * Cache servers that are not in service at more than half of the routers that report: excluded by
-   * a configuration version, listed as draining or not at all, ejected, or still warming up.
+   * Returns the cache servers that the configuration version excludes or that at most half of the
+   * reporting routers use: cache servers that are draining, not listed, ejected or warming up.
    *
-   * @param excluded cache servers that the version in force excludes, each with the reason
-   * @param views what each router makes of the cache servers
+   * @param excluded reasons by cache server that the version in force excludes
+   * @param views each reporting router's view of the cache servers
    */
   public static Unavailability ofCaches(
       ReleaseFleet.Group group, Map<String, String> excluded, Collection<EndpointView> views) {
     SortedMap<String, String> reasons = new TreeMap<>();
-    SortedMap<String, Long> latest = new TreeMap<>();
-    SortedMap<String, Long> majority = new TreeMap<>();
+    SortedMap<String, Long> latestStartNanos = new TreeMap<>();
+    SortedMap<String, Long> majorityStartNanos = new TreeMap<>();
     for (String server : group.instanceIds()) {
-      List<Long> starts = startsDescending(server, views);
-      if (!starts.isEmpty()) {
-        latest.put(server, starts.get(0));
+      List<Long> startsNanos = startsNanosDescending(server, views);
+      if (!startsNanos.isEmpty()) {
+        latestStartNanos.put(server, startsNanos.get(0));
       }
-      boolean inService = 2 * starts.size() > views.size();
+      boolean inService = 2 * startsNanos.size() > views.size();
       if (inService) {
-        majority.put(server, starts.get(views.size() / 2));
+        majorityStartNanos.put(server, startsNanos.get(views.size() / 2));
       }
       if (excluded.containsKey(server)) {
         reasons.put(server, excluded.get(server));
       } else if (!inService) {
-        reasons.put(server, outOfServiceReason(server, views, views.size() - starts.size()));
+        reasons.put(
+            server, outOfServiceReason(server, views, views.size() - startsNanos.size()));
       }
     }
-    return new Unavailability(reasons, latest, majority, new TreeMap<>());
+    return new Unavailability(reasons, latestStartNanos, majorityStartNanos, new TreeMap<>());
   }
 
-  /** Starts of a cache server as those routers know them that use it, the latest first. */
-  private static List<Long> startsDescending(String server, Collection<EndpointView> views) {
+  /** Returns the starts of a cache server that the routers using it report, the latest first. */
+  private static List<Long> startsNanosDescending(
+      String server, Collection<EndpointView> views) {
     return views.stream()
         .filter(view -> view.usable().containsKey(server))
         .map(view -> view.usable().get(server))
@@ -122,7 +123,7 @@
         + " routers";
   }
 
-  /** The reason that most routers give; of equally frequent ones the first in the alphabet. */
+  /** Returns the reason that most routers report; on a tie, the alphabetically first. */
   private static String mostFrequentReason(String server, Collection<EndpointView> views) {
     SortedMap<String, Integer> counts = new TreeMap<>();
     for (EndpointView view : views) {
@@ -130,18 +131,18 @@
         counts.merge(view.unusable().getOrDefault(server, "not listed"), 1, Integer::sum);
       }
     }
-    String most = counts.firstKey();
+    String mostFrequent = counts.firstKey();
     for (Map.Entry<String, Integer> count : counts.entrySet()) {
-      if (count.getValue() > counts.get(most)) {
-        most = count.getKey();
+      if (count.getValue() > counts.get(mostFrequent)) {
+        mostFrequent = count.getKey();
       }
     }
-    return most;
+    return mostFrequent;
   }
 
   /**
-   * Why no step may begin in a zone while another zone is out as a whole, or null where none is:
-   * the other zones serve its traffic. In the zone that is out steps do no harm.
+   * Returns why no step may start in a zone because it serves the traffic of another zone; null if
+   * no other zone is out of service. Steps in the zone that is out of service itself are allowed.
    */
   String zoneBlockingReason(String zone) {
     return zoneReasons.keySet().stream()
@@ -152,21 +153,22 @@
   }
 
   /**
-   * Unavailable instances in a release, each with the reason. A cache server that was restarted
-   * counts as unavailable until most routers know of the new start: until then what they report may
-   * be of the process before.
+   * Returns reasons by unavailable instance during a release. A restarted cache server counts as
+   * unavailable until most routers report the new start, because earlier reports may refer to the
+   * previous process.
    */
   SortedMap<String, String> duringRollout(RolloutSnapshot snapshot) {
     if (snapshot.plan().kind() == InstanceKind.ROUTER) {
       return reasons;
     }
-    SortedMap<String, String> all = new TreeMap<>(reasons);
+    SortedMap<String, String> allReasons = new TreeMap<>(reasons);
     for (RolloutStep step : snapshot.steps().values()) {
-      long start = majorityStartNanos.getOrDefault(step.instanceId(), UNKNOWN_START);
-      if (step.phase() == StepPhase.READY && start <= step.previousStartNanos()) {
-        all.putIfAbsent(step.instanceId(), "not seen since it was restarted");
+      long startNanos =
+          majorityStartNanos.getOrDefault(step.instanceId(), UNKNOWN_START_NANOS);
+      if (step.phase() == StepPhase.READY && startNanos <= step.previousStartNanos()) {
+        allReasons.putIfAbsent(step.instanceId(), "not seen since it was restarted");
       }
     }
-    return all;
+    return allReasons;
   }
 }
