--- a/src/main/java/beaconturn/cli/AgentStore.java
+++ b/src/main/java/beaconturn/cli/AgentStore.java
@@ -30,7 +30,8 @@
 
   /** What the store holds, or null where it does not answer or cannot be read. */
   RolloutSnapshot read() {
-    if (!(store.ask(new StoreRequest.Read(keys.prefix())) instanceof StoreResponse.Success response)) {
+    if (!(store.ask(new StoreRequest.Read(keys.prefix()))
+        instanceof StoreResponse.Success response)) {
       return null;
     }
     try {
--- a/src/main/java/beaconturn/release/CanaryBaselines.java
+++ b/src/main/java/beaconturn/release/CanaryBaselines.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Metrics from which changed instances are compared with their peers, and since when each has been
- * in service. Confined to the thread of its driver.
+ * Tracks the metrics that the canary check of each changed instance starts from, and since when the
+ * instance has been in service. Confined to the thread of its driver.
  */
 final class CanaryBaselines {
   private final Map<String, Baseline> baselines = new HashMap<>();
@@ -14,53 +14,53 @@
   private boolean disturbed;
 
   /**
-   * What all instances had counted when one of them became ready.
+   * Metrics of all instances at the start of the check of one instance.
    *
-   * @param readyAtNanos when it was first seen ready
+   * @param readyAtNanos when the instance was first observed ready
    * @param atReady metrics at that time
-   * @param comparisonStart metrics when it was in service and no other instance was out by itself; the
-   *     check compares from there
+   * @param comparisonStart metrics that the check compares from; updated while the instance is out
+   *     of service, while the comparison is disturbed, and when the process of the instance changes
    */
   record Baseline(
       long readyAtNanos,
       Map<String, InstanceSample> atReady,
       Map<String, InstanceSample> comparisonStart) {}
 
-  /** Identifies a step; an instance that goes out again has another permit. */
+  /** Returns the key of a step; each time that an instance is taken out, its permit differs. */
   static String keyOf(RolloutStep step) {
     return step.instanceId() + "#" + step.permitNumber();
   }
 
   /**
-   * Whether an instance is out that the release has not taken out, or was within the last soak. One
-   * that has just started then does worse than its peers, which have learned of it, whatever
-   * variant it runs.
+   * Returns whether an instance without a permit is, or during the last soak was, out of service. A
+   * newly started instance then does worse than its peers in any variant, because the peers have
+   * adapted to the outage already.
    */
   boolean isDisturbed() {
     return disturbed;
   }
 
-  /** The baseline of a step, or null before it was seen ready. */
+  /** Returns the baseline of a step; null before the instance is observed ready. */
   Baseline of(RolloutStep step) {
     return baselines.get(keyOf(step));
   }
 
-  /** Since when the instance has been in service, or null where it is not. */
+  /** Returns since when the instance has been in service; null if it is not. */
   Long inServiceSinceNanos(RolloutStep step) {
     return inServiceSinceNanos.get(keyOf(step));
   }
 
-  /** Takes note of each snapshot, before a verdict is asked for. */
+  /** Processes a snapshot; called for each one before a verdict is requested. */
   void observe(RolloutSnapshot snapshot, Map<String, String> unplanned, long nowNanos) {
     observeDisturbance(snapshot, unplanned, nowNanos);
     Map<String, InstanceSample> samples = Map.copyOf(snapshot.samples());
     for (RolloutStep step : snapshot.steps().values()) {
       boolean ready = step.isReadyWith(InstanceVariant.NEW);
-      boolean out = unplanned.containsKey(step.instanceId());
+      boolean outOfService = unplanned.containsKey(step.instanceId());
       if (ready) {
-        updateBaseline(step, samples, out, nowNanos);
+        updateBaseline(step, samples, outOfService, nowNanos);
       }
-      if (out) {
+      if (outOfService) {
         inServiceSinceNanos.remove(keyOf(step));
       } else if (ready) {
         inServiceSinceNanos.putIfAbsent(keyOf(step), nowNanos);
@@ -70,12 +70,12 @@
 
   private void observeDisturbance(
       RolloutSnapshot snapshot, Map<String, String> unplanned, long nowNanos) {
-    boolean othersOut =
+    boolean othersOutOfService =
         unplanned.keySet().stream().anyMatch(instanceId -> !holdsPermit(snapshot, instanceId));
-    if (othersOut) {
+    if (othersOutOfService) {
       disturbedUntilNanos = nowNanos + snapshot.plan().soakNanos();
     }
-    disturbed = othersOut || nowNanos < disturbedUntilNanos;
+    disturbed = othersOutOfService || nowNanos < disturbedUntilNanos;
   }
 
   private static boolean holdsPermit(RolloutSnapshot snapshot, String instanceId) {
@@ -84,18 +84,21 @@
   }
 
   private void updateBaseline(
-      RolloutStep step, Map<String, InstanceSample> samples, boolean out, long nowNanos) {
+      RolloutStep step,
+      Map<String, InstanceSample> samples,
+      boolean outOfService,
+      long nowNanos) {
     String key = keyOf(step);
     Baseline baseline =
         baselines.computeIfAbsent(key, k -> new Baseline(nowNanos, samples, samples));
-    if (disturbed || out || isAnotherProcess(step.instanceId(), baseline, samples)) {
+    if (disturbed || outOfService || isAnotherProcess(step.instanceId(), baseline, samples)) {
       baselines.put(key, new Baseline(baseline.readyAtNanos(), baseline.atReady(), samples));
     }
   }
 
   /**
-   * Whether the instance runs another process than at its baseline: what that had counted before
-   * its first report was read belongs to another time.
+   * Returns whether the instance runs another process than at its baseline. What the new process
+   * counted before its first report is excluded from the comparison.
    */
   private static boolean isAnotherProcess(
       String instanceId, Baseline baseline, Map<String, InstanceSample> samples) {
--- a/src/main/java/beaconturn/release/CanaryCheck.java
+++ b/src/main/java/beaconturn/release/CanaryCheck.java
@@ -3,13 +3,15 @@
 import java.util.Map;
 
 /**
- * The canary check: whether an instance that runs what is released does no worse than its peers
- * over the same time. Earlier metrics are not compared with, as load and faults are those of the
- * time.
+ * Checks whether an instance with the new variant does no worse than its peers over the same time.
+ * Metrics from before the change are not used, because load and faults vary over time.
  */
 final class CanaryCheck {
-  /** While others are out by themselves, only a higher failed share is put down to the release. */
-  private static final double DISTURBED_FAILED_SHARE = 0.5;
+  /**
+   * Failed share above which a regression is attributed to the release even while other instances
+   * are out of service without a permit.
+   */
+  private static final double MIN_DISTURBED_FAILED_SHARE = 0.5;
 
   private final CanaryBaselines baselines;
 
@@ -17,19 +19,19 @@
     this.baselines = baselines;
   }
 
-  /** The verdict on an instance that is ready. */
+  /** Returns the verdict on an instance that is ready. */
   CanaryVerdict verdict(
       RolloutSnapshot snapshot, RolloutStep step, Map<String, String> unplanned, long nowNanos) {
     CanaryBaselines.Baseline baseline = baselines.of(step);
     if (baseline == null) {
-      return CanaryVerdict.pending("just up");
+      return CanaryVerdict.pending("no metrics observed since it became ready");
     }
-    Long inServiceSince = baselines.inServiceSinceNanos(step);
-    if (inServiceSince == null) {
+    Long inServiceSinceNanos = baselines.inServiceSinceNanos(step);
+    if (inServiceSinceNanos == null) {
       long readyForNanos = nowNanos - baseline.readyAtNanos();
       return notInService(snapshot.plan(), unplanned.get(step.instanceId()), readyForNanos);
     }
-    boolean soaked = nowNanos - inServiceSince >= snapshot.plan().soakNanos();
+    boolean soaked = nowNanos - inServiceSinceNanos >= snapshot.plan().soakNanos();
     if (isCacheWithoutMetrics(snapshot, step)) {
       String explanation = "in service at most routers";
       return soaked ? CanaryVerdict.passed(explanation) : CanaryVerdict.pending(explanation);
@@ -46,7 +48,10 @@
     return verdict;
   }
 
-  /** A router waits for its lease; a cache server has to be warm within its time. */
+  /**
+   * A router may take any time to acquire its lease; a cache server must be warm within the ready
+   * timeout.
+   */
   private static CanaryVerdict notInService(RolloutPlan plan, String reason, long readyForNanos) {
     String explanation = "not seen back: " + reason;
     boolean overdue = plan.kind() == InstanceKind.CACHE && readyForNanos > plan.readyTimeoutNanos();
@@ -63,10 +68,11 @@
     String instanceId = step.instanceId();
     CanaryComparison comparison = CanaryComparison.since(baseline.atReady(), snapshot, instanceId);
     CanaryVerdict verdict = comparison.verdict(false, ComparisonMode.CHECK);
-    boolean mostlyFails = comparison.changedFailedShare() > DISTURBED_FAILED_SHARE;
+    boolean mostlyFails = comparison.changedFailedShare() > MIN_DISTURBED_FAILED_SHARE;
     if (mostlyFails && verdict.outcome() == CanaryVerdict.Outcome.REGRESSED) {
       return verdict;
     }
-    return CanaryVerdict.pending("others are gone by themselves; " + verdict.explanation());
+    return CanaryVerdict.pending(
+        "other instances are out of service without a permit; " + verdict.explanation());
   }
 }
--- a/src/main/java/beaconturn/release/CanaryComparison.java
+++ b/src/main/java/beaconturn/release/CanaryComparison.java
@@ -8,24 +8,28 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Compares a changed instance with its peers over the same time, measure by measure. */
+/** Compares the metrics of a changed instance with those of its peers over the same time. */
 final class CanaryComparison {
   private final RolloutPlan plan;
   private final ComparedSamples samples;
 
-  /** A comparison with that many peers together. */
+  /**
+   * Creates a comparison.
+   *
+   * @param peers sums over all peers
+   */
   CanaryComparison(RolloutPlan plan, InstanceSample changed, InstanceSample peers, int peerCount) {
     this.plan = plan;
     this.samples = new ComparedSamples(changed, peers, peerCount);
   }
 
-  /** Compares what has been counted since a baseline. */
+  /** Creates a comparison of what was counted since a baseline. */
   static CanaryComparison since(
       Map<String, InstanceSample> baseline, RolloutSnapshot snapshot, String instanceId) {
     List<String> peerIds = peersOf(snapshot, instanceId);
     InstanceSample peers = InstanceSample.NONE;
     for (String peer : peerIds) {
-      // Of one that has reported only since the baseline, nobody knows over which time it counted.
+      // A peer without a baseline is left out: the period that it counted over is unknown.
       if (baseline.containsKey(peer)) {
         peers = peers.plus(countedSince(baseline, snapshot, peer));
       }
@@ -34,14 +38,14 @@
     return new CanaryComparison(snapshot.plan(), changed, peers, peerIds.size());
   }
 
-  /** Instances of the released kind whose metrics are known. */
+  /** Returns the instances of the released kind that have reported metrics. */
   static Set<String> reportingInstances(RolloutSnapshot snapshot) {
     Set<String> reporting = new TreeSet<>(snapshot.samples().keySet());
     reporting.retainAll(snapshot.fleet().group(snapshot.plan().kind()).instanceIds());
     return reporting;
   }
 
-  /** Unchanged instances; where there are none, those that are verified. */
+  /** Returns the unchanged instances; the verified ones if all have been changed. */
   private static List<String> peersOf(RolloutSnapshot snapshot, String instanceId) {
     Set<String> others = reportingInstances(snapshot);
     others.remove(instanceId);
@@ -60,15 +64,16 @@
         .since(baseline.getOrDefault(instanceId, InstanceSample.NONE));
   }
 
-  /** The failed share of the changed instance's answers. */
+  /** Returns the failed share of the changed instance's responses. */
   double changedFailedShare() {
     return samples.changed().failedShare();
   }
 
   /**
-   * The verdict.
+   * Returns the verdict.
    *
-   * @param soaked whether the instance has run long enough for measures other than failed answers
+   * @param soaked whether the soak is over, so that all measures are compared; otherwise only
+   *     failed responses are
    */
   CanaryVerdict verdict(boolean soaked, ComparisonMode mode) {
     String figures = figures();
@@ -78,7 +83,7 @@
     List<Regression> regressions = new ArrayList<>();
     addShare(regressions, ShareMeasure.FAILED, plan.regressionBounds().failedShare(), mode);
     if (soaked && samples.hasPeers()) {
-      if (mode.awaitsReadings() && samples.hasFewReadings()) {
+      if (mode.requiresReadings() && samples.hasFewReadings()) {
         return CanaryVerdict.pending(figures);
       }
       addSoakedMeasures(regressions, mode);
@@ -100,8 +105,8 @@
   }
 
   /**
-   * Silent peers are no comparison; an instance that has no peers at all is held to the bounds of
-   * the plan.
+   * Returns whether there are too few responses to compare. Peers without enough responses leave
+   * the verdict open; an instance without peers is compared with the bounds of the plan alone.
    */
   private boolean hasFewResponses() {
     return samples.changed().responses() < plan.minResponses()
@@ -112,7 +117,9 @@
     RegressionBounds bounds = plan.regressionBounds();
     addShare(regressions, ShareMeasure.LATE, bounds.lateShare(), mode);
     addShare(regressions, ShareMeasure.MISSED, bounds.missedShare(), mode);
-    add(regressions, MeanMeasure.AVOIDED_SERVERS.compare(samples, bounds.avoidedServersShare(), 0));
+    add(
+        regressions,
+        MeanMeasure.AVOIDED_SERVERS.compare(samples, bounds.avoidedServersShare(), 0));
     add(regressions, MeanMeasure.MEMORY.compare(samples, 0, bounds.memoryRatio()));
     if (hasEnoughHits()) {
       add(regressions, MeanMeasure.HIT_TIME.compare(samples, 0, bounds.hitTimeRatio()));
@@ -139,13 +146,13 @@
     regression.ifPresent(regressions::add);
   }
 
-  /** A regression that is certain counts; one that is not is watched on. */
+  /** Fails on a significant regression; a regression that may be chance leaves the verdict open. */
   private static CanaryVerdict verdict(String figures, List<Regression> regressions) {
     if (regressions.isEmpty()) {
       return CanaryVerdict.passed(figures);
     }
     for (Regression regression : regressions) {
-      if (regression.certain()) {
+      if (regression.significant()) {
         return CanaryVerdict.regressed(figures + regression.description());
       }
     }
--- a/src/main/java/beaconturn/release/CanaryVerdict.java
+++ b/src/main/java/beaconturn/release/CanaryVerdict.java
@@ -3,17 +3,17 @@
 /**
  * The result of comparing a changed instance with its peers.
  *
- * @param outcome the result
- * @param explanation the figures that it rests on, in words
+ * @param outcome outcome of the comparison
+ * @param explanation the compared figures in words
  */
 record CanaryVerdict(Outcome outcome, String explanation) {
   /** Outcomes of a comparison. */
   enum Outcome {
-    /** Too little is known. */
+    /** There is not enough data yet. */
     PENDING,
-    /** The instance does no worse than it may. */
+    /** The instance is within the regression bounds. */
     PASSED,
-    /** The instance does worse than it may. */
+    /** The instance exceeds a regression bound. */
     REGRESSED
   }
 
--- a/src/main/java/beaconturn/release/ComparedSamples.java
+++ b/src/main/java/beaconturn/release/ComparedSamples.java
@@ -1,26 +1,26 @@
 package beaconturn.release;
 
 /**
- * Metrics of a changed instance and of its peers, over the same time.
+ * Metrics of a changed instance and of its peers over the same time.
  *
- * @param changed metrics of the instance
+ * @param changed metrics of the changed instance
  * @param peers sums over the peers
- * @param peerCount how many peers there are
+ * @param peerCount number of peers
  */
 record ComparedSamples(InstanceSample changed, InstanceSample peers, int peerCount) {
-  /** Readings that a mean needs. */
+  /** Minimum number of readings for a mean. */
   private static final long MIN_READINGS = 8;
 
   boolean hasPeers() {
     return peerCount > 0;
   }
 
-  /** Whether one of both sides was read too seldom to compare means. */
+  /** Returns whether either side has too few readings to compare means. */
   boolean hasFewReadings() {
     return hasFewReadings(changed) || hasFewReadings(peers);
   }
 
-  /** An agent that reports answers only takes no readings, and has nothing to wait for. */
+  /** A sample without readings is not too few: its agent reports responses only. */
   private static boolean hasFewReadings(InstanceSample sample) {
     long readings = sample.valueOf(InstanceMetric.READINGS);
     return readings > 0 && readings < MIN_READINGS;
--- a/src/main/java/beaconturn/release/ComparisonMode.java
+++ b/src/main/java/beaconturn/release/ComparisonMode.java
@@ -1,30 +1,30 @@
 package beaconturn.release;
 
-/** How certain a comparison has to be, which depends on how often it is repeated. */
+/** Significance that a comparison requires, depending on how often it is repeated. */
 enum ComparisonMode {
-  /** Until an instance has passed its check: one false alarm in a hundred comparisons. */
+  /** Canary check of one instance: about one false positive in 100 comparisons. */
   CHECK(2.33, false),
   /**
-   * Afterwards: one false alarm in a million, as many instances are compared again and again. What
-   * is not certain goes on adding up until it is.
+   * Repeated comparison of all verified instances: about one false positive in a million. The
+   * baseline is kept while a difference is not significant, so that more data accumulates.
    */
   WATCH(4.75, true);
 
   private final double standardErrors;
-  private final boolean awaitsReadings;
+  private final boolean requiresReadings;
 
-  ComparisonMode(double standardErrors, boolean awaitsReadings) {
+  ComparisonMode(double standardErrors, boolean requiresReadings) {
     this.standardErrors = standardErrors;
-    this.awaitsReadings = awaitsReadings;
+    this.requiresReadings = requiresReadings;
   }
 
-  /** Standard errors by which a share must exceed its bound. */
+  /** Returns the number of standard errors that makes the difference of two shares significant. */
   double standardErrors() {
     return standardErrors;
   }
 
-  /** Whether the verdict waits until there are enough readings for means. */
-  boolean awaitsReadings() {
-    return awaitsReadings;
+  /** Returns whether the verdict is pending until there are enough readings to compare means. */
+  boolean requiresReadings() {
+    return requiresReadings;
   }
 }
--- a/src/main/java/beaconturn/release/ConfigRollout.java
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Returns the next transaction that reverts the configuration. Null, with a wait reason, while the
-   * reverting version is pending; null without one after the revert is complete.
+   * Returns the next transaction that reverts the configuration. Null, with a wait reason, while
+   * the reverting version is pending; null without one after the revert is complete.
    */
   RolloutTransaction revert(DriverContext context) {
     AgreedVersions agreed = context.agreed();
@@ -104,7 +104,8 @@
    * Returns a transaction that proposes a version under the driver's own conditions, so that a
    * replaced driver cannot propose one.
    */
-  private RolloutTransaction propose(DriverContext context, ConfigContent content, ConfigChange change) {
+  private RolloutTransaction propose(
+      DriverContext context, ConfigContent content, ConfigChange change) {
     AgreementStep proposal;
     try {
       proposal =
--- a/src/main/java/beaconturn/release/DefaultWaves.java
+++ b/src/main/java/beaconturn/release/DefaultWaves.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Builds the waves of a plan that specifies none: one instance, a tenth of the rest, the remainder of
- * one zone, and all others.
+ * Builds the waves of a plan that specifies none: one instance, a tenth of the rest, the remainder
+ * of one zone, and all others.
  */
 public final class DefaultWaves {
   private static final int SECOND_WAVE_DIVISOR = 10;
--- a/src/main/java/beaconturn/release/DisruptionPermit.java
+++ b/src/main/java/beaconturn/release/DisruptionPermit.java
@@ -2,8 +2,9 @@
 
 /**
  * A permit for an instance to be out of service, counted against the disruption budget. It is
- * acquired before a planned step starts and returned after the instance is observed back in service.
- * It is not bound to a lease, because the holder may die while the instance is out of service.
+ * acquired before a planned step starts and returned after the instance is observed back in
+ * service. It is not bound to a lease, because the holder may die while the instance is out of
+ * service.
  *
  * @param number permit number; ascending and never reused
  * @param kind kind of the instance
--- a/src/main/java/beaconturn/release/DisruptionPermitAdmin.java
+++ b/src/main/java/beaconturn/release/DisruptionPermitAdmin.java
@@ -120,7 +120,8 @@
             .toList();
     if (!others.isEmpty()) {
       throw new AgreementException(
-          "not allowed while parts of other sites are out of service: " + String.join(", ", others));
+          "not allowed while parts of other sites are out of service: "
+              + String.join(", ", others));
     }
     return transactions
         .transaction(
--- a/src/main/java/beaconturn/release/DriverContext.java
+++ b/src/main/java/beaconturn/release/DriverContext.java
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Returns a transaction on condition that this process is still the driver and that the keys which
-   * the decision was based on are unchanged.
+   * Returns a transaction on condition that this process is still the driver and that the keys
+   * which the decision was based on are unchanged.
    */
   RolloutTransaction transaction(
       String description, List<String> unchangedKeys, List<StoreRequest.Change> changes) {
--- a/src/main/java/beaconturn/release/InstanceKind.java
+++ b/src/main/java/beaconturn/release/InstanceKind.java
@@ -21,6 +21,8 @@
 
   /** Returns the kind with a serialized name; empty if there is none. */
   public static Optional<InstanceKind> ofSerializedName(String serializedName) {
-    return Arrays.stream(values()).filter(kind -> kind.serializedName.equals(serializedName)).findFirst();
+    return Arrays.stream(values())
+        .filter(kind -> kind.serializedName.equals(serializedName))
+        .findFirst();
   }
 }
--- a/src/main/java/beaconturn/release/InstanceLoad.java
+++ b/src/main/java/beaconturn/release/InstanceLoad.java
@@ -6,33 +6,33 @@
 import java.util.Set;
 
 /**
- * Measures the load of zones, and tells whether it can be carried while instances are out. Answers
- * are counted over one to two times the soak; gauges are as reported last. Confined to the thread
- * of its driver.
+ * Measures the load of zones and decides whether a zone can carry it with instances out of service.
+ * Responses are counted over one to two windows; gauges are the values last reported. Confined to
+ * the thread of its driver.
  */
 final class InstanceLoad {
   private static final double NANOS_PER_SECOND = 1e9;
   private static final long MIN_WINDOW_NANOS = 1_000_000_000;
-  private MeasuredWindow previous;
-  private MeasuredWindow current;
+  private MeasuredWindow previousWindow;
+  private MeasuredWindow currentWindow;
 
-  /** Metrics of all instances at the begin of a window. */
+  /** Metrics of all instances at the start of a window. */
   private record MeasuredWindow(long startNanos, Map<String, InstanceSample> samples) {}
 
-  /** Takes note of each snapshot. */
+  /** Processes a snapshot; starts a new window if the current one is over. */
   void observe(RolloutSnapshot snapshot, long nowNanos) {
     long windowNanos = Math.max(MIN_WINDOW_NANOS, snapshot.plan().soakNanos());
-    if (current == null || nowNanos - current.startNanos() >= windowNanos) {
-      previous = current;
-      current = new MeasuredWindow(nowNanos, Map.copyOf(snapshot.samples()));
+    if (currentWindow == null || nowNanos - currentWindow.startNanos() >= windowNanos) {
+      previousWindow = currentWindow;
+      currentWindow = new MeasuredWindow(nowNanos, Map.copyOf(snapshot.samples()));
     }
   }
 
   /**
-   * Why the zone of an instance could not carry its load without it, or null where it can, or where
-   * that is not to be checked.
+   * Returns why the zone of an instance could not carry its load without the instance; null if it
+   * could, or if the load is not checked.
    *
-   * @param unavailable instances that are out already
+   * @param unavailable instances that are already out of service
    */
   String blockingReason(
       RolloutSnapshot snapshot, String instanceId, Set<String> unavailable, long nowNanos) {
@@ -41,8 +41,8 @@
     if (!isChecked(snapshot.plan(), required)) {
       return null;
     }
-    if (previous == null) {
-      return "what its site carries is measured";
+    if (previousWindow == null) {
+      return "the load of its site is being measured";
     }
     String zone = group.zoneOf(instanceId);
     List<String> instanceIds = group.instancesByZone().get(zone);
@@ -56,7 +56,10 @@
     if (required.responsesPerSecondPerInstance() > 0) {
       double responsesPerSecond = responsesPerSecond(snapshot, instanceIds, nowNanos);
       String blockingReason =
-          capacity.blockingReason(responsesPerSecond, "answers a second", required.responsesPerSecondPerInstance());
+          capacity.blockingReason(
+              responsesPerSecond,
+              "responses per second",
+              required.responsesPerSecondPerInstance());
       if (blockingReason != null) {
         return blockingReason;
       }
@@ -72,17 +75,17 @@
       RolloutSnapshot snapshot, List<String> instanceIds, long nowNanos) {
     double responses = 0;
     for (String instanceId : instanceIds) {
-      InstanceSample before = previous.samples().get(instanceId);
-      if (before != null) {
-        responses += snapshot.sample(instanceId).since(before).responses();
+      InstanceSample earlier = previousWindow.samples().get(instanceId);
+      if (earlier != null) {
+        responses += snapshot.sample(instanceId).since(earlier).responses();
       }
     }
-    return responses * NANOS_PER_SECOND / (nowNanos - previous.startNanos());
+    return responses * NANOS_PER_SECOND / (nowNanos - previousWindow.startNanos());
   }
 
   /**
-   * Why zones could not carry their present load during a plan, with as many instances out as the
-   * budget allows; null where they can, or where that is not to be checked.
+   * Returns why a zone could not carry its current load during a plan, with as many instances out
+   * of service as the budget allows; null if all zones could, or if the load is not checked.
    */
   static String blockingReason(RolloutPlan plan, RolloutSnapshot snapshot) {
     ReleaseFleet.Group group = snapshot.fleet().group(plan.kind());
@@ -94,9 +97,10 @@
     int budget = Math.min(group.maxUnavailable(), group.maxUnavailablePerZone());
     for (Map.Entry<String, List<String>> zone : group.instancesByZone().entrySet()) {
       List<String> instanceIds = zone.getValue();
-      int out = Math.min(budget, (int) instanceIds.stream().filter(planned::contains).count());
-      if (out > 0) {
-        int remaining = instanceIds.size() - out - required.toleratedFailures();
+      int unavailable =
+          Math.min(budget, (int) instanceIds.stream().filter(planned::contains).count());
+      if (unavailable > 0) {
+        int remaining = instanceIds.size() - unavailable - required.toleratedFailures();
         String blockingReason =
             new RolloutZoneCapacity(zone.getKey(), instanceIds, remaining, required, snapshot)
                 .gaugeBlockingReason();
--- a/src/main/java/beaconturn/release/InstanceSample.java
+++ b/src/main/java/beaconturn/release/InstanceSample.java
@@ -5,41 +5,41 @@
 import java.util.Map;
 
 /**
- * Metrics of one instance at one time, as its agent reports them.
+ * Metrics of one instance at one time, as reported by its agent.
  *
- * @param process identifies the process of the instance; counters of another one begin anew
- * @param metrics known metrics; those not contained are 0
+ * @param process identifies the process of the instance; counters restart at 0 with each process
+ * @param metrics values by metric; metrics that are not contained are 0
  */
 public record InstanceSample(String process, Map<InstanceMetric, Long> metrics) {
-  /** No metrics. */
+  /** A sample without metrics. */
   static final InstanceSample NONE = new InstanceSample("", Map.of());
 
-  /** Copies the metrics and leaves out those that are 0. */
+  /** Makes an immutable copy of the metrics that are not 0. */
   public InstanceSample {
-    Map<InstanceMetric, Long> known = new EnumMap<>(InstanceMetric.class);
+    Map<InstanceMetric, Long> nonZero = new EnumMap<>(InstanceMetric.class);
     metrics.forEach(
         (metric, value) -> {
           if (value != 0) {
-            known.put(metric, value);
+            nonZero.put(metric, value);
           }
         });
-    metrics = Collections.unmodifiableMap(known);
+    metrics = Collections.unmodifiableMap(nonZero);
   }
 
-  /** A sample that counts answers only. */
+  /** Returns a sample that counts responses only. */
   public static InstanceSample ofResponses(String process, long served, long failed) {
     return new InstanceSample(
         process, Map.of(InstanceMetric.SERVED, served, InstanceMetric.FAILED, failed));
   }
 
-  /** The value of a metric; 0 where it is not known. */
+  /** Returns the value of a metric; 0 if it is not reported. */
   long valueOf(InstanceMetric metric) {
     return metrics.getOrDefault(metric, 0L);
   }
 
   /**
-   * What was counted since an earlier sample, with the gauges of this one; all of it where the
-   * process is another.
+   * Returns the counters since an earlier sample, with the gauges of this one. Returns this sample
+   * if the earlier one is of another process.
    */
   InstanceSample since(InstanceSample earlier) {
     if (!process.equals(earlier.process)) {
@@ -47,13 +47,13 @@
     }
     Map<InstanceMetric, Long> difference = new EnumMap<>(InstanceMetric.class);
     for (InstanceMetric metric : InstanceMetric.values()) {
-      long before = metric.isGauge() ? 0 : earlier.valueOf(metric);
-      difference.put(metric, valueOf(metric) - before);
+      long earlierValue = metric.isGauge() ? 0 : earlier.valueOf(metric);
+      difference.put(metric, valueOf(metric) - earlierValue);
     }
     return new InstanceSample(process, difference);
   }
 
-  /** The sum of the counters of both; gauges are left out, as their sum has no meaning. */
+  /** Returns the sums of the counters of two samples, without gauges. */
   InstanceSample plus(InstanceSample other) {
     Map<InstanceMetric, Long> sum = new EnumMap<>(InstanceMetric.class);
     for (InstanceMetric metric : InstanceMetric.values()) {
@@ -64,17 +64,17 @@
     return new InstanceSample("", sum);
   }
 
-  /** All answers. */
+  /** Returns the number of all responses, successful or failed. */
   long responses() {
     return valueOf(InstanceMetric.SERVED) + valueOf(InstanceMetric.FAILED);
   }
 
-  /** The failed share of all answers, from 0 to 1. */
+  /** Returns the failed share of all responses, from 0 to 1. */
   double failedShare() {
     return ratio(InstanceMetric.FAILED, responses());
   }
 
-  /** A metric divided by a total; 0 where the total is 0. */
+  /** Returns a metric divided by a total; 0 if the total is 0. */
   double ratio(InstanceMetric metric, long total) {
     if (total == 0) {
       return 0;
--- a/src/main/java/beaconturn/release/MeanMeasure.java
+++ b/src/main/java/beaconturn/release/MeanMeasure.java
@@ -4,45 +4,47 @@
 import java.util.Optional;
 
 /**
- * A mean that is compared between a changed instance and its peers. Each reading is a mean already,
- * so that a difference counts once there are enough readings.
+ * A mean that is compared between a changed instance and its peers. Each reading is itself a mean,
+ * so any difference beyond the bounds counts once there are enough readings.
  *
- * @param name what the mean is of, in words
- * @param sum sum of the values
- * @param count how many values the sum is over
- * @param divisor turns the mean into the unit in which it is compared and told
- * @param format of one value
+ * @param name unit and name of the mean in descriptions
+ * @param sum metric with the sum of the values
+ * @param count metric with the number of values
+ * @param divisor converts the mean to the unit of comparison and description
+ * @param format format of a value in descriptions
  */
 record MeanMeasure(
     String name, InstanceMetric sum, InstanceMetric count, double divisor, String format) {
   private static final double MILLION = 1e6;
-  private static final String WHOLE = "%.0f";
-  private static final String FRACTION = "%.3f";
+  private static final String INTEGER_FORMAT = "%.0f";
+  private static final String FRACTION_FORMAT = "%.3f";
   static final MeanMeasure AVOIDED_SERVERS =
       new MeanMeasure(
           "of the cache servers avoided",
           InstanceMetric.AVOIDED_MILLIONTHS,
           InstanceMetric.READINGS,
           MILLION,
-          FRACTION);
+          FRACTION_FORMAT);
   static final MeanMeasure MEMORY =
       new MeanMeasure(
-          "kB of memory", InstanceMetric.MEMORY_KB, InstanceMetric.READINGS, 1, WHOLE);
+          "kB of memory", InstanceMetric.MEMORY_KB, InstanceMetric.READINGS, 1, INTEGER_FORMAT);
   static final MeanMeasure HIT_TIME =
-      new MeanMeasure("us for a hit", InstanceMetric.HIT_MICROS, InstanceMetric.HITS, 1, WHOLE);
+      new MeanMeasure(
+          "us for a hit", InstanceMetric.HIT_MICROS, InstanceMetric.HITS, 1, INTEGER_FORMAT);
 
   /**
-   * Whether the mean of the changed instance is too high.
+   * Returns the regression if the mean of the changed instance exceeds that of the peers by more
+   * than is allowed.
    *
-   * @param allowedDifference by how much it may be higher than that of the peers
-   * @param allowedRatio by which part of the peers' mean it may be higher
+   * @param allowedDifference allowed absolute excess, in the unit of comparison
+   * @param allowedRatio allowed excess relative to the mean of the peers
    */
   Optional<Regression> compare(
       ComparedSamples samples, double allowedDifference, double allowedRatio) {
     InstanceSample changed = samples.changed();
     InstanceSample peers = samples.peers();
-    boolean unknown = changed.valueOf(count) == 0 || peers.valueOf(count) == 0;
-    if (unknown || samples.hasFewReadings()) {
+    boolean noValues = changed.valueOf(count) == 0 || peers.valueOf(count) == 0;
+    if (noValues || samples.hasFewReadings()) {
       return Optional.empty();
     }
     double changedMean = changed.ratio(sum, changed.valueOf(count)) / divisor;
--- a/src/main/java/beaconturn/release/Regression.java
+++ b/src/main/java/beaconturn/release/Regression.java
@@ -1,9 +1,9 @@
 package beaconturn.release;
 
 /**
- * One measure in which a changed instance does worse than it may.
+ * A measure by which a changed instance exceeds its regression bound.
  *
- * @param description the figures in words, appended to those of the answers
- * @param certain whether chance would hardly make the difference
+ * @param description the figures in words, appended to those of the responses; may be empty
+ * @param significant whether the difference is statistically significant
  */
-record Regression(String description, boolean certain) {}
+record Regression(String description, boolean significant) {}
--- a/src/main/java/beaconturn/release/RolloutAdmin.java
+++ b/src/main/java/beaconturn/release/RolloutAdmin.java
@@ -124,8 +124,8 @@
   }
 
   /**
-   * Resumes a halted release. It rolls forward, even if it was being rolled back when it was halted;
-   * to continue a rollback, use {@link #rollBack}.
+   * Resumes a halted release. It rolls forward, even if it was being rolled back when it was
+   * halted; to continue a rollback, use {@link #rollBack}.
    */
   public String resume(String reason) throws AgreementException {
     return changeMode("goes on", reason, RolloutMode.RUNNING, Set.of(RolloutMode.HALTED));
--- a/src/main/java/beaconturn/release/RolloutAgent.java
+++ b/src/main/java/beaconturn/release/RolloutAgent.java
@@ -7,9 +7,9 @@
 
 /**
  * Decides the transactions and actions of the agent of one instance. An action starts only after a
- * transaction that is conditional on the state of the rollout, and only if the store's reply arrived
- * within the call timeout; a halt therefore also stops an agent that was slow, disconnected or
- * paused. Confined to one thread.
+ * transaction that is conditional on the state of the rollout, and only if the store's reply
+ * arrived within the call timeout; a halt therefore also stops an agent that was slow, disconnected
+ * or paused. Confined to one thread.
  */
 public final class RolloutAgent {
   private final RolloutKeys keys;
@@ -128,14 +128,18 @@
     return transactions.transaction(
         snapshot,
         incarnation,
-        instanceId + " goes to " + step.variant().serializedName() + " under permit " + step.permitNumber(),
+        instanceId
+            + " goes to "
+            + step.variant().serializedName()
+            + " under permit "
+            + step.permitNumber(),
         List.of(keys.step(instanceId), keys.agent(instanceId)),
         List.of(transactions.put(currentStep)));
   }
 
   /**
-   * During a rollback, reports a started step to the new variant without a running action as failed,
-   * so that the driver rolls the instance back.
+   * During a rollback, reports a started step to the new variant without a running action as
+   * failed, so that the driver rolls the instance back.
    */
   private RolloutTransaction reportInterrupted(RolloutSnapshot snapshot, RolloutStep step) {
     RolloutStep failed = step.withPhase(StepPhase.FAILED, incarnation, "not acted on");
--- a/src/main/java/beaconturn/release/RolloutCodec.java
+++ b/src/main/java/beaconturn/release/RolloutCodec.java
@@ -12,8 +12,8 @@
 
 /**
  * Encodes and decodes the records that change during a release: state, steps, permits, the
- * configuration change and metrics. Each is stored as one line of JSON. Instances of different builds
- * exchange these texts, so member names and their order must not change.
+ * configuration change and metrics. Each is stored as one line of JSON. Instances of different
+ * builds exchange these texts, so member names and their order must not change.
  */
 public final class RolloutCodec {
   private RolloutCodec() {}
@@ -114,7 +114,9 @@
   /** Encodes the metrics of an instance. */
   public static String encode(InstanceSample sample) {
     List<Object> members = new ArrayList<>(List.of("process", sample.process()));
-    sample.metrics().forEach((metric, value) -> members.addAll(List.of(metric.serializedName(), value)));
+    sample
+        .metrics()
+        .forEach((metric, value) -> members.addAll(List.of(metric.serializedName(), value)));
     return JsonWriter.write(StoredJson.object(members.toArray()));
   }
 
--- a/src/main/java/beaconturn/release/RolloutDriver.java
+++ b/src/main/java/beaconturn/release/RolloutDriver.java
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Returns the transaction that makes this process the driver, bound to its lease; null if there is
-   * a driver or no release to drive.
+   * Returns the transaction that makes this process the driver, bound to its lease; null if there
+   * is a driver or no release to drive.
    */
   public RolloutTransaction acquireLease(RolloutSnapshot snapshot, long leaseId) {
     boolean nothingToDrive = snapshot.plan() == null || snapshot.state().isOver();
@@ -96,7 +96,8 @@
   private void observe(DriverContext context) {
     Map<String, String> unplanned = context.unplanned();
     baselines.observe(context.snapshot(), unplanned, context.nowNanos());
-    verifiedWatch.observe(context.snapshot(), unplanned, baselines.isDisturbed(), context.nowNanos());
+    verifiedWatch.observe(
+        context.snapshot(), unplanned, baselines.isDisturbed(), context.nowNanos());
     load.observe(context.snapshot(), context.nowNanos());
   }
 
--- a/src/main/java/beaconturn/release/RolloutForecast.java
+++ b/src/main/java/beaconturn/release/RolloutForecast.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * How long a release is expected to take, before it is started.
+ * Estimates how long a release would take.
  *
- * @param waves one after the other
- * @param shortestSeconds time of watching alone
- * @param longestSeconds time if each instance takes as long to get ready as it may
- * @param restartSeconds median duration of restarts in the last release; 0 where there was none
- * @param checkSeconds how long an instance is watched until it has its answers; 0 where no load is
- *     known
+ * @param waves waves in order
+ * @param shortestSeconds duration of the soaks alone
+ * @param longestSeconds duration if each instance becomes ready just within the ready timeout
+ * @param restartSeconds median duration of restarts in the last release; 0 if unknown
+ * @param checkSeconds duration of the canary check until an instance has the minimum number of
+ *     responses; 0 if no load is reported
  */
 public record RolloutForecast(
     List<Wave> waves,
@@ -23,12 +23,12 @@
   private static final double NANOS_PER_SECOND = 1e9;
 
   /**
-   * One wave.
+   * Estimate of one wave.
    *
-   * @param instanceIds its instances
-   * @param maxConcurrent instances of it that can be out at once
-   * @param rounds rounds that it takes with as many at once
-   * @param spareBudget instances that may go out beside them, as things are
+   * @param instanceIds instances of the wave
+   * @param maxConcurrent maximum number of instances of the wave that are out of service at once
+   * @param rounds number of rounds that the wave takes
+   * @param spareBudget disruption budget that is left during a round
    */
   public record Wave(List<String> instanceIds, int maxConcurrent, int rounds, int spareBudget) {
     private static Wave of(List<String> instanceIds, ReleaseFleet.Group group, int unavailable) {
@@ -50,9 +50,9 @@
   }
 
   /**
-   * The forecast of a plan, as things are.
+   * Returns the forecast of a plan in the current state.
    *
-   * @param unplanned instances that are out without a permit, with reasons
+   * @param unplanned reasons by instance that is out of service without a permit
    */
   public static RolloutForecast of(
       RolloutPlan plan, RolloutSnapshot snapshot, Map<String, String> unplanned) {
@@ -95,7 +95,7 @@
     double responsesPerSecond =
         snapshot.fleet().group(plan.kind()).instanceIds().stream()
             .mapToLong(id -> snapshot.sample(id).valueOf(InstanceMetric.RESPONSES_PER_SECOND))
-            .filter(rate -> rate > 0)
+            .filter(value -> value > 0)
             .average()
             .orElse(0);
     if (responsesPerSecond == 0) {
@@ -104,7 +104,7 @@
     return Math.max(soakSeconds, plan.minResponses() / responsesPerSecond);
   }
 
-  /** How long the release is likely to take; 0 where too little is known. */
+  /** Returns the likely duration of the release; 0 if restarts or load are unknown. */
   public double likelySeconds() {
     if (restartSeconds == 0 || checkSeconds == 0) {
       return 0;
--- a/src/main/java/beaconturn/release/RolloutPlan.java
+++ b/src/main/java/beaconturn/release/RolloutPlan.java
@@ -12,7 +12,8 @@
  *
  * @param number number of the release, from 1; 0 before the release is started
  * @param kind kind of the instances
- * @param waves instances by wave; a wave starts after all instances of the previous one are verified
+ * @param waves instances by wave; a wave starts after all instances of the previous one are
+ *     verified
  * @param soakNanos minimum time that an instance is in service before it is verified
  * @param minResponses minimum number of responses of an instance for a comparison
  * @param regressionBounds how much worse changed instances may do than their peers
--- a/src/main/java/beaconturn/release/RolloutTimeSeries.java
+++ b/src/main/java/beaconturn/release/RolloutTimeSeries.java
@@ -26,7 +26,8 @@
    * @param failed rejections and errors
    * @param late successful responses after their latency objective
    * @param plannedUnavailable instances out of service under a permit at the end of the interval
-   * @param unplannedUnavailable instances out of service without a permit at the end of the interval
+   * @param unplannedUnavailable instances out of service without a permit at the end of the
+   *     interval
    */
   public record Point(
       long atMillis,
--- a/src/main/java/beaconturn/release/RolloutTransactions.java
+++ b/src/main/java/beaconturn/release/RolloutTransactions.java
@@ -6,8 +6,8 @@
 import java.util.function.Supplier;
 
 /**
- * Builds the transactions of a release and the changes that they consist of. Each transaction adds a
- * line to the history.
+ * Builds the transactions of a release and the changes that they consist of. Each transaction adds
+ * a line to the history.
  */
 final class RolloutTransactions {
   private final RolloutKeys keys;
--- a/src/main/java/beaconturn/release/RolloutZoneCapacity.java
+++ b/src/main/java/beaconturn/release/RolloutZoneCapacity.java
@@ -4,12 +4,12 @@
 import java.util.Locale;
 
 /**
- * Whether the instances of a zone that stay in service can carry the zone's load.
+ * Decides whether the instances of a zone that remain in service can carry the load of the zone.
  *
  * @param zone name of the zone
  * @param instanceIds all instances of the zone
- * @param remaining instances that are left once those that are out and those that may fail are gone
- * @param required load that has to be carried
+ * @param remaining number of instances in service after the tolerated failures; may be negative
+ * @param required capacity of an instance and tolerated failures
  * @param snapshot metrics of the instances
  */
 record RolloutZoneCapacity(
@@ -18,19 +18,19 @@
     long remaining,
     ReleaseFleet.Capacity required,
     RolloutSnapshot snapshot) {
-  private static final double MILLI = 1000;
+  private static final double MILLICORES_PER_CORE = 1000;
 
-  /** Above this part of a core answers wait for each other, and a burst has no room. */
+  /** Maximum CPU utilization: beyond this, queueing delays grow and bursts cannot be absorbed. */
   private static final double MAX_CPU_UTILIZATION = 0.8;
 
-  /** Why the remaining instances are too few for a load, or null where they are enough. */
+  /** Returns why the remaining instances are too few for a load; null if they are enough. */
   String blockingReason(double load, String unit, double capacityEach) {
     if (remaining > 0 && load <= remaining * capacityEach) {
       return null;
     }
     return String.format(
         Locale.ROOT,
-        "%s carries %.1f %s, and %d routers would be left with %d that fail, for %.1f each",
+        "%s carries %.1f %s; %d routers would be left with %d failed, with a capacity of %.1f each",
         zone,
         load,
         unit,
@@ -40,13 +40,13 @@
   }
 
   /**
-   * Why the remaining instances are too few by the gauges reported last, or null. Where no instance
-   * reports a gauge nothing is said of it.
+   * Returns why the remaining instances are too few by the gauges last reported; null if they are
+   * enough. A gauge that no instance reports is not checked.
    */
   String gaugeBlockingReason() {
-    String cpu = cpuBlockingReason();
-    if (cpu != null) {
-      return cpu;
+    String cpuReason = cpuBlockingReason();
+    if (cpuReason != null) {
+      return cpuReason;
     }
     double maxConnections = mean(InstanceMetric.MAX_CONNECTIONS);
     if (maxConnections <= 0) {
@@ -55,22 +55,24 @@
     return blockingReason(sum(InstanceMetric.CONNECTIONS), "connections", maxConnections);
   }
 
-  /** What operators say of the cores goes before what instances report. */
+  /** The cores in the fleet definition take precedence over the reported limit. */
   private String cpuBlockingReason() {
-    double reportedCores = mean(InstanceMetric.CPU_LIMIT_MILLICORES) / MILLI;
+    double reportedCores = mean(InstanceMetric.CPU_LIMIT_MILLICORES) / MILLICORES_PER_CORE;
     double cores = required.coresPerInstance() > 0 ? required.coresPerInstance() : reportedCores;
     if (cores <= 0 || reportedCores <= 0) {
       return null;
     }
     return blockingReason(
-        sum(InstanceMetric.CPU_MILLICORES) / MILLI, "cores", cores * MAX_CPU_UTILIZATION);
+        sum(InstanceMetric.CPU_MILLICORES) / MILLICORES_PER_CORE,
+        "cores",
+        cores * MAX_CPU_UTILIZATION);
   }
 
   private double sum(InstanceMetric metric) {
     return instanceIds.stream().mapToLong(id -> snapshot.sample(id).valueOf(metric)).sum();
   }
 
-  /** Mean over the instances that report the metric; 0 where none does. */
+  /** Returns the mean over the instances that report the metric; 0 if none does. */
   private double mean(InstanceMetric metric) {
     return instanceIds.stream()
         .mapToLong(id -> snapshot.sample(id).valueOf(metric))
--- a/src/main/java/beaconturn/release/ShareMeasure.java
+++ b/src/main/java/beaconturn/release/ShareMeasure.java
@@ -5,12 +5,13 @@
 import java.util.function.ToLongFunction;
 
 /**
- * A share of events that is compared between a changed instance and its peers. A difference counts
- * if chance would hardly make it.
+ * A share of events that is compared between a changed instance and its peers by the standard error
+ * of the difference.
  *
- * @param name what the share is of, in words; empty for failed answers, which each verdict tells
- * @param part the events that are counted
- * @param total all events among which they are counted
+ * @param name name of the events in descriptions; empty for failed responses, whose figures are
+ *     part of each explanation
+ * @param part metric that counts the events
+ * @param total number of all events of a sample
  */
 record ShareMeasure(String name, InstanceMetric part, ToLongFunction<InstanceSample> total) {
   static final ShareMeasure FAILED =
@@ -25,11 +26,11 @@
           sample -> sample.valueOf(InstanceMetric.HITS) + sample.valueOf(InstanceMetric.MISSES));
 
   /**
-   * Whether the share of the changed instance is too high.
+   * Returns the regression if the share of the changed instance exceeds that of the peers by more
+   * than the allowed difference.
    *
-   * @param allowedDifference by how much it may be higher than that of the peers
-   * @param minEvents events that either side needs to be compared
-   * @param standardErrors how many of them the difference must exceed to be certain
+   * @param minEvents minimum number of events on each side for a comparison
+   * @param standardErrors number of standard errors above which the difference is significant
    */
   Optional<Regression> compare(
       ComparedSamples samples, double allowedDifference, long minEvents, double standardErrors) {
@@ -45,14 +46,14 @@
     }
     double pooledShare =
         (changed.valueOf(part) + peers.valueOf(part)) / (double) (changedTotal + peersTotal);
-    double error = standardError(pooledShare, changedTotal, peersTotal);
+    double standardError = standardError(pooledShare, changedTotal, peersTotal);
     return Optional.of(
         new Regression(
             description(changedShare, changedTotal, peersShare, peersTotal),
-            changedShare - peersShare > standardErrors * error));
+            changedShare - peersShare > standardErrors * standardError));
   }
 
-  /** Standard error of the difference of two shares, with the share pooled over both. */
+  /** Returns the standard error of the difference of two shares under a pooled share. */
   private static double standardError(double pooledShare, long changedTotal, long peersTotal) {
     double peersTerm = peersTotal == 0 ? 0 : 1.0 / peersTotal;
     return Math.sqrt(pooledShare * (1 - pooledShare) * (1.0 / changedTotal + peersTerm));
--- a/src/main/java/beaconturn/release/VerifiedInstanceWatch.java
+++ b/src/main/java/beaconturn/release/VerifiedInstanceWatch.java
@@ -8,19 +8,21 @@
 import java.util.TreeSet;
 
 /**
- * Watches instances that have passed their check for as long as there are unchanged ones to compare
- * with: what does harm may take minutes to show. Confined to the thread of its driver.
+ * Watches verified instances for regressions that appear only after the canary check, as long as
+ * there are unchanged instances to compare with. Confined to the thread of its driver.
  */
 final class VerifiedInstanceWatch {
+  /** When each verified cache server was first observed ejected, by instance. */
   private final SortedMap<String, Long> ejectedSinceNanos = new TreeMap<>();
 
-  /** Metrics of all instances when one was last compared, by step. */
+  /** Metrics of all instances at the start of the current comparison, by key of the step. */
   private final Map<String, Map<String, InstanceSample>> baselines = new HashMap<>();
 
   /**
-   * Takes note of each snapshot, before a regression is asked for.
+   * Processes a snapshot; called for each one before a regression is requested.
    *
-   * @param disturbed whether instances are out that the release has not taken out
+   * @param disturbed whether other instances were out of service recently; see {@link
+   *     CanaryBaselines#isDisturbed}
    */
   void observe(
       RolloutSnapshot snapshot, Map<String, String> unplanned, boolean disturbed, long nowNanos) {
@@ -35,8 +37,8 @@
   }
 
   /**
-   * Notes which verified cache servers most routers have ejected. Where an unchanged one is ejected
-   * too, the cause is not the release.
+   * Records which verified cache servers most routers have ejected. If an unchanged cache server is
+   * ejected too, the release is not considered the cause.
    */
   private void observeEjections(
       RolloutSnapshot snapshot, Map<String, String> unplanned, long nowNanos) {
@@ -55,7 +57,7 @@
     ejected.forEach(instanceId -> ejectedSinceNanos.putIfAbsent(instanceId, nowNanos));
   }
 
-  /** Why an instance does worse by now though it has passed its check, or null where none does. */
+  /** Returns why a verified instance does worse now; null if none does. */
   String regression(RolloutSnapshot snapshot, long nowNanos) {
     for (Map.Entry<String, Long> ejected : ejectedSinceNanos.entrySet()) {
       if (nowNanos - ejected.getValue() > snapshot.plan().readyTimeoutNanos()) {
--- a/src/main/java/beaconturn/release/WaveRollout.java
+++ b/src/main/java/beaconturn/release/WaveRollout.java
@@ -64,7 +64,8 @@
     CanaryVerdict verdict =
         canaryCheck.verdict(context.snapshot(), step, context.unplanned(), context.nowNanos());
     return switch (verdict.outcome()) {
-      case REGRESSED -> context.rollBack(step.instanceId() + " does worse: " + verdict.explanation());
+      case REGRESSED ->
+          context.rollBack(step.instanceId() + " does worse: " + verdict.explanation());
       case PASSED -> verified(context, step, verdict);
       case PENDING -> {
         context.waitFor(step.instanceId() + " is watched: " + verdict.explanation());
