--- a/src/main/java/beaconturn/release/RolloutStore.java
+++ b/src/main/java/beaconturn/release/RolloutStore.java
@@ -51,7 +51,8 @@
         return transaction.description();
       }
     }
-    throw new AgreementException("not done: other changes to the store conflicted with all "
+    throw new AgreementException(
+        "not done: other changes to the store conflicted with all "
             + MAX_ATTEMPTS
             + " attempts; check the current state and try again");
   }
--- a/src/test/java/beaconturn/release/CanaryComparisonTest.java
+++ b/src/test/java/beaconturn/release/CanaryComparisonTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Measures that are compared beside failures, the load of zones, forecasts and time series. */
+/** Tests of the compared measures, the load check of zones, forecasts and time series. */
 class CanaryComparisonTest {
   private static final RolloutPlan PLAN =
       new RolloutPlan(
@@ -30,18 +30,18 @@
           null,
           "");
 
-  /** A sample of words such as {@code good=100 late=3}. */
-  private static InstanceSample sample(String words) {
+  /** Parses a sample such as {@code good=100 late=3}, with the serialized names of metrics. */
+  private static InstanceSample sample(String text) {
     Map<InstanceMetric, Long> metrics = new EnumMap<>(InstanceMetric.class);
-    for (String word : words.split(" ")) {
-      String[] pair = word.split("=");
+    for (String assignment : text.split(" ")) {
+      String[] nameAndValue = assignment.split("=");
       for (InstanceMetric metric : InstanceMetric.values()) {
-        if (metric.serializedName().equals(pair[0])) {
-          metrics.put(metric, Long.parseLong(pair[1]));
+        if (metric.serializedName().equals(nameAndValue[0])) {
+          metrics.put(metric, Long.parseLong(nameAndValue[1]));
         }
       }
     }
-    assertEquals(words.split(" ").length, metrics.size(), words);
+    assertEquals(text.split(" ").length, metrics.size(), text);
     return new InstanceSample("", metrics);
   }
 
@@ -66,49 +66,55 @@
         "good=100 hits=19 hit_micros=90000 | good=400 hits=40 hit_micros=40000 | PASSED | ''",
         "good=19 late=19 | good=400 | PENDING | ''"
       })
-  void eachMeasureCountsOnceThereIsEnoughOfIt(
-      String changed, String others, CanaryVerdict.Outcome outcome, String says) {
-    CanaryComparison comparison = new CanaryComparison(PLAN, sample(changed), sample(others), 2);
+  void comparesEachMeasureGivenEnoughData(
+      String changed, String peers, CanaryVerdict.Outcome outcome, String figures) {
+    CanaryComparison comparison = new CanaryComparison(PLAN, sample(changed), sample(peers), 2);
     CanaryVerdict verdict = comparison.verdict(true, ComparisonMode.WATCH);
     assertEquals(outcome, verdict.outcome(), verdict.explanation());
     assertTrue(
-        verdict.explanation().endsWith(says.isEmpty() ? "others" : says), verdict.explanation());
+        verdict.explanation().endsWith(figures.isEmpty() ? "others" : figures),
+        verdict.explanation());
     if (outcome == CanaryVerdict.Outcome.REGRESSED) {
       assertEquals(
           CanaryVerdict.Outcome.PASSED,
           comparison.verdict(false, ComparisonMode.WATCH).outcome(),
-          "just started");
+          "not soaked");
     }
   }
 
-  /** Once in some thousand comparisons it is chance, and many instances make those in minutes. */
+  /** Repeated comparisons of many instances would turn a difference by chance into a rollback. */
   @Test
-  void whatIsWatchedForLongNeedsMoreThanWhatIsCheckedOnce() {
-    CanaryComparison chance =
+  void repeatedComparisonsRequireHigherSignificance() {
+    CanaryComparison fewResponses =
         new CanaryComparison(
             PLAN, sample("good=20 hits=8 misses=12"), sample("good=210 hits=170 misses=40"), 13);
     assertEquals(
-        CanaryVerdict.Outcome.REGRESSED, chance.verdict(true, ComparisonMode.CHECK).outcome());
+        CanaryVerdict.Outcome.REGRESSED,
+        fewResponses.verdict(true, ComparisonMode.CHECK).outcome());
     assertEquals(
-        CanaryVerdict.Outcome.PENDING, chance.verdict(true, ComparisonMode.WATCH).outcome());
-    CanaryComparison goesOn =
+        CanaryVerdict.Outcome.PENDING,
+        fewResponses.verdict(true, ComparisonMode.WATCH).outcome());
+    CanaryComparison moreResponses =
         new CanaryComparison(
             PLAN, sample("good=40 hits=16 misses=24"), sample("good=420 hits=340 misses=80"), 13);
     assertEquals(
-        CanaryVerdict.Outcome.REGRESSED, goesOn.verdict(true, ComparisonMode.WATCH).outcome());
+        CanaryVerdict.Outcome.REGRESSED,
+        moreResponses.verdict(true, ComparisonMode.WATCH).outcome());
   }
 
-  /** A soak that is too short for eight readings compares no means, and does not wait for more. */
+  /** A soak that is too short for the minimum of readings must not keep the check pending. */
   @Test
-  void meansOfFewReadingsCountForNothing() {
-    CanaryComparison few =
+  void checkIgnoresMeansOfTooFewReadings() {
+    CanaryComparison fewReadings =
         new CanaryComparison(
             PLAN,
             sample("good=100 readings=7 memory=1400"),
             sample("good=400 readings=30 memory=3000"),
             2);
-    assertEquals(CanaryVerdict.Outcome.PASSED, few.verdict(true, ComparisonMode.CHECK).outcome());
-    assertEquals(CanaryVerdict.Outcome.PENDING, few.verdict(true, ComparisonMode.WATCH).outcome());
+    assertEquals(
+        CanaryVerdict.Outcome.PASSED, fewReadings.verdict(true, ComparisonMode.CHECK).outcome());
+    assertEquals(
+        CanaryVerdict.Outcome.PENDING, fewReadings.verdict(true, ComparisonMode.WATCH).outcome());
   }
 
   private static InMemoryStore store(ReleaseFleet.Capacity capacity) throws AgreementException {
@@ -127,7 +133,7 @@
     return store;
   }
 
-  private static void report(InMemoryStore store, String words) {
+  private static void reportFromAll(InMemoryStore store, String sampleText) {
     List.of("r1", "r2", "r3")
         .forEach(
             id ->
@@ -137,62 +143,65 @@
                         List.of(
                             new StoreRequest.Change.Put(
                                 InMemoryStore.KEYS.sample(id),
-                                RolloutCodec.encode(sample(words)),
+                                RolloutCodec.encode(sample(sampleText)),
                                 0)))));
   }
 
-  /** With one out and one failed the third has to carry all, at four fifths of its cores. */
+  /** With one out of service and one failed, the third instance must carry the load of the zone. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
       value = {
         "1 | busy=250 cores=1000 | ",
-        "1 | busy=300 cores=1000 | east carries 0.9 cores, and 1 routers would be left with"
-            + " 1 that fail,"
-            + " for 0.8 each",
-        "1 | connections=40 most_connections=100 | east carries 120.0 connections, and 1"
+        "1 | busy=300 cores=1000 | east carries 0.9 cores; 1 routers would be left with"
+            + " 1 failed,"
+            + " with a capacity of 0.8 each",
+        "1 | connections=40 most_connections=100 | east carries 120.0 connections; 1"
             + " routers would be"
-            + " left with 1 that fail, for 100.0 each",
+            + " left with 1 failed, with a capacity of 100.0 each",
         "0 | busy=500 cores=1000 | ",
         "-1 | busy=900 cores=1000 | ",
         "1 | good=5 | "
       })
-  void aPlanIsHeldToWhatItsSitesCarry(int spare, String each, String blockingReason)
+  void rejectsPlansThatWouldOverloadAZone(
+      int toleratedFailures, String sampleText, String blockingReason)
       throws AgreementException {
-    InMemoryStore store = store(new ReleaseFleet.Capacity(0, 0, spare));
-    report(store, each);
+    InMemoryStore store = store(new ReleaseFleet.Capacity(0, 0, toleratedFailures));
+    reportFromAll(store, sampleText);
     assertEquals(blockingReason, RolloutAdmin.blockingReason(PLAN, store.snapshot()));
   }
 
   @Test
-  void aStepWaitsWhileProcessorsAreShort() throws AgreementException {
+  void delaysAStepThatWouldOverloadCpus() throws AgreementException {
     InMemoryStore store = store(new ReleaseFleet.Capacity(0, 0.5, 1));
-    report(store, "busy=10 cores=8000");
+    reportFromAll(store, "busy=10 cores=8000");
     store.begin(0, List.of(List.of("r1")));
     RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
     assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
     assertNull(
-        driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0), "measured first");
-    report(store, "busy=200 cores=8000");
+        driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0),
+        "the load is not measured yet");
+    reportFromAll(store, "busy=200 cores=8000");
     assertNull(
         driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 1_000_000_000));
     assertEquals(
-        "r1: east carries 0.6 cores, and 1 routers would be left with 1 that fail, for 0.4 each",
+        "r1: east carries 0.6 cores; 1 routers would be left with 1 failed, with a capacity of 0.4"
+            + " each",
         driver.waitReason(),
-        "what operators say they may use goes before what they see");
-    report(store, "busy=100 cores=8000");
+        "the cores of the fleet definition take precedence");
+    reportFromAll(store, "busy=100 cores=8000");
     RolloutTransaction transaction =
         driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 1_000_000_000);
     assertTrue(transaction.description().startsWith("r1 goes"), transaction.description());
   }
 
   @Test
-  void whatIsForetoldRestsOnTheLastReleaseAndOnTheLoad() throws AgreementException {
-    InMemoryStore store = InMemoryStore.with(2, 1).begin(0, List.of(List.of("r1")));
+  void forecastUsesTheLastReleaseAndTheLoad() throws AgreementException {
+    InMemoryStore store = InMemoryStore.withRouters(2, 1).startRelease(0, List.of(List.of("r1")));
     assertEquals(
         0,
         RolloutForecast.of(PLAN, store.snapshot(), Map.of()).likelySeconds(),
-        "nothing is known");
+        "restarts and load are unknown");
     RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
     assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
     assertTrue(
@@ -209,7 +218,7 @@
                     InMemoryStore.KEYS.sample("r2"), RolloutCodec.encode(sample("rate=4")), 0))));
     RolloutForecast forecast =
         RolloutForecast.of(PLAN, store.snapshot(), Map.of("r4", "holds no lease"));
-    // r2 and r3 are of two zones; r1 still holds a permit and r4 is out.
+    // r2 and r3 are in different zones; r1 still holds a permit and r4 is out of service.
     assertEquals(
         List.of(
             new RolloutForecast.Wave(List.of("r1"), 1, 1, 0),
@@ -218,27 +227,27 @@
     assertEquals(
         2 * (3 + 5),
         forecast.likelySeconds(),
-        "3 s for a restart, 5 s for 20 answers at 4 a second");
+        "3 s for a restart, 5 s for 20 responses at 4 per second");
     assertEquals(4, forecast.shortestSeconds());
     assertEquals(22, forecast.longestSeconds());
   }
 
   @Test
-  void aCurveGoesOnWithAnotherDriverAndStaysSmall() throws AgreementException {
-    InMemoryStore store = InMemoryStore.with(1, 1).begin(0, List.of(List.of("r1")));
+  void timeSeriesIsContinuedByAnotherDriverAndBounded() throws AgreementException {
+    InMemoryStore store = InMemoryStore.withRouters(1, 1).startRelease(0, List.of(List.of("r1")));
     assertTrue(
         store.commits(
             new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "")
                 .acquireLease(store.snapshot(), 1)));
-    long sum = 0;
+    long observed = 0;
     for (int second = 0; second < 600; second++) {
-      // Another driver takes over every 100 seconds, and counts from what it sees first.
+      // Another driver takes over every 100 seconds and counts from its first snapshot.
       if (second % 100 == 0) {
         recorder = new RolloutRecorder(InMemoryStore.KEYS, 1, store.admin().timeSeries(1));
       } else {
-        sum += 10;
+        observed += 10;
       }
-      store.health("r1", 10 * second + 1, 0);
+      store.reportResponses("r1", 10 * second + 1, 0);
       RolloutTransaction point =
           recorder.nextTransaction(
               store.snapshot(), Unavailability.of(Map.of("r3", "gone")), 1000L * second + 1000);
@@ -251,14 +260,14 @@
     assertEquals(4000, series.intervalMillis());
     assertEquals(1, series.points().get(0).unplannedUnavailable());
     long recorded = series.points().stream().mapToLong(RolloutTimeSeries.Point::served).sum();
-    // What came since the last point before a change of drivers, and since the last of all, is in
-    // none.
-    assertTrue(recorded <= sum && recorded > sum - 6 * 40, recorded + " of " + sum);
-    RolloutTransaction late =
+    // Responses after the last point of each of the 6 drivers are not recorded.
+    assertTrue(
+        recorded <= observed && recorded > observed - 6 * 40, recorded + " of " + observed);
+    RolloutTransaction outdated =
         new RolloutRecorder(InMemoryStore.KEYS, 1, RolloutTimeSeries.EMPTY)
             .nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 1);
-    store.driverGone();
-    assertTrue(!store.commits(late), "only who drives draws it");
+    store.expireDriverLease();
+    assertTrue(!store.commits(outdated), "only the driver records the time series");
   }
 
   private RolloutRecorder recorder;
--- a/src/test/java/beaconturn/release/ConfigRolloutTest.java
+++ b/src/test/java/beaconturn/release/ConfigRolloutTest.java
@@ -19,23 +19,25 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Configuration that comes into force with a release, and is reverted with it. */
+/** Tests of the configuration version that takes effect with a release and is reverted with it. */
 class ConfigRolloutTest {
   private static final AgreementKeys KEYS = new AgreementKeys("/f");
-  private static final ConfigContent TWO_ATTEMPTS =
+  private static final ConfigContent MAX_TWO_ATTEMPTS =
       new ConfigContent(new TreeMap<>(), 2, null, 0, new TreeSet<>());
   private final RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
   private InMemoryStore store;
-  private ConfigAdmin agreement;
+  private ConfigAdmin configAdmin;
 
   @BeforeEach
-  void begin() throws AgreementException {
-    store = InMemoryStore.with(1, 1);
-    agreement = new ConfigAdmin(KEYS, store);
-    agreement.begin("i");
+  void startRelease() throws AgreementException {
+    store = InMemoryStore.withRouters(1, 1);
+    configAdmin = new ConfigAdmin(KEYS, store);
+    configAdmin.begin("i");
     long drained =
-        agreement.propose(
-            now -> new ConfigContent(now.classes(), 3, null, 0, new TreeSet<>(List.of("c1"))),
+        configAdmin.propose(
+            current ->
+                new ConfigContent(
+                    current.classes(), 3, null, 0, new TreeSet<>(List.of("c1"))),
             "op",
             "drained",
             0);
@@ -53,17 +55,17 @@
                 1,
                 0,
                 "why",
-                TWO_ATTEMPTS,
+                MAX_TWO_ATTEMPTS,
                 ""));
     assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
   }
 
-  private AgreementSnapshot seen() throws AgreementException {
+  private AgreementSnapshot agreementSnapshot() throws AgreementException {
     return AgreementSnapshot.of(
         KEYS, (StoreResponse.Success) store.ask(new StoreRequest.Read(KEYS.commonPrefix())));
   }
 
-  /** All routers act on what is proposed. */
+  /** Settles the proposed version, as if all routers acted on it. */
   private void settle(long number) throws AgreementException {
     String next =
         ((StoreResponse.Success) store.ask(new StoreRequest.Read(KEYS.commonPrefix() + "next")))
@@ -82,7 +84,7 @@
 
   private String drive() throws AgreementException {
     AgreedVersions agreed =
-        new AgreedVersions(seen(), agreement.nextVersionNumber(), List.of("r9"), 0);
+        new AgreedVersions(agreementSnapshot(), configAdmin.nextVersionNumber(), List.of("r9"), 0);
     RolloutTransaction transaction =
         driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), agreed, 0);
     if (transaction == null) {
@@ -93,27 +95,33 @@
   }
 
   @Test
-  void theyComeIntoForceBeforeAnyPartGoesOut() throws AgreementException {
+  void configurationTakesEffectBeforeTheFirstStep() throws AgreementException {
     assertEquals("its settings: version 2 is proposed", drive());
-    assertEquals("waits: version 2 of its settings waits for r9", drive());
+    assertEquals("waits: configuration version 2 of the release waits for r9", drive());
     settle(2);
-    assertEquals(2, seen().current().content().maxAttempts());
+    assertEquals(2, agreementSnapshot().current().content().maxAttempts());
     assertEquals(
-        List.of("c1"), List.copyOf(seen().current().content().excludedServers()), "a drain stays");
+        List.of("c1"),
+        List.copyOf(agreementSnapshot().current().content().excludedServers()),
+        "an excluded server stays excluded");
     assertTrue(drive().startsWith("r1 goes out under permit 1"));
   }
 
-  /** What was drained meanwhile stays so; the rest of the configuration is that of before. */
+  /** Servers that were excluded in the meantime stay excluded. */
   @Test
-  void theyGoBackOnceNoPartRunsWhatWasReleased() throws AgreementException {
+  void configurationIsRevertedAfterAllInstancesAreRolledBack() throws AgreementException {
     drive();
     settle(2);
     drive();
     long drained =
-        agreement.propose(
-            now ->
+        configAdmin.propose(
+            current ->
                 new ConfigContent(
-                    now.classes(), now.maxAttempts(), null, 0, new TreeSet<>(List.of("c1", "c2"))),
+                    current.classes(),
+                    current.maxAttempts(),
+                    null,
+                    0,
+                    new TreeSet<>(List.of("c1", "c2"))),
             "op",
             "drained too",
             0);
@@ -121,35 +129,38 @@
     store.admin().rollBack("harms");
     assertTrue(drive().startsWith("r1 was not begun"));
     assertEquals("its settings: version 4 is proposed", drive());
-    assertEquals("waits: version 4, its settings of before, waits for r9", drive());
+    assertEquals(
+        "waits: configuration version 4, which reverts that of the release, waits for r9", drive());
     settle(4);
-    assertEquals(3, seen().current().content().maxAttempts());
-    assertEquals(List.of("c1", "c2"), List.copyOf(seen().current().content().excludedServers()));
+    assertEquals(3, agreementSnapshot().current().content().maxAttempts());
+    assertEquals(
+        List.of("c1", "c2"),
+        List.copyOf(agreementSnapshot().current().content().excludedServers()));
     assertEquals("all parts run again what they ran before", drive());
   }
 
   @Test
-  void oneThatIsTurnedDownTakesTheReleaseBackAndNeedsNoWayBack() throws AgreementException {
+  void rejectedConfigurationRollsBackTheReleaseWithoutARevert() throws AgreementException {
     drive();
-    agreement.withdraw("a router cannot follow");
+    configAdmin.withdraw("a router cannot follow");
     assertEquals("goes back: its settings, version 2, were turned down", drive());
     assertEquals("its settings never came into force", drive());
     assertEquals("all parts run again what they ran before", drive());
-    assertEquals(1, seen().current().number());
+    assertEquals(1, agreementSnapshot().current().number());
   }
 
-  /** The proposal is one transaction with the driver's own conditions. */
+  /** The proposal and the driver's own conditions are one transaction. */
   @Test
-  void aDriverThatWasReplacedProposesNothing() throws AgreementException {
+  void replacedDriverCannotProposeAConfiguration() throws AgreementException {
     RolloutTransaction transaction =
         driver.nextTransaction(
             store.snapshot(),
             Unavailability.of(Map.of()),
-            new AgreedVersions(seen(), 2, List.of(), 0),
+            new AgreedVersions(agreementSnapshot(), 2, List.of(), 0),
             0);
-    store.driverGone();
+    store.expireDriverLease();
     assertFalse(store.commits(transaction));
-    assertEquals(0, seen().proposedNumber());
+    assertEquals(0, agreementSnapshot().proposedNumber());
     assertNull(driver.nextTransaction(store.snapshot(), Unavailability.of(Map.of()), null, 0));
   }
 }
--- a/src/test/java/beaconturn/release/InMemoryStore.java
+++ b/src/test/java/beaconturn/release/InMemoryStore.java
@@ -11,34 +11,34 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** A store for releases in memory: transactions with their conditions, and a count of revisions. */
+/** In-memory coordination store with conditional transactions and revisions. */
 final class InMemoryStore implements CoordinationStore {
   static final RolloutKeys KEYS = new RolloutKeys("/f");
-  private final SortedMap<String, StoreResponse.Entry> pairs = new TreeMap<>();
+  private final SortedMap<String, StoreResponse.Entry> entries = new TreeMap<>();
   private long revision = 1;
-  String cluster = "1";
+  String clusterId = "1";
 
-  /** Keys whose conditions are left out, as a defect that tests must find. */
-  Predicate<String> ignores = key -> false;
+  /** Selects keys whose conditions are not checked, to inject a defect. */
+  Predicate<String> uncheckedKeys = key -> false;
 
   @Override
-  public StoreResponse ask(StoreRequest call) {
-    if (call instanceof StoreRequest.Read read) {
+  public StoreResponse ask(StoreRequest request) {
+    if (request instanceof StoreRequest.Read read) {
       return new StoreResponse.Success(
           true,
-          cluster,
+          clusterId,
           revision,
-          new ArrayList<>(pairs.subMap(read.prefix(), read.prefix() + "\uffff").values()),
+          new ArrayList<>(entries.subMap(read.prefix(), read.prefix() + "\uffff").values()),
           0,
           0);
     }
-    StoreRequest.Transaction swap = (StoreRequest.Transaction) call;
-    boolean held = swap.conditions().stream().allMatch(this::holds);
-    if (held && !swap.changes().isEmpty()) {
+    StoreRequest.Transaction transaction = (StoreRequest.Transaction) request;
+    boolean held = transaction.conditions().stream().allMatch(this::holds);
+    if (held && !transaction.changes().isEmpty()) {
       revision++;
-      swap.changes().forEach(this::change);
+      transaction.changes().forEach(this::change);
     }
-    return new StoreResponse.Success(held, cluster, revision, List.of(), 0, 0);
+    return new StoreResponse.Success(held, clusterId, revision, List.of(), 0, 0);
   }
 
   boolean commits(RolloutTransaction transaction) {
@@ -46,18 +46,19 @@
   }
 
   private boolean holds(StoreRequest.Condition condition) {
-    StoreRequest.Condition.Unchanged u = (StoreRequest.Condition.Unchanged) condition;
-    StoreResponse.Entry pair = pairs.get(u.key());
-    return ignores.test(u.key()) || (pair == null ? 0 : pair.modRevision()) == u.modRevision();
+    StoreRequest.Condition.Unchanged unchanged = (StoreRequest.Condition.Unchanged) condition;
+    StoreResponse.Entry entry = entries.get(unchanged.key());
+    return uncheckedKeys.test(unchanged.key())
+        || (entry == null ? 0 : entry.modRevision()) == unchanged.modRevision();
   }
 
   private void change(StoreRequest.Change change) {
     if (change instanceof StoreRequest.Change.Put put) {
-      pairs.put(
+      entries.put(
           put.key(),
           new StoreResponse.Entry(put.key(), put.value(), revision, revision, put.leaseId()));
     } else {
-      pairs.remove(((StoreRequest.Change.Delete) change).key());
+      entries.remove(((StoreRequest.Change.Delete) change).key());
     }
   }
 
@@ -70,16 +71,16 @@
     }
   }
 
-  /** The lease of an agent has ended. */
-  void agentGone(String id) {
+  void expireAgentLease(String instanceId) {
     ask(
         new StoreRequest.Transaction(
-            List.of(), List.of(new StoreRequest.Change.Delete(KEYS.agent(id)))));
+            List.of(), List.of(new StoreRequest.Change.Delete(KEYS.agent(instanceId)))));
   }
 
-  /** An agent that holds the lease of its instance. */
-  RolloutAgent agent(String id, String me, long timeout) {
-    RolloutAgent agent = new RolloutAgent(KEYS, id, me, timeout, () -> "");
+  /** Creates an agent, which acquires the lease of its instance if that is free. */
+  RolloutAgent agent(String instanceId, String incarnation, long callTimeoutNanos) {
+    RolloutAgent agent =
+        new RolloutAgent(KEYS, instanceId, incarnation, callTimeoutNanos, () -> "");
     RolloutTransaction lease = agent.acquireLease(snapshot(), 1);
     if (lease != null) {
       commits(lease);
@@ -87,37 +88,40 @@
     return agent;
   }
 
-  /** The lease of the driver has ended. */
-  void driverGone() {
+  void expireDriverLease() {
     ask(
         new StoreRequest.Transaction(
             List.of(), List.of(new StoreRequest.Change.Delete(KEYS.driver()))));
   }
 
-  /** What an instance has answered so far. */
-  void health(String id, long good, long bad) {
-    health(id, "", good, bad);
+  /** Reports the response counts of an instance. */
+  void reportResponses(String instanceId, long served, long failed) {
+    reportResponses(instanceId, "", served, failed);
   }
 
-  /** The same of a process. */
-  void health(String id, String process, long good, long bad) {
+  /** Reports the response counts of a process of an instance. */
+  void reportResponses(String instanceId, String process, long served, long failed) {
     ask(
         new StoreRequest.Transaction(
             List.of(),
             List.of(
                 new StoreRequest.Change.Put(
-                    KEYS.sample(id),
-                    RolloutCodec.encode(InstanceSample.ofResponses(process, good, bad)),
+                    KEYS.sample(instanceId),
+                    RolloutCodec.encode(InstanceSample.ofResponses(process, served, failed)),
                     0))));
   }
 
-  /** All values without revisions and history. */
-  String text() {
-    StringBuilder out = new StringBuilder();
-    pairs.values().stream()
-        .filter(p -> !p.key().startsWith(KEYS.history()) && !p.key().equals(KEYS.historyLength()))
-        .forEach(p -> out.append(p.key()).append('=').append(p.value()).append('\n'));
-    return out.toString();
+  /** Returns all keys and values, without revisions and history. */
+  String contentWithoutHistory() {
+    StringBuilder text = new StringBuilder();
+    entries.values().stream()
+        .filter(
+            entry ->
+                !entry.key().startsWith(KEYS.history())
+                    && !entry.key().equals(KEYS.historyLength()))
+        .forEach(
+            entry -> text.append(entry.key()).append('=').append(entry.value()).append('\n'));
+    return text.toString();
   }
 
   RolloutAdmin admin() {
@@ -128,8 +132,9 @@
     return new DisruptionPermitAdmin(KEYS, this, "op", () -> "");
   }
 
-  /** Four routers in two zones, of which so many may be out. */
-  static InMemoryStore with(int mostOut, int ofSite) throws AgreementException {
+  /** Creates a store with four routers in two zones and a disruption budget. */
+  static InMemoryStore withRouters(int maxUnavailable, int maxUnavailablePerZone)
+      throws AgreementException {
     InMemoryStore store = new InMemoryStore();
     store
         .admin()
@@ -138,15 +143,16 @@
                 Map.of(
                     InstanceKind.ROUTER,
                     new ReleaseFleet.Group(
-                        mostOut,
-                        ofSite,
+                        maxUnavailable,
+                        maxUnavailablePerZone,
                         new TreeMap<>(
                             Map.of("east", List.of("r1", "r2"), "west", List.of("r3", "r4")))))));
     return store;
   }
 
-  /** Begins a release in these waves, watched for no time and compared by so many answers. */
-  InMemoryStore begin(int samples, List<List<String>> waves) throws AgreementException {
+  /** Starts a release without a soak. */
+  InMemoryStore startRelease(int minResponses, List<List<String>> waves)
+      throws AgreementException {
     admin()
         .start(
             new RolloutPlan(
@@ -154,7 +160,7 @@
                 InstanceKind.ROUTER,
                 waves,
                 0,
-                samples,
+                minResponses,
                 RegressionBounds.ofFailedShare(0.1),
                 1,
                 0,
--- a/src/test/java/beaconturn/release/RolloutCodecTest.java
+++ b/src/test/java/beaconturn/release/RolloutCodecTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A fleet is upgraded while a release is in progress: a driver of one build reads what a driver or
- * an agent of another build has written. The texts below were written by an earlier build; this one
- * must read them, and must write the very same texts, key for key and in the same order.
+ * Checks that stored formats stay compatible: during an upgrade, drivers and agents of different
+ * builds read each other's data. The texts below must be decoded and encoded without any
+ * difference.
  */
 class RolloutCodecTest {
   private static final String FLEET =
@@ -52,13 +52,13 @@
           + "\"gone\":5},{\"at\":6000,\"good\":6,\"bad\":7,\"late\":8,\"planned\":9,\"gone\":10}]}";
   private static final ConfigContent CONTENT =
       new ConfigContent(new TreeMap<>(), 2, null, 0, new TreeSet<>(List.of("c9")));
-  private static final List<String> MODES =
+  private static final List<String> MODE_NAMES =
       List.of("running", "halted", "backing", "done", "back", "abandoned");
-  private static final List<String> PHASES =
+  private static final List<String> PHASE_NAMES =
       List.of("granted", "begun", "up", "failed", "good", "undone");
 
   @Test
-  void fleetIsReadAndWrittenAsBefore() throws AgreementException {
+  void fleetFormatIsStable() throws AgreementException {
     ReleaseFleet.Group routers =
         new ReleaseFleet.Group(
             2,
@@ -74,14 +74,14 @@
   }
 
   @Test
-  void permitIsReadAndWrittenAsBefore() throws AgreementException {
+  void permitFormatIsStable() throws AgreementException {
     DisruptionPermit permit = new DisruptionPermit(7, InstanceKind.CACHE, "c1", "release 3", "why");
     assertEquals(PERMIT, RolloutCodec.encode(permit));
     assertEquals(permit, RolloutCodec.decodePermit(PERMIT));
   }
 
   @Test
-  void planIsReadAndWrittenAsBefore() throws AgreementException {
+  void planFormatIsStable() throws AgreementException {
     RolloutPlan plan =
         new RolloutPlan(
             3,
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void planWithConfigIsReadAndWrittenAsBefore() throws AgreementException {
+  void planWithConfigFormatIsStable() throws AgreementException {
     RolloutPlan plan =
         new RolloutPlan(
             4,
@@ -119,18 +119,18 @@
   }
 
   @Test
-  void configChangeIsReadAndWrittenAsBefore() throws AgreementException {
+  void configChangeFormatIsStable() throws AgreementException {
     ConfigChange change = new ConfigChange(5, CONTENT, 6);
     assertEquals(CONFIG_CHANGE, RolloutCodec.encode(change));
     assertEquals(change, RolloutCodec.decodeConfigChange(CONFIG_CHANGE));
   }
 
   @Test
-  void eachModeIsReadAndWrittenAsBefore() throws AgreementException {
+  void modeFormatIsStable() throws AgreementException {
     RolloutMode[] modes = RolloutMode.values();
-    assertEquals(MODES.size(), modes.length);
+    assertEquals(MODE_NAMES.size(), modes.length);
     for (int i = 0; i < modes.length; i++) {
-      String text = "{\"mode\":\"" + MODES.get(i) + "\",\"why\":\"w\",\"by\":\"b\"}";
+      String text = "{\"mode\":\"" + MODE_NAMES.get(i) + "\",\"why\":\"w\",\"by\":\"b\"}";
       RolloutState state = new RolloutState(modes[i], "w", "b");
       assertEquals(text, RolloutCodec.encode(state));
       assertEquals(state, RolloutCodec.decodeState(text));
@@ -138,19 +138,19 @@
   }
 
   @Test
-  void eachPhaseAndVariantIsReadAndWrittenAsBefore() throws AgreementException {
+  void phaseAndVariantFormatIsStable() throws AgreementException {
     StepPhase[] phases = StepPhase.values();
-    assertEquals(PHASES.size(), phases.length);
+    assertEquals(PHASE_NAMES.size(), phases.length);
     for (InstanceVariant variant : List.of(InstanceVariant.OLD, InstanceVariant.NEW)) {
-      String word = variant == InstanceVariant.OLD ? "old" : "new";
+      String variantName = variant == InstanceVariant.OLD ? "old" : "new";
       for (int i = 0; i < phases.length; i++) {
         String text =
             String.format(
                 Locale.ROOT,
                 "{\"id\":\"r1\",\"permit\":2,\"phase\":\"%s\",\"variant\":\"%s\","
                     + "\"agent\":\"a\",\"why\":\"w\",\"started\":0,\"took_ns\":12}",
-                PHASES.get(i),
-                word);
+                PHASE_NAMES.get(i),
+                variantName);
         RolloutStep step = new RolloutStep("r1", 2, phases[i], variant, "a", "w", -1, 12);
         assertEquals(text, RolloutCodec.encode(step));
         assertEquals(step, RolloutCodec.decodeStep(text));
@@ -159,7 +159,7 @@
   }
 
   @Test
-  void eachMetricIsReadAndWrittenAsBefore() throws AgreementException {
+  void metricFormatIsStable() throws AgreementException {
     Map<InstanceMetric, Long> values = new EnumMap<>(InstanceMetric.class);
     for (InstanceMetric metric : InstanceMetric.values()) {
       values.put(metric, values.size() + 1L);
@@ -170,7 +170,7 @@
   }
 
   @Test
-  void timeSeriesIsReadAndWrittenAsBefore() throws AgreementException {
+  void timeSeriesFormatIsStable() throws AgreementException {
     RolloutTimeSeries series =
         new RolloutTimeSeries(
             1000,
@@ -182,7 +182,7 @@
   }
 
   @Test
-  void keysAreThoseOfBefore() {
+  void keysAreStable() {
     RolloutKeys keys = new RolloutKeys("/f");
     assertEquals(
         List.of(
@@ -216,19 +216,19 @@
   }
 
   @Test
-  void whatNoBuildHasWrittenIsRefused() {
+  void rejectsUnknownNames() {
     for (String mode : List.of("", "RUNNING", "x", "2")) {
       AgreementException e =
           assertThrows(
               AgreementException.class,
               () ->
                   RolloutCodec.decodeState("{\"mode\":\"" + mode + "\",\"why\":\"\",\"by\":\"\"}"));
-      assertEquals("mode: '" + mode + "' is no word of a release", e.getMessage());
+      assertEquals("mode: '" + mode + "' is not a known value", e.getMessage());
     }
     AgreementException e =
         assertThrows(
             AgreementException.class,
             () -> RolloutCodec.decodePermit("{\"number\":1,\"kind\":\"disk\"}"));
-    assertEquals("no kind of part: 'disk'", e.getMessage());
+    assertEquals("unknown kind of instance: 'disk'", e.getMessage());
   }
 }
--- a/src/test/java/beaconturn/release/UnavailabilityTest.java
+++ b/src/test/java/beaconturn/release/UnavailabilityTest.java
@@ -15,24 +15,24 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Unavailability as routers observe it, and releases of cache servers that rest on it. */
+/** Tests of unavailability as reported by routers, and of releases of cache servers based on it. */
 class UnavailabilityTest {
   private static final ReleaseFleet.Group CACHES =
       new ReleaseFleet.Group(1, 1, new TreeMap<>(Map.of("east", List.of("c1", "c2"))));
-  private static final long READY_TIMEOUT = 100;
-
-  /** The view of a router, for instance "c1=0 c2:draining". */
-  private static EndpointView view(String words) {
-    TreeMap<String, Long> in = new TreeMap<>();
-    TreeMap<String, String> out = new TreeMap<>();
-    for (String word : words.split(" ")) {
-      if (word.contains("=")) {
-        in.put(word.split("=")[0], Long.parseLong(word.split("=")[1]));
-      } else if (!word.isEmpty()) {
-        out.put(word.split(":")[0], word.split(":")[1]);
+  private static final long READY_TIMEOUT_NANOS = 100;
+
+  /** Parses the view of a router, such as {@code c1=0 c2:draining}. */
+  private static EndpointView view(String text) {
+    TreeMap<String, Long> usable = new TreeMap<>();
+    TreeMap<String, String> unusable = new TreeMap<>();
+    for (String server : text.split(" ")) {
+      if (server.contains("=")) {
+        usable.put(server.split("=")[0], Long.parseLong(server.split("=")[1]));
+      } else if (!server.isEmpty()) {
+        unusable.put(server.split(":")[0], server.split(":")[1]);
       }
     }
-    return new EndpointView(in, out);
+    return new EndpointView(usable, unusable);
   }
 
   private static Unavailability observed(String... views) {
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void moreThanHalfOfTheRoutersHaveToUseACacheServer() {
+  void cacheServerIsAvailableIfMostRoutersUseIt() {
     assertEquals(Map.of(), observed("c1=0 c2=0", "c1=0 c2=0", "c1=0 c2:ejected").reasons());
     assertEquals(
         Map.of("c2", "ejected at 1 of 2 routers"),
@@ -52,9 +52,9 @@
     assertEquals(Map.of("c2", "not listed at 1 of 1 routers"), observed("c1=0").reasons());
   }
 
-  /** Silence is not health: where no router reports, no step may take an instance out. */
+  /** Without reports no step may take an instance out of service. */
   @Test
-  void withoutAnyWordAllAreOut() {
+  void allCacheServersAreUnavailableWithoutReports() {
     assertEquals(Set.of("c1", "c2"), observed().reasons().keySet());
     assertEquals(
         Map.of("c1", "held out by version 3"),
@@ -64,13 +64,13 @@
   }
 
   @Test
-  void aSightIsReadAsItWasWritten() throws AgreementException {
+  void endpointViewSurvivesARoundTrip() throws AgreementException {
     EndpointView view = view("c1=1796174364825000000 c2:left-out");
     assertEquals(view, EndpointView.decode(view.encode()));
     assertThrows(AgreementException.class, () -> EndpointView.decode("no sight"));
   }
 
-  private static InMemoryStore caches() throws AgreementException {
+  private static InMemoryStore storeWithCacheRelease() throws AgreementException {
     InMemoryStore store = new InMemoryStore();
     store.admin().defineFleet(new ReleaseFleet(Map.of(InstanceKind.CACHE, CACHES)));
     store
@@ -83,7 +83,7 @@
                 10,
                 0,
                 RegressionBounds.ofFailedShare(0),
-                READY_TIMEOUT,
+                READY_TIMEOUT_NANOS,
                 0,
                 "why",
                 null,
@@ -91,100 +91,101 @@
     return store;
   }
 
-  private static boolean step(
-      InMemoryStore store, RolloutDriver driver, Unavailability observed, long now) {
-    RolloutTransaction actOn = driver.nextTransaction(store.snapshot(), observed, now);
-    return actOn != null && store.commits(actOn);
+  /** Executes the driver's next transaction; false if the driver waits. */
+  private static boolean drive(
+      InMemoryStore store, RolloutDriver driver, Unavailability observed, long nowNanos) {
+    RolloutTransaction transaction =
+        driver.nextTransaction(store.snapshot(), observed, nowNanos);
+    return transaction != null && store.commits(transaction);
   }
 
-  private static void actOn(InMemoryStore store, String id) {
-    RolloutAgent agent = store.agent(id, "a", READY_TIMEOUT);
+  /** Executes the step of an instance by its agent. */
+  private static void executeStep(InMemoryStore store, String instanceId) {
+    RolloutAgent agent = store.agent(instanceId, "a", READY_TIMEOUT_NANOS);
     assertNotNull(
         agent.transactionCompleted(store.commits(agent.nextTransaction(store.snapshot(), 0)), 0));
     agent.actionEnded(true, "", 0);
     assertTrue(store.commits(agent.nextTransaction(store.snapshot(), 0)));
   }
 
-  private static RolloutDriver driver(InMemoryStore store) {
+  private static RolloutDriver startDriver(InMemoryStore store) {
     RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
     assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
     return driver;
   }
 
-  /** What routers report may be of the process before, and then of one that is warming up. */
+  /** Routers may still report the previous process, and then a process that is warming up. */
   @Test
-  void theNextCacheServerGoesOnlyOnceTheOneBeforeIsSeenWarm() throws AgreementException {
-    InMemoryStore store = caches();
-    RolloutDriver driver = driver(store);
-    assertTrue(step(store, driver, observed("c1=5 c2=5", "c1=5 c2=5"), 0));
-    actOn(store, "c1");
-    assertFalse(step(store, driver, observed("c1=5 c2=5", "c1=5 c2=5"), 1));
-    assertTrue(driver.waitReason().contains("it waits for c1 (permit 1"), driver.waitReason());
-    assertFalse(step(store, driver, observed("c1=5 c2=5", "c1:warming c2=5"), 2));
+  void nextStepStartsAfterTheRestartedCacheServerIsReportedWarm() throws AgreementException {
+    InMemoryStore store = storeWithCacheRelease();
+    RolloutDriver driver = startDriver(store);
+    assertTrue(drive(store, driver, observed("c1=5 c2=5", "c1=5 c2=5"), 0));
+    executeStep(store, "c1");
+    assertFalse(drive(store, driver, observed("c1=5 c2=5", "c1=5 c2=5"), 1));
+    assertTrue(driver.waitReason().contains("waiting for c1 (permit 1"), driver.waitReason());
+    assertFalse(drive(store, driver, observed("c1=5 c2=5", "c1:warming c2=5"), 2));
     assertFalse(
-        step(store, driver, observed("c1=9 c2=5", "c1=5 c2=5"), 3), "only one of two has seen it");
-    assertFalse(step(store, driver, observed("c1=9 c2=5", "c1=9 c2=5"), 4));
-    assertTrue(step(store, driver, observed("c1=9 c2=5", "c1=9 c2=5"), 14), "it has soaked");
-    assertTrue(step(store, driver, observed("c1=9 c2=5", "c1=9 c2=5"), 15));
+        drive(store, driver, observed("c1=9 c2=5", "c1=5 c2=5"), 3),
+        "only one of two routers reports the new start");
+    assertFalse(drive(store, driver, observed("c1=9 c2=5", "c1=9 c2=5"), 4));
+    assertTrue(drive(store, driver, observed("c1=9 c2=5", "c1=9 c2=5"), 14), "the soak is over");
+    assertTrue(drive(store, driver, observed("c1=9 c2=5", "c1=9 c2=5"), 15));
     assertEquals(StepPhase.GRANTED, store.snapshot().steps().get("c2").phase());
   }
 
-  /** A rollback holds its permit too until the restarted server is warm. */
+  /** During the rollback too, the permit is held until the restarted server is warm. */
   @Test
-  void oneThatIsNotSeenBackInItsTimeTakesTheReleaseBack() throws AgreementException {
-    InMemoryStore store = caches();
-    RolloutDriver driver = driver(store);
+  void rollsBackWhenARestartedCacheServerStaysUnavailable() throws AgreementException {
+    InMemoryStore store = storeWithCacheRelease();
+    RolloutDriver driver = startDriver(store);
     Unavailability ejected = observed("c1:ejected c2=5", "c1:ejected c2=5");
-    assertTrue(step(store, driver, observed("c1=5 c2=5"), 0));
-    actOn(store, "c1");
-    assertFalse(step(store, driver, ejected, 1));
-    assertFalse(step(store, driver, ejected, 1 + READY_TIMEOUT));
-    assertTrue(step(store, driver, ejected, 2 + READY_TIMEOUT));
+    assertTrue(drive(store, driver, observed("c1=5 c2=5"), 0));
+    executeStep(store, "c1");
+    assertFalse(drive(store, driver, ejected, 1));
+    assertFalse(drive(store, driver, ejected, 1 + READY_TIMEOUT_NANOS));
+    assertTrue(drive(store, driver, ejected, 2 + READY_TIMEOUT_NANOS));
     assertEquals(
         "c1 does worse: not seen back: ejected at 2 of 2 routers",
         store.snapshot().state().reason());
-    assertTrue(step(store, driver, ejected, 3 + READY_TIMEOUT));
-    actOn(store, "c1");
-    assertFalse(step(store, driver, observed("c1:warming c2=5"), 4 + READY_TIMEOUT));
-    assertEquals("c1 is not seen back: warming at 1 of 1 routers", driver.waitReason());
+    assertTrue(drive(store, driver, ejected, 3 + READY_TIMEOUT_NANOS));
+    executeStep(store, "c1");
+    assertFalse(drive(store, driver, observed("c1:warming c2=5"), 4 + READY_TIMEOUT_NANOS));
+    assertEquals("c1 is not back in service: warming at 1 of 1 routers", driver.waitReason());
     assertEquals(1, store.snapshot().permits().size());
-    assertTrue(step(store, driver, observed("c1=9 c2=5"), 5 + READY_TIMEOUT));
+    assertTrue(drive(store, driver, observed("c1=9 c2=5"), 5 + READY_TIMEOUT_NANOS));
     assertTrue(store.snapshot().permits().isEmpty());
   }
 
-  /**
-   * Harm may show only after the check; where unchanged servers are ejected too, the release is not
-   * the cause.
-   */
+  /** If an unchanged server is ejected too, the release is not considered the cause. */
   @Test
-  void oneThatIsEjectedAfterItsCheckTakesTheReleaseBack() throws AgreementException {
-    InMemoryStore store = caches();
-    RolloutDriver driver = driver(store);
-    assertTrue(step(store, driver, observed("c1=5 c2=5"), 0));
-    actOn(store, "c1");
-    assertFalse(step(store, driver, observed("c1=9 c2=5"), 4));
-    assertTrue(step(store, driver, observed("c1=9 c2=5"), 14), "it has stood the check");
-    assertFalse(step(store, driver, observed("c1:ejected c2:ejected"), 20));
-    assertFalse(step(store, driver, observed("c1:ejected c2:ejected"), 40));
-    assertFalse(step(store, driver, observed("c1:ejected c2=5"), 41));
-    assertFalse(step(store, driver, observed("c1:ejected c2=5"), 41 + READY_TIMEOUT));
-    assertTrue(step(store, driver, observed("c1:ejected c2=5"), 42 + READY_TIMEOUT));
+  void rollsBackWhenAVerifiedCacheServerIsEjected() throws AgreementException {
+    InMemoryStore store = storeWithCacheRelease();
+    RolloutDriver driver = startDriver(store);
+    assertTrue(drive(store, driver, observed("c1=5 c2=5"), 0));
+    executeStep(store, "c1");
+    assertFalse(drive(store, driver, observed("c1=9 c2=5"), 4));
+    assertTrue(drive(store, driver, observed("c1=9 c2=5"), 14), "c1 passes the check");
+    assertFalse(drive(store, driver, observed("c1:ejected c2:ejected"), 20));
+    assertFalse(drive(store, driver, observed("c1:ejected c2:ejected"), 40));
+    assertFalse(drive(store, driver, observed("c1:ejected c2=5"), 41));
+    assertFalse(drive(store, driver, observed("c1:ejected c2=5"), 41 + READY_TIMEOUT_NANOS));
+    assertTrue(drive(store, driver, observed("c1:ejected c2=5"), 42 + READY_TIMEOUT_NANOS));
     assertEquals("c1 was ejected after it had stood the check", store.snapshot().state().reason());
   }
 
-  /** A copy of the store that was restored knows nothing of what has gone out since. */
+  /** A restored copy of the store does not hold the permits acquired since. */
   @Test
-  void inAStoreThatWasReplacedNobodyActs() throws AgreementException {
-    InMemoryStore store = caches();
-    RolloutDriver driver = driver(store);
-    assertTrue(step(store, driver, observed("c1=5 c2=5"), 0));
-    RolloutAgent agent = store.agent("c1", "a", READY_TIMEOUT);
-    store.cluster = "2";
+  void driverAndAgentsDoNotActInAReplacedStore() throws AgreementException {
+    InMemoryStore store = storeWithCacheRelease();
+    RolloutDriver driver = startDriver(store);
+    assertTrue(drive(store, driver, observed("c1=5 c2=5"), 0));
+    RolloutAgent agent = store.agent("c1", "a", READY_TIMEOUT_NANOS);
+    store.clusterId = "2";
     assertNull(agent.nextTransaction(store.snapshot(), 0));
     assertNull(driver.nextTransaction(store.snapshot(), observed("c1=5 c2=5"), 0));
     assertEquals(RolloutSnapshot.STORE_REPLACED, driver.waitReason());
     assertThrows(AgreementException.class, () -> store.admin().rollBack("no"));
-    store.admin().abandon("seen who runs what");
+    store.admin().abandon("instances checked");
     store
         .admin()
         .start(
@@ -195,7 +196,7 @@
                 10,
                 0,
                 RegressionBounds.ofFailedShare(0),
-                READY_TIMEOUT,
+                READY_TIMEOUT_NANOS,
                 0,
                 "why",
                 null,
--- a/src/test/java/beaconturn/release/package-info.java
+++ b/src/test/java/beaconturn/release/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of releases: the deciders one by one, and every order of their steps. */
+/** Tests of releases: single decisions, stored formats, and a model check of concurrent steps. */
 package beaconturn.release;
