--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -17,131 +17,138 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Every order of the steps of two drivers, the agents of two routers, an agent that takes the place
- * of another, and an operator who halts and drains, up to a bound: what was decided on may be over
- * when it is done. One router may be out at a time.
+ * Model check of concurrent steps: explores the orders in which two drivers, the agents of two
+ * routers, the successor of an agent and an operator who halts and drains decide and commit, up to
+ * a bound. The state may change between a decision and its commit. The disruption budget is one
+ * router.
  */
 class ReleaseModelTest {
-  /** In CI; {@code -Dmodel.states=200000} for a longer search. */
-  private static final int MOST_STATES = Integer.getInteger("model.states", 3000);
+  /** Bound of the search; {@code -Dmodel.states=200000} for a longer one. */
+  private static final int MAX_STATES = Integer.getInteger("model.states", 3000);
 
-  private static final int LONGEST_WALK = 40;
-  private static final List<String> RARE =
+  private static final int MAX_WALK_LENGTH = 40;
+  private static final List<String> RARE_ACTIONS =
       List.of("halt", "replace", "lease", "wants r2 out", "takes r2 out");
-  private static final long TIMEOUT = 100;
+  private static final long CALL_TIMEOUT_NANOS = 100;
 
-  /** One sequence of moves, from the begin of a release. */
-  private static final class Play {
+  /** One execution: a sequence of actions from the start of a release. */
+  private static final class Execution {
     private final InMemoryStore store;
     private final RolloutDriver[] drivers = {
       new RolloutDriver(InMemoryStore.KEYS, "d0", () -> ""),
       new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "")
     };
-    private final RolloutTransaction[] decided = new RolloutTransaction[2];
-    private final List<AgentPlay> agents = new ArrayList<>();
+    private final RolloutTransaction[] driverDecisions = new RolloutTransaction[2];
+    private final List<AgentModel> agents = new ArrayList<>();
     private final String defect;
-    private int leases = 1;
+    private int remainingLeaseExpiries = 1;
     private boolean halted;
-    private boolean replaced;
-    private RolloutTransaction drain;
+    private boolean agentReplaced;
+    private RolloutTransaction drainDecision;
     private boolean drained;
     private String violation;
 
-    /** An agent, what it has decided and what it does. */
-    private static final class AgentPlay {
-      private final String id;
+    /** An agent with its pending decision and its running action. */
+    private static final class AgentModel {
+      private final String instanceId;
       private final RolloutAgent rolloutAgent;
-      private RolloutTransaction act;
-      private InstanceVariant running;
-      private boolean failed;
-      private boolean dead;
+      private RolloutTransaction decision;
+      private InstanceVariant runningAction;
+      private boolean actionFailed;
+      private boolean stopped;
 
-      /** How the last action ended, until it is reported. */
-      private String unreported = "";
+      /** Result of the last action until it is reported. */
+      private String unreportedResult = "";
 
-      private AgentPlay(InMemoryStore store, String id, String me) {
-        this.id = id;
-        this.rolloutAgent = store.agent(id, me, TIMEOUT);
+      private AgentModel(InMemoryStore store, String instanceId, String incarnation) {
+        this.instanceId = instanceId;
+        this.rolloutAgent = store.agent(instanceId, incarnation, CALL_TIMEOUT_NANOS);
       }
     }
 
-    Play(String defect) throws AgreementException {
+    Execution(String defect) throws AgreementException {
       this.defect = defect;
-      store = InMemoryStore.with(1, 1).begin(0, List.of(List.of("r1", "r2")));
-      // The condition on the history goes too, which would catch many of the defects by itself.
-      store.ignores =
+      store = InMemoryStore.withRouters(1, 1).startRelease(0, List.of(List.of("r1", "r2")));
+      // The condition on the history length is dropped too: it alone prevents most violations.
+      store.uncheckedKeys =
           key ->
               !defect.isEmpty()
                   && (key.contains("/release/" + defect)
                       || key.endsWith("/release/told")
                       || (defect.equals("course") && key.endsWith("/plan")));
-      agents.add(new AgentPlay(store, "r1", "a"));
-      agents.add(new AgentPlay(store, "r2", "b"));
+      agents.add(new AgentModel(store, "r1", "a"));
+      agents.add(new AgentModel(store, "r2", "b"));
     }
 
-    /** The moves that are possible now. */
-    List<String> moves() {
-      List<String> all = new ArrayList<>();
+    /**
+     * Returns the actions that are possible now. A driver decides and then commits (drive); an
+     * agent decides (looks), then commits and starts its action (acts), which ends or fails; the
+     * driver lease expires; the first agent is replaced; an operator halts, resumes, and decides on
+     * (wants) and commits (takes) a drain of r2.
+     */
+    List<String> possibleActions() {
+      List<String> actions = new ArrayList<>();
       RolloutSnapshot snapshot = store.snapshot();
       for (int i = 0; i < 2; i++) {
-        if (decided[i] != null) {
-          all.add("drive " + i);
+        if (driverDecisions[i] != null) {
+          actions.add("drive " + i);
         } else if (drivers[i].acquireLease(snapshot, 1) != null
             || drivers[i].nextTransaction(snapshot, Unavailability.of(Map.of()), 0) != null) {
-          all.add("decide " + i);
+          actions.add("decide " + i);
         }
       }
       for (int i = 0; i < agents.size(); i++) {
-        AgentPlay agent = agents.get(i);
-        if (agent.dead) {
+        AgentModel agent = agents.get(i);
+        if (agent.stopped) {
           continue;
         }
-        if (agent.running != null) {
-          all.add("ends " + i);
-          all.add("fails " + i);
+        if (agent.runningAction != null) {
+          actions.add("ends " + i);
+          actions.add("fails " + i);
         } else {
-          all.add((agent.act == null ? "looks " : "acts ") + i);
+          actions.add((agent.decision == null ? "looks " : "acts ") + i);
         }
       }
-      if (leases > 0 && !snapshot.driver().isEmpty()) {
-        all.add("lease");
+      if (remainingLeaseExpiries > 0 && !snapshot.driver().isEmpty()) {
+        actions.add("lease");
       }
       if (!halted) {
-        all.add("halt");
+        actions.add("halt");
       } else if (snapshot.state().mode() == RolloutMode.HALTED) {
-        all.add("resume");
+        actions.add("resume");
       }
-      if (!replaced) {
-        all.add("replace");
+      if (!agentReplaced) {
+        actions.add("replace");
       }
       if (!drained) {
-        all.add(drain == null ? "wants r2 out" : "takes r2 out");
+        actions.add(drainDecision == null ? "wants r2 out" : "takes r2 out");
       }
-      return all;
+      return actions;
     }
 
-    void move(String name) throws AgreementException {
-      String[] words = name.split(" ");
+    void execute(String action) throws AgreementException {
+      String[] words = action.split(" ");
       int i = words.length == 2 ? Integer.parseInt(words[1]) : 0;
       switch (words[0]) {
         case "decide" -> {
-          RolloutTransaction take = drivers[i].acquireLease(store.snapshot(), 1);
-          decided[i] =
-              take != null
-                  ? take
+          RolloutTransaction lease = drivers[i].acquireLease(store.snapshot(), 1);
+          driverDecisions[i] =
+              lease != null
+                  ? lease
                   : drivers[i].nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 0);
         }
         case "drive" -> {
-          store.commits(decided[i]);
-          decided[i] = null;
+          store.commits(driverDecisions[i]);
+          driverDecisions[i] = null;
         }
         case "looks" ->
-            agents.get(i).act = agents.get(i).rolloutAgent.nextTransaction(store.snapshot(), 0);
+            agents.get(i).decision =
+                agents.get(i).rolloutAgent.nextTransaction(store.snapshot(), 0);
         case "acts" -> startAction(agents.get(i));
         case "ends", "fails" -> endAction(agents.get(i), words[0].equals("ends"));
         case "lease" -> {
-          leases--;
-          store.driverGone();
+          remainingLeaseExpiries--;
+          store.expireDriverLease();
         }
         case "halt" -> {
           halted = true;
@@ -151,192 +158,220 @@
         }
         case "resume" -> store.admin().resume("go on");
         case "replace" -> {
-          // The agent has died; the action it began goes on, and nobody learns of its end.
-          replaced = true;
-          agents.get(0).dead = true;
-          agents.get(0).running = null;
-          store.agentGone("r1");
-          agents.add(new AgentPlay(store, "r1", "c"));
+          // The agent has died; the result of its running action is never reported.
+          agentReplaced = true;
+          agents.get(0).stopped = true;
+          agents.get(0).runningAction = null;
+          store.expireAgentLease("r1");
+          agents.add(new AgentModel(store, "r1", "c"));
         }
-        case "wants" -> drain = decideDrain();
+        case "wants" -> drainDecision = decideDrain();
         default -> {
           drained = true;
-          if (drain.storeTransaction() != null && store.commits(drain)) {
-            out("r2 by hand");
+          if (drainDecision.storeTransaction() != null && store.commits(drainDecision)) {
+            checkBudget("r2 by drain");
           }
         }
       }
     }
 
-    /** A drain decides on what it reads, and takes its permit later. */
+    /** Captures the transaction of a drain, so that it can be committed later. */
     private RolloutTransaction decideDrain() {
-      List<RolloutTransaction> caught = new ArrayList<>();
+      List<RolloutTransaction> captured = new ArrayList<>();
       DisruptionPermitAdmin permits =
           new DisruptionPermitAdmin(
               InMemoryStore.KEYS,
-              call -> {
-                if (call instanceof StoreRequest.Transaction swap) {
-                  caught.add(new RolloutTransaction(swap, ""));
-                  return new StoreResponse.RequestFailed("caught");
+              request -> {
+                if (request instanceof StoreRequest.Transaction transaction) {
+                  captured.add(new RolloutTransaction(transaction, ""));
+                  return new StoreResponse.RequestFailed("captured");
                 }
-                return store.ask(call);
+                return store.ask(request);
               },
               "op",
               () -> "");
       try {
-        permits.takePermit(InstanceKind.ROUTER, "r2", "by hand", Unavailability.of(Map.of()));
+        permits.takePermit(InstanceKind.ROUTER, "r2", "drain", Unavailability.of(Map.of()));
       } catch (AgreementException e) {
-        return caught.isEmpty() ? new RolloutTransaction(null, e.getMessage()) : caught.get(0);
+        return captured.isEmpty() ? new RolloutTransaction(null, e.getMessage()) : captured.get(0);
       }
-      throw new IllegalStateException("nothing was caught");
+      throw new IllegalStateException("no transaction was captured");
     }
 
-    private void startAction(AgentPlay agent) {
-      boolean held = store.commits(agent.act);
-      agent.act = null;
-      agent.unreported = held ? "" : agent.unreported;
+    private void startAction(AgentModel agent) {
+      boolean held = store.commits(agent.decision);
+      agent.decision = null;
+      agent.unreportedResult = held ? "" : agent.unreportedResult;
       RolloutMode mode = store.snapshot().state().mode();
-      agent.running = agent.rolloutAgent.transactionCompleted(held || defect.equals("answer"), 0);
-      if (agent.running == null) {
+      agent.runningAction =
+          agent.rolloutAgent.transactionCompleted(held || defect.equals("ignored-reply"), 0);
+      if (agent.runningAction == null) {
         return;
       }
       if (mode == RolloutMode.HALTED) {
-        violation = agent.id + " begins while all is halted";
+        violation = agent.instanceId + " starts a step although the release is halted";
       }
-      if (agents.stream().anyMatch(h -> h != agent && h.id.equals(agent.id) && h.running != null)) {
-        violation = agent.id + " is acted on twice at once";
+      if (agents.stream()
+          .anyMatch(
+              other ->
+                  other != agent
+                      && other.instanceId.equals(agent.instanceId)
+                      && other.runningAction != null)) {
+        violation = agent.instanceId + " has two actions running at once";
       }
-      out(agent.id);
+      checkBudget(agent.instanceId);
     }
 
-    /** Instances that are acted on or have failed are out, and r2 once it is drained. */
-    private void out(String what) {
-      Set<String> out = new HashSet<>();
-      agents.stream().filter(h -> h.running != null || h.failed).forEach(h -> out.add(h.id));
-      if (what.endsWith("by hand")) {
-        out.add("r2");
+    /**
+     * Checks the budget after an instance was taken out of service. Instances with a running or a
+     * failed action are out of service, and r2 while it is drained.
+     */
+    private void checkBudget(String cause) {
+      Set<String> outOfService = new HashSet<>();
+      agents.stream()
+          .filter(agent -> agent.runningAction != null || agent.actionFailed)
+          .forEach(agent -> outOfService.add(agent.instanceId));
+      if (cause.endsWith("by drain")) {
+        outOfService.add("r2");
       } else if (drained
-          && store.snapshot().permits().values().stream().anyMatch(p -> p.holder().equals("op"))) {
-        out.add("r2");
+          && store.snapshot().permits().values().stream()
+              .anyMatch(permit -> permit.holder().equals("op"))) {
+        outOfService.add("r2");
       }
-      if (out.size() > 1) {
-        violation = what + " goes out, and so " + out + " are";
+      if (outOfService.size() > 1) {
+        violation = cause + " exceeds the budget: " + outOfService + " are out of service";
       }
     }
 
-    private void endAction(AgentPlay agent, boolean ready) {
-      agent.running = null;
-      agents.stream().filter(h -> h.id.equals(agent.id)).forEach(h -> h.failed = !ready);
-      agent.unreported = ready ? "ready" : "failed";
-      agent.rolloutAgent.actionEnded(ready || defect.equals("lies"), "", 0);
+    private void endAction(AgentModel agent, boolean ready) {
+      agent.runningAction = null;
+      agents.stream()
+          .filter(other -> other.instanceId.equals(agent.instanceId))
+          .forEach(other -> other.actionFailed = !ready);
+      agent.unreportedResult = ready ? "ready" : "failed";
+      agent.rolloutAgent.actionEnded(ready || defect.equals("always-ready"), "", 0);
     }
 
-    /** Two plays in the same state go on the same. */
+    /** Returns a description that is equal for executions with the same possible continuations. */
     String state() {
-      StringBuilder out = new StringBuilder(store.text());
-      for (RolloutTransaction act : decided) {
-        out.append(act == null ? "-" : act.description()).append(';');
+      StringBuilder state = new StringBuilder(store.contentWithoutHistory());
+      for (RolloutTransaction decision : driverDecisions) {
+        state.append(decision == null ? "-" : decision.description()).append(';');
       }
       agents.forEach(
-          h ->
-              out.append(h.act == null ? "-" : h.act.description() + h.act.storeTransaction().changes())
-                  .append(h.running)
-                  .append(h.failed)
-                  .append(h.dead)
-                  .append(h.unreported)
+          agent ->
+              state
+                  .append(
+                      agent.decision == null
+                          ? "-"
+                          : agent.decision.description()
+                              + agent.decision.storeTransaction().changes())
+                  .append(agent.runningAction)
+                  .append(agent.actionFailed)
+                  .append(agent.stopped)
+                  .append(agent.unreportedResult)
                   .append(';'));
-      return out.append(leases)
+      return state
+          .append(remainingLeaseExpiries)
           .append(halted)
-          .append(replaced)
+          .append(agentReplaced)
           .append(drained)
-          .append(drain == null ? "-" : drain.description() + drain.storeTransaction())
+          .append(
+              drainDecision == null
+                  ? "-"
+                  : drainDecision.description() + drainDecision.storeTransaction())
           .toString();
     }
   }
 
-  private record Found(int states, int depth, String violation, List<String> moves) {}
+  private record SearchResult(int states, int depth, String violation, List<String> actions) {}
 
-  private static Found search(String defect) throws AgreementException {
-    Set<String> seen = new HashSet<>();
-    Found walked = walk(defect, seen);
-    if (walked.violation() != null) {
-      return walked;
+  private static SearchResult search(String defect) throws AgreementException {
+    Set<String> visitedStates = new HashSet<>();
+    SearchResult walks = randomWalks(defect, visitedStates);
+    if (walks.violation() != null) {
+      return walks;
     }
-    List<List<String>> open = new ArrayList<>(List.of(List.of()));
+    List<List<String>> openPaths = new ArrayList<>(List.of(List.of()));
     Random random = new Random(1);
-    int depth = walked.depth();
-    Set<String> expanded = new HashSet<>();
-    while (!open.isEmpty() && expanded.size() < MOST_STATES) {
-      // Short plays, long ones and any: neither breadth nor depth alone finds all within the bound.
-      int which = expanded.size() % 3;
-      List<String> moves =
-          open.remove(which == 0 ? 0 : which == 1 ? open.size() - 1 : random.nextInt(open.size()));
-      Play play = replay(moves, defect);
-      if (play.violation != null) {
-        return new Found(seen.size(), depth, play.violation, moves);
+    int depth = walks.depth();
+    Set<String> expandedStates = new HashSet<>();
+    while (!openPaths.isEmpty() && expandedStates.size() < MAX_STATES) {
+      // Breadth-first, depth-first and random order in turn: none alone finds all planted defects.
+      int order = expandedStates.size() % 3;
+      List<String> actions =
+          openPaths.remove(
+              order == 0
+                  ? 0
+                  : order == 1 ? openPaths.size() - 1 : random.nextInt(openPaths.size()));
+      Execution execution = replay(actions, defect);
+      if (execution.violation != null) {
+        return new SearchResult(visitedStates.size(), depth, execution.violation, actions);
       }
-      seen.add(play.state());
-      if (expanded.add(play.state())) {
-        depth = Math.max(depth, moves.size());
-        for (String next : play.moves()) {
-          List<String> longer = new ArrayList<>(moves);
+      visitedStates.add(execution.state());
+      if (expandedStates.add(execution.state())) {
+        depth = Math.max(depth, actions.size());
+        for (String next : execution.possibleActions()) {
+          List<String> longer = new ArrayList<>(actions);
           longer.add(next);
-          open.add(longer);
+          openPaths.add(longer);
         }
       }
     }
-    return new Found(seen.size(), depth, null, List.of());
+    return new SearchResult(visitedStates.size(), depth, null, List.of());
   }
 
-  /** Random plays to their end, which a search from the beginning would not reach. */
-  private static Found walk(String defect, Set<String> seen) throws AgreementException {
+  /** Executes random walks, which reach states that are too deep for the bounded search. */
+  private static SearchResult randomWalks(String defect, Set<String> visitedStates)
+      throws AgreementException {
     Random random = new Random(1);
-    for (int i = 0; i < MOST_STATES / 10; i++) {
-      Play play = new Play(defect);
-      List<String> moves = new ArrayList<>();
-      while (moves.size() < LONGEST_WALK && play.violation == null) {
-        List<String> next = play.moves();
-        String chosen = next.get(random.nextInt(next.size()));
-        // Moves from outside are rare, else few plays get far.
-        if (RARE.contains(chosen) && random.nextInt(8) > 0) {
+    for (int i = 0; i < MAX_STATES / 10; i++) {
+      Execution execution = new Execution(defect);
+      List<String> actions = new ArrayList<>();
+      while (actions.size() < MAX_WALK_LENGTH && execution.violation == null) {
+        List<String> possible = execution.possibleActions();
+        String chosen = possible.get(random.nextInt(possible.size()));
+        // External events are chosen rarely, otherwise few walks get far.
+        if (RARE_ACTIONS.contains(chosen) && random.nextInt(8) > 0) {
           continue;
         }
-        moves.add(chosen);
-        play.move(moves.get(moves.size() - 1));
-        seen.add(play.state());
+        actions.add(chosen);
+        execution.execute(actions.get(actions.size() - 1));
+        visitedStates.add(execution.state());
       }
-      if (play.violation != null) {
-        return new Found(seen.size(), moves.size(), play.violation, moves);
+      if (execution.violation != null) {
+        return new SearchResult(
+            visitedStates.size(), actions.size(), execution.violation, actions);
       }
     }
-    return new Found(seen.size(), LONGEST_WALK, null, List.of());
+    return new SearchResult(visitedStates.size(), MAX_WALK_LENGTH, null, List.of());
   }
 
-  private static Play replay(List<String> moves, String defect) throws AgreementException {
-    Play play = new Play(defect);
-    for (String move : moves) {
-      play.move(move);
+  private static Execution replay(List<String> actions, String defect) throws AgreementException {
+    Execution execution = new Execution(defect);
+    for (String action : actions) {
+      execution.execute(action);
     }
-    return play;
+    return execution;
   }
 
   @Test
-  void inNoOrderOfStepsAreTooManyOutOrDoesAnyActTwiceOrAgainstAHalt() throws AgreementException {
-    Found found = search("");
-    assertEquals(null, found.violation(), found.moves().toString());
-    assertTrue(found.states() >= MOST_STATES, found.states() + " states");
-    assertTrue(found.depth() >= 10, "only " + found.depth() + " moves deep");
+  void noOrderOfStepsViolatesBudgetOrHaltOrRunsTwoActionsAtOnce() throws AgreementException {
+    SearchResult result = search("");
+    assertEquals(null, result.violation(), result.actions().toString());
+    assertTrue(result.states() >= MAX_STATES, result.states() + " states");
+    assertTrue(result.depth() >= 10, "only " + result.depth() + " actions deep");
   }
 
   /**
-   * Conditions left out; an agent that acts whatever the response was; one that reports all as
-   * ready.
+   * Defects: a missing condition on the permit counter or on the state of the rollout, an agent
+   * that acts whatever the reply, and an agent that reports each action as ready.
    */
   @ParameterizedTest
-  @ValueSource(strings = {"counter", "course", "answer", "lies"})
-  void aPlantedDefectIsFound(String defect) throws AgreementException {
-    Found found = search(defect);
+  @ValueSource(strings = {"counter", "course", "ignored-reply", "always-ready"})
+  void findsPlantedDefect(String defect) throws AgreementException {
+    SearchResult result = search(defect);
     assertTrue(
-        found.violation() != null, defect + " was not found in " + found.states() + " states");
+        result.violation() != null, defect + " was not found in " + result.states() + " states");
   }
 }
