--- a/src/main/java/beaconturn/release/ConfigRollout.java
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -21,6 +21,10 @@
     this.agreements = new AgreementTransactions(new AgreementKeys(keys.fleet()));
   }
 
+  /**
+   * Returns whether all routers act on the configuration version of the release. While the versions
+   * are not known, a proposed version counts as in force.
+   */
   boolean isInForce(DriverContext context) {
     ConfigChange change = context.snapshot().configChange();
     if (change == null) {
--- a/src/main/java/beaconturn/release/DisruptionBudget.java
+++ b/src/main/java/beaconturn/release/DisruptionBudget.java
@@ -32,8 +32,7 @@
       return limitReached(sameZone, others, group.maxUnavailablePerZone() + " of " + zone);
     }
     if (others.size() >= group.maxUnavailable()) {
-      return limitReached(
-          List.copyOf(others.keySet()), others, group.maxUnavailable() + " in all");
+      return limitReached(List.copyOf(others.keySet()), others, group.maxUnavailable() + " in all");
     }
     return null;
   }
@@ -42,8 +41,7 @@
    * Returns why an instance may not be taken out of service; null if it may. Unlike {@link
    * #blockingReason(String, Map)}, this also requires that no other zone is out of service.
    */
-  String blockingReason(
-      String instanceId, Unavailability observed, Map<String, String> unplanned) {
+  String blockingReason(String instanceId, Unavailability observed, Map<String, String> unplanned) {
     String budgetReason = blockingReason(instanceId, unplanned);
     if (budgetReason != null) {
       return budgetReason;
--- a/src/main/java/beaconturn/release/DriverContext.java
+++ b/src/main/java/beaconturn/release/DriverContext.java
@@ -98,8 +98,7 @@
       String description, List<String> unchangedKeys, List<StoreRequest.Change> changes) {
     List<String> unchanged = new ArrayList<>(unchangedKeys);
     unchanged.add(keys.driver());
-    return transactions.transaction(
-        snapshot, driverIncarnation, description, unchanged, changes);
+    return transactions.transaction(snapshot, driverIncarnation, description, unchanged, changes);
   }
 
   RolloutTransaction changeMode(String description, RolloutMode mode, String reason) {
--- a/src/main/java/beaconturn/release/Rollback.java
+++ b/src/main/java/beaconturn/release/Rollback.java
@@ -64,13 +64,13 @@
       context.waitFor(step.instanceId() + " waits for its agent to roll it back");
       return null;
     }
-    return rolledBack(
+    return markRolledBack(
         context, step, "", step.instanceId() + " was not begun, its place is given back");
   }
 
   private static RolloutTransaction afterAction(DriverContext context, RolloutStep step) {
     if (step.variant() == InstanceVariant.NEW) {
-      return toOldVariant(context, step);
+      return returnToOldVariant(context, step);
     }
     if (step.phase() == StepPhase.FAILED) {
       context.waitFor(step.instanceId() + " could not be rolled back: " + step.failureReason());
@@ -81,24 +81,25 @@
       context.waitFor(step.instanceId() + " is not back in service: " + unavailable);
       return null;
     }
-    return rolledBack(
+    return markRolledBack(
         context,
         step,
         step.agentIncarnation(),
         step.instanceId() + " runs again what it ran before");
   }
 
-  /** Grants the way back under the permit that an unverified instance still holds. */
-  private static RolloutTransaction toOldVariant(DriverContext context, RolloutStep step) {
+  /** Grants a step to the old variant under the permit that an unverified instance still holds. */
+  private static RolloutTransaction returnToOldVariant(DriverContext context, RolloutStep step) {
     RolloutStep granted =
-        StepGrants.step(context, step.instanceId(), step.permitNumber(), InstanceVariant.OLD);
+        StepGrants.grantedStep(
+            context, step.instanceId(), step.permitNumber(), InstanceVariant.OLD);
     return context.transaction(
         step.instanceId() + " goes back under permit " + step.permitNumber(),
         List.of(context.keys().step(step.instanceId())),
         List.of(context.transactions().put(granted)));
   }
 
-  /** Grants the way back under a new permit: a verified instance has returned its own. */
+  /** Grants a step to the old variant under a new permit: a verified instance holds none. */
   private static RolloutTransaction afterCheck(DriverContext context, RolloutStep step) {
     String blockingReason =
         new DisruptionBudget(context.snapshot(), context.plan().kind())
@@ -110,7 +111,7 @@
     return null;
   }
 
-  private static RolloutTransaction rolledBack(
+  private static RolloutTransaction markRolledBack(
       DriverContext context, RolloutStep step, String agentIncarnation, String description) {
     return context.transaction(
         description,
--- a/src/main/java/beaconturn/release/RolloutCodec.java
+++ b/src/main/java/beaconturn/release/RolloutCodec.java
@@ -12,7 +12,7 @@
 
 /**
  * Encodes and decodes the records that change during a release: state, steps, permits, the
- * configuration change and metrics. Each is stored as one line of JSON. Instances of different
+ * configuration change and metrics. Each is stored as one line of JSON. Processes of different
  * builds exchange these texts, so member names and their order must not change.
  */
 public final class RolloutCodec {
--- a/src/main/java/beaconturn/release/StepGrants.java
+++ b/src/main/java/beaconturn/release/StepGrants.java
@@ -34,11 +34,11 @@
         List.of(
             transactions.putLastPermitNumber(number),
             transactions.put(permit),
-            transactions.put(step(context, instanceId, number, variant))));
+            transactions.put(grantedStep(context, instanceId, number, variant))));
   }
 
   /** Returns a granted step under an existing permit. */
-  static RolloutStep step(
+  static RolloutStep grantedStep(
       DriverContext context, String instanceId, long permitNumber, InstanceVariant variant) {
     long previousStartNanos =
         context.observed().latestStartNanos().getOrDefault(instanceId, UNKNOWN_START_NANOS);
--- a/src/main/java/beaconturn/release/Unavailability.java
+++ b/src/main/java/beaconturn/release/Unavailability.java
@@ -93,16 +93,14 @@
       if (excluded.containsKey(server)) {
         reasons.put(server, excluded.get(server));
       } else if (!inService) {
-        reasons.put(
-            server, outOfServiceReason(server, views, views.size() - startsNanos.size()));
+        reasons.put(server, outOfServiceReason(server, views, views.size() - startsNanos.size()));
       }
     }
     return new Unavailability(reasons, latestStartNanos, majorityStartNanos, new TreeMap<>());
   }
 
   /** Returns the starts of a cache server that the routers using it report, the latest first. */
-  private static List<Long> startsNanosDescending(
-      String server, Collection<EndpointView> views) {
+  private static List<Long> startsNanosDescending(String server, Collection<EndpointView> views) {
     return views.stream()
         .filter(view -> view.usable().containsKey(server))
         .map(view -> view.usable().get(server))
@@ -163,8 +161,7 @@
     }
     SortedMap<String, String> allReasons = new TreeMap<>(reasons);
     for (RolloutStep step : snapshot.steps().values()) {
-      long startNanos =
-          majorityStartNanos.getOrDefault(step.instanceId(), UNKNOWN_START_NANOS);
+      long startNanos = majorityStartNanos.getOrDefault(step.instanceId(), UNKNOWN_START_NANOS);
       if (step.phase() == StepPhase.READY && startNanos <= step.previousStartNanos()) {
         allReasons.putIfAbsent(step.instanceId(), "not seen since it was restarted");
       }
--- a/src/main/java/beaconturn/release/WaveRollout.java
+++ b/src/main/java/beaconturn/release/WaveRollout.java
@@ -66,7 +66,7 @@
     return switch (verdict.outcome()) {
       case REGRESSED ->
           context.rollBack(step.instanceId() + " does worse: " + verdict.explanation());
-      case PASSED -> verified(context, step, verdict);
+      case PASSED -> markVerified(context, step, verdict);
       case PENDING -> {
         context.waitFor(step.instanceId() + " is watched: " + verdict.explanation());
         yield null;
@@ -74,7 +74,7 @@
     };
   }
 
-  private static RolloutTransaction verified(
+  private static RolloutTransaction markVerified(
       DriverContext context, RolloutStep step, CanaryVerdict verdict) {
     RolloutStep verified = step.withPhase(StepPhase.VERIFIED, step.agentIncarnation(), "");
     return context.transaction(
--- a/src/test/java/beaconturn/release/CanaryComparisonTest.java
+++ b/src/test/java/beaconturn/release/CanaryComparisonTest.java
@@ -261,8 +261,7 @@
     assertEquals(1, series.points().get(0).unplannedUnavailable());
     long recorded = series.points().stream().mapToLong(RolloutTimeSeries.Point::served).sum();
     // Responses after the last point of each of the 6 drivers are not recorded.
-    assertTrue(
-        recorded <= observed && recorded > observed - 6 * 40, recorded + " of " + observed);
+    assertTrue(recorded <= observed && recorded > observed - 6 * 40, recorded + " of " + observed);
     RolloutTransaction outdated =
         new RolloutRecorder(InMemoryStore.KEYS, 1, RolloutTimeSeries.EMPTY)
             .nextTransaction(store.snapshot(), Unavailability.of(Map.of()), 1);
--- a/src/test/java/beaconturn/release/InMemoryStore.java
+++ b/src/test/java/beaconturn/release/InMemoryStore.java
@@ -119,8 +119,7 @@
             entry ->
                 !entry.key().startsWith(KEYS.history())
                     && !entry.key().equals(KEYS.historyLength()))
-        .forEach(
-            entry -> text.append(entry.key()).append('=').append(entry.value()).append('\n'));
+        .forEach(entry -> text.append(entry.key()).append('=').append(entry.value()).append('\n'));
     return text.toString();
   }
 
--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -340,8 +340,7 @@
         visitedStates.add(execution.state());
       }
       if (execution.violation != null) {
-        return new SearchResult(
-            visitedStates.size(), actions.size(), execution.violation, actions);
+        return new SearchResult(visitedStates.size(), actions.size(), execution.violation, actions);
       }
     }
     return new SearchResult(visitedStates.size(), MAX_WALK_LENGTH, null, List.of());
--- a/src/test/java/beaconturn/release/UnavailabilityTest.java
+++ b/src/test/java/beaconturn/release/UnavailabilityTest.java
@@ -94,8 +94,7 @@
   /** Executes the driver's next transaction; false if the driver waits. */
   private static boolean drive(
       InMemoryStore store, RolloutDriver driver, Unavailability observed, long nowNanos) {
-    RolloutTransaction transaction =
-        driver.nextTransaction(store.snapshot(), observed, nowNanos);
+    RolloutTransaction transaction = driver.nextTransaction(store.snapshot(), observed, nowNanos);
     return transaction != null && store.commits(transaction);
   }
 
