--- a/src/test/java/beaconturn/release/CanaryComparisonTest.java
+++ b/src/test/java/beaconturn/release/CanaryComparisonTest.java
@@ -175,7 +175,7 @@
   void delaysAStepThatWouldOverloadCpus() throws AgreementException {
     InMemoryStore store = store(new ReleaseFleet.Capacity(0, 0.5, 1));
     reportFromAll(store, "busy=10 cores=8000");
-    store.begin(0, List.of(List.of("r1")));
+    store.startRelease(0, List.of(List.of("r1")));
     RolloutDriver driver = new RolloutDriver(InMemoryStore.KEYS, "d1", () -> "");
     assertTrue(store.commits(driver.acquireLease(store.snapshot(), 1)));
     assertNull(
