--- a/src/main/java/beaconturn/cli/ReleaseFiles.java
+++ b/src/main/java/beaconturn/cli/ReleaseFiles.java
@@ -39,8 +39,8 @@
         root -> {
           Map<InstanceKind, ReleaseFleet.Group> groups = new EnumMap<>(InstanceKind.class);
           for (InstanceKind kind : InstanceKind.values()) {
-            if (root.has(kind.word() + "s")) {
-              groups.put(kind, group(root.table(kind.word() + "s")));
+            if (root.has(kind.serializedName() + "s")) {
+              groups.put(kind, group(root.table(kind.serializedName() + "s")));
             }
           }
           if (groups.isEmpty()) {
@@ -110,7 +110,7 @@
   private static RolloutPlan plan(TomlSection root, String reason, ReleaseFleet fleet)
       throws TomlException {
     String kindWord = root.choice("kind", "router", List.of("router", "cache"));
-    InstanceKind kind = InstanceKind.ofWord(kindWord).orElseThrow();
+    InstanceKind kind = InstanceKind.ofSerializedName(kindWord).orElseThrow();
     List<List<String>> waves = new ArrayList<>();
     for (TomlSection wave : root.tables("wave")) {
       waves.add(wave.texts("parts", List.of()));
@@ -132,12 +132,12 @@
   private static RegressionBounds regressionBounds(TomlSection root) throws TomlException {
     RegressionBounds defaults = RegressionBounds.DEFAULT;
     return new RegressionBounds(
-        root.number("worse", defaults.failed(), 0, 1),
-        root.number("worse_late", defaults.late(), 0, 1),
-        root.number("worse_missed", defaults.missed(), 0, 1),
-        root.number("worse_avoided", defaults.avoidedServers(), 0, 1),
-        root.number("worse_memory", defaults.memory(), 0, MAX_RATIO),
-        root.number("worse_hits", defaults.hitTime(), 0, MAX_RATIO));
+        root.number("worse", defaults.failedShare(), 0, 1),
+        root.number("worse_late", defaults.lateShare(), 0, 1),
+        root.number("worse_missed", defaults.missedShare(), 0, 1),
+        root.number("worse_avoided", defaults.avoidedServersShare(), 0, 1),
+        root.number("worse_memory", defaults.memoryRatio(), 0, MAX_RATIO),
+        root.number("worse_hits", defaults.hitTimeRatio(), 0, MAX_RATIO));
   }
 
   /**
--- a/src/main/java/beaconturn/release/ConfigRollout.java
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -10,122 +10,136 @@
 import java.util.List;
 
 /**
- * The configuration that goes with a release: in force on all routers before the first wave, and
- * reverted once no instance runs any more what was released.
+ * Rolls out the configuration version that belongs to a release: all routers act on the version
+ * before the first wave, and the version is reverted after all instances have been rolled back.
  */
 final class ConfigRollout {
-  private static final String VERSIONS_UNKNOWN = "what is agreed on is not known";
+  private static final String VERSIONS_UNKNOWN = "configuration versions are not known";
   private final AgreementTransactions agreements;
 
   ConfigRollout(RolloutKeys keys) {
     this.agreements = new AgreementTransactions(new AgreementKeys(keys.fleet()));
   }
 
-  /** Whether all routers act on the configuration of the release. */
-  boolean isInForce(DriverTurn turn) {
-    ConfigChange change = turn.snapshot().configChange();
+  /**
+   * Returns whether all routers act on the configuration version of the release. While the versions
+   * are not known, a proposed version counts as in force.
+   */
+  boolean isInForce(DriverContext context) {
+    ConfigChange change = context.snapshot().configChange();
     if (change == null) {
       return false;
     }
-    return turn.agreed() == null || turn.agreed().isSettled(change.versionNumber());
+    return context.agreed() == null || context.agreed().isSettled(change.versionNumber());
   }
 
-  /** Brings the configuration into force; null while that waits. */
-  RolloutTransaction advance(DriverTurn turn) {
-    AgreedVersions agreed = turn.agreed();
+  /**
+   * Returns the transaction that proposes the configuration version, or a rollback if the version
+   * was rejected; null while the version is pending.
+   */
+  RolloutTransaction advance(DriverContext context) {
+    AgreedVersions agreed = context.agreed();
     if (agreed == null) {
-      turn.waitFor(VERSIONS_UNKNOWN);
+      context.waitFor(VERSIONS_UNKNOWN);
       return null;
     }
-    ConfigChange change = turn.snapshot().configChange();
+    ConfigChange change = context.snapshot().configChange();
     if (change == null) {
       ConfigContent current = agreed.snapshot().current().content();
       return propose(
-          turn,
-          turn.plan().configContent().withDefaults(current).withExclusionsOf(current),
+          context,
+          context.plan().configContent().withDefaults(current).withExclusionsOf(current),
           new ConfigChange(agreed.nextNumber(), current, 0));
     }
     if (agreed.isRejected(change.versionNumber())) {
-      return turn.rollBack(
+      return context.rollBack(
           "its settings, version " + change.versionNumber() + ", were turned down");
     }
-    turn.waitFor(
-        "version " + change.versionNumber() + " of its settings waits for " + routers(agreed));
+    context.waitFor(
+        "configuration version "
+            + change.versionNumber()
+            + " of the release waits for "
+            + awaitedRouters(agreed));
     return null;
   }
 
-  /** Reverts the configuration; null while that waits, and once it is reverted or never was. */
-  RolloutTransaction revert(DriverTurn turn) {
-    AgreedVersions agreed = turn.agreed();
+  /**
+   * Returns the next transaction that reverts the configuration. Null, with a wait reason, while
+   * the reverting version is pending; null without one after the revert is complete.
+   */
+  RolloutTransaction revert(DriverContext context) {
+    AgreedVersions agreed = context.agreed();
     if (agreed == null) {
-      turn.waitFor(VERSIONS_UNKNOWN);
+      context.waitFor(VERSIONS_UNKNOWN);
       return null;
     }
-    ConfigChange change = turn.snapshot().configChange();
+    ConfigChange change = context.snapshot().configChange();
     boolean revertProposed = change.revertVersionNumber() != 0;
     if (revertProposed && agreed.isSettled(change.revertVersionNumber())) {
       return null;
     }
     if (!revertProposed && agreed.isRejected(change.versionNumber())) {
-      return forget(turn);
+      return deleteConfigChange(context);
     }
     if (!revertProposed || agreed.isRejected(change.revertVersionNumber())) {
       return propose(
-          turn,
+          context,
           change.previousContent().withExclusionsOf(agreed.snapshot().current().content()),
           new ConfigChange(change.versionNumber(), change.previousContent(), agreed.nextNumber()));
     }
-    turn.waitFor(
-        "version "
+    context.waitFor(
+        "configuration version "
             + change.revertVersionNumber()
-            + ", its settings of before, waits for "
-            + routers(agreed));
+            + ", which reverts that of the release, waits for "
+            + awaitedRouters(agreed));
     return null;
   }
 
-  /** Forgets a configuration that never came into force, so that there is nothing to revert. */
-  private static RolloutTransaction forget(DriverTurn turn) {
-    String key = turn.keys().configChange();
-    return turn.transaction(
+  /** Deletes a rejected configuration change: the version never took effect. */
+  private static RolloutTransaction deleteConfigChange(DriverContext context) {
+    String key = context.keys().configChange();
+    return context.transaction(
         "its settings never came into force",
         List.of(key),
         List.of(new StoreRequest.Change.Delete(key)));
   }
 
   /**
-   * Proposes a version, in one transaction with the conditions of the driver: one that was replaced
-   * can propose nothing.
+   * Returns a transaction that proposes a version under the driver's own conditions, so that a
+   * replaced driver cannot propose one.
    */
-  private RolloutTransaction propose(DriverTurn turn, ConfigContent content, ConfigChange change) {
+  private RolloutTransaction propose(
+      DriverContext context, ConfigContent content, ConfigChange change) {
     AgreementStep proposal;
     try {
       proposal =
           agreements.propose(
-              turn.agreed().snapshot(),
-              turn.agreed().nextNumber(),
+              context.agreed().snapshot(),
+              context.agreed().nextNumber(),
               content,
-              "release " + turn.plan().number(),
-              turn.plan().reason(),
-              turn.agreed().atMillis());
+              "release " + context.plan().number(),
+              context.plan().reason(),
+              context.agreed().atMillis());
     } catch (AgreementException e) {
-      turn.waitFor(e.getMessage());
+      context.waitFor(e.getMessage());
       return null;
     }
     List<StoreRequest.Change> changes = new ArrayList<>(proposal.transaction().changes());
-    changes.add(turn.transactions().put(change));
+    changes.add(context.transactions().put(change));
     RolloutTransaction transaction =
-        turn.transaction(
+        context.transaction(
             "its settings: " + proposal.description(),
-            List.of(turn.keys().configChange()),
+            List.of(context.keys().configChange()),
             changes);
-    List<StoreRequest.Condition> conditions = new ArrayList<>(transaction.swap().conditions());
+    List<StoreRequest.Condition> conditions =
+        new ArrayList<>(transaction.storeTransaction().conditions());
     conditions.addAll(proposal.transaction().conditions());
     return new RolloutTransaction(
-        new StoreRequest.Transaction(conditions, transaction.swap().changes()),
+        new StoreRequest.Transaction(conditions, transaction.storeTransaction().changes()),
         transaction.description());
   }
 
-  private static String routers(AgreedVersions agreed) {
-    return String.join(", ", agreed.waitingFor());
+  private static String awaitedRouters(AgreedVersions agreed) {
+    return String.join(", ", agreed.awaitedRouters());
   }
 }
--- a/src/main/java/beaconturn/release/RolloutCodec.java
+++ b/src/main/java/beaconturn/release/RolloutCodec.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 
 /**
- * The stored texts of what changes while a release is in progress: state, steps, permits, the
- * configuration change and metrics. Each is one line of JSON; builds before and after this one read
- * and write the same keys.
+ * Encodes and decodes the records that change during a release: state, steps, permits, the
+ * configuration change and metrics. Each is stored as one line of JSON. Processes of different
+ * builds exchange these texts, so member names and their order must not change.
  */
 public final class RolloutCodec {
   private RolloutCodec() {}
@@ -24,7 +24,7 @@
             "number",
             permit.number(),
             "kind",
-            permit.kind().word(),
+            permit.kind().serializedName(),
             "id",
             permit.instanceId(),
             "holder",
@@ -65,7 +65,7 @@
   static String encode(RolloutState state) {
     return JsonWriter.write(
         StoredJson.object(
-            "mode", state.mode().word(), "why", state.reason(), "by", state.author()));
+            "mode", state.mode().serializedName(), "why", state.reason(), "by", state.author()));
   }
 
   static RolloutState decodeState(String text) throws AgreementException {
@@ -84,15 +84,15 @@
             "permit",
             step.permitNumber(),
             "phase",
-            step.phase().word(),
+            step.phase().serializedName(),
             "variant",
-            step.variant().word(),
+            step.variant().serializedName(),
             "agent",
             step.agentIncarnation(),
             "why",
             step.failureReason(),
             "started",
-            // Stored numbers are never negative, and -1 stands for no known start.
+            // Stored as n + 1: stored integers cannot be negative, and -1 means no known start.
             step.previousStartNanos() + 1,
             "took_ns",
             step.readyAfterNanos()));
@@ -111,19 +111,21 @@
         StoredFields.number(json, "took_ns"));
   }
 
-  /** The stored text of an instance's metrics. */
+  /** Encodes the metrics of an instance. */
   public static String encode(InstanceSample sample) {
     List<Object> members = new ArrayList<>(List.of("process", sample.process()));
-    sample.metrics().forEach((metric, value) -> members.addAll(List.of(metric.word(), value)));
+    sample
+        .metrics()
+        .forEach((metric, value) -> members.addAll(List.of(metric.serializedName(), value)));
     return JsonWriter.write(StoredJson.object(members.toArray()));
   }
 
   static InstanceSample decodeSample(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
-    Map<InstanceMetrics, Long> metrics = new EnumMap<>(InstanceMetrics.class);
-    for (InstanceMetrics metric : InstanceMetrics.values()) {
-      if (!StoredFields.text(json, metric.word()).isEmpty()) {
-        metrics.put(metric, StoredFields.number(json, metric.word()));
+    Map<InstanceMetric, Long> metrics = new EnumMap<>(InstanceMetric.class);
+    for (InstanceMetric metric : InstanceMetric.values()) {
+      if (!StoredFields.text(json, metric.serializedName()).isEmpty()) {
+        metrics.put(metric, StoredFields.number(json, metric.serializedName()));
       }
     }
     return new InstanceSample(StoredFields.text(json, "process"), metrics);
--- a/src/main/java/beaconturn/release/RolloutPlanCodec.java
+++ b/src/main/java/beaconturn/release/RolloutPlanCodec.java
@@ -7,7 +7,7 @@
 import beaconturn.protocol.Json;
 import beaconturn.protocol.JsonWriter;
 
-/** The stored text of a plan, as one line of JSON. */
+/** Encodes and decodes a plan as one line of JSON, for the store. */
 final class RolloutPlanCodec {
   private RolloutPlanCodec() {}
 
@@ -17,13 +17,13 @@
             "number",
             plan.number(),
             "kind",
-            plan.kind().word(),
+            plan.kind().serializedName(),
             "waves",
             StoredJson.list(plan.waves().stream().map(StoredJson::texts).toList()),
             "soak_ns",
             plan.soakNanos(),
             "samples",
-            plan.minAnswers(),
+            plan.minResponses(),
             "worse",
             encode(plan.regressionBounds()),
             "limit_ns",
@@ -45,17 +45,17 @@
   private static Json encode(RegressionBounds bounds) {
     return StoredJson.object(
         "bad",
-        Double.toString(bounds.failed()),
+        Double.toString(bounds.failedShare()),
         "late",
-        Double.toString(bounds.late()),
+        Double.toString(bounds.lateShare()),
         "missed",
-        Double.toString(bounds.missed()),
+        Double.toString(bounds.missedShare()),
         "avoided",
-        Double.toString(bounds.avoidedServers()),
+        Double.toString(bounds.avoidedServersShare()),
         "memory",
-        Double.toString(bounds.memory()),
+        Double.toString(bounds.memoryRatio()),
         "slower",
-        Double.toString(bounds.hitTime()));
+        Double.toString(bounds.hitTimeRatio()));
   }
 
   static RolloutPlan decode(String text) throws AgreementException {
--- a/src/main/java/beaconturn/release/StepGrants.java
+++ b/src/main/java/beaconturn/release/StepGrants.java
@@ -4,43 +4,45 @@
 import java.util.List;
 import java.util.Set;
 
-/** Grants steps: an instance gets a disruption permit and is to run a variant. */
+/** Builds the transactions and records that grant a step to an instance. */
 final class StepGrants {
-  private static final long UNKNOWN_START = -1;
+  private static final long UNKNOWN_START_NANOS = -1;
 
   private StepGrants() {}
 
   /**
-   * Takes a new permit for an instance. The counter of permits is changed with it, so that all who
-   * have counted the budget at the same time have to count again.
+   * Returns a transaction that grants a step under a new permit. The transaction also changes the
+   * permit counter, so that concurrent decisions on the same budget fail and are made again.
    */
   static RolloutTransaction withNewPermit(
-      DriverTurn turn, String instanceId, InstanceVariant variant) {
-    RolloutSnapshot snapshot = turn.snapshot();
-    RolloutPlan plan = turn.plan();
+      DriverContext context, String instanceId, InstanceVariant variant) {
+    RolloutSnapshot snapshot = context.snapshot();
+    RolloutPlan plan = context.plan();
     long number = snapshot.lastPermitNumber() + 1;
     String reason =
         variant == InstanceVariant.NEW ? plan.reason() : "back: " + snapshot.state().reason();
     DisruptionPermit permit =
         new DisruptionPermit(number, plan.kind(), instanceId, "release " + plan.number(), reason);
     Set<String> unavailable =
-        new HashSet<>(snapshot.unavailable(plan.kind(), turn.unplanned()).keySet());
+        new HashSet<>(snapshot.unavailable(plan.kind(), context.unplanned()).keySet());
     unavailable.add(instanceId);
-    RolloutKeys keys = turn.keys();
-    RolloutTransactions transactions = turn.transactions();
-    return turn.transaction(
+    RolloutKeys keys = context.keys();
+    RolloutTransactions transactions = context.transactions();
+    return context.transaction(
         instanceId + " goes out under permit " + number + ", " + unavailable.size() + " out",
-        List.of(keys.counter(), keys.fleetDefinition(), keys.step(instanceId)),
+        List.of(keys.permitCounter(), keys.fleetDefinition(), keys.step(instanceId)),
         List.of(
             transactions.putLastPermitNumber(number),
             transactions.put(permit),
-            transactions.put(step(turn, instanceId, number, variant))));
+            transactions.put(grantedStep(context, instanceId, number, variant))));
   }
 
-  /** The granted step of an instance under a permit. */
-  static RolloutStep step(
-      DriverTurn turn, String instanceId, long permitNumber, InstanceVariant variant) {
-    long start = turn.observed().latestStartNanos().getOrDefault(instanceId, UNKNOWN_START);
-    return new RolloutStep(instanceId, permitNumber, StepPhase.GRANTED, variant, "", "", start, 0);
+  /** Returns a granted step under an existing permit. */
+  static RolloutStep grantedStep(
+      DriverContext context, String instanceId, long permitNumber, InstanceVariant variant) {
+    long previousStartNanos =
+        context.observed().latestStartNanos().getOrDefault(instanceId, UNKNOWN_START_NANOS);
+    return new RolloutStep(
+        instanceId, permitNumber, StepPhase.GRANTED, variant, "", "", previousStartNanos, 0);
   }
 }
