--- a/src/main/java/beaconturn/cli/EmbeddedLauncher.java
+++ b/src/main/java/beaconturn/cli/EmbeddedLauncher.java
@@ -32,14 +32,14 @@
   }
 
   @Override
-  public boolean restarts() {
+  public boolean supportsRestart() {
     return false;
   }
 
   @Override
-  public Running launch(Start start) throws IOException {
+  public RunningRouter launch(LaunchOptions options) throws IOException {
     try {
-      RouterServer server = maker.make(RouterConfigReader.read(start.config(), Map.of()));
+      RouterServer server = maker.make(RouterConfigReader.read(options.config(), Map.of()));
       server.start();
       return new Embedded(server);
     } catch (ConfigException e) {
@@ -47,7 +47,7 @@
     }
   }
 
-  private static final class Embedded implements Running {
+  private static final class Embedded implements RunningRouter {
     private final RouterServer server;
     private Thread drain;
 
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public boolean alive() {
+    public boolean isAlive() {
       return drain == null || drain.isAlive();
     }
 
@@ -83,14 +83,14 @@
     }
 
     @Override
-    public int awaitEnd(long millis) throws InterruptedException {
+    public int awaitExit(long millis) throws InterruptedException {
       terminate();
       drain.join(Math.max(1, millis));
       return drain.isAlive() ? -1 : 0;
     }
 
     @Override
-    public long cpu() {
+    public long cpuNanos() {
       return -1;
     }
   }
--- a/src/main/java/beaconturn/cli/RandomSearchRunner.java
+++ b/src/main/java/beaconturn/cli/RandomSearchRunner.java
@@ -60,7 +60,7 @@
     this.atOnce = atOnce;
     this.kept = Path.of(kept == null ? "." : kept);
     this.launcher =
-        jar == null ? ProcessLauncher.own(Main.class.getName()) : ProcessLauncher.of(Path.of(jar));
+        jar == null ? ProcessLauncher.ofCurrentProgram(Main.class.getName()) : ProcessLauncher.ofJar(Path.of(jar));
   }
 
   /** Storms of routers from a jar, or of this program's own where that is null. */
@@ -118,7 +118,7 @@
     try {
       Scenario scenario = RandomScenario.of(about, seed, routers);
       Path folder = Files.createTempDirectory("storm-" + seed + "-");
-      RehearsalReport report = new Rehearsal(scenario, launcher, folder, text -> {}).play();
+      RehearsalReport report = new Rehearsal(scenario, launcher, folder, text -> {}).run();
       List<String> rules =
           report.verdicts().stream()
               .filter(v -> !v.held())
--- a/src/main/java/beaconturn/cli/RehearseRunner.java
+++ b/src/main/java/beaconturn/cli/RehearseRunner.java
@@ -55,7 +55,7 @@
     }
     Progress progress = new Progress(System.err);
     try {
-      RehearsalReport report = new Rehearsal(scenario, launcher(), folder, progress::say).play();
+      RehearsalReport report = new Rehearsal(scenario, launcher(), folder, progress::say).run();
       progress.clear();
       String about = scenario.about().isEmpty() ? "" : ": " + scenario.about();
       System.out.println(scenario.name() + about + "\n");
@@ -77,8 +77,8 @@
 
   private RouterLauncher launcher() {
     if (router == null) {
-      return ProcessLauncher.own(Main.class.getName());
+      return ProcessLauncher.ofCurrentProgram(Main.class.getName());
     }
-    return router.equals("embedded") ? new EmbeddedLauncher() : ProcessLauncher.of(Path.of(router));
+    return router.equals("embedded") ? new EmbeddedLauncher() : ProcessLauncher.ofJar(Path.of(router));
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ClientStatistics.java
+++ b/src/main/java/beaconturn/rehearsal/ClientStatistics.java
@@ -34,19 +34,19 @@
    * A class at the end: requests wanted, tries, ends of tries, requests served within the aim, and
    * the time from when a request was wanted to its value, in milliseconds.
    */
-  record Line(
-      String type,
-      long wanted,
-      long tries,
+  record ClassSummary(
+      String className,
+      long requests,
+      long attempts,
       long served,
-      long refused,
+      long rejected,
       long failed,
       long unanswered,
-      long unreached,
-      long inAim,
-      double median,
-      double p99,
-      double most) {}
+      long undelivered,
+      long withinObjective,
+      double medianMillis,
+      double p99Millis,
+      double maxMillis) {}
 
   ClientStatistics(Scenario scenario) {
     scenario.types().forEach(type -> rows.put(type.name(), new Row()));
@@ -73,12 +73,12 @@
     }
   }
 
-  synchronized List<Line> lines() {
-    List<Line> lines = new ArrayList<>();
+  synchronized List<ClassSummary> lines() {
+    List<ClassSummary> lines = new ArrayList<>();
     rows.forEach(
         (type, row) ->
             lines.add(
-                new Line(
+                new ClassSummary(
                     type,
                     row.wanted,
                     row.tries,
--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -227,12 +227,12 @@
   }
 
   /** What agents want done to routers. */
-  List<AgentHook.Wish> wishes() throws IOException {
+  List<AgentHook.RestartRequest> wishes() throws IOException {
     if (hand == null) {
       return List.of();
     }
     look();
-    return hand.take();
+    return hand.takeRequests();
   }
 
   /** Nothing is released any more. */
@@ -241,9 +241,9 @@
   }
 
   /** Answers one. */
-  void answer(AgentHook.Wish wish, boolean ready) {
+  void answer(AgentHook.RestartRequest wish, boolean ready) {
     try {
-      hand.answer(wish, ready);
+      hand.complete(wish, ready);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -359,7 +359,7 @@
           if (fault.kind() == Fault.Kind.AGENT_KILL) {
             a.kill();
           } else {
-            a.pause(true);
+            a.setPaused(true);
           }
         });
   }
@@ -368,7 +368,7 @@
     List<AgentProcess> those = struck.remove(fault);
     for (AgentProcess agent : those == null ? List.<AgentProcess>of() : those) {
       if (fault.kind() == Fault.Kind.AGENT_PAUSE) {
-        agent.pause(false);
+        agent.setPaused(false);
       } else {
         try {
           agent.start();
@@ -561,7 +561,7 @@
           case LINK_HOLD -> FaultProxy.State.HELD;
           case LINK_RESET -> FaultProxy.State.RESETTING;
           case LINK_THROTTLE -> FaultProxy.State.THROTTLED;
-          case ANSWER_LOST -> FaultProxy.State.ANSWER_LOST;
+          case ANSWER_LOST -> FaultProxy.State.RESPONSE_LOST;
           default -> throw new IllegalArgumentException(fault.kind().word());
         };
     links(fault).forEach(link -> become(link, state, (long) fault.amount()));
@@ -574,7 +574,7 @@
           new HistoryEvent.DiscoveryLinkChanged(
               clock.now(), router, state == FaultProxy.State.OPEN));
     }
-    link.become(state, amount);
+    link.setState(state, amount);
   }
 
   /** Ends it. */
@@ -592,7 +592,7 @@
   /** Whether a router reaches the cache servers; nothing where no links lead there. */
   void reachesCaches(int router, FaultProxy.State state, long amount) {
     if (!toCaches.isEmpty()) {
-      toCaches.get(router).forEach(link -> link.become(state, amount));
+      toCaches.get(router).forEach(link -> link.setState(state, amount));
     }
   }
 
@@ -637,7 +637,7 @@
 
   private void order(String line) {
     try {
-      store.order(line);
+      store.execute(line);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -654,7 +654,7 @@
     long offset = clock.now() - System.nanoTime();
     AgreementKeys keys = new AgreementKeys(FLEET);
     String release = FLEET + "/release/";
-    for (StoreProcess.StoreChange change : store.news()) {
+    for (StoreProcess.StoreChange change : store.readChanges()) {
       long at = change.nanoTime() + offset;
       if (change.key().equals(release + "driver")) {
         driver = change.value() == null ? "" : change.value();
@@ -673,19 +673,19 @@
       }
       try {
         if (change.key().equals(keys.commonPrefix() + "next")) {
-          saw(at, Trigger.What.PROPOSED, ConfigCodec.decodeVersion(change.value()));
+          saw(at, Trigger.Stage.PROPOSED, ConfigCodec.decodeVersion(change.value()));
         } else if (change.key().equals(keys.commonPrefix() + "current")) {
-          saw(at, Trigger.What.IN_FORCE, ConfigCodec.decodeVersion(change.value()));
+          saw(at, Trigger.Stage.IN_FORCE, ConfigCodec.decodeVersion(change.value()));
         } else if (change.key().equals(keys.commonPrefix() + "settled")) {
           came.putIfAbsent(
-              new Trigger(Trigger.What.SETTLED, Long.parseLong(change.value()), ""), at);
+              new Trigger(Trigger.Stage.SETTLED, Long.parseLong(change.value()), ""), at);
         } else if (change.key().equals(FLEET + "/zones/plan")) {
           planned(at, ZonesCodec.decodePlan(change.value()));
         } else if (change.key().startsWith(release)) {
           ofRelease(at, change.key().substring(release.length()), change.value());
         } else if (change.key().startsWith(keys.membersPrefix())) {
           MemberRecord seat = MemberRecord.decode(change.value());
-          came.putIfAbsent(new Trigger(Trigger.What.YES, seat.ackedNumber(), seat.name()), at);
+          came.putIfAbsent(new Trigger(Trigger.Stage.ACKNOWLEDGED, seat.ackedNumber(), seat.name()), at);
         }
       } catch (AgreementException e) {
         throw new IOException(
@@ -750,19 +750,19 @@
 
   private void step(String part, String text, long at) {
     if (text.contains("\"phase\":\"begun\"")) {
-      came.putIfAbsent(new Trigger(Trigger.What.OUT, 0, part), at);
+      came.putIfAbsent(new Trigger(Trigger.Stage.TAKEN_OUT, 0, part), at);
     } else if (text.contains("\"phase\":\"up\"")) {
-      came.putIfAbsent(new Trigger(Trigger.What.UP, 0, part), at);
+      came.putIfAbsent(new Trigger(Trigger.Stage.READY, 0, part), at);
     }
   }
 
-  private void saw(long at, Trigger.What what, ConfigVersion version) {
+  private void saw(long at, Trigger.Stage what, ConfigVersion version) {
     came.putIfAbsent(new Trigger(what, version.number(), ""), at);
     account.add(
         new HistoryEvent.VersionStageReached(
             at,
             version.number(),
-            what == Trigger.What.PROPOSED
+            what == Trigger.Stage.PROPOSED
                 ? HistoryEvent.VersionStage.PROPOSED
                 : HistoryEvent.VersionStage.IN_FORCE,
             version.content().excludedServers(),
@@ -781,20 +781,20 @@
     }
     look();
     List<VersionTimeline> all = new ArrayList<>();
-    for (long n = 1; came.containsKey(new Trigger(Trigger.What.PROPOSED, n, "")); n++) {
+    for (long n = 1; came.containsKey(new Trigger(Trigger.Stage.PROPOSED, n, "")); n++) {
       all.add(
           new VersionTimeline(
               n,
-              came.get(new Trigger(Trigger.What.PROPOSED, n, "")),
-              came.getOrDefault(new Trigger(Trigger.What.IN_FORCE, n, ""), -1L),
-              came.getOrDefault(new Trigger(Trigger.What.SETTLED, n, ""), -1L)));
+              came.get(new Trigger(Trigger.Stage.PROPOSED, n, "")),
+              came.getOrDefault(new Trigger(Trigger.Stage.IN_FORCE, n, ""), -1L),
+              came.getOrDefault(new Trigger(Trigger.Stage.SETTLED, n, ""), -1L)));
     }
     return List.copyOf(all);
   }
 
   /** Calls that the store has answered so far. */
   long calls() throws IOException {
-    String status = store.order("status");
+    String status = store.execute("status");
     return Long.parseLong(status.replaceAll(".*, ([0-9]+) calls.*", "$1"));
   }
 
--- a/src/main/java/beaconturn/rehearsal/HtmlReport.java
+++ b/src/main/java/beaconturn/rehearsal/HtmlReport.java
@@ -98,7 +98,7 @@
   private void served(TimelineChart chart) {
     ServedBySecond served = new ServedBySecond(report.entries(), report.start(), seconds);
     for (int i = 0; i < seconds; i++) {
-      chart.share(i, i + 1, served.share(i));
+      chart.share(i, i + 1, served.servedShare(i));
     }
   }
 
@@ -161,16 +161,16 @@
 
   private void classes(HtmlPage page) {
     page.table("class", "wanted", "served", "refused", "failed", "p99 ms");
-    for (ClientStatistics.Line c : report.classes()) {
+    for (ClientStatistics.ClassSummary c : report.classes()) {
       page.row(
           false,
           List.of(
-              c.type(),
-              Long.toString(c.wanted()),
+              c.className(),
+              Long.toString(c.requests()),
               Long.toString(c.served()),
-              Long.toString(c.refused()),
+              Long.toString(c.rejected()),
               Long.toString(c.failed()),
-              String.format(Locale.ROOT, "%.1f", c.p99())));
+              String.format(Locale.ROOT, "%.1f", c.p99Millis())));
     }
     page.end();
   }
--- a/src/main/java/beaconturn/rehearsal/JsonReport.java
+++ b/src/main/java/beaconturn/rehearsal/JsonReport.java
@@ -69,21 +69,21 @@
 
   private List<Json> classes() {
     List<Json> all = new ArrayList<>();
-    for (ClientStatistics.Line line : report.classes()) {
+    for (ClientStatistics.ClassSummary line : report.classes()) {
       all.add(
           new JsonObjectBuilder()
-              .put("class", line.type())
-              .put("wanted", line.wanted())
-              .put("tries", line.tries())
+              .put("class", line.className())
+              .put("wanted", line.requests())
+              .put("tries", line.attempts())
               .put("served", line.served())
-              .put("refused", line.refused())
+              .put("refused", line.rejected())
               .put("failed", line.failed())
               .put("unanswered", line.unanswered())
-              .put("unreached", line.unreached())
-              .put("in_aim", line.inAim())
-              .put("p50_ms", line.median())
-              .put("p99_ms", line.p99())
-              .put("max_ms", line.most())
+              .put("unreached", line.undelivered())
+              .put("in_aim", line.withinObjective())
+              .put("p50_ms", line.medianMillis())
+              .put("p99_ms", line.p99Millis())
+              .put("max_ms", line.maxMillis())
               .build());
     }
     return all;
@@ -96,7 +96,7 @@
         .put("contradiction_ms", report.contradiction() / NANOS_PER_MILLI)
         .put("stated_ms", report.scenario().agreement().timing().statedNanos() / NANOS_PER_MILLI)
         .put("calls_per_second", fleet.callsPerSecond())
-        .put("router_kb", fleet.footprint().memory())
+        .put("router_kb", fleet.footprint().memoryKb())
         .put("router_threads", fleet.footprint().threads())
         .build();
   }
@@ -104,15 +104,15 @@
   private Json version(VersionTimeline version) {
     return new JsonObjectBuilder()
         .put("number", version.number())
-        .put("proposed_s", (version.proposed() - report.start()) / NANOS_PER_SECOND)
-        .put("in_force_ms", delayMillis(version, version.inForce()))
-        .put("settled_ms", delayMillis(version, version.settled()))
+        .put("proposed_s", (version.proposedAtNanos() - report.start()) / NANOS_PER_SECOND)
+        .put("in_force_ms", delayMillis(version, version.inForceAtNanos()))
+        .put("settled_ms", delayMillis(version, version.settledAtNanos()))
         .build();
   }
 
   private static Json delayMillis(VersionTimeline version, long at) {
     return at < 0
         ? new Json.Nothing()
-        : new Json.Figure(Double.toString((at - version.proposed()) / NANOS_PER_MILLI));
+        : new Json.Figure(Double.toString((at - version.proposedAtNanos()) / NANOS_PER_MILLI));
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ProcessLauncher.java
+++ b/src/main/java/beaconturn/rehearsal/ProcessLauncher.java
@@ -45,13 +45,13 @@
   }
 
   /** Routers from a jar. */
-  public static ProcessLauncher of(Path jar) {
+  public static ProcessLauncher ofJar(Path jar) {
     return new ProcessLauncher(
         List.of("-jar", jar.toString()), List.of("-cp", jar.toString()), MAIN);
   }
 
   /** Routers from the classes that run now: the jar they are in, or the class path of a build. */
-  public static ProcessLauncher own(String mainClass) {
+  public static ProcessLauncher ofCurrentProgram(String mainClass) {
     String path = System.getProperty("java.class.path");
     boolean jar = path.endsWith(".jar") && !path.contains(File.pathSeparator);
     return new ProcessLauncher(
@@ -84,31 +84,31 @@
   }
 
   @Override
-  public Running launch(Start start) throws IOException {
+  public RunningRouter launch(LaunchOptions options) throws IOException {
     List<String> command =
         command(
-            start.leaksAfter() < 0 ? program : leaking(start.leaksAfter()),
-            List.of("serve", "--config", start.config().toString()));
-    if (start.features() != null) {
-      command.addAll(List.of("--features", start.features().toString()));
+            options.leaksAfterNanos() < 0 ? program : leaking(options.leaksAfterNanos()),
+            List.of("serve", "--config", options.config().toString()));
+    if (options.features() != null) {
+      command.addAll(List.of("--features", options.features().toString()));
     }
-    if (start.clockOff() != 0) {
-      command.add(1, "-D" + Clock.OFF + "=" + start.clockOff());
+    if (options.clockOffsetNanos() != 0) {
+      command.add(1, "-D" + Clock.OFF + "=" + options.clockOffsetNanos());
     }
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(start.log().toFile()));
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(options.log().toFile()));
     builder.environment().keySet().removeIf(variable -> variable.startsWith("PROXY_"));
     return new OfProcess(ChildProcesses.start(builder));
   }
 
   @Override
-  public boolean restarts() {
+  public boolean supportsRestart() {
     return true;
   }
 
-  private static final class OfProcess implements Running {
+  private static final class OfProcess implements RunningRouter {
     private final Process process;
     private long lastCpu = -1;
 
@@ -117,24 +117,24 @@
     }
 
     @Override
-    public boolean alive() {
+    public boolean isAlive() {
       return process.isAlive();
     }
 
     @Override
     public void kill() {
-      cpu();
+      cpuNanos();
       process.destroyForcibly();
     }
 
     @Override
     public void terminate() {
-      cpu();
+      cpuNanos();
       process.destroy();
     }
 
     @Override
-    public int awaitEnd(long millis) throws InterruptedException {
+    public int awaitExit(long millis) throws InterruptedException {
       if (!process.waitFor(millis, TimeUnit.MILLISECONDS)) {
         return -1;
       }
@@ -142,13 +142,13 @@
     }
 
     @Override
-    public void pause(boolean on) {
-      ChildProcesses.pause(process, on);
+    public void setPaused(boolean on) {
+      ChildProcesses.setPaused(process, on);
     }
 
     @Override
-    public void hangUp() {
-      ChildProcesses.hangUp(process);
+    public void reloadConfiguration() {
+      ChildProcesses.sendHangup(process);
     }
 
     @Override
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public long cpu() {
+    public long cpuNanos() {
       lastCpu = process.info().totalCpuDuration().map(Duration::toNanos).orElse(lastCpu);
       return lastCpu;
     }
--- a/src/main/java/beaconturn/rehearsal/ProcessUsage.java
+++ b/src/main/java/beaconturn/rehearsal/ProcessUsage.java
@@ -8,7 +8,7 @@
  * What a process holds, as Linux tells under {@code /proc}: memory in kB and threads; 0 where it is
  * not known.
  */
-record ProcessUsage(long memory, int threads) {
+record ProcessUsage(long memoryKb, int threads) {
   private static final ProcessUsage UNKNOWN = new ProcessUsage(0, 0);
 
   /** Of a process as it is now. */
@@ -17,12 +17,12 @@
     if (pid < 0 || !Files.exists(status)) {
       return UNKNOWN;
     }
-    long memory = 0;
+    long memoryKb = 0;
     int threads = 0;
     try {
       for (String line : Files.readAllLines(status)) {
         if (line.startsWith("VmRSS:")) {
-          memory = Long.parseLong(line.replaceAll("[^0-9]", ""));
+          memoryKb = Long.parseLong(line.replaceAll("[^0-9]", ""));
         } else if (line.startsWith("Threads:")) {
           threads = Integer.parseInt(line.replaceAll("[^0-9]", ""));
         }
@@ -31,11 +31,11 @@
       // It has just ended.
       return UNKNOWN;
     }
-    return new ProcessUsage(memory, threads);
+    return new ProcessUsage(memoryKb, threads);
   }
 
   /** The larger figure of both. */
-  ProcessUsage most(ProcessUsage other) {
-    return new ProcessUsage(Math.max(memory, other.memory), Math.max(threads, other.threads));
+  ProcessUsage max(ProcessUsage other) {
+    return new ProcessUsage(Math.max(memoryKb, other.memoryKb), Math.max(threads, other.threads));
   }
 }
--- a/src/main/java/beaconturn/rehearsal/Rehearsal.java
+++ b/src/main/java/beaconturn/rehearsal/Rehearsal.java
@@ -85,7 +85,7 @@
   private record Awaited(Trigger cue, LongConsumer plan) {}
 
   /**
-   * A play; nothing happens before {@link #play}.
+   * A play; nothing happens before {@link #run}.
    *
    * @param folder where configurations and logs of routers go
    * @param progress is told now and then, in a few words, how far it is
@@ -99,7 +99,7 @@
   }
 
   /** Plays it; an I/O failure means that it could not be played, not that a rule was broken. */
-  public RehearsalReport play() throws IOException, InterruptedException {
+  public RehearsalReport run() throws IOException, InterruptedException {
     check();
     EventScheduler agenda = new EventScheduler(clock.now());
     EmulatedFleet world =
@@ -126,7 +126,7 @@
       plan();
       crowd.start(RequestSchedule.of(scenario), start);
       long calls = parts == null ? 0 : parts.calls();
-      run();
+      executeSteps();
       cpu = processCpu() - cpu;
       calls = parts == null ? 0 : parts.calls() - calls;
       settle();
@@ -141,7 +141,7 @@
           HistoryChecker.check(scenario.terms(SOCKET_SLACK), entries),
           tally.lines(),
           cpu,
-          seats.stream().mapToLong(RouterProcess::cpu).sum(),
+          seats.stream().mapToLong(RouterProcess::cpuNanos).sum(),
           tally.senderLate(),
           HistoryChecker.pausedNanos(entries),
           fleet);
@@ -163,13 +163,13 @@
             calls * (double) SECOND / scenario.length(),
             seats.stream()
                 .map(RouterProcess::footprint)
-                .reduce(new ProcessUsage(0, 0), ProcessUsage::most));
+                .reduce(new ProcessUsage(0, 0), ProcessUsage::max));
   }
 
   /** What the routers at hand cannot play is said before anything is started. */
   private void check() throws IOException {
     for (Scenario.FaultSpec fault : scenario.faults()) {
-      if (fault.kind().target() == Fault.Target.ROUTER && !launcher.restarts()) {
+      if (fault.kind().target() == Fault.Target.ROUTER && !launcher.supportsRestart()) {
         throw new IOException(
             fault.kind().word() + " needs routers that are processes of their own");
       }
@@ -301,7 +301,7 @@
    * start.
    */
   private void hearWishes() throws IOException {
-    for (AgentHook.Wish wish : parts.wishes()) {
+    for (AgentHook.RestartRequest wish : parts.wishes()) {
       int router = scenario.router(wish.part());
       Thread thread =
           new Thread(
@@ -424,7 +424,7 @@
     }
   }
 
-  private void run() throws IOException, InterruptedException {
+  private void executeSteps() throws IOException, InterruptedException {
     long end = start + scenario.length();
     long told = 0;
     while (clock.now() < end) {
@@ -469,7 +469,7 @@
       throw new IOException(
           "not played as written, this never came about: "
               + awaited.stream()
-                  .map(a -> a.cue().words())
+                  .map(a -> a.cue().toText())
                   .distinct()
                   .collect(Collectors.joining(", ")));
     }
--- a/src/main/java/beaconturn/rehearsal/RehearsalReport.java
+++ b/src/main/java/beaconturn/rehearsal/RehearsalReport.java
@@ -25,7 +25,7 @@
     long start,
     List<HistoryEvent> entries,
     List<InvariantResult> verdicts,
-    List<ClientStatistics.Line> classes,
+    List<ClientStatistics.ClassSummary> classes,
     long kitCpu,
     long routerCpu,
     double senderLate,
@@ -83,10 +83,10 @@
 
   /** In a few words, for a list of many plays. */
   public String summary() {
-    long wanted = classes.stream().mapToLong(ClientStatistics.Line::wanted).sum();
-    long served = classes.stream().mapToLong(ClientStatistics.Line::served).sum();
+    long wanted = classes.stream().mapToLong(ClientStatistics.ClassSummary::requests).sum();
+    long served = classes.stream().mapToLong(ClientStatistics.ClassSummary::served).sum();
     long inForce =
-        fleet == null ? 0 : fleet.passages().stream().filter(p -> p.inForce() >= 0).count();
+        fleet == null ? 0 : fleet.passages().stream().filter(p -> p.inForceAtNanos() >= 0).count();
     if (scenario.release() != null) {
       long steps =
           entries.stream().filter(e -> e instanceof HistoryEvent.VariantChangeBegun).count();
--- a/src/main/java/beaconturn/rehearsal/RouterLauncher.java
+++ b/src/main/java/beaconturn/rehearsal/RouterLauncher.java
@@ -17,10 +17,10 @@
    * @param leaksAfter nanoseconds from its start after which its memory grows, below 0 where it
    *     does not
    */
-  record Start(String name, Path config, Path features, Path log, long clockOff, long leaksAfter) {}
+  record LaunchOptions(String name, Path config, Path features, Path log, long clockOffsetNanos, long leaksAfterNanos) {}
 
   /** Starts a router; it need not be ready yet. */
-  Running launch(Start start) throws IOException;
+  RunningRouter launch(LaunchOptions start) throws IOException;
 
   /**
    * The command line of the same program with these words; empty where it is no process of its own.
@@ -30,12 +30,12 @@
   }
 
   /** Whether its routers can be killed and started again. */
-  boolean restarts();
+  boolean supportsRestart();
 
   /** A router that has been started. */
-  interface Running {
+  interface RunningRouter {
     /** Whether it still runs. */
-    boolean alive();
+    boolean isAlive();
 
     /** Ends it outright. */
     void kill();
@@ -47,15 +47,15 @@
      * Waits for its end, but not longer than so many milliseconds: its exit status, or -1 if it
      * still runs.
      */
-    int awaitEnd(long millis) throws InterruptedException;
+    int awaitExit(long millis) throws InterruptedException;
 
     /** Has it stand still, or go on. */
-    default void pause(boolean on) {
+    default void setPaused(boolean on) {
       throw new UnsupportedOperationException("not a process of its own");
     }
 
     /** Tells it to read its configuration anew. */
-    default void hangUp() {
+    default void reloadConfiguration() {
       throw new UnsupportedOperationException("not a process of its own");
     }
 
@@ -65,6 +65,6 @@
     }
 
     /** Processor time that it has used, in nanoseconds; below 0 where that is not known. */
-    long cpu();
+    long cpuNanos();
   }
 }
--- a/src/main/java/beaconturn/rehearsal/RouterProcess.java
+++ b/src/main/java/beaconturn/rehearsal/RouterProcess.java
@@ -54,7 +54,7 @@
   private boolean released;
 
   private Scenario.Harm harm = Scenario.Harm.NONE;
-  private volatile RouterLauncher.Running running;
+  private volatile RouterLauncher.RunningRouter running;
   private boolean told;
   private boolean terminated;
   private long cpu;
@@ -146,7 +146,7 @@
     terminated = false;
     running =
         launcher.launch(
-            new RouterLauncher.Start(
+            new RouterLauncher.LaunchOptions(
                 name(),
                 config,
                 parts == null ? null : parts.featuresOf(name()),
@@ -163,7 +163,7 @@
 
   /** Writes settings that differ from those in force, and has the router read them. */
   void reload() throws IOException {
-    if (told || running == null || !running.alive() || !answersPing()) {
+    if (told || running == null || !running.isAlive() || !answersPing()) {
       // A JVM that still starts has no handler yet, and the signal would end it.
       return;
     }
@@ -176,12 +176,12 @@
         folder.resolve(name() + ".json"),
         StandardCopyOption.REPLACE_EXISTING,
         StandardCopyOption.ATOMIC_MOVE);
-    running.hangUp();
+    running.reloadConfiguration();
   }
 
   /** The end of a planned stop, whether it is done or not: what is not answered by now is lost. */
   void killAfterStop() {
-    if (terminated && running != null && running.alive()) {
+    if (terminated && running != null && running.isAlive()) {
       // It was told to end, and may have used all of its time.
       terminated = false;
       running.kill();
@@ -200,7 +200,7 @@
   private void awaitReady(long millis) throws IOException, InterruptedException {
     long until = clock.now() + millis * MILLI;
     while (clock.now() < until) {
-      if (!running.alive()) {
+      if (!running.isAlive()) {
         break;
       }
       if (answersPing()) {
@@ -244,7 +244,7 @@
     long at = clock.now();
     running.kill();
     try {
-      running.awaitEnd(KILL_MILLIS);
+      running.awaitExit(KILL_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -253,7 +253,7 @@
 
   void terminate() {
     told = true;
-    if (running == null || !running.alive()) {
+    if (running == null || !running.isAlive()) {
       // Killed before, and not started again by the end of the play.
       return;
     }
@@ -264,7 +264,7 @@
 
   /** Once a fault is over; what an agent has started meanwhile is not the fault's, and runs on. */
   synchronized void startAgain(boolean planned) throws IOException, InterruptedException {
-    if (told || running == null || !running.alive()) {
+    if (told || running == null || !running.isAlive()) {
       awaitEnd(Rehearsal.END_MILLIS, planned);
       launch();
       awaitReady();
@@ -279,7 +279,7 @@
    */
   synchronized boolean change(boolean toReleased, Consumer<Boolean> front)
       throws InterruptedException {
-    if (toReleased == released && running != null && running.alive() && answersPing()) {
+    if (toReleased == released && running != null && running.isAlive() && answersPing()) {
       return true;
     }
     account.add(new HistoryEvent.VariantChangeBegun(clock.now(), name(), number, toReleased));
@@ -287,7 +287,7 @@
     harm = toReleased ? scenario.release().harm() : Scenario.Harm.NONE;
     parts.reachesCaches(number, FaultProxy.State.OPEN, 0);
     try {
-      boolean alive = running != null && running.alive();
+      boolean alive = running != null && running.isAlive();
       if (alive) {
         terminate();
         Thread.sleep(Rehearsal.FRONT_GOES_ON / MILLI);
@@ -307,7 +307,7 @@
   }
 
   /** The process is good for a while, and then reaches cache servers no more, or slowly. */
-  private void fade(RouterLauncher.Running process, FaultProxy.State then) {
+  private void fade(RouterLauncher.RunningRouter process, FaultProxy.State then) {
     Thread thread =
         new Thread(
             () -> {
@@ -334,7 +334,7 @@
 
   /** Has its process stand still, or go on: what it held meanwhile is its clients' to try again. */
   void pause(boolean on) {
-    running.pause(on);
+    running.setPaused(on);
     if (on) {
       pausedAt = clock.now();
     } else if (pausedAt != 0) {
@@ -346,15 +346,15 @@
 
   /** Notes it if the process has ended though nobody told it to; to be called again and again. */
   void look() {
-    RouterLauncher.Running now = running;
-    if (now != null && !told && !now.alive()) {
+    RouterLauncher.RunningRouter now = running;
+    if (now != null && !told && !now.isAlive()) {
       told = true;
       account.add(new HistoryEvent.RouterDied(clock.now(), number, "ended by itself"));
-    } else if (now != null && now.alive()) {
-      cpu = Math.max(cpu, now.cpu());
+    } else if (now != null && now.isAlive()) {
+      cpu = Math.max(cpu, now.cpuNanos());
       if (clock.now() >= measureAt) {
         measureAt = clock.now() + MEASURE_EVERY;
-        footprint = footprint.most(ProcessUsage.of(now.pid()));
+        footprint = footprint.max(ProcessUsage.of(now.pid()));
       }
     }
   }
@@ -367,10 +367,10 @@
     if (running == null) {
       return;
     }
-    int status = running.awaitEnd(millis);
+    int status = running.awaitExit(millis);
     if (status < 0) {
       running.kill();
-      running.awaitEnd(millis);
+      running.awaitExit(millis);
     }
     if (planned && terminated && status != 0) {
       String how = status < 0 ? "did not end after SIGTERM" : "ended with status " + status;
@@ -385,7 +385,7 @@
   }
 
   /** Processor time of its last process, in nanoseconds; 0 where it is not known. */
-  long cpu() {
+  long cpuNanos() {
     return Math.max(0, cpu);
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ScenarioOutline.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioOutline.java
@@ -55,7 +55,7 @@
       return null;
     }
     Trigger trigger =
-        Trigger.of(words)
+        Trigger.parse(words)
             .orElseThrow(
                 () ->
                     section.invalid(
@@ -70,10 +70,10 @@
   }
 
   private void checkTrigger(TomlSection section, String key, Trigger trigger) throws TomlException {
-    boolean ofVersion = trigger.what() != Trigger.What.OUT && trigger.what() != Trigger.What.UP;
-    boolean knownServer = !ofVersion && fleet.names().contains(trigger.router());
-    if (!trigger.router().isEmpty() && !routerNames().contains(trigger.router()) && !knownServer) {
-      throw section.invalid(key, "there is no router '" + trigger.router() + "'");
+    boolean ofVersion = trigger.stage() != Trigger.Stage.TAKEN_OUT && trigger.stage() != Trigger.Stage.READY;
+    boolean knownServer = !ofVersion && fleet.names().contains(trigger.part());
+    if (!trigger.part().isEmpty() && !routerNames().contains(trigger.part()) && !knownServer) {
+      throw section.invalid(key, "there is no router '" + trigger.part() + "'");
     }
     if (ofVersion && (trigger.version() < 1 || trigger.version() > versions)) {
       throw section.invalid(
--- a/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
@@ -204,7 +204,7 @@
   }
 
   private ScenarioPrinter cue(String key, Trigger cue) {
-    return cue == null ? this : line(key, text(cue.words()));
+    return cue == null ? this : line(key, text(cue.toText()));
   }
 
   private ScenarioPrinter head(String table) {
--- a/src/main/java/beaconturn/rehearsal/ServedBySecond.java
+++ b/src/main/java/beaconturn/rehearsal/ServedBySecond.java
@@ -37,12 +37,12 @@
   }
 
   /** The part that was served of what was wanted in a second; 0 where nothing was. */
-  double share(int second) {
+  double servedShare(int second) {
     return wanted[second] == 0 ? 0 : served[second] / wanted[second];
   }
 
   /** The same of the worst ten seconds on end; 1 where there are no ten. */
-  double worst() {
+  double worstWindowShare() {
     double worst = 1;
     for (int from = 0; from + WINDOW < wanted.length; from++) {
       double asked = 0;
--- a/src/main/java/beaconturn/rehearsal/TextReport.java
+++ b/src/main/java/beaconturn/rehearsal/TextReport.java
@@ -87,21 +87,21 @@
         "%n%-14s %7s %7s %7s %7s %7s %7s %7s %7s %9s %9s %9s%n",
         "class", "wanted", "tries", "served", "refused", "failed", "no end", "no way", "in aim",
         "p50 ms", "p99 ms", "max ms");
-    for (ClientStatistics.Line line : report.classes()) {
+    for (ClientStatistics.ClassSummary line : report.classes()) {
       append(
           "%-14s %7d %7d %7d %7d %7d %7d %7d %7d %9.1f %9.1f %9.1f%n",
-          line.type(),
-          line.wanted(),
-          line.tries(),
+          line.className(),
+          line.requests(),
+          line.attempts(),
           line.served(),
-          line.refused(),
+          line.rejected(),
           line.failed(),
           line.unanswered(),
-          line.unreached(),
-          line.inAim(),
-          line.median(),
-          line.p99(),
-          line.most());
+          line.undelivered(),
+          line.withinObjective(),
+          line.medianMillis(),
+          line.p99Millis(),
+          line.maxMillis());
     }
   }
 
@@ -127,9 +127,9 @@
       append(
           "version %d proposed at %.3f s, %s, %s%n",
           version.number(),
-          secondsFromStart(version.proposed()),
-          delay(version, version.inForce(), "in force"),
-          delay(version, version.settled(), "settled"));
+          secondsFromStart(version.proposedAtNanos()),
+          delay(version, version.inForceAtNanos(), "in force"),
+          delay(version, version.settledAtNanos(), "settled"));
     }
   }
 
@@ -137,7 +137,7 @@
     if (at < 0) {
       return "not " + what;
     }
-    double millis = (at - version.proposed()) / NANOS_PER_MILLI;
+    double millis = (at - version.proposedAtNanos()) / NANOS_PER_MILLI;
     return String.format(Locale.ROOT, "%s after %.0f ms", what, millis);
   }
 
@@ -156,7 +156,7 @@
         report.contradiction() / NANOS_PER_MILLI,
         report.scenario().agreement().timing().statedNanos() / NANOS_PER_MILLI,
         report.fleet().callsPerSecond(),
-        report.fleet().footprint().memory() / KB_PER_MB,
+        report.fleet().footprint().memoryKb() / KB_PER_MB,
         report.fleet().footprint().threads());
   }
 
@@ -171,7 +171,7 @@
   private void writeZoneCrossings() {
     ZoneCrossings crossings = report.crossings();
     int seconds = (int) Math.ceil(report.scenario().length() / NANOS_PER_SECOND);
-    double worst = new ServedBySecond(report.entries(), report.start(), seconds).worst();
+    double worst = new ServedBySecond(report.entries(), report.start(), seconds).worstWindowShare();
     append(
         "places: %.1f %% of first sends went to others, %.1f %% before"
             + " the first trouble; at most %.2f times what its cache servers can do in"
--- a/src/main/java/beaconturn/rehearsal/Trigger.java
+++ b/src/main/java/beaconturn/rehearsal/Trigger.java
@@ -13,7 +13,7 @@
  * @param version the number of the version, counted from 1
  * @param router whose yes it is, or which is released, else empty
  */
-public record Trigger(What what, long version, String router) {
+public record Trigger(Stage stage, long version, String part) {
   private static final Pattern OF_VERSION =
       Pattern.compile("version ([0-9]{1,4}) (proposed|in force|settled)");
   private static final Pattern OF_PART = Pattern.compile("([A-Za-z0-9_-]{1,32}) (goes out|is up)");
@@ -21,47 +21,47 @@
       Pattern.compile("([A-Za-z0-9_-]{1,32}) says yes to version ([0-9]{1,4})");
 
   /** What a version has come to. */
-  public enum What {
+  public enum Stage {
     PROPOSED,
     IN_FORCE,
     SETTLED,
-    YES,
-    OUT,
-    UP
+    ACKNOWLEDGED,
+    TAKEN_OUT,
+    READY
   }
 
   /**
    * The cue in an operator's words, such as {@code version 2 in force}; nothing where it is none.
    */
-  static Optional<Trigger> of(String words) {
+  static Optional<Trigger> parse(String words) {
     Matcher m = OF_VERSION.matcher(words);
     if (m.matches()) {
-      What what =
+      Stage stage =
           m.group(2).equals("proposed")
-              ? What.PROPOSED
-              : m.group(2).equals("settled") ? What.SETTLED : What.IN_FORCE;
-      return Optional.of(new Trigger(what, Long.parseLong(m.group(1)), ""));
+              ? Stage.PROPOSED
+              : m.group(2).equals("settled") ? Stage.SETTLED : Stage.IN_FORCE;
+      return Optional.of(new Trigger(stage, Long.parseLong(m.group(1)), ""));
     }
     m = OF_PART.matcher(words);
     if (m.matches()) {
       return Optional.of(
-          new Trigger(m.group(2).equals("goes out") ? What.OUT : What.UP, 0, m.group(1)));
+          new Trigger(m.group(2).equals("goes out") ? Stage.TAKEN_OUT : Stage.READY, 0, m.group(1)));
     }
     m = OF_ROUTER.matcher(words);
     return m.matches()
-        ? Optional.of(new Trigger(What.YES, Long.parseLong(m.group(2)), m.group(1)))
+        ? Optional.of(new Trigger(Stage.ACKNOWLEDGED, Long.parseLong(m.group(2)), m.group(1)))
         : Optional.empty();
   }
 
   /** The same words. */
-  String words() {
-    return switch (what) {
+  String toText() {
+    return switch (stage) {
       case PROPOSED -> "version " + version + " proposed";
       case IN_FORCE -> "version " + version + " in force";
       case SETTLED -> "version " + version + " settled";
-      case OUT -> router + " goes out";
-      case UP -> router + " is up";
-      case YES -> router + " says yes to version " + version;
+      case TAKEN_OUT -> part + " goes out";
+      case READY -> part + " is up";
+      case ACKNOWLEDGED -> part + " says yes to version " + version;
     };
   }
 }
--- a/src/main/java/beaconturn/rehearsal/fleet/AgentHook.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/AgentHook.java
@@ -14,7 +14,7 @@
  * routers.
  */
 public final class AgentHook {
-  private static final int PARTS = 3;
+  private static final int NAME_FIELDS = 3;
   private final Path wishes;
   private final Path done;
   private final Path script;
@@ -23,7 +23,7 @@
    * A wish: the part, whether it is to run what is released, and the name under which it is
    * answered.
    */
-  public record Wish(String part, boolean released, String name) {}
+  public record RestartRequest(String part, boolean released, String name) {}
 
   /** A hand whose folder lies below. */
   public AgentHook(Path folder) throws IOException {
@@ -53,13 +53,13 @@
   }
 
   /** Wishes that were not taken yet. */
-  public List<Wish> take() throws IOException {
-    List<Wish> all = new ArrayList<>();
+  public List<RestartRequest> takeRequests() throws IOException {
+    List<RestartRequest> all = new ArrayList<>();
     try (Stream<Path> files = Files.list(wishes)) {
       for (Path file : files.sorted().toList()) {
         String name = file.getFileName().toString();
-        String[] parts = name.split("\\+", PARTS);
-        all.add(new Wish(parts[0], parts[1].equals("new"), name));
+        String[] parts = name.split("\\+", NAME_FIELDS);
+        all.add(new RestartRequest(parts[0], parts[1].equals("new"), name));
         Files.delete(file);
       }
     }
@@ -67,7 +67,7 @@
   }
 
   /** Answers a wish: whether the router is ready. */
-  public void answer(Wish wish, boolean ready) throws IOException {
+  public void complete(RestartRequest wish, boolean ready) throws IOException {
     Path aside = done.resolve(wish.name() + ".tmp");
     Files.writeString(aside, ready ? "0" : "1");
     Files.move(aside, done.resolve(wish.name()), StandardCopyOption.ATOMIC_MOVE);
--- a/src/main/java/beaconturn/rehearsal/fleet/AgentProcess.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/AgentProcess.java
@@ -36,8 +36,8 @@
   }
 
   /** Has it stand still, or go on. */
-  public synchronized void pause(boolean on) {
-    ChildProcesses.pause(process, on);
+  public synchronized void setPaused(boolean on) {
+    ChildProcesses.setPaused(process, on);
   }
 
   /** Its process id. */
--- a/src/main/java/beaconturn/rehearsal/fleet/ChildProcesses.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/ChildProcesses.java
@@ -26,12 +26,12 @@
   }
 
   /** Has a process stand still, or go on. */
-  public static void pause(Process process, boolean on) {
+  public static void setPaused(Process process, boolean on) {
     signal(process, on ? "-STOP" : "-CONT");
   }
 
   /** Tells a process to read its configuration anew. */
-  public static void hangUp(Process process) {
+  public static void sendHangup(Process process) {
     signal(process, "-HUP");
   }
 
--- a/src/main/java/beaconturn/rehearsal/fleet/FaultGate.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/FaultGate.java
@@ -25,7 +25,7 @@
    *
    * @param howMuch nanoseconds of delay or bytes a second, as the state has it
    */
-  synchronized void become(FaultProxy.State next, long howMuch) {
+  synchronized void setState(FaultProxy.State next, long howMuch) {
     state = next;
     amount = howMuch;
     notifyAll();
@@ -96,7 +96,7 @@
     switch (current) {
       case SLOW -> Thread.sleep(currentAmount / NANOS_PER_MILLI);
       case THROTTLED -> Thread.sleep(bytes * MILLIS_PER_SECOND / Math.max(1, currentAmount));
-      case ANSWER_LOST -> {
+      case RESPONSE_LOST -> {
         return towardsTarget ? bytes : 0;
       }
       case RESETTING -> {
--- a/src/main/java/beaconturn/rehearsal/fleet/FaultProxy.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/FaultProxy.java
@@ -54,7 +54,7 @@
     /** Passes so many bytes a second. */
     THROTTLED,
     /** A request arrives; its answer is lost, and the connection with it. */
-    ANSWER_LOST,
+    RESPONSE_LOST,
     /** Half of the next message passes, then the connection is reset. */
     RESETTING
   }
@@ -77,9 +77,9 @@
    *
    * @param amount nanoseconds of delay or bytes a second, as the state has it
    */
-  public synchronized void become(State next, long amount) {
+  public synchronized void setState(State next, long amount) {
     boolean wasCut = gate.state() == State.CUT;
-    gate.become(next, amount);
+    gate.setState(next, amount);
     if (gate.isClosed() || wasCut == (next == State.CUT)) {
       return;
     }
--- a/src/main/java/beaconturn/rehearsal/fleet/StoreProcess.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/StoreProcess.java
@@ -51,7 +51,7 @@
   }
 
   /** Has it carry out one line; what it says. */
-  public synchronized String order(String line) throws IOException {
+  public synchronized String execute(String line) throws IOException {
     orders.println(line);
     return answers.readLine();
   }
@@ -59,7 +59,7 @@
   /**
    * The changes since the last call, in their order; of a line that is still being written later.
    */
-  public synchronized List<StoreChange> news() throws IOException {
+  public synchronized List<StoreChange> readChanges() throws IOException {
     List<StoreChange> all = new ArrayList<>();
     try (RandomAccessFile file = new RandomAccessFile(log.toFile(), "r")) {
       byte[] bytes = new byte[(int) (file.length() - read)];
--- a/src/test/java/beaconturn/rehearsal/AgreementPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/AgreementPlayTest.java
@@ -75,15 +75,15 @@
   void aCutWhileAVersionComesIntoForceContradictsNobodyAndCostsNoRequest() throws Exception {
     Plays.of(
         DAY,
-        ProcessLauncher.own(MAIN),
+        ProcessLauncher.ofCurrentProgram(MAIN),
         folder,
         (report, logs) -> {
           assertEquals(List.of(), broken(report), report.text());
           assertTrue(contradiction(report).checked() > 0, report.text());
           String log = Files.readString(logs.resolve("r1.log"));
           assertTrue(log.contains("acts on safe ground between version 1 and version 2"), log);
-          ClientStatistics.Line levels = report.classes().get(0);
-          assertTrue(levels.served() > levels.wanted() * 9 / 10, report.text());
+          ClientStatistics.ClassSummary levels = report.classes().get(0);
+          assertTrue(levels.served() > levels.requests() * 9 / 10, report.text());
         });
   }
 
@@ -94,7 +94,7 @@
         "agreement-killed",
         (report, logs) -> {
           VersionTimeline second = report.fleet().passages().get(1);
-          assertTrue(second.inForce() > second.proposed() + 4_000_000_000L, report.text());
+          assertTrue(second.inForceAtNanos() > second.proposedAtNanos() + 4_000_000_000L, report.text());
           assertTrue(
               Files.readString(logs.resolve("r2.log")).split("agreement: joined as r2/").length
                   > 2);
@@ -112,7 +112,7 @@
     IOException e =
         assertThrows(
             IOException.class,
-            () -> new Rehearsal(scenario, ProcessLauncher.own(MAIN), folder, said -> {}).play());
+            () -> new Rehearsal(scenario, ProcessLauncher.ofCurrentProgram(MAIN), folder, said -> {}).run());
     assertTrue(
         e.getMessage().startsWith("not played as written, this never came about: "),
         e.getMessage());
@@ -121,7 +121,7 @@
   private void shipped(String name, Plays.Shows shows) throws Exception {
     Plays.of(
         Plays.shipped(name),
-        ProcessLauncher.own(MAIN),
+        ProcessLauncher.ofCurrentProgram(MAIN),
         folder,
         (report, logs) -> {
           assertEquals(List.of(), broken(report), report.text());
@@ -137,7 +137,7 @@
         "agreement-lists",
         (report, logs) -> {
           VersionTimeline version = report.fleet().passages().get(0);
-          assertTrue(version.inForce() > version.proposed() + 2_000_000_000L, "it waits for r3");
+          assertTrue(version.inForceAtNanos() > version.proposedAtNanos() + 2_000_000_000L, "it waits for r3");
           String log = Files.readString(logs.resolve("r3.log"));
           assertTrue(log.contains("has not the list yet that version 1 asks for"), log);
           assertEquals(
@@ -155,8 +155,8 @@
         "agreement-effects",
         (report, logs) -> {
           List<VersionTimeline> versions = report.fleet().passages();
-          assertTrue(versions.get(0).inForce() < 0, "nobody acts on it");
-          assertTrue(versions.get(1).inForce() > 0);
+          assertTrue(versions.get(0).inForceAtNanos() < 0, "nobody acts on it");
+          assertTrue(versions.get(1).inForceAtNanos() > 0);
           String log = Files.readString(logs.resolve("store.log"));
           assertTrue(log.contains("r3 says no: there is no class 'report' here"), log);
         });
--- a/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
+++ b/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
@@ -95,7 +95,7 @@
         below,
         (report, logs) -> {
           assertTrue(
-              report.classes().stream().mapToLong(ClientStatistics.Line::served).sum() > 100,
+              report.classes().stream().mapToLong(ClientStatistics.ClassSummary::served).sum() > 100,
               report.text());
           broken.accept(
               report.verdicts().stream()
@@ -140,7 +140,7 @@
     RouterLauncher launcher = launcher(BrokenRouter.Defect.NONE);
     IOException e =
         assertThrows(
-            IOException.class, () -> new Rehearsal(scenario, launcher, folder, text -> {}).play());
+            IOException.class, () -> new Rehearsal(scenario, launcher, folder, text -> {}).run());
     assertEquals("router-kill needs routers that are processes of their own", e.getMessage());
   }
 
--- a/src/test/java/beaconturn/rehearsal/FirstRouterDefective.java
+++ b/src/test/java/beaconturn/rehearsal/FirstRouterDefective.java
@@ -14,13 +14,13 @@
  */
 record FirstRouterDefective(Function<Path, EmbeddedLauncher.Maker> first)
     implements RouterLauncher {
-  private static final ProcessLauncher PROCESSES = ProcessLauncher.own("beaconturn.cli.Main");
+  private static final ProcessLauncher PROCESSES = ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main");
 
   @Override
-  public Running launch(Start start) throws IOException {
-    return start.name().equals("r1")
-        ? new EmbeddedLauncher(first.apply(start.features())).launch(start)
-        : PROCESSES.launch(start);
+  public RunningRouter launch(LaunchOptions options) throws IOException {
+    return options.name().equals("r1")
+        ? new EmbeddedLauncher(first.apply(options.features())).launch(options)
+        : PROCESSES.launch(options);
   }
 
   @Override
@@ -29,7 +29,7 @@
   }
 
   @Override
-  public boolean restarts() {
+  public boolean supportsRestart() {
     return false;
   }
 }
--- a/src/test/java/beaconturn/rehearsal/PlantedAgentsTest.java
+++ b/src/test/java/beaconturn/rehearsal/PlantedAgentsTest.java
@@ -57,13 +57,13 @@
 
   /** Routers and the store as they should be, and agents with a defect. */
   private record Planted(PlantedAgent.Defect defect) implements RouterLauncher {
-    private static final ProcessLauncher SOUND = ProcessLauncher.own("beaconturn.cli.Main");
+    private static final ProcessLauncher SOUND = ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main");
     private static final ProcessLauncher PLANTED =
-        ProcessLauncher.own(PlantedAgent.class.getName());
+        ProcessLauncher.ofCurrentProgram(PlantedAgent.class.getName());
 
     @Override
-    public Running launch(Start start) throws IOException {
-      return SOUND.launch(start);
+    public RunningRouter launch(LaunchOptions options) throws IOException {
+      return SOUND.launch(options);
     }
 
     @Override
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public boolean restarts() {
+    public boolean supportsRestart() {
       return true;
     }
   }
--- a/src/test/java/beaconturn/rehearsal/Plays.java
+++ b/src/test/java/beaconturn/rehearsal/Plays.java
@@ -36,7 +36,7 @@
       Path folder = Files.createDirectory(below.resolve("play-" + i));
       RehearsalReport report = null;
       try {
-        report = new Rehearsal(scenario, launcher, folder, progress).play();
+        report = new Rehearsal(scenario, launcher, folder, progress).run();
         shows.in(report, folder);
         return;
       } catch (AssertionFailedError e) {
--- a/src/test/java/beaconturn/rehearsal/RehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/RehearsalTest.java
@@ -22,7 +22,7 @@
   private void play(String text, Plays.Shows shows) throws Exception {
     Plays.of(
         text,
-        ProcessLauncher.own(MAIN),
+        ProcessLauncher.ofCurrentProgram(MAIN),
         folder,
         progress::add,
         (report, logs) -> {
@@ -74,8 +74,8 @@
             to = "3s"
             """,
         (report, logs) -> {
-          ClientStatistics.Line levels = report.classes().get(0);
-          assertTrue(levels.served() > levels.wanted() * 9 / 10, report.text());
+          ClientStatistics.ClassSummary levels = report.classes().get(0);
+          assertTrue(levels.served() > levels.requests() * 9 / 10, report.text());
           assertTrue(report.text().contains("no-effect-twice  held"), report.text());
           assertTrue(report.json().contains("\"held\":true"));
           assertTrue(progress.stream().anyMatch(p -> p.contains("stall c3")), progress.toString());
@@ -144,7 +144,7 @@
             """,
         (report, logs) -> {
           assertTrue(
-              report.classes().stream().mapToLong(ClientStatistics.Line::unreached).sum() > 0,
+              report.classes().stream().mapToLong(ClientStatistics.ClassSummary::undelivered).sum() > 0,
               report.text());
           assertEquals(
               2,
@@ -162,7 +162,7 @@
     IOException e =
         assertThrows(
             IOException.class,
-            () -> new Rehearsal(scenario, ProcessLauncher.of(jar), folder, progress::add).play());
+            () -> new Rehearsal(scenario, ProcessLauncher.ofJar(jar), folder, progress::add).run());
     assertTrue(e.getMessage().startsWith("router r1 did not get ready: "), e.getMessage());
     assertTrue(e.getMessage().contains("no.jar"), e.getMessage());
   }
--- a/src/test/java/beaconturn/rehearsal/ReleasePlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ReleasePlayTest.java
@@ -20,7 +20,7 @@
   private void play(String text, Plays.Shows shows) throws Exception {
     Plays.of(
         text,
-        ProcessLauncher.own("beaconturn.cli.Main"),
+        ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main"),
         folder,
         (report, logs) -> {
           assertEquals(
@@ -123,8 +123,8 @@
                   .orElseThrow();
           assertEquals(2, versions.size());
           assertTrue(
-              versions.get(0).settled() > 0 && versions.get(0).settled() < first, report.text());
-          assertTrue(versions.get(1).inForce() > 0, report.text());
+              versions.get(0).settledAtNanos() > 0 && versions.get(0).settledAtNanos() < first, report.text());
+          assertTrue(versions.get(1).inForceAtNanos() > 0, report.text());
         });
   }
 
--- a/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
@@ -95,7 +95,7 @@
   void theKeysOfALostPlaceGoElsewhereInSecondsAndNobodyIsPushedOver() throws Exception {
     Plays.of(
         DAY + LOST,
-        ProcessLauncher.own("beaconturn.cli.Main"),
+        ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main"),
         folder,
         (report, logs) -> {
           assertEquals(List.of(), broken(report), report.text());
--- a/src/test/java/beaconturn/rehearsal/fleet/FaultProxyTest.java
+++ b/src/test/java/beaconturn/rehearsal/fleet/FaultProxyTest.java
@@ -80,11 +80,11 @@
   void aCutIsSilentAndIsOverWhenItIsMended() throws IOException {
     try (Socket open = connect(LONG_MILLIS)) {
       assertEquals(1, said(open, 1));
-      link.become(FaultProxy.State.CUT, 0);
+      link.setState(FaultProxy.State.CUT, 0);
       assertThrows(SocketTimeoutException.class, () -> connect(SHORT_MILLIS));
       open.setSoTimeout(SHORT_MILLIS);
       assertThrows(SocketTimeoutException.class, () -> said(open, 2));
-      link.become(FaultProxy.State.OPEN, 0);
+      link.setState(FaultProxy.State.OPEN, 0);
       open.setSoTimeout(LONG_MILLIS);
       assertEquals(2, open.getInputStream().read());
       try (Socket fresh = connect(LONG_MILLIS)) {
@@ -103,7 +103,7 @@
     Socket closed = connect(LONG_MILLIS);
     assertEquals(1, said(reset, 1));
     assertEquals(2, said(closed, 2));
-    link.become(FaultProxy.State.CUT, 0);
+    link.setState(FaultProxy.State.CUT, 0);
     reset.getOutputStream().write(3);
     closed.getOutputStream().write(4);
     while (link.waiting() < 2) {
@@ -112,7 +112,7 @@
     reset.setSoLinger(true, 0);
     reset.close();
     closed.close();
-    link.become(FaultProxy.State.OPEN, 0);
+    link.setState(FaultProxy.State.OPEN, 0);
     assertEquals(List.of(1, 2, 4), List.of(heard.take(), heard.take(), heard.take()));
     try (Socket fresh = connect(LONG_MILLIS)) {
       assertEquals(5, said(fresh, 5));
@@ -127,7 +127,7 @@
   void whatWasResetOnASlowWayNeverArrives() throws Exception {
     Socket reset = connect(LONG_MILLIS);
     assertEquals(1, said(reset, 1));
-    link.become(FaultProxy.State.SLOW, SHORT_MILLIS * 1_000_000L);
+    link.setState(FaultProxy.State.SLOW, SHORT_MILLIS * 1_000_000L);
     reset.getOutputStream().write(3);
     reset.setSoLinger(true, 0);
     reset.close();
@@ -142,7 +142,7 @@
   void aLostAnswerEndsTheConnection() throws IOException {
     try (Socket open = connect(LONG_MILLIS)) {
       assertEquals(1, said(open, 1));
-      link.become(FaultProxy.State.ANSWER_LOST, 0);
+      link.setState(FaultProxy.State.RESPONSE_LOST, 0);
       assertThrows(
           IOException.class,
           () -> {
