--- a/src/main/java/beaconturn/rehearsal/ClientCommands.java
+++ b/src/main/java/beaconturn/rehearsal/ClientCommands.java
@@ -10,75 +10,75 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** The clients' side of the protocol: commands as bytes, and what answers mean. */
+/** The clients' side of the protocol: encodes commands and interprets responses. */
 final class ClientCommands {
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   private ClientCommands() {}
 
-  /** The command of a try. */
-  static byte[] bytes(SequentialClient.Try one) {
-    Scenario.Type type = one.planned().type();
-    boolean write = type.effect() != Scenario.Effect.SAFE;
+  /** Encodes the command of an attempt. */
+  static byte[] encode(SequentialClient.Attempt attempt) {
+    Scenario.Type requestClass = attempt.request().requestClass();
+    boolean isWrite = requestClass.effect() != Scenario.Effect.SAFE;
     StringBuilder attributes =
-        new StringBuilder("c=").append(type.name()).append(",d=").append(one.patience() / MILLI);
-    if (one.once() != null) {
-      attributes.append(",k=").append(one.once());
+        new StringBuilder("c=").append(requestClass.name()).append(",d=").append(attempt.timeoutNanos() / NANOS_PER_MILLI);
+    if (attempt.idempotencyKey() != null) {
+      attributes.append(",k=").append(attempt.idempotencyKey());
     }
-    if (one.attempt() > 0) {
+    if (attempt.number() > 0) {
       attributes.append(",r=1");
     }
-    ByteArrayOutputStream out = new ByteArrayOutputStream();
-    add(out, RespWriter.listOf(write ? 5 : 4));
-    add(out, RespWriter.bulk(write ? "C.SET" : "C.GET"));
-    add(out, RespWriter.bulk(one.planned().key()));
-    add(out, RespWriter.bulk(one.id()));
-    add(out, RespWriter.bulk(attributes.toString()));
-    if (write) {
-      add(out, RespWriter.bulk("v".repeat(type.size())));
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    add(output, RespWriter.listOf(isWrite ? 5 : 4));
+    add(output, RespWriter.bulk(isWrite ? "C.SET" : "C.GET"));
+    add(output, RespWriter.bulk(attempt.request().key()));
+    add(output, RespWriter.bulk(attempt.id()));
+    add(output, RespWriter.bulk(attributes.toString()));
+    if (isWrite) {
+      add(output, RespWriter.bulk("v".repeat(requestClass.size())));
     }
-    return out.toByteArray();
+    return output.toByteArray();
   }
 
-  private static void add(ByteArrayOutputStream out, Slice piece) {
-    out.write(piece.array(), piece.from(), piece.length());
+  private static void add(ByteArrayOutputStream output, Slice piece) {
+    output.write(piece.array(), piece.from(), piece.length());
   }
 
-  /** Reads what has come, waiting for the first byte; false at the end of the stream. */
-  static boolean read(InputStream from, InputBuffer into) throws IOException {
-    int room = into.ensureRoom();
-    int got = from.read(into.array(), into.end(), room);
-    if (got < 0) {
+  /** Reads what is available, at least one byte; returns false at the end of the stream. */
+  static boolean readInto(InputStream stream, InputBuffer buffer) throws IOException {
+    int capacity = buffer.ensureRoom();
+    int count = stream.read(buffer.array(), buffer.end(), capacity);
+    if (count < 0) {
       return false;
     }
-    into.filled(got);
+    buffer.filled(count);
     return true;
   }
 
-  /** What an answer says. */
-  static HistoryEvent.ClientOutcome kind(RespValue value) {
+  /** Returns the outcome that a response stands for. */
+  static HistoryEvent.ClientOutcome outcomeOf(RespValue value) {
     if (value instanceof RespValue.Bulk bulk && bulk.bytes() != null) {
       return HistoryEvent.ClientOutcome.SERVED;
     }
-    boolean busy =
+    boolean isRejection =
         value instanceof RespValue.Failure failure
             && failure.text().toString().split(" ", 2)[0].equals("BUSY");
-    return busy ? HistoryEvent.ClientOutcome.REJECTED : HistoryEvent.ClientOutcome.FAILED;
+    return isRejection ? HistoryEvent.ClientOutcome.REJECTED : HistoryEvent.ClientOutcome.FAILED;
   }
 
-  /** By what a value is known in the account; 0 where the answer is none. */
-  static long digest(RespValue value) {
+  /** Returns the value's digest as recorded in the history, or 0 if the response has no value. */
+  static long valueDigest(RespValue value) {
     return value instanceof RespValue.Bulk bulk && bulk.bytes() != null
         ? History.digest(bulk.bytes().copy())
         : 0;
   }
 
-  /** When a refusal allows another try, in nanoseconds; 0 where it does not say. */
-  static long retryAfter(RespValue value) {
+  /** Returns the delay that a rejection asks for before a retry, or 0 if it names none. */
+  static long retryAfterNanos(RespValue value) {
     if (value instanceof RespValue.Failure failure) {
       String[] words = failure.text().toString().split(" ");
       if (words.length == 2 && words[0].equals("BUSY") && words[1].matches("[0-9]{1,9}")) {
-        return Long.parseLong(words[1]) * MILLI;
+        return Long.parseLong(words[1]) * NANOS_PER_MILLI;
       }
     }
     return 0;
--- a/src/main/java/beaconturn/rehearsal/ClientStatistics.java
+++ b/src/main/java/beaconturn/rehearsal/ClientStatistics.java
@@ -9,30 +9,30 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What clients felt, by class: tries and their ends, and requests served, counted from when they
- * were wanted.
+ * Counts attempts and their outcomes by request class, and measures latency from the time at which
+ * each request was scheduled. Thread-safe.
  */
 final class ClientStatistics {
-  private static final int DIGITS = 3;
-  private static final long LONGEST = 600_000_000_000L;
-  private static final double MILLI = 1e6;
-  private final Map<String, Row> rows = new LinkedHashMap<>();
-  private final Histogram lateness = new Histogram(LONGEST, DIGITS);
+  private static final int SIGNIFICANT_DIGITS = 3;
+  private static final long MAX_LATENCY_NANOS = 600_000_000_000L;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private final Map<String, ClassCounters> classCounters = new LinkedHashMap<>();
+  private final Histogram sendDelays = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
 
-  /** The figures of one class. */
-  private static final class Row {
-    private final Map<HistoryEvent.ClientOutcome, Long> ends =
+  /** The counters of one class. */
+  private static final class ClassCounters {
+    private final Map<HistoryEvent.ClientOutcome, Long> outcomes =
         new EnumMap<>(HistoryEvent.ClientOutcome.class);
-    private final Histogram latency = new Histogram(LONGEST, DIGITS);
-    private long wanted;
-    private long tries;
-    private long unreached;
-    private long inAim;
+    private final Histogram latency = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
+    private long requests;
+    private long attempts;
+    private long undelivered;
+    private long withinObjective;
   }
 
   /**
-   * A class at the end: requests wanted, tries, ends of tries, requests served within the aim, and
-   * the time from when a request was wanted to its value, in milliseconds.
+   * The result of one class: requests, attempts, outcomes of attempts, requests served within the
+   * latency objective, and the time from a request's schedule to its value.
    */
   record ClassSummary(
       String className,
@@ -49,60 +49,60 @@
       double maxMillis) {}
 
   ClientStatistics(Scenario scenario) {
-    scenario.types().forEach(type -> rows.put(type.name(), new Row()));
+    scenario.types().forEach(type -> classCounters.put(type.name(), new ClassCounters()));
   }
 
-  synchronized void sent(SequentialClient.Try asked, long late) {
-    Row row = rows.get(asked.planned().type().name());
-    row.wanted += asked.attempt() == 0 ? 1 : 0;
-    row.tries++;
-    lateness.recordValue(Math.min(LONGEST, Math.max(0, late)));
+  synchronized void attemptSent(SequentialClient.Attempt attempt, long delayNanos) {
+    ClassCounters counters = classCounters.get(attempt.request().requestClass().name());
+    counters.requests += attempt.number() == 0 ? 1 : 0;
+    counters.attempts++;
+    sendDelays.recordValue(Math.min(MAX_LATENCY_NANOS, Math.max(0, delayNanos)));
   }
 
-  synchronized void done(SequentialClient.Result result, long start) {
-    Row row = rows.get(result.asked().planned().type().name());
-    if (result.kind() == null) {
-      row.unreached++;
+  synchronized void attemptEnded(SequentialClient.AttemptResult result, long startNanos) {
+    ClassCounters counters = classCounters.get(result.attempt().request().requestClass().name());
+    if (result.outcome() == null) {
+      counters.undelivered++;
       return;
     }
-    row.ends.merge(result.kind(), 1L, Long::sum);
-    if (result.kind() == HistoryEvent.ClientOutcome.SERVED) {
-      long took = result.at() - start - result.asked().planned().at();
-      row.latency.recordValue(Math.min(LONGEST, Math.max(0, took)));
-      row.inAim += took <= result.asked().planned().type().aim() ? 1 : 0;
+    counters.outcomes.merge(result.outcome(), 1L, Long::sum);
+    if (result.outcome() == HistoryEvent.ClientOutcome.SERVED) {
+      long latencyNanos = result.atNanos() - startNanos - result.attempt().request().atNanos();
+      counters.latency.recordValue(Math.min(MAX_LATENCY_NANOS, Math.max(0, latencyNanos)));
+      counters.withinObjective += latencyNanos <= result.attempt().request().requestClass().aim() ? 1 : 0;
     }
   }
 
-  synchronized List<ClassSummary> lines() {
-    List<ClassSummary> lines = new ArrayList<>();
-    rows.forEach(
-        (type, row) ->
-            lines.add(
+  synchronized List<ClassSummary> summaries() {
+    List<ClassSummary> summaries = new ArrayList<>();
+    classCounters.forEach(
+        (type, counters) ->
+            summaries.add(
                 new ClassSummary(
                     type,
-                    row.wanted,
-                    row.tries,
-                    count(row, HistoryEvent.ClientOutcome.SERVED),
-                    count(row, HistoryEvent.ClientOutcome.REJECTED),
-                    count(row, HistoryEvent.ClientOutcome.FAILED)
-                        + count(row, HistoryEvent.ClientOutcome.DAMAGED),
-                    count(row, HistoryEvent.ClientOutcome.TIMED_OUT)
-                        + count(row, HistoryEvent.ClientOutcome.DISCONNECTED)
-                        + count(row, HistoryEvent.ClientOutcome.ABANDONED),
-                    row.unreached,
-                    row.inAim,
-                    row.latency.getValueAtPercentile(50) / MILLI,
-                    row.latency.getValueAtPercentile(99) / MILLI,
-                    row.latency.getMaxValue() / MILLI)));
-    return lines;
+                    counters.requests,
+                    counters.attempts,
+                    count(counters, HistoryEvent.ClientOutcome.SERVED),
+                    count(counters, HistoryEvent.ClientOutcome.REJECTED),
+                    count(counters, HistoryEvent.ClientOutcome.FAILED)
+                        + count(counters, HistoryEvent.ClientOutcome.DAMAGED),
+                    count(counters, HistoryEvent.ClientOutcome.TIMED_OUT)
+                        + count(counters, HistoryEvent.ClientOutcome.DISCONNECTED)
+                        + count(counters, HistoryEvent.ClientOutcome.ABANDONED),
+                    counters.undelivered,
+                    counters.withinObjective,
+                    counters.latency.getValueAtPercentile(50) / NANOS_PER_MILLI,
+                    counters.latency.getValueAtPercentile(99) / NANOS_PER_MILLI,
+                    counters.latency.getMaxValue() / NANOS_PER_MILLI)));
+    return summaries;
   }
 
-  private static long count(Row row, HistoryEvent.ClientOutcome kind) {
-    return row.ends.getOrDefault(kind, 0L);
+  private static long count(ClassCounters counters, HistoryEvent.ClientOutcome outcome) {
+    return counters.outcomes.getOrDefault(outcome, 0L);
   }
 
-  /** How much later than planned the 99th of a hundred requests was sent, in milliseconds. */
-  synchronized double senderLate() {
-    return lateness.getValueAtPercentile(99) / MILLI;
+  /** Returns the 99th percentile of the delay with which attempts were sent. */
+  synchronized double sendDelayP99Millis() {
+    return sendDelays.getValueAtPercentile(99) / NANOS_PER_MILLI;
   }
 }
--- a/src/main/java/beaconturn/rehearsal/FaultCommands.java
+++ b/src/main/java/beaconturn/rehearsal/FaultCommands.java
@@ -13,8 +13,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Lines by which an operator makes stand-ins fail: {@code KIND [SERVER|all] [AMOUNT] [in TIME] [for
- * TIME]}, {@code heal SERVER|all}, {@code status}, {@code help}. Runs on the model's thread.
+ * Executes the commands by which an operator injects faults into stand-ins: {@code KIND [SERVER|all]
+ * [AMOUNT] [in TIME] [for TIME]}, {@code heal SERVER|all}, {@code status}, {@code help}. Runs on
+ * the stand-ins' thread.
  */
 public final class FaultCommands {
   private static final String HELP =
@@ -22,38 +23,36 @@
           + " status, help; kinds: "
           + kinds()
           + "; for example: stall c3 for 5s, slow c1 8, drain c2 in 4s, errors all 0.5";
-  private static final long USUAL_DELAY = 3_000_000_000L;
-  private final EmulatedFleet world;
+  private static final long DEFAULT_DELAY_NANOS = 3_000_000_000L;
+  private final EmulatedFleet fleet;
 
-  /** Orders to these surroundings. */
-  public FaultCommands(EmulatedFleet world) {
-    this.world = world;
+  /** Creates an executor of commands to these stand-ins. */
+  public FaultCommands(EmulatedFleet fleet) {
+    this.fleet = fleet;
   }
 
   private static String kinds() {
     return Arrays.stream(Fault.Kind.values())
-        .filter(FaultCommands::ofStandIns)
+        .filter(FaultCommands::appliesToStandIns)
         .map(Fault.Kind::word)
         .collect(Collectors.joining(" "));
   }
 
-  private static boolean ofStandIns(Fault.Kind kind) {
+  private static boolean appliesToStandIns(Fault.Kind kind) {
     return kind.target() != Fault.Target.ROUTER && !kind.needsAgreement();
   }
 
-  /**
-   * Carries out a line and says in one line, or a few for a status, what was done or what is wrong.
-   */
+  /** Executes a command and returns its result or error, in one line or more for a status. */
   public String run(String line) {
     List<String> words = new ArrayList<>(List.of(line.trim().split("\\s+")));
-    String order = words.remove(0);
+    String command = words.remove(0);
     try {
-      return switch (order) {
+      return switch (command) {
         case "" -> "";
         case "help" -> HELP;
         case "status" -> status();
         case "heal" -> heal(words);
-        default -> fault(order, words);
+        default -> fault(command, words);
       };
     } catch (IllegalArgumentException e) {
       return "error: " + e.getMessage();
@@ -62,72 +61,72 @@
 
   private String heal(List<String> words) {
     if (words.equals(List.of("all"))) {
-      world.recoverAll();
+      fleet.recoverAll();
       return "ok: all is well";
     }
-    places(words, "heal").forEach(world::recover);
+    takeServers(words, "heal").forEach(fleet::recover);
     return "ok: healed";
   }
 
-  private String fault(String order, List<String> words) {
+  private String fault(String command, List<String> words) {
     Fault.Kind kind =
         Arrays.stream(Fault.Kind.values())
-            .filter(k -> k.word().equals(order) && ofStandIns(k))
+            .filter(candidate -> candidate.word().equals(command) && appliesToStandIns(candidate))
             .findFirst()
             .orElseThrow(
-                () -> new IllegalArgumentException("unknown order '" + order + "', see help"));
-    long lasts = time(words, "for");
-    long wait = time(words, "in");
-    List<Integer> places = kind.target() == Fault.Target.CACHE ? places(words, order) : List.of();
-    double amount = amount(kind, words);
+                () -> new IllegalArgumentException("unknown order '" + command + "', see help"));
+    long durationNanos = takeTimeNanos(words, "for");
+    long delayNanos = takeTimeNanos(words, "in");
+    List<Integer> servers = kind.target() == Fault.Target.CACHE ? takeServers(words, command) : List.of();
+    double amount = takeAmount(kind, words);
     if (!words.isEmpty()) {
       throw new IllegalArgumentException("not understood: '" + String.join(" ", words) + "'");
     }
-    world.scheduler().in(Math.max(0, wait), () -> begin(kind, places, amount));
-    if (lasts >= 0) {
-      world.scheduler().in(Math.max(0, wait) + lasts, () -> end(kind, places));
+    fleet.scheduler().in(Math.max(0, delayNanos), () -> begin(kind, servers, amount));
+    if (durationNanos >= 0) {
+      fleet.scheduler().in(Math.max(0, delayNanos) + durationNanos, () -> end(kind, servers));
     }
     return "ok: "
-        + order
-        + (places.isEmpty() ? "" : " at " + places.size() + " cache servers")
-        + (wait > 0 ? " in " + wait / 1_000_000 + " ms" : "")
-        + (lasts >= 0 ? " for " + lasts / 1_000_000 + " ms" : "");
+        + command
+        + (servers.isEmpty() ? "" : " at " + servers.size() + " cache servers")
+        + (delayNanos > 0 ? " in " + delayNanos / 1_000_000 + " ms" : "")
+        + (durationNanos >= 0 ? " for " + durationNanos / 1_000_000 + " ms" : "");
   }
 
-  private void begin(Fault.Kind kind, List<Integer> places, double amount) {
+  private void begin(Fault.Kind kind, List<Integer> servers, double amount) {
     if (kind.target() != Fault.Target.CACHE) {
-      world.begin(kind, amount);
+      fleet.begin(kind, amount);
     }
-    places.forEach(place -> world.begin(kind, place, amount));
+    servers.forEach(server -> fleet.begin(kind, server, amount));
   }
 
-  private void end(Fault.Kind kind, List<Integer> places) {
+  private void end(Fault.Kind kind, List<Integer> servers) {
     if (kind.target() != Fault.Target.CACHE) {
-      world.end(kind);
+      fleet.end(kind);
     }
-    places.forEach(place -> world.end(kind, place));
+    servers.forEach(server -> fleet.end(kind, server));
   }
 
-  /** The places of the server that the first word names, which is taken away. */
-  private List<Integer> places(List<String> words, String order) {
+  /** Removes the first word and returns the indexes of the servers that it names. */
+  private List<Integer> takeServers(List<String> words, String command) {
     if (words.isEmpty()) {
-      throw new IllegalArgumentException(order + " needs a cache server, or all");
+      throw new IllegalArgumentException(command + " needs a cache server, or all");
     }
     String name = words.remove(0);
-    List<Integer> places = new ArrayList<>();
-    for (int place = 0; place < world.places(); place++) {
-      if (name.equals("all") || world.at(place).listing().host().equals(name)) {
-        places.add(place);
+    List<Integer> servers = new ArrayList<>();
+    for (int server = 0; server < fleet.places(); server++) {
+      if (name.equals("all") || fleet.at(server).listing().host().equals(name)) {
+        servers.add(server);
       }
     }
-    if (places.isEmpty()) {
+    if (servers.isEmpty()) {
       throw new IllegalArgumentException("there is no cache server '" + name + "'");
     }
-    return places;
+    return servers;
   }
 
-  /** The time behind the word, taken away with it; below 0 without it. */
-  private static long time(List<String> words, String word) {
+  /** Removes the word and the time behind it and returns the time; negative without the word. */
+  private static long takeTimeNanos(List<String> words, String word) {
     int at = words.indexOf(word);
     if (at < 0) {
       return -1;
@@ -142,13 +141,13 @@
     return time.getAsLong();
   }
 
-  /** A factor, a part or a time as the kind has it, or its usual one. */
-  private static double amount(Fault.Kind kind, List<String> words) {
+  /** Removes and returns the amount of the fault's kind, or its default if no word is left. */
+  private static double takeAmount(Fault.Kind kind, List<String> words) {
     String word = words.isEmpty() ? "" : words.remove(0);
     return switch (kind) {
-      case SLOW, ORIGIN_SLOW -> number(word, 5, 0.01, 10_000);
-      case ERRORS, SPOIL, RESET -> number(word, 0.5, 0.001, 1);
-      case DRAIN_LATE, DISCOVERY_SLOW, DISCOVERY_BACK -> delay(word);
+      case SLOW, ORIGIN_SLOW -> parseNumber(word, 5, 0.01, 10_000);
+      case ERRORS, SPOIL, RESET -> parseNumber(word, 0.5, 0.001, 1);
+      case DRAIN_LATE, DISCOVERY_SLOW, DISCOVERY_BACK -> parseDelayNanos(word);
       default -> {
         if (!word.isEmpty()) {
           throw new IllegalArgumentException(kind.word() + " takes no amount: '" + word + "'");
@@ -158,29 +157,29 @@
     };
   }
 
-  private static double delay(String word) {
+  private static double parseDelayNanos(String word) {
     return word.isEmpty()
-        ? USUAL_DELAY
+        ? DEFAULT_DELAY_NANOS
         : Units.time(word)
             .orElseThrow(() -> new IllegalArgumentException("'" + word + "' is no time"));
   }
 
-  private static double number(String word, double usual, double least, double most) {
+  private static double parseNumber(String word, double defaultValue, double min, double max) {
     if (word.isEmpty()) {
-      return usual;
+      return defaultValue;
     }
     if (!word.matches("[0-9]+(\\.[0-9]+)?")
-        || Double.parseDouble(word) < least
-        || Double.parseDouble(word) > most) {
-      throw new IllegalArgumentException("'" + word + "' is not from " + least + " to " + most);
+        || Double.parseDouble(word) < min
+        || Double.parseDouble(word) > max) {
+      throw new IllegalArgumentException("'" + word + "' is not from " + min + " to " + max);
     }
     return Double.parseDouble(word);
   }
 
   private String status() {
     StringBuilder out = new StringBuilder();
-    for (int place = 0; place < world.places(); place++) {
-      CacheServerModel cache = world.at(place);
+    for (int server = 0; server < fleet.places(); server++) {
+      CacheServerModel cache = fleet.at(server);
       out.append(
           String.format(
               Locale.ROOT,
@@ -195,35 +194,35 @@
         + String.format(
             Locale.ROOT,
             "origin   %d calls inside%s; list version %d",
-            world.origin().pending(),
-            world.origin().overloaded() ? ", fallen over" : "",
-            world.discovery().version());
+            fleet.origin().pending(),
+            fleet.origin().overloaded() ? ", fallen over" : "",
+            fleet.discovery().version());
   }
 
   private static String state(CacheServerModel cache) {
     if (cache.dead()) {
       return "dead";
     }
-    FaultState c = cache.faults();
+    FaultState faults = cache.faults();
     List<String> words = new ArrayList<>();
-    if (c.slow() != 1) {
-      words.add("slow " + c.slow());
-    }
-    add(words, c.stalled(), "stalled");
-    add(words, c.draining(), "draining");
-    add(words, c.errors() > 0, "errors " + c.errors());
-    add(words, c.spoils() > 0, "spoils " + c.spoils());
-    add(words, c.resets() > 0, "resets " + c.resets());
-    add(words, c.vanished(), "vanished");
-    add(words, c.unread() && !c.vanished(), "unread");
-    add(words, c.refusing(), "refusing");
-    add(words, c.mute(), "mute");
-    add(words, cache.cold(), "cold");
+    if (faults.slow() != 1) {
+      words.add("slow " + faults.slow());
+    }
+    addIf(words, faults.stalled(), "stalled");
+    addIf(words, faults.draining(), "draining");
+    addIf(words, faults.errors() > 0, "errors " + faults.errors());
+    addIf(words, faults.spoils() > 0, "spoils " + faults.spoils());
+    addIf(words, faults.resets() > 0, "resets " + faults.resets());
+    addIf(words, faults.vanished(), "vanished");
+    addIf(words, faults.unread() && !faults.vanished(), "unread");
+    addIf(words, faults.refusing(), "refusing");
+    addIf(words, faults.mute(), "mute");
+    addIf(words, cache.cold(), "cold");
     return words.isEmpty() ? "well" : String.join(", ", words);
   }
 
-  private static void add(List<String> words, boolean when, String word) {
-    if (when) {
+  private static void addIf(List<String> words, boolean condition, String word) {
+    if (condition) {
       words.add(word);
     }
   }
--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -41,66 +41,67 @@
 import java.util.stream.Collectors;
 
 /**
- * What a fleet that agrees has beside routers and caches: the store as a process, a link from each
- * router to it and one to discovery, the operators' file of each router, and the operators'
- * commands as processes.
+ * Runs what a fleet with a coordination store needs beside routers and cache servers: the store's
+ * stand-in, a fault-injecting link from each router to the store and to discovery, the features
+ * file of each router, its rollout agents, and the operators' commands as processes. Also follows
+ * the store's changes, records them in the history and fires triggers.
  */
 final class FleetEnvironment implements Closeable {
-  private static final String FLEET = "/rehearsal";
-  private static final int COMMAND_SECONDS = 30;
-  private static final int MOST_TRIES = 8;
-  private static final long AGENTS_START = 30_000_000_000L;
-  private static final long LOOK_MILLIS = 20;
-  private static final long MILLI = 1_000_000;
-  private static final long SECOND = 1000 * MILLI;
+  private static final String STORE_PREFIX = "/rehearsal";
+  private static final int COMMAND_TIMEOUT_SECONDS = 30;
+  private static final int MAX_PROPOSAL_ATTEMPTS = 8;
+  private static final long AGENTS_START_TIMEOUT_NANOS = 30_000_000_000L;
+  private static final long POLL_INTERVAL_MILLIS = 20;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
   private final Scenario scenario;
   private final RouterLauncher launcher;
   private final Path folder;
   private final Clock clock;
-  private final History account;
+  private final History history;
   private final StoreProcess store;
 
-  /** The version of the list that discovery has now. */
-  private final LongSupplier newestList;
+  /** Returns the version of discovery's current endpoint list. */
+  private final LongSupplier currentListVersion;
 
-  private final List<FaultProxy> toStore = new ArrayList<>();
-  private final List<FaultProxy> toDiscovery = new ArrayList<>();
+  private final List<FaultProxy> storeLinks = new ArrayList<>();
+  private final List<FaultProxy> discoveryLinks = new ArrayList<>();
 
-  /** For each router one for each cache server; empty where no fault needs them. */
-  private final List<List<FaultProxy>> toCaches = new ArrayList<>();
+  /** One link per router and cache server; empty if no fault needs them. */
+  private final List<List<FaultProxy>> cacheLinksByRouter = new ArrayList<>();
 
-  private final List<Thread> commands = new ArrayList<>();
+  private final List<Thread> commandThreads = new ArrayList<>();
 
-  /** Null where nothing is released. */
-  private final AgentHook hand;
+  /** Null if the scenario has no release. */
+  private final AgentHook agentHook;
 
   private final List<AgentProcess> agents = new ArrayList<>();
-  private final Map<Scenario.FaultSpec, List<AgentProcess>> struck = new HashMap<>();
-  private String driver = "";
+  private final Map<Scenario.FaultSpec, List<AgentProcess>> agentsByFault = new HashMap<>();
+  private String driverId = "";
 
-  /** Keys of the parts whose agents have begun to act. */
-  private final Set<String> seated = new HashSet<>();
+  /** Store keys of the agents that have started to act. */
+  private final Set<String> readyAgentKeys = new HashSet<>();
 
-  /** Cache servers that operators hold places for, by the key of the place. */
-  private final Map<String, String> places = new HashMap<>();
+  /** Cache servers for which operators hold a disruption permit, by the permit's key. */
+  private final Map<String, String> operatorPermits = new HashMap<>();
 
-  /** When the store saw what first. */
-  private final Map<Trigger, Long> came = new HashMap<>();
+  /** When each trigger was first met in the store. */
+  private final Map<Trigger, Long> triggerTimesNanos = new HashMap<>();
 
   FleetEnvironment(
       Scenario scenario,
       RouterLauncher launcher,
       Path folder,
-      EmulatedFleetServer surroundings,
+      EmulatedFleetServer fleetServer,
       Clock clock,
-      History account)
+      History history)
       throws IOException, InterruptedException {
     this.scenario = scenario;
     this.launcher = launcher;
     this.folder = folder;
     this.clock = clock;
-    this.account = account;
-    this.newestList = () -> surroundings.ask(() -> surroundings.world().discovery().version());
+    this.history = history;
+    this.currentListVersion = () -> fleetServer.ask(() -> fleetServer.world().discovery().version());
     this.store =
         new StoreProcess(
             launcher.command(
@@ -112,41 +113,41 @@
                     folder.resolve("store.log").toString())),
             folder.resolve("store.log"));
     for (int i = 0; i < scenario.routers().size(); i++) {
-      toStore.add(new FaultProxy(store.address()));
-      toDiscovery.add(new FaultProxy(surroundings.discovery(i)));
-      Path kept = folder.resolve("kept-" + i);
-      Files.createDirectories(kept);
-      features(scenario.routers().get(i).name(), toStore.get(i).address(), kept);
+      storeLinks.add(new FaultProxy(store.address()));
+      discoveryLinks.add(new FaultProxy(fleetServer.discovery(i)));
+      Path stateFolder = folder.resolve("kept-" + i);
+      Files.createDirectories(stateFolder);
+      writeFeaturesFile(scenario.routers().get(i).name(), storeLinks.get(i).address(), stateFolder);
     }
     if (scenario.linksToCaches()) {
-      linkCaches(surroundings);
+      createCacheLinks(fleetServer);
     }
-    features("operator", store.address(), null);
-    String said =
-        command(List.of("agreement", "init", "--features", featuresOf("operator").toString()));
-    if (!said.contains("is begun")) {
-      throw new IOException("the agreement was not begun: " + said);
+    writeFeaturesFile("operator", store.address(), null);
+    String output =
+        runCommand(List.of("agreement", "init", "--features", featuresFile("operator").toString()));
+    if (!output.contains("is begun")) {
+      throw new IOException("\"agreement init\" failed with output: " + output);
     }
-    hand = scenario.release() == null ? null : new AgentHook(folder);
+    agentHook = scenario.release() == null ? null : new AgentHook(folder);
     if (scenario.release() != null) {
-      sayFleet(scenario.release().mostOut(), scenario.release().mostOutOfSite());
+      applyFleetFile(scenario.release().mostOut(), scenario.release().mostOutOfSite());
     }
   }
 
-  private String fleetFile(int mostOut, int mostOutOfSite) {
+  private String fleetFileText(int mostOut, int mostOutOfSite) {
     StringBuilder out = new StringBuilder();
-    group(
+    appendGroup(
         out,
         "routers",
         mostOut,
         mostOutOfSite,
         scenario.routers().stream().map(Scenario.RouterSpec::name).toList());
-    group(out, "caches", mostOut, mostOutOfSite, scenario.fleet().names());
+    appendGroup(out, "caches", mostOut, mostOutOfSite, scenario.fleet().names());
     return out.toString();
   }
 
-  private void group(
-      StringBuilder out, String kind, int mostOut, int mostOutOfSite, List<String> parts) {
+  private void appendGroup(
+      StringBuilder out, String kind, int mostOut, int mostOutOfSite, List<String> instances) {
     out.append(
         "["
             + kind
@@ -160,176 +161,180 @@
             + scenario.release().cores()
             + "\n");
     for (String site : scenario.fleet().places()) {
-      List<String> here = parts.stream().filter(p -> scenario.siteOf(p).equals(site)).toList();
-      if (!here.isEmpty()) {
+      List<String> siteInstances = instances.stream().filter(instance -> scenario.siteOf(instance).equals(site)).toList();
+      if (!siteInstances.isEmpty()) {
         out.append(
             "[["
                 + kind
                 + ".site]]\nname = \""
                 + site
                 + "\"\nparts = "
-                + ScenarioPrinter.words(here)
+                + ScenarioPrinter.words(siteInstances)
                 + "\n");
       }
     }
   }
 
-  private void sayFleet(int mostOut, int mostOutOfSite) {
+  private void applyFleetFile(int mostOut, int mostOutOfSite) {
     try {
-      Files.writeString(folder.resolve("fleet.toml"), fleetFile(mostOut, mostOutOfSite));
+      Files.writeString(folder.resolve("fleet.toml"), fleetFileText(mostOut, mostOutOfSite));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    order("release", "fleet", folder.resolve("fleet.toml").toString());
+    runOperatorCommand("release", "fleet", folder.resolve("fleet.toml").toString());
   }
 
   /**
-   * Starts the agents of all parts that may be released; of routers the second addresses are these.
+   * Starts the agents of all instances that may be released and waits until they act.
+   *
+   * @param adminAddresses the routers' admin addresses, in the scenario's order
    */
-  void startAgents(List<InetSocketAddress> controls) throws IOException, InterruptedException {
-    if (hand == null) {
+  void startAgents(List<InetSocketAddress> adminAddresses) throws IOException, InterruptedException {
+    if (agentHook == null) {
       return;
     }
-    List<String> parts = scenario.parts();
-    for (int i = 0; i < parts.size(); i++) {
-      String name = parts.get(i);
+    List<String> instances = scenario.parts();
+    for (int i = 0; i < instances.size(); i++) {
+      String name = instances.get(i);
       boolean cache = scenario.release().caches();
-      List<String> words =
+      List<String> arguments =
           new ArrayList<>(
               List.of(
                   "release",
                   "agent",
                   name,
                   "--features",
-                  featuresOf(cache ? "operator" : name).toString(),
+                  featuresFile(cache ? "operator" : name).toString(),
                   "--apply",
-                  hand.command()));
-      // A router is asked itself, a cache server at all routers.
-      List<InetSocketAddress> asked = cache ? controls : controls.subList(i, i + 1);
-      words.addAll(
+                  agentHook.command()));
+      // A router reports its own metrics; those of a cache server come from all routers.
+      List<InetSocketAddress> metricsSources = cache ? adminAddresses : adminAddresses.subList(i, i + 1);
+      arguments.addAll(
           List.of(
               "--figures",
-              asked.stream().map(a -> "127.0.0.1:" + a.getPort()).collect(Collectors.joining(",")),
+              metricsSources.stream()
+                  .map(address -> "127.0.0.1:" + address.getPort())
+                  .collect(Collectors.joining(",")),
               "--kind",
               cache ? "cache" : "router"));
-      agents.add(new AgentProcess(launcher.command(words), folder.resolve(name + ".agent.log")));
+      agents.add(new AgentProcess(launcher.command(arguments), folder.resolve(name + ".agent.log")));
       agents.get(i).start();
     }
-    // Processes that start take the machine from the play: it begins when all of them act.
-    long until = clock.now() + AGENTS_START;
-    while (seated.size() < agents.size()) {
-      if (clock.now() > until) {
-        throw new IOException("agents did not get ready, only of " + seated);
+    // Starting JVMs compete with the rehearsal for the processors, so it waits for all of them.
+    long deadlineNanos = clock.now() + AGENTS_START_TIMEOUT_NANOS;
+    while (readyAgentKeys.size() < agents.size()) {
+      if (clock.now() > deadlineNanos) {
+        throw new IOException(
+            "not all agents started to act in time; agents that did: " + readyAgentKeys);
       }
-      Thread.sleep(LOOK_MILLIS);
-      look();
+      Thread.sleep(POLL_INTERVAL_MILLIS);
+      readStoreChanges();
     }
   }
 
-  /** What agents want done to routers. */
-  List<AgentHook.RestartRequest> wishes() throws IOException {
-    if (hand == null) {
+  /** Returns the restarts that agents have requested since the last call. */
+  List<AgentHook.RestartRequest> takeRestartRequests() throws IOException {
+    if (agentHook == null) {
       return List.of();
     }
-    look();
-    return hand.takeRequests();
+    readStoreChanges();
+    return agentHook.takeRequests();
   }
 
-  /** Nothing is released any more. */
-  void endAgents() {
+  void stopAgents() {
     agents.forEach(AgentProcess::close);
   }
 
-  /** Answers one. */
-  void answer(AgentHook.RestartRequest wish, boolean ready) {
+  /** Reports the result of a restart to the agent that requested it. */
+  void completeRestart(AgentHook.RestartRequest request, boolean ready) {
     try {
-      hand.complete(wish, ready);
+      agentHook.complete(request, ready);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** Has the release begun by a command of its own. */
-  void release() {
-    Scenario.ReleaseSpec r = scenario.release();
+  /** Starts the release by an operator's command, without waiting for it. */
+  void startRelease() {
+    Scenario.ReleaseSpec release = scenario.release();
     try {
       StringBuilder plan =
           new StringBuilder(
               "kind = \""
-                  + (r.caches() ? "cache" : "router")
+                  + (release.caches() ? "cache" : "router")
                   + "\"\nsoak = \""
-                  + r.soak() / MILLI
+                  + release.soak() / NANOS_PER_MILLI
                   + "ms\"\nsamples = "
-                  + r.samples()
+                  + release.samples()
                   + "\nworse = "
-                  + r.worse()
+                  + release.worse()
                   + "\nworse_missed = "
-                  + r.worseMissed()
+                  + release.worseMissed()
                   + "\nlimit = \""
-                  + r.limit() / MILLI
+                  + release.limit() / NANOS_PER_MILLI
                   + "ms\"\nalone = \""
-                  + r.alone() / MILLI
+                  + release.alone() / NANOS_PER_MILLI
                   + "ms\"\n");
-      if (r.mostTries() > 0) {
+      if (release.mostTries() > 0) {
         Path settings = folder.resolve("settings.toml");
-        Files.writeString(settings, "[settings]\nmost_tries = " + r.mostTries() + "\n");
+        Files.writeString(settings, "[settings]\nmost_tries = " + release.mostTries() + "\n");
         plan.append("settings = \"" + settings + "\"\n");
       }
-      r.waves()
+      release.waves()
           .forEach(wave -> plan.append("[[wave]]\nparts = " + ScenarioPrinter.words(wave) + "\n"));
       Files.writeString(folder.resolve("plan.toml"), plan);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    inBackground(() -> order("release", "start", folder.resolve("plan.toml").toString()));
+    runInBackground(() -> runOperatorCommand("release", "start", folder.resolve("plan.toml").toString()));
   }
 
-  /** An operator's order. */
-  void release(Scenario.OrderSpec spec) {
-    inBackground(
+  /** Runs the command of an operator's order, without waiting for it. */
+  void executeOrder(Scenario.OrderSpec order) {
+    runInBackground(
         () -> {
-          if (spec.what().equals("budget")) {
-            sayFleet(spec.mostOut(), spec.mostOut());
-          } else if (spec.what().startsWith("zone-")) {
-            order("zones", spec.what().substring("zone-".length()), spec.part());
-          } else if (spec.part().isEmpty()) {
-            order("release", spec.what());
+          if (order.what().equals("budget")) {
+            applyFleetFile(order.mostOut(), order.mostOut());
+          } else if (order.what().startsWith("zone-")) {
+            runOperatorCommand("zones", order.what().substring("zone-".length()), order.part());
+          } else if (order.part().isEmpty()) {
+            runOperatorCommand("release", order.what());
           } else {
-            order(
+            runOperatorCommand(
                 "release",
-                spec.what(),
-                spec.part(),
+                order.what(),
+                order.part(),
                 "--kind",
-                scenario.router(spec.part()) < 0 ? "cache" : "router");
+                scenario.router(order.part()) < 0 ? "cache" : "router");
           }
         });
   }
 
-  private void inBackground(Runnable body) {
+  private void runInBackground(Runnable body) {
     Thread thread = new Thread(body, "operator");
     thread.setDaemon(true);
     thread.start();
-    commands.add(thread);
+    commandThreads.add(thread);
   }
 
-  private void order(String... words) {
-    operator("as the scenario has it", words);
+  private void runOperatorCommand(String... arguments) {
+    runOperatorCommandWithReason("as the scenario has it", arguments);
   }
 
-  /** An operator's command as a process of its own; what it says also goes to the log. */
-  private String operator(String reason, String... words) {
+  /** Runs an operator's command as a separate process; returns its output, which is also logged. */
+  private String runOperatorCommandWithReason(String reason, String... arguments) {
     try {
-      List<String> all = new ArrayList<>(List.of(words));
-      all.addAll(asOperator(reason));
-      String said = command(all);
+      List<String> commandLine = new ArrayList<>(List.of(arguments));
+      commandLine.addAll(operatorOptions(reason));
+      String output = runCommand(commandLine);
       synchronized (this) {
         Files.writeString(
             folder.resolve("operator.log"),
-            said,
+            output,
             StandardOpenOption.CREATE,
             StandardOpenOption.APPEND);
       }
-      return said;
+      return output;
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     } catch (InterruptedException e) {
@@ -338,35 +343,35 @@
     }
   }
 
-  private List<AgentProcess> agents(Scenario.FaultSpec fault) {
-    List<AgentProcess> all = new ArrayList<>();
+  private List<AgentProcess> affectedAgents(Scenario.FaultSpec fault) {
+    List<AgentProcess> affected = new ArrayList<>();
     for (int i = 0; i < agents.size(); i++) {
       if (fault.target().contains(scenario.parts().get(i))
           || (fault.target().contains(ScenarioReader.DRIVER)
-              && driver.endsWith("-" + agents.get(i).pid()))) {
-        all.add(agents.get(i));
+              && driverId.endsWith("-" + agents.get(i).pid()))) {
+        affected.add(agents.get(i));
       }
     }
-    return all;
+    return affected;
   }
 
-  private void beginAgents(Scenario.FaultSpec fault) {
-    // Who drives may be another one at the fault's end.
-    List<AgentProcess> those = agents(fault);
-    struck.put(fault, those);
-    those.forEach(
-        a -> {
+  private void startAgentFault(Scenario.FaultSpec fault) {
+    // Remembered, as another agent may drive the release when the fault ends.
+    List<AgentProcess> affected = affectedAgents(fault);
+    agentsByFault.put(fault, affected);
+    affected.forEach(
+        agent -> {
           if (fault.kind() == Fault.Kind.AGENT_KILL) {
-            a.kill();
+            agent.kill();
           } else {
-            a.setPaused(true);
+            agent.setPaused(true);
           }
         });
   }
 
-  private void endAgents(Scenario.FaultSpec fault) {
-    List<AgentProcess> those = struck.remove(fault);
-    for (AgentProcess agent : those == null ? List.<AgentProcess>of() : those) {
+  private void endAgentFault(Scenario.FaultSpec fault) {
+    List<AgentProcess> affected = agentsByFault.remove(fault);
+    for (AgentProcess agent : affected == null ? List.<AgentProcess>of() : affected) {
       if (fault.kind() == Fault.Kind.AGENT_PAUSE) {
         agent.setPaused(false);
       } else {
@@ -379,72 +384,72 @@
     }
   }
 
-  private void linkCaches(EmulatedFleetServer surroundings) throws IOException {
+  private void createCacheLinks(EmulatedFleetServer fleetServer) throws IOException {
     for (int router = 0; router < scenario.routers().size(); router++) {
       List<FaultProxy> links = new ArrayList<>();
-      for (int place = 0; place < scenario.fleet().caches(); place++) {
-        links.add(new FaultProxy(surroundings.cache(router, place)));
-        surroundings.reachBy(router, place, links.get(place).address());
+      for (int server = 0; server < scenario.fleet().caches(); server++) {
+        links.add(new FaultProxy(fleetServer.cache(router, server)));
+        fleetServer.reachBy(router, server, links.get(server).address());
       }
-      toCaches.add(links);
+      cacheLinksByRouter.add(links);
     }
   }
 
-  private void features(String name, InetSocketAddress at, Path kept) throws IOException {
-    Scenario.Agreement a = scenario.agreement();
+  private void writeFeaturesFile(String name, InetSocketAddress storeAddress, Path stateFolder) throws IOException {
+    Scenario.Agreement agreement = scenario.agreement();
     Files.writeString(
-        featuresOf(name),
+        featuresFile(name),
         "[agreement]\nendpoints = [\"127.0.0.1:"
-            + at.getPort()
+            + storeAddress.getPort()
             + "\"]\nfleet = \""
-            + FLEET
+            + STORE_PREFIX
             + "\"\nlease = \""
-            + a.lease() / MILLI
+            + agreement.lease() / NANOS_PER_MILLI
             + "ms\"\ndrift = "
-            + a.drift()
+            + agreement.drift()
             + "\n"
-            + (kept == null ? "" : "folder = \"" + kept + "\"\n")
-            + zones());
+            + (stateFolder == null ? "" : "folder = \"" + stateFolder + "\"\n")
+            + zonesSection());
   }
 
-  private String zones() {
-    Scenario.ZonesSpec z = scenario.zones();
-    if (z == null || !z.decided()) {
+  private String zonesSection() {
+    Scenario.ZonesSpec zonesSpec = scenario.zones();
+    if (zonesSpec == null || !zonesSpec.decided()) {
       return "";
     }
     StringBuilder text =
         new StringBuilder(
             "[zones]\neach_per_s = "
-                + z.each()
+                + zonesSpec.each()
                 + "\nfetches_per_s = "
-                + z.fetches()
+                + zonesSpec.fetches()
                 + "\nreserve = "
-                + z.reserve()
+                + zonesSpec.reserve()
                 + "\n");
-    List<String> places = scenario.fleet().places();
-    for (int i = 0; i < places.size(); i++) {
+    List<String> zones = scenario.fleet().places();
+    for (int i = 0; i < zones.size(); i++) {
       text.append(
           "[[zones.place]]\nname = \""
-              + places.get(i)
+              + zones.get(i)
               + "\"\n"
-              + (z.regions().isEmpty() ? "" : "region = \"" + z.regions().get(i) + "\"\n"));
+              + (zonesSpec.regions().isEmpty() ? "" : "region = \"" + zonesSpec.regions().get(i) + "\"\n"));
     }
     return text.toString();
   }
 
-  /** The operators' file of a router. */
-  Path featuresOf(String name) {
+  /** Returns the features file of a router, or of operators' commands. */
+  Path featuresFile(String name) {
     return folder.resolve(name + ".toml");
   }
 
-  /** Where the router asks for its list. */
-  InetSocketAddress discovery(int router) {
-    return toDiscovery.get(router).address();
+  /** Returns the address at which the router reaches discovery. */
+  InetSocketAddress discoveryAddress(int router) {
+    return discoveryLinks.get(router).address();
   }
 
   /**
-   * Has a version proposed by a command of its own, which may take as long as it likes; where the
-   * version before it is not settled yet, again and again, as an operator would.
+   * Proposes a version by an operator's command, without waiting for it. The command is repeated
+   * while the previous version is not settled, as an operator would do.
    */
   void propose(int number, Scenario.VersionSpec version) {
     try {
@@ -462,50 +467,50 @@
                   : "")
               + "[list]\nout = "
               + ScenarioPrinter.words(version.out())
-              + (version.newest() ? "\noldest = " + newestList.getAsLong() : "")
+              + (version.newest() ? "\noldest = " + currentListVersion.getAsLong() : "")
               + "\n");
-      inBackground(() -> proposed(number, file, version));
+      runInBackground(() -> runProposal(number, file, version));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private void proposed(int number, Path file, Scenario.VersionSpec version) {
+  private void runProposal(int number, Path file, Scenario.VersionSpec version) {
     if (version.dies()) {
-      dies(number, file, version.reason());
+      proposeAndKill(number, file, version.reason());
       return;
     }
-    String said = "";
-    for (int tries = 0; tries < MOST_TRIES && !said.contains("is proposed\n"); tries++) {
-      said = operator(version.reason(), "agreement", "propose", file.toString());
+    String output = "";
+    for (int attempt = 0;
+        attempt < MAX_PROPOSAL_ATTEMPTS && !output.contains("is proposed\n");
+        attempt++) {
+      output =
+          runOperatorCommandWithReason(version.reason(), "agreement", "propose", file.toString());
     }
   }
 
-  /**
-   * The command is killed as soon as the store has what it proposes, whatever it still wanted to
-   * do.
-   */
-  private void dies(int number, Path file, String reason) {
+  /** Proposes a version and kills the command as soon as the store has the proposal. */
+  private void proposeAndKill(int number, Path file, String reason) {
     try {
-      List<String> words =
+      List<String> arguments =
           new ArrayList<>(
               List.of(
                   "agreement",
                   "propose",
                   file.toString(),
                   "--wait",
-                  Integer.toString(COMMAND_SECONDS)));
-      words.addAll(asOperator(reason));
+                  Integer.toString(COMMAND_TIMEOUT_SECONDS)));
+      arguments.addAll(operatorOptions(reason));
       Process process =
           ChildProcesses.start(
-              new ProcessBuilder(launcher.command(words))
+              new ProcessBuilder(launcher.command(arguments))
                   .redirectErrorStream(true)
                   .redirectOutput(folder.resolve("proposal-" + number + ".log").toFile()));
-      long until = clock.now() + COMMAND_SECONDS * SECOND;
-      String proposed = FLEET + "/history/" + String.format("%09d", number) + " ";
+      long deadlineNanos = clock.now() + COMMAND_TIMEOUT_SECONDS * NANOS_PER_SECOND;
+      String proposalKey = STORE_PREFIX + "/history/" + String.format("%09d", number) + " ";
       while (process.isAlive()
-          && clock.now() < until
-          && !Files.readString(folder.resolve("store.log")).contains(proposed)) {
+          && clock.now() < deadlineNanos
+          && !Files.readString(folder.resolve("store.log")).contains(proposalKey)) {
         Thread.sleep(1);
       }
       process.destroyForcibly().waitFor();
@@ -516,36 +521,37 @@
     }
   }
 
-  private List<String> asOperator(String reason) {
+  private List<String> operatorOptions(String reason) {
     return List.of(
         "--reason",
         reason,
         "--author",
         "rehearsal",
         "--features",
-        featuresOf("operator").toString());
+        featuresFile("operator").toString());
   }
 
-  private String command(List<String> words) throws IOException, InterruptedException {
-    Process process = new ProcessBuilder(launcher.command(words)).redirectErrorStream(true).start();
-    String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    if (!process.waitFor(COMMAND_SECONDS, TimeUnit.SECONDS)) {
+  private String runCommand(List<String> arguments) throws IOException, InterruptedException {
+    Process process =
+        new ProcessBuilder(launcher.command(arguments)).redirectErrorStream(true).start();
+    String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    if (!process.waitFor(COMMAND_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       process.destroyForcibly();
     }
-    return said;
+    return output;
   }
 
-  /** Begins a fault of a link, of so many routers, or of the store. */
-  void begin(Scenario.FaultSpec fault) {
+  /** Starts a fault of links, of agents, or of the store. */
+  void startFault(Scenario.FaultSpec fault) {
     if (fault.kind().target() == Fault.Target.AGENT) {
-      beginAgents(fault);
+      startAgentFault(fault);
       return;
     }
     if (fault.kind().target() == Fault.Target.STORE) {
-      order(
+      orderStore(
           switch (fault.kind()) {
             case STORE_DOWN -> "down";
-            case STORE_SLOW -> "slow " + (long) fault.amount() / MILLI;
+            case STORE_SLOW -> "slow " + (long) fault.amount() / NANOS_PER_MILLI;
             case STORE_STALE -> "freeze";
             case STORE_EMPTY -> "empty";
             case STORE_BACK -> "rewind " + (long) fault.amount();
@@ -564,205 +570,206 @@
           case ANSWER_LOST -> FaultProxy.State.RESPONSE_LOST;
           default -> throw new IllegalArgumentException(fault.kind().word());
         };
-    links(fault).forEach(link -> become(link, state, (long) fault.amount()));
+    affectedLinks(fault).forEach(link -> setLinkState(link, state, (long) fault.amount()));
   }
 
-  private void become(FaultProxy link, FaultProxy.State state, long amount) {
-    int router = toDiscovery.indexOf(link);
+  private void setLinkState(FaultProxy link, FaultProxy.State state, long amount) {
+    int router = discoveryLinks.indexOf(link);
     if (router >= 0) {
-      account.add(
+      history.add(
           new HistoryEvent.DiscoveryLinkChanged(
               clock.now(), router, state == FaultProxy.State.OPEN));
     }
     link.setState(state, amount);
   }
 
-  /** Ends it. */
-  void end(Scenario.FaultSpec fault) {
+  /** Ends a fault; harmless if the fault has not started or has already ended. */
+  void endFault(Scenario.FaultSpec fault) {
     switch (fault.kind()) {
-      case STORE_DOWN -> order("up");
-      case STORE_SLOW -> order("slow 0");
-      case STORE_STALE -> order("thaw");
+      case STORE_DOWN -> orderStore("up");
+      case STORE_SLOW -> orderStore("slow 0");
+      case STORE_STALE -> orderStore("thaw");
       case STORE_EMPTY, STORE_BACK -> {}
-      case AGENT_KILL, AGENT_PAUSE -> endAgents(fault);
-      default -> links(fault).forEach(link -> become(link, FaultProxy.State.OPEN, 0));
+      case AGENT_KILL, AGENT_PAUSE -> endAgentFault(fault);
+      default -> affectedLinks(fault).forEach(link -> setLinkState(link, FaultProxy.State.OPEN, 0));
     }
   }
 
-  /** Whether a router reaches the cache servers; nothing where no links lead there. */
-  void reachesCaches(int router, FaultProxy.State state, long amount) {
-    if (!toCaches.isEmpty()) {
-      toCaches.get(router).forEach(link -> link.setState(state, amount));
+  /** Sets the state of a router's links to all cache servers, if it has such links. */
+  void setCacheLinkState(int router, FaultProxy.State state, long amount) {
+    if (!cacheLinksByRouter.isEmpty()) {
+      cacheLinksByRouter.get(router).forEach(link -> link.setState(state, amount));
     }
   }
 
-  private List<FaultProxy> links(Scenario.FaultSpec fault) {
-    List<FaultProxy> all = new ArrayList<>();
+  private List<FaultProxy> affectedLinks(Scenario.FaultSpec fault) {
+    List<FaultProxy> affected = new ArrayList<>();
     for (int router = 0; router < scenario.routers().size(); router++) {
-      Scenario.RouterSpec spec = scenario.routers().get(router);
+      Scenario.RouterSpec routerSpec = scenario.routers().get(router);
       if (fault.kind() == Fault.Kind.SITE_CUT) {
-        boolean inside = fault.target().contains(spec.site());
+        boolean inside = fault.target().contains(routerSpec.site());
         if (inside) {
-          all.add(toStore.get(router));
-          all.add(toDiscovery.get(router));
+          affected.add(storeLinks.get(router));
+          affected.add(discoveryLinks.get(router));
         }
-        all.addAll(
-            caches(
+        affected.addAll(
+            cacheLinks(
                 router,
                 site ->
                     fault.target().contains(site) != inside
-                        || (inside && !site.equals(spec.site()))));
-      } else if (fault.target().contains(spec.name())) {
+                        || (inside && !site.equals(routerSpec.site()))));
+      } else if (fault.target().contains(routerSpec.name())) {
         switch (fault.way()) {
-          case "store" -> all.add(toStore.get(router));
-          case "discovery" -> all.add(toDiscovery.get(router));
+          case "store" -> affected.add(storeLinks.get(router));
+          case "discovery" -> affected.add(discoveryLinks.get(router));
           default ->
-              all.addAll(
-                  caches(router, site -> fault.way().equals("caches") || fault.way().equals(site)));
+              affected.addAll(
+                  cacheLinks(router, site -> fault.way().equals("caches") || fault.way().equals(site)));
         }
       }
     }
-    return all;
+    return affected;
   }
 
-  private List<FaultProxy> caches(int router, Predicate<String> sites) {
+  private List<FaultProxy> cacheLinks(int router, Predicate<String> sites) {
     List<FaultProxy> links = new ArrayList<>();
-    for (int place = 0; place < scenario.fleet().caches(); place++) {
-      if (sites.test(scenario.site(place))) {
-        links.add(toCaches.get(router).get(place));
+    for (int server = 0; server < scenario.fleet().caches(); server++) {
+      if (sites.test(scenario.site(server))) {
+        links.add(cacheLinksByRouter.get(router).get(server));
       }
     }
     return links;
   }
 
-  private void order(String line) {
+  private void orderStore(String command) {
     try {
-      store.execute(line);
+      store.execute(command);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** When the store saw it first, or -1 while it has not. */
-  long cameAbout(Trigger cue) throws IOException {
-    look();
-    return came.getOrDefault(cue, -1L);
+  /** Returns when the trigger was first met in the store, or -1 if it was not yet. */
+  long triggerTimeNanos(Trigger trigger) throws IOException {
+    readStoreChanges();
+    return triggerTimesNanos.getOrDefault(trigger, -1L);
   }
 
-  /** Takes in what the store saw since the last look, for the account and for cues. */
-  private void look() throws IOException {
-    long offset = clock.now() - System.nanoTime();
-    AgreementKeys keys = new AgreementKeys(FLEET);
-    String release = FLEET + "/release/";
+  /** Reads the store's changes since the last call into the history and the triggers. */
+  private void readStoreChanges() throws IOException {
+    long clockOffsetNanos = clock.now() - System.nanoTime();
+    AgreementKeys keys = new AgreementKeys(STORE_PREFIX);
+    String releasePrefix = STORE_PREFIX + "/release/";
     for (StoreProcess.StoreChange change : store.readChanges()) {
-      long at = change.nanoTime() + offset;
-      if (change.key().equals(release + "driver")) {
-        driver = change.value() == null ? "" : change.value();
+      long atNanos = change.nanoTime() + clockOffsetNanos;
+      if (change.key().equals(releasePrefix + "driver")) {
+        driverId = change.value() == null ? "" : change.value();
       }
       if (change.key().startsWith(keys.membersPrefix())) {
         int router =
             scenario.router(change.key().substring(keys.membersPrefix().length()).split("/")[0]);
-        account.add(new HistoryEvent.MembershipChanged(at, router, change.value() != null));
+        history.add(new HistoryEvent.MembershipChanged(atNanos, router, change.value() != null));
       }
-      String place = places.remove(change.value() == null ? change.key() : "");
-      if (place != null) {
-        account.add(new HistoryEvent.DrainPermitChanged(at, place, false));
+      String server = operatorPermits.remove(change.value() == null ? change.key() : "");
+      if (server != null) {
+        history.add(new HistoryEvent.DrainPermitChanged(atNanos, server, false));
       }
       if (change.value() == null) {
         continue;
       }
       try {
         if (change.key().equals(keys.commonPrefix() + "next")) {
-          saw(at, Trigger.Stage.PROPOSED, ConfigCodec.decodeVersion(change.value()));
+          recordVersionStage(atNanos, Trigger.Stage.PROPOSED, ConfigCodec.decodeVersion(change.value()));
         } else if (change.key().equals(keys.commonPrefix() + "current")) {
-          saw(at, Trigger.Stage.IN_FORCE, ConfigCodec.decodeVersion(change.value()));
+          recordVersionStage(atNanos, Trigger.Stage.IN_FORCE, ConfigCodec.decodeVersion(change.value()));
         } else if (change.key().equals(keys.commonPrefix() + "settled")) {
-          came.putIfAbsent(
-              new Trigger(Trigger.Stage.SETTLED, Long.parseLong(change.value()), ""), at);
-        } else if (change.key().equals(FLEET + "/zones/plan")) {
-          planned(at, ZonesCodec.decodePlan(change.value()));
-        } else if (change.key().startsWith(release)) {
-          ofRelease(at, change.key().substring(release.length()), change.value());
+          triggerTimesNanos.putIfAbsent(
+              new Trigger(Trigger.Stage.SETTLED, Long.parseLong(change.value()), ""), atNanos);
+        } else if (change.key().equals(STORE_PREFIX + "/zones/plan")) {
+          recordZonePlan(atNanos, ZonesCodec.decodePlan(change.value()));
+        } else if (change.key().startsWith(releasePrefix)) {
+          recordReleaseChange(atNanos, change.key().substring(releasePrefix.length()), change.value());
         } else if (change.key().startsWith(keys.membersPrefix())) {
-          MemberRecord seat = MemberRecord.decode(change.value());
-          came.putIfAbsent(new Trigger(Trigger.Stage.ACKNOWLEDGED, seat.ackedNumber(), seat.name()), at);
+          MemberRecord member = MemberRecord.decode(change.value());
+          triggerTimesNanos.putIfAbsent(
+              new Trigger(Trigger.Stage.ACKNOWLEDGED, member.ackedNumber(), member.name()), atNanos);
         }
       } catch (AgreementException e) {
         throw new IOException(
-            "the store held what is none of the agreement's: " + e.getMessage(), e);
+            "the store holds a value that cannot be decoded: " + e.getMessage(), e);
       }
     }
   }
 
-  /** What stands there of a release from now on. */
-  private void ofRelease(long at, String key, String text) {
+  /** Records a change of a key below the release's prefix. */
+  private void recordReleaseChange(long atNanos, String key, String value) {
     if (key.startsWith("agent/")) {
-      seated.add(key);
+      readyAgentKeys.add(key);
     } else if (key.equals("course")) {
-      String mode = text.replaceAll(".*\"mode\":\"([a-z]+)\".*", "$1");
-      account.add(new HistoryEvent.ReleaseCommanded(at, mode.equals("halted") ? "halt" : mode));
+      String mode = value.replaceAll(".*\"mode\":\"([a-z]+)\".*", "$1");
+      history.add(new HistoryEvent.ReleaseCommanded(atNanos, mode.equals("halted") ? "halt" : mode));
     } else if (key.equals("fleet")) {
-      budget(at, text);
+      recordBudget(atNanos, value);
     } else if (key.startsWith("permit/")) {
-      placed(at, FLEET + "/release/" + key, text);
+      recordPermit(atNanos, STORE_PREFIX + "/release/" + key, value);
     } else if (key.startsWith("step/")) {
-      step(key.substring("step/".length()), text, at);
+      recordStep(key.substring("step/".length()), value, atNanos);
     }
   }
 
-  private void planned(long at, ZonePlan plan) {
+  private void recordZonePlan(long atNanos, ZonePlan plan) {
     Map<String, Map<String, Integer>> rows = new TreeMap<>();
-    plan.allocations().forEach((place, row) -> rows.put(place, row.weights()));
-    account.add(new HistoryEvent.ZonePlanInForce(at, plan.number(), rows));
+    plan.allocations().forEach((zone, row) -> rows.put(zone, row.weights()));
+    history.add(new HistoryEvent.ZonePlanInForce(atNanos, plan.number(), rows));
   }
 
-  private void budget(long at, String text) {
+  private void recordBudget(long atNanos, String value) {
     String kind = scenario.release().caches() ? "cache" : "router";
-    Matcher m =
+    Matcher matcher =
         Pattern.compile(
                 "\"kind\":\""
                     + kind
                     + "\",\"most_out\":\"?([0-9]+)\"?,\"most_out_of_site\":\"?([0-9]+)")
-            .matcher(text);
-    if (m.find()) {
-      account.add(
+            .matcher(value);
+    if (matcher.find()) {
+      history.add(
           new HistoryEvent.DisruptionBudgetDefined(
-              at, Integer.parseInt(m.group(1)), Integer.parseInt(m.group(2))));
+              atNanos, Integer.parseInt(matcher.group(1)), Integer.parseInt(matcher.group(2))));
     }
   }
 
-  /** A place that was taken, perhaps by an operator for a cache server. */
-  private void placed(long at, String key, String text) {
-    Matcher m =
+  /** Records a disruption permit that an agent took, or an operator for a cache server. */
+  private void recordPermit(long atNanos, String key, String value) {
+    Matcher matcher =
         Pattern.compile("\"kind\":\"(\\w+)\",\"id\":\"([^\"]+)\",\"holder\":\"([^\"]+)\"")
-            .matcher(text);
-    if (m.find()) {
-      boolean operators = m.group(3).equals("rehearsal") && m.group(1).equals("cache");
-      if (operators) {
-        places.put(key, m.group(2));
+            .matcher(value);
+    if (matcher.find()) {
+      boolean byOperator = matcher.group(3).equals("rehearsal") && matcher.group(1).equals("cache");
+      if (byOperator) {
+        operatorPermits.put(key, matcher.group(2));
       }
-      account.add(
-          operators
-              ? new HistoryEvent.DrainPermitChanged(at, m.group(2), true)
-              : new HistoryEvent.PermitTaken(at, m.group(2)));
+      history.add(
+          byOperator
+              ? new HistoryEvent.DrainPermitChanged(atNanos, matcher.group(2), true)
+              : new HistoryEvent.PermitTaken(atNanos, matcher.group(2)));
     }
   }
 
-  private void step(String part, String text, long at) {
-    if (text.contains("\"phase\":\"begun\"")) {
-      came.putIfAbsent(new Trigger(Trigger.Stage.TAKEN_OUT, 0, part), at);
-    } else if (text.contains("\"phase\":\"up\"")) {
-      came.putIfAbsent(new Trigger(Trigger.Stage.READY, 0, part), at);
+  private void recordStep(String instance, String value, long atNanos) {
+    if (value.contains("\"phase\":\"begun\"")) {
+      triggerTimesNanos.putIfAbsent(new Trigger(Trigger.Stage.TAKEN_OUT, 0, instance), atNanos);
+    } else if (value.contains("\"phase\":\"up\"")) {
+      triggerTimesNanos.putIfAbsent(new Trigger(Trigger.Stage.READY, 0, instance), atNanos);
     }
   }
 
-  private void saw(long at, Trigger.Stage what, ConfigVersion version) {
-    came.putIfAbsent(new Trigger(what, version.number(), ""), at);
-    account.add(
+  private void recordVersionStage(long atNanos, Trigger.Stage stage, ConfigVersion version) {
+    triggerTimesNanos.putIfAbsent(new Trigger(stage, version.number(), ""), atNanos);
+    history.add(
         new HistoryEvent.VersionStageReached(
-            at,
+            atNanos,
             version.number(),
-            what == Trigger.Stage.PROPOSED
+            stage == Trigger.Stage.PROPOSED
                 ? HistoryEvent.VersionStage.PROPOSED
                 : HistoryEvent.VersionStage.IN_FORCE,
             version.content().excludedServers(),
@@ -774,26 +781,30 @@
             version.content().minListVersion() > 0));
   }
 
-  /** What became of each version, once all commands have ended. */
-  List<VersionTimeline> passages() throws IOException, InterruptedException {
-    for (Thread thread : commands) {
+  /** Waits for all commands to end and returns the timeline of each version. */
+  List<VersionTimeline> versionTimelines() throws IOException, InterruptedException {
+    for (Thread thread : commandThreads) {
       thread.join();
     }
-    look();
-    List<VersionTimeline> all = new ArrayList<>();
-    for (long n = 1; came.containsKey(new Trigger(Trigger.Stage.PROPOSED, n, "")); n++) {
-      all.add(
+    readStoreChanges();
+    List<VersionTimeline> timelines = new ArrayList<>();
+    for (long number = 1;
+        triggerTimesNanos.containsKey(new Trigger(Trigger.Stage.PROPOSED, number, ""));
+        number++) {
+      timelines.add(
           new VersionTimeline(
-              n,
-              came.get(new Trigger(Trigger.Stage.PROPOSED, n, "")),
-              came.getOrDefault(new Trigger(Trigger.Stage.IN_FORCE, n, ""), -1L),
-              came.getOrDefault(new Trigger(Trigger.Stage.SETTLED, n, ""), -1L)));
+              number,
+              triggerTimesNanos.get(new Trigger(Trigger.Stage.PROPOSED, number, "")),
+              triggerTimesNanos.getOrDefault(
+                  new Trigger(Trigger.Stage.IN_FORCE, number, ""), -1L),
+              triggerTimesNanos.getOrDefault(
+                  new Trigger(Trigger.Stage.SETTLED, number, ""), -1L)));
     }
-    return List.copyOf(all);
+    return List.copyOf(timelines);
   }
 
-  /** Calls that the store has answered so far. */
-  long calls() throws IOException {
+  /** Returns the number of calls that the store has answered so far. */
+  long storeCalls() throws IOException {
     String status = store.execute("status");
     return Long.parseLong(status.replaceAll(".*, ([0-9]+) calls.*", "$1"));
   }
@@ -801,9 +812,9 @@
   @Override
   public void close() {
     agents.forEach(AgentProcess::close);
-    toStore.forEach(FaultProxy::close);
-    toDiscovery.forEach(FaultProxy::close);
-    toCaches.forEach(links -> links.forEach(FaultProxy::close));
+    storeLinks.forEach(FaultProxy::close);
+    discoveryLinks.forEach(FaultProxy::close);
+    cacheLinksByRouter.forEach(links -> links.forEach(FaultProxy::close));
     store.close();
   }
 }
--- a/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
+++ b/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
@@ -7,104 +7,104 @@
 import beaconturn.standin.EndpointListing;
 import beaconturn.standin.HistoryRecorder;
 
-/** Writes what the stand-ins see into the account. */
+/** Records what the stand-ins observe as events of the history. */
 final class HistoryEventWriter implements HistoryRecorder {
-  private final History account;
+  private final History history;
 
-  HistoryEventWriter(History account) {
-    this.account = account;
+  HistoryEventWriter(History history) {
+    this.history = history;
   }
 
   @Override
   public void commanded(
-      long at, String server, int router, long connection, CacheCommand c, long work) {
-    account.add(
+      long atNanos, String server, int router, long connection, CacheCommand command, long work) {
+    history.add(
         new HistoryEvent.AttemptArrived(
-            at,
-            c.firstByteAt(),
-            c.turn(),
-            c.number(),
+            atNanos,
+            command.firstByteAt(),
+            command.turn(),
+            command.number(),
             server,
             router,
             connection,
-            c.id(),
-            c.requestClass(),
-            c.key(),
+            command.id(),
+            command.requestClass(),
+            command.key(),
             work));
   }
 
   @Override
-  public void replied(long at, CacheCommand command, CacheResponse reply) {
+  public void replied(long atNanos, CacheCommand command, CacheResponse reply) {
     if (reply instanceof CacheResponse.Value value) {
-      made(at, command, HistoryEvent.ServerAnswer.VALUE, value);
+      recordAnswer(atNanos, command, HistoryEvent.ServerAnswer.VALUE, value);
     } else if (reply instanceof CacheResponse.Spoilt spoilt) {
-      // What comes before a second copy, noise or an odd report is good and may be passed on.
-      boolean good =
+      // In these cases the value itself is intact, and routers may forward it.
+      boolean hasValidValue =
           switch (spoilt.way()) {
             case SECOND_COPY, NOISE_BEHIND, ODD_REPORT -> true;
             default -> false;
           };
-      made(
-          at,
+      recordAnswer(
+          atNanos,
           command,
-          good ? HistoryEvent.ServerAnswer.VALUE : HistoryEvent.ServerAnswer.DAMAGED_VALUE,
+          hasValidValue ? HistoryEvent.ServerAnswer.VALUE : HistoryEvent.ServerAnswer.DAMAGED_VALUE,
           spoilt.value());
     } else {
-      HistoryEvent.ServerAnswer made =
+      HistoryEvent.ServerAnswer serverAnswer =
           reply instanceof CacheResponse.Busy
               ? HistoryEvent.ServerAnswer.BUSY
               : HistoryEvent.ServerAnswer.ERROR;
-      account.add(new HistoryEvent.CommandAnswered(at, command.number(), made, 0));
+      history.add(new HistoryEvent.CommandAnswered(atNanos, command.number(), serverAnswer, 0));
     }
   }
 
-  private void made(
-      long at, CacheCommand command, HistoryEvent.ServerAnswer made, CacheResponse.Value value) {
-    account.add(
+  private void recordAnswer(
+      long atNanos, CacheCommand command, HistoryEvent.ServerAnswer serverAnswer, CacheResponse.Value value) {
+    history.add(
         new HistoryEvent.CommandAnswered(
-            at, command.number(), made, History.digest(value.bytes())));
+            atNanos, command.number(), serverAnswer, History.digest(value.bytes())));
   }
 
   @Override
-  public void executed(long at, CacheCommand command, boolean repeat) {
-    account.add(new HistoryEvent.CommandExecuted(at, command.number(), repeat));
+  public void executed(long atNanos, CacheCommand command, boolean repeat) {
+    history.add(new HistoryEvent.CommandExecuted(atNanos, command.number(), repeat));
   }
 
   @Override
-  public void ended(long at, long turn, long connection) {
-    account.add(new HistoryEvent.ServerConnectionEnded(at, turn, connection));
+  public void ended(long atNanos, long turn, long connection) {
+    history.add(new HistoryEvent.ServerConnectionEnded(atNanos, turn, connection));
   }
 
   @Override
-  public void started(long at, EndpointListing server, double capacity) {
-    account.add(
+  public void started(long atNanos, EndpointListing server, double capacity) {
+    history.add(
         new HistoryEvent.CacheServerStarted(
-            at, server.host(), server.site(), server.block(), server.born(), capacity));
+            atNanos, server.host(), server.site(), server.block(), server.born(), capacity));
   }
 
   @Override
-  public void down(long at, String server) {
-    account.add(new HistoryEvent.CacheServerStopped(at, server));
+  public void down(long atNanos, String server) {
+    history.add(new HistoryEvent.CacheServerStopped(atNanos, server));
   }
 
   @Override
-  public void collapsed(long at, String server) {
-    account.add(new HistoryEvent.ServerCollapsed(at, server));
+  public void collapsed(long atNanos, String server) {
+    history.add(new HistoryEvent.ServerCollapsed(atNanos, server));
   }
 
   @Override
-  public void fetched(long at, String server, boolean cold, int inOrigin) {
-    account.add(new HistoryEvent.OriginFetched(at, server, cold, inOrigin));
+  public void fetched(long atNanos, String server, boolean cold, int inOrigin) {
+    history.add(new HistoryEvent.OriginFetched(atNanos, server, cold, inOrigin));
   }
 
   @Override
-  public void listed(long at, String server, EndpointListing.Health health) {
-    account.add(new HistoryEvent.ListingChanged(at, server, state(health)));
+  public void listed(long atNanos, String server, EndpointListing.Health health) {
+    history.add(new HistoryEvent.ListingChanged(atNanos, server, state(health)));
   }
 
   @Override
-  public void told(long at, int router, String server, EndpointListing.Health health, long born) {
-    account.add(new HistoryEvent.RouterNotified(at, router, server, state(health), born));
+  public void told(long atNanos, int router, String server, EndpointListing.Health health, long born) {
+    history.add(new HistoryEvent.RouterNotified(atNanos, router, server, state(health), born));
   }
 
   private static HistoryEvent.ListingState state(EndpointListing.Health health) {
@@ -112,17 +112,17 @@
   }
 
   @Override
-  public void asked(long at, int router) {
-    account.add(new HistoryEvent.DiscoveryPolled(at, router));
+  public void asked(long atNanos, int router) {
+    history.add(new HistoryEvent.DiscoveryPolled(atNanos, router));
   }
 
   @Override
-  public void discovery(long at, boolean up) {
-    account.add(new HistoryEvent.DiscoveryReachability(at, up));
+  public void discovery(long atNanos, boolean up) {
+    history.add(new HistoryEvent.DiscoveryReachability(atNanos, up));
   }
 
   @Override
-  public void unreadable(long at, String server, int router, String why) {
-    account.add(new HistoryEvent.UnreadableCommand(at, server, router, why));
+  public void unreadable(long atNanos, String server, int router, String reason) {
+    history.add(new HistoryEvent.UnreadableCommand(atNanos, server, router, reason));
   }
 }
--- a/src/main/java/beaconturn/rehearsal/MachinePauseDetector.java
+++ b/src/main/java/beaconturn/rehearsal/MachinePauseDetector.java
@@ -7,29 +7,34 @@
 import java.util.function.Consumer;
 
 /**
- * Notes when the machine did not let this process run, when the stand-ins' own thread was behind,
- * and when the host took a processor away: what is then late is not the routers' doing.
+ * Records when this process did not run, when the stand-ins' thread was behind, and when the host
+ * of a virtual machine took a processor away, so that delays at these times are not attributed to
+ * the routers.
  */
 final class MachinePauseDetector {
-  private static final long MILLI = 1_000_000;
-  private static final long STEP = 5 * MILLI;
-  private static final long WORTH_NOTING = 5 * MILLI;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long STEP_NANOS = 5 * NANOS_PER_MILLI;
+  private static final long MIN_PAUSE_NANOS = 5 * NANOS_PER_MILLI;
 
-  /** Steps between two looks at what was stolen, which is told in ticks of 10 ms. */
-  private static final int LOOK_EVERY = 4;
+  /** Steps between checks of stolen time, which Linux reports in ticks of 10 ms. */
+  private static final int STEPS_PER_STOLEN_TIME_CHECK = 4;
 
   private final Clock clock;
-  private final History account;
-  private final Consumer<Runnable> standIns;
-  private final StolenTime stolen = new StolenTime();
-  private final AtomicBoolean asked = new AtomicBoolean();
-  private volatile boolean over;
+  private final History history;
+  private final Consumer<Runnable> standInsExecutor;
+  private final StolenTime stolenTime = new StolenTime();
+  private final AtomicBoolean probePending = new AtomicBoolean();
+  private volatile boolean stopped;
 
-  /** A watch that has not begun; {@code standIns} runs something on the stand-ins' thread, soon. */
-  MachinePauseDetector(Clock clock, History account, Consumer<Runnable> standIns) {
+  /**
+   * Creates a detector that is not started yet.
+   *
+   * @param standInsExecutor runs a task on the stand-ins' thread as soon as possible
+   */
+  MachinePauseDetector(Clock clock, History history, Consumer<Runnable> standInsExecutor) {
     this.clock = clock;
-    this.account = account;
-    this.standIns = standIns;
+    this.history = history;
+    this.standInsExecutor = standInsExecutor;
   }
 
   void start() {
@@ -40,38 +45,38 @@
   }
 
   void stop() {
-    over = true;
+    stopped = true;
   }
 
   private void run() {
     try {
-      stolen.since();
-      long last = clock.now();
-      for (int step = 1; !over; step++) {
-        Thread.sleep(STEP / MILLI);
-        long now = clock.now();
-        note(now - last - STEP, now);
-        if (step % LOOK_EVERY == 0) {
-          note(stolen.since(), now);
+      stolenTime.nanosSinceLastCall();
+      long lastNanos = clock.now();
+      for (int step = 1; !stopped; step++) {
+        Thread.sleep(STEP_NANOS / NANOS_PER_MILLI);
+        long nowNanos = clock.now();
+        recordPause(nowNanos - lastNanos - STEP_NANOS, nowNanos);
+        if (step % STEPS_PER_STOLEN_TIME_CHECK == 0) {
+          recordPause(stolenTime.nanosSinceLastCall(), nowNanos);
         }
-        if (asked.compareAndSet(false, true)) {
-          standIns.accept(
+        if (probePending.compareAndSet(false, true)) {
+          standInsExecutor.accept(
               () -> {
-                note(clock.now() - now, clock.now());
-                asked.set(false);
+                recordPause(clock.now() - nowNanos, clock.now());
+                probePending.set(false);
               });
         }
-        last = now;
+        lastNanos = nowNanos;
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** So long a pause up to a time, which may lie within another. */
-  private void note(long pause, long now) {
-    if (pause > WORTH_NOTING) {
-      account.add(new HistoryEvent.MachinePaused(now - pause, now));
+  /** Records a pause that ended at a time, if it is long enough; pauses may overlap. */
+  private void recordPause(long pauseNanos, long nowNanos) {
+    if (pauseNanos > MIN_PAUSE_NANOS) {
+      history.add(new HistoryEvent.MachinePaused(nowNanos - pauseNanos, nowNanos));
     }
   }
 }
--- a/src/main/java/beaconturn/rehearsal/OpenLoopClients.java
+++ b/src/main/java/beaconturn/rehearsal/OpenLoopClients.java
@@ -12,35 +12,34 @@
 import java.util.stream.IntStream;
 
 /**
- * All clients of a play behind their front: sends each planned request at its time, whatever the
- * answers before it do, tries again as clients do, and goes round a router that the front knows to
- * be down.
+ * All clients of a rehearsal behind their front. Sends each scheduled request at its time whatever
+ * becomes of earlier ones, retries as clients do, and avoids routers that the front considers down.
  */
-final class OpenLoopClients implements SequentialClient.Owner {
-  private static final long MILLI = 1_000_000;
-  private static final int HASTE_SHIFT = 23;
-  private static final int CHANCES = 10_000;
-  private static final int LONGEST_HASTY = 5;
+final class OpenLoopClients implements SequentialClient.AttemptListener {
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final int HASTY_BITS_SHIFT = 23;
+  private static final int HASTY_DENOMINATOR = 10_000;
+  private static final int MAX_HASTY_TIMEOUT_MILLIS = 5;
   private final Scenario scenario;
   private final List<InetSocketAddress> routers;
   private final Clock clock;
-  private final History account;
-  private final ClientStatistics tally;
-  private final PipelinedClients pipelined;
-  private final List<SilentClients> silent = new ArrayList<>();
+  private final History history;
+  private final ClientStatistics statistics;
+  private final PipelinedClients pipelinedClients;
+  private final List<SilentClients> silentClients = new ArrayList<>();
   // Guarded by this:
-  private final PriorityQueue<Due> due = new PriorityQueue<>();
-  private final List<Deque<SequentialClient>> idle = new ArrayList<>();
-  private final boolean[] avoided;
-  private long started;
-  private long lastNumber;
-  private int out;
-  private boolean over;
-
-  private record Due(long at, long number, SequentialClient.Try asked) implements Comparable<Due> {
+  private final PriorityQueue<DueAttempt> dueAttempts = new PriorityQueue<>();
+  private final List<Deque<SequentialClient>> idleClients = new ArrayList<>();
+  private final boolean[] avoidedRouters;
+  private long startNanos;
+  private long lastDueNumber;
+  private int inFlight;
+  private boolean finished;
+
+  private record DueAttempt(long atNanos, long number, SequentialClient.Attempt attempt) implements Comparable<DueAttempt> {
     @Override
-    public int compareTo(Due other) {
-      int byTime = Long.compare(at, other.at);
+    public int compareTo(DueAttempt other) {
+      int byTime = Long.compare(atNanos, other.atNanos);
       return byTime != 0 ? byTime : Long.compare(number, other.number);
     }
   }
@@ -49,209 +48,207 @@
       Scenario scenario,
       List<InetSocketAddress> routers,
       Clock clock,
-      History account,
-      ClientStatistics tally) {
+      History history,
+      ClientStatistics statistics) {
     this.scenario = scenario;
     this.routers = routers;
     this.clock = clock;
-    this.account = account;
-    this.tally = tally;
-    this.pipelined = new PipelinedClients(scenario, routers, clock, account, this);
-    this.avoided = new boolean[routers.size()];
-    routers.forEach(router -> idle.add(new ArrayDeque<>()));
-  }
-
-  /** Begins to send; times of the plan count from {@code start}. */
-  synchronized void start(List<ScheduledRequest> plan, long start) {
-    started = start;
-    for (ScheduledRequest planned : plan) {
-      due.add(new Due(start + planned.at(), ++lastNumber, attempt(planned, 0)));
+    this.history = history;
+    this.statistics = statistics;
+    this.pipelinedClients = new PipelinedClients(scenario, routers, clock, history, this);
+    this.avoidedRouters = new boolean[routers.size()];
+    routers.forEach(router -> idleClients.add(new ArrayDeque<>()));
+  }
+
+  /** Starts to send; the times of the schedule count from {@code startNanos}. */
+  synchronized void start(List<ScheduledRequest> schedule, long startNanos) {
+    this.startNanos = startNanos;
+    for (ScheduledRequest request : schedule) {
+      dueAttempts.add(new DueAttempt(startNanos + request.atNanos(), ++lastDueNumber, createAttempt(request, 0)));
     }
-    int quiet = scenario.clients().stream().mapToInt(c -> c.conduct().silent()).sum();
-    if (quiet > 0) {
-      routers.forEach(router -> silent.add(new SilentClients(router, quiet)));
-      silent.forEach(SilentClients::start);
+    int silentCount = scenario.clients().stream().mapToInt(clients -> clients.conduct().silent()).sum();
+    if (silentCount > 0) {
+      routers.forEach(router -> silentClients.add(new SilentClients(router, silentCount)));
+      silentClients.forEach(SilentClients::start);
     }
     Thread thread = new Thread(this::run, "clients");
     thread.setDaemon(true);
     thread.start();
   }
 
-  private SequentialClient.Try attempt(ScheduledRequest planned, int attempt) {
-    Scenario.Clients stream = scenario.clients().get(planned.stream());
-    long patience = patience(planned, stream);
-    String once =
-        planned.type().effect() == Scenario.Effect.KEYED ? planned.once(scenario.seed()) : null;
-    List<Integer> near =
-        IntStream.range(0, routers.size()).filter(r -> stands(r, stream)).boxed().toList();
-    return new SequentialClient.Try(
-        planned,
+  private SequentialClient.Attempt createAttempt(ScheduledRequest request, int attempt) {
+    Scenario.Clients stream = scenario.clients().get(request.stream());
+    long timeoutNanos = timeoutNanos(request, stream);
+    String idempotencyKey =
+        request.requestClass().effect() == Scenario.Effect.KEYED ? request.idempotencyKey(scenario.seed()) : null;
+    List<Integer> nearRouters =
+        IntStream.range(0, routers.size()).filter(router -> isNear(router, stream)).boxed().toList();
+    return new SequentialClient.Attempt(
+        request,
         attempt,
-        planned.id(scenario.seed(), attempt),
-        near.get(planned.router(attempt, near.size())),
-        patience,
-        once);
+        request.attemptId(scenario.seed(), attempt),
+        nearRouters.get(request.routerFor(attempt, nearRouters.size())),
+        timeoutNanos,
+        idempotencyKey);
   }
 
-  /** In whole milliseconds, as the protocol has it. */
-  private static long patience(ScheduledRequest planned, Scenario.Clients stream) {
-    int chance = (int) Long.remainderUnsigned(planned.chance() >>> HASTE_SHIFT, CHANCES);
-    if (chance < stream.conduct().hasty() * CHANCES) {
-      return (1 + chance % LONGEST_HASTY) * MILLI;
+  /** Returns the timeout of an attempt, rounded to milliseconds as the protocol requires. */
+  private static long timeoutNanos(ScheduledRequest request, Scenario.Clients stream) {
+    int hastyDraw = (int) Long.remainderUnsigned(request.randomBits() >>> HASTY_BITS_SHIFT, HASTY_DENOMINATOR);
+    if (hastyDraw < stream.conduct().hasty() * HASTY_DENOMINATOR) {
+      return (1 + hastyDraw % MAX_HASTY_TIMEOUT_MILLIS) * NANOS_PER_MILLI;
     }
-    return Math.max(MILLI, (long) (planned.type().deadline() * stream.tryShare()) / MILLI * MILLI);
+    return Math.max(NANOS_PER_MILLI, (long) (request.requestClass().deadline() * stream.tryShare()) / NANOS_PER_MILLI * NANOS_PER_MILLI);
   }
 
   private void run() {
     try {
       while (true) {
-        Due next = next();
+        DueAttempt next = next();
         if (next == null) {
           return;
         }
-        long late = clock.now() - next.at();
-        tally.sent(next.asked(), late);
-        send(next.asked());
+        long delayNanos = clock.now() - next.atNanos();
+        statistics.attemptSent(next.attempt(), delayNanos);
+        send(next.attempt());
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private synchronized Due next() throws InterruptedException {
-    while (!over) {
-      long wait = due.isEmpty() ? Long.MAX_VALUE : due.peek().at() - clock.now();
-      if (wait <= 0) {
-        out++;
-        return due.remove();
+  private synchronized DueAttempt next() throws InterruptedException {
+    while (!finished) {
+      long waitNanos = dueAttempts.isEmpty() ? Long.MAX_VALUE : dueAttempts.peek().atNanos() - clock.now();
+      if (waitNanos <= 0) {
+        inFlight++;
+        return dueAttempts.remove();
       }
-      wait(Math.max(1, Math.min(1000, wait / MILLI)));
+      wait(Math.max(1, Math.min(1000, waitNanos / NANOS_PER_MILLI)));
     }
     return null;
   }
 
-  private void send(SequentialClient.Try asked) {
-    SequentialClient line;
-    SequentialClient.Try sent;
-    boolean oneByOne = scenario.clients().get(asked.planned().stream()).conduct().oneByOne();
+  private void send(SequentialClient.Attempt attempt) {
+    SequentialClient client;
+    SequentialClient.Attempt routedAttempt;
+    boolean sequential = scenario.clients().get(attempt.request().stream()).conduct().oneByOne();
     synchronized (this) {
-      int router = !oneByOne && pipelined.connected(asked) ? asked.router() : up(asked);
-      sent =
-          new SequentialClient.Try(
-              asked.planned(), asked.attempt(), asked.id(), router, asked.patience(), asked.once());
-      line = oneByOne ? idle.get(router).pollFirst() : null;
+      int router = !sequential && pipelinedClients.isConnected(attempt) ? attempt.router() : availableRouter(attempt);
+      routedAttempt =
+          new SequentialClient.Attempt(
+              attempt.request(), attempt.number(), attempt.id(), router, attempt.timeoutNanos(), attempt.idempotencyKey());
+      client = sequential ? idleClients.get(router).pollFirst() : null;
     }
-    if (!oneByOne) {
-      pipelined.send(sent);
+    if (!sequential) {
+      pipelinedClients.send(routedAttempt);
       return;
     }
-    if (line == null) {
-      line =
+    if (client == null) {
+      client =
           new SequentialClient(
-              routers.get(sent.router()), clock, account, this, scenario.crowded());
-      line.start();
+              routers.get(routedAttempt.router()), clock, history, this, scenario.crowded());
+      client.start();
     }
-    line.ask(sent);
+    client.send(routedAttempt);
   }
 
-  /** Whether a router stands where those clients have theirs. */
-  private boolean stands(int router, Scenario.Clients stream) {
+  /** Returns whether a router is in the site of the clients. */
+  private boolean isNear(int router, Scenario.Clients stream) {
     return stream.site().isEmpty() || scenario.routers().get(router).site().equals(stream.site());
   }
 
   /**
-   * Its router, or the next that the front goes to; one of the clients' own site while there is
-   * one.
+   * Returns the attempt's router or the next one that is not avoided, from the clients' own site if
+   * there is one.
    */
-  private int up(SequentialClient.Try asked) {
-    Scenario.Clients stream = scenario.clients().get(asked.planned().stream());
-    List<Integer> up =
-        IntStream.range(0, avoided.length)
-            .map(i -> (asked.router() + i) % avoided.length)
-            .filter(r -> !avoided[r])
+  private int availableRouter(SequentialClient.Attempt attempt) {
+    Scenario.Clients stream = scenario.clients().get(attempt.request().stream());
+    List<Integer> candidates =
+        IntStream.range(0, avoidedRouters.length)
+            .map(offset -> (attempt.router() + offset) % avoidedRouters.length)
+            .filter(router -> !avoidedRouters[router])
             .boxed()
             .toList();
-    return up.stream()
-        .filter(r -> stands(r, stream))
+    return candidates.stream()
+        .filter(router -> isNear(router, stream))
         .findFirst()
-        .orElse(up.isEmpty() ? asked.router() : up.get(0));
+        .orElse(candidates.isEmpty() ? attempt.router() : candidates.get(0));
   }
 
   @Override
-  public void done(SequentialClient line, SequentialClient.Result result, boolean reusable) {
-    tally.done(result, started);
+  public void attemptEnded(SequentialClient client, SequentialClient.AttemptResult result, boolean reusable) {
+    statistics.attemptEnded(result, startNanos);
     synchronized (this) {
-      out--;
+      inFlight--;
       if (reusable) {
-        idle.get(result.asked().router()).addFirst(line);
+        idleClients.get(result.attempt().router()).addFirst(client);
       }
-      long wait = again(result);
-      if (wait >= 0) {
-        SequentialClient.Try next = attempt(result.asked().planned(), result.asked().attempt() + 1);
-        due.add(new Due(clock.now() + wait, ++lastNumber, next));
+      long waitNanos = retryDelayNanos(result);
+      if (waitNanos >= 0) {
+        SequentialClient.Attempt next = createAttempt(result.attempt().request(), result.attempt().number() + 1);
+        dueAttempts.add(new DueAttempt(clock.now() + waitNanos, ++lastDueNumber, next));
       }
       notifyAll();
     }
   }
 
   /**
-   * How long until the client tries again, or below 0: never a write that may have run and must not
-   * twice.
+   * Returns the delay before a retry, or a negative value for none. A write that is not idempotent
+   * is not retried if it may have been executed.
    */
-  private long again(SequentialClient.Result result) {
-    ScheduledRequest planned = result.asked().planned();
-    Scenario.Clients stream = scenario.clients().get(planned.stream());
-    boolean served =
-        result.kind() == HistoryEvent.ClientOutcome.SERVED
-            || result.kind() == HistoryEvent.ClientOutcome.ABANDONED;
-    boolean doubtful =
-        result.kind() != null && result.kind() != HistoryEvent.ClientOutcome.REJECTED;
-    boolean unsafe = planned.type().effect() == Scenario.Effect.UNSAFE;
-    if (served || (doubtful && unsafe) || result.asked().attempt() >= stream.retries()) {
+  private long retryDelayNanos(SequentialClient.AttemptResult result) {
+    ScheduledRequest request = result.attempt().request();
+    Scenario.Clients stream = scenario.clients().get(request.stream());
+    boolean finalOutcome =
+        result.outcome() == HistoryEvent.ClientOutcome.SERVED
+            || result.outcome() == HistoryEvent.ClientOutcome.ABANDONED;
+    boolean mayHaveExecuted =
+        result.outcome() != null && result.outcome() != HistoryEvent.ClientOutcome.REJECTED;
+    boolean unsafe = request.requestClass().effect() == Scenario.Effect.UNSAFE;
+    if (finalOutcome || (mayHaveExecuted && unsafe) || result.attempt().number() >= stream.retries()) {
       return -1;
     }
-    return Math.max(stream.backoff(), result.retryAfter());
+    return Math.max(stream.backoff(), result.retryAfterNanos());
   }
 
   @Override
-  public void crossed(SequentialClient.Try again) {
-    send(again);
+  public void connectionClosed(SequentialClient.Attempt attempt) {
+    send(attempt);
   }
 
-  /** The front goes round a router, or uses it again. */
-  synchronized void avoid(int router, boolean on) {
-    avoided[router] = on;
+  /** Makes the front avoid a router or use it again. */
+  synchronized void setAvoided(int router, boolean avoid) {
+    avoidedRouters[router] = avoid;
   }
 
   /**
-   * Waits until nothing is out or planned any more, but not past the time; false if something is
-   * left.
+   * Waits until no attempt is in flight or due; returns false if some are left at the deadline.
    */
-  synchronized boolean drained(long until) throws InterruptedException {
-    while (out > 0 || !due.isEmpty()) {
-      long left = (until - clock.now()) / MILLI;
-      if (left <= 0) {
+  synchronized boolean awaitDrained(long deadlineNanos) throws InterruptedException {
+    while (inFlight > 0 || !dueAttempts.isEmpty()) {
+      long remainingMillis = (deadlineNanos - clock.now()) / NANOS_PER_MILLI;
+      if (remainingMillis <= 0) {
         return false;
       }
-      wait(Math.min(left, 50));
+      wait(Math.min(remainingMillis, 50));
     }
     return true;
   }
 
-  /** How many are out. */
-  synchronized int out() {
-    return out;
+  synchronized int inFlight() {
+    return inFlight;
   }
 
-  /** Ends all connections that are idle, each with a last look for answers too many. */
+  /** Stops sending and closes all connections; idle ones first check for unsolicited responses. */
   synchronized void finish() {
-    over = true;
+    finished = true;
     notifyAll();
-    pipelined.finish();
-    silent.forEach(SilentClients::finish);
-    for (Deque<SequentialClient> lines : idle) {
-      lines.forEach(SequentialClient::finish);
-      lines.clear();
+    pipelinedClients.finish();
+    silentClients.forEach(SilentClients::finish);
+    for (Deque<SequentialClient> clients : idleClients) {
+      clients.forEach(SequentialClient::finish);
+      clients.clear();
     }
   }
 }
--- a/src/main/java/beaconturn/rehearsal/PipelinedClient.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClient.java
@@ -21,27 +21,28 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One connection of clients that send several commands at once, wrong ones among them, cut into
- * pieces, and that may leave over what is open. One thread writes, another reads the answers in the
- * order of the commands. A request counts as asked once its own last byte is written, whatever
- * becomes of the bytes behind it. An end of the connection may cross commands that were begun a
- * moment before, where nothing before them is owed and none of those written together was answered;
- * for all else that is open it is an offence.
+ * One client connection that pipelines commands, some of them invalid, writes them in pieces, and
+ * may be closed by the client while responses are outstanding. One thread writes, another reads the
+ * responses in the order of the commands.
+ *
+ * <p>A request counts as sent once its own last byte is written. When the router closes the
+ * connection, the open commands count as crossing the close if the first of them started a batch of
+ * which no command has a response; otherwise they are recorded as disconnected, a violation.
  */
 final class PipelinedClient {
-  private static final long MILLI = 1_000_000;
-  private static final int CONNECT_MILLIS = 1000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
   private static final int STACK_BYTES = 192 * 1024;
 
-  /** How long commands are gathered before they are written as one. */
-  private static final int GATHER_MILLIS = 25;
+  /** How long commands are gathered before they are written as one batch. */
+  private static final int GATHER_WINDOW_MILLIS = 25;
 
-  private static final int MOST_PIECES = 4;
-  private static final int LONGEST_GAP_MILLIS = 90;
-  private static final int LONGEST_STAY_MILLIS = 40;
+  private static final int MAX_PIECES = 4;
+  private static final int MAX_PIECE_GAP_MILLIS = 90;
+  private static final int MAX_DELAY_BEFORE_LEAVING_MILLIS = 40;
 
-  /** Whole commands that are wrong each in its own way. */
-  private static final List<String> WRONG =
+  /** Complete commands, each invalid in a different way. */
+  private static final List<String> INVALID_COMMANDS =
       List.of(
           "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\nw\r\n$11\r\nc=level,d=0\r\n",
           "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\nw\r\n$16\r\nc=level,d=999999\r\n",
@@ -56,194 +57,194 @@
   private final InetSocketAddress router;
   private final int number;
   private final Clock clock;
-  private final History account;
-  private final SequentialClient.Owner owner;
+  private final History history;
+  private final SequentialClient.AttemptListener listener;
   private final Scenario.Conduct conduct;
-  private final boolean crowded;
+  private final boolean connectionLimited;
   private final UniformRandomProvider random;
-  private final InputBuffer in = new InputBuffer();
+  private final InputBuffer input = new InputBuffer();
 
-  /** When the last answer came, or 0; for the reading thread. */
-  private volatile long answeredAt;
+  /** When the last response arrived, or 0; written by the reading thread only. */
+  private volatile long lastResponseNanos;
 
   private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
   // Guarded by this:
-  private final Deque<SequentialClient.Try> waiting = new ArrayDeque<>();
-  private final Deque<Command> open = new ArrayDeque<>();
+  private final Deque<SequentialClient.Attempt> queuedAttempts = new ArrayDeque<>();
+  private final Deque<Command> openCommands = new ArrayDeque<>();
   private Socket socket;
-  private boolean over;
+  private boolean closed;
   private boolean finishing;
 
-  /**
-   * A command that has been written, or is being written; {@code asked} is null for a wrong one.
-   */
+  /** A command that has been or is being written; {@code attempt} is null for an invalid one. */
   private static final class Command {
-    private final SequentialClient.Try asked;
+    private final SequentialClient.Attempt attempt;
     private final byte[] bytes;
     private boolean written;
-    private boolean answered;
-    private boolean first;
-    private long batchBegan;
+    private boolean responded;
+    private boolean firstOfBatch;
+    private long batchStartNanos;
 
-    /** When its own first byte was written, or 0. */
-    private long begunAt;
+    /** When the first byte of this command was written, or 0. */
+    private long firstByteNanos;
 
-    Command(SequentialClient.Try asked, byte[] bytes) {
-      this.asked = asked;
+    Command(SequentialClient.Attempt attempt, byte[] bytes) {
+      this.attempt = attempt;
       this.bytes = bytes;
     }
   }
 
   /**
-   * A connection to a router, which is the {@code number}th of its play and draws its chance by
-   * that; new ones may be shut unread where it is {@code crowded}.
+   * Creates a connection to a router.
+   *
+   * @param number its number in the rehearsal, which seeds its random choices
+   * @param connectionLimited whether the router may reject new connections unread
    */
   PipelinedClient(
       InetSocketAddress router,
       int number,
       Clock clock,
-      History account,
-      SequentialClient.Owner owner,
+      History history,
+      SequentialClient.AttemptListener listener,
       Scenario.Conduct conduct,
-      boolean crowded,
+      boolean connectionLimited,
       long seed) {
     this.router = router;
     this.number = number;
     this.clock = clock;
-    this.account = account;
-    this.owner = owner;
+    this.history = history;
+    this.listener = listener;
     this.conduct = conduct;
-    this.crowded = crowded;
+    this.connectionLimited = connectionLimited;
     this.random = new RandomSources(seed).of("pipeline " + number);
   }
 
   void start() {
-    thread("client-writes", this::write);
+    startThread("client-writes", this::writeBatches);
   }
 
-  private static void thread(String name, Runnable body) {
+  private static void startThread(String name, Runnable body) {
     Thread thread = new Thread(null, body, name, STACK_BYTES);
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Takes a try; false if the connection is over. */
-  synchronized boolean ask(SequentialClient.Try one) {
-    if (over || finishing) {
+  /** Queues an attempt; returns false if the connection is closed or about to be. */
+  synchronized boolean send(SequentialClient.Attempt attempt) {
+    if (closed || finishing) {
       return false;
     }
-    waiting.add(one);
+    queuedAttempts.add(attempt);
     notifyAll();
     return true;
   }
 
-  /** Whether it is connected and its router has not ended it. */
-  synchronized boolean connected() {
-    return socket != null && !over;
+  /** Returns whether the connection is established and not closed. */
+  synchronized boolean isConnected() {
+    return socket != null && !closed;
   }
 
-  /** Ends it after what is open. */
+  /** Closes the connection once its open requests have ended. */
   synchronized void finish() {
     finishing = true;
     notifyAll();
   }
 
-  private void write() {
+  private void writeBatches() {
     try {
-      for (List<Command> batch = gather(); !batch.isEmpty(); batch = gather()) {
-        send(batch);
+      for (List<Command> batch = gatherBatch(); !batch.isEmpty(); batch = gatherBatch()) {
+        sendBatch(batch);
         if (random.nextDouble() < conduct.leaves()) {
-          Thread.sleep(random.nextInt(LONGEST_STAY_MILLIS));
+          Thread.sleep(random.nextInt(MAX_DELAY_BEFORE_LEAVING_MILLIS));
           leave();
           return;
         }
       }
-      ended(false);
+      handleClosed(false);
     } catch (IOException e) {
-      if (!connected()) {
-        ended(true);
+      if (!isConnected()) {
+        handleClosed(true);
       }
-      // Else answers may still lie there to be read; the reading thread comes to the end by itself.
+      // Otherwise the reading thread first reads the remaining responses and then handles the close.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** What goes out at once; empty once it is to finish and nothing is open. */
-  private List<Command> gather() throws InterruptedException {
-    int most = 1 + random.nextInt(conduct.pipeline());
+  /** Waits for the commands of the next batch; returns none if the connection is to be closed. */
+  private List<Command> gatherBatch() throws InterruptedException {
+    int maxCommands = 1 + random.nextInt(conduct.pipeline());
     synchronized (this) {
-      while (waiting.isEmpty() && !over && !(finishing && open.isEmpty())) {
+      while (queuedAttempts.isEmpty() && !closed && !(finishing && openCommands.isEmpty())) {
         wait();
       }
     }
-    long until = clock.now() + GATHER_MILLIS * MILLI;
+    long deadlineNanos = clock.now() + GATHER_WINDOW_MILLIS * NANOS_PER_MILLI;
     synchronized (this) {
-      for (long left = GATHER_MILLIS;
-          waiting.size() < most && left > 0 && !over && !finishing;
-          left = (until - clock.now()) / MILLI) {
-        wait(left);
+      for (long remainingMillis = GATHER_WINDOW_MILLIS;
+          queuedAttempts.size() < maxCommands && remainingMillis > 0 && !closed && !finishing;
+          remainingMillis = (deadlineNanos - clock.now()) / NANOS_PER_MILLI) {
+        wait(remainingMillis);
       }
       List<Command> batch = new ArrayList<>();
-      while (batch.size() < most && !waiting.isEmpty() && !over) {
-        SequentialClient.Try one = waiting.remove();
-        addWrong(batch);
-        batch.add(new Command(one, ClientCommands.bytes(one)));
-        addWrong(batch);
+      while (batch.size() < maxCommands && !queuedAttempts.isEmpty() && !closed) {
+        SequentialClient.Attempt attempt = queuedAttempts.remove();
+        maybeAddInvalidCommand(batch);
+        batch.add(new Command(attempt, ClientCommands.encode(attempt)));
+        maybeAddInvalidCommand(batch);
       }
       return batch;
     }
   }
 
-  private void addWrong(List<Command> batch) {
+  private void maybeAddInvalidCommand(List<Command> batch) {
     if (random.nextDouble() < conduct.wrong() / 2) {
-      String wrong = WRONG.get(random.nextInt(WRONG.size()));
-      batch.add(new Command(null, wrong.getBytes(StandardCharsets.US_ASCII)));
+      String invalidCommand = INVALID_COMMANDS.get(random.nextInt(INVALID_COMMANDS.size()));
+      batch.add(new Command(null, invalidCommand.getBytes(StandardCharsets.US_ASCII)));
     }
   }
 
-  private void send(List<Command> batch) throws IOException, InterruptedException {
-    Socket to = connect(batch);
+  private void sendBatch(List<Command> batch) throws IOException, InterruptedException {
+    Socket connection = connect(batch);
     synchronized (this) {
-      batch.get(0).first = true;
-      for (Command one : batch) {
-        one.batchBegan = clock.now();
-        open.add(one);
+      batch.get(0).firstOfBatch = true;
+      for (Command command : batch) {
+        command.batchStartNanos = clock.now();
+        openCommands.add(command);
       }
     }
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
+    ByteArrayOutputStream encoded = new ByteArrayOutputStream();
     List<Integer> ends = new ArrayList<>();
-    for (Command one : batch) {
-      all.write(one.bytes);
-      ends.add(all.size());
+    for (Command command : batch) {
+      encoded.write(command.bytes);
+      ends.add(encoded.size());
     }
-    byte[] bytes = all.toByteArray();
-    int pieces = random.nextDouble() < conduct.pieces() ? 2 + random.nextInt(MOST_PIECES - 1) : 1;
-    int from = 0;
-    int said = 0;
+    byte[] bytes = encoded.toByteArray();
+    int pieces = random.nextDouble() < conduct.pieces() ? 2 + random.nextInt(MAX_PIECES - 1) : 1;
+    int offset = 0;
+    int reported = 0;
     for (int piece = 1; piece <= pieces; piece++) {
-      // Each piece has a byte at least, and leaves one to each that follows.
-      int spare = bytes.length - from - (pieces - piece);
-      int size = piece == pieces ? spare : 1 + random.nextInt(spare);
-      long at = clock.now();
-      to.getOutputStream().write(bytes, from, size);
-      from += size;
-      begun(batch, from, at);
-      while (said < ends.size() && ends.get(said) <= from) {
-        asked(batch.get(said++));
+      // Each piece has at least one byte, and leaves at least one for each later piece.
+      int maxSize = bytes.length - offset - (pieces - piece);
+      int size = piece == pieces ? maxSize : 1 + random.nextInt(maxSize);
+      long atNanos = clock.now();
+      connection.getOutputStream().write(bytes, offset, size);
+      offset += size;
+      recordFirstBytes(batch, offset, atNanos);
+      while (reported < ends.size() && ends.get(reported) <= offset) {
+        recordWritten(batch.get(reported++));
       }
       if (piece < pieces) {
-        Thread.sleep(random.nextInt(LONGEST_GAP_MILLIS));
+        Thread.sleep(random.nextInt(MAX_PIECE_GAP_MILLIS));
       }
     }
   }
 
-  /** So many bytes of what is written together are out, the last of them since a time. */
-  private synchronized void begun(List<Command> batch, int written, long at) {
+  /** Sets the first-byte times of the commands that start within the bytes written so far. */
+  private synchronized void recordFirstBytes(List<Command> batch, int written, long atNanos) {
     int start = 0;
-    for (Command one : batch) {
-      one.begunAt = one.begunAt == 0 && start < written ? at : one.begunAt;
-      start += one.bytes.length;
+    for (Command command : batch) {
+      command.firstByteNanos = command.firstByteNanos == 0 && start < written ? atNanos : command.firstByteNanos;
+      start += command.bytes.length;
     }
   }
 
@@ -253,208 +254,208 @@
         return socket;
       }
     }
-    Socket made = new Socket();
+    Socket created = new Socket();
     try {
-      made.setTcpNoDelay(true);
-      made.connect(router, CONNECT_MILLIS);
+      created.setTcpNoDelay(true);
+      created.connect(router, CONNECT_TIMEOUT_MILLIS);
     } catch (IOException e) {
-      batch.stream().filter(c -> c.asked != null).forEach(c -> unreached(c.asked));
+      batch.stream().filter(command -> command.attempt != null).forEach(c -> reportUndelivered(c.attempt));
       throw e;
     }
     synchronized (this) {
-      socket = made;
+      socket = created;
     }
-    thread("client-reads", () -> read(made));
-    return made;
+    startThread("client-reads", () -> readResponses(created));
+    return created;
   }
 
-  private void unreached(SequentialClient.Try one) {
-    owner.done(null, new SequentialClient.Result(one, null, clock.now(), 0), false);
+  private void reportUndelivered(SequentialClient.Attempt attempt) {
+    listener.attemptEnded(null, new SequentialClient.AttemptResult(attempt, null, clock.now(), 0), false);
   }
 
-  private synchronized void asked(Command one) {
-    if (over && !one.answered) {
-      // The end was seen first, and what became of the command has been told.
+  private synchronized void recordWritten(Command command) {
+    if (closed && !command.responded) {
+      // The close was handled first, and the outcome of the command has been reported.
       return;
     }
-    one.written = true;
-    if (one.asked != null) {
-      long at = clock.now();
-      account.add(
+    command.written = true;
+    if (command.attempt != null) {
+      long atNanos = clock.now();
+      history.add(
           new HistoryEvent.RequestWritten(
-              at,
-              one.asked.id(),
-              one.asked.planned().type().name(),
-              one.asked.planned().key(),
-              one.asked.once(),
-              one.asked.router(),
-              at + one.asked.patience()));
+              atNanos,
+              command.attempt.id(),
+              command.attempt.request().requestClass().name(),
+              command.attempt.request().key(),
+              command.attempt.idempotencyKey(),
+              command.attempt.router(),
+              atNanos + command.attempt.timeoutNanos()));
     }
   }
 
-  private void read(Socket from) {
+  private void readResponses(Socket stream) {
     try {
       while (true) {
-        RespValue value = next(from.getInputStream());
+        RespValue value = readValue(stream.getInputStream());
         if (value == null) {
           break;
         }
-        Command one;
+        Command command;
         synchronized (this) {
-          one = open.poll();
-          if (one != null) {
-            one.answered = true;
+          command = openCommands.poll();
+          if (command != null) {
+            command.responded = true;
           }
           notifyAll();
         }
-        answered(one, value);
+        handleResponse(command, value);
       }
     } catch (IOException | ProtocolException e) {
-      // What is open is told below how it ended.
-      ended(true);
+      // The open commands end with the connection.
+      handleClosed(true);
       return;
     }
-    ended(true);
+    handleClosed(true);
   }
 
-  private RespValue next(InputStream from) throws IOException, ProtocolException {
-    RespValue value = reader.next(in);
+  private RespValue readValue(InputStream stream) throws IOException, ProtocolException {
+    RespValue value = reader.next(input);
     while (value == null) {
-      if (!ClientCommands.read(from, in)) {
+      if (!ClientCommands.readInto(stream, input)) {
         return null;
       }
-      value = reader.next(in);
+      value = reader.next(input);
     }
     return value;
   }
 
-  private void answered(Command one, RespValue value) throws ProtocolException {
-    if (one == null || (one.asked == null && !(value instanceof RespValue.Failure))) {
-      // From here on nobody can tell which answer belongs to which command.
-      throw new ProtocolException("an answer that nobody asked for");
+  private void handleResponse(Command command, RespValue value) throws ProtocolException {
+    if (command == null || (command.attempt == null && !(value instanceof RespValue.Failure))) {
+      // From here on responses cannot be matched with commands.
+      throw new ProtocolException("a response without a command, or a value for an invalid command");
     }
-    long inFront = answeredAt;
-    answeredAt = clock.now();
-    if (one.asked != null) {
-      long at = answeredAt;
-      if (inFront != 0) {
-        account.add(new HistoryEvent.PrecedingAnswersArrived(inFront, one.asked.id()));
+    long previousResponseNanos = lastResponseNanos;
+    lastResponseNanos = clock.now();
+    if (command.attempt != null) {
+      long atNanos = lastResponseNanos;
+      if (previousResponseNanos != 0) {
+        history.add(new HistoryEvent.PrecedingAnswersArrived(previousResponseNanos, command.attempt.id()));
       }
-      HistoryEvent.ClientOutcome kind = ClientCommands.kind(value);
-      account.add(
+      HistoryEvent.ClientOutcome outcome = ClientCommands.outcomeOf(value);
+      history.add(
           new HistoryEvent.ResponseReceived(
-              at, one.asked.id(), kind, ClientCommands.digest(value)));
-      owner.done(
+              atNanos, command.attempt.id(), outcome, ClientCommands.valueDigest(value)));
+      listener.attemptEnded(
           null,
-          new SequentialClient.Result(one.asked, kind, at, ClientCommands.retryAfter(value)),
+          new SequentialClient.AttemptResult(command.attempt, outcome, atNanos, ClientCommands.retryAfterNanos(value)),
           false);
     }
   }
 
-  /** The client goes over what is open, by a reset or by an orderly end. */
+  /** Closes the connection with commands open, by a reset or an orderly close. */
   private void leave() throws IOException {
-    Socket open;
+    Socket openSocket;
     synchronized (this) {
-      open = socket;
+      openSocket = socket;
     }
-    if (open == null) {
+    if (openSocket == null) {
       return;
     }
     if (random.nextBoolean()) {
-      open.setSoLinger(true, 0);
+      openSocket.setSoLinger(true, 0);
     }
-    left();
-    open.close();
-    ended(false);
+    abandonOpenCommands();
+    openSocket.close();
+    handleClosed(false);
   }
 
-  private void left() {
-    List<Command> all;
+  private void abandonOpenCommands() {
+    List<Command> commands;
     synchronized (this) {
-      over = true;
-      all = List.copyOf(open);
-      open.clear();
+      closed = true;
+      commands = List.copyOf(openCommands);
+      openCommands.clear();
     }
-    for (Command one : all) {
-      if (one.asked != null && one.written) {
-        account.add(
+    for (Command command : commands) {
+      if (command.attempt != null && command.written) {
+        history.add(
             new HistoryEvent.ResponseReceived(
-                clock.now(), one.asked.id(), HistoryEvent.ClientOutcome.ABANDONED, 0));
-        owner.done(
+                clock.now(), command.attempt.id(), HistoryEvent.ClientOutcome.ABANDONED, 0));
+        listener.attemptEnded(
             null,
-            new SequentialClient.Result(
-                one.asked, HistoryEvent.ClientOutcome.ABANDONED, clock.now(), 0),
+            new SequentialClient.AttemptResult(
+                command.attempt, HistoryEvent.ClientOutcome.ABANDONED, clock.now(), 0),
             false);
-      } else if (one.asked != null) {
-        unreached(one.asked);
+      } else if (command.attempt != null) {
+        reportUndelivered(command.attempt);
       }
     }
   }
 
-  /** The connection is over; what is open was broken off, or crossed its end. */
-  private void ended(boolean byRouter) {
-    List<Command> broken;
-    List<SequentialClient.Try> unsent;
+  /** Reports the outcome of all open and queued commands after the connection was closed. */
+  private void handleClosed(boolean byRouter) {
+    List<Command> interrupted;
+    List<SequentialClient.Attempt> unsentAttempts;
     synchronized (this) {
-      over = true;
-      broken = List.copyOf(open);
-      open.clear();
-      unsent = List.copyOf(waiting);
-      waiting.clear();
+      closed = true;
+      interrupted = List.copyOf(openCommands);
+      openCommands.clear();
+      unsentAttempts = List.copyOf(queuedAttempts);
+      queuedAttempts.clear();
       notifyAll();
     }
     close();
-    long now = clock.now();
-    // Whether it crossed is judged by how long that took.
-    boolean crossed = byRouter && !broken.isEmpty() && broken.get(0).first;
-    for (Command one : broken) {
-      if (one.asked != null) {
-        brokenOff(one, now, crossed, one == broken.get(0));
+    long nowNanos = clock.now();
+    // Crossing is recorded with its times, by which the invariants judge it.
+    boolean crossed = byRouter && !interrupted.isEmpty() && interrupted.get(0).firstOfBatch;
+    for (Command command : interrupted) {
+      if (command.attempt != null) {
+        reportInterrupted(command, nowNanos, crossed, command == interrupted.get(0));
       }
     }
-    unsent.forEach(owner::crossed);
+    unsentAttempts.forEach(listener::connectionClosed);
   }
 
-  private void brokenOff(Command one, long now, boolean crossed, boolean nothingInFront) {
-    boolean turnedAway = crossed && crowded && answeredAt == 0;
-    if (!one.written && one.begunAt != 0 && !turnedAway) {
-      account.add(
+  private void reportInterrupted(Command command, long nowNanos, boolean crossed, boolean isFirstOpen) {
+    boolean rejectedUnread = crossed && connectionLimited && lastResponseNanos == 0;
+    if (!command.written && command.firstByteNanos != 0 && !rejectedUnread) {
+      history.add(
           new HistoryEvent.ConnectionCutWhileWriting(
-              now, one.asked.id(), one.asked.router(), one.begunAt, nothingInFront));
+              nowNanos, command.attempt.id(), command.attempt.router(), command.firstByteNanos, isFirstOpen));
     }
     if (crossed) {
-      if (one.written) {
-        account.add(new HistoryEvent.RequestCrossedClose(now, one.asked.id(), one.batchBegan));
+      if (command.written) {
+        history.add(new HistoryEvent.RequestCrossedClose(nowNanos, command.attempt.id(), command.batchStartNanos));
       }
-      if (answeredAt == 0) {
-        // Turned away: who comes again at once is turned away again.
-        unreached(one.asked);
+      if (lastResponseNanos == 0) {
+        // The connection was rejected; an immediate retry would be rejected again.
+        reportUndelivered(command.attempt);
       } else {
-        owner.crossed(one.asked);
+        listener.connectionClosed(command.attempt);
       }
       return;
     }
-    if (!one.written) {
-      unreached(one.asked);
+    if (!command.written) {
+      reportUndelivered(command.attempt);
       return;
     }
-    account.add(
+    history.add(
         new HistoryEvent.ResponseReceived(
-            now, one.asked.id(), HistoryEvent.ClientOutcome.DISCONNECTED, 0));
-    owner.done(
+            nowNanos, command.attempt.id(), HistoryEvent.ClientOutcome.DISCONNECTED, 0));
+    listener.attemptEnded(
         null,
-        new SequentialClient.Result(one.asked, HistoryEvent.ClientOutcome.DISCONNECTED, now, 0),
+        new SequentialClient.AttemptResult(command.attempt, HistoryEvent.ClientOutcome.DISCONNECTED, nowNanos, 0),
         false);
   }
 
   private void close() {
-    Socket open;
+    Socket openSocket;
     synchronized (this) {
-      open = socket;
+      openSocket = socket;
     }
-    if (open != null) {
+    if (openSocket != null) {
       try {
-        open.close();
+        openSocket.close();
       } catch (IOException e) {
         // Nothing is left to do with a socket that fails to close.
         return;
@@ -464,6 +465,6 @@
 
   @Override
   public String toString() {
-    return "pipelined line " + number;
+    return "pipelined connection " + number;
   }
 }
--- a/src/main/java/beaconturn/rehearsal/PipelinedClients.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClients.java
@@ -9,75 +9,76 @@
 import java.util.Map;
 
 /**
- * The connections of all streams whose clients send several commands at once: a few to each router.
+ * Connections of all client streams that pipeline commands: a fixed number from each stream to each
+ * router.
  */
 final class PipelinedClients {
-  /** Connections of one stream to one router. */
-  private static final int WIDTH = 4;
+  /** Number of connections of one stream to one router. */
+  private static final int CONNECTIONS_PER_ROUTER = 4;
 
-  private static final int CHANCE_SHIFT = 17;
+  private static final int CONNECTION_BITS_SHIFT = 17;
   private final Scenario scenario;
   private final List<InetSocketAddress> routers;
   private final Clock clock;
-  private final History account;
-  private final SequentialClient.Owner owner;
+  private final History history;
+  private final SequentialClient.AttemptListener listener;
   // Guarded by this:
-  private final Map<Place, PipelinedClient> lines = new HashMap<>();
-  private int made;
+  private final Map<ConnectionKey, PipelinedClient> connections = new HashMap<>();
+  private int createdCount;
 
-  private record Place(int stream, int router, int place) {}
+  private record ConnectionKey(int stream, int router, int connection) {}
 
   PipelinedClients(
       Scenario scenario,
       List<InetSocketAddress> routers,
       Clock clock,
-      History account,
-      SequentialClient.Owner owner) {
+      History history,
+      SequentialClient.AttemptListener listener) {
     this.scenario = scenario;
     this.routers = routers;
     this.clock = clock;
-    this.account = account;
-    this.owner = owner;
+    this.history = history;
+    this.listener = listener;
   }
 
   /**
-   * Whether the connection for it stands: clients go on using it whatever the front says of the
-   * router.
+   * Returns whether the attempt's connection is open: clients keep using an open connection even if
+   * the front avoids its router.
    */
-  synchronized boolean connected(SequentialClient.Try one) {
-    PipelinedClient line = lines.get(place(one));
-    return line != null && line.connected();
+  synchronized boolean isConnected(SequentialClient.Attempt attempt) {
+    PipelinedClient connection = connections.get(connectionKey(attempt));
+    return connection != null && connection.isConnected();
   }
 
-  /** Sends it on its connection, or on a new one where that is over. */
-  synchronized void send(SequentialClient.Try one) {
-    PipelinedClient line = lines.get(place(one));
-    if (line == null || !line.ask(one)) {
-      line =
+  /** Sends an attempt on its connection, or on a new one if that is closed. */
+  synchronized void send(SequentialClient.Attempt attempt) {
+    PipelinedClient connection = connections.get(connectionKey(attempt));
+    if (connection == null || !connection.send(attempt)) {
+      connection =
           new PipelinedClient(
-              routers.get(one.router()),
-              ++made,
+              routers.get(attempt.router()),
+              ++createdCount,
               clock,
-              account,
-              owner,
-              scenario.clients().get(one.planned().stream()).conduct(),
+              history,
+              listener,
+              scenario.clients().get(attempt.request().stream()).conduct(),
               scenario.crowded(),
               scenario.seed());
-      lines.put(place(one), line);
-      line.ask(one);
-      line.start();
+      connections.put(connectionKey(attempt), connection);
+      connection.send(attempt);
+      connection.start();
     }
   }
 
-  private static Place place(SequentialClient.Try one) {
-    return new Place(
-        one.planned().stream(),
-        one.router(),
-        (int) Long.remainderUnsigned(one.planned().chance() >>> CHANCE_SHIFT, WIDTH));
+  private static ConnectionKey connectionKey(SequentialClient.Attempt attempt) {
+    return new ConnectionKey(
+        attempt.request().stream(),
+        attempt.router(),
+        (int) Long.remainderUnsigned(attempt.request().randomBits() >>> CONNECTION_BITS_SHIFT, CONNECTIONS_PER_ROUTER));
   }
 
-  /** Ends all connections after what is open on them. */
+  /** Closes each connection once its open requests have ended. */
   synchronized void finish() {
-    new ArrayList<>(lines.values()).forEach(PipelinedClient::finish);
+    new ArrayList<>(connections.values()).forEach(PipelinedClient::finish);
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ProcessLauncher.java
+++ b/src/main/java/beaconturn/rehearsal/ProcessLauncher.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Starts each router as a process of its own, with the options that operators start one with. */
+/** Starts each router as a separate process, with the JVM options of a production router. */
 public final class ProcessLauncher implements RouterLauncher {
-  private static final String MAIN = "beaconturn.cli.Main";
-  private static final List<String> OPTIONS =
+  private static final String MAIN_CLASS = "beaconturn.cli.Main";
+  private static final List<String> JVM_OPTIONS =
       List.of(
           "-XX:+UseSerialGC",
           "-XX:TieredStopAtLevel=1",
@@ -26,68 +26,68 @@
           "-XX:MaxDirectMemorySize=24m",
           "-XX:-UsePerfData",
           "-Djdk.nio.maxCachedBufferSize=8192");
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** What a router that leaks does so with: kB a second, up to so many. */
-  private static final List<String> LEAK = List.of("4000", "28000");
+  /** Arguments of {@link MemoryLeakProgram}: rate in kB per second and limit in kB. */
+  private static final List<String> LEAK_ARGUMENTS = List.of("4000", "28000");
 
-  private final List<String> program;
+  private final List<String> programArguments;
 
-  /** The same by its class path and main class, for what is put before it. */
-  private final List<String> path;
+  /** Options for the class path alone, to run {@link MemoryLeakProgram} before the main class. */
+  private final List<String> classPathArguments;
 
-  private final String main;
+  private final String mainClassName;
 
-  private ProcessLauncher(List<String> program, List<String> path, String main) {
-    this.program = program;
-    this.path = path;
-    this.main = main;
+  private ProcessLauncher(List<String> programArguments, List<String> classPathArguments, String mainClassName) {
+    this.programArguments = programArguments;
+    this.classPathArguments = classPathArguments;
+    this.mainClassName = mainClassName;
   }
 
-  /** Routers from a jar. */
+  /** Returns a launcher for the program in a jar. */
   public static ProcessLauncher ofJar(Path jar) {
     return new ProcessLauncher(
-        List.of("-jar", jar.toString()), List.of("-cp", jar.toString()), MAIN);
+        List.of("-jar", jar.toString()), List.of("-cp", jar.toString()), MAIN_CLASS);
   }
 
-  /** Routers from the classes that run now: the jar they are in, or the class path of a build. */
+  /** Returns a launcher for the program that runs now, from its jar or its class path. */
   public static ProcessLauncher ofCurrentProgram(String mainClass) {
-    String path = System.getProperty("java.class.path");
-    boolean jar = path.endsWith(".jar") && !path.contains(File.pathSeparator);
+    String classPath = System.getProperty("java.class.path");
+    boolean fromJar = classPath.endsWith(".jar") && !classPath.contains(File.pathSeparator);
     return new ProcessLauncher(
-        jar ? List.of("-jar", path) : List.of("-cp", path, mainClass),
-        List.of("-cp", path),
-        jar ? MAIN : mainClass);
+        fromJar ? List.of("-jar", classPath) : List.of("-cp", classPath, mainClass),
+        List.of("-cp", classPath),
+        fromJar ? MAIN_CLASS : mainClass);
   }
 
   @Override
-  public List<String> command(List<String> words) {
-    return command(program, words);
+  public List<String> command(List<String> arguments) {
+    return command(programArguments, arguments);
   }
 
-  private static List<String> command(List<String> program, List<String> words) {
+  private static List<String> command(List<String> programArguments, List<String> arguments) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(OPTIONS);
-    command.addAll(program);
-    command.addAll(words);
+    command.addAll(JVM_OPTIONS);
+    command.addAll(programArguments);
+    command.addAll(arguments);
     return command;
   }
 
-  private List<String> leaking(long after) {
-    List<String> all = new ArrayList<>(path);
-    all.add(MemoryLeakProgram.class.getName());
-    all.add(Long.toString(after / MILLI));
-    all.addAll(LEAK);
-    all.add(main);
-    return all;
+  private List<String> leakingProgramArguments(long leaksAfterNanos) {
+    List<String> arguments = new ArrayList<>(classPathArguments);
+    arguments.add(MemoryLeakProgram.class.getName());
+    arguments.add(Long.toString(leaksAfterNanos / NANOS_PER_MILLI));
+    arguments.addAll(LEAK_ARGUMENTS);
+    arguments.add(mainClassName);
+    return arguments;
   }
 
   @Override
   public RunningRouter launch(LaunchOptions options) throws IOException {
     List<String> command =
         command(
-            options.leaksAfterNanos() < 0 ? program : leaking(options.leaksAfterNanos()),
+            options.leaksAfterNanos() < 0 ? programArguments : leakingProgramArguments(options.leaksAfterNanos()),
             List.of("serve", "--config", options.config().toString()));
     if (options.features() != null) {
       command.addAll(List.of("--features", options.features().toString()));
@@ -100,7 +100,7 @@
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(options.log().toFile()));
     builder.environment().keySet().removeIf(variable -> variable.startsWith("PROXY_"));
-    return new OfProcess(ChildProcesses.start(builder));
+    return new ProcessRouter(ChildProcesses.start(builder));
   }
 
   @Override
@@ -108,11 +108,11 @@
     return true;
   }
 
-  private static final class OfProcess implements RunningRouter {
+  private static final class ProcessRouter implements RunningRouter {
     private final Process process;
-    private long lastCpu = -1;
+    private long lastCpuNanos = -1;
 
-    private OfProcess(Process process) {
+    private ProcessRouter(Process process) {
       this.process = process;
     }
 
@@ -134,16 +134,16 @@
     }
 
     @Override
-    public int awaitExit(long millis) throws InterruptedException {
-      if (!process.waitFor(millis, TimeUnit.MILLISECONDS)) {
+    public int awaitExit(long timeoutMillis) throws InterruptedException {
+      if (!process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS)) {
         return -1;
       }
       return process.exitValue();
     }
 
     @Override
-    public void setPaused(boolean on) {
-      ChildProcesses.setPaused(process, on);
+    public void setPaused(boolean paused) {
+      ChildProcesses.setPaused(process, paused);
     }
 
     @Override
@@ -158,8 +158,8 @@
 
     @Override
     public long cpuNanos() {
-      lastCpu = process.info().totalCpuDuration().map(Duration::toNanos).orElse(lastCpu);
-      return lastCpu;
+      lastCpuNanos = process.info().totalCpuDuration().map(Duration::toNanos).orElse(lastCpuNanos);
+      return lastCpuNanos;
     }
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ProcessUsage.java
+++ b/src/main/java/beaconturn/rehearsal/ProcessUsage.java
@@ -5,13 +5,13 @@
 import java.nio.file.Path;
 
 /**
- * What a process holds, as Linux tells under {@code /proc}: memory in kB and threads; 0 where it is
- * not known.
+ * Resident memory and thread count of a process, read from Linux' {@code /proc}; 0 for what is not
+ * known.
  */
 record ProcessUsage(long memoryKb, int threads) {
   private static final ProcessUsage UNKNOWN = new ProcessUsage(0, 0);
 
-  /** Of a process as it is now. */
+  /** Reads the current usage of a process. */
   static ProcessUsage of(long pid) {
     Path status = Path.of("/proc/" + pid + "/status");
     if (pid < 0 || !Files.exists(status)) {
@@ -28,13 +28,13 @@
         }
       }
     } catch (IOException e) {
-      // It has just ended.
+      // The process has just ended.
       return UNKNOWN;
     }
     return new ProcessUsage(memoryKb, threads);
   }
 
-  /** The larger figure of both. */
+  /** Returns the larger value of each figure. */
   ProcessUsage max(ProcessUsage other) {
     return new ProcessUsage(Math.max(memoryKb, other.memoryKb), Math.max(threads, other.threads));
   }
--- a/src/main/java/beaconturn/rehearsal/Rehearsal.java
+++ b/src/main/java/beaconturn/rehearsal/Rehearsal.java
@@ -23,72 +23,76 @@
 import java.util.function.LongConsumer;
 import java.util.stream.Collectors;
 
-/** Plays one scenario from its start to its verdicts. */
+/**
+ * Runs one scenario: starts the stand-ins, routers and clients, injects the faults at their times,
+ * and checks the recorded history against the invariants.
+ */
 public final class Rehearsal {
-  private static final long MILLI = 1_000_000;
-  private static final long SECOND = 1000 * MILLI;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
 
-  /** What sockets and threads may add to any limit of the rules. */
-  private static final long SOCKET_SLACK = 50 * MILLI;
+  /** Delay that sockets and threads may add to any limit of the invariants. */
+  private static final long SOCKET_SLACK_NANOS = 50 * NANOS_PER_MILLI;
 
-  private static final long LEAD = 200 * MILLI;
+  /** Time between the set-up and the first request. */
+  private static final long START_DELAY_NANOS = 200 * NANOS_PER_MILLI;
 
-  /** A front goes on to a router that was told to stop. */
-  static final long FRONT_GOES_ON = 300 * MILLI;
+  /** How long the front keeps sending to a router after its planned stop was announced. */
+  static final long FRONT_REACTION_NANOS = 300 * NANOS_PER_MILLI;
 
-  private static final long STEP_MILLIS = 20;
+  private static final long POLL_INTERVAL_MILLIS = 20;
 
   /**
-   * After a planned stop was announced a process is killed: the longest deadline, at most, and so
-   * long.
+   * A router whose planned stop has not finished is killed after the longest request deadline, up
+   * to this limit, and {@link #KILL_GRACE_NANOS}.
    */
-  private static final long LONGEST_TO_KILL = 3 * SECOND;
+  private static final long MAX_KILL_DELAY_NANOS = 3 * NANOS_PER_SECOND;
 
-  private static final long TIME_TO_KILL = 700 * MILLI;
+  private static final long KILL_GRACE_NANOS = 700 * NANOS_PER_MILLI;
 
-  /** A planned stop may take so long. */
-  static final long END_MILLIS = 8000;
+  /** Time limit of a planned stop. */
+  static final long STOP_TIMEOUT_MILLIS = 8000;
 
   private final Scenario scenario;
   private final RouterLauncher launcher;
   private final Path folder;
   private final Consumer<String> progress;
   private final Clock clock = Clock.system();
-  private final History account = new History();
-  private final List<RouterProcess> seats = new ArrayList<>();
+  private final History history = new History();
+  private final List<RouterProcess> routers = new ArrayList<>();
   private final PriorityQueue<Step> steps = new PriorityQueue<>();
-  private final List<Awaited> awaited = new ArrayList<>();
-  private EmulatedFleetServer surroundings;
+  private final List<PendingTrigger> pendingTriggers = new ArrayList<>();
+  private EmulatedFleetServer fleetServer;
 
-  /** Null where routers share nothing. */
-  private FleetEnvironment parts;
+  /** Null if routers share no coordination store. */
+  private FleetEnvironment environment;
 
-  private OpenLoopClients crowd;
-  private final List<Thread> restarts = new ArrayList<>();
+  private OpenLoopClients clients;
+  private final List<Thread> restartThreads = new ArrayList<>();
 
-  /** By name; empty where no cache servers are released. */
-  private final Map<String, RestartableCacheServer> cacheSeats = new HashMap<>();
+  /** Cache servers by name; empty if the scenario releases none. */
+  private final Map<String, RestartableCacheServer> cacheServers = new HashMap<>();
 
-  private long start;
-  private int stepped;
+  private long startNanos;
+  private int stepCount;
 
-  /** Something that is done to a router at a time. */
-  private record Step(long at, int number, Runnable body) implements Comparable<Step> {
+  /** An action at a time; actions of the same time run in the order of their numbers. */
+  private record Step(long atNanos, int number, Runnable action) implements Comparable<Step> {
     @Override
     public int compareTo(Step other) {
-      int byTime = Long.compare(at, other.at);
+      int byTime = Long.compare(atNanos, other.atNanos);
       return byTime != 0 ? byTime : Integer.compare(number, other.number);
     }
   }
 
-  /** What is planned once a cue has come about, from that time on. */
-  private record Awaited(Trigger cue, LongConsumer plan) {}
+  /** A trigger that was not met yet, and what to schedule from the time at which it is. */
+  private record PendingTrigger(Trigger trigger, LongConsumer action) {}
 
   /**
-   * A play; nothing happens before {@link #run}.
+   * Creates a rehearsal; nothing is started before {@link #run}.
    *
-   * @param folder where configurations and logs of routers go
-   * @param progress is told now and then, in a few words, how far it is
+   * @param folder receives the configurations and logs of the routers
+   * @param progress receives a short line about the progress, about once a second
    */
   public Rehearsal(
       Scenario scenario, RouterLauncher launcher, Path folder, Consumer<String> progress) {
@@ -98,76 +102,81 @@
     this.progress = progress;
   }
 
-  /** Plays it; an I/O failure means that it could not be played, not that a rule was broken. */
+  /**
+   * Runs the scenario and returns its report.
+   *
+   * @throws IOException if the scenario could not be run as written; a violated invariant is part
+   *     of the report
+   */
   public RehearsalReport run() throws IOException, InterruptedException {
-    check();
-    EventScheduler agenda = new EventScheduler(clock.now());
-    EmulatedFleet world =
+    checkSupported();
+    EventScheduler scheduler = new EventScheduler(clock.now());
+    EmulatedFleet emulatedFleet =
         new EmulatedFleet(
-            agenda,
+            scheduler,
             scenario.world(),
             new RandomSources(scenario.seed()),
-            new HistoryEventWriter(account));
-    surroundings = new EmulatedFleetServer(world, clock::now, scenario.routers().size(), 0);
-    MachinePauseDetector pauses = new MachinePauseDetector(clock, account, surroundings::soon);
-    ClientStatistics tally = new ClientStatistics(scenario);
+            new HistoryEventWriter(history));
+    fleetServer = new EmulatedFleetServer(emulatedFleet, clock::now, scenario.routers().size(), 0);
+    MachinePauseDetector pauseDetector = new MachinePauseDetector(clock, history, fleetServer::soon);
+    ClientStatistics statistics = new ClientStatistics(scenario);
     try {
-      surroundings.start();
+      fleetServer.start();
       if (scenario.agreement() != null) {
-        parts = new FleetEnvironment(scenario, launcher, folder, surroundings, clock, account);
+        environment = new FleetEnvironment(scenario, launcher, folder, fleetServer, clock, history);
       }
       startRouters();
       startAgents();
-      crowd =
+      clients =
           new OpenLoopClients(
-              scenario, seats.stream().map(RouterProcess::address).toList(), clock, account, tally);
-      long cpu = processCpu();
-      pauses.start();
-      plan();
-      crowd.start(RequestSchedule.of(scenario), start);
-      long calls = parts == null ? 0 : parts.calls();
+              scenario, routers.stream().map(RouterProcess::address).toList(), clock, history, statistics);
+      long cpuNanos = processCpuNanos();
+      pauseDetector.start();
+      scheduleAll();
+      clients.start(RequestSchedule.of(scenario), startNanos);
+      long storeCalls = environment == null ? 0 : environment.storeCalls();
       executeSteps();
-      cpu = processCpu() - cpu;
-      calls = parts == null ? 0 : parts.calls() - calls;
+      cpuNanos = processCpuNanos() - cpuNanos;
+      storeCalls = environment == null ? 0 : environment.storeCalls() - storeCalls;
       settle();
-      pauses.stop();
-      RehearsalReport.Fleet fleet = fleet(calls);
-      playedWhole();
-      List<HistoryEvent> entries = account.events();
+      pauseDetector.stop();
+      RehearsalReport.Fleet fleetReport = fleetReport(storeCalls);
+      checkAllTriggersMet();
+      List<HistoryEvent> events = history.events();
       return new RehearsalReport(
           scenario,
-          start,
-          entries,
-          HistoryChecker.check(scenario.terms(SOCKET_SLACK), entries),
-          tally.lines(),
-          cpu,
-          seats.stream().mapToLong(RouterProcess::cpuNanos).sum(),
-          tally.senderLate(),
-          HistoryChecker.pausedNanos(entries),
-          fleet);
+          startNanos,
+          events,
+          HistoryChecker.check(scenario.terms(SOCKET_SLACK_NANOS), events),
+          statistics.summaries(),
+          cpuNanos,
+          routers.stream().mapToLong(RouterProcess::cpuNanos).sum(),
+          statistics.sendDelayP99Millis(),
+          HistoryChecker.pausedNanos(events),
+          fleetReport);
     } finally {
-      pauses.stop();
-      endRouters();
-      if (parts != null) {
-        parts.close();
+      pauseDetector.stop();
+      stopRouters();
+      if (environment != null) {
+        environment.close();
       }
-      surroundings.close();
+      fleetServer.close();
     }
   }
 
-  private RehearsalReport.Fleet fleet(long calls) throws IOException, InterruptedException {
-    return parts == null
+  private RehearsalReport.Fleet fleetReport(long storeCalls) throws IOException, InterruptedException {
+    return environment == null
         ? null
         : new RehearsalReport.Fleet(
-            parts.passages(),
-            calls * (double) SECOND / scenario.length(),
-            seats.stream()
-                .map(RouterProcess::footprint)
+            environment.versionTimelines(),
+            storeCalls * (double) NANOS_PER_SECOND / scenario.length(),
+            routers.stream()
+                .map(RouterProcess::peakUsage)
                 .reduce(new ProcessUsage(0, 0), ProcessUsage::max));
   }
 
-  /** What the routers at hand cannot play is said before anything is started. */
-  private void check() throws IOException {
+  /** Fails before anything is started if the launcher lacks what the scenario needs. */
+  private void checkSupported() throws IOException {
     for (Scenario.FaultSpec fault : scenario.faults()) {
       if (fault.kind().target() == Fault.Target.ROUTER && !launcher.supportsRestart()) {
         throw new IOException(
@@ -179,19 +188,19 @@
     }
   }
 
-  private static long processCpu() {
+  private static long processCpuNanos() {
     return ProcessHandle.current().info().totalCpuDuration().map(Duration::toNanos).orElse(0L);
   }
 
   private void startRouters() throws IOException, InterruptedException {
     progress.accept("starting " + scenario.routers().size() + " routers");
     for (int i = 0; i < scenario.routers().size(); i++) {
-      seats.add(
-          new RouterProcess(scenario, i, surroundings, launcher, clock, account, folder, parts));
-      seats.get(i).launch();
+      routers.add(
+          new RouterProcess(scenario, i, fleetServer, launcher, clock, history, folder, environment));
+      routers.get(i).launch();
     }
-    for (RouterProcess seat : seats) {
-      seat.awaitReady();
+    for (RouterProcess routerProcess : routers) {
+      routerProcess.awaitReady();
     }
   }
 
@@ -201,284 +210,281 @@
           .parts()
           .forEach(
               id ->
-                  cacheSeats.put(
-                      id, new RestartableCacheServer(scenario, id, surroundings, clock, account)));
+                  cacheServers.put(
+                      id, new RestartableCacheServer(scenario, id, fleetServer, clock, history)));
     }
-    if (parts != null) {
-      parts.startAgents(seats.stream().map(RouterProcess::control).toList());
+    if (environment != null) {
+      environment.startAgents(routers.stream().map(RouterProcess::adminAddress).toList());
     }
   }
 
-  private void plan() {
-    start = clock.now() + LEAD;
-    planFaults();
-    planVersions();
-    planRelease();
+  private void scheduleAll() {
+    startNanos = clock.now() + START_DELAY_NANOS;
+    scheduleFaults();
+    scheduleVersions();
+    scheduleRelease();
   }
 
-  private void planFaults() {
+  private void scheduleFaults() {
     for (Scenario.FaultSpec fault : scenario.faults()) {
-      on(fault.after(), from -> begin(fault, from));
+      whenTriggered(fault.after(), fromNanos -> scheduleFault(fault, fromNanos));
     }
   }
 
-  /** Plans from the time of the cue on, or from the start where there is none. */
-  private void on(Trigger cue, LongConsumer plan) {
-    if (cue == null) {
-      plan.accept(start);
+  /** Calls the action with the time of the trigger, or with the start if there is no trigger. */
+  private void whenTriggered(Trigger trigger, LongConsumer action) {
+    if (trigger == null) {
+      action.accept(startNanos);
     } else {
-      awaited.add(new Awaited(cue, plan));
+      pendingTriggers.add(new PendingTrigger(trigger, action));
     }
   }
 
-  private void begin(Scenario.FaultSpec fault, long base) {
-    long from = base + fault.from();
+  private void scheduleFault(Scenario.FaultSpec fault, long baseNanos) {
+    long fromNanos = baseNanos + fault.from();
     Fault.Target target = fault.kind().target();
     if (scenario.zones() != null) {
-      step(from, () -> account.add(new HistoryEvent.FaultChanged(clock.now(), true)));
+      schedule(fromNanos, () -> history.add(new HistoryEvent.FaultChanged(clock.now(), true)));
     }
     if (target == Fault.Target.ROUTER) {
-      fault.target().forEach(name -> beginRouter(fault, scenario.router(name), from));
+      fault.target().forEach(name -> scheduleRouterFault(fault, scenario.router(name), fromNanos));
     } else if (fault.kind().needsAgreement()) {
-      step(from, () -> parts.begin(fault));
+      schedule(fromNanos, () -> environment.startFault(fault));
     } else {
-      surroundings.tell(() -> standIn(fault, from, true));
+      fleetServer.tell(() -> scheduleStandInFault(fault, fromNanos, true));
     }
     if (fault.until() == null) {
-      end(fault, base + fault.to());
+      scheduleFaultEnd(fault, baseNanos + fault.to());
     } else {
-      awaited.add(new Awaited(fault.until(), cue -> end(fault, cue + fault.to())));
+      pendingTriggers.add(new PendingTrigger(fault.until(), triggerNanos -> scheduleFaultEnd(fault, triggerNanos + fault.to())));
     }
   }
 
-  private void end(Scenario.FaultSpec fault, long to) {
+  private void scheduleFaultEnd(Scenario.FaultSpec fault, long toNanos) {
     if (scenario.zones() != null) {
-      step(to, () -> account.add(new HistoryEvent.FaultChanged(clock.now(), false)));
+      schedule(toNanos, () -> history.add(new HistoryEvent.FaultChanged(clock.now(), false)));
     }
     Fault.Target target = fault.kind().target();
     if (target == Fault.Target.ROUTER) {
-      fault.target().forEach(name -> endRouter(fault, scenario.router(name), to));
+      fault.target().forEach(name -> scheduleRouterFaultEnd(fault, scenario.router(name), toNanos));
     } else if (fault.kind().needsAgreement()) {
-      step(to, () -> parts.end(fault));
-    } else if (to < start + scenario.length()) {
-      // What lasts to the end of the play is not mended: nobody would see it.
-      surroundings.tell(() -> standIn(fault, to, false));
+      schedule(toNanos, () -> environment.endFault(fault));
+    } else if (toNanos < startNanos + scenario.length()) {
+      // A fault that lasts to the end of the run is not ended: nothing would observe it.
+      fleetServer.tell(() -> scheduleStandInFault(fault, toNanos, false));
     }
   }
 
-  private void planVersions() {
+  private void scheduleVersions() {
     for (int i = 0; i < scenario.versions().size(); i++) {
       int number = i + 1;
       Scenario.VersionSpec version = scenario.versions().get(i);
-      on(version.after(), from -> step(from + version.at(), () -> parts.propose(number, version)));
+      whenTriggered(version.after(), fromNanos -> schedule(fromNanos + version.at(), () -> environment.propose(number, version)));
     }
   }
 
-  private void planRelease() {
+  private void scheduleRelease() {
     Scenario.ReleaseSpec release = scenario.release();
     if (release != null && release.begins()) {
-      on(release.after(), from -> step(from + release.at(), parts::release));
+      whenTriggered(release.after(), fromNanos -> schedule(fromNanos + release.at(), environment::startRelease));
     }
     for (Scenario.OrderSpec order : scenario.orders()) {
-      on(
+      whenTriggered(
           order.after(),
-          from ->
-              step(
-                  from + order.at(),
+          fromNanos ->
+              schedule(
+                  fromNanos + order.at(),
                   () -> {
                     if (order.what().startsWith("zone-")) {
-                      account.add(
+                      history.add(
                           new HistoryEvent.FaultChanged(
                               clock.now(), order.what().equals("zone-drain")));
                     }
-                    parts.release(order);
+                    environment.executeOrder(order);
                   }));
     }
   }
 
-  /**
-   * Carries out what agents want, each on a thread of its own, as a router takes a while to end and
-   * start.
-   */
-  private void hearWishes() throws IOException {
-    for (AgentHook.RestartRequest wish : parts.wishes()) {
-      int router = scenario.router(wish.part());
+  /** Executes the agents' restart requests on separate threads, as each restart takes seconds. */
+  private void handleRestartRequests() throws IOException {
+    for (AgentHook.RestartRequest request : environment.takeRestartRequests()) {
+      int router = scenario.router(request.instance());
       Thread thread =
           new Thread(
               () -> {
                 try {
-                  parts.answer(
-                      wish,
+                  environment.completeRestart(
+                      request,
                       router < 0
-                          ? cacheSeats.get(wish.part()).change(wish.released())
-                          : seats
+                          ? cacheServers.get(request.instance()).changeVariant(request.released())
+                          : routers
                               .get(router)
-                              .change(wish.released(), round -> crowd.avoid(router, round)));
+                              .changeVariant(request.released(), avoided -> clients.setAvoided(router, avoided)));
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
                 }
               },
-              "wish");
+              "restart-request");
       thread.setDaemon(true);
       thread.start();
-      restarts.add(thread);
+      restartThreads.add(thread);
     }
   }
 
-  /** On the model's thread. */
-  private void standIn(Scenario.FaultSpec fault, long at, boolean begins) {
-    EmulatedFleet world = surroundings.world();
+  /** Schedules the start or end of a stand-in fault; runs on the stand-ins' thread. */
+  private void scheduleStandInFault(Scenario.FaultSpec fault, long atNanos, boolean starts) {
+    EmulatedFleet fleet = fleetServer.world();
     if (fault.target().isEmpty()) {
-      world
+      fleet
           .scheduler()
           .at(
-              at,
+              atNanos,
               () -> {
-                if (begins) {
-                  world.begin(fault.kind(), fault.amount());
+                if (starts) {
+                  fleet.begin(fault.kind(), fault.amount());
                 } else {
-                  world.end(fault.kind());
+                  fleet.end(fault.kind());
                 }
               });
       return;
     }
     for (String name : fault.target()) {
-      int place = world.placeOf(name);
-      world
+      int server = fleet.placeOf(name);
+      fleet
           .scheduler()
           .at(
-              at,
+              atNanos,
               () -> {
-                if (begins) {
-                  world.begin(fault.kind(), place, fault.amount());
+                if (starts) {
+                  fleet.begin(fault.kind(), server, fault.amount());
                 } else {
-                  world.end(fault.kind(), place);
+                  fleet.end(fault.kind(), server);
                 }
               });
     }
   }
 
-  private void beginRouter(Scenario.FaultSpec fault, int router, long from) {
-    RouterProcess seat = seats.get(router);
+  private void scheduleRouterFault(Scenario.FaultSpec fault, int router, long fromNanos) {
+    RouterProcess routerProcess = routers.get(router);
     if (fault.kind() == Fault.Kind.ROUTER_PAUSE) {
-      step(from, () -> seat.pause(true));
+      schedule(fromNanos, () -> routerProcess.setPaused(true));
       return;
     }
     if (fault.kind() == Fault.Kind.ROUTER_RELOAD) {
-      step(from, () -> reload(seat));
+      schedule(fromNanos, () -> reload(routerProcess));
       return;
     }
     boolean planned = fault.kind() == Fault.Kind.ROUTER_TERM;
-    step(from, planned ? seat::terminate : seat::kill);
+    schedule(fromNanos, planned ? routerProcess::terminate : routerProcess::kill);
     if (planned) {
-      long longest = scenario.types().stream().mapToLong(Scenario.Type::deadline).max().orElse(0);
-      step(from + Math.min(longest, LONGEST_TO_KILL) + TIME_TO_KILL, seat::killAfterStop);
+      long maxDeadlineNanos = scenario.types().stream().mapToLong(Scenario.Type::deadline).max().orElse(0);
+      schedule(fromNanos + Math.min(maxDeadlineNanos, MAX_KILL_DELAY_NANOS) + KILL_GRACE_NANOS, routerProcess::killIfStillStopping);
     }
-    step(
-        from + (planned ? FRONT_GOES_ON : scenario.clients().get(0).notice()),
-        () -> crowd.avoid(router, true));
+    schedule(
+        fromNanos + (planned ? FRONT_REACTION_NANOS : scenario.clients().get(0).notice()),
+        () -> clients.setAvoided(router, true));
   }
 
-  private void endRouter(Scenario.FaultSpec fault, int router, long to) {
+  private void scheduleRouterFaultEnd(Scenario.FaultSpec fault, int router, long toNanos) {
     if (fault.kind() == Fault.Kind.ROUTER_PAUSE) {
-      step(to, () -> seats.get(router).pause(false));
+      schedule(toNanos, () -> routers.get(router).setPaused(false));
       return;
     }
     if (fault.kind() == Fault.Kind.ROUTER_RELOAD) {
-      step(to, () -> reload(seats.get(router)));
+      schedule(toNanos, () -> reload(routers.get(router)));
       return;
     }
-    step(
-        to,
+    schedule(
+        toNanos,
         () -> {
           Thread thread =
               new Thread(() -> restart(router, fault.kind() == Fault.Kind.ROUTER_TERM), "restart");
           thread.setDaemon(true);
           thread.start();
-          restarts.add(thread);
+          restartThreads.add(thread);
         });
   }
 
-  private void reload(RouterProcess seat) {
+  private void reload(RouterProcess routerProcess) {
     try {
-      seat.reload();
+      routerProcess.reload();
     } catch (IOException e) {
       throw new UncheckedIOException(
-          "the configuration of " + seat.name() + " cannot be written", e);
+          "the configuration of " + routerProcess.name() + " cannot be written", e);
     }
   }
 
-  private void step(long at, Runnable body) {
-    steps.add(new Step(at, ++stepped, body));
+  private void schedule(long atNanos, Runnable action) {
+    steps.add(new Step(atNanos, ++stepCount, action));
   }
 
   private void restart(int router, boolean planned) {
-    RouterProcess seat = seats.get(router);
+    RouterProcess routerProcess = routers.get(router);
     try {
-      seat.startAgain(planned);
-      crowd.avoid(router, false);
+      routerProcess.restart(planned);
+      clients.setAvoided(router, false);
     } catch (IOException e) {
-      account.add(new HistoryEvent.RouterDied(clock.now(), router, e.getMessage()));
+      history.add(new HistoryEvent.RouterDied(clock.now(), router, e.getMessage()));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   private void executeSteps() throws IOException, InterruptedException {
-    long end = start + scenario.length();
-    long told = 0;
-    while (clock.now() < end) {
-      hearCues();
-      if (parts != null) {
-        hearWishes();
+    long endNanos = startNanos + scenario.length();
+    long reportedSecond = 0;
+    while (clock.now() < endNanos) {
+      checkTriggers();
+      if (environment != null) {
+        handleRestartRequests();
       }
-      while (!steps.isEmpty() && steps.peek().at() <= clock.now()) {
-        steps.remove().body().run();
+      while (!steps.isEmpty() && steps.peek().atNanos() <= clock.now()) {
+        steps.remove().action().run();
       }
-      seats.forEach(RouterProcess::look);
-      long second = Math.max(0, clock.now() - start) / SECOND;
-      if (second != told) {
-        told = second;
+      routers.forEach(RouterProcess::poll);
+      long second = Math.max(0, clock.now() - startNanos) / NANOS_PER_SECOND;
+      if (second != reportedSecond) {
+        reportedSecond = second;
         progress.accept(
             second
                 + " of "
-                + scenario.length() / SECOND
+                + scenario.length() / NANOS_PER_SECOND
                 + " s, "
-                + crowd.out()
+                + clients.inFlight()
                 + " requests out"
-                + active(second * SECOND));
+                + activeFaults(second * NANOS_PER_SECOND));
       }
-      Thread.sleep(STEP_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
   }
 
-  private void hearCues() throws IOException {
-    for (int i = 0; i < awaited.size(); ) {
-      long at = parts.cameAbout(awaited.get(i).cue());
-      if (at < 0) {
+  private void checkTriggers() throws IOException {
+    for (int i = 0; i < pendingTriggers.size(); ) {
+      long atNanos = environment.triggerTimeNanos(pendingTriggers.get(i).trigger());
+      if (atNanos < 0) {
         i++;
       } else {
-        awaited.remove(i).plan().accept(at);
+        pendingTriggers.remove(i).action().accept(atNanos);
       }
     }
   }
 
-  /** A play in which something never began has not shown what its scenario is about. */
-  private void playedWhole() throws IOException {
-    if (!awaited.isEmpty()) {
+  /** Fails if a fault or version never started, as the scenario was then not run as written. */
+  private void checkAllTriggersMet() throws IOException {
+    if (!pendingTriggers.isEmpty()) {
       throw new IOException(
           "not played as written, this never came about: "
-              + awaited.stream()
-                  .map(a -> a.cue().toText())
+              + pendingTriggers.stream()
+                  .map(pending -> pending.trigger().toText())
                   .distinct()
                   .collect(Collectors.joining(", ")));
     }
   }
 
-  private String active(long at) {
+  private String activeFaults(long atNanos) {
     List<String> names =
         scenario.faults().stream()
-            .filter(f -> f.after() == null && f.from() <= at && (f.until() != null || at < f.to()))
+            .filter(f -> f.after() == null && f.from() <= atNanos && (f.until() != null || atNanos < f.to()))
             .map(
                 f ->
                     f.kind().word()
@@ -487,48 +493,48 @@
     return names.isEmpty() ? "" : "; " + String.join(", ", names);
   }
 
-  /** Lets what is out come to its end, stops the routers as planned and lets go of everything. */
+  /** Waits for the requests in flight, then stops clients, agents and routers. */
   private void settle() throws InterruptedException {
     progress.accept("settling");
-    mend();
-    long longest = scenario.types().stream().mapToLong(Scenario.Type::deadline).max().orElse(0);
-    crowd.drained(clock.now() + longest * 2 + 2 * SECOND);
-    crowd.finish();
-    if (parts != null) {
-      parts.endAgents();
-    }
-    // One that still starts would be ended before it is ready, which is no offence of its own.
-    for (Thread restart : restarts) {
+    endLastingFaults();
+    long maxDeadlineNanos = scenario.types().stream().mapToLong(Scenario.Type::deadline).max().orElse(0);
+    clients.awaitDrained(clock.now() + maxDeadlineNanos * 2 + 2 * NANOS_PER_SECOND);
+    clients.finish();
+    if (environment != null) {
+      environment.stopAgents();
+    }
+    // A router that is stopped while it starts would be reported as one that died by itself.
+    for (Thread restart : restartThreads) {
       restart.join();
     }
-    surroundings.tell(() -> surroundings.world().recoverAll());
-    seats.forEach(RouterProcess::look);
-    seats.forEach(RouterProcess::terminate);
-    for (RouterProcess seat : seats) {
-      seat.awaitEnd(END_MILLIS, true);
+    fleetServer.tell(() -> fleetServer.world().recoverAll());
+    routers.forEach(RouterProcess::poll);
+    routers.forEach(RouterProcess::terminate);
+    for (RouterProcess routerProcess : routers) {
+      routerProcess.awaitExit(STOP_TIMEOUT_MILLIS, true);
     }
-    // A turn of the stand-ins after the last end, which sees the connections that ended with it.
+    // The stand-ins notice the connections that ended with the routers in their next turns.
     for (int turn = 0; turn < 3; turn++) {
-      surroundings.tell(() -> {});
+      fleetServer.tell(() -> {});
       Thread.sleep(1);
     }
   }
 
-  /** Ends what lasts to the end of the play and would keep it from settling. */
-  private void mend() {
+  /** Ends the faults that last to the end of the run and would keep it from settling. */
+  private void endLastingFaults() {
     for (Scenario.FaultSpec fault : scenario.faults()) {
       if (fault.kind() == Fault.Kind.ROUTER_PAUSE) {
-        fault.target().forEach(name -> seats.get(scenario.router(name)).pause(false));
+        fault.target().forEach(name -> routers.get(scenario.router(name)).setPaused(false));
       } else if (fault.kind().needsAgreement()) {
-        parts.end(fault);
+        environment.endFault(fault);
       }
     }
   }
 
-  private void endRouters() throws InterruptedException {
-    for (RouterProcess seat : seats) {
-      seat.awaitEnd(0, false);
-      seat.close();
+  private void stopRouters() throws InterruptedException {
+    for (RouterProcess routerProcess : routers) {
+      routerProcess.awaitExit(0, false);
+      routerProcess.close();
     }
   }
 }
--- a/src/main/java/beaconturn/rehearsal/RestartableCacheServer.java
+++ b/src/main/java/beaconturn/rehearsal/RestartableCacheServer.java
@@ -7,63 +7,64 @@
 import beaconturn.standin.Fault;
 import beaconturn.standin.net.EmulatedFleetServer;
 
-/**
- * A cache server of a play that a release restarts: drained first, as an operator's command would
- * do.
- */
+/** A cache server's stand-in that a release restarts, after it was drained as operators would do. */
 final class RestartableCacheServer {
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** From the end of a process to the begin of the next. */
-  private static final long RESTART_MILLIS = 100;
+  /** Time between the end of a process and the start of the next. */
+  private static final long RESTART_DELAY_MILLIS = 100;
 
-  private static final double NOTHING_WORKS = 1;
-  private static final double SLOWER = 4;
+  private static final double ALL_REQUESTS_FAIL = 1;
+  private static final double SLOW_FACTOR = 4;
   private final Scenario scenario;
   private final String name;
-  private final int place;
-  private final EmulatedFleetServer surroundings;
+  private final int index;
+  private final EmulatedFleetServer fleetServer;
   private final Clock clock;
-  private final History account;
+  private final History history;
   private boolean released;
 
   RestartableCacheServer(
       Scenario scenario,
       String name,
-      EmulatedFleetServer surroundings,
+      EmulatedFleetServer fleetServer,
       Clock clock,
-      History account) {
+      History history) {
     this.scenario = scenario;
     this.name = name;
-    this.place = Scenario.place(name);
-    this.surroundings = surroundings;
+    this.index = Scenario.place(name);
+    this.fleetServer = fleetServer;
     this.clock = clock;
-    this.account = account;
+    this.history = history;
   }
 
-  /** Has it run what is released, or what was there before; whether it runs then, cold. */
-  synchronized boolean change(boolean toReleased) throws InterruptedException {
-    EmulatedFleet world = surroundings.world();
-    if (toReleased == released && !surroundings.ask(() -> world.at(place).dead())) {
+  /**
+   * Restarts the server with the released variant or the previous one, unless it already runs it.
+   *
+   * @return whether the server runs
+   */
+  synchronized boolean changeVariant(boolean toReleased) throws InterruptedException {
+    EmulatedFleet fleet = fleetServer.world();
+    if (toReleased == released && !fleetServer.ask(() -> fleet.at(index).dead())) {
       return true;
     }
-    account.add(new HistoryEvent.VariantChangeBegun(clock.now(), name, -1, toReleased));
+    history.add(new HistoryEvent.VariantChangeBegun(clock.now(), name, -1, toReleased));
     released = toReleased;
-    surroundings.tell(() -> world.begin(Fault.Kind.DRAIN, place, 0));
-    Thread.sleep((scenario.listLag() + scenario.rules().drainGrace()) / MILLI);
-    surroundings.tell(() -> world.begin(Fault.Kind.KILL, place, 0));
+    fleetServer.tell(() -> fleet.begin(Fault.Kind.DRAIN, index, 0));
+    Thread.sleep((scenario.listLag() + scenario.rules().drainGrace()) / NANOS_PER_MILLI);
+    fleetServer.tell(() -> fleet.begin(Fault.Kind.KILL, index, 0));
     Scenario.Harm harm = toReleased ? scenario.release().harm() : Scenario.Harm.NONE;
     if (harm == Scenario.Harm.CRASH) {
       return false;
     }
-    Thread.sleep(RESTART_MILLIS);
-    surroundings.tell(
+    Thread.sleep(RESTART_DELAY_MILLIS);
+    fleetServer.tell(
         () -> {
-          world.end(Fault.Kind.KILL, place);
+          fleet.end(Fault.Kind.KILL, index);
           switch (harm) {
-            case MUTE -> world.begin(Fault.Kind.STALL, place, 0);
-            case SLOWS -> world.begin(Fault.Kind.SLOW, place, SLOWER);
-            case REFUSES -> world.begin(Fault.Kind.ERRORS, place, NOTHING_WORKS);
+            case MUTE -> fleet.begin(Fault.Kind.STALL, index, 0);
+            case SLOWS -> fleet.begin(Fault.Kind.SLOW, index, SLOW_FACTOR);
+            case REFUSES -> fleet.begin(Fault.Kind.ERRORS, index, ALL_REQUESTS_FAIL);
             default -> {}
           }
         });
--- a/src/main/java/beaconturn/rehearsal/RouterLauncher.java
+++ b/src/main/java/beaconturn/rehearsal/RouterLauncher.java
@@ -4,67 +4,70 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Starts routers under rehearsal, as processes or otherwise. */
+/** Starts the routers of a rehearsal, as separate processes or inside this one. */
 public interface RouterLauncher {
   /**
    * What a router is started with.
    *
-   * @param name of the router
-   * @param config its configuration
-   * @param features the operators' file of what else is on, or null
-   * @param log where its log goes
-   * @param clockOff how far its wall clock is off, in nanoseconds
-   * @param leaksAfter nanoseconds from its start after which its memory grows, below 0 where it
-   *     does not
+   * @param name the router's name
+   * @param config its configuration file
+   * @param features its features file, or null
+   * @param log the file that receives its log
+   * @param clockOffsetNanos offset of its wall clock
+   * @param leaksAfterNanos time from its start after which it leaks memory; negative for never
    */
-  record LaunchOptions(String name, Path config, Path features, Path log, long clockOffsetNanos, long leaksAfterNanos) {}
+  record LaunchOptions(
+      String name,
+      Path config,
+      Path features,
+      Path log,
+      long clockOffsetNanos,
+      long leaksAfterNanos) {}
 
-  /** Starts a router; it need not be ready yet. */
-  RunningRouter launch(LaunchOptions start) throws IOException;
+  /** Starts a router without waiting until it is ready. */
+  RunningRouter launch(LaunchOptions options) throws IOException;
 
   /**
-   * The command line of the same program with these words; empty where it is no process of its own.
+   * Returns the command line that runs this program with the arguments; empty if routers run inside
+   * this process.
    */
-  default List<String> command(List<String> words) {
+  default List<String> command(List<String> arguments) {
     return List.of();
   }
 
-  /** Whether its routers can be killed and started again. */
+  /** Returns whether routers can be killed and started again. */
   boolean supportsRestart();
 
   /** A router that has been started. */
   interface RunningRouter {
-    /** Whether it still runs. */
+    /** Returns whether the router still runs. */
     boolean isAlive();
 
-    /** Ends it outright. */
+    /** Kills the router without a shutdown. */
     void kill();
 
-    /** Tells it to stop as planned. */
+    /** Requests a planned stop, as SIGTERM does. */
     void terminate();
 
-    /**
-     * Waits for its end, but not longer than so many milliseconds: its exit status, or -1 if it
-     * still runs.
-     */
-    int awaitExit(long millis) throws InterruptedException;
+    /** Waits for the end of the router; returns its exit status, or -1 if it still runs. */
+    int awaitExit(long timeoutMillis) throws InterruptedException;
 
-    /** Has it stand still, or go on. */
-    default void setPaused(boolean on) {
-      throw new UnsupportedOperationException("not a process of its own");
+    /** Pauses or resumes the process. */
+    default void setPaused(boolean paused) {
+      throw new UnsupportedOperationException("only a router in its own process can be paused");
     }
 
-    /** Tells it to read its configuration anew. */
+    /** Makes the router read its configuration again, as SIGHUP does. */
     default void reloadConfiguration() {
-      throw new UnsupportedOperationException("not a process of its own");
+      throw new UnsupportedOperationException("only a router in its own process can be reloaded");
     }
 
-    /** Its process id, or -1 where it is no process of its own. */
+    /** Returns the process id, or -1 if the router has no process of its own. */
     default long pid() {
       return -1;
     }
 
-    /** Processor time that it has used, in nanoseconds; below 0 where that is not known. */
+    /** Returns the processor time used so far, or a negative value if it is unknown. */
     long cpuNanos();
   }
 }
--- a/src/main/java/beaconturn/rehearsal/RouterProcess.java
+++ b/src/main/java/beaconturn/rehearsal/RouterProcess.java
@@ -23,86 +23,92 @@
 import java.util.logging.Logger;
 
 /**
- * One router of a play: its address, its files, and the process that stands there at the moment.
+ * One router of a rehearsal: its reserved addresses, its files, and its current process, which
+ * faults and agents stop and restart.
  */
 final class RouterProcess implements Closeable {
   private static final Logger LOG = Logger.getLogger(RouterProcess.class.getName());
-  private static final int READY_MILLIS = 30_000;
-  private static final int KILL_MILLIS = 2000;
-  private static final int STEP_MILLIS = 10;
+  private static final int READY_TIMEOUT_MILLIS = 30_000;
+  private static final int KILL_TIMEOUT_MILLIS = 2000;
+  private static final int POLL_INTERVAL_MILLIS = 10;
 
-  /** What a slow way to a cache server adds to each message. */
-  private static final long SLOW_BY = 250_000_000;
+  /** Delay of each message on a slow link to a cache server. */
+  private static final long SLOW_LINK_DELAY_NANOS = 250_000_000;
 
-  private static final int TRY_MILLIS = 500;
-  private static final long MILLI = 1_000_000;
-  private static final long MEASURE_EVERY = 500_000_000;
-  private static final String PONG = "+PONG";
+  private static final int PING_TIMEOUT_MILLIS = 500;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long USAGE_SAMPLE_INTERVAL_NANOS = 500_000_000;
+  private static final String PONG_REPLY = "+PONG";
   private final Scenario scenario;
-  private final int number;
-  private final EmulatedFleetServer surroundings;
+  private final int index;
+  private final EmulatedFleetServer fleetServer;
   private final RouterLauncher launcher;
   private final Clock clock;
-  private final History account;
+  private final History history;
   private final Path folder;
-  private final FleetEnvironment parts;
+  private final FleetEnvironment environment;
   private final InetSocketAddress address;
-  private final InetSocketAddress control;
-  private final List<SocketChannel> holders = new ArrayList<>();
+  private final InetSocketAddress adminAddress;
+  private final List<SocketChannel> portHolders = new ArrayList<>();
 
-  /** Whether it runs what is released, and what is wrong with it. */
+  /** Whether the process runs the released variant. */
   private boolean released;
 
+  /** The defect of the variant that the process runs. */
   private Scenario.Harm harm = Scenario.Harm.NONE;
+
   private volatile RouterLauncher.RunningRouter running;
-  private boolean told;
-  private boolean terminated;
-  private long cpu;
-  private long pausedAt;
-  private int starts;
-  private int reloads;
-  private RouterConfigWriter.Addresses configured;
-  private Json listed;
-  private ProcessUsage footprint = new ProcessUsage(0, 0);
-  private long measureAt;
+
+  /** Whether the end of the process is expected, or was already recorded. */
+  private boolean exitExpected;
+
+  private boolean stopping;
+  private long cpuNanos;
+  private long pausedAtNanos;
+  private int startCount;
+  private int reloadCount;
+  private RouterConfigWriter.Addresses configuredAddresses;
+  private Json initialList;
+  private ProcessUsage peakUsage = new ProcessUsage(0, 0);
+  private long nextUsageSampleNanos;
 
   RouterProcess(
       Scenario scenario,
-      int number,
-      EmulatedFleetServer surroundings,
+      int index,
+      EmulatedFleetServer fleetServer,
       RouterLauncher launcher,
       Clock clock,
-      History account,
+      History history,
       Path folder,
-      FleetEnvironment parts)
+      FleetEnvironment environment)
       throws IOException {
-    this.parts = parts;
+    this.environment = environment;
     this.scenario = scenario;
-    this.number = number;
-    this.surroundings = surroundings;
+    this.index = index;
+    this.fleetServer = fleetServer;
     this.launcher = launcher;
     this.clock = clock;
-    this.account = account;
+    this.history = history;
     this.folder = folder;
-    this.address = freeAddress();
-    this.control = scenario.release() == null ? null : freeAddress();
+    this.address = reserveAddress();
+    this.adminAddress = scenario.release() == null ? null : reserveAddress();
   }
 
-  /** Held until the end of the play: nobody takes it between two starts. */
-  private InetSocketAddress freeAddress() throws IOException {
+  /** Reserves an address until {@link #close}, so that no other process takes it between starts. */
+  private InetSocketAddress reserveAddress() throws IOException {
     SocketChannel holder = LoopbackPorts.take(LoopbackPorts::hold);
-    holders.add(holder);
+    portHolders.add(holder);
     return (InetSocketAddress) holder.getLocalAddress();
   }
 
-  /** Lets go of its addresses. */
+  /** Releases the reserved addresses. */
   @Override
   public void close() {
-    for (SocketChannel holder : holders) {
+    for (SocketChannel holder : portHolders) {
       try {
         holder.close();
       } catch (IOException e) {
-        LOG.log(Level.FINE, "closing", e);
+        LOG.log(Level.FINE, "a reserved address was not released", e);
       }
     }
   }
@@ -112,119 +118,119 @@
   }
 
   String name() {
-    return scenario.routers().get(number).name();
+    return scenario.routers().get(index).name();
   }
 
-  /** Starts a process; it is not ready yet. */
+  /** Starts a process without waiting until it is ready. */
   void launch() throws IOException {
     InetSocketAddress discovery =
-        parts == null ? surroundings.discovery(number) : parts.discovery(number);
-    // What refuses knows no cache server and hears of none.
-    Json known =
+        environment == null ? fleetServer.discovery(index) : environment.discoveryAddress(index);
+    // A variant that rejects every request starts with an empty endpoint list and gets no update.
+    Json endpointList =
         harm == Scenario.Harm.REFUSES
             ? new JsonObjectBuilder()
                 .put("seq", 0)
                 .put("whole", true)
                 .put("hosts", List.of())
                 .build()
-            : surroundings.known(number);
-    configured =
+            : fleetServer.known(index);
+    configuredAddresses =
         new RouterConfigWriter.Addresses(
-            text(harm == Scenario.Harm.MUTE ? freeAddress() : address),
-            text(harm == Scenario.Harm.REFUSES ? freeAddress() : discovery),
-            control == null ? null : text(control));
-    listed = known;
-    starts++;
+            hostAndPort(harm == Scenario.Harm.MUTE ? reserveAddress() : address),
+            hostAndPort(harm == Scenario.Harm.REFUSES ? reserveAddress() : discovery),
+            adminAddress == null ? null : hostAndPort(adminAddress));
+    initialList = endpointList;
+    startCount++;
     String text = configuration();
     if (harm == Scenario.Harm.CRASH) {
       text = "{}";
     }
     Path config = folder.resolve(name() + ".json");
     Files.writeString(config, text);
-    // One that cannot run ends by itself as the scenario has it.
-    told = harm == Scenario.Harm.CRASH;
-    terminated = false;
+    // A variant that crashes is expected to end by itself.
+    exitExpected = harm == Scenario.Harm.CRASH;
+    stopping = false;
     running =
         launcher.launch(
             new RouterLauncher.LaunchOptions(
                 name(),
                 config,
-                parts == null ? null : parts.featuresOf(name()),
+                environment == null ? null : environment.featuresFile(name()),
                 folder.resolve(name() + ".log"),
-                scenario.routers().get(number).clockOff(),
+                scenario.routers().get(index).clockOff(),
                 harm == Scenario.Harm.LEAKS ? scenario.release().goodFor() : -1));
   }
 
   private String configuration() {
     return new RouterConfigWriter(scenario)
         .configOf(
-            number, configured, listed, scenario.seed() * 1000 + number * 100L + starts, reloads);
+            index, configuredAddresses, initialList, scenario.seed() * 1000 + index * 100L + startCount, reloadCount);
   }
 
-  /** Writes settings that differ from those in force, and has the router read them. */
+  /** Writes changed settings and sends SIGHUP; no effect while the router does not respond. */
   void reload() throws IOException {
-    if (told || running == null || !running.isAlive() || !answersPing()) {
+    if (exitExpected || running == null || !running.isAlive() || !respondsToPing()) {
       // A JVM that still starts has no handler yet, and the signal would end it.
       return;
     }
-    reloads++;
-    // As an operator's tool does: a router must not read half of it.
-    Path aside = folder.resolve(name() + ".json.new");
-    Files.writeString(aside, configuration());
+    reloadCount++;
+    // Replaced atomically, so that the router never reads a half-written file.
+    Path temporaryFile = folder.resolve(name() + ".json.new");
+    Files.writeString(temporaryFile, configuration());
     Files.move(
-        aside,
+        temporaryFile,
         folder.resolve(name() + ".json"),
         StandardCopyOption.REPLACE_EXISTING,
         StandardCopyOption.ATOMIC_MOVE);
     running.reloadConfiguration();
   }
 
-  /** The end of a planned stop, whether it is done or not: what is not answered by now is lost. */
-  void killAfterStop() {
-    if (terminated && running != null && running.isAlive()) {
-      // It was told to end, and may have used all of its time.
-      terminated = false;
+  /** Kills the process if its planned stop has not finished; its open requests are lost. */
+  void killIfStillStopping() {
+    if (stopping && running != null && running.isAlive()) {
+      // The end of the process is not counted as that of a planned stop any more.
+      stopping = false;
       running.kill();
     }
   }
 
-  private static String text(InetSocketAddress at) {
-    return at.getHostString() + ":" + at.getPort();
+  private static String hostAndPort(InetSocketAddress socketAddress) {
+    return socketAddress.getHostString() + ":" + socketAddress.getPort();
   }
 
-  /** Waits until it answers PING; fails with its last log line if it ends or takes too long. */
+  /** Waits until the router responds to PING; fails with its last log line otherwise. */
   void awaitReady() throws IOException, InterruptedException {
-    awaitReady(READY_MILLIS);
+    awaitReady(READY_TIMEOUT_MILLIS);
   }
 
-  private void awaitReady(long millis) throws IOException, InterruptedException {
-    long until = clock.now() + millis * MILLI;
-    while (clock.now() < until) {
+  private void awaitReady(long timeoutMillis) throws IOException, InterruptedException {
+    long deadlineNanos = clock.now() + timeoutMillis * NANOS_PER_MILLI;
+    while (clock.now() < deadlineNanos) {
       if (!running.isAlive()) {
         break;
       }
-      if (answersPing()) {
-        account.add(new HistoryEvent.RouterReady(clock.now(), number));
+      if (respondsToPing()) {
+        history.add(new HistoryEvent.RouterReady(clock.now(), index));
         return;
       }
-      Thread.sleep(STEP_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
-    throw new IOException("router " + name() + " did not get ready: " + lastLine());
+    throw new IOException("router " + name() + " did not get ready: " + lastLogLine());
   }
 
-  private boolean answersPing() {
+  private boolean respondsToPing() {
     try (Socket socket = new Socket()) {
-      socket.connect(address, TRY_MILLIS);
-      socket.setSoTimeout(TRY_MILLIS);
+      socket.connect(address, PING_TIMEOUT_MILLIS);
+      socket.setSoTimeout(PING_TIMEOUT_MILLIS);
       socket.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
-      byte[] answer = socket.getInputStream().readNBytes(PONG.length());
-      return new String(answer, StandardCharsets.US_ASCII).equals(PONG);
+      byte[] reply = socket.getInputStream().readNBytes(PONG_REPLY.length());
+      return new String(reply, StandardCharsets.US_ASCII).equals(PONG_REPLY);
     } catch (IOException e) {
       return false;
     }
   }
 
-  private String lastLine() throws IOException {
+  private String lastLogLine() throws IOException {
     Path log = folder.resolve(name() + ".log");
     if (!Files.exists(log)) {
       return "no log";
@@ -234,71 +240,75 @@
   }
 
   /**
-   * Ends the process and waits until it is gone: up to then it may take requests, which are its
-   * clients'.
+   * Kills the process and waits for its end: until then it may accept requests, which are recorded
+   * as interrupted by the kill.
    */
   void kill() {
-    told = true;
-    // If it was told to stop before, its end is no planned one any more.
-    terminated = false;
-    long at = clock.now();
+    exitExpected = true;
+    // A planned stop that was announced before is overtaken by the kill.
+    stopping = false;
+    long atNanos = clock.now();
     running.kill();
     try {
-      running.awaitExit(KILL_MILLIS);
+      running.awaitExit(KILL_TIMEOUT_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    account.add(new HistoryEvent.RouterStopped(at, clock.now(), number, false));
+    history.add(new HistoryEvent.RouterStopped(atNanos, clock.now(), index, false));
   }
 
   void terminate() {
-    told = true;
+    exitExpected = true;
     if (running == null || !running.isAlive()) {
-      // Killed before, and not started again by the end of the play.
+      // Killed by a fault and not restarted before the end of the run.
       return;
     }
-    terminated = true;
-    account.add(new HistoryEvent.RouterStopped(clock.now(), clock.now(), number, true));
+    stopping = true;
+    history.add(new HistoryEvent.RouterStopped(clock.now(), clock.now(), index, true));
     running.terminate();
   }
 
-  /** Once a fault is over; what an agent has started meanwhile is not the fault's, and runs on. */
-  synchronized void startAgain(boolean planned) throws IOException, InterruptedException {
-    if (told || running == null || !running.isAlive()) {
-      awaitEnd(Rehearsal.END_MILLIS, planned);
+  /**
+   * Restarts the router at the end of a fault; a process that an agent has started in the meantime
+   * keeps running.
+   */
+  synchronized void restart(boolean planned) throws IOException, InterruptedException {
+    if (exitExpected || running == null || !running.isAlive()) {
+      awaitExit(Rehearsal.STOP_TIMEOUT_MILLIS, planned);
       launch();
       awaitReady();
     }
   }
 
   /**
-   * Has the router run what is released, or what was there before; nothing is done where it does.
-   * Whether it is ready then.
+   * Restarts the router with the released variant or the previous one, unless it already runs it.
    *
-   * @param front is told when the front goes round it, and when it uses it again
+   * @param front receives true when the front starts to avoid the router, and false when it uses
+   *     the router again
+   * @return whether the router is ready
    */
-  synchronized boolean change(boolean toReleased, Consumer<Boolean> front)
+  synchronized boolean changeVariant(boolean toReleased, Consumer<Boolean> front)
       throws InterruptedException {
-    if (toReleased == released && running != null && running.isAlive() && answersPing()) {
+    if (toReleased == released && running != null && running.isAlive() && respondsToPing()) {
       return true;
     }
-    account.add(new HistoryEvent.VariantChangeBegun(clock.now(), name(), number, toReleased));
+    history.add(new HistoryEvent.VariantChangeBegun(clock.now(), name(), index, toReleased));
     released = toReleased;
     harm = toReleased ? scenario.release().harm() : Scenario.Harm.NONE;
-    parts.reachesCaches(number, FaultProxy.State.OPEN, 0);
+    environment.setCacheLinkState(index, FaultProxy.State.OPEN, 0);
     try {
       boolean alive = running != null && running.isAlive();
       if (alive) {
         terminate();
-        Thread.sleep(Rehearsal.FRONT_GOES_ON / MILLI);
+        Thread.sleep(Rehearsal.FRONT_REACTION_NANOS / NANOS_PER_MILLI);
       }
       front.accept(true);
-      awaitEnd(Rehearsal.END_MILLIS, alive);
+      awaitExit(Rehearsal.STOP_TIMEOUT_MILLIS, alive);
       launch();
-      awaitReady(scenario.release().limit() / MILLI);
+      awaitReady(scenario.release().limit() / NANOS_PER_MILLI);
       front.accept(false);
       if (harm == Scenario.Harm.FADES || harm == Scenario.Harm.SLOWS) {
-        fade(running, harm == Scenario.Harm.FADES ? FaultProxy.State.CUT : FaultProxy.State.SLOW);
+        degradeLater(running, harm == Scenario.Harm.FADES ? FaultProxy.State.CUT : FaultProxy.State.SLOW);
       }
       return true;
     } catch (IOException e) {
@@ -306,86 +316,89 @@
     }
   }
 
-  /** The process is good for a while, and then reaches cache servers no more, or slowly. */
-  private void fade(RouterLauncher.RunningRouter process, FaultProxy.State then) {
+  /** Cuts or slows the links to cache servers after the variant's healthy period. */
+  private void degradeLater(RouterLauncher.RunningRouter process, FaultProxy.State degradedState) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                Thread.sleep(scenario.release().goodFor() / MILLI);
+                Thread.sleep(scenario.release().goodFor() / NANOS_PER_MILLI);
                 synchronized (this) {
                   if (running == process) {
-                    parts.reachesCaches(number, then, SLOW_BY);
+                    environment.setCacheLinkState(index, degradedState, SLOW_LINK_DELAY_NANOS);
                   }
                 }
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
             },
-            "fade");
+            "degrade-links");
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** The second address, or null where it has none. */
-  InetSocketAddress control() {
-    return control;
+  /** Returns the admin address, or null if the router has none. */
+  InetSocketAddress adminAddress() {
+    return adminAddress;
   }
 
-  /** Has its process stand still, or go on: what it held meanwhile is its clients' to try again. */
-  void pause(boolean on) {
-    running.setPaused(on);
-    if (on) {
-      pausedAt = clock.now();
-    } else if (pausedAt != 0) {
-      account.add(new HistoryEvent.RouterStopped(pausedAt, clock.now(), number, false));
-      account.add(new HistoryEvent.RouterReady(clock.now(), number));
-      pausedAt = 0;
+  /**
+   * Pauses or resumes the process; requests that it held are recorded as interrupted, for clients
+   * to retry.
+   */
+  void setPaused(boolean paused) {
+    running.setPaused(paused);
+    if (paused) {
+      pausedAtNanos = clock.now();
+    } else if (pausedAtNanos != 0) {
+      history.add(new HistoryEvent.RouterStopped(pausedAtNanos, clock.now(), index, false));
+      history.add(new HistoryEvent.RouterReady(clock.now(), index));
+      pausedAtNanos = 0;
     }
   }
 
-  /** Notes it if the process has ended though nobody told it to; to be called again and again. */
-  void look() {
-    RouterLauncher.RunningRouter now = running;
-    if (now != null && !told && !now.isAlive()) {
-      told = true;
-      account.add(new HistoryEvent.RouterDied(clock.now(), number, "ended by itself"));
-    } else if (now != null && now.isAlive()) {
-      cpu = Math.max(cpu, now.cpuNanos());
-      if (clock.now() >= measureAt) {
-        measureAt = clock.now() + MEASURE_EVERY;
-        footprint = footprint.max(ProcessUsage.of(now.pid()));
+  /** Records an unexpected end of the process and samples its usage; called periodically. */
+  void poll() {
+    RouterLauncher.RunningRouter current = running;
+    if (current != null && !exitExpected && !current.isAlive()) {
+      exitExpected = true;
+      history.add(new HistoryEvent.RouterDied(clock.now(), index, "ended by itself"));
+    } else if (current != null && current.isAlive()) {
+      cpuNanos = Math.max(cpuNanos, current.cpuNanos());
+      if (clock.now() >= nextUsageSampleNanos) {
+        nextUsageSampleNanos = clock.now() + USAGE_SAMPLE_INTERVAL_NANOS;
+        peakUsage = peakUsage.max(ProcessUsage.of(current.pid()));
       }
     }
   }
 
   /**
-   * Waits for the end of a planned stop; one that has to be killed, or fails, has not ended as
-   * planned.
+   * Waits for the end of the process and kills it after the time limit. A planned stop that had to
+   * be killed or exited with an error is recorded as a failure.
    */
-  void awaitEnd(long millis, boolean planned) throws InterruptedException {
+  void awaitExit(long timeoutMillis, boolean planned) throws InterruptedException {
     if (running == null) {
       return;
     }
-    int status = running.awaitExit(millis);
-    if (status < 0) {
+    int exitStatus = running.awaitExit(timeoutMillis);
+    if (exitStatus < 0) {
       running.kill();
-      running.awaitExit(millis);
+      running.awaitExit(timeoutMillis);
     }
-    if (planned && terminated && status != 0) {
-      String how = status < 0 ? "did not end after SIGTERM" : "ended with status " + status;
-      account.add(new HistoryEvent.RouterDied(clock.now(), number, how));
+    if (planned && stopping && exitStatus != 0) {
+      String reason = exitStatus < 0 ? "did not end after SIGTERM" : "ended with status " + exitStatus;
+      history.add(new HistoryEvent.RouterDied(clock.now(), index, reason));
     }
     running = null;
   }
 
-  /** The most that its processes held. */
-  ProcessUsage footprint() {
-    return footprint;
+  /** Returns the peak usage of all processes of this router. */
+  ProcessUsage peakUsage() {
+    return peakUsage;
   }
 
-  /** Processor time of its last process, in nanoseconds; 0 where it is not known. */
+  /** Returns the processor time of the last process, or 0 if it is unknown. */
   long cpuNanos() {
-    return Math.max(0, cpu);
+    return Math.max(0, cpuNanos);
   }
 }
