--- a/src/main/java/beaconturn/rehearsal/ScenarioOutline.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioOutline.java
@@ -71,9 +71,9 @@
 
   private void checkTrigger(TomlSection section, String key, Trigger trigger) throws TomlException {
     boolean ofVersion = trigger.stage() != Trigger.Stage.TAKEN_OUT && trigger.stage() != Trigger.Stage.READY;
-    boolean knownServer = !ofVersion && fleet.names().contains(trigger.part());
-    if (!trigger.part().isEmpty() && !routerNames().contains(trigger.part()) && !knownServer) {
-      throw section.invalid(key, "there is no router '" + trigger.part() + "'");
+    boolean knownServer = !ofVersion && fleet.names().contains(trigger.instance());
+    if (!trigger.instance().isEmpty() && !routerNames().contains(trigger.instance()) && !knownServer) {
+      throw section.invalid(key, "there is no router '" + trigger.instance() + "'");
     }
     if (ofVersion && (trigger.version() < 1 || trigger.version() > versions)) {
       throw section.invalid(
--- a/src/main/java/beaconturn/rehearsal/ScheduledRequest.java
+++ b/src/main/java/beaconturn/rehearsal/ScheduledRequest.java
@@ -1,32 +1,38 @@
 package beaconturn.rehearsal;
 
 /**
- * A request as it was planned before the play.
+ * A request as it was scheduled before the rehearsal.
  *
- * @param number counts all of a play, from 0
- * @param at when a client wants it, in nanoseconds from the first second of the play
- * @param stream which clients it belongs to
- * @param type its class
- * @param key what it concerns
- * @param chance decides all that is left to chance while it is played, so that a play can be
- *     repeated
+ * @param number its number in the rehearsal, from 0
+ * @param atNanos when a client sends it first, counted from the start of the rehearsal
+ * @param stream the index of the clients that it belongs to
+ * @param requestClass its class
+ * @param key the key that it reads or writes
+ * @param randomBits decides everything random about it, so that a rehearsal can be repeated
  */
 record ScheduledRequest(
-    int number, long at, int stream, Scenario.Type type, String key, long chance) {
-  private static final int SPREAD = 40;
+    int number,
+    long atNanos,
+    int stream,
+    Scenario.Type requestClass,
+    String key,
+    long randomBits) {
+  private static final int ROUTER_BITS_SHIFT = 40;
 
-  /** The id of one try. */
-  String id(long seed, int attempt) {
+  /** Returns the request id of one attempt; its first eight digits are those of the request. */
+  String attemptId(long seed, int attempt) {
     return String.format("%08x%02x%06x", number, attempt, seed & 0xffffff);
   }
 
-  /** The idempotency key, the same for all tries. */
-  String once(long seed) {
+  /** Returns the idempotency key, the same for all attempts. */
+  String idempotencyKey(long seed) {
     return String.format("k%08x%06x", number, seed & 0xffffff);
   }
 
-  /** One of so many routers. */
-  int router(int attempt, int routers) {
-    return (int) Long.remainderUnsigned((chance ^ chance >>> SPREAD) + attempt, routers);
+  /** Returns the index of the router for an attempt. */
+  int routerFor(int attempt, int routerCount) {
+    return (int)
+        Long.remainderUnsigned(
+            (randomBits ^ randomBits >>> ROUTER_BITS_SHIFT) + attempt, routerCount);
   }
 }
--- a/src/main/java/beaconturn/rehearsal/SequentialClient.java
+++ b/src/main/java/beaconturn/rehearsal/SequentialClient.java
@@ -16,62 +16,71 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /**
- * One connection of the clients to a router: a thread that asks one request at a time and reads its
- * answer.
+ * One client connection to a router that carries one request at a time, on a thread of its own.
  */
 final class SequentialClient {
-  private static final long MILLI = 1_000_000;
-  private static final int CONNECT_MILLIS = 1000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-  /** A new connection that is shut unread ends so soon. */
-  private static final long TURNED_AWAY = 150 * MILLI;
+  /** Within this time a router closes a new connection that it rejects unread. */
+  private static final long REJECTED_CONNECTION_NANOS = 150 * NANOS_PER_MILLI;
 
   private static final int STACK_BYTES = 192 * 1024;
 
-  /** How long after its deadline a request's answer is still waited for, to be seen as late. */
-  private static final long PATIENCE = 300 * MILLI;
+  /** How long after its deadline a response is still awaited, to be recorded as late. */
+  private static final long LATE_RESPONSE_NANOS = 300 * NANOS_PER_MILLI;
 
   private final InetSocketAddress router;
   private final Clock clock;
-  private final History account;
-  private final Owner owner;
-  private final boolean crowded;
-  private final BlockingQueue<Try> next = new LinkedBlockingQueue<>();
-  private final InputBuffer in = new InputBuffer();
+  private final History history;
+  private final AttemptListener listener;
+  private final boolean connectionLimited;
+  private final BlockingQueue<Attempt> queue = new LinkedBlockingQueue<>();
+  private final InputBuffer input = new InputBuffer();
   private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
   private Socket socket;
-  private String lastId = "";
+  private String lastRequestId = "";
   private boolean used;
 
-  /** One try of a planned request, on its way to a router. */
-  record Try(
-      ScheduledRequest planned, int attempt, String id, int router, long patience, String once) {}
+  /** One attempt of a scheduled request; without an idempotency key that component is null. */
+  record Attempt(
+      ScheduledRequest request,
+      int number,
+      String id,
+      int router,
+      long timeoutNanos,
+      String idempotencyKey) {}
 
   /**
-   * How a try ended; {@code kind} is null where no router took it, {@code retryAfter} 0 where none
-   * was told.
+   * How an attempt ended; {@code outcome} is null if it did not reach a router, and {@code
+   * retryAfterNanos} 0 if the response named no delay.
    */
-  record Result(Try asked, HistoryEvent.ClientOutcome kind, long at, long retryAfter) {}
+  record AttemptResult(
+      Attempt attempt, HistoryEvent.ClientOutcome outcome, long atNanos, long retryAfterNanos) {}
 
-  /** Who is told how tries end; called on the line's thread. */
-  interface Owner {
-    void done(SequentialClient line, Result result, boolean reusable);
+  /** Receives the ends of attempts, on the client's thread. */
+  interface AttemptListener {
+    void attemptEnded(SequentialClient client, AttemptResult result, boolean reusable);
 
     /**
-     * The connection had been closed between requests: the same try goes out once more on a new
-     * one.
+     * The router closed a reused connection before it responded; the same attempt is to be sent
+     * again on another connection.
      */
-    void crossed(Try again);
+    void connectionClosed(Attempt attempt);
   }
 
-  /** A connection to a router, which may shut new ones unread where it is {@code crowded}. */
+  /**
+   * Creates a client that connects to the router with its first request.
+   *
+   * @param connectionLimited whether the router may reject new connections unread
+   */
   SequentialClient(
-      InetSocketAddress router, Clock clock, History account, Owner owner, boolean crowded) {
-    this.crowded = crowded;
+      InetSocketAddress router, Clock clock, History history, AttemptListener listener, boolean connectionLimited) {
+    this.connectionLimited = connectionLimited;
     this.router = router;
     this.clock = clock;
-    this.account = account;
-    this.owner = owner;
+    this.history = history;
+    this.listener = listener;
   }
 
   void start() {
@@ -80,23 +89,23 @@
     thread.start();
   }
 
-  void ask(Try one) {
-    next.add(one);
+  void send(Attempt attempt) {
+    queue.add(attempt);
   }
 
-  /** Ends it once it has looked for answers that nobody asked for. */
+  /** Closes the connection after a last check for unsolicited responses. */
   void finish() {
-    next.add(new Try(null, 0, "", 0, 0, null));
+    queue.add(new Attempt(null, 0, "", 0, 0, null));
   }
 
   private void run() {
     try {
-      for (Try one = next.take(); one.planned() != null; one = next.take()) {
-        if (!exchange(one)) {
+      for (Attempt attempt = queue.take(); attempt.request() != null; attempt = queue.take()) {
+        if (!exchange(attempt)) {
           return;
         }
       }
-      strays();
+      readUnsolicited();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
@@ -104,130 +113,130 @@
     }
   }
 
-  /** False if the connection is over. */
-  private boolean exchange(Try one) {
+  /** Sends a request and reads its response; returns false if the connection is closed. */
+  private boolean exchange(Attempt attempt) {
     boolean reused = used;
     try {
       if (socket == null) {
         socket = new Socket();
         socket.setTcpNoDelay(true);
-        socket.connect(router, CONNECT_MILLIS);
+        socket.connect(router, CONNECT_TIMEOUT_MILLIS);
       }
-      strays();
+      readUnsolicited();
     } catch (IOException e) {
-      owner.done(this, new Result(one, null, clock.now(), 0), false);
+      listener.attemptEnded(this, new AttemptResult(attempt, null, clock.now(), 0), false);
       return false;
     }
     used = true;
-    lastId = one.id();
-    long asked;
+    lastRequestId = attempt.id();
+    long writtenAtNanos;
     try {
-      socket.getOutputStream().write(ClientCommands.bytes(one));
-      asked = clock.now();
-      account.add(
+      socket.getOutputStream().write(ClientCommands.encode(attempt));
+      writtenAtNanos = clock.now();
+      history.add(
           new HistoryEvent.RequestWritten(
-              asked,
-              one.id(),
-              one.planned().type().name(),
-              one.planned().key(),
-              one.once(),
-              one.router(),
-              asked + one.patience()));
+              writtenAtNanos,
+              attempt.id(),
+              attempt.request().requestClass().name(),
+              attempt.request().key(),
+              attempt.idempotencyKey(),
+              attempt.router(),
+              writtenAtNanos + attempt.timeoutNanos()));
     } catch (IOException e) {
-      again(one, reused);
+      reportWriteFailure(attempt, reused);
       return false;
     }
-    return answer(one, asked, reused);
+    return awaitResponse(attempt, writtenAtNanos, reused);
   }
 
-  private void again(Try one, boolean reused) {
+  private void reportWriteFailure(Attempt attempt, boolean reused) {
     if (reused) {
-      crossed(one);
+      reportClosedConnection(attempt);
     } else {
-      owner.done(this, new Result(one, null, clock.now(), 0), false);
+      listener.attemptEnded(this, new AttemptResult(attempt, null, clock.now(), 0), false);
     }
   }
 
-  private boolean answer(Try one, long asked, boolean reused) {
-    HistoryEvent.ClientOutcome kind;
+  private boolean awaitResponse(Attempt attempt, long writtenAtNanos, boolean reused) {
+    HistoryEvent.ClientOutcome outcome;
     RespValue value = null;
     try {
-      value = read(asked + one.patience() + PATIENCE);
-      kind =
+      value = readValue(writtenAtNanos + attempt.timeoutNanos() + LATE_RESPONSE_NANOS);
+      outcome =
           value != null
-              ? ClientCommands.kind(value)
-              : in.size() > 0
+              ? ClientCommands.outcomeOf(value)
+              : input.size() > 0
                   ? HistoryEvent.ClientOutcome.DAMAGED
                   : HistoryEvent.ClientOutcome.DISCONNECTED;
     } catch (SocketTimeoutException e) {
-      kind = HistoryEvent.ClientOutcome.TIMED_OUT;
+      outcome = HistoryEvent.ClientOutcome.TIMED_OUT;
     } catch (IOException e) {
-      kind =
-          in.size() > 0
+      outcome =
+          input.size() > 0
               ? HistoryEvent.ClientOutcome.DAMAGED
               : HistoryEvent.ClientOutcome.DISCONNECTED;
     } catch (ProtocolException e) {
-      kind = HistoryEvent.ClientOutcome.DAMAGED;
+      outcome = HistoryEvent.ClientOutcome.DAMAGED;
     }
-    if (kind == HistoryEvent.ClientOutcome.DISCONNECTED && reused) {
-      crossed(one);
+    if (outcome == HistoryEvent.ClientOutcome.DISCONNECTED && reused) {
+      reportClosedConnection(attempt);
       return false;
     }
-    if (kind == HistoryEvent.ClientOutcome.DISCONNECTED
-        && crowded
-        && clock.now() - asked <= TURNED_AWAY) {
-      account.add(new HistoryEvent.RequestCrossedClose(clock.now(), one.id()));
-      owner.done(this, new Result(one, null, clock.now(), 0), false);
+    if (outcome == HistoryEvent.ClientOutcome.DISCONNECTED
+        && connectionLimited
+        && clock.now() - writtenAtNanos <= REJECTED_CONNECTION_NANOS) {
+      history.add(new HistoryEvent.RequestCrossedClose(clock.now(), attempt.id()));
+      listener.attemptEnded(this, new AttemptResult(attempt, null, clock.now(), 0), false);
       return false;
     }
-    long at = clock.now();
-    account.add(
-        new HistoryEvent.ResponseReceived(at, one.id(), kind, ClientCommands.digest(value)));
-    boolean keep =
+    long atNanos = clock.now();
+    history.add(
+        new HistoryEvent.ResponseReceived(atNanos, attempt.id(), outcome, ClientCommands.valueDigest(value)));
+    boolean reusable =
         value != null
-            && (kind != HistoryEvent.ClientOutcome.FAILED || value instanceof RespValue.Failure);
-    owner.done(this, new Result(one, kind, at, ClientCommands.retryAfter(value)), keep);
-    return keep;
+            && (outcome != HistoryEvent.ClientOutcome.FAILED || value instanceof RespValue.Failure);
+    listener.attemptEnded(this, new AttemptResult(attempt, outcome, atNanos, ClientCommands.retryAfterNanos(value)), reusable);
+    return reusable;
   }
 
-  private void crossed(Try one) {
-    account.add(new HistoryEvent.RequestCrossedClose(clock.now(), one.id()));
-    owner.crossed(one);
+  private void reportClosedConnection(Attempt attempt) {
+    history.add(new HistoryEvent.RequestCrossedClose(clock.now(), attempt.id()));
+    listener.connectionClosed(attempt);
   }
 
-  private RespValue read(long until) throws IOException, ProtocolException {
-    RespValue value = reader.next(in);
-    InputStream from = socket.getInputStream();
+  private RespValue readValue(long deadlineNanos) throws IOException, ProtocolException {
+    RespValue value = reader.next(input);
+    InputStream stream = socket.getInputStream();
     while (value == null) {
-      long left = (until - clock.now()) / MILLI;
-      if (left <= 0) {
+      long remainingMillis = (deadlineNanos - clock.now()) / NANOS_PER_MILLI;
+      if (remainingMillis <= 0) {
         throw new SocketTimeoutException();
       }
-      socket.setSoTimeout((int) left);
-      if (!ClientCommands.read(from, in)) {
+      socket.setSoTimeout((int) remainingMillis);
+      if (!ClientCommands.readInto(stream, input)) {
         return null;
       }
-      value = reader.next(in);
+      value = reader.next(input);
     }
     return value;
   }
 
-  /** Whatever has come since the last answer: each whole value is an answer too many. */
-  private void strays() {
+  /** Records every value that has arrived since the last response as one response too many. */
+  private void readUnsolicited() {
     try {
-      while (socket != null && (in.size() > 0 || socket.getInputStream().available() > 0)) {
-        RespValue value = read(clock.now() + MILLI);
+      while (socket != null && (input.size() > 0 || socket.getInputStream().available() > 0)) {
+        RespValue value = readValue(clock.now() + NANOS_PER_MILLI);
         if (value == null) {
           return;
         }
-        account.add(
+        history.add(
             new HistoryEvent.ResponseReceived(
-                clock.now(), lastId, ClientCommands.kind(value), ClientCommands.digest(value)));
+                clock.now(), lastRequestId, ClientCommands.outcomeOf(value), ClientCommands.valueDigest(value)));
       }
     } catch (IOException | ProtocolException e) {
-      account.add(
+      history.add(
           new HistoryEvent.ResponseReceived(
-              clock.now(), lastId, HistoryEvent.ClientOutcome.DAMAGED, 0));
+              clock.now(), lastRequestId, HistoryEvent.ClientOutcome.DAMAGED, 0));
       close();
     }
   }
--- a/src/main/java/beaconturn/rehearsal/ServedBySecond.java
+++ b/src/main/java/beaconturn/rehearsal/ServedBySecond.java
@@ -5,53 +5,53 @@
 import java.util.List;
 import java.util.Map;
 
-/** Of what clients first asked for in each second of a play, what was served in the end. */
+/** Counts by second the requests that were first sent in it, and how many were served in the end. */
 final class ServedBySecond {
-  private static final double SECOND = 1e9;
-  private static final int WINDOW = 10;
-  private final double[] wanted;
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final int WINDOW_SECONDS = 10;
+  private final double[] requests;
   private final double[] served;
 
-  /** Of an account whose play began at a time and has so many seconds. */
-  ServedBySecond(List<HistoryEvent> entries, long start, int seconds) {
-    wanted = new double[seconds + 1];
+  /** Counts the requests of a history that starts at {@code startNanos} and lasts for the seconds. */
+  ServedBySecond(List<HistoryEvent> events, long startNanos, int seconds) {
+    requests = new double[seconds + 1];
     served = new double[seconds + 1];
-    Map<String, Integer> askedIn = new HashMap<>();
-    for (HistoryEvent entry : entries) {
-      if (entry instanceof HistoryEvent.RequestWritten asked
-          && askedIn.get(wish(asked.requestId())) == null) {
-        int in = (int) Math.max(0, Math.min(seconds, (asked.atNanos() - start) / SECOND));
-        askedIn.put(wish(asked.requestId()), in);
-        wanted[in]++;
-      } else if (entry instanceof HistoryEvent.ResponseReceived answered
-          && answered.outcome() == HistoryEvent.ClientOutcome.SERVED
-          && askedIn.getOrDefault(wish(answered.requestId()), -1) >= 0) {
-        served[askedIn.put(wish(answered.requestId()), -1)]++;
+    Map<String, Integer> firstSecondByNumber = new HashMap<>();
+    for (HistoryEvent event : events) {
+      if (event instanceof HistoryEvent.RequestWritten written
+          && firstSecondByNumber.get(requestNumber(written.requestId())) == null) {
+        int second = (int) Math.max(0, Math.min(seconds, (written.atNanos() - startNanos) / NANOS_PER_SECOND));
+        firstSecondByNumber.put(requestNumber(written.requestId()), second);
+        requests[second]++;
+      } else if (event instanceof HistoryEvent.ResponseReceived response
+          && response.outcome() == HistoryEvent.ClientOutcome.SERVED
+          && firstSecondByNumber.getOrDefault(requestNumber(response.requestId()), -1) >= 0) {
+        served[firstSecondByNumber.put(requestNumber(response.requestId()), -1)]++;
       }
     }
   }
 
-  /** A request's first digits are its number; a try more has the same. */
-  private static String wish(String id) {
-    return id.substring(0, Math.min(8, id.length()));
+  /** Returns the first digits of an id, which are the same for all attempts of a request. */
+  private static String requestNumber(String requestId) {
+    return requestId.substring(0, Math.min(8, requestId.length()));
   }
 
-  /** The part that was served of what was wanted in a second; 0 where nothing was. */
+  /** Returns the share of a second's requests that were served; 0 for a second without requests. */
   double servedShare(int second) {
-    return wanted[second] == 0 ? 0 : served[second] / wanted[second];
+    return requests[second] == 0 ? 0 : served[second] / requests[second];
   }
 
-  /** The same of the worst ten seconds on end; 1 where there are no ten. */
+  /** Returns the served share of the worst window of ten seconds; 1 if the run is shorter. */
   double worstWindowShare() {
     double worst = 1;
-    for (int from = 0; from + WINDOW < wanted.length; from++) {
-      double asked = 0;
-      double got = 0;
-      for (int i = from; i < from + WINDOW; i++) {
-        asked += wanted[i];
-        got += served[i];
+    for (int from = 0; from + WINDOW_SECONDS < requests.length; from++) {
+      double requestsInWindow = 0;
+      double servedInWindow = 0;
+      for (int second = from; second < from + WINDOW_SECONDS; second++) {
+        requestsInWindow += requests[second];
+        servedInWindow += served[second];
       }
-      worst = asked == 0 ? worst : Math.min(worst, got / asked);
+      worst = requestsInWindow == 0 ? worst : Math.min(worst, servedInWindow / requestsInWindow);
     }
     return worst;
   }
--- a/src/main/java/beaconturn/rehearsal/SilentClients.java
+++ b/src/main/java/beaconturn/rehearsal/SilentClients.java
@@ -9,22 +9,22 @@
 import java.util.List;
 
 /**
- * Clients that connect to a router and say nothing, or begin a command and stay; each comes again
- * when its connection has ended. What they ask for is nothing, so nobody owes them an answer.
+ * Clients that connect to a router and send nothing, or only part of a command, to occupy its
+ * connections. Each connects again after its connection was closed. They get no response.
  */
 final class SilentClients {
-  private static final long STEP_MILLIS = 20;
+  private static final long STEP_INTERVAL_MILLIS = 20;
 
-  /** One that was closed comes again so many steps later, as a client that was turned away does. */
-  private static final int STEPS_APART = 25;
+  /** Steps between attempts to connect again, as a rejected client waits before it retries. */
+  private static final int STEPS_BETWEEN_CONNECTS = 25;
 
-  private static final int READ = 64;
-  private static final byte[] BEGUN = "*4\r\n$5\r\nC.G".getBytes(StandardCharsets.US_ASCII);
+  private static final int READ_BUFFER_BYTES = 64;
+  private static final byte[] PARTIAL_COMMAND = "*4\r\n$5\r\nC.G".getBytes(StandardCharsets.US_ASCII);
   private final InetSocketAddress router;
   private final int count;
-  private final List<SocketChannel> open = new ArrayList<>();
-  private volatile boolean over;
-  private int made;
+  private final List<SocketChannel> openChannels = new ArrayList<>();
+  private volatile boolean finished;
+  private int createdCount;
 
   SilentClients(InetSocketAddress router, int count) {
     this.router = router;
@@ -38,59 +38,59 @@
   }
 
   void finish() {
-    over = true;
+    finished = true;
   }
 
   private void run() {
     try {
-      for (int step = 0; !over; step++) {
-        open.removeIf(SilentClients::ended);
-        if (step % STEPS_APART == 0) {
+      for (int step = 0; !finished; step++) {
+        openChannels.removeIf(SilentClients::closeIfEnded);
+        if (step % STEPS_BETWEEN_CONNECTS == 0) {
           connect();
         }
-        Thread.sleep(STEP_MILLIS);
+        Thread.sleep(STEP_INTERVAL_MILLIS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      open.forEach(SilentClients::close);
+      openChannels.forEach(SilentClients::close);
     }
   }
 
   private void connect() {
     try {
-      while (open.size() < count) {
-        SocketChannel next = SocketChannel.open();
-        open.add(next);
-        next.connect(router);
-        if (++made % 2 == 0) {
-          next.write(ByteBuffer.wrap(BEGUN));
+      while (openChannels.size() < count) {
+        SocketChannel channel = SocketChannel.open();
+        openChannels.add(channel);
+        channel.connect(router);
+        if (++createdCount % 2 == 0) {
+          channel.write(ByteBuffer.wrap(PARTIAL_COMMAND));
         }
-        next.configureBlocking(false);
+        channel.configureBlocking(false);
       }
     } catch (IOException e) {
-      // The router is not there now; those that failed are dropped and come again.
-      close(open.remove(open.size() - 1));
+      // The router does not accept connections now; the failed connection is retried later.
+      close(openChannels.remove(openChannels.size() - 1));
     }
   }
 
-  private static boolean ended(SocketChannel one) {
+  private static boolean closeIfEnded(SocketChannel channel) {
     try {
-      if (one.read(ByteBuffer.allocate(READ)) >= 0) {
+      if (channel.read(ByteBuffer.allocate(READ_BUFFER_BYTES)) >= 0) {
         return false;
       }
     } catch (IOException e) {
-      // Reset: over as well.
-      close(one);
+      // The connection was reset.
+      close(channel);
       return true;
     }
-    close(one);
+    close(channel);
     return true;
   }
 
-  private static void close(SocketChannel one) {
+  private static void close(SocketChannel channel) {
     try {
-      one.close();
+      channel.close();
     } catch (IOException e) {
       // Nothing is left to do with a socket that fails to close.
       return;
--- a/src/main/java/beaconturn/rehearsal/StolenTime.java
+++ b/src/main/java/beaconturn/rehearsal/StolenTime.java
@@ -8,43 +8,44 @@
 import java.util.Map;
 
 /**
- * How long the host kept a processor of this machine for others, as Linux tells it for a virtual
- * machine: {@code steal} in {@code proc(5)}, in ticks of 10 ms. A thread that runs on another
- * processor meanwhile does not see it, and what stands on the one that was taken does not go on.
+ * Measures how long the host of a virtual machine kept one of its processors from running: {@code
+ * steal} in {@code proc(5)}, in ticks of 10 ms. Needed beside the measurement of pauses by a thread,
+ * as that thread does not notice when another processor was taken.
  */
 final class StolenTime {
-  private static final Path STAT = Path.of("/proc/stat");
-  private static final long TICK = 10_000_000;
+  private static final Path STAT_FILE = Path.of("/proc/stat");
+  private static final long NANOS_PER_TICK = 10_000_000;
 
-  /** The word of a line of {@code /proc/stat} that holds what was stolen. */
-  private static final int STEAL = 8;
+  /** Index of the field for stolen time in a line of {@code /proc/stat}. */
+  private static final int STEAL_FIELD = 8;
 
-  private final Map<String, Long> known = new HashMap<>();
+  private final Map<String, Long> lastTicksByCpu = new HashMap<>();
 
   /**
-   * Nanoseconds since the last call of the processor that was kept from us for longest; 0 at first.
+   * Returns the stolen time since the last call, in nanoseconds, of the processor that lost most; 0
+   * for the first call.
    */
-  long since() {
+  long nanosSinceLastCall() {
     try {
-      return Files.exists(STAT) ? since(Files.readAllLines(STAT)) : 0;
+      return Files.exists(STAT_FILE) ? nanosSinceLastCall(Files.readAllLines(STAT_FILE)) : 0;
     } catch (IOException e) {
-      // Limits are then what they are on a machine that tells nothing.
+      // As on a machine that does not report stolen time.
       return 0;
     }
   }
 
-  /** The same by the lines of {@code /proc/stat}. */
-  long since(List<String> lines) {
-    long most = 0;
+  /** As {@link #nanosSinceLastCall()}, for the lines of {@code /proc/stat}. */
+  long nanosSinceLastCall(List<String> lines) {
+    long maxTicks = 0;
     for (String line : lines) {
-      String[] words = line.split(" ");
-      // The line of all processors together is "cpu" and has two spaces behind it.
-      if (words[0].matches("cpu[0-9]+") && words.length > STEAL) {
-        long stolen = Long.parseLong(words[STEAL]);
-        Long before = known.put(words[0], stolen);
-        most = before == null ? most : Math.max(most, stolen - before);
+      String[] fields = line.split(" ");
+      // The line for all processors starts with "cpu" and two spaces.
+      if (fields[0].matches("cpu[0-9]+") && fields.length > STEAL_FIELD) {
+        long stealTicks = Long.parseLong(fields[STEAL_FIELD]);
+        Long previousTicks = lastTicksByCpu.put(fields[0], stealTicks);
+        maxTicks = previousTicks == null ? maxTicks : Math.max(maxTicks, stealTicks - previousTicks);
       }
     }
-    return most * TICK;
+    return maxTicks * NANOS_PER_TICK;
   }
 }
--- a/src/main/java/beaconturn/rehearsal/Trigger.java
+++ b/src/main/java/beaconturn/rehearsal/Trigger.java
@@ -5,63 +5,67 @@
 import java.util.regex.Pattern;
 
 /**
- * Something that the store sees, from which on times of a fault or a version can be counted:
- * commands and routers take the time that they take, and a scenario that guessed it would show
- * another thing on a slow machine.
+ * A change in the coordination store from which times of faults, versions and orders are counted.
+ * With fixed times a scenario would depend on how long commands and routers take on the machine.
  *
- * @param what has come about
- * @param version the number of the version, counted from 1
- * @param router whose yes it is, or which is released, else empty
+ * @param stage what has to happen
+ * @param version the number of the version, from 1; 0 for stages of an instance
+ * @param instance the router that acknowledges, or the router or cache server that is released;
+ *     otherwise empty
  */
-public record Trigger(Stage stage, long version, String part) {
-  private static final Pattern OF_VERSION =
+public record Trigger(Stage stage, long version, String instance) {
+  private static final Pattern VERSION_PATTERN =
       Pattern.compile("version ([0-9]{1,4}) (proposed|in force|settled)");
-  private static final Pattern OF_PART = Pattern.compile("([A-Za-z0-9_-]{1,32}) (goes out|is up)");
-  private static final Pattern OF_ROUTER =
+  private static final Pattern INSTANCE_PATTERN = Pattern.compile("([A-Za-z0-9_-]{1,32}) (goes out|is up)");
+  private static final Pattern ACKNOWLEDGEMENT_PATTERN =
       Pattern.compile("([A-Za-z0-9_-]{1,32}) says yes to version ([0-9]{1,4})");
 
-  /** What a version has come to. */
+  /** The stage that a version, or an instance in a release, has to reach. */
   public enum Stage {
+    /** The version was proposed. */
     PROPOSED,
+    /** The version is in force. */
     IN_FORCE,
+    /** Each member acts on the version or has lost its lease. */
     SETTLED,
+    /** A router has acknowledged the version. */
     ACKNOWLEDGED,
+    /** The step of an instance has started, which takes it out of service. */
     TAKEN_OUT,
+    /** The instance is up again after its step. */
     READY
   }
 
-  /**
-   * The cue in an operator's words, such as {@code version 2 in force}; nothing where it is none.
-   */
-  static Optional<Trigger> parse(String words) {
-    Matcher m = OF_VERSION.matcher(words);
-    if (m.matches()) {
+  /** Parses the text of a scenario, such as {@code version 2 in force}; empty if invalid. */
+  static Optional<Trigger> parse(String text) {
+    Matcher matcher = VERSION_PATTERN.matcher(text);
+    if (matcher.matches()) {
       Stage stage =
-          m.group(2).equals("proposed")
+          matcher.group(2).equals("proposed")
               ? Stage.PROPOSED
-              : m.group(2).equals("settled") ? Stage.SETTLED : Stage.IN_FORCE;
-      return Optional.of(new Trigger(stage, Long.parseLong(m.group(1)), ""));
+              : matcher.group(2).equals("settled") ? Stage.SETTLED : Stage.IN_FORCE;
+      return Optional.of(new Trigger(stage, Long.parseLong(matcher.group(1)), ""));
     }
-    m = OF_PART.matcher(words);
-    if (m.matches()) {
+    matcher = INSTANCE_PATTERN.matcher(text);
+    if (matcher.matches()) {
       return Optional.of(
-          new Trigger(m.group(2).equals("goes out") ? Stage.TAKEN_OUT : Stage.READY, 0, m.group(1)));
+          new Trigger(matcher.group(2).equals("goes out") ? Stage.TAKEN_OUT : Stage.READY, 0, matcher.group(1)));
     }
-    m = OF_ROUTER.matcher(words);
-    return m.matches()
-        ? Optional.of(new Trigger(Stage.ACKNOWLEDGED, Long.parseLong(m.group(2)), m.group(1)))
+    matcher = ACKNOWLEDGEMENT_PATTERN.matcher(text);
+    return matcher.matches()
+        ? Optional.of(new Trigger(Stage.ACKNOWLEDGED, Long.parseLong(matcher.group(2)), matcher.group(1)))
         : Optional.empty();
   }
 
-  /** The same words. */
+  /** Returns the text that {@link #parse} reads. */
   String toText() {
     return switch (stage) {
       case PROPOSED -> "version " + version + " proposed";
       case IN_FORCE -> "version " + version + " in force";
       case SETTLED -> "version " + version + " settled";
-      case TAKEN_OUT -> part + " goes out";
-      case READY -> part + " is up";
-      case ACKNOWLEDGED -> part + " says yes to version " + version;
+      case TAKEN_OUT -> instance + " goes out";
+      case READY -> instance + " is up";
+      case ACKNOWLEDGED -> instance + " says yes to version " + version;
     };
   }
 }
--- a/src/main/java/beaconturn/rehearsal/VersionTimeline.java
+++ b/src/main/java/beaconturn/rehearsal/VersionTimeline.java
@@ -1,7 +1,8 @@
 package beaconturn.rehearsal;
 
 /**
- * When a version was proposed, came into force and was settled, as the store saw it; -1 where it
- * was not.
+ * When a configuration version was proposed, came into force and was settled, as recorded by the
+ * coordination store; -1 for a stage that it did not reach.
  */
-record VersionTimeline(long number, long proposedAtNanos, long inForceAtNanos, long settledAtNanos) {}
+record VersionTimeline(
+    long number, long proposedAtNanos, long inForceAtNanos, long settledAtNanos) {}
--- a/src/main/java/beaconturn/rehearsal/fleet/AgentHook.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/AgentHook.java
@@ -9,67 +9,69 @@
 import java.util.stream.Stream;
 
 /**
- * What agents under rehearsal are given as their command: a shell script that lays a wish into a
- * folder and waits until the kit has carried it out, as only the kit can start and stop its
- * routers.
+ * The command that agents under rehearsal run to restart an instance: a shell script that creates a
+ * request file and waits for the result file, as only the rehearsal can start and stop its routers.
  */
 public final class AgentHook {
   private static final int NAME_FIELDS = 3;
-  private final Path wishes;
-  private final Path done;
+  private final Path requestFolder;
+  private final Path resultFolder;
   private final Path script;
 
   /**
-   * A wish: the part, whether it is to run what is released, and the name under which it is
-   * answered.
+   * An agent's request to restart an instance.
+   *
+   * @param instance the router or cache server
+   * @param released whether it is to run the released variant instead of the previous one
+   * @param name the name of the request's and of the result's file
    */
-  public record RestartRequest(String part, boolean released, String name) {}
+  public record RestartRequest(String instance, boolean released, String name) {}
 
-  /** A hand whose folder lies below. */
+  /** Writes the script and creates the folders for requests and results below the folder. */
   public AgentHook(Path folder) throws IOException {
-    wishes = Files.createDirectories(folder.resolve("wishes"));
-    done = Files.createDirectories(folder.resolve("done"));
+    requestFolder = Files.createDirectories(folder.resolve("wishes"));
+    resultFolder = Files.createDirectories(folder.resolve("done"));
     script = folder.resolve("hand.sh");
     Files.writeString(
         script,
-        "#!/bin/sh\n# Lays a wish and waits until the kit has carried it out.\n"
+        "#!/bin/sh\n# Requests a restart and waits until the rehearsal has carried it out.\n"
             + "wish=\"$PART+$VARIANT+$$\"\n: > '"
-            + wishes
+            + requestFolder
             + "'/\"$wish\"\n"
-            // Whoever is to answer may be gone, and the folder with it.
+            // The rehearsal may have ended and removed the folder.
             + "while [ ! -s '"
-            + done
+            + resultFolder
             + "'/\"$wish\" ]; do [ -d '"
-            + done
+            + resultFolder
             + "' ] || exit 1; sleep 0.05; done\n"
             + "exit \"$(cat '"
-            + done
+            + resultFolder
             + "'/\"$wish\")\"\n");
   }
 
-  /** The command for agents. */
+  /** Returns the shell command for agents. */
   public String command() {
     return "sh '" + script + "'";
   }
 
-  /** Wishes that were not taken yet. */
+  /** Returns the requests since the last call, in the order of their names. */
   public List<RestartRequest> takeRequests() throws IOException {
-    List<RestartRequest> all = new ArrayList<>();
-    try (Stream<Path> files = Files.list(wishes)) {
+    List<RestartRequest> requests = new ArrayList<>();
+    try (Stream<Path> files = Files.list(requestFolder)) {
       for (Path file : files.sorted().toList()) {
         String name = file.getFileName().toString();
-        String[] parts = name.split("\\+", NAME_FIELDS);
-        all.add(new RestartRequest(parts[0], parts[1].equals("new"), name));
+        String[] fields = name.split("\\+", NAME_FIELDS);
+        requests.add(new RestartRequest(fields[0], fields[1].equals("new"), name));
         Files.delete(file);
       }
     }
-    return all;
+    return requests;
   }
 
-  /** Answers a wish: whether the router is ready. */
-  public void complete(RestartRequest wish, boolean ready) throws IOException {
-    Path aside = done.resolve(wish.name() + ".tmp");
-    Files.writeString(aside, ready ? "0" : "1");
-    Files.move(aside, done.resolve(wish.name()), StandardCopyOption.ATOMIC_MOVE);
+  /** Writes the result of a request: whether the instance is ready. */
+  public void complete(RestartRequest request, boolean ready) throws IOException {
+    Path temporaryFile = resultFolder.resolve(request.name() + ".tmp");
+    Files.writeString(temporaryFile, ready ? "0" : "1");
+    Files.move(temporaryFile, resultFolder.resolve(request.name()), StandardCopyOption.ATOMIC_MOVE);
   }
 }
--- a/src/main/java/beaconturn/rehearsal/fleet/AgentProcess.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/AgentProcess.java
@@ -6,22 +6,20 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/**
- * The agent of one router as a process, which can be killed, started again and made to stand still.
- */
+/** The rollout agent of one instance as a process that can be killed, restarted and paused. */
 public final class AgentProcess implements Closeable {
-  private static final int END_SECONDS = 3;
+  private static final int KILL_TIMEOUT_SECONDS = 3;
   private final List<String> command;
   private final Path log;
   private Process process;
 
-  /** An agent with that command line; its log goes to the file. */
+  /** Creates an agent with the command line; it is not started yet. */
   public AgentProcess(List<String> command, Path log) {
     this.command = List.copyOf(command);
     this.log = log;
   }
 
-  /** Starts it, again too. */
+  /** Starts the process, also after it was killed; its output is appended to the log. */
   public synchronized void start() throws IOException {
     process =
         ChildProcesses.start(
@@ -30,17 +28,16 @@
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile())));
   }
 
-  /** Ends it outright; what it had begun goes on. */
+  /** Kills the process; a restart that it has requested continues. */
   public synchronized void kill() {
     process.destroyForcibly();
   }
 
-  /** Has it stand still, or go on. */
-  public synchronized void setPaused(boolean on) {
-    ChildProcesses.setPaused(process, on);
+  /** Pauses or resumes the process. */
+  public synchronized void setPaused(boolean paused) {
+    ChildProcesses.setPaused(process, paused);
   }
 
-  /** Its process id. */
   public synchronized long pid() {
     return process.pid();
   }
@@ -50,7 +47,7 @@
     if (process != null) {
       process.destroyForcibly();
       try {
-        process.waitFor(END_SECONDS, TimeUnit.SECONDS);
+        process.waitFor(KILL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
--- a/src/main/java/beaconturn/rehearsal/fleet/ChildProcesses.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/ChildProcesses.java
@@ -3,34 +3,34 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Processes of the kit: they end with it, and can be made to stand still. */
+/** Starts child processes that end with this process, and sends them signals. */
 public final class ChildProcesses {
   private ChildProcesses() {}
 
-  /** Starts a process; whoever ends the rehearsal by a signal must not leave it behind. */
+  /** Starts a process that is killed when this process ends, also if a signal ends it. */
   public static Process start(ProcessBuilder builder) throws IOException {
     Process process = builder.start();
     Thread hook = new Thread(process::destroyForcibly);
     Runtime.getRuntime().addShutdownHook(hook);
-    var unused = process.onExit().thenRun(() -> forget(hook));
+    var unused = process.onExit().thenRun(() -> removeHook(hook));
     return process;
   }
 
-  private static void forget(Thread hook) {
+  private static void removeHook(Thread hook) {
     try {
       Runtime.getRuntime().removeShutdownHook(hook);
     } catch (IllegalStateException e) {
-      // The rehearsal itself is on its way out: the hook has run or is running.
+      // This process is shutting down: the hook has run or is running.
       return;
     }
   }
 
-  /** Has a process stand still, or go on. */
-  public static void setPaused(Process process, boolean on) {
-    signal(process, on ? "-STOP" : "-CONT");
+  /** Pauses or resumes a process. */
+  public static void setPaused(Process process, boolean paused) {
+    signal(process, paused ? "-STOP" : "-CONT");
   }
 
-  /** Tells a process to read its configuration anew. */
+  /** Sends SIGHUP, by which a router reads its configuration again. */
   public static void sendHangup(Process process) {
     signal(process, "-HUP");
   }
--- a/src/main/java/beaconturn/rehearsal/fleet/FaultGate.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/FaultGate.java
@@ -1,14 +1,14 @@
 package beaconturn.rehearsal.fleet;
 
 /**
- * What a {@link FaultProxy} lets pass at the moment, shared by all of its connections. Any thread
- * may call.
+ * Decides how much of what arrives a {@link FaultProxy} forwards now; shared by all of its
+ * connections. Thread-safe.
  */
 final class FaultGate {
-  /** No byte passes any more: the sender has reset its connection, or the proxy is closed. */
+  /** Nothing is forwarded any more: the sender has reset its connection or the proxy is closed. */
   static final int DISCARDED = -1;
 
-  /** Nothing passes now; the sender has to be looked at again once something does. */
+  /** Nothing is forwarded now; the sender has to be read again once the gate opens. */
   static final int HELD = -2;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -18,16 +18,16 @@
   private FaultProxy.State state = FaultProxy.State.OPEN;
   private long amount;
   private boolean closed;
-  private int waiting;
+  private int heldCount;
 
   /**
-   * Changes what passes.
+   * Changes the state.
    *
-   * @param howMuch nanoseconds of delay or bytes a second, as the state has it
+   * @param nextAmount nanoseconds of delay or bytes per second, depending on the state
    */
-  synchronized void setState(FaultProxy.State next, long howMuch) {
+  synchronized void setState(FaultProxy.State next, long nextAmount) {
     state = next;
-    amount = howMuch;
+    amount = nextAmount;
     notifyAll();
   }
 
@@ -39,32 +39,32 @@
     return closed;
   }
 
-  /** Ends all waiting; nothing passes from now on. */
+  /** Ends all waiting; nothing is forwarded from now on. */
   synchronized void close() {
     closed = true;
     notifyAll();
   }
 
-  /** Returns whether what passes is delayed, so that its sender may give it up on the way. */
-  synchronized boolean delays() {
+  /** Returns whether bytes are delayed, so that the sender may reset the connection meanwhile. */
+  synchronized boolean isDelaying() {
     return state == FaultProxy.State.SLOW;
   }
 
-  /** Returns how many messages are held now. */
-  synchronized int waiting() {
-    return waiting;
+  /** Returns how many connections wait for the gate to open in their direction. */
+  synchronized int heldCount() {
+    return heldCount;
   }
 
-  /** Waits while nothing may pass in a direction; false once the proxy is closed. */
+  /** Waits until the gate opens in a direction; returns false once the proxy is closed. */
   synchronized boolean awaitOpen(boolean towardsTarget) throws InterruptedException {
-    waiting++;
+    heldCount++;
     try {
       while (!closed && !isOpen(towardsTarget)) {
         wait();
       }
       return !closed;
     } finally {
-      waiting--;
+      heldCount--;
     }
   }
 
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Returns how many of the bytes pass, after the delay that the state demands; {@link #HELD} or
-   * {@link #DISCARDED}. Fewer than all end the connection.
+   * Waits for the delay of the state and returns how many of the bytes to forward, {@link #HELD} or
+   * {@link #DISCARDED}. A number below {@code bytes} means that the connection is to be reset.
    */
   int admit(int bytes, boolean towardsTarget) throws InterruptedException {
     FaultProxy.State current;
--- a/src/main/java/beaconturn/rehearsal/fleet/FaultProxy.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/FaultProxy.java
@@ -14,10 +14,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A proxy on loopback between two parties, with faults of a network: whoever connects to it is
- * connected on, and every byte passes here, or does not. While it is cut nothing passes and nothing
- * is notified, as on a network that loses every packet: open connections stay open and silent, and
- * new ones never come up.
+ * A TCP proxy on loopback that injects network faults between two parties. While it is cut it acts
+ * as a network that loses every packet: open connections stay open without traffic, and new
+ * connections are not established.
  */
 public final class FaultProxy implements Closeable {
   private static final int BACKLOG = 512;
@@ -26,40 +25,40 @@
   private final InetSocketAddress target;
   private final InetSocketAddress address;
 
-  /** While nothing listens the kernel gives the port to nobody else. */
+  /** Keeps the port reserved while nothing listens on it. */
   private final SocketChannel portHolder = LoopbackPorts.take(LoopbackPorts::hold);
 
   private final FaultGate gate = new FaultGate();
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
   // Guarded by this.
   private ServerSocket listener;
   private Thread acceptor;
 
-  /** Own connections that fill the backlog of a listener that accepts nothing. */
+  /** Connections that fill the backlog of a listener that accepts nothing. */
   private final List<SocketChannel> fillers = new ArrayList<>();
 
-  /** What the proxy does to what passes. */
+  /** What the proxy does with the bytes that it receives. */
   public enum State {
-    /** Passes everything. */
+    /** Forwards everything. */
     OPEN,
-    /** Passes nothing, both ways. */
+    /** Forwards nothing in either direction. */
     CUT,
-    /** Bytes go out and nothing comes back. */
+    /** Forwards towards the target only. */
     ONE_WAY,
-    /** Everything passes so many nanoseconds later. */
+    /** Forwards everything after a delay in nanoseconds. */
     SLOW,
-    /** Passes nothing until it is open again, and then all at once. */
+    /** Forwards nothing until it is open again, then everything at once. */
     HELD,
-    /** Passes so many bytes a second. */
+    /** Forwards at a rate in bytes per second. */
     THROTTLED,
-    /** A request arrives; its answer is lost, and the connection with it. */
+    /** Forwards requests; drops the next response and resets the connection. */
     RESPONSE_LOST,
-    /** Half of the next message passes, then the connection is reset. */
+    /** Forwards half of the next message, then resets the connection. */
     RESETTING
   }
 
-  /** A proxy to the target; it passes everything. */
+  /** Creates a proxy to the target that forwards everything. */
   public FaultProxy(InetSocketAddress target) throws IOException {
     this.target = target;
     this.address = (InetSocketAddress) portHolder.getLocalAddress();
@@ -73,9 +72,9 @@
   }
 
   /**
-   * Changes what the proxy does, also to connections that are open.
+   * Changes the state, also for open connections.
    *
-   * @param amount nanoseconds of delay or bytes a second, as the state has it
+   * @param amount nanoseconds of delay or bytes per second, depending on the state
    */
   public synchronized void setState(State next, long amount) {
     boolean wasCut = gate.state() == State.CUT;
@@ -93,7 +92,7 @@
       }
     } catch (IOException e) {
       throw new UncheckedIOException(
-          "the link at " + address + " cannot take its address again", e);
+          "the link at " + address + " cannot listen on its address again", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -103,13 +102,11 @@
     ProxyConnection.close(listener);
     fillers.forEach(ProxyConnection::close);
     fillers.clear();
-    // Whoever still waits there holds the address.
+    // A thread that still waits in accept() holds the address.
     acceptor.join();
   }
 
-  /**
-   * Listens with a backlog that own connections fill: the kernel then drops whatever else comes.
-   */
+  /** Listens with a backlog that is full, so that the kernel drops every other connection. */
   private void listenSilently() throws IOException {
     listener = listen(1);
     for (int i = 0; i < BACKLOG_FILLERS; i++) {
@@ -122,7 +119,9 @@
 
   private ServerSocket listen(int backlog) throws IOException {
     return LoopbackPorts.again(
-        address, at -> new ServerSocket(at.getPort(), backlog, at.getAddress()));
+        address,
+        localAddress ->
+            new ServerSocket(localAddress.getPort(), backlog, localAddress.getAddress()));
   }
 
   /** Starts a daemon thread with a small stack. */
@@ -133,25 +132,25 @@
     return thread;
   }
 
-  private Thread startAcceptor(ServerSocket at) {
-    return startThread("link", () -> accept(at));
+  private Thread startAcceptor(ServerSocket serverSocket) {
+    return startThread("link", () -> accept(serverSocket));
   }
 
-  private void accept(ServerSocket at) {
+  private void accept(ServerSocket serverSocket) {
     try {
       while (true) {
-        ProxyConnection connection = new ProxyConnection(at.accept(), gate, open);
+        ProxyConnection connection = new ProxyConnection(serverSocket.accept(), gate, openSockets);
         startThread("link-in", () -> connection.run(target));
       }
     } catch (IOException e) {
-      // The proxy is cut or closed; what was accepted goes on as its state has it.
+      // The proxy was cut or closed; accepted connections continue as the state allows.
       return;
     }
   }
 
-  /** Returns how many messages are held now. */
-  int waiting() {
-    return gate.waiting();
+  /** Returns how many connections wait for the proxy to forward again. */
+  int heldCount() {
+    return gate.heldCount();
   }
 
   @Override
@@ -160,6 +159,6 @@
     ProxyConnection.close(listener);
     fillers.forEach(ProxyConnection::close);
     ProxyConnection.close(portHolder);
-    open.forEach(ProxyConnection::close);
+    openSockets.forEach(ProxyConnection::close);
   }
 }
--- a/src/main/java/beaconturn/rehearsal/fleet/MemoryLeakProgram.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/MemoryLeakProgram.java
@@ -6,43 +6,47 @@
 import java.util.List;
 
 /**
- * A program that leaks memory beside its work, for rehearsals of a release that does: after so many
- * milliseconds so many kB a second, up to so many, beside the program's own class with its words.
+ * Runs a program's main class and leaks memory beside it, to rehearse a release that leaks memory.
  */
 public final class MemoryLeakProgram {
-  private static final int KILO = 1024;
-  private static final int STEPS = 10;
-  private static final int MAIN = 3;
+  private static final int BYTES_PER_KB = 1024;
+  private static final int STEPS_PER_SECOND = 10;
+  private static final int MAIN_CLASS_INDEX = 3;
   private static final long STEP_MILLIS = 100;
-  private static final List<byte[]> LEAKED = new ArrayList<>();
+  private static final List<byte[]> LEAKED_BLOCKS = new ArrayList<>();
 
   private MemoryLeakProgram() {}
 
-  /** Wait, rate, most, class, then the words for it. */
+  /**
+   * Runs the program.
+   *
+   * @param args delay in milliseconds, rate in kB per second, limit in kB, main class, then the
+   *     arguments of that class
+   */
   public static void main(String[] args) throws ReflectiveOperationException {
-    long after = Long.parseLong(args[0]);
-    int step = Integer.parseInt(args[1]) * KILO / STEPS;
-    long most = Long.parseLong(args[2]) * KILO;
-    Thread leak = new Thread(() -> leak(after, step, most), "leak");
+    long delayMillis = Long.parseLong(args[0]);
+    int stepBytes = Integer.parseInt(args[1]) * BYTES_PER_KB / STEPS_PER_SECOND;
+    long limitBytes = Long.parseLong(args[2]) * BYTES_PER_KB;
+    Thread leak = new Thread(() -> leak(delayMillis, stepBytes, limitBytes), "leak");
     leak.setDaemon(true);
     leak.start();
     try {
-      Class.forName(args[MAIN])
+      Class.forName(args[MAIN_CLASS_INDEX])
           .getMethod("main", String[].class)
-          .invoke(null, (Object) Arrays.copyOfRange(args, MAIN + 1, args.length));
+          .invoke(null, (Object) Arrays.copyOfRange(args, MAIN_CLASS_INDEX + 1, args.length));
     } catch (InvocationTargetException e) {
       throw new IllegalStateException(e.getCause());
     }
   }
 
-  private static void leak(long after, int step, long most) {
+  private static void leak(long delayMillis, int stepBytes, long limitBytes) {
     try {
-      Thread.sleep(after);
-      for (long all = 0; all < most; all += step) {
-        byte[] bytes = new byte[step];
-        // Memory that was never written to is not resident.
-        Arrays.fill(bytes, (byte) 1);
-        LEAKED.add(bytes);
+      Thread.sleep(delayMillis);
+      for (long leakedBytes = 0; leakedBytes < limitBytes; leakedBytes += stepBytes) {
+        byte[] block = new byte[stepBytes];
+        // Pages are resident only after they were written to.
+        Arrays.fill(block, (byte) 1);
+        LEAKED_BLOCKS.add(block);
         Thread.sleep(STEP_MILLIS);
       }
     } catch (InterruptedException e) {
--- a/src/main/java/beaconturn/rehearsal/fleet/ProxyConnection.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/ProxyConnection.java
@@ -11,39 +11,39 @@
 
 /**
  * One connection through a {@link FaultProxy}: two sockets, and a thread for each direction that
- * copies what the gate lets pass.
+ * copies what the gate admits.
  */
 final class ProxyConnection {
   private static final int CHUNK_BYTES = 8192;
-  private static final int CONNECT_MILLIS = 10_000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 10_000;
   private final Socket source;
   private final Socket target = new Socket();
   private final FaultGate gate;
-  private final Set<Socket> open;
+  private final Set<Socket> openSockets;
 
-  /** A connection for an accepted socket; both sockets are in {@code open} while they are. */
-  ProxyConnection(Socket source, FaultGate gate, Set<Socket> open) {
+  /** Creates a connection; its sockets are members of {@code openSockets} until it ends. */
+  ProxyConnection(Socket source, FaultGate gate, Set<Socket> openSockets) {
     this.source = source;
     this.gate = gate;
-    this.open = open;
+    this.openSockets = openSockets;
   }
 
   /** Connects to the target and copies until both directions have ended. */
-  void run(InetSocketAddress to) {
-    open.add(source);
-    open.add(target);
+  void run(InetSocketAddress targetAddress) {
+    openSockets.add(source);
+    openSockets.add(target);
     try {
       source.setTcpNoDelay(true);
       target.setTcpNoDelay(true);
       if (!gate.awaitOpen(true)) {
-        end();
+        closeBoth();
         return;
       }
-      target.connect(to, CONNECT_MILLIS);
+      target.connect(targetAddress, CONNECT_TIMEOUT_MILLIS);
       FaultProxy.startThread("link-back", () -> copy(target, source, false));
       copy(source, target, true);
     } catch (IOException | InterruptedException e) {
-      end();
+      closeBoth();
     }
   }
 
@@ -56,40 +56,40 @@
         into.shutdownOutput();
       }
       if (!towardsTarget) {
-        end();
+        closeBoth();
       }
     } catch (IOException e) {
-      passOnReset(into, towardsTarget);
+      relayReset(into, towardsTarget);
     } catch (InterruptedException e) {
-      end();
+      closeBoth();
     }
   }
 
-  /** Copies up to the end of the stream; false if the connection was ended before. */
+  /** Copies up to the end of the stream; returns false if the connection was reset before. */
   private boolean copyAll(Socket from, Socket into, boolean towardsTarget)
       throws IOException, InterruptedException {
     byte[] bytes = new byte[CHUNK_BYTES];
-    InputStream in = from.getInputStream();
-    OutputStream out = into.getOutputStream();
-    for (int got = in.read(bytes); got >= 0; got = in.read(bytes)) {
-      int passing = gate.admit(got, towardsTarget);
-      // What was held is looked at again: its sender may have reset the connection meanwhile.
-      while (passing == FaultGate.HELD && gate.awaitOpen(towardsTarget)) {
-        got = readAvailable(from, bytes, got);
-        passing = got < 0 ? FaultGate.DISCARDED : gate.admit(got, towardsTarget);
+    InputStream input = from.getInputStream();
+    OutputStream output = into.getOutputStream();
+    for (int count = input.read(bytes); count >= 0; count = input.read(bytes)) {
+      int admitted = gate.admit(count, towardsTarget);
+      // Read again after a wait: the sender may have reset the connection in the meantime.
+      while (admitted == FaultGate.HELD && gate.awaitOpen(towardsTarget)) {
+        count = readAvailable(from, bytes, count);
+        admitted = count < 0 ? FaultGate.DISCARDED : gate.admit(count, towardsTarget);
       }
-      if (passing > 0 && towardsTarget && gate.delays()) {
-        got = readAvailable(from, bytes, got);
-        passing = got < 0 ? FaultGate.DISCARDED : got;
+      if (admitted > 0 && towardsTarget && gate.isDelaying()) {
+        count = readAvailable(from, bytes, count);
+        admitted = count < 0 ? FaultGate.DISCARDED : count;
       }
-      if (passing < 0) {
-        // The sender's kernel forgets what it could not deliver when it resets a connection.
+      if (admitted < 0) {
+        // On a reset the sender's kernel drops data that was not delivered yet.
         reset(into);
-        end();
+        closeBoth();
         return false;
       }
-      out.write(bytes, 0, passing);
-      if (passing < got) {
+      output.write(bytes, 0, admitted);
+      if (admitted < count) {
         reset(from);
         reset(into);
         return false;
@@ -98,32 +98,32 @@
     return true;
   }
 
-  /** The end of a connection is heard behind a cut when the cut is over. */
-  private void passOnReset(Socket into, boolean towardsTarget) {
+  /** Relays a reset, once a cut is over. */
+  private void relayReset(Socket into, boolean towardsTarget) {
     try {
       gate.awaitOpen(towardsTarget);
       reset(into);
     } catch (IOException | InterruptedException e) {
-      // It has ended by itself meanwhile.
+      // The other side has closed the connection, or the proxy is being closed.
       close(into);
     }
-    end();
+    closeBoth();
   }
 
   /**
-   * Reads what has come while the first bytes were held; returns how many there are now, or -1
-   * after a reset.
+   * Reads what has arrived behind the first {@code alreadyRead} bytes; returns the number of bytes
+   * in the buffer, or -1 after a reset.
    */
-  private static int readAvailable(Socket from, byte[] bytes, int held) throws IOException {
-    int got = held;
+  private static int readAvailable(Socket from, byte[] bytes, int alreadyRead) throws IOException {
+    int count = alreadyRead;
     from.setSoTimeout(1);
     try {
-      for (int more = 0; more >= 0 && got < bytes.length; got += Math.max(0, more)) {
-        more = from.getInputStream().read(bytes, got, bytes.length - got);
+      for (int more = 0; more >= 0 && count < bytes.length; count += Math.max(0, more)) {
+        more = from.getInputStream().read(bytes, count, bytes.length - count);
       }
-      return got;
+      return count;
     } catch (SocketTimeoutException e) {
-      return got;
+      return count;
     } catch (IOException e) {
       return -1;
     } finally {
@@ -131,9 +131,9 @@
     }
   }
 
-  private void end() {
-    open.remove(source);
-    open.remove(target);
+  private void closeBoth() {
+    openSockets.remove(source);
+    openSockets.remove(target);
     close(source);
     close(target);
   }
@@ -143,7 +143,7 @@
     socket.close();
   }
 
-  /** Closes a socket of whatever kind. */
+  /** Closes a socket and ignores errors. */
   static void close(Closeable socket) {
     try {
       socket.close();
--- a/src/main/java/beaconturn/rehearsal/fleet/StoreProcess.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/StoreProcess.java
@@ -13,81 +13,84 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The coordination store's stand-in as a process, which ends with the kit: its input is the kit's.
+ * The coordination store's stand-in as a process. It reads commands from a pipe and ends with the
+ * rehearsal, when the pipe is closed.
  */
 public final class StoreProcess implements Closeable {
-  private static final int END_SECONDS = 3;
-  private static final int PARTS = 4;
+  private static final int STOP_TIMEOUT_SECONDS = 3;
+  private static final int FIELDS = 4;
   private final Process process;
-  private final PrintStream orders;
-  private final BufferedReader answers;
+  private final PrintStream commands;
+  private final BufferedReader replies;
   private final InetSocketAddress address;
   private final Path log;
-  private long read;
+  private long readBytes;
 
-  /** A change of the store: when, by the monotonic time that all processes of a machine share. */
+  /** A change of a key, at a {@link System#nanoTime} value; {@code value} is null for a removal. */
   public record StoreChange(long nanoTime, long revision, String key, String value) {}
 
-  /** Starts it with the command line given; its changes go to the file. */
+  /**
+   * Starts the process.
+   *
+   * @param log the file to which the command line makes the process log its changes
+   */
   public StoreProcess(List<String> command, Path log) throws IOException {
     this.log = log;
     this.process =
         new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
-    this.orders = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
-    this.answers = process.inputReader(StandardCharsets.UTF_8);
-    String first = answers.readLine();
-    if (first == null || !first.startsWith("store at ")) {
+    this.commands = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
+    this.replies = process.inputReader(StandardCharsets.UTF_8);
+    String firstLine = replies.readLine();
+    if (firstLine == null || !firstLine.startsWith("store at ")) {
       process.destroyForcibly();
-      throw new IOException("the store's stand-in did not start: " + first);
+      throw new IOException("the stand-in of the coordination store did not start, first line of output: " + firstLine);
     }
     this.address =
         new InetSocketAddress(
-            "127.0.0.1", Integer.parseInt(first.substring(first.indexOf(':') + 1)));
+            "127.0.0.1", Integer.parseInt(firstLine.substring(firstLine.indexOf(':') + 1)));
   }
 
-  /** Where it listens. */
+  /** Returns the address on which the store listens. */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** Has it carry out one line; what it says. */
+  /** Executes a command of the stand-in and returns its reply, one line. */
   public synchronized String execute(String line) throws IOException {
-    orders.println(line);
-    return answers.readLine();
+    commands.println(line);
+    return replies.readLine();
   }
 
-  /**
-   * The changes since the last call, in their order; of a line that is still being written later.
-   */
+  /** Reads the changes since the last call, in order; an incomplete last line is left for later. */
   public synchronized List<StoreChange> readChanges() throws IOException {
-    List<StoreChange> all = new ArrayList<>();
+    List<StoreChange> changes = new ArrayList<>();
     try (RandomAccessFile file = new RandomAccessFile(log.toFile(), "r")) {
-      byte[] bytes = new byte[(int) (file.length() - read)];
-      file.seek(read);
+      byte[] bytes = new byte[(int) (file.length() - readBytes)];
+      file.seek(readBytes);
       file.readFully(bytes);
       int end = bytes.length;
       while (end > 0 && bytes[end - 1] != '\n') {
         end--;
       }
-      read += end;
+      readBytes += end;
       for (String line : new String(bytes, 0, end, StandardCharsets.UTF_8).lines().toList()) {
-        String[] parts = line.split(" ", PARTS);
-        all.add(
+        String[] fields = line.split(" ", FIELDS);
+        changes.add(
             new StoreChange(
-                Long.parseLong(parts[0]),
-                Long.parseLong(parts[1]),
-                parts[2],
-                parts.length < PARTS ? null : parts[PARTS - 1]));
+                Long.parseLong(fields[0]),
+                Long.parseLong(fields[1]),
+                fields[2],
+                fields.length < FIELDS ? null : fields[FIELDS - 1]));
       }
     }
-    return all;
+    return changes;
   }
 
   @Override
   public void close() {
-    orders.println("quit");
+    commands.println("quit");
     try {
-      if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
+      if (!process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
         process.destroyForcibly();
       }
     } catch (InterruptedException e) {
--- a/src/main/java/beaconturn/rehearsal/fleet/package-info.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/package-info.java
@@ -1,7 +1,6 @@
 /**
- * What a rehearsal of a whole fleet needs beside routers, caches and clients: links that can be
- * cut, slowed and held between any two parties, the coordination store's stand-in as a process of
- * its own, and the operators' commands as processes. It only carries out; what happens when is the
- * scenario's.
+ * Parts of a rehearsed fleet beside routers, cache servers and clients: fault-injecting proxies for
+ * the links between them, the coordination store's stand-in and the rollout agents as processes,
+ * and the hook by which agents restart instances. The scenario decides when each fault happens.
  */
 package beaconturn.rehearsal.fleet;
--- a/src/main/java/beaconturn/rehearsal/package-info.java
+++ b/src/main/java/beaconturn/rehearsal/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Rehearsals: a scenario from a file, the surroundings it asks for on loopback sockets, real
- * routers between them and seeded clients, the faults at their times, and at the end the account
- * judged rule by rule.
+ * Rehearsals: reads a scenario from a file, runs stand-ins of its cache servers and discovery on
+ * loopback sockets, real routers and seeded clients, injects the faults at their times, and checks
+ * the recorded history against the invariants.
  */
 package beaconturn.rehearsal;
--- a/src/test/java/beaconturn/rehearsal/fleet/FaultProxyTest.java
+++ b/src/test/java/beaconturn/rehearsal/fleet/FaultProxyTest.java
@@ -106,7 +106,7 @@
     link.setState(FaultProxy.State.CUT, 0);
     reset.getOutputStream().write(3);
     closed.getOutputStream().write(4);
-    while (link.waiting() < 2) {
+    while (link.heldCount() < 2) {
       Thread.onSpinWait();
     }
     reset.setSoLinger(true, 0);
