--- a/src/test/java/beaconturn/rehearsal/AgreementPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/AgreementRehearsalTest.java
@@ -18,7 +18,7 @@
  * saw.
  */
 @Timeout(120)
-class AgreementPlayTest {
+class AgreementRehearsalTest {
   private static final String MAIN = "beaconturn.cli.Main";
 
   /**
@@ -73,7 +73,7 @@
 
   @Test
   void aCutWhileAVersionComesIntoForceContradictsNobodyAndCostsNoRequest() throws Exception {
-    Plays.of(
+    RehearsalTestRunner.of(
         DAY,
         ProcessLauncher.ofCurrentProgram(MAIN),
         folder,
@@ -118,9 +118,9 @@
         e.getMessage());
   }
 
-  private void shipped(String name, Plays.Shows shows) throws Exception {
-    Plays.of(
-        Plays.shipped(name),
+  private void shipped(String name, RehearsalTestRunner.Shows shows) throws Exception {
+    RehearsalTestRunner.of(
+        RehearsalTestRunner.shipped(name),
         ProcessLauncher.ofCurrentProgram(MAIN),
         folder,
         (report, logs) -> {
--- a/src/test/java/beaconturn/rehearsal/PlantedAgentsTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveAgentRehearsalTest.java
@@ -15,7 +15,7 @@
 
 /** Releases by agents with a defect: the account has to name each. */
 @Timeout(120)
-class PlantedAgentsTest {
+class DefectiveAgentRehearsalTest {
   private static final String PLANTED =
       """
         length = "12s"
@@ -41,7 +41,7 @@
     "COMPARES_WITH_NOTHING, step-once, refuses"
   })
   void aPlantedAgentIsNamed(PlantedAgent.Defect defect, String rule, String harm) throws Exception {
-    Plays.of(
+    RehearsalTestRunner.of(
         PLANTED + "harm = \"" + harm + "\"\n",
         new Planted(defect),
         folder,
--- a/src/test/java/beaconturn/rehearsal/PlantedAgreementPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveAgreementRehearsalTest.java
@@ -14,14 +14,14 @@
 
 /** A router that does not keep to what was agreed, among routers that do: the account names it. */
 @Timeout(120)
-class PlantedAgreementPlayTest {
+class DefectiveAgreementRehearsalTest {
   @TempDir private Path folder;
 
   /** What a defect is seen by, where it is not by the servers that versions hold out. */
   private static String day(PlantedAgreement.Defect defect) {
     return switch (defect) {
       case REPEATS ->
-          AgreementPlayTest.DAY
+          AgreementRehearsalTest.DAY
                   .replaceFirst("out = \\[\"c1\", \"c2\"]", "most_tries = 4")
                   .replaceFirst("out = \\[\"c3\", \"c4\"]", "unsafe = [\"level\"]")
               + "[[fault]]\nkind = \"reset\"\non = [\"c1\", \"c2\", \"c3\"]\npart = 0.2\n"
@@ -49,7 +49,7 @@
                 at = "3s"
                 newest_list = true
                 """;
-      default -> AgreementPlayTest.DAY;
+      default -> AgreementRehearsalTest.DAY;
     };
   }
 
@@ -57,9 +57,9 @@
   @ParameterizedTest
   @EnumSource(PlantedAgreement.Defect.class)
   void aPlantedRouterIsNamed(PlantedAgreement.Defect defect) throws Exception {
-    Plays.of(
+    RehearsalTestRunner.of(
         day(defect),
-        new FirstRouterDefective(
+        new FirstRouterDefectiveLauncher(
             features ->
                 c ->
                     new RouterServer(
@@ -70,7 +70,7 @@
                         null)),
         folder,
         (report, logs) -> {
-          InvariantResult verdict = AgreementPlayTest.contradiction(report);
+          InvariantResult verdict = AgreementRehearsalTest.contradiction(report);
           assertTrue(!verdict.held(), report.text());
           assertTrue(
               verdict.violations().get(0).description().contains("router 0 act"), report.text());
--- a/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveRouterRehearsalTest.java
@@ -21,7 +21,7 @@
  * An account that cannot fail is worthless: each defect that is put into a router must break its
  * rule.
  */
-class BrokenRoutersTest {
+class DefectiveRouterRehearsalTest {
   private static final String DAY =
       """
         length = "3s"
@@ -89,7 +89,7 @@
   private void play(BrokenRouter.Defect defect, String fault, Consumer<List<String>> broken)
       throws Exception {
     Path below = Files.createDirectory(folder.resolve(defect.name()));
-    Plays.of(
+    RehearsalTestRunner.of(
         DAY + fault,
         launcher(defect),
         below,
--- a/src/test/java/beaconturn/rehearsal/FirstRouterDefective.java
+++ b/src/test/java/beaconturn/rehearsal/FirstRouterDefectiveLauncher.java
@@ -12,7 +12,7 @@
  *
  * @param first makes it, by the operators' file
  */
-record FirstRouterDefective(Function<Path, EmbeddedLauncher.Maker> first)
+record FirstRouterDefectiveLauncher(Function<Path, EmbeddedLauncher.Maker> first)
     implements RouterLauncher {
   private static final ProcessLauncher PROCESSES = ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main");
 
--- a/src/test/java/beaconturn/rehearsal/RehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/RehearsalTest.java
@@ -19,8 +19,8 @@
   @TempDir private Path folder;
   private final List<String> progress = new ArrayList<>();
 
-  private void play(String text, Plays.Shows shows) throws Exception {
-    Plays.of(
+  private void play(String text, RehearsalTestRunner.Shows shows) throws Exception {
+    RehearsalTestRunner.of(
         text,
         ProcessLauncher.ofCurrentProgram(MAIN),
         folder,
--- a/src/test/java/beaconturn/rehearsal/Plays.java
+++ b/src/test/java/beaconturn/rehearsal/RehearsalTestRunner.java
@@ -7,11 +7,11 @@
 import org.opentest4j.AssertionFailedError;
 
 /**
- * Plays for tests. A machine that stands still for a good part of a play shows its own faults and
+ * RehearsalTestRunner for tests. A machine that stands still for a good part of a play shows its own faults and
  * not the routers': such a play that does not show what it should is played again, three times at
  * the most, and so is one in which a fault never began; on a machine that runs it fails at once.
  */
-final class Plays {
+final class RehearsalTestRunner {
   private static final int MOST = 3;
 
   /** What a play has to show; throws an {@link AssertionError} where it does not. */
@@ -20,9 +20,9 @@
     void in(RehearsalReport report, Path folder) throws Exception;
   }
 
-  private Plays() {}
+  private RehearsalTestRunner() {}
 
-  /** Plays the text of a scenario below a folder until it was shown. */
+  /** RehearsalTestRunner the text of a scenario below a folder until it was shown. */
   static void of(String text, RouterLauncher launcher, Path below, Shows shows) throws Exception {
     of(text, launcher, below, said -> {}, shows);
   }
--- a/src/test/java/beaconturn/rehearsal/ReleasePlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ReleaseRehearsalTest.java
@@ -14,11 +14,11 @@
 
 /** Releases over routers, agents and the store as processes, with faults between them. */
 @Timeout(120)
-class ReleasePlayTest {
+class ReleaseRehearsalTest {
   @TempDir private Path folder;
 
-  private void play(String text, Plays.Shows shows) throws Exception {
-    Plays.of(
+  private void play(String text, RehearsalTestRunner.Shows shows) throws Exception {
+    RehearsalTestRunner.of(
         text,
         ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main"),
         folder,
@@ -46,7 +46,7 @@
   void aReleaseWhoseDriversAreKilledAndPausedRestartsEachRouterOnce() throws Exception {
     // Four routers where the scenario has six, for the sake of time.
     play(
-        Plays.shipped("release-rolls")
+        RehearsalTestRunner.shipped("release-rolls")
             .replace("count = 3", "count = 2")
             .replace("length = \"45s\"", "length = \"32s\""),
         (report, logs) -> {
@@ -93,7 +93,7 @@
   @Test
   void cacheServersAreRestartedOneAfterTheOtherAsTheyGetWarm() throws Exception {
     play(
-        Plays.shipped("release-caches")
+        RehearsalTestRunner.shipped("release-caches")
                 .replace("length = \"50s\"", "length = \"26s\"")
                 .replace("cold_for = \"4s\"", "cold_for = \"2s\"")
             + "wave = [{parts = [\"c1\", \"c3\"]}]\n",
@@ -111,7 +111,7 @@
   @Test
   void settingsComeIntoForceBeforeTheFirstStepAndGoBackWithTheRelease() throws Exception {
     play(
-        Plays.shipped("release-settings").replace("length = \"30s\"", "length = \"20s\""),
+        RehearsalTestRunner.shipped("release-settings").replace("length = \"30s\"", "length = \"20s\""),
         (report, logs) -> {
           assertEquals("back", report.ending(), report.text());
           List<VersionTimeline> versions = report.fleet().passages();
@@ -131,7 +131,7 @@
   @Test
   void whatHarmsIsSeenAtTheFirstRouterAndGoesBackByItself() throws Exception {
     play(
-        Plays.shipped("release-harms"),
+        RehearsalTestRunner.shipped("release-harms"),
         (report, logs) -> {
           assertEquals("back", report.ending(), report.text());
           assertEquals(List.of(0), changed(report, true), report.text());
--- a/src/test/java/beaconturn/rehearsal/ZonesPlayTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZoneRehearsalTest.java
@@ -40,7 +40,7 @@
  * store saw.
  */
 @Timeout(120)
-class ZonesPlayTest {
+class ZoneRehearsalTest {
   private static final String DAY =
       """
         length = "16s"
@@ -93,7 +93,7 @@
 
   @Test
   void theKeysOfALostPlaceGoElsewhereInSecondsAndNobodyIsPushedOver() throws Exception {
-    Plays.of(
+    RehearsalTestRunner.of(
         DAY + LOST,
         ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main"),
         folder,
@@ -127,9 +127,9 @@
   @ParameterizedTest
   @EnumSource(Defect.class)
   void aPlantedRouterIsNamedOrMovesNothing(Defect defect) throws Exception {
-    Plays.of(
+    RehearsalTestRunner.of(
         DAY.replace("16s", "10s"),
-        new FirstRouterDefective(features -> config -> planted(defect, features, config)),
+        new FirstRouterDefectiveLauncher(features -> config -> planted(defect, features, config)),
         folder,
         (report, logs) -> {
           if (defect == Defect.LIES) {
