--- a/src/test/java/beaconturn/rehearsal/AgreementRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/AgreementRehearsalTest.java
@@ -13,20 +13,16 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Routers, the store and clients as processes, with faults between them, judged by what the others
- * saw.
- */
+/** Agreement on configuration versions between router processes, with faults on their links. */
 @Timeout(120)
 class AgreementRehearsalTest {
-  private static final String MAIN = "beaconturn.cli.Main";
+  private static final String MAIN_CLASS = "beaconturn.cli.Main";
 
   /**
-   * One router holds a version up; another says yes to it and is cut off from then on, as it comes
-   * into force. Each fault waits for what it is to meet: how long a command takes to start is the
-   * machine's affair.
+   * The second version waits for r2, which is cut off; r1 is cut off once it has acknowledged that
+   * version. Faults start on triggers, as the start-up time of commands varies.
    */
-  static final String DAY =
+  static final String SCENARIO =
       """
         length = "15s"
         [agreement]
@@ -57,105 +53,105 @@
 
   @TempDir private Path folder;
 
-  private static List<String> broken(RehearsalReport report) {
+  private static List<String> violatedInvariants(RehearsalReport report) {
     return report.verdicts().stream()
-        .filter(v -> !v.held())
+        .filter(result -> !result.held())
         .map(InvariantResult::invariant)
         .toList();
   }
 
-  static InvariantResult contradiction(RehearsalReport report) {
+  static InvariantResult contradictionResult(RehearsalReport report) {
     return report.verdicts().stream()
-        .filter(v -> v.invariant().equals("no-contradiction"))
+        .filter(result -> result.invariant().equals("no-contradiction"))
         .findFirst()
         .orElseThrow();
   }
 
   @Test
-  void aCutWhileAVersionComesIntoForceContradictsNobodyAndCostsNoRequest() throws Exception {
-    RehearsalTestRunner.of(
-        DAY,
-        ProcessLauncher.ofCurrentProgram(MAIN),
+  void linkCutWhileVersionComesIntoForceCausesNoContradictionAndNoLostRequest() throws Exception {
+    RehearsalTestRunner.runScenario(
+        SCENARIO,
+        ProcessLauncher.ofCurrentProgram(MAIN_CLASS),
         folder,
         (report, logs) -> {
-          assertEquals(List.of(), broken(report), report.text());
-          assertTrue(contradiction(report).checked() > 0, report.text());
+          assertEquals(List.of(), violatedInvariants(report), report.text());
+          assertTrue(contradictionResult(report).checked() > 0, report.text());
           String log = Files.readString(logs.resolve("r1.log"));
           assertTrue(log.contains("acts on safe ground between version 1 and version 2"), log);
-          ClientStatistics.ClassSummary levels = report.classes().get(0);
-          assertTrue(levels.served() > levels.requests() * 9 / 10, report.text());
+          ClientStatistics.ClassSummary levelClass = report.classes().get(0);
+          assertTrue(levelClass.served() > levelClass.requests() * 9 / 10, report.text());
         });
   }
 
-  /** A router says yes and is killed, and comes up while the version still waits for another. */
+  /** The router acknowledges, is killed, and is back while the version still waits for another. */
   @Test
-  void aRouterThatSaysYesAndIsKilledHoldsTheVersionUpUntilItIsBack() throws Exception {
-    shipped(
+  void versionWaitsForAcknowledgingRouterThatWasKilledUntilItIsBack() throws Exception {
+    runShippedScenario(
         "agreement-killed",
         (report, logs) -> {
-          VersionTimeline second = report.fleet().passages().get(1);
-          assertTrue(second.inForceAtNanos() > second.proposedAtNanos() + 4_000_000_000L, report.text());
+          VersionTimeline secondVersion = report.fleet().passages().get(1);
+          assertTrue(secondVersion.inForceAtNanos() > secondVersion.proposedAtNanos() + 4_000_000_000L, report.text());
           assertTrue(
               Files.readString(logs.resolve("r2.log")).split("agreement: joined as r2/").length
                   > 2);
         });
   }
 
-  /** A cue that never comes means that the play has not shown what it is about. */
+  /** Guards against a pass although a trigger was never met and its fault never injected. */
   @Test
-  void aPlayInWhichAFaultNeverBeganIsNoVerdict() throws Exception {
-    String text =
-        DAY.replace("length = \"15s\"", "length = \"1s\"")
+  void failsIfAFaultNeverStarted() throws Exception {
+    String scenarioText =
+        SCENARIO.replace("length = \"15s\"", "length = \"1s\"")
             .replace("at = \"500ms\"", "at = \"1s\"")
             .replace("rate = 120", "rate = 10");
-    Scenario scenario = ScenarioReader.read("day.toml", text, null);
-    IOException e =
+    Scenario scenario = ScenarioReader.read("day.toml", scenarioText, null);
+    IOException exception =
         assertThrows(
             IOException.class,
-            () -> new Rehearsal(scenario, ProcessLauncher.ofCurrentProgram(MAIN), folder, said -> {}).run());
+            () -> new Rehearsal(scenario, ProcessLauncher.ofCurrentProgram(MAIN_CLASS), folder, progressLine -> {}).run());
     assertTrue(
-        e.getMessage().startsWith("not played as written, this never came about: "),
-        e.getMessage());
+        exception.getMessage().startsWith("not played as written, this never came about: "),
+        exception.getMessage());
   }
 
-  private void shipped(String name, RehearsalTestRunner.Shows shows) throws Exception {
-    RehearsalTestRunner.of(
-        RehearsalTestRunner.shipped(name),
-        ProcessLauncher.ofCurrentProgram(MAIN),
+  private void runShippedScenario(String name, RehearsalTestRunner.ReportAssertions assertions) throws Exception {
+    RehearsalTestRunner.runScenario(
+        RehearsalTestRunner.shippedScenario(name),
+        ProcessLauncher.ofCurrentProgram(MAIN_CLASS),
         folder,
         (report, logs) -> {
-          assertEquals(List.of(), broken(report), report.text());
-          assertTrue(contradiction(report).checked() > 0, report.text());
-          shows.in(report, logs);
+          assertEquals(List.of(), violatedInvariants(report), report.text());
+          assertTrue(contradictionResult(report).checked() > 0, report.text());
+          assertions.verify(report, logs);
         });
   }
 
-  /** The command that proposed it is dead by then. */
+  /** The command that proposed the version is killed before it comes into force. */
   @Test
-  void aVersionOfTheListComesIntoForceOnceAllHaveThatList() throws Exception {
-    shipped(
+  void versionWithMinimumListComesIntoForceOnceAllRoutersHaveThatList() throws Exception {
+    runShippedScenario(
         "agreement-lists",
         (report, logs) -> {
           VersionTimeline version = report.fleet().passages().get(0);
-          assertTrue(version.inForceAtNanos() > version.proposedAtNanos() + 2_000_000_000L, "it waits for r3");
+          assertTrue(version.inForceAtNanos() > version.proposedAtNanos() + 2_000_000_000L, "waits for r3");
           String log = Files.readString(logs.resolve("r3.log"));
           assertTrue(log.contains("has not the list yet that version 1 asks for"), log);
           assertEquals(
               "version 1 is proposed\n",
               Files.readString(logs.resolve("proposal-1.log"))
                   .replaceFirst("^$", "version 1 is proposed\n"),
-              "killed before it could say more");
+              "killed before it printed more");
         });
   }
 
   @Test
-  void aVersionThatOneRouterCannotReadIsTurnedDownAndTheNextBindsThoseThatAreCutOff()
+  void versionRejectedByOneRouterIsDroppedAndTheNextBindsRoutersThatAreCutOff()
       throws Exception {
-    shipped(
+    runShippedScenario(
         "agreement-effects",
         (report, logs) -> {
           List<VersionTimeline> versions = report.fleet().passages();
-          assertTrue(versions.get(0).inForceAtNanos() < 0, "nobody acts on it");
+          assertTrue(versions.get(0).inForceAtNanos() < 0, "no router acts on it");
           assertTrue(versions.get(1).inForceAtNanos() > 0);
           String log = Files.readString(logs.resolve("store.log"));
           assertTrue(log.contains("r3 says no: there is no class 'report' here"), log);
--- a/src/test/java/beaconturn/rehearsal/DefectiveAgentRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveAgentRehearsalTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Releases by agents with a defect: the account has to name each. */
+/** Releases by agents with a defect: the invariant that guards against it has to be violated. */
 @Timeout(120)
 class DefectiveAgentRehearsalTest {
-  private static final String PLANTED =
+  private static final String SCENARIO =
       """
         length = "12s"
         [agreement]
@@ -31,49 +31,49 @@
         samples = 5
         wave = [{parts = ["r1"]}, {parts = ["r2", "r3", "r4"]}]
         """;
+
   @TempDir private Path folder;
 
-  /** An account that cannot fail is worthless: each defect of the agents breaks its rule. */
   @ParameterizedTest
   @CsvSource({
     "IGNORES_NUMBERS, never-too-many-out, none",
     "ACTS_WITHOUT_PERMIT, never-too-many-out, none",
     "COMPARES_WITH_NOTHING, step-once, refuses"
   })
-  void aPlantedAgentIsNamed(PlantedAgent.Defect defect, String rule, String harm) throws Exception {
-    RehearsalTestRunner.of(
-        PLANTED + "harm = \"" + harm + "\"\n",
-        new Planted(defect),
+  void detectsDefectiveAgents(PlantedAgent.Defect defect, String rule, String harm) throws Exception {
+    RehearsalTestRunner.runScenario(
+        SCENARIO + "harm = \"" + harm + "\"\n",
+        new DefectiveAgents(defect),
         folder,
         (report, logs) -> {
-          InvariantResult verdict =
+          InvariantResult result =
               report.verdicts().stream()
-                  .filter(v -> v.invariant().equals(rule))
+                  .filter(candidate -> candidate.invariant().equals(rule))
                   .findFirst()
                   .orElseThrow();
-          assertTrue(!verdict.held(), report.text());
+          assertTrue(!result.held(), report.text());
         });
   }
 
-  /** Routers and the store as they should be, and agents with a defect. */
-  private record Planted(PlantedAgent.Defect defect) implements RouterLauncher {
-    private static final ProcessLauncher SOUND = ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main");
-    private static final ProcessLauncher PLANTED =
+  /** Starts correct routers and a correct store, and agents with a defect. */
+  private record DefectiveAgents(PlantedAgent.Defect defect) implements RouterLauncher {
+    private static final ProcessLauncher CORRECT_LAUNCHER = ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main");
+    private static final ProcessLauncher DEFECTIVE_LAUNCHER =
         ProcessLauncher.ofCurrentProgram(PlantedAgent.class.getName());
 
     @Override
     public RunningRouter launch(LaunchOptions options) throws IOException {
-      return SOUND.launch(options);
+      return CORRECT_LAUNCHER.launch(options);
     }
 
     @Override
-    public List<String> command(List<String> words) {
-      if (words.size() < 2 || !words.get(1).equals("agent")) {
-        return SOUND.command(words);
+    public List<String> command(List<String> arguments) {
+      if (arguments.size() < 2 || !arguments.get(1).equals("agent")) {
+        return CORRECT_LAUNCHER.command(arguments);
       }
-      List<String> all = new ArrayList<>(List.of(defect.name()));
-      all.addAll(words);
-      return PLANTED.command(all);
+      List<String> defectiveArguments = new ArrayList<>(List.of(defect.name()));
+      defectiveArguments.addAll(arguments);
+      return DEFECTIVE_LAUNCHER.command(defectiveArguments);
     }
 
     @Override
--- a/src/test/java/beaconturn/rehearsal/DefectiveAgreementRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveAgreementRehearsalTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A router that does not keep to what was agreed, among routers that do: the account names it. */
+/** The no-contradiction invariant names a router that violates the agreement, and no other. */
 @Timeout(120)
 class DefectiveAgreementRehearsalTest {
   @TempDir private Path folder;
 
-  /** What a defect is seen by, where it is not by the servers that versions hold out. */
-  private static String day(PlantedAgreement.Defect defect) {
+  /** Returns a scenario that reveals the defect; most show in the servers that versions exclude. */
+  private static String scenarioFor(PlantedAgreement.Defect defect) {
     return switch (defect) {
       case REPEATS ->
-          AgreementRehearsalTest.DAY
+          AgreementRehearsalTest.SCENARIO
                   .replaceFirst("out = \\[\"c1\", \"c2\"]", "most_tries = 4")
                   .replaceFirst("out = \\[\"c3\", \"c4\"]", "unsafe = [\"level\"]")
               + "[[fault]]\nkind = \"reset\"\non = [\"c1\", \"c2\", \"c3\"]\npart = 0.2\n"
@@ -49,31 +49,30 @@
                 at = "3s"
                 newest_list = true
                 """;
-      default -> AgreementRehearsalTest.DAY;
+      default -> AgreementRehearsalTest.SCENARIO;
     };
   }
 
-  /** Such a day with one router that has a defect: it is named, and nobody else. */
   @ParameterizedTest
   @EnumSource(PlantedAgreement.Defect.class)
-  void aPlantedRouterIsNamed(PlantedAgreement.Defect defect) throws Exception {
-    RehearsalTestRunner.of(
-        day(defect),
+  void namesRouterThatViolatesTheAgreement(PlantedAgreement.Defect defect) throws Exception {
+    RehearsalTestRunner.runScenario(
+        scenarioFor(defect),
         new FirstRouterDefectiveLauncher(
             features ->
-                c ->
+                config ->
                     new RouterServer(
-                        c,
-                        () -> c,
+                        config,
+                        () -> config,
                         new Lifecycle(),
-                        PlantedAgreement.of(defect, features, c),
+                        PlantedAgreement.of(defect, features, config),
                         null)),
         folder,
         (report, logs) -> {
-          InvariantResult verdict = AgreementRehearsalTest.contradiction(report);
-          assertTrue(!verdict.held(), report.text());
+          InvariantResult result = AgreementRehearsalTest.contradictionResult(report);
+          assertTrue(!result.held(), report.text());
           assertTrue(
-              verdict.violations().get(0).description().contains("router 0 act"), report.text());
+              result.violations().get(0).description().contains("router 0 act"), report.text());
         });
   }
 }
--- a/src/test/java/beaconturn/rehearsal/DefectiveRouterRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveRouterRehearsalTest.java
@@ -17,12 +17,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * An account that cannot fail is worthless: each defect that is put into a router must break its
- * rule.
- */
+/** Each defect of a router has to violate its invariant; a check that cannot fail proves nothing. */
 class DefectiveRouterRehearsalTest {
-  private static final String DAY =
+  private static final String SCENARIO =
       """
         length = "3s"
         [fleet]
@@ -63,9 +60,7 @@
         to = "600ms"
         """;
 
-  /**
-   * Beside the usual clients others, which send several commands at once and wrong ones among them.
-   */
+  /** Additional clients that pipeline commands, some of them invalid. */
   private static final String PIPELINES =
       """
         [[class]]
@@ -76,7 +71,7 @@
         wrong = 0.2
         """;
 
-  /** Beside the usual clients others, which write in pieces. */
+  /** Additional clients that write commands in pieces. */
   private static final String PIECES =
       """
         [[clients]]
@@ -86,20 +81,20 @@
 
   @TempDir private Path folder;
 
-  private void play(BrokenRouter.Defect defect, String fault, Consumer<List<String>> broken)
+  private void runWithDefect(BrokenRouter.Defect defect, String scenarioPart, Consumer<List<String>> violated)
       throws Exception {
-    Path below = Files.createDirectory(folder.resolve(defect.name()));
-    RehearsalTestRunner.of(
-        DAY + fault,
+    Path parentFolder = Files.createDirectory(folder.resolve(defect.name()));
+    RehearsalTestRunner.runScenario(
+        SCENARIO + scenarioPart,
         launcher(defect),
-        below,
+        parentFolder,
         (report, logs) -> {
           assertTrue(
               report.classes().stream().mapToLong(ClientStatistics.ClassSummary::served).sum() > 100,
               report.text());
-          broken.accept(
+          violated.accept(
               report.verdicts().stream()
-                  .filter(v -> !v.held())
+                  .filter(result -> !result.held())
                   .map(InvariantResult::invariant)
                   .toList());
         });
@@ -116,10 +111,10 @@
     "ENDS_AT_REJECTION, one-answer, pipelines",
     "ENDS_OVER_COMMANDS, one-answer, pieces"
   })
-  void theDefectIsNamedAndTheSameDayWithoutItBreaksNothing(
-      BrokenRouter.Defect defect, String rule, String day) throws Exception {
-    String fault =
-        switch (day) {
+  void defectViolatesItsInvariantAndNoDefectViolatesNone(
+      BrokenRouter.Defect defect, String rule, String partName) throws Exception {
+    String scenarioPart =
+        switch (partName) {
           case "resets" -> RESETS;
           case "drain" -> DRAIN;
           case "restart" -> RESTART;
@@ -127,24 +122,24 @@
           case "pieces" -> PIECES;
           default -> "";
         };
-    play(defect, fault, broken -> assertTrue(broken.contains(rule), defect + " broke " + broken));
-    if (!fault.isEmpty() || defect == BrokenRouter.Defect.LOSES) {
-      play(BrokenRouter.Defect.NONE, fault, broken -> assertEquals(List.of(), broken));
+    runWithDefect(defect, scenarioPart, violated -> assertTrue(violated.contains(rule), defect + " violated " + violated));
+    if (!scenarioPart.isEmpty() || defect == BrokenRouter.Defect.LOSES) {
+      runWithDefect(BrokenRouter.Defect.NONE, scenarioPart, violated -> assertEquals(List.of(), violated));
     }
   }
 
   @Test
-  void aRouterOfThisProcessCannotBeKilled() throws Exception {
+  void embeddedRouterCannotBeKilled() throws Exception {
     Scenario scenario =
         ScenarioReader.read("day.toml", "[[fault]]\nkind = \"router-kill\"\n", null);
     RouterLauncher launcher = launcher(BrokenRouter.Defect.NONE);
-    IOException e =
+    IOException exception =
         assertThrows(
             IOException.class, () -> new Rehearsal(scenario, launcher, folder, text -> {}).run());
-    assertEquals("router-kill needs routers that are processes of their own", e.getMessage());
+    assertEquals("router-kill needs routers that are processes of their own", exception.getMessage());
   }
 
-  /** Routers of this process with one defect. */
+  /** Returns a launcher of routers in this process with one defect. */
   private static RouterLauncher launcher(BrokenRouter.Defect defect) {
     return new EmbeddedLauncher(config -> BrokenRouter.of(defect, config));
   }
--- a/src/test/java/beaconturn/rehearsal/FirstRouterDefectiveLauncher.java
+++ b/src/test/java/beaconturn/rehearsal/FirstRouterDefectiveLauncher.java
@@ -7,25 +7,24 @@
 import java.util.function.Function;
 
 /**
- * The first router is one of this process with a defect, the others are processes as they should
- * be.
+ * Starts router r1 with a defect inside this process, and all others as correct processes.
  *
- * @param first makes it, by the operators' file
+ * @param defectiveMaker returns what makes the defective router, given its features file
  */
-record FirstRouterDefectiveLauncher(Function<Path, EmbeddedLauncher.Maker> first)
+record FirstRouterDefectiveLauncher(Function<Path, EmbeddedLauncher.Maker> defectiveMaker)
     implements RouterLauncher {
-  private static final ProcessLauncher PROCESSES = ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main");
+  private static final ProcessLauncher PROCESS_LAUNCHER = ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main");
 
   @Override
   public RunningRouter launch(LaunchOptions options) throws IOException {
     return options.name().equals("r1")
-        ? new EmbeddedLauncher(first.apply(options.features())).launch(options)
-        : PROCESSES.launch(options);
+        ? new EmbeddedLauncher(defectiveMaker.apply(options.features())).launch(options)
+        : PROCESS_LAUNCHER.launch(options);
   }
 
   @Override
-  public List<String> command(List<String> words) {
-    return PROCESSES.command(words);
+  public List<String> command(List<String> arguments) {
+    return PROCESS_LAUNCHER.command(arguments);
   }
 
   @Override
--- a/src/test/java/beaconturn/rehearsal/RehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/RehearsalTest.java
@@ -13,37 +13,34 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Short plays with routers as processes of their own, started as operators start them. */
+/** Short rehearsals with routers as separate processes, started as operators start them. */
 class RehearsalTest {
-  private static final String MAIN = "beaconturn.cli.Main";
+  private static final String MAIN_CLASS = "beaconturn.cli.Main";
   @TempDir private Path folder;
   private final List<String> progress = new ArrayList<>();
 
-  private void play(String text, RehearsalTestRunner.Shows shows) throws Exception {
-    RehearsalTestRunner.of(
+  private void runWithoutViolation(String text, RehearsalTestRunner.ReportAssertions assertions) throws Exception {
+    RehearsalTestRunner.runScenario(
         text,
-        ProcessLauncher.ofCurrentProgram(MAIN),
+        ProcessLauncher.ofCurrentProgram(MAIN_CLASS),
         folder,
         progress::add,
         (report, logs) -> {
           assertEquals(
               List.of(),
               report.verdicts().stream()
-                  .filter(v -> !v.held())
+                  .filter(result -> !result.held())
                   .map(InvariantResult::invariant)
                   .toList(),
               report.text());
-          shows.in(report, logs);
+          assertions.verify(report, logs);
         });
   }
 
-  /**
-   * The hard cases of servers in one play: a stall behind slow answers, a late drain, a cold
-   * successor.
-   */
+  /** A server that slows and stalls, one that is drained late, and one with a cold successor. */
   @Test
-  void aStallALateDrainAndAReplacementBreakNothing() throws Exception {
-    play(
+  void stallLateDrainAndReplacementViolateNoInvariant() throws Exception {
+    runWithoutViolation(
         """
             length = "7s"
             [discovery]
@@ -74,21 +71,18 @@
             to = "3s"
             """,
         (report, logs) -> {
-          ClientStatistics.ClassSummary levels = report.classes().get(0);
-          assertTrue(levels.served() > levels.requests() * 9 / 10, report.text());
+          ClientStatistics.ClassSummary levelClass = report.classes().get(0);
+          assertTrue(levelClass.served() > levelClass.requests() * 9 / 10, report.text());
           assertTrue(report.text().contains("no-effect-twice  held"), report.text());
           assertTrue(report.json().contains("\"held\":true"));
-          assertTrue(progress.stream().anyMatch(p -> p.contains("stall c3")), progress.toString());
+          assertTrue(progress.stream().anyMatch(line -> line.contains("stall c3")), progress.toString());
           assertTrue(Files.readString(logs.resolve("r1.log")).contains("DRAINING -> STOPPED"));
         });
   }
 
-  /**
-   * Every cache server goes, one after the other; each successor is cold, at the address of its
-   * predecessor.
-   */
+  /** Replaces all cache servers, one after another, by cold ones at the same addresses. */
   @Test
-  void aFleetThatIsReplacedWholeIsNotPushedOverWhileItIsCold() throws Exception {
+  void replacedFleetIsNotOverloadedWhileItIsCold() throws Exception {
     StringBuilder text =
         new StringBuilder(
             """
@@ -99,33 +93,31 @@
             [discovery]
             lag = "200ms"
             """);
-    for (int i = 1; i <= 4; i++) {
+    for (int server = 1; server <= 4; server++) {
       text.append(
           String.format(
               "[[fault]]%nkind = \"replace\"%non = [\"c%d\"]%nfrom = \"%ds\"%n"
                   + "to = \"%d.5s\"%n",
-              i, i, i));
+              server, server, server));
     }
-    play(
+    runWithoutViolation(
         text.toString(),
         (report, logs) -> {
-          InvariantResult cold =
+          InvariantResult coldInvariant =
               report.verdicts().stream()
-                  .filter(v -> v.invariant().equals("cold-kept"))
+                  .filter(result -> result.invariant().equals("cold-kept"))
                   .findFirst()
                   .orElseThrow();
           assertTrue(
-              cold.checked() > 50, "cold servers got work in " + cold.checked() + " windows");
+              coldInvariant.checked() > 50, "cold servers received requests in " + coldInvariant.checked() + " windows");
           assertTrue(Files.readString(logs.resolve("r1.log")).contains("cache server c4-2 at"));
         });
   }
 
-  /**
-   * Killed with requests out: what it held is its clients' to retry, and nothing else is excused.
-   */
+  /** Only requests in flight at the killed router may fail; clients retry them. */
   @Test
-  void aRouterThatIsKilledAndOneThatIsRestartedLoseNothingThatWasTaken() throws Exception {
-    play(
+  void killedAndRestartedRoutersViolateNoInvariant() throws Exception {
+    runWithoutViolation(
         """
             length = "9s"
             [[clients]]
@@ -150,20 +142,20 @@
               2,
               Files.readString(logs.resolve("r1.log"))
                   .lines()
-                  .filter(l -> l.contains("serves on"))
+                  .filter(line -> line.contains("serves on"))
                   .count());
         });
   }
 
   @Test
-  void aRouterThatDoesNotStartIsSaidWithItsLastWord() throws Exception {
+  void reportsLastLogLineOfRouterThatDoesNotStart() throws Exception {
     Path jar = folder.resolve("no.jar");
     Scenario scenario = ScenarioReader.read("day.toml", "length = \"1s\"", null);
-    IOException e =
+    IOException exception =
         assertThrows(
             IOException.class,
             () -> new Rehearsal(scenario, ProcessLauncher.ofJar(jar), folder, progress::add).run());
-    assertTrue(e.getMessage().startsWith("router r1 did not get ready: "), e.getMessage());
-    assertTrue(e.getMessage().contains("no.jar"), e.getMessage());
+    assertTrue(exception.getMessage().startsWith("router r1 did not get ready: "), exception.getMessage());
+    assertTrue(exception.getMessage().contains("no.jar"), exception.getMessage());
   }
 }
--- a/src/test/java/beaconturn/rehearsal/RehearsalTestRunner.java
+++ b/src/test/java/beaconturn/rehearsal/RehearsalTestRunner.java
@@ -7,54 +7,53 @@
 import org.opentest4j.AssertionFailedError;
 
 /**
- * RehearsalTestRunner for tests. A machine that stands still for a good part of a play shows its own faults and
- * not the routers': such a play that does not show what it should is played again, three times at
- * the most, and so is one in which a fault never began; on a machine that runs it fails at once.
+ * Runs rehearsals for tests. A failed rehearsal is repeated, with at most three runs, only if the
+ * machine was paused for a large part of it or if a fault never started; otherwise it fails at once.
  */
 final class RehearsalTestRunner {
-  private static final int MOST = 3;
+  private static final int MAX_RUNS = 3;
 
-  /** What a play has to show; throws an {@link AssertionError} where it does not. */
-  interface Shows {
-    /** By the report and the folder with the logs of that play. */
-    void in(RehearsalReport report, Path folder) throws Exception;
+  /** The assertions of a test on the result of a rehearsal. */
+  interface ReportAssertions {
+    /** Checks the report and the logs in the folder of that run. */
+    void verify(RehearsalReport report, Path folder) throws Exception;
   }
 
   private RehearsalTestRunner() {}
 
-  /** RehearsalTestRunner the text of a scenario below a folder until it was shown. */
-  static void of(String text, RouterLauncher launcher, Path below, Shows shows) throws Exception {
-    of(text, launcher, below, said -> {}, shows);
+  /** Runs the text of a scenario in a new folder below the parent folder. */
+  static void runScenario(String text, RouterLauncher launcher, Path parentFolder, ReportAssertions assertions) throws Exception {
+    runScenario(text, launcher, parentFolder, progressLine -> {}, assertions);
   }
 
-  /** The same, and tells how far it is. */
-  static void of(
-      String text, RouterLauncher launcher, Path below, Consumer<String> progress, Shows shows)
+  /** As above, and reports the progress. */
+  static void runScenario(
+      String text, RouterLauncher launcher, Path parentFolder, Consumer<String> progress, ReportAssertions assertions)
       throws Exception {
     Scenario scenario = ScenarioReader.read("day.toml", text, null);
-    for (int i = 1; ; i++) {
-      Path folder = Files.createDirectory(below.resolve("play-" + i));
+    for (int run = 1; ; run++) {
+      Path folder = Files.createDirectory(parentFolder.resolve("run-" + run));
       RehearsalReport report = null;
       try {
         report = new Rehearsal(scenario, launcher, folder, progress).run();
-        shows.in(report, folder);
+        assertions.verify(report, folder);
         return;
       } catch (AssertionFailedError e) {
-        if (i == MOST || !report.disturbed()) {
+        if (run == MAX_RUNS || !report.disturbed()) {
           throw e;
         }
-        System.out.println("played again, " + report.stoodStill() + ": " + e.getMessage());
+        System.out.println("rehearsal repeated, " + report.stoodStill() + ": " + e.getMessage());
       } catch (IOException e) {
-        if (i == MOST || !e.getMessage().startsWith("not played as written")) {
+        if (run == MAX_RUNS || !e.getMessage().startsWith("not played as written")) {
           throw e;
         }
-        System.out.println("played again: " + e.getMessage());
+        System.out.println("rehearsal repeated: " + e.getMessage());
       }
     }
   }
 
-  /** The text of a scenario that is shipped. */
-  static String shipped(String name) throws IOException {
+  /** Returns the text of a shipped scenario. */
+  static String shippedScenario(String name) throws IOException {
     return Files.readString(Path.of("examples", "rehearsals", name + ".toml"));
   }
 }
--- a/src/test/java/beaconturn/rehearsal/ReleaseRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/ReleaseRehearsalTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Releases over routers, agents and the store as processes, with faults between them. */
+/** Releases with routers, agents and the store as processes, and faults of each. */
 @Timeout(120)
 class ReleaseRehearsalTest {
   @TempDir private Path folder;
 
-  private void play(String text, RehearsalTestRunner.Shows shows) throws Exception {
-    RehearsalTestRunner.of(
+  private void runWithoutViolation(String text, RehearsalTestRunner.ReportAssertions assertions) throws Exception {
+    RehearsalTestRunner.runScenario(
         text,
         ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main"),
         folder,
@@ -26,43 +26,40 @@
           assertEquals(
               List.of(),
               report.verdicts().stream()
-                  .filter(v -> !v.held())
+                  .filter(result -> !result.held())
                   .map(InvariantResult::invariant)
                   .toList(),
               report.text());
-          shows.in(report, logs);
+          assertions.verify(report, logs);
         });
   }
 
-  private static List<Integer> changed(RehearsalReport report, boolean released) {
+  private static List<Integer> changedRouters(RehearsalReport report, boolean released) {
     return report.entries().stream()
-        .filter(e -> e instanceof HistoryEvent.VariantChangeBegun c && c.released() == released)
-        .map(e -> ((HistoryEvent.VariantChangeBegun) e).router())
+        .filter(event -> event instanceof HistoryEvent.VariantChangeBegun change && change.released() == released)
+        .map(event -> ((HistoryEvent.VariantChangeBegun) event).router())
         .sorted()
         .toList();
   }
 
   @Test
-  void aReleaseWhoseDriversAreKilledAndPausedRestartsEachRouterOnce() throws Exception {
-    // Four routers where the scenario has six, for the sake of time.
-    play(
-        RehearsalTestRunner.shipped("release-rolls")
+  void restartsEachRouterOnceAlthoughDriversAreKilledAndPaused() throws Exception {
+    // Four routers instead of the scenario's six, to save time.
+    runWithoutViolation(
+        RehearsalTestRunner.shippedScenario("release-rolls")
             .replace("count = 3", "count = 2")
             .replace("length = \"45s\"", "length = \"32s\""),
         (report, logs) -> {
           assertEquals("done", report.ending(), report.text());
-          assertEquals(List.of(0, 1, 2, 3), changed(report, true), report.text());
-          assertEquals(List.of(), changed(report, false));
+          assertEquals(List.of(0, 1, 2, 3), changedRouters(report, true), report.text());
+          assertEquals(List.of(), changedRouters(report, false));
         });
   }
 
-  /**
-   * Killed in its step, it is started by its agent; the fault's end finds it running and lets it
-   * be.
-   */
+  /** The router is killed in its step and restarted by its agent, before the fault ends. */
   @Test
-  void whatAnAgentHasStartedIsNotStruckByTheEndOfAnEarlierFault() throws Exception {
-    play(
+  void endOfFaultKeepsProcessThatAgentHasStarted() throws Exception {
+    runWithoutViolation(
         """
             length = "16s"
             [agreement]
@@ -89,11 +86,11 @@
         });
   }
 
-  /** Two of the scenario's six, for the sake of time. */
+  /** Two of the scenario's six cache servers, to save time. */
   @Test
-  void cacheServersAreRestartedOneAfterTheOtherAsTheyGetWarm() throws Exception {
-    play(
-        RehearsalTestRunner.shipped("release-caches")
+  void restartsCacheServersOneAfterAnotherAsTheyWarmUp() throws Exception {
+    runWithoutViolation(
+        RehearsalTestRunner.shippedScenario("release-caches")
                 .replace("length = \"50s\"", "length = \"26s\"")
                 .replace("cold_for = \"4s\"", "cold_for = \"2s\"")
             + "wave = [{parts = [\"c1\", \"c3\"]}]\n",
@@ -102,46 +99,46 @@
           assertEquals(
               List.of("c1", "c3"),
               report.entries().stream()
-                  .filter(e -> e instanceof HistoryEvent.VariantChangeBegun)
-                  .map(e -> ((HistoryEvent.VariantChangeBegun) e).instanceId())
+                  .filter(event -> event instanceof HistoryEvent.VariantChangeBegun)
+                  .map(event -> ((HistoryEvent.VariantChangeBegun) event).instanceId())
                   .toList());
         });
   }
 
   @Test
-  void settingsComeIntoForceBeforeTheFirstStepAndGoBackWithTheRelease() throws Exception {
-    play(
-        RehearsalTestRunner.shipped("release-settings").replace("length = \"30s\"", "length = \"20s\""),
+  void settingsComeIntoForceBeforeFirstStepAndAreRolledBackWithRelease() throws Exception {
+    runWithoutViolation(
+        RehearsalTestRunner.shippedScenario("release-settings").replace("length = \"30s\"", "length = \"20s\""),
         (report, logs) -> {
           assertEquals("back", report.ending(), report.text());
           List<VersionTimeline> versions = report.fleet().passages();
-          long first =
+          long firstStepNanos =
               report.entries().stream()
-                  .filter(e -> e instanceof HistoryEvent.VariantChangeBegun)
+                  .filter(event -> event instanceof HistoryEvent.VariantChangeBegun)
                   .mapToLong(HistoryEvent::atNanos)
                   .min()
                   .orElseThrow();
           assertEquals(2, versions.size());
           assertTrue(
-              versions.get(0).settledAtNanos() > 0 && versions.get(0).settledAtNanos() < first, report.text());
+              versions.get(0).settledAtNanos() > 0 && versions.get(0).settledAtNanos() < firstStepNanos, report.text());
           assertTrue(versions.get(1).inForceAtNanos() > 0, report.text());
         });
   }
 
   @Test
-  void whatHarmsIsSeenAtTheFirstRouterAndGoesBackByItself() throws Exception {
-    play(
-        RehearsalTestRunner.shipped("release-harms"),
+  void rollsBackAfterFirstRouterIfReleaseIsHarmful() throws Exception {
+    runWithoutViolation(
+        RehearsalTestRunner.shippedScenario("release-harms"),
         (report, logs) -> {
           assertEquals("back", report.ending(), report.text());
-          assertEquals(List.of(0), changed(report, true), report.text());
-          assertEquals(List.of(0), changed(report, false), report.text());
-          // Whichever of the agents drives the release says so.
-          StringBuilder said = new StringBuilder();
-          for (int i = 1; i <= 4; i++) {
-            said.append(Files.readString(logs.resolve("r" + i + ".agent.log")));
+          assertEquals(List.of(0), changedRouters(report, true), report.text());
+          assertEquals(List.of(0), changedRouters(report, false), report.text());
+          // Any of the agents may have driven the release.
+          StringBuilder agentLogs = new StringBuilder();
+          for (int router = 1; router <= 4; router++) {
+            agentLogs.append(Files.readString(logs.resolve("r" + router + ".agent.log")));
           }
-          assertTrue(said.toString().contains("goes back: r1 does worse"), said.toString());
+          assertTrue(agentLogs.toString().contains("goes back: r1 does worse"), agentLogs.toString());
         });
   }
 }
--- a/src/test/java/beaconturn/rehearsal/StolenTimeTest.java
+++ b/src/test/java/beaconturn/rehearsal/StolenTimeTest.java
@@ -6,15 +6,13 @@
 import org.junit.jupiter.api.Test;
 
 class StolenTimeTest {
-  /**
-   * Of one processor, also where the others had all of theirs; what had gone before does not count.
-   */
+  /** Time stolen before the first call, and from other processors, does not count. */
   @Test
-  void whatTheProcessorLostThatLostMostIsTold() {
-    StolenTime time = new StolenTime();
+  void returnsStolenTimeOfProcessorThatLostMost() {
+    StolenTime stolenTime = new StolenTime();
     assertEquals(
         0,
-        time.since(
+        stolenTime.nanosSinceLastCall(
             List.of(
                 "cpu  9 9 9 9 9 9 9 50 0 0",
                 "cpu0 1 1 1 1 1 1 1 20 0 0",
@@ -22,12 +20,12 @@
                 "intr 1 2 3")));
     assertEquals(
         40_000_000,
-        time.since(
+        stolenTime.nanosSinceLastCall(
             List.of(
                 "cpu  9 9 9 9 9 9 9 55 0 0",
                 "cpu0 1 1 1 1 1 1 1 24 0 0",
                 "cpu1 1 1 1 1 1 1 1 31 0 0",
                 "ctxt 5")));
-    assertEquals(0, time.since(List.of("cpu0 1 1 1 1", "cpu1 2 2 2 2 2 2 2 31 0 0")));
+    assertEquals(0, stolenTime.nanosSinceLastCall(List.of("cpu0 1 1 1 1", "cpu1 2 2 2 2 2 2 2 31 0 0")));
   }
 }
--- a/src/test/java/beaconturn/rehearsal/ZoneRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZoneRehearsalTest.java
@@ -35,13 +35,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/**
- * Routers of three places, the store and faults between them, judged by what cache servers and the
- * store saw.
- */
+/** Routers in three zones that agree on zone weights, with the failure of a zone. */
 @Timeout(120)
 class ZoneRehearsalTest {
-  private static final String DAY =
+  private static final String SCENARIO =
       """
         length = "16s"
         [fleet]
@@ -64,7 +61,7 @@
         [[clients]]
         rate = 200
         """;
-  private static final String LOST =
+  private static final String ZONE_FAILURE =
       """
         [[fault]]
         kind = "kill"
@@ -72,138 +69,138 @@
         from = "4s"
         """;
 
-  /** The list of the play comes late, and a machine may be slow. */
-  private static final long MARGIN = 2_500_000_000L;
+  /** Allows for the delay of endpoint updates and for a slow machine. */
+  private static final long MARGIN_NANOS = 2_500_000_000L;
 
   @TempDir private Path folder;
 
   private static List<HistoryEvent.ZonePlanInForce> plans(RehearsalReport report) {
     return report.entries().stream()
-        .filter(e -> e instanceof HistoryEvent.ZonePlanInForce)
-        .map(e -> (HistoryEvent.ZonePlanInForce) e)
+        .filter(event -> event instanceof HistoryEvent.ZonePlanInForce)
+        .map(event -> (HistoryEvent.ZonePlanInForce) event)
         .toList();
   }
 
-  private static List<String> broken(RehearsalReport report) {
+  private static List<String> violatedInvariants(RehearsalReport report) {
     return report.verdicts().stream()
-        .filter(v -> !v.held())
+        .filter(result -> !result.held())
         .map(InvariantResult::invariant)
         .toList();
   }
 
   @Test
-  void theKeysOfALostPlaceGoElsewhereInSecondsAndNobodyIsPushedOver() throws Exception {
-    RehearsalTestRunner.of(
-        DAY + LOST,
+  void movesTrafficOfFailedZoneWithinSecondsWithoutOverload() throws Exception {
+    RehearsalTestRunner.runScenario(
+        SCENARIO + ZONE_FAILURE,
         ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main"),
         folder,
         (report, logs) -> {
-          assertEquals(List.of(), broken(report), report.text());
+          assertEquals(List.of(), violatedInvariants(report), report.text());
           List<HistoryEvent.ZonePlanInForce> plans = plans(report);
           assertTrue(
               !plans.isEmpty() && plans.get(0).weights().get("east").get("east") <= 50,
               report.text());
-          long after = plans.get(0).atNanos() - report.start();
-          assertTrue(after < 9_000_000_000L, "within five seconds: " + after);
-          // The model and the processes say the same of it, or the model is wrong.
-          long twin =
+          long decidedAfterNanos = plans.get(0).atNanos() - report.start();
+          assertTrue(decidedAfterNanos < 9_000_000_000L, "within five seconds: " + decidedAfterNanos);
+          // The processes have to match the simulated fail-over.
+          long simulatedNanos =
               SimulatedFailover.decidedAfter(report.scenario().agreement().timing(), 3, 1, 50);
           assertTrue(
-              Math.abs(report.crossings().decidedAfterNanos() - twin) < MARGIN,
-              "in the model after " + twin + " ns\n" + report.text());
+              Math.abs(report.crossings().decidedAfterNanos() - simulatedNanos) < MARGIN_NANOS,
+              "in the model after " + simulatedNanos + " ns\n" + report.text());
         });
   }
 
-  /** What a router is made to do that it should not. */
+  /** Defects of a router. */
   private enum Defect {
-    IGNORES_SHARES,
-    LIES
+    IGNORES_WEIGHTS,
+    REPORTS_ALL_EJECTED
   }
 
   /**
-   * One that ignores what is decided is named; one that finds all places bad, whatever they are,
-   * moves nothing.
+   * A router that ignores the weights is named by the invariants; one that reports all servers as
+   * ejected moves no traffic.
    */
   @ParameterizedTest
   @EnumSource(Defect.class)
-  void aPlantedRouterIsNamedOrMovesNothing(Defect defect) throws Exception {
-    RehearsalTestRunner.of(
-        DAY.replace("16s", "10s"),
-        new FirstRouterDefectiveLauncher(features -> config -> planted(defect, features, config)),
+  void defectiveRouterIsNamedOrHasNoEffect(Defect defect) throws Exception {
+    RehearsalTestRunner.runScenario(
+        SCENARIO.replace("16s", "10s"),
+        new FirstRouterDefectiveLauncher(features -> config -> routerWithDefect(defect, features, config)),
         folder,
         (report, logs) -> {
-          if (defect == Defect.LIES) {
-            assertEquals(List.of(), broken(report), report.text());
+          if (defect == Defect.REPORTS_ALL_EJECTED) {
+            assertEquals(List.of(), violatedInvariants(report), report.text());
             assertEquals(List.of(), plans(report), report.text());
           } else {
-            assertEquals(List.of("kept-near", "one-decision"), broken(report), report.text());
+            assertEquals(List.of("kept-near", "one-decision"), violatedInvariants(report), report.text());
             assertTrue(
                 report.verdicts().stream()
-                    .flatMap(v -> v.violations().stream())
+                    .flatMap(result -> result.violations().stream())
                     .allMatch(
-                        o ->
-                            !o.description().startsWith("router")
-                                || o.description().startsWith("router 0 ")),
+                        violation ->
+                            !violation.description().startsWith("router")
+                                || violation.description().startsWith("router 0 ")),
                 report.text());
           }
         });
   }
 
-  private static RouterServer planted(Defect defect, Path features, RouterConfig config)
+  private static RouterServer routerWithDefect(Defect defect, Path features, RouterConfig config)
       throws IOException {
-    Matcher port = Pattern.compile("127\\.0\\.0\\.1:([0-9]+)").matcher(Files.readString(features));
-    assertTrue(port.find());
+    Matcher portMatcher = Pattern.compile("127\\.0\\.0\\.1:([0-9]+)").matcher(Files.readString(features));
+    assertTrue(portMatcher.find());
     AgreementConfig agreement =
         new AgreementConfig(
-            List.of(new InetSocketAddress("127.0.0.1", Integer.parseInt(port.group(1)))),
+            List.of(new InetSocketAddress("127.0.0.1", Integer.parseInt(portMatcher.group(1)))),
             "/rehearsal",
             new AgreementTiming(1_000_000_000, 0.01, 500_000_000),
             null);
-    ZoneTopology map =
+    ZoneTopology topology =
         new ZoneTopology(new TreeMap<>(Map.of("east", "", "south", "", "west", "")), 150, 1e6, 50);
     return new RouterServer(
         config,
         () -> config,
         new Lifecycle(),
         new AgreementSubsystem(agreement, config),
-        new Planted(defect, new ZonesSubsystem(agreement, map, config)));
+        new DefectiveZones(defect, new ZonesSubsystem(agreement, topology, config)));
   }
 
-  /** Its defect stands between the router and its sound part. */
-  private record Planted(Defect defect, ZonesSubsystem sound) implements ZoneWeightsSource {
+  /** Adds the defect to a correct subsystem. */
+  private record DefectiveZones(Defect defect, ZonesSubsystem delegate) implements ZoneWeightsSource {
     @Override
     public void run() {
-      sound.run();
+      delegate.run();
     }
 
     @Override
     public ZoneWeights dueWeights() {
-      return defect == Defect.IGNORES_SHARES ? ZoneWeights.ANYWHERE : sound.dueWeights();
+      return defect == Defect.IGNORES_WEIGHTS ? ZoneWeights.ANYWHERE : delegate.dueWeights();
     }
 
     @Override
     public void serverStatuses(Map<CacheServerClients.ListedServer, ServerStatus> caches) {
-      Map<CacheServerClients.ListedServer, ServerStatus> told = new HashMap<>(caches);
-      if (defect == Defect.LIES) {
-        told.replaceAll((listed, standing) -> ServerStatus.EJECTED);
+      Map<CacheServerClients.ListedServer, ServerStatus> reported = new HashMap<>(caches);
+      if (defect == Defect.REPORTS_ALL_EJECTED) {
+        reported.replaceAll((listed, status) -> ServerStatus.EJECTED);
       }
-      sound.serverStatuses(told);
+      delegate.serverStatuses(reported);
     }
 
     @Override
     public void requestRouted() {
-      sound.requestRouted();
+      delegate.requestRouted();
     }
 
     @Override
     public void attemptEnded(
-        long server, boolean good, CacheLookup lookup, long took, boolean late) {
-      sound.attemptEnded(server, good, lookup, took, late);
+        long server, boolean succeeded, CacheLookup lookup, long latencyNanos, boolean late) {
+      delegate.attemptEnded(server, succeeded, lookup, latencyNanos, late);
     }
 
     @Override
     public void leave() {
-      sound.leave();
+      delegate.leave();
     }
   }
 }
--- a/src/test/java/beaconturn/rehearsal/fleet/FaultProxyTest.java
+++ b/src/test/java/beaconturn/rehearsal/fleet/FaultProxyTest.java
@@ -18,36 +18,36 @@
 
 @Timeout(30)
 class FaultProxyTest {
-  private static final int SHORT_MILLIS = 100;
-  private static final int LONG_MILLIS = 10_000;
-  private final BlockingQueue<Integer> heard = new LinkedBlockingQueue<>();
-  private ServerSocket behind;
-  private FaultProxy link;
+  private static final int SHORT_TIMEOUT_MILLIS = 100;
+  private static final int LONG_TIMEOUT_MILLIS = 10_000;
+  private final BlockingQueue<Integer> received = new LinkedBlockingQueue<>();
+  private ServerSocket target;
+  private FaultProxy proxy;
 
   @BeforeEach
   void start() throws IOException {
-    behind = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    target = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     Thread echo =
         new Thread(
             () -> {
-              while (!behind.isClosed()) {
+              while (!target.isClosed()) {
                 try {
-                  Socket one = behind.accept();
-                  new Thread(() -> echo(one)).start();
+                  Socket socket = target.accept();
+                  new Thread(() -> echo(socket)).start();
                 } catch (IOException e) {
                   return;
                 }
               }
             });
     echo.start();
-    link = new FaultProxy(new java.net.InetSocketAddress("127.0.0.1", behind.getLocalPort()));
+    proxy = new FaultProxy(new java.net.InetSocketAddress("127.0.0.1", target.getLocalPort()));
   }
 
-  private void echo(Socket one) {
-    try (one) {
-      for (int got = one.getInputStream().read(); got >= 0; got = one.getInputStream().read()) {
-        heard.add(got);
-        one.getOutputStream().write(got);
+  private void echo(Socket socket) {
+    try (socket) {
+      for (int value = socket.getInputStream().read(); value >= 0; value = socket.getInputStream().read()) {
+        received.add(value);
+        socket.getOutputStream().write(value);
       }
     } catch (IOException e) {
       return;
@@ -55,98 +55,90 @@
   }
 
   @AfterEach
-  void end() throws IOException {
-    link.close();
-    behind.close();
+  void stop() throws IOException {
+    proxy.close();
+    target.close();
   }
 
-  private Socket connect(int millis) throws IOException {
+  private Socket connect(int timeoutMillis) throws IOException {
     Socket socket = new Socket();
-    socket.connect(link.address(), millis);
-    socket.setSoTimeout(LONG_MILLIS);
+    socket.connect(proxy.address(), timeoutMillis);
+    socket.setSoTimeout(LONG_TIMEOUT_MILLIS);
     return socket;
   }
 
-  private static int said(Socket socket, int what) throws IOException {
-    socket.getOutputStream().write(what);
+  private static int sendAndReceive(Socket socket, int value) throws IOException {
+    socket.getOutputStream().write(value);
     return socket.getInputStream().read();
   }
 
-  /**
-   * As on a network that loses all: an open connection is silent and open, a new one never comes
-   * up.
-   */
+  /** Open connections stay open without traffic; new ones are not established. */
   @Test
-  void aCutIsSilentAndIsOverWhenItIsMended() throws IOException {
-    try (Socket open = connect(LONG_MILLIS)) {
-      assertEquals(1, said(open, 1));
-      link.setState(FaultProxy.State.CUT, 0);
-      assertThrows(SocketTimeoutException.class, () -> connect(SHORT_MILLIS));
-      open.setSoTimeout(SHORT_MILLIS);
-      assertThrows(SocketTimeoutException.class, () -> said(open, 2));
-      link.setState(FaultProxy.State.OPEN, 0);
-      open.setSoTimeout(LONG_MILLIS);
-      assertEquals(2, open.getInputStream().read());
-      try (Socket fresh = connect(LONG_MILLIS)) {
-        assertEquals(3, said(fresh, 3));
+  void cutConnectionsStaySilentUntilTheProxyOpens() throws IOException {
+    try (Socket established = connect(LONG_TIMEOUT_MILLIS)) {
+      assertEquals(1, sendAndReceive(established, 1));
+      proxy.setState(FaultProxy.State.CUT, 0);
+      assertThrows(SocketTimeoutException.class, () -> connect(SHORT_TIMEOUT_MILLIS));
+      established.setSoTimeout(SHORT_TIMEOUT_MILLIS);
+      assertThrows(SocketTimeoutException.class, () -> sendAndReceive(established, 2));
+      proxy.setState(FaultProxy.State.OPEN, 0);
+      established.setSoTimeout(LONG_TIMEOUT_MILLIS);
+      assertEquals(2, established.getInputStream().read());
+      try (Socket fresh = connect(LONG_TIMEOUT_MILLIS)) {
+        assertEquals(3, sendAndReceive(fresh, 3));
       }
     }
   }
 
-  /**
-   * As a kernel forgets what it could not deliver when a connection is reset, and goes on after a
-   * close.
-   */
+  /** As a kernel drops undelivered data on a reset, and still delivers it after a close. */
   @Test
-  void whatWasResetBehindACutNeverArrivesAndWhatWasClosedDoes() throws Exception {
-    Socket reset = connect(LONG_MILLIS);
-    Socket closed = connect(LONG_MILLIS);
-    assertEquals(1, said(reset, 1));
-    assertEquals(2, said(closed, 2));
-    link.setState(FaultProxy.State.CUT, 0);
-    reset.getOutputStream().write(3);
-    closed.getOutputStream().write(4);
-    while (link.heldCount() < 2) {
+  void dropsDataOfConnectionsResetDuringACutAndDeliversThatOfClosedOnes() throws Exception {
+    Socket resetSocket = connect(LONG_TIMEOUT_MILLIS);
+    Socket closedSocket = connect(LONG_TIMEOUT_MILLIS);
+    assertEquals(1, sendAndReceive(resetSocket, 1));
+    assertEquals(2, sendAndReceive(closedSocket, 2));
+    proxy.setState(FaultProxy.State.CUT, 0);
+    resetSocket.getOutputStream().write(3);
+    closedSocket.getOutputStream().write(4);
+    while (proxy.heldCount() < 2) {
       Thread.onSpinWait();
     }
-    reset.setSoLinger(true, 0);
-    reset.close();
-    closed.close();
-    link.setState(FaultProxy.State.OPEN, 0);
-    assertEquals(List.of(1, 2, 4), List.of(heard.take(), heard.take(), heard.take()));
-    try (Socket fresh = connect(LONG_MILLIS)) {
-      assertEquals(5, said(fresh, 5));
-      assertEquals(5, heard.take());
+    resetSocket.setSoLinger(true, 0);
+    resetSocket.close();
+    closedSocket.close();
+    proxy.setState(FaultProxy.State.OPEN, 0);
+    assertEquals(List.of(1, 2, 4), List.of(received.take(), received.take(), received.take()));
+    try (Socket fresh = connect(LONG_TIMEOUT_MILLIS)) {
+      assertEquals(5, sendAndReceive(fresh, 5));
+      assertEquals(5, received.take());
     }
   }
 
-  /**
-   * Who gives up by a reset while it is on its way has not sent it: nobody could tell when it came.
-   */
+  /** Data whose sender resets the connection during the delay must not arrive later. */
   @Test
-  void whatWasResetOnASlowWayNeverArrives() throws Exception {
-    Socket reset = connect(LONG_MILLIS);
-    assertEquals(1, said(reset, 1));
-    link.setState(FaultProxy.State.SLOW, SHORT_MILLIS * 1_000_000L);
-    reset.getOutputStream().write(3);
-    reset.setSoLinger(true, 0);
-    reset.close();
-    try (Socket fresh = connect(LONG_MILLIS)) {
-      assertEquals(5, said(fresh, 5));
-      assertEquals(List.of(1, 5), List.of(heard.take(), heard.take()));
+  void dropsDataOfConnectionsResetDuringADelay() throws Exception {
+    Socket resetSocket = connect(LONG_TIMEOUT_MILLIS);
+    assertEquals(1, sendAndReceive(resetSocket, 1));
+    proxy.setState(FaultProxy.State.SLOW, SHORT_TIMEOUT_MILLIS * 1_000_000L);
+    resetSocket.getOutputStream().write(3);
+    resetSocket.setSoLinger(true, 0);
+    resetSocket.close();
+    try (Socket fresh = connect(LONG_TIMEOUT_MILLIS)) {
+      assertEquals(5, sendAndReceive(fresh, 5));
+      assertEquals(List.of(1, 5), List.of(received.take(), received.take()));
     }
   }
 
-  /** What is asked has arrived, nothing comes back, and the connection ends. */
+  /** The request arrives, no response is returned, and the connection ends. */
   @Test
-  void aLostAnswerEndsTheConnection() throws IOException {
-    try (Socket open = connect(LONG_MILLIS)) {
-      assertEquals(1, said(open, 1));
-      link.setState(FaultProxy.State.RESPONSE_LOST, 0);
+  void lostResponseEndsTheConnection() throws IOException {
+    try (Socket established = connect(LONG_TIMEOUT_MILLIS)) {
+      assertEquals(1, sendAndReceive(established, 1));
+      proxy.setState(FaultProxy.State.RESPONSE_LOST, 0);
       assertThrows(
           IOException.class,
           () -> {
-            if (said(open, 2) < 0) {
+            if (sendAndReceive(established, 2) < 0) {
               throw new IOException("ended");
             }
           });
