--- a/src/test/java/beaconturn/rehearsal/DefectiveAgentRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveAgentRehearsalTest.java
@@ -40,7 +40,7 @@
     "ACTS_WITHOUT_PERMIT, never-too-many-out, none",
     "COMPARES_WITH_NOTHING, step-once, refuses"
   })
-  void detectsDefectiveAgents(PlantedAgent.Defect defect, String rule, String harm) throws Exception {
+  void detectsDefectiveAgents(PlantedAgent.Defect defect, String invariant, String harm) throws Exception {
     RehearsalTestRunner.runScenario(
         SCENARIO + "harm = \"" + harm + "\"\n",
         new DefectiveAgents(defect),
@@ -48,7 +48,7 @@
         (report, logs) -> {
           InvariantResult result =
               report.verdicts().stream()
-                  .filter(candidate -> candidate.invariant().equals(rule))
+                  .filter(candidate -> candidate.invariant().equals(invariant))
                   .findFirst()
                   .orElseThrow();
           assertTrue(!result.held(), report.text());
--- a/src/test/java/beaconturn/rehearsal/DefectiveRouterRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveRouterRehearsalTest.java
@@ -112,7 +112,7 @@
     "ENDS_OVER_COMMANDS, one-answer, pieces"
   })
   void defectViolatesItsInvariantAndNoDefectViolatesNone(
-      BrokenRouter.Defect defect, String rule, String partName) throws Exception {
+      BrokenRouter.Defect defect, String invariant, String partName) throws Exception {
     String scenarioPart =
         switch (partName) {
           case "resets" -> RESETS;
@@ -122,7 +122,7 @@
           case "pieces" -> PIECES;
           default -> "";
         };
-    runWithDefect(defect, scenarioPart, violated -> assertTrue(violated.contains(rule), defect + " violated " + violated));
+    runWithDefect(defect, scenarioPart, violated -> assertTrue(violated.contains(invariant), defect + " violated " + violated));
     if (!scenarioPart.isEmpty() || defect == BrokenRouter.Defect.LOSES) {
       runWithDefect(BrokenRouter.Defect.NONE, scenarioPart, violated -> assertEquals(List.of(), violated));
     }
--- a/src/test/java/beaconturn/rehearsal/package-info.java
+++ b/src/test/java/beaconturn/rehearsal/package-info.java
@@ -1,2 +1,2 @@
-/** Tests. */
+/** Tests of rehearsals. */
 package beaconturn.rehearsal;
