--- a/src/main/java/beaconturn/rehearsal/Rehearsal.java
+++ b/src/main/java/beaconturn/rehearsal/Rehearsal.java
@@ -118,7 +118,7 @@
             new RandomSources(scenario.seed()),
             new HistoryEventWriter(history));
     fleetServer = new EmulatedFleetServer(emulatedFleet, clock::now, scenario.routers().size(), 0);
-    MachinePauseDetector pauseDetector = new MachinePauseDetector(clock, history, fleetServer::soon);
+    MachinePauseDetector detector = new MachinePauseDetector(clock, history, fleetServer::soon);
     ClientStatistics statistics = new ClientStatistics(scenario);
     try {
       fleetServer.start();
@@ -131,7 +131,7 @@
           new OpenLoopClients(
               scenario, routers.stream().map(RouterProcess::address).toList(), clock, history, statistics);
       long cpuNanos = processCpuNanos();
-      pauseDetector.start();
+      detector.start();
       scheduleAll();
       clients.start(RequestSchedule.of(scenario), startNanos);
       long storeCalls = environment == null ? 0 : environment.storeCalls();
@@ -139,7 +139,7 @@
       cpuNanos = processCpuNanos() - cpuNanos;
       storeCalls = environment == null ? 0 : environment.storeCalls() - storeCalls;
       settle();
-      pauseDetector.stop();
+      detector.stop();
       RehearsalReport.Fleet fleetReport = fleetReport(storeCalls);
       checkAllTriggersMet();
       List<HistoryEvent> events = history.events();
@@ -155,7 +155,7 @@
           HistoryChecker.pausedNanos(events),
           fleetReport);
     } finally {
-      pauseDetector.stop();
+      detector.stop();
       stopRouters();
       if (environment != null) {
         environment.close();
