--- a/src/main/java/beaconturn/cli/RandomSearchRunner.java
+++ b/src/main/java/beaconturn/cli/RandomSearchRunner.java
@@ -29,7 +29,7 @@
   private static final int BROKEN = 3;
   private static final int WRONG_INPUT = 1;
   private static final double MILLI = 1e6;
-  private final RandomScenario.About about;
+  private final RandomScenario.Kind about;
   private final int plays;
   private final long firstSeed;
   private final int routers;
@@ -46,7 +46,7 @@
   private final SortedMap<String, Integer> releases = new TreeMap<>();
 
   RandomSearchRunner(
-      RandomScenario.About about,
+      RandomScenario.Kind about,
       int plays,
       long firstSeed,
       int routers,
@@ -67,7 +67,7 @@
   static RandomSearchRunner of(
       String about, int plays, long firstSeed, int routers, int atOnce, String kept, String jar) {
     return new RandomSearchRunner(
-        RandomScenario.About.valueOf(about.toUpperCase(Locale.ROOT)),
+        RandomScenario.Kind.valueOf(about.toUpperCase(Locale.ROOT)),
         plays,
         firstSeed,
         routers,
@@ -99,7 +99,7 @@
         held,
         broken,
         unplayed);
-    if (about != RandomScenario.About.CLIENTS) {
+    if (about != RandomScenario.Kind.CLIENTS) {
       System.out.printf(
           Locale.ROOT,
           "%d routers each; longest contradiction %.0f ms of %.0f ms stated," + " %d chances%n",
@@ -108,7 +108,7 @@
           stated / MILLI,
           checked);
     }
-    if (about == RandomScenario.About.RELEASES) {
+    if (about == RandomScenario.Kind.RELEASES) {
       System.out.println("releases ended as " + releases);
     }
     return broken > 0 ? BROKEN : unplayed > 0 ? WRONG_INPUT : 0;
@@ -116,17 +116,17 @@
 
   private void play(long seed) {
     try {
-      Scenario scenario = RandomScenario.of(about, seed, routers);
+      Scenario scenario = RandomScenario.generate(about, seed, routers);
       Path folder = Files.createTempDirectory("storm-" + seed + "-");
       RehearsalReport report = new Rehearsal(scenario, launcher, folder, text -> {}).run();
       List<String> rules =
-          report.verdicts().stream()
+          report.results().stream()
               .filter(v -> !v.held())
               .map(InvariantResult::invariant)
               .toList();
       if (!rules.isEmpty()) {
         Path story = Files.createDirectories(kept.resolve("storm-" + seed));
-        Files.writeString(story.resolve("storm.toml"), RandomScenario.text(about, seed, routers));
+        Files.writeString(story.resolve("storm.toml"), RandomScenario.generateText(about, seed, routers));
         Files.writeString(story.resolve("report.txt"), report.text());
         Files.writeString(story.resolve("report.json"), report.json());
         for (Path log : ShippedScenarios.logs(folder)) {
@@ -153,13 +153,13 @@
   private synchronized void count(long seed, RehearsalReport report, List<String> rules) {
     held += rules.isEmpty() ? 1 : 0;
     broken += rules.isEmpty() ? 0 : 1;
-    for (InvariantResult v : report.verdicts()) {
+    for (InvariantResult v : report.results()) {
       if (v.invariant().equals("no-contradiction")) {
         checked += v.checked();
         longest = Math.max(longest, v.maxNanos());
       }
     }
-    releases.merge(report.ending(), 1, Integer::sum);
+    releases.merge(report.releaseOutcome(), 1, Integer::sum);
     stated =
         report.scenario().agreement() == null
             ? 0
--- a/src/main/java/beaconturn/cli/StandInRunner.java
+++ b/src/main/java/beaconturn/cli/StandInRunner.java
@@ -31,7 +31,7 @@
       EmulatedFleet world =
           new EmulatedFleet(
               new EventScheduler(clock.now()),
-              scenario.world(),
+              scenario.emulatedFleetShape(),
               new RandomSources(scenario.seed()),
               HistoryRecorder.NONE);
       FaultCommands orders = new FaultCommands(world);
--- a/src/main/java/beaconturn/rehearsal/AgreementSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/AgreementSectionReader.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The reader of a scenario's agreement, configuration versions and zones. */
+/** Reads the agreement, the configuration versions and the zones of a scenario. */
 final class AgreementSectionReader {
   private static final long MILLI_NANOS = 1_000_000;
   private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
@@ -15,7 +15,7 @@
     this.file = file;
   }
 
-  /** Reads the table {@code [agreement]}; null where there is none. */
+  /** Reads the table {@code [agreement]}; returns null if it is missing. */
   Scenario.Agreement readAgreement() throws TomlException {
     if (!file.has("agreement")) {
       return null;
@@ -28,59 +28,59 @@
 
   /** Reads the tables {@code [[version]]}. */
   static List<Scenario.VersionSpec> readVersions(
-      List<TomlSection> proposed, Scenario.Agreement agreement, ScenarioOutline outline)
+      List<TomlSection> sections, Scenario.Agreement agreement, ScenarioOutline outline)
       throws TomlException {
-    List<Scenario.VersionSpec> all = new ArrayList<>();
-    for (TomlSection section : proposed) {
+    List<Scenario.VersionSpec> versions = new ArrayList<>();
+    for (TomlSection section : sections) {
       if (agreement == null) {
         throw section.invalid("", "needs an [agreement] table");
       }
-      all.add(readVersion(section, outline));
+      versions.add(readVersion(section, outline));
     }
-    return List.copyOf(all);
+    return List.copyOf(versions);
   }
 
   private static Scenario.VersionSpec readVersion(TomlSection section, ScenarioOutline outline)
       throws TomlException {
-    List<String> names = outline.fleet().names();
-    List<String> out = section.texts("out", List.of());
-    for (String name : out) {
-      if (!names.contains(name)) {
+    List<String> serverNames = outline.fleet().cacheServerNames();
+    List<String> excludedServers = section.texts("out", List.of());
+    for (String name : excludedServers) {
+      if (!serverNames.contains(name)) {
         throw section.invalid(
-            "out", "there is no '" + name + "', there are " + String.join(", ", names));
+            "out", "there is no '" + name + "', there are " + String.join(", ", serverNames));
       }
     }
     Trigger after = outline.readTrigger(section, "after");
     long atNanos = section.durationNanos("at", after == null ? 2 * SECOND_NANOS : 0, 0);
-    outline.checkWithinPlay(section, "at", atNanos);
+    outline.checkWithinLength(section, "at", atNanos);
     return new Scenario.VersionSpec(
         atNanos,
         after,
         section.text("reason", "as the scenario has it"),
-        out,
+        excludedServers,
         section.integer("most_tries", 0, 0, 64),
         section.texts("unsafe", List.of()),
         section.bool("newest_list", false),
         section.bool("dies", false));
   }
 
-  /** Reads the table {@code [zones]}; null where there is none. */
+  /** Reads the table {@code [zones]}; returns null if it is missing. */
   Scenario.ZonesSpec readZones(Scenario.Agreement agreement, Scenario.Fleet fleet)
       throws TomlException {
     if (!file.has("zones")) {
       return null;
     }
     TomlSection section = file.table("zones");
-    if (agreement == null || fleet.places().size() < 2) {
+    if (agreement == null || fleet.distinctSites().size() < 2) {
       throw section.invalid("", "needs an [agreement] table and two sites at least");
     }
     List<String> regions = section.texts("regions", List.of());
-    if (!regions.isEmpty() && regions.size() != fleet.places().size()) {
+    if (!regions.isEmpty() && regions.size() != fleet.distinctSites().size()) {
       throw section.invalid(
           "regions",
           regions.size()
               + " of them, allowed is one for each of the sites "
-              + String.join(", ", fleet.places()));
+              + String.join(", ", fleet.distinctSites()));
     }
     return new Scenario.ZonesSpec(
         section.bool("decided", true),
--- a/src/main/java/beaconturn/rehearsal/ClientCommands.java
+++ b/src/main/java/beaconturn/rehearsal/ClientCommands.java
@@ -18,7 +18,7 @@
 
   /** Encodes the command of an attempt. */
   static byte[] encode(SequentialClient.Attempt attempt) {
-    Scenario.Type requestClass = attempt.request().requestClass();
+    Scenario.RequestClass requestClass = attempt.request().requestClass();
     boolean isWrite = requestClass.effect() != Scenario.Effect.SAFE;
     StringBuilder attributes =
         new StringBuilder("c=").append(requestClass.name()).append(",d=").append(attempt.timeoutNanos() / NANOS_PER_MILLI);
@@ -35,7 +35,7 @@
     add(output, RespWriter.bulk(attempt.id()));
     add(output, RespWriter.bulk(attributes.toString()));
     if (isWrite) {
-      add(output, RespWriter.bulk("v".repeat(requestClass.size())));
+      add(output, RespWriter.bulk("v".repeat(requestClass.valueBytes())));
     }
     return output.toByteArray();
   }
--- a/src/main/java/beaconturn/rehearsal/ClientStatistics.java
+++ b/src/main/java/beaconturn/rehearsal/ClientStatistics.java
@@ -49,7 +49,7 @@
       double maxMillis) {}
 
   ClientStatistics(Scenario scenario) {
-    scenario.types().forEach(type -> classCounters.put(type.name(), new ClassCounters()));
+    scenario.requestClasses().forEach(requestClass -> classCounters.put(requestClass.name(), new ClassCounters()));
   }
 
   synchronized void attemptSent(SequentialClient.Attempt attempt, long delayNanos) {
@@ -69,7 +69,7 @@
     if (result.outcome() == HistoryEvent.ClientOutcome.SERVED) {
       long latencyNanos = result.atNanos() - startNanos - result.attempt().request().atNanos();
       counters.latency.recordValue(Math.min(MAX_LATENCY_NANOS, Math.max(0, latencyNanos)));
-      counters.withinObjective += latencyNanos <= result.attempt().request().requestClass().aim() ? 1 : 0;
+      counters.withinObjective += latencyNanos <= result.attempt().request().requestClass().latencyObjectiveNanos() ? 1 : 0;
     }
   }
 
--- a/src/main/java/beaconturn/rehearsal/FaultSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/FaultSectionReader.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.apache.commons.rng.sampling.ListSampler;
 
-/** The reader of a scenario's faults. */
+/** Reads the faults of a scenario. */
 final class FaultSectionReader {
   private static final long MILLI_NANOS = 1_000_000;
   private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
@@ -18,7 +18,7 @@
   private final ScenarioOutline outline;
   private final long seed;
 
-  /** A reader that chooses the targets of shares by the seed. */
+  /** Creates a reader; the seed selects the targets of faults that affect a share of them. */
   FaultSectionReader(ScenarioOutline outline, long seed) {
     this.outline = outline;
     this.seed = seed;
@@ -42,45 +42,55 @@
     long toNanos =
         until == null ? outline.readEnd(section, fromNanos) : section.durationNanos("to", 0, 0);
     List<String> candidates = candidates(kind.target());
-    List<String> target =
-        candidates.isEmpty() ? List.of() : readTarget(section, candidates, targetSeed);
-    String way = kind.target() == Fault.Target.LINK ? section.choice("way", "store", ways()) : "";
+    List<String> targets =
+        candidates.isEmpty() ? List.of() : readTargets(section, candidates, targetSeed);
+    String linkDestination =
+        kind.target() == Fault.Target.LINK
+            ? section.choice("way", "store", linkDestinations())
+            : "";
     return new Scenario.FaultSpec(
-        kind, target, readAmount(section, kind), fromNanos, toNanos, way, after, until);
+        kind,
+        targets,
+        readAmount(section, kind),
+        fromNanos,
+        toNanos,
+        linkDestination,
+        after,
+        until);
   }
 
-  /** Returns the names of what a fault of that kind can happen to; none where there is only one. */
+  /** Returns the names that a fault may affect; none if there is only one target of that type. */
   private List<String> candidates(Fault.Target target) {
     return switch (target) {
-      case CACHE -> outline.fleet().names();
+      case CACHE -> outline.fleet().cacheServerNames();
       case ROUTER, LINK -> outline.routerNames();
       case AGENT -> instancesWithAgents();
-      case SITE -> outline.fleet().places();
+      case SITE -> outline.fleet().distinctSites();
       default -> List.of();
     };
   }
 
   private List<String> instancesWithAgents() {
     List<String> names = new ArrayList<>(outline.routerNames());
-    names.addAll(outline.fleet().names());
+    names.addAll(outline.fleet().cacheServerNames());
     names.add(ScenarioReader.DRIVER);
     return names;
   }
 
-  private List<String> ways() {
-    List<String> ways = new ArrayList<>(List.of("store", "discovery", "caches"));
-    ways.addAll(outline.fleet().places());
-    return ways;
+  private List<String> linkDestinations() {
+    List<String> destinations = new ArrayList<>(List.of("store", "discovery", "caches"));
+    destinations.addAll(outline.fleet().distinctSites());
+    return destinations;
   }
 
-  /** Returns the named targets, or a share of all chosen by the seed, or the first one. */
-  private static List<String> readTarget(TomlSection section, List<String> names, long seed)
+  /** Returns the named targets, or a random share of the candidates, or the first candidate. */
+  private static List<String> readTargets(TomlSection section, List<String> candidates, long seed)
       throws TomlException {
-    List<String> on = section.texts("on", List.of());
-    for (String name : on) {
-      if (!names.contains(name)) {
+    List<String> named = section.texts("on", List.of());
+    for (String name : named) {
+      if (!candidates.contains(name)) {
         throw section.invalid(
-            "on", "there is no '" + name + "', there are " + String.join(", ", names));
+            "on", "there is no '" + name + "', there are " + String.join(", ", candidates));
       }
     }
     if (section.has("share") && section.has("on")) {
@@ -88,15 +98,15 @@
     }
     if (section.has("share")) {
       int count =
-          (int) Math.max(1, Math.round(names.size() * section.number("share", 1, 0.001, 1)));
-      List<String> mixed = new ArrayList<>(names);
-      ListSampler.shuffle(new RandomSources(seed).of("share"), mixed);
-      return mixed.subList(0, count).stream().sorted().toList();
+          (int) Math.max(1, Math.round(candidates.size() * section.number("share", 1, 0.001, 1)));
+      List<String> shuffled = new ArrayList<>(candidates);
+      ListSampler.shuffle(new RandomSources(seed).of("share"), shuffled);
+      return shuffled.subList(0, count).stream().sorted().toList();
     }
-    return on.isEmpty() ? names.subList(0, 1) : on;
+    return named.isEmpty() ? candidates.subList(0, 1) : named;
   }
 
-  /** Returns the factor, the part or the nanoseconds that the kind goes by. */
+  /** Returns the factor, share, delay in nanoseconds, or number that the kind takes. */
   private static double readAmount(TomlSection section, Fault.Kind kind) throws TomlException {
     return switch (kind) {
       case SLOW, ORIGIN_SLOW -> section.number("factor", 5, 0.01, 10_000);
--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -119,7 +119,7 @@
       Files.createDirectories(stateFolder);
       writeFeaturesFile(scenario.routers().get(i).name(), storeLinks.get(i).address(), stateFolder);
     }
-    if (scenario.linksToCaches()) {
+    if (scenario.needsCacheLinks()) {
       createCacheLinks(fleetServer);
     }
     writeFeaturesFile("operator", store.address(), null);
@@ -130,37 +130,37 @@
     }
     agentHook = scenario.release() == null ? null : new AgentHook(folder);
     if (scenario.release() != null) {
-      applyFleetFile(scenario.release().mostOut(), scenario.release().mostOutOfSite());
+      applyFleetFile(scenario.release().maxUnavailable(), scenario.release().maxUnavailablePerSite());
     }
   }
 
-  private String fleetFileText(int mostOut, int mostOutOfSite) {
+  private String fleetFileText(int maxUnavailable, int maxUnavailablePerSite) {
     StringBuilder out = new StringBuilder();
     appendGroup(
         out,
         "routers",
-        mostOut,
-        mostOutOfSite,
+        maxUnavailable,
+        maxUnavailablePerSite,
         scenario.routers().stream().map(Scenario.RouterSpec::name).toList());
-    appendGroup(out, "caches", mostOut, mostOutOfSite, scenario.fleet().names());
+    appendGroup(out, "caches", maxUnavailable, maxUnavailablePerSite, scenario.fleet().cacheServerNames());
     return out.toString();
   }
 
   private void appendGroup(
-      StringBuilder out, String kind, int mostOut, int mostOutOfSite, List<String> instances) {
+      StringBuilder out, String kind, int maxUnavailable, int maxUnavailablePerSite, List<String> instances) {
     out.append(
         "["
             + kind
             + "]\nmost_out = "
-            + mostOut
+            + maxUnavailable
             + "\nmost_out_of_site = "
-            + mostOutOfSite
+            + maxUnavailablePerSite
             + "\nspare = "
-            + scenario.release().spare()
+            + scenario.release().toleratedFailures()
             + "\ncores = "
-            + scenario.release().cores()
+            + scenario.release().coresPerInstance()
             + "\n");
-    for (String site : scenario.fleet().places()) {
+    for (String site : scenario.fleet().distinctSites()) {
       List<String> siteInstances = instances.stream().filter(instance -> scenario.siteOf(instance).equals(site)).toList();
       if (!siteInstances.isEmpty()) {
         out.append(
@@ -169,15 +169,15 @@
                 + ".site]]\nname = \""
                 + site
                 + "\"\nparts = "
-                + ScenarioPrinter.words(siteInstances)
+                + ScenarioPrinter.quotedList(siteInstances)
                 + "\n");
       }
     }
   }
 
-  private void applyFleetFile(int mostOut, int mostOutOfSite) {
+  private void applyFleetFile(int maxUnavailable, int maxUnavailablePerSite) {
     try {
-      Files.writeString(folder.resolve("fleet.toml"), fleetFileText(mostOut, mostOutOfSite));
+      Files.writeString(folder.resolve("fleet.toml"), fleetFileText(maxUnavailable, maxUnavailablePerSite));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -193,10 +193,10 @@
     if (agentHook == null) {
       return;
     }
-    List<String> instances = scenario.parts();
+    List<String> instances = scenario.releasableInstances();
     for (int i = 0; i < instances.size(); i++) {
       String name = instances.get(i);
-      boolean cache = scenario.release().caches();
+      boolean cache = scenario.release().ofCacheServers();
       List<String> arguments =
           new ArrayList<>(
               List.of(
@@ -261,27 +261,27 @@
       StringBuilder plan =
           new StringBuilder(
               "kind = \""
-                  + (release.caches() ? "cache" : "router")
+                  + (release.ofCacheServers() ? "cache" : "router")
                   + "\"\nsoak = \""
-                  + release.soak() / NANOS_PER_MILLI
+                  + release.soakNanos() / NANOS_PER_MILLI
                   + "ms\"\nsamples = "
-                  + release.samples()
+                  + release.minResponses()
                   + "\nworse = "
-                  + release.worse()
+                  + release.failedRegressionBound()
                   + "\nworse_missed = "
-                  + release.worseMissed()
+                  + release.missedRegressionBound()
                   + "\nlimit = \""
-                  + release.limit() / NANOS_PER_MILLI
+                  + release.readyTimeoutNanos() / NANOS_PER_MILLI
                   + "ms\"\nalone = \""
-                  + release.alone() / NANOS_PER_MILLI
+                  + release.selfRollbackNanos() / NANOS_PER_MILLI
                   + "ms\"\n");
-      if (release.mostTries() > 0) {
+      if (release.maxAttempts() > 0) {
         Path settings = folder.resolve("settings.toml");
-        Files.writeString(settings, "[settings]\nmost_tries = " + release.mostTries() + "\n");
+        Files.writeString(settings, "[settings]\nmost_tries = " + release.maxAttempts() + "\n");
         plan.append("settings = \"" + settings + "\"\n");
       }
       release.waves()
-          .forEach(wave -> plan.append("[[wave]]\nparts = " + ScenarioPrinter.words(wave) + "\n"));
+          .forEach(wave -> plan.append("[[wave]]\nparts = " + ScenarioPrinter.quotedList(wave) + "\n"));
       Files.writeString(folder.resolve("plan.toml"), plan);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -289,23 +289,23 @@
     runInBackground(() -> runOperatorCommand("release", "start", folder.resolve("plan.toml").toString()));
   }
 
-  /** Runs the command of an operator's order, without waiting for it. */
-  void executeOrder(Scenario.OrderSpec order) {
+  /** Runs an operator command of the scenario, without waiting for it. */
+  void executeOperatorCommand(Scenario.OperatorCommandSpec spec) {
     runInBackground(
         () -> {
-          if (order.what().equals("budget")) {
-            applyFleetFile(order.mostOut(), order.mostOut());
-          } else if (order.what().startsWith("zone-")) {
-            runOperatorCommand("zones", order.what().substring("zone-".length()), order.part());
-          } else if (order.part().isEmpty()) {
-            runOperatorCommand("release", order.what());
+          if (spec.command().equals("budget")) {
+            applyFleetFile(spec.maxUnavailable(), spec.maxUnavailable());
+          } else if (spec.command().startsWith("zone-")) {
+            runOperatorCommand("zones", spec.command().substring("zone-".length()), spec.target());
+          } else if (spec.target().isEmpty()) {
+            runOperatorCommand("release", spec.command());
           } else {
             runOperatorCommand(
                 "release",
-                order.what(),
-                order.part(),
+                spec.command(),
+                spec.target(),
                 "--kind",
-                scenario.router(order.part()) < 0 ? "cache" : "router");
+                scenario.routerIndex(spec.target()) < 0 ? "cache" : "router");
           }
         });
   }
@@ -346,8 +346,8 @@
   private List<AgentProcess> affectedAgents(Scenario.FaultSpec fault) {
     List<AgentProcess> affected = new ArrayList<>();
     for (int i = 0; i < agents.size(); i++) {
-      if (fault.target().contains(scenario.parts().get(i))
-          || (fault.target().contains(ScenarioReader.DRIVER)
+      if (fault.targets().contains(scenario.releasableInstances().get(i))
+          || (fault.targets().contains(ScenarioReader.DRIVER)
               && driverId.endsWith("-" + agents.get(i).pid()))) {
         affected.add(agents.get(i));
       }
@@ -387,7 +387,7 @@
   private void createCacheLinks(EmulatedFleetServer fleetServer) throws IOException {
     for (int router = 0; router < scenario.routers().size(); router++) {
       List<FaultProxy> links = new ArrayList<>();
-      for (int server = 0; server < scenario.fleet().caches(); server++) {
+      for (int server = 0; server < scenario.fleet().cacheServerCount(); server++) {
         links.add(new FaultProxy(fleetServer.cache(router, server)));
         fleetServer.reachBy(router, server, links.get(server).address());
       }
@@ -404,9 +404,9 @@
             + "\"]\nfleet = \""
             + STORE_PREFIX
             + "\"\nlease = \""
-            + agreement.lease() / NANOS_PER_MILLI
+            + agreement.leaseNanos() / NANOS_PER_MILLI
             + "ms\"\ndrift = "
-            + agreement.drift()
+            + agreement.clockDrift()
             + "\n"
             + (stateFolder == null ? "" : "folder = \"" + stateFolder + "\"\n")
             + zonesSection());
@@ -414,19 +414,19 @@
 
   private String zonesSection() {
     Scenario.ZonesSpec zonesSpec = scenario.zones();
-    if (zonesSpec == null || !zonesSpec.decided()) {
+    if (zonesSpec == null || !zonesSpec.planned()) {
       return "";
     }
     StringBuilder text =
         new StringBuilder(
             "[zones]\neach_per_s = "
-                + zonesSpec.each()
+                + zonesSpec.serverRequestsPerSecond()
                 + "\nfetches_per_s = "
-                + zonesSpec.fetches()
+                + zonesSpec.fetchesPerSecond()
                 + "\nreserve = "
-                + zonesSpec.reserve()
+                + zonesSpec.reservePermille()
                 + "\n");
-    List<String> zones = scenario.fleet().places();
+    List<String> zones = scenario.fleet().distinctSites();
     for (int i = 0; i < zones.size(); i++) {
       text.append(
           "[[zones.place]]\nname = \""
@@ -456,18 +456,18 @@
       Path file = folder.resolve("version-" + number + ".toml");
       StringBuilder content = new StringBuilder();
       version
-          .unsafe()
+          .unsafeClasses()
           .forEach(
               name -> content.append("[[class]]\nname = \"" + name + "\"\neffect = \"unsafe\"\n"));
       Files.writeString(
           file,
           content
-              + (version.mostTries() > 0
-                  ? "[settings]\nmost_tries = " + version.mostTries() + "\n"
+              + (version.maxAttempts() > 0
+                  ? "[settings]\nmost_tries = " + version.maxAttempts() + "\n"
                   : "")
               + "[list]\nout = "
-              + ScenarioPrinter.words(version.out())
-              + (version.newest() ? "\noldest = " + currentListVersion.getAsLong() : "")
+              + ScenarioPrinter.quotedList(version.excludedServers())
+              + (version.requiresCurrentList() ? "\noldest = " + currentListVersion.getAsLong() : "")
               + "\n");
       runInBackground(() -> runProposal(number, file, version));
     } catch (IOException e) {
@@ -476,7 +476,7 @@
   }
 
   private void runProposal(int number, Path file, Scenario.VersionSpec version) {
-    if (version.dies()) {
+    if (version.killsProposer()) {
       proposeAndKill(number, file, version.reason());
       return;
     }
@@ -607,7 +607,7 @@
     for (int router = 0; router < scenario.routers().size(); router++) {
       Scenario.RouterSpec routerSpec = scenario.routers().get(router);
       if (fault.kind() == Fault.Kind.SITE_CUT) {
-        boolean inside = fault.target().contains(routerSpec.site());
+        boolean inside = fault.targets().contains(routerSpec.site());
         if (inside) {
           affected.add(storeLinks.get(router));
           affected.add(discoveryLinks.get(router));
@@ -616,15 +616,15 @@
             cacheLinks(
                 router,
                 site ->
-                    fault.target().contains(site) != inside
+                    fault.targets().contains(site) != inside
                         || (inside && !site.equals(routerSpec.site()))));
-      } else if (fault.target().contains(routerSpec.name())) {
-        switch (fault.way()) {
+      } else if (fault.targets().contains(routerSpec.name())) {
+        switch (fault.linkDestination()) {
           case "store" -> affected.add(storeLinks.get(router));
           case "discovery" -> affected.add(discoveryLinks.get(router));
           default ->
               affected.addAll(
-                  cacheLinks(router, site -> fault.way().equals("caches") || fault.way().equals(site)));
+                  cacheLinks(router, site -> fault.linkDestination().equals("caches") || fault.linkDestination().equals(site)));
         }
       }
     }
@@ -633,8 +633,8 @@
 
   private List<FaultProxy> cacheLinks(int router, Predicate<String> sites) {
     List<FaultProxy> links = new ArrayList<>();
-    for (int server = 0; server < scenario.fleet().caches(); server++) {
-      if (sites.test(scenario.site(server))) {
+    for (int server = 0; server < scenario.fleet().cacheServerCount(); server++) {
+      if (sites.test(scenario.siteOfCacheServer(server))) {
         links.add(cacheLinksByRouter.get(router).get(server));
       }
     }
@@ -667,7 +667,7 @@
       }
       if (change.key().startsWith(keys.membersPrefix())) {
         int router =
-            scenario.router(change.key().substring(keys.membersPrefix().length()).split("/")[0]);
+            scenario.routerIndex(change.key().substring(keys.membersPrefix().length()).split("/")[0]);
         history.add(new HistoryEvent.MembershipChanged(atNanos, router, change.value() != null));
       }
       String server = operatorPermits.remove(change.value() == null ? change.key() : "");
@@ -724,7 +724,7 @@
   }
 
   private void recordBudget(long atNanos, String value) {
-    String kind = scenario.release().caches() ? "cache" : "router";
+    String kind = scenario.release().ofCacheServers() ? "cache" : "router";
     Matcher matcher =
         Pattern.compile(
                 "\"kind\":\""
--- a/src/main/java/beaconturn/rehearsal/FleetSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/FleetSectionReader.java
@@ -6,11 +6,11 @@
 import beaconturn.toml.TomlSection;
 import java.util.List;
 
-/** The reader of a scenario's cache servers, origin and routing settings. */
+/** Reads the cache servers, the origin and the routing settings of a scenario. */
 final class FleetSectionReader {
   private static final long MILLI_NANOS = 1_000_000;
   private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
-  private static final int MOST_CACHE_SERVERS = 200;
+  private static final int MAX_CACHE_SERVERS = 200;
   private static final List<String> LOAD_REPORT_FIELDS = List.of("inflight", "latency_ms", "qps");
 
   private FleetSectionReader() {}
@@ -21,23 +21,24 @@
     if (sites.isEmpty()) {
       throw section.invalid("sites", "empty, at least one is needed");
     }
-    List<String> reports = section.texts("report", List.of());
-    for (String report : reports) {
-      if (!LOAD_REPORT_FIELDS.contains(report)) {
+    List<String> loadReportFields = section.texts("report", List.of());
+    for (String field : loadReportFields) {
+      if (!LOAD_REPORT_FIELDS.contains(field)) {
         throw section.invalid(
             "report",
-            "unknown '" + report + "', allowed are " + String.join(", ", LOAD_REPORT_FIELDS));
+            "unknown '" + field + "', allowed are " + String.join(", ", LOAD_REPORT_FIELDS));
       }
     }
-    CacheServerSpec spec = readSpec(section, reports);
+    CacheServerSpec serverSpec = readServerSpec(section, loadReportFields);
     return new Scenario.Fleet(
-        section.integer("caches", 6, 1, MOST_CACHE_SERVERS),
+        section.integer("caches", 6, 1, MAX_CACHE_SERVERS),
         sites,
         section.integer("cell", 3, 1, 1000),
-        spec);
+        serverSpec);
   }
 
-  private static CacheServerSpec readSpec(TomlSection section, List<String> reports)
+  private static CacheServerSpec readServerSpec(
+      TomlSection section, List<String> loadReportFields)
       throws TomlException {
     return new CacheServerSpec(
         section.number("speed", 1, 0.01, 100),
@@ -54,7 +55,7 @@
         section.integer("multiplex", 1, 1, 1000),
         section.bool("share_fetch", true),
         section.bool("cancel", true),
-        reports);
+        loadReportFields);
   }
 
   /** Reads the origin of the table {@code [origin]}. */
@@ -69,8 +70,8 @@
   }
 
   /** Reads the routing settings of the table {@code [settings]}. */
-  static Scenario.Rules readRules(TomlSection section) throws TomlException {
-    return new Scenario.Rules(
+  static Scenario.RoutingSettings readRoutingSettings(TomlSection section) throws TomlException {
+    return new Scenario.RoutingSettings(
         section.integer("most_tries", 4, 1, 16),
         section.bool("second_copies", true),
         section.bool("cancel", true),
--- a/src/main/java/beaconturn/rehearsal/HtmlReport.java
+++ b/src/main/java/beaconturn/rehearsal/HtmlReport.java
@@ -12,127 +12,142 @@
 import java.util.Map;
 
 /**
- * A report as a page: the rules, the classes, and a picture of what was served beside what was out,
- * second by second.
+ * A rehearsal's report as an HTML page: the invariants, the request classes, and charts by second
+ * of served requests, unavailable instances and traffic between zones.
  */
 final class HtmlReport {
-  private static final double SECOND = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
-  /** Thousandths of a place's keys that go elsewhere at all times. */
-  private static final int TRIAL = 10;
+  /** Thousandths of a zone's keys that plans send to other zones at all times. */
+  private static final int TRIAL_WEIGHT = 10;
 
   private final RehearsalReport report;
   private final int seconds;
 
   private HtmlReport(RehearsalReport report) {
     this.report = report;
-    this.seconds = (int) Math.ceil(report.scenario().length() / SECOND);
+    this.seconds = (int) Math.ceil(report.scenario().lengthNanos() / NANOS_PER_SECOND);
   }
 
-  /** The page. */
-  static String of(RehearsalReport report) {
+  /** Returns the whole page. */
+  static String write(RehearsalReport report) {
     return new HtmlReport(report).page();
   }
 
   private String page() {
-    Scenario s = report.scenario();
-    HtmlPage page = new HtmlPage(s.name()).text(s.about());
-    String play = String.format(Locale.ROOT, "seed %d, %.0f s.", s.seed(), s.length() / SECOND);
+    Scenario scenario = report.scenario();
+    HtmlPage page = new HtmlPage(scenario.name()).text(scenario.about());
+    String seedAndLength =
+        String.format(
+            Locale.ROOT,
+            "seed %d, %.0f s.",
+            scenario.seed(),
+            scenario.lengthNanos() / NANOS_PER_SECOND);
     if (report.held()) {
-      page.text("Every rule held; " + play);
+      page.text("Every rule held; " + seedAndLength);
     } else {
-      page.warning("A rule was broken; " + play);
+      page.warning("A rule was broken; " + seedAndLength);
     }
-    page.chart(picture());
-    shares(page);
-    rules(page);
-    classes(page);
+    page.chart(availabilityChart());
+    addLocalShareCharts(page);
+    addInvariants(page);
+    addClasses(page);
     return page.html();
   }
 
-  private double second(long at) {
-    return (at - report.start()) / SECOND;
+  private double secondsFromStart(long atNanos) {
+    return (atNanos - report.startNanos()) / NANOS_PER_SECOND;
   }
 
-  private TimelineChart picture() {
+  private TimelineChart availabilityChart() {
     TimelineChart chart =
         new TimelineChart(
             seconds,
             "served of what was wanted in each second, in %",
             "out: blue by a step or an operator, orange by itself");
-    served(chart);
-    long end = report.start() + report.scenario().length();
-    List<UnavailabilityIndex.Outage> gone =
-        UnavailabilityIndex.of(report.scenario().terms(0), report.entries()).stream()
-            .filter(g -> g.fromNanos() < end && g.toNanos() > report.start())
+    addServedShares(chart);
+    long endNanos = report.startNanos() + report.scenario().lengthNanos();
+    List<UnavailabilityIndex.Outage> outages =
+        UnavailabilityIndex.of(report.scenario().invariantBounds(0), report.events()).stream()
+            .filter(
+                outage ->
+                    outage.fromNanos() < endNanos && outage.toNanos() > report.startNanos())
             .toList();
-    List<String> parts = gone.isEmpty() ? List.of() : report.scenario().parts();
-    for (String part : parts) {
+    List<String> instances =
+        outages.isEmpty() ? List.of() : report.scenario().releasableInstances();
+    for (String instance : instances) {
       List<TimelineChart.Span> spans =
-          gone.stream()
-              .filter(g -> g.instanceId().equals(part))
+          outages.stream()
+              .filter(outage -> outage.instanceId().equals(instance))
               .map(
-                  g ->
+                  outage ->
                       new TimelineChart.Span(
-                          second(g.fromNanos()), second(Math.min(g.toNanos(), end)), g.planned()))
+                          secondsFromStart(outage.fromNanos()),
+                          secondsFromStart(Math.min(outage.toNanos(), endNanos)),
+                          outage.planned()))
               .toList();
       if (!spans.isEmpty()) {
-        chart.row(new TimelineChart.Row(part, spans));
+        chart.row(new TimelineChart.Row(instance, spans));
       }
     }
-    for (HistoryEvent entry : report.entries()) {
-      String says =
-          entry instanceof HistoryEvent.ReleaseCommanded o
-              ? o.command()
-              : entry instanceof HistoryEvent.DisruptionBudgetDefined b
-                  ? "budget " + b.maxUnavailable()
+    for (HistoryEvent event : report.events()) {
+      String label =
+          event instanceof HistoryEvent.ReleaseCommanded commanded
+              ? commanded.command()
+              : event instanceof HistoryEvent.DisruptionBudgetDefined budget
+                  ? "budget " + budget.maxUnavailable()
                   : "";
-      if (!says.isEmpty() && second(entry.atNanos()) >= 0) {
-        chart.mark(second(entry.atNanos()), says);
+      if (!label.isEmpty() && secondsFromStart(event.atNanos()) >= 0) {
+        chart.mark(secondsFromStart(event.atNanos()), label);
       }
     }
     return chart;
   }
 
-  /** Of what clients first asked for in each second, the part that was served in the end. */
-  private void served(TimelineChart chart) {
-    ServedBySecond served = new ServedBySecond(report.entries(), report.start(), seconds);
-    for (int i = 0; i < seconds; i++) {
-      chart.share(i, i + 1, served.servedShare(i));
+  /** Adds, for the requests first sent in each second, the share that was eventually served. */
+  private void addServedShares(TimelineChart chart) {
+    ServedBySecond served = new ServedBySecond(report.events(), report.startNanos(), seconds);
+    for (int second = 0; second < seconds; second++) {
+      chart.share(second, second + 1, served.servedShare(second));
     }
   }
 
-  /** For each place what stayed near, second by second, beside what plans allot elsewhere. */
-  private void shares(HtmlPage page) {
-    ZoneCrossings crossings = report.crossings();
+  /**
+   * Adds a chart for each zone: the share of traffic that stayed in the zone by second, and the
+   * zones to which plans send more of its keys than the trial share.
+   */
+  private void addLocalShareCharts(HtmlPage page) {
+    ZoneCrossings crossings = report.zoneCrossings();
     if (crossings == null) {
       return;
     }
-    List<HistoryEvent.ZonePlanInForce> plans = report.plans();
+    List<HistoryEvent.ZonePlanInForce> plans = report.zonePlans();
     crossings
         .localShares()
         .forEach(
-            (home, parts) -> {
+            (home, sharesBySecond) -> {
               TimelineChart chart =
                   new TimelineChart(
                       seconds,
                       home + ": first sends that stayed there in each second, in %",
                       "to which places plans allot more than a trial of its keys");
-              parts.forEach(
-                  (second, part) -> {
-                    double at = second(second * (long) SECOND);
-                    chart.share(Math.max(0, at), Math.max(0, at + 1), part);
+              sharesBySecond.forEach(
+                  (clockSecond, share) -> {
+                    double second = secondsFromStart(clockSecond * (long) NANOS_PER_SECOND);
+                    chart.share(Math.max(0, second), Math.max(0, second + 1), share);
                   });
               for (String other : crossings.localShares().keySet()) {
                 List<TimelineChart.Span> spans = new ArrayList<>();
                 for (int i = 0; i < plans.size(); i++) {
                   if (!other.equals(home)
                       && plans.get(i).weights().getOrDefault(home, Map.of()).getOrDefault(other, 0)
-                          > TRIAL) {
+                          > TRIAL_WEIGHT) {
                     spans.add(
                         new TimelineChart.Span(
-                            second(plans.get(i).atNanos()),
-                            i + 1 < plans.size() ? second(plans.get(i + 1).atNanos()) : seconds,
+                            secondsFromStart(plans.get(i).atNanos()),
+                            i + 1 < plans.size()
+                                ? secondsFromStart(plans.get(i + 1).atNanos())
+                                : seconds,
                             true));
                   }
                 }
@@ -140,37 +155,40 @@
                   chart.row(new TimelineChart.Row(other, spans));
                 }
               }
-              plans.forEach(p -> chart.mark(second(p.atNanos()), Long.toString(p.number())));
+              plans.forEach(
+                  plan ->
+                      chart.mark(
+                          secondsFromStart(plan.atNanos()), Long.toString(plan.number())));
               page.chart(chart);
             });
   }
 
-  private void rules(HtmlPage page) {
+  private void addInvariants(HtmlPage page) {
     page.table("rule", "verdict", "checked", "what it says");
-    for (InvariantResult v : report.verdicts()) {
+    for (InvariantResult result : report.results()) {
       page.row(
-          !v.held(),
+          !result.held(),
           List.of(
-              v.invariant(),
-              v.held() ? "held" : "BROKEN",
-              Long.toString(v.checked()),
-              v.held() ? v.promise() : v.violations().get(0).description()));
+              result.invariant(),
+              result.held() ? "held" : "BROKEN",
+              Long.toString(result.checked()),
+              result.held() ? result.promise() : result.violations().get(0).description()));
     }
     page.end();
   }
 
-  private void classes(HtmlPage page) {
+  private void addClasses(HtmlPage page) {
     page.table("class", "wanted", "served", "refused", "failed", "p99 ms");
-    for (ClientStatistics.ClassSummary c : report.classes()) {
+    for (ClientStatistics.ClassSummary summary : report.classSummaries()) {
       page.row(
           false,
           List.of(
-              c.className(),
-              Long.toString(c.requests()),
-              Long.toString(c.served()),
-              Long.toString(c.rejected()),
-              Long.toString(c.failed()),
-              String.format(Locale.ROOT, "%.1f", c.p99Millis())));
+              summary.className(),
+              Long.toString(summary.requests()),
+              Long.toString(summary.served()),
+              Long.toString(summary.rejected()),
+              Long.toString(summary.failed()),
+              String.format(Locale.ROOT, "%.1f", summary.p99Millis())));
     }
     page.end();
   }
--- a/src/main/java/beaconturn/rehearsal/JsonReport.java
+++ b/src/main/java/beaconturn/rehearsal/JsonReport.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A rehearsal's report as one JSON object, with every violation and the trace of its request. */
+/** A rehearsal's report as a JSON object, with every violation and the trace of its request. */
 final class JsonReport {
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double NANOS_PER_MILLI = 1e6;
@@ -18,30 +18,30 @@
     this.report = report;
   }
 
-  /** Returns the JSON text, ended by a new line. */
+  /** Returns the JSON text, which ends with a newline. */
   String write() {
-    Json agreement = report.fleet() == null ? new Json.Nothing() : agreement();
+    Json agreement = report.agreementSummary() == null ? new Json.Nothing() : agreement();
     Json object =
         new JsonObjectBuilder()
             .put("scenario", report.scenario().name())
             .put("seed", report.scenario().seed())
-            .put("length_s", report.scenario().length() / NANOS_PER_SECOND)
+            .put("length_s", report.scenario().lengthNanos() / NANOS_PER_SECOND)
             .put("held", report.held())
             .put("rules", invariants())
             .put("classes", classes())
-            .put("kit_cpu_s", report.kitCpu() / NANOS_PER_SECOND)
-            .put("routers_cpu_s", report.routerCpu() / NANOS_PER_SECOND)
-            .put("sender_late_ms", report.senderLate())
-            .put("paused_ms", report.paused() / NANOS_PER_MILLI)
+            .put("kit_cpu_s", report.harnessCpuNanos() / NANOS_PER_SECOND)
+            .put("routers_cpu_s", report.routerCpuNanos() / NANOS_PER_SECOND)
+            .put("sender_late_ms", report.sendDelayP99Millis())
+            .put("paused_ms", report.pausedNanos() / NANOS_PER_MILLI)
             .put("agreement", agreement)
             .build();
     return JsonWriter.write(object) + "\n";
   }
 
   private List<Json> invariants() {
-    List<Json> all = new ArrayList<>();
-    for (InvariantResult result : report.verdicts()) {
-      all.add(
+    List<Json> invariants = new ArrayList<>();
+    for (InvariantResult result : report.results()) {
+      invariants.add(
           new JsonObjectBuilder()
               .put("rule", result.invariant())
               .put("held", result.held())
@@ -50,16 +50,16 @@
               .put("notes", result.notes().stream().map(this::violation).toList())
               .build());
     }
-    return all;
+    return invariants;
   }
 
   private Json violation(Violation violation) {
     List<String> trace =
         violation.requestId().isEmpty()
             ? List.of()
-            : RequestTrace.of(report.entries(), violation.requestId(), report.start());
+            : RequestTrace.of(report.events(), violation.requestId(), report.startNanos());
     return new JsonObjectBuilder()
-        .put("at_s", (violation.atNanos() - report.start()) / NANOS_PER_SECOND)
+        .put("at_s", (violation.atNanos() - report.startNanos()) / NANOS_PER_SECOND)
         .put("request", violation.requestId())
         .put("server", violation.server())
         .put("what", violation.description())
@@ -68,51 +68,51 @@
   }
 
   private List<Json> classes() {
-    List<Json> all = new ArrayList<>();
-    for (ClientStatistics.ClassSummary line : report.classes()) {
-      all.add(
+    List<Json> classes = new ArrayList<>();
+    for (ClientStatistics.ClassSummary summary : report.classSummaries()) {
+      classes.add(
           new JsonObjectBuilder()
-              .put("class", line.className())
-              .put("wanted", line.requests())
-              .put("tries", line.attempts())
-              .put("served", line.served())
-              .put("refused", line.rejected())
-              .put("failed", line.failed())
-              .put("unanswered", line.unanswered())
-              .put("unreached", line.undelivered())
-              .put("in_aim", line.withinObjective())
-              .put("p50_ms", line.medianMillis())
-              .put("p99_ms", line.p99Millis())
-              .put("max_ms", line.maxMillis())
+              .put("class", summary.className())
+              .put("wanted", summary.requests())
+              .put("tries", summary.attempts())
+              .put("served", summary.served())
+              .put("refused", summary.rejected())
+              .put("failed", summary.failed())
+              .put("unanswered", summary.unanswered())
+              .put("unreached", summary.undelivered())
+              .put("in_aim", summary.withinObjective())
+              .put("p50_ms", summary.medianMillis())
+              .put("p99_ms", summary.p99Millis())
+              .put("max_ms", summary.maxMillis())
               .build());
     }
-    return all;
+    return classes;
   }
 
   private Json agreement() {
-    RehearsalReport.Fleet fleet = report.fleet();
+    RehearsalReport.AgreementSummary summary = report.agreementSummary();
     return new JsonObjectBuilder()
-        .put("versions", fleet.passages().stream().map(this::version).toList())
-        .put("contradiction_ms", report.contradiction() / NANOS_PER_MILLI)
+        .put("versions", summary.versions().stream().map(this::version).toList())
+        .put("contradiction_ms", report.maxContradictionNanos() / NANOS_PER_MILLI)
         .put("stated_ms", report.scenario().agreement().timing().statedNanos() / NANOS_PER_MILLI)
-        .put("calls_per_second", fleet.callsPerSecond())
-        .put("router_kb", fleet.footprint().memoryKb())
-        .put("router_threads", fleet.footprint().threads())
+        .put("calls_per_second", summary.storeCallsPerSecond())
+        .put("router_kb", summary.peakRouterUsage().memoryKb())
+        .put("router_threads", summary.peakRouterUsage().threads())
         .build();
   }
 
   private Json version(VersionTimeline version) {
     return new JsonObjectBuilder()
         .put("number", version.number())
-        .put("proposed_s", (version.proposedAtNanos() - report.start()) / NANOS_PER_SECOND)
+        .put("proposed_s", (version.proposedAtNanos() - report.startNanos()) / NANOS_PER_SECOND)
         .put("in_force_ms", delayMillis(version, version.inForceAtNanos()))
         .put("settled_ms", delayMillis(version, version.settledAtNanos()))
         .build();
   }
 
-  private static Json delayMillis(VersionTimeline version, long at) {
-    return at < 0
+  private static Json delayMillis(VersionTimeline version, long atNanos) {
+    return atNanos < 0
         ? new Json.Nothing()
-        : new Json.Figure(Double.toString((at - version.proposedAtNanos()) / NANOS_PER_MILLI));
+        : new Json.Figure(Double.toString((atNanos - version.proposedAtNanos()) / NANOS_PER_MILLI));
   }
 }
--- a/src/main/java/beaconturn/rehearsal/OpenLoopClients.java
+++ b/src/main/java/beaconturn/rehearsal/OpenLoopClients.java
@@ -66,7 +66,7 @@
     for (ScheduledRequest request : schedule) {
       dueAttempts.add(new DueAttempt(startNanos + request.atNanos(), ++lastDueNumber, createAttempt(request, 0)));
     }
-    int silentCount = scenario.clients().stream().mapToInt(clients -> clients.conduct().silent()).sum();
+    int silentCount = scenario.clientStreams().stream().mapToInt(clients -> clients.connectionUsage().silentConnections()).sum();
     if (silentCount > 0) {
       routers.forEach(router -> silentClients.add(new SilentClients(router, silentCount)));
       silentClients.forEach(SilentClients::start);
@@ -77,7 +77,7 @@
   }
 
   private SequentialClient.Attempt createAttempt(ScheduledRequest request, int attempt) {
-    Scenario.Clients stream = scenario.clients().get(request.stream());
+    Scenario.ClientStream stream = scenario.clientStreams().get(request.stream());
     long timeoutNanos = timeoutNanos(request, stream);
     String idempotencyKey =
         request.requestClass().effect() == Scenario.Effect.KEYED ? request.idempotencyKey(scenario.seed()) : null;
@@ -93,12 +93,12 @@
   }
 
   /** Returns the timeout of an attempt, rounded to milliseconds as the protocol requires. */
-  private static long timeoutNanos(ScheduledRequest request, Scenario.Clients stream) {
+  private static long timeoutNanos(ScheduledRequest request, Scenario.ClientStream stream) {
     int hastyDraw = (int) Long.remainderUnsigned(request.randomBits() >>> HASTY_BITS_SHIFT, HASTY_DENOMINATOR);
-    if (hastyDraw < stream.conduct().hasty() * HASTY_DENOMINATOR) {
+    if (hastyDraw < stream.connectionUsage().shortTimeoutShare() * HASTY_DENOMINATOR) {
       return (1 + hastyDraw % MAX_HASTY_TIMEOUT_MILLIS) * NANOS_PER_MILLI;
     }
-    return Math.max(NANOS_PER_MILLI, (long) (request.requestClass().deadline() * stream.tryShare()) / NANOS_PER_MILLI * NANOS_PER_MILLI);
+    return Math.max(NANOS_PER_MILLI, (long) (request.requestClass().deadlineNanos() * stream.attemptTimeoutShare()) / NANOS_PER_MILLI * NANOS_PER_MILLI);
   }
 
   private void run() {
@@ -132,7 +132,7 @@
   private void send(SequentialClient.Attempt attempt) {
     SequentialClient client;
     SequentialClient.Attempt routedAttempt;
-    boolean sequential = scenario.clients().get(attempt.request().stream()).conduct().oneByOne();
+    boolean sequential = scenario.clientStreams().get(attempt.request().stream()).connectionUsage().isSequential();
     synchronized (this) {
       int router = !sequential && pipelinedClients.isConnected(attempt) ? attempt.router() : availableRouter(attempt);
       routedAttempt =
@@ -147,14 +147,14 @@
     if (client == null) {
       client =
           new SequentialClient(
-              routers.get(routedAttempt.router()), clock, history, this, scenario.crowded());
+              routers.get(routedAttempt.router()), clock, history, this, scenario.hasSilentConnections());
       client.start();
     }
     client.send(routedAttempt);
   }
 
   /** Returns whether a router is in the site of the clients. */
-  private boolean isNear(int router, Scenario.Clients stream) {
+  private boolean isNear(int router, Scenario.ClientStream stream) {
     return stream.site().isEmpty() || scenario.routers().get(router).site().equals(stream.site());
   }
 
@@ -163,7 +163,7 @@
    * there is one.
    */
   private int availableRouter(SequentialClient.Attempt attempt) {
-    Scenario.Clients stream = scenario.clients().get(attempt.request().stream());
+    Scenario.ClientStream stream = scenario.clientStreams().get(attempt.request().stream());
     List<Integer> candidates =
         IntStream.range(0, avoidedRouters.length)
             .map(offset -> (attempt.router() + offset) % avoidedRouters.length)
@@ -199,17 +199,17 @@
    */
   private long retryDelayNanos(SequentialClient.AttemptResult result) {
     ScheduledRequest request = result.attempt().request();
-    Scenario.Clients stream = scenario.clients().get(request.stream());
+    Scenario.ClientStream stream = scenario.clientStreams().get(request.stream());
     boolean finalOutcome =
         result.outcome() == HistoryEvent.ClientOutcome.SERVED
             || result.outcome() == HistoryEvent.ClientOutcome.ABANDONED;
     boolean mayHaveExecuted =
         result.outcome() != null && result.outcome() != HistoryEvent.ClientOutcome.REJECTED;
     boolean unsafe = request.requestClass().effect() == Scenario.Effect.UNSAFE;
-    if (finalOutcome || (mayHaveExecuted && unsafe) || result.attempt().number() >= stream.retries()) {
+    if (finalOutcome || (mayHaveExecuted && unsafe) || result.attempt().number() >= stream.maxRetries()) {
       return -1;
     }
-    return Math.max(stream.backoff(), result.retryAfterNanos());
+    return Math.max(stream.backoffNanos(), result.retryAfterNanos());
   }
 
   @Override
--- a/src/main/java/beaconturn/rehearsal/PipelinedClient.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClient.java
@@ -59,7 +59,7 @@
   private final Clock clock;
   private final History history;
   private final SequentialClient.AttemptListener listener;
-  private final Scenario.Conduct conduct;
+  private final Scenario.ConnectionUsage usage;
   private final boolean connectionLimited;
   private final UniformRandomProvider random;
   private final InputBuffer input = new InputBuffer();
@@ -105,7 +105,7 @@
       Clock clock,
       History history,
       SequentialClient.AttemptListener listener,
-      Scenario.Conduct conduct,
+      Scenario.ConnectionUsage usage,
       boolean connectionLimited,
       long seed) {
     this.router = router;
@@ -113,7 +113,7 @@
     this.clock = clock;
     this.history = history;
     this.listener = listener;
-    this.conduct = conduct;
+    this.usage = usage;
     this.connectionLimited = connectionLimited;
     this.random = new RandomSources(seed).of("pipeline " + number);
   }
@@ -153,7 +153,7 @@
     try {
       for (List<Command> batch = gatherBatch(); !batch.isEmpty(); batch = gatherBatch()) {
         sendBatch(batch);
-        if (random.nextDouble() < conduct.leaves()) {
+        if (random.nextDouble() < usage.disconnectShare()) {
           Thread.sleep(random.nextInt(MAX_DELAY_BEFORE_LEAVING_MILLIS));
           leave();
           return;
@@ -172,7 +172,7 @@
 
   /** Waits for the commands of the next batch; returns none if the connection is to be closed. */
   private List<Command> gatherBatch() throws InterruptedException {
-    int maxCommands = 1 + random.nextInt(conduct.pipeline());
+    int maxCommands = 1 + random.nextInt(usage.maxPipelined());
     synchronized (this) {
       while (queuedAttempts.isEmpty() && !closed && !(finishing && openCommands.isEmpty())) {
         wait();
@@ -197,7 +197,7 @@
   }
 
   private void maybeAddInvalidCommand(List<Command> batch) {
-    if (random.nextDouble() < conduct.wrong() / 2) {
+    if (random.nextDouble() < usage.invalidCommandShare() / 2) {
       String invalidCommand = INVALID_COMMANDS.get(random.nextInt(INVALID_COMMANDS.size()));
       batch.add(new Command(null, invalidCommand.getBytes(StandardCharsets.US_ASCII)));
     }
@@ -219,7 +219,7 @@
       ends.add(encoded.size());
     }
     byte[] bytes = encoded.toByteArray();
-    int pieces = random.nextDouble() < conduct.pieces() ? 2 + random.nextInt(MAX_PIECES - 1) : 1;
+    int pieces = random.nextDouble() < usage.splitWriteShare() ? 2 + random.nextInt(MAX_PIECES - 1) : 1;
     int offset = 0;
     int reported = 0;
     for (int piece = 1; piece <= pieces; piece++) {
--- a/src/main/java/beaconturn/rehearsal/PipelinedClients.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClients.java
@@ -61,8 +61,8 @@
               clock,
               history,
               listener,
-              scenario.clients().get(attempt.request().stream()).conduct(),
-              scenario.crowded(),
+              scenario.clientStreams().get(attempt.request().stream()).connectionUsage(),
+              scenario.hasSilentConnections(),
               scenario.seed());
       connections.put(connectionKey(attempt), connection);
       connection.send(attempt);
--- a/src/main/java/beaconturn/rehearsal/RandomScenario.java
+++ b/src/main/java/beaconturn/rehearsal/RandomScenario.java
@@ -11,19 +11,21 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Scenarios made of chance, for a search: routers that agree, versions that contradict each other
- * one after the other, and faults of links, the store, routers, sites and cache servers at any
- * time, also over each other. A seed always makes the same one.
+ * Generates random scenarios for a search for violations: routers that agree, and overlapping
+ * faults of links, the store, routers, sites and cache servers. The same seed always generates the
+ * same scenario, so the order and number of random draws must not change.
  */
 public final class RandomScenario {
-  private static final long LENGTH_MILLIS = 12_000;
-  private static final long CALM_MILLIS = 500;
-  private static final int CACHES = 6;
-  private static final int RATE = 30;
-  private static final List<String> SITES = List.of("east", "west");
+  private static final long DEFAULT_LENGTH_MILLIS = 12_000;
 
-  /** Those at the end of the list are rare: nothing comes into force after them. */
-  private static final List<Fault.Kind> KINDS =
+  /** Minimal time before the first fault, between commands, and of faults. */
+  private static final long MIN_INTERVAL_MILLIS = 500;
+
+  private static final int CACHE_SERVER_COUNT = 6;
+  private static final int REQUESTS_PER_SECOND_PER_ROUTER = 30;
+  private static final List<String> TWO_SITES = List.of("east", "west");
+
+  private static final List<Fault.Kind> VERSION_FAULT_KINDS =
       List.of(
           Fault.Kind.LINK_CUT,
           Fault.Kind.LINK_CUT,
@@ -45,14 +47,15 @@
           Fault.Kind.RESET,
           Fault.Kind.STALL);
 
-  private static final List<Fault.Kind> LAST =
+  /** Faults that are drawn rarely, as no version comes into force after them. */
+  private static final List<Fault.Kind> FINAL_FAULT_KINDS =
       List.of(Fault.Kind.STORE_EMPTY, Fault.Kind.STORE_BACK);
-  private static final double LAST_SHARE = 0.25;
+  private static final double FINAL_FAULT_PROBABILITY = 0.25;
 
-  /** A release with faults of its own lasts longer. */
-  private static final long RELEASE_MILLIS = 30_000;
+  /** Length of scenarios with a release or zones. */
+  private static final long LONG_LENGTH_MILLIS = 30_000;
 
-  private static final List<Fault.Kind> OF_RELEASES =
+  private static final List<Fault.Kind> RELEASE_FAULT_KINDS =
       List.of(
           Fault.Kind.AGENT_KILL,
           Fault.Kind.AGENT_KILL,
@@ -70,11 +73,11 @@
           Fault.Kind.KILL,
           Fault.Kind.DRAIN,
           Fault.Kind.STALL);
-  private static final List<String> HARMS =
+  private static final List<String> DEFECTS =
       List.of("none", "none", "none", "crash", "mute", "refuses");
 
-  /** Faults of places: of their cache servers, and around them. */
-  private static final List<Fault.Kind> OF_PLACES =
+  /** Faults of the cache servers of a zone. */
+  private static final List<Fault.Kind> ZONE_SERVER_FAULT_KINDS =
       List.of(
           Fault.Kind.KILL,
           Fault.Kind.STALL,
@@ -87,7 +90,8 @@
           Fault.Kind.RESET,
           Fault.Kind.DRAIN);
 
-  private static final List<Fault.Kind> AROUND_PLACES =
+  /** Faults that affect zones from outside their cache servers. */
+  private static final List<Fault.Kind> ZONE_ENVIRONMENT_FAULT_KINDS =
       List.of(
           Fault.Kind.SITE_CUT,
           Fault.Kind.LINK_CUT,
@@ -101,121 +105,124 @@
           Fault.Kind.ROUTER_PAUSE,
           Fault.Kind.ORIGIN_SLOW);
   private static final List<String> THREE_SITES = List.of("east", "south", "west");
-  private static final int OF_EACH = 3;
-  private static final int TWICE = 2;
+  private static final int SERVERS_PER_SITE = 3;
+
+  /** Faults of zones end in the first half, so that traffic can return before the end. */
+  private static final int FAULT_PERIOD_DIVISOR = 2;
 
-  /** What is played. */
-  public enum About {
-    /** Versions that contradict each other. */
+  /** What scenarios are about; the command line takes the constants in lower case. */
+  public enum Kind {
+    /** Configuration versions that contradict each other. */
     VERSIONS,
-    /** A release of routers or of cache servers. */
+    /** A release of routers or cache servers. */
     RELEASES,
-    /** Places, whole or in part, that fail, are cut off, or are called gone. */
+    /** Zones that fail, are cut off or are unlisted, in whole or in part. */
     PLACES,
-    /** Clients and connections: pipelines, wrong commands, pieces, signals in series, crowds. */
+    /** Client connections: pipelining, invalid commands, split writes, signals, many connections. */
     CLIENTS
   }
 
   private final UniformRandomProvider random;
-  private final int routers;
-  private long length = LENGTH_MILLIS;
-  private List<String> sites = SITES;
+  private final int routerCount;
+  private long lengthMillis = DEFAULT_LENGTH_MILLIS;
+  private List<String> sites = TWO_SITES;
   private final StringBuilder out = new StringBuilder();
-  private final Set<String> gone = new HashSet<>();
+  private final Set<String> affectedInstances = new HashSet<>();
 
-  private RandomScenario(long seed, int routers) {
+  private RandomScenario(long seed, int routerCount) {
     this.random = new RandomSources(seed).of("storm");
-    this.routers = routers;
+    this.routerCount = routerCount;
   }
 
-  /** The scenario of a seed, as a file. */
-  public static String text(About about, long seed, int routers) {
-    RandomScenario storm = new RandomScenario(seed, routers);
-    if (about == About.VERSIONS) {
-      storm.versions(seed);
-    } else if (about == About.RELEASES) {
-      storm.release(seed);
-    } else if (about == About.CLIENTS) {
-      return RandomClientScenario.text(seed);
+  /** Returns the scenario file of a seed; the router count has no effect on {@code CLIENTS}. */
+  public static String generateText(Kind kind, long seed, int routerCount) {
+    RandomScenario generator = new RandomScenario(seed, routerCount);
+    if (kind == Kind.VERSIONS) {
+      generator.writeVersionScenario(seed);
+    } else if (kind == Kind.RELEASES) {
+      generator.writeReleaseScenario(seed);
+    } else if (kind == Kind.CLIENTS) {
+      return RandomClientScenario.generateText(seed);
     } else {
-      storm.places(seed);
+      generator.writeZoneScenario(seed);
     }
-    return storm.out.toString();
+    return generator.out.toString();
   }
 
-  /** The same, read. */
-  public static Scenario of(About about, long seed, int routers) throws TomlException {
-    return ScenarioReader.read("storm-" + seed + ".toml", text(about, seed, routers), null);
+  /** Returns the scenario of a seed. */
+  public static Scenario generate(Kind kind, long seed, int routerCount) throws TomlException {
+    return ScenarioReader.read(
+        "storm-" + seed + ".toml", generateText(kind, seed, routerCount), null);
   }
 
   /**
-   * Three places of three cache servers each, whose faults have ended long enough before the end
-   * that all must be near again by then.
+   * Writes a scenario of three zones with three cache servers each. Faults end early enough for all
+   * keys to be served in their own zone again before the end.
    */
-  private void places(long seed) {
-    length = RELEASE_MILLIS;
+  private void writeZoneScenario(long seed) {
+    lengthMillis = LONG_LENGTH_MILLIS;
     sites = THREE_SITES;
-    head(seed);
+    writeHeader(seed);
     out.append(
         String.format(
             "[fleet]%ncaches = %d%nsites = %s%ncold_for = \"2s\"%n",
-            OF_EACH * THREE_SITES.size(), ScenarioPrinter.words(THREE_SITES)));
-    // A cache server does more than what all together want of a place.
+            SERVERS_PER_SITE * THREE_SITES.size(), ScenarioPrinter.quotedList(THREE_SITES)));
+    // One cache server carries more than all requests of a zone.
     out.append(String.format("[zones]%neach_per_s = 100%nback_within = \"12s\"%n"));
     int faults = 2 + random.nextInt(3);
-    long last = length / TWICE;
+    long latestMillis = lengthMillis / FAULT_PERIOD_DIVISOR;
     for (int i = 0; i < faults; i++) {
       if (random.nextBoolean()) {
-        placeFault(OF_PLACES.get(random.nextInt(OF_PLACES.size())), last);
+        writeZoneFault(ZONE_SERVER_FAULT_KINDS.get(random.nextInt(ZONE_SERVER_FAULT_KINDS.size())), latestMillis);
       } else {
-        fault(AROUND_PLACES.get(random.nextInt(AROUND_PLACES.size())), 0, last);
+        writeFault(ZONE_ENVIRONMENT_FAULT_KINDS.get(random.nextInt(ZONE_ENVIRONMENT_FAULT_KINDS.size())), 0, latestMillis);
       }
     }
   }
 
-  /** All cache servers of a place, or some of them. */
-  private void placeFault(Fault.Kind kind, long last) {
-    int site = random.nextInt(THREE_SITES.size());
-    int count = random.nextInt(3) == 0 ? 1 + random.nextInt(OF_EACH - 1) : OF_EACH;
+  /** Writes a fault of all cache servers of a zone, or of some of them. */
+  private void writeZoneFault(Fault.Kind kind, long latestMillis) {
+    int siteIndex = random.nextInt(THREE_SITES.size());
+    int count = random.nextInt(3) == 0 ? 1 + random.nextInt(SERVERS_PER_SITE - 1) : SERVERS_PER_SITE;
     List<String> names = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      String name = Scenario.cacheName(site + i * THREE_SITES.size());
-      // What has been killed cannot be drained or killed meanwhile.
-      if (gone.add(name)) {
+      String name = Scenario.cacheServerName(siteIndex + i * THREE_SITES.size());
+      // One fault per server: a killed server cannot be drained or killed again.
+      if (affectedInstances.add(name)) {
         names.add(name);
       }
     }
     if (names.isEmpty()) {
       return;
     }
-    long from = CALM_MILLIS + random.nextLong(last - CALM_MILLIS);
-    long to = Math.min(last, from + CALM_MILLIS + random.nextLong(LENGTH_MILLIS));
+    long fromMillis = MIN_INTERVAL_MILLIS + random.nextLong(latestMillis - MIN_INTERVAL_MILLIS);
+    long toMillis = Math.min(latestMillis, fromMillis + MIN_INTERVAL_MILLIS + random.nextLong(DEFAULT_LENGTH_MILLIS));
     out.append(
         String.format(
             "[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"%non = %s%n",
-            kind.word(), from, Math.max(to, from + CALM_MILLIS), ScenarioPrinter.words(names)));
+            kind.word(), fromMillis, Math.max(toMillis, fromMillis + MIN_INTERVAL_MILLIS), ScenarioPrinter.quotedList(names)));
   }
 
-  private void head(long seed) {
+  private void writeHeader(long seed) {
     out.append(
             String.format(
                 Locale.ROOT,
                 "name = \"storm-%d\"%nseed = %d%nlength = \"%dms\"%n",
                 seed,
                 seed,
-                length))
+                lengthMillis))
         .append(String.format("[agreement]%nlease = \"1s\"%n"));
-    for (int i = 0; i < routers; i++) {
+    for (int i = 0; i < routerCount; i++) {
       out.append(String.format("[[router]]%nsite = \"%s\"%n", sites.get(i % sites.size())));
     }
-    out.append(String.format("[[clients]]%nrate = %d%n", RATE * routers));
+    out.append(String.format("[[clients]]%nrate = %d%n", REQUESTS_PER_SECOND_PER_ROUTER * routerCount));
   }
 
-  /** A release and what operators order meanwhile. */
-  private void release(long seed) {
-    length = RELEASE_MILLIS;
-    head(seed);
-    boolean caches = random.nextInt(3) == 0;
+  /** Writes a scenario of a release with commands of operators. */
+  private void writeReleaseScenario(long seed) {
+    lengthMillis = LONG_LENGTH_MILLIS;
+    writeHeader(seed);
+    boolean ofCacheServers = random.nextInt(3) == 0;
     out.append(String.format("[fleet]%ncold_for = \"2s\"%n"));
     out.append(
         String.format(
@@ -223,133 +230,138 @@
             "[release]%nkind = \"%s\"%nat = \"1s\"%nmost_out = %d%n"
                 + "most_out_of_site = %d%nsoak = \"%dms\"%nsamples = 10%nlimit ="
                 + " \"6s\"%nharm = \"%s\"%n",
-            caches ? "cache" : "router",
+            ofCacheServers ? "cache" : "router",
             1 + random.nextInt(3),
             1 + random.nextInt(2),
-            CALM_MILLIS / 2 + random.nextInt((int) CALM_MILLIS),
-            HARMS.get(random.nextInt(HARMS.size()))));
-    int orders = random.nextInt(3);
-    for (int i = 0; i < orders; i++) {
-      order(random.nextLong(length - CALM_MILLIS));
+            MIN_INTERVAL_MILLIS / 2 + random.nextInt((int) MIN_INTERVAL_MILLIS),
+            DEFECTS.get(random.nextInt(DEFECTS.size()))));
+    int commands = random.nextInt(3);
+    for (int i = 0; i < commands; i++) {
+      writeCommands(random.nextLong(lengthMillis - MIN_INTERVAL_MILLIS));
     }
     int faults = 2 + random.nextInt(4);
     for (int i = 0; i < faults; i++) {
-      fault(OF_RELEASES.get(random.nextInt(OF_RELEASES.size())), 0);
+      writeFault(RELEASE_FAULT_KINDS.get(random.nextInt(RELEASE_FAULT_KINDS.size())), 0);
     }
-    if (random.nextDouble() < LAST_SHARE / 2) {
-      fault(LAST.get(random.nextInt(LAST.size())), length / 2);
+    if (random.nextDouble() < FINAL_FAULT_PROBABILITY / 2) {
+      writeFault(FINAL_FAULT_KINDS.get(random.nextInt(FINAL_FAULT_KINDS.size())), lengthMillis / 2);
     }
   }
 
-  private void order(long at) {
-    long later = Math.min(length, at + CALM_MILLIS + random.nextLong(length / 4));
-    String cache = Scenario.cacheName(random.nextInt(CACHES));
+  /** Writes a command, or a command and its reversal. */
+  private void writeCommands(long atMillis) {
+    long reversalMillis = Math.min(lengthMillis, atMillis + MIN_INTERVAL_MILLIS + random.nextLong(lengthMillis / 4));
+    String server = Scenario.cacheServerName(random.nextInt(CACHE_SERVER_COUNT));
     switch (random.nextInt(4)) {
-      case 0 -> order("halt", "", at).order("resume", "", later);
-      case 1 -> order("back", "", at);
+      case 0 ->
+          writeCommand("halt", "", atMillis).writeCommand("resume", "", reversalMillis);
+      case 1 -> writeCommand("back", "", atMillis);
       case 2 ->
-          order("drain", "part = \"" + cache + "\"\n", at)
-              .order("undrain", "part = \"" + cache + "\"\n", later);
+          writeCommand("drain", "part = \"" + server + "\"\n", atMillis)
+              .writeCommand("undrain", "part = \"" + server + "\"\n", reversalMillis);
       default ->
-          order("budget", "most_out = " + random.nextInt(3) + "\n", at)
-              .order("budget", "most_out = " + (1 + random.nextInt(2)) + "\n", later);
+          writeCommand("budget", "most_out = " + random.nextInt(3) + "\n", atMillis)
+              .writeCommand("budget", "most_out = " + (1 + random.nextInt(2)) + "\n", reversalMillis);
     }
   }
 
-  private RandomScenario order(String what, String more, long at) {
-    out.append(String.format("[[order]]%nwhat = \"%s\"%nat = \"%dms\"%n%s", what, at, more));
+  private RandomScenario writeCommand(String command, String arguments, long atMillis) {
+    out.append(String.format("[[order]]%nwhat = \"%s\"%nat = \"%dms\"%n%s", command, atMillis, arguments));
     return this;
   }
 
-  private void versions(long seed) {
-    head(seed);
-    List<String> before = List.of();
-    int versions = 2 + random.nextInt(3);
-    for (int i = 0; i < versions; i++) {
-      before = version(before, CALM_MILLIS + i * length / (versions + 1));
+  /** Writes a scenario of versions that contradict each other. */
+  private void writeVersionScenario(long seed) {
+    writeHeader(seed);
+    List<String> previousServers = List.of();
+    int versionCount = 2 + random.nextInt(3);
+    for (int i = 0; i < versionCount; i++) {
+      previousServers =
+          writeVersion(previousServers, MIN_INTERVAL_MILLIS + i * lengthMillis / (versionCount + 1));
     }
     int faults = 3 + random.nextInt(5);
     for (int i = 0; i < faults; i++) {
-      fault(KINDS.get(random.nextInt(KINDS.size())), 0);
+      writeFault(VERSION_FAULT_KINDS.get(random.nextInt(VERSION_FAULT_KINDS.size())), 0);
     }
-    if (random.nextDouble() < LAST_SHARE) {
-      fault(LAST.get(random.nextInt(LAST.size())), length / 2);
+    if (random.nextDouble() < FINAL_FAULT_PROBABILITY) {
+      writeFault(FINAL_FAULT_KINDS.get(random.nextInt(FINAL_FAULT_KINDS.size())), lengthMillis / 2);
     }
   }
 
   /**
-   * One or two servers out that were not out before, so that it contradicts the version before it.
+   * Writes and returns one or two excluded servers that the previous version does not exclude, so
+   * that the versions contradict each other.
    */
-  private List<String> version(List<String> before, long at) {
+  private List<String> writeVersion(List<String> previousServers, long atMillis) {
     List<String> servers = new ArrayList<>();
     int count = 1 + random.nextInt(2);
     while (servers.size() < count) {
-      String server = Scenario.cacheName(random.nextInt(CACHES));
-      if (!servers.contains(server) && !before.contains(server)) {
+      String server = Scenario.cacheServerName(random.nextInt(CACHE_SERVER_COUNT));
+      if (!servers.contains(server) && !previousServers.contains(server)) {
         servers.add(server);
       }
     }
     out.append(
         String.format(
             "[[version]]%nat = \"%dms\"%nout = %s%nmost_tries = %d%n",
-            at, ScenarioPrinter.words(servers), random.nextInt(4)));
+            atMillis, ScenarioPrinter.quotedList(servers), random.nextInt(4)));
     return servers;
   }
 
-  private void fault(Fault.Kind kind, long earliest) {
-    fault(kind, earliest, length);
+  private void writeFault(Fault.Kind kind, long earliestMillis) {
+    writeFault(kind, earliestMillis, lengthMillis);
   }
 
-  private void fault(Fault.Kind kind, long earliest, long last) {
-    String struck = router();
-    if (kind.target() == Fault.Target.ROUTER && !gone.add(struck)) {
-      // One process cannot be killed and told to stop at the same time.
+  private void writeFault(Fault.Kind kind, long earliestMillis, long latestMillis) {
+    String router = randomRouter();
+    if (kind.target() == Fault.Target.ROUTER && !affectedInstances.add(router)) {
+      // One fault per router process: a killed router cannot be terminated or paused.
       return;
     }
-    long from = earliest + random.nextLong(last - earliest - CALM_MILLIS);
-    long to = Math.min(last, from + CALM_MILLIS / 2 + random.nextLong(LENGTH_MILLIS / 2));
+    long fromMillis = earliestMillis + random.nextLong(latestMillis - earliestMillis - MIN_INTERVAL_MILLIS);
+    long toMillis = Math.min(latestMillis, fromMillis + MIN_INTERVAL_MILLIS / 2 + random.nextLong(DEFAULT_LENGTH_MILLIS / 2));
     out.append(
         String.format(
-            "[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"%n", kind.word(), from, to));
+            "[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"%n", kind.word(), fromMillis, toMillis));
     switch (kind.target()) {
-      case ROUTER -> out.append(String.format("on = %s%n", ScenarioPrinter.words(List.of(struck))));
+      case ROUTER -> out.append(String.format("on = %s%n", ScenarioPrinter.quotedList(List.of(router))));
       case AGENT ->
           out.append(
               String.format(
                   "on = %s%n",
-                  ScenarioPrinter.words(
-                      List.of(random.nextBoolean() ? ScenarioReader.DRIVER : struck))));
+                  ScenarioPrinter.quotedList(
+                      List.of(random.nextBoolean() ? ScenarioReader.DRIVER : router))));
       case LINK ->
           out.append(
-              String.format("on = %s%nway = \"%s\"%n", ScenarioPrinter.words(some()), way()));
+              String.format("on = %s%nway = \"%s\"%n", ScenarioPrinter.quotedList(randomRouters()), randomLinkDestination()));
       case SITE ->
           out.append(
               String.format(
                   "on = %s%n",
-                  ScenarioPrinter.words(List.of(sites.get(random.nextInt(sites.size()))))));
+                  ScenarioPrinter.quotedList(List.of(sites.get(random.nextInt(sites.size()))))));
       case CACHE ->
           out.append(
               String.format(
                   "on = %s%n",
-                  ScenarioPrinter.words(List.of(Scenario.cacheName(random.nextInt(CACHES))))));
+                  ScenarioPrinter.quotedList(List.of(Scenario.cacheServerName(random.nextInt(CACHE_SERVER_COUNT))))));
       default -> {}
     }
   }
 
-  private String way() {
-    String agreed = random.nextInt(4) == 0 ? "discovery" : "store";
-    return sites == SITES || random.nextBoolean()
-        ? agreed
+  private String randomLinkDestination() {
+    String destination = random.nextInt(4) == 0 ? "discovery" : "store";
+    return sites == TWO_SITES || random.nextBoolean()
+        ? destination
         : sites.get(random.nextInt(sites.size()));
   }
 
-  private String router() {
-    return "r" + (1 + random.nextInt(routers));
+  private String randomRouter() {
+    return "r" + (1 + random.nextInt(routerCount));
   }
 
-  private List<String> some() {
-    List<String> names = new ArrayList<>(List.of(router()));
-    String other = router();
+  private List<String> randomRouters() {
+    List<String> names = new ArrayList<>(List.of(randomRouter()));
+    String other = randomRouter();
     if (random.nextBoolean() && !names.contains(other)) {
       names.add(other);
     }
--- a/src/main/java/beaconturn/rehearsal/Rehearsal.java
+++ b/src/main/java/beaconturn/rehearsal/Rehearsal.java
@@ -114,7 +114,7 @@
     EmulatedFleet emulatedFleet =
         new EmulatedFleet(
             scheduler,
-            scenario.world(),
+            scenario.emulatedFleetShape(),
             new RandomSources(scenario.seed()),
             new HistoryEventWriter(history));
     fleetServer = new EmulatedFleetServer(emulatedFleet, clock::now, scenario.routers().size(), 0);
@@ -140,20 +140,20 @@
       storeCalls = environment == null ? 0 : environment.storeCalls() - storeCalls;
       settle();
       detector.stop();
-      RehearsalReport.Fleet fleetReport = fleetReport(storeCalls);
+      RehearsalReport.AgreementSummary agreementSummary = agreementSummary(storeCalls);
       checkAllTriggersMet();
       List<HistoryEvent> events = history.events();
       return new RehearsalReport(
           scenario,
           startNanos,
           events,
-          HistoryChecker.check(scenario.terms(SOCKET_SLACK_NANOS), events),
+          HistoryChecker.check(scenario.invariantBounds(SOCKET_SLACK_NANOS), events),
           statistics.summaries(),
           cpuNanos,
           routers.stream().mapToLong(RouterProcess::cpuNanos).sum(),
           statistics.sendDelayP99Millis(),
           HistoryChecker.pausedNanos(events),
-          fleetReport);
+          agreementSummary);
     } finally {
       detector.stop();
       stopRouters();
@@ -164,12 +164,12 @@
     }
   }
 
-  private RehearsalReport.Fleet fleetReport(long storeCalls) throws IOException, InterruptedException {
+  private RehearsalReport.AgreementSummary agreementSummary(long storeCalls) throws IOException, InterruptedException {
     return environment == null
         ? null
-        : new RehearsalReport.Fleet(
+        : new RehearsalReport.AgreementSummary(
             environment.versionTimelines(),
-            storeCalls * (double) NANOS_PER_SECOND / scenario.length(),
+            storeCalls * (double) NANOS_PER_SECOND / scenario.lengthNanos(),
             routers.stream()
                 .map(RouterProcess::peakUsage)
                 .reduce(new ProcessUsage(0, 0), ProcessUsage::max));
@@ -205,9 +205,9 @@
   }
 
   private void startAgents() throws IOException, InterruptedException {
-    if (scenario.release() != null && scenario.release().caches()) {
+    if (scenario.release() != null && scenario.release().ofCacheServers()) {
       scenario
-          .parts()
+          .releasableInstances()
           .forEach(
               id ->
                   cacheServers.put(
@@ -241,22 +241,22 @@
   }
 
   private void scheduleFault(Scenario.FaultSpec fault, long baseNanos) {
-    long fromNanos = baseNanos + fault.from();
+    long fromNanos = baseNanos + fault.fromNanos();
     Fault.Target target = fault.kind().target();
     if (scenario.zones() != null) {
       schedule(fromNanos, () -> history.add(new HistoryEvent.FaultChanged(clock.now(), true)));
     }
     if (target == Fault.Target.ROUTER) {
-      fault.target().forEach(name -> scheduleRouterFault(fault, scenario.router(name), fromNanos));
+      fault.targets().forEach(name -> scheduleRouterFault(fault, scenario.routerIndex(name), fromNanos));
     } else if (fault.kind().needsAgreement()) {
       schedule(fromNanos, () -> environment.startFault(fault));
     } else {
       fleetServer.tell(() -> scheduleStandInFault(fault, fromNanos, true));
     }
     if (fault.until() == null) {
-      scheduleFaultEnd(fault, baseNanos + fault.to());
+      scheduleFaultEnd(fault, baseNanos + fault.toNanos());
     } else {
-      pendingTriggers.add(new PendingTrigger(fault.until(), triggerNanos -> scheduleFaultEnd(fault, triggerNanos + fault.to())));
+      pendingTriggers.add(new PendingTrigger(fault.until(), triggerNanos -> scheduleFaultEnd(fault, triggerNanos + fault.toNanos())));
     }
   }
 
@@ -266,10 +266,10 @@
     }
     Fault.Target target = fault.kind().target();
     if (target == Fault.Target.ROUTER) {
-      fault.target().forEach(name -> scheduleRouterFaultEnd(fault, scenario.router(name), toNanos));
+      fault.targets().forEach(name -> scheduleRouterFaultEnd(fault, scenario.routerIndex(name), toNanos));
     } else if (fault.kind().needsAgreement()) {
       schedule(toNanos, () -> environment.endFault(fault));
-    } else if (toNanos < startNanos + scenario.length()) {
+    } else if (toNanos < startNanos + scenario.lengthNanos()) {
       // A fault that lasts to the end of the run is not ended: nothing would observe it.
       fleetServer.tell(() -> scheduleStandInFault(fault, toNanos, false));
     }
@@ -279,28 +279,28 @@
     for (int i = 0; i < scenario.versions().size(); i++) {
       int number = i + 1;
       Scenario.VersionSpec version = scenario.versions().get(i);
-      whenTriggered(version.after(), fromNanos -> schedule(fromNanos + version.at(), () -> environment.propose(number, version)));
+      whenTriggered(version.after(), fromNanos -> schedule(fromNanos + version.atNanos(), () -> environment.propose(number, version)));
     }
   }
 
   private void scheduleRelease() {
     Scenario.ReleaseSpec release = scenario.release();
-    if (release != null && release.begins()) {
-      whenTriggered(release.after(), fromNanos -> schedule(fromNanos + release.at(), environment::startRelease));
+    if (release != null && release.startsAutomatically()) {
+      whenTriggered(release.after(), fromNanos -> schedule(fromNanos + release.atNanos(), environment::startRelease));
     }
-    for (Scenario.OrderSpec order : scenario.orders()) {
+    for (Scenario.OperatorCommandSpec spec : scenario.operatorCommands()) {
       whenTriggered(
-          order.after(),
+          spec.after(),
           fromNanos ->
               schedule(
-                  fromNanos + order.at(),
+                  fromNanos + spec.atNanos(),
                   () -> {
-                    if (order.what().startsWith("zone-")) {
+                    if (spec.command().startsWith("zone-")) {
                       history.add(
                           new HistoryEvent.FaultChanged(
-                              clock.now(), order.what().equals("zone-drain")));
+                              clock.now(), spec.command().equals("zone-drain")));
                     }
-                    environment.executeOrder(order);
+                    environment.executeOperatorCommand(spec);
                   }));
     }
   }
@@ -308,7 +308,7 @@
   /** Executes the agents' restart requests on separate threads, as each restart takes seconds. */
   private void handleRestartRequests() throws IOException {
     for (AgentHook.RestartRequest request : environment.takeRestartRequests()) {
-      int router = scenario.router(request.instance());
+      int router = scenario.routerIndex(request.instance());
       Thread thread =
           new Thread(
               () -> {
@@ -334,7 +334,7 @@
   /** Schedules the start or end of a stand-in fault; runs on the stand-ins' thread. */
   private void scheduleStandInFault(Scenario.FaultSpec fault, long atNanos, boolean starts) {
     EmulatedFleet fleet = fleetServer.world();
-    if (fault.target().isEmpty()) {
+    if (fault.targets().isEmpty()) {
       fleet
           .scheduler()
           .at(
@@ -348,7 +348,7 @@
               });
       return;
     }
-    for (String name : fault.target()) {
+    for (String name : fault.targets()) {
       int server = fleet.placeOf(name);
       fleet
           .scheduler()
@@ -377,11 +377,11 @@
     boolean planned = fault.kind() == Fault.Kind.ROUTER_TERM;
     schedule(fromNanos, planned ? routerProcess::terminate : routerProcess::kill);
     if (planned) {
-      long maxDeadlineNanos = scenario.types().stream().mapToLong(Scenario.Type::deadline).max().orElse(0);
+      long maxDeadlineNanos = scenario.requestClasses().stream().mapToLong(Scenario.RequestClass::deadlineNanos).max().orElse(0);
       schedule(fromNanos + Math.min(maxDeadlineNanos, MAX_KILL_DELAY_NANOS) + KILL_GRACE_NANOS, routerProcess::killIfStillStopping);
     }
     schedule(
-        fromNanos + (planned ? FRONT_REACTION_NANOS : scenario.clients().get(0).notice()),
+        fromNanos + (planned ? FRONT_REACTION_NANOS : scenario.clientStreams().get(0).failureDetectionNanos()),
         () -> clients.setAvoided(router, true));
   }
 
@@ -431,7 +431,7 @@
   }
 
   private void executeSteps() throws IOException, InterruptedException {
-    long endNanos = startNanos + scenario.length();
+    long endNanos = startNanos + scenario.lengthNanos();
     long reportedSecond = 0;
     while (clock.now() < endNanos) {
       checkTriggers();
@@ -448,7 +448,7 @@
         progress.accept(
             second
                 + " of "
-                + scenario.length() / NANOS_PER_SECOND
+                + scenario.lengthNanos() / NANOS_PER_SECOND
                 + " s, "
                 + clients.inFlight()
                 + " requests out"
@@ -484,11 +484,11 @@
   private String activeFaults(long atNanos) {
     List<String> names =
         scenario.faults().stream()
-            .filter(f -> f.after() == null && f.from() <= atNanos && (f.until() != null || atNanos < f.to()))
+            .filter(f -> f.after() == null && f.fromNanos() <= atNanos && (f.until() != null || atNanos < f.toNanos()))
             .map(
                 f ->
                     f.kind().word()
-                        + (f.target().isEmpty() ? "" : " " + String.join(" ", f.target())))
+                        + (f.targets().isEmpty() ? "" : " " + String.join(" ", f.targets())))
             .toList();
     return names.isEmpty() ? "" : "; " + String.join(", ", names);
   }
@@ -497,7 +497,7 @@
   private void settle() throws InterruptedException {
     progress.accept("settling");
     endLastingFaults();
-    long maxDeadlineNanos = scenario.types().stream().mapToLong(Scenario.Type::deadline).max().orElse(0);
+    long maxDeadlineNanos = scenario.requestClasses().stream().mapToLong(Scenario.RequestClass::deadlineNanos).max().orElse(0);
     clients.awaitDrained(clock.now() + maxDeadlineNanos * 2 + 2 * NANOS_PER_SECOND);
     clients.finish();
     if (environment != null) {
@@ -524,7 +524,7 @@
   private void endLastingFaults() {
     for (Scenario.FaultSpec fault : scenario.faults()) {
       if (fault.kind() == Fault.Kind.ROUTER_PAUSE) {
-        fault.target().forEach(name -> routers.get(scenario.router(name)).setPaused(false));
+        fault.targets().forEach(name -> routers.get(scenario.routerIndex(name)).setPaused(false));
       } else if (fault.kind().needsAgreement()) {
         environment.endFault(fault);
       }
--- a/src/main/java/beaconturn/rehearsal/RehearsalReport.java
+++ b/src/main/java/beaconturn/rehearsal/RehearsalReport.java
@@ -7,55 +7,57 @@
 import java.util.Locale;
 
 /**
- * What a rehearsal has shown.
+ * The result of a rehearsal.
  *
- * @param scenario what was played
- * @param start when the first second began, in nanoseconds of the account's clock
- * @param entries the whole account
- * @param verdicts rule by rule
- * @param classes what clients felt
- * @param kitCpu processor time of the kit during the play, in nanoseconds
- * @param routerCpu that of all routers, in nanoseconds
- * @param senderLate how late the 99th of a hundred requests was sent, in milliseconds
- * @param paused nanoseconds for which the machine kept the kit from running
- * @param fleet what a fleet that agrees shows beside, or null
+ * @param scenario the scenario that was run
+ * @param startNanos when clients started to send, by the clock of the history
+ * @param events the recorded history
+ * @param results the result of each invariant
+ * @param classSummaries what clients observed, by request class
+ * @param harnessCpuNanos processor time of the process that runs the rehearsal
+ * @param routerCpuNanos processor time of all routers
+ * @param sendDelayP99Millis 99th percentile of how late requests were sent
+ * @param pausedNanos how long the machine kept the process that runs the rehearsal from running
+ * @param agreementSummary what only routers that agree have, or null
  */
 public record RehearsalReport(
     Scenario scenario,
-    long start,
-    List<HistoryEvent> entries,
-    List<InvariantResult> verdicts,
-    List<ClientStatistics.ClassSummary> classes,
-    long kitCpu,
-    long routerCpu,
-    double senderLate,
-    long paused,
-    Fleet fleet) {
+    long startNanos,
+    List<HistoryEvent> events,
+    List<InvariantResult> results,
+    List<ClientStatistics.ClassSummary> classSummaries,
+    long harnessCpuNanos,
+    long routerCpuNanos,
+    double sendDelayP99Millis,
+    long pausedNanos,
+    AgreementSummary agreementSummary) {
 
-  /** Where the machine stood still for a larger part of a play, what was late may be its doing. */
-  private static final double MOST_STILL = 0.2;
+  /** A longer pause of the machine may itself be the cause of a violation. */
+  private static final double MAX_PAUSED_SHARE = 0.2;
 
   /**
-   * What became of each version, calls at the store in a second, and the most that a router held.
+   * Figures of routers that agree.
+   *
+   * @param versions the timeline of each configuration version
+   * @param storeCallsPerSecond calls a second at the coordination store
+   * @param peakRouterUsage the highest memory and thread count of any router
    */
-  record Fleet(List<VersionTimeline> passages, double callsPerSecond, ProcessUsage footprint) {}
+  record AgreementSummary(
+      List<VersionTimeline> versions, double storeCallsPerSecond, ProcessUsage peakRouterUsage) {}
 
-  /** Whether every rule was kept. */
+  /** Returns whether every invariant held. */
   public boolean held() {
-    return verdicts.stream().allMatch(InvariantResult::held);
+    return results.stream().allMatch(InvariantResult::held);
   }
 
-  /**
-   * Whether the machine stood still for so much of the play that a broken rule may be its own
-   * doing.
-   */
-  public boolean disturbed() {
-    return paused > MOST_STILL * scenario.length();
+  /** Returns whether the machine was paused so long that violations may be caused by that. */
+  public boolean disturbedByPauses() {
+    return pausedNanos > MAX_PAUSED_SHARE * scenario.lengthNanos();
   }
 
-  /** For how long the machine stood still, in words. */
-  String stoodStill() {
-    return String.format(Locale.ROOT, "machine stood still for %.0f ms", paused / 1e6);
+  /** Returns a text that says how long the machine was paused. */
+  String pauseDescription() {
+    return String.format(Locale.ROOT, "machine stood still for %.0f ms", pausedNanos / 1e6);
   }
 
   /** Returns the report as plain text tables. */
@@ -63,9 +65,9 @@
     return new TextReport(this).write();
   }
 
-  /** Returns the report as an HTML page with a picture of what was served and what was out. */
+  /** Returns the report as an HTML page with charts of served requests and unavailable instances. */
   public String html() {
-    return HtmlReport.of(this);
+    return HtmlReport.write(this);
   }
 
   /** Returns the report as JSON, with every violation. */
@@ -73,56 +75,64 @@
     return new JsonReport(this).write();
   }
 
-  /** What a release came to: the last word on its course, or none. */
-  public String ending() {
-    return entries.stream()
-        .filter(e -> e instanceof HistoryEvent.ReleaseCommanded)
-        .map(e -> ((HistoryEvent.ReleaseCommanded) e).command())
-        .reduce("none", (before, last) -> last);
+  /** Returns the last command or state of the release, such as {@code done}; {@code none} if none. */
+  public String releaseOutcome() {
+    return events.stream()
+        .filter(event -> event instanceof HistoryEvent.ReleaseCommanded)
+        .map(event -> ((HistoryEvent.ReleaseCommanded) event).command())
+        .reduce("none", (previous, last) -> last);
   }
 
-  /** In a few words, for a list of many plays. */
+  /** Returns a summary in one line, for a list of many rehearsals. */
   public String summary() {
-    long wanted = classes.stream().mapToLong(ClientStatistics.ClassSummary::requests).sum();
-    long served = classes.stream().mapToLong(ClientStatistics.ClassSummary::served).sum();
-    long inForce =
-        fleet == null ? 0 : fleet.passages().stream().filter(p -> p.inForceAtNanos() >= 0).count();
+    long requests = classSummaries.stream().mapToLong(ClientStatistics.ClassSummary::requests).sum();
+    long served = classSummaries.stream().mapToLong(ClientStatistics.ClassSummary::served).sum();
+    long versionsInForce =
+        agreementSummary == null
+            ? 0
+            : agreementSummary.versions().stream()
+                .filter(version -> version.inForceAtNanos() >= 0)
+                .count();
     if (scenario.release() != null) {
       long steps =
-          entries.stream().filter(e -> e instanceof HistoryEvent.VariantChangeBegun).count();
+          events.stream()
+              .filter(event -> event instanceof HistoryEvent.VariantChangeBegun)
+              .count();
       return String.format(
           Locale.ROOT,
           "%d of %d served, %d steps, the release ended as %s",
           served,
-          wanted,
+          requests,
           steps,
-          ending());
+          releaseOutcome());
     }
     return String.format(
         Locale.ROOT,
         "%d of %d served, %d of %d versions in force, contradiction %.0f ms",
         served,
-        wanted,
-        inForce,
+        requests,
+        versionsInForce,
         scenario.versions().size(),
-        contradiction() / 1e6);
+        maxContradictionNanos() / 1e6);
   }
 
-  /** How far traffic went from its place; null where routers know of no places. */
-  ZoneCrossings crossings() {
-    return scenario.zones() == null ? null : ZoneCrossings.of(scenario.terms(0), entries);
+  /** Returns how much traffic left its zone, or null if the scenario has no zones. */
+  ZoneCrossings zoneCrossings() {
+    return scenario.zones() == null
+        ? null
+        : ZoneCrossings.of(scenario.invariantBounds(0), events);
   }
 
-  /** What was decided of places, in its order. */
-  List<HistoryEvent.ZonePlanInForce> plans() {
-    return entries.stream()
-        .filter(e -> e instanceof HistoryEvent.ZonePlanInForce)
-        .map(e -> (HistoryEvent.ZonePlanInForce) e)
+  /** Returns the zone plans in the order in which they came into force. */
+  List<HistoryEvent.ZonePlanInForce> zonePlans() {
+    return events.stream()
+        .filter(event -> event instanceof HistoryEvent.ZonePlanInForce)
+        .map(event -> (HistoryEvent.ZonePlanInForce) event)
         .toList();
   }
 
-  /** Returns the longest contradiction between versions, in nanoseconds. */
-  long contradiction() {
-    return verdicts.stream().mapToLong(InvariantResult::maxNanos).max().orElse(0);
+  /** Returns the longest time for which routers acted on contradicting versions. */
+  long maxContradictionNanos() {
+    return results.stream().mapToLong(InvariantResult::maxNanos).max().orElse(0);
   }
 }
--- a/src/main/java/beaconturn/rehearsal/RequestSchedule.java
+++ b/src/main/java/beaconturn/rehearsal/RequestSchedule.java
@@ -25,8 +25,8 @@
   /** Returns the requests of a scenario, ordered by time. */
   static List<ScheduledRequest> of(Scenario scenario) {
     RequestSchedule schedule = new RequestSchedule(scenario);
-    for (int stream = 0; stream < scenario.clients().size(); stream++) {
-      schedule.add(stream, scenario.clients().get(stream));
+    for (int stream = 0; stream < scenario.clientStreams().size(); stream++) {
+      schedule.add(stream, scenario.clientStreams().get(stream));
     }
     schedule.requests.sort(Comparator.comparingLong(ScheduledRequest::atNanos));
     List<ScheduledRequest> numbered = new ArrayList<>();
@@ -37,35 +37,35 @@
     return List.copyOf(numbered);
   }
 
-  private void add(int stream, Scenario.Clients clients) {
+  private void add(int stream, Scenario.ClientStream clientStream) {
     UniformRandomProvider random = new RandomSources(scenario.seed()).of("clients " + stream);
     SharedStateDiscreteSampler keyRanks =
-        RejectionInversionZipfSampler.of(random, clients.keys(), clients.skew());
-    List<Scenario.Type> types =
-        scenario.types().stream()
-            .filter(type -> clients.classes().isEmpty() || clients.classes().contains(type.name()))
+        RejectionInversionZipfSampler.of(random, clientStream.keyCount(), clientStream.keySkew());
+    List<Scenario.RequestClass> requestClasses =
+        scenario.requestClasses().stream()
+            .filter(requestClass -> clientStream.classNames().isEmpty() || clientStream.classNames().contains(requestClass.name()))
             .toList();
-    double atNanos = clients.from();
+    double atNanos = clientStream.fromNanos();
     while (true) {
-      atNanos += -Math.log(1 - random.nextDouble()) * NANOS_PER_SECOND / clients.rate();
-      if (atNanos >= clients.to()) {
+      atNanos += -Math.log(1 - random.nextDouble()) * NANOS_PER_SECOND / clientStream.requestsPerSecond();
+      if (atNanos >= clientStream.toNanos()) {
         return;
       }
       String key = String.format("%016x", keyRanks.sample() * KEY_MULTIPLIER);
       requests.add(
           new ScheduledRequest(
-              0, (long) atNanos, stream, pick(types, random.nextDouble()), key, random.nextLong()));
+              0, (long) atNanos, stream, pick(requestClasses, random.nextDouble()), key, random.nextLong()));
     }
   }
 
-  private static Scenario.Type pick(List<Scenario.Type> types, double fraction) {
-    double remaining = fraction * types.stream().mapToDouble(Scenario.Type::share).sum();
-    for (Scenario.Type type : types) {
-      remaining -= type.share();
+  private static Scenario.RequestClass pick(List<Scenario.RequestClass> requestClasses, double fraction) {
+    double remaining = fraction * requestClasses.stream().mapToDouble(Scenario.RequestClass::trafficShare).sum();
+    for (Scenario.RequestClass requestClass : requestClasses) {
+      remaining -= requestClass.trafficShare();
       if (remaining < 0) {
-        return type;
+        return requestClass;
       }
     }
-    return types.get(types.size() - 1);
+    return requestClasses.get(requestClasses.size() - 1);
   }
 }
--- a/src/main/java/beaconturn/rehearsal/RestartableCacheServer.java
+++ b/src/main/java/beaconturn/rehearsal/RestartableCacheServer.java
@@ -32,7 +32,7 @@
       History history) {
     this.scenario = scenario;
     this.name = name;
-    this.index = Scenario.place(name);
+    this.index = Scenario.cacheServerIndex(name);
     this.fleetServer = fleetServer;
     this.clock = clock;
     this.history = history;
@@ -51,17 +51,17 @@
     history.add(new HistoryEvent.VariantChangeBegun(clock.now(), name, -1, toReleased));
     released = toReleased;
     fleetServer.tell(() -> fleet.begin(Fault.Kind.DRAIN, index, 0));
-    Thread.sleep((scenario.listLag() + scenario.rules().drainGrace()) / NANOS_PER_MILLI);
+    Thread.sleep((scenario.listLagNanos() + scenario.routingSettings().drainGraceNanos()) / NANOS_PER_MILLI);
     fleetServer.tell(() -> fleet.begin(Fault.Kind.KILL, index, 0));
-    Scenario.Harm harm = toReleased ? scenario.release().harm() : Scenario.Harm.NONE;
-    if (harm == Scenario.Harm.CRASH) {
+    Scenario.Defect defect = toReleased ? scenario.release().defect() : Scenario.Defect.NONE;
+    if (defect == Scenario.Defect.CRASH) {
       return false;
     }
     Thread.sleep(RESTART_DELAY_MILLIS);
     fleetServer.tell(
         () -> {
           fleet.end(Fault.Kind.KILL, index);
-          switch (harm) {
+          switch (defect) {
             case MUTE -> fleet.begin(Fault.Kind.STALL, index, 0);
             case SLOWS -> fleet.begin(Fault.Kind.SLOW, index, SLOW_FACTOR);
             case REFUSES -> fleet.begin(Fault.Kind.ERRORS, index, ALL_REQUESTS_FAIL);
--- a/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
+++ b/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
@@ -5,7 +5,7 @@
 import beaconturn.standin.CacheServerSpec;
 import java.util.List;
 
-/** The writer of the configuration files that routers under rehearsal are started with. */
+/** Writes the configuration files with which the routers of a rehearsal are started. */
 final class RouterConfigWriter {
   private static final long TICK_NANOS = 5_000_000;
   private final Scenario scenario;
@@ -14,41 +14,41 @@
     this.scenario = scenario;
   }
 
-  /** The addresses of a router; {@code control} is its admin address, or null. */
-  record Addresses(String listen, String discovery, String control) {}
+  /** The addresses in a router's configuration; {@code admin} is null if it has none. */
+  record Addresses(String listen, String discovery, String admin) {}
 
   /**
    * Returns the configuration of one router as JSON text.
    *
    * @param router its index in the scenario
-   * @param known the endpoint list that it starts with
-   * @param reloads how often it was reloaded; each reload has settings of its own
+   * @param endpointList the endpoint list that it starts with
+   * @param reloadCount how often it was reloaded; the settings differ after each reload
    */
-  String configOf(int router, Addresses addresses, Json known, long seed, int reloads) {
-    Scenario.RouterSpec spec = scenario.routers().get(router);
+  String configOf(int router, Addresses addresses, Json endpointList, long seed, int reloadCount) {
+    Scenario.RouterSpec routerSpec = scenario.routers().get(router);
     Json limits =
         new JsonObjectBuilder()
             .put("cores", 1.0)
-            .put("memory_mb", spec.memoryMb())
-            .put("sockets", spec.sockets())
+            .put("memory_mb", routerSpec.memoryMb())
+            .put("sockets", routerSpec.maxSockets())
             .build();
-    Json control =
-        addresses.control() == null ? new Json.Nothing() : new Json.Text(addresses.control());
+    Json admin =
+        addresses.admin() == null ? new Json.Nothing() : new Json.Text(addresses.admin());
     return JsonWriter.write(
         new JsonObjectBuilder()
-            .put("name", spec.name())
+            .put("name", routerSpec.name())
             .put("listen", addresses.listen())
             .put("discovery", addresses.discovery())
-            .put("control", control)
+            .put("control", admin)
             .put("seed", String.format("%016x", seed))
             .put("limits", limits)
-            .put("known", known)
-            .put("settings", settings(router, reloads))
+            .put("known", endpointList)
+            .put("settings", settings(router, reloadCount))
             .build());
   }
 
-  private Json settings(int router, int reloads) {
-    List<String> zones = scenario.fleet().places();
+  private Json settings(int router, int reloadCount) {
+    List<String> zones = scenario.fleet().distinctSites();
     return new JsonObjectBuilder()
         .put("index", router)
         .put("replicas_of_me", scenario.routers().size())
@@ -64,28 +64,28 @@
         .put("classes", classes(router))
         .put("family_info", originSettings())
         .put("load_report", loadReport())
-        .put("permissions", permissions(reloads))
+        .put("permissions", permissions(reloadCount))
         .put("rules", safetyLimits())
         .build();
   }
 
   private List<Json> classes(int router) {
-    List<String> unknown = scenario.routers().get(router).lacks();
-    return scenario.types().stream()
-        .filter(type -> !unknown.contains(type.name()))
+    List<String> unknownClasses = scenario.routers().get(router).unknownClasses();
+    return scenario.requestClasses().stream()
+        .filter(requestClass -> !unknownClasses.contains(requestClass.name()))
         .map(RouterConfigWriter::requestClass)
         .toList();
   }
 
-  private static Json requestClass(Scenario.Type type) {
+  private static Json requestClass(Scenario.RequestClass requestClass) {
     return new JsonObjectBuilder()
-        .put("name", type.name())
-        .put("effect", type.effect().setting())
-        .put("key_scope", type.scope())
-        .put("window", type.window())
-        .put("target", type.aim())
-        .put("hard_limit", type.deadline())
-        .put("worth", type.worth())
+        .put("name", requestClass.name())
+        .put("effect", requestClass.effect().settingName())
+        .put("key_scope", requestClass.deduplicationScope())
+        .put("window", requestClass.deduplicationWindowNanos())
+        .put("target", requestClass.latencyObjectiveNanos())
+        .put("hard_limit", requestClass.deadlineNanos())
+        .put("worth", requestClass.priorityWeight())
         .put("late_worth", 0.0)
         .put("stream", false)
         .build();
@@ -102,40 +102,40 @@
   }
 
   private Json loadReport() {
-    List<String> fields = scenario.fleet().shape().loadReportFields();
+    List<String> reportedFields = scenario.fleet().serverSpec().loadReportFields();
     return new JsonObjectBuilder()
-        .put("how", fields.isEmpty() ? "none" : "each")
-        .putStrings("names", fields)
+        .put("how", reportedFields.isEmpty() ? "none" : "each")
+        .putStrings("names", reportedFields)
         .build();
   }
 
-  private Json permissions(int reloads) {
-    Scenario.Rules rules = scenario.rules();
+  private Json permissions(int reloadCount) {
+    Scenario.RoutingSettings settings = scenario.routingSettings();
     return new JsonObjectBuilder()
-        .put("cancel", rules.cancel())
+        .put("cancel", settings.cancellationAllowed())
         .put("peers", false)
         .put("probes", false)
         .put("retry_after", true)
-        .put("second_copies", rules.secondCopies())
-        .put("most_tries", rules.mostTries())
-        .put("max_retry_after", rules.mostRetryAfter() + reloads)
-        .put("multiplex", scenario.fleet().shape().multiplex())
-        .put("dial_timeout", rules.dialTimeout())
-        .put("conn_idle", rules.idle())
+        .put("second_copies", settings.hedgingAllowed())
+        .put("most_tries", settings.maxAttempts())
+        .put("max_retry_after", settings.maxRetryAfterNanos() + reloadCount)
+        .put("multiplex", scenario.fleet().serverSpec().multiplex())
+        .put("dial_timeout", settings.connectTimeoutNanos())
+        .put("conn_idle", settings.idleTimeoutNanos())
         .build();
   }
 
   private Json safetyLimits() {
-    Scenario.Rules rules = scenario.rules();
-    CacheServerSpec spec = scenario.fleet().shape();
+    Scenario.RoutingSettings settings = scenario.routingSettings();
+    CacheServerSpec serverSpec = scenario.fleet().serverSpec();
     return new JsonObjectBuilder()
-        .put("answer_slack", rules.answerSlack())
-        .put("ask_within", rules.askWithin())
-        .put("cold_share", spec.coldSpeedShare())
-        .put("cold", spec.warmUpNanos())
-        .put("drain_grace", rules.drainGrace())
-        .put("fall_multiple", spec.overloadMultiple())
-        .put("overload_for", spec.overloadNanos())
+        .put("answer_slack", settings.responseSlackNanos())
+        .put("ask_within", settings.pollWithinNanos())
+        .put("cold_share", serverSpec.coldSpeedShare())
+        .put("cold", serverSpec.warmUpNanos())
+        .put("drain_grace", settings.drainGraceNanos())
+        .put("fall_multiple", serverSpec.overloadMultiple())
+        .put("overload_for", serverSpec.overloadNanos())
         .build();
   }
 }
--- a/src/main/java/beaconturn/rehearsal/RouterProcess.java
+++ b/src/main/java/beaconturn/rehearsal/RouterProcess.java
@@ -55,7 +55,7 @@
   private boolean released;
 
   /** The defect of the variant that the process runs. */
-  private Scenario.Harm harm = Scenario.Harm.NONE;
+  private Scenario.Defect defect = Scenario.Defect.NONE;
 
   private volatile RouterLauncher.RunningRouter running;
 
@@ -127,7 +127,7 @@
         environment == null ? fleetServer.discovery(index) : environment.discoveryAddress(index);
     // A variant that rejects every request starts with an empty endpoint list and gets no update.
     Json endpointList =
-        harm == Scenario.Harm.REFUSES
+        defect == Scenario.Defect.REFUSES
             ? new JsonObjectBuilder()
                 .put("seq", 0)
                 .put("whole", true)
@@ -136,19 +136,19 @@
             : fleetServer.known(index);
     configuredAddresses =
         new RouterConfigWriter.Addresses(
-            hostAndPort(harm == Scenario.Harm.MUTE ? reserveAddress() : address),
-            hostAndPort(harm == Scenario.Harm.REFUSES ? reserveAddress() : discovery),
+            hostAndPort(defect == Scenario.Defect.MUTE ? reserveAddress() : address),
+            hostAndPort(defect == Scenario.Defect.REFUSES ? reserveAddress() : discovery),
             adminAddress == null ? null : hostAndPort(adminAddress));
     initialList = endpointList;
     startCount++;
     String text = configuration();
-    if (harm == Scenario.Harm.CRASH) {
+    if (defect == Scenario.Defect.CRASH) {
       text = "{}";
     }
     Path config = folder.resolve(name() + ".json");
     Files.writeString(config, text);
     // A variant that crashes is expected to end by itself.
-    exitExpected = harm == Scenario.Harm.CRASH;
+    exitExpected = defect == Scenario.Defect.CRASH;
     stopping = false;
     running =
         launcher.launch(
@@ -157,8 +157,8 @@
                 config,
                 environment == null ? null : environment.featuresFile(name()),
                 folder.resolve(name() + ".log"),
-                scenario.routers().get(index).clockOff(),
-                harm == Scenario.Harm.LEAKS ? scenario.release().goodFor() : -1));
+                scenario.routers().get(index).clockOffsetNanos(),
+                defect == Scenario.Defect.LEAKS ? scenario.release().healthyNanos() : -1));
   }
 
   private String configuration() {
@@ -294,7 +294,7 @@
     }
     history.add(new HistoryEvent.VariantChangeBegun(clock.now(), name(), index, toReleased));
     released = toReleased;
-    harm = toReleased ? scenario.release().harm() : Scenario.Harm.NONE;
+    defect = toReleased ? scenario.release().defect() : Scenario.Defect.NONE;
     environment.setCacheLinkState(index, FaultProxy.State.OPEN, 0);
     try {
       boolean alive = running != null && running.isAlive();
@@ -305,10 +305,10 @@
       front.accept(true);
       awaitExit(Rehearsal.STOP_TIMEOUT_MILLIS, alive);
       launch();
-      awaitReady(scenario.release().limit() / NANOS_PER_MILLI);
+      awaitReady(scenario.release().readyTimeoutNanos() / NANOS_PER_MILLI);
       front.accept(false);
-      if (harm == Scenario.Harm.FADES || harm == Scenario.Harm.SLOWS) {
-        degradeLater(running, harm == Scenario.Harm.FADES ? FaultProxy.State.CUT : FaultProxy.State.SLOW);
+      if (defect == Scenario.Defect.FADES || defect == Scenario.Defect.SLOWS) {
+        degradeLater(running, defect == Scenario.Defect.FADES ? FaultProxy.State.CUT : FaultProxy.State.SLOW);
       }
       return true;
     } catch (IOException e) {
@@ -322,7 +322,7 @@
         new Thread(
             () -> {
               try {
-                Thread.sleep(scenario.release().goodFor() / NANOS_PER_MILLI);
+                Thread.sleep(scenario.release().healthyNanos() / NANOS_PER_MILLI);
                 synchronized (this) {
                   if (running == process) {
                     environment.setCacheLinkState(index, degradedState, SLOW_LINK_DELAY_NANOS);
--- a/src/main/java/beaconturn/rehearsal/RouterSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/RouterSectionReader.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The reader of a scenario's routers. */
+/** Reads the routers of a scenario. */
 final class RouterSectionReader {
   private static final int DEFAULT_MEMORY_MB = 192;
   private static final int DEFAULT_SOCKETS = 1024;
@@ -15,11 +15,11 @@
     this.file = file;
   }
 
-  /** Reads the tables {@code [[router]]}; two routers of the first site where there is none. */
+  /** Reads the tables {@code [[router]]}; returns two routers of the first site if none is given. */
   List<Scenario.RouterSpec> readRouters(List<String> sites) throws TomlException {
     List<Scenario.RouterSpec> routers = new ArrayList<>();
     for (TomlSection section : file.tables("router")) {
-      int count = section.integer("count", 1, 1, ScenarioReader.MOST_ROUTERS);
+      int count = section.integer("count", 1, 1, ScenarioReader.MAX_ROUTERS);
       if (count > 1 && section.has("name")) {
         throw section.invalid("name", "given beside count, allowed is one of them");
       }
@@ -27,25 +27,25 @@
         routers.add(readRouter(section, routers, sites));
       }
     }
-    if (routers.size() > ScenarioReader.MOST_ROUTERS) {
-      throw file.invalid("router", "too many, allowed are " + ScenarioReader.MOST_ROUTERS);
+    if (routers.size() > ScenarioReader.MAX_ROUTERS) {
+      throw file.invalid("router", "too many, allowed are " + ScenarioReader.MAX_ROUTERS);
     }
     if (routers.isEmpty()) {
-      return List.of(usualRouter("r1", sites.get(0)), usualRouter("r2", sites.get(0)));
+      return List.of(defaultRouter("r1", sites.get(0)), defaultRouter("r2", sites.get(0)));
     }
     return List.copyOf(routers);
   }
 
-  private static Scenario.RouterSpec usualRouter(String name, String site) {
+  private static Scenario.RouterSpec defaultRouter(String name, String site) {
     return new Scenario.RouterSpec(name, DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, site, 0, List.of());
   }
 
   private static Scenario.RouterSpec readRouter(
-      TomlSection section, List<Scenario.RouterSpec> before, List<String> sites)
+      TomlSection section, List<Scenario.RouterSpec> previousRouters, List<String> sites)
       throws TomlException {
-    String name = section.text("name", "r" + (before.size() + 1));
+    String name = section.text("name", "r" + (previousRouters.size() + 1));
     ScenarioReader.checkName(
-        section, name, before.stream().map(Scenario.RouterSpec::name).toList());
+        section, name, previousRouters.stream().map(Scenario.RouterSpec::name).toList());
     return new Scenario.RouterSpec(
         name,
         section.integer("memory_mb", DEFAULT_MEMORY_MB, 32, 4096),
@@ -55,7 +55,7 @@
         section.texts("lacks", List.of()));
   }
 
-  /** Returns by how many nanoseconds the clock is fast; below 0 where it is slow. */
+  /** Returns by how many nanoseconds the clock is fast; negative if it is slow. */
   private static long readClockOffset(TomlSection section) throws TomlException {
     if (section.has("clock_fast") && section.has("clock_slow")) {
       throw section.invalid("clock_slow", "given beside clock_fast, allowed is one of them");
--- a/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
@@ -4,210 +4,221 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** Prints a whole scenario with every default, as a file that would be read the same. */
+/**
+ * Prints a scenario with all keys, defaults included, as a scenario file. Reading that file returns
+ * an equal scenario.
+ */
 final class ScenarioPrinter {
   private final StringBuilder out = new StringBuilder();
 
   private ScenarioPrinter() {}
 
-  static String of(Scenario s) {
-    ScenarioPrinter e = new ScenarioPrinter();
-    e.line("name", text(s.name()))
-        .line("about", text(s.about()))
-        .line("seed", s.seed())
-        .line("length", time(s.length()));
-    e.fleet(s.fleet());
-    e.head("[origin]")
-        .line("workers", s.origin().workers())
-        .line("queue", s.origin().queue())
-        .line("work", time(s.origin().work()))
-        .line("fall_multiple", s.origin().fallMultiple())
-        .line("fall_after", time(s.origin().fallAfter()))
-        .line("fall_for", time(s.origin().fallFor()));
-    e.head("[discovery]").line("lag", time(s.listLag()));
-    e.rules(s.rules());
-    s.types().forEach(e::type);
-    for (Scenario.RouterSpec r : s.routers()) {
-      e.head("[[router]]")
-          .line("name", text(r.name()))
-          .line("memory_mb", r.memoryMb())
-          .line("sockets", r.sockets())
-          .line("site", text(r.site()))
-          .line("lacks", words(r.lacks()));
-      if (r.clockOff() != 0) {
-        e.line(r.clockOff() > 0 ? "clock_fast" : "clock_slow", time(Math.abs(r.clockOff())));
+  static String print(Scenario scenario) {
+    ScenarioPrinter printer = new ScenarioPrinter();
+    printer
+        .line("name", quoted(scenario.name()))
+        .line("about", quoted(scenario.about()))
+        .line("seed", scenario.seed())
+        .line("length", duration(scenario.lengthNanos()));
+    printer.printFleet(scenario.fleet());
+    printer
+        .header("[origin]")
+        .line("workers", scenario.origin().workers())
+        .line("queue", scenario.origin().queue())
+        .line("work", duration(scenario.origin().work()))
+        .line("fall_multiple", scenario.origin().fallMultiple())
+        .line("fall_after", duration(scenario.origin().fallAfter()))
+        .line("fall_for", duration(scenario.origin().fallFor()));
+    printer.header("[discovery]").line("lag", duration(scenario.listLagNanos()));
+    printer.printRoutingSettings(scenario.routingSettings());
+    scenario.requestClasses().forEach(printer::printRequestClass);
+    for (Scenario.RouterSpec router : scenario.routers()) {
+      printer
+          .header("[[router]]")
+          .line("name", quoted(router.name()))
+          .line("memory_mb", router.memoryMb())
+          .line("sockets", router.maxSockets())
+          .line("site", quoted(router.site()))
+          .line("lacks", quotedList(router.unknownClasses()));
+      if (router.clockOffsetNanos() != 0) {
+        printer.line(
+            router.clockOffsetNanos() > 0 ? "clock_fast" : "clock_slow",
+            duration(Math.abs(router.clockOffsetNanos())));
       }
     }
-    s.clients().forEach(e::clients);
-    s.faults().forEach(e::fault);
-    if (s.agreement() != null) {
-      e.head("[agreement]")
-          .line("lease", time(s.agreement().lease()))
-          .line("drift", s.agreement().drift());
+    scenario.clientStreams().forEach(printer::printClientStream);
+    scenario.faults().forEach(printer::printFault);
+    if (scenario.agreement() != null) {
+      printer
+          .header("[agreement]")
+          .line("lease", duration(scenario.agreement().leaseNanos()))
+          .line("drift", scenario.agreement().clockDrift());
     }
-    for (Scenario.VersionSpec v : s.versions()) {
-      e.head("[[version]]")
-          .cue("after", v.after())
-          .line("at", time(v.at()))
-          .line("reason", text(v.reason()))
-          .line("out", words(v.out()))
-          .line("most_tries", v.mostTries())
-          .line("unsafe", words(v.unsafe()))
-          .line("newest_list", v.newest())
-          .line("dies", v.dies());
+    for (Scenario.VersionSpec version : scenario.versions()) {
+      printer
+          .header("[[version]]")
+          .trigger("after", version.after())
+          .line("at", duration(version.atNanos()))
+          .line("reason", quoted(version.reason()))
+          .line("out", quotedList(version.excludedServers()))
+          .line("most_tries", version.maxAttempts())
+          .line("unsafe", quotedList(version.unsafeClasses()))
+          .line("newest_list", version.requiresCurrentList())
+          .line("dies", version.killsProposer());
     }
-    e.release(s);
-    if (s.zones() != null) {
-      e.head("[zones]")
-          .line("decided", s.zones().decided())
-          .line("each_per_s", s.zones().each())
-          .line("fetches_per_s", s.zones().fetches())
-          .line("reserve", s.zones().reserve())
-          .line("back_within", time(s.zones().backWithin()))
-          .line("peak", s.zones().peak())
-          .line("regions", words(s.zones().regions()));
+    printer.printRelease(scenario);
+    if (scenario.zones() != null) {
+      printer
+          .header("[zones]")
+          .line("decided", scenario.zones().planned())
+          .line("each_per_s", scenario.zones().serverRequestsPerSecond())
+          .line("fetches_per_s", scenario.zones().fetchesPerSecond())
+          .line("reserve", scenario.zones().reservePermille())
+          .line("back_within", duration(scenario.zones().recoveryNanos()))
+          .line("peak", scenario.zones().maxZoneLoad())
+          .line("regions", quotedList(scenario.zones().regions()));
     }
-    return e.out.toString();
+    return printer.out.toString();
   }
 
-  private void release(Scenario s) {
-    Scenario.ReleaseSpec r = s.release();
-    if (r != null) {
-      head("[release]")
-          .line("kind", text(r.caches() ? "cache" : "router"))
-          .line("begins", r.begins())
-          .cue("after", r.after())
-          .line("at", time(r.at()))
-          .line("most_out", r.mostOut())
-          .line("most_out_of_site", r.mostOutOfSite())
-          .line("soak", time(r.soak()))
-          .line("samples", r.samples())
-          .line("worse", r.worse())
-          .line("limit", time(r.limit()))
-          .line("alone", time(r.alone()))
-          .line("harm", text(lower(r.harm())))
-          .line("good_for", time(r.goodFor()))
-          .line("spare", r.spare())
-          .line("cores", r.cores())
-          .line("worse_missed", r.worseMissed())
-          .line("most_tries", r.mostTries());
-      r.waves().forEach(wave -> head("[[release.wave]]").line("parts", words(wave)));
+  private void printRelease(Scenario scenario) {
+    Scenario.ReleaseSpec release = scenario.release();
+    if (release != null) {
+      header("[release]")
+          .line("kind", quoted(release.ofCacheServers() ? "cache" : "router"))
+          .line("begins", release.startsAutomatically())
+          .trigger("after", release.after())
+          .line("at", duration(release.atNanos()))
+          .line("most_out", release.maxUnavailable())
+          .line("most_out_of_site", release.maxUnavailablePerSite())
+          .line("soak", duration(release.soakNanos()))
+          .line("samples", release.minResponses())
+          .line("worse", release.failedRegressionBound())
+          .line("limit", duration(release.readyTimeoutNanos()))
+          .line("alone", duration(release.selfRollbackNanos()))
+          .line("harm", quoted(lowerCaseName(release.defect())))
+          .line("good_for", duration(release.healthyNanos()))
+          .line("spare", release.toleratedFailures())
+          .line("cores", release.coresPerInstance())
+          .line("worse_missed", release.missedRegressionBound())
+          .line("most_tries", release.maxAttempts());
+      release.waves().forEach(wave -> header("[[release.wave]]").line("parts", quotedList(wave)));
     }
-    for (Scenario.OrderSpec o : s.orders()) {
-      head("[[order]]")
-          .cue("after", o.after())
-          .line("at", time(o.at()))
-          .line("what", text(o.what()));
-      if (!o.part().isEmpty()) {
-        line("part", text(o.part()));
+    for (Scenario.OperatorCommandSpec spec : scenario.operatorCommands()) {
+      header("[[order]]")
+          .trigger("after", spec.after())
+          .line("at", duration(spec.atNanos()))
+          .line("what", quoted(spec.command()));
+      if (!spec.target().isEmpty()) {
+        line("part", quoted(spec.target()));
       }
-      if (o.what().equals("budget")) {
-        line("most_out", o.mostOut());
+      if (spec.command().equals("budget")) {
+        line("most_out", spec.maxUnavailable());
       }
     }
   }
 
-  private void fleet(Scenario.Fleet f) {
-    head("[fleet]")
-        .line("caches", f.caches())
-        .line("sites", words(f.sites()))
-        .line("cell", f.cell())
-        .line("speed", f.shape().speed())
-        .line("workers", f.shape().workers())
-        .line("room", f.shape().queueCapacity())
-        .line("capacity", text(f.shape().capacityBytes() + "B"))
-        .line("ttl", time(f.shape().timeToLiveNanos()))
-        .line("cold_share", f.shape().coldSpeedShare())
-        .line("cold_for", time(f.shape().warmUpNanos()))
-        .line("fall_multiple", f.shape().overloadMultiple())
-        .line("fall_after", time(f.shape().overloadNanos()))
-        .line("connections", f.shape().maxConnections())
-        .line("connect_work", time(f.shape().connectWorkNanos()))
-        .line("multiplex", f.shape().multiplex())
-        .line("share_fetch", f.shape().sharesFetches())
-        .line("cancel", f.shape().cancelsRunningWork())
-        .line("report", words(f.shape().loadReportFields()));
+  private void printFleet(Scenario.Fleet fleet) {
+    header("[fleet]")
+        .line("caches", fleet.cacheServerCount())
+        .line("sites", quotedList(fleet.sites()))
+        .line("cell", fleet.serversPerCell())
+        .line("speed", fleet.serverSpec().speed())
+        .line("workers", fleet.serverSpec().workers())
+        .line("room", fleet.serverSpec().queueCapacity())
+        .line("capacity", quoted(fleet.serverSpec().capacityBytes() + "B"))
+        .line("ttl", duration(fleet.serverSpec().timeToLiveNanos()))
+        .line("cold_share", fleet.serverSpec().coldSpeedShare())
+        .line("cold_for", duration(fleet.serverSpec().warmUpNanos()))
+        .line("fall_multiple", fleet.serverSpec().overloadMultiple())
+        .line("fall_after", duration(fleet.serverSpec().overloadNanos()))
+        .line("connections", fleet.serverSpec().maxConnections())
+        .line("connect_work", duration(fleet.serverSpec().connectWorkNanos()))
+        .line("multiplex", fleet.serverSpec().multiplex())
+        .line("share_fetch", fleet.serverSpec().sharesFetches())
+        .line("cancel", fleet.serverSpec().cancelsRunningWork())
+        .line("report", quotedList(fleet.serverSpec().loadReportFields()));
   }
 
-  private void rules(Scenario.Rules r) {
-    head("[settings]")
-        .line("most_tries", r.mostTries())
-        .line("second_copies", r.secondCopies())
-        .line("cancel", r.cancel())
-        .line("most_retry_after", time(r.mostRetryAfter()))
-        .line("dial_timeout", time(r.dialTimeout()))
-        .line("conn_idle", time(r.idle()))
-        .line("drain_grace", time(r.drainGrace()))
-        .line("answer_slack", time(r.answerSlack()))
-        .line("ask_within", time(r.askWithin()));
+  private void printRoutingSettings(Scenario.RoutingSettings settings) {
+    header("[settings]")
+        .line("most_tries", settings.maxAttempts())
+        .line("second_copies", settings.hedgingAllowed())
+        .line("cancel", settings.cancellationAllowed())
+        .line("most_retry_after", duration(settings.maxRetryAfterNanos()))
+        .line("dial_timeout", duration(settings.connectTimeoutNanos()))
+        .line("conn_idle", duration(settings.idleTimeoutNanos()))
+        .line("drain_grace", duration(settings.drainGraceNanos()))
+        .line("answer_slack", duration(settings.responseSlackNanos()))
+        .line("ask_within", duration(settings.pollWithinNanos()));
   }
 
-  private void type(Scenario.Type t) {
-    head("[[class]]")
-        .line("name", text(t.name()))
-        .line("effect", text(lower(t.effect())))
-        .line("share", t.share())
-        .line("work", time(t.work()))
-        .line("size", t.size())
-        .line("aim", time(t.aim()))
-        .line("deadline", time(t.deadline()))
-        .line("worth", t.worth())
-        .line("window", time(t.window()))
-        .line("scope", text(t.scope()));
+  private void printRequestClass(Scenario.RequestClass requestClass) {
+    header("[[class]]")
+        .line("name", quoted(requestClass.name()))
+        .line("effect", quoted(lowerCaseName(requestClass.effect())))
+        .line("share", requestClass.trafficShare())
+        .line("work", duration(requestClass.workNanos()))
+        .line("size", requestClass.valueBytes())
+        .line("aim", duration(requestClass.latencyObjectiveNanos()))
+        .line("deadline", duration(requestClass.deadlineNanos()))
+        .line("worth", requestClass.priorityWeight())
+        .line("window", duration(requestClass.deduplicationWindowNanos()))
+        .line("scope", quoted(requestClass.deduplicationScope()));
   }
 
-  private void clients(Scenario.Clients c) {
-    head("[[clients]]")
-        .line("rate", c.rate())
-        .line("classes", words(c.classes()))
-        .line("keys", c.keys())
-        .line("skew", c.skew())
-        .line("retries", c.retries())
-        .line("backoff", time(c.backoff()))
-        .line("try_share", c.tryShare())
-        .line("notice", time(c.notice()))
-        .line("from", time(c.from()))
-        .line("to", time(c.to()));
-    if (!c.site().isEmpty()) {
-      line("site", text(c.site()));
+  private void printClientStream(Scenario.ClientStream stream) {
+    header("[[clients]]")
+        .line("rate", stream.requestsPerSecond())
+        .line("classes", quotedList(stream.classNames()))
+        .line("keys", stream.keyCount())
+        .line("skew", stream.keySkew())
+        .line("retries", stream.maxRetries())
+        .line("backoff", duration(stream.backoffNanos()))
+        .line("try_share", stream.attemptTimeoutShare())
+        .line("notice", duration(stream.failureDetectionNanos()))
+        .line("from", duration(stream.fromNanos()))
+        .line("to", duration(stream.toNanos()));
+    if (!stream.site().isEmpty()) {
+      line("site", quoted(stream.site()));
     }
-    Scenario.Conduct conduct = c.conduct();
-    line("pipeline", conduct.pipeline())
-        .line("wrong", conduct.wrong())
-        .line("pieces", conduct.pieces())
-        .line("hasty", conduct.hasty())
-        .line("leaves", conduct.leaves())
-        .line("silent", conduct.silent());
+    Scenario.ConnectionUsage usage = stream.connectionUsage();
+    line("pipeline", usage.maxPipelined())
+        .line("wrong", usage.invalidCommandShare())
+        .line("pieces", usage.splitWriteShare())
+        .line("hasty", usage.shortTimeoutShare())
+        .line("leaves", usage.disconnectShare())
+        .line("silent", usage.silentConnections());
   }
 
-  private void fault(Scenario.FaultSpec f) {
-    head("[[fault]]").line("kind", text(f.kind().word()));
-    if (!f.target().isEmpty()) {
-      line("on", words(f.target()));
+  private void printFault(Scenario.FaultSpec fault) {
+    header("[[fault]]").line("kind", quoted(fault.kind().word()));
+    if (!fault.targets().isEmpty()) {
+      line("on", quotedList(fault.targets()));
     }
-    switch (f.kind()) {
-      case SLOW, ORIGIN_SLOW -> line("factor", f.amount());
-      case ERRORS, SPOIL, RESET -> line("part", f.amount());
+    switch (fault.kind()) {
+      case SLOW, ORIGIN_SLOW -> line("factor", fault.amount());
+      case ERRORS, SPOIL, RESET -> line("part", fault.amount());
       case DRAIN_LATE, DISCOVERY_SLOW, DISCOVERY_BACK, LINK_SLOW, STORE_SLOW ->
-          line("delay", time((long) f.amount()));
-      case LINK_THROTTLE -> line("bytes_per_second", (long) f.amount());
-      case STORE_BACK -> line("revisions", (long) f.amount());
+          line("delay", duration((long) fault.amount()));
+      case LINK_THROTTLE -> line("bytes_per_second", (long) fault.amount());
+      case STORE_BACK -> line("revisions", (long) fault.amount());
       default -> {}
     }
-    if (!f.way().isEmpty()) {
-      line("way", text(f.way()));
+    if (!fault.linkDestination().isEmpty()) {
+      line("way", quoted(fault.linkDestination()));
     }
-    cue("after", f.after())
-        .cue("until", f.until())
-        .line("from", time(f.from()))
-        .line("to", time(f.to()));
+    trigger("after", fault.after())
+        .trigger("until", fault.until())
+        .line("from", duration(fault.fromNanos()))
+        .line("to", duration(fault.toNanos()));
   }
 
-  private ScenarioPrinter cue(String key, Trigger cue) {
-    return cue == null ? this : line(key, text(cue.toText()));
+  private ScenarioPrinter trigger(String key, Trigger trigger) {
+    return trigger == null ? this : line(key, quoted(trigger.toText()));
   }
 
-  private ScenarioPrinter head(String table) {
+  private ScenarioPrinter header(String table) {
     out.append('\n').append(table).append('\n');
     return this;
   }
@@ -217,20 +228,24 @@
     return this;
   }
 
-  private static String lower(Enum<?> value) {
-    return value.name().toLowerCase(Locale.ROOT);
+  private static String lowerCaseName(Enum<?> constant) {
+    return constant.name().toLowerCase(Locale.ROOT);
   }
 
-  private static String text(String text) {
+  private static String quoted(String text) {
     return '"' + text.replace("\\", "\\\\").replace("\"", "\\\"") + '"';
   }
 
-  /** A list of texts, as a file has it. */
-  static String words(List<String> words) {
-    return words.stream().map(ScenarioPrinter::text).collect(Collectors.joining(", ", "[", "]"));
+  /** Returns a TOML array of strings. */
+  static String quotedList(List<String> texts) {
+    return texts.stream()
+        .map(ScenarioPrinter::quoted)
+        .collect(Collectors.joining(", ", "[", "]"));
   }
 
-  private static String time(long nanos) {
-    return nanos % 1_000_000 == 0 ? text(nanos / 1_000_000 + "ms") : text(nanos / 1000 + "us");
+  private static String duration(long nanos) {
+    return nanos % 1_000_000 == 0
+        ? quoted(nanos / 1_000_000 + "ms")
+        : quoted(nanos / 1000 + "us");
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ScenarioReader.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioReader.java
@@ -8,82 +8,86 @@
 import java.util.Locale;
 
 /**
- * The reader of scenario files. Everything has a default, and whatever is wrong is said in one line
- * before anything is started. Each group of tables has a reader of its own.
+ * Reads scenario files. Each key has a default; an invalid value is reported in one line with file,
+ * line and key. Each group of tables has a reader of its own.
  */
 public final class ScenarioReader {
   private static final long SECOND_NANOS = 1_000_000_000;
 
-  /** The most routers of a scenario. */
-  static final int MOST_ROUTERS = 40;
+  static final int MAX_ROUTERS = 40;
 
-  /** The target that stands for the agent which drives the release at the time. */
+  /** The target of faults that affect the agent which drives the release at that time. */
   static final String DRIVER = "driver";
 
   private final TomlSection file;
-  private final Long seed;
+  private final Long seedOverride;
 
-  private ScenarioReader(TomlSection file, Long seed) {
+  private ScenarioReader(TomlSection file, Long seedOverride) {
     this.file = file;
-    this.seed = seed;
+    this.seedOverride = seedOverride;
   }
 
   /**
-   * Returns the scenario of a text.
+   * Returns the scenario that a text describes.
    *
-   * @param name the file's name in messages
-   * @param seed overrules the scenario's own seed; null for that one
-   * @throws TomlException if the text is not a scenario
+   * @param fileName the name of the file in error messages
+   * @param seedOverride replaces the scenario's own seed; null to keep it
+   * @throws TomlException if the text is not a valid scenario
    */
-  public static Scenario read(String name, String text, Long seed) throws TomlException {
-    return new ScenarioReader(TomlSection.read(name, text), seed).readScenario();
+  public static Scenario read(String fileName, String text, Long seedOverride)
+      throws TomlException {
+    return new ScenarioReader(TomlSection.read(fileName, text), seedOverride).readScenario();
   }
 
   private Scenario readScenario() throws TomlException {
     String name = file.text("name", "rehearsal");
     String about = file.text("about", "");
     long ownSeed = file.integer("seed", 1, 0, Integer.MAX_VALUE);
-    long chosenSeed = seed == null ? ownSeed : seed;
+    long seed = seedOverride == null ? ownSeed : seedOverride;
     long lengthNanos = file.durationNanos("length", 20 * SECOND_NANOS, SECOND_NANOS);
     Scenario.Fleet fleet = FleetSectionReader.readFleet(file.table("fleet"));
     OriginModel.Shape origin = FleetSectionReader.readOrigin(file.table("origin"));
     long listLagNanos = file.table("discovery").durationNanos("lag", SECOND_NANOS, 0);
-    Scenario.Rules rules = FleetSectionReader.readRules(file.table("settings"));
-    TrafficSectionReader traffic = new TrafficSectionReader(file);
-    List<Scenario.Type> types = traffic.readClasses();
-    List<Scenario.RouterSpec> routers = new RouterSectionReader(file).readRouters(fleet.places());
-    ScenarioOutline withoutVersions = new ScenarioOutline(fleet, routers, 0, lengthNanos);
-    List<Scenario.Clients> clients = traffic.readClients(types, withoutVersions);
-    AgreementSectionReader agreements = new AgreementSectionReader(file);
-    Scenario.Agreement agreement = agreements.readAgreement();
-    List<TomlSection> proposed = file.tables("version");
-    ScenarioOutline outline = new ScenarioOutline(fleet, routers, proposed.size(), lengthNanos);
+    Scenario.RoutingSettings routingSettings =
+        FleetSectionReader.readRoutingSettings(file.table("settings"));
+    TrafficSectionReader trafficReader = new TrafficSectionReader(file);
+    List<Scenario.RequestClass> requestClasses = trafficReader.readClasses();
+    List<Scenario.RouterSpec> routers = new RouterSectionReader(file).readRouters(fleet.distinctSites());
+    ScenarioOutline outlineWithoutVersions =
+        new ScenarioOutline(fleet, routers, 0, lengthNanos);
+    List<Scenario.ClientStream> clientStreams =
+        trafficReader.readClientStreams(requestClasses, outlineWithoutVersions);
+    AgreementSectionReader agreementReader = new AgreementSectionReader(file);
+    Scenario.Agreement agreement = agreementReader.readAgreement();
+    List<TomlSection> versionSections = file.tables("version");
+    ScenarioOutline outline = new ScenarioOutline(fleet, routers, versionSections.size(), lengthNanos);
     List<Scenario.VersionSpec> versions =
-        AgreementSectionReader.readVersions(proposed, agreement, outline);
-    List<Scenario.FaultSpec> faults = new FaultSectionReader(outline, chosenSeed).readFaults(file);
+        AgreementSectionReader.readVersions(versionSections, agreement, outline);
+    List<Scenario.FaultSpec> faults = new FaultSectionReader(outline, seed).readFaults(file);
     checkFaultsNeedingAgreement(faults, agreement);
-    ReleaseSectionReader releases = new ReleaseSectionReader(file, outline);
-    Scenario.ReleaseSpec release = releases.readRelease(agreement);
-    List<Scenario.OrderSpec> orders = releases.readOrders(release);
-    Scenario.ZonesSpec zones = agreements.readZones(agreement, fleet);
+    ReleaseSectionReader releaseReader = new ReleaseSectionReader(file, outline);
+    Scenario.ReleaseSpec release = releaseReader.readRelease(agreement);
+    List<Scenario.OperatorCommandSpec> operatorCommands =
+        releaseReader.readOperatorCommands(release);
+    Scenario.ZonesSpec zones = agreementReader.readZones(agreement, fleet);
     file.rejectUnknownKeys();
     return new Scenario(
         name,
         about,
-        chosenSeed,
+        seed,
         lengthNanos,
         fleet,
         origin,
         listLagNanos,
-        rules,
-        types,
+        routingSettings,
+        requestClasses,
         routers,
-        clients,
+        clientStreams,
         faults,
         agreement,
         versions,
         release,
-        orders,
+        operatorCommands,
         zones);
   }
 
@@ -96,16 +100,19 @@
     }
   }
 
-  /** Rejects names that are taken or have characters that are not allowed. */
-  static void checkName(TomlSection section, String name, List<String> taken) throws TomlException {
-    if (!name.matches("[A-Za-z0-9_-]{1,32}") || taken.contains(name)) {
+  /** Fails if a name is already used or contains characters that are not allowed. */
+  static void checkName(TomlSection section, String name, List<String> usedNames)
+      throws TomlException {
+    if (!name.matches("[A-Za-z0-9_-]{1,32}") || usedNames.contains(name)) {
       throw section.invalid(
           "name", "'" + name + "' is taken or odd, allowed are letters, digits, - and _");
     }
   }
 
-  /** Returns the words by which files name the constants. */
-  static List<String> words(Enum<?>[] values) {
-    return Arrays.stream(values).map(v -> v.name().toLowerCase(Locale.ROOT)).toList();
+  /** Returns the names of the constants in scenario files. */
+  static List<String> lowerCaseNames(Enum<?>[] constants) {
+    return Arrays.stream(constants)
+        .map(constant -> constant.name().toLowerCase(Locale.ROOT))
+        .toList();
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ScheduledRequest.java
+++ b/src/main/java/beaconturn/rehearsal/ScheduledRequest.java
@@ -14,7 +14,7 @@
     int number,
     long atNanos,
     int stream,
-    Scenario.Type requestClass,
+    Scenario.RequestClass requestClass,
     String key,
     long randomBits) {
   private static final int ROUTER_BITS_SHIFT = 40;
--- a/src/main/java/beaconturn/rehearsal/TextReport.java
+++ b/src/main/java/beaconturn/rehearsal/TextReport.java
@@ -7,7 +7,8 @@
 import java.util.Locale;
 
 /**
- * A rehearsal's report as plain text: invariants, request classes, and what the fleet agreed on.
+ * A rehearsal's report as plain text: invariants, request classes, totals, configuration versions,
+ * release and zones.
  */
 final class TextReport {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -20,16 +21,16 @@
     this.report = report;
   }
 
-  /** Returns the whole text. */
+  /** Returns the whole report. */
   String write() {
     writeInvariants();
     writeNotes();
     writeClasses();
     writeTotals();
-    if (report.fleet() != null) {
+    if (report.agreementSummary() != null) {
       writeVersions();
       writeRollout();
-      writeFleetTotals();
+      writeAgreementTotals();
     }
     if (report.scenario().zones() != null) {
       writeZonePlans();
@@ -42,13 +43,13 @@
     out.append(String.format(Locale.ROOT, format, values));
   }
 
-  private double secondsFromStart(long at) {
-    return (at - report.start()) / NANOS_PER_SECOND;
+  private double secondsFromStart(long atNanos) {
+    return (atNanos - report.startNanos()) / NANOS_PER_SECOND;
   }
 
   private void writeInvariants() {
     append("%-16s %-7s %9s  %s%n", "rule", "", "checked", "first offence");
-    for (InvariantResult result : report.verdicts()) {
+    for (InvariantResult result : report.results()) {
       append(
           "%-16s %-7s %9d  %s%n",
           result.invariant(),
@@ -60,11 +61,11 @@
 
   private String firstViolation(InvariantResult result) {
     int count = result.violations().size();
-    String first = line(result.violations().get(0));
+    String first = describe(result.violations().get(0));
     return count == 1 ? first : first + " (" + count + " in all)";
   }
 
-  private String line(Violation violation) {
+  private String describe(Violation violation) {
     return String.format(
         Locale.ROOT,
         "%.3f s%s%s: %s",
@@ -75,9 +76,9 @@
   }
 
   private void writeNotes() {
-    for (InvariantResult result : report.verdicts()) {
+    for (InvariantResult result : report.results()) {
       for (Violation note : result.notes()) {
-        append("noted, %s: %s\n", result.invariant(), line(note));
+        append("noted, %s: %s\n", result.invariant(), describe(note));
       }
     }
   }
@@ -87,21 +88,21 @@
         "%n%-14s %7s %7s %7s %7s %7s %7s %7s %7s %9s %9s %9s%n",
         "class", "wanted", "tries", "served", "refused", "failed", "no end", "no way", "in aim",
         "p50 ms", "p99 ms", "max ms");
-    for (ClientStatistics.ClassSummary line : report.classes()) {
+    for (ClientStatistics.ClassSummary summary : report.classSummaries()) {
       append(
           "%-14s %7d %7d %7d %7d %7d %7d %7d %7d %9.1f %9.1f %9.1f%n",
-          line.className(),
-          line.requests(),
-          line.attempts(),
-          line.served(),
-          line.rejected(),
-          line.failed(),
-          line.unanswered(),
-          line.undelivered(),
-          line.withinObjective(),
-          line.medianMillis(),
-          line.p99Millis(),
-          line.maxMillis());
+          summary.className(),
+          summary.requests(),
+          summary.attempts(),
+          summary.served(),
+          summary.rejected(),
+          summary.failed(),
+          summary.unanswered(),
+          summary.undelivered(),
+          summary.withinObjective(),
+          summary.medianMillis(),
+          summary.p99Millis(),
+          summary.maxMillis());
     }
   }
 
@@ -110,12 +111,12 @@
         "%nseed %d, %.1f s played; processor time: kit %.2f s, "
             + "routers %.2f s; requests sent late by %.1f ms (p99); %s%n",
         report.scenario().seed(),
-        report.scenario().length() / NANOS_PER_SECOND,
-        report.kitCpu() / NANOS_PER_SECOND,
-        report.routerCpu() / NANOS_PER_SECOND,
-        report.senderLate(),
-        report.stoodStill());
-    if (!report.held() && report.disturbed()) {
+        report.scenario().lengthNanos() / NANOS_PER_SECOND,
+        report.harnessCpuNanos() / NANOS_PER_SECOND,
+        report.routerCpuNanos() / NANOS_PER_SECOND,
+        report.sendDelayP99Millis(),
+        report.pauseDescription());
+    if (!report.held() && report.disturbedByPauses()) {
       out.append(
           "which is over a fifth of the play: what was broken may be the"
               + " machine's doing, play it again\n");
@@ -123,7 +124,7 @@
   }
 
   private void writeVersions() {
-    for (VersionTimeline version : report.fleet().passages()) {
+    for (VersionTimeline version : report.agreementSummary().versions()) {
       append(
           "version %d proposed at %.3f s, %s, %s%n",
           version.number(),
@@ -133,35 +134,35 @@
     }
   }
 
-  private static String delay(VersionTimeline version, long at, String what) {
-    if (at < 0) {
-      return "not " + what;
+  private static String delay(VersionTimeline version, long atNanos, String stage) {
+    if (atNanos < 0) {
+      return "not " + stage;
     }
-    double millis = (at - version.proposedAtNanos()) / NANOS_PER_MILLI;
-    return String.format(Locale.ROOT, "%s after %.0f ms", what, millis);
+    double delayMillis = (atNanos - version.proposedAtNanos()) / NANOS_PER_MILLI;
+    return String.format(Locale.ROOT, "%s after %.0f ms", stage, delayMillis);
   }
 
   private void writeRollout() {
-    for (HistoryEvent event : report.entries()) {
-      if (event instanceof HistoryEvent.ReleaseCommanded order) {
-        append("release: %s at %.3f s%n", order.command(), secondsFromStart(order.atNanos()));
+    for (HistoryEvent event : report.events()) {
+      if (event instanceof HistoryEvent.ReleaseCommanded commanded) {
+        append("release: %s at %.3f s%n", commanded.command(), secondsFromStart(commanded.atNanos()));
       }
     }
   }
 
-  private void writeFleetTotals() {
+  private void writeAgreementTotals() {
     append(
         "longest contradiction %.0f ms of %.0f ms stated; %.1f calls a"
             + " second at the store; a router held %.1f MB and %d threads at most%n",
-        report.contradiction() / NANOS_PER_MILLI,
+        report.maxContradictionNanos() / NANOS_PER_MILLI,
         report.scenario().agreement().timing().statedNanos() / NANOS_PER_MILLI,
-        report.fleet().callsPerSecond(),
-        report.fleet().footprint().memoryKb() / KB_PER_MB,
-        report.fleet().footprint().threads());
+        report.agreementSummary().storeCallsPerSecond(),
+        report.agreementSummary().peakRouterUsage().memoryKb() / KB_PER_MB,
+        report.agreementSummary().peakRouterUsage().threads());
   }
 
   private void writeZonePlans() {
-    for (HistoryEvent.ZonePlanInForce plan : report.plans()) {
+    for (HistoryEvent.ZonePlanInForce plan : report.zonePlans()) {
       append(
           "plan %d at %.1f s: %s%n",
           plan.number(), secondsFromStart(plan.atNanos()), plan.weights());
@@ -169,9 +170,10 @@
   }
 
   private void writeZoneCrossings() {
-    ZoneCrossings crossings = report.crossings();
-    int seconds = (int) Math.ceil(report.scenario().length() / NANOS_PER_SECOND);
-    double worst = new ServedBySecond(report.entries(), report.start(), seconds).worstWindowShare();
+    ZoneCrossings crossings = report.zoneCrossings();
+    int seconds = (int) Math.ceil(report.scenario().lengthNanos() / NANOS_PER_SECOND);
+    double worstWindowShare =
+        new ServedBySecond(report.events(), report.startNanos(), seconds).worstWindowShare();
     append(
         "places: %.1f %% of first sends went to others, %.1f %% before"
             + " the first trouble; at most %.2f times what its cache servers can do in"
@@ -182,7 +184,7 @@
         crossings.peakLoad(),
         crossings.busiestZone(),
         crossings.originFetches(),
-        100 * worst);
+        100 * worstWindowShare);
     if (crossings.decidedAfterNanos() >= 0) {
       append(
           "; the first plan %.1f s after the trouble",
--- a/src/main/java/beaconturn/rehearsal/TrafficSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/TrafficSectionReader.java
@@ -6,33 +6,34 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The reader of a scenario's request classes and of the clients that send them. */
+/** Reads the request classes and the client streams of a scenario. */
 final class TrafficSectionReader {
   private static final long MILLI_NANOS = 1_000_000;
   private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
-  private static final int MOST_PIPELINED = 64;
-  private static final int MOST_SILENT = 10_000;
-  private static final double MOST_PER_SECOND = 20_000;
+  private static final int MAX_PIPELINED = 64;
+  private static final int MAX_SILENT_CONNECTIONS = 10_000;
+  private static final double MAX_REQUESTS_PER_SECOND = 20_000;
   private final TomlSection file;
 
   TrafficSectionReader(TomlSection file) {
     this.file = file;
   }
 
-  /** Reads the tables {@code [[class]]}; three usual classes where there is none. */
-  List<Scenario.Type> readClasses() throws TomlException {
-    List<Scenario.Type> types = new ArrayList<>();
+  /** Reads the tables {@code [[class]]}; returns three default classes if none is given. */
+  List<Scenario.RequestClass> readClasses() throws TomlException {
+    List<Scenario.RequestClass> requestClasses = new ArrayList<>();
     for (TomlSection section : file.tables("class")) {
-      String name = section.text("name", "class" + types.size());
-      ScenarioReader.checkName(section, name, types.stream().map(Scenario.Type::name).toList());
-      types.add(readClass(section, name));
+      String name = section.text("name", "class" + requestClasses.size());
+      ScenarioReader.checkName(
+          section, name, requestClasses.stream().map(Scenario.RequestClass::name).toList());
+      requestClasses.add(readClass(section, name));
     }
-    return types.isEmpty() ? usualClasses() : List.copyOf(types);
+    return requestClasses.isEmpty() ? defaultClasses() : List.copyOf(requestClasses);
   }
 
-  private static List<Scenario.Type> usualClasses() {
+  private static List<Scenario.RequestClass> defaultClasses() {
     return List.of(
-        new Scenario.Type(
+        new Scenario.RequestClass(
             "level",
             Scenario.Effect.SAFE,
             0.85,
@@ -43,7 +44,7 @@
             1,
             0,
             "all"),
-        new Scenario.Type(
+        new Scenario.RequestClass(
             "correction",
             Scenario.Effect.KEYED,
             0.1,
@@ -54,7 +55,7 @@
             3,
             4 * SECOND_NANOS,
             "all"),
-        new Scenario.Type(
+        new Scenario.RequestClass(
             "alert-ack",
             Scenario.Effect.UNSAFE,
             0.05,
@@ -67,47 +68,54 @@
             "all"));
   }
 
-  private static Scenario.Type readClass(TomlSection section, String name) throws TomlException {
+  private static Scenario.RequestClass readClass(TomlSection section, String name) throws TomlException {
     String effect =
-        section.choice("effect", "safe", ScenarioReader.words(Scenario.Effect.values()));
-    long aim = section.durationNanos("aim", 400 * MILLI_NANOS, MILLI_NANOS);
-    long deadline = section.durationNanos("deadline", 1500 * MILLI_NANOS, MILLI_NANOS);
-    if (deadline < aim) {
+        section.choice(
+            "effect", "safe", ScenarioReader.lowerCaseNames(Scenario.Effect.values()));
+    long latencyObjectiveNanos =
+        section.durationNanos("aim", 400 * MILLI_NANOS, MILLI_NANOS);
+    long deadlineNanos = section.durationNanos("deadline", 1500 * MILLI_NANOS, MILLI_NANOS);
+    if (deadlineNanos < latencyObjectiveNanos) {
       throw section.invalid(
-          "deadline", "before the aim, allowed is " + aim / MILLI_NANOS + "ms or later");
+          "deadline", "before the aim, allowed is "
+              + latencyObjectiveNanos / MILLI_NANOS
+              + "ms or later");
     }
-    return new Scenario.Type(
+    return new Scenario.RequestClass(
         name,
         Scenario.Effect.valueOf(effect.toUpperCase(Locale.ROOT)),
         section.number("share", 1, 0, 1000),
         section.durationNanos("work", 8 * MILLI_NANOS, 0),
         section.integer("size", 400, 0, 65_000),
-        aim,
-        deadline,
+        latencyObjectiveNanos,
+        deadlineNanos,
         section.number("worth", 1, 0, 1000),
         section.durationNanos("window", 4 * SECOND_NANOS, 0),
         section.choice("scope", "all", List.of("all", "zone", "cell")));
   }
 
-  /** Reads the tables {@code [[clients]]}; one stream of all classes where there is none. */
-  List<Scenario.Clients> readClients(List<Scenario.Type> types, ScenarioOutline outline)
+  /** Reads the tables {@code [[clients]]}; returns one stream of all classes if none is given. */
+  List<Scenario.ClientStream> readClientStreams(
+      List<Scenario.RequestClass> requestClasses, ScenarioOutline outline)
       throws TomlException {
-    List<Scenario.Clients> all = new ArrayList<>();
+    List<Scenario.ClientStream> streams = new ArrayList<>();
     for (TomlSection section : file.tables("clients")) {
-      all.add(readStream(section, types, outline));
+      streams.add(readStream(section, requestClasses, outline));
     }
-    return all.isEmpty() ? List.of(usualStream(outline.lengthNanos())) : List.copyOf(all);
+    return streams.isEmpty()
+        ? List.of(defaultStream(outline.lengthNanos()))
+        : List.copyOf(streams);
   }
 
-  private static Scenario.Clients readStream(
-      TomlSection section, List<Scenario.Type> types, ScenarioOutline outline)
+  private static Scenario.ClientStream readStream(
+      TomlSection section, List<Scenario.RequestClass> requestClasses, ScenarioOutline outline)
       throws TomlException {
-    List<String> classes = readClassNames(section, types);
+    List<String> classNames = readClassNames(section, requestClasses);
     long fromNanos = section.durationNanos("from", 0, 0);
     long toNanos = outline.readEnd(section, fromNanos);
-    return new Scenario.Clients(
-        section.number("rate", 100, 0.1, MOST_PER_SECOND),
-        classes,
+    return new Scenario.ClientStream(
+        section.number("rate", 100, 0.1, MAX_REQUESTS_PER_SECOND),
+        classNames,
         section.integer("keys", 400, 1, 10_000_000),
         section.number("skew", 0.9, 0, 3),
         section.integer("retries", 2, 0, 10),
@@ -117,11 +125,11 @@
         fromNanos,
         toNanos,
         readSite(section, outline.routers()),
-        readConduct(section));
+        readConnectionUsage(section));
   }
 
-  private static Scenario.Clients usualStream(long lengthNanos) {
-    return new Scenario.Clients(
+  private static Scenario.ClientStream defaultStream(long lengthNanos) {
+    return new Scenario.ClientStream(
         100,
         List.of(),
         400,
@@ -133,33 +141,34 @@
         0,
         lengthNanos,
         "",
-        Scenario.Conduct.USUAL);
+        Scenario.ConnectionUsage.DEFAULT);
   }
 
-  private static List<String> readClassNames(TomlSection section, List<Scenario.Type> types)
+  private static List<String> readClassNames(
+      TomlSection section, List<Scenario.RequestClass> requestClasses)
       throws TomlException {
-    List<String> known = types.stream().map(Scenario.Type::name).toList();
-    List<String> classes = section.texts("classes", List.of());
-    for (String name : classes) {
-      if (!known.contains(name)) {
+    List<String> knownNames = requestClasses.stream().map(Scenario.RequestClass::name).toList();
+    List<String> classNames = section.texts("classes", List.of());
+    for (String name : classNames) {
+      if (!knownNames.contains(name)) {
         throw section.invalid(
-            "classes", "no class '" + name + "', there are " + String.join(", ", known));
+            "classes", "no class '" + name + "', there are " + String.join(", ", knownNames));
       }
     }
-    return classes;
+    return classNames;
   }
 
-  private static Scenario.Conduct readConduct(TomlSection section) throws TomlException {
-    return new Scenario.Conduct(
-        section.integer("pipeline", 1, 1, MOST_PIPELINED),
+  private static Scenario.ConnectionUsage readConnectionUsage(TomlSection section) throws TomlException {
+    return new Scenario.ConnectionUsage(
+        section.integer("pipeline", 1, 1, MAX_PIPELINED),
         section.number("wrong", 0, 0, 1),
         section.number("pieces", 0, 0, 1),
         section.number("hasty", 0, 0, 1),
         section.number("leaves", 0, 0, 1),
-        section.integer("silent", 0, 0, MOST_SILENT));
+        section.integer("silent", 0, 0, MAX_SILENT_CONNECTIONS));
   }
 
-  /** Returns the name of a site that has routers, or an empty one. */
+  /** Returns the name of a site that has routers, or an empty name if none is given. */
   private static String readSite(TomlSection section, List<Scenario.RouterSpec> routers)
       throws TomlException {
     String site = section.text("site", "");
--- a/src/test/java/beaconturn/rehearsal/AgreementRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/AgreementRehearsalTest.java
@@ -54,14 +54,14 @@
   @TempDir private Path folder;
 
   private static List<String> violatedInvariants(RehearsalReport report) {
-    return report.verdicts().stream()
+    return report.results().stream()
         .filter(result -> !result.held())
         .map(InvariantResult::invariant)
         .toList();
   }
 
   static InvariantResult contradictionResult(RehearsalReport report) {
-    return report.verdicts().stream()
+    return report.results().stream()
         .filter(result -> result.invariant().equals("no-contradiction"))
         .findFirst()
         .orElseThrow();
@@ -78,7 +78,7 @@
           assertTrue(contradictionResult(report).checked() > 0, report.text());
           String log = Files.readString(logs.resolve("r1.log"));
           assertTrue(log.contains("acts on safe ground between version 1 and version 2"), log);
-          ClientStatistics.ClassSummary levelClass = report.classes().get(0);
+          ClientStatistics.ClassSummary levelClass = report.classSummaries().get(0);
           assertTrue(levelClass.served() > levelClass.requests() * 9 / 10, report.text());
         });
   }
@@ -89,7 +89,7 @@
     runShippedScenario(
         "agreement-killed",
         (report, logs) -> {
-          VersionTimeline secondVersion = report.fleet().passages().get(1);
+          VersionTimeline secondVersion = report.agreementSummary().versions().get(1);
           assertTrue(secondVersion.inForceAtNanos() > secondVersion.proposedAtNanos() + 4_000_000_000L, report.text());
           assertTrue(
               Files.readString(logs.resolve("r2.log")).split("agreement: joined as r2/").length
@@ -132,7 +132,7 @@
     runShippedScenario(
         "agreement-lists",
         (report, logs) -> {
-          VersionTimeline version = report.fleet().passages().get(0);
+          VersionTimeline version = report.agreementSummary().versions().get(0);
           assertTrue(version.inForceAtNanos() > version.proposedAtNanos() + 2_000_000_000L, "waits for r3");
           String log = Files.readString(logs.resolve("r3.log"));
           assertTrue(log.contains("has not the list yet that version 1 asks for"), log);
@@ -150,7 +150,7 @@
     runShippedScenario(
         "agreement-effects",
         (report, logs) -> {
-          List<VersionTimeline> versions = report.fleet().passages();
+          List<VersionTimeline> versions = report.agreementSummary().versions();
           assertTrue(versions.get(0).inForceAtNanos() < 0, "no router acts on it");
           assertTrue(versions.get(1).inForceAtNanos() > 0);
           String log = Files.readString(logs.resolve("store.log"));
--- a/src/test/java/beaconturn/rehearsal/DefectiveAgentRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveAgentRehearsalTest.java
@@ -47,7 +47,7 @@
         folder,
         (report, logs) -> {
           InvariantResult result =
-              report.verdicts().stream()
+              report.results().stream()
                   .filter(candidate -> candidate.invariant().equals(invariant))
                   .findFirst()
                   .orElseThrow();
--- a/src/test/java/beaconturn/rehearsal/DefectiveRouterRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveRouterRehearsalTest.java
@@ -90,10 +90,10 @@
         parentFolder,
         (report, logs) -> {
           assertTrue(
-              report.classes().stream().mapToLong(ClientStatistics.ClassSummary::served).sum() > 100,
+              report.classSummaries().stream().mapToLong(ClientStatistics.ClassSummary::served).sum() > 100,
               report.text());
           violated.accept(
-              report.verdicts().stream()
+              report.results().stream()
                   .filter(result -> !result.held())
                   .map(InvariantResult::invariant)
                   .toList());
--- a/src/test/java/beaconturn/rehearsal/RehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/RehearsalTest.java
@@ -28,7 +28,7 @@
         (report, logs) -> {
           assertEquals(
               List.of(),
-              report.verdicts().stream()
+              report.results().stream()
                   .filter(result -> !result.held())
                   .map(InvariantResult::invariant)
                   .toList(),
@@ -71,7 +71,7 @@
             to = "3s"
             """,
         (report, logs) -> {
-          ClientStatistics.ClassSummary levelClass = report.classes().get(0);
+          ClientStatistics.ClassSummary levelClass = report.classSummaries().get(0);
           assertTrue(levelClass.served() > levelClass.requests() * 9 / 10, report.text());
           assertTrue(report.text().contains("no-effect-twice  held"), report.text());
           assertTrue(report.json().contains("\"held\":true"));
@@ -104,7 +104,7 @@
         text.toString(),
         (report, logs) -> {
           InvariantResult coldInvariant =
-              report.verdicts().stream()
+              report.results().stream()
                   .filter(result -> result.invariant().equals("cold-kept"))
                   .findFirst()
                   .orElseThrow();
@@ -136,7 +136,7 @@
             """,
         (report, logs) -> {
           assertTrue(
-              report.classes().stream().mapToLong(ClientStatistics.ClassSummary::undelivered).sum() > 0,
+              report.classSummaries().stream().mapToLong(ClientStatistics.ClassSummary::undelivered).sum() > 0,
               report.text());
           assertEquals(
               2,
--- a/src/test/java/beaconturn/rehearsal/RehearsalTestRunner.java
+++ b/src/test/java/beaconturn/rehearsal/RehearsalTestRunner.java
@@ -39,10 +39,10 @@
         assertions.verify(report, folder);
         return;
       } catch (AssertionFailedError e) {
-        if (run == MAX_RUNS || !report.disturbed()) {
+        if (run == MAX_RUNS || !report.disturbedByPauses()) {
           throw e;
         }
-        System.out.println("rehearsal repeated, " + report.stoodStill() + ": " + e.getMessage());
+        System.out.println("rehearsal repeated, " + report.pauseDescription() + ": " + e.getMessage());
       } catch (IOException e) {
         if (run == MAX_RUNS || !e.getMessage().startsWith("not played as written")) {
           throw e;
--- a/src/test/java/beaconturn/rehearsal/ReleaseRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/ReleaseRehearsalTest.java
@@ -25,7 +25,7 @@
         (report, logs) -> {
           assertEquals(
               List.of(),
-              report.verdicts().stream()
+              report.results().stream()
                   .filter(result -> !result.held())
                   .map(InvariantResult::invariant)
                   .toList(),
@@ -35,7 +35,7 @@
   }
 
   private static List<Integer> changedRouters(RehearsalReport report, boolean released) {
-    return report.entries().stream()
+    return report.events().stream()
         .filter(event -> event instanceof HistoryEvent.VariantChangeBegun change && change.released() == released)
         .map(event -> ((HistoryEvent.VariantChangeBegun) event).router())
         .sorted()
@@ -50,7 +50,7 @@
             .replace("count = 3", "count = 2")
             .replace("length = \"45s\"", "length = \"32s\""),
         (report, logs) -> {
-          assertEquals("done", report.ending(), report.text());
+          assertEquals("done", report.releaseOutcome(), report.text());
           assertEquals(List.of(0, 1, 2, 3), changedRouters(report, true), report.text());
           assertEquals(List.of(), changedRouters(report, false));
         });
@@ -81,7 +81,7 @@
             to = "3s"
             """,
         (report, logs) -> {
-          assertEquals("done", report.ending(), report.text());
+          assertEquals("done", report.releaseOutcome(), report.text());
           assertEquals(2, Files.readString(logs.resolve("r1.log")).split("serves on").length - 1);
         });
   }
@@ -95,10 +95,10 @@
                 .replace("cold_for = \"4s\"", "cold_for = \"2s\"")
             + "wave = [{parts = [\"c1\", \"c3\"]}]\n",
         (report, logs) -> {
-          assertEquals("done", report.ending(), report.text());
+          assertEquals("done", report.releaseOutcome(), report.text());
           assertEquals(
               List.of("c1", "c3"),
-              report.entries().stream()
+              report.events().stream()
                   .filter(event -> event instanceof HistoryEvent.VariantChangeBegun)
                   .map(event -> ((HistoryEvent.VariantChangeBegun) event).instanceId())
                   .toList());
@@ -110,10 +110,10 @@
     runWithoutViolation(
         RehearsalTestRunner.shippedScenario("release-settings").replace("length = \"30s\"", "length = \"20s\""),
         (report, logs) -> {
-          assertEquals("back", report.ending(), report.text());
-          List<VersionTimeline> versions = report.fleet().passages();
+          assertEquals("back", report.releaseOutcome(), report.text());
+          List<VersionTimeline> versions = report.agreementSummary().versions();
           long firstStepNanos =
-              report.entries().stream()
+              report.events().stream()
                   .filter(event -> event instanceof HistoryEvent.VariantChangeBegun)
                   .mapToLong(HistoryEvent::atNanos)
                   .min()
@@ -130,7 +130,7 @@
     runWithoutViolation(
         RehearsalTestRunner.shippedScenario("release-harms"),
         (report, logs) -> {
-          assertEquals("back", report.ending(), report.text());
+          assertEquals("back", report.releaseOutcome(), report.text());
           assertEquals(List.of(0), changedRouters(report, true), report.text());
           assertEquals(List.of(0), changedRouters(report, false), report.text());
           // Any of the agents may have driven the release.
--- a/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
+++ b/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
@@ -29,30 +29,30 @@
   void aStormOfASeedIsAlwaysTheSameScenario() throws TomlException {
     Set<String> kinds = new HashSet<>();
     for (long seed = 1; seed <= 100; seed++) {
-      for (RandomScenario.About about : RandomScenario.About.values()) {
-        assertEquals(RandomScenario.text(about, seed, 5), RandomScenario.text(about, seed, 5));
-        int routers = RandomScenario.of(about, seed, 5).routers().size();
+      for (RandomScenario.Kind about : RandomScenario.Kind.values()) {
+        assertEquals(RandomScenario.generateText(about, seed, 5), RandomScenario.generateText(about, seed, 5));
+        int routers = RandomScenario.generate(about, seed, 5).routers().size();
         // Storms of clients draw how many routers there are.
         assertTrue(
-            about == RandomScenario.About.CLIENTS ? routers >= 3 && routers <= 6 : routers == 5);
+            about == RandomScenario.Kind.CLIENTS ? routers >= 3 && routers <= 6 : routers == 5);
       }
-      RandomScenario.of(RandomScenario.About.CLIENTS, seed, 5)
+      RandomScenario.generate(RandomScenario.Kind.CLIENTS, seed, 5)
           .faults()
           .forEach(f -> kinds.add("of clients " + f.kind().word()));
-      Scenario release = RandomScenario.of(RandomScenario.About.RELEASES, seed, 5);
+      Scenario release = RandomScenario.generate(RandomScenario.Kind.RELEASES, seed, 5);
       release.faults().forEach(f -> kinds.add("of release " + f.kind().word()));
-      release.orders().forEach(o -> kinds.add(o.what()));
-      Scenario storm = RandomScenario.of(RandomScenario.About.VERSIONS, seed, 5);
+      release.operatorCommands().forEach(o -> kinds.add(o.command()));
+      Scenario storm = RandomScenario.generate(RandomScenario.Kind.VERSIONS, seed, 5);
       for (int i = 1; i < storm.versions().size(); i++) {
         // One that shares nothing with the version before it contradicts it.
         assertTrue(
-            storm.versions().get(i - 1).out().stream()
-                .noneMatch(storm.versions().get(i).out()::contains));
+            storm.versions().get(i - 1).excludedServers().stream()
+                .noneMatch(storm.versions().get(i).excludedServers()::contains));
       }
       storm.faults().forEach(fault -> kinds.add(fault.kind().word()));
-      RandomScenario.of(RandomScenario.About.PLACES, seed, 5)
+      RandomScenario.generate(RandomScenario.Kind.PLACES, seed, 5)
           .faults()
-          .forEach(f -> kinds.add("of places " + f.kind().word() + " " + f.way()));
+          .forEach(f -> kinds.add("of places " + f.kind().word() + " " + f.linkDestination()));
     }
     assertTrue(
         kinds.containsAll(
@@ -86,14 +86,14 @@
   @Test
   void anEmptyFileIsAWholeScenario() throws TomlException {
     Scenario scenario = read("");
-    assertEquals(20 * SECOND, scenario.length());
-    assertEquals(6, scenario.fleet().caches());
+    assertEquals(20 * SECOND, scenario.lengthNanos());
+    assertEquals(6, scenario.fleet().cacheServerCount());
     assertEquals(
         List.of("r1", "r2"), scenario.routers().stream().map(Scenario.RouterSpec::name).toList());
     assertEquals(
         Set.of(Scenario.Effect.values()),
-        new HashSet<>(scenario.types().stream().map(Scenario.Type::effect).toList()));
-    assertEquals(1, scenario.clients().size());
+        new HashSet<>(scenario.requestClasses().stream().map(Scenario.RequestClass::effect).toList()));
+    assertEquals(1, scenario.clientStreams().size());
   }
 
   @ParameterizedTest
@@ -160,10 +160,10 @@
   @Test
   void aShareOfTheFleetIsChosenByTheSeed() throws TomlException {
     String text = "[fleet]\ncaches = 40\n[[fault]]\nkind = \"slow\"\nshare = 0.25\n";
-    List<String> chosen = ScenarioReader.read("s", text, 1L).faults().get(0).target();
+    List<String> chosen = ScenarioReader.read("s", text, 1L).faults().get(0).targets();
     assertEquals(10, chosen.size());
-    assertEquals(chosen, ScenarioReader.read("s", text, 1L).faults().get(0).target());
-    assertNotEquals(chosen, ScenarioReader.read("s", text, 2L).faults().get(0).target());
+    assertEquals(chosen, ScenarioReader.read("s", text, 1L).faults().get(0).targets());
+    assertNotEquals(chosen, ScenarioReader.read("s", text, 2L).faults().get(0).targets());
   }
 
   @Test
@@ -176,8 +176,8 @@
         Math.abs(plan.size() - 1000) < 150, plan.size() + " requests where 1000 are expected");
     long last = 0;
     for (ScheduledRequest p : plan) {
-      assertTrue(p.at() >= last && p.at() < 10 * SECOND);
-      last = p.at();
+      assertTrue(p.atNanos() >= last && p.atNanos() < 10 * SECOND);
+      last = p.atNanos();
     }
   }
 
@@ -192,10 +192,10 @@
         plan.stream()
             .allMatch(
                 p ->
-                    p.type().name().equals("level")
-                        ? p.at() < 5 * SECOND
-                        : p.at() >= 6 * SECOND && p.at() < 8 * SECOND));
-    assertEquals(2, plan.stream().map(p -> p.type().name()).distinct().count());
+                    p.requestClass().name().equals("level")
+                        ? p.atNanos() < 5 * SECOND
+                        : p.atNanos() >= 6 * SECOND && p.atNanos() < 8 * SECOND));
+    assertEquals(2, plan.stream().map(p -> p.requestClass().name()).distinct().count());
   }
 
   /**
@@ -219,9 +219,9 @@
     Scenario scenario = read(text);
     assertEquals(
         List.of("c1", "c2", "c4", "c5"),
-        scenario.fleet().names().stream().filter(n -> scenario.siteOf(n).equals("east")).toList());
-    assertEquals(List.of("east", "west"), scenario.fleet().places());
-    assertEquals("west", scenario.clients().get(0).site());
+        scenario.fleet().cacheServerNames().stream().filter(n -> scenario.siteOf(n).equals("east")).toList());
+    assertEquals(List.of("east", "west"), scenario.fleet().distinctSites());
+    assertEquals("west", scenario.clientStreams().get(0).site());
     assertEquals(
         "s.toml:10: clients[0].site: no router stands in 'east', they stand in west",
         assertThrows(
--- a/src/test/java/beaconturn/rehearsal/ZoneRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZoneRehearsalTest.java
@@ -75,14 +75,14 @@
   @TempDir private Path folder;
 
   private static List<HistoryEvent.ZonePlanInForce> plans(RehearsalReport report) {
-    return report.entries().stream()
+    return report.events().stream()
         .filter(event -> event instanceof HistoryEvent.ZonePlanInForce)
         .map(event -> (HistoryEvent.ZonePlanInForce) event)
         .toList();
   }
 
   private static List<String> violatedInvariants(RehearsalReport report) {
-    return report.verdicts().stream()
+    return report.results().stream()
         .filter(result -> !result.held())
         .map(InvariantResult::invariant)
         .toList();
@@ -100,13 +100,13 @@
           assertTrue(
               !plans.isEmpty() && plans.get(0).weights().get("east").get("east") <= 50,
               report.text());
-          long decidedAfterNanos = plans.get(0).atNanos() - report.start();
+          long decidedAfterNanos = plans.get(0).atNanos() - report.startNanos();
           assertTrue(decidedAfterNanos < 9_000_000_000L, "within five seconds: " + decidedAfterNanos);
           // The processes have to match the simulated fail-over.
           long simulatedNanos =
               SimulatedFailover.decidedAfter(report.scenario().agreement().timing(), 3, 1, 50);
           assertTrue(
-              Math.abs(report.crossings().decidedAfterNanos() - simulatedNanos) < MARGIN_NANOS,
+              Math.abs(report.zoneCrossings().decidedAfterNanos() - simulatedNanos) < MARGIN_NANOS,
               "in the model after " + simulatedNanos + " ns\n" + report.text());
         });
   }
@@ -135,7 +135,7 @@
           } else {
             assertEquals(List.of("kept-near", "one-decision"), violatedInvariants(report), report.text());
             assertTrue(
-                report.verdicts().stream()
+                report.results().stream()
                     .flatMap(result -> result.violations().stream())
                     .allMatch(
                         violation ->
