--- a/src/main/java/beaconturn/rehearsal/RandomClientScenario.java
+++ b/src/main/java/beaconturn/rehearsal/RandomClientScenario.java
@@ -10,31 +10,34 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Scenarios made of chance about clients and their connections: a few routers, signals in series,
- * cache servers that fail or drain, discovery away, and clients that send many commands at once,
- * wrong ones among them, in pieces, with little time, or leave over what is open. A seed always
- * makes the same one.
+ * Generates random scenarios about client connections: a few routers that get series of signals,
+ * cache servers that fail or drain, discovery that fails, and clients that pipeline commands, send
+ * invalid ones, split writes, use short timeouts or disconnect with open requests. The same seed
+ * always generates the same scenario, so the order and number of random draws must not change.
  */
 final class RandomClientScenario {
   private static final int LENGTH_MILLIS = 8000;
-  private static final int CALM_MILLIS = 400;
-  private static final int LAST_MILLIS = 6500;
-  private static final int LONGEST_FAULT_MILLIS = 2500;
-  private static final int FEWEST_ROUTERS = 3;
-  private static final int MORE_ROUTERS = 4;
-  private static final int CACHES = 6;
-  private static final int FEWEST_FAULTS = 4;
-  private static final int MORE_FAULTS = 6;
-  private static final int MOST_RELOADS = 4;
-  private static final int RELOADS_APART_MILLIS = 350;
-  private static final int RATE = 40;
-
-  /** Descriptors that leave room for a few dozen clients, and more silent ones than have room. */
-  private static final int FEW_SOCKETS = 192;
-
-  private static final int MANY_SOCKETS = 1024;
-  private static final int CROWD = 90;
-  private static final List<Fault.Kind> OF_ROUTERS =
+
+  /** Minimal time before the first fault, and minimal length of faults. */
+  private static final int MIN_INTERVAL_MILLIS = 400;
+
+  private static final int LATEST_FAULT_START_MILLIS = 6500;
+  private static final int FAULT_LENGTH_RANGE_MILLIS = 2500;
+  private static final int MIN_ROUTERS = 3;
+  private static final int ROUTER_COUNT_RANGE = 4;
+  private static final int CACHE_SERVER_COUNT = 6;
+  private static final int MIN_FAULTS = 4;
+  private static final int FAULT_COUNT_RANGE = 6;
+  private static final int MAX_RELOADS = 4;
+  private static final int RELOAD_INTERVAL_MILLIS = 350;
+  private static final int REQUESTS_PER_SECOND_PER_ROUTER = 40;
+
+  /** Enough sockets for a few dozen clients, but not for all silent connections. */
+  private static final int LIMITED_SOCKETS = 192;
+
+  private static final int DEFAULT_SOCKETS = 1024;
+  private static final int SILENT_CONNECTIONS = 90;
+  private static final List<Fault.Kind> ROUTER_FAULT_KINDS =
       List.of(
           Fault.Kind.ROUTER_TERM,
           Fault.Kind.ROUTER_TERM,
@@ -43,7 +46,7 @@
           Fault.Kind.ROUTER_PAUSE,
           Fault.Kind.ROUTER_RELOAD,
           Fault.Kind.ROUTER_RELOAD);
-  private static final List<Fault.Kind> AROUND =
+  private static final List<Fault.Kind> ENVIRONMENT_FAULT_KINDS =
       List.of(
           Fault.Kind.STALL,
           Fault.Kind.SLOW,
@@ -59,42 +62,42 @@
           Fault.Kind.KILL,
           Fault.Kind.DISCOVERY_OUT,
           Fault.Kind.DISCOVERY_SLOW);
-  private static final List<Integer> PIPELINES = List.of(2, 4, 8, 16, 32);
+  private static final List<Integer> PIPELINE_DEPTHS = List.of(2, 4, 8, 16, 32);
 
   private final UniformRandomProvider random;
   private final StringBuilder out = new StringBuilder();
-  private final Set<String> struck = new HashSet<>();
-  private int routers;
+  private final Set<String> affectedInstances = new HashSet<>();
+  private int routerCount;
 
   private RandomClientScenario(long seed) {
     this.random = new RandomSources(seed).of("client storm");
   }
 
-  /** The scenario of a seed, as a file. */
-  static String text(long seed) {
-    RandomClientScenario storm = new RandomClientScenario(seed);
-    storm.write(seed);
-    return storm.out.toString();
+  /** Returns the scenario file of a seed. */
+  static String generateText(long seed) {
+    RandomClientScenario generator = new RandomClientScenario(seed);
+    generator.write(seed);
+    return generator.out.toString();
   }
 
   private void write(long seed) {
-    routers = FEWEST_ROUTERS + random.nextInt(MORE_ROUTERS);
-    boolean crowded = random.nextInt(3) == 0;
-    boolean hurried = random.nextBoolean();
+    routerCount = MIN_ROUTERS + random.nextInt(ROUTER_COUNT_RANGE);
+    boolean manyConnections = random.nextInt(3) == 0;
+    boolean shortDeadlines = random.nextBoolean();
     line("name = \"client-storm-%d\"", seed);
     line("seed = %d", seed);
     line("length = \"%dms\"", LENGTH_MILLIS);
-    classes(hurried);
-    line("[fleet]%ncaches = %d%ncold_for = \"1s\"", CACHES);
+    writeClasses(shortDeadlines);
+    line("[fleet]%ncaches = %d%ncold_for = \"1s\"", CACHE_SERVER_COUNT);
     line("[settings]%nconn_idle = \"%dms\"", 300 + random.nextInt(3000));
-    line("[[router]]%ncount = %d%nsockets = %d", routers, crowded ? FEW_SOCKETS : MANY_SOCKETS);
-    clients(crowded);
-    int faults = FEWEST_FAULTS + random.nextInt(MORE_FAULTS);
+    line("[[router]]%ncount = %d%nsockets = %d", routerCount, manyConnections ? LIMITED_SOCKETS : DEFAULT_SOCKETS);
+    writeClientStreams(manyConnections);
+    int faults = MIN_FAULTS + random.nextInt(FAULT_COUNT_RANGE);
     for (int i = 0; i < faults; i++) {
       if (random.nextBoolean()) {
-        routerFault(OF_ROUTERS.get(random.nextInt(OF_ROUTERS.size())));
+        writeRouterFault(ROUTER_FAULT_KINDS.get(random.nextInt(ROUTER_FAULT_KINDS.size())));
       } else {
-        fault(AROUND.get(random.nextInt(AROUND.size())));
+        writeFault(ENVIRONMENT_FAULT_KINDS.get(random.nextInt(ENVIRONMENT_FAULT_KINDS.size())));
       }
     }
   }
@@ -103,76 +106,77 @@
     out.append(String.format(Locale.ROOT, format, values)).append(System.lineSeparator());
   }
 
-  /** Short deadlines bring the kill after a planned stop soon. */
-  private void classes(boolean hurried) {
-    int deadline = hurried ? 150 + random.nextInt(350) : 800 + random.nextInt(1200);
-    type("level", "safe", 0.8, deadline, 400);
-    type("correction", "keyed", 0.12, deadline * 3 / 2, 1 + random.nextInt(9000));
-    type("alert-ack", "unsafe", 0.08, deadline * 3 / 2, 100);
+  /** With short deadlines a router is killed soon after a planned stop. */
+  private void writeClasses(boolean shortDeadlines) {
+    int deadlineMillis = shortDeadlines ? 150 + random.nextInt(350) : 800 + random.nextInt(1200);
+    writeClass("level", "safe", 0.8, deadlineMillis, 400);
+    writeClass("correction", "keyed", 0.12, deadlineMillis * 3 / 2, 1 + random.nextInt(9000));
+    writeClass("alert-ack", "unsafe", 0.08, deadlineMillis * 3 / 2, 100);
   }
 
-  private void type(String name, String effect, double share, int deadline, int size) {
+  private void writeClass(
+      String name, String effect, double trafficShare, int deadlineMillis, int valueBytes) {
     line(
         "[[class]]%nname = \"%s\"%neffect = \"%s\"%nshare = %.2f%naim = \"%dms\"%ndeadline"
             + " = \"%dms\"%n"
             + "size = %d",
-        name, effect, share, deadline / 2, deadline, size);
+        name, effect, trafficShare, deadlineMillis / 2, deadlineMillis, valueBytes);
   }
 
-  private void clients(boolean crowded) {
+  private void writeClientStreams(boolean manyConnections) {
     line(
         "[[clients]]%nrate = %d%ntry_share = 0.9%npipeline = %d%nwrong = %.2f%npieces = %.2f%n"
             + "hasty = %.2f%nleaves = %.2f%nsilent = %d",
-        RATE * routers,
-        PIPELINES.get(random.nextInt(PIPELINES.size())),
+        REQUESTS_PER_SECOND_PER_ROUTER * routerCount,
+        PIPELINE_DEPTHS.get(random.nextInt(PIPELINE_DEPTHS.size())),
         random.nextDouble() / 2,
         random.nextDouble() / 2,
         random.nextDouble() / 10,
         random.nextDouble() / 20,
-        crowded ? CROWD : 0);
-    line("[[clients]]%nrate = %d", RATE * routers / 4);
+        manyConnections ? SILENT_CONNECTIONS : 0);
+    line("[[clients]]%nrate = %d", REQUESTS_PER_SECOND_PER_ROUTER * routerCount / 4);
   }
 
-  private void routerFault(Fault.Kind kind) {
-    String router = "r" + (1 + random.nextInt(routers));
-    int from = CALM_MILLIS + random.nextInt(LAST_MILLIS - CALM_MILLIS);
-    int to = Math.min(LENGTH_MILLIS, from + CALM_MILLIS + random.nextInt(LONGEST_FAULT_MILLIS));
+  private void writeRouterFault(Fault.Kind kind) {
+    String router = "r" + (1 + random.nextInt(routerCount));
+    int fromMillis = MIN_INTERVAL_MILLIS + random.nextInt(LATEST_FAULT_START_MILLIS - MIN_INTERVAL_MILLIS);
+    int toMillis = Math.min(LENGTH_MILLIS, fromMillis + MIN_INTERVAL_MILLIS + random.nextInt(FAULT_LENGTH_RANGE_MILLIS));
     if (kind == Fault.Kind.ROUTER_RELOAD) {
-      int series = 1 + random.nextInt(MOST_RELOADS);
-      for (int i = 0; i < series; i++) {
-        int at = Math.min(LENGTH_MILLIS - 1, from + i * RELOADS_APART_MILLIS);
-        fault(kind, at, Math.min(LENGTH_MILLIS, at + RELOADS_APART_MILLIS / 2), router);
+      int reloads = 1 + random.nextInt(MAX_RELOADS);
+      for (int i = 0; i < reloads; i++) {
+        int atMillis = Math.min(LENGTH_MILLIS - 1, fromMillis + i * RELOAD_INTERVAL_MILLIS);
+        writeFault(kind, atMillis, Math.min(LENGTH_MILLIS, atMillis + RELOAD_INTERVAL_MILLIS / 2), router);
       }
-    } else if (struck.add(router)) {
-      // One process is not told to stop, killed and made to stand still at the same time.
-      fault(kind, from, to, router);
+    } else if (affectedInstances.add(router)) {
+      // One fault per router process: a killed router cannot be terminated or paused.
+      writeFault(kind, fromMillis, toMillis, router);
     }
   }
 
-  private void fault(Fault.Kind kind) {
-    int from = CALM_MILLIS + random.nextInt(LAST_MILLIS - CALM_MILLIS);
-    int to = Math.min(LENGTH_MILLIS, from + CALM_MILLIS + random.nextInt(LONGEST_FAULT_MILLIS));
+  private void writeFault(Fault.Kind kind) {
+    int fromMillis = MIN_INTERVAL_MILLIS + random.nextInt(LATEST_FAULT_START_MILLIS - MIN_INTERVAL_MILLIS);
+    int toMillis = Math.min(LENGTH_MILLIS, fromMillis + MIN_INTERVAL_MILLIS + random.nextInt(FAULT_LENGTH_RANGE_MILLIS));
     if (kind.target() != Fault.Target.CACHE) {
-      fault(kind, from, to);
+      writeFault(kind, fromMillis, toMillis);
       return;
     }
     List<String> names = new ArrayList<>();
-    for (int i = 1 + random.nextInt(CACHES / 3); i > 0; i--) {
-      String name = Scenario.cacheName(random.nextInt(CACHES));
-      // What has been killed or drained cannot be again meanwhile.
-      if (struck.add(name)) {
+    for (int i = 1 + random.nextInt(CACHE_SERVER_COUNT / 3); i > 0; i--) {
+      String name = Scenario.cacheServerName(random.nextInt(CACHE_SERVER_COUNT));
+      // One fault per server: a killed or drained server cannot be killed or drained again.
+      if (affectedInstances.add(name)) {
         names.add(name);
       }
     }
     if (!names.isEmpty()) {
-      fault(kind, from, to, names.toArray(String[]::new));
+      writeFault(kind, fromMillis, toMillis, names.toArray(String[]::new));
     }
   }
 
-  private void fault(Fault.Kind kind, int from, int to, String... on) {
-    line("[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"", kind.word(), from, to);
-    if (on.length > 0) {
-      line("on = %s", ScenarioPrinter.words(List.of(on)));
+  private void writeFault(Fault.Kind kind, int fromMillis, int toMillis, String... targets) {
+    line("[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"", kind.word(), fromMillis, toMillis);
+    if (targets.length > 0) {
+      line("on = %s", ScenarioPrinter.quotedList(List.of(targets)));
     }
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ShippedScenarios.java
+++ b/src/main/java/beaconturn/rehearsal/ShippedScenarios.java
@@ -8,44 +8,44 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Scenario files as the command line shows them. */
+/** Scenario files, and folders of rehearsals, as the command line uses them. */
 public final class ShippedScenarios {
   private ShippedScenarios() {}
 
-  /** A line for each scenario of a folder: its file and what it is about. */
+  /** Returns a line for each scenario of a folder, with its file and what it is about. */
   public static String list(Path folder) throws IOException, TomlException {
-    StringBuilder out = new StringBuilder();
+    StringBuilder lines = new StringBuilder();
     for (Path file : files(folder)) {
       Scenario scenario = ScenarioReader.read(file.toString(), Files.readString(file), null);
-      out.append(String.format("%-45s %s%n", file, scenario.about()));
+      lines.append(String.format("%-45s %s%n", file, scenario.about()));
     }
-    return out.toString();
+    return lines.toString();
   }
 
-  /** The scenario files of a folder by name. */
+  /** Returns the scenario files of a folder, sorted by path. */
   public static List<Path> files(Path folder) throws IOException {
-    try (Stream<Path> all = Files.list(folder)) {
-      return all.filter(file -> file.toString().endsWith(".toml")).sorted().toList();
+    try (Stream<Path> paths = Files.list(folder)) {
+      return paths.filter(file -> file.toString().endsWith(".toml")).sorted().toList();
     }
   }
 
-  /** A scenario as a file that names every key. */
+  /** Returns the scenario as a file that contains all keys, defaults included. */
   public static String explain(Scenario scenario) {
-    return ScenarioPrinter.of(scenario);
+    return ScenarioPrinter.print(scenario);
   }
 
-  /** The logs in a folder of a play. */
+  /** Returns the log files in the folder of a rehearsal, sorted by path. */
   public static List<Path> logs(Path folder) throws IOException {
-    try (Stream<Path> all = Files.list(folder)) {
-      return all.filter(file -> file.toString().endsWith(".log")).sorted().toList();
+    try (Stream<Path> paths = Files.list(folder)) {
+      return paths.filter(file -> file.toString().endsWith(".log")).sorted().toList();
     }
   }
 
-  /** Deletes a folder and what is in it. */
+  /** Deletes a folder and its contents. */
   public static void delete(Path folder) throws IOException {
-    try (Stream<Path> all = Files.walk(folder)) {
-      for (Path file : all.sorted(Comparator.reverseOrder()).toList()) {
-        Files.delete(file);
+    try (Stream<Path> paths = Files.walk(folder)) {
+      for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
+        Files.delete(path);
       }
     }
   }
