--- a/src/test/java/beaconturn/rehearsal/FaultCommandsTest.java
+++ b/src/test/java/beaconturn/rehearsal/FaultCommandsTest.java
@@ -13,67 +13,68 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Fault injection commands of operators to stand-ins. */
 class FaultCommandsTest {
-  private static final long SECOND = 1_000_000_000L;
-  private final EventScheduler agenda = new EventScheduler(0);
-  private final EmulatedFleet world;
-  private final FaultCommands orders;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+  private final EventScheduler scheduler = new EventScheduler(0);
+  private final EmulatedFleet fleet;
+  private final FaultCommands commands;
 
   FaultCommandsTest() throws TomlException {
-    world =
+    fleet =
         new EmulatedFleet(
-            agenda,
+            scheduler,
             ScenarioReader.read("s", "[fleet]\ncaches = 3", null).world(),
             new RandomSources(1),
             HistoryRecorder.NONE);
-    orders = new FaultCommands(world);
+    commands = new FaultCommands(fleet);
   }
 
-  private void pass(long nanos) {
-    agenda.advance(agenda.now() + nanos);
+  private void advance(long nanos) {
+    scheduler.advance(scheduler.now() + nanos);
   }
 
   private String status() {
-    return orders.run("status").replaceAll(" +", " ");
+    return commands.run("status").replaceAll(" +", " ");
   }
 
   @Test
-  void anOrderBeginsAtItsTimeAndEndsAfterItsLength() {
+  void faultStartsAfterDelayAndEndsAfterDuration() {
     assertEquals(
-        "ok: stall at 1 cache servers in 4000 ms for 2000 ms", orders.run("stall c2 in 4s for 2s"));
-    pass(4 * SECOND - 1);
-    assertFalse(world.at(1).faults().stalled());
-    pass(1);
-    assertTrue(world.at(1).faults().stalled());
-    assertFalse(world.at(0).faults().stalled());
-    pass(2 * SECOND);
-    assertFalse(world.at(1).faults().stalled());
+        "ok: stall at 1 cache servers in 4000 ms for 2000 ms", commands.run("stall c2 in 4s for 2s"));
+    advance(4 * NANOS_PER_SECOND - 1);
+    assertFalse(fleet.at(1).faults().stalled());
+    advance(1);
+    assertTrue(fleet.at(1).faults().stalled());
+    assertFalse(fleet.at(0).faults().stalled());
+    advance(2 * NANOS_PER_SECOND);
+    assertFalse(fleet.at(1).faults().stalled());
   }
 
   @Test
-  void amountsAreFactorsPartsOrTimesAsTheKindHasThem() {
-    orders.run("slow c1 8");
-    orders.run("errors all 0.25");
-    orders.run("drain-late c3 2s");
-    pass(0);
+  void amountIsFactorShareOrDelayDependingOnKind() {
+    commands.run("slow c1 8");
+    commands.run("errors all 0.25");
+    commands.run("drain-late c3 2s");
+    advance(0);
     assertTrue(status().contains("c1 slow 8.0, errors 0.25 "), status());
     assertTrue(status().contains("c3 draining, errors 0.25 "), status());
-    assertEquals(4, world.discovery().version());
-    pass(2 * SECOND);
-    assertEquals(5, world.discovery().version(), "listed two seconds later");
+    assertEquals(4, fleet.discovery().version());
+    advance(2 * NANOS_PER_SECOND);
+    assertEquals(5, fleet.discovery().version(), "discovery lists the server as draining after the delay");
   }
 
   @Test
-  void healEndsWhatIsWrongAndStartsTheDeadCold() {
-    orders.run("kill c1");
-    orders.run("vanish c2");
-    orders.run("origin-stop");
-    pass(SECOND);
+  void healEndsFaultsAndRestartsKilledServerCold() {
+    commands.run("kill c1");
+    commands.run("vanish c2");
+    commands.run("origin-stop");
+    advance(NANOS_PER_SECOND);
     assertTrue(status().contains("c1 dead "), status());
     assertTrue(status().contains("c2 vanished "), status());
-    orders.run("heal c1");
+    commands.run("heal c1");
     assertTrue(status().contains("c1 cold "), status());
-    assertEquals("ok: all is well", orders.run("heal all"));
+    assertEquals("ok: all is well", commands.run("heal all"));
     assertTrue(status().contains("c2 well "), status());
   }
 
@@ -92,10 +93,10 @@
         "slow c1 3 now | error: not understood: 'now'",
         "drain-late c1 5 | error: '5' is no time"
       })
-  void aWrongOrderSaysWhatIsWrongAndChangesNothing(String line, String answer) {
-    String before = status();
-    assertEquals(answer, orders.run(line));
-    pass(SECOND);
-    assertEquals(before, status());
+  void invalidCommandReturnsErrorAndChangesNothing(String command, String error) {
+    String previousStatus = status();
+    assertEquals(error, commands.run(command));
+    advance(NANOS_PER_SECOND);
+    assertEquals(previousStatus, status());
   }
 }
--- a/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
+++ b/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
@@ -18,44 +18,51 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Reading, printing and generating scenarios, and the schedule of their requests. */
 class ScenarioReaderTest {
-  private static final long SECOND = 1_000_000_000L;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
   private static Scenario read(String text) throws TomlException {
     return ScenarioReader.read("s.toml", text, null);
   }
 
   @Test
-  void aStormOfASeedIsAlwaysTheSameScenario() throws TomlException {
-    Set<String> kinds = new HashSet<>();
+  void sameSeedGeneratesSameRandomScenario() throws TomlException {
+    Set<String> generated = new HashSet<>();
     for (long seed = 1; seed <= 100; seed++) {
-      for (RandomScenario.Kind about : RandomScenario.Kind.values()) {
-        assertEquals(RandomScenario.generateText(about, seed, 5), RandomScenario.generateText(about, seed, 5));
-        int routers = RandomScenario.generate(about, seed, 5).routers().size();
-        // Storms of clients draw how many routers there are.
+      for (RandomScenario.Kind kind : RandomScenario.Kind.values()) {
+        assertEquals(
+            RandomScenario.generateText(kind, seed, 5), RandomScenario.generateText(kind, seed, 5));
+        int routerCount = RandomScenario.generate(kind, seed, 5).routers().size();
+        // Scenarios about clients draw the number of routers themselves.
         assertTrue(
-            about == RandomScenario.Kind.CLIENTS ? routers >= 3 && routers <= 6 : routers == 5);
+            kind == RandomScenario.Kind.CLIENTS
+                ? routerCount >= 3 && routerCount <= 6
+                : routerCount == 5);
       }
       RandomScenario.generate(RandomScenario.Kind.CLIENTS, seed, 5)
           .faults()
-          .forEach(f -> kinds.add("of clients " + f.kind().word()));
-      Scenario release = RandomScenario.generate(RandomScenario.Kind.RELEASES, seed, 5);
-      release.faults().forEach(f -> kinds.add("of release " + f.kind().word()));
-      release.operatorCommands().forEach(o -> kinds.add(o.command()));
-      Scenario storm = RandomScenario.generate(RandomScenario.Kind.VERSIONS, seed, 5);
-      for (int i = 1; i < storm.versions().size(); i++) {
-        // One that shares nothing with the version before it contradicts it.
+          .forEach(fault -> generated.add("of clients " + fault.kind().word()));
+      Scenario releaseScenario = RandomScenario.generate(RandomScenario.Kind.RELEASES, seed, 5);
+      releaseScenario.faults().forEach(fault -> generated.add("of release " + fault.kind().word()));
+      releaseScenario.operatorCommands().forEach(spec -> generated.add(spec.command()));
+      Scenario versionScenario = RandomScenario.generate(RandomScenario.Kind.VERSIONS, seed, 5);
+      for (int i = 1; i < versionScenario.versions().size(); i++) {
+        // Versions that exclude disjoint sets of servers contradict each other.
         assertTrue(
-            storm.versions().get(i - 1).excludedServers().stream()
-                .noneMatch(storm.versions().get(i).excludedServers()::contains));
+            versionScenario.versions().get(i - 1).excludedServers().stream()
+                .noneMatch(versionScenario.versions().get(i).excludedServers()::contains));
       }
-      storm.faults().forEach(fault -> kinds.add(fault.kind().word()));
+      versionScenario.faults().forEach(fault -> generated.add(fault.kind().word()));
       RandomScenario.generate(RandomScenario.Kind.PLACES, seed, 5)
           .faults()
-          .forEach(f -> kinds.add("of places " + f.kind().word() + " " + f.linkDestination()));
+          .forEach(
+              fault ->
+                  generated.add(
+                      "of places " + fault.kind().word() + " " + fault.linkDestination()));
     }
     assertTrue(
-        kinds.containsAll(
+        generated.containsAll(
             List.of(
                 "of clients router-reload",
                 "of clients router-term",
@@ -63,9 +70,9 @@
                 "of clients router-pause",
                 "of clients drain",
                 "of clients discovery-out")),
-        kinds.toString());
+        generated.toString());
     assertTrue(
-        kinds.containsAll(
+        generated.containsAll(
             List.of(
                 "link-cut",
                 "site-cut",
@@ -80,13 +87,13 @@
                 "budget",
                 "halt",
                 "back")),
-        kinds.toString());
+        generated.toString());
   }
 
   @Test
-  void anEmptyFileIsAWholeScenario() throws TomlException {
+  void emptyFileYieldsDefaultScenario() throws TomlException {
     Scenario scenario = read("");
-    assertEquals(20 * SECOND, scenario.lengthNanos());
+    assertEquals(20 * NANOS_PER_SECOND, scenario.lengthNanos());
     assertEquals(6, scenario.fleet().cacheServerCount());
     assertEquals(
         List.of("r1", "r2"), scenario.routers().stream().map(Scenario.RouterSpec::name).toList());
@@ -131,78 +138,80 @@
         "[agreement];[[version]];after = \"r9 says yes to version 1\" | s.toml:3: version[0].after:"
             + " there is no router 'r9'"
       })
-  void whatIsWrongIsOneLineWithFileLineAndKey(String text, String line) {
-    TomlException e = assertThrows(TomlException.class, () -> read(text.replace(';', '\n')));
-    assertTrue(e.getMessage().startsWith(line), e.getMessage());
-    assertEquals(1, e.getMessage().lines().count());
+  void reportsInvalidValueInOneLineWithFileLineAndKey(String text, String expectedStart) {
+    TomlException exception =
+        assertThrows(TomlException.class, () -> read(text.replace(';', '\n')));
+    assertTrue(exception.getMessage().startsWith(expectedStart), exception.getMessage());
+    assertEquals(1, exception.getMessage().lines().count());
   }
 
   @Test
-  void everyShippedScenarioIsReadTheSameFromItsExplanation() throws TomlException, IOException {
+  void explanationOfShippedScenarioReadsBackEqual() throws TomlException, IOException {
     List<Path> files = ShippedScenarios.files(Path.of("examples", "rehearsals"));
-    Set<Fault.Kind> kinds = new HashSet<>();
+    Set<Fault.Kind> coveredKinds = new HashSet<>();
     for (Path file : files) {
       Scenario scenario = ScenarioReader.read(file.toString(), Files.readString(file), null);
       assertTrue(
-          Files.readString(file).startsWith("#"), file + " says nothing of what is to be seen");
+          Files.readString(file).startsWith("#"), file + " has no comment on what it shows");
       assertEquals(scenario, read(ShippedScenarios.explain(scenario)), file.toString());
-      scenario.faults().forEach(fault -> kinds.add(fault.kind()));
+      scenario.faults().forEach(fault -> coveredKinds.add(fault.kind()));
     }
     assertTrue(files.size() >= 12);
     assertEquals(
         Set.of(),
         Arrays.stream(Fault.Kind.values())
-            .filter(k -> !kinds.contains(k))
+            .filter(kind -> !coveredKinds.contains(kind))
             .collect(java.util.stream.Collectors.toSet()),
-        "kinds of fault that no scenario plays");
+        "fault kinds that no shipped scenario contains");
   }
 
   @Test
-  void aShareOfTheFleetIsChosenByTheSeed() throws TomlException {
+  void seedSelectsTargetsOfFaultWithShare() throws TomlException {
     String text = "[fleet]\ncaches = 40\n[[fault]]\nkind = \"slow\"\nshare = 0.25\n";
-    List<String> chosen = ScenarioReader.read("s", text, 1L).faults().get(0).targets();
-    assertEquals(10, chosen.size());
-    assertEquals(chosen, ScenarioReader.read("s", text, 1L).faults().get(0).targets());
-    assertNotEquals(chosen, ScenarioReader.read("s", text, 2L).faults().get(0).targets());
+    List<String> targets = ScenarioReader.read("s", text, 1L).faults().get(0).targets();
+    assertEquals(10, targets.size());
+    assertEquals(targets, ScenarioReader.read("s", text, 1L).faults().get(0).targets());
+    assertNotEquals(targets, ScenarioReader.read("s", text, 2L).faults().get(0).targets());
   }
 
   @Test
-  void theSameSeedPlansTheSameRequests() throws TomlException {
+  void sameSeedSchedulesSameRequests() throws TomlException {
     Scenario scenario = read("length = \"10s\"");
-    List<ScheduledRequest> plan = RequestSchedule.of(scenario);
-    assertEquals(plan, RequestSchedule.of(scenario));
-    assertNotEquals(plan, RequestSchedule.of(ScenarioReader.read("s", "length = \"10s\"", 2L)));
+    List<ScheduledRequest> schedule = RequestSchedule.of(scenario);
+    assertEquals(schedule, RequestSchedule.of(scenario));
+    assertNotEquals(schedule, RequestSchedule.of(ScenarioReader.read("s", "length = \"10s\"", 2L)));
     assertTrue(
-        Math.abs(plan.size() - 1000) < 150, plan.size() + " requests where 1000 are expected");
-    long last = 0;
-    for (ScheduledRequest p : plan) {
-      assertTrue(p.atNanos() >= last && p.atNanos() < 10 * SECOND);
-      last = p.atNanos();
+        Math.abs(schedule.size() - 1000) < 150, schedule.size() + " requests where 1000 are expected");
+    long previousNanos = 0;
+    for (ScheduledRequest request : schedule) {
+      assertTrue(
+          request.atNanos() >= previousNanos && request.atNanos() < 10 * NANOS_PER_SECOND);
+      previousNanos = request.atNanos();
     }
   }
 
   @Test
-  void streamsKeepToTheirTimesAndClasses() throws TomlException {
-    List<ScheduledRequest> plan =
+  void streamsSendOnlyTheirClassesWithinTheirPeriod() throws TomlException {
+    List<ScheduledRequest> schedule =
         RequestSchedule.of(
             read(
                 "[[clients]]\nclasses = [\"level\"]\nto = \"5s\"\n"
                     + "[[clients]]\nclasses = [\"alert-ack\"]\nfrom = \"6s\"\nto = \"8s\"\n"));
     assertTrue(
-        plan.stream()
+        schedule.stream()
             .allMatch(
-                p ->
-                    p.requestClass().name().equals("level")
-                        ? p.atNanos() < 5 * SECOND
-                        : p.atNanos() >= 6 * SECOND && p.atNanos() < 8 * SECOND));
-    assertEquals(2, plan.stream().map(p -> p.requestClass().name()).distinct().count());
+                request ->
+                    request.requestClass().name().equals("level")
+                        ? request.atNanos() < 5 * NANOS_PER_SECOND
+                        : request.atNanos() >= 6 * NANOS_PER_SECOND
+                            && request.atNanos() < 8 * NANOS_PER_SECOND));
+    assertEquals(
+        2, schedule.stream().map(request -> request.requestClass().name()).distinct().count());
   }
 
-  /**
-   * A site that is named twice has twice the cache servers; clients of a site keep to its routers.
-   */
+  /** A site that is listed twice has twice as many cache servers as one that is listed once. */
   @Test
-  void placesMayBeUnequalAndOfSeveralRegions() throws TomlException {
+  void readsSitesOfUnequalSizeAndSeveralRegions() throws TomlException {
     String text =
         """
             [fleet]
@@ -219,7 +228,9 @@
     Scenario scenario = read(text);
     assertEquals(
         List.of("c1", "c2", "c4", "c5"),
-        scenario.fleet().cacheServerNames().stream().filter(n -> scenario.siteOf(n).equals("east")).toList());
+        scenario.fleet().cacheServerNames().stream()
+            .filter(server -> scenario.siteOf(server).equals("east"))
+            .toList());
     assertEquals(List.of("east", "west"), scenario.fleet().distinctSites());
     assertEquals("west", scenario.clientStreams().get(0).site());
     assertEquals(
