--- a/src/main/java/beaconturn/rehearsal/AgreementSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/AgreementSectionReader.java
@@ -7,8 +7,8 @@
 
 /** Reads the agreement, the configuration versions and the zones of a scenario. */
 final class AgreementSectionReader {
-  private static final long MILLI_NANOS = 1_000_000;
-  private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
   private final TomlSection file;
 
   AgreementSectionReader(TomlSection file) {
@@ -22,7 +22,7 @@
     }
     TomlSection section = file.table("agreement");
     return new Scenario.Agreement(
-        section.durationNanos("lease", 2 * SECOND_NANOS, SECOND_NANOS),
+        section.durationNanos("lease", 2 * NANOS_PER_SECOND, NANOS_PER_SECOND),
         section.number("drift", 0.01, 0, 0.2));
   }
 
@@ -51,7 +51,7 @@
       }
     }
     Trigger after = outline.readTrigger(section, "after");
-    long atNanos = section.durationNanos("at", after == null ? 2 * SECOND_NANOS : 0, 0);
+    long atNanos = section.durationNanos("at", after == null ? 2 * NANOS_PER_SECOND : 0, 0);
     outline.checkWithinLength(section, "at", atNanos);
     return new Scenario.VersionSpec(
         atNanos,
@@ -87,7 +87,7 @@
         section.number("each_per_s", 100, 0.1, 1e6),
         section.number("fetches_per_s", 1e6, 1, 1e6),
         section.integer("reserve", 50, 0, 50),
-        section.durationNanos("back_within", 30 * SECOND_NANOS, 0),
+        section.durationNanos("back_within", 30 * NANOS_PER_SECOND, 0),
         section.number("peak", 1.2, 0.1, 100),
         regions);
   }
--- a/src/main/java/beaconturn/rehearsal/FaultSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/FaultSectionReader.java
@@ -11,8 +11,8 @@
 
 /** Reads the faults of a scenario. */
 final class FaultSectionReader {
-  private static final long MILLI_NANOS = 1_000_000;
-  private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
   private static final List<String> KIND_WORDS =
       Arrays.stream(Fault.Kind.values()).map(Fault.Kind::word).toList();
   private final ScenarioOutline outline;
@@ -38,7 +38,7 @@
     Fault.Kind kind = Fault.Kind.values()[KIND_WORDS.indexOf(word)];
     Trigger after = outline.readTrigger(section, "after");
     Trigger until = outline.readTrigger(section, "until");
-    long fromNanos = section.durationNanos("from", after == null ? 5 * SECOND_NANOS : 0, 0);
+    long fromNanos = section.durationNanos("from", after == null ? 5 * NANOS_PER_SECOND : 0, 0);
     long toNanos =
         until == null ? outline.readEnd(section, fromNanos) : section.durationNanos("to", 0, 0);
     List<String> candidates = candidates(kind.target());
@@ -111,12 +111,12 @@
     return switch (kind) {
       case SLOW, ORIGIN_SLOW -> section.number("factor", 5, 0.01, 10_000);
       case ERRORS, SPOIL, RESET -> section.number("part", 0.5, 0.001, 1);
-      case DRAIN_LATE -> section.durationNanos("delay", 3 * SECOND_NANOS, 0);
-      case DISCOVERY_SLOW -> section.durationNanos("delay", 2 * SECOND_NANOS, 0);
-      case DISCOVERY_BACK -> section.durationNanos("delay", 10 * SECOND_NANOS, 0);
-      case LINK_SLOW -> section.durationNanos("delay", 500 * MILLI_NANOS, 0);
+      case DRAIN_LATE -> section.durationNanos("delay", 3 * NANOS_PER_SECOND, 0);
+      case DISCOVERY_SLOW -> section.durationNanos("delay", 2 * NANOS_PER_SECOND, 0);
+      case DISCOVERY_BACK -> section.durationNanos("delay", 10 * NANOS_PER_SECOND, 0);
+      case LINK_SLOW -> section.durationNanos("delay", 500 * NANOS_PER_MILLI, 0);
       case LINK_THROTTLE -> section.integer("bytes_per_second", 2000, 1, 1_000_000_000);
-      case STORE_SLOW -> section.durationNanos("delay", 3 * SECOND_NANOS, 0);
+      case STORE_SLOW -> section.durationNanos("delay", 3 * NANOS_PER_SECOND, 0);
       case STORE_BACK -> section.integer("revisions", 1, 1, 1000);
       default -> 1;
     };
--- a/src/main/java/beaconturn/rehearsal/RandomClientScenario.java
+++ b/src/main/java/beaconturn/rehearsal/RandomClientScenario.java
@@ -90,7 +90,10 @@
     writeClasses(shortDeadlines);
     line("[fleet]%ncaches = %d%ncold_for = \"1s\"", CACHE_SERVER_COUNT);
     line("[settings]%nconn_idle = \"%dms\"", 300 + random.nextInt(3000));
-    line("[[router]]%ncount = %d%nsockets = %d", routerCount, manyConnections ? LIMITED_SOCKETS : DEFAULT_SOCKETS);
+    line(
+        "[[router]]%ncount = %d%nsockets = %d",
+        routerCount,
+        manyConnections ? LIMITED_SOCKETS : DEFAULT_SOCKETS);
     writeClientStreams(manyConnections);
     int faults = MIN_FAULTS + random.nextInt(FAULT_COUNT_RANGE);
     for (int i = 0; i < faults; i++) {
@@ -139,13 +142,21 @@
 
   private void writeRouterFault(Fault.Kind kind) {
     String router = "r" + (1 + random.nextInt(routerCount));
-    int fromMillis = MIN_INTERVAL_MILLIS + random.nextInt(LATEST_FAULT_START_MILLIS - MIN_INTERVAL_MILLIS);
-    int toMillis = Math.min(LENGTH_MILLIS, fromMillis + MIN_INTERVAL_MILLIS + random.nextInt(FAULT_LENGTH_RANGE_MILLIS));
+    int fromMillis =
+        MIN_INTERVAL_MILLIS + random.nextInt(LATEST_FAULT_START_MILLIS - MIN_INTERVAL_MILLIS);
+    int toMillis =
+        Math.min(
+            LENGTH_MILLIS,
+            fromMillis + MIN_INTERVAL_MILLIS + random.nextInt(FAULT_LENGTH_RANGE_MILLIS));
     if (kind == Fault.Kind.ROUTER_RELOAD) {
       int reloads = 1 + random.nextInt(MAX_RELOADS);
       for (int i = 0; i < reloads; i++) {
         int atMillis = Math.min(LENGTH_MILLIS - 1, fromMillis + i * RELOAD_INTERVAL_MILLIS);
-        writeFault(kind, atMillis, Math.min(LENGTH_MILLIS, atMillis + RELOAD_INTERVAL_MILLIS / 2), router);
+        writeFault(
+            kind,
+            atMillis,
+            Math.min(LENGTH_MILLIS, atMillis + RELOAD_INTERVAL_MILLIS / 2),
+            router);
       }
     } else if (affectedInstances.add(router)) {
       // One fault per router process: a killed router cannot be terminated or paused.
@@ -154,8 +165,12 @@
   }
 
   private void writeFault(Fault.Kind kind) {
-    int fromMillis = MIN_INTERVAL_MILLIS + random.nextInt(LATEST_FAULT_START_MILLIS - MIN_INTERVAL_MILLIS);
-    int toMillis = Math.min(LENGTH_MILLIS, fromMillis + MIN_INTERVAL_MILLIS + random.nextInt(FAULT_LENGTH_RANGE_MILLIS));
+    int fromMillis =
+        MIN_INTERVAL_MILLIS + random.nextInt(LATEST_FAULT_START_MILLIS - MIN_INTERVAL_MILLIS);
+    int toMillis =
+        Math.min(
+            LENGTH_MILLIS,
+            fromMillis + MIN_INTERVAL_MILLIS + random.nextInt(FAULT_LENGTH_RANGE_MILLIS));
     if (kind.target() != Fault.Target.CACHE) {
       writeFault(kind, fromMillis, toMillis);
       return;
@@ -174,7 +189,11 @@
   }
 
   private void writeFault(Fault.Kind kind, int fromMillis, int toMillis, String... targets) {
-    line("[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"", kind.word(), fromMillis, toMillis);
+    line(
+        "[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"",
+        kind.word(),
+        fromMillis,
+        toMillis);
     if (targets.length > 0) {
       line("on = %s", ScenarioPrinter.quotedList(List.of(targets)));
     }
--- a/src/main/java/beaconturn/rehearsal/RandomScenario.java
+++ b/src/main/java/beaconturn/rehearsal/RandomScenario.java
@@ -50,6 +50,7 @@
   /** Faults that are drawn rarely, as no version comes into force after them. */
   private static final List<Fault.Kind> FINAL_FAULT_KINDS =
       List.of(Fault.Kind.STORE_EMPTY, Fault.Kind.STORE_BACK);
+
   private static final double FINAL_FAULT_PROBABILITY = 0.25;
 
   /** Length of scenarios with a release or zones. */
@@ -118,7 +119,7 @@
     RELEASES,
     /** Zones that fail, are cut off or are unlisted, in whole or in part. */
     PLACES,
-    /** Client connections: pipelining, invalid commands, split writes, signals, many connections. */
+    /** Client connections: pipelining, invalid commands, split writes, signals to routers. */
     CLIENTS
   }
 
@@ -173,9 +174,14 @@
     long latestMillis = lengthMillis / FAULT_PERIOD_DIVISOR;
     for (int i = 0; i < faults; i++) {
       if (random.nextBoolean()) {
-        writeZoneFault(ZONE_SERVER_FAULT_KINDS.get(random.nextInt(ZONE_SERVER_FAULT_KINDS.size())), latestMillis);
+        writeZoneFault(
+            ZONE_SERVER_FAULT_KINDS.get(random.nextInt(ZONE_SERVER_FAULT_KINDS.size())),
+            latestMillis);
       } else {
-        writeFault(ZONE_ENVIRONMENT_FAULT_KINDS.get(random.nextInt(ZONE_ENVIRONMENT_FAULT_KINDS.size())), 0, latestMillis);
+        writeFault(
+            ZONE_ENVIRONMENT_FAULT_KINDS.get(random.nextInt(ZONE_ENVIRONMENT_FAULT_KINDS.size())),
+            0,
+            latestMillis);
       }
     }
   }
@@ -183,7 +189,8 @@
   /** Writes a fault of all cache servers of a zone, or of some of them. */
   private void writeZoneFault(Fault.Kind kind, long latestMillis) {
     int siteIndex = random.nextInt(THREE_SITES.size());
-    int count = random.nextInt(3) == 0 ? 1 + random.nextInt(SERVERS_PER_SITE - 1) : SERVERS_PER_SITE;
+    int count =
+        random.nextInt(3) == 0 ? 1 + random.nextInt(SERVERS_PER_SITE - 1) : SERVERS_PER_SITE;
     List<String> names = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       String name = Scenario.cacheServerName(siteIndex + i * THREE_SITES.size());
@@ -196,11 +203,17 @@
       return;
     }
     long fromMillis = MIN_INTERVAL_MILLIS + random.nextLong(latestMillis - MIN_INTERVAL_MILLIS);
-    long toMillis = Math.min(latestMillis, fromMillis + MIN_INTERVAL_MILLIS + random.nextLong(DEFAULT_LENGTH_MILLIS));
+    long toMillis =
+        Math.min(
+            latestMillis,
+            fromMillis + MIN_INTERVAL_MILLIS + random.nextLong(DEFAULT_LENGTH_MILLIS));
     out.append(
         String.format(
             "[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"%non = %s%n",
-            kind.word(), fromMillis, Math.max(toMillis, fromMillis + MIN_INTERVAL_MILLIS), ScenarioPrinter.quotedList(names)));
+            kind.word(),
+            fromMillis,
+            Math.max(toMillis, fromMillis + MIN_INTERVAL_MILLIS),
+            ScenarioPrinter.quotedList(names)));
   }
 
   private void writeHeader(long seed) {
@@ -215,7 +228,8 @@
     for (int i = 0; i < routerCount; i++) {
       out.append(String.format("[[router]]%nsite = \"%s\"%n", sites.get(i % sites.size())));
     }
-    out.append(String.format("[[clients]]%nrate = %d%n", REQUESTS_PER_SECOND_PER_ROUTER * routerCount));
+    out.append(
+        String.format("[[clients]]%nrate = %d%n", REQUESTS_PER_SECOND_PER_ROUTER * routerCount));
   }
 
   /** Writes a scenario of a release with commands of operators. */
@@ -250,7 +264,8 @@
 
   /** Writes a command, or a command and its reversal. */
   private void writeCommands(long atMillis) {
-    long reversalMillis = Math.min(lengthMillis, atMillis + MIN_INTERVAL_MILLIS + random.nextLong(lengthMillis / 4));
+    long reversalMillis =
+        Math.min(lengthMillis, atMillis + MIN_INTERVAL_MILLIS + random.nextLong(lengthMillis / 4));
     String server = Scenario.cacheServerName(random.nextInt(CACHE_SERVER_COUNT));
     switch (random.nextInt(4)) {
       case 0 ->
@@ -261,12 +276,15 @@
               .writeCommand("undrain", "part = \"" + server + "\"\n", reversalMillis);
       default ->
           writeCommand("budget", "most_out = " + random.nextInt(3) + "\n", atMillis)
-              .writeCommand("budget", "most_out = " + (1 + random.nextInt(2)) + "\n", reversalMillis);
+              .writeCommand(
+                  "budget", "most_out = " + (1 + random.nextInt(2)) + "\n", reversalMillis);
     }
   }
 
   private RandomScenario writeCommand(String command, String arguments, long atMillis) {
-    out.append(String.format("[[order]]%nwhat = \"%s\"%nat = \"%dms\"%n%s", command, atMillis, arguments));
+    out.append(
+        String.format(
+            "[[order]]%nwhat = \"%s\"%nat = \"%dms\"%n%s", command, atMillis, arguments));
     return this;
   }
 
@@ -277,7 +295,8 @@
     int versionCount = 2 + random.nextInt(3);
     for (int i = 0; i < versionCount; i++) {
       previousServers =
-          writeVersion(previousServers, MIN_INTERVAL_MILLIS + i * lengthMillis / (versionCount + 1));
+          writeVersion(
+              previousServers, MIN_INTERVAL_MILLIS + i * lengthMillis / (versionCount + 1));
     }
     int faults = 3 + random.nextInt(5);
     for (int i = 0; i < faults; i++) {
@@ -318,13 +337,21 @@
       // One fault per router process: a killed router cannot be terminated or paused.
       return;
     }
-    long fromMillis = earliestMillis + random.nextLong(latestMillis - earliestMillis - MIN_INTERVAL_MILLIS);
-    long toMillis = Math.min(latestMillis, fromMillis + MIN_INTERVAL_MILLIS / 2 + random.nextLong(DEFAULT_LENGTH_MILLIS / 2));
+    long fromMillis =
+        earliestMillis + random.nextLong(latestMillis - earliestMillis - MIN_INTERVAL_MILLIS);
+    long toMillis =
+        Math.min(
+            latestMillis,
+            fromMillis + MIN_INTERVAL_MILLIS / 2 + random.nextLong(DEFAULT_LENGTH_MILLIS / 2));
     out.append(
         String.format(
-            "[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"%n", kind.word(), fromMillis, toMillis));
+            "[[fault]]%nkind = \"%s\"%nfrom = \"%dms\"%nto = \"%dms\"%n",
+            kind.word(),
+            fromMillis,
+            toMillis));
     switch (kind.target()) {
-      case ROUTER -> out.append(String.format("on = %s%n", ScenarioPrinter.quotedList(List.of(router))));
+      case ROUTER ->
+          out.append(String.format("on = %s%n", ScenarioPrinter.quotedList(List.of(router))));
       case AGENT ->
           out.append(
               String.format(
@@ -333,7 +360,10 @@
                       List.of(random.nextBoolean() ? ScenarioReader.DRIVER : router))));
       case LINK ->
           out.append(
-              String.format("on = %s%nway = \"%s\"%n", ScenarioPrinter.quotedList(randomRouters()), randomLinkDestination()));
+              String.format(
+                  "on = %s%nway = \"%s\"%n",
+                  ScenarioPrinter.quotedList(randomRouters()),
+                  randomLinkDestination()));
       case SITE ->
           out.append(
               String.format(
@@ -343,7 +373,8 @@
           out.append(
               String.format(
                   "on = %s%n",
-                  ScenarioPrinter.quotedList(List.of(Scenario.cacheServerName(random.nextInt(CACHE_SERVER_COUNT))))));
+                  ScenarioPrinter.quotedList(
+                      List.of(Scenario.cacheServerName(random.nextInt(CACHE_SERVER_COUNT))))));
       default -> {}
     }
   }
--- a/src/main/java/beaconturn/rehearsal/RehearsalReport.java
+++ b/src/main/java/beaconturn/rehearsal/RehearsalReport.java
@@ -32,7 +32,7 @@
     long pausedNanos,
     AgreementSummary agreementSummary) {
 
-  /** A longer pause of the machine may itself be the cause of a violation. */
+  /** Above this share of paused time, violations may be caused by the machine. */
   private static final double MAX_PAUSED_SHARE = 0.2;
 
   /**
@@ -55,7 +55,7 @@
     return pausedNanos > MAX_PAUSED_SHARE * scenario.lengthNanos();
   }
 
-  /** Returns a text that says how long the machine was paused. */
+  /** Returns how long the machine was paused, as a text. */
   String pauseDescription() {
     return String.format(Locale.ROOT, "machine stood still for %.0f ms", pausedNanos / 1e6);
   }
@@ -65,7 +65,7 @@
     return new TextReport(this).write();
   }
 
-  /** Returns the report as an HTML page with charts of served requests and unavailable instances. */
+  /** Returns the report as an HTML page with charts. */
   public String html() {
     return HtmlReport.write(this);
   }
@@ -75,7 +75,7 @@
     return new JsonReport(this).write();
   }
 
-  /** Returns the last command or state of the release, such as {@code done}; {@code none} if none. */
+  /** Returns the last mode of the release, such as {@code done}; {@code none} without a release. */
   public String releaseOutcome() {
     return events.stream()
         .filter(event -> event instanceof HistoryEvent.ReleaseCommanded)
@@ -85,7 +85,8 @@
 
   /** Returns a summary in one line, for a list of many rehearsals. */
   public String summary() {
-    long requests = classSummaries.stream().mapToLong(ClientStatistics.ClassSummary::requests).sum();
+    long requests =
+        classSummaries.stream().mapToLong(ClientStatistics.ClassSummary::requests).sum();
     long served = classSummaries.stream().mapToLong(ClientStatistics.ClassSummary::served).sum();
     long versionsInForce =
         agreementSummary == null
--- a/src/main/java/beaconturn/rehearsal/ReleaseSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/ReleaseSectionReader.java
@@ -8,8 +8,8 @@
 
 /** Reads the release and the operators' commands of a scenario. */
 final class ReleaseSectionReader {
-  private static final long MILLI_NANOS = 1_000_000;
-  private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
   private static final List<String> COMMANDS =
       List.of(
           "halt",
@@ -52,15 +52,15 @@
     return new Scenario.ReleaseSpec(
         ofCacheServers,
         section.bool("begins", true),
-        section.durationNanos("at", after == null ? 2 * SECOND_NANOS : 0, 0),
+        section.durationNanos("at", after == null ? 2 * NANOS_PER_SECOND : 0, 0),
         after,
         section.integer("most_out", 1, 1, ScenarioReader.MAX_ROUTERS),
         section.integer("most_out_of_site", 1, 1, ScenarioReader.MAX_ROUTERS),
         waves,
-        section.durationNanos("soak", SECOND_NANOS, 0),
+        section.durationNanos("soak", NANOS_PER_SECOND, 0),
         section.integer("samples", 20, 0, 1_000_000),
         section.number("worse", 0.05, 0, 1),
-        section.durationNanos("limit", 10 * SECOND_NANOS, SECOND_NANOS),
+        section.durationNanos("limit", 10 * NANOS_PER_SECOND, NANOS_PER_SECOND),
         section.durationNanos("alone", 0, 0),
         defect,
         section.durationNanos("good_for", defect.defaultHealthyNanos(), 0),
@@ -88,7 +88,8 @@
 
   private static Scenario.Defect readDefect(TomlSection section, boolean ofCacheServers)
       throws TomlException {
-    String word = section.choice(
+    String word =
+        section.choice(
             "harm", "none", ScenarioReader.lowerCaseNames(Scenario.Defect.values()));
     Scenario.Defect defect = Scenario.Defect.valueOf(word.toUpperCase(Locale.ROOT));
     if (ofCacheServers
@@ -99,7 +100,8 @@
   }
 
   /** Reads the tables {@code [[order]]}. */
-  List<Scenario.OperatorCommandSpec> readOperatorCommands(Scenario.ReleaseSpec release) throws TomlException {
+  List<Scenario.OperatorCommandSpec> readOperatorCommands(Scenario.ReleaseSpec release)
+      throws TomlException {
     List<Scenario.OperatorCommandSpec> commands = new ArrayList<>();
     for (TomlSection section : file.tables("order")) {
       commands.add(readOperatorCommand(section, release));
@@ -122,11 +124,13 @@
             ? section.choice("part", targets.get(0), targets)
             : "";
     return new Scenario.OperatorCommandSpec(
-        section.durationNanos("at", after == null ? 5 * SECOND_NANOS : 0, 0),
+        section.durationNanos("at", after == null ? 5 * NANOS_PER_SECOND : 0, 0),
         after,
         command,
         target,
-        command.equals("budget") ? section.integer("most_out", 1, 0, ScenarioReader.MAX_ROUTERS) : 0);
+        command.equals("budget")
+            ? section.integer("most_out", 1, 0, ScenarioReader.MAX_ROUTERS)
+            : 0);
   }
 
   private List<String> possibleTargets(String command, Scenario.ReleaseSpec release) {
--- a/src/main/java/beaconturn/rehearsal/RouterSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/RouterSectionReader.java
@@ -15,7 +15,7 @@
     this.file = file;
   }
 
-  /** Reads the tables {@code [[router]]}; returns two routers of the first site if none is given. */
+  /** Reads the tables {@code [[router]]}; without any, returns two routers of the first site. */
   List<Scenario.RouterSpec> readRouters(List<String> sites) throws TomlException {
     List<Scenario.RouterSpec> routers = new ArrayList<>();
     for (TomlSection section : file.tables("router")) {
--- a/src/main/java/beaconturn/rehearsal/ScenarioOutline.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioOutline.java
@@ -15,7 +15,7 @@
  */
 record ScenarioOutline(
     Scenario.Fleet fleet, List<Scenario.RouterSpec> routers, int versionCount, long lengthNanos) {
-  private static final long MILLI_NANOS = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   List<String> routerNames() {
     return routers.stream().map(Scenario.RouterSpec::name).toList();
@@ -31,9 +31,9 @@
       throw section.invalid(
           section.has("to") ? "to" : "from",
           "ends before it begins, allowed is after "
-              + fromNanos / MILLI_NANOS
+              + fromNanos / NANOS_PER_MILLI
               + "ms and up to the length of "
-              + lengthNanos / MILLI_NANOS
+              + lengthNanos / NANOS_PER_MILLI
               + "ms");
     }
     checkWithinLength(section, "to", toNanos);
@@ -44,7 +44,8 @@
   void checkWithinLength(TomlSection section, String key, long atNanos) throws TomlException {
     if (atNanos > lengthNanos) {
       throw section.invalid(
-          key, "after the end, allowed is up to the length of " + lengthNanos / MILLI_NANOS + "ms");
+          key,
+          "after the end, allowed is up to the length of " + lengthNanos / NANOS_PER_MILLI + "ms");
     }
   }
 
@@ -73,13 +74,19 @@
     boolean aboutVersion =
         trigger.stage() != Trigger.Stage.TAKEN_OUT && trigger.stage() != Trigger.Stage.READY;
     boolean isCacheServer = !aboutVersion && fleet.cacheServerNames().contains(trigger.instance());
-    if (!trigger.instance().isEmpty() && !routerNames().contains(trigger.instance()) && !isCacheServer) {
+    if (!trigger.instance().isEmpty()
+        && !routerNames().contains(trigger.instance())
+        && !isCacheServer) {
       throw section.invalid(key, "there is no router '" + trigger.instance() + "'");
     }
     if (aboutVersion && (trigger.version() < 1 || trigger.version() > versionCount)) {
       throw section.invalid(
           key,
-          "version " + trigger.version() + " is not among the " + versionCount + " that are proposed");
+          "version "
+              + trigger.version()
+              + " is not among the "
+              + versionCount
+              + " that are proposed");
     }
   }
 }
--- a/src/main/java/beaconturn/rehearsal/ScenarioReader.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioReader.java
@@ -12,7 +12,7 @@
  * line and key. Each group of tables has a reader of its own.
  */
 public final class ScenarioReader {
-  private static final long SECOND_NANOS = 1_000_000_000;
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
 
   static final int MAX_ROUTERS = 40;
 
@@ -44,23 +44,24 @@
     String about = file.text("about", "");
     long ownSeed = file.integer("seed", 1, 0, Integer.MAX_VALUE);
     long seed = seedOverride == null ? ownSeed : seedOverride;
-    long lengthNanos = file.durationNanos("length", 20 * SECOND_NANOS, SECOND_NANOS);
+    long lengthNanos = file.durationNanos("length", 20 * NANOS_PER_SECOND, NANOS_PER_SECOND);
     Scenario.Fleet fleet = FleetSectionReader.readFleet(file.table("fleet"));
     OriginModel.Shape origin = FleetSectionReader.readOrigin(file.table("origin"));
-    long listLagNanos = file.table("discovery").durationNanos("lag", SECOND_NANOS, 0);
+    long listLagNanos = file.table("discovery").durationNanos("lag", NANOS_PER_SECOND, 0);
     Scenario.RoutingSettings routingSettings =
         FleetSectionReader.readRoutingSettings(file.table("settings"));
     TrafficSectionReader trafficReader = new TrafficSectionReader(file);
     List<Scenario.RequestClass> requestClasses = trafficReader.readClasses();
-    List<Scenario.RouterSpec> routers = new RouterSectionReader(file).readRouters(fleet.distinctSites());
-    ScenarioOutline outlineWithoutVersions =
-        new ScenarioOutline(fleet, routers, 0, lengthNanos);
+    List<Scenario.RouterSpec> routers =
+        new RouterSectionReader(file).readRouters(fleet.distinctSites());
+    ScenarioOutline outlineWithoutVersions = new ScenarioOutline(fleet, routers, 0, lengthNanos);
     List<Scenario.ClientStream> clientStreams =
         trafficReader.readClientStreams(requestClasses, outlineWithoutVersions);
     AgreementSectionReader agreementReader = new AgreementSectionReader(file);
     Scenario.Agreement agreement = agreementReader.readAgreement();
     List<TomlSection> versionSections = file.tables("version");
-    ScenarioOutline outline = new ScenarioOutline(fleet, routers, versionSections.size(), lengthNanos);
+    ScenarioOutline outline =
+        new ScenarioOutline(fleet, routers, versionSections.size(), lengthNanos);
     List<Scenario.VersionSpec> versions =
         AgreementSectionReader.readVersions(versionSections, agreement, outline);
     List<Scenario.FaultSpec> faults = new FaultSectionReader(outline, seed).readFaults(file);
--- a/src/main/java/beaconturn/rehearsal/TextReport.java
+++ b/src/main/java/beaconturn/rehearsal/TextReport.java
@@ -145,7 +145,10 @@
   private void writeRollout() {
     for (HistoryEvent event : report.events()) {
       if (event instanceof HistoryEvent.ReleaseCommanded commanded) {
-        append("release: %s at %.3f s%n", commanded.command(), secondsFromStart(commanded.atNanos()));
+        append(
+            "release: %s at %.3f s%n",
+            commanded.command(),
+            secondsFromStart(commanded.atNanos()));
       }
     }
   }
--- a/src/main/java/beaconturn/rehearsal/TrafficSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/TrafficSectionReader.java
@@ -8,8 +8,8 @@
 
 /** Reads the request classes and the client streams of a scenario. */
 final class TrafficSectionReader {
-  private static final long MILLI_NANOS = 1_000_000;
-  private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
   private static final int MAX_PIPELINED = 64;
   private static final int MAX_SILENT_CONNECTIONS = 10_000;
   private static final double MAX_REQUESTS_PER_SECOND = 20_000;
@@ -37,10 +37,10 @@
             "level",
             Scenario.Effect.SAFE,
             0.85,
-            8 * MILLI_NANOS,
+            8 * NANOS_PER_MILLI,
             400,
-            400 * MILLI_NANOS,
-            1500 * MILLI_NANOS,
+            400 * NANOS_PER_MILLI,
+            1500 * NANOS_PER_MILLI,
             1,
             0,
             "all"),
@@ -48,49 +48,51 @@
             "correction",
             Scenario.Effect.KEYED,
             0.1,
-            12 * MILLI_NANOS,
+            12 * NANOS_PER_MILLI,
             200,
-            700 * MILLI_NANOS,
-            2 * SECOND_NANOS,
+            700 * NANOS_PER_MILLI,
+            2 * NANOS_PER_SECOND,
             3,
-            4 * SECOND_NANOS,
+            4 * NANOS_PER_SECOND,
             "all"),
         new Scenario.RequestClass(
             "alert-ack",
             Scenario.Effect.UNSAFE,
             0.05,
-            12 * MILLI_NANOS,
+            12 * NANOS_PER_MILLI,
             100,
-            700 * MILLI_NANOS,
-            2 * SECOND_NANOS,
+            700 * NANOS_PER_MILLI,
+            2 * NANOS_PER_SECOND,
             5,
             0,
             "all"));
   }
 
-  private static Scenario.RequestClass readClass(TomlSection section, String name) throws TomlException {
+  private static Scenario.RequestClass readClass(TomlSection section, String name)
+      throws TomlException {
     String effect =
         section.choice(
             "effect", "safe", ScenarioReader.lowerCaseNames(Scenario.Effect.values()));
     long latencyObjectiveNanos =
-        section.durationNanos("aim", 400 * MILLI_NANOS, MILLI_NANOS);
-    long deadlineNanos = section.durationNanos("deadline", 1500 * MILLI_NANOS, MILLI_NANOS);
+        section.durationNanos("aim", 400 * NANOS_PER_MILLI, NANOS_PER_MILLI);
+    long deadlineNanos = section.durationNanos("deadline", 1500 * NANOS_PER_MILLI, NANOS_PER_MILLI);
     if (deadlineNanos < latencyObjectiveNanos) {
       throw section.invalid(
-          "deadline", "before the aim, allowed is "
-              + latencyObjectiveNanos / MILLI_NANOS
+          "deadline",
+          "before the aim, allowed is "
+              + latencyObjectiveNanos / NANOS_PER_MILLI
               + "ms or later");
     }
     return new Scenario.RequestClass(
         name,
         Scenario.Effect.valueOf(effect.toUpperCase(Locale.ROOT)),
         section.number("share", 1, 0, 1000),
-        section.durationNanos("work", 8 * MILLI_NANOS, 0),
+        section.durationNanos("work", 8 * NANOS_PER_MILLI, 0),
         section.integer("size", 400, 0, 65_000),
         latencyObjectiveNanos,
         deadlineNanos,
         section.number("worth", 1, 0, 1000),
-        section.durationNanos("window", 4 * SECOND_NANOS, 0),
+        section.durationNanos("window", 4 * NANOS_PER_SECOND, 0),
         section.choice("scope", "all", List.of("all", "zone", "cell")));
   }
 
@@ -119,9 +121,9 @@
         section.integer("keys", 400, 1, 10_000_000),
         section.number("skew", 0.9, 0, 3),
         section.integer("retries", 2, 0, 10),
-        section.durationNanos("backoff", 100 * MILLI_NANOS, 0),
+        section.durationNanos("backoff", 100 * NANOS_PER_MILLI, 0),
         section.number("try_share", 0.6, 0.05, 1),
-        section.durationNanos("notice", 1500 * MILLI_NANOS, 0),
+        section.durationNanos("notice", 1500 * NANOS_PER_MILLI, 0),
         fromNanos,
         toNanos,
         readSite(section, outline.routers()),
@@ -135,9 +137,9 @@
         400,
         0.9,
         2,
-        100 * MILLI_NANOS,
+        100 * NANOS_PER_MILLI,
         0.6,
-        1500 * MILLI_NANOS,
+        1500 * NANOS_PER_MILLI,
         0,
         lengthNanos,
         "",
@@ -158,7 +160,8 @@
     return classNames;
   }
 
-  private static Scenario.ConnectionUsage readConnectionUsage(TomlSection section) throws TomlException {
+  private static Scenario.ConnectionUsage readConnectionUsage(TomlSection section)
+      throws TomlException {
     return new Scenario.ConnectionUsage(
         section.integer("pipeline", 1, 1, MAX_PIPELINED),
         section.number("wrong", 0, 0, 1),
--- a/src/test/java/beaconturn/rehearsal/FaultCommandsTest.java
+++ b/src/test/java/beaconturn/rehearsal/FaultCommandsTest.java
@@ -41,7 +41,8 @@
   @Test
   void faultStartsAfterDelayAndEndsAfterDuration() {
     assertEquals(
-        "ok: stall at 1 cache servers in 4000 ms for 2000 ms", commands.run("stall c2 in 4s for 2s"));
+        "ok: stall at 1 cache servers in 4000 ms for 2000 ms",
+        commands.run("stall c2 in 4s for 2s"));
     advance(4 * NANOS_PER_SECOND - 1);
     assertFalse(fleet.at(1).faults().stalled());
     advance(1);
@@ -61,7 +62,10 @@
     assertTrue(status().contains("c3 draining, errors 0.25 "), status());
     assertEquals(4, fleet.discovery().version());
     advance(2 * NANOS_PER_SECOND);
-    assertEquals(5, fleet.discovery().version(), "discovery lists the server as draining after the delay");
+    assertEquals(
+        5,
+        fleet.discovery().version(),
+        "discovery lists the server as draining after the delay");
   }
 
   @Test
--- a/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
+++ b/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
@@ -99,7 +99,8 @@
         List.of("r1", "r2"), scenario.routers().stream().map(Scenario.RouterSpec::name).toList());
     assertEquals(
         Set.of(Scenario.Effect.values()),
-        new HashSet<>(scenario.requestClasses().stream().map(Scenario.RequestClass::effect).toList()));
+        new HashSet<>(
+            scenario.requestClasses().stream().map(Scenario.RequestClass::effect).toList()));
     assertEquals(1, scenario.clientStreams().size());
   }
 
@@ -181,7 +182,8 @@
     assertEquals(schedule, RequestSchedule.of(scenario));
     assertNotEquals(schedule, RequestSchedule.of(ScenarioReader.read("s", "length = \"10s\"", 2L)));
     assertTrue(
-        Math.abs(schedule.size() - 1000) < 150, schedule.size() + " requests where 1000 are expected");
+        Math.abs(schedule.size() - 1000) < 150,
+        schedule.size() + " requests where 1000 are expected");
     long previousNanos = 0;
     for (ScheduledRequest request : schedule) {
       assertTrue(
