--- a/src/main/java/beaconturn/rehearsal/Scenario.java
+++ b/src/main/java/beaconturn/rehearsal/Scenario.java
@@ -132,6 +132,7 @@
     /** A router's memory grows. */
     LEAKS;
 
+    /** Long enough for a released router to pass its first check. */
     private static final long DEFAULT_HEALTHY_NANOS = 5_000_000_000L;
 
     /** Returns the default length of the healthy period of a router with this defect. */
@@ -163,8 +164,8 @@
    * @param healthyNanos how long a released router works before its defect shows
    * @param maxAttempts attempts of one request in the configuration that is released too; 0 for
    *     none
-   * @param toleratedFailures how many further instances of a site may fail while others are out of
-   *     service; negative for no limit
+   * @param toleratedFailures how many instances of a site may fail beside those that are out of service
+   *     without overloading the rest; negative if the load is not checked
    * @param coresPerInstance processor cores that an instance may use; 0 for as many as it reports
    * @param missedRegressionBound by how much the share of cache misses may exceed that of the
    *     peers. A restarted cache server misses more for a while, so a soak of about a second needs
@@ -299,7 +300,7 @@
    * @param workNanos mean work of a cache server on one request
    * @param valueBytes size of a value
    * @param latencyObjectiveNanos the latency objective
-   * @param deadlineNanos the deadline of a request, counted from its arrival
+   * @param deadlineNanos the deadline of a request
    * @param priorityWeight the priority weight
    * @param deduplicationWindowNanos how long a cache server remembers an idempotency key
    * @param deduplicationScope which cache servers discard each other's repeats: all, zone or cell
