--- a/src/main/java/beaconturn/rehearsal/Scenario.java
+++ b/src/main/java/beaconturn/rehearsal/Scenario.java
@@ -164,8 +164,8 @@
    * @param healthyNanos how long a released router works before its defect shows
    * @param maxAttempts attempts of one request in the configuration that is released too; 0 for
    *     none
-   * @param toleratedFailures how many instances of a site may fail beside those that are out of service
-   *     without overloading the rest; negative if the load is not checked
+   * @param toleratedFailures how many instances of a site may fail beside those that are out of
+   *     service without overloading the rest; negative if the load is not checked
    * @param coresPerInstance processor cores that an instance may use; 0 for as many as it reports
    * @param missedRegressionBound by how much the share of cache misses may exceed that of the
    *     peers. A restarted cache server misses more for a while, so a soak of about a second needs
