--- a/src/main/java/beaconturn/cli/ReleaseReport.java
+++ b/src/main/java/beaconturn/cli/ReleaseReport.java
@@ -48,9 +48,9 @@
     }
     page.table("part", "stands at", "variant", "permit", "ready after", "why");
     snapshot.steps().values().forEach(step -> addRow(page, step));
-    page.end().table("history");
+    page.endTable().table("history");
     rollouts.history().forEach(line -> page.row(false, List.of(line)));
-    return page.end().html();
+    return page.endTable().html();
   }
 
   private static void addRow(HtmlPage page, RolloutStep step) {
--- a/src/main/java/beaconturn/cli/StandInRunner.java
+++ b/src/main/java/beaconturn/cli/StandInRunner.java
@@ -31,20 +31,20 @@
       EmulatedFleet world =
           new EmulatedFleet(
               new EventScheduler(clock.now()),
-              scenario.emulatedFleetShape(),
+              scenario.emulatedFleetSpec(),
               new RandomSources(scenario.seed()),
               HistoryRecorder.NONE);
       FaultCommands orders = new FaultCommands(world);
       try (EmulatedFleetServer surroundings = new EmulatedFleetServer(world, clock::now, 1, port)) {
-        InetSocketAddress told = surroundings.control(control, orders::run);
+        InetSocketAddress told = surroundings.openControlPort(control, orders::run);
         surroundings.start();
         System.out.println(
             "discovery at 127.0.0.1:"
-                + surroundings.discovery(0).getPort()
+                + surroundings.discoveryAddress(0).getPort()
                 + ", "
-                + world.places()
+                + world.serverCount()
                 + " cache servers from 127.0.0.1:"
-                + surroundings.cache(0, 0).getPort()
+                + surroundings.serverAddress(0, 0).getPort()
                 + " on, control at 127.0.0.1:"
                 + told.getPort()
                 + "; say help");
@@ -78,7 +78,7 @@
         return;
       }
       String order = line;
-      System.out.println(surroundings.ask(() -> orders.run(order)));
+      System.out.println(surroundings.call(() -> orders.run(order)));
     }
     new CountDownLatch(1).await();
   }
--- a/src/main/java/beaconturn/cli/StoreStandInRunner.java
+++ b/src/main/java/beaconturn/cli/StoreStandInRunner.java
@@ -20,7 +20,7 @@
     Clock clock = Clock.system();
     try (PrintWriter changes =
         log == null ? null : new PrintWriter(Files.newBufferedWriter(Path.of(log)), true)) {
-      StoreModel.Watcher watcher =
+      StoreModel.ChangeListener watcher =
           (at, revision, key, value) -> {
             if (changes != null) {
               // Monotonic time, which all processes of a machine read alike.
--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -101,7 +101,7 @@
     this.folder = folder;
     this.clock = clock;
     this.history = history;
-    this.currentListVersion = () -> fleetServer.ask(() -> fleetServer.world().discovery().version());
+    this.currentListVersion = () -> fleetServer.call(() -> fleetServer.fleet().discovery().version());
     this.store =
         new StoreProcess(
             launcher.command(
@@ -114,7 +114,7 @@
             folder.resolve("store.log"));
     for (int i = 0; i < scenario.routers().size(); i++) {
       storeLinks.add(new FaultProxy(store.address()));
-      discoveryLinks.add(new FaultProxy(fleetServer.discovery(i)));
+      discoveryLinks.add(new FaultProxy(fleetServer.discoveryAddress(i)));
       Path stateFolder = folder.resolve("kept-" + i);
       Files.createDirectories(stateFolder);
       writeFeaturesFile(scenario.routers().get(i).name(), storeLinks.get(i).address(), stateFolder);
@@ -388,8 +388,8 @@
     for (int router = 0; router < scenario.routers().size(); router++) {
       List<FaultProxy> links = new ArrayList<>();
       for (int server = 0; server < scenario.fleet().cacheServerCount(); server++) {
-        links.add(new FaultProxy(fleetServer.cache(router, server)));
-        fleetServer.reachBy(router, server, links.get(server).address());
+        links.add(new FaultProxy(fleetServer.serverAddress(router, server)));
+        fleetServer.overrideServerAddress(router, server, links.get(server).address());
       }
       cacheLinksByRouter.add(links);
     }
--- a/src/main/java/beaconturn/rehearsal/FleetSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/FleetSectionReader.java
@@ -59,8 +59,8 @@
   }
 
   /** Reads the origin of the table {@code [origin]}. */
-  static OriginModel.Shape readOrigin(TomlSection section) throws TomlException {
-    return new OriginModel.Shape(
+  static OriginModel.Spec readOrigin(TomlSection section) throws TomlException {
+    return new OriginModel.Spec(
         section.integer("workers", 16, 1, 10_000),
         section.integer("queue", 2000, 0, 1_000_000),
         section.durationNanos("work", 60 * NANOS_PER_MILLI, 0),
--- a/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
+++ b/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
@@ -16,7 +16,7 @@
   }
 
   @Override
-  public void commanded(
+  public void commandReceived(
       long atNanos, String server, int router, long connection, CacheCommand command, long work) {
     history.add(
         new HistoryEvent.AttemptArrived(
@@ -34,14 +34,14 @@
   }
 
   @Override
-  public void replied(long atNanos, CacheCommand command, CacheResponse reply) {
+  public void responseSent(long atNanos, CacheCommand command, CacheResponse reply) {
     if (reply instanceof CacheResponse.Value value) {
       recordAnswer(atNanos, command, HistoryEvent.ServerAnswer.VALUE, value);
-    } else if (reply instanceof CacheResponse.Spoilt spoilt) {
+    } else if (reply instanceof CacheResponse.Corrupted spoilt) {
       // In these cases the value itself is intact, and routers may forward it.
       boolean hasValidValue =
-          switch (spoilt.way()) {
-            case SECOND_COPY, NOISE_BEHIND, ODD_REPORT -> true;
+          switch (spoilt.corruption()) {
+            case DUPLICATED, TRAILING_NOISE, INVALID_LOAD_REPORT -> true;
             default -> false;
           };
       recordAnswer(
@@ -66,44 +66,44 @@
   }
 
   @Override
-  public void executed(long atNanos, CacheCommand command, boolean repeat) {
+  public void commandExecuted(long atNanos, CacheCommand command, boolean repeat) {
     history.add(new HistoryEvent.CommandExecuted(atNanos, command.number(), repeat));
   }
 
   @Override
-  public void ended(long atNanos, long turn, long connection) {
+  public void connectionClosed(long atNanos, long turn, long connection) {
     history.add(new HistoryEvent.ServerConnectionEnded(atNanos, turn, connection));
   }
 
   @Override
-  public void started(long atNanos, EndpointListing server, double capacity) {
+  public void serverStarted(long atNanos, EndpointListing server, double capacity) {
     history.add(
         new HistoryEvent.CacheServerStarted(
-            atNanos, server.host(), server.site(), server.block(), server.born(), capacity));
+            atNanos, server.host(), server.site(), server.block(), server.startedAtNanos(), capacity));
   }
 
   @Override
-  public void down(long atNanos, String server) {
+  public void serverStopped(long atNanos, String server) {
     history.add(new HistoryEvent.CacheServerStopped(atNanos, server));
   }
 
   @Override
-  public void collapsed(long atNanos, String server) {
+  public void overloaded(long atNanos, String server) {
     history.add(new HistoryEvent.ServerCollapsed(atNanos, server));
   }
 
   @Override
-  public void fetched(long atNanos, String server, boolean cold, int inOrigin) {
+  public void originCalled(long atNanos, String server, boolean cold, int inOrigin) {
     history.add(new HistoryEvent.OriginFetched(atNanos, server, cold, inOrigin));
   }
 
   @Override
-  public void listed(long atNanos, String server, EndpointListing.Health health) {
+  public void listingChanged(long atNanos, String server, EndpointListing.Health health) {
     history.add(new HistoryEvent.ListingChanged(atNanos, server, state(health)));
   }
 
   @Override
-  public void told(long atNanos, int router, String server, EndpointListing.Health health, long born) {
+  public void routerNotified(long atNanos, int router, String server, EndpointListing.Health health, long born) {
     history.add(new HistoryEvent.RouterNotified(atNanos, router, server, state(health), born));
   }
 
@@ -112,17 +112,17 @@
   }
 
   @Override
-  public void asked(long atNanos, int router) {
+  public void discoveryCalled(long atNanos, int router) {
     history.add(new HistoryEvent.DiscoveryPolled(atNanos, router));
   }
 
   @Override
-  public void discovery(long atNanos, boolean up) {
+  public void discoveryAvailability(long atNanos, boolean up) {
     history.add(new HistoryEvent.DiscoveryReachability(atNanos, up));
   }
 
   @Override
-  public void unreadable(long atNanos, String server, int router, String reason) {
+  public void invalidInput(long atNanos, String server, int router, String reason) {
     history.add(new HistoryEvent.UnreadableCommand(atNanos, server, router, reason));
   }
 }
--- a/src/main/java/beaconturn/rehearsal/HtmlReport.java
+++ b/src/main/java/beaconturn/rehearsal/HtmlReport.java
@@ -174,7 +174,7 @@
               Long.toString(result.checked()),
               result.held() ? result.promise() : result.violations().get(0).description()));
     }
-    page.end();
+    page.endTable();
   }
 
   private void addClasses(HtmlPage page) {
@@ -190,6 +190,6 @@
               Long.toString(summary.failed()),
               String.format(Locale.ROOT, "%.1f", summary.p99Millis())));
     }
-    page.end();
+    page.endTable();
   }
 }
--- a/src/main/java/beaconturn/rehearsal/Rehearsal.java
+++ b/src/main/java/beaconturn/rehearsal/Rehearsal.java
@@ -114,7 +114,7 @@
     EmulatedFleet emulatedFleet =
         new EmulatedFleet(
             scheduler,
-            scenario.emulatedFleetShape(),
+            scenario.emulatedFleetSpec(),
             new RandomSources(scenario.seed()),
             new HistoryEventWriter(history));
     fleetServer = new EmulatedFleetServer(emulatedFleet, clock::now, scenario.routers().size(), 0);
@@ -251,7 +251,7 @@
     } else if (fault.kind().needsAgreement()) {
       schedule(fromNanos, () -> environment.startFault(fault));
     } else {
-      fleetServer.tell(() -> scheduleStandInFault(fault, fromNanos, true));
+      fleetServer.apply(() -> scheduleStandInFault(fault, fromNanos, true));
     }
     if (fault.until() == null) {
       scheduleFaultEnd(fault, baseNanos + fault.toNanos());
@@ -271,7 +271,7 @@
       schedule(toNanos, () -> environment.endFault(fault));
     } else if (toNanos < startNanos + scenario.lengthNanos()) {
       // A fault that lasts to the end of the run is not ended: nothing would observe it.
-      fleetServer.tell(() -> scheduleStandInFault(fault, toNanos, false));
+      fleetServer.apply(() -> scheduleStandInFault(fault, toNanos, false));
     }
   }
 
@@ -333,7 +333,7 @@
 
   /** Schedules the start or end of a stand-in fault; runs on the stand-ins' thread. */
   private void scheduleStandInFault(Scenario.FaultSpec fault, long atNanos, boolean starts) {
-    EmulatedFleet fleet = fleetServer.world();
+    EmulatedFleet fleet = fleetServer.fleet();
     if (fault.targets().isEmpty()) {
       fleet
           .scheduler()
@@ -341,24 +341,24 @@
               atNanos,
               () -> {
                 if (starts) {
-                  fleet.begin(fault.kind(), fault.amount());
+                  fleet.startFault(fault.kind(), fault.amount());
                 } else {
-                  fleet.end(fault.kind());
+                  fleet.endFault(fault.kind());
                 }
               });
       return;
     }
     for (String name : fault.targets()) {
-      int server = fleet.placeOf(name);
+      int server = fleet.indexOf(name);
       fleet
           .scheduler()
           .at(
               atNanos,
               () -> {
                 if (starts) {
-                  fleet.begin(fault.kind(), server, fault.amount());
+                  fleet.startFault(fault.kind(), server, fault.amount());
                 } else {
-                  fleet.end(fault.kind(), server);
+                  fleet.endFault(fault.kind(), server);
                 }
               });
     }
@@ -507,7 +507,7 @@
     for (Thread restart : restartThreads) {
       restart.join();
     }
-    fleetServer.tell(() -> fleetServer.world().recoverAll());
+    fleetServer.apply(() -> fleetServer.fleet().recoverAll());
     routers.forEach(RouterProcess::poll);
     routers.forEach(RouterProcess::terminate);
     for (RouterProcess routerProcess : routers) {
@@ -515,7 +515,7 @@
     }
     // The stand-ins notice the connections that ended with the routers in their next turns.
     for (int turn = 0; turn < 3; turn++) {
-      fleetServer.tell(() -> {});
+      fleetServer.apply(() -> {});
       Thread.sleep(1);
     }
   }
--- a/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
+++ b/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
@@ -96,8 +96,8 @@
         .put("mode", "through")
         .put("ordered", true)
         .put("origin_kind", -1)
-        .put("origin_fall", scenario.origin().fallAfter())
-        .put("origin_fall_multiple", scenario.origin().fallMultiple())
+        .put("origin_fall", scenario.origin().overloadNanos())
+        .put("origin_fall_multiple", scenario.origin().overloadMultiple())
         .build();
   }
 
--- a/src/main/java/beaconturn/rehearsal/Scenario.java
+++ b/src/main/java/beaconturn/rehearsal/Scenario.java
@@ -44,7 +44,7 @@
     long seed,
     long lengthNanos,
     Fleet fleet,
-    OriginModel.Shape origin,
+    OriginModel.Spec origin,
     long listLagNanos,
     RoutingSettings routingSettings,
     List<RequestClass> requestClasses,
@@ -464,7 +464,7 @@
   }
 
   /** Returns the cache servers, origin and discovery that routers run against. */
-  public EmulatedFleet.Shape emulatedFleetShape() {
+  public EmulatedFleet.Spec emulatedFleetSpec() {
     List<EmulatedFleet.Member> members = new java.util.ArrayList<>();
     for (int index = 0; index < fleet.cacheServerCount(); index++) {
       String site = siteOfCacheServer(index);
@@ -473,7 +473,7 @@
           new EmulatedFleet.Member(
               cacheServerName(index), site, "standin", block, 1, fleet.serverSpec()));
     }
-    return new EmulatedFleet.Shape(
+    return new EmulatedFleet.Spec(
         List.copyOf(members),
         origin,
         requestClasses.stream().map(Scenario::workCost).toList(),
--- a/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
@@ -24,11 +24,11 @@
     printer
         .header("[origin]")
         .line("workers", scenario.origin().workers())
-        .line("queue", scenario.origin().queue())
-        .line("work", duration(scenario.origin().work()))
-        .line("fall_multiple", scenario.origin().fallMultiple())
-        .line("fall_after", duration(scenario.origin().fallAfter()))
-        .line("fall_for", duration(scenario.origin().fallFor()));
+        .line("queue", scenario.origin().queueCapacity())
+        .line("work", duration(scenario.origin().workNanos()))
+        .line("fall_multiple", scenario.origin().overloadMultiple())
+        .line("fall_after", duration(scenario.origin().overloadNanos()))
+        .line("fall_for", duration(scenario.origin().outageNanos()));
     printer.header("[discovery]").line("lag", duration(scenario.listLagNanos()));
     printer.printRoutingSettings(scenario.routingSettings());
     scenario.requestClasses().forEach(printer::printRequestClass);
--- a/src/main/java/beaconturn/rehearsal/ScenarioReader.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioReader.java
@@ -46,7 +46,7 @@
     long seed = seedOverride == null ? ownSeed : seedOverride;
     long lengthNanos = file.durationNanos("length", 20 * NANOS_PER_SECOND, NANOS_PER_SECOND);
     Scenario.Fleet fleet = FleetSectionReader.readFleet(file.table("fleet"));
-    OriginModel.Shape origin = FleetSectionReader.readOrigin(file.table("origin"));
+    OriginModel.Spec origin = FleetSectionReader.readOrigin(file.table("origin"));
     long listLagNanos = file.table("discovery").durationNanos("lag", NANOS_PER_SECOND, 0);
     Scenario.RoutingSettings routingSettings =
         FleetSectionReader.readRoutingSettings(file.table("settings"));
--- a/src/main/java/beaconturn/rehearsal/fleet/FaultProxy.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/FaultProxy.java
@@ -26,7 +26,7 @@
   private final InetSocketAddress address;
 
   /** Keeps the port reserved while nothing listens on it. */
-  private final SocketChannel portHolder = LoopbackPorts.take(LoopbackPorts::hold);
+  private final SocketChannel portHolder = LoopbackPorts.bindFree(LoopbackPorts::reserve);
 
   private final FaultGate gate = new FaultGate();
   private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
@@ -118,7 +118,7 @@
   }
 
   private ServerSocket listen(int backlog) throws IOException {
-    return LoopbackPorts.again(
+    return LoopbackPorts.rebind(
         address,
         localAddress ->
             new ServerSocket(localAddress.getPort(), backlog, localAddress.getAddress()));
--- a/src/main/java/beaconturn/report/HtmlPage.java
+++ b/src/main/java/beaconturn/report/HtmlPage.java
@@ -59,7 +59,7 @@
   }
 
   /** Ends the table. */
-  public HtmlPage end() {
+  public HtmlPage endTable() {
     out.append("</table>");
     return this;
   }
--- a/src/main/java/beaconturn/standin/CacheResponse.java
+++ b/src/main/java/beaconturn/standin/CacheResponse.java
@@ -5,7 +5,7 @@
 /** What a cache server answers to a command; how it looks on the wire is the front's matter. */
 public sealed interface CacheResponse {
   /** How a read went. */
-  enum How {
+  enum Outcome {
     HIT,
     MISS,
     PENDING,
@@ -13,21 +13,21 @@
   }
 
   /** Ways in which an answer is spoilt or followed by what does not belong to it. */
-  enum Spoiling {
+  enum Corruption {
     NOISE,
     ENDLESS_LINE,
     WRONG_LENGTH,
     HUGE_LENGTH,
-    SECOND_COPY,
-    NOISE_BEHIND,
-    ODD_REPORT
+    DUPLICATED,
+    TRAILING_NOISE,
+    INVALID_LOAD_REPORT
   }
 
   /**
    * The value or the receipt, made for this request alone; {@code report} is the load report or
    * null.
    */
-  record Value(byte[] bytes, How how, String report) implements CacheResponse {
+  record Value(byte[] bytes, Outcome outcome, String report) implements CacheResponse {
     /** The value as text; for logs. */
     @Override
     public String toString() {
@@ -36,11 +36,11 @@
   }
 
   /** A value of which the front makes something spoilt. */
-  record Spoilt(Value value, Spoiling way) implements CacheResponse {}
+  record Corrupted(Value value, Corruption corruption) implements CacheResponse {}
 
   /** Turned away: the command has not run and never will. */
-  record Busy(String why) implements CacheResponse {}
+  record Busy(String reason) implements CacheResponse {}
 
   /** Failed: the command may have run. */
-  record Failed(String why) implements CacheResponse {}
+  record Failed(String reason) implements CacheResponse {}
 }
--- a/src/main/java/beaconturn/standin/EndpointListing.java
+++ b/src/main/java/beaconturn/standin/EndpointListing.java
@@ -14,13 +14,13 @@
  */
 public record EndpointListing(
     String host,
-    int place,
+    int serverIndex,
     String site,
     String kind,
     int block,
     Health health,
     double share,
-    long born) {
+    long startedAtNanos) {
   /** A state as discovery tells it. */
   public enum Health {
     READY,
@@ -29,7 +29,7 @@
   }
 
   /** The same with another state. */
-  public EndpointListing with(Health other) {
-    return new EndpointListing(host, place, site, kind, block, other, share, born);
+  public EndpointListing withHealth(Health other) {
+    return new EndpointListing(host, serverIndex, site, kind, block, other, share, startedAtNanos);
   }
 }
--- a/src/main/java/beaconturn/standin/Fault.java
+++ b/src/main/java/beaconturn/standin/Fault.java
@@ -103,11 +103,11 @@
     STORE_BACK(Target.STORE, false);
 
     private final Target target;
-    private final boolean condition;
+    private final boolean serverState;
 
-    Kind(Target target, boolean condition) {
+    Kind(Target target, boolean serverState) {
       this.target = target;
-      this.condition = condition;
+      this.serverState = serverState;
     }
 
     /** What it happens to. */
@@ -124,8 +124,8 @@
     }
 
     /** Whether it is a state of a running cache server. */
-    boolean condition() {
-      return condition;
+    boolean isServerState() {
+      return serverState;
     }
 
     /** The word by which operators know it. */
--- a/src/main/java/beaconturn/standin/FaultState.java
+++ b/src/main/java/beaconturn/standin/FaultState.java
@@ -4,20 +4,20 @@
  * What is wrong with a cache server at the moment; set by faults, read by the model and by fronts.
  */
 public final class FaultState {
-  private double slow = 1;
+  private double slowdown = 1;
   private boolean stalled;
   private boolean draining;
-  private double errors;
-  private double spoils;
-  private double resets;
+  private double errorShare;
+  private double corruptionShare;
+  private double resetShare;
   private boolean unread;
   private boolean refusing;
   private boolean mute;
   private boolean vanished;
 
   /** Work takes so many times as long. */
-  public double slow() {
-    return slow;
+  public double slowdown() {
+    return slowdown;
   }
 
   /** It takes commands and neither ends any work nor answers. */
@@ -31,18 +31,18 @@
   }
 
   /** Part of the commands that fail at once. */
-  public double errors() {
-    return errors;
+  public double errorShare() {
+    return errorShare;
   }
 
   /** Part of the answers that are spoilt. */
-  public double spoils() {
-    return spoils;
+  public double corruptionShare() {
+    return corruptionShare;
   }
 
   /** Part of the commands at which the connection is reset once they have come whole. */
-  public double resets() {
-    return resets;
+  public double resetShare() {
+    return resetShare;
   }
 
   /** Nothing is read from any connection; it stays in the kernel's buffers. */
@@ -68,12 +68,12 @@
   void set(Fault.Kind kind, double amount) {
     boolean on = amount != 0;
     switch (kind) {
-      case SLOW -> slow = on ? amount : 1;
+      case SLOW -> slowdown = on ? amount : 1;
       case STALL -> stalled = on;
       case DRAIN, DRAIN_LATE -> draining = on;
-      case ERRORS -> errors = amount;
-      case SPOIL -> spoils = amount;
-      case RESET -> resets = amount;
+      case ERRORS -> errorShare = amount;
+      case SPOIL -> corruptionShare = amount;
+      case RESET -> resetShare = amount;
       case UNREAD -> unread = on;
       case REFUSE -> refusing = on;
       case MUTE -> mute = on;
@@ -84,7 +84,7 @@
 
   void clear() {
     for (Fault.Kind kind : Fault.Kind.values()) {
-      if (kind.condition()) {
+      if (kind.isServerState()) {
         set(kind, 0);
       }
     }
--- a/src/main/java/beaconturn/standin/net/DiscoverySession.java
+++ b/src/main/java/beaconturn/standin/net/DiscoverySession.java
@@ -12,7 +12,7 @@
 import java.util.function.Function;
 
 /** One connection of a router to discovery, in HTTP/1.1; one call at a time, as routers do it. */
-final class DiscoverySession extends NonBlockingConnection implements DiscoveryModel.Asker {
+final class DiscoverySession extends NonBlockingConnection implements DiscoveryModel.ResponseHandler {
   private static final int LONGEST_BODY = 4096;
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
@@ -21,7 +21,7 @@
   private static final long LONGEST_WAIT_MILLIS = 60_000;
   private final DiscoveryModel discovery;
   private final int router;
-  private final Function<DiscoveryModel.News, Json> form;
+  private final Function<DiscoveryModel.EndpointUpdate, Json> form;
   private final HttpReader reader = new HttpReader(LONGEST_BODY);
   private DiscoveryModel.Call call;
 
@@ -31,7 +31,7 @@
       SocketChannel channel,
       DiscoveryModel discovery,
       int router,
-      Function<DiscoveryModel.News, Json> form) {
+      Function<DiscoveryModel.EndpointUpdate, Json> form) {
     super(loop, channel);
     this.discovery = discovery;
     this.router = router;
@@ -52,7 +52,7 @@
     }
     String after = request.parameter("after", "");
     if (after.isEmpty()) {
-      call = discovery.whole(router, this);
+      call = discovery.fetch(router, this);
     } else {
       long wait = Math.min(LONGEST_WAIT_MILLIS, number(request.parameter("wait_ms", "0"))) * MILLI;
       call = discovery.watch(router, number(after), wait, this);
@@ -67,8 +67,8 @@
   }
 
   @Override
-  public void news(DiscoveryModel.News news) {
-    write(HttpWriter.answer(OK, JsonWriter.write(form.apply(news))));
+  public void succeeded(DiscoveryModel.EndpointUpdate update) {
+    write(HttpWriter.answer(OK, JsonWriter.write(form.apply(update))));
   }
 
   @Override
--- a/src/main/java/beaconturn/standin/net/EventLoop.java
+++ b/src/main/java/beaconturn/standin/net/EventLoop.java
@@ -20,7 +20,7 @@
 import java.util.logging.Logger;
 
 /**
- * The one thread of a model: drives its agenda by the real clock and serves its channels. A turn
+ * The one thread of a model: drives its scheduler by the real clock and serves its channels. A turn
  * reads all that the kernel had when it began, so that what a peer did before something else is
  * seen a turn later at most.
  */
@@ -28,7 +28,7 @@
   private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
   private static final long MILLI = 1_000_000;
   private static final long LONGEST_WAIT_MILLIS = 1000;
-  private final EventScheduler agenda;
+  private final EventScheduler scheduler;
   private final LongSupplier clock;
   private final Selector selector;
   private final Queue<Runnable> errands = new ConcurrentLinkedQueue<>();
@@ -38,7 +38,7 @@
   private long turn;
 
   /** What a channel's owner does once it is ready; an exception ends only that channel. */
-  interface Ready {
+  interface ChannelHandler {
     void ready(SelectionKey key) throws IOException;
 
     /** The channel has failed and is closed. */
@@ -46,11 +46,11 @@
   }
 
   /**
-   * A loop on the agenda whose time the clock tells, in nanoseconds; it runs from {@link #start}
+   * A loop on the scheduler whose time the clock tells, in nanoseconds; it runs from {@link #start}
    * on.
    */
-  public EventLoop(String name, EventScheduler agenda, LongSupplier clock) throws IOException {
-    this.agenda = agenda;
+  public EventLoop(String name, EventScheduler scheduler, LongSupplier clock) throws IOException {
+    this.scheduler = scheduler;
     this.clock = clock;
     this.selector = Selector.open();
     this.thread = new Thread(this::run, name);
@@ -102,22 +102,22 @@
     return turn;
   }
 
-  EventScheduler agenda() {
-    return agenda;
+  EventScheduler scheduler() {
+    return scheduler;
   }
 
-  SelectionKey register(SelectableChannel channel, int interest, Ready owner) throws IOException {
+  SelectionKey register(SelectableChannel channel, int interest, ChannelHandler owner) throws IOException {
     channel.configureBlocking(false);
     return channel.register(selector, interest, owner);
   }
 
   /** Listens at the address; port 0 takes a free one. */
-  ServerSocketChannel listen(InetSocketAddress address, int backlog, Ready owner)
+  ServerSocketChannel listen(InetSocketAddress address, int backlog, ChannelHandler owner)
       throws IOException {
     ServerSocketChannel channel = ServerSocketChannel.open();
     try {
       if (address.getPort() == 0) {
-        LoopbackPorts.take(at -> channel.bind(at, backlog));
+        LoopbackPorts.bindFree(at -> channel.bind(at, backlog));
       } else {
         channel.bind(address, backlog);
       }
@@ -156,7 +156,7 @@
   }
 
   private void step() throws IOException {
-    long wait = agenda.nextDueAt() - clock.getAsLong();
+    long wait = scheduler.nextDueAt() - clock.getAsLong();
     if (wait <= 0 || !errands.isEmpty() || !afterTurn.isEmpty()) {
       selector.selectNow();
     } else {
@@ -166,7 +166,7 @@
     List<Runnable> left = List.copyOf(afterTurn);
     afterTurn.clear();
     left.forEach(Runnable::run);
-    agenda.advance(clock.getAsLong());
+    scheduler.advance(clock.getAsLong());
     for (SelectionKey key : selector.selectedKeys()) {
       serve(key);
     }
@@ -180,7 +180,7 @@
     if (!key.isValid()) {
       return;
     }
-    Ready owner = (Ready) key.attachment();
+    ChannelHandler owner = (ChannelHandler) key.attachment();
     try {
       owner.ready(key);
     } catch (IOException e) {
--- a/src/main/java/beaconturn/standin/net/LoopbackPorts.java
+++ b/src/main/java/beaconturn/standin/net/LoopbackPorts.java
@@ -32,7 +32,7 @@
   /** What takes an address. */
   public interface Binding<T> {
     /** Binds to it; a {@link BindException} has the next one tried. */
-    T at(InetSocketAddress address) throws IOException;
+    T bind(InetSocketAddress address) throws IOException;
   }
 
   private LoopbackPorts() {}
@@ -40,7 +40,7 @@
   /**
    * Bound and never listening: the kernel refuses who connects, and gives the port to nobody else.
    */
-  public static SocketChannel hold(InetSocketAddress address) throws IOException {
+  public static SocketChannel reserve(InetSocketAddress address) throws IOException {
     SocketChannel holder = SocketChannel.open();
     try {
       holder.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -56,19 +56,19 @@
    * Takes an address again that this process has listened on: a child that is just being started
    * holds for a moment what its parent has closed, up to its exec.
    */
-  public static <T> T again(InetSocketAddress address, Binding<T> binding) throws IOException {
+  public static <T> T rebind(InetSocketAddress address, Binding<T> binding) throws IOException {
     for (int i = 1; i < AGAIN; i++) {
       try {
-        return binding.at(address);
+        return binding.bind(address);
       } catch (BindException e) {
         LockSupport.parkNanos(AGAIN_AFTER);
       }
     }
-    return binding.at(address);
+    return binding.bind(address);
   }
 
   /** Has the first free address taken. */
-  public static <T> T take(Binding<T> binding) throws IOException {
+  public static <T> T bindFree(Binding<T> binding) throws IOException {
     for (int i = 0; i < COUNT; i++) {
       InetSocketAddress at =
           new InetSocketAddress("127.0.0.1", FIRST + Math.floorMod(NEXT.getAndIncrement(), COUNT));
@@ -80,7 +80,7 @@
         continue;
       }
       try {
-        return binding.at(at);
+        return binding.bind(at);
       } catch (BindException e) {
         // Another's: the next one.
       }
--- a/src/main/java/beaconturn/standin/net/StoreServer.java
+++ b/src/main/java/beaconturn/standin/net/StoreServer.java
@@ -23,7 +23,7 @@
   private long calls;
 
   /** Opens the port, 0 for any free one; nobody is served before {@link #start}. */
-  public StoreServer(int port, long cluster, LongSupplier clock, StoreModel.Watcher watcher)
+  public StoreServer(int port, long cluster, LongSupplier clock, StoreModel.ChangeListener watcher)
       throws IOException {
     EventScheduler agenda = new EventScheduler(clock.getAsLong());
     this.loop = new EventLoop("store", agenda, clock);
@@ -57,19 +57,19 @@
       case "lose" -> losing = (int) number(words);
       case "down" -> {
         down = true;
-        model.holdLeases();
+        model.suspendLeaseExpiry();
       }
       case "up" -> {
         down = false;
-        model.renewLeases();
+        model.restartLeases();
       }
       case "freeze" -> model.freeze(true);
       case "thaw" -> model.freeze(false);
-      case "empty" -> model.empty(model.cluster() + 1);
+      case "empty" -> model.replaceWithEmpty(model.clusterId() + 1);
       case "rewind" -> model.rewind(number(words));
       case "status" -> {
         return "cluster "
-            + model.cluster()
+            + model.clusterId()
             + ", revision "
             + model.revision()
             + ", "
