--- a/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
+++ b/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
@@ -21,7 +21,7 @@
     history.add(
         new HistoryEvent.AttemptArrived(
             atNanos,
-            command.firstByteAt(),
+            command.firstByteNanos(),
             command.turn(),
             command.number(),
             server,
--- a/src/main/java/beaconturn/standin/CacheCommand.java
+++ b/src/main/java/beaconturn/standin/CacheCommand.java
@@ -3,18 +3,18 @@
 import java.util.Objects;
 
 /**
- * One command of a router as a cache server has read it whole, whatever protocol it came in.
+ * A complete command of a router, independent of the protocol in which it was sent.
  *
- * @param number counts all commands of a model, from 1
- * @param key what it concerns
- * @param id the request's id as the client gave it
- * @param requestClass the request's class by name
- * @param write whether it has an effect
+ * @param number sequence number over all commands of a fleet, from 1
+ * @param key the key that is read or written
+ * @param id the request's identifier, as given by the client
+ * @param requestClass the name of the request's class
+ * @param write whether the command has an effect
  * @param idempotencyKey the idempotency key, or null
- * @param timeoutNanos how long the router says it waits, in nanoseconds
- * @param valueBytes bytes of the value that a write carries
- * @param firstByteAt when its first byte came, on the model's clock
- * @param turn the driver's turn in which its last byte was read
+ * @param timeoutNanos how long the router waits for a response
+ * @param valueBytes size of the value that a write carries
+ * @param firstByteNanos when its first byte was received, in nanoseconds of the model's clock
+ * @param turn the event loop's turn in which its last byte was read
  */
 public record CacheCommand(
     long number,
@@ -25,9 +25,9 @@
     String idempotencyKey,
     long timeoutNanos,
     int valueBytes,
-    long firstByteAt,
+    long firstByteNanos,
     long turn) {
-  /** Checks what every protocol has to give. */
+  /** Checks the components that every protocol supplies. */
   public CacheCommand {
     Objects.requireNonNull(key);
     Objects.requireNonNull(id);
--- a/src/main/java/beaconturn/standin/CacheResponse.java
+++ b/src/main/java/beaconturn/standin/CacheResponse.java
@@ -2,9 +2,9 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** What a cache server answers to a command; how it looks on the wire is the front's matter. */
+/** A cache server's response to a command, independent of its encoding on the wire. */
 public sealed interface CacheResponse {
-  /** How a read went. */
+  /** How a command was served. */
   enum Outcome {
     HIT,
     MISS,
@@ -12,7 +12,7 @@
     WRITTEN
   }
 
-  /** Ways in which an answer is spoilt or followed by what does not belong to it. */
+  /** Ways in which an encoded response is corrupted. */
   enum Corruption {
     NOISE,
     ENDLESS_LINE,
@@ -24,23 +24,26 @@
   }
 
   /**
-   * The value or the receipt, made for this request alone; {@code report} is the load report or
-   * null.
+   * The value of a read or the confirmation of a write.
+   *
+   * @param bytes unique to the request, so that a response to another request can be recognized
+   * @param outcome how the command was served
+   * @param report the load report, or null
    */
   record Value(byte[] bytes, Outcome outcome, String report) implements CacheResponse {
-    /** The value as text; for logs. */
+    /** Returns the value as text, for logs. */
     @Override
     public String toString() {
       return new String(bytes, StandardCharsets.ISO_8859_1);
     }
   }
 
-  /** A value of which the front makes something spoilt. */
+  /** A value that is corrupted when it is encoded. */
   record Corrupted(Value value, Corruption corruption) implements CacheResponse {}
 
-  /** Turned away: the command has not run and never will. */
+  /** The command was rejected: it has not run and never will. */
   record Busy(String reason) implements CacheResponse {}
 
-  /** Failed: the command may have run. */
+  /** The command failed; it may have run. */
   record Failed(String reason) implements CacheResponse {}
 }
--- a/src/main/java/beaconturn/standin/CacheServerConnection.java
+++ b/src/main/java/beaconturn/standin/CacheServerConnection.java
@@ -1,12 +1,16 @@
 package beaconturn.standin;
 
-/** One connection as a cache server sees it; made by a front, called by the model on its thread. */
+/**
+ * A cache server's side of one connection, implemented by a socket front and called by the model on
+ * its thread.
+ */
 public interface CacheServerConnection {
-  /** Sends an answer; they come in the order of the commands. */
+  /** Sends a response; responses are passed in the order of their commands. */
   void respond(CacheResponse response);
 
   /**
-   * Ends the connection as a process that dies does, and tells the session so before it returns.
+   * Resets the connection, as the death of a process does, and reports its end to the session
+   * before it returns.
    */
   void reset();
 }
--- a/src/main/java/beaconturn/standin/CacheServerModel.java
+++ b/src/main/java/beaconturn/standin/CacheServerModel.java
@@ -15,32 +15,35 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One cache server process: workers and a waiting room, objects with a size and a life, a cold
- * start that warms with time, answers in the order of each connection's commands, and a collapse
- * when it is pushed over. It reads through: what it lacks comes from the origin. Not to be used any
- * more once it is dead.
+ * Models one cache server process: workers with a bounded queue, a read-through cache in front of
+ * the origin, a cold start with warm-up, responses in the order of each connection's commands, and
+ * a collapse under overload. Single-threaded; must not be used after its death.
  */
 public final class CacheServerModel {
   private static final CacheResponse.Corruption[] CORRUPTIONS = CacheResponse.Corruption.values();
+  /** Weight of a new sample in the mean latency of the load report. */
+  private static final double LATENCY_SMOOTHING = 0.05;
+
   private final SharedParts shared;
   private final EndpointListing listing;
   private final CacheServerSpec spec;
   private final UniformRandomProvider random;
   private final FaultState faults = new FaultState();
   private final ObjectCache objects;
-  private final WorkWindow load;
+  private final WorkWindow offeredWork;
   private final Set<Session> sessions = new LinkedHashSet<>();
   private final Queue<Job> queue = new ArrayDeque<>();
-  private final Map<String, List<LongConsumer>> fetches = new HashMap<>();
+  private final Map<String, List<LongConsumer>> pendingFetches = new HashMap<>();
   private final List<Runnable> stalledSteps = new ArrayList<>();
-  private int busy;
+  private int busyWorkers;
   private int inFlight;
   private double meanLatencyNanos;
   private boolean dead;
 
   /**
-   * What all cache servers of a model have in common; {@code voided} drops a key's copies
-   * elsewhere.
+   * The parts that all cache servers of a fleet share.
+   *
+   * @param invalidateElsewhere drops a key's copies on all cache servers
    */
   record SharedParts(
       EventScheduler scheduler,
@@ -57,76 +60,82 @@
     this.spec = spec;
     this.random = random;
     this.objects = new ObjectCache(spec.capacityBytes(), spec.timeToLiveNanos());
-    this.load = new WorkWindow(spec.overloadNanos());
+    this.offeredWork = new WorkWindow(spec.overloadNanos());
     shared.recorder().serverStarted(now(), listing, spec.workers() * spec.speed());
   }
 
-  /** Work on a command or on a new connection, from the waiting room to its end. */
+  /** Work for a command or a new connection, from the queue to its completion. */
   private final class Job {
+    /** The command, or null for a new connection. */
     private final Slot slot;
-    private final long work;
-    private final long came = now();
-    private EventScheduler.Task end;
 
-    private Job(Slot slot, long work) {
+    private final long workNanos;
+    private final long arrivedNanos = now();
+    private EventScheduler.Task completion;
+
+    private Job(Slot slot, long workNanos) {
       this.slot = slot;
-      this.work = work;
+      this.workNanos = workNanos;
     }
   }
 
-  /** A command's place in the order of answers. */
+  /** A command and its position in the order of responses. */
   private static final class Slot {
     private final Session session;
     private final CacheCommand command;
-    private final long work;
-    private boolean begun;
-    private CacheResponse reply;
+    private final long workNanos;
+    private boolean started;
+    private CacheResponse response;
     private Job job;
 
-    private Slot(Session session, CacheCommand command, long work) {
+    private Slot(Session session, CacheCommand command, long workNanos) {
       this.session = session;
       this.command = command;
-      this.work = work;
+      this.workNanos = workNanos;
     }
   }
 
-  /** One connection; a front tells it what was read and when it has ended. */
+  /** One connection; the socket front reports its commands and its end. */
   public final class Session {
-    private final CacheServerConnection line;
+    private final CacheServerConnection connection;
     private final int router;
     private final long number;
-    private final boolean over;
+    private final boolean overLimit;
+
+    /** Commands without a sent response, in the order of their arrival. */
     private final Queue<Slot> slots = new ArrayDeque<>();
-    private final Queue<Slot> unbegun = new ArrayDeque<>();
-    private int begun;
+
+    private final Queue<Slot> notStarted = new ArrayDeque<>();
+    private int startedCount;
     private boolean ended;
 
-    private Session(CacheServerConnection line, int router, long number, boolean over) {
-      this.line = line;
+    private Session(
+        CacheServerConnection connection, int router, long number, boolean overLimit) {
+      this.connection = connection;
       this.router = router;
       this.number = number;
-      this.over = over;
+      this.overLimit = overLimit;
     }
 
-    /** A command has come whole. */
+    /** Handles a complete command. */
     public void command(CacheCommand command) {
       if (ended) {
         return;
       }
-      long work =
+      long workNanos =
           (long)
-              (WorkCost.of(shared.costs(), command.requestClass()).workNanos()
+              (WorkCost.forClass(shared.costs(), command.requestClass()).workNanos()
                   * (0.5 + random.nextDouble()));
-      shared.recorder().commandReceived(now(), listing.host(), router, number, command, work);
-      Slot slot = new Slot(this, command, work);
+      shared.recorder().commandReceived(now(), listing.host(), router, number, command, workNanos);
+      Slot slot = new Slot(this, command, workNanos);
       slots.add(slot);
-      unbegun.add(slot);
-      countOfferedWork(work);
-      next();
+      notStarted.add(slot);
+      countOfferedWork(workNanos);
+      startNext();
     }
 
-    /** Nothing comes or goes any more; {@code turn} is the driver's. */
-    public void ended(long turn) {
+    /** Handles the end of the connection, in the given turn of the event loop. */
+    public void connectionClosed(long turn) {
       if (ended) {
         return;
       }
@@ -138,71 +147,72 @@
       }
     }
 
-    private void next() {
-      while (!ended && !unbegun.isEmpty() && begun < spec.multiplex()) {
-        begin(unbegun.remove());
+    private void startNext() {
+      while (!ended && !notStarted.isEmpty() && startedCount < spec.multiplex()) {
+        startCommand(notStarted.remove());
       }
     }
 
-    /** Sends the answers whose turn has come; one that is not ready holds up those behind it. */
+    /** Sends responses in order, up to the first command whose response is not ready. */
     private void flush() {
-      while (!ended && !faults.stalled() && !slots.isEmpty() && slots.peek().reply != null) {
+      while (!ended && !faults.stalled() && !slots.isEmpty() && slots.peek().response != null) {
         Slot first = slots.remove();
-        shared.recorder().responseSent(now(), first.command, first.reply);
-        line.respond(first.reply);
+        shared.recorder().responseSent(now(), first.command, first.response);
+        connection.respond(first.response);
       }
     }
   }
 
-  /** A new connection of a router; the numbers are for the account. */
-  public Session open(CacheServerConnection line, int router, long number) {
-    Session session = new Session(line, router, number, sessions.size() >= spec.maxConnections());
+  /** Opens a connection; router and connection number appear in the history only. */
+  public Session open(CacheServerConnection connection, int router, long number) {
+    Session session =
+        new Session(connection, router, number, sessions.size() >= spec.maxConnections());
     sessions.add(session);
-    if (!session.over && spec.connectWorkNanos() > 0) {
+    if (!session.overLimit && spec.connectWorkNanos() > 0) {
       enqueue(new Job(null, spec.connectWorkNanos()));
     }
     return session;
   }
 
-  private void begin(Slot slot) {
-    slot.begun = true;
-    slot.session.begun++;
+  private void startCommand(Slot slot) {
+    slot.started = true;
+    slot.session.startedCount++;
     inFlight++;
     if (faults.draining()) {
       respond(slot, new CacheResponse.Busy("draining"));
-    } else if (slot.session.over) {
+    } else if (slot.session.overLimit) {
       respond(slot, new CacheResponse.Busy("too many connections"));
-    } else if (queue.size() >= spec.queueCapacity() && busy >= spec.workers()) {
+    } else if (queue.size() >= spec.queueCapacity() && busyWorkers >= spec.workers()) {
       respond(slot, new CacheResponse.Busy("queue full"));
     } else if (random.nextDouble() < faults.resetShare()) {
-      slot.session.line.reset();
+      slot.session.connection.reset();
     } else if (random.nextDouble() < faults.errorShare()) {
       respond(slot, new CacheResponse.Failed("failed"));
     } else {
-      slot.job = new Job(slot, slot.work);
+      slot.job = new Job(slot, slot.workNanos);
       enqueue(slot.job);
     }
   }
 
   private void enqueue(Job job) {
     queue.add(job);
-    work();
+    startQueuedJobs();
   }
 
-  private void work() {
-    while (!dead && !faults.stalled() && busy < spec.workers() && !queue.isEmpty()) {
+  private void startQueuedJobs() {
+    while (!dead && !faults.stalled() && busyWorkers < spec.workers() && !queue.isEmpty()) {
       Job next = queue.remove();
-      if (next.slot != null && next.came + next.slot.command.timeoutNanos() < now()) {
+      if (next.slot != null && next.arrivedNanos + next.slot.command.timeoutNanos() < now()) {
         respond(next.slot, new CacheResponse.Busy("over"));
         continue;
       }
-      busy++;
-      long time = (long) (next.work * faults.slowdown() / (spec.speed() * warmth()));
-      next.end = shared.scheduler().in(time, () -> whenNotStalled(() -> jobDone(next)));
+      busyWorkers++;
+      long durationNanos = (long) (next.workNanos * faults.slowdown() / (spec.speed() * warmth()));
+      next.completion = shared.scheduler().in(durationNanos, () -> whenNotStalled(() -> jobDone(next)));
     }
   }
 
-  /** Runs it, or once the server is no longer stalled. */
+  /** Runs a step now, or as soon as the server is no longer stalled. */
   private void whenNotStalled(Runnable step) {
     if (faults.stalled()) {
       stalledSteps.add(step);
@@ -212,8 +222,8 @@
   }
 
   private void jobDone(Job job) {
-    job.end = null;
-    busy--;
+    job.completion = null;
+    busyWorkers--;
     if (job.slot != null) {
       if (job.slot.command.write()) {
         write(job.slot);
@@ -221,88 +231,88 @@
         read(job.slot);
       }
     }
-    work();
+    startQueuedJobs();
   }
 
   private void read(Slot slot) {
-    CacheCommand c = slot.command;
-    ObjectCache.Item found = objects.get(c.key(), now());
+    CacheCommand command = slot.command;
+    ObjectCache.Item found = objects.get(command.key(), now());
     if (found != null) {
-      served(slot, found.version(), CacheResponse.Outcome.HIT, found.size());
+      serveRead(slot, found.version(), CacheResponse.Outcome.HIT, found.size());
       return;
     }
-    boolean pending = fetches.containsKey(c.key());
-    CacheResponse.Outcome how = pending ? CacheResponse.Outcome.PENDING : CacheResponse.Outcome.MISS;
-    LongConsumer done = version -> whenNotStalled(() -> fetched(slot, version, how));
-    List<LongConsumer> sharing = fetches.computeIfAbsent(c.key(), k -> new ArrayList<>());
-    sharing.add(done);
+    boolean pending = pendingFetches.containsKey(command.key());
+    CacheResponse.Outcome outcome = pending ? CacheResponse.Outcome.PENDING : CacheResponse.Outcome.MISS;
+    LongConsumer waiter = version -> whenNotStalled(() -> fetchCompleted(slot, version, outcome));
+    List<LongConsumer> waiters = pendingFetches.computeIfAbsent(command.key(), k -> new ArrayList<>());
+    waiters.add(waiter);
     if (!pending) {
       shared
           .origin()
-          .fetch(listing.host(), cold(), c.key(), version -> arrived(c, sharing, version));
+          .fetch(listing.host(), cold(), command.key(), version -> sharedFetchCompleted(command, waiters, version));
     } else if (!spec.sharesFetches()) {
-      sharing.remove(done);
-      shared.origin().fetch(listing.host(), cold(), c.key(), done);
+      waiters.remove(waiter);
+      shared.origin().fetch(listing.host(), cold(), command.key(), waiter);
     }
   }
 
-  private void arrived(CacheCommand c, List<LongConsumer> sharing, long version) {
-    fetches.remove(c.key());
+  private void sharedFetchCompleted(CacheCommand command, List<LongConsumer> waiters, long version) {
+    pendingFetches.remove(command.key());
     if (!dead && version != OriginModel.FAILED) {
-      objects.put(c.key(), version, size(c), now());
+      objects.put(command.key(), version, size(command), now());
     }
-    sharing.forEach(one -> one.accept(version));
+    waiters.forEach(waiter -> waiter.accept(version));
   }
 
-  private void fetched(Slot slot, long version, CacheResponse.Outcome how) {
+  private void fetchCompleted(Slot slot, long version, CacheResponse.Outcome outcome) {
     if (version == OriginModel.FAILED) {
       respond(slot, new CacheResponse.Failed("origin"));
     } else {
-      served(slot, version, how, size(slot.command));
+      serveRead(slot, version, outcome, size(slot.command));
     }
   }
 
   private void write(Slot slot) {
-    CacheCommand c = slot.command;
-    WorkCost type = WorkCost.of(shared.costs(), c.requestClass());
-    boolean keyed = type.idempotencyKeys() && c.idempotencyKey() != null;
+    CacheCommand command = slot.command;
+    WorkCost cost = WorkCost.forClass(shared.costs(), command.requestClass());
+    boolean keyed = cost.idempotencyKeys() && command.idempotencyKey() != null;
     if (keyed
         && !shared
             .deduplication()
-            .first(
-                group(type.deduplicationScope()),
-                c.idempotencyKey(),
-                type.deduplicationWindowNanos(),
+            .recordIfFirst(
+                deduplicationGroup(cost.deduplicationScope()),
+                command.idempotencyKey(),
+                cost.deduplicationWindowNanos(),
                 now())) {
-      shared.recorder().commandExecuted(now(), c, true);
-      respondWritten(slot, shared.origin().version(c.key()));
+      shared.recorder().commandExecuted(now(), command, true);
+      respondWritten(slot, shared.origin().version(command.key()));
       return;
     }
-    String effect = keyed ? c.idempotencyKey() : c.id();
+    String effect = keyed ? command.idempotencyKey() : command.id();
     shared
         .origin()
         .write(
             listing.host(),
             cold(),
-            c.key(),
+            command.key(),
             effect,
             version -> {
               if (version == OriginModel.FAILED) {
                 if (keyed) {
                   shared
                       .deduplication()
-                      .forget(group(type.deduplicationScope()), c.idempotencyKey());
+                      .forget(deduplicationGroup(cost.deduplicationScope()), command.idempotencyKey());
                 }
                 whenNotStalled(() -> respond(slot, new CacheResponse.Failed("origin")));
                 return;
               }
-              shared.recorder().commandExecuted(now(), c, false);
-              shared.invalidateElsewhere().accept(c.key());
+              shared.recorder().commandExecuted(now(), command, false);
+              shared.invalidateElsewhere().accept(command.key());
               whenNotStalled(() -> respondWritten(slot, version));
             });
   }
 
-  private String group(String scope) {
+  private String deduplicationGroup(String scope) {
     return switch (scope) {
       case "zone" -> "zone " + listing.site();
       case "cell" -> "cell " + listing.site() + " " + listing.block();
@@ -310,95 +320,96 @@
     };
   }
 
-  private void served(Slot slot, long version, CacheResponse.Outcome how, int size) {
+  private void serveRead(Slot slot, long version, CacheResponse.Outcome outcome, int size) {
     shared.recorder().commandExecuted(now(), slot.command, false);
-    value(slot, version, how, size);
+    respondValue(slot, version, outcome, size);
   }
 
   private void respondWritten(Slot slot, long version) {
-    value(slot, version, CacheResponse.Outcome.WRITTEN, 0);
+    respondValue(slot, version, CacheResponse.Outcome.WRITTEN, 0);
   }
 
-  /** Made for this request alone, so that an account can tell whose answer it is. */
-  private void value(Slot slot, long version, CacheResponse.Outcome how, int size) {
-    CacheCommand c = slot.command;
-    byte[] made =
-        (c.key()
+  /** Responds with a value unique to the request, so that the history shows whose it is. */
+  private void respondValue(Slot slot, long version, CacheResponse.Outcome outcome, int size) {
+    CacheCommand command = slot.command;
+    byte[] text =
+        (command.key()
                 + " v"
                 + version
                 + " for "
-                + c.id()
+                + command.id()
                 + " by "
                 + listing.host()
                 + " #"
-                + c.number()
+                + command.number()
                 + " ")
             .getBytes(StandardCharsets.ISO_8859_1);
-    byte[] bytes = Arrays.copyOf(made, Math.max(size, made.length));
-    Arrays.fill(bytes, made.length, bytes.length, (byte) '.');
-    CacheResponse.Value value = new CacheResponse.Value(bytes, how, report());
-    boolean spoil = random.nextDouble() < faults.corruptionShare();
+    byte[] bytes = Arrays.copyOf(text, Math.max(size, text.length));
+    Arrays.fill(bytes, text.length, bytes.length, (byte) '.');
+    CacheResponse.Value value = new CacheResponse.Value(bytes, outcome, loadReport());
+    boolean corrupt = random.nextDouble() < faults.corruptionShare();
     respond(
         slot,
-        spoil
+        corrupt
             ? new CacheResponse.Corrupted(value, CORRUPTIONS[random.nextInt(CORRUPTIONS.length)])
             : value);
   }
 
-  private String report() {
+  private String loadReport() {
     if (spec.loadReportFields().isEmpty()) {
       return null;
     }
-    List<String> pairs = new ArrayList<>();
+    List<String> fields = new ArrayList<>();
     for (String name : spec.loadReportFields()) {
-      double figure =
+      double value =
           switch (name) {
             case "inflight" -> inFlight;
             case "latency_ms" -> meanLatencyNanos / 1e6;
-            default -> busy;
+            default -> busyWorkers;
           };
-      pairs.add(name + "=" + Math.round(figure * 100) / 100.0);
+      fields.add(name + "=" + Math.round(value * 100) / 100.0);
     }
-    return String.join(",", pairs);
+    return String.join(",", fields);
   }
 
-  private void respond(Slot slot, CacheResponse reply) {
-    if (slot.reply != null || slot.session.ended) {
+  private void respond(Slot slot, CacheResponse response) {
+    if (slot.response != null || slot.session.ended) {
       return;
     }
-    slot.reply = reply;
+    slot.response = response;
     inFlight--;
-    slot.session.begun--;
+    slot.session.startedCount--;
     if (slot.job != null) {
-      meanLatencyNanos += 0.05 * (now() - slot.job.came - meanLatencyNanos);
+      meanLatencyNanos += LATENCY_SMOOTHING * (now() - slot.job.arrivedNanos - meanLatencyNanos);
     }
     slot.session.flush();
-    slot.session.next();
+    slot.session.startNext();
   }
 
   /**
-   * Its connection is gone: what waits is dropped, what runs is stopped where the shape says so.
+   * Drops a command whose connection has ended: queued work is removed, running work is stopped if
+   * the specification says so.
    */
   private void abandon(Slot slot) {
     Job job = slot.job;
-    inFlight -= slot.begun && slot.reply == null ? 1 : 0;
-    if (job == null || slot.reply != null || queue.remove(job)) {
+    inFlight -= slot.started && slot.response == null ? 1 : 0;
+    if (job == null || slot.response != null || queue.remove(job)) {
       return;
     }
-    if (job.end != null && spec.cancelsRunningWork() && !faults.stalled()) {
-      job.end.cancel();
-      job.end = null;
-      busy--;
-      work();
+    if (job.completion != null && spec.cancelsRunningWork() && !faults.stalled()) {
+      job.completion.cancel();
+      job.completion = null;
+      busyWorkers--;
+      startQueuedJobs();
     }
   }
 
-  /** Counts work that was sent, done or not, against what the server can do at this moment. */
-  private void countOfferedWork(long work) {
-    long sent = load.add(now(), work);
+  /** Counts offered work, completed or not; a cold server that is offered too much collapses. */
+  private void countOfferedWork(long workNanos) {
+    long offeredNanos = offeredWork.add(now(), workNanos);
     if (!dead
         && cold()
-        && sent
+        && offeredNanos
             > spec.overloadMultiple()
                 * warmth()
                 * spec.workers()
@@ -409,46 +420,46 @@
     }
   }
 
-  /** Ends the process: connections are reset, nothing it had goes on but what the origin has. */
+  /** Ends the process: resets connections and drops all work but the calls to the origin. */
   void die() {
     dead = true;
-    List.copyOf(sessions).forEach(session -> session.line.reset());
+    List.copyOf(sessions).forEach(session -> session.connection.reset());
     queue.clear();
     stalledSteps.clear();
     objects.clear();
   }
 
-  /** Changes its condition and acts on it. */
-  void set(Fault.Kind kind, double amount) {
+  /** Sets one fault of the server and applies it. */
+  void setFault(Fault.Kind kind, double amount) {
     faults.set(kind, amount);
-    changed();
+    resumeIfRunning();
     if (kind == Fault.Kind.RESET && amount > 0) {
-      List.copyOf(sessions).forEach(session -> session.line.reset());
+      List.copyOf(sessions).forEach(session -> session.connection.reset());
     }
   }
 
-  /** Ends all that is wrong with it, but a death. */
-  void recover() {
+  /** Clears all faults; a dead server stays dead. */
+  void clearFaults() {
     faults.clear();
-    changed();
+    resumeIfRunning();
   }
 
-  private void changed() {
+  private void resumeIfRunning() {
     if (!faults.stalled() && !dead) {
       List<Runnable> due = List.copyOf(stalledSteps);
       stalledSteps.clear();
       due.forEach(Runnable::run);
       List.copyOf(sessions).forEach(Session::flush);
-      work();
+      startQueuedJobs();
     }
   }
 
-  /** Another server has passed on a write of the key: the copy here is no longer good. */
+  /** Drops the object of a key that was written through some cache server. */
   void invalidate(String key) {
     objects.drop(key);
   }
 
-  /** Whether it has not yet warmed up. */
+  /** Returns whether the server is still warming up. */
   public boolean cold() {
     return warmth() < 1;
   }
@@ -457,45 +468,45 @@
     return spec.warmth(listing.startedAtNanos(), now());
   }
 
-  private int size(CacheCommand c) {
-    return WorkCost.of(shared.costs(), c.requestClass()).valueBytes();
+  private int size(CacheCommand command) {
+    return WorkCost.forClass(shared.costs(), command.requestClass()).valueBytes();
   }
 
   private long now() {
     return shared.scheduler().now();
   }
 
-  /** How it is listed. */
+  /** Returns the server's entry in the endpoint list, as of its start. */
   public EndpointListing listing() {
     return listing;
   }
 
-  /** What is wrong with it. */
+  /** Returns the faults of the server. */
   public FaultState faults() {
     return faults;
   }
 
-  /** Whether the process has ended, killed or collapsed. */
+  /** Returns whether the process was killed or has collapsed. */
   public boolean dead() {
     return dead;
   }
 
-  /** Open connections. */
+  /** Returns the number of open connections. */
   public int connections() {
     return sessions.size();
   }
 
-  /** Commands that it has begun and not answered. */
+  /** Returns the number of commands that were started and have no response yet. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** Objects that it holds. */
+  /** Returns the number of cached objects. */
   public int objects() {
     return objects.count();
   }
 
-  /** Bytes of them, with a small part for each beside its value. */
+  /** Returns the size of the cached objects in bytes, with an overhead for each. */
   public long bytes() {
     return objects.bytes();
   }
--- a/src/main/java/beaconturn/standin/CacheServerSpec.java
+++ b/src/main/java/beaconturn/standin/CacheServerSpec.java
@@ -1,23 +1,24 @@
 package beaconturn.standin;
 
 /**
- * What one cache server can do; all times in nanoseconds.
+ * Capacity and behaviour of one cache server.
  *
- * @param speed its speed, 1 for the rated one
- * @param workers commands that it works on at once
- * @param queueCapacity commands that may wait for a worker; beyond them it turns away
- * @param capacityBytes bytes of objects that it holds
- * @param timeToLiveNanos how long an object lives
- * @param coldSpeedShare part of its speed that it has right after a start, 0 to 1
- * @param warmUpNanos how long it takes to warm up
- * @param overloadMultiple sent so many times what it can do at that moment ...
- * @param overloadNanos ... over so long, it collapses and stays down
- * @param maxConnections open ones that it takes; beyond them commands are turned away
- * @param connectWorkNanos work that a new connection costs it
- * @param multiplex commands of one connection that it works on at once
- * @param sharesFetches whether misses of one key share a fetch
- * @param cancelsRunningWork whether the end of a connection stops work that is running
- * @param loadReportFields names of the load report's figures: inflight, qps, latency_ms, x0; none
+ * @param speed relative to the rated speed, which is 1
+ * @param workers commands that are processed at once
+ * @param queueCapacity commands that may wait for a worker; further ones are rejected
+ * @param capacityBytes total size of the objects that are kept
+ * @param timeToLiveNanos lifetime of an object
+ * @param coldSpeedShare share of the full speed right after a start, 0 to 1
+ * @param warmUpNanos time from a start to the full speed
+ * @param overloadMultiple a cold server collapses, and stays down, if the work that is offered
+ *     within {@code overloadNanos} exceeds this multiple of its current capacity
+ * @param overloadNanos length of the window in which offered work is summed
+ * @param maxConnections commands of connections beyond this number are rejected
+ * @param connectWorkNanos work that a new connection costs
+ * @param multiplex commands of one connection that are processed at once
+ * @param sharesFetches whether concurrent misses of one key share a fetch from the origin
+ * @param cancelsRunningWork whether the end of a connection stops its running work
+ * @param loadReportFields names of the load report's fields (inflight, qps, latency_ms, x0); empty
  *     for no report
  */
 public record CacheServerSpec(
@@ -37,12 +38,18 @@
     boolean cancelsRunningWork,
     java.util.List<String> loadReportFields) {
 
-  /** The part of its full speed that a server born at a time has; 1 where it started long ago. */
-  public double warmth(long born, long now) {
-    if (born == 0 || warmUpNanos <= 0) {
+  /**
+   * Returns the share of the full speed that a server has now.
+   *
+   * @param startedAtNanos when the server started; 0 if it has long been warm
+   */
+  public double warmth(long startedAtNanos, long nowNanos) {
+    if (startedAtNanos == 0 || warmUpNanos <= 0) {
       return 1;
     }
     return Math.min(
-        1, coldSpeedShare + (1 - coldSpeedShare) * Math.max(0, now - born) / warmUpNanos);
+        1,
+        coldSpeedShare
+            + (1 - coldSpeedShare) * Math.max(0, nowNanos - startedAtNanos) / warmUpNanos);
   }
 }
--- a/src/main/java/beaconturn/standin/DeduplicationLog.java
+++ b/src/main/java/beaconturn/standin/DeduplicationLog.java
@@ -4,22 +4,26 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What groups of cache servers remember of keyed writes, so that a repeat has no second effect. */
+/**
+ * Remembers the idempotency keys of writes in each group of cache servers, so that a repeated write
+ * has no second effect.
+ */
 public final class DeduplicationLog {
   private final Map<String, Map<String, Long>> expiryByKeyByGroup = new HashMap<>();
 
   /**
-   * Whether the write is the first of its key in the group within the window; it is remembered from
-   * now on.
+   * Records a write and returns whether it is the first with its idempotency key in the group within
+   * the window.
    */
-  boolean first(String group, String once, long window, long now) {
-    Map<String, Long> seen = expiryByKeyByGroup.computeIfAbsent(group, g -> new LinkedHashMap<>());
-    seen.values().removeIf(until -> until <= now);
-    return seen.putIfAbsent(once, now + window) == null;
+  boolean recordIfFirst(String group, String idempotencyKey, long windowNanos, long nowNanos) {
+    Map<String, Long> expiryByKey =
+        expiryByKeyByGroup.computeIfAbsent(group, g -> new LinkedHashMap<>());
+    expiryByKey.values().removeIf(expiryNanos -> expiryNanos <= nowNanos);
+    return expiryByKey.putIfAbsent(idempotencyKey, nowNanos + windowNanos) == null;
   }
 
-  /** The write did not run after all; the next one of its key does. */
-  void forget(String group, String once) {
-    expiryByKeyByGroup.getOrDefault(group, Map.of()).remove(once);
+  /** Forgets a write that did not run after all. */
+  void forget(String group, String idempotencyKey) {
+    expiryByKeyByGroup.getOrDefault(group, Map.of()).remove(idempotencyKey);
   }
 }
--- a/src/main/java/beaconturn/standin/DiscoveryModel.java
+++ b/src/main/java/beaconturn/standin/DiscoveryModel.java
@@ -9,15 +9,15 @@
 import java.util.TreeMap;
 
 /**
- * The list of cache servers as routers are told it: each change is known here some time after it
- * has happened and makes a new version. Answers the whole list at once, and a watch when there is
- * something newer.
+ * Models the discovery service: an endpoint list in which each change of a cache server appears
+ * after a lag, as a new version. Returns the complete list at once, and to a watch the changes since
+ * a version as soon as there are any. Single-threaded.
  */
 public final class DiscoveryModel {
-  /** The latest change of each cache server that the list has heard of. */
-  private final Map<String, Long> latestChange = new HashMap<>();
+  /** The number of the latest change of each cache server that was published. */
+  private final Map<String, Long> latestChangeByHost = new HashMap<>();
 
-  private long changes;
+  private long changeCount;
   private final EventScheduler scheduler;
   private final HistoryRecorder recorder;
   private final Map<String, EndpointListing> listings = new LinkedHashMap<>();
@@ -28,28 +28,40 @@
   private long delayNanos;
   private long lagNanos;
 
-  /** A version: when it was made, the entry that changed, and all that are listed. */
-  private record Version(long at, EndpointListing changed, Map<String, EndpointListing> all) {}
+  /**
+   * A version of the list.
+   *
+   * @param createdNanos when it was published
+   * @param changed the entry that changed; null in the first version
+   * @param all all entries by host
+   */
+  private record Version(
+      long createdNanos, EndpointListing changed, Map<String, EndpointListing> all) {}
 
-  /** What discovery says: the version, whether it is the whole list, and its entries. */
+  /**
+   * A reply of discovery.
+   *
+   * @param version the version of the list
+   * @param whole whether it has all entries, or only the changed ones
+   */
   public record EndpointUpdate(long version, boolean whole, List<EndpointListing> entries) {}
 
-  /** Where an answer goes; exactly one of the two is called. */
+  /** Receives the reply to a call; exactly one of the methods is called, once. */
   public interface ResponseHandler {
-    /** The call has its answer, which goes out now. */
+    /** Receives the reply, to be sent now. */
     void succeeded(EndpointUpdate update);
 
-    /** The call has failed. */
+    /** Discovery is unavailable. */
     void failed();
   }
 
-  /** A call that waits: a watch, or an answer that is slow to go out. */
+  /** A call without a reply: a watch, or a call whose reply is delayed. */
   public final class Call {
     private final int router;
     private final long after;
     private final ResponseHandler handler;
-    private EventScheduler.Task end;
-    private boolean over;
+    private EventScheduler.Task pendingTask;
+    private boolean completed;
 
     private Call(int router, long after, ResponseHandler handler) {
       this.router = router;
@@ -57,44 +69,44 @@
       this.handler = handler;
     }
 
-    /** The router has gone; nothing is said any more. */
+    /** Cancels the call because its connection has ended; the handler is not called any more. */
     public void cancel() {
-      over = true;
-      end.cancel();
+      completed = true;
+      pendingTask.cancel();
       watches.remove(this);
     }
 
-    private void answer(boolean whole) {
+    private void scheduleReply(boolean whole) {
       watches.remove(this);
-      end.cancel();
-      end = scheduler.in(delayNanos, () -> respond(whole));
+      pendingTask.cancel();
+      pendingTask = scheduler.in(delayNanos, () -> reply(whole));
     }
 
-    private void respond(boolean whole) {
-      if (over) {
+    private void reply(boolean whole) {
+      if (completed) {
         return;
       }
-      over = true;
+      completed = true;
       if (unavailable) {
         handler.failed();
         return;
       }
       EndpointUpdate update = whole ? completeList() : changesSince(after);
-      record(router, update);
+      recordNotifications(router, update);
       handler.succeeded(update);
     }
 
     private void fail() {
-      end.cancel();
+      pendingTask.cancel();
       watches.remove(this);
-      if (!over) {
-        over = true;
+      if (!completed) {
+        completed = true;
         handler.failed();
       }
     }
   }
 
-  /** A discovery that knows nobody yet; its first version is 1. */
+  /** Creates an available discovery service with an empty list, which has version 1. */
   public DiscoveryModel(EventScheduler scheduler, HistoryRecorder recorder) {
     this.scheduler = scheduler;
     this.recorder = recorder;
@@ -103,23 +115,23 @@
   }
 
   /**
-   * A cache server changes now; the list follows after the lag, in nanoseconds, unless it has heard
-   * of a later change by then: a drain that was called off before it was known is never listed.
+   * Publishes a change of a cache server after a lag, unless a later change of it has been published
+   * by then: a drain that is cancelled within the lag is never listed.
    */
-  void change(EndpointListing entry, long lag) {
-    long number = ++changes;
-    if (lag <= 0) {
+  void change(EndpointListing entry, long publishLagNanos) {
+    long number = ++changeCount;
+    if (publishLagNanos <= 0) {
       publish(entry, number);
     } else {
-      scheduler.in(lag, () -> publish(entry, number));
+      scheduler.in(publishLagNanos, () -> publish(entry, number));
     }
   }
 
   private void publish(EndpointListing entry, long number) {
-    if (number < latestChange.getOrDefault(entry.host(), 0L)) {
+    if (number < latestChangeByHost.getOrDefault(entry.host(), 0L)) {
       return;
     }
-    latestChange.put(entry.host(), number);
+    latestChangeByHost.put(entry.host(), number);
     recorder.listingChanged(scheduler.now(), entry.host(), entry.health());
     if (entry.health() == EndpointListing.Health.GONE) {
       listings.remove(entry.host());
@@ -128,57 +140,60 @@
     }
     versions.put(
         versions.lastKey() + 1, new Version(scheduler.now(), entry, new LinkedHashMap<>(listings)));
-    List.copyOf(watches).forEach(this::wake);
+    List.copyOf(watches).forEach(this::replyIfNewer);
   }
 
-  private void wake(Call watch) {
+  private void replyIfNewer(Call watch) {
     if (watch.after < visibleVersion()) {
-      watch.answer(false);
+      watch.scheduleReply(false);
     }
   }
 
-  /** The version that it tells: the last one, or one of some time ago while it is back in time. */
+  /** Returns the version that calls see: the last one, or an older one while the list is stale. */
   private long visibleVersion() {
     long visibleVersion = versions.lastKey();
     while (lagNanos > 0
         && visibleVersion > 1
-        && versions.get(visibleVersion).at() > scheduler.now() - lagNanos) {
+        && versions.get(visibleVersion).createdNanos() > scheduler.now() - lagNanos) {
       visibleVersion--;
     }
     return visibleVersion;
   }
 
-  /** A router asks for the whole list. */
+  /** Requests the complete list for a router. */
   public Call fetch(int router, ResponseHandler handler) {
-    Call call = called(router, 0, handler);
-    if (!call.over) {
-      call.answer(true);
+    Call call = startCall(router, 0, handler);
+    if (!call.completed) {
+      call.scheduleReply(true);
     }
     return call;
   }
 
-  /** A router waits for something newer than the version, for so many nanoseconds at most. */
-  public Call watch(int router, long after, long wait, ResponseHandler handler) {
-    Call call = called(router, after, handler);
-    if (call.over) {
+  /**
+   * Requests the changes since a version for a router. If there are none, the reply is held back
+   * until there is one, or until the time to wait is over.
+   */
+  public Call watch(int router, long after, long waitNanos, ResponseHandler handler) {
+    Call call = startCall(router, after, handler);
+    if (call.completed) {
       return call;
     }
-    // A version that was never given out or lies ahead tells nothing of what the router has.
+    // For a version that is unknown or ahead, the changes since then cannot be determined.
     if (after > visibleVersion() || !versions.containsKey(after)) {
-      call.answer(true);
+      call.scheduleReply(true);
     } else if (after < visibleVersion()) {
-      call.answer(false);
+      call.scheduleReply(false);
     } else {
       watches.add(call);
-      call.end = scheduler.in(wait, () -> call.answer(false));
+      call.pendingTask = scheduler.in(waitNanos, () -> call.scheduleReply(false));
     }
     return call;
   }
 
-  private Call called(int router, long after, ResponseHandler handler) {
+  private Call startCall(int router, long after, ResponseHandler handler) {
     recorder.discoveryCalled(scheduler.now(), router);
     Call call = new Call(router, after, handler);
-    call.end = scheduler.in(0, () -> {});
+    call.pendingTask = scheduler.in(0, () -> {});
     if (unavailable) {
       call.fail();
     }
@@ -190,7 +205,7 @@
     return new EndpointUpdate(visibleVersion, true, List.copyOf(versions.get(visibleVersion).all().values()));
   }
 
-  /** What changed since; each cache server once, as it is now. */
+  /** Returns the last change of each cache server since a version. */
   private EndpointUpdate changesSince(long after) {
     long visibleVersion = visibleVersion();
     if (after > visibleVersion || !versions.containsKey(after)) {
@@ -208,31 +223,31 @@
     return new EndpointUpdate(visibleVersion, false, List.copyOf(changed.values()));
   }
 
-  private void record(int router, EndpointUpdate update) {
-    Set<String> known = notifiedByRouter.computeIfAbsent(router, r -> new LinkedHashSet<>());
-    Set<String> named = new LinkedHashSet<>();
+  private void recordNotifications(int router, EndpointUpdate update) {
+    Set<String> notified = notifiedByRouter.computeIfAbsent(router, r -> new LinkedHashSet<>());
+    Set<String> included = new LinkedHashSet<>();
     for (EndpointListing entry : update.entries()) {
-      named.add(entry.host());
+      included.add(entry.host());
       recorder.routerNotified(scheduler.now(), router, entry.host(), entry.health(), entry.startedAtNanos());
     }
     if (update.whole()) {
-      known.stream()
-          .filter(host -> !named.contains(host))
+      notified.stream()
+          .filter(host -> !included.contains(host))
           .forEach(
               host -> recorder.routerNotified(scheduler.now(), router, host, EndpointListing.Health.GONE, 0));
-      known.retainAll(named);
+      notified.retainAll(included);
     }
-    known.addAll(named);
+    notified.addAll(included);
   }
 
-  /** The list as a router has it before its start: the account counts it as told. */
+  /** Returns the list that a router is configured with; the history records it as received. */
   public EndpointUpdate initialList(int router) {
     EndpointUpdate update = completeList();
-    record(router, update);
+    recordNotifications(router, update);
     return news;
   }
 
-  /** Out: calls fail and watches break; or back. */
+  /** Makes discovery unavailable, so that calls and open watches fail, or available again. */
   void setUnavailable(boolean on) {
     if (unavailable != on) {
       recorder.discoveryAvailability(scheduler.now(), !on);
@@ -243,23 +258,23 @@
     }
   }
 
-  /** Every answer takes so many nanoseconds longer. */
+  /** Delays every reply. */
   void setDelayNanos(long nanos) {
     delayNanos = nanos;
   }
 
-  /** It tells the list as it was so many nanoseconds ago; 0 for as it is. */
+  /** Makes the list stale by a time; 0 for the current list. */
   void setLagNanos(long nanos) {
     lagNanos = nanos;
-    List.copyOf(watches).forEach(this::wake);
+    List.copyOf(watches).forEach(this::replyIfNewer);
   }
 
-  /** How a cache server is listed at last, or null. */
+  /** Returns the current entry of a cache server, or null if it is not listed. */
   public EndpointListing listing(String host) {
     return listings.get(host);
   }
 
-  /** The last version. */
+  /** Returns the last version, which calls do not see while the list is stale. */
   public long version() {
     return versions.lastKey();
   }
--- a/src/main/java/beaconturn/standin/EmulatedFleet.java
+++ b/src/main/java/beaconturn/standin/EmulatedFleet.java
@@ -5,9 +5,11 @@
 import java.util.function.IntConsumer;
 
 /**
- * All that stands round the routers: cache servers at their places, the origin and discovery, and
- * the faults that happen to them. A index is an address; the process there may die and another
- * come.
+ * The systems around the routers: server servers, the origin and discovery, and the faults that are
+ * injected into them. Single-threaded.
+ *
+ * <p>A server server is addressed by its index, which stands for its listening addresses; the process
+ * behind an index may die and be replaced by another one.
  */
 public final class EmulatedFleet {
   private final EventScheduler scheduler;
@@ -18,27 +20,36 @@
   private final DiscoveryModel discovery;
   private final CacheServerModel.SharedParts sharedParts;
   private final List<CacheServerModel> servers = new ArrayList<>();
-  private IntConsumer changeListener = index -> {};
-  private int starts;
-  private long commands;
+  private IntConsumer serverChangeListener = index -> {};
+  private int startCount;
+  private long lastCommand;
 
   /**
-   * What the surroundings are made of.
+   * Composition of a fleet.
    *
-   * @param fleet one for each index, in their order
-   * @param origin the origin
-   * @param works the classes and what they cost
-   * @param lag how long after a change discovery knows it, in nanoseconds
-   * @param grace how long after the news a draining server still takes work, in nanoseconds
+   * @param members the server servers, in the order of their indexes
+   * @param origin capacity of the origin
+   * @param workCosts costs of the request classes
+   * @param discoveryLagNanos time from a change until discovery publishes it
+   * @param drainGraceNanos how long after its publication a draining server still accepts commands
    */
   public record Spec(
       List<Member> members, OriginModel.Spec origin, List<WorkCost> workCosts, long discoveryLagNanos, long drainGraceNanos) {}
 
-  /** One index of the fleet and the process that stands there at first. */
+  /**
+   * One server server of the fleet.
+   *
+   * @param host the name of its first process
+   * @param site the data centre
+   * @param kind the machine model
+   * @param block the group of server servers that it belongs to
+   * @param share its rated share of the load
+   * @param spec its capacity and behaviour
+   */
   public record Member(
       String host, String site, String kind, int block, double share, CacheServerSpec spec) {}
 
-  /** Surroundings in which all is well and everybody is warm. */
+  /** Creates a fleet without faults whose server servers are warm. */
   public EmulatedFleet(
       EventScheduler scheduler,
       Spec spec,
@@ -59,12 +70,12 @@
     }
   }
 
-  /** Who wants to know of every change of a index's process or condition. */
-  public void onChange(IntConsumer placeChanged) {
-    changeListener = placeChanged;
+  /** Sets the listener that receives the index of a server server whose process or faults change. */
+  public void onServerChange(IntConsumer listener) {
+    serverChangeListener = listener;
   }
 
-  private CacheServerModel start(int index, String host, long born) {
+  private CacheServerModel start(int index, String host, long startedAtNanos) {
     Member member = spec.members().get(index);
     EndpointListing listing =
         new EndpointListing(
@@ -75,88 +86,89 @@
             member.block(),
             EndpointListing.Health.READY,
             member.share(),
-            born);
+            startedAtNanos);
     return new CacheServerModel(
-        sharedParts, listing, member.spec(), randomSources.of(host + " " + ++starts));
+        sharedParts, listing, member.spec(), randomSources.of(host + " " + ++startCount));
   }
 
   private void invalidate(String key) {
-    servers.forEach(cache -> cache.invalidate(key));
+    servers.forEach(server -> server.invalidate(key));
   }
 
   /**
-   * Begins a fault at a index; {@code amount} is a factor, a part, or nanoseconds, as the kind has
-   * it.
+   * Starts a fault of a cache server.
+   *
+   * @param amount a factor, a share or nanoseconds, depending on the kind
    */
   public void startFault(Fault.Kind kind, int index, double amount) {
-    CacheServerModel cache = servers.get(index);
+    CacheServerModel server = servers.get(index);
     switch (kind) {
       case KILL, REPLACE -> {
-        kill(cache);
+        kill(server);
       }
       case DRAIN -> {
-        discovery.change(cache.listing().withHealth(EndpointListing.Health.DRAINING), spec.discoveryLagNanos());
+        discovery.change(server.listing().withHealth(EndpointListing.Health.DRAINING), spec.discoveryLagNanos());
         scheduler.in(
             spec.discoveryLagNanos() + spec.drainGraceNanos(),
             () -> {
-              if (listedDraining(cache)) {
-                cache.set(kind, 1);
+              if (listedDraining(server)) {
+                server.setFault(kind, 1);
               }
             });
       }
       case DRAIN_LATE -> {
-        cache.set(kind, 1);
-        discovery.change(cache.listing().withHealth(EndpointListing.Health.DRAINING), (long) amount);
+        server.setFault(kind, 1);
+        discovery.change(server.listing().withHealth(EndpointListing.Health.DRAINING), (long) amount);
       }
-      case UNLIST -> discovery.change(cache.listing().withHealth(EndpointListing.Health.GONE), 0);
-      default -> cache.set(kind, amount == 0 ? 1 : amount);
+      case UNLIST -> discovery.change(server.listing().withHealth(EndpointListing.Health.GONE), 0);
+      default -> server.setFault(kind, amount == 0 ? 1 : amount);
     }
-    changeListener.accept(index);
+    serverChangeListener.accept(index);
   }
 
-  /** Ends a fault at a index. */
+  /** Stops a fault of a cache server. */
   public void endFault(Fault.Kind kind, int index) {
-    CacheServerModel cache = servers.get(index);
+    CacheServerModel server = servers.get(index);
     switch (kind) {
-      case KILL -> restart(index, cache.listing().host());
-      case REPLACE -> restart(index, nextName(cache.listing().host()));
+      case KILL -> restart(index, server.listing().host());
+      case REPLACE -> restart(index, successorName(server.listing().host()));
       case DRAIN, DRAIN_LATE -> {
-        cache.set(kind, 0);
-        discovery.change(cache.listing(), 0);
+        server.setFault(kind, 0);
+        discovery.change(server.listing(), 0);
       }
-      case UNLIST -> discovery.change(cache.listing(), 0);
-      default -> cache.set(kind, 0);
+      case UNLIST -> discovery.change(server.listing(), 0);
+      default -> server.setFault(kind, 0);
     }
-    changeListener.accept(index);
+    serverChangeListener.accept(index);
   }
 
-  private boolean listedDraining(CacheServerModel cache) {
-    EndpointListing listed = discovery.listing(cache.listing().host());
+  private boolean listedDraining(CacheServerModel server) {
+    EndpointListing listed = discovery.listing(server.listing().host());
     return listed != null && listed.health() == EndpointListing.Health.DRAINING;
   }
 
-  private void kill(CacheServerModel cache) {
-    if (!cache.dead()) {
-      cache.die();
-      recorder.serverStopped(scheduler.now(), cache.listing().host());
+  private void kill(CacheServerModel server) {
+    if (!server.dead()) {
+      server.die();
+      recorder.serverStopped(scheduler.now(), server.listing().host());
     }
-    discovery.change(cache.listing().withHealth(EndpointListing.Health.GONE), spec.discoveryLagNanos());
+    discovery.change(server.listing().withHealth(EndpointListing.Health.GONE), spec.discoveryLagNanos());
   }
 
   private void restart(int index, String host) {
-    CacheServerModel fresh = start(index, host, scheduler.now());
-    servers.set(index, fresh);
-    discovery.change(fresh.listing(), spec.discoveryLagNanos());
+    CacheServerModel restarted = start(index, host, scheduler.now());
+    servers.set(index, restarted);
+    discovery.change(restarted.listing(), spec.discoveryLagNanos());
   }
 
-  private static String nextName(String host) {
+  private static String successorName(String host) {
     int dash = host.lastIndexOf('-');
     boolean successor = dash > 0 && host.substring(dash + 1).matches("[0-9]+");
     int number = successor ? Integer.parseInt(host.substring(dash + 1)) : 1;
     return (successor ? host.substring(0, dash) : host) + "-" + (number + 1);
   }
 
-  /** Begins a fault of the origin or of discovery. */
+  /** Starts a fault of the origin or of discovery. */
   public void startFault(Fault.Kind kind, double amount) {
     switch (kind) {
       case ORIGIN_SLOW -> origin.setSlowdown(amount);
@@ -168,7 +180,7 @@
     }
   }
 
-  /** Ends a fault of the origin or of discovery. */
+  /** Stops a fault of the origin or of discovery. */
   public void endFault(Fault.Kind kind) {
     switch (kind) {
       case ORIGIN_SLOW -> origin.setSlowdown(1);
@@ -180,7 +192,7 @@
     }
   }
 
-  /** Ends all that is wrong with anybody; dead processes start again. */
+  /** Stops all faults of the fleet and restarts dead cache servers. */
   public void recoverAll() {
     for (int index = 0; index < servers.size(); index++) {
       recover(index);
@@ -192,32 +204,32 @@
     }
   }
 
-  /** Ends all that is wrong at a index; a dead process starts again, cold. */
+  /** Stops all faults of a cache server; a dead one is restarted, cold. */
   public void recover(int index) {
-    CacheServerModel cache = servers.get(index);
-    if (cache.dead()) {
-      restart(index, cache.listing().host());
+    CacheServerModel server = servers.get(index);
+    if (server.dead()) {
+      restart(index, server.listing().host());
     } else {
-      boolean listed = discovery.listing(cache.listing().host()) != null && !listedDraining(cache);
-      cache.recover();
+      boolean listed = discovery.listing(server.listing().host()) != null && !listedDraining(server);
+      server.clearFaults();
       if (!listed) {
-        discovery.change(cache.listing(), 0);
+        discovery.change(server.listing(), 0);
       }
     }
-    changeListener.accept(index);
+    serverChangeListener.accept(index);
   }
 
-  /** The process at the index, perhaps dead. */
+  /** Returns the current process of a cache server, which may be dead. */
   public CacheServerModel server(int index) {
     return servers.get(index);
   }
 
-  /** How many places there are. */
+  /** Returns the number of cache servers. */
   public int serverCount() {
     return servers.size();
   }
 
-  /** Where the process of that name stands; -1 if nowhere. */
+  /** Returns the index of the process with that name, or -1 if there is none. */
   public int indexOf(String host) {
     for (int index = 0; index < servers.size(); index++) {
       if (servers.get(index).listing().host().equals(host)) {
@@ -227,27 +239,27 @@
     return -1;
   }
 
-  /** The number of the next command that a front reads. */
+  /** Returns a new command number, counted from 1. */
   public long nextCommand() {
-    return ++commands;
+    return ++lastCommand;
   }
 
-  /** The origin. */
+  /** Returns the origin. */
   public OriginModel origin() {
     return origin;
   }
 
-  /** Discovery. */
+  /** Returns the discovery service. */
   public DiscoveryModel discovery() {
     return discovery;
   }
 
-  /** The clock of it all. */
+  /** Returns the clock and scheduler of all models of the fleet. */
   public EventScheduler scheduler() {
     return scheduler;
   }
 
-  /** Who is told of everything. */
+  /** Returns the recorder that receives all events. */
   public HistoryRecorder recorder() {
     return recorder;
   }
--- a/src/main/java/beaconturn/standin/EndpointListing.java
+++ b/src/main/java/beaconturn/standin/EndpointListing.java
@@ -1,16 +1,16 @@
 package beaconturn.standin;
 
 /**
- * One cache server as discovery lists it.
+ * One cache server's entry in discovery's endpoint list.
  *
- * @param host its name, the same at every router
- * @param place which listening address it has, as a number that the front knows
+ * @param host its name, the same for all routers
+ * @param serverIndex index of its listening addresses in the fleet
  * @param site the data centre
- * @param kind the model of machine
+ * @param kind the machine model
  * @param block the group of cache servers that it belongs to
  * @param health its state
- * @param share its rating
- * @param born when it last started, in nanoseconds of the model's clock; 0 for long ago
+ * @param share its rated share of the load
+ * @param startedAtNanos when it last started, on the model's clock; 0 if it has long been warm
  */
 public record EndpointListing(
     String host,
@@ -21,14 +21,14 @@
     Health health,
     double share,
     long startedAtNanos) {
-  /** A state as discovery tells it. */
+  /** State of a cache server, as discovery reports it. */
   public enum Health {
     READY,
     DRAINING,
     GONE
   }
 
-  /** The same with another state. */
+  /** Returns the same entry in another state. */
   public EndpointListing withHealth(Health other) {
     return new EndpointListing(host, serverIndex, site, kind, block, other, share, startedAtNanos);
   }
--- a/src/main/java/beaconturn/standin/EventScheduler.java
+++ b/src/main/java/beaconturn/standin/EventScheduler.java
@@ -3,85 +3,84 @@
 import java.util.PriorityQueue;
 
 /**
- * The model's only clock, in nanoseconds, and what is to be done later on it. Whoever drives it
- * says how far the time has come: a socket front gives the real time, a test or a simulation any
- * time it likes. A task that is run late still sees the time it was due at, so that the modelled
- * work keeps its length when the driver lags.
+ * The model's only clock, in nanoseconds, and the tasks that are due on it.
+ *
+ * <p>The caller advances the time: an event loop to the real time, a test or a simulation to any
+ * time. A task that runs late still sees the time at which it was due, so that modelled work keeps
+ * its length if the caller lags.
  */
 public final class EventScheduler {
   private final PriorityQueue<Task> tasks = new PriorityQueue<>();
-  private long now;
-  private long lastNumber;
+  private long nowNanos;
+  private long lastSequence;
 
-  /** An agenda whose time begins there. */
-  public EventScheduler(long start) {
-    now = start;
+  /** Creates a scheduler whose clock starts at the given time. */
+  public EventScheduler(long startNanos) {
+    nowNanos = startNanos;
   }
 
-  /** Something to be done at a time, until it is called off. */
+  /** A scheduled task. */
   public static final class Task implements Comparable<Task> {
-    private final long at;
-    private final long number;
+    private final long dueNanos;
+    private final long sequence;
     private Runnable body;
 
-    private Task(long at, long number, Runnable body) {
-      this.at = at;
-      this.number = number;
+    private Task(long dueNanos, long sequence, Runnable body) {
+      this.dueNanos = dueNanos;
+      this.sequence = sequence;
       this.body = body;
     }
 
-    /** Calls it off; harmless when it has run. */
+    /** Cancels the task; has no effect if it has run. */
     public void cancel() {
       body = null;
     }
 
-    /** By time, then in the order of their making. */
+    /** Orders tasks by due time, then by the order in which they were scheduled. */
     @Override
     public int compareTo(Task other) {
-      int byTime = Long.compare(at, other.at);
-      return byTime != 0 ? byTime : Long.compare(number, other.number);
+      int byTime = Long.compare(dueNanos, other.dueNanos);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
   }
 
-  /** The time now, in nanoseconds. */
+  /** Returns the current time in nanoseconds. */
   public long now() {
-    return now;
+    return nowNanos;
   }
 
-  /**
-   * Asks for a task after so many nanoseconds; one that is due already runs at the next advance.
-   */
-  public Task in(long delay, Runnable body) {
-    return at(now + Math.max(0, delay), body);
+  /** Schedules a task after a delay; a task without delay runs at the next advance. */
+  public Task in(long delayNanos, Runnable body) {
+    return at(nowNanos + Math.max(0, delayNanos), body);
   }
 
-  /** Asks for a task at a time; a time that is over counts as now. */
-  public Task at(long time, Runnable body) {
-    Task task = new Task(Math.max(now, time), ++lastNumber, body);
+  /** Schedules a task at a time; a time in the past counts as now. */
+  public Task at(long timeNanos, Runnable body) {
+    Task task = new Task(Math.max(nowNanos, timeNanos), ++lastSequence, body);
     tasks.add(task);
     return task;
   }
 
   /**
-   * Runs all that is due until then, in order, and sets the time to it; a time that is over changes
-   * nothing.
+   * Runs all tasks that are due up to a time, in order, and sets the clock to it; the clock never
+   * goes back.
    */
-  public void advance(long to) {
-    while (!tasks.isEmpty() && tasks.peek().at <= to) {
-      Task nextDueAt = tasks.remove();
-      now = Math.max(now, nextDueAt.at);
-      if (nextDueAt.body != null) {
-        nextDueAt.body.run();
+  public void advance(long toNanos) {
+    while (!tasks.isEmpty() && tasks.peek().dueNanos <= toNanos) {
+      Task next = tasks.remove();
+      nowNanos = Math.max(nowNanos, next.dueNanos);
+      if (next.body != null) {
+        next.body.run();
       }
     }
-    now = Math.max(now, to);
+    nowNanos = Math.max(nowNanos, toNanos);
   }
 
-  /** When the next task is due; {@link Long#MAX_VALUE} with none. */
-  public long nextDueAt() {
+  /** Returns when the next task is due, or {@link Long#MAX_VALUE} if there is none. */
+  public long nextDueNanos() {
     while (!tasks.isEmpty() && tasks.peek().body == null) {
       tasks.remove();
     }
-    return tasks.isEmpty() ? Long.MAX_VALUE : tasks.peek().at;
+    return tasks.isEmpty() ? Long.MAX_VALUE : tasks.peek().dueNanos;
   }
 }
--- a/src/main/java/beaconturn/standin/Fault.java
+++ b/src/main/java/beaconturn/standin/Fault.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 
-/** What can be made to go wrong. */
+/** The faults that can be injected in a rehearsal. */
 public final class Fault {
   private Fault() {}
 
-  /** What a fault happens to. */
+  /** The kinds of systems that faults are injected into. */
   public enum Target {
     CACHE,
     ORIGIN,
@@ -18,88 +18,83 @@
     STORE
   }
 
-  /** The kinds; each is known to operators by its word. */
+  /** The kinds of faults. */
   public enum Kind {
     /** Work takes {@code factor} times as long. */
     SLOW(Target.CACHE, true),
-    /** Commands are taken and none is answered, nor any work ended. */
+    /** Commands are accepted, but no work is completed and no response is sent. */
     STALL(Target.CACHE, true),
-    /** Nothing is read. */
+    /** Connections are not read. */
     UNREAD(Target.CACHE, true),
-    /** A part of the commands fails at once. */
+    /** A share of the commands fails at once. */
     ERRORS(Target.CACHE, true),
-    /** A part of the answers is spoilt. */
+    /** A share of the responses is corrupted. */
     SPOIL(Target.CACHE, true),
-    /** Open connections are reset, and a part of the commands meets a reset. */
+    /** Open connections are reset at the start, and later on a share of the commands. */
     RESET(Target.CACHE, true),
     /** New connections are refused. */
     REFUSE(Target.CACHE, true),
-    /** New connections are accepted and never spoken to. */
+    /** New connections are accepted but never read or written. */
     MUTE(Target.CACHE, true),
-    /** The machine is cut off: silence, new connections never come up. */
+    /** The machine is unreachable: no traffic, and new connections are never established. */
     VANISH(Target.CACHE, true),
-    /** Listed as draining, then gone once it is empty; it turns away from the grace on. */
+    /** The server is listed as draining and rejects commands after the grace period. */
     DRAIN(Target.CACHE, true),
-    /** The list calls it gone, though it lives. */
+    /** The server is removed from the endpoint list though it is running. */
     UNLIST(Target.CACHE, false),
-    /** Turns away from now on, and is listed as draining seconds later. */
+    /** The server rejects commands at once and is listed as draining only later. */
     DRAIN_LATE(Target.CACHE, true),
-    /** The process dies and starts again at the fault's end, cold and empty. */
+    /** The process is killed and restarted at the end of the fault, cold and empty. */
     KILL(Target.CACHE, false),
-    /** The process dies; another one under a new name takes its address at the fault's end. */
+    /** The process is killed; one with another name takes its address at the end of the fault. */
     REPLACE(Target.CACHE, false),
     /** The origin's work takes {@code factor} times as long. */
     ORIGIN_SLOW(Target.ORIGIN, false),
-    /** The origin stands still. */
+    /** The origin is stopped. */
     ORIGIN_STOP(Target.ORIGIN, false),
-    /** Calls end with 503, watches break. */
+    /** Calls and open watches fail with status 503. */
     DISCOVERY_OUT(Target.DISCOVERY, false),
-    /** Every answer of discovery takes {@code delay} longer. */
+    /** Every reply of discovery takes {@code delay} longer. */
     DISCOVERY_SLOW(Target.DISCOVERY, false),
-    /** Discovery answers with the list as it was {@code delay} before. */
+    /** Discovery serves the endpoint list as it was {@code delay} ago. */
     DISCOVERY_BACK(Target.DISCOVERY, false),
-    /** A router is killed outright and started again at the fault's end. */
+    /** A router is killed with SIGKILL and restarted at the end of the fault. */
     ROUTER_KILL(Target.ROUTER, false),
-    /** A router gets SIGTERM, and is started again at the fault's end. */
+    /** A router receives SIGTERM and is restarted at the end of the fault. */
     ROUTER_TERM(Target.ROUTER, false),
-    /** A router gets SIGHUP with settings that differ, and once more at the fault's end. */
+    /** A router reloads changed settings on SIGHUP, and the old ones at the end of the fault. */
     ROUTER_RELOAD(Target.ROUTER, false),
-    /** A router's process stands still, and wakes up believing that no time went by. */
+    /** A router's process is suspended and does not notice the time that has passed. */
     ROUTER_PAUSE(Target.ROUTER, false),
-    /**
-     * The agent of a router, or whichever drives the release, is killed; at the end it starts
-     * again.
-     */
+    /** The agent of a router, or the one that drives the release, is killed, then restarted. */
     AGENT_KILL(Target.AGENT, false),
-    /** The same agent's process stands still. */
+    /** The process of such an agent is suspended. */
     AGENT_PAUSE(Target.AGENT, false),
-    /** Nothing passes between a router and what its link leads to, and nobody is told. */
+    /** A link of a router drops all traffic without closing its connections. */
     LINK_CUT(Target.LINK, false),
-    /** What a router says arrives, and nothing comes back. */
+    /** A link forwards the traffic from a router and drops the traffic to it. */
     LINK_ONE_WAY(Target.LINK, false),
-    /** Everything passes {@code delay} later. */
+    /** A link delays all traffic by {@code delay}. */
     LINK_SLOW(Target.LINK, false),
-    /** Nothing passes until the fault's end, and then all at once. */
+    /** A link holds all traffic back and forwards it at the end of the fault. */
     LINK_HOLD(Target.LINK, false),
-    /** Half of a message passes, then the connection is reset. */
+    /** A link forwards half of a message, then resets the connection. */
     LINK_RESET(Target.LINK, false),
-    /** So many bytes a second pass. */
+    /** A link forwards a limited number of bytes a second. */
     LINK_THROTTLE(Target.LINK, false),
-    /** What a router asks arrives; the answer is lost and the connection with it. */
+    /** A link forwards a call of a router, but loses the reply and the connection. */
     ANSWER_LOST(Target.LINK, false),
-    /**
-     * Nothing passes between a site and the others, nor between its routers and store or discovery.
-     */
+    /** A site is partitioned from the other sites, the store and discovery. */
     SITE_CUT(Target.SITE, false),
-    /** Every call to the store ends with a reset; what it holds is kept. */
+    /** Every call to the store ends with a reset; its data is kept. */
     STORE_DOWN(Target.STORE, false),
     /** Every call to the store takes {@code delay} longer. */
     STORE_SLOW(Target.STORE, false),
-    /** The store answers reads with what it held when the fault began. */
+    /** The store serves reads from its data at the start of the fault. */
     STORE_STALE(Target.STORE, false),
-    /** The store loses all its members, and another stands empty in its place. */
+    /** The store loses all members and is replaced by an empty one. */
     STORE_EMPTY(Target.STORE, false),
-    /** The store is put back to a copy of so many {@code revisions} ago. */
+    /** The store is restored from a backup of {@code revisions} revisions ago. */
     STORE_BACK(Target.STORE, false);
 
     private final Target target;
@@ -110,12 +105,12 @@
       this.serverState = serverState;
     }
 
-    /** What it happens to. */
+    /** Returns the kind of system that the fault is injected into. */
     public Target target() {
       return target;
     }
 
-    /** Whether it needs routers that agree through a store. */
+    /** Returns whether the fault needs routers that agree through a store. */
     public boolean needsAgreement() {
       return target == Target.LINK
           || target == Target.SITE
@@ -123,12 +118,12 @@
           || target == Target.AGENT;
     }
 
-    /** Whether it is a state of a running cache server. */
+    /** Returns whether the fault is a state of a running cache server. */
     boolean isServerState() {
       return serverState;
     }
 
-    /** The word by which operators know it. */
+    /** Returns the word that names the kind in scenarios and fault commands. */
     public String word() {
       return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/beaconturn/standin/FaultState.java
+++ b/src/main/java/beaconturn/standin/FaultState.java
@@ -1,7 +1,8 @@
 package beaconturn.standin;
 
 /**
- * What is wrong with a cache server at the moment; set by faults, read by the model and by fronts.
+ * The faults of one cache server that are in force, read by its model and its socket front. Not
+ * thread-safe.
  */
 public final class FaultState {
   private double slowdown = 1;
@@ -15,56 +16,60 @@
   private boolean mute;
   private boolean vanished;
 
-  /** Work takes so many times as long. */
+  /** Returns the factor by which work takes longer. */
   public double slowdown() {
     return slowdown;
   }
 
-  /** It takes commands and neither ends any work nor answers. */
+  /** Returns whether commands are accepted but no work is completed and no response is sent. */
   public boolean stalled() {
     return stalled;
   }
 
-  /** It turns new commands away and finishes what it has. */
+  /** Returns whether new commands are rejected while accepted ones are completed. */
   public boolean draining() {
     return draining;
   }
 
-  /** Part of the commands that fail at once. */
+  /** Returns the share of commands that fail at once, 0 to 1. */
   public double errorShare() {
     return errorShare;
   }
 
-  /** Part of the answers that are spoilt. */
+  /** Returns the share of responses that are corrupted, 0 to 1. */
   public double corruptionShare() {
     return corruptionShare;
   }
 
-  /** Part of the commands at which the connection is reset once they have come whole. */
+  /** Returns the share of commands on whose receipt the connection is reset, 0 to 1. */
   public double resetShare() {
     return resetShare;
   }
 
-  /** Nothing is read from any connection; it stays in the kernel's buffers. */
+  /** Returns whether no connection is read, so that input stays in the kernel's buffers. */
   public boolean unread() {
     return unread || vanished;
   }
 
-  /** New connections are refused. */
+  /** Returns whether new connections are refused. */
   public boolean refusing() {
     return refusing;
   }
 
-  /** New connections are accepted and never read from. */
+  /** Returns whether new connections are accepted but never read. */
   public boolean mute() {
     return mute;
   }
 
-  /** The peer is gone without a word: nothing is read or written, new connections never come up. */
+  /**
+   * Returns whether the machine is unreachable: nothing is read or written, and new connections are
+   * never established.
+   */
   public boolean vanished() {
     return vanished;
   }
 
+  /** Sets a fault to a factor or share; 0 clears it. */
   void set(Fault.Kind kind, double amount) {
     boolean on = amount != 0;
     switch (kind) {
@@ -78,7 +83,7 @@
       case REFUSE -> refusing = on;
       case MUTE -> mute = on;
       case VANISH -> vanished = on;
-      default -> throw new IllegalArgumentException(kind + " is no condition of a running server");
+      default -> throw new IllegalArgumentException(kind + " is not a state of a running server");
     }
   }
 
--- a/src/main/java/beaconturn/standin/HistoryRecorder.java
+++ b/src/main/java/beaconturn/standin/HistoryRecorder.java
@@ -1,58 +1,73 @@
 package beaconturn.standin;
 
 /**
- * Told of everything that an account of a rehearsal needs; called on the model's thread, times in
- * its clock.
+ * Receives the events of the stand-ins that a history of a rehearsal consists of. Called on the
+ * model's thread; times are in nanoseconds of its clock.
  */
 public interface HistoryRecorder {
-  /** Keeps no account. */
+  /** Records nothing. */
   HistoryRecorder NONE = new HistoryRecorder() {};
 
   /**
-   * A command has come whole; {@code work} is what it asks of a warm server at rated speed, in
-   * nanoseconds.
+   * A complete command was received.
+   *
+   * @param workNanos its work on a warm server at rated speed
    */
   default void commandReceived(
-      long at, String server, int router, long connection, CacheCommand command, long work) {}
+      long atNanos,
+      String server,
+      int router,
+      long connection,
+      CacheCommand command,
+      long workNanos) {}
 
-  /** A command was answered; {@code reply} is what went out. */
-  default void responseSent(long at, CacheCommand command, CacheResponse reply) {}
+  /** A response to a command was sent. */
+  default void responseSent(long atNanos, CacheCommand command, CacheResponse response) {}
 
   /**
-   * A command has taken effect or has made its value; {@code repeat} says that the effect was
-   * discarded.
+   * A command took effect or produced its value.
+   *
+   * @param repeat whether the effect was discarded as a repeat
    */
-  default void commandExecuted(long at, CacheCommand command, boolean repeat) {}
+  default void commandExecuted(long atNanos, CacheCommand command, boolean repeat) {}
 
-  /** A connection to a cache server has ended, in a turn of the driver, from whichever side. */
-  default void connectionClosed(long at, long turn, long connection) {}
+  /** A connection to a cache server was closed by either side, in a turn of the event loop. */
+  default void connectionClosed(long atNanos, long turn, long connection) {}
 
-  /** A cache server process begins; it does so many nanoseconds of work in one when it is warm. */
-  default void serverStarted(long at, EndpointListing server, double capacity) {}
+  /**
+   * A cache server process started.
+   *
+   * @param capacity nanoseconds of work that it does in a nanosecond when warm
+   */
+  default void serverStarted(long atNanos, EndpointListing server, double capacity) {}
 
-  /** A cache server process has ended. */
-  default void serverStopped(long at, String server) {}
+  /** A cache server process was killed. */
+  default void serverStopped(long atNanos, String server) {}
 
-  /** A cache server collapsed under work, or the origin did ({@code server} is then "origin"). */
-  default void overloaded(long at, String server) {}
+  /** A cache server, or the origin (named "origin"), collapsed under overload. */
+  default void overloaded(long atNanos, String server) {}
 
   /**
-   * A fetch or write has reached the origin; {@code cold} says that a cold cache server sent it.
+   * A fetch or write reached the origin.
+   *
+   * @param cold whether the calling cache server was cold
+   * @param inOrigin calls in the origin, this one included
    */
-  default void originCalled(long at, String server, boolean cold, int inOrigin) {}
+  default void originCalled(long atNanos, String server, boolean cold, int inOrigin) {}
 
-  /** The list has changed in truth, as discovery will tell it. */
-  default void listingChanged(long at, String server, EndpointListing.Health health) {}
+  /** Discovery changed the entry of a cache server in its endpoint list. */
+  default void listingChanged(long atNanos, String server, EndpointListing.Health health) {}
 
-  /** A router was told of a cache server's state. */
-  default void routerNotified(long at, int router, String server, EndpointListing.Health health, long born) {}
+  /** A router was sent the state of a cache server. */
+  default void routerNotified(
+      long atNanos, int router, String server, EndpointListing.Health health, long startedAtNanos) {}
 
-  /** A router has called discovery or ends waiting on it. */
-  default void discoveryCalled(long at, int router) {}
+  /** A router called discovery. */
+  default void discoveryCalled(long atNanos, int router) {}
 
-  /** Discovery can be asked from now on, or no longer. */
-  default void discoveryAvailability(long at, boolean up) {}
+  /** Discovery became available or unavailable. */
+  default void discoveryAvailability(long atNanos, boolean up) {}
 
-  /** A router sent a cache server what it could not read. */
-  default void invalidInput(long at, String server, int router, String why) {}
+  /** A router sent a cache server bytes that are not a valid command. */
+  default void invalidInput(long atNanos, String server, int router, String reason) {}
 }
--- a/src/main/java/beaconturn/standin/ObjectCache.java
+++ b/src/main/java/beaconturn/standin/ObjectCache.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * The objects that a cache server holds: bounded by bytes, the least recently used go first, and
- * each lives for a time. Expired ones are found when they are asked for.
+ * The objects of a cache server: bounded in bytes with least-recently-used eviction, each with a
+ * time to live. Expired objects are dropped when they are looked up.
  */
 final class ObjectCache {
-  /** What an object takes beside its value, so that many small ones are not free. */
+  /** Accounted for each object beside its value, so that many small objects are not free. */
   static final int OVERHEAD_BYTES = 64;
 
   private final long capacityBytes;
@@ -16,28 +16,33 @@
   private final Map<String, Item> items = new LinkedHashMap<>(16, 0.75f, true);
   private long usedBytes;
 
-  /** One object: the origin's version of its key, its bytes, and when it is no longer served. */
-  record Item(long version, int size, long until) {}
+  /**
+   * A cached object.
+   *
+   * @param version the origin's version of its key
+   * @param size bytes of its value
+   * @param expiryNanos when it expires
+   */
+  record Item(long version, int size, long expiryNanos) {}
 
-  /** A store of so many bytes whose objects live so many nanoseconds. */
   ObjectCache(long capacityBytes, long timeToLiveNanos) {
     this.capacityBytes = capacityBytes;
     this.timeToLiveNanos = timeToLiveNanos;
   }
 
-  /** The object of the key if it is there and still alive, else null. */
-  Item get(String key, long now) {
+  /** Returns the object of a key, or null if it is absent or has expired. */
+  Item get(String key, long nowNanos) {
     Item found = items.get(key);
-    if (found != null && found.until() <= now) {
+    if (found != null && found.expiryNanos() <= nowNanos) {
       drop(key);
       return null;
     }
     return found;
   }
 
-  void put(String key, long version, int size, long now) {
+  void put(String key, long version, int size, long nowNanos) {
     drop(key);
-    items.put(key, new Item(version, size, now + timeToLiveNanos));
+    items.put(key, new Item(version, size, nowNanos + timeToLiveNanos));
     usedBytes += size + OVERHEAD_BYTES;
     while (usedBytes > capacityBytes && !items.isEmpty()) {
       drop(items.keySet().iterator().next());
@@ -58,6 +63,7 @@
     return items.size();
   }
 
+  /** Returns the accounted size of all objects, with their overhead. */
   long bytes() {
     return usedBytes;
   }
--- a/src/main/java/beaconturn/standin/OriginModel.java
+++ b/src/main/java/beaconturn/standin/OriginModel.java
@@ -10,12 +10,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The slow origin behind all cache servers: a few workers and a queue, a version for each key, and
- * how often each effect has run. Held over a multiple of what it works on at once for a time, it
- * falls over: all that is in it fails, and it takes nothing for a while.
+ * Models the slow origin behind all cache servers: workers with a bounded queue, a version of each
+ * key, and a count of the executions of each effect.
+ *
+ * <p>If the calls in the origin exceed a multiple of its workers for too long, it collapses: all its
+ * calls fail, and it rejects new ones during the outage.
  */
 public final class OriginModel {
-  /** A call that the origin has failed or not taken. */
+  /** The version that is passed for a call that failed or was rejected. */
   public static final long FAILED = -1;
 
   private final EventScheduler scheduler;
@@ -24,23 +26,26 @@
   private final HistoryRecorder recorder;
   private final Map<String, Long> versions = new HashMap<>();
   private final Map<String, Integer> executions = new HashMap<>();
-  private final List<Call> working = new ArrayList<>();
+  private final List<Call> running = new ArrayList<>();
   private final Queue<Call> waiting = new ArrayDeque<>();
-  private EventScheduler.Task fall;
-  private double slow = 1;
+
+  /** The collapse that is due unless the load falls before it, or null. */
+  private EventScheduler.Task collapse;
+
+  private double slowdown = 1;
   private boolean stopped;
   private boolean overloaded;
 
   /**
-   * What an origin can do.
+   * Capacity of an origin.
    *
-   * @param workers calls that it works on at once
-   * @param queue calls that may wait; beyond them it fails a call at once
-   * @param work time of a call, in nanoseconds; each takes half to one and a half of it
-   * @param fallMultiple in it more than so many times its workers for {@code fallAfter} brings it
-   *     down
-   * @param fallAfter nanoseconds
-   * @param fallFor how long it then takes nothing, in nanoseconds
+   * @param workers calls that are processed at once
+   * @param queueCapacity calls that may wait; further ones fail at once
+   * @param workNanos mean duration of a call; each takes half to one and a half of it
+   * @param overloadMultiple the origin collapses if more calls than this multiple of its workers
+   *     are in it for {@code overloadNanos}
+   * @param overloadNanos how long the overload has to last
+   * @param outageNanos how long calls are rejected after a collapse
    */
   public record Spec(
       int workers,
@@ -52,18 +57,21 @@
 
   private static final class Call {
     private final String key;
+
+    /** Identifies the effect of a write; null for a read. */
     private final String effect;
-    private final LongConsumer done;
-    private EventScheduler.Task end;
 
-    private Call(String key, String effect, LongConsumer done) {
+    private final LongConsumer callback;
+    private EventScheduler.Task completion;
+
+    private Call(String key, String effect, LongConsumer callback) {
       this.key = key;
       this.effect = effect;
-      this.done = done;
+      this.callback = callback;
     }
   }
 
-  /** An origin that is up and holds version 0 of every key. */
+  /** Creates an origin that is available and has version 0 of every key. */
   public OriginModel(
       EventScheduler scheduler,
       Spec spec,
@@ -75,112 +83,110 @@
     this.recorder = recorder;
   }
 
-  /** Reads a key; {@code done} gets its version or {@link #FAILED}. */
-  void fetch(String from, boolean cold, String key, LongConsumer done) {
-    take(from, cold, new Call(key, null, done));
+  /** Reads a key; the callback receives its version or {@link #FAILED}. */
+  void fetch(String server, boolean cold, String key, LongConsumer callback) {
+    accept(server, cold, new Call(key, null, callback));
   }
 
-  /**
-   * Runs a write, known by {@code effect}; {@code done} gets the new version or {@link #FAILED}.
-   */
-  void write(String from, boolean cold, String key, String effect, LongConsumer done) {
-    take(from, cold, new Call(key, effect, done));
+  /** Executes a write; the callback receives the key's new version or {@link #FAILED}. */
+  void write(String server, boolean cold, String key, String effect, LongConsumer callback) {
+    accept(server, cold, new Call(key, effect, callback));
   }
 
-  private void take(String from, boolean cold, Call call) {
-    recorder.originCalled(scheduler.now(), from, cold, pending() + 1);
+  private void accept(String server, boolean cold, Call call) {
+    recorder.originCalled(scheduler.now(), server, cold, pending() + 1);
     if (overloaded || waiting.size() >= spec.queueCapacity()) {
-      scheduler.in(0, () -> call.done.accept(FAILED));
+      scheduler.in(0, () -> call.callback.accept(FAILED));
       return;
     }
     waiting.add(call);
-    watch();
-    work();
+    checkOverload();
+    startWaitingCalls();
   }
 
-  private void work() {
-    while (!stopped && working.size() < spec.workers() && !waiting.isEmpty()) {
+  private void startWaitingCalls() {
+    while (!stopped && running.size() < spec.workers() && !waiting.isEmpty()) {
       Call next = waiting.remove();
-      working.add(next);
-      long time = (long) (spec.workNanos() * slow * (0.5 + random.nextDouble()));
-      next.end = scheduler.in(time, () -> finish(next));
+      running.add(next);
+      long durationNanos = (long) (spec.workNanos() * slowdown * (0.5 + random.nextDouble()));
+      next.completion = scheduler.in(durationNanos, () -> finish(next));
     }
   }
 
   private void finish(Call call) {
     if (stopped) {
-      // Nothing ends while it stands still; what was due goes on where it stopped.
-      call.end = scheduler.in(spec.workNanos(), () -> finish(call));
+      // Calls that were due while the origin was stopped complete after it resumes.
+      call.completion = scheduler.in(spec.workNanos(), () -> finish(call));
       return;
     }
-    working.remove(call);
+    running.remove(call);
     long version = versions.getOrDefault(call.key, 0L);
     if (call.effect != null) {
       executions.merge(call.effect, 1, Integer::sum);
       versions.put(call.key, ++version);
     }
-    work();
-    watch();
-    call.done.accept(version);
+    startWaitingCalls();
+    checkOverload();
+    call.callback.accept(version);
   }
 
-  /** Starts or ends the time that it has been pushed too far. */
-  private void watch() {
-    boolean pushed = pending() > spec.overloadMultiple() * spec.workers();
-    if (pushed && fall == null) {
-      fall = scheduler.in(spec.overloadNanos(), this::fallOver);
-    } else if (!pushed && fall != null) {
-      fall.cancel();
-      fall = null;
+  /** Schedules the collapse when an overload starts and cancels it when the overload ends. */
+  private void checkOverload() {
+    boolean tooManyCalls = pending() > spec.overloadMultiple() * spec.workers();
+    if (tooManyCalls && collapse == null) {
+      collapse = scheduler.in(spec.overloadNanos(), this::collapse);
+    } else if (!tooManyCalls && collapse != null) {
+      collapse.cancel();
+      collapse = null;
     }
   }
 
-  private void fallOver() {
-    fall = null;
+  private void collapse() {
+    collapse = null;
     overloaded = true;
     recorder.overloaded(scheduler.now(), "origin");
-    List<Call> lost = new ArrayList<>(working);
+    List<Call> lost = new ArrayList<>(running);
     lost.addAll(waiting);
-    working.clear();
+    running.clear();
     waiting.clear();
     for (Call call : lost) {
-      if (call.end != null) {
-        call.end.cancel();
+      if (call.completion != null) {
+        call.completion.cancel();
       }
-      call.done.accept(FAILED);
+      call.callback.accept(FAILED);
     }
     scheduler.in(spec.outageNanos(), () -> overloaded = false);
   }
 
-  /** Its work takes so many times as long from now on. */
+  /** Sets the factor by which calls that start from now on take longer. */
   public void setSlowdown(double factor) {
-    slow = factor;
+    slowdown = factor;
   }
 
-  /** It stands still, or goes on; calls wait meanwhile. */
+  /** Stops or resumes all work; calls wait while the origin is stopped. */
   public void setStopped(boolean on) {
     stopped = on;
     if (!on) {
-      work();
+      startWaitingCalls();
     }
   }
 
-  /** Calls that it works on or that wait. */
+  /** Returns the number of calls that are running or waiting. */
   public int pending() {
-    return working.size() + waiting.size();
+    return running.size() + waiting.size();
   }
 
-  /** Whether it has fallen over and is not back. */
+  /** Returns whether the origin has collapsed and rejects calls. */
   public boolean overloaded() {
     return overloaded;
   }
 
-  /** The version of the key, which each effect raises by one. */
+  /** Returns the version of a key, which each execution of a write raises by one. */
   public long version(String key) {
     return versions.getOrDefault(key, 0L);
   }
 
-  /** How often the effect has run. */
+  /** Returns how often an effect was executed. */
   public int executionCount(String effect) {
     return executions.getOrDefault(effect, 0);
   }
--- a/src/main/java/beaconturn/standin/RandomSources.java
+++ b/src/main/java/beaconturn/standin/RandomSources.java
@@ -3,20 +3,23 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Independent sources of chance from one seed, so that one part's draws do not move another's. */
+/**
+ * Derives independent random sources from one seed, so that draws of one component do not affect
+ * those of another.
+ */
 public final class RandomSources {
   private final long seed;
 
-  /** All sources of one seed. */
+  /** Creates the sources of a seed. */
   public RandomSources(long seed) {
     this.seed = seed;
   }
 
-  /** The source of a part, by its name; the same for the same seed and name. */
-  public UniformRandomProvider of(String part) {
+  /** Returns a new source for a component; the same seed and name give the same sequence. */
+  public UniformRandomProvider of(String component) {
     long mixed = seed;
-    for (int i = 0; i < part.length(); i++) {
-      mixed = (mixed ^ part.charAt(i)) * 0x100000001b3L;
+    for (int i = 0; i < component.length(); i++) {
+      mixed = (mixed ^ component.charAt(i)) * 0x100000001b3L;
     }
     return RandomSource.XO_RO_SHI_RO_128_PP.create(mixed);
   }
--- a/src/main/java/beaconturn/standin/WorkCost.java
+++ b/src/main/java/beaconturn/standin/WorkCost.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What a class of request costs.
+ * What requests of one class cost a cache server.
  *
- * @param requestClass the class by name
- * @param workNanos mean work of one, in nanoseconds of a warm worker at rated speed; each takes
- *     half to one and a half
- * @param valueBytes mean bytes of a value
- * @param write whether it has an effect
- * @param idempotencyKeys whether repeats of one idempotency key are discarded
- * @param deduplicationWindowNanos how long they are, in nanoseconds
- * @param deduplicationScope which servers discard them together: all, zone or cell
+ * @param requestClass the name of the class
+ * @param workNanos mean work of a request, in nanoseconds of a warm worker at rated speed; each
+ *     request takes half to one and a half of it
+ * @param valueBytes size of a value
+ * @param write whether a request has an effect
+ * @param idempotencyKeys whether repeated writes with the same idempotency key are discarded
+ * @param deduplicationWindowNanos how long idempotency keys are remembered
+ * @param deduplicationScope which cache servers share the remembered keys: all, zone or cell
  */
 public record WorkCost(
     String requestClass,
@@ -22,11 +22,11 @@
     boolean idempotencyKeys,
     long deduplicationWindowNanos,
     String deduplicationScope) {
-  /** The class of that name; the first one for a name that is unknown. */
-  static WorkCost of(List<WorkCost> all, String requestClass) {
-    return all.stream()
-        .filter(w -> w.requestClass().equals(requestClass))
+  /** Returns the cost of a class; that of the first class if the name is unknown. */
+  static WorkCost forClass(List<WorkCost> costs, String requestClass) {
+    return costs.stream()
+        .filter(cost -> cost.requestClass().equals(requestClass))
         .findFirst()
-        .orElse(all.get(0));
+        .orElse(costs.get(0));
   }
 }
--- a/src/main/java/beaconturn/standin/net/CacheServerListeners.java
+++ b/src/main/java/beaconturn/standin/net/CacheServerListeners.java
@@ -49,7 +49,7 @@
         doors.add(new Door(place, router, port));
       }
     }
-    world.onChange(
+    world.onServerChange(
         place -> doors.stream().filter(door -> door.place == place).forEach(Door::follow));
   }
 
--- a/src/main/java/beaconturn/standin/net/EventLoop.java
+++ b/src/main/java/beaconturn/standin/net/EventLoop.java
@@ -156,7 +156,7 @@
   }
 
   private void step() throws IOException {
-    long wait = scheduler.nextDueAt() - clock.getAsLong();
+    long wait = scheduler.nextDueNanos() - clock.getAsLong();
     if (wait <= 0 || !errands.isEmpty() || !afterTurn.isEmpty()) {
       selector.selectNow();
     } else {
--- a/src/main/java/beaconturn/standin/net/RespSession.java
+++ b/src/main/java/beaconturn/standin/net/RespSession.java
@@ -133,7 +133,7 @@
 
   @Override
   protected void gone() {
-    session.ended(loop.turn());
+    session.connectionClosed(loop.turn());
   }
 
   @Override
--- a/src/main/java/beaconturn/standin/package-info.java
+++ b/src/main/java/beaconturn/standin/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The model of what a router meets: cache servers, the origin behind them and discovery, as state
- * machines with no I/O on an {@link beaconturn.standin.EventScheduler} that somebody else drives.
- * One thread drives one model. All chance comes from seeded sources, so that the same events give
- * the same answers. Fronts that speak a protocol stand in {@code standin.net}; whoever wants an
- * account of what happened gives a {@link beaconturn.standin.HistoryRecorder}.
+ * Models of the systems around a router: cache servers, the origin behind them and discovery, as
+ * state machines without I/O on an {@link beaconturn.standin.EventScheduler} that the caller
+ * advances. One thread drives one fleet. All randomness comes from seeded sources, so that the same
+ * events give the same results. Socket fronts are in {@code standin.net}; a {@link
+ * beaconturn.standin.HistoryRecorder} receives what happens.
  */
 package beaconturn.standin;
--- a/src/test/java/beaconturn/standin/EventSchedulerTest.java
+++ b/src/test/java/beaconturn/standin/EventSchedulerTest.java
@@ -24,13 +24,13 @@
     agenda.advance(200);
     assertEquals(List.of("a at 110", "after a at 115", "b at 130", "c at 130"), done);
     assertEquals(200, agenda.now());
-    assertEquals(600, agenda.nextDueAt());
+    assertEquals(600, agenda.nextDueNanos());
   }
 
   @Test
   void whatIsCalledOffDoesNotRunAndIsNotWaitedFor() {
     agenda.in(10, () -> done.add("never")).cancel();
-    assertEquals(Long.MAX_VALUE, agenda.nextDueAt());
+    assertEquals(Long.MAX_VALUE, agenda.nextDueNanos());
     agenda.advance(200);
     assertEquals(List.of(), done);
   }
--- a/src/test/java/beaconturn/standin/Fixture.java
+++ b/src/test/java/beaconturn/standin/Fixture.java
@@ -72,11 +72,11 @@
     @Override
     public void reset() {
       broken = true;
-      session.ended(++turn);
+      session.connectionClosed(++turn);
     }
 
     void hangUp() {
-      session.ended(++turn);
+      session.connectionClosed(++turn);
     }
 
     Connection get(String key, String id) {
--- a/src/test/java/beaconturn/standin/net/EmulatedFleetServerTest.java
+++ b/src/test/java/beaconturn/standin/net/EmulatedFleetServerTest.java
@@ -87,7 +87,7 @@
           public void commandReceived(
               long at, String server, int router, long number, CacheCommand c, long work) {
             seen.add(server + " " + router + " " + c.id());
-            firstAt.add(c.firstByteAt());
+            firstAt.add(c.firstByteNanos());
           }
 
           @Override
