--- a/src/main/java/beaconturn/report/HtmlPage.java
+++ b/src/main/java/beaconturn/report/HtmlPage.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** An HTML page, written from its top to its end. */
+/** Builds an HTML page from its top to its end. All texts are escaped. */
 public final class HtmlPage {
   private static final String STYLE =
       "body{font:14px sans-serif;margin:2em;max-width:70em}"
@@ -10,67 +10,67 @@
           + "svg text{font:11px sans-serif}";
   private final StringBuilder out = new StringBuilder();
 
-  /** A page of that title. */
+  /** Creates a page with a title, which is also its heading. */
   public HtmlPage(String title) {
     out.append("<!DOCTYPE html><html lang=\"en\"><meta charset=\"utf-8\"><title>")
-        .append(safe(title))
+        .append(escape(title))
         .append("</title><style>")
         .append(STYLE)
         .append("</style><h1>")
-        .append(safe(title))
+        .append(escape(title))
         .append("</h1>");
   }
 
-  /** A paragraph. */
-  public HtmlPage text(String words) {
-    return paragraph("<p>", words);
+  /** Adds a paragraph. */
+  public HtmlPage text(String text) {
+    return paragraph("<p>", text);
   }
 
-  /** A paragraph that must not be overlooked. */
-  public HtmlPage warning(String words) {
-    return paragraph("<p class=\"broken\">", words);
+  /** Adds a highlighted paragraph. */
+  public HtmlPage warning(String text) {
+    return paragraph("<p class=\"broken\">", text);
   }
 
-  private HtmlPage paragraph(String begin, String words) {
-    out.append(begin).append(safe(words)).append("</p>");
+  private HtmlPage paragraph(String startTag, String text) {
+    out.append(startTag).append(escape(text)).append("</p>");
     return this;
   }
 
-  /** A chart. */
+  /** Adds a chart. */
   public HtmlPage chart(TimelineChart chart) {
     out.append(chart.svg());
     return this;
   }
 
-  /** Begins a table with these heads. */
-  public HtmlPage table(String... heads) {
+  /** Starts a table with the given column headings. */
+  public HtmlPage table(String... headings) {
     out.append("<table><tr>");
-    for (String head : heads) {
-      out.append("<th>").append(safe(head));
+    for (String heading : headings) {
+      out.append("<th>").append(escape(heading));
     }
     return this;
   }
 
-  /** A row of the table that was begun last. */
-  public HtmlPage row(boolean broken, List<String> cells) {
-    out.append(broken ? "<tr class=\"broken\">" : "<tr>");
-    cells.forEach(cell -> out.append("<td>").append(safe(cell)));
+  /** Adds a row to the current table. */
+  public HtmlPage row(boolean highlighted, List<String> cells) {
+    out.append(highlighted ? "<tr class=\"broken\">" : "<tr>");
+    cells.forEach(cell -> out.append("<td>").append(escape(cell)));
     return this;
   }
 
-  /** Ends the table. */
+  /** Ends the current table. */
   public HtmlPage endTable() {
     out.append("</table>");
     return this;
   }
 
-  /** The whole page. */
+  /** Returns the complete page. */
   public String html() {
     return out + "</html>\n";
   }
 
-  /** Text in which nothing is taken for a mark. */
-  static String safe(String text) {
+  /** Escapes the characters that have a meaning in HTML. */
+  static String escape(String text) {
     return text.replace("&", "&amp;")
         .replace("<", "&lt;")
         .replace(">", "&gt;")
--- a/src/main/java/beaconturn/report/TimelineChart.java
+++ b/src/main/java/beaconturn/report/TimelineChart.java
@@ -4,61 +4,64 @@
 import java.util.List;
 import java.util.Locale;
 
-/** An SVG chart over time: a share as bars, rows with spans below it, and marks across. */
+/**
+ * An SVG chart over time: shares as bars at the top, rows with spans of time below, and vertical
+ * marks across both. Sizes are in pixels, times in seconds.
+ */
 public final class TimelineChart {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 160;
   private static final int LEFT = 60;
   private static final int GAP = 50;
-  private static final int ROW = 14;
-  private static final int LABELS = 10;
-  private static final double WELL = 0.99;
+  private static final int ROW_HEIGHT = 14;
+  private static final int TIME_LABEL_COUNT = 10;
+
+  /** Shares above this are drawn as good. */
+  private static final double GOOD_SHARE = 0.99;
+
   private final String shareTitle;
   private final String rowsTitle;
   private final double seconds;
   private final List<ShareBar> shares = new ArrayList<>();
-  private final List<Row> lines = new ArrayList<>();
+  private final List<Row> rows = new ArrayList<>();
   private final List<Mark> marks = new ArrayList<>();
   private StringBuilder out;
 
-  private record ShareBar(double from, double to, double share) {}
+  private record ShareBar(double fromSeconds, double toSeconds, double share) {}
 
-  private record Mark(double at, String label) {}
+  private record Mark(double atSeconds, String label) {}
 
-  /** One line below the bars, and when something was so. */
+  /** A named row below the bars with its spans. */
   public record Row(String name, List<Span> spans) {}
 
-  /** From a second to another, as one of two kinds: {@code planned}, or by itself. */
-  public record Span(double from, double to, boolean planned) {}
+  /** A span of time, coloured by whether it was planned. */
+  public record Span(double fromSeconds, double toSeconds, boolean planned) {}
 
-  /**
-   * A picture of so many seconds; {@code shareTitle} and {@code rowsTitle} say what is to be seen
-   * there.
-   */
+  /** Creates an empty chart of the given duration; the titles label its two areas. */
   public TimelineChart(double seconds, String shareTitle, String rowsTitle) {
     this.seconds = Math.max(1, seconds);
     this.shareTitle = shareTitle;
     this.rowsTitle = rowsTitle;
   }
 
-  /** A share from one second to another, 0 to 1. */
-  public void share(double from, double to, double share) {
-    shares.add(new ShareBar(from, to, share));
+  /** Adds a bar for a share of 0 to 1. */
+  public void share(double fromSeconds, double toSeconds, double share) {
+    shares.add(new ShareBar(fromSeconds, toSeconds, share));
   }
 
-  /** A line below the bars. */
+  /** Adds a row below the bars. */
   public void row(Row row) {
-    lines.add(row);
+    rows.add(row);
   }
 
-  /** A line across at a second. */
-  public void mark(double at, String label) {
-    marks.add(new Mark(at, label));
+  /** Adds a vertical mark with a label. */
+  public void mark(double atSeconds, String label) {
+    marks.add(new Mark(atSeconds, label));
   }
 
   /** Returns the chart as an SVG element. */
   String svg() {
-    int rowsHeight = lines.size() * ROW;
+    int rowsHeight = rows.size() * ROW_HEIGHT;
     int rowsTop = HEIGHT + GAP;
     out = new StringBuilder();
     out.append(
@@ -67,7 +70,7 @@
             "<svg width=\"%d\" height=\"%d\" role=\"img\" aria-label=\"%s\">",
             LEFT + WIDTH + GAP,
             rowsTop + rowsHeight + GAP,
-            HtmlPage.safe(shareTitle + "; " + rowsTitle)));
+            HtmlPage.escape(shareTitle + "; " + rowsTitle)));
     drawShares();
     drawRows(rowsTop);
     drawMarks(rowsTop + rowsHeight);
@@ -77,40 +80,45 @@
 
   private void drawShares() {
     for (ShareBar bar : shares) {
-      double high = bar.share() * (HEIGHT - 2 * ROW);
-      double width = Math.max(1, x(bar.to()) - x(bar.from()) - 1);
-      box(x(bar.from()), HEIGHT - high, width, high, bar.share() > WELL ? "#7b7" : "#db6");
+      double height = bar.share() * (HEIGHT - 2 * ROW_HEIGHT);
+      double width = Math.max(1, x(bar.toSeconds()) - x(bar.fromSeconds()) - 1);
+      box(
+          x(bar.fromSeconds()),
+          HEIGHT - height,
+          width,
+          height,
+          bar.share() > GOOD_SHARE ? "#7b7" : "#db6");
     }
-    text(LEFT - 34, 2 * ROW + 4, "100");
+    text(LEFT - 34, 2 * ROW_HEIGHT + 4, "100");
     text(LEFT - 34, HEIGHT, "0");
-    text(LEFT, ROW, shareTitle);
+    text(LEFT, ROW_HEIGHT, shareTitle);
   }
 
   private void drawRows(int top) {
-    for (int i = 0; i < lines.size(); i++) {
-      int y = top + i * ROW;
-      text(4, y + ROW - 3, lines.get(i).name());
-      for (Span span : lines.get(i).spans()) {
-        double width = Math.max(1, x(span.to()) - x(span.from()));
-        box(x(span.from()), y + 2, width, ROW - 4, span.planned() ? "#48a" : "#c63");
+    for (int i = 0; i < rows.size(); i++) {
+      int y = top + i * ROW_HEIGHT;
+      text(4, y + ROW_HEIGHT - 3, rows.get(i).name());
+      for (Span span : rows.get(i).spans()) {
+        double width = Math.max(1, x(span.toSeconds()) - x(span.fromSeconds()));
+        box(x(span.fromSeconds()), y + 2, width, ROW_HEIGHT - 4, span.planned() ? "#48a" : "#c63");
       }
     }
-    if (!lines.isEmpty()) {
+    if (!rows.isEmpty()) {
       text(LEFT, top - 6, rowsTitle);
     }
   }
 
   private void drawMarks(int bottom) {
     for (Mark mark : marks) {
-      box(x(mark.at()), ROW + 4, 1, bottom - ROW, "#999");
-      text(x(mark.at()) + 3, bottom + ROW, mark.label());
+      box(x(mark.atSeconds()), ROW_HEIGHT + 4, 1, bottom - ROW_HEIGHT, "#999");
+      text(x(mark.atSeconds()) + 3, bottom + ROW_HEIGHT, mark.label());
     }
   }
 
   private void drawTimeAxis(int bottom) {
-    double step = Math.max(1, Math.floor(seconds / LABELS));
-    for (double at = 0; at <= seconds; at += step) {
-      text(x(at), bottom + 2 * ROW + 4, String.format(Locale.ROOT, "%.0f s", at));
+    double stepSeconds = Math.max(1, Math.floor(seconds / TIME_LABEL_COUNT));
+    for (double at = 0; at <= seconds; at += stepSeconds) {
+      text(x(at), bottom + 2 * ROW_HEIGHT + 4, String.format(Locale.ROOT, "%.0f s", at));
     }
   }
 
@@ -130,9 +138,9 @@
             colour));
   }
 
-  private void text(double x, double y, String words) {
+  private void text(double x, double y, String label) {
     out.append(
         String.format(
-            Locale.ROOT, "<text x=\"%.1f\" y=\"%.1f\">%s</text>", x, y, HtmlPage.safe(words)));
+            Locale.ROOT, "<text x=\"%.1f\" y=\"%.1f\">%s</text>", x, y, HtmlPage.escape(label)));
   }
 }
--- a/src/main/java/beaconturn/report/package-info.java
+++ b/src/main/java/beaconturn/report/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Pages that people look at: one file each, without scripts or other files. What is shown comes in
- * as plain figures; nothing here knows where they are from, and nothing does I/O.
+ * Self-contained HTML pages with charts, without scripts or external files. The package gets plain
+ * numbers and texts, whatever their source, and does no I/O.
  */
 package beaconturn.report;
--- a/src/main/java/beaconturn/standin/net/CacheServerListeners.java
+++ b/src/main/java/beaconturn/standin/net/CacheServerListeners.java
@@ -15,48 +15,55 @@
 import java.util.logging.Logger;
 
 /**
- * The listening addresses of cache servers: one for each place and each router, so that the account
- * knows who speaks. An address outlives the process behind it; it listens, refuses, or says nothing
- * at all as the process and its condition have it.
+ * The listening addresses of the cache servers: one for each cache server and router, so that the
+ * history knows which router a connection belongs to. An address outlives the process behind it and
+ * follows its state and faults: it listens, refuses or drops connections.
  */
 final class CacheServerListeners {
   private static final Logger LOG = Logger.getLogger(CacheServerListeners.class.getName());
   private static final int BACKLOG = 512;
 
-  /** The kernel takes one more than it is told; then connections no longer come up. */
+  /** The kernel accepts one connection more than this before it drops further ones. */
   private static final int FULL_BACKLOG = 1;
 
-  private static final int FILLERS = 4;
+  private static final int BACKLOG_FILLERS = 4;
 
-  /** So long after silence at least what was sent before it may come up. */
-  private static final long RESENT = 1_000_000_000;
+  /** Minimum time after a silence in which retransmitted input may arrive. */
+  private static final long MIN_RETRANSMIT_NANOS = 1_000_000_000;
 
   private final EventLoop loop;
-  private final EmulatedFleet world;
-  private final List<Door> doors = new ArrayList<>();
-  private long connections;
+  private final EmulatedFleet fleet;
+  private final List<Listener> listeners = new ArrayList<>();
+  private long connectionCount;
 
-  CacheServerListeners(EventLoop loop, EmulatedFleet world) {
+  CacheServerListeners(EventLoop loop, EmulatedFleet fleet) {
     this.loop = loop;
-    this.world = world;
+    this.fleet = fleet;
   }
 
-  /** Opens a door for each place and each of so many routers. */
+  /**
+   * Opens the listeners of all cache servers.
+   *
+   * @param firstPort the first of consecutive ports, or 0 for any free ones
+   */
   void open(int routers, int firstPort) throws IOException {
     for (int router = 0; router < routers; router++) {
-      for (int place = 0; place < world.serverCount(); place++) {
-        int port = firstPort == 0 ? 0 : firstPort + router * world.serverCount() + place;
-        doors.add(new Door(place, router, port));
+      for (int server = 0; server < fleet.serverCount(); server++) {
+        int port = firstPort == 0 ? 0 : firstPort + router * fleet.serverCount() + server;
+        listeners.add(new Listener(server, router, port));
       }
     }
-    world.onServerChange(
-        place -> doors.stream().filter(door -> door.place == place).forEach(Door::follow));
+    fleet.onServerChange(
+        server ->
+            listeners.stream()
+                .filter(listener -> listener.server == server)
+                .forEach(Listener::followServer));
   }
 
-  /** Where a router connects for a place. */
-  InetSocketAddress address(int router, int place) {
-    return doors.stream()
-        .filter(door -> door.router == router && door.place == place)
+  /** Returns the address at which a router reaches a cache server. */
+  InetSocketAddress address(int router, int server) {
+    return listeners.stream()
+        .filter(listener -> listener.router == router && listener.server == server)
         .findFirst()
         .orElseThrow()
         .address;
@@ -66,56 +73,61 @@
     try {
       channel.close();
     } catch (IOException e) {
-      LOG.log(Level.FINE, "closing", e);
+      LOG.log(Level.FINE, "closing a channel failed", e);
     }
   }
 
-  /** What an address does. */
+  /** How an address treats new connections. */
   private enum State {
     LISTENS,
     REFUSES,
     SILENT
   }
 
-  private final class Door implements EventLoop.ChannelHandler {
-    private final int place;
+  private final class Listener implements EventLoop.ChannelHandler {
+    private final int server;
     private final int router;
     private final InetSocketAddress address;
     private final List<RespSession> sessions = new ArrayList<>();
+
+    /** Channels that reserve the address or fill its backlog. */
     private final List<SocketChannel> holders = new ArrayList<>();
-    private ServerSocketChannel listener;
+
+    private ServerSocketChannel channel;
     private State state = State.LISTENS;
-    private boolean moving;
+    private boolean changing;
 
     /**
-     * From when to when it was silent: what the kernel of a peer took for a connection meanwhile it
-     * sends again and again, at twice the distance each time, and that comes up after it.
+     * Start and end of the last silence. A peer's kernel retransmits what it sent during the
+     * silence, with doubling delays, so that old input may arrive long after the end.
      */
-    private long silentFrom = Long.MIN_VALUE / 4;
+    private long silentFromNanos = Long.MIN_VALUE / 4;
 
-    private long silentUntil = Long.MIN_VALUE / 2;
+    private long silentUntilNanos = Long.MIN_VALUE / 2;
 
-    private Door(int place, int router, int port) throws IOException {
-      this.place = place;
+    private Listener(int server, int router, int port) throws IOException {
+      this.server = server;
       this.router = router;
-      this.listener = loop.listen(new InetSocketAddress("127.0.0.1", port), BACKLOG, this);
-      this.address = (InetSocketAddress) listener.getLocalAddress();
+      this.channel = loop.listen(new InetSocketAddress("127.0.0.1", port), BACKLOG, this);
+      this.address = (InetSocketAddress) channel.getLocalAddress();
     }
 
     @Override
     public void ready(SelectionKey key) throws IOException {
-      for (SocketChannel next = listener.accept(); next != null; next = listener.accept()) {
-        RespSession session = new RespSession(loop, next, world, ++connections);
-        session.attach(world.server(place), router);
-        if (loop.scheduler().now() <= silentUntil + Math.max(RESENT, 2 * (silentUntil - silentFrom))) {
-          session.sentSince(silentFrom);
+      for (SocketChannel next = channel.accept(); next != null; next = channel.accept()) {
+        RespSession session = new RespSession(loop, next, fleet, ++connectionCount);
+        session.attach(fleet.server(server), router);
+        if (loop.scheduler().now()
+            <= silentUntilNanos
+                + Math.max(MIN_RETRANSMIT_NANOS, 2 * (silentUntilNanos - silentFromNanos))) {
+          session.setUnreadSince(silentFromNanos);
         }
-        session.begin();
-        FaultState condition = world.server(place).faults();
-        session.mute(condition.mute());
-        session.hear(condition.unread(), condition.vanished());
+        session.start();
+        FaultState faults = fleet.server(server).faults();
+        session.setMute(faults.mute());
+        session.suspend(faults.unread(), faults.vanished());
         sessions.add(session);
-        if (listener == null || !listener.isOpen()) {
+        if (channel == null || !channel.isOpen()) {
           return;
         }
       }
@@ -123,65 +135,63 @@
 
     @Override
     public void failed(IOException cause) {
-      LOG.log(Level.WARNING, "stand-in at " + address + " cannot accept: " + cause.getMessage());
+      LOG.log(
+          Level.WARNING,
+          "stand-in cache server at " + address + " cannot accept: " + cause.getMessage());
     }
 
-    /** Goes along with the process and its condition. */
-    private void follow() {
-      CacheServerModel cache = world.server(place);
-      FaultState condition = cache.faults();
-      sessions.removeIf(NonBlockingConnection::ended);
+    /** Applies the current state and faults of the cache server. */
+    private void followServer() {
+      CacheServerModel model = fleet.server(server);
+      FaultState faults = model.faults();
+      sessions.removeIf(NonBlockingConnection::isClosed);
       for (RespSession session : sessions) {
-        session.mute(session.muted() && condition.mute());
-        session.hear(condition.unread(), condition.vanished());
+        session.setMute(session.mute() && faults.mute());
+        session.suspend(faults.unread(), faults.vanished());
       }
       State wanted =
-          condition.vanished()
+          faults.vanished()
               ? State.SILENT
-              : cache.dead() || condition.refusing() ? State.REFUSES : State.LISTENS;
+              : model.dead() || faults.refusing() ? State.REFUSES : State.LISTENS;
       if (wanted != state) {
-        move(wanted);
+        changeState(wanted);
       }
     }
 
-    /**
-     * A listener that is closed keeps its address to the end of the turn; what follows it waits for
-     * that.
-     */
-    private void move(State wanted) {
-      close(listener);
+    /** Changes the state in the next turn, since a closed listener keeps its address until then. */
+    private void changeState(State wanted) {
+      close(channel);
       holders.forEach(CacheServerListeners::close);
       holders.clear();
-      silentUntil = state == State.SILENT ? loop.scheduler().now() : silentUntil;
-      silentFrom = wanted == State.SILENT ? loop.scheduler().now() : silentFrom;
+      silentUntilNanos = state == State.SILENT ? loop.scheduler().now() : silentUntilNanos;
+      silentFromNanos = wanted == State.SILENT ? loop.scheduler().now() : silentFromNanos;
       state = wanted;
-      if (!moving) {
-        moving = true;
-        loop.nextTurn(this::take);
+      if (!changing) {
+        changing = true;
+        loop.nextTurn(this::rebind);
       }
     }
 
-    private void take() {
-      moving = false;
+    private void rebind() {
+      changing = false;
       try {
         switch (state) {
           case LISTENS ->
-              listener = LoopbackPorts.rebind(address, at -> loop.listen(at, BACKLOG, this));
+              channel = LoopbackPorts.rebind(address, own -> loop.listen(own, BACKLOG, this));
           case REFUSES -> holders.add(LoopbackPorts.rebind(address, LoopbackPorts::reserve));
-          default -> silence();
+          default -> dropConnections();
         }
       } catch (IOException e) {
-        LOG.log(Level.WARNING, "stand-in cannot take its address " + address + " again", e);
+        LOG.log(
+            Level.WARNING, "stand-in cache server cannot bind to its address " + address, e);
       }
     }
 
-    /**
-     * Listens with a queue that own connections fill: the kernel then drops whatever else comes.
-     */
-    private void silence() throws IOException {
-      listener = ServerSocketChannel.open();
-      LoopbackPorts.rebind(address, at -> listener.bind(at, FULL_BACKLOG));
-      for (int i = 0; i < FILLERS; i++) {
+    /** Listens with a backlog that is full, so that the kernel drops every other connection. */
+    private void dropConnections() throws IOException {
+      channel = ServerSocketChannel.open();
+      LoopbackPorts.rebind(address, own -> channel.bind(own, FULL_BACKLOG));
+      for (int i = 0; i < BACKLOG_FILLERS; i++) {
         SocketChannel filler = SocketChannel.open();
         holders.add(filler);
         filler.configureBlocking(false);
--- a/src/main/java/beaconturn/standin/net/DiscoverySession.java
+++ b/src/main/java/beaconturn/standin/net/DiscoverySession.java
@@ -11,41 +11,49 @@
 import java.nio.channels.SocketChannel;
 import java.util.function.Function;
 
-/** One connection of a router to discovery, in HTTP/1.1; one call at a time, as routers do it. */
-final class DiscoverySession extends NonBlockingConnection implements DiscoveryModel.ResponseHandler {
-  private static final int LONGEST_BODY = 4096;
+/**
+ * One connection of a router to discovery over HTTP/1.1. Routers send the next call only after the
+ * reply to the last one.
+ */
+final class DiscoverySession extends NonBlockingConnection
+    implements DiscoveryModel.ResponseHandler {
+  private static final int MAX_BODY_BYTES = 4096;
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
   private static final int UNAVAILABLE = 503;
-  private static final long MILLI = 1_000_000;
-  private static final long LONGEST_WAIT_MILLIS = 60_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long MAX_WAIT_MILLIS = 60_000;
   private final DiscoveryModel discovery;
   private final int router;
-  private final Function<DiscoveryModel.EndpointUpdate, Json> form;
-  private final HttpReader reader = new HttpReader(LONGEST_BODY);
+  private final Function<DiscoveryModel.EndpointUpdate, Json> encoder;
+  private final HttpReader reader = new HttpReader(MAX_BODY_BYTES);
   private DiscoveryModel.Call call;
 
-  /** The form is how a list looks to this router, whose addresses are its own. */
+  /**
+   * Creates the session of a connection.
+   *
+   * @param encoder encodes an endpoint update with the addresses that the router connects to
+   */
   DiscoverySession(
       EventLoop loop,
       SocketChannel channel,
       DiscoveryModel discovery,
       int router,
-      Function<DiscoveryModel.EndpointUpdate, Json> form) {
+      Function<DiscoveryModel.EndpointUpdate, Json> encoder) {
     super(loop, channel);
     this.discovery = discovery;
     this.router = router;
-    this.form = form;
+    this.encoder = encoder;
   }
 
   @Override
   protected void parse(InputBuffer buffer) throws ProtocolException {
     for (HttpRequest r = reader.nextRequest(buffer); r != null; r = reader.nextRequest(buffer)) {
-      request(r);
+      handle(r);
     }
   }
 
-  private void request(HttpRequest request) throws ProtocolException {
+  private void handle(HttpRequest request) throws ProtocolException {
     if (!request.method().equals("GET") || !request.path().equals("/registry/instances")) {
       write(HttpWriter.answer(NOT_FOUND, "{}"));
       return;
@@ -54,12 +62,14 @@
     if (after.isEmpty()) {
       call = discovery.fetch(router, this);
     } else {
-      long wait = Math.min(LONGEST_WAIT_MILLIS, number(request.parameter("wait_ms", "0"))) * MILLI;
-      call = discovery.watch(router, number(after), wait, this);
+      long waitNanos =
+          Math.min(MAX_WAIT_MILLIS, wholeNumber(request.parameter("wait_ms", "0")))
+              * NANOS_PER_MILLI;
+      call = discovery.watch(router, wholeNumber(after), waitNanos, this);
     }
   }
 
-  private static long number(String digits) throws ProtocolException {
+  private static long wholeNumber(String digits) throws ProtocolException {
     if (!digits.matches("[0-9]{1,15}")) {
       throw new ProtocolException("not a whole number: " + digits);
     }
@@ -68,7 +78,7 @@
 
   @Override
   public void succeeded(DiscoveryModel.EndpointUpdate update) {
-    write(HttpWriter.answer(OK, JsonWriter.write(form.apply(update))));
+    write(HttpWriter.answer(OK, JsonWriter.write(encoder.apply(update))));
   }
 
   @Override
@@ -77,12 +87,12 @@
   }
 
   @Override
-  protected void unreadable(String why) {
+  protected void invalidInput(String reason) {
     write(HttpWriter.answer(NOT_FOUND, "{}"));
   }
 
   @Override
-  protected void gone() {
+  protected void connectionClosed() {
     if (call != null) {
       call.cancel();
     }
--- a/src/main/java/beaconturn/standin/net/EmulatedFleetServer.java
+++ b/src/main/java/beaconturn/standin/net/EmulatedFleetServer.java
@@ -24,76 +24,80 @@
 import java.util.logging.Logger;
 
 /**
- * A whole model on loopback sockets: cache servers, the origin behind them, and discovery for each
- * router.
+ * Serves an emulated fleet on loopback sockets: for each router, an address of discovery and one of
+ * each cache server. All models run on the thread of one event loop.
  */
 public final class EmulatedFleetServer implements Closeable {
   private static final Logger LOG = Logger.getLogger(EmulatedFleetServer.class.getName());
   private static final int BACKLOG = 64;
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private final EmulatedFleet fleet;
   private final EventLoop loop;
-  private final CacheServerListeners places;
-  private final List<ServerSocketChannel> registries = new ArrayList<>();
-  private final Map<InetSocketAddress, InetSocketAddress> ways = new ConcurrentHashMap<>();
+  private final CacheServerListeners cacheListeners;
+  private final List<ServerSocketChannel> discoveryListeners = new ArrayList<>();
+  private final Map<InetSocketAddress, InetSocketAddress> addressOverrides = new ConcurrentHashMap<>();
 
   /**
-   * Opens all addresses; nobody is served before {@link #start}.
+   * Opens all addresses; connections are served from {@link #start} on.
    *
-   * @param routers how many routers have addresses of their own
-   * @param firstPort where addresses begin, discovery's first, one for each router; 0 for any free
-   *     ones
+   * @param clock the time in nanoseconds
+   * @param routers the number of routers, each of which has its own addresses
+   * @param firstPort the first of consecutive ports: one of discovery for each router, then one of
+   *     each cache server for each router; 0 for any free ports
    */
   public EmulatedFleetServer(EmulatedFleet fleet, LongSupplier clock, int routers, int firstPort)
       throws IOException {
     this.fleet = fleet;
     this.loop = new EventLoop("stand-ins", fleet.scheduler(), clock);
-    this.places = new CacheServerListeners(loop, fleet);
+    this.cacheListeners = new CacheServerListeners(loop, fleet);
     for (int router = 0; router < routers; router++) {
       int port = firstPort == 0 ? 0 : firstPort + router;
-      registries.add(
-          loop.listen(new InetSocketAddress("127.0.0.1", port), BACKLOG, registry(router)));
+      discoveryListeners.add(
+          loop.listen(new InetSocketAddress("127.0.0.1", port), BACKLOG, discoveryAcceptor(router)));
     }
-    places.open(routers, firstPort == 0 ? 0 : firstPort + routers);
+    cacheListeners.open(routers, firstPort == 0 ? 0 : firstPort + routers);
   }
 
-  private Acceptor registry(int router) {
-    Function<DiscoveryModel.EndpointUpdate, Json> form = update -> form(router, update);
+  private Acceptor discoveryAcceptor(int router) {
+    Function<DiscoveryModel.EndpointUpdate, Json> encoder = update -> encode(router, update);
     return new Acceptor(
         "discovery",
-        channel -> new DiscoverySession(loop, channel, fleet.discovery(), router, form));
+        channel -> new DiscoverySession(loop, channel, fleet.discovery(), router, encoder));
   }
 
   /**
-   * Opens a control port on loopback, 0 for any free one, whose lines go to the orders; where it
-   * is.
+   * Opens a control port on loopback and returns its address.
+   *
+   * @param port the port, or 0 for any free one
+   * @param commands executes a command line and returns its reply
    */
-  public InetSocketAddress openControlPort(int port, UnaryOperator<String> orders) throws IOException {
+  public InetSocketAddress openControlPort(int port, UnaryOperator<String> commands) throws IOException {
     ServerSocketChannel listener =
         loop.listen(
             new InetSocketAddress("127.0.0.1", port),
             BACKLOG,
-            new Acceptor("control", channel -> new FaultControlSession(loop, channel, orders)));
+            new Acceptor("control", channel -> new FaultControlSession(loop, channel, commands)));
     return (InetSocketAddress) listener.getLocalAddress();
   }
 
-  /** Begins to serve on a thread of its own. */
+  /** Starts the thread that serves all connections. */
   public void start() {
     loop.start();
   }
 
-  /** Changes or asks something on the model's thread, and waits for it. */
-  public <T> T call(Supplier<T> question) {
-    return loop.call(question);
+  /** Evaluates a function on the model's thread and waits for its result. */
+  public <T> T call(Supplier<T> function) {
+    return loop.call(function);
   }
 
-  /** Has the model's thread run something once it has done what it is at; waits for nothing. */
-  public void execute(Runnable errand) {
-    loop.execute(errand);
+  /** Runs a task on the model's thread without waiting for it. */
+  public void execute(Runnable task) {
+    loop.execute(task);
   }
 
   /**
-   * Changes something on the model's thread, and waits until sockets have followed it a turn later.
+   * Applies a change on the model's thread and waits until the sockets have followed it, one turn
+   * later.
    */
   public void apply(Runnable change) {
     loop.call(
@@ -104,59 +108,57 @@
     loop.call(() -> true);
   }
 
-  /** The model; to be touched on its own thread only. */
+  /** Returns the fleet, to be accessed on the model's thread only. */
   public EmulatedFleet fleet() {
     return fleet;
   }
 
-  /** Where a router asks for the list. */
+  /** Returns the address of a router's discovery. */
   public InetSocketAddress discoveryAddress(int router) {
     try {
-      return (InetSocketAddress) registries.get(router).getLocalAddress();
+      return (InetSocketAddress) discoveryListeners.get(router).getLocalAddress();
     } catch (IOException e) {
-      throw new IllegalStateException("closed", e);
+      throw new IllegalStateException("the discovery listener of router " + router + " is closed", e);
     }
   }
 
-  /** Where a router connects to the cache server at a place. */
-  public InetSocketAddress serverAddress(int router, int place) {
-    return places.address(router, place);
+  /** Returns the address at which a router reaches a cache server directly. */
+  public InetSocketAddress serverAddress(int router, int server) {
+    return cacheListeners.address(router, server);
   }
 
-  /**
-   * From now on discovery tells the router to reach the cache server at a place by another address.
-   */
-  public void overrideServerAddress(int router, int place, InetSocketAddress way) {
-    ways.put(serverAddress(router, place), way);
+  /** Makes discovery send a router another address of a cache server, such as a proxy's. */
+  public void overrideServerAddress(int router, int server, InetSocketAddress address) {
+    addressOverrides.put(serverAddress(router, server), address);
   }
 
-  /** The list that a router knows before its start, in discovery's form. */
+  /** Returns the endpoint list that a router is configured with, as discovery encodes it. */
   public Json initialEndpointList(int router) {
-    return loop.call(() -> form(router, fleet.discovery().initialList(router)));
+    return loop.call(() -> encode(router, fleet.discovery().initialList(router)));
   }
 
-  private Json form(int router, DiscoveryModel.EndpointUpdate update) {
+  private Json encode(int router, DiscoveryModel.EndpointUpdate update) {
     Map<String, Json> members = new LinkedHashMap<>();
     members.put("seq", new Json.Figure(Long.toString(update.version())));
     members.put("whole", new Json.Flag(update.whole()));
     members.put(
-        "hosts", new Json.Items(update.entries().stream().map(e -> form(router, e)).toList()));
+        "hosts", new Json.Items(update.entries().stream().map(e -> encode(router, e)).toList()));
     return new Json.Members(members);
   }
 
-  private Json form(int router, EndpointListing entry) {
-    InetSocketAddress direct = places.address(router, entry.serverIndex());
-    InetSocketAddress dial = ways.getOrDefault(direct, direct);
-    Map<String, Json> line = new LinkedHashMap<>();
-    line.put("host", new Json.Text(entry.host()));
-    line.put("dial", new Json.Text(dial.getHostString() + ":" + dial.getPort()));
-    line.put("site", new Json.Text(entry.site()));
-    line.put("class", new Json.Text(entry.kind()));
-    line.put("block", new Json.Figure(Integer.toString(entry.block())));
-    line.put("health", new Json.Text(entry.health().name().toLowerCase(Locale.ROOT)));
-    line.put("share", new Json.Figure(Double.toString(entry.share())));
-    line.put("born_ms", new Json.Figure(Long.toString(entry.startedAtNanos() / MILLI)));
-    return new Json.Members(line);
+  private Json encode(int router, EndpointListing entry) {
+    InetSocketAddress direct = cacheListeners.address(router, entry.serverIndex());
+    InetSocketAddress dial = addressOverrides.getOrDefault(direct, direct);
+    Map<String, Json> members = new LinkedHashMap<>();
+    members.put("host", new Json.Text(entry.host()));
+    members.put("dial", new Json.Text(dial.getHostString() + ":" + dial.getPort()));
+    members.put("site", new Json.Text(entry.site()));
+    members.put("class", new Json.Text(entry.kind()));
+    members.put("block", new Json.Figure(Integer.toString(entry.block())));
+    members.put("health", new Json.Text(entry.health().name().toLowerCase(Locale.ROOT)));
+    members.put("share", new Json.Figure(Double.toString(entry.share())));
+    members.put("born_ms", new Json.Figure(Long.toString(entry.startedAtNanos() / NANOS_PER_MILLI)));
+    return new Json.Members(members);
   }
 
   @Override
@@ -164,14 +166,19 @@
     loop.close();
   }
 
-  /** Takes connections for sessions that need to know nothing of each other. */
+  /**
+   * Accepts connections for independent sessions.
+   *
+   * @param what the name of the listener in log lines
+   * @param sessions creates the session of a connection
+   */
   record Acceptor(String what, Function<SocketChannel, NonBlockingConnection> sessions)
       implements EventLoop.ChannelHandler {
     @Override
     public void ready(SelectionKey key) throws IOException {
       ServerSocketChannel listener = (ServerSocketChannel) key.channel();
       for (SocketChannel next = listener.accept(); next != null; next = listener.accept()) {
-        sessions.apply(next).begin();
+        sessions.apply(next).start();
       }
     }
 
--- a/src/main/java/beaconturn/standin/net/EventLoop.java
+++ b/src/main/java/beaconturn/standin/net/EventLoop.java
@@ -20,34 +20,39 @@
 import java.util.logging.Logger;
 
 /**
- * The one thread of a model: drives its scheduler by the real clock and serves its channels. A turn
- * reads all that the kernel had when it began, so that what a peer did before something else is
- * seen a turn later at most.
+ * The single thread of a model: advances its scheduler to the real time and serves its channels.
+ *
+ * <p>A turn reads all input that the kernel had at its start. Therefore the input of two peers is
+ * seen in the order in which it was sent, or at most one turn later.
  */
 public final class EventLoop implements Closeable {
   private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
-  private static final long MILLI = 1_000_000;
-  private static final long LONGEST_WAIT_MILLIS = 1000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long MAX_SELECT_MILLIS = 1000;
   private final EventScheduler scheduler;
   private final LongSupplier clock;
   private final Selector selector;
-  private final Queue<Runnable> errands = new ConcurrentLinkedQueue<>();
-  private final List<Runnable> afterTurn = new ArrayList<>();
+  private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
+  private final List<Runnable> nextTurnTasks = new ArrayList<>();
   private final Thread thread;
   private volatile boolean closed;
   private long turn;
 
-  /** What a channel's owner does once it is ready; an exception ends only that channel. */
+  /** Serves one channel. */
   interface ChannelHandler {
+    /** Serves the channel that is ready; an exception is passed to {@link #failed}. */
     void ready(SelectionKey key) throws IOException;
 
-    /** The channel has failed and is closed. */
+    /** Handles a failure of the channel. */
     void failed(IOException cause);
   }
 
   /**
-   * A loop on the scheduler whose time the clock tells, in nanoseconds; it runs from {@link #start}
-   * on.
+   * Creates a loop that runs from {@link #start} on.
+   *
+   * @param name the name of its thread
+   * @param scheduler is advanced to the time of the clock
+   * @param clock the time in nanoseconds
    */
   public EventLoop(String name, EventScheduler scheduler, LongSupplier clock) throws IOException {
     this.scheduler = scheduler;
@@ -57,47 +62,47 @@
     thread.setDaemon(true);
   }
 
-  /** Begins to serve. */
+  /** Starts the thread. */
   public void start() {
     thread.start();
   }
 
-  /** Has the loop's thread run something soon. */
-  public void execute(Runnable errand) {
-    errands.add(errand);
+  /** Runs a task on the loop's thread, at the end of a turn. */
+  public void execute(Runnable task) {
+    tasks.add(task);
     selector.wakeup();
   }
 
-  /** Has the loop's thread compute something, and waits for it. */
-  public <T> T call(Supplier<T> question) {
+  /** Evaluates a function on the loop's thread and waits for its result. */
+  public <T> T call(Supplier<T> function) {
     if (Thread.currentThread() == thread) {
-      return question.get();
+      return function.get();
     }
-    CompletableFuture<T> answer = new CompletableFuture<>();
+    CompletableFuture<T> result = new CompletableFuture<>();
     execute(
         () -> {
           try {
-            answer.complete(question.get());
+            result.complete(function.get());
           } catch (RuntimeException e) {
-            answer.completeExceptionally(e);
+            result.completeExceptionally(e);
           }
         });
     try {
-      return answer.get();
+      return result.get();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IllegalStateException("interrupted while waiting for the loop", e);
+      throw new IllegalStateException("interrupted while waiting for the event loop", e);
     } catch (ExecutionException e) {
       throw new IllegalStateException(e.getCause().getMessage(), e.getCause());
     }
   }
 
-  /** Has something run in the next turn: what this one closes is really closed only then. */
+  /** Runs a task in the next turn, when the channels that this turn closes are released. */
   void nextTurn(Runnable body) {
-    afterTurn.add(body);
+    nextTurnTasks.add(body);
   }
 
-  /** The number of this turn. */
+  /** Returns the number of the current turn. */
   long turn() {
     return turn;
   }
@@ -106,22 +111,22 @@
     return scheduler;
   }
 
-  SelectionKey register(SelectableChannel channel, int interest, ChannelHandler owner) throws IOException {
+  SelectionKey register(SelectableChannel channel, int interestOps, ChannelHandler handler) throws IOException {
     channel.configureBlocking(false);
-    return channel.register(selector, interest, owner);
+    return channel.register(selector, interestOps, handler);
   }
 
-  /** Listens at the address; port 0 takes a free one. */
-  ServerSocketChannel listen(InetSocketAddress address, int backlog, ChannelHandler owner)
+  /** Listens at an address; port 0 stands for any free one. */
+  ServerSocketChannel listen(InetSocketAddress address, int backlog, ChannelHandler handler)
       throws IOException {
     ServerSocketChannel channel = ServerSocketChannel.open();
     try {
       if (address.getPort() == 0) {
-        LoopbackPorts.bindFree(at -> channel.bind(at, backlog));
+        LoopbackPorts.bindFree(free -> channel.bind(free, backlog));
       } else {
         channel.bind(address, backlog);
       }
-      register(channel, SelectionKey.OP_ACCEPT, owner);
+      register(channel, SelectionKey.OP_ACCEPT, handler);
       return channel;
     } catch (IOException e) {
       channel.close();
@@ -129,7 +134,7 @@
     }
   }
 
-  /** Ends the thread and closes all channels. */
+  /** Stops the thread and closes all channels. */
   @Override
   public void close() {
     closed = true;
@@ -146,33 +151,33 @@
   private void run() {
     try {
       while (!closed) {
-        step();
+        runTurn();
       }
     } catch (IOException e) {
-      LOG.log(Level.SEVERE, "the loop cannot wait for its channels", e);
+      LOG.log(Level.SEVERE, "event loop stopped: select failed", e);
     } finally {
-      end();
+      closeChannels();
     }
   }
 
-  private void step() throws IOException {
-    long wait = scheduler.nextDueNanos() - clock.getAsLong();
-    if (wait <= 0 || !errands.isEmpty() || !afterTurn.isEmpty()) {
+  private void runTurn() throws IOException {
+    long waitNanos = scheduler.nextDueNanos() - clock.getAsLong();
+    if (waitNanos <= 0 || !tasks.isEmpty() || !nextTurnTasks.isEmpty()) {
       selector.selectNow();
     } else {
-      selector.select(Math.max(1, Math.min(LONGEST_WAIT_MILLIS, wait / MILLI)));
+      selector.select(Math.max(1, Math.min(MAX_SELECT_MILLIS, waitNanos / NANOS_PER_MILLI)));
     }
     turn++;
-    List<Runnable> left = List.copyOf(afterTurn);
-    afterTurn.clear();
-    left.forEach(Runnable::run);
+    List<Runnable> due = List.copyOf(nextTurnTasks);
+    nextTurnTasks.clear();
+    due.forEach(Runnable::run);
     scheduler.advance(clock.getAsLong());
     for (SelectionKey key : selector.selectedKeys()) {
       serve(key);
     }
     selector.selectedKeys().clear();
-    for (int count = errands.size(); count > 0; count--) {
-      errands.remove().run();
+    for (int count = tasks.size(); count > 0; count--) {
+      tasks.remove().run();
     }
   }
 
@@ -180,22 +185,22 @@
     if (!key.isValid()) {
       return;
     }
-    ChannelHandler owner = (ChannelHandler) key.attachment();
+    ChannelHandler handler = (ChannelHandler) key.attachment();
     try {
-      owner.ready(key);
+      handler.ready(key);
     } catch (IOException e) {
-      owner.failed(e);
+      handler.failed(e);
     }
   }
 
-  private void end() {
+  private void closeChannels() {
     try {
       for (SelectionKey key : selector.keys()) {
         key.channel().close();
       }
       selector.close();
     } catch (IOException e) {
-      LOG.log(Level.FINE, "closing the loop's channels", e);
+      LOG.log(Level.FINE, "closing the channels of the event loop failed", e);
     }
   }
 }
--- a/src/main/java/beaconturn/standin/net/FaultControlSession.java
+++ b/src/main/java/beaconturn/standin/net/FaultControlSession.java
@@ -6,14 +6,19 @@
 import java.nio.channels.SocketChannel;
 import java.util.function.UnaryOperator;
 
-/** One connection to the control port: a line in, its answer out, an empty line behind it. */
+/** One connection to the control port: reads a command per line; an empty line ends each reply. */
 final class FaultControlSession extends NonBlockingConnection {
-  private static final int LONGEST_LINE = 1024;
-  private final UnaryOperator<String> orders;
+  private static final int MAX_LINE_BYTES = 1024;
+  private final UnaryOperator<String> commands;
 
-  FaultControlSession(EventLoop loop, SocketChannel channel, UnaryOperator<String> orders) {
+  /**
+   * Creates the session of a connection.
+   *
+   * @param commands executes a command and returns its reply
+   */
+  FaultControlSession(EventLoop loop, SocketChannel channel, UnaryOperator<String> commands) {
     super(loop, channel);
-    this.orders = orders;
+    this.commands = commands;
   }
 
   @Override
@@ -21,10 +26,10 @@
     for (int end = lineEnd(buffer); end >= 0; end = lineEnd(buffer)) {
       String line = buffer.slice(0, end).toString();
       buffer.consume(end + 1);
-      write(Slice.of(orders.apply(line) + "\n\n"));
+      write(Slice.of(commands.apply(line) + "\n\n"));
     }
-    if (buffer.size() > LONGEST_LINE) {
-      throw new ProtocolException("line over " + LONGEST_LINE + " bytes");
+    if (buffer.size() > MAX_LINE_BYTES) {
+      throw new ProtocolException("line over " + MAX_LINE_BYTES + " bytes");
     }
   }
 
@@ -38,12 +43,12 @@
   }
 
   @Override
-  protected void unreadable(String why) {
-    write(Slice.of("error: " + why + "\n\n"));
+  protected void invalidInput(String reason) {
+    write(Slice.of("error: " + reason + "\n\n"));
   }
 
   @Override
-  protected void gone() {
-    // Nothing is kept for a connection that gives orders.
+  protected void connectionClosed() {
+    // The session keeps no state.
   }
 }
--- a/src/main/java/beaconturn/standin/net/LoopbackPorts.java
+++ b/src/main/java/beaconturn/standin/net/LoopbackPorts.java
@@ -11,34 +11,40 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Addresses on loopback whose ports the kernel gives to nobody by itself, each given out once in
- * many thousands. On a port of the kernel's own choice the kit meets strangers: whoever still calls
- * the one that had it before, a router whose discovery is gone for instance, would be taken for a
- * router that sends rubbish.
+ * Assigns loopback ports below the kernel's ephemeral range, each once in many thousand
+ * assignments.
+ *
+ * <p>An ephemeral port may be called by clients of its last owner, such as a router whose discovery
+ * has ended; a stand-in on that port would take them for its own clients.
  */
 public final class LoopbackPorts {
-  private static final int FIRST = 15_000;
+  private static final int FIRST_PORT = 15_000;
 
-  /** Up to where the kernel's own begin on any usual system. */
-  private static final int COUNT = 15_000;
+  /** Keeps the range below the usual start of the ephemeral ports. */
+  private static final int PORT_COUNT = 15_000;
 
-  private static final int AGAIN = 50;
-  private static final long AGAIN_AFTER = 10_000_000;
+  private static final int MAX_REBIND_ATTEMPTS = 50;
+  private static final long REBIND_DELAY_NANOS = 10_000_000;
 
-  /** Other processes begin elsewhere. */
-  private static final AtomicInteger NEXT =
-      new AtomicInteger(ThreadLocalRandom.current().nextInt(COUNT));
+  /** Starts at random, so that concurrent processes use different ports. */
+  private static final AtomicInteger NEXT_OFFSET =
+      new AtomicInteger(ThreadLocalRandom.current().nextInt(PORT_COUNT));
 
-  /** What takes an address. */
+  /** Binds a socket to an address. */
   public interface Binding<T> {
-    /** Binds to it; a {@link BindException} has the next one tried. */
+    /**
+     * Binds to an address.
+     *
+     * @throws BindException if the address is in use; another attempt is made
+     */
     T bind(InetSocketAddress address) throws IOException;
   }
 
   private LoopbackPorts() {}
 
   /**
-   * Bound and never listening: the kernel refuses who connects, and gives the port to nobody else.
+   * Binds to an address without listening: the kernel refuses connections to it and assigns it to
+   * no other process.
    */
   public static SocketChannel reserve(InetSocketAddress address) throws IOException {
     SocketChannel holder = SocketChannel.open();
@@ -53,38 +59,41 @@
   }
 
   /**
-   * Takes an address again that this process has listened on: a child that is just being started
-   * holds for a moment what its parent has closed, up to its exec.
+   * Binds to an address that this process has listened on, with retries: a child process inherits
+   * the closed socket and keeps it until its exec.
    */
   public static <T> T rebind(InetSocketAddress address, Binding<T> binding) throws IOException {
-    for (int i = 1; i < AGAIN; i++) {
+    for (int attempt = 1; attempt < MAX_REBIND_ATTEMPTS; attempt++) {
       try {
         return binding.bind(address);
       } catch (BindException e) {
-        LockSupport.parkNanos(AGAIN_AFTER);
+        LockSupport.parkNanos(REBIND_DELAY_NANOS);
       }
     }
     return binding.bind(address);
   }
 
-  /** Has the first free address taken. */
+  /** Binds to the next free address. */
   public static <T> T bindFree(Binding<T> binding) throws IOException {
-    for (int i = 0; i < COUNT; i++) {
-      InetSocketAddress at =
-          new InetSocketAddress("127.0.0.1", FIRST + Math.floorMod(NEXT.getAndIncrement(), COUNT));
+    for (int i = 0; i < PORT_COUNT; i++) {
+      InetSocketAddress address =
+          new InetSocketAddress(
+              "127.0.0.1",
+              FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), PORT_COUNT));
       try (ServerSocket probe = new ServerSocket()) {
-        // Also one that is only bound, and kept for a process that is down, is another's.
+        // Also skips ports that are only reserved for a process that is down.
         probe.setReuseAddress(false);
-        probe.bind(at);
+        probe.bind(address);
       } catch (BindException e) {
         continue;
       }
       try {
-        return binding.bind(at);
+        return binding.bind(address);
       } catch (BindException e) {
-        // Another's: the next one.
+        // Taken by another process since the probe.
       }
     }
-    throw new IOException("no free port from " + FIRST + " to " + (FIRST + COUNT - 1));
+    throw new IOException(
+        "no free port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT - 1));
   }
 }
--- a/src/main/java/beaconturn/standin/net/NonBlockingConnection.java
+++ b/src/main/java/beaconturn/standin/net/NonBlockingConnection.java
@@ -12,66 +12,68 @@
 import java.util.Queue;
 
 /**
- * One accepted connection on the loop: reads what is there, writes what the peer takes and keeps
- * the rest. It can be made deaf (nothing is read) and cut off (nothing is read or written), as
- * faults need it.
+ * One accepted connection on the event loop: parses the input that is available and queues output
+ * that the peer does not take yet. Faults may suspend reading, or both reading and writing.
  */
 abstract class NonBlockingConnection implements EventLoop.ChannelHandler {
-  private static final int MOST_READS = 64;
-  private static final int FOR_PLACES = 2048;
+  private static final int MAX_READS_PER_TURN = 64;
+  private static final int MESSAGE_BUFFER_BYTES = 2048;
   protected final EventLoop loop;
   private final SocketChannel channel;
   private final InputBuffer in = new InputBuffer();
   private final Queue<ByteBuffer> out = new ArrayDeque<>();
   private SelectionKey key;
-  private long firstAt;
+  private long firstByteNanos;
 
-  /** Since when nothing was read, or -1: what is read next may have come any time since. */
-  private long deafFrom = -1;
+  /**
+   * Since when nothing was read, or -1. The input that is read next may have been received at any
+   * time since then.
+   */
+  private long unreadSinceNanos = -1;
 
-  private boolean deaf;
-  private boolean cut;
+  private boolean readSuspended;
+  private boolean cutOff;
   private boolean closing;
-  private boolean ended;
+  private boolean closed;
 
   NonBlockingConnection(EventLoop loop, SocketChannel channel) {
     this.loop = loop;
     this.channel = channel;
   }
 
-  /** Begins to read. */
-  void begin() throws IOException {
+  /** Registers the connection with the loop and starts to read. */
+  void start() throws IOException {
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     key = loop.register(channel, SelectionKey.OP_READ, this);
-    interest();
+    updateInterest();
   }
 
-  /** What is read first may have been sent any time since then. */
-  void sentSince(long at) {
-    deafFrom = at;
+  /** Declares that the first input may have been sent at any time since the given one. */
+  void setUnreadSince(long nanos) {
+    unreadSinceNanos = nanos;
   }
 
-  /** Takes what is whole out of the buffer. */
+  /** Consumes all complete messages of the buffer. */
   protected abstract void parse(InputBuffer buffer) throws ProtocolException;
 
-  /** The connection has ended from whichever side; called once. */
-  protected abstract void gone();
+  /** Handles the end of the connection, closed by either side; called once. */
+  protected abstract void connectionClosed();
 
-  /** What came cannot be read; the connection is closed after it. */
-  protected abstract void unreadable(String why);
+  /** Handles input that is not a valid message; the connection is closed afterwards. */
+  protected abstract void invalidInput(String reason);
 
-  /** When the first byte of the message at hand was read. */
-  protected long firstAt() {
-    return firstAt;
+  /** Returns when the first byte of the current message was received, at the earliest. */
+  protected long firstByteNanos() {
+    return firstByteNanos;
   }
 
-  /** Notes that a message has been taken out: what is left belongs to the next. */
-  protected void taken() {
-    firstAt = arrival();
+  /** Notes that a message was consumed, so that the remaining bytes belong to the next one. */
+  protected void messageConsumed() {
+    firstByteNanos = arrivalNanos();
   }
 
-  private long arrival() {
-    return deafFrom >= 0 ? deafFrom : loop.scheduler().now();
+  private long arrivalNanos() {
+    return unreadSinceNanos >= 0 ? unreadSinceNanos : loop.scheduler().now();
   }
 
   @Override
@@ -79,48 +81,49 @@
     if (ready.isReadable()) {
       read();
     }
-    if (!ended && ready.isValid() && ready.isWritable()) {
+    if (!closed && ready.isValid() && ready.isWritable()) {
       flush();
     }
   }
 
   private void read() throws IOException {
-    readWhatIsThere();
-    deafFrom = deaf || cut ? deafFrom : -1;
+    readAvailable();
+    unreadSinceNanos = readSuspended || cutOff ? unreadSinceNanos : -1;
   }
 
-  private void readWhatIsThere() throws IOException {
-    for (int i = 0; i < MOST_READS && !ended && !deaf && !cut; i++) {
+  private void readAvailable() throws IOException {
+    for (int i = 0; i < MAX_READS_PER_TURN && !closed && !readSuspended && !cutOff; i++) {
       boolean empty = in.size() == 0;
       int room = in.ensureRoom();
-      int got = channel.read(ByteBuffer.wrap(in.array(), in.end(), room));
-      if (got < 0) {
+      int count = channel.read(ByteBuffer.wrap(in.array(), in.end(), room));
+      if (count < 0) {
         close();
         return;
       }
-      if (got == 0) {
+      if (count == 0) {
         return;
       }
-      firstAt = empty ? arrival() : firstAt;
-      in.filled(got);
+      firstByteNanos = empty ? arrivalNanos() : firstByteNanos;
+      in.filled(count);
       try {
         parse(in);
       } catch (ProtocolException e) {
-        unreadable(e.getMessage());
+        invalidInput(e.getMessage());
         closing = true;
         flush();
         return;
       }
-      if (got < room) {
-        // All that was there; an end behind it is seen in the next turn, which rules allow for.
+      if (count < room) {
+        // All available input was read. A close behind it is seen in the next turn, which the
+        // invariants allow for.
         return;
       }
     }
   }
 
-  /** Sends the bytes after all before them. */
+  /** Sends the bytes after all that were written before. */
   protected void write(Slice bytes) {
-    if (ended) {
+    if (closed) {
       return;
     }
     out.add(ByteBuffer.wrap(bytes.array(), bytes.from(), bytes.length()));
@@ -132,7 +135,7 @@
   }
 
   private void flush() throws IOException {
-    while (!ended && !cut && !out.isEmpty()) {
+    while (!closed && !cutOff && !out.isEmpty()) {
       ByteBuffer next = out.peek();
       channel.write(next);
       if (next.hasRemaining()) {
@@ -143,17 +146,22 @@
     if (closing && out.isEmpty()) {
       close();
     }
-    interest();
-  }
-
-  /** Deaf: nothing is read; cut: nothing is written either. What waits goes on when it is over. */
-  void hear(boolean nothing, boolean cutOff) {
-    deaf = nothing;
-    cut = cutOff;
-    if ((deaf || cut) && deafFrom < 0) {
-      deafFrom = loop.scheduler().now();
+    updateInterest();
+  }
+
+  /**
+   * Suspends or resumes traffic; suspended input and output is kept.
+   *
+   * @param suspendRead whether nothing is read
+   * @param suspendAll whether nothing is read or written
+   */
+  void suspend(boolean suspendRead, boolean suspendAll) {
+    readSuspended = suspendRead;
+    cutOff = suspendAll;
+    if ((readSuspended || cutOff) && unreadSinceNanos < 0) {
+      unreadSinceNanos = loop.scheduler().now();
     }
-    if (!ended) {
+    if (!closed) {
       try {
         flush();
       } catch (IOException e) {
@@ -162,10 +170,10 @@
     }
   }
 
-  private void interest() {
-    if (!ended && key != null && key.isValid()) {
-      int read = deaf || cut || closing ? 0 : SelectionKey.OP_READ;
-      int write = cut || out.isEmpty() ? 0 : SelectionKey.OP_WRITE;
+  private void updateInterest() {
+    if (!closed && key != null && key.isValid()) {
+      int read = readSuspended || cutOff || closing ? 0 : SelectionKey.OP_READ;
+      int write = cutOff || out.isEmpty() ? 0 : SelectionKey.OP_WRITE;
       if (key.interestOps() != (read | write)) {
         key.interestOps(read | write);
       }
@@ -177,13 +185,13 @@
     close();
   }
 
-  /** Ends the connection as a process that dies does: the peer sees a reset. */
+  /** Resets the connection, as the death of a process does. */
   public void reset() {
-    if (!ended) {
+    if (!closed) {
       try {
         channel.setOption(StandardSocketOptions.SO_LINGER, 0);
       } catch (IOException e) {
-        // Already broken: closing it is all that is left.
+        // The connection is already broken; it is only closed.
         out.clear();
       }
       close();
@@ -191,20 +199,20 @@
   }
 
   void close() {
-    if (ended) {
+    if (closed) {
       return;
     }
-    ended = true;
+    closed = true;
     CacheServerListeners.close(channel);
-    gone();
+    connectionClosed();
   }
 
-  boolean ended() {
-    return ended;
+  boolean isClosed() {
+    return closed;
   }
 
-  /** A buffer to gather a message in. */
-  protected static java.io.ByteArrayOutputStream gather() {
-    return new java.io.ByteArrayOutputStream(FOR_PLACES);
+  /** Returns a buffer for assembling one message. */
+  protected static java.io.ByteArrayOutputStream newMessageBuffer() {
+    return new java.io.ByteArrayOutputStream(MESSAGE_BUFFER_BYTES);
   }
 }
--- a/src/main/java/beaconturn/standin/net/RespSession.java
+++ b/src/main/java/beaconturn/standin/net/RespSession.java
@@ -21,89 +21,93 @@
 
 /** One connection of a router to a stand-in cache server, in RESP2. */
 final class RespSession extends NonBlockingConnection implements CacheServerConnection {
-  private static final long MILLI = 1_000_000;
-  private static final int READ_PARTS = 4;
-  private static final int LONG_LINE = 4096;
-  private final EmulatedFleet world;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
+  /** Items of a C.GET command: name, key, request id, attributes. C.SET has the value behind them. */
+  private static final int READ_ITEM_COUNT = 4;
+
+  private static final int LONG_LINE_BYTES = 4096;
+  private final EmulatedFleet fleet;
   private final long number;
   private final RespReader reader = new RespReader(RespReader.LONGEST_VALUE_BYTES);
   private CacheServerModel.Session session;
-  private CacheServerModel cache;
+  private CacheServerModel server;
   private int router;
   private boolean mute;
 
-  RespSession(EventLoop loop, SocketChannel channel, EmulatedFleet world, long number) {
+  RespSession(EventLoop loop, SocketChannel channel, EmulatedFleet fleet, long number) {
     super(loop, channel);
-    this.world = world;
+    this.fleet = fleet;
     this.number = number;
   }
 
-  void attach(CacheServerModel to, int from) {
-    cache = to;
-    router = from;
-    session = to.open(this, from, number);
+  /** Opens the session with a cache server; must be called before {@link #start}. */
+  void attach(CacheServerModel cacheServer, int fromRouter) {
+    server = cacheServer;
+    router = fromRouter;
+    session = cacheServer.open(this, fromRouter, number);
   }
 
-  /** Never spoken to: nothing is read, for as long as this holds. */
-  void mute(boolean on) {
+  /** Sets whether the connection is never read; takes effect at the next {@link #suspend}. */
+  void setMute(boolean on) {
     mute = on;
   }
 
-  boolean muted() {
+  boolean mute() {
     return mute;
   }
 
   @Override
-  void hear(boolean nothing, boolean cutOff) {
-    super.hear(nothing || mute, cutOff);
+  void suspend(boolean suspendRead, boolean suspendAll) {
+    super.suspend(suspendRead || mute, suspendAll);
   }
 
   @Override
   protected void parse(InputBuffer buffer) throws ProtocolException {
     for (RespValue value = reader.next(buffer);
-        value != null && !ended();
+        value != null && !isClosed();
         value = reader.next(buffer)) {
-      command(value);
-      taken();
+      handle(value);
+      messageConsumed();
     }
   }
 
-  private void command(RespValue value) throws ProtocolException {
+  private void handle(RespValue value) throws ProtocolException {
     if (!(value instanceof RespValue.Array array)
         || array.items() == null
         || array.items().isEmpty()) {
       throw new ProtocolException("a command is a list of strings");
     }
     List<RespValue> items = array.items();
-    String word = text(items.get(0)).toUpperCase(Locale.ROOT);
-    switch (word) {
-      case "C.GET", "C.SET" -> request(items, word.equals("C.SET"));
+    String name = text(items.get(0)).toUpperCase(Locale.ROOT);
+    switch (name) {
+      case "C.GET", "C.SET" -> handleRequest(items, name.equals("C.SET"));
       case "PING" -> write(RespWriter.simple("PONG"));
       case "CLIENT", "SELECT" -> write(RespWriter.simple("OK"));
       default -> write(RespWriter.failure("ERR unknown command"));
     }
   }
 
-  private void request(List<RespValue> items, boolean write) throws ProtocolException {
-    if (items.size() != (write ? READ_PARTS + 1 : READ_PARTS)) {
+  private void handleRequest(List<RespValue> items, boolean write) throws ProtocolException {
+    if (items.size() != (write ? READ_ITEM_COUNT + 1 : READ_ITEM_COUNT)) {
       throw new ProtocolException("wrong number of arguments");
     }
     Map<String, String> attributes = attributes(text(items.get(3)));
-    int size = write ? text(items.get(READ_PARTS)).length() : 0;
+    int valueBytes = write ? text(items.get(READ_ITEM_COUNT)).length() : 0;
     if (!attributes.containsKey("c") || !attributes.getOrDefault("d", "").matches("[0-9]{1,9}")) {
       throw new ProtocolException("class or wait is missing");
     }
     session.command(
         new CacheCommand(
-            world.nextCommand(),
+            fleet.nextCommand(),
             text(items.get(1)),
             text(items.get(2)),
             attributes.get("c"),
             write,
             attributes.get("k"),
-            Long.parseLong(attributes.get("d")) * MILLI,
-            size,
-            firstAt(),
+            Long.parseLong(attributes.get("d")) * NANOS_PER_MILLI,
+            valueBytes,
+            firstByteNanos(),
             loop.turn()));
   }
 
@@ -126,65 +130,70 @@
   }
 
   @Override
-  protected void unreadable(String why) {
-    world.recorder().invalidInput(loop.scheduler().now(), cache.listing().host(), router, why);
-    write(RespWriter.failure("SYNTAX " + why));
+  protected void invalidInput(String reason) {
+    fleet.recorder().invalidInput(loop.scheduler().now(), server.listing().host(), router, reason);
+    write(RespWriter.failure("SYNTAX " + reason));
   }
 
   @Override
-  protected void gone() {
+  protected void connectionClosed() {
     session.connectionClosed(loop.turn());
   }
 
   @Override
   public void respond(CacheResponse response) {
-    if (reply instanceof CacheResponse.Value value) {
-      write(value(value, value.report()));
-    } else if (reply instanceof CacheResponse.Corrupted spoilt) {
-      write(spoilt(spoilt));
-    } else if (reply instanceof CacheResponse.Busy) {
+    if (response instanceof CacheResponse.Value value) {
+      write(encode(value, value.report()));
+    } else if (response instanceof CacheResponse.Corrupted corrupted) {
+      write(encodeCorrupted(corrupted));
+    } else if (response instanceof CacheResponse.Busy) {
       write(RespWriter.failure("BUSY"));
     } else {
       write(RespWriter.failure("ERR failed"));
     }
   }
 
-  private static Slice value(CacheResponse.Value value, String report) {
-    ByteArrayOutputStream all = gather();
-    add(all, RespWriter.listOf(3));
-    add(all, RespWriter.bulk(value.bytes()));
-    String how =
+  private static Slice encode(CacheResponse.Value value, String loadReport) {
+    ByteArrayOutputStream message = newMessageBuffer();
+    append(message, RespWriter.listOf(3));
+    append(message, RespWriter.bulk(value.bytes()));
+    String readStatus =
         value.outcome() == CacheResponse.Outcome.WRITTEN
             ? null
             : value.outcome().name().toLowerCase(Locale.ROOT);
-    add(all, RespWriter.bulk(how == null ? null : how.getBytes(StandardCharsets.US_ASCII)));
-    add(all, RespWriter.bulk(report == null ? null : report.getBytes(StandardCharsets.US_ASCII)));
-    return new Slice(all.toByteArray(), 0, all.size());
-  }
-
-  /** The forms that spoilt answers have been seen in. */
-  private static Slice spoilt(CacheResponse.Corrupted spoilt) {
-    Slice good = value(spoilt.value(), spoilt.value().report());
-    String size = Integer.toString(spoilt.value().bytes().length);
-    return switch (spoilt.corruption()) {
+    append(
+        message,
+        RespWriter.bulk(
+            readStatus == null ? null : readStatus.getBytes(StandardCharsets.US_ASCII)));
+    append(
+        message,
+        RespWriter.bulk(
+            loadReport == null ? null : loadReport.getBytes(StandardCharsets.US_ASCII)));
+    return new Slice(message.toByteArray(), 0, message.size());
+  }
+
+  private static Slice encodeCorrupted(CacheResponse.Corrupted corrupted) {
+    Slice valid = encode(corrupted.value(), corrupted.value().report());
+    String size = Integer.toString(corrupted.value().bytes().length);
+    return switch (corrupted.corruption()) {
       case NOISE -> Slice.of("\u0001\u0007~~ noise ~~\r\n\r\n");
-      case ENDLESS_LINE -> Slice.of("+" + "x".repeat(LONG_LINE));
+      case ENDLESS_LINE -> Slice.of("+" + "x".repeat(LONG_LINE_BYTES));
       case WRONG_LENGTH -> Slice.of("*3\r\n$" + size + "0\r\nshort\r\n$3\r\nhit\r\n$-1\r\n");
-      case HUGE_LENGTH -> Slice.of("*3\r\n$3000000000\r\n" + "y".repeat(LONG_LINE));
-      case DUPLICATED -> joined(good, good);
-      case TRAILING_NOISE -> joined(good, Slice.of("~~ more ~~\r\n"));
-      default -> value(spoilt.value(), "inflight=NaN,,qps=-1,=");
+      case HUGE_LENGTH -> Slice.of("*3\r\n$3000000000\r\n" + "y".repeat(LONG_LINE_BYTES));
+      case DUPLICATED -> concatenate(valid, valid);
+      case TRAILING_NOISE -> concatenate(valid, Slice.of("~~ more ~~\r\n"));
+      default -> encode(corrupted.value(), "inflight=NaN,,qps=-1,=");
     };
   }
 
-  private static Slice joined(Slice first, Slice second) {
-    ByteArrayOutputStream all = gather();
-    add(all, first);
-    add(all, second);
-    return new Slice(all.toByteArray(), 0, all.size());
+  private static Slice concatenate(Slice first, Slice second) {
+    ByteArrayOutputStream message = newMessageBuffer();
+    append(message, first);
+    append(message, second);
+    return new Slice(message.toByteArray(), 0, message.size());
   }
 
-  private static void add(ByteArrayOutputStream all, Slice piece) {
-    all.write(piece.array(), piece.from(), piece.length());
+  private static void append(ByteArrayOutputStream message, Slice bytes) {
+    message.write(bytes.array(), bytes.from(), bytes.length());
   }
 }
--- a/src/main/java/beaconturn/standin/net/StoreServer.java
+++ b/src/main/java/beaconturn/standin/net/StoreServer.java
@@ -8,26 +8,37 @@
 import java.nio.channels.ServerSocketChannel;
 import java.util.function.LongSupplier;
 
-/** The coordination store's stand-in on loopback, and lines by which it is made to fail. */
+/**
+ * Serves the model of the coordination store on loopback and executes the commands that inject
+ * faults into it.
+ */
 public final class StoreServer implements Closeable {
   private static final int BACKLOG = 512;
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final String HELP =
       "down, up, slow MILLIS, lose COUNT, freeze, thaw, empty, rewind REVISIONS, status";
   private final EventLoop loop;
   private final StoreModel model;
   private final ServerSocketChannel listener;
-  private long delay;
-  private int losing;
+  private long delayNanos;
+  private int repliesToLose;
   private boolean down;
-  private long calls;
+  private long callCount;
 
-  /** Opens the port, 0 for any free one; nobody is served before {@link #start}. */
-  public StoreServer(int port, long cluster, LongSupplier clock, StoreModel.ChangeListener watcher)
+  /**
+   * Opens the port; connections are served from {@link #start} on.
+   *
+   * @param port the port, or 0 for any free one
+   * @param clusterId the store's first cluster id
+   * @param clock the time in nanoseconds
+   * @param changeListener receives all changes of keys, on the store's thread
+   */
+  public StoreServer(
+      int port, long clusterId, LongSupplier clock, StoreModel.ChangeListener changeListener)
       throws IOException {
-    EventScheduler agenda = new EventScheduler(clock.getAsLong());
-    this.loop = new EventLoop("store", agenda, clock);
-    this.model = new StoreModel(agenda, cluster, watcher);
+    EventScheduler scheduler = new EventScheduler(clock.getAsLong());
+    this.loop = new EventLoop("store", scheduler, clock);
+    this.model = new StoreModel(scheduler, clusterId, changeListener);
     this.listener =
         loop.listen(
             new InetSocketAddress("127.0.0.1", port),
@@ -36,25 +47,25 @@
                 "store", channel -> new StoreSession(loop, channel, this)));
   }
 
-  /** Begins to serve on a thread of its own. */
+  /** Starts the thread that serves all connections. */
   public void start() {
     loop.start();
   }
 
-  /** Where it listens. */
+  /** Returns the listening address. */
   public InetSocketAddress address() throws IOException {
     return (InetSocketAddress) listener.getLocalAddress();
   }
 
-  /** Carries out one line, and says what was done or what is wrong. */
+  /** Executes one command line and returns its reply. */
   public String run(String line) {
-    return loop.call(() -> order(line.trim().split("\\s+")));
+    return loop.call(() -> execute(line.trim().split("\\s+")));
   }
 
-  private String order(String[] words) {
+  private String execute(String[] words) {
     switch (words[0]) {
-      case "slow" -> delay = number(words) * MILLI;
-      case "lose" -> losing = (int) number(words);
+      case "slow" -> delayNanos = argument(words) * NANOS_PER_MILLI;
+      case "lose" -> repliesToLose = (int) argument(words);
       case "down" -> {
         down = true;
         model.suspendLeaseExpiry();
@@ -66,14 +77,14 @@
       case "freeze" -> model.freeze(true);
       case "thaw" -> model.freeze(false);
       case "empty" -> model.replaceWithEmpty(model.clusterId() + 1);
-      case "rewind" -> model.rewind(number(words));
+      case "rewind" -> model.rewind(argument(words));
       case "status" -> {
         return "cluster "
             + model.clusterId()
             + ", revision "
             + model.revision()
             + ", "
-            + calls
+            + callCount
             + " calls";
       }
       default -> {
@@ -83,7 +94,8 @@
     return "ok: " + String.join(" ", words);
   }
 
-  private static long number(String[] words) {
+  /** Returns the argument of a command; 0 if it is missing or not a number. */
+  private static long argument(String[] words) {
     return words.length == 2 && words[1].matches("[0-9]{1,9}") ? Long.parseLong(words[1]) : 0;
   }
 
@@ -91,21 +103,21 @@
     return model;
   }
 
-  long delay() {
-    return delay;
+  long delayNanos() {
+    return delayNanos;
   }
 
   boolean down() {
     return down;
   }
 
-  void counted() {
-    calls++;
+  void countCall() {
+    callCount++;
   }
 
-  /** Whether the answer to this swap, which has come about, is to be lost. */
-  boolean losesThis() {
-    return losing > 0 && losing-- > 0;
+  /** Returns whether the reply to the current transaction, which was executed, is to be lost. */
+  boolean losesReply() {
+    return repliesToLose > 0 && repliesToLose-- > 0;
   }
 
   @Override
--- a/src/main/java/beaconturn/standin/net/StoreSession.java
+++ b/src/main/java/beaconturn/standin/net/StoreSession.java
@@ -18,50 +18,50 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One connection to the store's stand-in: etcd's HTTP/JSON gateway, as far as routers use it. */
+/** One connection to the stand-in store: the part of etcd's HTTP/JSON gateway that routers use. */
 final class StoreSession extends NonBlockingConnection {
-  private static final int LONGEST_BODY = 1 << 20;
+  private static final int MAX_BODY_BYTES = 1 << 20;
   private static final int OK = 200;
-  private static final int BAD = 400;
+  private static final int BAD_REQUEST = 400;
   private static final int NOT_FOUND = 404;
   private final StoreModel model;
-  private final StoreServer front;
-  private final HttpReader reader = new HttpReader(LONGEST_BODY);
+  private final StoreServer server;
+  private final HttpReader reader = new HttpReader(MAX_BODY_BYTES);
 
-  StoreSession(EventLoop loop, SocketChannel channel, StoreServer front) {
+  StoreSession(EventLoop loop, SocketChannel channel, StoreServer server) {
     super(loop, channel);
-    this.front = front;
-    this.model = front.model();
+    this.server = server;
+    this.model = server.model();
   }
 
   @Override
   protected void parse(InputBuffer buffer) throws ProtocolException {
     for (HttpRequest r = reader.nextRequest(buffer); r != null; r = reader.nextRequest(buffer)) {
-      if (front.down()) {
+      if (server.down()) {
         reset();
         return;
       }
       HttpRequest request = r;
-      loop.scheduler().in(front.delay(), () -> serve(request));
+      loop.scheduler().in(server.delayNanos(), () -> serve(request));
     }
   }
 
   private void serve(HttpRequest request) {
-    front.counted();
+    server.countCall();
     try {
       String path = request.path();
-      Json answer = answer(path, JsonReader.read(request.body()));
-      if (path.equals("/v3/kv/txn") && front.losesThis()) {
+      Json reply = reply(path, JsonReader.read(request.body()));
+      if (path.equals("/v3/kv/txn") && server.losesReply()) {
         reset();
-      } else if (answer == null) {
+      } else if (reply == null) {
         write(HttpWriter.answer(NOT_FOUND, "{\"code\":5,\"message\":\"Not Found\"}"));
       } else {
-        write(HttpWriter.answer(OK, JsonWriter.write(answer)));
+        write(HttpWriter.answer(OK, JsonWriter.write(reply)));
       }
     } catch (ProtocolException | IllegalArgumentException e) {
       write(
           HttpWriter.answer(
-              BAD,
+              BAD_REQUEST,
               JsonWriter.write(
                   object(
                       "code",
@@ -71,53 +71,53 @@
     }
   }
 
-  private Json answer(String path, Json asked) {
+  private Json reply(String path, Json body) {
     return switch (path) {
-      case "/v3/kv/range" -> range(asked);
-      case "/v3/kv/txn" -> swap(asked);
+      case "/v3/kv/range" -> range(body);
+      case "/v3/kv/txn" -> transact(body);
       case "/v3/lease/grant" -> {
-        long seconds = whole(asked.get("TTL"));
-        yield object("header", header(), "ID", text(model.grant(seconds)), "TTL", text(seconds));
+        long seconds = number(body.get("TTL"));
+        yield object("header", header(), "ID", decimal(model.grant(seconds)), "TTL", decimal(seconds));
       }
       case "/v3/lease/keepalive" -> {
-        long seconds = model.keepAlive(whole(asked.get("ID")));
+        long seconds = model.keepAlive(number(body.get("ID")));
         Json result =
             seconds > 0
-                ? object("header", header(), "ID", asked.get("ID"), "TTL", text(seconds))
-                : object("header", header(), "ID", asked.get("ID"));
+                ? object("header", header(), "ID", body.get("ID"), "TTL", decimal(seconds))
+                : object("header", header(), "ID", body.get("ID"));
         yield object("result", result);
       }
       case "/v3/lease/revoke" -> {
-        model.revoke(whole(asked.get("ID")));
+        model.revoke(number(body.get("ID")));
         yield object("header", header());
       }
       default -> null;
     };
   }
 
-  private Json range(Json asked) {
+  private Json range(Json body) {
     List<Json> pairs = new ArrayList<>();
-    for (StoreModel.Pair pair : model.range(key(asked.get("key")), key(asked.get("range_end")))) {
+    for (StoreModel.Pair pair : model.range(decode(body.get("key")), decode(body.get("range_end")))) {
       Map<String, Json> members = new LinkedHashMap<>();
-      members.put("key", bytes(pair.key()));
-      members.put("create_revision", text(pair.createRevision()));
-      members.put("mod_revision", text(pair.modRevision()));
-      members.put("version", text(pair.version()));
-      members.put("value", bytes(pair.value()));
+      members.put("key", encode(pair.key()));
+      members.put("create_revision", decimal(pair.createRevision()));
+      members.put("mod_revision", decimal(pair.modRevision()));
+      members.put("version", decimal(pair.version()));
+      members.put("value", encode(pair.value()));
       if (pair.lease() != 0) {
-        members.put("lease", text(pair.lease()));
+        members.put("lease", decimal(pair.lease()));
       }
       pairs.add(new Json.Members(members));
     }
     return pairs.isEmpty()
         ? object("header", header())
-        : object("header", header(), "kvs", new Json.Items(pairs), "count", text(pairs.size()));
+        : object("header", header(), "kvs", new Json.Items(pairs), "count", decimal(pairs.size()));
   }
 
-  private Json swap(Json asked) {
+  private Json transact(Json body) {
     List<StoreModel.Condition> conditions = new ArrayList<>();
-    for (Json c : asked.get("compare").items()) {
-      String target = c.get("target").word("VERSION");
+    for (Json condition : body.get("compare").items()) {
+      String target = condition.get("target").word("VERSION");
       String field =
           switch (target) {
             case "CREATE" -> "create_revision";
@@ -126,22 +126,22 @@
           };
       conditions.add(
           new StoreModel.Condition(
-              key(c.get("key")),
-              key(c.get("range_end")),
+              decode(condition.get("key")),
+              decode(condition.get("range_end")),
               StoreModel.Target.valueOf(target),
-              StoreModel.Result.valueOf(c.get("result").word("EQUAL")),
-              whole(c.get(field))));
+              StoreModel.Result.valueOf(condition.get("result").word("EQUAL")),
+              number(condition.get(field))));
     }
     List<StoreModel.ModelChange> changes = new ArrayList<>();
-    for (Json op : asked.get("success").items()) {
-      Json put = op.get("request_put");
-      Json delete = op.get("request_delete_range");
+    for (Json operation : body.get("success").items()) {
+      Json put = operation.get("request_put");
+      Json delete = operation.get("request_delete_range");
       changes.add(
           put instanceof Json.Members
               ? new StoreModel.ModelChange(
-                  key(put.get("key")), "", key(put.get("value")), whole(put.get("lease")))
+                  decode(put.get("key")), "", decode(put.get("value")), number(put.get("lease")))
               : new StoreModel.ModelChange(
-                  key(delete.get("key")), key(delete.get("range_end")), null, 0));
+                  decode(delete.get("key")), decode(delete.get("range_end")), null, 0));
     }
     return model.transact(conditions, changes)
         ? object("header", header(), "succeeded", new Json.Flag(true))
@@ -151,28 +151,28 @@
   private Json header() {
     return object(
         "cluster_id",
-        text(model.clusterId()),
+        decimal(model.clusterId()),
         "member_id",
-        text(1),
+        decimal(1),
         "revision",
-        text(model.revision()),
+        decimal(model.revision()),
         "raft_term",
-        text(2));
+        decimal(2));
   }
 
-  private static String key(Json json) {
+  private static String decode(Json json) {
     return new String(Base64.getDecoder().decode(json.word("")), StandardCharsets.UTF_8);
   }
 
-  private static Json bytes(String text) {
+  private static Json encode(String text) {
     return new Json.Text(Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.UTF_8)));
   }
 
-  private static long whole(Json json) {
+  private static long number(Json json) {
     return Long.parseLong(json.word("0"));
   }
 
-  private static Json text(long number) {
+  private static Json decimal(long number) {
     return new Json.Text(Long.toString(number));
   }
 
@@ -185,13 +185,12 @@
   }
 
   @Override
-  protected void unreadable(String why) {
-    write(HttpWriter.answer(BAD, "{}"));
+  protected void invalidInput(String reason) {
+    write(HttpWriter.answer(BAD_REQUEST, "{}"));
   }
 
   @Override
-  protected void gone() {
-    // What is on its way to be served is served all the same, as a store does; nobody hears the
-    // answer.
+  protected void connectionClosed() {
+    // Delayed calls are executed all the same, as by a real store; only their replies are lost.
   }
 }
--- a/src/main/java/beaconturn/standin/net/package-info.java
+++ b/src/main/java/beaconturn/standin/net/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Socket fronts round the model of {@code standin}: one thread drives a whole model, reads all its
- * connections on channels that never block, and speaks the published protocol (RESP2 with the load
- * report, the registry over HTTP/1.1). A front decides nothing; another protocol is another front
- * on the same model.
+ * Socket fronts of the models in {@code standin}. One thread drives a whole fleet, serves all its
+ * connections on non-blocking channels, and speaks the routers' protocols: RESP2 with load reports,
+ * discovery and the store over HTTP/1.1. Fronts take no decisions; another protocol is another front
+ * of the same model.
  */
 package beaconturn.standin.net;
--- a/src/main/java/beaconturn/standin/store/StoreModel.java
+++ b/src/main/java/beaconturn/standin/store/StoreModel.java
@@ -10,45 +10,48 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 
-/** One store: every change makes a new revision, and what was before can be looked at as it was. */
+/**
+ * Models the coordination store: a key-value store in which each transaction makes a new revision,
+ * with leases, stale reads, loss of all data and restoration of an older revision. Single-threaded.
+ */
 public final class StoreModel {
-  private static final long SECOND = 1_000_000_000;
-  private static final int MOST_KEPT = 4096;
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
+  private static final int MAX_UNDO_COUNT = 4096;
   private final EventScheduler scheduler;
   private final ChangeListener listener;
 
-  /**
-   * What each of the last changes changed, the latest first: a copy of all keys for each would fill
-   * a process.
-   */
-  private final Deque<Undo> past = new ArrayDeque<>();
+  /** Undo records of the last revisions, the latest first; full copies would take much memory. */
+  private final Deque<Undo> undoLog = new ArrayDeque<>();
 
   private final Map<Long, Lease> leases = new HashMap<>();
   private NavigableMap<String, Pair> keys = new TreeMap<>();
 
-  /** What reads see while the store is frozen, else null. */
+  /** The data that reads see while the store is frozen, else null. */
   private NavigableMap<String, Pair> frozenKeys;
 
   private long clusterId;
   private long revision = 1;
-  private long lastLease;
-  private long frozen;
+  private long lastLeaseId;
 
-  /** Hears of each change as it comes about. */
+  /** The revision that reads see while the store is frozen, else 0. */
+  private long frozenRevision;
+
+  /** Receives each change of a key. */
   public interface ChangeListener {
-    /** A key has a value from now on; null: it is gone. */
-    void changed(long at, long revision, String key, String value);
+    /** A key was set to a value, or deleted if the value is null. */
+    void changed(long atNanos, long revision, String key, String value);
   }
 
-  /** A key and what is known of it. */
+  /** A key with its value and metadata; the lease is 0 if there is none. */
   public record Pair(String key, String value, long createRevision, long modRevision, long version, long lease) {}
 
   /**
-   * What a swap depends on: a figure of a key, or of all keys up to {@code end}, against a number.
+   * A condition of a transaction: compares a field of a key with a number, or the field of each
+   * existing key from {@code key} to before {@code rangeEnd} if that is not empty.
    */
   public record Condition(String key, String rangeEnd, Target target, Result result, long number) {}
 
-  /** Which figure is compared. */
+  /** The field that a condition compares. */
   public enum Target {
     VERSION,
     CREATE,
@@ -56,7 +59,7 @@
     LEASE
   }
 
-  /** How it is compared. */
+  /** The comparison of a condition. */
   public enum Result {
     EQUAL,
     GREATER,
@@ -64,50 +67,58 @@
     NOT_EQUAL
   }
 
-  /** A change: a value put, or with null the key, or all up to {@code end}, deleted. */
+  /**
+   * A change of a transaction: puts the value, or deletes the key if the value is null, or all keys
+   * to before {@code rangeEnd} if that is not empty.
+   */
   public record ModelChange(String key, String rangeEnd, String value, long lease) {}
 
-  /** A revision, and what stood at the keys that it changed; null where nothing did. */
-  private record Undo(long revision, Map<String, Pair> was) {}
+  /** A revision and the previous pairs of the keys that it changed; null for a new key. */
+  private record Undo(long revision, Map<String, Pair> previous) {}
 
   private static final class Lease {
-    private final long seconds;
-    private EventScheduler.Task end;
+    private final long ttlSeconds;
+    private EventScheduler.Task expiry;
 
-    private Lease(long seconds) {
-      this.seconds = seconds;
+    private Lease(long ttlSeconds) {
+      this.ttlSeconds = ttlSeconds;
     }
   }
 
-  /** An empty store. */
+  /** Creates an empty store at revision 1. */
   public StoreModel(EventScheduler scheduler, long clusterId, ChangeListener listener) {
     this.scheduler = scheduler;
     this.clusterId = clusterId;
     this.listener = listener;
   }
 
-  /** Which store it is. */
+  /** Returns the cluster id, which changes if the store is replaced or restored. */
   public long clusterId() {
     return clusterId;
   }
 
-  /** How far reads see: behind the newest while it is frozen. */
+  /** Returns the revision that reads see, which is an old one while the store is frozen. */
   public long revision() {
-    return frozen > 0 ? frozen : revision;
+    return frozenRevision > 0 ? frozenRevision : revision;
   }
 
-  /** The keys from {@code key} to before {@code end}, or that key alone where there is no end. */
+  /** Returns the pairs from {@code key} to before {@code end}, or of that key if the end is empty. */
   public List<Pair> range(String key, String end) {
-    NavigableMap<String, Pair> seen = frozen > 0 ? frozenKeys : keys;
-    return new ArrayList<>(part(seen, key, end).values());
+    NavigableMap<String, Pair> visible = frozenRevision > 0 ? frozenKeys : keys;
+    return new ArrayList<>(rangeOf(visible, key, end).values());
   }
 
-  private static NavigableMap<String, Pair> part(
-      NavigableMap<String, Pair> of, String key, String end) {
-    return end.isEmpty() ? of.subMap(key, true, key, true) : of.subMap(key, true, end, false);
+  private static NavigableMap<String, Pair> rangeOf(
+      NavigableMap<String, Pair> map, String key, String end) {
+    return end.isEmpty() ? map.subMap(key, true, key, true) : map.subMap(key, true, end, false);
   }
 
-  /** Makes all changes, as one revision, if all conditions hold; whether they did. */
+  /**
+   * Applies all changes as one revision if all conditions hold.
+   *
+   * @return whether the conditions held
+   * @throws IllegalArgumentException if a change refers to a lease that does not exist
+   */
   public boolean transact(List<Condition> conditions, List<ModelChange> changes) {
     if (!conditions.stream().allMatch(this::holds)) {
       return false;
@@ -115,31 +126,31 @@
     if (changes.stream().anyMatch(c -> c.lease() != 0 && !leases.containsKey(c.lease()))) {
       throw new IllegalArgumentException("requested lease not found");
     }
-    change(changes);
+    apply(changes);
     return true;
   }
 
-  private void change(List<ModelChange> changes) {
+  private void apply(List<ModelChange> changes) {
     if (changes.isEmpty()) {
       return;
     }
     long next = revision + 1;
-    Map<String, Pair> was = new HashMap<>();
+    Map<String, Pair> previous = new HashMap<>();
     for (ModelChange change : changes) {
       if (change.value() == null) {
-        List<String> gone = new ArrayList<>(part(keys, change.key(), change.rangeEnd()).keySet());
-        gone.forEach(
+        List<String> deleted = new ArrayList<>(rangeOf(keys, change.key(), change.rangeEnd()).keySet());
+        deleted.forEach(
             key -> {
               Pair before = keys.remove(key);
-              if (!was.containsKey(key)) {
-                was.put(key, before);
+              if (!previous.containsKey(key)) {
+                previous.put(key, before);
               }
               listener.changed(scheduler.now(), next, key, null);
             });
       } else {
         Pair before = keys.get(change.key());
-        if (!was.containsKey(change.key())) {
-          was.put(change.key(), before);
+        if (!previous.containsKey(change.key())) {
+          previous.put(change.key(), before);
         }
         keys.put(
             change.key(),
@@ -154,22 +165,22 @@
       }
     }
     revision = next;
-    past.addFirst(new Undo(next, was));
-    if (past.size() > MOST_KEPT) {
-      past.removeLast();
+    undoLog.addFirst(new Undo(next, previous));
+    if (undoLog.size() > MAX_UNDO_COUNT) {
+      undoLog.removeLast();
     }
   }
 
   private boolean holds(Condition condition) {
     if (!condition.rangeEnd().isEmpty()) {
-      return part(keys, condition.key(), condition.rangeEnd()).values().stream()
-          .allMatch(pair -> holds(condition, figure(condition.target(), pair)));
+      return rangeOf(keys, condition.key(), condition.rangeEnd()).values().stream()
+          .allMatch(pair -> holds(condition, field(condition.target(), pair)));
     }
     Pair pair = keys.get(condition.key());
-    return holds(condition, pair == null ? 0 : figure(condition.target(), pair));
+    return holds(condition, pair == null ? 0 : field(condition.target(), pair));
   }
 
-  private static long figure(Target target, Pair pair) {
+  private static long field(Target target, Pair pair) {
     return switch (target) {
       case VERSION -> pair.version();
       case CREATE -> pair.createRevision();
@@ -178,42 +189,42 @@
     };
   }
 
-  private static boolean holds(Condition condition, long figure) {
+  private static boolean holds(Condition condition, long value) {
     return switch (condition.result()) {
-      case EQUAL -> figure == condition.number();
-      case GREATER -> figure > condition.number();
-      case LESS -> figure < condition.number();
-      case NOT_EQUAL -> figure != condition.number();
+      case EQUAL -> value == condition.number();
+      case GREATER -> value > condition.number();
+      case LESS -> value < condition.number();
+      case NOT_EQUAL -> value != condition.number();
     };
   }
 
-  /** A new lease. */
-  public long grant(long seconds) {
-    long id = ++lastLease;
-    leases.put(id, new Lease(seconds));
+  /** Grants a lease and returns its id. */
+  public long grant(long ttlSeconds) {
+    long id = ++lastLeaseId;
+    leases.put(id, new Lease(ttlSeconds));
     keepAlive(id);
     return id;
   }
 
-  /** For how many seconds the lease lives on from now; 0 if there is none. */
+  /** Renews a lease and returns its time to live in seconds, or 0 if it does not exist. */
   public long keepAlive(long id) {
     Lease lease = leases.get(id);
     if (lease == null) {
       return 0;
     }
-    if (lease.end != null) {
-      lease.end.cancel();
+    if (lease.expiry != null) {
+      lease.expiry.cancel();
     }
-    lease.end = scheduler.in(lease.seconds * SECOND, () -> revoke(id));
-    return lease.seconds;
+    lease.expiry = scheduler.in(lease.ttlSeconds * NANOS_PER_SECOND, () -> revoke(id));
+    return lease.ttlSeconds;
   }
 
-  /** Ends a lease, and deletes what hangs on it. */
+  /** Revokes a lease and deletes the keys that are attached to it. */
   public void revoke(long id) {
     Lease lease = leases.remove(id);
     if (lease != null) {
-      lease.end.cancel();
-      change(
+      lease.expiry.cancel();
+      apply(
           keys.values().stream()
               .filter(pair -> pair.lease() == id)
               .map(pair -> new ModelChange(pair.key(), "", null, 0))
@@ -221,46 +232,46 @@
     }
   }
 
-  /** Nobody leads: no lease ends until they are renewed. */
+  /** Suspends the expiry of leases, as while the cluster has no leader. */
   public void suspendLeaseExpiry() {
-    leases.values().forEach(lease -> lease.end.cancel());
+    leases.values().forEach(lease -> lease.expiry.cancel());
   }
 
-  /** Somebody leads again: all leases begin anew, as they do at a change of the leader. */
+  /** Restarts the full time to live of all leases, as a new leader does. */
   public void restartLeases() {
     List.copyOf(leases.keySet()).forEach(this::keepAlive);
   }
 
-  /** Reads see nothing newer from now on, as at a member that lags; or they do again. */
+  /** Freezes reads at the current revision, as on a lagging member, or ends that. */
   public void freeze(boolean on) {
-    frozen = on ? revision : 0;
+    frozenRevision = on ? revision : 0;
     frozenKeys = on ? new TreeMap<>(keys) : null;
   }
 
-  /** All members are lost: an empty store of another number stands in its place. */
-  public void replaceWithEmpty(long newCluster) {
-    leases.values().forEach(lease -> lease.end.cancel());
+  /** Replaces the store by an empty one with another cluster id, as after the loss of all members. */
+  public void replaceWithEmpty(long newClusterId) {
+    leases.values().forEach(lease -> lease.expiry.cancel());
     leases.clear();
-    past.clear();
+    undoLog.clear();
     keys = new TreeMap<>();
-    clusterId = newCluster;
+    clusterId = newClusterId;
     revision = 1;
-    frozen = 0;
+    frozenRevision = 0;
     frozenKeys = null;
   }
 
   /**
-   * It is put back to a copy of so many revisions ago, or the oldest that is kept; leases are gone.
-   * As etcd's documentation of recovery has it, what is restored is another cluster.
+   * Restores the data of a number of revisions ago, or the oldest that is kept, without leases. As
+   * after a restoration of etcd from a snapshot, the cluster id changes.
    */
   public void rewind(long revisions) {
-    long to = revision - revisions;
-    leases.values().forEach(lease -> lease.end.cancel());
+    long targetRevision = revision - revisions;
+    leases.values().forEach(lease -> lease.expiry.cancel());
     leases.clear();
     clusterId++;
-    while (revision > to && !past.isEmpty()) {
-      Undo undo = past.removeFirst();
-      undo.was()
+    while (revision > targetRevision && !undoLog.isEmpty()) {
+      Undo undo = undoLog.removeFirst();
+      undo.previous()
           .forEach(
               (key, pair) -> {
                 if (pair == null) {
@@ -271,7 +282,7 @@
               });
       revision = undo.revision() - 1;
     }
-    frozen = 0;
+    frozenRevision = 0;
     frozenKeys = null;
   }
 }
--- a/src/main/java/beaconturn/standin/store/package-info.java
+++ b/src/main/java/beaconturn/standin/store/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The model of the coordination store, as etcd's published API describes it: keys with revisions,
- * swaps with conditions, leases, and what it does when it lags, is emptied or is put back to an
- * older copy. No I/O and no clock but the agenda.
+ * Model of the coordination store, after etcd's published API: keys with revisions, transactions
+ * with conditions, leases, and the failures of lagging, being emptied and being restored from an
+ * older copy. No I/O; the only clock is that of the {@link beaconturn.standin.EventScheduler}.
  */
 package beaconturn.standin.store;
