--- a/src/test/java/beaconturn/standin/CacheServerModelTest.java
+++ b/src/test/java/beaconturn/standin/CacheServerModelTest.java
@@ -9,218 +9,215 @@
 import org.junit.jupiter.api.Test;
 
 class CacheServerModelTest {
-  private static final long MILLI = Fixture.MILLI;
-  private static final long SECOND = Fixture.SECOND;
-  private final Fixture at = new Fixture(3, Fixture.SHAPE);
+  private static final long MILLI = FleetFixture.MILLI;
+  private static final long SECOND = FleetFixture.SECOND;
+  private final FleetFixture fixture = new FleetFixture(3, FleetFixture.SPEC);
 
   @Test
-  void aReadIsAMissThenAHitUntilItsLifeEnds() {
-    Fixture.Connection c = at.to(0).get("k", "1");
-    at.pass(SECOND);
-    c.get("k", "2");
-    at.pass(10 * SECOND);
-    c.get("k", "3");
-    at.pass(SECOND);
-    assertEquals("miss hit miss", c.kinds());
+  void readHitsUntilTimeToLiveEnds() {
+    FleetFixture.Connection connection = fixture.connect(0).get("k", "1");
+    fixture.advance(SECOND);
+    connection.get("k", "2");
+    fixture.advance(10 * SECOND);
+    connection.get("k", "3");
+    fixture.advance(SECOND);
+    assertEquals("miss hit miss", connection.outcomes());
   }
 
   @Test
-  void eachValueIsMadeForItsRequest() {
-    Fixture.Connection c = at.to(0).get("k", "one").get("k", "two");
-    at.pass(SECOND);
-    assertTrue(c.replies.get(0).toString().startsWith("k v0 for one by c1 #"));
-    assertNotEquals(c.replies.get(0).toString(), c.replies.get(1).toString());
+  void valueIsUniqueToItsRequest() {
+    FleetFixture.Connection connection = fixture.connect(0).get("k", "one").get("k", "two");
+    fixture.advance(SECOND);
+    assertTrue(connection.responses.get(0).toString().startsWith("k v0 for one by c1 #"));
+    assertNotEquals(connection.responses.get(0).toString(), connection.responses.get(1).toString());
   }
 
   @Test
-  void missesOfOneKeyShareAFetchWhereTheShapeSaysSo() {
-    Fixture.Connection c = at.to(0).get("k", "1").get("k", "2");
-    at.pass(SECOND);
-    assertEquals(2, c.replies.size());
-    assertTrue(c.kinds().contains("pending"));
+  void concurrentMissesOfOneKeyShareAFetch() {
+    FleetFixture.Connection connection = fixture.connect(0).get("k", "1").get("k", "2");
+    fixture.advance(SECOND);
+    assertEquals(2, connection.responses.size());
+    assertTrue(connection.outcomes().contains("pending"));
   }
 
   @Test
-  void answersComeInTheOrderOfTheCommandsThoughALaterOneIsReady() {
-    at.to(1).get("warm", "0");
-    Fixture.Connection c = at.to(0).get("hot", "1");
-    at.pass(SECOND);
-    at.world.startFault(Fault.Kind.ORIGIN_STOP, 1);
-    c.get("cold", "2").get("hot", "3");
-    at.pass(SECOND);
-    assertEquals("miss", c.kinds(), "the hit waits behind the miss that stands still");
-    at.world.endFault(Fault.Kind.ORIGIN_STOP);
-    at.pass(SECOND);
-    assertEquals("miss miss hit", c.kinds());
+  void responsesAreSentInCommandOrderEvenIfALaterOneIsReady() {
+    fixture.connect(1).get("warm", "0");
+    FleetFixture.Connection connection = fixture.connect(0).get("hot", "1");
+    fixture.advance(SECOND);
+    fixture.fleet.startFault(Fault.Kind.ORIGIN_STOP, 1);
+    connection.get("cold", "2").get("hot", "3");
+    fixture.advance(SECOND);
+    assertEquals("miss", connection.outcomes(), "the hit waits behind the stopped miss");
+    fixture.fleet.endFault(Fault.Kind.ORIGIN_STOP);
+    fixture.advance(SECOND);
+    assertEquals("miss miss hit", connection.outcomes());
   }
 
   @Test
-  void commandsBeyondWorkersAndRoomAreTurnedAwayAndNeverRun() {
-    Fixture.Connection c = at.to(0);
+  void commandsBeyondWorkersAndQueueAreRejectedWithoutRunning() {
+    FleetFixture.Connection connection = fixture.connect(0);
     for (int i = 0; i < 5; i++) {
-      c.command("ack", "k" + i, "id" + i, null, SECOND);
+      connection.command("ack", "k" + i, "id" + i, null, SECOND);
     }
-    at.pass(SECOND);
-    assertEquals("written written written written busy", c.kinds());
-    assertFalse(at.told.contains("id4 ran"));
+    fixture.advance(SECOND);
+    assertEquals("written written written written busy", connection.outcomes());
+    assertFalse(fixture.events.contains("id4 ran"));
   }
 
   @Test
-  void whatWaitedLongerThanItsPatienceIsOver() {
-    at.world.startFault(Fault.Kind.SLOW, 0, 100);
-    Fixture.Connection c =
-        at.to(0).get("a", "1").get("b", "2").command("read", "c", "3", null, 100 * MILLI);
-    at.pass(5 * SECOND);
-    assertEquals("miss miss busy", c.kinds());
+  void commandQueuedBeyondItsTimeoutIsRejected() {
+    fixture.fleet.startFault(Fault.Kind.SLOW, 0, 100);
+    FleetFixture.Connection connection =
+        fixture.connect(0).get("a", "1").get("b", "2").command("read", "c", "3", null, 100 * MILLI);
+    fixture.advance(5 * SECOND);
+    assertEquals("miss miss busy", connection.outcomes());
   }
 
   @Test
-  void connectionsBeyondTheMostAreTurnedAway() {
-    at.to(0);
-    at.to(0);
-    at.to(0);
-    Fixture.Connection fourth = at.to(0).get("k", "1");
-    assertEquals("busy", fourth.kinds());
+  void commandsOnConnectionsBeyondTheLimitAreRejected() {
+    fixture.connect(0);
+    fixture.connect(0);
+    fixture.connect(0);
+    FleetFixture.Connection overLimit = fixture.connect(0).get("k", "1");
+    assertEquals("busy", overLimit.outcomes());
   }
 
   @Test
-  void aWriteVoidsTheCopiesElsewhereAndRaisesTheVersion() {
-    Fixture.Connection one = at.to(0).get("k", "1");
-    Fixture.Connection two = at.to(1);
-    at.pass(SECOND);
-    two.command("ack", "k", "2", null, SECOND);
-    at.pass(SECOND);
-    one.get("k", "3");
-    at.pass(SECOND);
-    assertEquals("miss miss", one.kinds());
-    assertTrue(one.replies.get(1).toString().startsWith("k v1 "));
-    assertEquals(1, at.world.origin().executionCount("2"));
+  void writeInvalidatesCopiesOnOtherServersAndRaisesTheVersion() {
+    FleetFixture.Connection first = fixture.connect(0).get("k", "1");
+    FleetFixture.Connection second = fixture.connect(1);
+    fixture.advance(SECOND);
+    second.command("ack", "k", "2", null, SECOND);
+    fixture.advance(SECOND);
+    first.get("k", "3");
+    fixture.advance(SECOND);
+    assertEquals("miss miss", first.outcomes());
+    assertTrue(first.responses.get(1).toString().startsWith("k v1 "));
+    assertEquals(1, fixture.fleet.origin().executionCount("2"));
   }
 
   @Test
-  void aRepeatOfAKeyedWriteHasNoSecondEffectWithinItsGroupAndWindow() {
-    Fixture.Connection east = at.to(0).put("k", "1", "once");
-    at.pass(SECOND);
-    Fixture.Connection eastToo = at.to(2).put("k", "2", "once");
-    at.pass(SECOND);
-    assertEquals(1, at.world.origin().executionCount("once"));
-    assertTrue(at.told.contains("2 repeated"));
-    at.to(1).put("k", "3", "once");
-    at.pass(SECOND);
-    assertEquals(2, at.world.origin().executionCount("once"), "another zone knows nothing of it");
-    at.pass(3 * SECOND);
+  void repeatedIdempotencyKeyHasNoSecondEffectWithinScopeAndWindow() {
+    FleetFixture.Connection east = fixture.connect(0).put("k", "1", "once");
+    fixture.advance(SECOND);
+    FleetFixture.Connection secondEast = fixture.connect(2).put("k", "2", "once");
+    fixture.advance(SECOND);
+    assertEquals(1, fixture.fleet.origin().executionCount("once"));
+    assertTrue(fixture.events.contains("2 repeated"));
+    fixture.connect(1).put("k", "3", "once");
+    fixture.advance(SECOND);
+    assertEquals(2, fixture.fleet.origin().executionCount("once"), "other zones do not share the idempotency key");
+    fixture.advance(3 * SECOND);
     east.put("k", "4", "once");
-    at.pass(SECOND);
-    assertEquals(3, at.world.origin().executionCount("once"), "after the window it is forgotten");
-    assertEquals("written", eastToo.kinds());
+    fixture.advance(SECOND);
+    assertEquals(3, fixture.fleet.origin().executionCount("once"), "the idempotency key expires with the window");
+    assertEquals("written", secondEast.outcomes());
   }
 
   @Test
-  void aStallEndsNoWorkAndAnswersNothingUntilItIsOver() {
-    Fixture.Connection c = at.to(0).get("k", "1");
-    at.pass(MILLI);
-    at.world.startFault(Fault.Kind.STALL, 0, 1);
-    c.command("ack", "w", "2", null, 20 * SECOND);
-    at.pass(5 * SECOND);
-    assertEquals("", c.kinds());
-    assertFalse(at.told.contains("2 ran"), "what had not begun does not run during the stall");
-    at.world.endFault(Fault.Kind.STALL, 0);
-    at.pass(SECOND);
-    assertEquals("miss written", c.kinds());
+  void stalledServerCompletesNoWorkAndSendsNoResponses() {
+    FleetFixture.Connection connection = fixture.connect(0).get("k", "1");
+    fixture.advance(MILLI);
+    fixture.fleet.startFault(Fault.Kind.STALL, 0, 1);
+    connection.command("ack", "w", "2", null, 20 * SECOND);
+    fixture.advance(5 * SECOND);
+    assertEquals("", connection.outcomes());
+    assertFalse(fixture.events.contains("2 ran"), "queued work does not run during the stall");
+    fixture.fleet.endFault(Fault.Kind.STALL, 0);
+    fixture.advance(SECOND);
+    assertEquals("miss written", connection.outcomes());
   }
 
-  /**
-   * The hard case of a stall: what ran before it, behind a slow answer, has run though nobody hears
-   * of it.
-   */
+  /** A command behind a slow one may have run before the stall although its response is not sent. */
   @Test
-  void answersQueuedBehindASlowOneAreHeldByAStallThoughTheirCommandsHaveRun() {
-    at.world.startFault(Fault.Kind.ORIGIN_SLOW, 50);
-    Fixture.Connection c = at.to(0).get("slow", "1");
-    at.pass(15 * MILLI);
-    at.world.endFault(Fault.Kind.ORIGIN_SLOW);
-    c.command("ack", "w", "2", null, 20 * SECOND);
-    at.pass(200 * MILLI);
-    assertTrue(at.told.contains("2 ran"));
-    assertEquals("", c.kinds(), "its answer waits behind the slow one");
-    at.world.startFault(Fault.Kind.STALL, 0, 1);
-    at.pass(5 * SECOND);
-    assertEquals("", c.kinds());
-    c.hangUp();
-    at.world.endFault(Fault.Kind.STALL, 0);
-    at.pass(SECOND);
-    assertEquals("", c.kinds());
-    assertEquals(0, at.world.server(0).inFlight());
+  void stallHoldsResponsesOfCommandsThatHaveRun() {
+    fixture.fleet.startFault(Fault.Kind.ORIGIN_SLOW, 50);
+    FleetFixture.Connection connection = fixture.connect(0).get("slow", "1");
+    fixture.advance(15 * MILLI);
+    fixture.fleet.endFault(Fault.Kind.ORIGIN_SLOW);
+    connection.command("ack", "w", "2", null, 20 * SECOND);
+    fixture.advance(200 * MILLI);
+    assertTrue(fixture.events.contains("2 ran"));
+    assertEquals("", connection.outcomes(), "its response waits behind the slow one");
+    fixture.fleet.startFault(Fault.Kind.STALL, 0, 1);
+    fixture.advance(5 * SECOND);
+    assertEquals("", connection.outcomes());
+    connection.close();
+    fixture.fleet.endFault(Fault.Kind.STALL, 0);
+    fixture.advance(SECOND);
+    assertEquals("", connection.outcomes());
+    assertEquals(0, fixture.fleet.server(0).inFlight());
   }
 
   @Test
-  void aConnectionThatEndsTakesItsWaitingWorkWithIt() {
-    Fixture.Connection c = at.to(0);
+  void closedConnectionDropsItsQueuedWork() {
+    FleetFixture.Connection connection = fixture.connect(0);
     for (int i = 0; i < 4; i++) {
-      c.command("ack", "k" + i, "id" + i, null, SECOND);
+      connection.command("ack", "k" + i, "id" + i, null, SECOND);
     }
-    at.pass(MILLI);
-    c.hangUp();
-    at.pass(SECOND);
-    assertEquals(List.of(), at.told);
-    assertEquals(0, at.world.server(0).inFlight());
-    Fixture.Connection next = at.to(0).get("k", "1");
-    at.pass(SECOND);
-    assertEquals("miss", next.kinds(), "its workers are free again");
+    fixture.advance(MILLI);
+    connection.close();
+    fixture.advance(SECOND);
+    assertEquals(List.of(), fixture.events);
+    assertEquals(0, fixture.fleet.server(0).inFlight());
+    FleetFixture.Connection next = fixture.connect(0).get("k", "1");
+    fixture.advance(SECOND);
+    assertEquals("miss", next.outcomes(), "the workers are free again");
   }
 
   @Test
-  void aFreshProcessIsColdAndOneThatIsPushedCollapsesAndStaysDown() {
-    at.world.startFault(Fault.Kind.KILL, 0, 1);
-    at.pass(SECOND);
-    at.world.endFault(Fault.Kind.KILL, 0);
-    assertTrue(at.world.server(0).cold());
-    Fixture.Connection c = at.to(0);
+  void overloadedColdServerCollapsesAndStaysDown() {
+    fixture.fleet.startFault(Fault.Kind.KILL, 0, 1);
+    fixture.advance(SECOND);
+    fixture.fleet.endFault(Fault.Kind.KILL, 0);
+    assertTrue(fixture.fleet.server(0).cold());
+    FleetFixture.Connection connection = fixture.connect(0);
     for (int i = 0; i < 200; i++) {
-      c.get("k", "id" + i);
+      connection.get("k", "id" + i);
     }
-    assertTrue(c.broken, "2 s of work in a second, where 4 times 0.2 of 2 workers is the most");
-    assertEquals(List.of("c1 collapsed"), at.told);
-    assertTrue(at.world.server(0).dead());
+    assertTrue(connection.wasReset, "2 s of work within 1 s exceed 4 times the capacity, which is 0.2 of 2 workers");
+    assertEquals(List.of("c1 collapsed"), fixture.events);
+    assertTrue(fixture.fleet.server(0).dead());
   }
 
   @Test
-  void theSameLoadDoesNotPushOverAWarmServer() {
-    Fixture.Connection c = at.to(0);
+  void warmServerSurvivesTheLoadThatCollapsesAColdOne() {
+    FleetFixture.Connection connection = fixture.connect(0);
     for (int i = 0; i < 200; i++) {
-      c.get("k", "id" + i);
+      connection.get("k", "id" + i);
     }
-    assertFalse(c.broken);
-    assertFalse(at.world.server(0).dead());
+    assertFalse(connection.wasReset);
+    assertFalse(fixture.fleet.server(0).dead());
   }
 
   @Test
-  void quickErrorsAndSpoiltAnswersComeInTheirParts() {
-    at.world.startFault(Fault.Kind.ERRORS, 0, 1);
-    Fixture.Connection failing = at.to(0).get("k", "1");
-    assertEquals("failed", failing.kinds(), "at once");
-    at.world.endFault(Fault.Kind.ERRORS, 0);
-    at.world.startFault(Fault.Kind.SPOIL, 0, 1);
+  void errorAndCorruptionSharesApply() {
+    fixture.fleet.startFault(Fault.Kind.ERRORS, 0, 1);
+    FleetFixture.Connection failing = fixture.connect(0).get("k", "1");
+    assertEquals("failed", failing.outcomes(), "at once");
+    fixture.fleet.endFault(Fault.Kind.ERRORS, 0);
+    fixture.fleet.startFault(Fault.Kind.SPOIL, 0, 1);
     failing.get("k", "2");
-    at.pass(SECOND);
-    assertEquals("failed corrupted", failing.kinds());
-    assertTrue(at.told.contains("2 ran"), "a spoilt answer's request has run");
+    fixture.advance(SECOND);
+    assertEquals("failed corrupted", failing.outcomes());
+    assertTrue(fixture.events.contains("2 ran"), "the command of a corrupted response has run");
   }
 
   @Test
-  void aResetMeetsOpenConnectionsAndAPartOfTheCommands() {
-    Fixture.Connection open = at.to(0);
-    at.world.startFault(Fault.Kind.RESET, 0, 1);
-    assertTrue(open.broken);
-    assertTrue(at.to(0).get("k", "1").broken);
-    at.world.endFault(Fault.Kind.RESET, 0);
-    assertFalse(at.to(0).get("k", "2").broken);
+  void resetFaultClosesOpenConnectionsAndThoseOfCommands() {
+    FleetFixture.Connection openBefore = fixture.connect(0);
+    fixture.fleet.startFault(Fault.Kind.RESET, 0, 1);
+    assertTrue(openBefore.wasReset);
+    assertTrue(fixture.connect(0).get("k", "1").wasReset);
+    fixture.fleet.endFault(Fault.Kind.RESET, 0);
+    assertFalse(fixture.connect(0).get("k", "2").wasReset);
   }
 
   @Test
-  void aConnectionCostsWork() {
-    Fixture costly =
-        new Fixture(
+  void newConnectionCostsWork() {
+    FleetFixture costly =
+        new FleetFixture(
             1,
             new CacheServerSpec(
                 1,
@@ -238,28 +235,28 @@
                 true,
                 true,
                 List.of("inflight")));
-    Fixture.Connection c = costly.to(0).get("k", "1");
-    costly.pass(380 * MILLI);
-    assertEquals("", c.kinds(), "the first request waits for the connection's own work");
-    costly.pass(SECOND);
-    assertEquals("miss", c.kinds());
-    assertEquals("inflight=1.0", ((CacheResponse.Value) c.replies.get(0)).report());
+    FleetFixture.Connection connection = costly.connect(0).get("k", "1");
+    costly.advance(380 * MILLI);
+    assertEquals("", connection.outcomes(), "the first request waits for the work of the connection");
+    costly.advance(SECOND);
+    assertEquals("miss", connection.outcomes());
+    assertEquals("inflight=1.0", ((CacheResponse.Value) connection.responses.get(0)).report());
   }
 
   @Test
-  void theSameSeedAndEventsGiveTheSameTimes() {
+  void sameSeedAndEventsGiveTheSameTimes() {
     assertEquals(times(), times());
   }
 
   private static String times() {
-    Fixture one = new Fixture(1, Fixture.SHAPE);
-    Fixture.Connection c = one.to(0);
+    FleetFixture fixture = new FleetFixture(1, FleetFixture.SPEC);
+    FleetFixture.Connection connection = fixture.connect(0);
     StringBuilder times = new StringBuilder();
     for (int i = 0; i < 40; i++) {
-      c.get("k" + i % 7, "id" + i);
-      one.pass(7 * MILLI);
-      times.append(c.replies.size()).append(' ');
+      connection.get("k" + i % 7, "id" + i);
+      fixture.advance(7 * MILLI);
+      times.append(connection.responses.size()).append(' ');
     }
-    return times + c.kinds();
+    return times + connection.outcomes();
   }
 }
--- a/src/test/java/beaconturn/standin/EventSchedulerTest.java
+++ b/src/test/java/beaconturn/standin/EventSchedulerTest.java
@@ -7,40 +7,40 @@
 import org.junit.jupiter.api.Test;
 
 class EventSchedulerTest {
-  private final EventScheduler agenda = new EventScheduler(100);
-  private final List<String> done = new ArrayList<>();
+  private final EventScheduler scheduler = new EventScheduler(100);
+  private final List<String> log = new ArrayList<>();
 
   @Test
-  void tasksRunInTheOrderOfTheirTimesAndSeeTheTimeTheyWereDueAt() {
-    agenda.in(30, () -> done.add("b at " + agenda.now()));
-    agenda.in(
+  void tasksRunInOrderAndSeeTheirDueTime() {
+    scheduler.in(30, () -> log.add("b at " + scheduler.now()));
+    scheduler.in(
         10,
         () -> {
-          done.add("a at " + agenda.now());
-          agenda.in(5, () -> done.add("after a at " + agenda.now()));
+          log.add("a at " + scheduler.now());
+          scheduler.in(5, () -> log.add("after a at " + scheduler.now()));
         });
-    agenda.in(30, () -> done.add("c at " + agenda.now()));
-    agenda.in(500, () -> done.add("too late"));
-    agenda.advance(200);
-    assertEquals(List.of("a at 110", "after a at 115", "b at 130", "c at 130"), done);
-    assertEquals(200, agenda.now());
-    assertEquals(600, agenda.nextDueNanos());
+    scheduler.in(30, () -> log.add("c at " + scheduler.now()));
+    scheduler.in(500, () -> log.add("too late"));
+    scheduler.advance(200);
+    assertEquals(List.of("a at 110", "after a at 115", "b at 130", "c at 130"), log);
+    assertEquals(200, scheduler.now());
+    assertEquals(600, scheduler.nextDueNanos());
   }
 
   @Test
-  void whatIsCalledOffDoesNotRunAndIsNotWaitedFor() {
-    agenda.in(10, () -> done.add("never")).cancel();
-    assertEquals(Long.MAX_VALUE, agenda.nextDueNanos());
-    agenda.advance(200);
-    assertEquals(List.of(), done);
+  void cancelledTaskDoesNotRunAndIsNotDue() {
+    scheduler.in(10, () -> log.add("never")).cancel();
+    assertEquals(Long.MAX_VALUE, scheduler.nextDueNanos());
+    scheduler.advance(200);
+    assertEquals(List.of(), log);
   }
 
   @Test
-  void timeNeverGoesBack() {
-    agenda.advance(50);
-    assertEquals(100, agenda.now());
-    agenda.at(20, () -> done.add("now at " + agenda.now()));
-    agenda.advance(101);
-    assertEquals(List.of("now at 100"), done);
+  void timeNeverGoesBackwards() {
+    scheduler.advance(50);
+    assertEquals(100, scheduler.now());
+    scheduler.at(20, () -> log.add("now at " + scheduler.now()));
+    scheduler.advance(101);
+    assertEquals(List.of("now at 100"), log);
   }
 }
--- a/src/test/java/beaconturn/standin/OriginModelTest.java
+++ b/src/test/java/beaconturn/standin/OriginModelTest.java
@@ -11,92 +11,92 @@
 class OriginModelTest {
   private static final long MILLI = 1_000_000;
   private static final long SECOND = 1000 * MILLI;
-  private final EventScheduler agenda = new EventScheduler(0);
-  private final List<Long> answers = new ArrayList<>();
+  private final EventScheduler scheduler = new EventScheduler(0);
+  private final List<Long> results = new ArrayList<>();
   private final OriginModel origin =
       new OriginModel(
-          agenda,
+          scheduler,
           new OriginModel.Spec(2, 10, 100 * MILLI, 3, SECOND, 2 * SECOND),
           new RandomSources(1).of("origin"),
           HistoryRecorder.NONE);
 
-  private void fetch(int times) {
-    for (int i = 0; i < times; i++) {
-      origin.fetch("c1", false, "k", answers::add);
+  private void fetch(int count) {
+    for (int i = 0; i < count; i++) {
+      origin.fetch("c1", false, "k", results::add);
     }
   }
 
-  private void pass(long nanos) {
-    agenda.advance(agenda.now() + nanos);
+  private void advance(long nanos) {
+    scheduler.advance(scheduler.now() + nanos);
   }
 
   @Test
-  void itWorksOnSoManyAtOnceAndQueuesTheRest() {
+  void callsBeyondTheWorkersAreQueued() {
     fetch(4);
     assertEquals(4, origin.pending());
-    pass(150 * MILLI);
-    assertTrue(answers.size() < 4);
-    pass(SECOND);
-    assertEquals(List.of(0L, 0L, 0L, 0L), answers);
+    advance(150 * MILLI);
+    assertTrue(results.size() < 4);
+    advance(SECOND);
+    assertEquals(List.of(0L, 0L, 0L, 0L), results);
     assertEquals(0, origin.pending());
   }
 
   @Test
-  void beyondItsQueueACallFailsAtOnce() {
+  void callsBeyondTheQueueFailAtOnce() {
     fetch(13);
-    pass(0);
-    assertEquals(List.of(OriginModel.FAILED), answers);
+    advance(0);
+    assertEquals(List.of(OriginModel.FAILED), results);
   }
 
   @Test
-  void pushedPastItsMultipleForLongItFallsOverAndComesBack() {
+  void lastingOverloadCollapsesTheOriginUntilTheOutageEnds() {
     origin.setSlowdown(100);
     fetch(7);
-    pass(999 * MILLI);
+    advance(999 * MILLI);
     assertFalse(origin.overloaded());
-    pass(2 * MILLI);
+    advance(2 * MILLI);
     assertTrue(origin.overloaded());
-    assertEquals(7, answers.stream().filter(a -> a == OriginModel.FAILED).count());
+    assertEquals(7, results.stream().filter(version -> version == OriginModel.FAILED).count());
     fetch(1);
-    pass(MILLI);
-    assertEquals(8, answers.size(), "it takes nothing while it is down");
+    advance(MILLI);
+    assertEquals(8, results.size(), "calls are rejected during the outage");
     origin.setSlowdown(1);
-    pass(2 * SECOND);
+    advance(2 * SECOND);
     fetch(1);
-    pass(SECOND);
-    assertEquals(0L, answers.get(8));
+    advance(SECOND);
+    assertEquals(0L, results.get(8));
   }
 
   @Test
-  void aPushThatEndsInTimeDoesNoHarm() {
+  void overloadThatEndsInTimeIsHarmless() {
     origin.setSlowdown(6);
     fetch(7);
-    pass(950 * MILLI);
+    advance(950 * MILLI);
     assertTrue(origin.pending() <= 6);
-    pass(10 * SECOND);
+    advance(10 * SECOND);
     assertFalse(origin.overloaded());
-    assertEquals(List.of(0L, 0L, 0L, 0L, 0L, 0L, 0L), answers);
+    assertEquals(List.of(0L, 0L, 0L, 0L, 0L, 0L, 0L), results);
   }
 
   @Test
-  void anEffectIsCountedAndRaisesTheVersionOnce() {
-    origin.write("c1", false, "k", "e", answers::add);
-    pass(SECOND);
-    origin.write("c1", false, "k", "e", answers::add);
-    pass(SECOND);
-    assertEquals(List.of(1L, 2L), answers);
+  void eachWriteIsCountedAndRaisesTheVersionByOne() {
+    origin.write("c1", false, "k", "e", results::add);
+    advance(SECOND);
+    origin.write("c1", false, "k", "e", results::add);
+    advance(SECOND);
+    assertEquals(List.of(1L, 2L), results);
     assertEquals(2, origin.executionCount("e"));
     assertEquals(2, origin.version("k"));
   }
 
   @Test
-  void stoppedItKeepsWhatItHasAndGoesOnAfterwards() {
+  void stoppedOriginKeepsCallsAndResumesThem() {
     fetch(3);
     origin.setStopped(true);
-    pass(5 * SECOND);
-    assertEquals(List.of(), answers);
+    advance(5 * SECOND);
+    assertEquals(List.of(), results);
     origin.setStopped(false);
-    pass(SECOND);
-    assertEquals(3, answers.size());
+    advance(SECOND);
+    assertEquals(3, results.size());
   }
 }
--- a/src/test/java/beaconturn/standin/StandInMemory.java
+++ b/src/test/java/beaconturn/standin/StandInMemory.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * Measures what the objects of a large fleet take; not run by the tests. Arguments: cache servers,
- * objects in each. What docs/results.md quotes: 100 100000, with -Xmx6g.
+ * Measures the memory that the objects of a large fleet take; not run by the tests. Arguments:
+ * cache servers, objects in each. docs/results.md quotes the run 100 100000 with -Xmx6g.
  */
 final class StandInMemory {
-  private static final long FOR_GOOD = Long.MAX_VALUE / 4;
+  private static final long UNLIMITED = Long.MAX_VALUE / 4;
   private static final double MB = 1 << 20;
 
   private StandInMemory() {}
@@ -17,19 +17,19 @@
   public static void main(String[] args) {
     int servers = Integer.parseInt(args[0]);
     int objects = Integer.parseInt(args[1]);
-    long before = used();
-    List<ObjectCache> stores = new ArrayList<>();
+    long bytesBefore = usedBytes();
+    List<ObjectCache> caches = new ArrayList<>();
     for (int i = 0; i < servers; i++) {
-      ObjectCache store = new ObjectCache(FOR_GOOD, FOR_GOOD);
+      ObjectCache cache = new ObjectCache(UNLIMITED, UNLIMITED);
       for (int k = 0; k < objects; k++) {
-        // A string of its own for each, as each command brings one.
-        store.put(String.format("%016x", k), 0, 400, 0);
+        // A separate string for each object, as each command has its own.
+        cache.put(String.format("%016x", k), 0, 400, 0);
       }
-      stores.add(store);
+      caches.add(cache);
     }
-    long count = stores.stream().mapToLong(ObjectCache::count).sum();
-    double bytes = used() - before;
-    Reference.reachabilityFence(stores);
+    long count = caches.stream().mapToLong(ObjectCache::count).sum();
+    double bytes = usedBytes() - bytesBefore;
+    Reference.reachabilityFence(caches);
     System.out.println(
         count
             + " objects in "
@@ -41,7 +41,7 @@
             + " bytes each; values are not kept");
   }
 
-  private static long used() {
+  private static long usedBytes() {
     System.gc();
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
--- a/src/test/java/beaconturn/standin/net/EmulatedFleetServerTest.java
+++ b/src/test/java/beaconturn/standin/net/EmulatedFleetServerTest.java
@@ -39,23 +39,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The stand-ins on real loopback sockets, as a router meets them. */
+/** Checks the stand-ins over loopback sockets, as a router uses them. */
 @Timeout(60)
 class EmulatedFleetServerTest {
   private static final long MILLI = 1_000_000;
   private static final long SECOND = 1000 * MILLI;
-  private static final int PATIENCE_MILLIS = 20_000;
+  private static final int TIMEOUT_MILLIS = 20_000;
   private static final int SILENCE_MILLIS = 300;
   private static final String GET =
       "*4\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$2\r\n%02d\r\n$13\r\nc=read,d=9000\r\n";
-  private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
-  private final BlockingQueue<Long> firstAt = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Long> firstByteNanos = new LinkedBlockingQueue<>();
   private final Clock clock = Clock.system();
-  private final EmulatedFleet world;
-  private final EmulatedFleetServer surroundings;
+  private final EmulatedFleet fleet;
+  private final EmulatedFleetServer fleetServer;
 
   EmulatedFleetServerTest() throws IOException {
-    CacheServerSpec shape =
+    CacheServerSpec serverSpec =
         new CacheServerSpec(
             1,
             4,
@@ -72,82 +72,82 @@
             true,
             true,
             List.of("inflight"));
-    EmulatedFleet.Spec parts =
+    EmulatedFleet.Spec fleetSpec =
         new EmulatedFleet.Spec(
             List.of(
-                new EmulatedFleet.Member("c1", "east", "kind", 0, 1, shape),
-                new EmulatedFleet.Member("c2", "east", "kind", 0, 1, shape)),
+                new EmulatedFleet.Member("c1", "east", "kind", 0, 1, serverSpec),
+                new EmulatedFleet.Member("c2", "east", "kind", 0, 1, serverSpec)),
             new OriginModel.Spec(4, 100, MILLI, 8, SECOND, SECOND),
             List.of(new WorkCost("read", MILLI, 20, false, false, 0, "all")),
             0,
             100 * MILLI);
-    HistoryRecorder witness =
+    HistoryRecorder recorder =
         new HistoryRecorder() {
           @Override
           public void commandReceived(
-              long at, String server, int router, long number, CacheCommand c, long work) {
-            seen.add(server + " " + router + " " + c.id());
-            firstAt.add(c.firstByteNanos());
+              long atNanos, String server, int router, long connection, CacheCommand command, long workNanos) {
+            events.add(server + " " + router + " " + command.id());
+            firstByteNanos.add(command.firstByteNanos());
           }
 
           @Override
-          public void connectionClosed(long at, long turn, long connection) {
-            seen.add("ended");
+          public void connectionClosed(long atNanos, long turn, long connection) {
+            events.add("ended");
           }
 
           @Override
-          public void invalidInput(long at, String server, int router, String why) {
-            seen.add("unreadable");
+          public void invalidInput(long atNanos, String server, int router, String reason) {
+            events.add("unreadable");
           }
         };
-    world =
-        new EmulatedFleet(new EventScheduler(clock.now()), parts, new RandomSources(1), witness);
-    surroundings = new EmulatedFleetServer(world, clock::now, 2, 0);
-    surroundings.start();
+    fleet =
+        new EmulatedFleet(new EventScheduler(clock.now()), fleetSpec, new RandomSources(1), recorder);
+    fleetServer = new EmulatedFleetServer(fleet, clock::now, 2, 0);
+    fleetServer.start();
   }
 
   @AfterEach
-  void end() {
-    surroundings.close();
+  void close() {
+    fleetServer.close();
   }
 
-  private String seen() throws InterruptedException {
-    return seen.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+  private String nextEvent() throws InterruptedException {
+    return events.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void begin(Fault.Kind kind, int place, double amount) {
-    surroundings.apply(() -> world.startFault(kind, place, amount));
+  private void startFault(Fault.Kind kind, int server, double amount) {
+    fleetServer.apply(() -> fleet.startFault(kind, server, amount));
   }
 
-  private void end(Fault.Kind kind, int place) {
-    surroundings.apply(() -> world.endFault(kind, place));
+  private void endFault(Fault.Kind kind, int server) {
+    fleetServer.apply(() -> fleet.endFault(kind, server));
   }
 
-  /** A connection as a router holds it. */
+  /** A router's end of a connection. */
   private static final class Peer implements Closeable {
     private final Socket socket = new Socket();
     private final InputBuffer in = new InputBuffer();
 
-    Peer(InetSocketAddress to, int connectMillis) throws IOException {
-      socket.connect(to, connectMillis);
-      socket.setSoTimeout(PATIENCE_MILLIS);
+    Peer(InetSocketAddress address, int connectMillis) throws IOException {
+      socket.connect(address, connectMillis);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
     }
 
-    Peer say(String text) throws IOException {
+    Peer send(String text) throws IOException {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
       return this;
     }
 
     private boolean read() throws IOException {
       int room = in.ensureRoom();
-      int got = socket.getInputStream().read(in.array(), in.end(), room);
-      if (got > 0) {
-        in.filled(got);
+      int count = socket.getInputStream().read(in.array(), in.end(), room);
+      if (count > 0) {
+        in.filled(count);
       }
-      return got >= 0;
+      return count >= 0;
     }
 
-    RespValue answer() throws IOException, ProtocolException {
+    RespValue readValue() throws IOException, ProtocolException {
       RespReader reader = new RespReader(1000);
       RespValue value = reader.next(in);
       while (value == null && read()) {
@@ -156,7 +156,7 @@
       return value;
     }
 
-    HttpResponse http() throws IOException, ProtocolException {
+    HttpResponse readHttp() throws IOException, ProtocolException {
       HttpReader reader = new HttpReader(10_000);
       HttpResponse value = reader.next(in, false);
       while (value == null && read()) {
@@ -165,10 +165,10 @@
       return value;
     }
 
-    void silent() throws IOException {
+    void assertSilent() throws IOException {
       socket.setSoTimeout(SILENCE_MILLIS);
       assertThrows(SocketTimeoutException.class, this::read);
-      socket.setSoTimeout(PATIENCE_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
     }
 
     @Override
@@ -177,209 +177,209 @@
     }
   }
 
-  private Peer to(int router, int place) throws IOException {
-    return new Peer(surroundings.serverAddress(router, place), PATIENCE_MILLIS);
+  private Peer connect(int router, int server) throws IOException {
+    return new Peer(fleetServer.serverAddress(router, server), TIMEOUT_MILLIS);
   }
 
   private static String get(int id) {
     return String.format(GET, id);
   }
 
-  private static String id(RespValue answer) {
-    return ((RespValue.Bulk) ((RespValue.Array) answer).items().get(0))
+  private static String id(RespValue response) {
+    return ((RespValue.Bulk) ((RespValue.Array) response).items().get(0))
         .bytes()
         .toString()
         .split(" ")[3];
   }
 
   @Test
-  void itSpeaksTheProtocolAndKnowsWhichRouterAsks() throws Exception {
-    try (Peer peer = to(1, 0)) {
-      peer.say("*1\r\n$4\r\nPING\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n*1\r\n$5\r\nHELLO\r\n");
-      peer.say(get(1) + get(2));
-      assertEquals("+PONG", peer.answer().frame().toString().trim());
-      assertEquals("+OK", peer.answer().frame().toString().trim());
-      assertEquals("-ERR unknown command", peer.answer().frame().toString().trim());
-      List<RespValue> parts = ((RespValue.Array) peer.answer()).items();
-      String how = parts.get(1).frame().toString().trim();
-      assertTrue(how.endsWith("miss") || how.endsWith("pending"), how);
+  void serverSpeaksRespAndRecordsTheRouter() throws Exception {
+    try (Peer peer = connect(1, 0)) {
+      peer.send("*1\r\n$4\r\nPING\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n*1\r\n$5\r\nHELLO\r\n");
+      peer.send(get(1) + get(2));
+      assertEquals("+PONG", peer.readValue().frame().toString().trim());
+      assertEquals("+OK", peer.readValue().frame().toString().trim());
+      assertEquals("-ERR unknown command", peer.readValue().frame().toString().trim());
+      List<RespValue> parts = ((RespValue.Array) peer.readValue()).items();
+      String readStatus = parts.get(1).frame().toString().trim();
+      assertTrue(readStatus.endsWith("miss") || readStatus.endsWith("pending"), readStatus);
       assertTrue(parts.get(2).frame().toString().contains("inflight="));
-      assertEquals("02", id(peer.answer()));
+      assertEquals("02", id(peer.readValue()));
     }
-    assertEquals("c1 1 01", seen());
-    assertEquals("c1 1 02", seen());
-    assertEquals("ended", seen());
+    assertEquals("c1 1 01", nextEvent());
+    assertEquals("c1 1 02", nextEvent());
+    assertEquals("ended", nextEvent());
   }
 
   @Test
-  void whatCannotBeReadIsTurnedAwayAndNoted() throws Exception {
-    try (Peer peer = to(0, 0)) {
-      peer.say("*4\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$2\r\n01\r\n$6\r\nc=read\r\n");
-      assertTrue(peer.answer().frame().toString().startsWith("-SYNTAX "));
-      assertEquals(null, peer.answer());
+  void invalidCommandIsRejectedAndRecorded() throws Exception {
+    try (Peer peer = connect(0, 0)) {
+      peer.send("*4\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$2\r\n01\r\n$6\r\nc=read\r\n");
+      assertTrue(peer.readValue().frame().toString().startsWith("-SYNTAX "));
+      assertEquals(null, peer.readValue());
     }
-    assertEquals("unreadable", seen());
+    assertEquals("unreadable", nextEvent());
   }
 
   @Test
-  void aStalledServerTakesAndSaysNothingUntilItIsOver() throws Exception {
-    begin(Fault.Kind.STALL, 0, 1);
-    try (Peer peer = to(0, 0)) {
-      peer.say(get(1));
-      assertEquals("c1 0 01", seen());
-      peer.silent();
-      end(Fault.Kind.STALL, 0);
-      assertEquals("01", id(peer.answer()));
+  void stalledServerReadsCommandsButSendsNothing() throws Exception {
+    startFault(Fault.Kind.STALL, 0, 1);
+    try (Peer peer = connect(0, 0)) {
+      peer.send(get(1));
+      assertEquals("c1 0 01", nextEvent());
+      peer.assertSilent();
+      endFault(Fault.Kind.STALL, 0);
+      assertEquals("01", id(peer.readValue()));
     }
   }
 
   @Test
-  void aServerThatReadsNothingFindsItAllLater() throws Exception {
-    try (Peer peer = to(0, 0)) {
-      peer.say(get(1));
-      peer.answer();
-      seen.clear();
-      begin(Fault.Kind.UNREAD, 0, 1);
-      peer.say(get(2));
-      peer.silent();
-      assertEquals(0, seen.size());
-      end(Fault.Kind.UNREAD, 0);
-      assertEquals("02", id(peer.answer()));
+  void serverThatReadsNothingServesPendingInputLater() throws Exception {
+    try (Peer peer = connect(0, 0)) {
+      peer.send(get(1));
+      peer.readValue();
+      events.clear();
+      startFault(Fault.Kind.UNREAD, 0, 1);
+      peer.send(get(2));
+      peer.assertSilent();
+      assertEquals(0, events.size());
+      endFault(Fault.Kind.UNREAD, 0);
+      assertEquals("02", id(peer.readValue()));
     }
   }
 
-  /** What a drain's rule goes by: when the first byte came, however long the rest takes. */
+  /** The invariant on draining counts from a command's first byte, however late the rest is. */
   @Test
-  void aCommandThatIsHalfWrittenCountsFromItsFirstByte() throws Exception {
-    try (Peer peer = to(0, 0)) {
-      peer.say(get(1)).answer();
-      peer.say(get(2).substring(0, 9));
+  void commandIsTimedFromItsFirstByte() throws Exception {
+    try (Peer peer = connect(0, 0)) {
+      peer.send(get(1)).readValue();
+      peer.send(get(2).substring(0, 9));
       long before = clock.now();
-      peer.silent();
-      peer.say(get(2).substring(9));
-      assertEquals("02", id(peer.answer()));
-      firstAt.remove();
-      long begun = firstAt.remove();
-      assertTrue(begun < before + SILENCE_MILLIS * MILLI, "counted from its last byte");
+      peer.assertSilent();
+      peer.send(get(2).substring(9));
+      assertEquals("02", id(peer.readValue()));
+      firstByteNanos.remove();
+      long receivedNanos = firstByteNanos.remove();
+      assertTrue(receivedNanos < before + SILENCE_MILLIS * MILLI, "timed from its last byte");
     }
   }
 
   @Test
-  void aMuteServerNeverSpeaksOnNewConnectionsAndGoesOnWithOldOnes() throws Exception {
-    try (Peer old = to(0, 0)) {
-      old.say(get(1)).answer();
-      begin(Fault.Kind.MUTE, 0, 1);
-      try (Peer fresh = to(0, 0)) {
-        fresh.say(get(2)).silent();
-        assertEquals("03", id(old.say(get(3)).answer()));
+  void muteServerServesOnlyOldConnections() throws Exception {
+    try (Peer oldPeer = connect(0, 0)) {
+      oldPeer.send(get(1)).readValue();
+      startFault(Fault.Kind.MUTE, 0, 1);
+      try (Peer newPeer = connect(0, 0)) {
+        newPeer.send(get(2)).assertSilent();
+        assertEquals("03", id(oldPeer.send(get(3)).readValue()));
       }
     }
   }
 
   @Test
-  void aServerThatRefusesIsBackAtTheSameAddress() throws Exception {
-    InetSocketAddress address = surroundings.serverAddress(0, 0);
-    begin(Fault.Kind.REFUSE, 0, 1);
-    assertThrows(ConnectException.class, () -> new Peer(address, PATIENCE_MILLIS));
-    end(Fault.Kind.REFUSE, 0);
-    try (Peer peer = to(0, 0)) {
-      assertEquals(address, surroundings.serverAddress(0, 0));
-      assertEquals("01", id(peer.say(get(1)).answer()));
+  void refusingServerListensAgainAtTheSameAddress() throws Exception {
+    InetSocketAddress address = fleetServer.serverAddress(0, 0);
+    startFault(Fault.Kind.REFUSE, 0, 1);
+    assertThrows(ConnectException.class, () -> new Peer(address, TIMEOUT_MILLIS));
+    endFault(Fault.Kind.REFUSE, 0);
+    try (Peer peer = connect(0, 0)) {
+      assertEquals(address, fleetServer.serverAddress(0, 0));
+      assertEquals("01", id(peer.send(get(1)).readValue()));
     }
   }
 
   @Test
-  void aMachineThatVanishedSaysNothingAndTakesNoConnections() throws Exception {
-    try (Peer old = to(0, 0)) {
-      old.say(get(1)).answer();
-      begin(Fault.Kind.VANISH, 0, 1);
-      old.say(get(2)).silent();
+  void vanishedServerSendsNothingAndAcceptsNoConnections() throws Exception {
+    try (Peer oldPeer = connect(0, 0)) {
+      oldPeer.send(get(1)).readValue();
+      startFault(Fault.Kind.VANISH, 0, 1);
+      oldPeer.send(get(2)).assertSilent();
       assertThrows(
-          SocketTimeoutException.class, () -> new Peer(surroundings.serverAddress(0, 0), SILENCE_MILLIS));
+          SocketTimeoutException.class, () -> new Peer(fleetServer.serverAddress(0, 0), SILENCE_MILLIS));
       long before = clock.now();
-      end(Fault.Kind.VANISH, 0);
-      assertEquals("02", id(old.answer()));
-      try (Peer fresh = to(0, 0)) {
-        assertEquals("03", id(fresh.say(get(3)).answer()));
-        assertEquals("04", id(fresh.say(get(4)).answer()));
+      endFault(Fault.Kind.VANISH, 0);
+      assertEquals("02", id(oldPeer.readValue()));
+      try (Peer newPeer = connect(0, 0)) {
+        assertEquals("03", id(newPeer.send(get(3)).readValue()));
+        assertEquals("04", id(newPeer.send(get(4)).readValue()));
       }
-      firstAt.remove();
-      firstAt.remove();
-      assertTrue(firstAt.remove() < before, "its kernel may have sent it again from before");
-      assertTrue(firstAt.remove() > before, "on a connection that is up nothing is old");
+      firstByteNanos.remove();
+      firstByteNanos.remove();
+      assertTrue(firstByteNanos.remove() < before, "input on a new connection may be a retransmission");
+      assertTrue(firstByteNanos.remove() > before, "later input on the same connection is new");
     }
   }
 
   @Test
-  void aKilledServerResetsAndRefusesAndItsSuccessorStandsAtItsAddress() throws Exception {
-    InetSocketAddress address = surroundings.serverAddress(0, 0);
-    try (Peer peer = to(0, 0)) {
-      peer.say(get(1)).answer();
-      begin(Fault.Kind.REPLACE, 0, 1);
-      assertThrows(IOException.class, peer::answer);
-      assertThrows(ConnectException.class, () -> new Peer(address, PATIENCE_MILLIS));
-      end(Fault.Kind.REPLACE, 0);
+  void killedServerResetsAndRefusesUntilItsSuccessorListens() throws Exception {
+    InetSocketAddress address = fleetServer.serverAddress(0, 0);
+    try (Peer peer = connect(0, 0)) {
+      peer.send(get(1)).readValue();
+      startFault(Fault.Kind.REPLACE, 0, 1);
+      assertThrows(IOException.class, peer::readValue);
+      assertThrows(ConnectException.class, () -> new Peer(address, TIMEOUT_MILLIS));
+      endFault(Fault.Kind.REPLACE, 0);
     }
-    seen.clear();
-    try (Peer peer = to(0, 0)) {
-      peer.say(get(2)).answer();
-      assertEquals("c1-2 0 02", seen());
+    events.clear();
+    try (Peer peer = connect(0, 0)) {
+      peer.send(get(2)).readValue();
+      assertEquals("c1-2 0 02", nextEvent());
     }
   }
 
   @Test
-  void discoveryAnswersEachRouterWithItsOwnAddressesAndWakesItsWatch() throws Exception {
-    try (Peer peer = new Peer(surroundings.discoveryAddress(1), PATIENCE_MILLIS)) {
-      peer.say(HttpWriter.get("/registry/instances", "x").toString());
-      Json list = JsonReader.read(peer.http().body());
-      InetSocketAddress own = surroundings.serverAddress(1, 1);
+  void discoverySendsEachRouterItsOwnAddressesAndCompletesItsWatch() throws Exception {
+    try (Peer peer = new Peer(fleetServer.discoveryAddress(1), TIMEOUT_MILLIS)) {
+      peer.send(HttpWriter.get("/registry/instances", "x").toString());
+      Json list = JsonReader.read(peer.readHttp().body());
+      InetSocketAddress own = fleetServer.serverAddress(1, 1);
       assertEquals("true", list.get("whole").word(""));
       assertEquals(
           "127.0.0.1:" + own.getPort(), list.get("hosts").items().get(1).get("dial").word(""));
-      assertNotEquals(own, surroundings.serverAddress(0, 1));
+      assertNotEquals(own, fleetServer.serverAddress(0, 1));
       String watch = "/registry/instances?after=" + list.get("seq").word("") + "&wait_ms=20000";
-      peer.say(HttpWriter.get(watch, "x").toString());
-      begin(Fault.Kind.DRAIN, 0, 1);
-      Json change = JsonReader.read(peer.http().body());
+      peer.send(HttpWriter.get(watch, "x").toString());
+      startFault(Fault.Kind.DRAIN, 0, 1);
+      Json change = JsonReader.read(peer.readHttp().body());
       assertEquals("draining", change.get("hosts").items().get(0).get("health").word(""));
-      surroundings.apply(() -> world.startFault(Fault.Kind.DISCOVERY_OUT, 1));
-      peer.say(HttpWriter.get("/registry/instances", "x").toString());
-      assertEquals(503, peer.http().status());
+      fleetServer.apply(() -> fleet.startFault(Fault.Kind.DISCOVERY_OUT, 1));
+      peer.send(HttpWriter.get("/registry/instances", "x").toString());
+      assertEquals(503, peer.readHttp().status());
     }
   }
 
   @Test
-  void spoiltAnswersAreNeverTheWholeOfAGoodOne() throws Exception {
-    begin(Fault.Kind.SPOIL, 0, 1);
-    int spoilt = 0;
+  void corruptedResponsesDifferFromValidOnes() throws Exception {
+    startFault(Fault.Kind.SPOIL, 0, 1);
+    int corrupted = 0;
     for (int i = 10; i < 40; i++) {
-      try (Peer peer = to(0, 0)) {
+      try (Peer peer = connect(0, 0)) {
         peer.socket.setSoTimeout(SILENCE_MILLIS);
-        peer.say(get(i));
-        spoilt += bad(peer) ? 1 : 0;
+        peer.send(get(i));
+        corrupted += isCorrupted(peer) ? 1 : 0;
       }
     }
-    assertTrue(spoilt >= 20, spoilt + " of 30 answers were spoilt or had more behind them");
+    assertTrue(corrupted >= 20, corrupted + " of 30 responses were corrupted");
   }
 
-  /** Whether what came is no whole value, or has something behind it. */
-  private static boolean bad(Peer peer) throws IOException {
+  /** Returns whether the input is not a complete value, or has more bytes behind it. */
+  private static boolean isCorrupted(Peer peer) throws IOException {
     try {
-      return !(peer.answer() instanceof RespValue.Array) || peer.in.size() > 0;
+      return !(peer.readValue() instanceof RespValue.Array) || peer.in.size() > 0;
     } catch (ProtocolException | SocketTimeoutException e) {
       return true;
     }
   }
 
   @Test
-  void theControlPortAnswersEachLine() throws Exception {
-    InetSocketAddress control = surroundings.openControlPort(0, line -> "heard " + line);
-    try (Peer peer = new Peer(control, PATIENCE_MILLIS)) {
-      peer.say("one\ntwo\n");
+  void controlPortRepliesToEachLine() throws Exception {
+    InetSocketAddress control = fleetServer.openControlPort(0, line -> "reply " + line);
+    try (Peer peer = new Peer(control, TIMEOUT_MILLIS)) {
+      peer.send("one\ntwo\n");
       while (peer.in.size() < 22) {
         assertTrue(peer.read());
       }
-      assertEquals("heard one\n\nheard two\n\n", peer.in.slice(0, peer.in.size()).toString());
+      assertEquals("reply one\n\nreply two\n\n", peer.in.slice(0, peer.in.size()).toString());
     }
   }
 }
--- a/src/test/java/beaconturn/standin/net/LoopbackPortsTest.java
+++ b/src/test/java/beaconturn/standin/net/LoopbackPortsTest.java
@@ -13,70 +13,70 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Who still calls a port's last owner must not be met by the kit. */
+/** Ports must not be reused soon, since clients of their last owner may still connect to them. */
 class LoopbackPortsTest {
-  private static final int MANY = 300;
-  private static final int KERNELS = 32_768;
+  private static final int PORT_COUNT = 300;
+  private static final int FIRST_EPHEMERAL_PORT = 32_768;
 
-  private static int closedAgain() throws IOException {
+  private static int bindAndClose() throws IOException {
     return LoopbackPorts.bindFree(
-        at -> {
+        address -> {
           try (ServerSocket socket = new ServerSocket()) {
-            socket.bind(at);
-            return at.getPort();
+            socket.bind(address);
+            return address.getPort();
           }
         });
   }
 
   @Test
-  void aPortThatIsFreeAgainIsNotGivenOutAgainSoon() throws IOException {
+  void closedPortIsNotReusedSoon() throws IOException {
     List<Integer> ports = new ArrayList<>();
-    for (int i = 0; i < MANY; i++) {
-      ports.add(closedAgain());
+    for (int i = 0; i < PORT_COUNT; i++) {
+      ports.add(bindAndClose());
     }
-    assertEquals(MANY, new HashSet<>(ports).size());
-    assertTrue(ports.stream().allMatch(p -> p < KERNELS), ports::toString);
+    assertEquals(PORT_COUNT, new HashSet<>(ports).size());
+    assertTrue(ports.stream().allMatch(port -> port < FIRST_EPHEMERAL_PORT), ports::toString);
   }
 
   @Test
-  void whatIsAnothersIsPassedOver() throws IOException {
-    List<InetSocketAddress> tried = new ArrayList<>();
-    InetSocketAddress taken =
+  void portsInUseAreSkipped() throws IOException {
+    List<InetSocketAddress> attempted = new ArrayList<>();
+    InetSocketAddress bound =
         LoopbackPorts.bindFree(
-            at -> {
-              tried.add(at);
-              if (tried.size() < 3) {
+            address -> {
+              attempted.add(address);
+              if (attempted.size() < 3) {
                 throw new BindException("in use");
               }
-              return at;
+              return address;
             });
-    assertEquals(tried.get(2), taken);
-    assertEquals(3, new HashSet<>(tried).size());
+    assertEquals(attempted.get(2), bound);
+    assertEquals(3, new HashSet<>(attempted).size());
   }
 
-  /** A child process that is being started holds a closed address for a moment. */
+  /** A child process keeps a closed listener of its parent until its exec. */
   @Test
-  void anAddressOfOnesOwnIsTakenAgainOnceItIsLetGo() throws IOException {
-    List<InetSocketAddress> tried = new ArrayList<>();
+  void rebindRetriesUntilTheAddressIsReleased() throws IOException {
+    List<InetSocketAddress> attempted = new ArrayList<>();
     InetSocketAddress own = new InetSocketAddress("127.0.0.1", 1);
     assertEquals(
         own,
         LoopbackPorts.rebind(
             own,
-            at -> {
-              tried.add(at);
-              if (tried.size() < 3) {
+            address -> {
+              attempted.add(address);
+              if (attempted.size() < 3) {
                 throw new BindException("held by a child");
               }
-              return at;
+              return address;
             }));
-    assertEquals(List.of(own, own, own), tried);
+    assertEquals(List.of(own, own, own), attempted);
   }
 
   @Test
-  void linksAreReachedThere() throws IOException {
-    try (FaultProxy link = new FaultProxy(new InetSocketAddress("127.0.0.1", 1))) {
-      assertTrue(link.address().getPort() < KERNELS, link.address()::toString);
+  void faultProxyListensBelowTheEphemeralPorts() throws IOException {
+    try (FaultProxy proxy = new FaultProxy(new InetSocketAddress("127.0.0.1", 1))) {
+      assertTrue(proxy.address().getPort() < FIRST_EPHEMERAL_PORT, proxy.address()::toString);
     }
   }
 }
--- a/src/test/java/beaconturn/standin/net/StandInSpeed.java
+++ b/src/test/java/beaconturn/standin/net/StandInSpeed.java
@@ -21,22 +21,22 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the stand-ins alone; not run by the tests. Blocking threads, one for each connection,
- * ask at their own even times, whatever the answers do, and count from the intended time.
- * Arguments: requests a second in all, connections, seconds. What docs/results.md quotes: 20000 200
- * 20.
+ * Measures the latency of the stand-ins without a router; not run by the tests. Each connection has
+ * a blocking thread that sends at a fixed rate; latency is counted from the intended time.
+ * Arguments: total requests per second, connections, seconds. docs/results.md quotes the run 20000
+ * 200 20.
  */
 final class StandInSpeed {
   private static final long MILLI = 1_000_000;
   private static final long SECOND = 1000 * MILLI;
 
-  /** The first seconds are the compiler's. */
-  private static final long WARM_UP = 5 * SECOND;
+  /** Start of the run that is left out, while code is being compiled. */
+  private static final long WARM_UP_NANOS = 5 * SECOND;
 
-  private static final int CACHES = 10;
-  private static final int KEYS = 50;
+  private static final int SERVER_COUNT = 10;
+  private static final int KEY_COUNT = 50;
   private final Histogram latency = new ConcurrentHistogram(60 * SECOND, 3);
-  private final AtomicLong broken = new AtomicLong();
+  private final AtomicLong failedConnections = new AtomicLong();
 
   private StandInSpeed() {}
 
@@ -44,7 +44,7 @@
     int rate = Integer.parseInt(args[0]);
     int connections = Integer.parseInt(args[1]);
     int seconds = Integer.parseInt(args[2]);
-    CacheServerSpec shape =
+    CacheServerSpec spec =
         new CacheServerSpec(
             1,
             64,
@@ -61,44 +61,44 @@
             true,
             true,
             List.of());
-    List<EmulatedFleet.Member> fleet = new ArrayList<>();
-    for (int i = 0; i < CACHES; i++) {
-      fleet.add(new EmulatedFleet.Member("c" + i, "east", "kind", 0, 1, shape));
+    List<EmulatedFleet.Member> members = new ArrayList<>();
+    for (int i = 0; i < SERVER_COUNT; i++) {
+      members.add(new EmulatedFleet.Member("c" + i, "east", "kind", 0, 1, spec));
     }
     Clock clock = Clock.system();
-    EmulatedFleet world =
+    EmulatedFleet fleet =
         new EmulatedFleet(
             new EventScheduler(clock.now()),
             new EmulatedFleet.Spec(
-                fleet,
+                members,
                 new OriginModel.Spec(64, 10_000, MILLI, 100, SECOND, SECOND),
                 List.of(new WorkCost("read", MILLI, 400, false, false, 0, "all")),
                 0,
                 0),
             new RandomSources(1),
             HistoryRecorder.NONE);
-    try (EmulatedFleetServer surroundings = new EmulatedFleetServer(world, clock::now, 1, 0)) {
-      surroundings.start();
-      new StandInSpeed().run(surroundings, rate, connections, seconds);
+    try (EmulatedFleetServer fleetServer = new EmulatedFleetServer(fleet, clock::now, 1, 0)) {
+      fleetServer.start();
+      new StandInSpeed().run(fleetServer, rate, connections, seconds);
     }
   }
 
-  private void run(EmulatedFleetServer surroundings, int rate, int connections, int seconds)
+  private void run(EmulatedFleetServer fleetServer, int rate, int connections, int seconds)
       throws InterruptedException {
     List<Thread> threads = new ArrayList<>();
-    long start = System.nanoTime() + SECOND;
-    long gap = SECOND * connections / rate;
+    long startNanos = System.nanoTime() + SECOND;
+    long intervalNanos = SECOND * connections / rate;
     for (int i = 0; i < connections; i++) {
-      int line = i;
+      int connection = i;
       Thread thread =
           new Thread(
               () ->
-                  ask(
-                      surroundings,
-                      line,
-                      start + gap * line / connections,
-                      gap,
-                      start + seconds * SECOND));
+                  sendRequests(
+                      fleetServer,
+                      connection,
+                      startNanos + intervalNanos * connection / connections,
+                      intervalNanos,
+                      startNanos + seconds * SECOND));
       thread.start();
       threads.add(thread);
     }
@@ -114,47 +114,47 @@
             latency.getTotalCount(),
             connections,
             seconds,
-            broken.get(),
+            failedConnections.get(),
             latency.getValueAtPercentile(50) / 1e6,
             latency.getValueAtPercentile(99) / 1e6,
             latency.getValueAtPercentile(99.9) / 1e6,
             latency.getMaxValue() / 1e6));
   }
 
-  private void ask(EmulatedFleetServer surroundings, int line, long first, long gap, long end) {
-    byte[] answer = new byte[4096];
+  private void sendRequests(EmulatedFleetServer fleetServer, int connection, long firstNanos, long intervalNanos, long endNanos) {
+    byte[] response = new byte[4096];
     try (Socket socket = new Socket()) {
       socket.setTcpNoDelay(true);
-      socket.connect(surroundings.serverAddress(0, line % CACHES));
+      socket.connect(fleetServer.serverAddress(0, connection % SERVER_COUNT));
       InputStream in = socket.getInputStream();
       int count = 0;
-      for (long intended = first; intended < end; intended += gap) {
-        long wait = intended - System.nanoTime();
-        if (wait > 0) {
-          Thread.sleep(wait / MILLI, (int) (wait % MILLI));
+      for (long intendedNanos = firstNanos; intendedNanos < endNanos; intendedNanos += intervalNanos) {
+        long waitNanos = intendedNanos - System.nanoTime();
+        if (waitNanos > 0) {
+          Thread.sleep(waitNanos / MILLI, (int) (waitNanos % MILLI));
         }
-        socket.getOutputStream().write(command(line, ++count));
-        int got = 0;
-        while (got < 5 || answer[got - 5] != '$' || answer[got - 4] != '-') {
-          got += in.read(answer, got, answer.length - got);
+        socket.getOutputStream().write(command(connection, ++count));
+        int received = 0;
+        while (received < 5 || response[received - 5] != '$' || response[received - 4] != '-') {
+          received += in.read(response, received, response.length - received);
         }
-        if (intended >= first + WARM_UP) {
-          latency.recordValue(System.nanoTime() - intended);
+        if (intendedNanos >= firstNanos + WARM_UP_NANOS) {
+          latency.recordValue(System.nanoTime() - intendedNanos);
         }
       }
     } catch (IOException | RuntimeException e) {
-      broken.incrementAndGet();
+      failedConnections.incrementAndGet();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static byte[] command(int line, int count) {
-    String id = String.format("%08x%08x", line, count);
+  private static byte[] command(int connection, int count) {
+    String id = String.format("%08x%08x", connection, count);
     String text =
         RespWriter.listOf(4).toString()
             + RespWriter.bulk("C.GET")
-            + RespWriter.bulk("k" + count % KEYS)
+            + RespWriter.bulk("k" + count % KEY_COUNT)
             + RespWriter.bulk(id)
             + RespWriter.bulk("c=read,d=5000");
     return text.getBytes(StandardCharsets.US_ASCII);
--- a/src/test/java/beaconturn/standin/net/package-info.java
+++ b/src/test/java/beaconturn/standin/net/package-info.java
@@ -1,2 +1,2 @@
-/** Tests. */
+/** Tests of the stand-ins on loopback sockets. */
 package beaconturn.standin.net;
--- a/src/test/java/beaconturn/standin/package-info.java
+++ b/src/test/java/beaconturn/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the model on a clock that the test turns. */
+/** Tests of the stand-in models on a manual clock. */
 package beaconturn.standin;
