--- a/src/main/java/beaconturn/rehearsal/FaultCommands.java
+++ b/src/main/java/beaconturn/rehearsal/FaultCommands.java
@@ -13,9 +13,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Executes the commands by which an operator injects faults into stand-ins: {@code KIND [SERVER|all]
- * [AMOUNT] [in TIME] [for TIME]}, {@code heal SERVER|all}, {@code status}, {@code help}. Runs on
- * the stand-ins' thread.
+ * Executes the commands by which an operator injects faults into stand-ins: {@code KIND
+ * [SERVER|all] [AMOUNT] [in TIME] [for TIME]}, {@code heal SERVER|all}, {@code status}, {@code
+ * help}. Runs on the stand-ins' thread.
  */
 public final class FaultCommands {
   private static final String HELP =
@@ -77,7 +77,8 @@
                 () -> new IllegalArgumentException("unknown order '" + command + "', see help"));
     long durationNanos = takeTimeNanos(words, "for");
     long delayNanos = takeTimeNanos(words, "in");
-    List<Integer> servers = kind.target() == Fault.Target.CACHE ? takeServers(words, command) : List.of();
+    List<Integer> servers =
+        kind.target() == Fault.Target.CACHE ? takeServers(words, command) : List.of();
     double amount = takeAmount(kind, words);
     if (!words.isEmpty()) {
       throw new IllegalArgumentException("not understood: '" + String.join(" ", words) + "'");
--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -101,7 +101,8 @@
     this.folder = folder;
     this.clock = clock;
     this.history = history;
-    this.currentListVersion = () -> fleetServer.call(() -> fleetServer.fleet().discovery().version());
+    this.currentListVersion =
+        () -> fleetServer.call(() -> fleetServer.fleet().discovery().version());
     this.store =
         new StoreProcess(
             launcher.command(
@@ -130,7 +131,8 @@
     }
     agentHook = scenario.release() == null ? null : new AgentHook(folder);
     if (scenario.release() != null) {
-      applyFleetFile(scenario.release().maxUnavailable(), scenario.release().maxUnavailablePerSite());
+      applyFleetFile(
+          scenario.release().maxUnavailable(), scenario.release().maxUnavailablePerSite());
     }
   }
 
@@ -142,12 +144,17 @@
         maxUnavailable,
         maxUnavailablePerSite,
         scenario.routers().stream().map(Scenario.RouterSpec::name).toList());
-    appendGroup(out, "caches", maxUnavailable, maxUnavailablePerSite, scenario.fleet().cacheServerNames());
+    appendGroup(
+        out, "caches", maxUnavailable, maxUnavailablePerSite, scenario.fleet().cacheServerNames());
     return out.toString();
   }
 
   private void appendGroup(
-      StringBuilder out, String kind, int maxUnavailable, int maxUnavailablePerSite, List<String> instances) {
+      StringBuilder out,
+      String kind,
+      int maxUnavailable,
+      int maxUnavailablePerSite,
+      List<String> instances) {
     out.append(
         "["
             + kind
@@ -161,7 +168,8 @@
             + scenario.release().coresPerInstance()
             + "\n");
     for (String site : scenario.fleet().distinctSites()) {
-      List<String> siteInstances = instances.stream().filter(instance -> scenario.siteOf(instance).equals(site)).toList();
+      List<String> siteInstances =
+          instances.stream().filter(instance -> scenario.siteOf(instance).equals(site)).toList();
       if (!siteInstances.isEmpty()) {
         out.append(
             "[["
@@ -177,7 +185,8 @@
 
   private void applyFleetFile(int maxUnavailable, int maxUnavailablePerSite) {
     try {
-      Files.writeString(folder.resolve("fleet.toml"), fleetFileText(maxUnavailable, maxUnavailablePerSite));
+      Files.writeString(
+          folder.resolve("fleet.toml"), fleetFileText(maxUnavailable, maxUnavailablePerSite));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -189,7 +198,8 @@
    *
    * @param adminAddresses the routers' admin addresses, in the scenario's order
    */
-  void startAgents(List<InetSocketAddress> adminAddresses) throws IOException, InterruptedException {
+  void startAgents(List<InetSocketAddress> adminAddresses)
+      throws IOException, InterruptedException {
     if (agentHook == null) {
       return;
     }
@@ -208,7 +218,8 @@
                   "--apply",
                   agentHook.command()));
       // A router reports its own metrics; those of a cache server come from all routers.
-      List<InetSocketAddress> metricsSources = cache ? adminAddresses : adminAddresses.subList(i, i + 1);
+      List<InetSocketAddress> metricsSources =
+          cache ? adminAddresses : adminAddresses.subList(i, i + 1);
       arguments.addAll(
           List.of(
               "--figures",
@@ -217,7 +228,8 @@
                   .collect(Collectors.joining(",")),
               "--kind",
               cache ? "cache" : "router"));
-      agents.add(new AgentProcess(launcher.command(arguments), folder.resolve(name + ".agent.log")));
+      agents.add(
+          new AgentProcess(launcher.command(arguments), folder.resolve(name + ".agent.log")));
       agents.get(i).start();
     }
     // Starting JVMs compete with the rehearsal for the processors, so it waits for all of them.
@@ -280,13 +292,16 @@
         Files.writeString(settings, "[settings]\nmost_tries = " + release.maxAttempts() + "\n");
         plan.append("settings = \"" + settings + "\"\n");
       }
-      release.waves()
-          .forEach(wave -> plan.append("[[wave]]\nparts = " + ScenarioPrinter.quotedList(wave) + "\n"));
+      release
+          .waves()
+          .forEach(
+              wave -> plan.append("[[wave]]\nparts = " + ScenarioPrinter.quotedList(wave) + "\n"));
       Files.writeString(folder.resolve("plan.toml"), plan);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    runInBackground(() -> runOperatorCommand("release", "start", folder.resolve("plan.toml").toString()));
+    runInBackground(
+        () -> runOperatorCommand("release", "start", folder.resolve("plan.toml").toString()));
   }
 
   /** Runs an operator command of the scenario, without waiting for it. */
@@ -395,7 +410,8 @@
     }
   }
 
-  private void writeFeaturesFile(String name, InetSocketAddress storeAddress, Path stateFolder) throws IOException {
+  private void writeFeaturesFile(String name, InetSocketAddress storeAddress, Path stateFolder)
+      throws IOException {
     Scenario.Agreement agreement = scenario.agreement();
     Files.writeString(
         featuresFile(name),
@@ -432,7 +448,9 @@
           "[[zones.place]]\nname = \""
               + zones.get(i)
               + "\"\n"
-              + (zonesSpec.regions().isEmpty() ? "" : "region = \"" + zonesSpec.regions().get(i) + "\"\n"));
+              + (zonesSpec.regions().isEmpty()
+                  ? ""
+                  : "region = \"" + zonesSpec.regions().get(i) + "\"\n"));
     }
     return text.toString();
   }
@@ -467,7 +485,9 @@
                   : "")
               + "[list]\nout = "
               + ScenarioPrinter.quotedList(version.excludedServers())
-              + (version.requiresCurrentList() ? "\noldest = " + currentListVersion.getAsLong() : "")
+              + (version.requiresCurrentList()
+                  ? "\noldest = " + currentListVersion.getAsLong()
+                  : "")
               + "\n");
       runInBackground(() -> runProposal(number, file, version));
     } catch (IOException e) {
@@ -624,7 +644,11 @@
           case "discovery" -> affected.add(discoveryLinks.get(router));
           default ->
               affected.addAll(
-                  cacheLinks(router, site -> fault.linkDestination().equals("caches") || fault.linkDestination().equals(site)));
+                  cacheLinks(
+                      router,
+                      site ->
+                          fault.linkDestination().equals("caches")
+                              || fault.linkDestination().equals(site)));
         }
       }
     }
@@ -667,7 +691,8 @@
       }
       if (change.key().startsWith(keys.membersPrefix())) {
         int router =
-            scenario.routerIndex(change.key().substring(keys.membersPrefix().length()).split("/")[0]);
+            scenario.routerIndex(
+                change.key().substring(keys.membersPrefix().length()).split("/")[0]);
         history.add(new HistoryEvent.MembershipChanged(atNanos, router, change.value() != null));
       }
       String server = operatorPermits.remove(change.value() == null ? change.key() : "");
@@ -679,20 +704,24 @@
       }
       try {
         if (change.key().equals(keys.commonPrefix() + "next")) {
-          recordVersionStage(atNanos, Trigger.Stage.PROPOSED, ConfigCodec.decodeVersion(change.value()));
+          recordVersionStage(
+              atNanos, Trigger.Stage.PROPOSED, ConfigCodec.decodeVersion(change.value()));
         } else if (change.key().equals(keys.commonPrefix() + "current")) {
-          recordVersionStage(atNanos, Trigger.Stage.IN_FORCE, ConfigCodec.decodeVersion(change.value()));
+          recordVersionStage(
+              atNanos, Trigger.Stage.IN_FORCE, ConfigCodec.decodeVersion(change.value()));
         } else if (change.key().equals(keys.commonPrefix() + "settled")) {
           triggerTimesNanos.putIfAbsent(
               new Trigger(Trigger.Stage.SETTLED, Long.parseLong(change.value()), ""), atNanos);
         } else if (change.key().equals(STORE_PREFIX + "/zones/plan")) {
           recordZonePlan(atNanos, ZonesCodec.decodePlan(change.value()));
         } else if (change.key().startsWith(releasePrefix)) {
-          recordReleaseChange(atNanos, change.key().substring(releasePrefix.length()), change.value());
+          recordReleaseChange(
+              atNanos, change.key().substring(releasePrefix.length()), change.value());
         } else if (change.key().startsWith(keys.membersPrefix())) {
           MemberRecord member = MemberRecord.decode(change.value());
           triggerTimesNanos.putIfAbsent(
-              new Trigger(Trigger.Stage.ACKNOWLEDGED, member.ackedNumber(), member.name()), atNanos);
+              new Trigger(Trigger.Stage.ACKNOWLEDGED, member.ackedNumber(), member.name()),
+              atNanos);
         }
       } catch (AgreementException e) {
         throw new IOException(
@@ -707,7 +736,8 @@
       readyAgentKeys.add(key);
     } else if (key.equals("course")) {
       String mode = value.replaceAll(".*\"mode\":\"([a-z]+)\".*", "$1");
-      history.add(new HistoryEvent.ReleaseCommanded(atNanos, mode.equals("halted") ? "halt" : mode));
+      history.add(
+          new HistoryEvent.ReleaseCommanded(atNanos, mode.equals("halted") ? "halt" : mode));
     } else if (key.equals("fleet")) {
       recordBudget(atNanos, value);
     } else if (key.startsWith("permit/")) {
@@ -795,10 +825,8 @@
           new VersionTimeline(
               number,
               triggerTimesNanos.get(new Trigger(Trigger.Stage.PROPOSED, number, "")),
-              triggerTimesNanos.getOrDefault(
-                  new Trigger(Trigger.Stage.IN_FORCE, number, ""), -1L),
-              triggerTimesNanos.getOrDefault(
-                  new Trigger(Trigger.Stage.SETTLED, number, ""), -1L)));
+              triggerTimesNanos.getOrDefault(new Trigger(Trigger.Stage.IN_FORCE, number, ""), -1L),
+              triggerTimesNanos.getOrDefault(new Trigger(Trigger.Stage.SETTLED, number, ""), -1L)));
     }
     return List.copyOf(timelines);
   }
--- a/src/main/java/beaconturn/rehearsal/FleetSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/FleetSectionReader.java
@@ -37,8 +37,7 @@
         serverSpec);
   }
 
-  private static CacheServerSpec readServerSpec(
-      TomlSection section, List<String> loadReportFields)
+  private static CacheServerSpec readServerSpec(TomlSection section, List<String> loadReportFields)
       throws TomlException {
     return new CacheServerSpec(
         section.number("speed", 1, 0.01, 100),
--- a/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
+++ b/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
@@ -59,7 +59,10 @@
   }
 
   private void recordAnswer(
-      long atNanos, CacheCommand command, HistoryEvent.ServerAnswer serverAnswer, CacheResponse.Value value) {
+      long atNanos,
+      CacheCommand command,
+      HistoryEvent.ServerAnswer serverAnswer,
+      CacheResponse.Value value) {
     history.add(
         new HistoryEvent.CommandAnswered(
             atNanos, command.number(), serverAnswer, History.digest(value.bytes())));
@@ -79,7 +82,12 @@
   public void serverStarted(long atNanos, EndpointListing server, double capacity) {
     history.add(
         new HistoryEvent.CacheServerStarted(
-            atNanos, server.host(), server.site(), server.block(), server.startedAtNanos(), capacity));
+            atNanos,
+            server.host(),
+            server.site(),
+            server.block(),
+            server.startedAtNanos(),
+            capacity));
   }
 
   @Override
@@ -103,7 +111,8 @@
   }
 
   @Override
-  public void routerNotified(long atNanos, int router, String server, EndpointListing.Health health, long born) {
+  public void routerNotified(
+      long atNanos, int router, String server, EndpointListing.Health health, long born) {
     history.add(new HistoryEvent.RouterNotified(atNanos, router, server, state(health), born));
   }
 
--- a/src/main/java/beaconturn/rehearsal/HtmlReport.java
+++ b/src/main/java/beaconturn/rehearsal/HtmlReport.java
@@ -70,8 +70,7 @@
     List<UnavailabilityIndex.Outage> outages =
         UnavailabilityIndex.of(report.scenario().invariantBounds(0), report.events()).stream()
             .filter(
-                outage ->
-                    outage.fromNanos() < endNanos && outage.toNanos() > report.startNanos())
+                outage -> outage.fromNanos() < endNanos && outage.toNanos() > report.startNanos())
             .toList();
     List<String> instances =
         outages.isEmpty() ? List.of() : report.scenario().releasableInstances();
@@ -157,8 +156,7 @@
               }
               plans.forEach(
                   plan ->
-                      chart.mark(
-                          secondsFromStart(plan.atNanos()), Long.toString(plan.number())));
+                      chart.mark(secondsFromStart(plan.atNanos()), Long.toString(plan.number())));
               page.chart(chart);
             });
   }
--- a/src/main/java/beaconturn/rehearsal/Rehearsal.java
+++ b/src/main/java/beaconturn/rehearsal/Rehearsal.java
@@ -118,7 +118,7 @@
             new RandomSources(scenario.seed()),
             new HistoryEventWriter(history));
     fleetServer = new EmulatedFleetServer(emulatedFleet, clock::now, scenario.routers().size(), 0);
-    MachinePauseDetector detector = new MachinePauseDetector(clock, history, fleetServer::soon);
+    MachinePauseDetector detector = new MachinePauseDetector(clock, history, fleetServer::execute);
     ClientStatistics statistics = new ClientStatistics(scenario);
     try {
       fleetServer.start();
@@ -129,7 +129,11 @@
       startAgents();
       clients =
           new OpenLoopClients(
-              scenario, routers.stream().map(RouterProcess::address).toList(), clock, history, statistics);
+              scenario,
+              routers.stream().map(RouterProcess::address).toList(),
+              clock,
+              history,
+              statistics);
       long cpuNanos = processCpuNanos();
       detector.start();
       scheduleAll();
@@ -164,7 +168,8 @@
     }
   }
 
-  private RehearsalReport.AgreementSummary agreementSummary(long storeCalls) throws IOException, InterruptedException {
+  private RehearsalReport.AgreementSummary agreementSummary(long storeCalls)
+      throws IOException, InterruptedException {
     return environment == null
         ? null
         : new RehearsalReport.AgreementSummary(
@@ -196,7 +201,8 @@
     progress.accept("starting " + scenario.routers().size() + " routers");
     for (int i = 0; i < scenario.routers().size(); i++) {
       routers.add(
-          new RouterProcess(scenario, i, fleetServer, launcher, clock, history, folder, environment));
+          new RouterProcess(
+              scenario, i, fleetServer, launcher, clock, history, folder, environment));
       routers.get(i).launch();
     }
     for (RouterProcess routerProcess : routers) {
@@ -247,7 +253,9 @@
       schedule(fromNanos, () -> history.add(new HistoryEvent.FaultChanged(clock.now(), true)));
     }
     if (target == Fault.Target.ROUTER) {
-      fault.targets().forEach(name -> scheduleRouterFault(fault, scenario.routerIndex(name), fromNanos));
+      fault
+          .targets()
+          .forEach(name -> scheduleRouterFault(fault, scenario.routerIndex(name), fromNanos));
     } else if (fault.kind().needsAgreement()) {
       schedule(fromNanos, () -> environment.startFault(fault));
     } else {
@@ -256,7 +264,10 @@
     if (fault.until() == null) {
       scheduleFaultEnd(fault, baseNanos + fault.toNanos());
     } else {
-      pendingTriggers.add(new PendingTrigger(fault.until(), triggerNanos -> scheduleFaultEnd(fault, triggerNanos + fault.toNanos())));
+      pendingTriggers.add(
+          new PendingTrigger(
+              fault.until(),
+              triggerNanos -> scheduleFaultEnd(fault, triggerNanos + fault.toNanos())));
     }
   }
 
@@ -266,7 +277,9 @@
     }
     Fault.Target target = fault.kind().target();
     if (target == Fault.Target.ROUTER) {
-      fault.targets().forEach(name -> scheduleRouterFaultEnd(fault, scenario.routerIndex(name), toNanos));
+      fault
+          .targets()
+          .forEach(name -> scheduleRouterFaultEnd(fault, scenario.routerIndex(name), toNanos));
     } else if (fault.kind().needsAgreement()) {
       schedule(toNanos, () -> environment.endFault(fault));
     } else if (toNanos < startNanos + scenario.lengthNanos()) {
@@ -279,14 +292,19 @@
     for (int i = 0; i < scenario.versions().size(); i++) {
       int number = i + 1;
       Scenario.VersionSpec version = scenario.versions().get(i);
-      whenTriggered(version.after(), fromNanos -> schedule(fromNanos + version.atNanos(), () -> environment.propose(number, version)));
+      whenTriggered(
+          version.after(),
+          fromNanos ->
+              schedule(fromNanos + version.atNanos(), () -> environment.propose(number, version)));
     }
   }
 
   private void scheduleRelease() {
     Scenario.ReleaseSpec release = scenario.release();
     if (release != null && release.startsAutomatically()) {
-      whenTriggered(release.after(), fromNanos -> schedule(fromNanos + release.atNanos(), environment::startRelease));
+      whenTriggered(
+          release.after(),
+          fromNanos -> schedule(fromNanos + release.atNanos(), environment::startRelease));
     }
     for (Scenario.OperatorCommandSpec spec : scenario.operatorCommands()) {
       whenTriggered(
@@ -319,7 +337,9 @@
                           ? cacheServers.get(request.instance()).changeVariant(request.released())
                           : routers
                               .get(router)
-                              .changeVariant(request.released(), avoided -> clients.setAvoided(router, avoided)));
+                              .changeVariant(
+                                  request.released(),
+                                  avoided -> clients.setAvoided(router, avoided)));
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
                 }
@@ -377,11 +397,20 @@
     boolean planned = fault.kind() == Fault.Kind.ROUTER_TERM;
     schedule(fromNanos, planned ? routerProcess::terminate : routerProcess::kill);
     if (planned) {
-      long maxDeadlineNanos = scenario.requestClasses().stream().mapToLong(Scenario.RequestClass::deadlineNanos).max().orElse(0);
-      schedule(fromNanos + Math.min(maxDeadlineNanos, MAX_KILL_DELAY_NANOS) + KILL_GRACE_NANOS, routerProcess::killIfStillStopping);
+      long maxDeadlineNanos =
+          scenario.requestClasses().stream()
+              .mapToLong(Scenario.RequestClass::deadlineNanos)
+              .max()
+              .orElse(0);
+      schedule(
+          fromNanos + Math.min(maxDeadlineNanos, MAX_KILL_DELAY_NANOS) + KILL_GRACE_NANOS,
+          routerProcess::killIfStillStopping);
     }
     schedule(
-        fromNanos + (planned ? FRONT_REACTION_NANOS : scenario.clientStreams().get(0).failureDetectionNanos()),
+        fromNanos
+            + (planned
+                ? FRONT_REACTION_NANOS
+                : scenario.clientStreams().get(0).failureDetectionNanos()),
         () -> clients.setAvoided(router, true));
   }
 
@@ -484,7 +513,11 @@
   private String activeFaults(long atNanos) {
     List<String> names =
         scenario.faults().stream()
-            .filter(f -> f.after() == null && f.fromNanos() <= atNanos && (f.until() != null || atNanos < f.toNanos()))
+            .filter(
+                f ->
+                    f.after() == null
+                        && f.fromNanos() <= atNanos
+                        && (f.until() != null || atNanos < f.toNanos()))
             .map(
                 f ->
                     f.kind().word()
@@ -497,7 +530,11 @@
   private void settle() throws InterruptedException {
     progress.accept("settling");
     endLastingFaults();
-    long maxDeadlineNanos = scenario.requestClasses().stream().mapToLong(Scenario.RequestClass::deadlineNanos).max().orElse(0);
+    long maxDeadlineNanos =
+        scenario.requestClasses().stream()
+            .mapToLong(Scenario.RequestClass::deadlineNanos)
+            .max()
+            .orElse(0);
     clients.awaitDrained(clock.now() + maxDeadlineNanos * 2 + 2 * NANOS_PER_SECOND);
     clients.finish();
     if (environment != null) {
--- a/src/main/java/beaconturn/rehearsal/RestartableCacheServer.java
+++ b/src/main/java/beaconturn/rehearsal/RestartableCacheServer.java
@@ -7,7 +7,9 @@
 import beaconturn.standin.Fault;
 import beaconturn.standin.net.EmulatedFleetServer;
 
-/** A cache server's stand-in that a release restarts, after it was drained as operators would do. */
+/**
+ * A cache server's stand-in that a release restarts, after it was drained as operators would do.
+ */
 final class RestartableCacheServer {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -51,7 +53,8 @@
     history.add(new HistoryEvent.VariantChangeBegun(clock.now(), name, -1, toReleased));
     released = toReleased;
     fleetServer.apply(() -> fleet.startFault(Fault.Kind.DRAIN, index, 0));
-    Thread.sleep((scenario.listLagNanos() + scenario.routingSettings().drainGraceNanos()) / NANOS_PER_MILLI);
+    Thread.sleep(
+        (scenario.listLagNanos() + scenario.routingSettings().drainGraceNanos()) / NANOS_PER_MILLI);
     fleetServer.apply(() -> fleet.startFault(Fault.Kind.KILL, index, 0));
     Scenario.Defect defect = toReleased ? scenario.release().defect() : Scenario.Defect.NONE;
     if (defect == Scenario.Defect.CRASH) {
--- a/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
+++ b/src/main/java/beaconturn/rehearsal/RouterConfigWriter.java
@@ -32,8 +32,7 @@
             .put("memory_mb", routerSpec.memoryMb())
             .put("sockets", routerSpec.maxSockets())
             .build();
-    Json admin =
-        addresses.admin() == null ? new Json.Nothing() : new Json.Text(addresses.admin());
+    Json admin = addresses.admin() == null ? new Json.Nothing() : new Json.Text(addresses.admin());
     return JsonWriter.write(
         new JsonObjectBuilder()
             .put("name", routerSpec.name())
--- a/src/main/java/beaconturn/rehearsal/RouterProcess.java
+++ b/src/main/java/beaconturn/rehearsal/RouterProcess.java
@@ -124,7 +124,9 @@
   /** Starts a process without waiting until it is ready. */
   void launch() throws IOException {
     InetSocketAddress discovery =
-        environment == null ? fleetServer.discoveryAddress(index) : environment.discoveryAddress(index);
+        environment == null
+            ? fleetServer.discoveryAddress(index)
+            : environment.discoveryAddress(index);
     // A variant that rejects every request starts with an empty endpoint list and gets no update.
     Json endpointList =
         defect == Scenario.Defect.REFUSES
@@ -164,7 +166,11 @@
   private String configuration() {
     return new RouterConfigWriter(scenario)
         .configOf(
-            index, configuredAddresses, initialList, scenario.seed() * 1000 + index * 100L + startCount, reloadCount);
+            index,
+            configuredAddresses,
+            initialList,
+            scenario.seed() * 1000 + index * 100L + startCount,
+            reloadCount);
   }
 
   /** Writes changed settings and sends SIGHUP; no effect while the router does not respond. */
@@ -308,7 +314,9 @@
       awaitReady(scenario.release().readyTimeoutNanos() / NANOS_PER_MILLI);
       front.accept(false);
       if (defect == Scenario.Defect.FADES || defect == Scenario.Defect.SLOWS) {
-        degradeLater(running, defect == Scenario.Defect.FADES ? FaultProxy.State.CUT : FaultProxy.State.SLOW);
+        degradeLater(
+            running,
+            defect == Scenario.Defect.FADES ? FaultProxy.State.CUT : FaultProxy.State.SLOW);
       }
       return true;
     } catch (IOException e) {
@@ -386,7 +394,8 @@
       running.awaitExit(timeoutMillis);
     }
     if (planned && stopping && exitStatus != 0) {
-      String reason = exitStatus < 0 ? "did not end after SIGTERM" : "ended with status " + exitStatus;
+      String reason =
+          exitStatus < 0 ? "did not end after SIGTERM" : "ended with status " + exitStatus;
       history.add(new HistoryEvent.RouterDied(clock.now(), index, reason));
     }
     running = null;
--- a/src/main/java/beaconturn/rehearsal/Scenario.java
+++ b/src/main/java/beaconturn/rehearsal/Scenario.java
@@ -581,9 +581,7 @@
   /** Returns the site of a router or cache server. */
   String siteOf(String instance) {
     int router = routerIndex(instance);
-    return router >= 0
-        ? routers.get(router).site()
-        : siteOfCacheServer(cacheServerIndex(instance));
+    return router >= 0 ? routers.get(router).site() : siteOfCacheServer(cacheServerIndex(instance));
   }
 
   /** Returns the index of the cache server of that name. */
--- a/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
@@ -238,14 +238,10 @@
 
   /** Returns a TOML array of strings. */
   static String quotedList(List<String> texts) {
-    return texts.stream()
-        .map(ScenarioPrinter::quoted)
-        .collect(Collectors.joining(", ", "[", "]"));
+    return texts.stream().map(ScenarioPrinter::quoted).collect(Collectors.joining(", ", "[", "]"));
   }
 
   private static String duration(long nanos) {
-    return nanos % 1_000_000 == 0
-        ? quoted(nanos / 1_000_000 + "ms")
-        : quoted(nanos / 1000 + "us");
+    return nanos % 1_000_000 == 0 ? quoted(nanos / 1_000_000 + "ms") : quoted(nanos / 1000 + "us");
   }
 }
--- a/src/main/java/beaconturn/standin/CacheServerModel.java
+++ b/src/main/java/beaconturn/standin/CacheServerModel.java
@@ -21,6 +21,7 @@
  */
 public final class CacheServerModel {
   private static final CacheResponse.Corruption[] CORRUPTIONS = CacheResponse.Corruption.values();
+
   /** Weight of a new sample in the mean latency of the load report. */
   private static final double LATENCY_SMOOTHING = 0.05;
 
@@ -54,7 +55,10 @@
       Consumer<String> invalidateElsewhere) {}
 
   CacheServerModel(
-      SharedParts shared, EndpointListing listing, CacheServerSpec spec, UniformRandomProvider random) {
+      SharedParts shared,
+      EndpointListing listing,
+      CacheServerSpec spec,
+      UniformRandomProvider random) {
     this.shared = shared;
     this.listing = listing;
     this.spec = spec;
@@ -109,8 +113,7 @@
     private int startedCount;
     private boolean ended;
 
-    private Session(
-        CacheServerConnection connection, int router, long number, boolean overLimit) {
+    private Session(CacheServerConnection connection, int router, long number, boolean overLimit) {
       this.connection = connection;
       this.router = router;
       this.number = number;
@@ -208,7 +211,8 @@
       }
       busyWorkers++;
       long durationNanos = (long) (next.workNanos * faults.slowdown() / (spec.speed() * warmth()));
-      next.completion = shared.scheduler().in(durationNanos, () -> whenNotStalled(() -> jobDone(next)));
+      next.completion =
+          shared.scheduler().in(durationNanos, () -> whenNotStalled(() -> jobDone(next)));
     }
   }
 
@@ -242,21 +246,28 @@
       return;
     }
     boolean pending = pendingFetches.containsKey(command.key());
-    CacheResponse.Outcome outcome = pending ? CacheResponse.Outcome.PENDING : CacheResponse.Outcome.MISS;
+    CacheResponse.Outcome outcome =
+        pending ? CacheResponse.Outcome.PENDING : CacheResponse.Outcome.MISS;
     LongConsumer waiter = version -> whenNotStalled(() -> fetchCompleted(slot, version, outcome));
-    List<LongConsumer> waiters = pendingFetches.computeIfAbsent(command.key(), k -> new ArrayList<>());
+    List<LongConsumer> waiters =
+        pendingFetches.computeIfAbsent(command.key(), k -> new ArrayList<>());
     waiters.add(waiter);
     if (!pending) {
       shared
           .origin()
-          .fetch(listing.host(), cold(), command.key(), version -> sharedFetchCompleted(command, waiters, version));
+          .fetch(
+              listing.host(),
+              cold(),
+              command.key(),
+              version -> sharedFetchCompleted(command, waiters, version));
     } else if (!spec.sharesFetches()) {
       waiters.remove(waiter);
       shared.origin().fetch(listing.host(), cold(), command.key(), waiter);
     }
   }
 
-  private void sharedFetchCompleted(CacheCommand command, List<LongConsumer> waiters, long version) {
+  private void sharedFetchCompleted(
+      CacheCommand command, List<LongConsumer> waiters, long version) {
     pendingFetches.remove(command.key());
     if (!dead && version != OriginModel.FAILED) {
       objects.put(command.key(), version, size(command), now());
@@ -301,7 +312,8 @@
                 if (keyed) {
                   shared
                       .deduplication()
-                      .forget(deduplicationGroup(cost.deduplicationScope()), command.idempotencyKey());
+                      .forget(
+                          deduplicationGroup(cost.deduplicationScope()), command.idempotencyKey());
                 }
                 whenNotStalled(() -> respond(slot, new CacheResponse.Failed("origin")));
                 return;
--- a/src/main/java/beaconturn/standin/DeduplicationLog.java
+++ b/src/main/java/beaconturn/standin/DeduplicationLog.java
@@ -12,8 +12,8 @@
   private final Map<String, Map<String, Long>> expiryByKeyByGroup = new HashMap<>();
 
   /**
-   * Records a write and returns whether it is the first with its idempotency key in the group within
-   * the window.
+   * Records a write and returns whether it is the first with its idempotency key in the group
+   * within the window.
    */
   boolean recordIfFirst(String group, String idempotencyKey, long windowNanos, long nowNanos) {
     Map<String, Long> expiryByKey =
--- a/src/main/java/beaconturn/standin/DiscoveryModel.java
+++ b/src/main/java/beaconturn/standin/DiscoveryModel.java
@@ -10,8 +10,8 @@
 
 /**
  * Models the discovery service: an endpoint list in which each change of a cache server appears
- * after a lag, as a new version. Returns the complete list at once, and to a watch the changes since
- * a version as soon as there are any. Single-threaded.
+ * after a lag, as a new version. Returns the complete list at once, and to a watch the changes
+ * since a version as soon as there are any. Single-threaded.
  */
 public final class DiscoveryModel {
   /** The number of the latest change of each cache server that was published. */
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Publishes a change of a cache server after a lag, unless a later change of it has been published
-   * by then: a drain that is cancelled within the lag is never listed.
+   * Publishes a change of a cache server after a lag, unless a later change of it has been
+   * published by then: a drain that is cancelled within the lag is never listed.
    */
   void change(EndpointListing entry, long publishLagNanos) {
     long number = ++changeCount;
@@ -202,7 +202,8 @@
 
   private EndpointUpdate completeList() {
     long visibleVersion = visibleVersion();
-    return new EndpointUpdate(visibleVersion, true, List.copyOf(versions.get(visibleVersion).all().values()));
+    return new EndpointUpdate(
+        visibleVersion, true, List.copyOf(versions.get(visibleVersion).all().values()));
   }
 
   /** Returns the last change of each cache server since a version. */
@@ -228,13 +229,16 @@
     Set<String> included = new LinkedHashSet<>();
     for (EndpointListing entry : update.entries()) {
       included.add(entry.host());
-      recorder.routerNotified(scheduler.now(), router, entry.host(), entry.health(), entry.startedAtNanos());
+      recorder.routerNotified(
+          scheduler.now(), router, entry.host(), entry.health(), entry.startedAtNanos());
     }
     if (update.whole()) {
       notified.stream()
           .filter(host -> !included.contains(host))
           .forEach(
-              host -> recorder.routerNotified(scheduler.now(), router, host, EndpointListing.Health.GONE, 0));
+              host ->
+                  recorder.routerNotified(
+                      scheduler.now(), router, host, EndpointListing.Health.GONE, 0));
       notified.retainAll(included);
     }
     notified.addAll(included);
@@ -244,7 +248,7 @@
   public EndpointUpdate initialList(int router) {
     EndpointUpdate update = completeList();
     recordNotifications(router, update);
-    return news;
+    return update;
   }
 
   /** Makes discovery unavailable, so that calls and open watches fail, or available again. */
--- a/src/main/java/beaconturn/standin/EmulatedFleet.java
+++ b/src/main/java/beaconturn/standin/EmulatedFleet.java
@@ -8,8 +8,8 @@
  * The systems around the routers: server servers, the origin and discovery, and the faults that are
  * injected into them. Single-threaded.
  *
- * <p>A server server is addressed by its index, which stands for its listening addresses; the process
- * behind an index may die and be replaced by another one.
+ * <p>A cache server is addressed by its index, which stands for its listening addresses; the
+ * process behind an index may die and be replaced by another one.
  */
 public final class EmulatedFleet {
   private final EventScheduler scheduler;
@@ -34,7 +34,11 @@
    * @param drainGraceNanos how long after its publication a draining server still accepts commands
    */
   public record Spec(
-      List<Member> members, OriginModel.Spec origin, List<WorkCost> workCosts, long discoveryLagNanos, long drainGraceNanos) {}
+      List<Member> members,
+      OriginModel.Spec origin,
+      List<WorkCost> workCosts,
+      long discoveryLagNanos,
+      long drainGraceNanos) {}
 
   /**
    * One server server of the fleet.
@@ -51,10 +55,7 @@
 
   /** Creates a fleet without faults whose server servers are warm. */
   public EmulatedFleet(
-      EventScheduler scheduler,
-      Spec spec,
-      RandomSources randomSources,
-      HistoryRecorder recorder) {
+      EventScheduler scheduler, Spec spec, RandomSources randomSources, HistoryRecorder recorder) {
     this.scheduler = scheduler;
     this.spec = spec;
     this.recorder = recorder;
@@ -63,14 +64,21 @@
     this.discovery = new DiscoveryModel(scheduler, recorder);
     this.sharedParts =
         new CacheServerModel.SharedParts(
-            scheduler, origin, new DeduplicationLog(), spec.workCosts(), recorder, this::invalidate);
+            scheduler,
+            origin,
+            new DeduplicationLog(),
+            spec.workCosts(),
+            recorder,
+            this::invalidate);
     for (int index = 0; index < spec.members().size(); index++) {
       servers.add(start(index, spec.members().get(index).host(), 0));
       discovery.change(servers.get(index).listing(), 0);
     }
   }
 
-  /** Sets the listener that receives the index of a server server whose process or faults change. */
+  /**
+   * Sets the listener that receives the index of a server server whose process or faults change.
+   */
   public void onServerChange(IntConsumer listener) {
     serverChangeListener = listener;
   }
@@ -107,7 +115,8 @@
         kill(server);
       }
       case DRAIN -> {
-        discovery.change(server.listing().withHealth(EndpointListing.Health.DRAINING), spec.discoveryLagNanos());
+        discovery.change(
+            server.listing().withHealth(EndpointListing.Health.DRAINING), spec.discoveryLagNanos());
         scheduler.in(
             spec.discoveryLagNanos() + spec.drainGraceNanos(),
             () -> {
@@ -118,7 +127,8 @@
       }
       case DRAIN_LATE -> {
         server.setFault(kind, 1);
-        discovery.change(server.listing().withHealth(EndpointListing.Health.DRAINING), (long) amount);
+        discovery.change(
+            server.listing().withHealth(EndpointListing.Health.DRAINING), (long) amount);
       }
       case UNLIST -> discovery.change(server.listing().withHealth(EndpointListing.Health.GONE), 0);
       default -> server.setFault(kind, amount == 0 ? 1 : amount);
@@ -152,7 +162,8 @@
       server.die();
       recorder.serverStopped(scheduler.now(), server.listing().host());
     }
-    discovery.change(server.listing().withHealth(EndpointListing.Health.GONE), spec.discoveryLagNanos());
+    discovery.change(
+        server.listing().withHealth(EndpointListing.Health.GONE), spec.discoveryLagNanos());
   }
 
   private void restart(int index, String host) {
@@ -210,7 +221,8 @@
     if (server.dead()) {
       restart(index, server.listing().host());
     } else {
-      boolean listed = discovery.listing(server.listing().host()) != null && !listedDraining(server);
+      boolean listed =
+          discovery.listing(server.listing().host()) != null && !listedDraining(server);
       server.clearFaults();
       if (!listed) {
         discovery.change(server.listing(), 0);
--- a/src/main/java/beaconturn/standin/HistoryRecorder.java
+++ b/src/main/java/beaconturn/standin/HistoryRecorder.java
@@ -60,7 +60,11 @@
 
   /** A router was sent the state of a cache server. */
   default void routerNotified(
-      long atNanos, int router, String server, EndpointListing.Health health, long startedAtNanos) {}
+      long atNanos,
+      int router,
+      String server,
+      EndpointListing.Health health,
+      long startedAtNanos) {}
 
   /** A router called discovery. */
   default void discoveryCalled(long atNanos, int router) {}
--- a/src/main/java/beaconturn/standin/OriginModel.java
+++ b/src/main/java/beaconturn/standin/OriginModel.java
@@ -13,8 +13,8 @@
  * Models the slow origin behind all cache servers: workers with a bounded queue, a version of each
  * key, and a count of the executions of each effect.
  *
- * <p>If the calls in the origin exceed a multiple of its workers for too long, it collapses: all its
- * calls fail, and it rejects new ones during the outage.
+ * <p>If the calls in the origin exceed a multiple of its workers for too long, it collapses: all
+ * its calls fail, and it rejects new ones during the outage.
  */
 public final class OriginModel {
   /** The version that is passed for a call that failed or was rejected. */
@@ -73,10 +73,7 @@
 
   /** Creates an origin that is available and has version 0 of every key. */
   public OriginModel(
-      EventScheduler scheduler,
-      Spec spec,
-      UniformRandomProvider random,
-      HistoryRecorder recorder) {
+      EventScheduler scheduler, Spec spec, UniformRandomProvider random, HistoryRecorder recorder) {
     this.scheduler = scheduler;
     this.spec = spec;
     this.random = random;
--- a/src/main/java/beaconturn/standin/net/EmulatedFleetServer.java
+++ b/src/main/java/beaconturn/standin/net/EmulatedFleetServer.java
@@ -35,7 +35,8 @@
   private final EventLoop loop;
   private final CacheServerListeners cacheListeners;
   private final List<ServerSocketChannel> discoveryListeners = new ArrayList<>();
-  private final Map<InetSocketAddress, InetSocketAddress> addressOverrides = new ConcurrentHashMap<>();
+  private final Map<InetSocketAddress, InetSocketAddress> addressOverrides =
+      new ConcurrentHashMap<>();
 
   /**
    * Opens all addresses; connections are served from {@link #start} on.
@@ -53,7 +54,8 @@
     for (int router = 0; router < routers; router++) {
       int port = firstPort == 0 ? 0 : firstPort + router;
       discoveryListeners.add(
-          loop.listen(new InetSocketAddress("127.0.0.1", port), BACKLOG, discoveryAcceptor(router)));
+          loop.listen(
+              new InetSocketAddress("127.0.0.1", port), BACKLOG, discoveryAcceptor(router)));
     }
     cacheListeners.open(routers, firstPort == 0 ? 0 : firstPort + routers);
   }
@@ -71,7 +73,8 @@
    * @param port the port, or 0 for any free one
    * @param commands executes a command line and returns its reply
    */
-  public InetSocketAddress openControlPort(int port, UnaryOperator<String> commands) throws IOException {
+  public InetSocketAddress openControlPort(int port, UnaryOperator<String> commands)
+      throws IOException {
     ServerSocketChannel listener =
         loop.listen(
             new InetSocketAddress("127.0.0.1", port),
@@ -118,7 +121,8 @@
     try {
       return (InetSocketAddress) discoveryListeners.get(router).getLocalAddress();
     } catch (IOException e) {
-      throw new IllegalStateException("the discovery listener of router " + router + " is closed", e);
+      throw new IllegalStateException(
+          "the discovery listener of router " + router + " is closed", e);
     }
   }
 
@@ -157,7 +161,8 @@
     members.put("block", new Json.Figure(Integer.toString(entry.block())));
     members.put("health", new Json.Text(entry.health().name().toLowerCase(Locale.ROOT)));
     members.put("share", new Json.Figure(Double.toString(entry.share())));
-    members.put("born_ms", new Json.Figure(Long.toString(entry.startedAtNanos() / NANOS_PER_MILLI)));
+    members.put(
+        "born_ms", new Json.Figure(Long.toString(entry.startedAtNanos() / NANOS_PER_MILLI)));
     return new Json.Members(members);
   }
 
--- a/src/main/java/beaconturn/standin/net/EventLoop.java
+++ b/src/main/java/beaconturn/standin/net/EventLoop.java
@@ -111,7 +111,8 @@
     return scheduler;
   }
 
-  SelectionKey register(SelectableChannel channel, int interestOps, ChannelHandler handler) throws IOException {
+  SelectionKey register(SelectableChannel channel, int interestOps, ChannelHandler handler)
+      throws IOException {
     channel.configureBlocking(false);
     return channel.register(selector, interestOps, handler);
   }
--- a/src/main/java/beaconturn/standin/net/LoopbackPorts.java
+++ b/src/main/java/beaconturn/standin/net/LoopbackPorts.java
@@ -78,8 +78,7 @@
     for (int i = 0; i < PORT_COUNT; i++) {
       InetSocketAddress address =
           new InetSocketAddress(
-              "127.0.0.1",
-              FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), PORT_COUNT));
+              "127.0.0.1", FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), PORT_COUNT));
       try (ServerSocket probe = new ServerSocket()) {
         // Also skips ports that are only reserved for a process that is down.
         probe.setReuseAddress(false);
--- a/src/main/java/beaconturn/standin/net/RespSession.java
+++ b/src/main/java/beaconturn/standin/net/RespSession.java
@@ -23,7 +23,9 @@
 final class RespSession extends NonBlockingConnection implements CacheServerConnection {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Items of a C.GET command: name, key, request id, attributes. C.SET has the value behind them. */
+  /**
+   * Items of a C.GET command: name, key, request id, attributes. C.SET has the value behind them.
+   */
   private static final int READ_ITEM_COUNT = 4;
 
   private static final int LONG_LINE_BYTES = 4096;
--- a/src/main/java/beaconturn/standin/net/StoreSession.java
+++ b/src/main/java/beaconturn/standin/net/StoreSession.java
@@ -77,7 +77,8 @@
       case "/v3/kv/txn" -> transact(body);
       case "/v3/lease/grant" -> {
         long seconds = number(body.get("TTL"));
-        yield object("header", header(), "ID", decimal(model.grant(seconds)), "TTL", decimal(seconds));
+        yield object(
+            "header", header(), "ID", decimal(model.grant(seconds)), "TTL", decimal(seconds));
       }
       case "/v3/lease/keepalive" -> {
         long seconds = model.keepAlive(number(body.get("ID")));
@@ -97,7 +98,8 @@
 
   private Json range(Json body) {
     List<Json> pairs = new ArrayList<>();
-    for (StoreModel.Pair pair : model.range(decode(body.get("key")), decode(body.get("range_end")))) {
+    for (StoreModel.Pair pair :
+        model.range(decode(body.get("key")), decode(body.get("range_end")))) {
       Map<String, Json> members = new LinkedHashMap<>();
       members.put("key", encode(pair.key()));
       members.put("create_revision", decimal(pair.createRevision()));
--- a/src/main/java/beaconturn/standin/store/StoreModel.java
+++ b/src/main/java/beaconturn/standin/store/StoreModel.java
@@ -43,7 +43,8 @@
   }
 
   /** A key with its value and metadata; the lease is 0 if there is none. */
-  public record Pair(String key, String value, long createRevision, long modRevision, long version, long lease) {}
+  public record Pair(
+      String key, String value, long createRevision, long modRevision, long version, long lease) {}
 
   /**
    * A condition of a transaction: compares a field of a key with a number, or the field of each
@@ -102,7 +103,9 @@
     return frozenRevision > 0 ? frozenRevision : revision;
   }
 
-  /** Returns the pairs from {@code key} to before {@code end}, or of that key if the end is empty. */
+  /**
+   * Returns the pairs from {@code key} to before {@code end}, or of that key if the end is empty.
+   */
   public List<Pair> range(String key, String end) {
     NavigableMap<String, Pair> visible = frozenRevision > 0 ? frozenKeys : keys;
     return new ArrayList<>(rangeOf(visible, key, end).values());
@@ -138,7 +141,8 @@
     Map<String, Pair> previous = new HashMap<>();
     for (ModelChange change : changes) {
       if (change.value() == null) {
-        List<String> deleted = new ArrayList<>(rangeOf(keys, change.key(), change.rangeEnd()).keySet());
+        List<String> deleted =
+            new ArrayList<>(rangeOf(keys, change.key(), change.rangeEnd()).keySet());
         deleted.forEach(
             key -> {
               Pair before = keys.remove(key);
@@ -248,7 +252,9 @@
     frozenKeys = on ? new TreeMap<>(keys) : null;
   }
 
-  /** Replaces the store by an empty one with another cluster id, as after the loss of all members. */
+  /**
+   * Replaces the store by an empty one with another cluster id, as after the loss of all members.
+   */
   public void replaceWithEmpty(long newClusterId) {
     leases.values().forEach(lease -> lease.expiry.cancel());
     leases.clear();
--- a/src/test/java/beaconturn/rehearsal/FaultCommandsTest.java
+++ b/src/test/java/beaconturn/rehearsal/FaultCommandsTest.java
@@ -63,9 +63,7 @@
     assertEquals(4, fleet.discovery().version());
     advance(2 * NANOS_PER_SECOND);
     assertEquals(
-        5,
-        fleet.discovery().version(),
-        "discovery lists the server as draining after the delay");
+        5, fleet.discovery().version(), "discovery lists the server as draining after the delay");
   }
 
   @Test
--- a/src/test/java/beaconturn/standin/CacheServerModelTest.java
+++ b/src/test/java/beaconturn/standin/CacheServerModelTest.java
@@ -107,11 +107,17 @@
     assertTrue(fixture.events.contains("2 repeated"));
     fixture.connect(1).put("k", "3", "once");
     fixture.advance(SECOND);
-    assertEquals(2, fixture.fleet.origin().executionCount("once"), "other zones do not share the idempotency key");
+    assertEquals(
+        2,
+        fixture.fleet.origin().executionCount("once"),
+        "other zones do not share the idempotency key");
     fixture.advance(3 * SECOND);
     east.put("k", "4", "once");
     fixture.advance(SECOND);
-    assertEquals(3, fixture.fleet.origin().executionCount("once"), "the idempotency key expires with the window");
+    assertEquals(
+        3,
+        fixture.fleet.origin().executionCount("once"),
+        "the idempotency key expires with the window");
     assertEquals("written", secondEast.outcomes());
   }
 
@@ -129,7 +135,9 @@
     assertEquals("miss written", connection.outcomes());
   }
 
-  /** A command behind a slow one may have run before the stall although its response is not sent. */
+  /**
+   * A command behind a slow one may have run before the stall although its response is not sent.
+   */
   @Test
   void stallHoldsResponsesOfCommandsThatHaveRun() {
     fixture.fleet.startFault(Fault.Kind.ORIGIN_SLOW, 50);
@@ -176,7 +184,9 @@
     for (int i = 0; i < 200; i++) {
       connection.get("k", "id" + i);
     }
-    assertTrue(connection.wasReset, "2 s of work within 1 s exceed 4 times the capacity, which is 0.2 of 2 workers");
+    assertTrue(
+        connection.wasReset,
+        "2 s of work within 1 s exceed 4 times the capacity, which is 0.2 of 2 workers");
     assertEquals(List.of("c1 collapsed"), fixture.events);
     assertTrue(fixture.fleet.server(0).dead());
   }
@@ -237,7 +247,8 @@
                 List.of("inflight")));
     FleetFixture.Connection connection = costly.connect(0).get("k", "1");
     costly.advance(380 * MILLI);
-    assertEquals("", connection.outcomes(), "the first request waits for the work of the connection");
+    assertEquals(
+        "", connection.outcomes(), "the first request waits for the work of the connection");
     costly.advance(SECOND);
     assertEquals("miss", connection.outcomes());
     assertEquals("inflight=1.0", ((CacheResponse.Value) connection.responses.get(0)).report());
--- a/src/test/java/beaconturn/standin/DiscoveryModelTest.java
+++ b/src/test/java/beaconturn/standin/DiscoveryModelTest.java
@@ -19,7 +19,8 @@
           replies.add(
               (update.whole() ? "whole " : "changes ")
                   + String.join(
-                      " ", update.entries().stream().map(e -> e.host() + ":" + e.health()).toList()));
+                      " ",
+                      update.entries().stream().map(e -> e.host() + ":" + e.health()).toList()));
         }
 
         @Override
@@ -110,7 +111,8 @@
     fixture.advance(0);
     assertEquals(List.of("whole c2:READY c1-2:READY"), replies);
     assertTrue(fixture.events.contains("notified 3 c1 GONE"));
-    assertEquals(0, fixture.fleet.indexOf("c1-2"), "the successor has the index of its predecessor");
+    assertEquals(
+        0, fixture.fleet.indexOf("c1-2"), "the successor has the index of its predecessor");
   }
 
   @Test
--- a/src/test/java/beaconturn/standin/FleetFixture.java
+++ b/src/test/java/beaconturn/standin/FleetFixture.java
@@ -87,7 +87,8 @@
       return command("put", key, id, idempotencyKey, 5 * SECOND);
     }
 
-    Connection command(String requestClass, String key, String id, String idempotencyKey, long timeoutNanos) {
+    Connection command(
+        String requestClass, String key, String id, String idempotencyKey, long timeoutNanos) {
       session.command(
           new CacheCommand(
               fleet.nextCommand(),
@@ -133,7 +134,8 @@
   }
 
   @Override
-  public void routerNotified(long atNanos, int router, String server, EndpointListing.Health health, long startedAtNanos) {
+  public void routerNotified(
+      long atNanos, int router, String server, EndpointListing.Health health, long startedAtNanos) {
     events.add("notified " + router + " " + server + " " + health);
   }
 }
--- a/src/test/java/beaconturn/standin/net/EmulatedFleetServerTest.java
+++ b/src/test/java/beaconturn/standin/net/EmulatedFleetServerTest.java
@@ -85,7 +85,12 @@
         new HistoryRecorder() {
           @Override
           public void commandReceived(
-              long atNanos, String server, int router, long connection, CacheCommand command, long workNanos) {
+              long atNanos,
+              String server,
+              int router,
+              long connection,
+              CacheCommand command,
+              long workNanos) {
             events.add(server + " " + router + " " + command.id());
             firstByteNanos.add(command.firstByteNanos());
           }
@@ -101,7 +106,8 @@
           }
         };
     fleet =
-        new EmulatedFleet(new EventScheduler(clock.now()), fleetSpec, new RandomSources(1), recorder);
+        new EmulatedFleet(
+            new EventScheduler(clock.now()), fleetSpec, new RandomSources(1), recorder);
     fleetServer = new EmulatedFleetServer(fleet, clock::now, 2, 0);
     fleetServer.start();
   }
@@ -295,7 +301,8 @@
       startFault(Fault.Kind.VANISH, 0, 1);
       oldPeer.send(get(2)).assertSilent();
       assertThrows(
-          SocketTimeoutException.class, () -> new Peer(fleetServer.serverAddress(0, 0), SILENCE_MILLIS));
+          SocketTimeoutException.class,
+          () -> new Peer(fleetServer.serverAddress(0, 0), SILENCE_MILLIS));
       long before = clock.now();
       endFault(Fault.Kind.VANISH, 0);
       assertEquals("02", id(oldPeer.readValue()));
@@ -305,7 +312,8 @@
       }
       firstByteNanos.remove();
       firstByteNanos.remove();
-      assertTrue(firstByteNanos.remove() < before, "input on a new connection may be a retransmission");
+      assertTrue(
+          firstByteNanos.remove() < before, "input on a new connection may be a retransmission");
       assertTrue(firstByteNanos.remove() > before, "later input on the same connection is new");
     }
   }
--- a/src/test/java/beaconturn/standin/net/StandInSpeed.java
+++ b/src/test/java/beaconturn/standin/net/StandInSpeed.java
@@ -121,14 +121,21 @@
             latency.getMaxValue() / 1e6));
   }
 
-  private void sendRequests(EmulatedFleetServer fleetServer, int connection, long firstNanos, long intervalNanos, long endNanos) {
+  private void sendRequests(
+      EmulatedFleetServer fleetServer,
+      int connection,
+      long firstNanos,
+      long intervalNanos,
+      long endNanos) {
     byte[] response = new byte[4096];
     try (Socket socket = new Socket()) {
       socket.setTcpNoDelay(true);
       socket.connect(fleetServer.serverAddress(0, connection % SERVER_COUNT));
       InputStream in = socket.getInputStream();
       int count = 0;
-      for (long intendedNanos = firstNanos; intendedNanos < endNanos; intendedNanos += intervalNanos) {
+      for (long intendedNanos = firstNanos;
+          intendedNanos < endNanos;
+          intendedNanos += intervalNanos) {
         long waitNanos = intendedNanos - System.nanoTime();
         if (waitNanos > 0) {
           Thread.sleep(waitNanos / MILLI, (int) (waitNanos % MILLI));
