--- a/src/main/java/beaconturn/standin/net/CacheServerListeners.java
+++ b/src/main/java/beaconturn/standin/net/CacheServerListeners.java
@@ -182,7 +182,7 @@
           default -> dropConnections();
         }
       } catch (IOException e) {
-        LOG.log(Level.WARNING, "stand-in cache server cannot bind to its address " + address, e);
+        LOG.log(Level.WARNING, "stand-in cache server cannot listen on " + address + " again", e);
       }
     }
 
