--- a/src/main/java/beaconturn/standin/EmulatedFleet.java
+++ b/src/main/java/beaconturn/standin/EmulatedFleet.java
@@ -5,7 +5,7 @@
 import java.util.function.IntConsumer;
 
 /**
- * The systems around the routers: server servers, the origin and discovery, and the faults that are
+ * The systems around the routers: cache servers, the origin and discovery, and the faults that are
  * injected into them. Single-threaded.
  *
  * <p>A cache server is addressed by its index, which stands for its listening addresses; the
@@ -27,7 +27,7 @@
   /**
    * Composition of a fleet.
    *
-   * @param members the server servers, in the order of their indexes
+   * @param members the cache servers, in the order of their indexes
    * @param origin capacity of the origin
    * @param workCosts costs of the request classes
    * @param discoveryLagNanos time from a change until discovery publishes it
@@ -41,19 +41,19 @@
       long drainGraceNanos) {}
 
   /**
-   * One server server of the fleet.
+   * One cache server of the fleet.
    *
    * @param host the name of its first process
    * @param site the data centre
    * @param kind the machine model
-   * @param block the group of server servers that it belongs to
+   * @param block the group of cache servers that it belongs to
    * @param share its rated share of the load
    * @param spec its capacity and behaviour
    */
   public record Member(
       String host, String site, String kind, int block, double share, CacheServerSpec spec) {}
 
-  /** Creates a fleet without faults whose server servers are warm. */
+  /** Creates a fleet without faults whose cache servers are warm. */
   public EmulatedFleet(
       EventScheduler scheduler, Spec spec, RandomSources randomSources, HistoryRecorder recorder) {
     this.scheduler = scheduler;
@@ -76,9 +76,7 @@
     }
   }
 
-  /**
-   * Sets the listener that receives the index of a server server whose process or faults change.
-   */
+  /** Sets the listener that receives the index of a cache server whose process or faults change. */
   public void onServerChange(IntConsumer listener) {
     serverChangeListener = listener;
   }
