--- a/src/main/java/beaconturn/cli/InstanceMetricsReader.java
+++ b/src/main/java/beaconturn/cli/InstanceMetricsReader.java
@@ -86,9 +86,7 @@
   private void addReading(Map<String, Long> values) {
     add(InstanceMetric.READINGS, 1);
     long listed = Math.max(1, valueOf(values, "cluster_size"));
-    add(
-        InstanceMetric.AVOIDED_MILLIONTHS,
-        valueOf(values, "cluster_unhealthy") * MILLION / listed);
+    add(InstanceMetric.AVOIDED_MILLIONTHS, valueOf(values, "cluster_unhealthy") * MILLION / listed);
     add(InstanceMetric.MEMORY_KB, valueOf(values, "memory_kb"));
   }
 
--- a/src/main/java/beaconturn/release/CanaryBaselines.java
+++ b/src/main/java/beaconturn/release/CanaryBaselines.java
@@ -84,10 +84,7 @@
   }
 
   private void updateBaseline(
-      RolloutStep step,
-      Map<String, InstanceSample> samples,
-      boolean outOfService,
-      long nowNanos) {
+      RolloutStep step, Map<String, InstanceSample> samples, boolean outOfService, long nowNanos) {
     String key = keyOf(step);
     Baseline baseline =
         baselines.computeIfAbsent(key, k -> new Baseline(nowNanos, samples, samples));
--- a/src/main/java/beaconturn/release/CanaryComparison.java
+++ b/src/main/java/beaconturn/release/CanaryComparison.java
@@ -117,9 +117,7 @@
     RegressionBounds bounds = plan.regressionBounds();
     addShare(regressions, ShareMeasure.LATE, bounds.lateShare(), mode);
     addShare(regressions, ShareMeasure.MISSED, bounds.missedShare(), mode);
-    add(
-        regressions,
-        MeanMeasure.AVOIDED_SERVERS.compare(samples, bounds.avoidedServersShare(), 0));
+    add(regressions, MeanMeasure.AVOIDED_SERVERS.compare(samples, bounds.avoidedServersShare(), 0));
     add(regressions, MeanMeasure.MEMORY.compare(samples, 0, bounds.memoryRatio()));
     if (hasEnoughHits()) {
       add(regressions, MeanMeasure.HIT_TIME.compare(samples, 0, bounds.hitTimeRatio()));
--- a/src/main/java/beaconturn/release/InstanceLoad.java
+++ b/src/main/java/beaconturn/release/InstanceLoad.java
@@ -57,9 +57,7 @@
       double responsesPerSecond = responsesPerSecond(snapshot, instanceIds, nowNanos);
       String blockingReason =
           capacity.blockingReason(
-              responsesPerSecond,
-              "responses per second",
-              required.responsesPerSecondPerInstance());
+              responsesPerSecond, "responses per second", required.responsesPerSecondPerInstance());
       if (blockingReason != null) {
         return blockingReason;
       }
--- a/src/main/java/beaconturn/standin/CacheResponse.java
+++ b/src/main/java/beaconturn/standin/CacheResponse.java
@@ -2,45 +2,48 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** What a cache server answers to a command; how it looks on the wire is the front's matter. */
+/** A cache server's response to a command, independent of its encoding on the wire. */
 public sealed interface CacheResponse {
-  /** How a read went. */
-  enum How {
+  /** How a command was served. */
+  enum Outcome {
     HIT,
     MISS,
     PENDING,
     WRITTEN
   }
 
-  /** Ways in which an answer is spoilt or followed by what does not belong to it. */
-  enum Spoiling {
+  /** Ways in which an encoded response is corrupted. */
+  enum Corruption {
     NOISE,
     ENDLESS_LINE,
     WRONG_LENGTH,
     HUGE_LENGTH,
-    SECOND_COPY,
-    NOISE_BEHIND,
-    ODD_REPORT
+    DUPLICATED,
+    TRAILING_NOISE,
+    INVALID_LOAD_REPORT
   }
 
   /**
-   * The value or the receipt, made for this request alone; {@code report} is the load report or
-   * null.
+   * The value of a read or the confirmation of a write.
+   *
+   * @param bytes unique to the request, so that a response to another request can be recognized
+   * @param outcome how the command was served
+   * @param report the load report, or null
    */
-  record Value(byte[] bytes, How how, String report) implements CacheResponse {
-    /** The value as text; for logs. */
+  record Value(byte[] bytes, Outcome outcome, String report) implements CacheResponse {
+    /** Returns the value as text, for logs. */
     @Override
     public String toString() {
       return new String(bytes, StandardCharsets.ISO_8859_1);
     }
   }
 
-  /** A value of which the front makes something spoilt. */
-  record Spoilt(Value value, Spoiling way) implements CacheResponse {}
+  /** A value that is corrupted when it is encoded. */
+  record Corrupted(Value value, Corruption corruption) implements CacheResponse {}
 
-  /** Turned away: the command has not run and never will. */
-  record Busy(String why) implements CacheResponse {}
+  /** The command was rejected: it has not run and never will. */
+  record Busy(String reason) implements CacheResponse {}
 
-  /** Failed: the command may have run. */
-  record Failed(String why) implements CacheResponse {}
+  /** The command failed; it may have run. */
+  record Failed(String reason) implements CacheResponse {}
 }
--- a/src/main/java/beaconturn/standin/EmulatedFleet.java
+++ b/src/main/java/beaconturn/standin/EmulatedFleet.java
@@ -5,249 +5,271 @@
 import java.util.function.IntConsumer;
 
 /**
- * All that stands round the routers: cache servers at their places, the origin and discovery, and
- * the faults that happen to them. A place is an address; the process there may die and another
- * come.
+ * The systems around the routers: cache servers, the origin and discovery, and the faults that are
+ * injected into them. Single-threaded.
+ *
+ * <p>A cache server is addressed by its index, which stands for its listening addresses; the
+ * process behind an index may die and be replaced by another one.
  */
 public final class EmulatedFleet {
   private final EventScheduler scheduler;
-  private final Shape shape;
+  private final Spec spec;
   private final HistoryRecorder recorder;
   private final RandomSources randomSources;
   private final OriginModel origin;
   private final DiscoveryModel discovery;
-  private final CacheServerModel.Site sharedParts;
+  private final CacheServerModel.SharedParts sharedParts;
   private final List<CacheServerModel> servers = new ArrayList<>();
-  private IntConsumer changeListener = place -> {};
-  private int starts;
-  private long commands;
+  private IntConsumer serverChangeListener = index -> {};
+  private int startCount;
+  private long lastCommand;
 
   /**
-   * What the surroundings are made of.
+   * Composition of a fleet.
    *
-   * @param fleet one for each place, in their order
-   * @param origin the origin
-   * @param works the classes and what they cost
-   * @param lag how long after a change discovery knows it, in nanoseconds
-   * @param grace how long after the news a draining server still takes work, in nanoseconds
+   * @param members the cache servers, in the order of their indexes
+   * @param origin capacity of the origin
+   * @param workCosts costs of the request classes
+   * @param discoveryLagNanos time from a change until discovery publishes it
+   * @param drainGraceNanos how long after its publication a draining server still accepts commands
    */
-  public record Shape(
-      List<Member> fleet, OriginModel.Shape origin, List<WorkCost> works, long lag, long grace) {}
+  public record Spec(
+      List<Member> members,
+      OriginModel.Spec origin,
+      List<WorkCost> workCosts,
+      long discoveryLagNanos,
+      long drainGraceNanos) {}
 
-  /** One place of the fleet and the process that stands there at first. */
+  /**
+   * One cache server of the fleet.
+   *
+   * @param host the name of its first process
+   * @param site the data centre
+   * @param kind the machine model
+   * @param block the group of cache servers that it belongs to
+   * @param share its rated share of the load
+   * @param spec its capacity and behaviour
+   */
   public record Member(
-      String host, String site, String kind, int block, double share, CacheServerSpec shape) {}
+      String host, String site, String kind, int block, double share, CacheServerSpec spec) {}
 
-  /** Surroundings in which all is well and everybody is warm. */
+  /** Creates a fleet without faults whose cache servers are warm. */
   public EmulatedFleet(
-      EventScheduler scheduler,
-      Shape shape,
-      RandomSources randomSources,
-      HistoryRecorder recorder) {
+      EventScheduler scheduler, Spec spec, RandomSources randomSources, HistoryRecorder recorder) {
     this.scheduler = scheduler;
-    this.shape = shape;
+    this.spec = spec;
     this.recorder = recorder;
     this.randomSources = randomSources;
-    this.origin = new OriginModel(scheduler, shape.origin(), randomSources.of("origin"), recorder);
+    this.origin = new OriginModel(scheduler, spec.origin(), randomSources.of("origin"), recorder);
     this.discovery = new DiscoveryModel(scheduler, recorder);
     this.sharedParts =
-        new CacheServerModel.Site(
-            scheduler, origin, new DeduplicationLog(), shape.works(), recorder, this::invalidate);
-    for (int place = 0; place < shape.fleet().size(); place++) {
-      servers.add(start(place, shape.fleet().get(place).host(), 0));
-      discovery.change(servers.get(place).listing(), 0);
+        new CacheServerModel.SharedParts(
+            scheduler,
+            origin,
+            new DeduplicationLog(),
+            spec.workCosts(),
+            recorder,
+            this::invalidate);
+    for (int index = 0; index < spec.members().size(); index++) {
+      servers.add(start(index, spec.members().get(index).host(), 0));
+      discovery.change(servers.get(index).listing(), 0);
     }
   }
 
-  /** Who wants to know of every change of a place's process or condition. */
-  public void onChange(IntConsumer placeChanged) {
-    changeListener = placeChanged;
+  /** Sets the listener that receives the index of a cache server whose process or faults change. */
+  public void onServerChange(IntConsumer listener) {
+    serverChangeListener = listener;
   }
 
-  private CacheServerModel start(int place, String host, long born) {
-    Member member = shape.fleet().get(place);
+  private CacheServerModel start(int index, String host, long startedAtNanos) {
+    Member member = spec.members().get(index);
     EndpointListing listing =
         new EndpointListing(
             host,
-            place,
+            index,
             member.site(),
             member.kind(),
             member.block(),
             EndpointListing.Health.READY,
             member.share(),
-            born);
+            startedAtNanos);
     return new CacheServerModel(
-        sharedParts, listing, member.shape(), randomSources.of(host + " " + ++starts));
+        sharedParts, listing, member.spec(), randomSources.of(host + " " + ++startCount));
   }
 
   private void invalidate(String key) {
-    servers.forEach(cache -> cache.invalidate(key));
+    servers.forEach(server -> server.invalidate(key));
   }
 
   /**
-   * Begins a fault at a place; {@code amount} is a factor, a part, or nanoseconds, as the kind has
-   * it.
+   * Starts a fault of a cache server.
+   *
+   * @param amount a factor, a share or nanoseconds, depending on the kind
    */
-  public void begin(Fault.Kind kind, int place, double amount) {
-    CacheServerModel cache = servers.get(place);
+  public void startFault(Fault.Kind kind, int index, double amount) {
+    CacheServerModel server = servers.get(index);
     switch (kind) {
       case KILL, REPLACE -> {
-        kill(cache);
+        kill(server);
       }
       case DRAIN -> {
-        discovery.change(cache.listing().with(EndpointListing.Health.DRAINING), shape.lag());
+        discovery.change(
+            server.listing().withHealth(EndpointListing.Health.DRAINING), spec.discoveryLagNanos());
         scheduler.in(
-            shape.lag() + shape.grace(),
+            spec.discoveryLagNanos() + spec.drainGraceNanos(),
             () -> {
-              if (listedDraining(cache)) {
-                cache.set(kind, 1);
+              if (listedDraining(server)) {
+                server.setFault(kind, 1);
               }
             });
       }
       case DRAIN_LATE -> {
-        cache.set(kind, 1);
-        discovery.change(cache.listing().with(EndpointListing.Health.DRAINING), (long) amount);
+        server.setFault(kind, 1);
+        discovery.change(
+            server.listing().withHealth(EndpointListing.Health.DRAINING), (long) amount);
       }
-      case UNLIST -> discovery.change(cache.listing().with(EndpointListing.Health.GONE), 0);
-      default -> cache.set(kind, amount == 0 ? 1 : amount);
+      case UNLIST -> discovery.change(server.listing().withHealth(EndpointListing.Health.GONE), 0);
+      default -> server.setFault(kind, amount == 0 ? 1 : amount);
     }
-    changeListener.accept(place);
+    serverChangeListener.accept(index);
   }
 
-  /** Ends a fault at a place. */
-  public void end(Fault.Kind kind, int place) {
-    CacheServerModel cache = servers.get(place);
+  /** Stops a fault of a cache server. */
+  public void endFault(Fault.Kind kind, int index) {
+    CacheServerModel server = servers.get(index);
     switch (kind) {
-      case KILL -> restart(place, cache.listing().host());
-      case REPLACE -> restart(place, nextName(cache.listing().host()));
+      case KILL -> restart(index, server.listing().host());
+      case REPLACE -> restart(index, successorName(server.listing().host()));
       case DRAIN, DRAIN_LATE -> {
-        cache.set(kind, 0);
-        discovery.change(cache.listing(), 0);
+        server.setFault(kind, 0);
+        discovery.change(server.listing(), 0);
       }
-      case UNLIST -> discovery.change(cache.listing(), 0);
-      default -> cache.set(kind, 0);
+      case UNLIST -> discovery.change(server.listing(), 0);
+      default -> server.setFault(kind, 0);
     }
-    changeListener.accept(place);
+    serverChangeListener.accept(index);
   }
 
-  private boolean listedDraining(CacheServerModel cache) {
-    EndpointListing listed = discovery.listed(cache.listing().host());
+  private boolean listedDraining(CacheServerModel server) {
+    EndpointListing listed = discovery.listing(server.listing().host());
     return listed != null && listed.health() == EndpointListing.Health.DRAINING;
   }
 
-  private void kill(CacheServerModel cache) {
-    if (!cache.dead()) {
-      cache.die();
-      recorder.down(scheduler.now(), cache.listing().host());
+  private void kill(CacheServerModel server) {
+    if (!server.dead()) {
+      server.die();
+      recorder.serverStopped(scheduler.now(), server.listing().host());
     }
-    discovery.change(cache.listing().with(EndpointListing.Health.GONE), shape.lag());
+    discovery.change(
+        server.listing().withHealth(EndpointListing.Health.GONE), spec.discoveryLagNanos());
   }
 
-  private void restart(int place, String host) {
-    CacheServerModel fresh = start(place, host, scheduler.now());
-    servers.set(place, fresh);
-    discovery.change(fresh.listing(), shape.lag());
+  private void restart(int index, String host) {
+    CacheServerModel restarted = start(index, host, scheduler.now());
+    servers.set(index, restarted);
+    discovery.change(restarted.listing(), spec.discoveryLagNanos());
   }
 
-  private static String nextName(String host) {
+  private static String successorName(String host) {
     int dash = host.lastIndexOf('-');
     boolean successor = dash > 0 && host.substring(dash + 1).matches("[0-9]+");
     int number = successor ? Integer.parseInt(host.substring(dash + 1)) : 1;
     return (successor ? host.substring(0, dash) : host) + "-" + (number + 1);
   }
 
-  /** Begins a fault of the origin or of discovery. */
-  public void begin(Fault.Kind kind, double amount) {
+  /** Starts a fault of the origin or of discovery. */
+  public void startFault(Fault.Kind kind, double amount) {
     switch (kind) {
-      case ORIGIN_SLOW -> origin.slow(amount);
-      case ORIGIN_STOP -> origin.stop(true);
-      case DISCOVERY_OUT -> discovery.unavailable(true);
-      case DISCOVERY_SLOW -> discovery.slow((long) amount);
-      case DISCOVERY_BACK -> discovery.lagNanos((long) amount);
+      case ORIGIN_SLOW -> origin.setSlowdown(amount);
+      case ORIGIN_STOP -> origin.setStopped(true);
+      case DISCOVERY_OUT -> discovery.setUnavailable(true);
+      case DISCOVERY_SLOW -> discovery.setDelayNanos((long) amount);
+      case DISCOVERY_BACK -> discovery.setLagNanos((long) amount);
       default -> throw new IllegalArgumentException(kind + " needs a cache server or a router");
     }
   }
 
-  /** Ends a fault of the origin or of discovery. */
-  public void end(Fault.Kind kind) {
+  /** Stops a fault of the origin or of discovery. */
+  public void endFault(Fault.Kind kind) {
     switch (kind) {
-      case ORIGIN_SLOW -> origin.slow(1);
-      case ORIGIN_STOP -> origin.stop(false);
-      case DISCOVERY_OUT -> discovery.unavailable(false);
-      case DISCOVERY_SLOW -> discovery.slow(0);
-      case DISCOVERY_BACK -> discovery.lagNanos(0);
+      case ORIGIN_SLOW -> origin.setSlowdown(1);
+      case ORIGIN_STOP -> origin.setStopped(false);
+      case DISCOVERY_OUT -> discovery.setUnavailable(false);
+      case DISCOVERY_SLOW -> discovery.setDelayNanos(0);
+      case DISCOVERY_BACK -> discovery.setLagNanos(0);
       default -> throw new IllegalArgumentException(kind + " needs a cache server or a router");
     }
   }
 
-  /** Ends all that is wrong with anybody; dead processes start again. */
+  /** Stops all faults of the fleet and restarts dead cache servers. */
   public void recoverAll() {
-    for (int place = 0; place < servers.size(); place++) {
-      recover(place);
+    for (int index = 0; index < servers.size(); index++) {
+      recover(index);
     }
     for (Fault.Kind kind : Fault.Kind.values()) {
       if (kind.target() == Fault.Target.ORIGIN || kind.target() == Fault.Target.DISCOVERY) {
-        end(kind);
+        endFault(kind);
       }
     }
   }
 
-  /** Ends all that is wrong at a place; a dead process starts again, cold. */
-  public void recover(int place) {
-    CacheServerModel cache = servers.get(place);
-    if (cache.dead()) {
-      restart(place, cache.listing().host());
+  /** Stops all faults of a cache server; a dead one is restarted, cold. */
+  public void recover(int index) {
+    CacheServerModel server = servers.get(index);
+    if (server.dead()) {
+      restart(index, server.listing().host());
     } else {
-      boolean listed = discovery.listed(cache.listing().host()) != null && !listedDraining(cache);
-      cache.recover();
+      boolean listed =
+          discovery.listing(server.listing().host()) != null && !listedDraining(server);
+      server.clearFaults();
       if (!listed) {
-        discovery.change(cache.listing(), 0);
+        discovery.change(server.listing(), 0);
       }
     }
-    changeListener.accept(place);
+    serverChangeListener.accept(index);
   }
 
-  /** The process at the place, perhaps dead. */
-  public CacheServerModel at(int place) {
-    return servers.get(place);
+  /** Returns the current process of a cache server, which may be dead. */
+  public CacheServerModel server(int index) {
+    return servers.get(index);
   }
 
-  /** How many places there are. */
-  public int places() {
+  /** Returns the number of cache servers. */
+  public int serverCount() {
     return servers.size();
   }
 
-  /** Where the process of that name stands; -1 if nowhere. */
-  public int placeOf(String host) {
-    for (int place = 0; place < servers.size(); place++) {
-      if (servers.get(place).listing().host().equals(host)) {
-        return place;
+  /** Returns the index of the process with that name, or -1 if there is none. */
+  public int indexOf(String host) {
+    for (int index = 0; index < servers.size(); index++) {
+      if (servers.get(index).listing().host().equals(host)) {
+        return index;
       }
     }
     return -1;
   }
 
-  /** The number of the next command that a front reads. */
+  /** Returns a new command number, counted from 1. */
   public long nextCommand() {
-    return ++commands;
+    return ++lastCommand;
   }
 
-  /** The origin. */
+  /** Returns the origin. */
   public OriginModel origin() {
     return origin;
   }
 
-  /** Discovery. */
+  /** Returns the discovery service. */
   public DiscoveryModel discovery() {
     return discovery;
   }
 
-  /** The clock of it all. */
+  /** Returns the clock and scheduler of all models of the fleet. */
   public EventScheduler scheduler() {
     return scheduler;
   }
 
-  /** Who is told of everything. */
+  /** Returns the recorder that receives all events. */
   public HistoryRecorder recorder() {
     return recorder;
   }
--- a/src/main/java/beaconturn/zones/PlanDraft.java
+++ b/src/main/java/beaconturn/zones/PlanDraft.java
@@ -52,8 +52,7 @@
   boolean isDrained(String zone) {
     return overrides.stream()
         .anyMatch(
-            override ->
-                override.zone().equals(zone) && override.kind() == ZoneOverrideKind.DRAIN);
+            override -> override.zone().equals(zone) && override.kind() == ZoneOverrideKind.DRAIN);
   }
 
   ZoneState stateOf(String zone) {
--- a/src/main/java/beaconturn/zones/ZonesCodec.java
+++ b/src/main/java/beaconturn/zones/ZonesCodec.java
@@ -152,7 +152,8 @@
     }
     ZoneAllocation allocation = new ZoneAllocation(weights);
     if (weights.isEmpty() || allocation.totalWeight() > ZoneAllocation.TOTAL_WEIGHT) {
-      throw new AgreementException("the allocation of zone '"
+      throw new AgreementException(
+          "the allocation of zone '"
               + zone
               + "' is empty or its total weight exceeds "
               + ZoneAllocation.TOTAL_WEIGHT);
--- a/src/test/java/beaconturn/agreement/AgreementMemberTest.java
+++ b/src/test/java/beaconturn/agreement/AgreementMemberTest.java
@@ -274,7 +274,7 @@
     assertTrue(fleet.settlesWithin(propose(fleet, "c1"), 10 * SECOND_NANOS));
     assertTrue(fleet.settlesWithin(propose(fleet, "c2"), 10 * SECOND_NANOS));
     if (replacement.equals("empty")) {
-      fleet.store.empty(8);
+      fleet.store.replaceWithEmpty(8);
       fleet.admin().begin("second");
     } else {
       fleet.store.rewind(30);
--- a/src/test/java/beaconturn/agreement/StoreModelClient.java
+++ b/src/test/java/beaconturn/agreement/StoreModelClient.java
@@ -21,7 +21,7 @@
               p ->
                   entries.add(
                       new StoreResponse.Entry(
-                          p.key(), p.value(), p.made(), p.changed(), p.lease())));
+                          p.key(), p.value(), p.createRevision(), p.modRevision(), p.lease())));
     } else if (request instanceof StoreRequest.Grant grant) {
       leaseId = store.grant(grant.ttlSeconds());
       ttlSeconds = grant.ttlSeconds();
@@ -32,7 +32,7 @@
     } else if (request instanceof StoreRequest.Transaction transaction) {
       try {
         conditionsHeld =
-            store.swap(
+            store.transact(
                 transaction.conditions().stream().map(StoreModelClient::compare).toList(),
                 transaction.changes().stream().map(StoreModelClient::change).toList());
       } catch (IllegalArgumentException e) {
@@ -41,16 +41,16 @@
     }
     return new StoreResponse.Success(
         conditionsHeld,
-        Long.toString(store.cluster()),
+        Long.toString(store.clusterId()),
         store.revision(),
         entries,
         leaseId,
         ttlSeconds);
   }
 
-  private static StoreModel.Compare compare(StoreRequest.Condition condition) {
+  private static StoreModel.Condition compare(StoreRequest.Condition condition) {
     if (condition instanceof StoreRequest.Condition.Unchanged unchanged) {
-      return new StoreModel.Compare(
+      return new StoreModel.Condition(
           unchanged.key(),
           "",
           StoreModel.Target.MOD,
@@ -58,12 +58,12 @@
           unchanged.modRevision());
     }
     if (condition instanceof StoreRequest.Condition.Exists exists) {
-      return new StoreModel.Compare(
+      return new StoreModel.Condition(
           exists.key(), "", StoreModel.Target.CREATE, StoreModel.Result.GREATER, 0);
     }
     StoreRequest.Condition.NoneModifiedAfter noneAfter =
         (StoreRequest.Condition.NoneModifiedAfter) condition;
-    return new StoreModel.Compare(
+    return new StoreModel.Condition(
         noneAfter.prefix(),
         end(noneAfter.prefix()),
         StoreModel.Target.MOD,
--- a/src/test/java/beaconturn/rehearsal/BrokenRoutersTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveRouterRehearsalTest.java
@@ -18,11 +18,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * An account that cannot fail is worthless: each defect that is put into a router must break its
- * rule.
+ * Each defect of a router has to violate its invariant; a check that cannot fail proves nothing.
  */
-class BrokenRoutersTest {
-  private static final String DAY =
+class DefectiveRouterRehearsalTest {
+  private static final String SCENARIO =
       """
         length = "3s"
         [fleet]
@@ -63,9 +62,7 @@
         to = "600ms"
         """;
 
-  /**
-   * Beside the usual clients others, which send several commands at once and wrong ones among them.
-   */
+  /** Additional clients that pipeline commands, some of them invalid. */
   private static final String PIPELINES =
       """
         [[class]]
@@ -76,7 +73,7 @@
         wrong = 0.2
         """;
 
-  /** Beside the usual clients others, which write in pieces. */
+  /** Additional clients that write commands in pieces. */
   private static final String PIECES =
       """
         [[clients]]
@@ -86,20 +83,24 @@
 
   @TempDir private Path folder;
 
-  private void play(FaultyRouter.Defect defect, String fault, Consumer<List<String>> broken)
+  private void runWithDefect(
+      FaultyRouter.Defect defect, String scenarioPart, Consumer<List<String>> violated)
       throws Exception {
-    Path below = Files.createDirectory(folder.resolve(defect.name()));
-    Plays.of(
-        DAY + fault,
+    Path parentFolder = Files.createDirectory(folder.resolve(defect.name()));
+    RehearsalTestRunner.runScenario(
+        SCENARIO + scenarioPart,
         launcher(defect),
-        below,
+        parentFolder,
         (report, logs) -> {
           assertTrue(
-              report.classes().stream().mapToLong(ClientStatistics.Line::served).sum() > 100,
+              report.classSummaries().stream()
+                      .mapToLong(ClientStatistics.ClassSummary::served)
+                      .sum()
+                  > 100,
               report.text());
-          broken.accept(
-              report.verdicts().stream()
-                  .filter(v -> !v.held())
+          violated.accept(
+              report.results().stream()
+                  .filter(result -> !result.held())
                   .map(InvariantResult::invariant)
                   .toList());
         });
@@ -116,10 +117,10 @@
     "CLOSES_ON_REJECTION, one-answer, pipelines",
     "CLOSES_ON_PARTIAL_COMMAND, one-answer, pieces"
   })
-  void theDefectIsNamedAndTheSameDayWithoutItBreaksNothing(
-      FaultyRouter.Defect defect, String rule, String day) throws Exception {
-    String fault =
-        switch (day) {
+  void defectViolatesItsInvariantAndNoDefectViolatesNone(
+      FaultyRouter.Defect defect, String invariant, String partName) throws Exception {
+    String scenarioPart =
+        switch (partName) {
           case "resets" -> RESETS;
           case "drain" -> DRAIN;
           case "restart" -> RESTART;
@@ -127,24 +128,29 @@
           case "pieces" -> PIECES;
           default -> "";
         };
-    play(defect, fault, broken -> assertTrue(broken.contains(rule), defect + " broke " + broken));
-    if (!fault.isEmpty() || defect == FaultyRouter.Defect.LOSES_REQUESTS) {
-      play(FaultyRouter.Defect.NONE, fault, broken -> assertEquals(List.of(), broken));
+    runWithDefect(
+        defect,
+        scenarioPart,
+        violated -> assertTrue(violated.contains(invariant), defect + " violated " + violated));
+    if (!scenarioPart.isEmpty() || defect == FaultyRouter.Defect.LOSES_REQUESTS) {
+      runWithDefect(
+          FaultyRouter.Defect.NONE, scenarioPart, violated -> assertEquals(List.of(), violated));
     }
   }
 
   @Test
-  void aRouterOfThisProcessCannotBeKilled() throws Exception {
+  void embeddedRouterCannotBeKilled() throws Exception {
     Scenario scenario =
         ScenarioReader.read("day.toml", "[[fault]]\nkind = \"router-kill\"\n", null);
     RouterLauncher launcher = launcher(FaultyRouter.Defect.NONE);
-    IOException e =
+    IOException exception =
         assertThrows(
-            IOException.class, () -> new Rehearsal(scenario, launcher, folder, text -> {}).play());
-    assertEquals("router-kill needs routers that are processes of their own", e.getMessage());
+            IOException.class, () -> new Rehearsal(scenario, launcher, folder, text -> {}).run());
+    assertEquals(
+        "router-kill needs routers that are processes of their own", exception.getMessage());
   }
 
-  /** Routers of this process with one defect. */
+  /** Returns a launcher of routers in this process with one defect. */
   private static RouterLauncher launcher(FaultyRouter.Defect defect) {
     return new EmbeddedLauncher(config -> FaultyRouter.of(defect, config));
   }
--- a/src/test/java/beaconturn/release/CanaryComparisonTest.java
+++ b/src/test/java/beaconturn/release/CanaryComparisonTest.java
@@ -92,8 +92,7 @@
         CanaryVerdict.Outcome.REGRESSED,
         fewResponses.verdict(true, ComparisonMode.CHECK).outcome());
     assertEquals(
-        CanaryVerdict.Outcome.PENDING,
-        fewResponses.verdict(true, ComparisonMode.WATCH).outcome());
+        CanaryVerdict.Outcome.PENDING, fewResponses.verdict(true, ComparisonMode.WATCH).outcome());
     CanaryComparison moreResponses =
         new CanaryComparison(
             PLAN, sample("good=40 hits=16 misses=24"), sample("good=420 hits=340 misses=80"), 13);
@@ -164,8 +163,7 @@
         "1 | good=5 | "
       })
   void rejectsPlansThatWouldOverloadAZone(
-      int toleratedFailures, String sampleText, String blockingReason)
-      throws AgreementException {
+      int toleratedFailures, String sampleText, String blockingReason) throws AgreementException {
     InMemoryStore store = store(new ReleaseFleet.Capacity(0, 0, toleratedFailures));
     reportFromAll(store, sampleText);
     assertEquals(blockingReason, RolloutAdmin.blockingReason(PLAN, store.snapshot()));
--- a/src/test/java/beaconturn/release/ConfigRolloutTest.java
+++ b/src/test/java/beaconturn/release/ConfigRolloutTest.java
@@ -36,8 +36,7 @@
     long drained =
         configAdmin.propose(
             current ->
-                new ConfigContent(
-                    current.classes(), 3, null, 0, new TreeSet<>(List.of("c1"))),
+                new ConfigContent(current.classes(), 3, null, 0, new TreeSet<>(List.of("c1"))),
             "op",
             "drained",
             0);
--- a/src/test/java/beaconturn/release/InMemoryStore.java
+++ b/src/test/java/beaconturn/release/InMemoryStore.java
@@ -150,8 +150,7 @@
   }
 
   /** Starts a release without a soak. */
-  InMemoryStore startRelease(int minResponses, List<List<String>> waves)
-      throws AgreementException {
+  InMemoryStore startRelease(int minResponses, List<List<String>> waves) throws AgreementException {
     admin()
         .start(
             new RolloutPlan(
--- a/src/test/java/beaconturn/release/RolloutDriverTest.java
+++ b/src/test/java/beaconturn/release/RolloutDriverTest.java
@@ -481,8 +481,7 @@
     assertEquals(
         "there is no router 'r9' in the fleet",
         assertThrows(
-                AgreementException.class,
-                () -> withBudget.startRelease(0, List.of(List.of("r9"))))
+                AgreementException.class, () -> withBudget.startRelease(0, List.of(List.of("r9"))))
             .getMessage());
     withBudget.startRelease(0, WAVES);
     assertEquals(
