--- a/src/main/java/beaconturn/net/client/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -150,6 +150,6 @@
 
   @Override
   public void fail() {
-    complete(RequestEnd.FAILED, RespWriter.error("ERR fail"));
+    complete(RequestEnd.FAILED, RespWriter.error("ERR failed"));
   }
 }
