--- a/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
+++ b/src/main/java/beaconturn/rehearsal/ScenarioPrinter.java
@@ -32,20 +32,7 @@
     printer.header("[discovery]").line("lag", duration(scenario.listLagNanos()));
     printer.printRoutingSettings(scenario.routingSettings());
     scenario.requestClasses().forEach(printer::printRequestClass);
-    for (Scenario.RouterSpec router : scenario.routers()) {
-      printer
-          .header("[[router]]")
-          .line("name", quoted(router.name()))
-          .line("memory_mb", router.memoryMb())
-          .line("sockets", router.maxSockets())
-          .line("site", quoted(router.site()))
-          .line("lacks", quotedList(router.unknownClasses()));
-      if (router.clockOffsetNanos() != 0) {
-        printer.line(
-            router.clockOffsetNanos() > 0 ? "clock_fast" : "clock_slow",
-            duration(Math.abs(router.clockOffsetNanos())));
-      }
-    }
+    scenario.routers().forEach(printer::printRouter);
     scenario.clientStreams().forEach(printer::printClientStream);
     scenario.faults().forEach(printer::printFault);
     if (scenario.agreement() != null) {
@@ -167,6 +154,20 @@
         .line("scope", quoted(requestClass.deduplicationScope()));
   }
 
+  private void printRouter(Scenario.RouterSpec router) {
+    header("[[router]]")
+        .line("name", quoted(router.name()))
+        .line("memory_mb", router.memoryMb())
+        .line("sockets", router.maxSockets())
+        .line("site", quoted(router.site()))
+        .line("lacks", quotedList(router.unknownClasses()));
+    if (router.clockOffsetNanos() != 0) {
+      line(
+          router.clockOffsetNanos() > 0 ? "clock_fast" : "clock_slow",
+          duration(Math.abs(router.clockOffsetNanos())));
+    }
+  }
+
   private void printClientStream(Scenario.ClientStream stream) {
     header("[[clients]]")
         .line("rate", stream.requestsPerSecond())
--- a/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
+++ b/src/test/java/beaconturn/rehearsal/ScenarioReaderTest.java
@@ -47,12 +47,7 @@
       releaseScenario.faults().forEach(fault -> generated.add("of release " + fault.kind().word()));
       releaseScenario.operatorCommands().forEach(spec -> generated.add(spec.command()));
       Scenario versionScenario = RandomScenario.generate(RandomScenario.Kind.VERSIONS, seed, 5);
-      for (int i = 1; i < versionScenario.versions().size(); i++) {
-        // Versions that exclude disjoint sets of servers contradict each other.
-        assertTrue(
-            versionScenario.versions().get(i - 1).excludedServers().stream()
-                .noneMatch(versionScenario.versions().get(i).excludedServers()::contains));
-      }
+      assertConsecutiveVersionsExcludeDisjointServers(versionScenario);
       versionScenario.faults().forEach(fault -> generated.add(fault.kind().word()));
       RandomScenario.generate(RandomScenario.Kind.PLACES, seed, 5)
           .faults()
@@ -90,6 +85,15 @@
         generated.toString());
   }
 
+  /** Versions that exclude disjoint sets of servers contradict each other. */
+  private static void assertConsecutiveVersionsExcludeDisjointServers(Scenario scenario) {
+    for (int i = 1; i < scenario.versions().size(); i++) {
+      assertTrue(
+          scenario.versions().get(i - 1).excludedServers().stream()
+              .noneMatch(scenario.versions().get(i).excludedServers()::contains));
+    }
+  }
+
   @Test
   void emptyFileYieldsDefaultScenario() throws TomlException {
     Scenario scenario = read("");
