--- a/src/main/java/beaconturn/agreement/ConfigCodec.java
+++ b/src/main/java/beaconturn/agreement/ConfigCodec.java
@@ -58,10 +58,10 @@
         ConfigVersion.of(
             StoredJson.wholeNumber(json, "number", 1, Long.MAX_VALUE),
             decodeContent(json.get("content")),
-            json.get("author").word(""),
-            json.get("reason").word(""),
+            json.get("author").asText(""),
+            json.get("reason").asText(""),
             StoredJson.wholeNumber(json, "at_ms", 0, Long.MAX_VALUE));
-    String digest = json.get("digest").word("");
+    String digest = json.get("digest").asText("");
     if (!digest.equals(version.digest())) {
       throw new AgreementException(
           "version "
@@ -151,7 +151,7 @@
       }
     }
     SortedSet<String> excluded = new TreeSet<>();
-    json.get("out").items().forEach(server -> excluded.add(server.word("")));
+    json.get("out").items().forEach(server -> excluded.add(server.asText("")));
     return new ConfigContent(
         classes,
         decodeMaxAttempts(json),
@@ -186,7 +186,7 @@
     if (!isPresent(json, "effect")) {
       return null;
     }
-    String word = json.get("effect").word("");
+    String word = json.get("effect").asText("");
     ClassIdempotency idempotency = IdempotencyCodec.decode(word);
     if (idempotency == null) {
       throw new AgreementException("class " + name + ": unknown effect '" + word + "'");
--- a/src/main/java/beaconturn/agreement/EndpointView.java
+++ b/src/main/java/beaconturn/agreement/EndpointView.java
@@ -42,11 +42,11 @@
     SortedMap<String, Long> usable = new TreeMap<>();
     for (Json server : json.get("in").items()) {
       long started = StoredJson.wholeNumber(server, "started", 0, Long.MAX_VALUE);
-      usable.put(server.get("id").word(""), started);
+      usable.put(server.get("id").asText(""), started);
     }
     SortedMap<String, String> unusable = new TreeMap<>();
     for (Json server : json.get("out").items()) {
-      unusable.put(server.get("id").word(""), server.get("why").word(""));
+      unusable.put(server.get("id").asText(""), server.get("why").asText(""));
     }
     return new EndpointView(usable, unusable);
   }
--- a/src/main/java/beaconturn/agreement/MemberRecord.java
+++ b/src/main/java/beaconturn/agreement/MemberRecord.java
@@ -45,11 +45,11 @@
   public static MemberRecord decode(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
     return new MemberRecord(
-        json.get("name").word(""),
-        json.get("incarnation").word(""),
+        json.get("name").asText(""),
+        json.get("incarnation").asText(""),
         StoredJson.wholeNumber(json, "yes", 0, Long.MAX_VALUE),
         StoredJson.wholeNumber(json, "no", 0, Long.MAX_VALUE),
-        json.get("why").word(""),
+        json.get("why").asText(""),
         StoredJson.wholeNumber(json, "acts", 0, Long.MAX_VALUE));
   }
 }
--- a/src/main/java/beaconturn/agreement/PersistedConfig.java
+++ b/src/main/java/beaconturn/agreement/PersistedConfig.java
@@ -60,13 +60,13 @@
    */
   public static PersistedConfig decode(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
-    String acting = json.get("acting").word(null);
-    String acked = json.get("next").word(null);
+    String acting = json.get("acting").asText(null);
+    String acked = json.get("next").asText(null);
     return new PersistedConfig(
-        json.get("identity").word(""),
-        json.get("cluster").word(""),
+        json.get("identity").asText(""),
+        json.get("cluster").asText(""),
         StoredJson.wholeNumber(json, "revision", 0, Long.MAX_VALUE),
-        json.get("joined").word("false").equals("true"),
+        json.get("joined").asText("false").equals("true"),
         acting == null ? ConfigVersion.NONE : ConfigCodec.decodeVersion(acting),
         acked == null ? null : ConfigCodec.decodeVersion(acked));
   }
--- a/src/main/java/beaconturn/agreement/StoredJson.java
+++ b/src/main/java/beaconturn/agreement/StoredJson.java
@@ -68,7 +68,7 @@
    */
   public static long wholeNumber(Json json, String name, long min, long max)
       throws AgreementException {
-    String word = json.get(name).word("");
+    String word = json.get(name).asText("");
     boolean fitsLong = word.matches("[0-9]{1,18}|[0-8][0-9]{18}");
     if (!fitsLong || Long.parseLong(word) < min || Long.parseLong(word) > max) {
       throw new AgreementException(
--- a/src/main/java/beaconturn/net/RouterConfigReader.java
+++ b/src/main/java/beaconturn/net/RouterConfigReader.java
@@ -56,7 +56,7 @@
         overridable(json, "name", "router", variables, "PROXY_NAME"),
         address("listen", overridable(json, "listen", "", variables, "PROXY_LISTEN")),
         address("discovery", overridable(json, "discovery", "", variables, "PROXY_DISCOVERY")),
-        seed(json.get("seed").word("0")),
+        seed(json.get("seed").asText("0")),
         descriptors,
         limit(json, "memory_mb", DEFAULT_MEMORY_MB) / processes,
         new EndpointListParser(settings).readInitial(json.get("known")),
@@ -67,7 +67,7 @@
 
   private static String overridable(
       Json json, String key, String fallback, Map<String, String> variables, String variable) {
-    return variables.getOrDefault(variable, json.get(key).word(fallback));
+    return variables.getOrDefault(variable, json.get(key).asText(fallback));
   }
 
   private static int descriptors(Json json, int processes) {
@@ -97,7 +97,7 @@
   }
 
   private static int limit(Json json, String name, int fallback) {
-    String digits = json.get("limits").get(name).word(Integer.toString(fallback));
+    String digits = json.get("limits").get(name).asText(Integer.toString(fallback));
     if (!digits.matches("[0-9]{1,9}")) {
       throw new IllegalArgumentException(
           "limits." + name + ": not a whole number: '" + digits + "'");
@@ -137,15 +137,15 @@
       members.values().forEach((name, value) -> flatten(prefix + name, value, into));
     } else if (json instanceof Json.Items) {
       flattenItems(path, prefix, json.items(), into);
-    } else if (json.word(null) != null) {
-      into.put(path, json.word(null));
+    } else if (json.asText(null) != null) {
+      into.put(path, json.asText(null));
     }
   }
 
   private static void flattenItems(
       String path, String prefix, List<Json> items, Map<String, String> into) {
     if (!items.isEmpty() && items.stream().allMatch(RouterConfigReader::isPlain)) {
-      into.put(path, String.join(",", items.stream().map(item -> item.word("")).toList()));
+      into.put(path, String.join(",", items.stream().map(item -> item.asText("")).toList()));
     }
     into.put(prefix + "count", Integer.toString(items.size()));
     for (int i = 0; i < items.size(); i++) {
--- a/src/main/java/beaconturn/net/agreement/EtcdCodec.java
+++ b/src/main/java/beaconturn/net/agreement/EtcdCodec.java
@@ -133,8 +133,8 @@
               wholeNumber(kv.get("lease"))));
     }
     return new StoreResponse.Success(
-        result.get("succeeded").word("false").equals("true"),
-        header.get("cluster_id").word(""),
+        result.get("succeeded").asText("false").equals("true"),
+        header.get("cluster_id").asText(""),
         wholeNumber(header.get("revision")),
         List.copyOf(entries),
         wholeNumber(result.get("ID")),
@@ -142,7 +142,7 @@
   }
 
   private static long wholeNumber(Json json) {
-    return Long.parseLong(json.word("0"));
+    return Long.parseLong(json.asText("0"));
   }
 
   private static Json bytes(String text) {
@@ -151,9 +151,9 @@
 
   private static String text(Json json) throws ProtocolException {
     try {
-      return new String(Base64.getDecoder().decode(json.word("")), StandardCharsets.UTF_8);
+      return new String(Base64.getDecoder().decode(json.asText("")), StandardCharsets.UTF_8);
     } catch (IllegalArgumentException e) {
-      throw new ProtocolException("store response: not valid Base64: " + json.word(""));
+      throw new ProtocolException("store response: not valid Base64: " + json.asText(""));
     }
   }
 
--- a/src/main/java/beaconturn/net/agreement/StoreClient.java
+++ b/src/main/java/beaconturn/net/agreement/StoreClient.java
@@ -89,7 +89,7 @@
     }
     Json json = JsonReader.read(response.body());
     if (response.status() != STATUS_OK) {
-      String message = json.get("message").word(json.get("error").word(""));
+      String message = json.get("message").asText(json.get("error").asText(""));
       throw new IOException("store replied with HTTP status " + response.status() + ": " + message);
     }
     return json;
--- a/src/main/java/beaconturn/net/discovery/EndpointListParser.java
+++ b/src/main/java/beaconturn/net/discovery/EndpointListParser.java
@@ -32,7 +32,7 @@
    * @throws ProtocolException if the response contains no list
    */
   EndpointUpdate read(Json response) throws ProtocolException {
-    boolean complete = response.get("whole").word("false").equals("true");
+    boolean complete = response.get("whole").asText("false").equals("true");
     return read(response, complete ? EndpointListKind.FULL : EndpointListKind.DELTA);
   }
 
@@ -62,9 +62,9 @@
   }
 
   private EndpointUpdate.AddressedEndpoint member(Json entry) throws ProtocolException {
-    String host = entry.get("host").word("");
-    EndpointHealth health = health(entry.get("health").word(""));
-    String dial = entry.get("dial").word("");
+    String host = entry.get("host").asText("");
+    EndpointHealth health = health(entry.get("health").asText(""));
+    String dial = entry.get("dial").asText("");
     if (host.isEmpty()) {
       throw new ProtocolException("entry without a host");
     }
@@ -78,8 +78,8 @@
       throws ProtocolException {
     return new Endpoint(
         Fnv1a.of(host),
-        settings.zones().indexOf(entry.get("site").word("")),
-        settings.kinds().indexOf(entry.get("class").word("")),
+        settings.zones().indexOf(entry.get("site").asText("")),
+        settings.kinds().indexOf(entry.get("class").asText("")),
         (int) number(entry, "block", 0),
         health,
         number(entry, "share", DEFAULT_RATING),
@@ -105,7 +105,7 @@
 
   private static double number(Json object, String name, double fallback) throws ProtocolException {
     try {
-      return Double.parseDouble(object.get(name).word(Double.toString(fallback)));
+      return Double.parseDouble(object.get(name).asText(Double.toString(fallback)));
     } catch (NumberFormatException e) {
       throw new ProtocolException(name + " is not a number");
     }
--- a/src/main/java/beaconturn/protocol/Json.java
+++ b/src/main/java/beaconturn/protocol/Json.java
@@ -33,8 +33,8 @@
     return this instanceof Items array ? array.values() : List.of();
   }
 
-  /** A string, number or boolean as text; the fallback for any other value. */
-  default String word(String fallback) {
+  /** Returns a string, number or boolean as text; the fallback for any other value. */
+  default String asText(String fallback) {
     if (this instanceof Text text) {
       return text.value();
     }
--- a/src/main/java/beaconturn/protocol/JsonWriter.java
+++ b/src/main/java/beaconturn/protocol/JsonWriter.java
@@ -22,7 +22,7 @@
     } else if (value instanceof Json.Text text) {
       writeString(text.value(), out);
     } else {
-      out.append(value.word("null"));
+      out.append(value.asText("null"));
     }
   }
 
--- a/src/main/java/beaconturn/release/StoredFields.java
+++ b/src/main/java/beaconturn/release/StoredFields.java
@@ -18,16 +18,16 @@
 
   /** Reads a decimal number, which is stored as a string; 0 if missing. */
   static double decimal(Json json, String key) {
-    return Double.parseDouble(json.get(key).word("0"));
+    return Double.parseDouble(json.get(key).asText("0"));
   }
 
   /** Reads a string; empty if missing. */
   static String text(Json json, String key) {
-    return json.get(key).word("");
+    return json.get(key).asText("");
   }
 
   static List<String> texts(Json list) {
-    return list.items().stream().map(item -> item.word("")).toList();
+    return list.items().stream().map(item -> item.asText("")).toList();
   }
 
   /** Reads a configuration content; null if missing. */
--- a/src/main/java/beaconturn/standin/net/StoreSession.java
+++ b/src/main/java/beaconturn/standin/net/StoreSession.java
@@ -119,7 +119,7 @@
   private Json transact(Json body) {
     List<StoreModel.Condition> conditions = new ArrayList<>();
     for (Json condition : body.get("compare").items()) {
-      String target = condition.get("target").word("VERSION");
+      String target = condition.get("target").asText("VERSION");
       String field =
           switch (target) {
             case "CREATE" -> "create_revision";
@@ -131,7 +131,7 @@
               decode(condition.get("key")),
               decode(condition.get("range_end")),
               StoreModel.Target.valueOf(target),
-              StoreModel.Result.valueOf(condition.get("result").word("EQUAL")),
+              StoreModel.Result.valueOf(condition.get("result").asText("EQUAL")),
               number(condition.get(field))));
     }
     List<StoreModel.ModelChange> changes = new ArrayList<>();
@@ -163,7 +163,7 @@
   }
 
   private static String decode(Json json) {
-    return new String(Base64.getDecoder().decode(json.word("")), StandardCharsets.UTF_8);
+    return new String(Base64.getDecoder().decode(json.asText("")), StandardCharsets.UTF_8);
   }
 
   private static Json encode(String text) {
@@ -171,7 +171,7 @@
   }
 
   private static long number(Json json) {
-    return Long.parseLong(json.word("0"));
+    return Long.parseLong(json.asText("0"));
   }
 
   private static Json decimal(long number) {
--- a/src/main/java/beaconturn/zones/ZonesCodec.java
+++ b/src/main/java/beaconturn/zones/ZonesCodec.java
@@ -62,11 +62,11 @@
     Json json = StoredJson.parse(text);
     SortedMap<String, ZoneObservations> zones = new TreeMap<>();
     for (Json zone : json.get("places").items()) {
-      zones.put(zone.get("place").word(""), decodeObservations(zone));
+      zones.put(zone.get("place").asText(""), decodeObservations(zone));
     }
     return new ZoneReport(
-        json.get("router").word(""),
-        json.get("home").word(""),
+        json.get("router").asText(""),
+        json.get("home").asText(""),
         number(json, "number"),
         number(json, "plan"),
         number(json, "arrivals"),
@@ -127,9 +127,9 @@
     SortedMap<String, ZoneState> states = new TreeMap<>();
     SortedMap<String, Integer> flapCounts = new TreeMap<>();
     for (Json row : json.get("rows").items()) {
-      String zone = row.get("place").word("");
+      String zone = row.get("place").asText("");
       allocations.put(zone, decodeAllocation(zone, row));
-      states.put(zone, decodeState(row.get("state").word("")));
+      states.put(zone, decodeState(row.get("state").asText("")));
       int flapCount = (int) StoredJson.wholeNumber(row, "flaps", 0, Integer.MAX_VALUE) - 1;
       if (flapCount > NEVER_FAILED_OVER) {
         flapCounts.put(zone, flapCount);
@@ -140,15 +140,15 @@
         allocations,
         states,
         flapCounts,
-        json.get("why").word(""),
-        json.get("by").word(""));
+        json.get("why").asText(""),
+        json.get("by").asText(""));
   }
 
   private static ZoneAllocation decodeAllocation(String zone, Json row) throws AgreementException {
     Map<String, Integer> weights = new LinkedHashMap<>();
     for (Json part : row.get("parts").items()) {
       long weight = StoredJson.wholeNumber(part, "part", 0, ZoneAllocation.TOTAL_WEIGHT);
-      weights.put(part.get("to").word(""), (int) weight);
+      weights.put(part.get("to").asText(""), (int) weight);
     }
     ZoneAllocation allocation = new ZoneAllocation(weights);
     if (weights.isEmpty() || allocation.totalWeight() > ZoneAllocation.TOTAL_WEIGHT) {
@@ -190,12 +190,12 @@
   static ZoneOverride decodeOverride(String text) throws AgreementException {
     Json json = StoredJson.parse(text);
     return new ZoneOverride(
-        json.get("place").word(""),
-        decodeKind(json.get("what").word("")),
+        json.get("place").asText(""),
+        decodeKind(json.get("what").asText("")),
         (int) number(json, "weight"),
         number(json, "for_ns"),
-        json.get("by").word(""),
-        json.get("reason").word(""));
+        json.get("by").asText(""),
+        json.get("reason").asText(""));
   }
 
   private static ZoneOverrideKind decodeKind(String word) throws AgreementException {
--- a/src/test/java/beaconturn/protocol/JsonReaderTest.java
+++ b/src/test/java/beaconturn/protocol/JsonReaderTest.java
@@ -15,13 +15,13 @@
             Slice.of(
                 " {\"a\":[1,-2.5e3,true,null,\"x\\n\\u0041\\\"\"],"
                     + "\"b\":{\"c\":12345678901234567}, \"e\":[], \"f\":{}} "));
-    assertEquals("-2.5e3", read.get("a").items().get(1).word(""));
-    assertEquals("true", read.get("a").items().get(2).word(""));
-    assertEquals("none", read.get("a").items().get(3).word("none"));
-    assertEquals("x\nA\"", read.get("a").items().get(4).word(""));
-    assertEquals("12345678901234567", read.get("b").get("c").word(""));
+    assertEquals("-2.5e3", read.get("a").items().get(1).asText(""));
+    assertEquals("true", read.get("a").items().get(2).asText(""));
+    assertEquals("none", read.get("a").items().get(3).asText("none"));
+    assertEquals("x\nA\"", read.get("a").items().get(4).asText(""));
+    assertEquals("12345678901234567", read.get("b").get("c").asText(""));
     assertEquals(0, read.get("e").items().size());
-    assertEquals("none", read.get("missing").get("below").word("none"));
+    assertEquals("none", read.get("missing").get("below").asText("none"));
   }
 
   @ParameterizedTest
--- a/src/test/java/beaconturn/standin/net/EmulatedFleetServerTest.java
+++ b/src/test/java/beaconturn/standin/net/EmulatedFleetServerTest.java
@@ -341,15 +341,15 @@
       peer.send(HttpWriter.get("/registry/instances", "x").toString());
       Json list = JsonReader.read(peer.readHttp().body());
       InetSocketAddress own = fleetServer.serverAddress(1, 1);
-      assertEquals("true", list.get("whole").word(""));
+      assertEquals("true", list.get("whole").asText(""));
       assertEquals(
-          "127.0.0.1:" + own.getPort(), list.get("hosts").items().get(1).get("dial").word(""));
+          "127.0.0.1:" + own.getPort(), list.get("hosts").items().get(1).get("dial").asText(""));
       assertNotEquals(own, fleetServer.serverAddress(0, 1));
-      String watch = "/registry/instances?after=" + list.get("seq").word("") + "&wait_ms=20000";
+      String watch = "/registry/instances?after=" + list.get("seq").asText("") + "&wait_ms=20000";
       peer.send(HttpWriter.get(watch, "x").toString());
       startFault(Fault.Kind.DRAIN, 0, 1);
       Json change = JsonReader.read(peer.readHttp().body());
-      assertEquals("draining", change.get("hosts").items().get(0).get("health").word(""));
+      assertEquals("draining", change.get("hosts").items().get(0).get("health").asText(""));
       fleetServer.apply(() -> fleet.startFault(Fault.Kind.DISCOVERY_OUT, 1));
       peer.send(HttpWriter.get("/registry/instances", "x").toString());
       assertEquals(503, peer.readHttp().status());
