--- a/src/main/java/beaconturn/cli/EmbeddedLauncher.java
+++ b/src/main/java/beaconturn/cli/EmbeddedLauncher.java
@@ -13,12 +13,12 @@
  * Runs routers inside this process: quick to start and easy to debug, but they cannot be killed.
  */
 public final class EmbeddedLauncher implements RouterLauncher {
-  private final Maker maker;
+  private final RouterFactory routerFactory;
 
   /** How a router is made of its configuration; it is not started yet. */
-  public interface Maker {
+  public interface RouterFactory {
     /** A router that listens already. */
-    RouterServer make(RouterConfig config) throws IOException;
+    RouterServer create(RouterConfig config) throws IOException;
   }
 
   /** The usual routers. */
@@ -27,8 +27,8 @@
   }
 
   /** Routers that are made otherwise, as tests need them. */
-  public EmbeddedLauncher(Maker maker) {
-    this.maker = maker;
+  public EmbeddedLauncher(RouterFactory routerFactory) {
+    this.routerFactory = routerFactory;
   }
 
   @Override
@@ -39,7 +39,7 @@
   @Override
   public RunningRouter launch(LaunchOptions options) throws IOException {
     try {
-      RouterServer server = maker.make(RouterConfigReader.read(options.config(), Map.of()));
+      RouterServer server = routerFactory.create(RouterConfigReader.read(options.config(), Map.of()));
       server.start();
       return new Embedded(server);
     } catch (ConfigException e) {
--- a/src/test/java/beaconturn/cli/PlantedAgent.java
+++ b/src/test/java/beaconturn/cli/DefectiveAgent.java
@@ -11,19 +11,19 @@
  * The agent of a part, a process, with a defect that was put in on purpose: what it asks of the
  * store and what it hears of it is spoilt.
  */
-public final class PlantedAgent {
+public final class DefectiveAgent {
   private static final int PART = 3;
   private static final int FEATURES = 5;
   private static final int APPLY = 7;
   private static final int FIGURES = 9;
   private static final String STEP = "/release/step/";
 
-  private PlantedAgent() {}
+  private DefectiveAgent() {}
 
   /** What is wrong with it. */
   public enum Defect implements UnaryOperator<CoordinationStore> {
     /** Whoever drives sees no permit of anybody, and takes places without counting them. */
-    IGNORES_NUMBERS {
+    IGNORES_PERMITS {
       @Override
       StoreResponse ask(CoordinationStore store, StoreRequest call) {
         return read(
@@ -54,7 +54,7 @@
       }
     },
     /** Whatever the others answer, a part stands its check. */
-    COMPARES_WITH_NOTHING {
+    IGNORES_COMPARISON {
       @Override
       StoreResponse ask(CoordinationStore store, StoreRequest call) {
         return read(
--- a/src/test/java/beaconturn/rehearsal/DefectiveAgentRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/DefectiveAgentRehearsalTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import beaconturn.cli.PlantedAgent;
+import beaconturn.cli.DefectiveAgent;
 import beaconturn.history.InvariantResult;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -36,11 +36,11 @@
 
   @ParameterizedTest
   @CsvSource({
-    "IGNORES_NUMBERS, never-too-many-out, none",
+    "IGNORES_PERMITS, never-too-many-out, none",
     "ACTS_WITHOUT_PERMIT, never-too-many-out, none",
-    "COMPARES_WITH_NOTHING, step-once, refuses"
+    "IGNORES_COMPARISON, step-once, refuses"
   })
-  void detectsDefectiveAgents(PlantedAgent.Defect defect, String invariant, String harm) throws Exception {
+  void detectsDefectiveAgents(DefectiveAgent.Defect defect, String invariant, String harm) throws Exception {
     RehearsalTestRunner.runScenario(
         SCENARIO + "harm = \"" + harm + "\"\n",
         new DefectiveAgents(defect),
@@ -56,10 +56,10 @@
   }
 
   /** Starts correct routers and a correct store, and agents with a defect. */
-  private record DefectiveAgents(PlantedAgent.Defect defect) implements RouterLauncher {
+  private record DefectiveAgents(DefectiveAgent.Defect defect) implements RouterLauncher {
     private static final ProcessLauncher CORRECT_LAUNCHER = ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main");
     private static final ProcessLauncher DEFECTIVE_LAUNCHER =
-        ProcessLauncher.ofCurrentProgram(PlantedAgent.class.getName());
+        ProcessLauncher.ofCurrentProgram(DefectiveAgent.class.getName());
 
     @Override
     public RunningRouter launch(LaunchOptions options) throws IOException {
--- a/src/test/java/beaconturn/rehearsal/FirstRouterDefectiveLauncher.java
+++ b/src/test/java/beaconturn/rehearsal/FirstRouterDefectiveLauncher.java
@@ -11,7 +11,7 @@
  *
  * @param defectiveMaker returns what makes the defective router, given its features file
  */
-record FirstRouterDefectiveLauncher(Function<Path, EmbeddedLauncher.Maker> defectiveMaker)
+record FirstRouterDefectiveLauncher(Function<Path, EmbeddedLauncher.RouterFactory> defectiveMaker)
     implements RouterLauncher {
   private static final ProcessLauncher PROCESS_LAUNCHER = ProcessLauncher.ofCurrentProgram("beaconturn.cli.Main");
 
