--- a/src/main/java/beaconturn/cli/AgentRunner.java
+++ b/src/main/java/beaconturn/cli/AgentRunner.java
@@ -61,7 +61,7 @@
 
   /** Runs until the thread is interrupted; the exit status. */
   int run() {
-    Logs.start();
+    Logging.start();
     try {
       connect(FeaturesFile.required(featuresFile));
       AgentStore.log("agent of " + instanceId + " as " + incarnation);
--- a/src/main/java/beaconturn/cli/CheckConfigCommand.java
+++ b/src/main/java/beaconturn/cli/CheckConfigCommand.java
@@ -9,7 +9,7 @@
 /** Reads a configuration as serve would, and says what is wrong with it. */
 @Parameters(commandNames = "check-config", commandDescription = "read a configuration and check it")
 final class CheckConfigCommand implements Command {
-  @ParametersDelegate private final ConfigFile config = new ConfigFile();
+  @ParametersDelegate private final ConfigFileOption config = new ConfigFileOption();
 
   @Parameter(
       names = "--features",
--- a/src/main/java/beaconturn/cli/ConfigFile.java
+++ b/src/main/java/beaconturn/cli/ConfigFileOption.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** The option that names the configuration, shared by the commands that need one. */
-final class ConfigFile {
+final class ConfigFileOption {
   @Parameter(
       names = "--config",
       description = "the configuration file; PROXY_CONFIG where not given")
--- a/src/main/java/beaconturn/cli/ContentFile.java
+++ b/src/main/java/beaconturn/cli/ContentFile.java
@@ -18,7 +18,7 @@
   private ContentFile() {}
 
   static ConfigContent read(String file) throws ConfigException {
-    return OperatorsFile.read(file, ContentFile::content);
+    return OperatorFile.read(file, ContentFile::content);
   }
 
   private static ConfigContent content(TomlSection file) throws TomlException {
--- a/src/main/java/beaconturn/cli/LastingLogManager.java
+++ b/src/main/java/beaconturn/cli/DeferredResetLogManager.java
@@ -7,11 +7,11 @@
  * drains; this log manager keeps them until {@link #finish}. Its class must not be loaded before it
  * is named to the JVM.
  */
-public final class LastingLogManager extends LogManager {
+public final class DeferredResetLogManager extends LogManager {
   private volatile boolean finished;
 
   /** Made by java.util.logging itself. */
-  public LastingLogManager() {
+  public DeferredResetLogManager() {
     super();
   }
 
--- a/src/main/java/beaconturn/cli/FeaturesFile.java
+++ b/src/main/java/beaconturn/cli/FeaturesFile.java
@@ -83,7 +83,7 @@
 
   /** What the file turns on. */
   static Features all(String file) throws ConfigException {
-    return OperatorsFile.read(
+    return OperatorFile.read(
         file,
         all -> {
           AgreementConfig agreement =
--- a/src/main/java/beaconturn/cli/Logs.java
+++ b/src/main/java/beaconturn/cli/Logging.java
@@ -5,10 +5,10 @@
 import java.util.logging.Logger;
 
 /** The log: a line a record on standard error, to the very end of a planned stop. */
-final class Logs {
-  private static final String MANAGER = "beaconturn.cli.LastingLogManager";
+final class Logging {
+  private static final String MANAGER = "beaconturn.cli.DeferredResetLogManager";
 
-  private Logs() {}
+  private Logging() {}
 
   /** Installs the log; called before the first logger is made. */
   static void start() {
@@ -22,7 +22,7 @@
 
   /** Writes what is left and lets the log manager end; nothing is logged after it. */
   static void finish() {
-    if (LogManager.getLogManager() instanceof LastingLogManager manager) {
+    if (LogManager.getLogManager() instanceof DeferredResetLogManager manager) {
       manager.finish();
     }
   }
--- a/src/main/java/beaconturn/cli/OperatorsFile.java
+++ b/src/main/java/beaconturn/cli/OperatorFile.java
@@ -10,8 +10,8 @@
 /**
  * Reads a TOML file of operators whole; what is wrong in it, unknown keys too, is said in one line.
  */
-final class OperatorsFile {
-  private OperatorsFile() {}
+final class OperatorFile {
+  private OperatorFile() {}
 
   /** What is made of a file. */
   interface Form<T> {
--- a/src/main/java/beaconturn/cli/Progress.java
+++ b/src/main/java/beaconturn/cli/ProgressLine.java
@@ -6,13 +6,13 @@
  * One line on a terminal that tells how far something long has come; nothing where there is no
  * terminal.
  */
-final class Progress {
+final class ProgressLine {
   private static final int WIDTH = 100;
   private final PrintStream out;
   private final boolean terminal = System.console() != null;
   private boolean shown;
 
-  Progress(PrintStream out) {
+  ProgressLine(PrintStream out) {
     this.out = out;
   }
 
--- a/src/main/java/beaconturn/cli/RehearseRunner.java
+++ b/src/main/java/beaconturn/cli/RehearseRunner.java
@@ -53,7 +53,7 @@
         throw new IOException(folder + " holds files of another play, name an empty folder");
       }
     }
-    Progress progress = new Progress(System.err);
+    ProgressLine progress = new ProgressLine(System.err);
     try {
       RehearsalReport report = new Rehearsal(scenario, launcher(), folder, progress::say).run();
       progress.clear();
--- a/src/main/java/beaconturn/cli/ReleaseFiles.java
+++ b/src/main/java/beaconturn/cli/ReleaseFiles.java
@@ -34,7 +34,7 @@
 
   /** The instances of a fleet and its disruption budget. */
   static ReleaseFleet fleet(String file) throws ConfigException {
-    return OperatorsFile.read(
+    return OperatorFile.read(
         file,
         root -> {
           Map<InstanceKind, ReleaseFleet.Group> groups = new EnumMap<>(InstanceKind.class);
@@ -104,7 +104,7 @@
 
   /** The plan of a release; a file without waves gets the default waves over the fleet. */
   static RolloutPlan plan(String file, String reason, ReleaseFleet fleet) throws ConfigException {
-    return OperatorsFile.read(file, root -> plan(root, reason, fleet));
+    return OperatorFile.read(file, root -> plan(root, reason, fleet));
   }
 
   private static RolloutPlan plan(TomlSection root, String reason, ReleaseFleet fleet)
--- a/src/main/java/beaconturn/cli/ServeCommand.java
+++ b/src/main/java/beaconturn/cli/ServeCommand.java
@@ -17,7 +17,7 @@
 @Parameters(commandNames = "serve", commandDescription = "run one router on sockets")
 final class ServeCommand implements Command {
   private static final long MILLI = 1_000_000;
-  @ParametersDelegate private final ConfigFile config = new ConfigFile();
+  @ParametersDelegate private final ConfigFileOption config = new ConfigFileOption();
 
   @Parameter(
       names = "--features",
@@ -26,7 +26,7 @@
 
   @Override
   public int execute() {
-    Logs.start();
+    Logging.start();
     // Before all else: a SIGHUP that nobody handles would end the process.
     AtomicBoolean asked = new AtomicBoolean();
     AtomicReference<RouterServer> serving = new AtomicReference<>();
@@ -82,7 +82,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      Logs.finish();
+      Logging.finish();
       // Ends the JVM here: after a signal it would report one, though the stop went as planned.
       Runtime.getRuntime().halt(0);
     }
--- a/src/test/java/beaconturn/cli/ServeLoadsNothingElseTest.java
+++ b/src/test/java/beaconturn/cli/ServeClassLoadingTest.java
@@ -22,7 +22,7 @@
  * libraries.
  */
 @Timeout(60)
-class ServeLoadsNothingElseTest {
+class ServeClassLoadingTest {
   private static final List<String> OFF =
       List.of(
           "beaconturn.standin.",
@@ -45,7 +45,7 @@
   /** The name of a class that is not public here; a rename must not get past the list. */
   private static String existing(String name) {
     try {
-      return Class.forName(name, false, ServeLoadsNothingElseTest.class.getClassLoader()).getName();
+      return Class.forName(name, false, ServeClassLoadingTest.class.getClassLoader()).getName();
     } catch (ClassNotFoundException e) {
       throw new AssertionError(e);
     }
