--- a/src/main/java/beaconturn/cli/AgentDriver.java
+++ b/src/main/java/beaconturn/cli/AgentDriver.java
@@ -16,62 +16,65 @@
 import beaconturn.zones.ZonesKeys;
 
 /**
- * Drives the release while this agent holds the lease of the driver, and stands by for it
- * otherwise. Confined to the agent's thread.
+ * Drives the rollout while this agent is its driver, and otherwise stands by to take over the
+ * driver's lease. Confined to the agent's thread.
  */
 final class AgentDriver {
-  /** Figures that only grow; a change of them alone is not logged. */
-  private static final String GROWING_FIGURES = "[0-9.]+ of [0-9]+ answers bad.*| of [0-9]+ at .*";
+  /** Metrics within a wait reason; a change of their values alone is not logged. */
+  private static final String METRICS_REGEX = "[0-9.]+ of [0-9]+ answers bad.*| of [0-9]+ at .*";
 
   private final RolloutKeys keys;
   private final AgentStore store;
   private final String incarnation;
   private final ConfigAdmin agreement;
-  private final ObservedUnavailability observed;
+  private final ObservedUnavailability observedUnavailability;
   private final RolloutAdmin rollouts;
   private final RolloutDriver driver;
   private RolloutRecorder recorder;
   private String loggedWaitReason = "";
 
-  AgentDriver(RolloutKeys keys, CoordinationStore calls, AgentStore store, String incarnation) {
+  AgentDriver(
+      RolloutKeys keys, CoordinationStore storeClient, AgentStore store, String incarnation) {
     this.keys = keys;
     this.store = store;
     this.incarnation = incarnation;
-    this.agreement = new ConfigAdmin(new AgreementKeys(keys.fleet()), calls);
-    this.observed = new ObservedUnavailability(agreement, new ZonesKeys(keys.fleet()), calls);
-    this.rollouts = new RolloutAdmin(keys, calls, incarnation, AgentRunner::now);
+    this.agreement = new ConfigAdmin(new AgreementKeys(keys.fleet()), storeClient);
+    this.observedUnavailability =
+        new ObservedUnavailability(agreement, new ZonesKeys(keys.fleet()), storeClient);
+    this.rollouts = new RolloutAdmin(keys, storeClient, incarnation, AgentRunner::now);
     this.driver = new RolloutDriver(keys, incarnation, AgentRunner::now);
   }
 
-  /** Takes the lease of the driver if nobody holds it, or the next step if this agent does. */
+  /** Acquires the driver's lease if it is free, or executes the next step if this agent drives. */
   void drive(RolloutSnapshot snapshot, AgentLease lease) {
     try {
       RolloutTransaction transaction =
           lease.isHeld() ? driver.acquireLease(snapshot, lease.id()) : null;
-      boolean drives = snapshot.driver().equals(incarnation) && snapshot.plan() != null;
-      if (transaction == null && drives) {
+      boolean isDriver = snapshot.driver().equals(incarnation) && snapshot.plan() != null;
+      if (transaction == null && isDriver) {
         transaction = nextTransaction(snapshot);
       }
       if (transaction != null) {
         store.execute(transaction);
       }
     } catch (AgreementException e) {
-      AgentStore.log("does not drive: " + e.getMessage());
+      AgentStore.log("driver step failed: " + e.getMessage());
     }
   }
 
   private RolloutTransaction nextTransaction(RolloutSnapshot snapshot) throws AgreementException {
-    AgreementStatus view = agreement.status();
-    Unavailability unavailability = observed.read(snapshot.plan().kind(), snapshot.fleet(), view);
+    AgreementStatus agreementStatus = agreement.status();
+    Unavailability unavailability =
+        observedUnavailability.read(snapshot.plan().kind(), snapshot.fleet(), agreementStatus);
     record(snapshot, unavailability);
     RolloutTransaction transaction =
         driver.nextTransaction(
-            snapshot, unavailability, agreedVersions(snapshot, view), System.nanoTime());
+            snapshot, unavailability, agreedVersions(snapshot, agreementStatus), System.nanoTime());
     logWaitReason();
     return transaction;
   }
 
-  /** Records a point of the time series if one is due; no decision rests on it. */
+  /** Records a point of the time series if one is due; decisions do not depend on it. */
   private void record(RolloutSnapshot snapshot, Unavailability unavailability)
       throws AgreementException {
     long releaseNumber = snapshot.plan().number();
@@ -81,32 +84,32 @@
     if (recorder == null || recorder.releaseNumber() != releaseNumber) {
       recorder = new RolloutRecorder(keys, releaseNumber, rollouts.timeSeries(releaseNumber));
     }
-    RolloutTransaction point =
+    RolloutTransaction pointTransaction =
         recorder.nextTransaction(snapshot, unavailability, System.currentTimeMillis());
-    if (point != null) {
-      store.write(point.swap());
+    if (pointTransaction != null) {
+      store.write(pointTransaction.swap());
     }
   }
 
-  /** Read only where a configuration goes with the release; otherwise null. */
-  private AgreedVersions agreedVersions(RolloutSnapshot snapshot, AgreementStatus view)
+  /** Returns null, without reading, if the plan contains no configuration. */
+  private AgreedVersions agreedVersions(RolloutSnapshot snapshot, AgreementStatus agreementStatus)
       throws AgreementException {
     if (snapshot.plan().configContent() == null) {
       return null;
     }
     return new AgreedVersions(
-        view.snapshot(),
+        agreementStatus.snapshot(),
         agreement.nextVersionNumber(),
-        view.awaitedMembers(),
+        agreementStatus.awaitedMembers(),
         System.currentTimeMillis());
   }
 
-  /** Logs what the release waits for, each time that it is something else. */
+  /** Logs the reason why the rollout waits whenever the reason changes. */
   private void logWaitReason() {
-    String withoutFigures = driver.waitReason().replaceAll(GROWING_FIGURES, "");
-    if (!withoutFigures.equals(loggedWaitReason) && !withoutFigures.isEmpty()) {
-      AgentStore.log("waits: " + driver.waitReason());
+    String reasonWithoutMetrics = driver.waitReason().replaceAll(METRICS_REGEX, "");
+    if (!reasonWithoutMetrics.equals(loggedWaitReason) && !reasonWithoutMetrics.isEmpty()) {
+      AgentStore.log("rollout waits: " + driver.waitReason());
     }
-    loggedWaitReason = withoutFigures;
+    loggedWaitReason = reasonWithoutMetrics;
   }
 }
--- a/src/main/java/beaconturn/cli/AgentLease.java
+++ b/src/main/java/beaconturn/cli/AgentLease.java
@@ -5,16 +5,16 @@
 import beaconturn.agreement.StoreResponse;
 
 /**
- * The lease of an agent in the store, to which its entries are bound. Confined to the agent's
+ * Acquires and renews the store lease to which an agent binds its entries. Confined to the agent's
  * thread.
  */
 final class AgentLease {
-  private static final long NONE = 0;
+  private static final long NO_LEASE = 0;
   private final CoordinationStore store;
   private final long durationSeconds;
   private final long renewIntervalNanos;
-  private long id = NONE;
-  private long renewAtNanos;
+  private long id = NO_LEASE;
+  private long nextRenewalNanos;
 
   AgentLease(CoordinationStore store, long durationSeconds, long renewIntervalNanos) {
     this.store = store;
@@ -23,18 +23,18 @@
   }
 
   boolean isHeld() {
-    return id != NONE;
+    return id != NO_LEASE;
   }
 
-  /** The lease's id in the store; 0 where none is held. */
+  /** The lease's id in the store, or 0 if no lease is held. */
   long id() {
     return id;
   }
 
-  /** Renews the lease if that is due; takes one where none is held. */
+  /** Renews the lease if renewal is due; requests a new one if none is held. */
   void renew() {
     long nowNanos = System.nanoTime();
-    if (isHeld() && nowNanos < renewAtNanos) {
+    if (isHeld() && nowNanos < nextRenewalNanos) {
       return;
     }
     StoreRequest request =
@@ -43,9 +43,9 @@
       if (!isHeld()) {
         id = response.leaseId();
       } else if (response.leaseTtlSeconds() <= 0) {
-        id = NONE;
+        id = NO_LEASE;
       }
-      renewAtNanos = nowNanos + renewIntervalNanos;
+      nextRenewalNanos = nowNanos + renewIntervalNanos;
     }
   }
 }
--- a/src/main/java/beaconturn/cli/AgentMetricsReporter.java
+++ b/src/main/java/beaconturn/cli/AgentMetricsReporter.java
@@ -11,24 +11,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reports the metrics of an instance to the store: often while a release compares them. Where plans
- * are held to the load of the fleet it reports between releases too, so seldom that the whole fleet
- * makes a bounded number of writes. Confined to the agent's thread.
+ * Writes the metrics of an instance to the store: at a short interval while a release compares
+ * them, and between releases at an interval that bounds the write rate of the whole fleet, if
+ * disruption budgets depend on the fleet's load. Confined to the agent's thread.
  */
 final class AgentMetricsReporter {
   private static final long READING_INTERVAL_MILLIS = 100;
 
-  /** Means need many readings, of which the store need not hold each. */
+  /** Averages need frequent readings, but not each reading needs a write. */
   private static final int READINGS_PER_REPORT = 2;
 
   private static final long IDLE_INTERVAL_MILLIS = 5000;
 
-  /** Idle interval for each router of the fleet: together they make twenty writes a second. */
+  /** Idle interval per router of the fleet: the fleet makes at most twenty writes per second. */
   private static final long IDLE_INTERVAL_MILLIS_PER_ROUTER = 50;
 
   private final InstanceMetricsReader reader;
   private final AgentStore store;
-  private final String key;
+  private final String sampleKey;
   private long nextReadingNanos;
   private int readings;
   private String lastReport = "";
@@ -37,16 +37,16 @@
       InstanceMetricsReader reader, AgentStore store, RolloutKeys keys, String instanceId) {
     this.reader = reader;
     this.store = store;
-    this.key = keys.sample(instanceId);
+    this.sampleKey = keys.sample(instanceId);
   }
 
-  /** Reads and reports the metrics if that is due; the report is bound to the lease. */
+  /** Reads and reports the metrics if a reading is due; the report is bound to the lease. */
   void report(RolloutSnapshot snapshot, long leaseId) {
     long nowNanos = System.nanoTime();
     ReleaseFleet.Group routers = snapshot.fleet().group(InstanceKind.ROUTER);
     boolean idle = snapshot.state().isOver();
-    boolean notNeeded = idle && routers.capacity().toleratedFailures() < 0;
-    if (nowNanos < nextReadingNanos || notNeeded) {
+    boolean reportNotNeeded = idle && routers.capacity().toleratedFailures() < 0;
+    if (nowNanos < nextReadingNanos || reportNotNeeded) {
       return;
     }
     long intervalMillis =
@@ -57,15 +57,15 @@
     }
     boolean reportDue = idle || readings % READINGS_PER_REPORT == 0;
     try {
-      String text = RolloutCodec.encode(reader.read());
-      if (reportDue && !text.equals(lastReport)) {
-        lastReport = text;
+      String report = RolloutCodec.encode(reader.read());
+      if (reportDue && !report.equals(lastReport)) {
+        lastReport = report;
         store.write(
             new StoreRequest.Transaction(
-                List.of(), List.of(new StoreRequest.Change.Put(key, text, leaseId))));
+                List.of(), List.of(new StoreRequest.Change.Put(sampleKey, report, leaseId))));
       }
     } catch (IOException e) {
-      // The instance stops or starts; the last report stands until it answers again.
+      // The instance is stopping or starting; its last report stays until it responds again.
       lastReport = "";
     }
   }
--- a/src/main/java/beaconturn/cli/AgentRunner.java
+++ b/src/main/java/beaconturn/cli/AgentRunner.java
@@ -16,12 +16,13 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The agent of one instance, a process beside it: carries out the steps of its instance, reports
- * its metrics, and stands by to drive the release. It runs until it is interrupted; an instance
- * that is out then stays out. All of it but the action runs in the calling thread.
+ * Runs the agent of one instance as a process of its own: executes the rollout steps of the
+ * instance, reports its metrics and stands by to drive the rollout. Runs until interrupted; an
+ * instance that is out of service at that time stays so. Everything but the shell command runs in
+ * the calling thread.
  */
 final class AgentRunner {
-  private static final int WRONG = 1;
+  private static final int EXIT_ERROR = 1;
   private static final long ROUND_INTERVAL_MILLIS = 200;
   private final String featuresFile;
   private final String instanceId;
@@ -36,16 +37,16 @@
   private AgentDriver driver;
   private AgentMetricsReporter metricsReporter;
 
-  /** The plan as read last, or null. */
+  /** The last plan read from the store, or null. */
   private RolloutPlan plan;
 
-  /** An agent; it reports no metrics where the reader is null. */
+  /** Creates an agent that reports no metrics if the reader is null. */
   AgentRunner(
       String featuresFile, String instanceId, String command, InstanceMetricsReader metricsReader) {
     this(featuresFile, instanceId, command, metricsReader, UnaryOperator.identity());
   }
 
-  /** An agent whose calls to the store go through a wrapper, for tests that inject a defect. */
+  /** Creates an agent whose store calls go through a wrapper, for tests that inject a defect. */
   AgentRunner(
       String featuresFile,
       String instanceId,
@@ -59,33 +60,33 @@
     this.action = new InstanceAction(instanceId, command);
   }
 
-  /** Runs until the thread is interrupted; the exit status. */
+  /** Runs until the thread is interrupted and returns the exit status. */
   int run() {
     Logging.start();
     try {
-      connect(FeaturesFile.required(featuresFile));
-      AgentStore.log("agent of " + instanceId + " as " + incarnation);
+      connect(FeaturesFile.requiredAgreement(featuresFile));
+      AgentStore.log("agent of " + instanceId + " starts with incarnation " + incarnation);
       while (true) {
-        round();
+        runOnce();
         Thread.sleep(ROUND_INTERVAL_MILLIS);
       }
     } catch (ConfigException e) {
       System.err.println("release agent: " + e.getMessage());
-      return WRONG;
+      return EXIT_ERROR;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return WRONG;
+      return EXIT_ERROR;
     }
   }
 
   private void connect(AgreementConfig config) {
     AgreementTiming timing = config.timing();
     RolloutKeys keys = new RolloutKeys(config.fleet());
-    CoordinationStore calls =
+    CoordinationStore storeClient =
         storeWrapper.apply(new StoreClient(config.endpoints(), timing.requestTimeoutNanos()));
-    store = new AgentStore(calls, keys);
-    lease = new AgentLease(calls, timing.storeLeaseSeconds(), timing.renewIntervalNanos());
-    driver = new AgentDriver(keys, calls, store, incarnation);
+    store = new AgentStore(storeClient, keys);
+    lease = new AgentLease(storeClient, timing.storeLeaseSeconds(), timing.renewIntervalNanos());
+    driver = new AgentDriver(keys, storeClient, store, incarnation);
     agent =
         new RolloutAgent(
             keys, instanceId, incarnation, timing.requestTimeoutNanos(), AgentRunner::now);
@@ -94,12 +95,12 @@
     }
   }
 
-  /** Time of history lines, by the wall clock of this machine; no decision rests on it. */
+  /** The wall clock time for history entries; decisions do not depend on it. */
   static String now() {
     return Instant.now().truncatedTo(ChronoUnit.MILLIS).toString();
   }
 
-  private void round() {
+  private void runOnce() {
     takeActionOutcome();
     lease.renew();
     RolloutSnapshot snapshot = store.read();
@@ -111,7 +112,7 @@
     if (metricsReporter != null) {
       metricsReporter.report(snapshot, lease.id());
     }
-    act(snapshot);
+    advanceStep(snapshot);
     driver.drive(snapshot, lease);
   }
 
@@ -125,16 +126,17 @@
     AgentStore.log(instanceId + (ready ? " is ready" : " is not ready: " + outcome));
   }
 
-  private void act(RolloutSnapshot snapshot) {
-    RolloutTransaction acquire = lease.isHeld() ? agent.acquireLease(snapshot, lease.id()) : null;
-    if (acquire != null) {
-      store.execute(acquire);
+  private void advanceStep(RolloutSnapshot snapshot) {
+    RolloutTransaction acquisition =
+        lease.isHeld() ? agent.acquireLease(snapshot, lease.id()) : null;
+    if (acquisition != null) {
+      store.execute(acquisition);
       return;
     }
-    RolloutTransaction next = agent.nextTransaction(snapshot, System.nanoTime());
-    if (next != null) {
-      boolean held = store.execute(next);
-      startAction(agent.transactionAnswered(held, System.nanoTime()));
+    RolloutTransaction stepTransaction = agent.nextTransaction(snapshot, System.nanoTime());
+    if (stepTransaction != null) {
+      boolean committed = store.execute(stepTransaction);
+      startAction(agent.transactionAnswered(committed, System.nanoTime()));
     }
   }
 
--- a/src/main/java/beaconturn/cli/AgentStore.java
+++ b/src/main/java/beaconturn/cli/AgentStore.java
@@ -8,27 +8,30 @@
 import beaconturn.release.RolloutSnapshot;
 import beaconturn.release.RolloutTransaction;
 
-/** Reads and writes of an agent in the store, with its log. Confined to the agent's thread. */
+/**
+ * Reads the rollout state from the store and executes an agent's transactions, with a log line for
+ * each. Confined to the agent's thread.
+ */
 final class AgentStore {
-  /** So many times in a row a transaction fails before the log tells it. */
-  private static final int MANY_FAILURES = 10;
+  /** Consecutive failures of the same transaction after which a log line is written. */
+  private static final int FAILURES_UNTIL_LOGGED = 10;
 
   private final CoordinationStore store;
   private final RolloutKeys keys;
   private String lastDescription = "";
-  private int failures;
+  private int consecutiveFailures;
 
   AgentStore(CoordinationStore store, RolloutKeys keys) {
     this.store = store;
     this.keys = keys;
   }
 
-  /** Writes a line to the log. */
+  /** Writes a line with the wall clock time in milliseconds to standard error. */
   static void log(String text) {
     System.err.println(System.currentTimeMillis() + " " + text);
   }
 
-  /** What the store holds, or null where it does not answer or cannot be read. */
+  /** The state in the store, or null if the store does not reply or its content is invalid. */
   RolloutSnapshot read() {
     if (!(store.ask(new StoreRequest.Read(keys.all())) instanceof StoreResponse.Success response)) {
       return null;
@@ -41,25 +44,25 @@
     }
   }
 
-  /** Executes a transaction; whether it held. */
+  /** Executes a transaction; returns whether its conditions held. */
   boolean execute(RolloutTransaction transaction) {
     boolean held =
         store.ask(transaction.swap()) instanceof StoreResponse.Success response
             && response.conditionsHeld();
-    boolean failedBefore = transaction.description().equals(lastDescription);
-    failures = held || !failedBefore ? 0 : failures + 1;
+    boolean sameAsBefore = transaction.description().equals(lastDescription);
+    consecutiveFailures = held || !sameAsBefore ? 0 : consecutiveFailures + 1;
     lastDescription = transaction.description();
     if (held) {
       log(transaction.description());
-    } else if (failures == MANY_FAILURES) {
-      // Others may be faster now and then; a transaction that never holds points to a fault.
-      log("does not hold again and again: " + transaction.description());
+    } else if (consecutiveFailures == FAILURES_UNTIL_LOGGED) {
+      // A lost race with another agent is normal; conditions that never hold indicate a fault.
+      log("conditions of a transaction failed repeatedly: " + transaction.description());
     }
     return held;
   }
 
-  /** Executes a request whose outcome nothing depends on. */
-  void write(StoreRequest.Transaction swap) {
-    store.ask(swap);
+  /** Executes a transaction and ignores the result. */
+  void write(StoreRequest.Transaction transaction) {
+    store.ask(transaction);
   }
 }
--- a/src/main/java/beaconturn/cli/AgreementCommand.java
+++ b/src/main/java/beaconturn/cli/AgreementCommand.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The options of {@code agreement}; it loads no class of the agreement but the runner. */
+/**
+ * Parses the {@code agreement} command. Refers only to {@link AgreementRunner}, so that other
+ * commands load no classes of the agreement.
+ */
 @Parameters(
     commandNames = "agreement",
     commandDescription =
@@ -19,10 +22,10 @@
   private static final int EXIT_USAGE = 2;
 
   @Parameter(description = "ORDER [FILE or ROUTER]")
-  private List<String> words = new ArrayList<>();
+  private List<String> arguments = new ArrayList<>();
 
   @Parameter(names = "--features", description = "the operators' file with the [agreement] section")
-  private String features = "deploy/router.toml";
+  private String featuresFile = "deploy/router.toml";
 
   @Parameter(names = "--reason", description = "why, for the history")
   private String reason;
@@ -40,19 +43,19 @@
 
   @Override
   public int execute() {
-    String operation = words.isEmpty() ? "" : words.get(0);
-    int wantedWords = operation.equals("propose") || operation.equals("lost") ? 2 : 1;
-    boolean needsReason =
+    String operation = arguments.isEmpty() ? "" : arguments.get(0);
+    int expectedArguments = operation.equals("propose") || operation.equals("lost") ? 2 : 1;
+    boolean reasonRequired =
         operation.equals("propose") || operation.equals("back") || operation.equals("withdraw");
-    if (words.size() != wantedWords) {
-      System.err.println("agreement: see 'agreement --help'");
+    if (arguments.size() != expectedArguments) {
+      System.err.println("agreement: wrong number of arguments, see 'agreement --help'");
       return EXIT_USAGE;
     }
-    if (needsReason && (reason == null || reason.isBlank())) {
+    if (reasonRequired && (reason == null || reason.isBlank())) {
       System.err.println("agreement " + operation + ": --reason is missing");
       return EXIT_USAGE;
     }
-    return new AgreementRunner(features, reason, author, waitSeconds, json)
-        .run(operation, words.get(wantedWords - 1));
+    return new AgreementRunner(featuresFile, reason, author, waitSeconds, json)
+        .run(operation, arguments.get(expectedArguments - 1));
   }
 }
--- a/src/main/java/beaconturn/cli/AgreementPrinter.java
+++ b/src/main/java/beaconturn/cli/AgreementPrinter.java
@@ -15,12 +15,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Prints what operators see of the agreement, as text or as lines of JSON that scripts read. */
+/** Prints the state and the history of the agreement as text or as lines of JSON. */
 final class AgreementPrinter {
-  private static final double SECOND_NANOS = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
   private static final int SHOWN_DIGEST_LENGTH = 8;
-  private static final int SMALL_FLEET = 100;
-  private static final int LARGE_FLEET = 1000;
+  private static final int SMALL_FLEET_ROUTERS = 100;
+  private static final int LARGE_FLEET_ROUTERS = 1000;
 
   private AgreementPrinter() {}
 
@@ -64,10 +64,10 @@
   static void printStatus(ConfigAdmin admin, AgreementStatus status) {
     AgreementSnapshot snapshot = status.snapshot();
     String id = snapshot.agreementId();
-    String proposed = snapshot.proposed() == null ? "nothing" : line(snapshot.proposed());
+    String proposed = snapshot.proposed() == null ? "nothing" : describe(snapshot.proposed());
     String awaited = "; waits for " + String.join(", ", status.awaitedMembers());
     System.out.println("agreement " + (id.isEmpty() ? "not begun" : id));
-    System.out.println("in force   " + line(snapshot.current()));
+    System.out.println("in force   " + describe(snapshot.current()));
     System.out.println("proposed   " + proposed);
     System.out.println(
         "settled    version " + snapshot.settledNumber() + (snapshot.hasOpenStep() ? awaited : ""));
@@ -75,18 +75,18 @@
   }
 
   private static void printMember(ConfigAdmin admin, AgreementStatus status, MemberRecord member) {
-    String nack = ", no to " + member.nackedNumber() + ": " + member.nackReason();
+    String rejection = ", no to " + member.nackedNumber() + ": " + member.nackReason();
     System.out.printf(
         Locale.ROOT,
         "  %-16s acts on %d, yes to %d%s%s%n",
         member.name(),
         member.actingNumber(),
         member.ackedNumber(),
-        member.nackedNumber() > 0 ? nack : "",
+        member.nackedNumber() > 0 ? rejection : "",
         admin.holdsLease(status, member) ? "" : ", no lease");
   }
 
-  private static String line(ConfigVersion version) {
+  private static String describe(ConfigVersion version) {
     if (version.number() == 0) {
       return "each router's own configuration";
     }
@@ -110,14 +110,14 @@
   static void printVersion(VersionHistoryEntry entry) {
     String rejection = "; turned down: " + entry.rejectionReason();
     System.out.println(
-        line(entry.version())
+        describe(entry.version())
             + (entry.rejectionReason() == null ? "" : rejection)
             + "\n    "
             + JsonWriter.write(ConfigCodec.contentJson(entry.version().content())));
   }
 
   static void printTiming(AgreementTiming timing) {
-    double leaseSeconds = timing.leaseNanos() / SECOND_NANOS;
+    double leaseSeconds = timing.leaseNanos() / NANOS_PER_SECOND;
     System.out.printf(
         Locale.ROOT,
         "lease        %.1f s, renewed every %.2f s, a call takes %.2f s at most%n"
@@ -128,14 +128,14 @@
             + " put it in force%n"
             + "calls        %.0f a second at the store for 100 routers, %.0f for 1000%n",
         leaseSeconds,
-        timing.renewIntervalNanos() / SECOND_NANOS,
-        timing.requestTimeoutNanos() / SECOND_NANOS,
+        timing.renewIntervalNanos() / NANOS_PER_SECOND,
+        timing.requestTimeoutNanos() / NANOS_PER_SECOND,
         timing.storeLeaseSeconds(),
         timing.clockDrift() * 100,
-        timing.statedNanos() / SECOND_NANOS,
+        timing.statedNanos() / NANOS_PER_SECOND,
         leaseSeconds * (1 + timing.clockDrift()),
-        timing.applyNanos() / SECOND_NANOS,
-        timing.requestsPerSecond(SMALL_FLEET),
-        timing.requestsPerSecond(LARGE_FLEET));
+        timing.applyNanos() / NANOS_PER_SECOND,
+        timing.requestsPerSecond(SMALL_FLEET_ROUTERS),
+        timing.requestsPerSecond(LARGE_FLEET_ROUTERS));
   }
 }
--- a/src/main/java/beaconturn/cli/AgreementRunner.java
+++ b/src/main/java/beaconturn/cli/AgreementRunner.java
@@ -13,46 +13,46 @@
 import java.util.UUID;
 
 /**
- * Carries out one operation of the {@code agreement} command.
+ * Executes one operation of the {@code agreement} command.
  *
- * @param features the operators' file
- * @param reason why, for proposals and withdrawals
- * @param author who proposes
- * @param patienceSeconds how long to wait for a proposed version to come into force
+ * @param featuresFile the operators' file with the {@code [agreement]} section
+ * @param reason reason of a proposal or withdrawal, for the history
+ * @param author author of a proposal, for the history
+ * @param waitSeconds how long to wait until a proposed version is in force; 0 does not wait
  * @param json whether to print JSON
  */
 record AgreementRunner(
-    String features, String reason, String author, int patienceSeconds, boolean json) {
-  private static final int EXIT_WRONG = 1;
+    String featuresFile, String reason, String author, int waitSeconds, boolean json) {
+  private static final int EXIT_ERROR = 1;
   private static final int EXIT_USAGE = 2;
   private static final int EXIT_NOT_NOW = 3;
-  private static final long SECOND_NANOS = 1_000_000_000;
-  private static final long POLL_MILLIS = 100;
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
+  private static final long POLL_INTERVAL_MILLIS = 100;
 
-  /** A command that has just started holds no lease: it can wait longer than a router may. */
-  private static final long REQUEST_TIMEOUT_NANOS = 5 * SECOND_NANOS;
+  /** Longer than for a router, since a command has no lease that may expire meanwhile. */
+  private static final long REQUEST_TIMEOUT_NANOS = 5 * NANOS_PER_SECOND;
 
-  /** The exit status. */
+  /** Executes the operation and returns the exit status. */
   int run(String operation, String argument) {
     StoreClient store = null;
     try {
-      AgreementConfig config = FeaturesFile.required(features);
+      AgreementConfig config = FeaturesFile.requiredAgreement(featuresFile);
       if (operation.equals("explain")) {
         AgreementPrinter.printTiming(config.timing());
         return 0;
       }
       store = new StoreClient(config.endpoints(), REQUEST_TIMEOUT_NANOS);
       ConfigAdmin admin = new ConfigAdmin(new AgreementKeys(config.fleet()), store);
-      return carryOut(admin, operation, argument);
+      return execute(admin, operation, argument);
     } catch (ConfigException e) {
       System.err.println("agreement: " + e.getMessage());
-      return EXIT_WRONG;
+      return EXIT_ERROR;
     } catch (AgreementException e) {
       System.err.println("agreement " + operation + ": " + e.getMessage());
-      return e.getMessage().startsWith("the store does not answer") ? EXIT_WRONG : EXIT_NOT_NOW;
+      return e.getMessage().startsWith("the store does not answer") ? EXIT_ERROR : EXIT_NOT_NOW;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return EXIT_WRONG;
+      return EXIT_ERROR;
     } finally {
       if (store != null) {
         store.close();
@@ -60,7 +60,7 @@
     }
   }
 
-  private int carryOut(ConfigAdmin admin, String operation, String argument)
+  private int execute(ConfigAdmin admin, String operation, String argument)
       throws ConfigException, AgreementException, InterruptedException {
     switch (operation) {
       case "init" -> System.out.println(admin.begin(UUID.randomUUID().toString()));
@@ -90,35 +90,37 @@
     return 0;
   }
 
-  /** Waits until the version is in force or turned down, as long as was asked for. */
-  private int await(ConfigAdmin admin, long number)
+  /** Waits until the version is in force, is rejected, or the wait time is over. */
+  private int await(ConfigAdmin admin, long versionNumber)
       throws AgreementException, InterruptedException {
-    System.out.println("version " + number + " is proposed");
-    long endNanos = System.nanoTime() + patienceSeconds * SECOND_NANOS;
-    while (System.nanoTime() < endNanos) {
+    System.out.println("version " + versionNumber + " is proposed");
+    long deadlineNanos = System.nanoTime() + waitSeconds * NANOS_PER_SECOND;
+    while (System.nanoTime() < deadlineNanos) {
       AgreementSnapshot snapshot = admin.status().snapshot();
-      if (snapshot.current().number() >= number) {
-        System.out.println("version " + number + " is in force");
+      if (snapshot.current().number() >= versionNumber) {
+        System.out.println("version " + versionNumber + " is in force");
         return 0;
       }
-      if (snapshot.proposedNumber() != number) {
-        String rejection = rejectionReason(admin, number);
-        System.err.println("version " + number + " is turned down: " + rejection);
+      if (snapshot.proposedNumber() != versionNumber) {
+        String reasonOfRejection = rejectionReason(admin, versionNumber);
+        System.err.println("version " + versionNumber + " is turned down: " + reasonOfRejection);
         return EXIT_NOT_NOW;
       }
-      Thread.sleep(POLL_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
-    if (patienceSeconds > 0) {
+    if (waitSeconds > 0) {
       String awaited = String.join(", ", admin.status().awaitedMembers());
-      System.err.println("version " + number + " is not in force yet, it waits for " + awaited);
+      System.err.println(
+          "version " + versionNumber + " is not in force yet, it waits for " + awaited);
       return EXIT_NOT_NOW;
     }
     return 0;
   }
 
-  private static String rejectionReason(ConfigAdmin admin, long number) throws AgreementException {
+  private static String rejectionReason(ConfigAdmin admin, long versionNumber)
+      throws AgreementException {
     for (VersionHistoryEntry entry : admin.history()) {
-      if (entry.version().number() == number) {
+      if (entry.version().number() == versionNumber) {
         return entry.rejectionReason();
       }
     }
--- a/src/main/java/beaconturn/cli/CacheDrain.java
+++ b/src/main/java/beaconturn/cli/CacheDrain.java
@@ -10,11 +10,13 @@
 import java.util.TreeSet;
 
 /**
- * Drains a cache server outside of a release: a disruption permit first, then a configuration
- * version that excludes it. Done when all routers act on that version.
+ * Drains a cache server outside of a release: takes a disruption permit, then proposes a
+ * configuration version that excludes the server. Complete once all routers act on that version.
  *
- * @param author who, for the history
- * @param reason why, for the history
+ * @param agreement where the configuration version is proposed
+ * @param permits where the disruption permit is taken and returned
+ * @param author author of the drain, for the history
+ * @param reason reason of the drain, for the history
  * @param waitSeconds how long to wait until all routers act on the version
  */
 record CacheDrain(
@@ -24,9 +26,9 @@
     String reason,
     int waitSeconds) {
   private static final long NANOS_PER_SECOND = 1_000_000_000;
-  private static final long POLL_MILLIS = 100;
+  private static final long POLL_INTERVAL_MILLIS = 100;
 
-  /** Drains a cache server; the exit status. */
+  /** Drains a cache server and returns the exit status. */
   int drain(String server, Unavailability observed)
       throws AgreementException, InterruptedException {
     long permit = permits.takePermit(InstanceKind.CACHE, server, reason, observed);
@@ -34,7 +36,7 @@
     return exclude(server, true);
   }
 
-  /** Takes a drained cache server back into service; the exit status. */
+  /** Puts a drained cache server back into service and returns the exit status. */
   int undrain(String server) throws AgreementException, InterruptedException {
     int status = exclude(server, false);
     if (status == 0) {
@@ -49,31 +51,31 @@
     long version = propose(server, excluded, deadlineNanos);
     while (System.nanoTime() < deadlineNanos) {
       if (agreement.status().snapshot().settledNumber() >= version) {
-        String routers = excluded ? "nobody sends to %s any more" : "all may send to %s";
-        System.out.println(routers.replace("%s", server) + ": version " + version + " is settled");
+        String outcome = excluded ? "nobody sends to %s any more" : "all may send to %s";
+        System.out.println(outcome.replace("%s", server) + ": version " + version + " is settled");
         return 0;
       }
-      Thread.sleep(POLL_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
     System.err.println(
         "version "
             + version
             + " is not settled yet, it waits for "
             + String.join(", ", agreement.status().awaitedMembers()));
-    return ReleaseRunner.NOT_NOW;
+    return ReleaseRunner.EXIT_NOT_NOW;
   }
 
   /**
-   * Proposes the version, or finds that the one in force is as wanted. While another version is on
-   * its way this one waits for it; the number of the version.
+   * Proposes the version, unless the one in force already has the server as requested; retries
+   * until the deadline while another version is open. Returns the number of the version.
    */
   private long propose(String server, boolean excluded, long deadlineNanos)
       throws AgreementException, InterruptedException {
     while (true) {
       AgreementSnapshot snapshot = agreement.status().snapshot();
-      boolean asWanted =
+      boolean asRequested =
           snapshot.current().content().excludedServers().contains(server) == excluded;
-      if (!snapshot.hasOpenStep() && asWanted) {
+      if (!snapshot.hasOpenStep() && asRequested) {
         return snapshot.current().number();
       }
       try {
@@ -86,20 +88,24 @@
         if (System.nanoTime() > deadlineNanos) {
           throw e;
         }
-        Thread.sleep(POLL_MILLIS);
+        Thread.sleep(POLL_INTERVAL_MILLIS);
       }
     }
   }
 
   private static ConfigContent withExcluded(
       ConfigContent content, String server, boolean excluded) {
-    TreeSet<String> all = new TreeSet<>(content.excludedServers());
+    TreeSet<String> excludedServers = new TreeSet<>(content.excludedServers());
     if (excluded) {
-      all.add(server);
+      excludedServers.add(server);
     } else {
-      all.remove(server);
+      excludedServers.remove(server);
     }
     return new ConfigContent(
-        content.classes(), content.maxAttempts(), content.hedging(), content.minListVersion(), all);
+        content.classes(),
+        content.maxAttempts(),
+        content.hedging(),
+        content.minListVersion(),
+        excludedServers);
   }
 }
--- a/src/main/java/beaconturn/cli/CheckConfigCommand.java
+++ b/src/main/java/beaconturn/cli/CheckConfigCommand.java
@@ -6,7 +6,7 @@
 import com.beust.jcommander.Parameters;
 import com.beust.jcommander.ParametersDelegate;
 
-/** Reads a configuration as serve would, and says what is wrong with it. */
+/** Reads and checks a configuration as {@code serve} does, without starting a router. */
 @Parameters(commandNames = "check-config", commandDescription = "read a configuration and check it")
 final class CheckConfigCommand implements Command {
   @ParametersDelegate private final ConfigFileOption config = new ConfigFileOption();
@@ -14,29 +14,29 @@
   @Parameter(
       names = "--features",
       description = "the operators' file of what else is on, checked too")
-  private String features;
+  private String featuresFile;
 
   @Override
   public int execute() {
     try {
-      RouterConfig read = config.read();
+      RouterConfig routerConfig = config.read();
       System.out.println(
           "configuration is sound: "
-              + read.name()
+              + routerConfig.name()
               + " on "
-              + read.listenAddress()
+              + routerConfig.listenAddress()
               + ", "
-              + read.settings().classNames().size()
+              + routerConfig.settings().classNames().size()
               + " classes, "
-              + read.initialEndpoints().endpoints().size()
+              + routerConfig.initialEndpoints().endpoints().size()
               + " cache servers known");
-      if (features != null) {
-        FeaturesFile.Features on = FeaturesFile.all(features);
+      if (featuresFile != null) {
+        FeaturesFile.Features features = FeaturesFile.readAll(featuresFile);
         System.out.println(
             "features are sound: agreement "
-                + (on.agreement() == null ? "off" : "on")
+                + (features.agreement() == null ? "off" : "on")
                 + ", zones "
-                + (on.places() == null ? "off" : "on"));
+                + (features.zones() == null ? "off" : "on"));
       }
       return 0;
     } catch (ConfigException e) {
--- a/src/main/java/beaconturn/cli/Command.java
+++ b/src/main/java/beaconturn/cli/Command.java
@@ -1,7 +1,7 @@
 package beaconturn.cli;
 
-/** One sub-command of the command line. */
+/** A subcommand of the command line. */
 interface Command {
-  /** Runs to the end and returns the exit status. */
+  /** Executes the command and returns the exit status. */
   int execute();
 }
--- a/src/main/java/beaconturn/cli/ConfigFileOption.java
+++ b/src/main/java/beaconturn/cli/ConfigFileOption.java
@@ -7,30 +7,30 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** The option that names the configuration, shared by the commands that need one. */
+/** The {@code --config} option, shared by the commands that read a router configuration. */
 final class ConfigFileOption {
   @Parameter(
       names = "--config",
       description = "the configuration file; PROXY_CONFIG where not given")
-  private String file;
+  private String configFile;
 
   RouterConfig read() throws ConfigException {
     return read(System.getenv());
   }
 
   /**
-   * Reads the file alone: the variables are as old as the start, and the file has been replaced
-   * since.
+   * Reads the file again without the environment variables, which date from the start of the
+   * process and must not override a file that was replaced since.
    */
-  RouterConfig readAnew() throws ConfigException {
+  RouterConfig reread() throws ConfigException {
     return read(Map.of());
   }
 
-  private RouterConfig read(Map<String, String> variables) throws ConfigException {
-    String path = file != null ? file : System.getenv("PROXY_CONFIG");
+  private RouterConfig read(Map<String, String> environment) throws ConfigException {
+    String path = configFile != null ? configFile : System.getenv("PROXY_CONFIG");
     if (path == null) {
       throw new ConfigException("no configuration: neither --config nor PROXY_CONFIG is given");
     }
-    return RouterConfigReader.read(Path.of(path), variables);
+    return RouterConfigReader.read(Path.of(path), environment);
   }
 }
--- a/src/main/java/beaconturn/cli/ContentFile.java
+++ b/src/main/java/beaconturn/cli/ContentFile.java
@@ -10,47 +10,54 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Reads the file of a version to be proposed; what it leaves out is as configured. */
+/**
+ * Reads the content of a configuration version from a TOML file. Settings that the file omits keep
+ * each router's local value.
+ */
 final class ContentFile {
-  private static final long MILLI_NANOS = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int MAX_ATTEMPTS = 64;
 
   private ContentFile() {}
 
   static ConfigContent read(String file) throws ConfigException {
-    return OperatorFile.read(file, ContentFile::content);
+    return OperatorFile.read(file, ContentFile::parse);
   }
 
-  private static ConfigContent content(TomlSection file) throws TomlException {
+  private static ConfigContent parse(TomlSection root) throws TomlException {
     TreeMap<String, ClassRule> classes = new TreeMap<>();
-    for (TomlSection section : file.tables("class")) {
+    for (TomlSection section : root.tables("class")) {
       String name = section.text("name", "");
       if (name.isEmpty() || classes.containsKey(name)) {
         throw section.invalid("name", "missing or given twice: '" + name + "'");
       }
-      classes.put(name, rule(section));
+      classes.put(name, parseRule(section));
     }
-    TomlSection settings = file.table("settings");
+    TomlSection settings = root.table("settings");
     Integer maxAttempts =
         settings.has("most_tries")
             ? (Integer) settings.integer("most_tries", 1, 1, MAX_ATTEMPTS)
             : null;
     Boolean hedging =
         settings.has("second_copies") ? (Boolean) settings.bool("second_copies", false) : null;
-    TomlSection list = file.table("list");
+    TomlSection endpointList = root.table("list");
     return new ConfigContent(
         classes,
         maxAttempts,
         hedging,
-        list.integer("oldest", 0, 0, Integer.MAX_VALUE),
-        new TreeSet<>(list.texts("out", List.of())));
+        endpointList.integer("oldest", 0, 0, Integer.MAX_VALUE),
+        new TreeSet<>(endpointList.texts("out", List.of())));
   }
 
-  private static ClassRule rule(TomlSection section) throws TomlException {
-    List<String> words = List.of("safe", "keyed", "unsafe");
+  private static ClassRule parseRule(TomlSection section) throws TomlException {
+    List<String> effects = List.of("safe", "keyed", "unsafe");
     return new ClassRule(
-        section.has("effect") ? IdempotencyWords.decode(section.choice("effect", "", words)) : null,
+        section.has("effect")
+            ? IdempotencyWords.decode(section.choice("effect", "", effects))
+            : null,
         section.has("window") ? (Long) section.durationNanos("window", 0, 0) : null,
-        section.has("deadline") ? (Long) section.durationNanos("deadline", 0, MILLI_NANOS) : null);
+        section.has("deadline")
+            ? (Long) section.durationNanos("deadline", 0, NANOS_PER_MILLI)
+            : null);
   }
 }
--- a/src/main/java/beaconturn/cli/DeferredResetLogManager.java
+++ b/src/main/java/beaconturn/cli/DeferredResetLogManager.java
@@ -3,14 +3,14 @@
 import java.util.logging.LogManager;
 
 /**
- * java.util.logging takes its handlers away as soon as a stop begins, while the router still
- * drains; this log manager keeps them until {@link #finish}. Its class must not be loaded before it
- * is named to the JVM.
+ * Log manager that ignores resets until {@link #finish}. The default one removes all handlers as
+ * soon as the JVM shuts down, while the router still drains. Must not be loaded before the system
+ * property {@code java.util.logging.manager} names it.
  */
 public final class DeferredResetLogManager extends LogManager {
   private volatile boolean finished;
 
-  /** Made by java.util.logging itself. */
+  /** Called by java.util.logging. */
   public DeferredResetLogManager() {
     super();
   }
--- a/src/main/java/beaconturn/cli/EmbeddedLauncher.java
+++ b/src/main/java/beaconturn/cli/EmbeddedLauncher.java
@@ -10,23 +10,24 @@
 import java.util.Map;
 
 /**
- * Runs routers inside this process: quick to start and easy to debug, but they cannot be killed.
+ * Launches routers inside this process: quick to start and easy to debug, but without restarts, and
+ * a kill is only a graceful shutdown.
  */
 public final class EmbeddedLauncher implements RouterLauncher {
   private final RouterFactory routerFactory;
 
-  /** How a router is made of its configuration; it is not started yet. */
+  /** Creates a router from its configuration. */
   public interface RouterFactory {
-    /** A router that listens already. */
+    /** Creates a router whose socket listens already, but which is not started. */
     RouterServer create(RouterConfig config) throws IOException;
   }
 
-  /** The usual routers. */
+  /** Creates a launcher of ordinary routers. */
   EmbeddedLauncher() {
     this(config -> new RouterServer(config, () -> config, new Lifecycle()));
   }
 
-  /** Routers that are made otherwise, as tests need them. */
+  /** Creates a launcher of routers from a factory, for tests that need altered routers. */
   public EmbeddedLauncher(RouterFactory routerFactory) {
     this.routerFactory = routerFactory;
   }
@@ -39,19 +40,20 @@
   @Override
   public RunningRouter launch(LaunchOptions options) throws IOException {
     try {
-      RouterServer server = routerFactory.create(RouterConfigReader.read(options.config(), Map.of()));
+      RouterServer server =
+          routerFactory.create(RouterConfigReader.read(options.config(), Map.of()));
       server.start();
-      return new Embedded(server);
+      return new EmbeddedRouter(server);
     } catch (ConfigException e) {
       throw new IOException(e.getMessage(), e);
     }
   }
 
-  private static final class Embedded implements RunningRouter {
+  private static final class EmbeddedRouter implements RunningRouter {
     private final RouterServer server;
     private Thread drain;
 
-    private Embedded(RouterServer server) {
+    private EmbeddedRouter(RouterServer server) {
       this.server = server;
     }
 
@@ -83,9 +85,9 @@
     }
 
     @Override
-    public int awaitExit(long millis) throws InterruptedException {
+    public int awaitExit(long timeoutMillis) throws InterruptedException {
       terminate();
-      drain.join(Math.max(1, millis));
+      drain.join(Math.max(1, timeoutMillis));
       return drain.isAlive() ? -1 : 0;
     }
 
--- a/src/main/java/beaconturn/cli/FeaturesFile.java
+++ b/src/main/java/beaconturn/cli/FeaturesFile.java
@@ -21,128 +21,145 @@
 import java.util.TreeMap;
 
 /**
- * The operators' own file, which says what is on beside the ordinary router: a section for each
- * part, and what has none is off. Nothing of it is loaded where no file is named.
+ * Reads the operators' file of optional features: a feature is enabled if the file has its section.
+ * Without such a file no class of these features is loaded.
  */
 final class FeaturesFile {
-  private static final long MILLI = 1_000_000;
-  private static final long SECOND = 1000 * MILLI;
-  private static final long APPLY = 500 * MILLI;
-  private static final int MOST_PORT = 65_535;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
 
-  /** Up to so many thousandths count as a trial. */
-  private static final int MOST_RESERVE = ZoneWeights.TRIAL;
+  /** How long a router may take to apply a configuration version. */
+  private static final long APPLY_NANOS = 500 * NANOS_PER_MILLI;
+
+  private static final int MAX_PORT = 65_535;
+
+  /** Maximum reserve weight in thousandths: more than this does not count as a trial. */
+  private static final int MAX_RESERVE = ZoneWeights.TRIAL;
 
   private FeaturesFile() {}
 
-  /** The part of a router that the file turns on, or null. */
-  static FleetConfigSource agreed(String file, RouterConfig router) throws ConfigException {
-    AgreementConfig config = read(file);
+  /** The source of agreed configuration versions, or null if the file does not enable it. */
+  static FleetConfigSource configSource(String file, RouterConfig router) throws ConfigException {
+    AgreementConfig config = readAgreement(file);
     return config == null ? null : new AgreementSubsystem(config, router);
   }
 
-  /** What a router follows of decisions on places, or null where the file does not turn that on. */
-  static ZoneWeightsSource placing(String file, RouterConfig router) throws ConfigException {
-    Features all = all(file);
-    if (all.places() == null) {
+  /** The source of zone weights, or null if the file does not enable it. */
+  static ZoneWeightsSource zoneWeightsSource(String file, RouterConfig router)
+      throws ConfigException {
+    Features features = readAll(file);
+    if (features.zones() == null) {
       return null;
     }
-    String home = router.settings().zones().get(router.settings().routing().zone());
-    if (!all.places().regions().containsKey(home)) {
+    String homeZone = router.settings().zones().get(router.settings().routing().zone());
+    if (!features.zones().regions().containsKey(homeZone)) {
       throw new ConfigException(
-          file + ": zones.place: there is none of the router's own zone, '" + home + "'");
+          file + ": zones.place: no entry for the router's own zone '" + homeZone + "'");
     }
-    return new ZonesSubsystem(all.agreement(), all.places(), router);
+    return new ZonesSubsystem(features.agreement(), features.zones(), router);
   }
 
-  /** The {@code [agreement]} section, for orders that can do nothing without it. */
-  static AgreementConfig required(String file) throws ConfigException {
-    AgreementConfig config = read(file);
+  /**
+   * Reads the {@code [agreement]} section.
+   *
+   * @throws ConfigException if the file is invalid or has no such section
+   */
+  static AgreementConfig requiredAgreement(String file) throws ConfigException {
+    AgreementConfig config = readAgreement(file);
     if (config == null) {
-      throw new ConfigException(file + ": there is no [agreement] section");
+      throw new ConfigException(file + ": section [agreement] is missing");
     }
     return config;
   }
 
-  /** The {@code [zones]} section, for orders that can do nothing without it. */
-  static ZoneTopology requiredPlaces(String file) throws ConfigException {
-    ZoneTopology map = all(file).places();
-    if (map == null) {
-      throw new ConfigException(file + ": there is no [zones] section");
+  /**
+   * Reads the {@code [zones]} section.
+   *
+   * @throws ConfigException if the file is invalid or has no such section
+   */
+  static ZoneTopology requiredZones(String file) throws ConfigException {
+    ZoneTopology topology = readAll(file).zones();
+    if (topology == null) {
+      throw new ConfigException(file + ": section [zones] is missing");
     }
-    return map;
+    return topology;
   }
 
-  /** The {@code [agreement]} section, or null where there is none. */
-  static AgreementConfig read(String file) throws ConfigException {
-    return all(file).agreement();
+  /** The {@code [agreement]} section, or null if the file has none. */
+  static AgreementConfig readAgreement(String file) throws ConfigException {
+    return readAll(file).agreement();
   }
 
-  /** All sections; null for those that are not there. */
-  record Features(AgreementConfig agreement, ZoneTopology places) {}
+  /** The sections of the file; null for each that is absent. */
+  record Features(AgreementConfig agreement, ZoneTopology zones) {}
 
-  /** What the file turns on. */
-  static Features all(String file) throws ConfigException {
+  /** Reads all sections. */
+  static Features readAll(String file) throws ConfigException {
     return OperatorFile.read(
         file,
-        all -> {
+        root -> {
           AgreementConfig agreement =
-              all.has("agreement") ? agreement(all.table("agreement")) : null;
-          TomlSection zones = all.has("zones") ? all.table("zones") : null;
+              root.has("agreement") ? parseAgreement(root.table("agreement")) : null;
+          TomlSection zones = root.has("zones") ? root.table("zones") : null;
           if (zones != null && agreement == null) {
-            throw zones.invalid("", "needs the [agreement] section");
+            throw zones.invalid("", "requires the [agreement] section");
           }
-          return new Features(agreement, zones == null ? null : places(zones));
+          return new Features(agreement, zones == null ? null : parseZones(zones));
         });
   }
 
-  private static ZoneTopology places(TomlSection s) throws TomlException {
+  private static ZoneTopology parseZones(TomlSection section) throws TomlException {
     SortedMap<String, String> regions = new TreeMap<>();
-    for (TomlSection place : s.tables("place")) {
-      String name = place.text("name", "");
-      if (!name.matches("[!-.0-~]{1,64}") || regions.put(name, place.text("region", "")) != null) {
-        throw place.invalid("name", "'" + name + "' is empty, odd or given twice");
+    for (TomlSection zone : section.tables("place")) {
+      String name = zone.text("name", "");
+      if (!name.matches("[!-.0-~]{1,64}") || regions.put(name, zone.text("region", "")) != null) {
+        throw zone.invalid(
+            "name", "'" + name + "' is empty, too long, given twice or has invalid characters");
       }
     }
     if (regions.size() < 2) {
-      throw s.invalid("place", "at least two places are needed");
+      throw section.invalid("place", "at least two zones are needed");
     }
-    if (!s.has("each_per_s")) {
-      throw s.invalid("each_per_s", "missing: requests a second that one cache server carries");
+    if (!section.has("each_per_s")) {
+      throw section.invalid(
+          "each_per_s", "missing: capacity of one cache server in requests per second");
     }
     return new ZoneTopology(
         regions,
-        s.number("each_per_s", 1, 0.001, 1e9),
-        s.number("fetches_per_s", 1e9, 1, 1e9),
-        s.integer("reserve", MOST_RESERVE, 0, MOST_RESERVE));
+        section.number("each_per_s", 1, 0.001, 1e9),
+        section.number("fetches_per_s", 1e9, 1, 1e9),
+        section.integer("reserve", MAX_RESERVE, 0, MAX_RESERVE));
   }
 
-  private static AgreementConfig agreement(TomlSection s) throws TomlException {
+  private static AgreementConfig parseAgreement(TomlSection section) throws TomlException {
     List<InetSocketAddress> endpoints = new ArrayList<>();
-    for (String text : s.texts("endpoints", List.of())) {
-      if (!text.matches("[0-9.]+:[0-9]{1,5}")
-          || Integer.parseInt(text.substring(text.indexOf(':') + 1)) > MOST_PORT) {
-        throw s.invalid(
-            "endpoints", "'" + text + "' is no address and port, such as 127.0.0.1:2379");
+    for (String endpoint : section.texts("endpoints", List.of())) {
+      if (!endpoint.matches("[0-9.]+:[0-9]{1,5}")
+          || Integer.parseInt(endpoint.substring(endpoint.indexOf(':') + 1)) > MAX_PORT) {
+        throw section.invalid(
+            "endpoints", "'" + endpoint + "' is not an address and port such as 127.0.0.1:2379");
       }
       endpoints.add(
           new InetSocketAddress(
-              text.substring(0, text.indexOf(':')),
-              Integer.parseInt(text.substring(text.indexOf(':') + 1))));
+              endpoint.substring(0, endpoint.indexOf(':')),
+              Integer.parseInt(endpoint.substring(endpoint.indexOf(':') + 1))));
     }
     if (endpoints.isEmpty()) {
-      throw s.invalid("endpoints", "none is given, at least one member of the store is needed");
+      throw section.invalid("endpoints", "none given, at least one member of the store is needed");
     }
-    String fleet = s.text("fleet", "/beaconturn");
+    String fleet = section.text("fleet", "/beaconturn");
     if (!fleet.matches("(/[A-Za-z0-9._-]+)+")) {
-      throw s.invalid("fleet", "'" + fleet + "' is no prefix such as /beaconturn/rain");
+      throw section.invalid(
+          "fleet", "'" + fleet + "' is not a key prefix such as /beaconturn/rain");
     }
     AgreementTiming timing =
         new AgreementTiming(
-            s.durationNanos("lease", 6 * SECOND, SECOND), s.number("drift", 0.01, 0, 0.2), APPLY);
-    String folder = s.text("folder", "");
+            section.durationNanos("lease", 6 * NANOS_PER_SECOND, NANOS_PER_SECOND),
+            section.number("drift", 0.01, 0, 0.2),
+            APPLY_NANOS);
+    String folder = section.text("folder", "");
     if (!folder.isEmpty() && !Files.isDirectory(Path.of(folder))) {
-      throw s.invalid("folder", "'" + folder + "' is no folder");
+      throw section.invalid("folder", "'" + folder + "' is not a directory");
     }
     return new AgreementConfig(
         List.copyOf(endpoints), fleet, timing, folder.isEmpty() ? null : Path.of(folder));
--- a/src/main/java/beaconturn/cli/HangUpSignal.java
+++ b/src/main/java/beaconturn/cli/HangUpSignal.java
@@ -5,44 +5,43 @@
 import java.util.logging.Logger;
 
 /**
- * SIGHUP, which would end the JVM: it asks for a new reading of the configuration instead. The
- * JDK's only way to a signal is {@code sun.misc.Signal}, which the compiler warns of; so it is
- * called by its names.
+ * Installs a handler for SIGHUP, which would otherwise terminate the JVM. Signal handlers require
+ * {@code sun.misc.Signal}, which is accessed by reflection because the compiler warns of it.
  */
 final class HangUpSignal {
   private static final Logger LOG = Logger.getLogger(HangUpSignal.class.getName());
 
   private HangUpSignal() {}
 
-  /** From now on the action runs at each SIGHUP, on a thread of the JVM's own. */
+  /** Runs the action on each SIGHUP from now on, on a thread of the JVM. */
   static void handle(Runnable action) {
     try {
-      Class<?> signal = Class.forName("sun.misc.Signal");
-      Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object caught =
+      Class<?> signalClass = Class.forName("sun.misc.Signal");
+      Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+      Object handlerProxy =
           Proxy.newProxyInstance(
               HangUpSignal.class.getClassLoader(),
-              new Class<?>[] {handler},
-              (proxy, method, arguments) -> run(action, method));
-      Object before =
-          signal
-              .getMethod("handle", signal, handler)
-              .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), caught);
-      // The JVM leaves a signal alone that was ignored when it began, and says so by what it
-      // returns.
-      if (handler.getField("SIG_IGN").get(null).equals(before)) {
+              new Class<?>[] {handlerClass},
+              (proxy, method, arguments) -> runAction(action, method));
+      Object previousHandler =
+          signalClass
+              .getMethod("handle", signalClass, handlerClass)
+              .invoke(
+                  null, signalClass.getConstructor(String.class).newInstance("HUP"), handlerProxy);
+      // The JVM does not handle a signal that was ignored when it started, and returns SIG_IGN.
+      if (handlerClass.getField("SIG_IGN").get(null).equals(previousHandler)) {
         LOG.warning(
-            "SIGHUP was ignored when this process began, as under nohup, and stays ignored: "
-                + "a new configuration is taken only by a restart");
+            "SIGHUP was ignored when this process started, as under nohup, and stays ignored: "
+                + "a changed configuration takes effect only after a restart");
       }
     } catch (ReflectiveOperationException e) {
-      // A JVM started with -Xrs, or one without this signal: all else works.
-      LOG.warning("SIGHUP cannot be caught here: " + e);
+      // The JVM was started with -Xrs or lacks this signal; only the reload is unavailable.
+      LOG.warning("cannot install a handler for SIGHUP: " + e);
     }
   }
 
-  private static Object run(Runnable action, Method called) {
-    if (called.getName().equals("handle")) {
+  private static Object runAction(Runnable action, Method method) {
+    if (method.getName().equals("handle")) {
       action.run();
     }
     return null;
--- a/src/main/java/beaconturn/cli/InstanceAction.java
+++ b/src/main/java/beaconturn/cli/InstanceAction.java
@@ -5,15 +5,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Brings an instance to a variant by the operators' shell command, in a thread of its own. Started
- * and polled by the agent's thread.
+ * Switches an instance to a variant by running the operators' shell command in a separate thread.
+ * Started and polled by the agent's thread.
  */
 final class InstanceAction {
   private static final long NANOS_PER_MILLI = 1_000_000;
   private final String instanceId;
   private final String command;
 
-  /** How the last action ended, until it is taken; null before. Written by the action's thread. */
+  /**
+   * Result of the last action until it is taken, otherwise null. Written by the action's thread.
+   */
   private volatile String outcome;
 
   InstanceAction(String instanceId, String command) {
@@ -21,22 +23,22 @@
     this.command = command;
   }
 
-  /** Starts the command; it is killed where it takes longer than the timeout. */
+  /** Starts the command; it is killed if it runs longer than the timeout. */
   void start(InstanceVariant variant, long timeoutNanos) {
-    AgentStore.log(instanceId + " goes to " + variant.word());
+    AgentStore.log(instanceId + " switches to variant " + variant.word());
     new Thread(() -> outcome = run(variant, timeoutNanos), "action").start();
   }
 
   /**
-   * How the action ended: empty where the instance is ready, else what went wrong. Null while the
-   * action runs, where there was none, and once it was taken.
+   * Returns and clears the result of the last action: empty if the instance is ready, otherwise the
+   * reason of the failure. Null while the action runs and if there is no result.
    */
   String takeOutcome() {
-    String taken = outcome;
-    if (taken != null) {
+    String takenOutcome = outcome;
+    if (takenOutcome != null) {
       outcome = null;
     }
-    return taken;
+    return takenOutcome;
   }
 
   private String run(InstanceVariant variant, long timeoutNanos) {
--- a/src/main/java/beaconturn/cli/InstanceMetricsReader.java
+++ b/src/main/java/beaconturn/cli/InstanceMetricsReader.java
@@ -9,16 +9,15 @@
 import java.util.Map;
 
 /**
- * Reads the metrics of an instance at second addresses: of a router at its own, of a cache server
- * at those of the routers that use it, as they see how it does. Confined to the thread of the
- * agent.
+ * Reads the metrics of an instance from admin addresses of routers: those of a router from its own
+ * address, those of a cache server from the routers that use it. Confined to the agent's thread.
  */
 final class InstanceMetricsReader {
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long MILLION = 1_000_000;
+  private static final long MILLIONTHS = 1_000_000;
   private static final long MILLIS_PER_SECOND = 1000;
 
-  /** Metrics that routers count of a cache server. */
+  /** Metrics of a cache server that routers count. */
   private static final List<InstanceMetrics> CACHE_METRICS =
       List.of(
           InstanceMetrics.SERVED,
@@ -30,18 +29,18 @@
   private final boolean cache;
   private final List<String> addresses;
 
-  /** Values of the last reading, by address. */
+  /** Values of the last reading by address. */
   private final Map<String, Map<String, Long>> lastValues = new HashMap<>();
 
-  /** Sums over all readings. */
+  /** Sums over all readings, for a router since its last detected restart. */
   private final Map<InstanceMetrics, Long> sums = new EnumMap<>(InstanceMetrics.class);
 
   private long lastReadNanos;
 
-  /** Grows with each process of the router that was noticed. */
-  private int process;
+  /** Number of restarts of the router that were detected. */
+  private int processNumber;
 
-  /** A reader of a router at its address, or of a cache server at those of routers. */
+  /** Takes the address of the router, or the addresses of the routers that use the cache server. */
   InstanceMetricsReader(String instanceId, boolean cache, List<String> addresses) {
     this.instanceId = instanceId;
     this.cache = cache;
@@ -49,9 +48,9 @@
   }
 
   /**
-   * The metrics as of now.
+   * Reads the current metrics.
    *
-   * @throws IOException if no address answers
+   * @throws IOException if no router responds
    */
   InstanceSample read() throws IOException {
     return cache ? readCache() : readRouter();
@@ -62,33 +61,33 @@
     Map<String, Long> values = StatsClient.read(address, "show-stat");
     values.putAll(StatsClient.read(address, "show-health"));
     long nowNanos = System.nanoTime();
-    Map<String, Long> before = lastValues.getOrDefault(address, Map.of());
-    if (isAnotherProcess(values, before)) {
-      process++;
+    Map<String, Long> previousValues = lastValues.getOrDefault(address, Map.of());
+    if (isNewProcess(values, previousValues)) {
+      processNumber++;
       sums.clear();
-      before = Map.of();
+      previousValues = Map.of();
     }
     addReading(values);
     Map<InstanceMetrics, Long> metrics = new EnumMap<>(sums);
     putCounters(metrics, values);
-    putGauges(metrics, values, before, nowNanos);
+    putGauges(metrics, values, previousValues, nowNanos);
     lastValues.put(address, values);
     lastReadNanos = nowNanos;
-    return new InstanceSample(Integer.toString(process), metrics);
+    return new InstanceSample(Integer.toString(processNumber), metrics);
   }
 
-  /** Counters run from the start of a process: where one falls, it is another process. */
-  private static boolean isAnotherProcess(Map<String, Long> values, Map<String, Long> before) {
-    return answers(values) < answers(before)
-        || valueOf(values, "cpu_ms") < valueOf(before, "cpu_ms");
+  /** Counters start at 0 with the process: one that decreases belongs to a new process. */
+  private static boolean isNewProcess(Map<String, Long> values, Map<String, Long> previousValues) {
+    return responses(values) < responses(previousValues)
+        || valueOf(values, "cpu_ms") < valueOf(previousValues, "cpu_ms");
   }
 
   private void addReading(Map<String, Long> values) {
     add(InstanceMetrics.READINGS, 1);
-    long listed = Math.max(1, valueOf(values, "cluster_size"));
+    long listedServers = Math.max(1, valueOf(values, "cluster_size"));
     add(
         InstanceMetrics.AVOIDED_MILLIONTHS,
-        valueOf(values, "cluster_unhealthy") * MILLION / listed);
+        valueOf(values, "cluster_unhealthy") * MILLIONTHS / listedServers);
     add(InstanceMetrics.MEMORY_KB, valueOf(values, "memory_kb"));
   }
 
@@ -103,14 +102,15 @@
   private void putGauges(
       Map<InstanceMetrics, Long> metrics,
       Map<String, Long> values,
-      Map<String, Long> before,
+      Map<String, Long> previousValues,
       long nowNanos) {
     long elapsedMillis = Math.max(1, (nowNanos - lastReadNanos) / NANOS_PER_MILLI);
-    if (!before.isEmpty()) {
-      long answers = answers(values) - answers(before);
-      long cpuMillis = valueOf(values, "cpu_ms") - valueOf(before, "cpu_ms");
-      metrics.put(InstanceMetrics.ANSWERS_PER_SECOND, answers * MILLIS_PER_SECOND / elapsedMillis);
-      // Milliseconds of processor time in a second are thousandths of a core.
+    if (!previousValues.isEmpty()) {
+      long responses = responses(values) - responses(previousValues);
+      long cpuMillis = valueOf(values, "cpu_ms") - valueOf(previousValues, "cpu_ms");
+      metrics.put(
+          InstanceMetrics.ANSWERS_PER_SECOND, responses * MILLIS_PER_SECOND / elapsedMillis);
+      // Milliseconds of processor time per second are thousandths of a core.
       metrics.put(InstanceMetrics.CPU_MILLICORES, cpuMillis * MILLIS_PER_SECOND / elapsedMillis);
     }
     metrics.put(InstanceMetrics.CPU_LIMIT_MILLICORES, valueOf(values, "cores_thousandth"));
@@ -119,38 +119,38 @@
   }
 
   /**
-   * What routers have counted of the cache server since each of them was first read; the counts of
-   * one that does not answer are added once it does.
+   * Sums what routers have counted of the cache server since the first reading of each. Counts of a
+   * router that does not respond are added once it responds again.
    */
   private InstanceSample readCache() throws IOException {
-    IOException failure = new IOException("no address is given");
-    boolean answered = false;
+    IOException failure = new IOException("no admin address is given");
+    boolean anyResponse = false;
     for (String address : addresses) {
       try {
-        addCounted(address);
-        answered = true;
+        addCacheCounts(address);
+        anyResponse = true;
       } catch (IOException e) {
         failure = e;
       }
     }
-    if (!answered) {
+    if (!anyResponse) {
       throw failure;
     }
     return new InstanceSample("", sums);
   }
 
-  private void addCounted(String address) throws IOException {
+  private void addCacheCounts(String address) throws IOException {
     Map<String, Long> values = StatsClient.read(address, "show-health");
-    Map<String, Long> before = lastValues.put(address, values);
-    if (before == null) {
-      before = values;
+    Map<String, Long> previousValues = lastValues.put(address, values);
+    if (previousValues == null) {
+      previousValues = values;
     }
     for (InstanceMetrics metric : CACHE_METRICS) {
       String name = "cache_" + metric.word() + "." + instanceId;
       long value = valueOf(values, name);
-      long counted = value - valueOf(before, name);
-      // A counter that has fallen is one of another process, and began at 0.
-      add(metric, counted < 0 ? value : counted);
+      long increase = value - valueOf(previousValues, name);
+      // A counter that has decreased belongs to a new process and started at 0.
+      add(metric, increase < 0 ? value : increase);
     }
   }
 
@@ -158,7 +158,7 @@
     sums.merge(metric, value, Long::sum);
   }
 
-  private static long answers(Map<String, Long> values) {
+  private static long responses(Map<String, Long> values) {
     return sumOf(values, "answered.") + sumOf(values, "deferred.") + sumOf(values, "errored.");
   }
 
--- a/src/main/java/beaconturn/cli/LineHandler.java
+++ b/src/main/java/beaconturn/cli/LineHandler.java
@@ -11,24 +11,24 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes each record as a line, on a thread of its own: whoever reads the log slowly must not hold
- * up the thread that speaks, least of all the routing thread. What does not fit is counted and said
- * later.
+ * Writes each log record as a line, on a thread of its own, so that a slow reader of the log never
+ * blocks the routing thread. Lines that do not fit into the queue are dropped, and their number is
+ * logged later.
  */
 final class LineHandler extends Handler {
-  private static final int MOST_LINES = 1024;
-  private static final long LONGEST_FLUSH_MILLIS = 300;
-  private static final long STEP_MILLIS = 2;
+  private static final int MAX_QUEUED_LINES = 1024;
+  private static final long FLUSH_TIMEOUT_MILLIS = 300;
+  private static final long FLUSH_POLL_INTERVAL_MILLIS = 2;
 
   private final PrintStream out;
-  private final Mailbox<String> lines = new Mailbox<>(MOST_LINES);
-  private final AtomicInteger waiting = new AtomicInteger();
-  private final AtomicInteger dropped = new AtomicInteger();
-  private final Formatter formatter = new Line();
+  private final Mailbox<String> queue = new Mailbox<>(MAX_QUEUED_LINES);
+  private final AtomicInteger unwrittenLines = new AtomicInteger();
+  private final AtomicInteger droppedLines = new AtomicInteger();
+  private final Formatter formatter = new LineFormatter();
 
   LineHandler(PrintStream out) {
     this.out = out;
-    Thread writer = new Thread(this::write, "log");
+    Thread writer = new Thread(this::writeLines, "log");
     writer.setDaemon(true);
     writer.start();
   }
@@ -38,19 +38,21 @@
     if (!isLoggable(record)) {
       return;
     }
-    waiting.incrementAndGet();
-    if (!lines.offer(formatter.format(record))) {
-      waiting.decrementAndGet();
-      dropped.incrementAndGet();
+    unwrittenLines.incrementAndGet();
+    if (!queue.offer(formatter.format(record))) {
+      unwrittenLines.decrementAndGet();
+      droppedLines.incrementAndGet();
     }
   }
 
-  /** Waits until all lines so far are written, or a short time. */
+  /** Waits until all queued lines are written, at most {@value #FLUSH_TIMEOUT_MILLIS} ms. */
   @Override
   public void flush() {
     try {
-      for (long i = 0; waiting.get() > 0 && i < LONGEST_FLUSH_MILLIS; i += STEP_MILLIS) {
-        Thread.sleep(STEP_MILLIS);
+      for (long waitedMillis = 0;
+          unwrittenLines.get() > 0 && waitedMillis < FLUSH_TIMEOUT_MILLIS;
+          waitedMillis += FLUSH_POLL_INTERVAL_MILLIS) {
+        Thread.sleep(FLUSH_POLL_INTERVAL_MILLIS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -62,15 +64,15 @@
     flush();
   }
 
-  private void write() {
+  private void writeLines() {
     try {
       while (true) {
-        out.print(lines.take());
+        out.print(queue.take());
         out.flush();
-        waiting.decrementAndGet();
-        int lost = dropped.getAndSet(0);
-        if (lost > 0) {
-          out.print("log: " + lost + " lines left out, the log is read too slowly\n");
+        unwrittenLines.decrementAndGet();
+        int newlyDropped = droppedLines.getAndSet(0);
+        if (newlyDropped > 0) {
+          out.print("log: " + newlyDropped + " lines left out, the log is read too slowly\n");
         }
       }
     } catch (InterruptedException e) {
@@ -78,18 +80,18 @@
     }
   }
 
-  /** Time, level, the class that speaks, and its text. */
-  private static final class Line extends Formatter {
+  /** Formats a record as time, level, simple name of the logging class, and message. */
+  private static final class LineFormatter extends Formatter {
     @Override
     public String format(LogRecord record) {
-      String name = record.getLoggerName();
+      String loggerName = record.getLoggerName();
       StringWriter text = new StringWriter();
       text.write(
           Instant.ofEpochMilli(record.getMillis())
               + " "
               + record.getLevel()
               + " "
-              + name.substring(name.lastIndexOf('.') + 1)
+              + loggerName.substring(loggerName.lastIndexOf('.') + 1)
               + ": "
               + formatMessage(record)
               + "\n");
--- a/src/main/java/beaconturn/cli/Logging.java
+++ b/src/main/java/beaconturn/cli/Logging.java
@@ -4,15 +4,15 @@
 import java.util.logging.LogManager;
 import java.util.logging.Logger;
 
-/** The log: a line a record on standard error, to the very end of a planned stop. */
+/** Sets up logging to standard error, one line per record, until the end of a graceful shutdown. */
 final class Logging {
-  private static final String MANAGER = "beaconturn.cli.DeferredResetLogManager";
+  private static final String LOG_MANAGER_CLASS = "beaconturn.cli.DeferredResetLogManager";
 
   private Logging() {}
 
-  /** Installs the log; called before the first logger is made. */
+  /** Installs the log manager and handler; must be called before the first logger is created. */
   static void start() {
-    System.setProperty("java.util.logging.manager", MANAGER);
+    System.setProperty("java.util.logging.manager", LOG_MANAGER_CLASS);
     Logger root = LogManager.getLogManager().getLogger("");
     for (Handler handler : root.getHandlers()) {
       root.removeHandler(handler);
@@ -20,7 +20,7 @@
     root.addHandler(new LineHandler(System.err));
   }
 
-  /** Writes what is left and lets the log manager end; nothing is logged after it. */
+  /** Flushes and closes the log; later records are discarded. */
   static void finish() {
     if (LogManager.getLogManager() instanceof DeferredResetLogManager manager) {
       manager.finish();
--- a/src/main/java/beaconturn/cli/Main.java
+++ b/src/main/java/beaconturn/cli/Main.java
@@ -3,13 +3,13 @@
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.ParameterException;
 
-/** The command line: a sub-command chooses what runs. */
+/** Entry point of the command line: parses the arguments and executes the chosen subcommand. */
 public final class Main {
-  private static final int WRONG_USAGE = 2;
+  private static final int EXIT_USAGE = 2;
 
   private Main() {}
 
-  /** Runs the sub-command; wrong usage exits with 2. */
+  /** Executes the subcommand; the exit status is 2 on wrong usage. */
   public static void main(String[] args) {
     int status = run(args);
     if (status != 0) {
@@ -33,25 +33,25 @@
             .addCommand(new VersionCommand())
             .build();
     if (args.length > 0 && args[args.length - 1].equals("--help")) {
-      return help(commands, args[0]);
+      return printHelp(commands, args[0]);
     }
     try {
       commands.parse(args);
     } catch (ParameterException e) {
-      return wrong(commands, e.getMessage());
+      return usageError(commands, e.getMessage());
     }
     if (commands.getParsedCommand() == null) {
-      return wrong(commands, "no command given");
+      return usageError(commands, "no command given");
     }
-    Object chosen = commands.getCommands().get(commands.getParsedCommand()).getObjects().get(0);
-    return ((Command) chosen).execute();
+    Object command = commands.getCommands().get(commands.getParsedCommand()).getObjects().get(0);
+    return ((Command) command).execute();
   }
 
-  /** The options of one command, or of all where the word names none. */
-  private static int help(JCommander commands, String word) {
+  /** Prints the usage of the named command, or of all commands if there is none of that name. */
+  private static int printHelp(JCommander commands, String commandName) {
     StringBuilder usage = new StringBuilder();
-    if (commands.getCommands().containsKey(word)) {
-      commands.getUsageFormatter().usage(word, usage);
+    if (commands.getCommands().containsKey(commandName)) {
+      commands.getUsageFormatter().usage(commandName, usage);
     } else {
       commands.getUsageFormatter().usage(usage);
     }
@@ -59,11 +59,11 @@
     return 0;
   }
 
-  private static int wrong(JCommander commands, String message) {
+  private static int usageError(JCommander commands, String message) {
     System.err.println("beaconturn: " + message);
     StringBuilder usage = new StringBuilder();
     commands.getUsageFormatter().usage(usage);
     System.err.print(usage);
-    return WRONG_USAGE;
+    return EXIT_USAGE;
   }
 }
--- a/src/main/java/beaconturn/cli/ObservedUnavailability.java
+++ b/src/main/java/beaconturn/cli/ObservedUnavailability.java
@@ -17,24 +17,25 @@
 import java.util.TreeMap;
 
 /**
- * Reads from the store which instances are out without a permit, and which zones are served
- * elsewhere.
+ * Reads from the store which instances are unavailable, and which zones are out of service.
  *
- * @param agreement configuration versions and members of the fleet
- * @param zonesKeys keys of the zones of the fleet
- * @param store where both are read
+ * @param agreement access to configuration versions and members of the fleet
+ * @param zonesKeys keys of the fleet's zones
+ * @param store the store that holds the zones
  */
 record ObservedUnavailability(ConfigAdmin agreement, ZonesKeys zonesKeys, CoordinationStore store) {
-  /** The instances of a kind as they are now. */
+  /** Reads the unavailable instances of a kind. */
   Unavailability read(InstanceKind kind, ReleaseFleet fleet) throws AgreementException {
     return read(kind, fleet, agreement.status());
   }
 
-  /** The same, where the members have been read already. */
-  Unavailability read(InstanceKind kind, ReleaseFleet fleet, AgreementStatus view)
+  /** Reads the unavailable instances of a kind, given an agreement status that was just read. */
+  Unavailability read(InstanceKind kind, ReleaseFleet fleet, AgreementStatus agreementStatus)
       throws AgreementException {
     Unavailability unavailability =
-        kind == InstanceKind.ROUTER ? routers(fleet, view) : caches(fleet, view);
+        kind == InstanceKind.ROUTER
+            ? routers(fleet, agreementStatus)
+            : caches(fleet, agreementStatus);
     ZonesSnapshot zones =
         ZonesSnapshot.of(
             zonesKeys,
@@ -42,21 +43,22 @@
     return unavailability.withZonesOut(zones.outOfService());
   }
 
-  private Unavailability routers(ReleaseFleet fleet, AgreementStatus view) {
+  private Unavailability routers(ReleaseFleet fleet, AgreementStatus agreementStatus) {
     Set<String> leaseHolders = new HashSet<>();
-    for (MemberRecord member : view.members()) {
-      if (agreement.holdsLease(view, member)) {
+    for (MemberRecord member : agreementStatus.members()) {
+      if (agreement.holdsLease(agreementStatus, member)) {
         leaseHolders.add(member.name());
       }
     }
     return Unavailability.ofRouters(fleet.group(InstanceKind.ROUTER), leaseHolders);
   }
 
-  private Unavailability caches(ReleaseFleet fleet, AgreementStatus view)
+  private Unavailability caches(ReleaseFleet fleet, AgreementStatus agreementStatus)
       throws AgreementException {
-    String reason = "held out by version " + view.snapshot().current().number();
+    String reason = "held out by version " + agreementStatus.snapshot().current().number();
     Map<String, String> excluded = new TreeMap<>();
-    view.snapshot()
+    agreementStatus
+        .snapshot()
         .current()
         .content()
         .excludedServers()
--- a/src/main/java/beaconturn/cli/OperatorFile.java
+++ b/src/main/java/beaconturn/cli/OperatorFile.java
@@ -7,23 +7,21 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/**
- * Reads a TOML file of operators whole; what is wrong in it, unknown keys too, is said in one line.
- */
+/** Reads TOML files of operators; reports any error, including unknown keys, in one line. */
 final class OperatorFile {
   private OperatorFile() {}
 
-  /** What is made of a file. */
-  interface Form<T> {
-    T of(TomlSection all) throws TomlException;
+  /** Converts the root section of a file to a value. */
+  interface Parser<T> {
+    T parse(TomlSection root) throws TomlException;
   }
 
-  static <T> T read(String file, Form<T> form) throws ConfigException {
+  static <T> T read(String file, Parser<T> parser) throws ConfigException {
     try {
-      TomlSection all = TomlSection.read(file, Files.readString(Path.of(file)));
-      T made = form.of(all);
-      all.rejectUnknownKeys();
-      return made;
+      TomlSection root = TomlSection.read(file, Files.readString(Path.of(file)));
+      T value = parser.parse(root);
+      root.rejectUnknownKeys();
+      return value;
     } catch (IOException e) {
       throw new ConfigException(file + ": cannot be read: " + e.getClass().getSimpleName());
     } catch (TomlException e) {
--- a/src/main/java/beaconturn/cli/ProgressLine.java
+++ b/src/main/java/beaconturn/cli/ProgressLine.java
@@ -2,24 +2,21 @@
 
 import java.io.PrintStream;
 
-/**
- * One line on a terminal that tells how far something long has come; nothing where there is no
- * terminal.
- */
+/** Shows the progress of a long operation in one line of a terminal; silent without a terminal. */
 final class ProgressLine {
-  private static final int WIDTH = 100;
+  private static final int WIDTH_CHARACTERS = 100;
   private final PrintStream out;
-  private final boolean terminal = System.console() != null;
+  private final boolean isTerminal = System.console() != null;
   private boolean shown;
 
   ProgressLine(PrintStream out) {
     this.out = out;
   }
 
-  void say(String text) {
-    if (terminal) {
-      String line = text.length() > WIDTH ? text.substring(0, WIDTH) : text;
-      out.print("\r" + line + " ".repeat(WIDTH - line.length()) + "\r");
+  void show(String text) {
+    if (isTerminal) {
+      String line = text.length() > WIDTH_CHARACTERS ? text.substring(0, WIDTH_CHARACTERS) : text;
+      out.print("\r" + line + " ".repeat(WIDTH_CHARACTERS - line.length()) + "\r");
       out.flush();
       shown = true;
     }
@@ -27,7 +24,7 @@
 
   void clear() {
     if (shown) {
-      out.print("\r" + " ".repeat(WIDTH) + "\r");
+      out.print("\r" + " ".repeat(WIDTH_CHARACTERS) + "\r");
       out.flush();
       shown = false;
     }
--- a/src/main/java/beaconturn/cli/RandomSearchRunner.java
+++ b/src/main/java/beaconturn/cli/RandomSearchRunner.java
@@ -22,145 +22,157 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A search: plays so many scenarios made of chance, some beside each other, and keeps what is
- * needed to play one again that broke a rule.
+ * Runs a number of random scenarios, several in parallel, and writes the scenario, report and logs
+ * of each that violates an invariant to a directory of its own.
  */
 final class RandomSearchRunner {
-  private static final int BROKEN = 3;
-  private static final int WRONG_INPUT = 1;
-  private static final double MILLI = 1e6;
-  private final RandomScenario.Kind about;
-  private final int plays;
+  private static final int EXIT_VIOLATION = 3;
+  private static final int EXIT_ERROR = 1;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private final RandomScenario.Kind kind;
+  private final int runs;
   private final long firstSeed;
   private final int routers;
-  private final int atOnce;
-  private final Path kept;
+  private final int parallelRuns;
+  private final Path outputDirectory;
   private final RouterLauncher launcher;
-  // Guarded by this:
-  private int held;
-  private int broken;
-  private int unplayed;
-  private long checked;
-  private long longest;
-  private long stated;
-  private final SortedMap<String, Integer> releases = new TreeMap<>();
+
+  // The following fields are guarded by this.
+  private int heldRuns;
+  private int violatingRuns;
+  private int failedRuns;
+  private long checkedCases;
+  private long longestContradictionNanos;
+  private long statedNanos;
+  private final SortedMap<String, Integer> releaseOutcomes = new TreeMap<>();
 
   RandomSearchRunner(
-      RandomScenario.Kind about,
-      int plays,
+      RandomScenario.Kind kind,
+      int runs,
       long firstSeed,
       int routers,
-      int atOnce,
-      String kept,
+      int parallelRuns,
+      String outputDirectory,
       String jar) {
-    this.about = about;
-    this.plays = plays;
+    this.kind = kind;
+    this.runs = runs;
     this.firstSeed = firstSeed;
     this.routers = routers;
-    this.atOnce = atOnce;
-    this.kept = Path.of(kept == null ? "." : kept);
+    this.parallelRuns = parallelRuns;
+    this.outputDirectory = Path.of(outputDirectory == null ? "." : outputDirectory);
     this.launcher =
-        jar == null ? ProcessLauncher.ofCurrentProgram(Main.class.getName()) : ProcessLauncher.ofJar(Path.of(jar));
+        jar == null
+            ? ProcessLauncher.ofCurrentProgram(Main.class.getName())
+            : ProcessLauncher.ofJar(Path.of(jar));
   }
 
-  /** Storms of routers from a jar, or of this program's own where that is null. */
+  /** Creates a search with routers from a jar, or from this program if the jar is null. */
   static RandomSearchRunner of(
-      String about, int plays, long firstSeed, int routers, int atOnce, String kept, String jar) {
+      String kind,
+      int runs,
+      long firstSeed,
+      int routers,
+      int parallelRuns,
+      String outputDirectory,
+      String jar) {
     return new RandomSearchRunner(
-        RandomScenario.Kind.valueOf(about.toUpperCase(Locale.ROOT)),
-        plays,
+        RandomScenario.Kind.valueOf(kind.toUpperCase(Locale.ROOT)),
+        runs,
         firstSeed,
         routers,
-        atOnce,
-        kept,
+        parallelRuns,
+        outputDirectory,
         jar);
   }
 
   int run() {
-    ExecutorService lanes = Executors.newFixedThreadPool(atOnce);
-    for (int i = 0; i < plays; i++) {
+    ExecutorService executor = Executors.newFixedThreadPool(parallelRuns);
+    for (int i = 0; i < runs; i++) {
       long seed = firstSeed + i;
-      lanes.execute(() -> play(seed));
+      executor.execute(() -> runScenario(seed));
     }
-    lanes.shutdown();
+    executor.shutdown();
     try {
-      lanes.awaitTermination(Long.MAX_VALUE, TimeUnit.NANOSECONDS);
+      executor.awaitTermination(Long.MAX_VALUE, TimeUnit.NANOSECONDS);
     } catch (InterruptedException e) {
-      lanes.shutdownNow();
+      executor.shutdownNow();
       Thread.currentThread().interrupt();
-      return WRONG_INPUT;
+      return EXIT_ERROR;
     }
     System.out.printf(
         Locale.ROOT,
         "%d plays, seeds %d to %d: %d held, %d broken, %d not played%n",
-        plays,
+        runs,
         firstSeed,
-        firstSeed + plays - 1,
-        held,
-        broken,
-        unplayed);
-    if (about != RandomScenario.Kind.CLIENTS) {
+        firstSeed + runs - 1,
+        heldRuns,
+        violatingRuns,
+        failedRuns);
+    if (kind != RandomScenario.Kind.CLIENTS) {
       System.out.printf(
           Locale.ROOT,
           "%d routers each; longest contradiction %.0f ms of %.0f ms stated," + " %d chances%n",
           routers,
-          longest / MILLI,
-          stated / MILLI,
-          checked);
+          longestContradictionNanos / NANOS_PER_MILLI,
+          statedNanos / NANOS_PER_MILLI,
+          checkedCases);
     }
-    if (about == RandomScenario.Kind.RELEASES) {
-      System.out.println("releases ended as " + releases);
+    if (kind == RandomScenario.Kind.RELEASES) {
+      System.out.println("releases ended as " + releaseOutcomes);
     }
-    return broken > 0 ? BROKEN : unplayed > 0 ? WRONG_INPUT : 0;
+    return violatingRuns > 0 ? EXIT_VIOLATION : failedRuns > 0 ? EXIT_ERROR : 0;
   }
 
-  private void play(long seed) {
+  private void runScenario(long seed) {
     try {
-      Scenario scenario = RandomScenario.generate(about, seed, routers);
-      Path folder = Files.createTempDirectory("storm-" + seed + "-");
-      RehearsalReport report = new Rehearsal(scenario, launcher, folder, text -> {}).run();
-      List<String> rules =
+      Scenario scenario = RandomScenario.generate(kind, seed, routers);
+      Path directory = Files.createTempDirectory("storm-" + seed + "-");
+      RehearsalReport report = new Rehearsal(scenario, launcher, directory, text -> {}).run();
+      List<String> violatedInvariants =
           report.results().stream()
-              .filter(v -> !v.held())
+              .filter(result -> !result.held())
               .map(InvariantResult::invariant)
               .toList();
-      if (!rules.isEmpty()) {
-        Path story = Files.createDirectories(kept.resolve("storm-" + seed));
-        Files.writeString(story.resolve("storm.toml"), RandomScenario.generateText(about, seed, routers));
-        Files.writeString(story.resolve("report.txt"), report.text());
-        Files.writeString(story.resolve("report.json"), report.json());
-        for (Path log : ShippedScenarios.logs(folder)) {
+      if (!violatedInvariants.isEmpty()) {
+        Path violationDirectory = Files.createDirectories(outputDirectory.resolve("storm-" + seed));
+        Files.writeString(
+            violationDirectory.resolve("storm.toml"),
+            RandomScenario.generateText(kind, seed, routers));
+        Files.writeString(violationDirectory.resolve("report.txt"), report.text());
+        Files.writeString(violationDirectory.resolve("report.json"), report.json());
+        for (Path log : ShippedScenarios.logs(directory)) {
           Files.copy(
               log,
-              story.resolve(log.getFileName().toString()),
+              violationDirectory.resolve(log.getFileName().toString()),
               StandardCopyOption.REPLACE_EXISTING);
         }
       }
-      ShippedScenarios.delete(folder);
-      count(seed, report, rules);
+      ShippedScenarios.delete(directory);
+      recordResult(seed, report, violatedInvariants);
     } catch (IOException | TomlException | RuntimeException e) {
-      unplayed(seed, e);
+      recordFailure(seed, e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private synchronized void unplayed(long seed, Exception e) {
-    unplayed++;
+  private synchronized void recordFailure(long seed, Exception e) {
+    failedRuns++;
     System.out.println("storm " + seed + ": not played: " + e.getMessage());
   }
 
-  private synchronized void count(long seed, RehearsalReport report, List<String> rules) {
-    held += rules.isEmpty() ? 1 : 0;
-    broken += rules.isEmpty() ? 0 : 1;
-    for (InvariantResult v : report.results()) {
-      if (v.invariant().equals("no-contradiction")) {
-        checked += v.checked();
-        longest = Math.max(longest, v.maxNanos());
+  private synchronized void recordResult(
+      long seed, RehearsalReport report, List<String> violatedInvariants) {
+    heldRuns += violatedInvariants.isEmpty() ? 1 : 0;
+    violatingRuns += violatedInvariants.isEmpty() ? 0 : 1;
+    for (InvariantResult result : report.results()) {
+      if (result.invariant().equals("no-contradiction")) {
+        checkedCases += result.checked();
+        longestContradictionNanos = Math.max(longestContradictionNanos, result.maxNanos());
       }
     }
-    releases.merge(report.releaseOutcome(), 1, Integer::sum);
-    stated =
+    releaseOutcomes.merge(report.releaseOutcome(), 1, Integer::sum);
+    statedNanos =
         report.scenario().agreement() == null
             ? 0
             : report.scenario().agreement().timing().statedNanos();
@@ -168,7 +180,9 @@
         "storm "
             + seed
             + ": "
-            + (rules.isEmpty() ? "held" : "BROKEN " + String.join(", ", rules))
+            + (violatedInvariants.isEmpty()
+                ? "held"
+                : "BROKEN " + String.join(", ", violatedInvariants))
             + "; "
             + report.summary());
   }
--- a/src/main/java/beaconturn/cli/RehearseCommand.java
+++ b/src/main/java/beaconturn/cli/RehearseCommand.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The options of a rehearsal. It names no class of the kit but the one that runs it, so that other
- * commands load none of them.
+ * Parses the {@code rehearse} command. Refers only to the runners of rehearsals, so that other
+ * commands load no classes of the test kit.
  */
 @Parameters(
     commandNames = "rehearse",
@@ -16,7 +16,8 @@
             + " example: rehearse examples/rehearsals/stall.toml --seed 3;"
             + " status 0: all rules held, 3: one was broken, 1: it could not be played")
 final class RehearseCommand implements Command {
-  private static final int MOST_ROUTERS = 40;
+  private static final int EXIT_USAGE = 2;
+  private static final int MAX_ROUTERS = 40;
 
   @Parameter(description = "SCENARIO.toml")
   private List<String> scenarios = new ArrayList<>();
@@ -35,17 +36,17 @@
   private String router;
 
   @Parameter(names = "--json", description = "a file for the report as JSON")
-  private String json;
+  private String jsonFile;
 
   @Parameter(
       names = "--html",
       description =
           "a file for the report as a page, with a picture of what was"
               + " served beside what was out")
-  private String html;
+  private String htmlFile;
 
   @Parameter(names = "--keep-logs", description = "an empty folder for configurations and logs")
-  private String logs;
+  private String logsDirectory;
 
   @Parameter(
       names = "--explain",
@@ -58,44 +59,56 @@
           "play so many scenarios made of chance instead, a search;"
               + " those that break a rule are kept in a folder each below --keep-logs;"
               + " --seed is the first one's")
-  private int storms;
+  private int stormCount;
 
   @Parameter(
       names = "--of",
       description = "what storms are about: versions, releases, places or" + " clients")
-  private String of = "versions";
+  private String stormKind = "versions";
 
   @Parameter(names = "--routers", description = "how many routers a storm has")
   private int routers = 3;
 
   @Parameter(names = "--at-once", description = "how many storms are played beside each other")
-  private int atOnce = 2;
+  private int parallelStorms = 2;
 
   @Parameter(names = "--list", description = "name the scenarios under examples/rehearsals")
-  private boolean list;
+  private boolean listScenarios;
 
   @Override
   public int execute() {
-    if (storms > 0 && scenarios.isEmpty() && !list) {
-      if (routers < 1 || routers > MOST_ROUTERS || atOnce < 1) {
+    if (stormCount > 0 && scenarios.isEmpty() && !listScenarios) {
+      if (routers < 1 || routers > MAX_ROUTERS || parallelStorms < 1) {
         System.err.println(
-            "rehearse: --routers is from 1 to " + MOST_ROUTERS + ", --at-once from 1 on");
-        return 2;
+            "rehearse: --routers must be from 1 to " + MAX_ROUTERS + ", --at-once at least 1");
+        return EXIT_USAGE;
       }
-      if (!List.of("versions", "releases", "places", "clients").contains(of)) {
-        System.err.println("rehearse: --of is versions, releases, places or clients");
-        return 2;
+      if (!List.of("versions", "releases", "places", "clients").contains(stormKind)) {
+        System.err.println("rehearse: --of must be versions, releases, places or clients");
+        return EXIT_USAGE;
       }
       return RandomSearchRunner.of(
-              of, storms, seed == null ? 1 : seed, routers, atOnce, logs, router)
+              stormKind,
+              stormCount,
+              seed == null ? 1 : seed,
+              routers,
+              parallelStorms,
+              logsDirectory,
+              router)
           .run();
     }
-    if (!list && scenarios.size() != 1) {
-      System.err.println("rehearse: name one scenario, or --list, or --storms");
-      return 2;
+    if (!listScenarios && scenarios.size() != 1) {
+      System.err.println("rehearse: exactly one scenario, --list or --storms is required");
+      return EXIT_USAGE;
     }
     return new RehearseRunner(
-            list ? null : scenarios.get(0), seed, router, json, html, logs, explain)
+            listScenarios ? null : scenarios.get(0),
+            seed,
+            router,
+            jsonFile,
+            htmlFile,
+            logsDirectory,
+            explain)
         .run();
   }
 }
--- a/src/main/java/beaconturn/cli/ReleaseCommand.java
+++ b/src/main/java/beaconturn/cli/ReleaseCommand.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The command for releases and its options. It refers to no class of releases but those that run
- * its orders, so that the router is served without them.
+ * Parses the {@code release} command. Refers only to the classes that execute its operations, so
+ * that other commands load no classes of releases.
  */
 @Parameters(
     commandNames = "release",
@@ -19,8 +19,7 @@
             + " example: release start plan.toml --reason \"build 41\" --features router.toml;"
             + " status 0: done, 1: wrong input or the store does not answer, 3: not now")
 final class ReleaseCommand implements Command {
-  /** Exit status: wrong usage. */
-  private static final int USAGE = 2;
+  private static final int EXIT_USAGE = 2;
 
   private static final List<String> WITH_ARGUMENT =
       List.of("fleet", "plan", "start", "drain", "undrain", "lost", "report", "agent");
@@ -28,10 +27,10 @@
       List.of("start", "halt", "resume", "back", "abandon", "drain", "undrain", "lost");
 
   @Parameter(description = "ORDER [FILE or PART]")
-  private List<String> words = new ArrayList<>();
+  private List<String> arguments = new ArrayList<>();
 
   @Parameter(names = "--features", description = "the operators' file with the [agreement] section")
-  private String features = "deploy/router.toml";
+  private String featuresFile = "deploy/router.toml";
 
   @Parameter(names = "--reason", description = "why, for the history")
   private String reason = "";
@@ -47,7 +46,7 @@
   @Parameter(
       names = "--wait",
       description = "how many seconds a drain waits until nobody sends there")
-  private int wait = 30;
+  private int waitSeconds = 30;
 
   @Parameter(names = "--json", description = "print JSON")
   private boolean json;
@@ -59,44 +58,45 @@
               + " until it is ready; it finds PART and VARIANT (old or new) in its"
               + " environment, and does nothing"
               + " where the part runs that variant already")
-  private String apply = "";
+  private String applyCommand = "";
 
   @Parameter(
       names = "--figures",
       description =
           "agent: the router's second address; of a cache server those of the routers that use"
               + " it, with commas between")
-  private String figures = "";
+  private String adminAddresses = "";
 
   @Override
   public int execute() {
-    String order = words.isEmpty() ? "" : words.get(0);
-    int wanted = WITH_ARGUMENT.contains(order) ? 2 : 1;
-    if (words.size() != wanted) {
-      System.err.println("release: see 'release --help'");
-      return USAGE;
+    String operation = arguments.isEmpty() ? "" : arguments.get(0);
+    int expectedArguments = WITH_ARGUMENT.contains(operation) ? 2 : 1;
+    if (arguments.size() != expectedArguments) {
+      System.err.println("release: wrong number of arguments, see 'release --help'");
+      return EXIT_USAGE;
     }
-    if (WITH_REASON.contains(order) && reason.isBlank()) {
-      System.err.println("release " + order + ": --reason is missing");
-      return USAGE;
+    if (WITH_REASON.contains(operation) && reason.isBlank()) {
+      System.err.println("release " + operation + ": --reason is missing");
+      return EXIT_USAGE;
     }
-    String argument = words.get(wanted - 1);
-    if (order.equals("agent")) {
+    String argument = arguments.get(expectedArguments - 1);
+    if (operation.equals("agent")) {
       return runAgent(argument);
     }
-    return new ReleaseRunner(features, reason, author, kind, wait, json).run(order, argument);
+    return new ReleaseRunner(featuresFile, reason, author, kind, waitSeconds, json)
+        .run(operation, argument);
   }
 
   private int runAgent(String instanceId) {
-    if (apply.isBlank()) {
+    if (applyCommand.isBlank()) {
       System.err.println("release agent: --apply is missing");
-      return USAGE;
+      return EXIT_USAGE;
     }
     InstanceMetricsReader metricsReader = null;
-    if (!figures.isEmpty()) {
-      List<String> addresses = List.of(figures.split(","));
+    if (!adminAddresses.isEmpty()) {
+      List<String> addresses = List.of(adminAddresses.split(","));
       metricsReader = new InstanceMetricsReader(instanceId, kind.equals("cache"), addresses);
     }
-    return new AgentRunner(features, instanceId, apply, metricsReader).run();
+    return new AgentRunner(featuresFile, instanceId, applyCommand, metricsReader).run();
   }
 }
--- a/src/main/java/beaconturn/cli/ReleaseFiles.java
+++ b/src/main/java/beaconturn/cli/ReleaseFiles.java
@@ -16,31 +16,31 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Reads operators' files of releases: the definition of a fleet, and the plan of a release. */
+/** Reads the operators' files for releases: the definition of a fleet and the plan of a release. */
 final class ReleaseFiles {
   private static final long NANOS_PER_SECOND = 1_000_000_000;
   private static final long DEFAULT_SOAK_NANOS = 60 * NANOS_PER_SECOND;
   private static final long DEFAULT_READY_TIMEOUT_NANOS = 60 * NANOS_PER_SECOND;
-  private static final int DEFAULT_MIN_ANSWERS = 200;
-  private static final int MAX_MIN_ANSWERS = 1_000_000;
-  private static final double MAX_ANSWERS_PER_SECOND = 1e9;
+  private static final int DEFAULT_MIN_RESPONSES = 200;
+  private static final int MAX_MIN_RESPONSES = 1_000_000;
+  private static final double MAX_RESPONSES_PER_SECOND = 1e9;
   private static final int MAX_CORES = 4096;
   private static final int MAX_INSTANCES = 10_000;
 
-  /** Largest ratio by which memory or the time of hits may be said to grow. */
-  private static final double MAX_RATIO = 1000;
+  /** Upper limit of the allowed relative growth of memory and of the latency of hits. */
+  private static final double MAX_GROWTH_RATIO = 1000;
 
   private ReleaseFiles() {}
 
-  /** The instances of a fleet and its disruption budget. */
-  static ReleaseFleet fleet(String file) throws ConfigException {
+  /** Reads the instances of a fleet and its disruption budget. */
+  static ReleaseFleet readFleet(String file) throws ConfigException {
     return OperatorFile.read(
         file,
         root -> {
           Map<InstanceKind, ReleaseFleet.Group> groups = new EnumMap<>(InstanceKind.class);
           for (InstanceKind kind : InstanceKind.values()) {
             if (root.has(kind.word() + "s")) {
-              groups.put(kind, group(root.table(kind.word() + "s")));
+              groups.put(kind, parseGroup(root.table(kind.word() + "s")));
             }
           }
           if (groups.isEmpty()) {
@@ -50,8 +50,8 @@
         });
   }
 
-  private static ReleaseFleet.Group group(TomlSection section) throws TomlException {
-    SortedMap<String, List<String>> instancesByZone = instancesByZone(section);
+  private static ReleaseFleet.Group parseGroup(TomlSection section) throws TomlException {
+    SortedMap<String, List<String>> instancesByZone = parseInstancesByZone(section);
     int instances = instancesByZone.values().stream().mapToInt(List::size).sum();
     int defaultTolerated = section.has("each_per_s") ? 1 : -1;
     return new ReleaseFleet.Group(
@@ -59,12 +59,12 @@
         countOrShare(section, "most_out_of_site", "share_out_of_site", instances),
         instancesByZone,
         new ReleaseFleet.Capacity(
-            section.number("each_per_s", 0, 0, MAX_ANSWERS_PER_SECOND),
+            section.number("each_per_s", 0, 0, MAX_RESPONSES_PER_SECOND),
             section.number("cores", 0, 0, MAX_CORES),
             section.integer("spare", defaultTolerated, -1, MAX_INSTANCES)));
   }
 
-  private static SortedMap<String, List<String>> instancesByZone(TomlSection section)
+  private static SortedMap<String, List<String>> parseInstancesByZone(TomlSection section)
       throws TomlException {
     SortedMap<String, List<String>> instancesByZone = new TreeMap<>();
     for (TomlSection zone : section.tables("site")) {
@@ -78,7 +78,8 @@
       }
       for (String instanceId : instanceIds) {
         boolean givenTwice =
-            instancesByZone.values().stream().anyMatch(others -> others.contains(instanceId));
+            instancesByZone.values().stream()
+                .anyMatch(otherInstances -> otherInstances.contains(instanceId));
         if (givenTwice || !instanceId.matches("[!-.0-~]{1,64}")) {
           throw zone.invalid("parts", "'" + instanceId + "' is odd or given twice");
         }
@@ -91,7 +92,7 @@
     return instancesByZone;
   }
 
-  /** A number of instances, or a share of them rounded down. */
+  /** Reads a number of instances, given as a count or as a share that is rounded down. */
   private static int countOrShare(
       TomlSection section, String countKey, String shareKey, int instances) throws TomlException {
     if (section.has(countKey) && section.has(shareKey)) {
@@ -102,12 +103,13 @@
         : section.integer(countKey, 1, 0, MAX_INSTANCES);
   }
 
-  /** The plan of a release; a file without waves gets the default waves over the fleet. */
-  static RolloutPlan plan(String file, String reason, ReleaseFleet fleet) throws ConfigException {
-    return OperatorFile.read(file, root -> plan(root, reason, fleet));
+  /** Reads the plan of a release; without waves in the file it gets the default ones. */
+  static RolloutPlan readPlan(String file, String reason, ReleaseFleet fleet)
+      throws ConfigException {
+    return OperatorFile.read(file, root -> parsePlan(root, reason, fleet));
   }
 
-  private static RolloutPlan plan(TomlSection root, String reason, ReleaseFleet fleet)
+  private static RolloutPlan parsePlan(TomlSection root, String reason, ReleaseFleet fleet)
       throws TomlException {
     String kindWord = root.choice("kind", "router", List.of("router", "cache"));
     InstanceKind kind = InstanceKind.ofWord(kindWord).orElseThrow();
@@ -120,31 +122,31 @@
         kind,
         waves.isEmpty() ? DefaultWaves.of(fleet.group(kind)) : waves,
         root.durationNanos("soak", DEFAULT_SOAK_NANOS, 0),
-        root.integer("samples", DEFAULT_MIN_ANSWERS, 0, MAX_MIN_ANSWERS),
-        regressionBounds(root),
+        root.integer("samples", DEFAULT_MIN_RESPONSES, 0, MAX_MIN_RESPONSES),
+        parseRegressionBounds(root),
         root.durationNanos("limit", DEFAULT_READY_TIMEOUT_NANOS, NANOS_PER_SECOND),
         root.durationNanos("alone", 0, 0),
         reason,
-        configContent(root),
+        parseConfigContent(root),
         "");
   }
 
-  private static RegressionBounds regressionBounds(TomlSection root) throws TomlException {
+  private static RegressionBounds parseRegressionBounds(TomlSection root) throws TomlException {
     RegressionBounds defaults = RegressionBounds.DEFAULT;
     return new RegressionBounds(
         root.number("worse", defaults.failed(), 0, 1),
         root.number("worse_late", defaults.late(), 0, 1),
         root.number("worse_missed", defaults.missed(), 0, 1),
         root.number("worse_avoided", defaults.avoidedServers(), 0, 1),
-        root.number("worse_memory", defaults.memory(), 0, MAX_RATIO),
-        root.number("worse_hits", defaults.hitTime(), 0, MAX_RATIO));
+        root.number("worse_memory", defaults.memory(), 0, MAX_GROWTH_RATIO),
+        root.number("worse_hits", defaults.hitTime(), 0, MAX_GROWTH_RATIO));
   }
 
   /**
-   * The configuration that goes with the release, from a file in the form of a version, or null. It
-   * may not exclude cache servers: which are excluded stays as it is.
+   * Reads the configuration that is released with the plan, or returns null if none is named. It
+   * must not exclude cache servers, since a release leaves the set of excluded servers unchanged.
    */
-  private static ConfigContent configContent(TomlSection root) throws TomlException {
+  private static ConfigContent parseConfigContent(TomlSection root) throws TomlException {
     String file = root.text("settings", "");
     if (file.isEmpty()) {
       return null;
@@ -152,7 +154,8 @@
     try {
       ConfigContent content = ContentFile.read(file);
       if (!content.excludedServers().isEmpty()) {
-        throw root.invalid("settings", file + " holds cache servers out, which a release does not");
+        throw root.invalid(
+            "settings", file + " excludes cache servers, which a release must not do");
       }
       return content;
     } catch (ConfigException e) {
--- a/src/main/java/beaconturn/cli/ReleasePlanPrinter.java
+++ b/src/main/java/beaconturn/cli/ReleasePlanPrinter.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Prints what a release would do and how long it may take, before it is started. */
+/** Prints the waves, the expected duration and the regression bounds of a plan before its start. */
 record ReleasePlanPrinter(RolloutPlan plan) {
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double PERCENT = 100;
@@ -18,8 +18,9 @@
   /**
    * Prints the plan.
    *
-   * @param unplanned instances that are out without a permit, with reasons
-   * @throws AgreementException if it cannot be started as things are, with the reason
+   * @param snapshot the current state of the rollout
+   * @param unplanned reasons of unavailable instances without a permit, by instance
+   * @throws AgreementException if the plan cannot be started now, with the reason
    */
   void print(RolloutSnapshot snapshot, Map<String, String> unplanned) throws AgreementException {
     String objection = RolloutAdmin.objection(plan, snapshot);
--- a/src/main/java/beaconturn/cli/ReleaseReport.java
+++ b/src/main/java/beaconturn/cli/ReleaseReport.java
@@ -12,20 +12,20 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The current release, or the last one, as a page: its steps, its history and its answers. */
+/** Renders the current or last release as an HTML page: its steps, history and time series. */
 final class ReleaseReport {
   private static final double MILLIS_PER_SECOND = 1000;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** A point is marked where more than one in so many successful answers came late. */
-  private static final int LATE_MARK = 10;
+  /** A point is marked if more than one in this many successful responses was late. */
+  private static final int LATE_MARK_DIVISOR = 10;
 
   private ReleaseReport() {}
 
   /**
-   * The page.
+   * Renders the page.
    *
-   * @throws AgreementException if there is no release, or the store does not answer
+   * @throws AgreementException if there is no release, or the store does not reply
    */
   static String of(RolloutAdmin rollouts) throws AgreementException {
     RolloutSnapshot snapshot = rollouts.snapshot();
@@ -77,25 +77,25 @@
             seconds(startMillis, points.get(points.size() - 1).atMillis()),
             "served of all answers, in %; late ones in the second line below",
             "out: blue by a permit, orange by itself; late: over a tenth of what was served");
-    List<TimelineChart.Span> unavailable = new ArrayList<>();
+    List<TimelineChart.Span> down = new ArrayList<>();
     List<TimelineChart.Span> late = new ArrayList<>();
-    long beforeMillis = startMillis;
+    long previousMillis = startMillis;
     for (RolloutTimeSeries.Point point : points) {
-      double from = seconds(startMillis, beforeMillis);
-      double to = seconds(startMillis, point.atMillis());
-      long answers = point.served() + point.failed();
-      if (answers > 0) {
-        chart.share(from, to, point.served() / (double) answers);
+      double fromSeconds = seconds(startMillis, previousMillis);
+      double toSeconds = seconds(startMillis, point.atMillis());
+      long responses = point.served() + point.failed();
+      if (responses > 0) {
+        chart.share(fromSeconds, toSeconds, point.served() / (double) responses);
       }
       if (point.plannedUnavailable() + point.unplannedUnavailable() > 0) {
-        unavailable.add(new TimelineChart.Span(from, to, point.unplannedUnavailable() == 0));
+        down.add(new TimelineChart.Span(fromSeconds, toSeconds, point.unplannedUnavailable() == 0));
       }
-      if (LATE_MARK * point.late() > point.served()) {
-        late.add(new TimelineChart.Span(from, to, false));
+      if (LATE_MARK_DIVISOR * point.late() > point.served()) {
+        late.add(new TimelineChart.Span(fromSeconds, toSeconds, false));
       }
-      beforeMillis = point.atMillis();
+      previousMillis = point.atMillis();
     }
-    chart.row(new TimelineChart.Row("out", unavailable));
+    chart.row(new TimelineChart.Row("out", down));
     chart.row(new TimelineChart.Row("late", late));
     return chart;
   }
--- a/src/main/java/beaconturn/cli/ReleaseRunner.java
+++ b/src/main/java/beaconturn/cli/ReleaseRunner.java
@@ -19,54 +19,53 @@
 import java.nio.file.Path;
 
 /**
- * Carries out one order of an operator to releases.
+ * Executes one operation of the {@code release} command.
  *
- * @param featuresFile file with the [agreement] section
- * @param reason why, for the history
- * @param author who, for the history
- * @param kind word of the kind of an instance that is lost
- * @param waitSeconds how long a drain waits until all routers have stopped sending
- * @param json whether the state is printed as JSON
+ * @param featuresFile the operators' file with the {@code [agreement]} section
+ * @param reason reason of the operation, for the history
+ * @param author author of the operation, for the history
+ * @param kind kind of an instance that is lost: {@code router} or {@code cache}
+ * @param waitSeconds how long a drain waits until no router sends to the server
+ * @param json whether to print the state as JSON
  */
 record ReleaseRunner(
     String featuresFile, String reason, String author, String kind, int waitSeconds, boolean json) {
-  /** Exit status: wrong input, or the store does not answer. */
-  private static final int WRONG = 1;
+  /** Exit status: invalid input, or the store does not reply. */
+  private static final int EXIT_ERROR = 1;
 
-  /** Exit status: wrong usage. */
-  private static final int USAGE = 2;
+  private static final int EXIT_USAGE = 2;
 
-  /** Exit status: not allowed as things are, or not done in time. */
-  static final int NOT_NOW = 3;
+  /** Exit status: currently not allowed, or not complete in time. */
+  static final int EXIT_NOT_NOW = 3;
 
-  private static final long CALL_TIMEOUT_NANOS = 5_000_000_000L;
+  private static final long REQUEST_TIMEOUT_NANOS = 5_000_000_000L;
 
-  /** What orders work with while the store is connected. */
+  /** The store clients of an operation. */
   private record ReleaseSession(
       RolloutAdmin rollouts,
       DisruptionPermitAdmin permits,
       ConfigAdmin agreement,
       ObservedUnavailability observed) {}
 
-  /** Carries out the order; the exit status. */
-  int run(String order, String argument) {
+  /** Executes the operation and returns the exit status. */
+  int run(String operation, String argument) {
     try {
-      AgreementConfig config = FeaturesFile.required(featuresFile);
-      StoreClient store = new StoreClient(config.endpoints(), CALL_TIMEOUT_NANOS);
+      AgreementConfig config = FeaturesFile.requiredAgreement(featuresFile);
+      StoreClient store = new StoreClient(config.endpoints(), REQUEST_TIMEOUT_NANOS);
       try {
-        return carryOut(order, argument, session(config.fleet(), store));
+        return execute(operation, argument, session(config.fleet(), store));
       } finally {
         store.close();
       }
     } catch (ConfigException e) {
       System.err.println("release: " + e.getMessage());
-      return WRONG;
+      return EXIT_ERROR;
     } catch (AgreementException e) {
-      System.err.println("release " + order + ": " + e.getMessage());
-      return e.getMessage().startsWith("the store does not answer") ? WRONG : NOT_NOW;
+      System.err.println("release " + operation + ": " + e.getMessage());
+      return e.getMessage().startsWith("the store does not answer") ? EXIT_ERROR : EXIT_NOT_NOW;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return WRONG;
+      return EXIT_ERROR;
     }
   }
 
@@ -80,10 +79,10 @@
         new ObservedUnavailability(agreement, new ZonesKeys(fleet), store));
   }
 
-  private int carryOut(String order, String argument, ReleaseSession session)
+  private int execute(String operation, String argument, ReleaseSession session)
       throws ConfigException, AgreementException, InterruptedException {
-    switch (order) {
-      case "plan" -> plan(argument, session);
+    switch (operation) {
+      case "plan" -> printPlan(argument, session);
       case "drain" -> {
         return drain(argument, session);
       }
@@ -91,22 +90,22 @@
         return cacheDrain(session).undrain(argument);
       }
       case "show" -> new ReleaseStatusPrinter(session.rollouts().snapshot()).print(json);
-      case "report" -> report(argument, session.rollouts());
+      case "report" -> writeReport(argument, session.rollouts());
       case "history" -> session.rollouts().history().forEach(System.out::println);
       default -> {
-        return change(order, argument, session);
+        return executeChange(operation, argument, session);
       }
     }
     return 0;
   }
 
-  /** Orders that change a release or a permit, and print what was done. */
-  private int change(String order, String argument, ReleaseSession session)
+  /** Executes an operation that changes a release or a permit, and prints its result. */
+  private int executeChange(String operation, String argument, ReleaseSession session)
       throws ConfigException, AgreementException {
     RolloutAdmin rollouts = session.rollouts();
-    String done =
-        switch (order) {
-          case "fleet" -> rollouts.defineFleet(ReleaseFiles.fleet(argument));
+    String result =
+        switch (operation) {
+          case "fleet" -> rollouts.defineFleet(ReleaseFiles.readFleet(argument));
           case "start" -> rollouts.start(readPlan(argument, rollouts.snapshot()));
           case "halt" -> rollouts.halt(reason);
           case "resume" -> rollouts.resume(reason);
@@ -115,11 +114,11 @@
           case "lost" -> session.permits().returnPermit(kindOfLost(), argument, reason);
           default -> null;
         };
-    if (done == null) {
-      System.err.println("release: unknown order '" + order + "', see 'release --help'");
-      return USAGE;
+    if (result == null) {
+      System.err.println("release: unknown order '" + operation + "', see 'release --help'");
+      return EXIT_USAGE;
     }
-    System.out.println(done);
+    System.out.println(result);
     return 0;
   }
 
@@ -128,11 +127,11 @@
   }
 
   private RolloutPlan readPlan(String file, RolloutSnapshot snapshot) throws ConfigException {
-    return ReleaseFiles.plan(file, reason, snapshot.fleet());
+    return ReleaseFiles.readPlan(file, reason, snapshot.fleet());
   }
 
-  /** Tells what a release would do, before it is started. */
-  private void plan(String file, ReleaseSession session)
+  /** Prints what a release would do, without starting it. */
+  private void printPlan(String file, ReleaseSession session)
       throws ConfigException, AgreementException {
     RolloutSnapshot snapshot = session.rollouts().snapshot();
     RolloutPlan plan = readPlan(file, snapshot);
@@ -151,7 +150,7 @@
     return new CacheDrain(session.agreement(), session.permits(), author, reason, waitSeconds);
   }
 
-  private static void report(String file, RolloutAdmin rollouts)
+  private static void writeReport(String file, RolloutAdmin rollouts)
       throws AgreementException, ConfigException {
     try {
       Files.writeString(Path.of(file), ReleaseReport.of(rollouts));
--- a/src/main/java/beaconturn/cli/ReleaseStatusPrinter.java
+++ b/src/main/java/beaconturn/cli/ReleaseStatusPrinter.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Prints the state of the current release, or of the last one. */
+/** Prints the state of the current or last release. */
 record ReleaseStatusPrinter(RolloutSnapshot snapshot) {
-  /** Prints it as one line of JSON, or as text. */
+  /** Prints the state as one line of JSON, or as text. */
   void print(boolean json) {
     if (json) {
       System.out.println(json());
@@ -71,7 +71,7 @@
 
   private void printText() {
     System.out.println(headline());
-    snapshot.steps().values().forEach(step -> System.out.println(line(step)));
+    snapshot.steps().values().forEach(step -> System.out.println(stepLine(step)));
     for (InstanceKind kind : InstanceKind.values()) {
       System.out.println(budgetLine(kind));
     }
@@ -91,7 +91,7 @@
         + (snapshot.driver().isEmpty() ? "nobody" : snapshot.driver());
   }
 
-  private static String line(RolloutStep step) {
+  private static String stepLine(RolloutStep step) {
     String reason = step.failureReason().isEmpty() ? "" : ": " + step.failureReason();
     return "  "
         + step.instanceId()
--- a/src/main/java/beaconturn/cli/ServeCommand.java
+++ b/src/main/java/beaconturn/cli/ServeCommand.java
@@ -13,49 +13,51 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.logging.Logger;
 
-/** Runs one real router until it is told to stop. */
+/** Runs a router until the process is asked to terminate. */
 @Parameters(commandNames = "serve", commandDescription = "run one router on sockets")
 final class ServeCommand implements Command {
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   @ParametersDelegate private final ConfigFileOption config = new ConfigFileOption();
 
   @Parameter(
       names = "--features",
       description = "the operators' file of what else is on; none: nothing")
-  private String features;
+  private String featuresFile;
 
   @Override
   public int execute() {
     Logging.start();
-    // Before all else: a SIGHUP that nobody handles would end the process.
-    AtomicBoolean asked = new AtomicBoolean();
-    AtomicReference<RouterServer> serving = new AtomicReference<>();
+    // Installed first: an unhandled SIGHUP would terminate the process.
+    AtomicBoolean reloadRequested = new AtomicBoolean();
+    AtomicReference<RouterServer> createdServer = new AtomicReference<>();
     HangUpSignal.handle(
         () -> {
-          asked.set(true);
-          reload(serving.get());
+          reloadRequested.set(true);
+          reloadIfCreated(createdServer.get());
         });
     Lifecycle lifecycle = new Lifecycle();
     if (Long.getLong(Clock.OFF, 0) != 0) {
       Logger.getLogger(ServeCommand.class.getName())
           .warning(
-              "the wall clock is "
-                  + Long.getLong(Clock.OFF) / MILLI
-                  + " ms off, as a rehearsal has it");
+              "the wall clock is shifted by "
+                  + Long.getLong(Clock.OFF) / NANOS_PER_MILLI
+                  + " ms, for a rehearsal");
     }
     try {
-      RouterConfig read = config.read();
+      RouterConfig routerConfig = config.read();
       RouterServer server =
           new RouterServer(
-              read,
-              config::readAnew,
+              routerConfig,
+              config::reread,
               lifecycle,
-              features == null ? null : FeaturesFile.agreed(features, read),
-              features == null ? null : FeaturesFile.placing(features, read));
-      Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(server), "drain"));
-      serving.set(server);
-      if (asked.get()) {
-        reload(server);
+              featuresFile == null ? null : FeaturesFile.configSource(featuresFile, routerConfig),
+              featuresFile == null
+                  ? null
+                  : FeaturesFile.zoneWeightsSource(featuresFile, routerConfig));
+      Runtime.getRuntime().addShutdownHook(new Thread(() -> drainAndHalt(server), "drain"));
+      createdServer.set(server);
+      if (reloadRequested.get()) {
+        reloadIfCreated(server);
       }
       server.start();
       lifecycle.await(Lifecycle.Phase.STOPPED);
@@ -69,21 +71,21 @@
     }
   }
 
-  /** What is asked for before there is a router is caught up with once there is one. */
-  private static void reload(RouterServer server) {
+  /** Reloads the configuration; a request before the router exists is repeated once it does. */
+  private static void reloadIfCreated(RouterServer server) {
     if (server != null) {
       server.reload();
     }
   }
 
-  private static void stop(RouterServer server) {
+  private static void drainAndHalt(RouterServer server) {
     try {
       server.drain();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
       Logging.finish();
-      // Ends the JVM here: after a signal it would report one, though the stop went as planned.
+      // Otherwise the exit status would be that of the signal, although the shutdown succeeded.
       Runtime.getRuntime().halt(0);
     }
   }
--- a/src/main/java/beaconturn/cli/SimHostCommand.java
+++ b/src/main/java/beaconturn/cli/SimHostCommand.java
@@ -5,7 +5,7 @@
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
 
-/** Hosts routing policies for the simulator. */
+/** Hosts routing policies for the simulator, over standard input and output. */
 @Parameters(
     commandNames = "simhost",
     commandDescription =
--- a/src/main/java/beaconturn/cli/StandInCommand.java
+++ b/src/main/java/beaconturn/cli/StandInCommand.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The options of the surroundings alone; it names no class of the kit but the one that runs it. */
+/**
+ * Parses the {@code stand-in} command. Refers only to {@link StandInRunner}, so that other commands
+ * load no classes of the test kit.
+ */
 @Parameters(
     commandNames = "stand-in",
     commandDescription =
@@ -14,23 +17,25 @@
             + " them fail;"
             + " example: stand-in examples/try-out.toml, then: stall c2 for 5s")
 final class StandInCommand implements Command {
+  private static final int EXIT_USAGE = 2;
+
   @Parameter(description = "SCENARIO.toml, of which clients and faults are left out")
   private List<String> scenarios = new ArrayList<>();
 
   @Parameter(
       names = "--port",
       description = "where addresses begin: discovery, then the cache servers")
-  private int port = 8500;
+  private int firstPort = 8500;
 
   @Parameter(names = "--control", description = "the control port, on loopback; 0 takes a free one")
-  private int control = 8499;
+  private int controlPort = 8499;
 
   @Override
   public int execute() {
     if (scenarios.size() != 1) {
-      System.err.println("stand-in: name one scenario");
-      return 2;
+      System.err.println("stand-in: exactly one scenario is required");
+      return EXIT_USAGE;
     }
-    return new StandInRunner(scenarios.get(0), port, control).run();
+    return new StandInRunner(scenarios.get(0), firstPort, controlPort).run();
   }
 }
--- a/src/main/java/beaconturn/cli/StandInRunner.java
+++ b/src/main/java/beaconturn/cli/StandInRunner.java
@@ -20,43 +20,53 @@
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
 
-/** Runs the surroundings of one router until the process is stopped, or told to quit. */
-record StandInRunner(String file, int port, int control) {
-  private static final int WRONG_INPUT = 1;
+/**
+ * Runs stand-ins of cache servers, an origin and discovery for one router, until the process is
+ * stopped or reads {@code quit} from standard input.
+ *
+ * @param scenarioFile the scenario that describes the stand-ins
+ * @param firstPort port of discovery; the cache servers use the ports that follow
+ * @param controlPort port that accepts fault commands; 0 takes a free one
+ */
+record StandInRunner(String scenarioFile, int firstPort, int controlPort) {
+  private static final int EXIT_ERROR = 1;
 
   int run() {
     try {
-      Scenario scenario = ScenarioReader.read(file, Files.readString(Path.of(file)), null);
+      Scenario scenario =
+          ScenarioReader.read(scenarioFile, Files.readString(Path.of(scenarioFile)), null);
       Clock clock = Clock.system();
-      EmulatedFleet world =
+      EmulatedFleet fleet =
           new EmulatedFleet(
               new EventScheduler(clock.now()),
               scenario.emulatedFleetSpec(),
               new RandomSources(scenario.seed()),
               HistoryRecorder.NONE);
-      FaultCommands orders = new FaultCommands(world);
-      try (EmulatedFleetServer surroundings = new EmulatedFleetServer(world, clock::now, 1, port)) {
-        InetSocketAddress told = surroundings.openControlPort(control, orders::run);
-        surroundings.start();
+      FaultCommands faultCommands = new FaultCommands(fleet);
+      try (EmulatedFleetServer fleetServer =
+          new EmulatedFleetServer(fleet, clock::now, 1, firstPort)) {
+        InetSocketAddress controlAddress =
+            fleetServer.openControlPort(controlPort, faultCommands::run);
+        fleetServer.start();
         System.out.println(
             "discovery at 127.0.0.1:"
-                + surroundings.discoveryAddress(0).getPort()
+                + fleetServer.discoveryAddress(0).getPort()
                 + ", "
-                + world.serverCount()
+                + fleet.serverCount()
                 + " cache servers from 127.0.0.1:"
-                + surroundings.serverAddress(0, 0).getPort()
+                + fleetServer.serverAddress(0, 0).getPort()
                 + " on, control at 127.0.0.1:"
-                + told.getPort()
+                + controlAddress.getPort()
                 + "; say help");
-        listen(surroundings, orders);
+        executeCommands(fleetServer, faultCommands);
       }
       return 0;
     } catch (BindException e) {
       System.err.println(
           "stand-in: an address from 127.0.0.1:"
-              + port
+              + firstPort
               + " on, or the control port "
-              + control
+              + controlPort
               + ", is in use; choose others with --port and --control");
     } catch (IOException e) {
       System.err.println("stand-in: " + e.getClass().getSimpleName() + ": " + e.getMessage());
@@ -65,11 +75,13 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    return WRONG_INPUT;
+    return EXIT_ERROR;
   }
 
-  /** Until a line says quit; an input that ends, as that of a service does, ends nothing. */
-  private static void listen(EmulatedFleetServer surroundings, FaultCommands orders)
+  /**
+   * Executes fault commands until {@code quit}; the end of the input does not stop the stand-ins.
+   */
+  private static void executeCommands(EmulatedFleetServer fleetServer, FaultCommands faultCommands)
       throws IOException, InterruptedException {
     BufferedReader in =
         new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
@@ -77,8 +89,8 @@
       if (line.trim().equals("quit")) {
         return;
       }
-      String order = line;
-      System.out.println(surroundings.call(() -> orders.run(order)));
+      String command = line;
+      System.out.println(fleetServer.call(() -> faultCommands.run(command)));
     }
     new CountDownLatch(1).await();
   }
--- a/src/main/java/beaconturn/cli/StatsClient.java
+++ b/src/main/java/beaconturn/cli/StatsClient.java
@@ -9,50 +9,50 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads statistics from the second address of a router. */
+/** Reads metrics from the admin address of a router. */
 final class StatsClient {
   private static final int TIMEOUT_MILLIS = 1000;
-  private static final String PREFIX = "app.";
-  private static final String END = "--";
+  private static final String METRIC_PREFIX = "app.";
+  private static final String END_MARKER = "--";
 
   private StatsClient() {}
 
   /**
-   * The values by their names; none where the router does not know the command.
+   * Returns the metrics by name; none if the router does not support the command.
    *
-   * @throws IOException if the router does not answer in time, or with what is no number
+   * @throws IOException if the router does not respond in time, or a value is not a number
    */
   static Map<String, Long> read(String address, String command) throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(parse(address), TIMEOUT_MILLIS);
+      socket.connect(parseAddress(address), TIMEOUT_MILLIS);
       socket.setSoTimeout(TIMEOUT_MILLIS);
       socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
-      return read(
+      return parseMetrics(
           new BufferedReader(
               new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII)));
     } catch (NumberFormatException e) {
-      throw new IOException("figures that cannot be read", e);
+      throw new IOException("the admin address returned a metric that is not a number", e);
     }
   }
 
-  private static InetSocketAddress parse(String address) {
+  private static InetSocketAddress parseAddress(String address) {
     int colon = address.lastIndexOf(':');
     return new InetSocketAddress(
         address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
   }
 
-  /** Lines of StatsD: a name, a colon, the value, a bar and the type. */
-  private static Map<String, Long> read(BufferedReader lines) throws IOException {
+  /** Parses lines in StatsD format: {@code name:value|type}. */
+  private static Map<String, Long> parseMetrics(BufferedReader lines) throws IOException {
     Map<String, Long> values = new HashMap<>();
     for (String line = lines.readLine();
-        line != null && !line.equals(END);
+        line != null && !line.equals(END_MARKER);
         line = lines.readLine()) {
-      int valueAt = line.lastIndexOf(':');
-      int typeAt = line.lastIndexOf('|');
-      if (line.startsWith(PREFIX) && valueAt > 0 && typeAt > valueAt) {
+      int valueSeparator = line.lastIndexOf(':');
+      int typeSeparator = line.lastIndexOf('|');
+      if (line.startsWith(METRIC_PREFIX) && valueSeparator > 0 && typeSeparator > valueSeparator) {
         values.put(
-            line.substring(PREFIX.length(), valueAt),
-            Long.parseLong(line.substring(valueAt + 1, typeAt)));
+            line.substring(METRIC_PREFIX.length(), valueSeparator),
+            Long.parseLong(line.substring(valueSeparator + 1, typeSeparator)));
       }
     }
     return values;
--- a/src/main/java/beaconturn/cli/StoreStandInCommand.java
+++ b/src/main/java/beaconturn/cli/StoreStandInCommand.java
@@ -3,7 +3,10 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 
-/** The options of the store's stand-in; it names no class of the kit but the one that runs it. */
+/**
+ * Parses the {@code store-stand-in} command. Refers only to {@link StoreStandInRunner}, so that
+ * other commands load no classes of the test kit.
+ */
 @Parameters(
     commandNames = "store-stand-in",
     commandDescription =
@@ -18,10 +21,10 @@
   @Parameter(
       names = "--log",
       description = "a file that tells every change: time, revision, key and value")
-  private String log;
+  private String logFile;
 
   @Override
   public int execute() {
-    return new StoreStandInRunner(port, log).run();
+    return new StoreStandInRunner(port, logFile).run();
   }
 }
--- a/src/main/java/beaconturn/cli/VersionCommand.java
+++ b/src/main/java/beaconturn/cli/VersionCommand.java
@@ -2,7 +2,7 @@
 
 import com.beust.jcommander.Parameters;
 
-/** Prints the version. */
+/** Prints the version of the program. */
 @Parameters(commandNames = "version", commandDescription = "print the version")
 final class VersionCommand implements Command {
   @Override
--- a/src/main/java/beaconturn/cli/ZonesCommand.java
+++ b/src/main/java/beaconturn/cli/ZonesCommand.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The options of {@code zones}; it loads no class of the zones but the runner. */
+/**
+ * Parses the {@code zones} command. Refers only to {@link ZonesRunner}, so that other commands load
+ * no classes of the zones.
+ */
 @Parameters(
     commandNames = "zones",
     commandDescription =
@@ -16,16 +19,17 @@
 final class ZonesCommand implements Command {
   private static final int EXIT_USAGE = 2;
 
-  /** All keys of a zone, in thousandths. */
+  /** Weight of all keys of a zone, in thousandths. */
   private static final int MAX_WEIGHT = 1000;
 
-  private static final List<String> WITH_ZONE = List.of("drain", "hold", "weight", "free");
+  private static final List<String> OPERATIONS_WITH_ZONE =
+      List.of("drain", "hold", "weight", "free");
 
   @Parameter(description = "ORDER [ZONE]")
-  private List<String> words = new ArrayList<>();
+  private List<String> arguments = new ArrayList<>();
 
   @Parameter(names = "--features", description = "the operators' file with the [zones] section")
-  private String features = "deploy/router.toml";
+  private String featuresFile = "deploy/router.toml";
 
   @Parameter(names = "--reason", description = "why, for who looks later")
   private String reason = "";
@@ -36,27 +40,27 @@
   @Parameter(
       names = "--for",
       description = "after so many seconds the order ends by itself; 0: never")
-  private int seconds;
+  private int durationSeconds;
 
   @Parameter(names = "--near", description = "weight: so many of 1000 keys at most stay near")
   private int nearWeight = MAX_WEIGHT;
 
   @Override
   public int execute() {
-    String operation = words.isEmpty() ? "" : words.get(0);
-    boolean withZone = WITH_ZONE.contains(operation);
-    if (words.size() != (withZone ? 2 : 1)
+    String operation = arguments.isEmpty() ? "" : arguments.get(0);
+    boolean zoneRequired = OPERATIONS_WITH_ZONE.contains(operation);
+    if (arguments.size() != (zoneRequired ? 2 : 1)
         || nearWeight < 0
         || nearWeight > MAX_WEIGHT
-        || seconds < 0) {
-      System.err.println("zones: see 'zones --help'");
+        || durationSeconds < 0) {
+      System.err.println("zones: wrong arguments, see 'zones --help'");
       return EXIT_USAGE;
     }
-    if (withZone && !operation.equals("free") && reason.isBlank()) {
+    if (zoneRequired && !operation.equals("free") && reason.isBlank()) {
       System.err.println("zones " + operation + ": --reason is missing");
       return EXIT_USAGE;
     }
-    return new ZonesRunner(features, reason, author, seconds, nearWeight)
-        .run(operation, words.get(words.size() - 1));
+    return new ZonesRunner(featuresFile, reason, author, durationSeconds, nearWeight)
+        .run(operation, arguments.get(arguments.size() - 1));
   }
 }
--- a/src/main/java/beaconturn/cli/ZonesPrinter.java
+++ b/src/main/java/beaconturn/cli/ZonesPrinter.java
@@ -8,7 +8,7 @@
 import beaconturn.zones.ZonesSnapshot;
 import java.util.Locale;
 
-/** Prints what operators see of the zones. */
+/** Prints zone plans, operator overrides and the reports of routers. */
 final class ZonesPrinter {
   private ZonesPrinter() {}
 
@@ -53,7 +53,7 @@
 
   private static void printReport(ZoneReport report) {
     StringBuilder zones = new StringBuilder();
-    report.zones().forEach((zone, seen) -> zones.append(describe(zone, seen)));
+    report.zones().forEach((zone, observations) -> zones.append(describe(zone, observations)));
     System.out.println(
         "  "
             + report.router()
@@ -64,15 +64,15 @@
             + zones);
   }
 
-  private static String describe(String zone, ZoneObservations seen) {
+  private static String describe(String zone, ZoneObservations observations) {
     return String.format(
         Locale.ROOT,
         "; %s %d good, %d bad, %d of %d servers warm, %d ejected",
         zone,
-        seen.goodAttempts(),
-        seen.badAttempts(),
-        seen.warmServers(),
-        seen.listedServers(),
-        seen.ejectedServers());
+        observations.goodAttempts(),
+        observations.badAttempts(),
+        observations.warmServers(),
+        observations.listedServers(),
+        observations.ejectedServers());
   }
 }
--- a/src/main/java/beaconturn/cli/ZonesRunner.java
+++ b/src/main/java/beaconturn/cli/ZonesRunner.java
@@ -15,46 +15,47 @@
 import beaconturn.zones.ZonesSnapshot;
 
 /**
- * Carries out one operation of the {@code zones} command.
+ * Executes one operation of the {@code zones} command.
  *
- * @param features the operators' file
- * @param reason why
- * @param author who says so
- * @param seconds how long an override counts, 0 without end
- * @param nearWeight thousandths of a zone's keys that may stay, for {@code weight}
+ * @param featuresFile the operators' file with the {@code [zones]} section
+ * @param reason reason of an override
+ * @param author author of an override
+ * @param durationSeconds how long an override is valid; 0 means without limit
+ * @param nearWeight for {@code weight}: thousandths of a zone's keys that may stay in the zone
  */
-record ZonesRunner(String features, String reason, String author, int seconds, int nearWeight) {
-  private static final int EXIT_WRONG = 1;
+record ZonesRunner(
+    String featuresFile, String reason, String author, int durationSeconds, int nearWeight) {
+  private static final int EXIT_ERROR = 1;
   private static final int EXIT_USAGE = 2;
   private static final int EXIT_NOT_NOW = 3;
-  private static final long SECOND_NANOS = 1_000_000_000;
-  private static final long REQUEST_TIMEOUT_NANOS = 5 * SECOND_NANOS;
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
+  private static final long REQUEST_TIMEOUT_NANOS = 5 * NANOS_PER_SECOND;
 
-  /** The exit status. */
+  /** Executes the operation and returns the exit status. */
   int run(String operation, String zone) {
     try {
-      AgreementConfig config = FeaturesFile.required(features);
-      ZoneTopology topology = FeaturesFile.requiredPlaces(features);
+      AgreementConfig config = FeaturesFile.requiredAgreement(featuresFile);
+      ZoneTopology topology = FeaturesFile.requiredZones(featuresFile);
       StoreClient store = new StoreClient(config.endpoints(), REQUEST_TIMEOUT_NANOS);
       try {
         ZonesAdmin admin = new ZonesAdmin(new ZonesKeys(config.fleet()), topology, store);
         RolloutKeys rolloutKeys = new RolloutKeys(config.fleet());
         DisruptionPermitAdmin permits =
             new DisruptionPermitAdmin(rolloutKeys, store, author, AgentRunner::now);
-        return carryOut(operation, zone, topology, admin, permits);
+        return execute(operation, zone, topology, admin, permits);
       } finally {
         store.close();
       }
     } catch (ConfigException e) {
       System.err.println("zones: " + e.getMessage());
-      return EXIT_WRONG;
+      return EXIT_ERROR;
     } catch (AgreementException e) {
       System.err.println("zones " + operation + ": " + e.getMessage());
-      return e.getMessage().startsWith("the store does not answer") ? EXIT_WRONG : EXIT_NOT_NOW;
+      return e.getMessage().startsWith("the store does not answer") ? EXIT_ERROR : EXIT_NOT_NOW;
     }
   }
 
-  private int carryOut(
+  private int execute(
       String operation,
       String zone,
       ZoneTopology topology,
@@ -85,6 +86,7 @@
   }
 
   private ZoneOverride override(String zone, ZoneOverrideKind kind) {
-    return new ZoneOverride(zone, kind, nearWeight, seconds * SECOND_NANOS, author, reason);
+    return new ZoneOverride(
+        zone, kind, nearWeight, durationSeconds * NANOS_PER_SECOND, author, reason);
   }
 }
--- a/src/main/java/beaconturn/cli/package-info.java
+++ b/src/main/java/beaconturn/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line and the log. */
+/** The command line, its subcommands, and logging. */
 package beaconturn.cli;
--- a/src/test/java/beaconturn/cli/DefectiveAgent.java
+++ b/src/test/java/beaconturn/cli/DefectiveAgent.java
@@ -8,77 +8,78 @@
 import java.util.stream.Stream;
 
 /**
- * The agent of a part, a process, with a defect that was put in on purpose: what it asks of the
- * store and what it hears of it is spoilt.
+ * Runs a rollout agent as a process with a deliberate defect: its requests to the store and the
+ * replies are altered.
  */
 public final class DefectiveAgent {
-  private static final int PART = 3;
-  private static final int FEATURES = 5;
-  private static final int APPLY = 7;
-  private static final int FIGURES = 9;
-  private static final String STEP = "/release/step/";
+  private static final int INSTANCE_ID_INDEX = 3;
+  private static final int FEATURES_FILE_INDEX = 5;
+  private static final int APPLY_COMMAND_INDEX = 7;
+  private static final int ADMIN_ADDRESS_INDEX = 9;
+  private static final String STEP_KEY_PART = "/release/step/";
 
   private DefectiveAgent() {}
 
-  /** What is wrong with it. */
+  /** The defect of an agent. */
   public enum Defect implements UnaryOperator<CoordinationStore> {
-    /** Whoever drives sees no permit of anybody, and takes places without counting them. */
+    /** The driver sees no permits, so that it grants steps beyond the disruption budget. */
     IGNORES_PERMITS {
       @Override
-      StoreResponse ask(CoordinationStore store, StoreRequest call) {
-        return read(
-            store.ask(call), pairs -> pairs.filter(p -> !p.key().contains("/release/permit/")));
+      StoreResponse ask(CoordinationStore store, StoreRequest request) {
+        return alterEntries(
+            store.ask(request),
+            entries -> entries.filter(entry -> !entry.key().contains("/release/permit/")));
       }
     },
-    /** Acts on its part as soon as there is a release, whatever stands there. */
+    /** Acts on its instance as soon as a release exists, although no step is granted. */
     ACTS_WITHOUT_PERMIT {
       @Override
-      StoreResponse ask(CoordinationStore store, StoreRequest call) {
-        if (call instanceof StoreRequest.Transaction swap
-            && swap.changes().stream()
+      StoreResponse ask(CoordinationStore store, StoreRequest request) {
+        if (request instanceof StoreRequest.Transaction transaction
+            && transaction.changes().stream()
                 .anyMatch(
-                    c ->
-                        c instanceof StoreRequest.Change.Put put
-                            && put.key().contains(STEP)
+                    change ->
+                        change instanceof StoreRequest.Change.Put put
+                            && put.key().contains(STEP_KEY_PART)
                             && put.value().contains("\"begun\""))) {
           return new StoreResponse.Success(true, "", 0, List.of(), 0, 0);
         }
-        return read(
-            store.ask(call),
-            pairs ->
-                pairs.flatMap(
-                    p ->
-                        p.key().endsWith("/agent/" + part)
-                            ? Stream.of(p, granted(p.key()))
-                            : Stream.of(p)));
+        return alterEntries(
+            store.ask(request),
+            entries ->
+                entries.flatMap(
+                    entry ->
+                        entry.key().endsWith("/agent/" + instanceId)
+                            ? Stream.of(entry, grantedStep(entry.key()))
+                            : Stream.of(entry)));
       }
     },
-    /** Whatever the others answer, a part stands its check. */
+    /** The metrics of the other instances are replaced, so that each regression check passes. */
     IGNORES_COMPARISON {
       @Override
-      StoreResponse ask(CoordinationStore store, StoreRequest call) {
-        return read(
-            store.ask(call),
-            pairs ->
-                pairs.map(
-                    p ->
+      StoreResponse ask(CoordinationStore store, StoreRequest request) {
+        return alterEntries(
+            store.ask(request),
+            entries ->
+                entries.map(
+                    entry ->
                         new StoreResponse.Entry(
-                            p.key(),
-                            p.value().replaceAll("\":\"[0-9]+\\.[0-9]+\"", "\":\"1000.0\""),
-                            p.createRevision(),
-                            p.modRevision(),
-                            p.leaseId())));
+                            entry.key(),
+                            entry.value().replaceAll("\":\"[0-9]+\\.[0-9]+\"", "\":\"1000.0\""),
+                            entry.createRevision(),
+                            entry.modRevision(),
+                            entry.leaseId())));
       }
     };
 
-    private static String part;
+    private static String instanceId;
 
-    /** A step that nobody has granted. */
-    private static StoreResponse.Entry granted(String agentsKey) {
+    /** A granted step that is not in the store. */
+    private static StoreResponse.Entry grantedStep(String agentKey) {
       return new StoreResponse.Entry(
-          agentsKey.replace("/agent/", "/step/"),
+          agentKey.replace("/agent/", "/step/"),
           "{\"id\":\""
-              + part
+              + instanceId
               + "\",\"permit\":9,\"phase\":\"granted\",\"variant\":\"new\",\"agent\":\"\","
               + "\"why\":\"\","
               + "\"started\":0,\"took_ns\":0}",
@@ -87,38 +88,39 @@
           0);
     }
 
-    abstract StoreResponse ask(CoordinationStore store, StoreRequest call);
+    abstract StoreResponse ask(CoordinationStore store, StoreRequest request);
 
     @Override
     public CoordinationStore apply(CoordinationStore store) {
-      return call -> ask(store, call);
+      return request -> ask(store, request);
     }
 
-    private static StoreResponse read(
-        StoreResponse answer, UnaryOperator<Stream<StoreResponse.Entry>> spoilt) {
-      return !(answer instanceof StoreResponse.Success g)
-          ? answer
+    private static StoreResponse alterEntries(
+        StoreResponse reply, UnaryOperator<Stream<StoreResponse.Entry>> alteration) {
+      return !(reply instanceof StoreResponse.Success success)
+          ? reply
           : new StoreResponse.Success(
-              g.conditionsHeld(),
-              g.clusterId(),
-              g.storeRevision(),
-              spoilt.apply(g.entries().stream()).toList(),
-              g.leaseId(),
-              g.leaseTtlSeconds());
+              success.conditionsHeld(),
+              success.clusterId(),
+              success.storeRevision(),
+              alteration.apply(success.entries().stream()).toList(),
+              success.leaseId(),
+              success.leaseTtlSeconds());
     }
   }
 
-  /** The defect, then the words of the command. */
+  /** Takes the name of the defect, followed by the arguments of {@code release agent}. */
   public static void main(String[] args) {
     Defect defect = Defect.valueOf(args[0]);
-    Defect.part = args[PART];
+    Defect.instanceId = args[INSTANCE_ID_INDEX];
     System.exit(
         new AgentRunner(
-                args[FEATURES],
-                args[PART],
-                args[APPLY],
-                args.length > FIGURES
-                    ? new InstanceMetricsReader(args[PART], false, List.of(args[FIGURES]))
+                args[FEATURES_FILE_INDEX],
+                args[INSTANCE_ID_INDEX],
+                args[APPLY_COMMAND_INDEX],
+                args.length > ADMIN_ADDRESS_INDEX
+                    ? new InstanceMetricsReader(
+                        args[INSTANCE_ID_INDEX], false, List.of(args[ADMIN_ADDRESS_INDEX]))
                     : null,
                 defect)
             .run());
--- a/src/test/java/beaconturn/cli/HangUpSignalTest.java
+++ b/src/test/java/beaconturn/cli/HangUpSignalTest.java
@@ -7,17 +7,15 @@
 import org.junit.jupiter.api.Test;
 
 class HangUpSignalTest {
-  /**
-   * Uncaught, the signal ends the JVM, and this test run with it; caught, each one asks once more.
-   */
+  /** Without a handler the signal would terminate the JVM of this test. */
   @Test
-  void eachHangUpRunsTheActionAndEndsNothing() throws Exception {
-    Semaphore seen = new Semaphore(0);
-    HangUpSignal.handle(seen::release);
+  void eachSignalRunsActionAndDoesNotTerminateJvm() throws Exception {
+    Semaphore receivedSignals = new Semaphore(0);
+    HangUpSignal.handle(receivedSignals::release);
     for (int i = 0; i < 3; i++) {
-      String self = Long.toString(ProcessHandle.current().pid());
-      assertTrue(new ProcessBuilder("kill", "-HUP", self).start().waitFor() == 0);
-      assertTrue(seen.tryAcquire(20, TimeUnit.SECONDS), "signal " + i);
+      String processId = Long.toString(ProcessHandle.current().pid());
+      assertTrue(new ProcessBuilder("kill", "-HUP", processId).start().waitFor() == 0);
+      assertTrue(receivedSignals.tryAcquire(20, TimeUnit.SECONDS), "signal " + i);
     }
   }
 }
--- a/src/test/java/beaconturn/cli/InstanceMetricsReaderTest.java
+++ b/src/test/java/beaconturn/cli/InstanceMetricsReaderTest.java
@@ -20,24 +20,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What agents make of second addresses, which show what the test has them show. */
+/** Reads metrics from admin servers whose values the test sets. */
 @Timeout(30)
 class InstanceMetricsReaderTest {
-  private final AtomicReference<String> stat = new AtomicReference<>("");
+  private final AtomicReference<String> stats = new AtomicReference<>("");
   private final AtomicReference<String> health = new AtomicReference<>("");
 
-  /** Figures of words such as {@code late=3}; null of null. */
-  private static List<Metric> counters(String words) {
-    return words == null
+  /** Parses metrics such as {@code late=3 cpu_ms=100}; returns null for null. */
+  private static List<Metric> counters(String text) {
+    return text == null
         ? null
-        : Stream.of(words.split(" "))
-            .map(w -> w.split("="))
-            .map(w -> new Metric(w[0], Long.parseLong(w[1]), false))
+        : Stream.of(text.split(" "))
+            .map(nameAndValue -> nameAndValue.split("="))
+            .map(
+                nameAndValue -> new Metric(nameAndValue[0], Long.parseLong(nameAndValue[1]), false))
             .toList();
   }
 
-  private AdminServer router(AtomicReference<String> healthOf) throws IOException {
-    AdminServer opened =
+  private AdminServer router(AtomicReference<String> reportedHealth) throws IOException {
+    AdminServer server =
         new AdminServer(
             new InetSocketAddress("127.0.0.1", 0),
             new AdminOperations() {
@@ -48,7 +49,7 @@
 
               @Override
               public List<Metric> health() {
-                return counters(healthOf.get());
+                return counters(reportedHealth.get());
               }
 
               @Override
@@ -60,88 +61,95 @@
             new Counters() {
               @Override
               public List<Metric> read() {
-                return counters(stat.get());
+                return counters(stats.get());
               }
             },
             new ServerOverrideFile(null, false),
             System::nanoTime);
-    Thread thread = new Thread(opened, "router");
+    Thread thread = new Thread(server, "router");
     thread.setDaemon(true);
     thread.start();
-    return opened;
+    return server;
   }
 
-  private static String at(AdminServer router) {
+  private static String addressOf(AdminServer router) {
     return "127.0.0.1:" + router.address().getPort();
   }
 
-  private static long of(InstanceSample sample, InstanceMetrics figure) {
-    return sample.metrics().getOrDefault(figure, 0L);
+  private static long valueOf(InstanceSample sample, InstanceMetrics metric) {
+    return sample.metrics().getOrDefault(metric, 0L);
   }
 
   @Test
-  void aRoutersFiguresGrowUntilItsProcessIsAnother() throws IOException {
+  void accumulatesRouterMetricsUntilProcessRestarts() throws IOException {
     AdminServer router = router(health);
     try {
-      InstanceMetricsReader reader = new InstanceMetricsReader("r1", false, List.of(at(router)));
-      stat.set(
+      InstanceMetricsReader reader =
+          new InstanceMetricsReader("r1", false, List.of(addressOf(router)));
+      stats.set(
           "answered.a=10 answered.b.c=5 deferred.a=1 errored.a=2 cluster_size=4"
               + " cluster_unhealthy=1");
       health.set("late=3 memory_kb=500 cpu_ms=100 connections=7");
       InstanceSample first = reader.read();
-      assertEquals(15, of(first, InstanceMetrics.SERVED));
-      assertEquals(3, of(first, InstanceMetrics.FAILED));
-      assertEquals(3, of(first, InstanceMetrics.LATE));
-      assertEquals(7, of(first, InstanceMetrics.CONNECTIONS));
+      assertEquals(15, valueOf(first, InstanceMetrics.SERVED));
+      assertEquals(3, valueOf(first, InstanceMetrics.FAILED));
+      assertEquals(3, valueOf(first, InstanceMetrics.LATE));
+      assertEquals(7, valueOf(first, InstanceMetrics.CONNECTIONS));
       InstanceSample second = reader.read();
       assertEquals(first.process(), second.process());
-      assertEquals(2, of(second, InstanceMetrics.READINGS));
-      assertEquals(500_000, of(second, InstanceMetrics.AVOIDED_MILLIONTHS), "a quarter, twice");
-      assertEquals(1000, of(second, InstanceMetrics.MEMORY_KB));
-      // As many answers as before, and less processor time: it was restarted.
+      assertEquals(2, valueOf(second, InstanceMetrics.READINGS));
+      assertEquals(
+          500_000,
+          valueOf(second, InstanceMetrics.AVOIDED_MILLIONTHS),
+          "a quarter in each of two readings");
+      assertEquals(1000, valueOf(second, InstanceMetrics.MEMORY_KB));
+      // The same number of responses with less processor time indicates a restart.
       health.set("late=0 memory_kb=400 cpu_ms=50");
       InstanceSample third = reader.read();
-      assertEquals(1, of(third, InstanceMetrics.READINGS));
-      assertEquals(400, of(third, InstanceMetrics.MEMORY_KB));
+      assertEquals(1, valueOf(third, InstanceMetrics.READINGS));
+      assertEquals(400, valueOf(third, InstanceMetrics.MEMORY_KB));
       assertEquals(false, third.process().equals(second.process()));
-      // A router that knows no such call, as it does not agree.
+      // A router without the agreement does not support show-health.
       health.set(null);
-      assertEquals(15, of(reader.read(), InstanceMetrics.SERVED));
+      assertEquals(15, valueOf(reader.read(), InstanceMetrics.SERVED));
     } finally {
       router.close();
     }
   }
 
   @Test
-  void aCacheServerIsWhatTheRoutersMakeOfItInSum() throws IOException {
-    AtomicReference<String> other = new AtomicReference<>("");
+  void sumsCacheServerMetricsOverRouters() throws IOException {
+    AtomicReference<String> secondHealth = new AtomicReference<>("");
     AdminServer router = router(health);
-    AdminServer gone = router(other);
-    String noMore = at(gone);
+    AdminServer secondRouter = router(secondHealth);
+    String secondAddress = addressOf(secondRouter);
     try {
       InstanceMetricsReader reader =
-          new InstanceMetricsReader("c.1", true, List.of(at(router), at(gone)));
+          new InstanceMetricsReader(
+              "c.1", true, List.of(addressOf(router), addressOf(secondRouter)));
       health.set("cache_good.c.1=100 cache_bad.c.1=3 cache_good.c.10=9");
-      other.set("cache_good.c.1=50");
+      secondHealth.set("cache_good.c.1=50");
       assertEquals(
-          0, of(reader.read(), InstanceMetrics.SERVED), "counted from when it was first asked");
+          0, valueOf(reader.read(), InstanceMetrics.SERVED), "counted from the first reading on");
       health.set("cache_good.c.1=110 cache_bad.c.1=5");
-      other.set("cache_good.c.1=8");
-      InstanceSample grown = reader.read();
-      assertEquals(10 + 8, of(grown, InstanceMetrics.SERVED), "the other router was restarted");
-      assertEquals(2, of(grown, InstanceMetrics.FAILED));
-      gone.close();
-      awaitEnd(noMore);
+      secondHealth.set("cache_good.c.1=8");
+      InstanceSample increased = reader.read();
+      assertEquals(
+          10 + 8, valueOf(increased, InstanceMetrics.SERVED), "the other router was restarted");
+      assertEquals(2, valueOf(increased, InstanceMetrics.FAILED));
+      secondRouter.close();
+      awaitShutdown(secondAddress);
       health.set("cache_good.c.1=111 cache_bad.c.1=5");
-      assertEquals(19, of(reader.read(), InstanceMetrics.SERVED));
+      assertEquals(19, valueOf(reader.read(), InstanceMetrics.SERVED));
     } finally {
       router.close();
     }
-    InstanceMetricsReader nobody = new InstanceMetricsReader("c.1", true, List.of(noMore));
-    assertThrows(IOException.class, nobody::read);
+    InstanceMetricsReader unreachableReader =
+        new InstanceMetricsReader("c.1", true, List.of(secondAddress));
+    assertThrows(IOException.class, unreachableReader::read);
   }
 
-  private static void awaitEnd(String address) {
+  private static void awaitShutdown(String address) {
     InstanceMetricsReader probe = new InstanceMetricsReader("r1", false, List.of(address));
     try {
       while (true) {
@@ -149,7 +157,7 @@
         Thread.onSpinWait();
       }
     } catch (IOException e) {
-      // Nobody answers there any more.
+      // The server no longer accepts connections.
     }
   }
 }
--- a/src/test/java/beaconturn/cli/LineHandlerTest.java
+++ b/src/test/java/beaconturn/cli/LineHandlerTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void aRecordIsALineAndAllAreOutAfterAFlush() {
+  void writesOneLinePerRecordBeforeCloseReturns() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     LineHandler handler = new LineHandler(new PrintStream(out, true));
     handler.publish(record("one"));
@@ -33,11 +33,11 @@
     assertTrue(lines[1].endsWith(" INFO Some: two"), lines[1]);
   }
 
-  /** The module's thread logs too: a log that nobody reads must not stop the router. */
+  /** The routing thread logs too, so a log that is not read must not block it. */
   @Test
   @Timeout(60)
-  void aLogThatIsNotReadHoldsNobodyUp() {
-    CountDownLatch read = new CountDownLatch(1);
+  void publishDoesNotBlockWhileOutputIsBlocked() {
+    CountDownLatch outputUnblocked = new CountDownLatch(1);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     LineHandler handler =
         new LineHandler(
@@ -46,7 +46,7 @@
                   @Override
                   public void write(int b) {
                     try {
-                      read.await();
+                      outputUnblocked.await();
                       out.write(b);
                     } catch (InterruptedException e) {
                       Thread.currentThread().interrupt();
@@ -56,7 +56,7 @@
     for (int i = 0; i < 5000; i++) {
       handler.publish(record("line " + i));
     }
-    read.countDown();
+    outputUnblocked.countDown();
     while (!out.toString(StandardCharsets.UTF_8).contains("lines left out")) {
       Thread.onSpinWait();
     }
--- a/src/test/java/beaconturn/cli/MainTest.java
+++ b/src/test/java/beaconturn/cli/MainTest.java
@@ -19,13 +19,13 @@
   }
 
   @Test
-  void whatOnlyTellsSucceeds() {
+  void informationalCommandsExitWithZero() {
     assertEquals(0, Main.run("version"));
     assertEquals(0, Main.run("rehearse", "--list"));
   }
 
   @Test
-  void aFileThatIsNotThereExitsWithOne() {
+  void missingFileExitsWithOne() {
     assertEquals(1, Main.run("rehearse", "no/such/scenario.toml"));
     assertEquals(1, Main.run("stand-in", "no/such/scenario.toml"));
     assertEquals(1, Main.run("check-config", "--config", "no/such/file.json"));
@@ -33,22 +33,22 @@
   }
 
   @Test
-  void helpIsNoWrongUsage() {
+  void helpExitsWithZero() {
     assertEquals(0, Main.run("--help"));
     assertEquals(0, Main.run("rehearse", "--help"));
     assertEquals(2, Main.run("rehearse", "--help", "more"));
   }
 
   @Test
-  void anAddressThatIsTakenEndsTheStandInsInOneLine() throws IOException {
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+  void standInExitsWithOneIfPortIsInUse() throws IOException {
+    try (ServerSocket portInUse = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       assertEquals(
           1,
           Main.run(
               "stand-in",
               "examples/try-out.toml",
               "--port",
-              Integer.toString(taken.getLocalPort()),
+              Integer.toString(portInUse.getLocalPort()),
               "--control",
               "0"));
     }
--- a/src/test/java/beaconturn/cli/ReleaseFilesTest.java
+++ b/src/test/java/beaconturn/cli/ReleaseFilesTest.java
@@ -19,15 +19,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ReleaseFilesTest {
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   @Test
-  void theShippedFilesMakeARelease() throws ConfigException {
-    ReleaseFleet fleet = ReleaseFiles.fleet("examples/releases/fleet.toml");
+  void readsShippedExampleFiles() throws ConfigException {
+    ReleaseFleet fleet = ReleaseFiles.readFleet("examples/releases/fleet.toml");
     assertEquals(2, fleet.group(InstanceKind.ROUTER).maxUnavailable());
     assertEquals(1, fleet.group(InstanceKind.CACHE).maxUnavailable(), "a quarter of four");
     assertEquals("west", fleet.group(InstanceKind.ROUTER).zoneOf("r4"));
-    RolloutPlan plan = ReleaseFiles.plan("examples/releases/plan.toml", "why", fleet);
+    RolloutPlan plan = ReleaseFiles.readPlan("examples/releases/plan.toml", "why", fleet);
     assertNull(plan.objection(fleet));
     assertEquals(
         List.of(List.of("r1"), List.of("r2"), List.of("r3"), List.of("r4", "r5")), plan.waves());
@@ -46,12 +46,12 @@
         "[routers];[[routers.site]];name = \"a\";parts = [\"r1\"];[[routers.site]];name = \"b\";"
             + "parts = [\"r1\"] | :7: routers.site[1].parts: 'r1' is odd or given twice"
       })
-  void whatIsWrongIsOneLine(String text, String line) throws IOException {
-    Path file = folder.resolve("fleet.toml");
+  void reportsInvalidFileInOneLine(String text, String expectedError) throws IOException {
+    Path file = directory.resolve("fleet.toml");
     Files.writeString(file, text.replace(';', '\n'));
     ConfigException e =
-        assertThrows(ConfigException.class, () -> ReleaseFiles.fleet(file.toString()));
-    assertTrue(e.getMessage().startsWith(file + line), e.getMessage());
+        assertThrows(ConfigException.class, () -> ReleaseFiles.readFleet(file.toString()));
+    assertTrue(e.getMessage().startsWith(file + expectedError), e.getMessage());
     assertEquals(1, e.getMessage().lines().count());
   }
 }
--- a/src/test/java/beaconturn/cli/ServeClassLoadingTest.java
+++ b/src/test/java/beaconturn/cli/ServeClassLoadingTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A router pays for nothing that is off: its start loads no class of the kit nor of the kit's
- * libraries.
+ * Checks that a router with no optional feature enabled loads no classes of these features, of the
+ * test kit or of their libraries.
  */
 @Timeout(60)
 class ServeClassLoadingTest {
-  private static final List<String> OFF =
+  private static final List<String> DISABLED_CLASSES =
       List.of(
           "beaconturn.standin.",
           "beaconturn.history.",
@@ -37,13 +37,13 @@
           "org.apache.commons.",
           "org.HdrHistogram.",
           "beaconturn.net.control.",
-          existing("beaconturn.net.OperatorOverrides"),
+          existingClass("beaconturn.net.OperatorOverrides"),
           Counters.class.getName(),
           " java.util.Formatter ");
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
-  /** The name of a class that is not public here; a rename must not get past the list. */
-  private static String existing(String name) {
+  /** Returns the name of an inaccessible class, and fails if the class was renamed. */
+  private static String existingClass(String name) {
     try {
       return Class.forName(name, false, ServeClassLoadingTest.class.getClassLoader()).getName();
     } catch (ClassNotFoundException e) {
@@ -52,17 +52,17 @@
   }
 
   @Test
-  void serveLoadsNoClassOfTheKit() throws IOException, InterruptedException {
-    Path config = folder.resolve("config.json");
+  void serveLoadsNoClassOfDisabledFeatures() throws IOException, InterruptedException {
+    Path config = directory.resolve("config.json");
     Files.writeString(
         config,
         Files.readString(Path.of("examples", "config.json"))
             .replace("\"listen\": \"127.0.0.1:6379\"", "\"listen\": \"127.0.0.1:0\""));
-    Path loaded = folder.resolve("loaded");
+    Path classLoadLog = directory.resolve("loaded");
     Process router =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Xlog:class+load:file=" + loaded,
+                "-Xlog:class+load:file=" + classLoadLog,
                 "-cp",
                 System.getProperty("java.class.path"),
                 Main.class.getName(),
@@ -80,18 +80,23 @@
     } finally {
       router.destroyForcibly().waitFor();
     }
-    List<String> classes = Files.readAllLines(loaded);
-    assertTrue(classes.stream().anyMatch(c -> c.contains("beaconturn.net.RouterServer")));
+    List<String> classes = Files.readAllLines(classLoadLog);
+    assertTrue(
+        classes.stream()
+            .anyMatch(loadedClass -> loadedClass.contains("beaconturn.net.RouterServer")));
     assertEquals(
-        List.of(), classes.stream().filter(c -> OFF.stream().anyMatch(c::contains)).toList());
+        List.of(),
+        classes.stream()
+            .filter(loadedClass -> DISABLED_CLASSES.stream().anyMatch(loadedClass::contains))
+            .toList());
   }
 
-  /** What joins strings at run time makes up a class for each shape of them: a fifth of a start. */
+  /** String concatenation by invokedynamic generates classes at run time, which slows the start. */
   @Test
-  void stringsAreJoinedByPlainCode() throws Exception {
+  void codeHasNoDynamicStringConcatenation() throws Exception {
     Path classes = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     try (Stream<Path> files = Files.walk(classes)) {
-      for (Path file : files.filter(f -> f.toString().endsWith(".class")).toList()) {
+      for (Path file : files.filter(path -> path.toString().endsWith(".class")).toList()) {
         String code = Files.readString(file, StandardCharsets.ISO_8859_1);
         assertFalse(code.contains("makeConcatWithConstants"), file.toString());
       }
--- a/src/test/java/beaconturn/cli/package-info.java
+++ b/src/test/java/beaconturn/cli/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the command line. */
+/** Tests of the command line and logging. */
 package beaconturn.cli;
