--- a/src/test/java/beaconturn/agreement/MemberTraceTest.java
+++ b/src/test/java/beaconturn/agreement/MemberTraceTest.java
@@ -33,7 +33,14 @@
 
   private void add(String line) {
     lines++;
-    digest.update((line + "\n").getBytes(StandardCharsets.UTF_8));
+    digest.update((withRecordedTypeNames(line) + "\n").getBytes(StandardCharsets.UTF_8));
+  }
+
+  // The digest was recorded when these JSON types had other names.
+  private static String withRecordedTypeNames(String line) {
+    return line.replace("NumberLiteral[", "Figure[")
+        .replace("Bool[", "Flag[")
+        .replace("Null[", "Nothing[");
   }
 
   private void play(long seed) throws AgreementException {
