--- a/src/main/java/beaconturn/agreement/ConfigConflicts.java
+++ b/src/main/java/beaconturn/agreement/ConfigConflicts.java
@@ -21,50 +21,50 @@
     return fields;
   }
 
-  /** Returns the fields in which acting on the content does what the rule forbids. */
-  public static List<String> violations(ConfigContent acting, ConfigContent rule) {
+  /** Returns the fields in which acting on the content does what the constraint forbids. */
+  public static List<String> violations(ConfigContent acting, ConfigContent constraint) {
     List<String> fields = new ArrayList<>();
-    for (Map.Entry<String, ClassRule> entry : rule.classes().entrySet()) {
+    for (Map.Entry<String, ClassRule> entry : constraint.classes().entrySet()) {
       ClassRule actingRule = acting.classes().get(entry.getKey());
       if (actingRule != null) {
         fields.addAll(classViolations(entry.getKey(), actingRule, entry.getValue()));
       }
     }
-    if (isMore(acting.maxAttempts(), rule.maxAttempts())) {
+    if (isMore(acting.maxAttempts(), constraint.maxAttempts())) {
       fields.add("most_tries");
     }
-    if (Boolean.TRUE.equals(acting.hedging()) && Boolean.FALSE.equals(rule.hedging())) {
+    if (Boolean.TRUE.equals(acting.hedging()) && Boolean.FALSE.equals(constraint.hedging())) {
       fields.add("second_copies");
     }
-    if (acting.minListVersion() < rule.minListVersion()) {
+    if (acting.minListVersion() < constraint.minListVersion()) {
       fields.add("oldest_list");
     }
-    rule.excludedServers().stream()
+    constraint.excludedServers().stream()
         .filter(server -> !acting.excludedServers().contains(server))
         .forEach(server -> fields.add("out." + server));
     return fields;
   }
 
-  private static List<String> classViolations(String name, ClassRule acting, ClassRule rule) {
+  private static List<String> classViolations(String name, ClassRule acting, ClassRule constraint) {
     List<String> fields = new ArrayList<>();
-    if (isMoreLenient(acting.idempotency(), rule.idempotency())) {
+    if (isMoreLenient(acting.idempotency(), constraint.idempotency())) {
       fields.add("class." + name + ".effect");
     }
     // A repeat sent after the shorter deduplication window is executed a second time. The window
     // matters only for classes whose requests are repeated by idempotency key.
     boolean repeatsByKey = acting.idempotency() == ClassIdempotency.IDEMPOTENCY_KEY;
     if (repeatsByKey
-        && isMore(acting.deduplicationWindowNanos(), rule.deduplicationWindowNanos())) {
+        && isMore(acting.deduplicationWindowNanos(), constraint.deduplicationWindowNanos())) {
       fields.add("class." + name + ".window");
     }
     return fields;
   }
 
-  private static boolean isMoreLenient(ClassIdempotency acting, ClassIdempotency rule) {
-    return acting != null && rule != null && acting.compareTo(rule) < 0;
+  private static boolean isMoreLenient(ClassIdempotency acting, ClassIdempotency constraint) {
+    return acting != null && constraint != null && acting.compareTo(constraint) < 0;
   }
 
-  private static <T extends Comparable<T>> boolean isMore(T acting, T rule) {
-    return acting != null && rule != null && acting.compareTo(rule) > 0;
+  private static <T extends Comparable<T>> boolean isMore(T acting, T constraint) {
+    return acting != null && constraint != null && acting.compareTo(constraint) > 0;
   }
 }
--- a/src/main/java/beaconturn/agreement/LastingEjections.java
+++ b/src/main/java/beaconturn/agreement/LastingEjections.java
@@ -25,7 +25,7 @@
     return nowNanos - sinceNanos >= LASTING_NANOS;
   }
 
-  /** Forgets all servers that are no longer ejected. */
+  /** Removes all servers that are no longer ejected. */
   public void retainOnly(Collection<String> ejectedServers) {
     ejectedSinceNanos.keySet().retainAll(ejectedServers);
   }
--- a/src/main/java/beaconturn/agreement/VersionFollower.java
+++ b/src/main/java/beaconturn/agreement/VersionFollower.java
@@ -128,7 +128,7 @@
     return voter.vote(snapshot);
   }
 
-  /** Replaces an ack that cannot be persisted by a nack, as a restart would forget the ack. */
+  /** Replaces an ack that cannot be persisted by a nack, as the ack would be lost in a restart. */
   @SuppressWarnings("ReferenceEquality") // Identity tells whether the ack is new.
   private void persistFollowed(AgreementSnapshot snapshot, PersistedConfig before) {
     ConfigVersion acked = persisted.ackedVersion();
--- a/src/main/java/beaconturn/decision/ClientRetries.java
+++ b/src/main/java/beaconturn/decision/ClientRetries.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * Remembers requests that ended without a response, so that the latency objective of a client retry
+ * Records requests that ended without a response, so that the latency objective of a client retry
  * is measured from the client's first request. Clients retry at the router that gave up their
  * request.
  */
--- a/src/main/java/beaconturn/decision/RequestClass.java
+++ b/src/main/java/beaconturn/decision/RequestClass.java
@@ -4,7 +4,7 @@
  * Settings of one class of requests.
  *
  * @param deduplicationScope which servers deduplicate repeats together, with an idempotency key
- * @param deduplicationWindowNanos how long servers remember idempotency keys
+ * @param deduplicationWindowNanos how long servers retain idempotency keys
  * @param latencyObjectiveNanos response time beyond which a response is late
  * @param deadlineNanos longest time that clients wait
  * @param priorityWeight priority weight of a response within the objective
--- a/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
+++ b/src/main/java/beaconturn/net/agreement/AgreementSubsystem.java
@@ -92,7 +92,7 @@
     } catch (RuntimeException | Error e) {
       LOG.log(
           Level.SEVERE,
-          "agreement: the member's thread failed; the router goes on without renewing its lease",
+          "agreement: the member's thread failed; the router continues without renewing its lease",
           e);
     } finally {
       if (stopped) {
--- a/src/main/java/beaconturn/net/client/ClientWriter.java
+++ b/src/main/java/beaconturn/net/client/ClientWriter.java
@@ -195,13 +195,13 @@
   private void flush() throws IOException {
     while (unwritten != null || nextChunk()) {
       int from = unwritten.position();
-      boolean writtenWhole = Sockets.writeSome(channel, unwritten);
+      boolean writtenCompletely = Sockets.writeSome(channel, unwritten);
       // Counted from the last byte accepted: a large response may take long as long as it
       // progresses.
       if (unwritten.position() > from || writingSinceNanos == NEVER) {
         writingSinceNanos = clock.now();
       }
-      if (!writtenWhole) {
+      if (!writtenCompletely) {
         return;
       }
       unwritten = null;
--- a/src/main/java/beaconturn/net/client/ResponseSlot.java
+++ b/src/main/java/beaconturn/net/client/ResponseSlot.java
@@ -53,8 +53,8 @@
    */
   final Slice nextChunk() {
     // Read in this order: a streamed response has its stream before the slot is filled.
-    Slice whole = response;
-    return stream != null ? stream.next() : whole;
+    Slice completeResponse = response;
+    return stream != null ? stream.next() : completeResponse;
   }
 
   /** Fills in the response; false if the slot is already filled. */
--- a/src/main/java/beaconturn/net/discovery/DiscoveryTarget.java
+++ b/src/main/java/beaconturn/net/discovery/DiscoveryTarget.java
@@ -50,7 +50,7 @@
   }
 
   /**
-   * Moves to a new address and aborts open calls. Forgets the known version, as the new discovery
+   * Moves to a new address and aborts open calls. Discards the known version, as the new discovery
    * may count versions differently.
    */
   synchronized void move(InetSocketAddress to) {
--- a/src/main/java/beaconturn/protocol/RespReader.java
+++ b/src/main/java/beaconturn/protocol/RespReader.java
@@ -79,7 +79,7 @@
       return null;
     }
     if (input.at(end) != '\r' || input.at(end + 1) != '\n') {
-      throw new ProtocolException("string not ended where it said");
+      throw new ProtocolException("string does not end with CRLF after the announced length");
     }
     position = end + LINE_END_BYTES;
     return new RespValue.Bulk(frame(start), input.slice(from, (int) length));
--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -831,7 +831,7 @@
     return List.copyOf(timelines);
   }
 
-  /** Returns the number of calls that the store has answered so far. */
+  /** Returns the number of calls to which the store has replied so far. */
   long storeCalls() throws IOException {
     String status = store.execute("status");
     return Long.parseLong(status.replaceAll(".*, ([0-9]+) calls.*", "$1"));
--- a/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
+++ b/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
@@ -37,10 +37,10 @@
   public void responseSent(long atNanos, CacheCommand command, CacheResponse reply) {
     if (reply instanceof CacheResponse.Value value) {
       recordAnswer(atNanos, command, HistoryEvent.ServerAnswer.VALUE, value);
-    } else if (reply instanceof CacheResponse.Corrupted spoilt) {
+    } else if (reply instanceof CacheResponse.Corrupted corrupted) {
       // In these cases the value itself is intact, and routers may forward it.
       boolean hasValidValue =
-          switch (spoilt.corruption()) {
+          switch (corrupted.corruption()) {
             case DUPLICATED, TRAILING_NOISE, INVALID_LOAD_REPORT -> true;
             default -> false;
           };
@@ -48,7 +48,7 @@
           atNanos,
           command,
           hasValidValue ? HistoryEvent.ServerAnswer.VALUE : HistoryEvent.ServerAnswer.DAMAGED_VALUE,
-          spoilt.value());
+          corrupted.value());
     } else {
       HistoryEvent.ServerAnswer serverAnswer =
           reply instanceof CacheResponse.Busy
--- a/src/main/java/beaconturn/rehearsal/OpenLoopClients.java
+++ b/src/main/java/beaconturn/rehearsal/OpenLoopClients.java
@@ -17,9 +17,9 @@
  */
 final class OpenLoopClients implements SequentialClient.AttemptListener {
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final int HASTY_BITS_SHIFT = 23;
-  private static final int HASTY_DENOMINATOR = 10_000;
-  private static final int MAX_HASTY_TIMEOUT_MILLIS = 5;
+  private static final int SHORT_TIMEOUT_BITS_SHIFT = 23;
+  private static final int SHORT_TIMEOUT_DENOMINATOR = 10_000;
+  private static final int MAX_SHORT_TIMEOUT_MILLIS = 5;
   private final Scenario scenario;
   private final List<InetSocketAddress> routers;
   private final Clock clock;
@@ -89,26 +89,29 @@
         request.requestClass().effect() == Scenario.Effect.KEYED
             ? request.idempotencyKey(scenario.seed())
             : null;
-    List<Integer> nearRouters =
+    List<Integer> siteRouters =
         IntStream.range(0, routers.size())
-            .filter(router -> isNear(router, stream))
+            .filter(router -> isInClientSite(router, stream))
             .boxed()
             .toList();
     return new SequentialClient.Attempt(
         request,
         attempt,
         request.attemptId(scenario.seed(), attempt),
-        nearRouters.get(request.routerFor(attempt, nearRouters.size())),
+        siteRouters.get(request.routerFor(attempt, siteRouters.size())),
         timeoutNanos,
         idempotencyKey);
   }
 
   /** Returns the timeout of an attempt, rounded to milliseconds as the protocol requires. */
   private static long timeoutNanos(ScheduledRequest request, Scenario.ClientStream stream) {
-    int hastyDraw =
-        (int) Long.remainderUnsigned(request.randomBits() >>> HASTY_BITS_SHIFT, HASTY_DENOMINATOR);
-    if (hastyDraw < stream.connectionUsage().shortTimeoutShare() * HASTY_DENOMINATOR) {
-      return (1 + hastyDraw % MAX_HASTY_TIMEOUT_MILLIS) * NANOS_PER_MILLI;
+    int shortTimeoutDraw =
+        (int)
+            Long.remainderUnsigned(
+                request.randomBits() >>> SHORT_TIMEOUT_BITS_SHIFT, SHORT_TIMEOUT_DENOMINATOR);
+    if (shortTimeoutDraw
+        < stream.connectionUsage().shortTimeoutShare() * SHORT_TIMEOUT_DENOMINATOR) {
+      return (1 + shortTimeoutDraw % MAX_SHORT_TIMEOUT_MILLIS) * NANOS_PER_MILLI;
     }
     return Math.max(
         NANOS_PER_MILLI,
@@ -183,8 +186,11 @@
     client.send(routedAttempt);
   }
 
-  /** Returns whether a router is in the site of the clients. */
-  private boolean isNear(int router, Scenario.ClientStream stream) {
+  /**
+   * Returns whether a router is in the site of the clients; true for all routers if the stream has
+   * none.
+   */
+  private boolean isInClientSite(int router, Scenario.ClientStream stream) {
     return stream.site().isEmpty() || scenario.routers().get(router).site().equals(stream.site());
   }
 
@@ -201,7 +207,7 @@
             .boxed()
             .toList();
     return candidates.stream()
-        .filter(router -> isNear(router, stream))
+        .filter(router -> isInClientSite(router, stream))
         .findFirst()
         .orElse(candidates.isEmpty() ? attempt.router() : candidates.get(0));
   }
--- a/src/main/java/beaconturn/rehearsal/Scenario.java
+++ b/src/main/java/beaconturn/rehearsal/Scenario.java
@@ -302,7 +302,7 @@
    * @param latencyObjectiveNanos the latency objective
    * @param deadlineNanos the deadline of a request
    * @param priorityWeight the priority weight
-   * @param deduplicationWindowNanos how long a cache server remembers an idempotency key
+   * @param deduplicationWindowNanos how long a cache server retains an idempotency key
    * @param deduplicationScope which cache servers discard each other's repeats: all, zone or cell
    */
   public record RequestClass(
--- a/src/main/java/beaconturn/release/ConfigRollout.java
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -15,10 +15,10 @@
  */
 final class ConfigRollout {
   private static final String VERSIONS_UNKNOWN = "configuration versions are not known";
-  private final AgreementTransactions agreements;
+  private final AgreementTransactions agreementTransactions;
 
   ConfigRollout(RolloutKeys keys) {
-    this.agreements = new AgreementTransactions(new AgreementKeys(keys.fleet()));
+    this.agreementTransactions = new AgreementTransactions(new AgreementKeys(keys.fleet()));
   }
 
   /**
@@ -113,7 +113,7 @@
     AgreementStep proposal;
     try {
       proposal =
-          agreements.propose(
+          agreementTransactions.propose(
               context.agreed().snapshot(),
               context.agreed().nextNumber(),
               content,
--- a/src/main/java/beaconturn/report/TimelineChart.java
+++ b/src/main/java/beaconturn/report/TimelineChart.java
@@ -16,8 +16,8 @@
   private static final int ROW_HEIGHT = 14;
   private static final int TIME_LABEL_COUNT = 10;
 
-  /** Shares above this are drawn as good. */
-  private static final double GOOD_SHARE = 0.99;
+  /** Shares above this are drawn as healthy. */
+  private static final double HEALTHY_SHARE = 0.99;
 
   private final String shareTitle;
   private final String rowsTitle;
@@ -87,7 +87,7 @@
           HEIGHT - height,
           width,
           height,
-          bar.share() > GOOD_SHARE ? "#7b7" : "#db6");
+          bar.share() > HEALTHY_SHARE ? "#7b7" : "#db6");
     }
     text(LEFT - 34, 2 * ROW_HEIGHT + 4, "100");
     text(LEFT - 34, HEIGHT, "0");
--- a/src/main/java/beaconturn/standin/DeduplicationLog.java
+++ b/src/main/java/beaconturn/standin/DeduplicationLog.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * Remembers the idempotency keys of writes in each group of cache servers, so that a repeated write
+ * Records the idempotency keys of writes in each group of cache servers, so that a repeated write
  * has no second effect.
  */
 public final class DeduplicationLog {
@@ -22,7 +22,7 @@
     return expiryByKey.putIfAbsent(idempotencyKey, nowNanos + windowNanos) == null;
   }
 
-  /** Forgets a write that did not run after all. */
+  /** Removes a write that was recorded but did not run. */
   void forget(String group, String idempotencyKey) {
     expiryByKeyByGroup.getOrDefault(group, Map.of()).remove(idempotencyKey);
   }
--- a/src/main/java/beaconturn/standin/DiscoveryModel.java
+++ b/src/main/java/beaconturn/standin/DiscoveryModel.java
@@ -42,9 +42,9 @@
    * A reply of discovery.
    *
    * @param version the version of the list
-   * @param whole whether it has all entries, or only the changed ones
+   * @param complete whether it has all entries, or only the changed ones
    */
-  public record EndpointUpdate(long version, boolean whole, List<EndpointListing> entries) {}
+  public record EndpointUpdate(long version, boolean complete, List<EndpointListing> entries) {}
 
   /** Receives the reply to a call; exactly one of the methods is called, once. */
   public interface ResponseHandler {
@@ -76,13 +76,13 @@
       watches.remove(this);
     }
 
-    private void scheduleReply(boolean whole) {
+    private void scheduleReply(boolean withCompleteList) {
       watches.remove(this);
       pendingTask.cancel();
-      pendingTask = scheduler.in(delayNanos, () -> reply(whole));
+      pendingTask = scheduler.in(delayNanos, () -> reply(withCompleteList));
     }
 
-    private void reply(boolean whole) {
+    private void reply(boolean withCompleteList) {
       if (completed) {
         return;
       }
@@ -91,7 +91,7 @@
         handler.failed();
         return;
       }
-      EndpointUpdate update = whole ? completeList() : changesSince(after);
+      EndpointUpdate update = withCompleteList ? completeList() : changesSince(after);
       recordNotifications(router, update);
       handler.succeeded(update);
     }
@@ -232,7 +232,7 @@
       recorder.routerNotified(
           scheduler.now(), router, entry.host(), entry.health(), entry.startedAtNanos());
     }
-    if (update.whole()) {
+    if (update.complete()) {
       notified.stream()
           .filter(host -> !included.contains(host))
           .forEach(
--- a/src/main/java/beaconturn/standin/net/EmulatedFleetServer.java
+++ b/src/main/java/beaconturn/standin/net/EmulatedFleetServer.java
@@ -144,7 +144,7 @@
   private Json encode(int router, DiscoveryModel.EndpointUpdate update) {
     Map<String, Json> members = new LinkedHashMap<>();
     members.put("seq", new Json.NumberLiteral(Long.toString(update.version())));
-    members.put("whole", new Json.Bool(update.whole()));
+    members.put("whole", new Json.Bool(update.complete()));
     members.put(
         "hosts", new Json.Items(update.entries().stream().map(e -> encode(router, e)).toList()));
     return new Json.Members(members);
--- a/src/main/java/beaconturn/zones/HomeZoneEvidence.java
+++ b/src/main/java/beaconturn/zones/HomeZoneEvidence.java
@@ -26,8 +26,10 @@
   /** Evaluates the window that ends with the report and starts the next one. */
   void endWindow(ZoneReport report, long nowNanos) {
     if (windowStartReport != null) {
-      ZoneObservations seen = observations(report).since(observations(windowStartReport));
-      unhealthy = ZoneHealthRules.viewOf(seen) == ZoneHealth.BROKEN || seen.listedServers() == 0;
+      ZoneObservations observations = observations(report).since(observations(windowStartReport));
+      unhealthy =
+          ZoneHealthRules.viewOf(observations) == ZoneHealth.BROKEN
+              || observations.listedServers() == 0;
     }
     windowStartReport = report;
     windowStartNanos = nowNanos;
--- a/src/main/java/beaconturn/zones/RegionDistanceCheck.java
+++ b/src/main/java/beaconturn/zones/RegionDistanceCheck.java
@@ -72,9 +72,9 @@
     long micros = 0;
     for (ZoneReport report : reports) {
       if (report.homeZone().equals(home)) {
-        ZoneObservations seen = report.zones().getOrDefault(zone, ZoneObservations.NONE);
-        responses += seen.successfulAttempts();
-        micros += seen.successMicros();
+        ZoneObservations observations = report.zones().getOrDefault(zone, ZoneObservations.NONE);
+        responses += observations.successfulAttempts();
+        micros += observations.successMicros();
       }
     }
     return responses < MIN_RESPONSES ? 0 : micros / (double) responses;
--- a/src/main/java/beaconturn/zones/ZoneHealthRules.java
+++ b/src/main/java/beaconturn/zones/ZoneHealthRules.java
@@ -18,22 +18,24 @@
   private ZoneHealthRules() {}
 
   /** Returns one router's view of a zone. */
-  static ZoneHealth viewOf(ZoneObservations seen) {
-    if (seen.listedServers() == 0) {
+  static ZoneHealth viewOf(ZoneObservations observations) {
+    if (observations.listedServers() == 0) {
       return ZoneHealth.NOT_LISTED;
     }
-    long attempts = seen.successfulAttempts() + seen.failedAttempts();
-    if (attempts >= MIN_ATTEMPTS && seen.failedAttempts() > MAX_FAILURE_SHARE * attempts) {
+    long attempts = observations.successfulAttempts() + observations.failedAttempts();
+    if (attempts >= MIN_ATTEMPTS && observations.failedAttempts() > MAX_FAILURE_SHARE * attempts) {
       return ZoneHealth.BROKEN;
     }
-    if (seen.successfulAttempts() > seen.failedAttempts()) {
+    if (observations.successfulAttempts() > observations.failedAttempts()) {
       // Takes precedence over ejections: with trial traffic alone servers are reinstated late, and
       // successful attempts are newer evidence.
       return ZoneHealth.GOOD;
     }
     // Without failed attempts a zone is unknown: an ejection without traffic is only past evidence.
-    boolean mostEjected = 2 * seen.ejectedServers() >= seen.listedServers();
-    return seen.failedAttempts() > 0 && mostEjected ? ZoneHealth.BROKEN : ZoneHealth.UNKNOWN;
+    boolean mostEjected = 2 * observations.ejectedServers() >= observations.listedServers();
+    return observations.failedAttempts() > 0 && mostEjected
+        ? ZoneHealth.BROKEN
+        : ZoneHealth.UNKNOWN;
   }
 
   /**
--- a/src/main/java/beaconturn/zones/ZoneStateRule.java
+++ b/src/main/java/beaconturn/zones/ZoneStateRule.java
@@ -30,8 +30,8 @@
     if (step.weightOf(home) >= HomeWeightRule.maxHomeWeight(topology, home)) {
       return ZoneState.NEAR;
     }
-    boolean onlyTried = step.weightOf(home) <= ZoneAllocation.HOME_TRIAL_WEIGHT;
-    if (ZoneState.isServedElsewhere(before) && onlyTried) {
+    boolean onlyTrialTraffic = step.weightOf(home) <= ZoneAllocation.HOME_TRIAL_WEIGHT;
+    if (ZoneState.isServedElsewhere(before) && onlyTrialTraffic) {
       // Trial traffic is too little evidence: a zone that is not seen as unhealthy has not
       // recovered yet.
       return before;
@@ -42,10 +42,10 @@
 
   /** Returns the recent flaps of a zone whose keys are moved to other zones again. */
   int flapCountAfterFailover(String home, int flapCountBefore, long nowNanos) {
-    boolean longNear =
+    boolean nearLongEnough =
         nearSinceNanos.containsKey(home)
             && nowNanos - nearSinceNanos.get(home) >= timing.maxRecoveryNanos();
-    return longNear ? 0 : flapCountBefore + 1;
+    return nearLongEnough ? 0 : flapCountBefore + 1;
   }
 
   void recordState(String home, ZoneState state, long nowNanos) {
--- a/src/main/java/beaconturn/zones/ZonesCodec.java
+++ b/src/main/java/beaconturn/zones/ZonesCodec.java
@@ -23,7 +23,7 @@
 
   static String encode(ZoneReport report) {
     List<Json> zones = new ArrayList<>();
-    report.zones().forEach((zone, seen) -> zones.add(observationsJson(zone, seen)));
+    report.zones().forEach((zone, observations) -> zones.add(observationsJson(zone, observations)));
     return JsonWriter.write(
         StoredJson.object(
             "router",
@@ -40,22 +40,22 @@
             StoredJson.list(zones)));
   }
 
-  private static Json observationsJson(String zone, ZoneObservations seen) {
+  private static Json observationsJson(String zone, ZoneObservations observations) {
     return StoredJson.object(
         "place",
         zone,
         "good",
-        seen.successfulAttempts(),
+        observations.successfulAttempts(),
         "bad",
-        seen.failedAttempts(),
+        observations.failedAttempts(),
         "micros",
-        seen.successMicros(),
+        observations.successMicros(),
         "listed",
-        seen.listedServers(),
+        observations.listedServers(),
         "warm",
-        seen.warmServers(),
+        observations.warmServers(),
         "ejected",
-        seen.ejectedServers());
+        observations.ejectedServers());
   }
 
   static ZoneReport decodeReport(String text) throws AgreementException {
--- a/src/test/java/beaconturn/net/FaultyRouter.java
+++ b/src/test/java/beaconturn/net/FaultyRouter.java
@@ -101,9 +101,9 @@
   @Override
   public Consumer<RoutingMessage> inbox(Consumer<RoutingMessage> mailbox) {
     return message -> {
-      RoutingMessage passed = applyDefect(message);
-      if (passed != null) {
-        mailbox.accept(passed);
+      RoutingMessage modified = applyDefect(message);
+      if (modified != null) {
+        mailbox.accept(modified);
       }
     };
   }
@@ -143,29 +143,30 @@
     };
   }
 
-  private static EndpointUpdate.AddressedEndpoint undrained(EndpointUpdate.AddressedEndpoint m) {
-    Endpoint e = m.endpoint();
-    return e.health() != EndpointHealth.DRAINING
-        ? m
+  private static EndpointUpdate.AddressedEndpoint undrained(
+      EndpointUpdate.AddressedEndpoint member) {
+    Endpoint endpoint = member.endpoint();
+    return endpoint.health() != EndpointHealth.DRAINING
+        ? member
         : new EndpointUpdate.AddressedEndpoint(
             new Endpoint(
-                e.serverId(),
-                e.zone(),
-                e.kind(),
-                e.cell(),
+                endpoint.serverId(),
+                endpoint.zone(),
+                endpoint.kind(),
+                endpoint.cell(),
                 EndpointHealth.READY,
-                e.rating(),
-                e.bootTimeNanos()),
-            m.host(),
-            m.dialAddress());
+                endpoint.rating(),
+                endpoint.bootTimeNanos()),
+            member.host(),
+            member.dialAddress());
   }
 
-  private static AttemptResult with(AttemptResult outcome, Slice response) {
+  private static AttemptResult with(AttemptResult result, Slice response) {
     return new AttemptResult(
-        outcome.outcome(),
-        outcome.endedAtNanos(),
-        outcome.cacheStatus(),
-        outcome.loadReport(),
+        result.outcome(),
+        result.endedAtNanos(),
+        result.cacheStatus(),
+        result.loadReport(),
         response);
   }
 
@@ -178,17 +179,17 @@
 
   @Override
   public RoutingEngine engine(
-      RouterConfig config, Clock clock, CacheServerClients fleet, EndpointDiscovery list) {
+      RouterConfig config, Clock clock, CacheServerClients servers, EndpointDiscovery discovery) {
     RoutingSettings settings = config.settings().routing();
     return new RoutingEngine(
         settings,
         clock,
-        fleet,
-        list,
+        servers,
+        discovery,
         actions -> {
           RoutingPolicy policy = new RingRouter(settings, config.seed(), clock.now(), actions);
           return switch (defect) {
-            case IGNORES_SLOW_START -> (now, event) -> policy.handle(now, asWarm(event));
+            case IGNORES_SLOW_START -> (nowNanos, event) -> policy.handle(nowNanos, asWarm(event));
             case RETRIES_NON_IDEMPOTENT -> new RetryingPolicy(settings, policy, actions);
             default -> policy;
           };
@@ -202,9 +203,15 @@
     List<Endpoint> entries =
         list.endpoints().stream()
             .map(
-                e ->
+                endpoint ->
                     new Endpoint(
-                        e.serverId(), e.zone(), e.kind(), e.cell(), e.health(), e.rating(), 0))
+                        endpoint.serverId(),
+                        endpoint.zone(),
+                        endpoint.kind(),
+                        endpoint.cell(),
+                        endpoint.health(),
+                        endpoint.rating(),
+                        0))
             .toList();
     return new RoutingEvent.EndpointsUpdated(list.version(), list.kind(), entries);
   }
@@ -224,23 +231,24 @@
     }
 
     @Override
-    public void handle(long now, RoutingEvent event) {
+    public void handle(long nowNanos, RoutingEvent event) {
       if (event instanceof RoutingEvent.EndpointsUpdated list) {
-        list.endpoints().forEach(e -> servers.put(e.serverId(), e.serverId()));
-      } else if (event instanceof RoutingEvent.RequestArrived a
-          && settings.classes().get(a.requestClass()).idempotency() == Idempotency.NON_IDEMPOTENT) {
-        nonIdempotentRequests.add(a.requestId());
-      } else if (event instanceof RoutingEvent.AttemptClosed e
-          && nonIdempotentRequests.contains(e.requestId())
-          && !e.requestClosed()
-          && e.outcome() == AttemptOutcome.RESET
-          && e.attempt() == 0) {
+        list.endpoints().forEach(endpoint -> servers.put(endpoint.serverId(), endpoint.serverId()));
+      } else if (event instanceof RoutingEvent.RequestArrived arrival
+          && settings.classes().get(arrival.requestClass()).idempotency()
+              == Idempotency.NON_IDEMPOTENT) {
+        nonIdempotentRequests.add(arrival.requestId());
+      } else if (event instanceof RoutingEvent.AttemptClosed closed
+          && nonIdempotentRequests.contains(closed.requestId())
+          && !closed.requestClosed()
+          && closed.outcome() == AttemptOutcome.RESET
+          && closed.attempt() == 0) {
         List<Long> others = new ArrayList<>(servers.keySet());
-        others.remove(e.serverId());
-        actions.send(e.requestId(), others.get(0), 0);
+        others.remove(closed.serverId());
+        actions.send(closed.requestId(), others.get(0), 0);
         return;
       }
-      policy.handle(now, event);
+      policy.handle(nowNanos, event);
     }
   }
 }
--- a/src/test/java/beaconturn/net/RouterServerTest.java
+++ b/src/test/java/beaconturn/net/RouterServerTest.java
@@ -78,11 +78,11 @@
     return drain;
   }
 
-  private static String list(int version, boolean whole, TestPeer cache, String health) {
+  private static String list(int version, boolean complete, TestPeer cache, String health) {
     return "{\"seq\":"
         + version
         + ",\"whole\":"
-        + whole
+        + complete
         + ",\"hosts\":[{\"host\":\"s-1\",\"dial\":\""
         + cache.dialAddress()
         + "\",\"site\":\"east\",\"class\":\"small\",\"block\":0,\"health\":\""
--- a/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
+++ b/src/test/java/beaconturn/net/agreement/AgreementSubsystemTest.java
@@ -51,7 +51,7 @@
     }
   }
 
-  /** An unreachable store must not block the startup: one failed request is enough to go on. */
+  /** An unreachable store must not block the startup: one failed request is enough to continue. */
   @Test
   void startupContinuesIfStoreIsUnreachable() throws Exception {
     InetSocketAddress closedAddress = closedAddress();
--- a/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
+++ b/src/test/java/beaconturn/net/client/ClientConnectionsTest.java
@@ -111,7 +111,7 @@
    * by byte.
    */
   @Test
-  void closesClientWithoutWholeCommandAfterCommandTimeout() throws Exception {
+  void closesClientWithoutCompleteCommandAfterCommandTimeout() throws Exception {
     client.write("*4\r\n$5\r\n");
     awaitPartialCommand();
     nowNanos.addAndGet(SECOND_NANOS);
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void closesOnPartialCommandAfterWholeOneWithinSameTimeout() throws Exception {
+  void closesOnPartialCommandAfterCompleteOneWithinSameTimeout() throws Exception {
     client.write(GET);
     nextRequest().respond(Slice.of("+v\r\n"));
     assertEquals("+v", client.readResponse());
--- a/src/test/java/beaconturn/net/client/ConnectionStateTest.java
+++ b/src/test/java/beaconturn/net/client/ConnectionStateTest.java
@@ -107,7 +107,7 @@
    * respond to what it read.
    */
   @Test
-  void dropsAndRefusesProposalsOnceClosing() {
+  void dropsAndRejectsProposalsOnceClosing() {
     state.propose(IDLE_PROPOSAL);
     state.startClosing(CloseReason.GRACEFUL_SHUTDOWN);
     assertFalse(state.hasProposal());
--- a/src/test/java/beaconturn/package-info.java
+++ b/src/test/java/beaconturn/package-info.java
@@ -1,2 +1,2 @@
-/** What concerns the whole program. */
+/** Tests that concern the program as a whole. */
 package beaconturn;
--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -288,13 +288,13 @@
 
   private static SearchResult search(String defect) throws AgreementException {
     Set<String> visitedStates = new HashSet<>();
-    SearchResult walks = randomWalks(defect, visitedStates);
-    if (walks.violation() != null) {
-      return walks;
+    SearchResult walkResult = randomWalks(defect, visitedStates);
+    if (walkResult.violation() != null) {
+      return walkResult;
     }
     List<List<String>> openPaths = new ArrayList<>(List.of(List.of()));
     Random random = new Random(1);
-    int depth = walks.depth();
+    int depth = walkResult.depth();
     Set<String> expandedStates = new HashSet<>();
     while (!openPaths.isEmpty() && expandedStates.size() < MAX_STATES) {
       // Breadth-first, depth-first and random order in turn: none alone finds all planted defects.
--- a/src/test/java/beaconturn/standin/DiscoveryModelTest.java
+++ b/src/test/java/beaconturn/standin/DiscoveryModelTest.java
@@ -17,7 +17,7 @@
         @Override
         public void succeeded(DiscoveryModel.EndpointUpdate update) {
           replies.add(
-              (update.whole() ? "whole " : "changes ")
+              (update.complete() ? "complete " : "changes ")
                   + String.join(
                       " ",
                       update.entries().stream().map(e -> e.host() + ":" + e.health()).toList()));
@@ -33,7 +33,7 @@
   void fetchReturnsTheCompleteListAtOnce() {
     discovery.fetch(0, handler);
     fixture.advance(0);
-    assertEquals(List.of("whole c1:READY c2:READY"), replies);
+    assertEquals(List.of("complete c1:READY c2:READY"), replies);
   }
 
   @Test
@@ -55,12 +55,12 @@
     fixture.fleet.startFault(Fault.Kind.UNLIST, 1, 1);
     discovery.fetch(0, handler);
     fixture.advance(0);
-    assertEquals(List.of("whole c1:READY"), replies);
+    assertEquals(List.of("complete c1:READY"), replies);
     assertTrue(!fixture.fleet.server(1).dead());
     fixture.fleet.endFault(Fault.Kind.UNLIST, 1);
     discovery.fetch(0, handler);
     fixture.advance(0);
-    assertEquals("whole c1:READY c2:READY", replies.get(1));
+    assertEquals("complete c1:READY c2:READY", replies.get(1));
   }
 
   @Test
@@ -71,7 +71,7 @@
     fixture.advance(SECOND);
     discovery.fetch(0, handler);
     fixture.advance(0);
-    assertEquals(List.of("whole c1:READY c2:READY"), replies);
+    assertEquals(List.of("complete c1:READY c2:READY"), replies);
   }
 
   @Test
@@ -97,7 +97,7 @@
   void watchOfUnknownVersionReturnsTheCompleteList() {
     discovery.watch(0, 999, SECOND, handler);
     fixture.advance(0);
-    assertEquals(List.of("whole c1:READY c2:READY"), replies);
+    assertEquals(List.of("complete c1:READY c2:READY"), replies);
   }
 
   @Test
@@ -109,7 +109,7 @@
     fixture.advance(2 * SECOND);
     discovery.fetch(3, handler);
     fixture.advance(0);
-    assertEquals(List.of("whole c2:READY c1-2:READY"), replies);
+    assertEquals(List.of("complete c2:READY c1-2:READY"), replies);
     assertTrue(fixture.events.contains("notified 3 c1 GONE"));
     assertEquals(
         0, fixture.fleet.indexOf("c1-2"), "the successor has the index of its predecessor");
@@ -150,7 +150,7 @@
     fixture.fleet.endFault(Fault.Kind.DISCOVERY_BACK);
     discovery.fetch(0, handler);
     fixture.advance(0);
-    assertEquals(List.of("whole c1:READY c2:READY", "whole c2:READY"), replies);
+    assertEquals(List.of("complete c1:READY c2:READY", "complete c2:READY"), replies);
   }
 
   @Test
@@ -159,7 +159,7 @@
     fixture.advance(SECOND);
     discovery.fetch(0, handler);
     fixture.advance(0);
-    assertEquals(List.of("whole c1:DRAINING c2:READY"), replies);
+    assertEquals(List.of("complete c1:DRAINING c2:READY"), replies);
     FleetFixture.Connection connection = fixture.connect(0).get("k", "1");
     fixture.advance(SECOND);
     connection.get("k", "2");
@@ -174,10 +174,10 @@
     fixture.advance(3 * SECOND);
     discovery.fetch(0, handler);
     fixture.advance(0);
-    assertEquals(List.of("whole c1:READY c2:READY", "whole c1:DRAINING c2:READY"), replies);
+    assertEquals(List.of("complete c1:READY c2:READY", "complete c1:DRAINING c2:READY"), replies);
     fixture.fleet.endFault(Fault.Kind.DRAIN_LATE, 0);
     discovery.fetch(0, handler);
     fixture.advance(SECOND);
-    assertEquals("whole c1:READY c2:READY", replies.get(2));
+    assertEquals("complete c1:READY c2:READY", replies.get(2));
   }
 }
