--- a/src/main/java/beaconturn/history/ZoneCrossings.java
+++ b/src/main/java/beaconturn/history/CrossZoneTraffic.java
@@ -9,24 +9,26 @@
  * How much traffic left its zone, as cache servers saw it. Figures for reports, which no invariant
  * bounds.
  *
- * @param crossedShare share of first attempts that went to another zone than their router's
- * @param crossedShareBeforeFaults the same up to the first fault
+ * @param remoteShare share of first attempts that went to another zone than their router's
+ * @param remoteShareBeforeFaults the same up to the first fault
  * @param busiestZone the zone with the highest load in a second
  * @param peakLoad that load, as a multiple of the zone's capacity
  * @param originFetches fetches and writes that reached the origin
- * @param decidedAfterNanos from the first fault to the first plan after it; -1 where there was none
- * @param backAfterNanos from the end of the last fault to the last plan; -1 where there was none
+ * @param firstPlanDelayNanos from the first fault to the first plan after it; -1 where there was
+ *     none
+ * @param recoveryPlanDelayNanos from the end of the last fault to the last plan; -1 where there was
+ *     none
  * @param localShares for each zone, by second of the history's clock, the share of its first
  *     attempts that stayed there
  */
-public record ZoneCrossings(
-    double crossedShare,
-    double crossedShareBeforeFaults,
+public record CrossZoneTraffic(
+    double remoteShare,
+    double remoteShareBeforeFaults,
     String busiestZone,
     double peakLoad,
     long originFetches,
-    long decidedAfterNanos,
-    long backAfterNanos,
+    long firstPlanDelayNanos,
+    long recoveryPlanDelayNanos,
     SortedMap<String, SortedMap<Long, Double>> localShares) {
   private static final long NANOS_PER_SECOND = 1_000_000_000;
   private static final long NO_PLAN = -1;
@@ -61,7 +63,7 @@
   }
 
   /** The figures of a history whose bounds have zones. */
-  public static ZoneCrossings of(InvariantBounds bounds, List<HistoryEvent> events) {
+  public static CrossZoneTraffic of(InvariantBounds bounds, List<HistoryEvent> events) {
     HistoryIndex history = new HistoryIndex(bounds, events);
     ZoneSendHistory traffic = new ZoneSendHistory(history);
     long firstFaultNanos = firstFaultNanos(history);
@@ -74,14 +76,14 @@
     }
     SortedMap<String, Double> peaks = peakLoads(traffic);
     String busiest = busiestZone(peaks);
-    return new ZoneCrossings(
+    return new CrossZoneTraffic(
         counts.all.value(),
         counts.beforeFaults.value(),
         busiest,
         peaks.getOrDefault(busiest, 0.0),
         history.events(HistoryEvent.OriginFetched.class).size(),
-        decidedAfterNanos(history, firstFaultNanos),
-        backAfterNanos(history),
+        firstPlanDelayNanos(history, firstFaultNanos),
+        recoveryPlanDelayNanos(history),
         counts.localShares());
   }
 
@@ -113,7 +115,7 @@
     return busiest;
   }
 
-  private static long decidedAfterNanos(HistoryIndex history, long faultNanos) {
+  private static long firstPlanDelayNanos(HistoryIndex history, long faultNanos) {
     return history.events(HistoryEvent.ZonePlanInForce.class).stream()
         .mapToLong(HistoryEvent.ZonePlanInForce::atNanos)
         .filter(atNanos -> atNanos > faultNanos)
@@ -122,7 +124,7 @@
         .orElse(NO_PLAN);
   }
 
-  private static long backAfterNanos(HistoryIndex history) {
+  private static long recoveryPlanDelayNanos(HistoryIndex history) {
     long lastFaultEndNanos =
         history.events(HistoryEvent.FaultChanged.class).stream()
             .filter(fault -> !fault.active())
--- a/src/main/java/beaconturn/history/ExactlyOneAnswer.java
+++ b/src/main/java/beaconturn/history/ExactlyOneAnswer.java
@@ -35,7 +35,7 @@
   }
 
   private void checkAnswers(HistoryIndex history, RequestRecord request) {
-    List<HistoryEvent.ResponseReceived> answers = request.answers();
+    List<HistoryEvent.RequestCompleted> answers = request.answers();
     check(
         answers.size() == 1,
         answers.get(answers.size() - 1).atNanos(),
@@ -65,8 +65,8 @@
    * was sent had been taken.
    */
   private void checkCrossedCloses(HistoryIndex history) {
-    for (HistoryEvent.RequestCrossedClose crossed :
-        history.events(HistoryEvent.RequestCrossedClose.class)) {
+    for (HistoryEvent.RequestRacedClose crossed :
+        history.events(HistoryEvent.RequestRacedClose.class)) {
       RequestRecord request = history.request(crossed.requestId());
       long atNanos = crossed.atNanos();
       boolean taken = request.attempts().stream().anyMatch(attempt -> attempt.atNanos() < atNanos);
@@ -82,8 +82,8 @@
    * where it crosses the end of an idle connection.
    */
   private void checkCutConnections(HistoryIndex history) {
-    for (HistoryEvent.ConnectionCutWhileWriting cut :
-        history.events(HistoryEvent.ConnectionCutWhileWriting.class)) {
+    for (HistoryEvent.ConnectionClosedWhileWriting cut :
+        history.events(HistoryEvent.ConnectionClosedWhileWriting.class)) {
       boolean stopped =
           history.events(HistoryEvent.RouterStopped.class).stream()
               .filter(stop -> stop.router() == cut.router())
@@ -105,7 +105,7 @@
    */
   private void checkMissingAnswer(HistoryIndex history, RequestRecord request) {
     HistoryEvent.RequestWritten write = request.lastWrite();
-    List<HistoryEvent.ResponseReceived> responses = request.responses();
+    List<HistoryEvent.RequestCompleted> responses = request.responses();
     long endedNanos = responses.isEmpty() ? write.deadlineNanos() : responses.get(0).atNanos();
     boolean disconnected =
         responses.stream()
--- a/src/main/java/beaconturn/history/HaltStopsRollout.java
+++ b/src/main/java/beaconturn/history/HaltStopsRollout.java
@@ -39,10 +39,10 @@
   }
 
   private void checkHalt(HistoryIndex history, long haltNanos, long untilNanos) {
-    for (HistoryEvent.VariantChangeBegun change :
-        history.events(HistoryEvent.VariantChangeBegun.class)) {
+    for (HistoryEvent.VariantChangeStarted change :
+        history.events(HistoryEvent.VariantChangeStarted.class)) {
       boolean whileHalted = change.atNanos() > haltNanos && change.atNanos() < untilNanos;
-      if (change.released() && whileHalted) {
+      if (change.toReleased() && whileHalted) {
         long lateNanos = history.elapsedNanos(haltNanos, change.atNanos());
         observe(lateNanos);
         check(
--- a/src/main/java/beaconturn/history/HistoryEvent.java
+++ b/src/main/java/beaconturn/history/HistoryEvent.java
@@ -65,7 +65,7 @@
    *
    * @param digest digest of the value, see {@link History#digest}
    */
-  record ResponseReceived(long atNanos, String requestId, ClientOutcome outcome, long digest)
+  record RequestCompleted(long atNanos, String requestId, ClientOutcome outcome, long digest)
       implements HistoryEvent {}
 
   /**
@@ -98,10 +98,10 @@
    *
    * @param begunNanos when the client began to write what was written together with the request
    */
-  record RequestCrossedClose(long atNanos, String requestId, long begunNanos)
+  record RequestRacedClose(long atNanos, String requestId, long begunNanos)
       implements HistoryEvent {
     /** A request that was written at once. */
-    public RequestCrossedClose(long atNanos, String requestId) {
+    public RequestRacedClose(long atNanos, String requestId) {
       this(atNanos, requestId, atNanos);
     }
   }
@@ -112,15 +112,15 @@
    * @param begunNanos when the client began to write them
    * @param idle whether no other request was open on the connection
    */
-  record ConnectionCutWhileWriting(
+  record ConnectionClosedWhileWriting(
       long atNanos, String requestId, int router, long begunNanos, boolean idle)
       implements HistoryEvent {}
 
   /** All answers that precede the request's own on its connection have arrived. */
-  record PrecedingAnswersArrived(long atNanos, String requestId) implements HistoryEvent {}
+  record PrecedingResponsesReceived(long atNanos, String requestId) implements HistoryEvent {}
 
   /** What a stand-in answered. */
-  enum ServerAnswer {
+  enum ServerResponse {
     /** A value. */
     VALUE("value"),
     /** A damaged value. */
@@ -132,7 +132,7 @@
 
     private final String word;
 
-    ServerAnswer(String word) {
+    ServerResponse(String word) {
       this.word = word;
     }
 
@@ -143,7 +143,7 @@
   }
 
   /** A stand-in has answered a command. */
-  record CommandAnswered(long atNanos, long commandNumber, ServerAnswer answer, long digest)
+  record ResponseSent(long atNanos, long commandNumber, ServerResponse answer, long digest)
       implements HistoryEvent {}
 
   /**
@@ -211,7 +211,7 @@
       implements HistoryEvent {}
 
   /** The process of a router ended though nobody had told it to. */
-  record RouterDied(long atNanos, int router, String reason) implements HistoryEvent {}
+  record RouterCrashed(long atNanos, int router, String reason) implements HistoryEvent {}
 
   /** The member record of a router was written, or has been removed. */
   record MembershipChanged(long atNanos, int router, boolean member) implements HistoryEvent {}
@@ -223,9 +223,9 @@
    * An instance is taken out to run another variant.
    *
    * @param router its number, or -1 for a cache server
-   * @param released whether it goes to what is released, or back to what it ran before
+   * @param toReleased whether it goes to what is released, or back to what it ran before
    */
-  record VariantChangeBegun(long atNanos, String instanceId, int router, boolean released)
+  record VariantChangeStarted(long atNanos, String instanceId, int router, boolean toReleased)
       implements HistoryEvent {}
 
   /** The process of a cache server has ended; it is back with the next start under its name. */
--- a/src/main/java/beaconturn/history/HistoryIndex.java
+++ b/src/main/java/beaconturn/history/HistoryIndex.java
@@ -10,7 +10,7 @@
 final class HistoryIndex {
   private final InvariantBounds bounds;
   private final Map<String, RequestRecord> requests = new LinkedHashMap<>();
-  private final Map<Long, HistoryEvent.CommandAnswered> answers = new HashMap<>();
+  private final Map<Long, HistoryEvent.ResponseSent> answers = new HashMap<>();
   private final Map<Long, HistoryEvent.CommandExecuted> executions = new HashMap<>();
   private final Map<Long, HistoryEvent.ServerConnectionEnded> connectionEnds = new HashMap<>();
   private final Map<Class<?>, List<HistoryEvent>> eventsByKind = new HashMap<>();
@@ -30,13 +30,13 @@
   private boolean addToRequest(HistoryEvent event) {
     if (event instanceof HistoryEvent.RequestWritten write) {
       request(write.requestId()).add(write);
-    } else if (event instanceof HistoryEvent.ResponseReceived response) {
+    } else if (event instanceof HistoryEvent.RequestCompleted response) {
       request(response.requestId()).add(response);
     } else if (event instanceof HistoryEvent.AttemptArrived attempt) {
       request(attempt.requestId()).add(attempt);
-    } else if (event instanceof HistoryEvent.RequestCrossedClose crossed) {
+    } else if (event instanceof HistoryEvent.RequestRacedClose crossed) {
       request(crossed.requestId()).addCrossedClose();
-    } else if (event instanceof HistoryEvent.PrecedingAnswersArrived arrived) {
+    } else if (event instanceof HistoryEvent.PrecedingResponsesReceived arrived) {
       request(arrived.requestId()).setPrecedingAnswersNanos(arrived.atNanos());
     } else {
       return false;
@@ -45,7 +45,7 @@
   }
 
   private void addToCommand(HistoryEvent event) {
-    if (event instanceof HistoryEvent.CommandAnswered answer) {
+    if (event instanceof HistoryEvent.ResponseSent answer) {
       answers.put(answer.commandNumber(), answer);
     } else if (event instanceof HistoryEvent.CommandExecuted execution) {
       executions.putIfAbsent(execution.commandNumber(), execution);
@@ -77,7 +77,7 @@
   }
 
   /** How an attempt was answered, or null. */
-  HistoryEvent.CommandAnswered answerTo(HistoryEvent.AttemptArrived attempt) {
+  HistoryEvent.ResponseSent answerTo(HistoryEvent.AttemptArrived attempt) {
     return answers.get(attempt.commandNumber());
   }
 
@@ -96,9 +96,9 @@
    * time rules it out.
    */
   boolean mayHaveRun(HistoryEvent.AttemptArrived attempt, long byNanos) {
-    HistoryEvent.CommandAnswered answer = answerTo(attempt);
+    HistoryEvent.ResponseSent answer = answerTo(attempt);
     return answer == null
-        || answer.answer() != HistoryEvent.ServerAnswer.BUSY
+        || answer.answer() != HistoryEvent.ServerResponse.BUSY
         || answer.atNanos() > byNanos;
   }
 
--- a/src/main/java/beaconturn/history/Invariant.java
+++ b/src/main/java/beaconturn/history/Invariant.java
@@ -9,16 +9,16 @@
   private static final double NANOS_PER_TENTH_OF_MILLI = 1e5;
   private static final double TENTHS = 10.0;
   private final String name;
-  private final String promise;
+  private final String summary;
   private final List<Violation> violations = new ArrayList<>();
   private final List<Violation> notes = new ArrayList<>();
   private long checked;
   private long maxNanos;
 
-  /** An invariant with its name and its promise, as reports tell them. */
-  Invariant(String name, String promise) {
+  /** An invariant with its name and its summary, as reports tell them. */
+  Invariant(String name, String summary) {
     this.name = name;
-    this.promise = promise;
+    this.summary = summary;
   }
 
   /** Goes through the history and calls {@link #check} for each chance of a violation. */
@@ -53,7 +53,7 @@
     evaluate(history);
     violations.sort(Comparator.comparingLong(Violation::atNanos));
     return new InvariantResult(
-        name, promise, checked, maxNanos, List.copyOf(violations), List.copyOf(notes));
+        name, summary, checked, maxNanos, List.copyOf(violations), List.copyOf(notes));
   }
 
   /** A time in milliseconds, in words. */
--- a/src/main/java/beaconturn/history/InvariantResult.java
+++ b/src/main/java/beaconturn/history/InvariantResult.java
@@ -6,7 +6,7 @@
  * The result of checking one invariant.
  *
  * @param invariant its name
- * @param promise the invariant in a few words
+ * @param summary the invariant in a few words
  * @param checked how many times it could have been violated
  * @param maxNanos the most that was observed of what it bounds; 0 where it bounds no time
  * @param violations all violations in the order of time
@@ -14,7 +14,7 @@
  */
 public record InvariantResult(
     String invariant,
-    String promise,
+    String summary,
     long checked,
     long maxNanos,
     List<Violation> violations,
--- a/src/main/java/beaconturn/history/OneAttemptInFlight.java
+++ b/src/main/java/beaconturn/history/OneAttemptInFlight.java
@@ -37,7 +37,7 @@
       HistoryIndex history,
       HistoryEvent.AttemptArrived earlier,
       HistoryEvent.AttemptArrived later) {
-    HistoryEvent.CommandAnswered answer = history.answerTo(earlier);
+    HistoryEvent.ResponseSent answer = history.answerTo(earlier);
     HistoryEvent.ServerConnectionEnded end = history.connectionEndOf(earlier);
     boolean answered = answer != null && answer.atNanos() <= later.atNanos();
     boolean ended = end != null && end.loopTurn() <= later.loopTurn() + 1;
--- a/src/main/java/beaconturn/history/RejectionIsSafe.java
+++ b/src/main/java/beaconturn/history/RejectionIsSafe.java
@@ -12,7 +12,7 @@
   @Override
   void evaluate(HistoryIndex history) {
     for (RequestRecord request : history.requests()) {
-      for (HistoryEvent.ResponseReceived response : request.responses()) {
+      for (HistoryEvent.RequestCompleted response : request.responses()) {
         if (response.outcome() == HistoryEvent.ClientOutcome.REJECTED) {
           checkRejection(history, request, response);
         }
@@ -21,7 +21,7 @@
   }
 
   private void checkRejection(
-      HistoryIndex history, RequestRecord request, HistoryEvent.ResponseReceived rejection) {
+      HistoryIndex history, RequestRecord request, HistoryEvent.RequestCompleted rejection) {
     HistoryEvent.AttemptArrived mayHaveRun = null;
     if (isNonIdempotent(history, request)) {
       mayHaveRun =
--- a/src/main/java/beaconturn/history/RequestAccounting.java
+++ b/src/main/java/beaconturn/history/RequestAccounting.java
@@ -10,7 +10,7 @@
   void evaluate(HistoryIndex history) {
     for (RequestRecord request : history.requests()) {
       if (request.lastWrite() == null) {
-        for (HistoryEvent.ResponseReceived response : request.responses()) {
+        for (HistoryEvent.RequestCompleted response : request.responses()) {
           check(
               false, response.atNanos(), request.id(), "", "an answer that no request was out for");
         }
--- a/src/main/java/beaconturn/history/RequestRecord.java
+++ b/src/main/java/beaconturn/history/RequestRecord.java
@@ -7,7 +7,7 @@
 final class RequestRecord {
   private final String id;
   private final List<HistoryEvent.RequestWritten> writes = new ArrayList<>();
-  private final List<HistoryEvent.ResponseReceived> responses = new ArrayList<>();
+  private final List<HistoryEvent.RequestCompleted> responses = new ArrayList<>();
   private final List<HistoryEvent.AttemptArrived> attempts = new ArrayList<>();
   private int crossedCloses;
 
@@ -22,7 +22,7 @@
     writes.add(write);
   }
 
-  void add(HistoryEvent.ResponseReceived response) {
+  void add(HistoryEvent.RequestCompleted response) {
     responses.add(response);
   }
 
@@ -65,7 +65,7 @@
     return crossedCloses >= writes.size();
   }
 
-  List<HistoryEvent.ResponseReceived> responses() {
+  List<HistoryEvent.RequestCompleted> responses() {
     return responses;
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** Responses that are answers: values, rejections and errors. */
-  List<HistoryEvent.ResponseReceived> answers() {
+  List<HistoryEvent.RequestCompleted> answers() {
     return responses.stream().filter(response -> response.outcome().isAnswer()).toList();
   }
 
@@ -90,7 +90,7 @@
   long abandonedNanos() {
     return responses.stream()
         .filter(response -> response.outcome() == HistoryEvent.ClientOutcome.ABANDONED)
-        .mapToLong(HistoryEvent.ResponseReceived::atNanos)
+        .mapToLong(HistoryEvent.RequestCompleted::atNanos)
         .findFirst()
         .orElse(Long.MAX_VALUE);
   }
--- a/src/main/java/beaconturn/history/RequestTrace.java
+++ b/src/main/java/beaconturn/history/RequestTrace.java
@@ -40,11 +40,11 @@
       if (write.requestId().equals(requestId)) {
         addWrite(write);
       }
-    } else if (event instanceof HistoryEvent.ResponseReceived response) {
+    } else if (event instanceof HistoryEvent.RequestCompleted response) {
       if (response.requestId().equals(requestId)) {
         addLine(response.atNanos(), "client: " + response.outcome().word());
       }
-    } else if (event instanceof HistoryEvent.RequestCrossedClose crossed) {
+    } else if (event instanceof HistoryEvent.RequestRacedClose crossed) {
       if (crossed.requestId().equals(requestId)) {
         addLine(crossed.atNanos(), "client found the connection closed, asks once more");
       }
@@ -90,7 +90,7 @@
   }
 
   private void addServerEvent(HistoryEvent event) {
-    if (event instanceof HistoryEvent.CommandAnswered answer
+    if (event instanceof HistoryEvent.ResponseSent answer
         && commandNumbers.contains(answer.commandNumber())) {
       addLine(
           answer.atNanos(), "#" + answer.commandNumber() + " answered: " + answer.answer().word());
--- a/src/main/java/beaconturn/history/ResponseMatchesRequest.java
+++ b/src/main/java/beaconturn/history/ResponseMatchesRequest.java
@@ -9,7 +9,7 @@
   @Override
   void evaluate(HistoryIndex history) {
     for (RequestRecord request : history.requests()) {
-      for (HistoryEvent.ResponseReceived response : request.responses()) {
+      for (HistoryEvent.RequestCompleted response : request.responses()) {
         if (response.outcome() == HistoryEvent.ClientOutcome.SERVED) {
           boolean matches =
               request.attempts().stream()
@@ -27,9 +27,9 @@
   }
 
   private static boolean isSource(
-      HistoryEvent.CommandAnswered answer, HistoryEvent.ResponseReceived response) {
+      HistoryEvent.ResponseSent answer, HistoryEvent.RequestCompleted response) {
     return answer != null
-        && answer.answer() == HistoryEvent.ServerAnswer.VALUE
+        && answer.answer() == HistoryEvent.ServerResponse.VALUE
         && answer.digest() == response.digest();
   }
 }
--- a/src/main/java/beaconturn/history/RolloutStepOnce.java
+++ b/src/main/java/beaconturn/history/RolloutStepOnce.java
@@ -5,7 +5,7 @@
 
 /** An instance is changed once in each direction, and what does harm stays with the first wave. */
 final class RolloutStepOnce extends Invariant {
-  private final Map<String, HistoryEvent.VariantChangeBegun> lastChanges = new HashMap<>();
+  private final Map<String, HistoryEvent.VariantChangeStarted> lastChanges = new HashMap<>();
 
   RolloutStepOnce() {
     super("step-once", "each part is changed once, and no more than the first wave to what harms");
@@ -16,10 +16,10 @@
     if (history.bounds().rollout() == null) {
       return;
     }
-    for (HistoryEvent.VariantChangeBegun change :
-        history.events(HistoryEvent.VariantChangeBegun.class)) {
-      HistoryEvent.VariantChangeBegun last = lastChanges.put(change.instanceId(), change);
-      boolean repeated = last != null && last.released() == change.released();
+    for (HistoryEvent.VariantChangeStarted change :
+        history.events(HistoryEvent.VariantChangeStarted.class)) {
+      HistoryEvent.VariantChangeStarted last = lastChanges.put(change.instanceId(), change);
+      boolean repeated = last != null && last.toReleased() == change.toReleased();
       check(
           !repeated || endedBetween(history, last, change),
           change.atNanos(),
@@ -30,12 +30,12 @@
     }
   }
 
-  private void checkHarmed(int maxHarmed, HistoryEvent.VariantChangeBegun change) {
-    if (maxHarmed <= 0 || !change.released()) {
+  private void checkHarmed(int maxHarmed, HistoryEvent.VariantChangeStarted change) {
+    if (maxHarmed <= 0 || !change.toReleased()) {
       return;
     }
     long harmed =
-        lastChanges.values().stream().filter(HistoryEvent.VariantChangeBegun::released).count();
+        lastChanges.values().stream().filter(HistoryEvent.VariantChangeStarted::toReleased).count();
     check(
         harmed <= maxHarmed,
         change.atNanos(),
@@ -47,11 +47,11 @@
   /** Whether the router ended by itself between two changes; its start again is no second step. */
   private static boolean endedBetween(
       HistoryIndex history,
-      HistoryEvent.VariantChangeBegun first,
-      HistoryEvent.VariantChangeBegun second) {
+      HistoryEvent.VariantChangeStarted first,
+      HistoryEvent.VariantChangeStarted second) {
     int router = second.router();
     boolean died =
-        history.events(HistoryEvent.RouterDied.class).stream()
+        history.events(HistoryEvent.RouterCrashed.class).stream()
             .filter(event -> event.router() == router)
             .anyMatch(event -> isBetween(event.atNanos(), first, second));
     return died
@@ -61,7 +61,9 @@
   }
 
   private static boolean isBetween(
-      long atNanos, HistoryEvent.VariantChangeBegun first, HistoryEvent.VariantChangeBegun second) {
+      long atNanos,
+      HistoryEvent.VariantChangeStarted first,
+      HistoryEvent.VariantChangeStarted second) {
     return atNanos > first.atNanos() && atNanos <= second.atNanos();
   }
 }
--- a/src/main/java/beaconturn/history/RoutersStayUp.java
+++ b/src/main/java/beaconturn/history/RoutersStayUp.java
@@ -9,7 +9,7 @@
   @Override
   void evaluate(HistoryIndex history) {
     history.events(HistoryEvent.DiscoveryPolled.class).forEach(poll -> countHeld());
-    for (HistoryEvent.RouterDied died : history.events(HistoryEvent.RouterDied.class)) {
+    for (HistoryEvent.RouterCrashed died : history.events(HistoryEvent.RouterCrashed.class)) {
       check(false, died.atNanos(), "", "router " + died.router(), died.reason());
     }
   }
--- a/src/main/java/beaconturn/history/UnavailabilityBudget.java
+++ b/src/main/java/beaconturn/history/UnavailabilityBudget.java
@@ -20,10 +20,10 @@
       return;
     }
     List<UnavailabilityIndex.Outage> outages = UnavailabilityIndex.of(history);
-    List<HistoryEvent.VariantChangeBegun> changes =
-        history.events(HistoryEvent.VariantChangeBegun.class);
+    List<HistoryEvent.VariantChangeStarted> changes =
+        history.events(HistoryEvent.VariantChangeStarted.class);
     for (int i = 0; i < changes.size(); i++) {
-      HistoryEvent.VariantChangeBegun change = changes.get(i);
+      HistoryEvent.VariantChangeStarted change = changes.get(i);
       if (!isUnderPreviousPermit(history, change, changes.subList(0, i))) {
         checkOut(history, outages, change.atNanos(), change.instanceId());
       }
@@ -42,12 +42,12 @@
    */
   private static boolean isUnderPreviousPermit(
       HistoryIndex history,
-      HistoryEvent.VariantChangeBegun change,
-      List<HistoryEvent.VariantChangeBegun> previous) {
+      HistoryEvent.VariantChangeStarted change,
+      List<HistoryEvent.VariantChangeStarted> previous) {
     long previousNanos =
         previous.stream()
             .filter(other -> other.instanceId().equals(change.instanceId()))
-            .mapToLong(HistoryEvent.VariantChangeBegun::atNanos)
+            .mapToLong(HistoryEvent.VariantChangeStarted::atNanos)
             .max()
             .orElse(Long.MAX_VALUE);
     return previousNanos != Long.MAX_VALUE
--- a/src/main/java/beaconturn/history/UnavailabilityIndex.java
+++ b/src/main/java/beaconturn/history/UnavailabilityIndex.java
@@ -49,7 +49,7 @@
       long readyNanos = readyAfter(stopped.router(), stopped.atNanos());
       add(names.get(stopped.router()), stopped.atNanos(), readyNanos, stopped.planned());
     }
-    for (HistoryEvent.RouterDied died : history.events(HistoryEvent.RouterDied.class)) {
+    for (HistoryEvent.RouterCrashed died : history.events(HistoryEvent.RouterCrashed.class)) {
       long readyNanos = readyAfter(died.router(), died.atNanos());
       add(names.get(died.router()), died.atNanos(), readyNanos, false);
     }
@@ -64,8 +64,8 @@
   }
 
   private void addCacheServer(String server) {
-    for (HistoryEvent.VariantChangeBegun change :
-        history.events(HistoryEvent.VariantChangeBegun.class)) {
+    for (HistoryEvent.VariantChangeStarted change :
+        history.events(HistoryEvent.VariantChangeStarted.class)) {
       if (change.instanceId().equals(server)) {
         add(server, change.atNanos(), warmAfter(server, change.atNanos()), true);
       }
--- a/src/main/java/beaconturn/history/ZoneInvariant.java
+++ b/src/main/java/beaconturn/history/ZoneInvariant.java
@@ -2,8 +2,8 @@
 
 /** An invariant of zones, which has something to check only where routers follow one plan. */
 abstract class ZoneInvariant extends Invariant {
-  ZoneInvariant(String name, String promise) {
-    super(name, promise);
+  ZoneInvariant(String name, String summary) {
+    super(name, summary);
   }
 
   @Override
--- a/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
+++ b/src/main/java/beaconturn/rehearsal/HistoryEventWriter.java
@@ -36,7 +36,7 @@
   @Override
   public void responseSent(long atNanos, CacheCommand command, CacheResponse reply) {
     if (reply instanceof CacheResponse.Value value) {
-      recordAnswer(atNanos, command, HistoryEvent.ServerAnswer.VALUE, value);
+      recordAnswer(atNanos, command, HistoryEvent.ServerResponse.VALUE, value);
     } else if (reply instanceof CacheResponse.Corrupted spoilt) {
       // In these cases the value itself is intact, and routers may forward it.
       boolean hasValidValue =
@@ -47,24 +47,24 @@
       recordAnswer(
           atNanos,
           command,
-          hasValidValue ? HistoryEvent.ServerAnswer.VALUE : HistoryEvent.ServerAnswer.DAMAGED_VALUE,
+          hasValidValue ? HistoryEvent.ServerResponse.VALUE : HistoryEvent.ServerResponse.DAMAGED_VALUE,
           spoilt.value());
     } else {
-      HistoryEvent.ServerAnswer serverAnswer =
+      HistoryEvent.ServerResponse serverAnswer =
           reply instanceof CacheResponse.Busy
-              ? HistoryEvent.ServerAnswer.BUSY
-              : HistoryEvent.ServerAnswer.ERROR;
-      history.add(new HistoryEvent.CommandAnswered(atNanos, command.number(), serverAnswer, 0));
+              ? HistoryEvent.ServerResponse.BUSY
+              : HistoryEvent.ServerResponse.ERROR;
+      history.add(new HistoryEvent.ResponseSent(atNanos, command.number(), serverAnswer, 0));
     }
   }
 
   private void recordAnswer(
       long atNanos,
       CacheCommand command,
-      HistoryEvent.ServerAnswer serverAnswer,
+      HistoryEvent.ServerResponse serverAnswer,
       CacheResponse.Value value) {
     history.add(
-        new HistoryEvent.CommandAnswered(
+        new HistoryEvent.ResponseSent(
             atNanos, command.number(), serverAnswer, History.digest(value.bytes())));
   }
 
--- a/src/main/java/beaconturn/rehearsal/HtmlReport.java
+++ b/src/main/java/beaconturn/rehearsal/HtmlReport.java
@@ -1,9 +1,9 @@
 package beaconturn.rehearsal;
 
+import beaconturn.history.CrossZoneTraffic;
 import beaconturn.history.HistoryEvent;
 import beaconturn.history.InvariantResult;
 import beaconturn.history.UnavailabilityIndex;
-import beaconturn.history.ZoneCrossings;
 import beaconturn.report.HtmlPage;
 import beaconturn.report.TimelineChart;
 import java.util.ArrayList;
@@ -116,7 +116,7 @@
    * zones to which plans send more of its keys than the trial share.
    */
   private void addLocalShareCharts(HtmlPage page) {
-    ZoneCrossings crossings = report.zoneCrossings();
+    CrossZoneTraffic crossings = report.crossZoneTraffic();
     if (crossings == null) {
       return;
     }
@@ -170,7 +170,7 @@
               result.invariant(),
               result.held() ? "held" : "BROKEN",
               Long.toString(result.checked()),
-              result.held() ? result.promise() : result.violations().get(0).description()));
+              result.held() ? result.summary() : result.violations().get(0).description()));
     }
     page.endTable();
   }
--- a/src/main/java/beaconturn/rehearsal/PipelinedClient.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClient.java
@@ -339,11 +339,11 @@
     if (command.attempt != null) {
       long atNanos = lastResponseNanos;
       if (previousResponseNanos != 0) {
-        history.add(new HistoryEvent.PrecedingAnswersArrived(previousResponseNanos, command.attempt.id()));
+        history.add(new HistoryEvent.PrecedingResponsesReceived(previousResponseNanos, command.attempt.id()));
       }
       HistoryEvent.ClientOutcome outcome = ClientCommands.outcomeOf(value);
       history.add(
-          new HistoryEvent.ResponseReceived(
+          new HistoryEvent.RequestCompleted(
               atNanos, command.attempt.id(), outcome, ClientCommands.valueDigest(value)));
       listener.attemptEnded(
           null,
@@ -379,7 +379,7 @@
     for (Command command : commands) {
       if (command.attempt != null && command.written) {
         history.add(
-            new HistoryEvent.ResponseReceived(
+            new HistoryEvent.RequestCompleted(
                 clock.now(), command.attempt.id(), HistoryEvent.ClientOutcome.ABANDONED, 0));
         listener.attemptEnded(
             null,
@@ -420,12 +420,12 @@
     boolean rejectedUnread = crossed && connectionLimited && lastResponseNanos == 0;
     if (!command.written && command.firstByteNanos != 0 && !rejectedUnread) {
       history.add(
-          new HistoryEvent.ConnectionCutWhileWriting(
+          new HistoryEvent.ConnectionClosedWhileWriting(
               nowNanos, command.attempt.id(), command.attempt.router(), command.firstByteNanos, isFirstOpen));
     }
     if (crossed) {
       if (command.written) {
-        history.add(new HistoryEvent.RequestCrossedClose(nowNanos, command.attempt.id(), command.batchStartNanos));
+        history.add(new HistoryEvent.RequestRacedClose(nowNanos, command.attempt.id(), command.batchStartNanos));
       }
       if (lastResponseNanos == 0) {
         // The connection was rejected; an immediate retry would be rejected again.
@@ -440,7 +440,7 @@
       return;
     }
     history.add(
-        new HistoryEvent.ResponseReceived(
+        new HistoryEvent.RequestCompleted(
             nowNanos, command.attempt.id(), HistoryEvent.ClientOutcome.DISCONNECTED, 0));
     listener.attemptEnded(
         null,
--- a/src/main/java/beaconturn/rehearsal/Rehearsal.java
+++ b/src/main/java/beaconturn/rehearsal/Rehearsal.java
@@ -453,7 +453,7 @@
       routerProcess.restart(planned);
       clients.setAvoided(router, false);
     } catch (IOException e) {
-      history.add(new HistoryEvent.RouterDied(clock.now(), router, e.getMessage()));
+      history.add(new HistoryEvent.RouterCrashed(clock.now(), router, e.getMessage()));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/beaconturn/rehearsal/RehearsalReport.java
+++ b/src/main/java/beaconturn/rehearsal/RehearsalReport.java
@@ -1,8 +1,8 @@
 package beaconturn.rehearsal;
 
+import beaconturn.history.CrossZoneTraffic;
 import beaconturn.history.HistoryEvent;
 import beaconturn.history.InvariantResult;
-import beaconturn.history.ZoneCrossings;
 import java.util.List;
 import java.util.Locale;
 
@@ -97,7 +97,7 @@
     if (scenario.release() != null) {
       long steps =
           events.stream()
-              .filter(event -> event instanceof HistoryEvent.VariantChangeBegun)
+              .filter(event -> event instanceof HistoryEvent.VariantChangeStarted)
               .count();
       return String.format(
           Locale.ROOT,
@@ -118,10 +118,10 @@
   }
 
   /** Returns how much traffic left its zone, or null if the scenario has no zones. */
-  ZoneCrossings zoneCrossings() {
+  CrossZoneTraffic crossZoneTraffic() {
     return scenario.zones() == null
         ? null
-        : ZoneCrossings.of(scenario.invariantBounds(0), events);
+        : CrossZoneTraffic.of(scenario.invariantBounds(0), events);
   }
 
   /** Returns the zone plans in the order in which they came into force. */
--- a/src/main/java/beaconturn/rehearsal/RestartableCacheServer.java
+++ b/src/main/java/beaconturn/rehearsal/RestartableCacheServer.java
@@ -50,7 +50,7 @@
     if (toReleased == released && !fleetServer.call(() -> fleet.server(index).dead())) {
       return true;
     }
-    history.add(new HistoryEvent.VariantChangeBegun(clock.now(), name, -1, toReleased));
+    history.add(new HistoryEvent.VariantChangeStarted(clock.now(), name, -1, toReleased));
     released = toReleased;
     fleetServer.apply(() -> fleet.startFault(Fault.Kind.DRAIN, index, 0));
     Thread.sleep(
--- a/src/main/java/beaconturn/rehearsal/RouterProcess.java
+++ b/src/main/java/beaconturn/rehearsal/RouterProcess.java
@@ -298,7 +298,7 @@
     if (toReleased == released && running != null && running.isAlive() && respondsToPing()) {
       return true;
     }
-    history.add(new HistoryEvent.VariantChangeBegun(clock.now(), name(), index, toReleased));
+    history.add(new HistoryEvent.VariantChangeStarted(clock.now(), name(), index, toReleased));
     released = toReleased;
     defect = toReleased ? scenario.release().defect() : Scenario.Defect.NONE;
     environment.setCacheLinkState(index, FaultProxy.State.OPEN, 0);
@@ -370,7 +370,7 @@
     RouterLauncher.RunningRouter current = running;
     if (current != null && !exitExpected && !current.isAlive()) {
       exitExpected = true;
-      history.add(new HistoryEvent.RouterDied(clock.now(), index, "ended by itself"));
+      history.add(new HistoryEvent.RouterCrashed(clock.now(), index, "ended by itself"));
     } else if (current != null && current.isAlive()) {
       cpuNanos = Math.max(cpuNanos, current.cpuNanos());
       if (clock.now() >= nextUsageSampleNanos) {
@@ -396,7 +396,7 @@
     if (planned && stopping && exitStatus != 0) {
       String reason =
           exitStatus < 0 ? "did not end after SIGTERM" : "ended with status " + exitStatus;
-      history.add(new HistoryEvent.RouterDied(clock.now(), index, reason));
+      history.add(new HistoryEvent.RouterCrashed(clock.now(), index, reason));
     }
     running = null;
   }
--- a/src/main/java/beaconturn/rehearsal/SequentialClient.java
+++ b/src/main/java/beaconturn/rehearsal/SequentialClient.java
@@ -185,13 +185,13 @@
     if (outcome == HistoryEvent.ClientOutcome.DISCONNECTED
         && connectionLimited
         && clock.now() - writtenAtNanos <= REJECTED_CONNECTION_NANOS) {
-      history.add(new HistoryEvent.RequestCrossedClose(clock.now(), attempt.id()));
+      history.add(new HistoryEvent.RequestRacedClose(clock.now(), attempt.id()));
       listener.attemptEnded(this, new AttemptResult(attempt, null, clock.now(), 0), false);
       return false;
     }
     long atNanos = clock.now();
     history.add(
-        new HistoryEvent.ResponseReceived(atNanos, attempt.id(), outcome, ClientCommands.valueDigest(value)));
+        new HistoryEvent.RequestCompleted(atNanos, attempt.id(), outcome, ClientCommands.valueDigest(value)));
     boolean reusable =
         value != null
             && (outcome != HistoryEvent.ClientOutcome.FAILED || value instanceof RespValue.Failure);
@@ -200,7 +200,7 @@
   }
 
   private void reportClosedConnection(Attempt attempt) {
-    history.add(new HistoryEvent.RequestCrossedClose(clock.now(), attempt.id()));
+    history.add(new HistoryEvent.RequestRacedClose(clock.now(), attempt.id()));
     listener.connectionClosed(attempt);
   }
 
@@ -230,12 +230,12 @@
           return;
         }
         history.add(
-            new HistoryEvent.ResponseReceived(
+            new HistoryEvent.RequestCompleted(
                 clock.now(), lastRequestId, ClientCommands.outcomeOf(value), ClientCommands.valueDigest(value)));
       }
     } catch (IOException | ProtocolException e) {
       history.add(
-          new HistoryEvent.ResponseReceived(
+          new HistoryEvent.RequestCompleted(
               clock.now(), lastRequestId, HistoryEvent.ClientOutcome.DAMAGED, 0));
       close();
     }
--- a/src/main/java/beaconturn/rehearsal/ServedBySecond.java
+++ b/src/main/java/beaconturn/rehearsal/ServedBySecond.java
@@ -23,7 +23,7 @@
         int second = (int) Math.max(0, Math.min(seconds, (written.atNanos() - startNanos) / NANOS_PER_SECOND));
         firstSecondByNumber.put(requestNumber(written.requestId()), second);
         requests[second]++;
-      } else if (event instanceof HistoryEvent.ResponseReceived response
+      } else if (event instanceof HistoryEvent.RequestCompleted response
           && response.outcome() == HistoryEvent.ClientOutcome.SERVED
           && firstSecondByNumber.getOrDefault(requestNumber(response.requestId()), -1) >= 0) {
         served[firstSecondByNumber.put(requestNumber(response.requestId()), -1)]++;
--- a/src/main/java/beaconturn/rehearsal/TextReport.java
+++ b/src/main/java/beaconturn/rehearsal/TextReport.java
@@ -1,9 +1,9 @@
 package beaconturn.rehearsal;
 
+import beaconturn.history.CrossZoneTraffic;
 import beaconturn.history.HistoryEvent;
 import beaconturn.history.InvariantResult;
 import beaconturn.history.Violation;
-import beaconturn.history.ZoneCrossings;
 import java.util.Locale;
 
 /**
@@ -34,7 +34,7 @@
     }
     if (report.scenario().zones() != null) {
       writeZonePlans();
-      writeZoneCrossings();
+      writeCrossZoneTraffic();
     }
     return out.toString();
   }
@@ -55,7 +55,7 @@
           result.invariant(),
           result.held() ? "held" : "BROKEN",
           result.checked(),
-          result.held() ? result.promise() : firstViolation(result));
+          result.held() ? result.summary() : firstViolation(result));
     }
   }
 
@@ -172,8 +172,8 @@
     }
   }
 
-  private void writeZoneCrossings() {
-    ZoneCrossings crossings = report.zoneCrossings();
+  private void writeCrossZoneTraffic() {
+    CrossZoneTraffic crossings = report.crossZoneTraffic();
     int seconds = (int) Math.ceil(report.scenario().lengthNanos() / NANOS_PER_SECOND);
     double worstWindowShare =
         new ServedBySecond(report.events(), report.startNanos(), seconds).worstWindowShare();
@@ -182,19 +182,19 @@
             + " the first trouble; at most %.2f times what its cache servers can do in"
             + " a second (%s); %d"
             + " calls at the origin; worst ten seconds %.1f %% served",
-        100 * crossings.crossedShare(),
-        100 * crossings.crossedShareBeforeFaults(),
+        100 * crossings.remoteShare(),
+        100 * crossings.remoteShareBeforeFaults(),
         crossings.peakLoad(),
         crossings.busiestZone(),
         crossings.originFetches(),
         100 * worstWindowShare);
-    if (crossings.decidedAfterNanos() >= 0) {
+    if (crossings.firstPlanDelayNanos() >= 0) {
       append(
           "; the first plan %.1f s after the trouble",
-          crossings.decidedAfterNanos() / NANOS_PER_SECOND);
+          crossings.firstPlanDelayNanos() / NANOS_PER_SECOND);
     }
-    if (crossings.backAfterNanos() >= 0) {
-      append("; the last %.1f s after its end%n", crossings.backAfterNanos() / NANOS_PER_SECOND);
+    if (crossings.recoveryPlanDelayNanos() >= 0) {
+      append("; the last %.1f s after its end%n", crossings.recoveryPlanDelayNanos() / NANOS_PER_SECOND);
     } else {
       out.append('\n');
     }
--- a/src/test/java/beaconturn/history/HistoryCheckerTest.java
+++ b/src/test/java/beaconturn/history/HistoryCheckerTest.java
@@ -90,8 +90,8 @@
   }
 
   private HistoryCheckerTest answered(
-      long number, HistoryEvent.ServerAnswer answered, long millis) {
-    events.add(new HistoryEvent.CommandAnswered(millis * MILLI, number, answered, number));
+      long number, HistoryEvent.ServerResponse answered, long millis) {
+    events.add(new HistoryEvent.ResponseSent(millis * MILLI, number, answered, number));
     return this;
   }
 
@@ -102,7 +102,7 @@
 
   private HistoryCheckerTest received(
       HistoryEvent.ClientOutcome outcome, long millis, long digest) {
-    events.add(new HistoryEvent.ResponseReceived(millis * MILLI, "id", outcome, digest));
+    events.add(new HistoryEvent.RequestCompleted(millis * MILLI, "id", outcome, digest));
     return this;
   }
 
@@ -134,7 +134,7 @@
   private HistoryCheckerTest served(String type) {
     return written(type, 1000)
         .arrived(1, "c1", 1010)
-        .answered(1, HistoryEvent.ServerAnswer.VALUE, 1030)
+        .answered(1, HistoryEvent.ServerResponse.VALUE, 1030)
         .received(HistoryEvent.ClientOutcome.SERVED, 1040, 1);
   }
 
@@ -192,20 +192,20 @@
     written("read", 1000)
         .received(HistoryEvent.ClientOutcome.FAILED, 2500, 0)
         .violates("one-answer");
-    event(new HistoryEvent.PrecedingAnswersArrived(2495 * MILLI, "id")).violates();
+    event(new HistoryEvent.PrecedingResponsesReceived(2495 * MILLI, "id")).violates();
   }
 
   @Test
   void anAnswerIsLateAlsoAfterThoseInFrontOfIt() {
     written("read", 1000)
         .received(HistoryEvent.ClientOutcome.FAILED, 2525, 0)
-        .event(new HistoryEvent.PrecedingAnswersArrived(2495 * MILLI, "id"))
+        .event(new HistoryEvent.PrecedingResponsesReceived(2495 * MILLI, "id"))
         .violates("one-answer");
   }
 
   @Test
   void aCommandThatHasBegunIsLetComeUnlessItsRouterStops() {
-    event(new HistoryEvent.ConnectionCutWhileWriting(1500 * MILLI, "id", 0, 1450 * MILLI, true))
+    event(new HistoryEvent.ConnectionClosedWhileWriting(1500 * MILLI, "id", 0, 1450 * MILLI, true))
         .violates("one-answer");
     assertEquals("its connection ended over a command that had begun", firstViolation());
     event(new HistoryEvent.RouterStopped(1600 * MILLI, 1600 * MILLI, 0, true))
@@ -216,18 +216,18 @@
   @Test
   void anEndLongAfterCommandsHadBegunDoesNotCrossThem() {
     written("read", 1000)
-        .event(new HistoryEvent.RequestCrossedClose(1145 * MILLI, "id", 1000 * MILLI))
+        .event(new HistoryEvent.RequestRacedClose(1145 * MILLI, "id", 1000 * MILLI))
         .violates();
-    event(new HistoryEvent.RequestCrossedClose(1155 * MILLI, "id", 1000 * MILLI))
+    event(new HistoryEvent.RequestRacedClose(1155 * MILLI, "id", 1000 * MILLI))
         .violates("one-answer");
     event(new HistoryEvent.MachinePaused(1100 * MILLI, 1110 * MILLI)).violates();
   }
 
   @Test
   void aCommandMayCrossTheEndOfARestingConnectionOnly() {
-    event(new HistoryEvent.ConnectionCutWhileWriting(1500 * MILLI, "id", 0, 1490 * MILLI, true))
+    event(new HistoryEvent.ConnectionClosedWhileWriting(1500 * MILLI, "id", 0, 1490 * MILLI, true))
         .violates();
-    event(new HistoryEvent.ConnectionCutWhileWriting(1500 * MILLI, "id", 0, 1490 * MILLI, false))
+    event(new HistoryEvent.ConnectionClosedWhileWriting(1500 * MILLI, "id", 0, 1490 * MILLI, false))
         .violates("one-answer");
   }
 
@@ -237,9 +237,9 @@
   @Test
   void nothingIsSentForAClientThatHasLeft() {
     written("read", 1000).received(HistoryEvent.ClientOutcome.ABANDONED, 1010, 0).violates();
-    arrived(1, "c1", 1100).answered(1, HistoryEvent.ServerAnswer.VALUE, 1120).violates();
+    arrived(1, "c1", 1100).answered(1, HistoryEvent.ServerResponse.VALUE, 1120).violates();
     arrived(2, "c2", 1400)
-        .answered(2, HistoryEvent.ServerAnswer.VALUE, 1420)
+        .answered(2, HistoryEvent.ServerResponse.VALUE, 1420)
         .violates("nothing-after");
   }
 
@@ -257,13 +257,13 @@
   @Test
   void aCloseThatCrossesARequestIsNoLossUnlessItHadBeenTaken() {
     written("read", 1000)
-        .event(new HistoryEvent.RequestCrossedClose(1005 * MILLI, "id"))
+        .event(new HistoryEvent.RequestRacedClose(1005 * MILLI, "id"))
         .written("read", 1006)
         .arrived(1, "c1", 1010)
-        .answered(1, HistoryEvent.ServerAnswer.VALUE, 1030)
+        .answered(1, HistoryEvent.ServerResponse.VALUE, 1030)
         .received(HistoryEvent.ClientOutcome.SERVED, 1040, 1)
         .violates();
-    event(new HistoryEvent.RequestCrossedClose(1050 * MILLI, "id")).violates("one-answer");
+    event(new HistoryEvent.RequestRacedClose(1050 * MILLI, "id")).violates("one-answer");
   }
 
   /**
@@ -276,7 +276,7 @@
     written("read", 1000).received(HistoryEvent.ClientOutcome.DISCONNECTED, 1003, 0).violates();
     arrived(1, "c1", 1001)
         .connectionEnded(1, 1003)
-        .event(new HistoryEvent.RequestCrossedClose(1004 * MILLI, "id"))
+        .event(new HistoryEvent.RequestRacedClose(1004 * MILLI, "id"))
         .violates();
   }
 
@@ -284,7 +284,7 @@
   void aValueThatWasMadeForAnotherRequestIsNotItsOwn() {
     written("read", 1000)
         .arrived(1, "c1", 1010)
-        .answered(1, HistoryEvent.ServerAnswer.VALUE, 1030)
+        .answered(1, HistoryEvent.ServerResponse.VALUE, 1030)
         .received(HistoryEvent.ClientOutcome.SERVED, 1040, 77)
         .violates("made-for-it");
   }
@@ -293,7 +293,7 @@
   void aSpoiltValueMustNotBeServed() {
     written("read", 1000)
         .arrived(1, "c1", 1010)
-        .answered(1, HistoryEvent.ServerAnswer.DAMAGED_VALUE, 1030)
+        .answered(1, HistoryEvent.ServerResponse.DAMAGED_VALUE, 1030)
         .received(HistoryEvent.ClientOutcome.SERVED, 1040, 1)
         .violates("made-for-it");
   }
@@ -302,9 +302,9 @@
   void anUnsafeRequestGoesAgainOnlyAfterATurnAway() {
     written("ack", 1000)
         .arrived(1, "c1", 1010)
-        .answered(1, HistoryEvent.ServerAnswer.BUSY, 1020)
+        .answered(1, HistoryEvent.ServerResponse.BUSY, 1020)
         .arrived(2, "c2", 1030)
-        .answered(2, HistoryEvent.ServerAnswer.VALUE, 1040)
+        .answered(2, HistoryEvent.ServerResponse.VALUE, 1040)
         .received(HistoryEvent.ClientOutcome.SERVED, 1050, 2)
         .violates();
   }
@@ -315,7 +315,7 @@
         .arrived(1, "c1", 1010)
         .connectionEnded(1, 1020)
         .arrived(2, "c2", 1030)
-        .answered(2, HistoryEvent.ServerAnswer.VALUE, 1040)
+        .answered(2, HistoryEvent.ServerResponse.VALUE, 1040)
         .received(HistoryEvent.ClientOutcome.SERVED, 1050, 2)
         .violates("no-effect-twice");
   }
@@ -325,8 +325,8 @@
     written("ack", 1000)
         .arrived(1, "c1", 1010)
         .arrived(2, "c2", 1030)
-        .answered(1, HistoryEvent.ServerAnswer.BUSY, 1035)
-        .answered(2, HistoryEvent.ServerAnswer.VALUE, 1040)
+        .answered(1, HistoryEvent.ServerResponse.BUSY, 1035)
+        .answered(2, HistoryEvent.ServerResponse.VALUE, 1040)
         .received(HistoryEvent.ClientOutcome.SERVED, 1050, 2)
         .violates("no-effect-twice");
   }
@@ -337,7 +337,7 @@
         .arrived(1, "c1", 1010)
         .connectionEnded(1, 1020)
         .arrived(2, "c2", 1030)
-        .answered(2, HistoryEvent.ServerAnswer.VALUE, 1040)
+        .answered(2, HistoryEvent.ServerResponse.VALUE, 1040)
         .event(new HistoryEvent.CommandExecuted(1015 * MILLI, 1, false))
         .event(new HistoryEvent.CommandExecuted(1035 * MILLI, 2, true))
         .received(HistoryEvent.ClientOutcome.SERVED, 1050, 2)
@@ -350,7 +350,7 @@
         .arrived(1, "c1", 1010)
         .connectionEnded(1, 1020)
         .arrived(2, "c3", 1030)
-        .answered(2, HistoryEvent.ServerAnswer.VALUE, 1040)
+        .answered(2, HistoryEvent.ServerResponse.VALUE, 1040)
         .received(HistoryEvent.ClientOutcome.SERVED, 1050, 2)
         .violates("no-effect-twice");
   }
@@ -362,7 +362,7 @@
     arrived(1, "c1", 1010)
         .connectionEnded(1, 1020)
         .arrived(2, "c2", 3070)
-        .answered(2, HistoryEvent.ServerAnswer.VALUE, 3080)
+        .answered(2, HistoryEvent.ServerResponse.VALUE, 3080)
         .received(HistoryEvent.ClientOutcome.SERVED, 3090, 2)
         .violates("no-effect-twice");
   }
@@ -373,7 +373,7 @@
         .arrived(1, "c1", 1010)
         .connectionEnded(1, 1020)
         .arrived(2, "c2", 1030)
-        .answered(2, HistoryEvent.ServerAnswer.VALUE, 1040)
+        .answered(2, HistoryEvent.ServerResponse.VALUE, 1040)
         .event(new HistoryEvent.CommandExecuted(1015 * MILLI, 1, false))
         .event(new HistoryEvent.CommandExecuted(1035 * MILLI, 2, false))
         .received(HistoryEvent.ClientOutcome.SERVED, 1050, 2)
@@ -390,7 +390,7 @@
         .arrived(1, "c1", 1010)
         .connectionEnded(1, 1020)
         .arrived(2, "c2", 1030)
-        .answered(2, HistoryEvent.ServerAnswer.VALUE, 1040)
+        .answered(2, HistoryEvent.ServerResponse.VALUE, 1040)
         .event(new HistoryEvent.CommandExecuted(1035 * MILLI, 2, false))
         .event(new HistoryEvent.CommandExecuted(3035 * MILLI, 1, false))
         .received(HistoryEvent.ClientOutcome.SERVED, 1050, 2)
@@ -405,7 +405,7 @@
         .connectionEnded(1, 1050)
         .event(new HistoryEvent.CommandExecuted(1020 * MILLI, 1, false));
     events.add(
-        new HistoryEvent.ResponseReceived(
+        new HistoryEvent.RequestCompleted(
             900 * MILLI, "other", HistoryEvent.ClientOutcome.FAILED, 0));
     assertEquals(
         List.of(
@@ -424,7 +424,7 @@
     written("read", 1000)
         .arrived(1, "c1", 1010)
         .arrived(2, "c2", 1030)
-        .answered(2, HistoryEvent.ServerAnswer.VALUE, 1040)
+        .answered(2, HistoryEvent.ServerResponse.VALUE, 1040)
         .connectionEnded(1, 1041)
         .received(HistoryEvent.ClientOutcome.SERVED, 1045, 2)
         .violates("second-copies");
@@ -439,7 +439,7 @@
         .arrived(1, "c1", 1010)
         .arrived(2, "c2", 1030)
         .connectionEnded(1, 1031)
-        .answered(2, HistoryEvent.ServerAnswer.VALUE, 1040)
+        .answered(2, HistoryEvent.ServerResponse.VALUE, 1040)
         .received(HistoryEvent.ClientOutcome.SERVED, 1045, 2)
         .violates();
   }
@@ -448,7 +448,7 @@
   void attemptsAreCounted() {
     written("read", 1000);
     for (int i = 1; i <= 4; i++) {
-      arrived(i, "c1", 1000 + 10 * i).answered(i, HistoryEvent.ServerAnswer.ERROR, 1005 + 10 * i);
+      arrived(i, "c1", 1000 + 10 * i).answered(i, HistoryEvent.ServerResponse.ERROR, 1005 + 10 * i);
     }
     received(HistoryEvent.ClientOutcome.FAILED, 1100, 0).violates("attempts");
   }
@@ -475,7 +475,7 @@
                 || e instanceof HistoryEvent.RouterNotified));
     written("ack", 1000)
         .arrived(1, "c1", 1010)
-        .answered(1, HistoryEvent.ServerAnswer.BUSY, 1020)
+        .answered(1, HistoryEvent.ServerResponse.BUSY, 1020)
         .received(HistoryEvent.ClientOutcome.REJECTED, 1030, 0)
         .violates();
   }
@@ -488,7 +488,9 @@
 
   @Test
   void aCommandThatNoClientAskedForIsSeen() {
-    arrived(1, "c1", 1010).answered(1, HistoryEvent.ServerAnswer.VALUE, 1020).violates("passed-on");
+    arrived(1, "c1", 1010)
+        .answered(1, HistoryEvent.ServerResponse.VALUE, 1020)
+        .violates("passed-on");
   }
 
   @Test
@@ -521,7 +523,7 @@
     event(
             new HistoryEvent.AttemptArrived(
                 1800 * MILLI, 900 * MILLI, 1, 1, "c1", 0, 1, "id", "read", "key", MILLI))
-        .answered(1, HistoryEvent.ServerAnswer.BUSY, 1801)
+        .answered(1, HistoryEvent.ServerResponse.BUSY, 1801)
         .received(HistoryEvent.ClientOutcome.REJECTED, 1801, 0)
         .violates();
   }
@@ -562,7 +564,7 @@
     event(new HistoryEvent.ListingChanged(2 * MILLI, "c1", HistoryEvent.ListingState.GONE));
     written("read", 20_000)
         .arrived(1, "c1", 20_010)
-        .answered(1, HistoryEvent.ServerAnswer.VALUE, 20_020)
+        .answered(1, HistoryEvent.ServerResponse.VALUE, 20_020)
         .received(HistoryEvent.ClientOutcome.SERVED, 20_030, 1)
         .violates();
     events.removeIf(e -> e instanceof HistoryEvent.DiscoveryPolled);
@@ -589,9 +591,9 @@
               "read",
               "key",
               10 * MILLI));
-      answered(i, HistoryEvent.ServerAnswer.VALUE, 1300)
+      answered(i, HistoryEvent.ServerResponse.VALUE, 1300)
           .event(
-              new HistoryEvent.ResponseReceived(
+              new HistoryEvent.RequestCompleted(
                   SECOND + 400 * MILLI, "id" + i, HistoryEvent.ClientOutcome.SERVED, i));
     }
     violates();
@@ -632,7 +634,7 @@
 
   @Test
   void aRouterThatEndsByItselfIsSeen() {
-    event(new HistoryEvent.RouterDied(SECOND, 0, "ended by itself")).violates("routers-run");
+    event(new HistoryEvent.RouterCrashed(SECOND, 0, "ended by itself")).violates("routers-run");
   }
 
   private HistoryCheckerTest version(
@@ -729,7 +731,9 @@
                 + " after version 1 came into force"),
         contradictions());
     events.removeIf(e -> e instanceof HistoryEvent.AttemptArrived);
-    arrived(1, "c1", 2300).answered(1, HistoryEvent.ServerAnswer.BUSY, 2310).arrived(2, "c2", 2320);
+    arrived(1, "c1", 2300)
+        .answered(1, HistoryEvent.ServerResponse.BUSY, 2310)
+        .arrived(2, "c2", 2320);
     assertEquals(List.of(), contradictions(), "a turn-away never ran");
     rule(2, HistoryEvent.VersionStage.PROPOSED, 3000, Set.of(), false);
     rule(2, HistoryEvent.VersionStage.IN_FORCE, 4000, Set.of(), false);
@@ -778,7 +782,7 @@
     event(new HistoryEvent.DiscoveryLinkChanged(3000 * MILLI, 0, true));
     written("read", 3300)
         .arrived(1, "c1", 3310)
-        .answered(1, HistoryEvent.ServerAnswer.VALUE, 3330)
+        .answered(1, HistoryEvent.ServerResponse.VALUE, 3330)
         .received(HistoryEvent.ClientOutcome.SERVED, 3340, 1)
         .violates();
     events.removeIf(e -> e instanceof HistoryEvent.DiscoveryLinkChanged);
@@ -791,7 +795,7 @@
     events.add(
         new HistoryEvent.RequestWritten(500 * MILLI, "early", "read", "key", null, 0, 700 * MILLI));
     events.add(
-        new HistoryEvent.ResponseReceived(
+        new HistoryEvent.RequestCompleted(
             900 * MILLI, "early", HistoryEvent.ClientOutcome.FAILED, 0));
     InvariantResult one = HistoryChecker.check(bounds, events).get(0);
     assertEquals(2, one.violations().size());
--- a/src/test/java/beaconturn/history/RolloutInvariantsTest.java
+++ b/src/test/java/beaconturn/history/RolloutInvariantsTest.java
@@ -43,7 +43,7 @@
 
   private RolloutInvariantsTest changed(double atSeconds, String instanceId, boolean released) {
     return event(
-        new HistoryEvent.VariantChangeBegun(
+        new HistoryEvent.VariantChangeStarted(
             nanos(atSeconds),
             instanceId,
             instanceId.startsWith("r") ? Integer.parseInt(instanceId.substring(1)) : -1,
@@ -74,7 +74,7 @@
   @Test
   void aRouterIsTakenOutOnlyWhileFewEnoughAreOutHoweverTheyWent() {
     changed(1, "r1", true).event(new HistoryEvent.RouterStopped(nanos(1), nanos(1), 1, true));
-    event(new HistoryEvent.RouterDied(nanos(1), 0, "by itself"));
+    event(new HistoryEvent.RouterCrashed(nanos(1), 0, "by itself"));
     changed(2, "r2", true);
     assertEquals(
         List.of("never-too-many-out: r2 was taken out while [r1] were out, [r1] of its site west"),
@@ -151,7 +151,7 @@
     changed(1, "r0", true).event(new HistoryEvent.RouterReady(nanos(2), 0)).changed(3, "r0", true);
     assertEquals(
         List.of("step-once: r0 was taken out twice for the same step"), violations(false, 0));
-    event(new HistoryEvent.RouterDied(nanos(2.5), 0, "by itself"));
+    event(new HistoryEvent.RouterCrashed(nanos(2.5), 0, "by itself"));
     assertEquals(List.of(), violations(false, 0), "it was started again after it had ended");
     event(new HistoryEvent.RouterReady(nanos(4), 0)).changed(5, "r1", true);
     assertEquals(
--- a/src/test/java/beaconturn/history/ZoneInvariantsTest.java
+++ b/src/test/java/beaconturn/history/ZoneInvariantsTest.java
@@ -134,13 +134,13 @@
     fault(4, true);
     fault(7, false);
     plan(6.5, 750, 250).plan(11, 990, 10);
-    ZoneCrossings c = ZoneCrossings.of(BOUNDS, events);
-    assertEquals(51 / 300.0, c.crossedShare(), 1e-9);
-    assertEquals(0.01, c.crossedShareBeforeFaults(), 1e-9);
+    CrossZoneTraffic c = CrossZoneTraffic.of(BOUNDS, events);
+    assertEquals(51 / 300.0, c.remoteShare(), 1e-9);
+    assertEquals(0.01, c.remoteShareBeforeFaults(), 1e-9);
     assertEquals("east", c.busiestZone());
     assertEquals(0.75, c.peakLoad(), 1e-9);
-    assertEquals(2.5 * SECOND, c.decidedAfterNanos());
-    assertEquals(4 * SECOND, c.backAfterNanos());
+    assertEquals(2.5 * SECOND, c.firstPlanDelayNanos());
+    assertEquals(4 * SECOND, c.recoveryPlanDelayNanos());
     assertEquals(0.75, c.localShares().get("east").get(5L), 1e-9);
   }
 
--- a/src/test/java/beaconturn/rehearsal/ReleaseRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/ReleaseRehearsalTest.java
@@ -36,8 +36,8 @@
 
   private static List<Integer> changedRouters(RehearsalReport report, boolean released) {
     return report.events().stream()
-        .filter(event -> event instanceof HistoryEvent.VariantChangeBegun change && change.released() == released)
-        .map(event -> ((HistoryEvent.VariantChangeBegun) event).router())
+        .filter(event -> event instanceof HistoryEvent.VariantChangeStarted change && change.toReleased() == released)
+        .map(event -> ((HistoryEvent.VariantChangeStarted) event).router())
         .sorted()
         .toList();
   }
@@ -99,8 +99,8 @@
           assertEquals(
               List.of("c1", "c3"),
               report.events().stream()
-                  .filter(event -> event instanceof HistoryEvent.VariantChangeBegun)
-                  .map(event -> ((HistoryEvent.VariantChangeBegun) event).instanceId())
+                  .filter(event -> event instanceof HistoryEvent.VariantChangeStarted)
+                  .map(event -> ((HistoryEvent.VariantChangeStarted) event).instanceId())
                   .toList());
         });
   }
@@ -114,7 +114,7 @@
           List<VersionTimeline> versions = report.agreementSummary().versions();
           long firstStepNanos =
               report.events().stream()
-                  .filter(event -> event instanceof HistoryEvent.VariantChangeBegun)
+                  .filter(event -> event instanceof HistoryEvent.VariantChangeStarted)
                   .mapToLong(HistoryEvent::atNanos)
                   .min()
                   .orElseThrow();
--- a/src/test/java/beaconturn/rehearsal/ZoneRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZoneRehearsalTest.java
@@ -106,7 +106,7 @@
           long simulatedNanos =
               SimulatedFailover.decidedAfter(report.scenario().agreement().timing(), 3, 1, 50);
           assertTrue(
-              Math.abs(report.zoneCrossings().decidedAfterNanos() - simulatedNanos) < MARGIN_NANOS,
+              Math.abs(report.crossZoneTraffic().firstPlanDelayNanos() - simulatedNanos) < MARGIN_NANOS,
               "in the model after " + simulatedNanos + " ns\n" + report.text());
         });
   }
