--- a/src/main/java/beaconturn/history/ObservedVersion.java
+++ b/src/main/java/beaconturn/history/ObservedVersion.java
@@ -35,8 +35,8 @@
       ObservedVersion last = versions.get(versions.size() - 1);
       int maxAttempts = event.maxAttempts() == 0 ? initialAttempts : event.maxAttempts();
       if (event.stage() == HistoryEvent.VersionStage.PROPOSED) {
-        // A version that never came into force is replaced by the next proposal. The last one stays,
-        // so that acting on it is detected.
+        // A version that never came into force is replaced by the next proposal. The last one
+        // stays, so that acting on it is detected.
         if (last.number() > 0 && !last.isInForce()) {
           versions.remove(versions.size() - 1);
         }
