--- a/src/main/java/beaconturn/history/RolloutStepOnce.java
+++ b/src/main/java/beaconturn/history/RolloutStepOnce.java
@@ -3,9 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** An instance is changed once in each direction, and what does harm stays with the first wave. */
+/**
+ * Checks that an instance is changed once in each direction, and that only the first wave runs a
+ * faulty released variant.
+ */
 final class RolloutStepOnce extends Invariant {
-  private final Map<String, HistoryEvent.VariantChangeBegun> lastChanges = new HashMap<>();
+  private final Map<String, HistoryEvent.VariantChangeStarted> lastChanges = new HashMap<>();
 
   RolloutStepOnce() {
     super("step-once", "each part is changed once, and no more than the first wave to what harms");
@@ -16,52 +19,58 @@
     if (history.bounds().rollout() == null) {
       return;
     }
-    for (HistoryEvent.VariantChangeBegun change :
-        history.events(HistoryEvent.VariantChangeBegun.class)) {
-      HistoryEvent.VariantChangeBegun last = lastChanges.put(change.instanceId(), change);
-      boolean repeated = last != null && last.released() == change.released();
+    for (HistoryEvent.VariantChangeStarted change :
+        history.events(HistoryEvent.VariantChangeStarted.class)) {
+      HistoryEvent.VariantChangeStarted last = lastChanges.put(change.instanceId(), change);
+      boolean repeated = last != null && last.toReleased() == change.toReleased();
       check(
-          !repeated || endedBetween(history, last, change),
+          !repeated || exitedBetween(history, last, change),
           change.atNanos(),
           "",
           "",
           change.instanceId() + " was taken out twice for the same step");
-      checkHarmed(history.bounds().rollout().maxHarmed(), change);
+      checkFaultyInstances(history.bounds().rollout().maxFaultyInstances(), change);
     }
   }
 
-  private void checkHarmed(int maxHarmed, HistoryEvent.VariantChangeBegun change) {
-    if (maxHarmed <= 0 || !change.released()) {
+  private void checkFaultyInstances(
+      int maxFaultyInstances, HistoryEvent.VariantChangeStarted change) {
+    if (maxFaultyInstances <= 0 || !change.toReleased()) {
       return;
     }
-    long harmed =
-        lastChanges.values().stream().filter(HistoryEvent.VariantChangeBegun::released).count();
+    long faulty =
+        lastChanges.values().stream().filter(HistoryEvent.VariantChangeStarted::toReleased).count();
     check(
-        harmed <= maxHarmed,
+        faulty <= maxFaultyInstances,
         change.atNanos(),
         "",
         "",
-        harmed + " parts run what harms, " + maxHarmed + " had to show it");
+        faulty + " parts run what harms, " + maxFaultyInstances + " had to show it");
   }
 
-  /** Whether the router ended by itself between two changes; its start again is no second step. */
-  private static boolean endedBetween(
+  /**
+   * Returns whether the router crashed or was killed between two changes. Restarting it is not a
+   * repeated step.
+   */
+  private static boolean exitedBetween(
       HistoryIndex history,
-      HistoryEvent.VariantChangeBegun first,
-      HistoryEvent.VariantChangeBegun second) {
+      HistoryEvent.VariantChangeStarted first,
+      HistoryEvent.VariantChangeStarted second) {
     int router = second.router();
-    boolean died =
-        history.events(HistoryEvent.RouterDied.class).stream()
+    boolean crashed =
+        history.events(HistoryEvent.RouterCrashed.class).stream()
             .filter(event -> event.router() == router)
             .anyMatch(event -> isBetween(event.atNanos(), first, second));
-    return died
+    return crashed
         || history.events(HistoryEvent.RouterStopped.class).stream()
             .filter(event -> !event.planned() && event.router() == router)
             .anyMatch(event -> isBetween(event.atNanos(), first, second));
   }
 
   private static boolean isBetween(
-      long atNanos, HistoryEvent.VariantChangeBegun first, HistoryEvent.VariantChangeBegun second) {
+      long atNanos,
+      HistoryEvent.VariantChangeStarted first,
+      HistoryEvent.VariantChangeStarted second) {
     return atNanos > first.atNanos() && atNanos <= second.atNanos();
   }
 }
