--- a/src/main/java/beaconturn/net/ConfigReloader.java
+++ b/src/main/java/beaconturn/net/ConfigReloader.java
@@ -26,7 +26,7 @@
   /** The active configuration; reloading thread only. */
   private RouterConfig activeConfig;
 
-  /** Holds at most one request: a reload that has not started covers all requests for it. */
+  /** Holds at most one request: a reload that has not started also covers later requests. */
   private final Mailbox<Boolean> requests = new Mailbox<>(1);
 
   /**
--- a/src/main/java/beaconturn/net/FleetConfigApplier.java
+++ b/src/main/java/beaconturn/net/FleetConfigApplier.java
@@ -25,8 +25,8 @@
   private long settingsSwitches;
 
   /**
-   * The configuration applied to the engine, null before the first. Written by the routing thread,
-   * read by any.
+   * The configuration applied to the engine, or null if there is none yet. Written by the routing
+   * thread, read by any thread.
    */
   private volatile FleetConfigSource.DueConfig applied;
 
@@ -56,9 +56,10 @@
   }
 
   /**
-   * Applies what is due to the engine, if it has changed. Called before each step of the engine:
-   * the agreed configuration may have changed, or its lease may have expired while the thread was
-   * not running, and no decision may be made under an expired one.
+   * Applies the due configuration and zone weights to the engine if they have changed. Called
+   * before each step of the engine: the agreed configuration may have changed, or its lease may
+   * have expired while the thread was not running, and no decision may be made under an expired
+   * lease.
    */
   void beforeStep(RoutingEngine engine) {
     applyZoneWeights(engine);
--- a/src/main/java/beaconturn/net/FleetConfigSource.java
+++ b/src/main/java/beaconturn/net/FleetConfigSource.java
@@ -14,11 +14,11 @@
   /**
    * A configuration that is to be active.
    *
-   * @param settings the settings of this router under it
+   * @param settings the settings of this router under the configuration
    * @param excludedServers names of the cache servers that receive no new requests
    * @param oldestListVersion endpoint lists of earlier versions are ignored
    * @param content the agreed content that the settings were derived from, for comparison
-   * @param description which version it is, in words
+   * @param description the version of the configuration, as text for the log
    */
   record DueConfig(
       RouterSettings settings,
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Waits a short time until the store has reported the configuration or has failed to: a router
-   * that served earlier could act on an expired configuration. Called once, before the first client
-   * is accepted.
+   * Waits a short time until the store has reported the configuration or its read has failed: a
+   * router that served earlier could act on an expired configuration. Called once, before the first
+   * client is accepted.
    */
   void awaitFirstConfig();
 
--- a/src/main/java/beaconturn/net/GracefulShutdown.java
+++ b/src/main/java/beaconturn/net/GracefulShutdown.java
@@ -100,7 +100,7 @@
 
   /**
    * Closes connections as their requests are answered, and fails the requests still open at the
-   * end; returns the number of those.
+   * end; returns the number of failed requests.
    */
   private int finishRequests(long startedAtNanos) throws InterruptedException {
     long longestDeadlineNanos =
--- a/src/main/java/beaconturn/net/OperatorOverrides.java
+++ b/src/main/java/beaconturn/net/OperatorOverrides.java
@@ -40,8 +40,8 @@
   /**
    * Binds the admin address.
    *
-   * @param excludedByFleet servers that all routers have agreed to exclude, which no command here
-   *     includes again
+   * @param excludedByFleet servers that all routers have agreed to exclude, which operators cannot
+   *     include again
    * @throws IOException if the address cannot be bound
    */
   OperatorOverrides(
@@ -114,8 +114,8 @@
   }
 
   /**
-   * The time of the override on this process's clock. The monotonic clock restarts with the
-   * machine, which the file outlives, so a time in the future counts as now.
+   * The time of the override on this process's clock. A restart of the machine resets the monotonic
+   * clock but keeps the override file, so a time in the future counts as now.
    */
   private long atNanos(ServerOverride override) {
     long agoMillis = Math.max(0, MonotonicMillis.millis() - override.atMillis());
--- a/src/main/java/beaconturn/net/ProcessSlots.java
+++ b/src/main/java/beaconturn/net/ProcessSlots.java
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Repeated at each check until it succeeds: the other process may be probing this slot at the
-   * moment.
+   * Locks a free slot, if any. Repeated at each check until a slot is locked, as the other process
+   * may be probing the slot at the same time.
    */
   private void takeSlot() throws IOException {
     for (int slot = 0; slot < SLOT_COUNT && ownSlot == null; slot++) {
--- a/src/main/java/beaconturn/net/RouterServer.java
+++ b/src/main/java/beaconturn/net/RouterServer.java
@@ -129,8 +129,8 @@
   private void startDiscovery() {
     components.discovery().start();
     if (!components.settings().current().routing().pollsDiscovery()) {
-      // With pushed lists the policy does not request a watch, but without one here no drain would
-      // be noticed.
+      // With pushed lists the policy does not request a watch, but without a watch no drain
+      // would be noticed.
       components.discovery().watch(true);
     }
   }
--- a/src/main/java/beaconturn/net/UpgradeState.java
+++ b/src/main/java/beaconturn/net/UpgradeState.java
@@ -73,7 +73,7 @@
   WarmStartState read(long nowMillis) {
     try {
       if (Files.size(file) != FILE_BYTES) {
-        throw new IOException("unexpected file length");
+        throw new IOException("file length is not " + FILE_BYTES + " bytes");
       }
       return decode(Files.readAllBytes(file), nowMillis);
     } catch (NoSuchFileException e) {
--- a/src/main/java/beaconturn/net/client/ClientConnections.java
+++ b/src/main/java/beaconturn/net/client/ClientConnections.java
@@ -15,7 +15,7 @@
 public final class ClientConnections {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Time without progress after which a response is given up. */
+  /** Time without progress after which writing a response is abandoned. */
   private static final long WRITE_TIMEOUT_NANOS = 10_000 * NANOS_PER_MILLI;
 
   /**
--- a/src/main/java/beaconturn/net/client/ClientWriter.java
+++ b/src/main/java/beaconturn/net/client/ClientWriter.java
@@ -13,8 +13,8 @@
 
 /**
  * Writes a client's responses in the order of its commands, on the thread that completes the next
- * one. Any thread may call any method; none blocks: bytes that the socket does not accept are
- * written when the poller reports it writable.
+ * response. Any thread may call any method; none blocks: bytes that the socket does not accept are
+ * written when the poller reports the socket writable.
  */
 final class ClientWriter {
   /** Takes the place of a response: the output is shut down here. */
--- a/src/main/java/beaconturn/net/client/CommandReader.java
+++ b/src/main/java/beaconturn/net/client/CommandReader.java
@@ -27,7 +27,7 @@
   private final LargeRequestPermits largePermits;
   private final Consumer<RespValue> handler;
 
-  // Written by the poller thread, read by any.
+  // Written by the poller thread, read by any thread.
   private final PartialCommand partial = new PartialCommand();
   private volatile boolean commandReceived;
   private volatile boolean throttled;
@@ -111,7 +111,7 @@
     return bytes;
   }
 
-  /** Whether the connection closes over a protocol error and further input is discarded. */
+  /** Whether the connection is closing after a protocol error and discards further input. */
   boolean discardsInput() {
     return state.closeReason() == CloseReason.PROTOCOL_ERROR;
   }
--- a/src/main/java/beaconturn/net/client/Listener.java
+++ b/src/main/java/beaconturn/net/client/Listener.java
@@ -25,7 +25,7 @@
   private static final Logger LOG = Logger.getLogger(Listener.class.getName());
   private static final int BACKLOG = 1024;
   private static final long FAILURE_PAUSE_MILLIS = 10;
-  private static final long MAX_CLOSE_MILLIS = 1_000;
+  private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
   private static final int MAX_FINAL_ATTEMPTS = 20;
 
   private final ServerSocketChannel server;
@@ -85,13 +85,13 @@
 
   /**
    * Stops accepting, after the connections that the kernel has already accepted on an unshared
-   * socket: their clients may have sent requests. Blocks until that is done.
+   * socket: their clients may have sent requests. Blocks for at most a second.
    */
   public void close() throws InterruptedException {
     closed = true;
     selector.wakeup();
     if (acceptingThread != null) {
-      acceptingThread.join(MAX_CLOSE_MILLIS);
+      acceptingThread.join(CLOSE_TIMEOUT_MILLIS);
     }
     if (!shared) {
       Sockets.close(server);
@@ -117,7 +117,7 @@
 
   private void acceptAll() throws IOException {
     for (SocketChannel client = nextClient(); client != null; client = nextClient()) {
-      passOn(client);
+      configureAndDeliver(client);
     }
   }
 
@@ -144,10 +144,10 @@
   }
 
   /**
-   * Configures and passes on a connection. Closes the channel on a failure, as its descriptor would
-   * leak.
+   * Configures a connection and passes it to the callback. Closes the channel on a failure, as its
+   * descriptor would leak.
    */
-  private void passOn(SocketChannel client) throws IOException {
+  private void configureAndDeliver(SocketChannel client) throws IOException {
     try {
       client.setOption(StandardSocketOptions.TCP_NODELAY, true);
       client.configureBlocking(false);
--- a/src/main/java/beaconturn/net/client/PartialCommand.java
+++ b/src/main/java/beaconturn/net/client/PartialCommand.java
@@ -4,7 +4,7 @@
 
 /**
  * Timing of the command that has partially arrived on a connection. Written by the poller thread,
- * read by any.
+ * read by any thread.
  */
 final class PartialCommand {
   private static final long NEVER = Long.MAX_VALUE;
--- a/src/main/java/beaconturn/net/client/RequestParser.java
+++ b/src/main/java/beaconturn/net/client/RequestParser.java
@@ -39,8 +39,8 @@
 
   private static final Pattern ATTRIBUTE = Pattern.compile("[A-Za-z0-9_]{1,32}=[!-+\\--~]{1,256}");
 
-  /** A client's wait above this multiple of its class's deadline is rejected as a mistake. */
-  private static final double MAX_WAIT_PER_DEADLINE = 2;
+  /** A request is rejected if its wait exceeds this multiple of its class's deadline. */
+  private static final double MAX_WAIT_DEADLINE_MULTIPLE = 2;
 
   private final RouterSettings settings;
   private final RouterSettings previousSettings;
@@ -93,11 +93,11 @@
    * that a cache server could not use is rejected here.
    *
    * @param words the arguments of the command, its name first
-   * @param readAtNanos when its last byte was read
+   * @param arrivedAtNanos when its last byte arrived
    * @param ids the ids of pending requests
    * @throws InvalidCommandException if an argument is invalid or a pending request has the id
    */
-  public RespClientRequest parse(List<RespValue> words, long readAtNanos, PendingRequestIds ids)
+  public RespClientRequest parse(List<RespValue> words, long arrivedAtNanos, PendingRequestIds ids)
       throws InvalidCommandException {
     boolean isWrite = text(words, COMMAND).is("C.SET");
     if (words.size() != (isWrite ? SET_WORDS : GET_WORDS)) {
@@ -119,12 +119,12 @@
     if (!ids.reserve(id)) {
       throw new InvalidCommandException("a request of this id is open");
     }
-    long objectiveAtNanos = readAtNanos + requestClass.latencyObjectiveNanos();
+    long objectiveAtNanos = arrivedAtNanos + requestClass.latencyObjectiveNanos();
     RespClientRequest.ParseContext parseContext =
         new RespClientRequest.ParseContext(
             settings.routing(), attributes.get("c"), objectiveAtNanos, metrics);
     return new RespClientRequest(
-        description, readAtNanos + waitNanos, parts, parseContext, () -> ids.release(id));
+        description, arrivedAtNanos + waitNanos, parts, parseContext, () -> ids.release(id));
   }
 
   private int classIndex(Map<String, String> attributes) throws InvalidCommandException {
@@ -140,8 +140,8 @@
       throws InvalidCommandException {
     double wait = number(attributes, "d", 0) * NANOS_PER_MILLI;
     boolean tooLong =
-        wait > MAX_WAIT_PER_DEADLINE * requestClass.deadlineNanos()
-            && wait > MAX_WAIT_PER_DEADLINE * previousDeadlineNanos(attributes.get("c"));
+        wait > MAX_WAIT_DEADLINE_MULTIPLE * requestClass.deadlineNanos()
+            && wait > MAX_WAIT_DEADLINE_MULTIPLE * previousDeadlineNanos(attributes.get("c"));
     if (wait < 1 || tooLong) {
       throw new InvalidCommandException("d is missing or out of range");
     }
@@ -164,8 +164,10 @@
 
   /** The deadline of the class under the previous settings, or 0 if they did not have the class. */
   private long previousDeadlineNanos(String className) {
-    int earlier = previousSettings.classNames().indexOf(className);
-    return earlier < 0 ? 0 : previousSettings.routing().classes().get(earlier).deadlineNanos();
+    int previousIndex = previousSettings.classNames().indexOf(className);
+    return previousIndex < 0
+        ? 0
+        : previousSettings.routing().classes().get(previousIndex).deadlineNanos();
   }
 
   /** Returns a key or an id: of limited length, not empty, of visible ASCII characters. */
--- a/src/main/java/beaconturn/net/client/RespClientRequest.java
+++ b/src/main/java/beaconturn/net/client/RespClientRequest.java
@@ -28,7 +28,7 @@
   /**
    * The conditions under which a request was parsed.
    *
-   * @param settings the settings active at that time; the request's class is one of theirs
+   * @param settings the settings active at that time, which define the request's class
    * @param className the name of its class, under which the request is counted
    * @param objectiveAtNanos when its latency objective expires
    * @param metrics counts the request
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Completes the request; only the first call counts. A streamed response that is incomplete is
-   * aborted, as its client has received a part of it.
+   * Completes the request; only the first call has an effect. A streamed response that is
+   * incomplete is aborted, as its client has received a part of it.
    */
   private void complete(RequestEnd end, Slice response) {
     boolean truncated = stream() != null && end != RequestEnd.SUCCEEDED;
--- a/src/main/java/beaconturn/net/client/ResponseSlot.java
+++ b/src/main/java/beaconturn/net/client/ResponseSlot.java
@@ -28,17 +28,17 @@
   }
 
   /** Streams the response from the pipe; the response is complete once the slot is filled. */
-  final void startStream(BoundedPipe started) {
+  final void startStream(BoundedPipe pipe) {
     Runnable action;
     synchronized (this) {
       if (response != null) {
-        started.cancel();
+        pipe.cancel();
         return;
       }
-      stream = started;
+      stream = pipe;
       action = onAvailable;
     }
-    started.onAvailable(action);
+    pipe.onAvailable(action);
     action.run();
   }
 
--- a/src/main/java/beaconturn/net/control/MonotonicMillis.java
+++ b/src/main/java/beaconturn/net/control/MonotonicMillis.java
@@ -2,8 +2,8 @@
 
 /**
  * Reads the machine's monotonic clock in milliseconds. All processes on the machine read the same
- * clock, and adjustments of the wall clock do not affect it. It restarts with the machine, so its
- * values can only be compared between processes of one boot.
+ * clock, and adjustments of the wall clock do not affect it. The clock restarts with the machine,
+ * so values are comparable only between processes of the same boot.
  */
 public final class MonotonicMillis {
   private static final long NANOS_PER_MILLI = 1_000_000;
--- a/src/main/java/beaconturn/net/discovery/DiscoveryClient.java
+++ b/src/main/java/beaconturn/net/discovery/DiscoveryClient.java
@@ -102,7 +102,7 @@
     while (response == null && open) {
       long leftMillis = (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
       if (leftMillis <= 0) {
-        throw new SocketTimeoutException("response timed out");
+        throw new SocketTimeoutException("discovery response timed out");
       }
       from.setSoTimeout((int) leftMillis);
       open = Sockets.read(from.getInputStream(), input);
--- a/src/main/java/beaconturn/net/discovery/DiscoveryTarget.java
+++ b/src/main/java/beaconturn/net/discovery/DiscoveryTarget.java
@@ -10,14 +10,14 @@
  * The current discovery address and the last endpoint list version received from it. Safe for any
  * thread.
  *
- * <p>Guards against a list from the former address that arrives after a move to a new one: its
- * update is dropped under the lock under which the address changes.
+ * <p>Guards against a list from the former address that arrives after a move to a new one: such a
+ * list is dropped under the lock that guards the address.
  */
 final class DiscoveryTarget {
   /** No known version: the complete list must be fetched. */
   static final long NO_VERSION = -1;
 
-  /** The client of a watch and the list version after which it asks for changes. */
+  /** The client of a watch and the list version after which the watch requests changes. */
   record WatchStart(DiscoveryClient client, long version) {}
 
   private final Consumer<RoutingMessage> routingThread;
--- a/src/main/java/beaconturn/net/discovery/DiscoveryWatcher.java
+++ b/src/main/java/beaconturn/net/discovery/DiscoveryWatcher.java
@@ -26,7 +26,7 @@
 
   /**
    * Leaves time for another fetch before the router counts as notified of a change that the first
-   * one missed.
+   * fetch missed.
    */
   private static final int FETCH_TIMEOUT_MILLIS = 2_000;
 
@@ -135,8 +135,7 @@
       return accept(start.client(), body, lastWatchSucceeded);
     } catch (SocketTimeoutException e) {
       // The connection is dead. Retry at once without backoff, as the router soon counts as
-      // notified
-      // of missed changes; the random waits spread the calls of the routers that this affects.
+      // notified of missed changes; the random waits spread the calls of the affected routers.
       LOG.info("endpoint list: watch timed out without a response; reconnecting");
       return true;
     } catch (IOException | ProtocolException | RuntimeException | StackOverflowError e) {
--- a/src/main/java/beaconturn/net/server/CacheServer.java
+++ b/src/main/java/beaconturn/net/server/CacheServer.java
@@ -85,8 +85,8 @@
 
   /**
    * Resets the attempt's connection before this method returns, so that the request's next attempt
-   * does not overlap with this one; never blocks. An attempt that has not been written yet will not
-   * be, as it has ended. Routing thread only.
+   * does not overlap with this one; never blocks. An attempt that has not been written yet is never
+   * written, as it has ended. Routing thread only.
    */
   void abort(OutboundAttempt attempt) {
     CacheConnection connection = inUse.get(attempt);
--- a/src/main/java/beaconturn/net/server/CacheServerPool.java
+++ b/src/main/java/beaconturn/net/server/CacheServerPool.java
@@ -143,7 +143,7 @@
     old.actor().setAddress(Sockets.address(member.dialAddress()));
     if (old.bootTimeNanos() != member.endpoint().bootTimeNanos()) {
       // Connections from before the restart are dead even if no FIN was received; a request written
-      // to one would be lost.
+      // to such a connection would be lost.
       old.actor().closeIdle();
     }
     return old.actor();
