--- a/src/main/java/beaconturn/net/agreement/AttemptCounts.java
+++ b/src/main/java/beaconturn/net/agreement/AttemptCounts.java
@@ -14,7 +14,7 @@
  * reporting thread. The totals of a zone never decrease: they keep the counts of removed servers.
  */
 final class AttemptCounts {
-  private static final long MICRO_NANOS = 1000;
+  private static final long NANOS_PER_MICRO = 1000;
 
   private final List<String> zones;
   private final Map<Long, ServerCounts> servers = new ConcurrentHashMap<>();
@@ -68,7 +68,7 @@
     ServerCounts counts = servers.computeIfAbsent(serverId, id -> new ServerCounts());
     if (succeededInTime) {
       counts.succeeded.increment();
-      counts.succeededMicros.add(durationNanos / MICRO_NANOS);
+      counts.succeededMicros.add(durationNanos / NANOS_PER_MICRO);
     } else {
       counts.failed.increment();
     }
--- a/src/main/java/beaconturn/net/agreement/StoreClient.java
+++ b/src/main/java/beaconturn/net/agreement/StoreClient.java
@@ -27,7 +27,7 @@
 public final class StoreClient implements CoordinationStore {
   private static final int MAX_BODY_BYTES = 8 << 20;
   private static final int STATUS_OK = 200;
-  private static final long MILLI_NANOS = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private final List<InetSocketAddress> members;
   private final int timeoutMillis;
 
@@ -40,7 +40,7 @@
   /** Creates a client; a request fails after the timeout. */
   public StoreClient(List<InetSocketAddress> members, long timeoutNanos) {
     this.members = List.copyOf(members);
-    this.timeoutMillis = (int) Math.max(1, timeoutNanos / MILLI_NANOS);
+    this.timeoutMillis = (int) Math.max(1, timeoutNanos / NANOS_PER_MILLI);
   }
 
   @Override
@@ -74,7 +74,7 @@
   }
 
   private Json post(String path, Json body) throws IOException, ProtocolException {
-    long endNanos = System.nanoTime() + timeoutMillis * MILLI_NANOS;
+    long deadlineNanos = System.nanoTime() + timeoutMillis * NANOS_PER_MILLI;
     InetSocketAddress address = members.get(memberIndex);
     if (socket == null) {
       connect(address);
@@ -83,7 +83,7 @@
     Slice request = HttpWriter.post(path, host, JsonWriter.write(body));
     OutputStream output = socket.getOutputStream();
     output.write(request.array(), request.from(), request.length());
-    HttpResponse response = read(endNanos);
+    HttpResponse response = read(deadlineNanos);
     if (!response.keepAlive() || input.size() > 0) {
       close();
     }
@@ -102,11 +102,11 @@
     socket.connect(address, timeoutMillis);
   }
 
-  private HttpResponse read(long endNanos) throws IOException, ProtocolException {
+  private HttpResponse read(long deadlineNanos) throws IOException, ProtocolException {
     HttpReader reader = new HttpReader(MAX_BODY_BYTES);
     boolean open = true;
     while (open) {
-      long remainingMillis = (endNanos - System.nanoTime()) / MILLI_NANOS;
+      long remainingMillis = (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI;
       if (remainingMillis <= 0) {
         break;
       }
--- a/src/main/java/beaconturn/net/client/ClientConnections.java
+++ b/src/main/java/beaconturn/net/client/ClientConnections.java
@@ -94,7 +94,7 @@
    * that clients that only connect do not displace active ones; then the connection that has been
    * idle longest; then one with a stalled partial command. Each counts until its descriptor is
    * free, so the limit may be exceeded slightly; beyond that the call waits some milliseconds for
-   * the poller. After the limit has been lowered, each new connection replaces one.
+   * the poller. After the limit has been lowered, each new connection replaces an open one.
    */
   public boolean makeRoom(long nowNanos) {
     if (connections.size() < limit) {
--- a/src/main/java/beaconturn/net/client/ClientInputBuffer.java
+++ b/src/main/java/beaconturn/net/client/ClientInputBuffer.java
@@ -12,13 +12,14 @@
 import java.util.Deque;
 
 /**
- * Buffers the input of one client that is not yet processed. All that the kernel holds is read, as
- * far as there is room, before a command is taken, so that the end of the stream is seen before the
- * preceding commands are processed. Records when bytes arrived: the deadline of a command counts
- * from its last byte, however long the command waits in the buffer. Poller thread only.
+ * Buffers the input of one client that is not yet processed. All bytes available from the socket
+ * are read, up to a limit, before a command is taken, so that the end of the stream is detected
+ * before the preceding commands are processed. Records when bytes arrived: the deadline of a
+ * command counts from its last byte, however long the command waits in the buffer. Poller thread
+ * only.
  */
 final class ClientInputBuffer {
-  /** Maximum number of unprocessed bytes; a client that sends more is held back by its socket. */
+  /** Maximum number of unprocessed bytes; more input stays in the socket. */
   static final int READ_AHEAD_BYTES = 16 * 1024;
 
   private record Arrival(long upToByte, long atNanos) {}
@@ -43,8 +44,8 @@
     int total = 0;
     int bytes = 1;
     while (bytes > 0 && wantsMore(largeAllowed)) {
-      int room = Math.min(Sockets.MAX_TRANSFER_BYTES, buffer.ensureRoom());
-      bytes = from.read(ByteBuffer.wrap(buffer.array(), buffer.end(), room));
+      int freeBytes = Math.min(Sockets.MAX_TRANSFER_BYTES, buffer.ensureRoom());
+      bytes = from.read(ByteBuffer.wrap(buffer.array(), buffer.end(), freeBytes));
       if (bytes > 0) {
         buffer.filled(bytes);
         total += bytes;
@@ -61,7 +62,7 @@
   }
 
   /**
-   * Whether there is room for more bytes. Behind a large command one more byte is wanted, to detect
+   * Whether there is room for more bytes. Behind a large command one more byte is read, to detect
    * the end of the stream.
    */
   boolean wantsMore(boolean largeAllowed) {
--- a/src/main/java/beaconturn/net/io/ConnectionLimit.java
+++ b/src/main/java/beaconturn/net/io/ConnectionLimit.java
@@ -21,7 +21,7 @@
     return true;
   }
 
-  /** Counts one connection less. */
+  /** Removes a closed connection from the count. */
   public synchronized void release() {
     count--;
   }
--- a/src/main/java/beaconturn/net/server/IdleConnections.java
+++ b/src/main/java/beaconturn/net/server/IdleConnections.java
@@ -39,10 +39,10 @@
    * reach their idle timeout; null if there is none.
    */
   CacheConnection takeSettled(long nowNanos) {
-    long settledBefore = nowNanos - SETTLE_NANOS;
+    long settledBeforeNanos = nowNanos - SETTLE_NANOS;
     for (Iterator<IdleCacheConnection> all = connections.iterator(); all.hasNext(); ) {
       IdleCacheConnection next = all.next();
-      if (next.idleSinceNanos() <= settledBefore) {
+      if (next.idleSinceNanos() <= settledBeforeNanos) {
         all.remove();
         return next.connection();
       }
