--- a/src/test/java/beaconturn/net/FaultyAgreement.java
+++ b/src/test/java/beaconturn/net/FaultyAgreement.java
@@ -24,7 +24,7 @@
 
 /** A router's member of the agreement with an injected defect, which the invariants must detect. */
 public final class FaultyAgreement implements FleetConfigSource {
-  private static final long SECOND = 1_000_000_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
   private final Defect defect;
   private final AgreementSubsystem member;
   private final StoreClient store;
@@ -62,9 +62,12 @@
     AgreementSubsystem member =
         new AgreementSubsystem(
             new AgreementConfig(
-                endpoints, "/rehearsal", new AgreementTiming(SECOND, 0.01, SECOND / 2), null),
+                endpoints,
+                "/rehearsal",
+                new AgreementTiming(SECOND_NANOS, 0.01, SECOND_NANOS / 2),
+                null),
             router);
-    return new FaultyAgreement(defect, member, new StoreClient(endpoints, SECOND));
+    return new FaultyAgreement(defect, member, new StoreClient(endpoints, SECOND_NANOS));
   }
 
   @Override
--- a/src/test/java/beaconturn/net/FaultyRouter.java
+++ b/src/test/java/beaconturn/net/FaultyRouter.java
@@ -35,7 +35,7 @@
   private static final int DEFECT_INTERVAL = 15;
   private static final long EXTRA_AGE_NANOS = 60_000_000_000L;
   private final Defect defect;
-  private int count;
+  private int eligibleMessages;
   private Slice previousResponse;
 
   /** The injected defect. */
@@ -110,7 +110,7 @@
 
   private synchronized RoutingMessage applyDefect(RoutingMessage message) {
     if (message instanceof RoutingMessage.RequestReceived && defect == Defect.LOSES_REQUESTS) {
-      return ++count % DEFECT_INTERVAL == 0 ? null : message;
+      return ++eligibleMessages % DEFECT_INTERVAL == 0 ? null : message;
     }
     if (message instanceof RoutingMessage.EndpointUpdateReceived received
         && defect == Defect.IGNORES_DRAINS) {
@@ -129,7 +129,7 @@
     Slice response = completed.result().response();
     Slice otherResponse = previousResponse;
     previousResponse = response;
-    if (++count % DEFECT_INTERVAL != 0 || otherResponse == null) {
+    if (++eligibleMessages % DEFECT_INTERVAL != 0 || otherResponse == null) {
       return message;
     }
     return switch (defect) {
--- a/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerPoolTest.java
@@ -28,14 +28,14 @@
 import org.junit.jupiter.api.Timeout;
 
 class CacheServerPoolTest {
-  private static final long SECOND = 1_000_000_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
   private static final int SERVER_COUNT = 200;
   private final Clock clock = Clock.system();
-  private final WorkerPool workers = new WorkerPool("fleet-cache", SECOND / 100);
+  private final WorkerPool workers = new WorkerPool("fleet-cache", SECOND_NANOS / 100);
   private final BlockingQueue<RoutingMessage> routingMessages = new LinkedBlockingQueue<>();
   private final CacheServerEnvironment environment =
       CacheServerTest.environment(
-          clock, routingMessages::add, new ConnectionLimit(9), SECOND / 100, workers);
+          clock, routingMessages::add, new ConnectionLimit(9), SECOND_NANOS / 100, workers);
   private final CacheServerPool pool = new CacheServerPool(environment);
 
   private static EndpointUpdate.AddressedEndpoint member(
@@ -48,7 +48,7 @@
     ClientRequest request =
         new RespClientRequest(
             new RequestDescription(0, 1, false, false, 0, 0, 0),
-            clock.now() + 100 * SECOND,
+            clock.now() + 100 * SECOND_NANOS,
             new RequestParser.Parts(
                 Slice.of("$5\r\nC.GET\r\n$1\r\na\r\n$2\r\nid\r\n"),
                 Slice.of("id"),
@@ -56,7 +56,7 @@
                 null),
             CacheServerTest.READING,
             () -> {});
-    return new OutboundAttempt(1, 0, server, request, clock.now(), 100 * SECOND);
+    return new OutboundAttempt(1, 0, server, request, clock.now(), 100 * SECOND_NANOS);
   }
 
   private static TestPeer cacheServer() {
--- a/src/test/java/beaconturn/net/server/CacheServerTest.java
+++ b/src/test/java/beaconturn/net/server/CacheServerTest.java
@@ -35,7 +35,7 @@
 
 /** Tests the mapping of a cache server's behaviour to attempt outcomes, over real sockets. */
 public class CacheServerTest {
-  private static final long SECOND = 1_000_000_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
   private static final String VALUE = "*3\r\n$2\r\nva\r\n$4\r\nmiss\r\n$-1\r\n";
   private final Clock system = Clock.system();
   private final AtomicLong clockOffsetNanos = new AtomicLong();
@@ -48,7 +48,7 @@
   private final BlockingQueue<RoutingMessage> routingMessages = new LinkedBlockingQueue<>();
   public static final RespClientRequest.ParseContext READING =
       new RespClientRequest.ParseContext(null, "read", 0, RequestMetrics.NONE);
-  private int sent;
+  private int sentAttempts;
 
   static CacheServerEnvironment environment(
       Clock clock,
@@ -63,7 +63,7 @@
         routingMessages,
         connectionLimit,
         new CacheResponseReader(Samples.read().routing()),
-        SECOND,
+        SECOND_NANOS,
         idleTimeoutNanos,
         RequestMetrics.NONE,
         thread,
@@ -79,7 +79,7 @@
                 routingMessages::add,
                 new ConnectionLimit(connections),
                 idleTimeoutNanos,
-                new WorkerPool("test-cache", SECOND)),
+                new WorkerPool("test-cache", SECOND_NANOS)),
             "s-1",
             address);
     server.start();
@@ -87,15 +87,15 @@
   }
 
   private CacheServer server(TestPeer peer) {
-    return server(peer.address(), 100, 60 * SECOND);
+    return server(peer.address(), 100, 60 * SECOND_NANOS);
   }
 
   private OutboundAttempt attempt(Slice value) {
-    String name = "key-" + sent;
+    String name = "key-" + sentAttempts;
     ClientRequest request =
         new RespClientRequest(
             new RequestDescription(0, 1, false, false, 0, 0, 0),
-            clock.now() + 100 * SECOND,
+            clock.now() + 100 * SECOND_NANOS,
             new RequestParser.Parts(
                 Slice.of("$5\r\nC.GET\r\n" + RespWriter.bulk(name) + RespWriter.bulk("id")),
                 Slice.of("id"),
@@ -103,12 +103,12 @@
                 value),
             READING,
             () -> {});
-    return new OutboundAttempt(++sent, 0, 7, request, clock.now(), 100 * SECOND);
+    return new OutboundAttempt(++sentAttempts, 0, 7, request, clock.now(), 100 * SECOND_NANOS);
   }
 
   /** Sends an attempt after the connections of earlier responses have settled. */
   private OutboundAttempt send(CacheServer server) {
-    clockOffsetNanos.addAndGet(SECOND);
+    clockOffsetNanos.addAndGet(SECOND_NANOS);
     OutboundAttempt attempt = attempt(null);
     assertTrue(server.send(attempt));
     return attempt;
@@ -175,7 +175,7 @@
   void doesNotWriteAttemptOfAbandonedRequest() throws InterruptedException {
     try (TestPeer peer = new TestPeer(TestPeer.Connection::readCommand)) {
       CacheServer server = server(peer);
-      clockOffsetNanos.addAndGet(SECOND);
+      clockOffsetNanos.addAndGet(SECOND_NANOS);
       OutboundAttempt attempt = attempt(null);
       ((RespClientRequest) attempt.request()).abandoned();
       assertTrue(server.send(attempt));
@@ -190,7 +190,7 @@
     try (TestPeer peer = new TestPeer(TestPeer.Connection::readCommand)) {
       CacheServer server = server(peer);
       OutboundAttempt attempt = attempt(null);
-      clockOffsetNanos.addAndGet(101 * SECOND);
+      clockOffsetNanos.addAndGet(101 * SECOND_NANOS);
       assertTrue(server.send(attempt));
       assertEquals(AttemptOutcome.SUPERSEDED, awaitResult(attempt).outcome());
       assertEquals(0, peer.connections());
@@ -208,8 +208,8 @@
                   clock,
                   routingMessages::add,
                   new ConnectionLimit(1),
-                  60 * SECOND,
-                  new WorkerPool("test-cache", SECOND)),
+                  60 * SECOND_NANOS,
+                  new WorkerPool("test-cache", SECOND_NANOS)),
               new IgnoringListener());
       OutboundAttempt attempt = attempt(null);
       ((RespClientRequest) attempt.request()).abandoned();
@@ -396,7 +396,7 @@
   void attemptOverConnectionLimitEndsAsNotSent() throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     try (TestPeer peer = new TestPeer(line -> done.await())) {
-      CacheServer server = server(peer.address(), 1, 60 * SECOND);
+      CacheServer server = server(peer.address(), 1, 60 * SECOND_NANOS);
       send(server);
       assertEquals(AttemptOutcome.NOT_SENT, awaitResult(send(server)).outcome());
       done.countDown();
@@ -473,7 +473,7 @@
               line.write(VALUE);
               line.note(line.readCommand());
             })) {
-      CacheServer server = server(peer.address(), 1, 60 * SECOND);
+      CacheServer server = server(peer.address(), 1, 60 * SECOND_NANOS);
       // With the clock frozen, the first connection never settles.
       frozenAtNanos.set(system.now());
       for (int i = 0; i < 2; i++) {
@@ -547,7 +547,7 @@
               line.write(VALUE);
               line.note(line.readCommand());
             })) {
-      awaitResult(send(server(peer.address(), 10, SECOND / 20)));
+      awaitResult(send(server(peer.address(), 10, SECOND_NANOS / 20)));
       assertEquals("end", peer.note());
     }
   }
