--- a/src/main/java/beaconturn/agreement/AgreementCallbacks.java
+++ b/src/main/java/beaconturn/agreement/AgreementCallbacks.java
@@ -9,8 +9,8 @@
   void effectiveConfigChanged(EffectiveConfig config);
 
   /**
-   * Persists the configuration for the next start. It is durable when this returns true; returns
-   * false if it could not be written.
+   * Persists the configuration for the next start. Returns true once the configuration is durable,
+   * or false if it could not be written.
    */
   boolean persist(PersistedConfig config);
 
@@ -19,7 +19,7 @@
 
   /**
    * Whether the router has everything that the content requires, such as a recent enough endpoint
-   * list. While this returns false the member neither acks nor nacks, and asks again.
+   * list. While the result is false, the member neither acks nor nacks, and asks again.
    */
   default boolean isReadyFor(ConfigContent content) {
     return true;
--- a/src/main/java/beaconturn/agreement/AgreementMember.java
+++ b/src/main/java/beaconturn/agreement/AgreementMember.java
@@ -78,7 +78,7 @@
 
   /**
    * Returns the request to send now, or null if none is due before {@link #nextRequestAtNanos} or
-   * one is in flight.
+   * a request is in flight.
    */
   public StoreRequest nextRequest(long nowNanos) {
     if (purposeInFlight != null || nowNanos < backoff.pausedUntilNanos()) {
@@ -272,8 +272,9 @@
 
   /**
    * Returns the request that publishes the router's endpoint view, or null if the view is already
-   * published, the member has not joined or its store requests are failing. It may be in flight
-   * beside a request of {@link #nextRequest}, as no agreement step depends on it.
+   * published, the member has not joined or its store requests are failing. The request may be
+   * in flight at the same time as a request of {@link #nextRequest}, as no agreement step depends
+   * on the view.
    */
   public StoreRequest nextViewRequest(EndpointView view) {
     boolean possible =
--- a/src/main/java/beaconturn/agreement/AgreementTiming.java
+++ b/src/main/java/beaconturn/agreement/AgreementTiming.java
@@ -38,9 +38,9 @@
 
   /**
    * Upper bound on how long a router may still act on the previous version after a new one has come
-   * into force. It is the lease, which starts when its renewal is sent, on a slow clock, plus the
-   * time to apply the new version. A paused process does not act; it checks its lease before its
-   * next decision and before its next write.
+   * into force: the duration of the lease on a slow clock, counted from the sending of its renewal,
+   * plus the time to apply the new version. A paused process does not act; the process checks its
+   * lease before its next decision and before its next write.
    */
   public long maxStalenessNanos() {
     return (long) (leaseNanos * (1 + clockDrift)) + applyNanos;
--- a/src/main/java/beaconturn/agreement/AgreementTransactions.java
+++ b/src/main/java/beaconturn/agreement/AgreementTransactions.java
@@ -190,7 +190,7 @@
   /**
    * Decodes all member records.
    *
-   * @throws AgreementException if one cannot be decoded
+   * @throws AgreementException if a record cannot be decoded
    */
   public static List<MemberRecord> members(StoreResponse.Success recordsRead)
       throws AgreementException {
--- a/src/main/java/beaconturn/agreement/ConfigAdmin.java
+++ b/src/main/java/beaconturn/agreement/ConfigAdmin.java
@@ -108,7 +108,7 @@
     return 1 + history().stream().mapToLong(entry -> entry.version().number()).max().orElse(0);
   }
 
-  /** Proposes the content of the previous version, and returns the number of the new one. */
+  /** Proposes the content of the previous version, and returns the new number. */
   public long proposePrevious(String author, String reason, long atMillis)
       throws AgreementException {
     ConfigVersion previous = readSnapshot().previous();
--- a/src/main/java/beaconturn/agreement/EffectiveConfig.java
+++ b/src/main/java/beaconturn/agreement/EffectiveConfig.java
@@ -1,14 +1,14 @@
 package beaconturn.agreement;
 
 /**
- * The configuration that a router may act on: one content until its lease expires and one from then
- * on. The two are equal if no other version can have come into force.
+ * The configuration that a router may act on: one content until its lease expires and another from
+ * then on. The two are equal if no other version can have come into force.
  *
  * @param leaseEndNanos when the lease expires, by the router's clock
  * @param whileLeased the content that applies until the lease expires
- * @param whileLeasedDescription its description for logs
+ * @param whileLeasedDescription description of that content for logs
  * @param afterLease the content that applies after the lease has expired
- * @param afterLeaseDescription its description for logs
+ * @param afterLeaseDescription description of that content for logs
  */
 public record EffectiveConfig(
     long leaseEndNanos,
--- a/src/main/java/beaconturn/agreement/MemberRecord.java
+++ b/src/main/java/beaconturn/agreement/MemberRecord.java
@@ -9,7 +9,7 @@
  * @param name name of the router, stable over restarts
  * @param incarnation unique id of its process
  * @param ackedNumber number of the highest version that the member has acked
- * @param nackedNumber number of the version that the member has nacked last, or 0
+ * @param nackedNumber number of the version that the member last nacked, or 0
  * @param nackReason why the member nacked that version, or empty
  * @param actingNumber number of the version that the member acts on while it holds its lease
  */
--- a/src/main/java/beaconturn/agreement/MemberRegistration.java
+++ b/src/main/java/beaconturn/agreement/MemberRegistration.java
@@ -17,7 +17,7 @@
     this.identity = identity;
   }
 
-  /** Whether the store holds a record of this process, as far as is known here. */
+  /** Whether the store holds a record of this process, as far as the member knows. */
   boolean isJoined() {
     return joined;
   }
@@ -35,7 +35,7 @@
     routerRecords = response;
   }
 
-  /** Makes the next attempt to join read the records of this router again. */
+  /** Discards the records of this router, so that the next join reads them again. */
   void forgetRouterRecords() {
     routerRecords = null;
   }
@@ -50,8 +50,9 @@
   }
 
   /**
-   * Conditional on the versions that were read: if a step was committed since, the member reads
-   * again, so that no version comes into force without its ack.
+   * Returns the transaction that joins, on condition that the versions that were read are
+   * unchanged: if a step was committed since, the member reads again, so that no version comes into
+   * force without its ack.
    */
   private StoreRequest join(AgreementSnapshot snapshot, MemberRecord member, long leaseId) {
     List<StoreRequest.Change> changes = new ArrayList<>();
@@ -68,7 +69,8 @@
   }
 
   /**
-   * Conditional on an existing record, so that a record that was declared lost is not recreated.
+   * Returns the request that updates the member's record, on condition that the record exists: a
+   * record that an operator deleted must not be recreated.
    */
   PendingRequest updateRequest(MemberRecord member) {
     StoreRequest update = new StoreRequest.Transaction(recordExists(), List.of(putRecord(member)));
--- a/src/main/java/beaconturn/agreement/SnapshotTracker.java
+++ b/src/main/java/beaconturn/agreement/SnapshotTracker.java
@@ -27,7 +27,7 @@
     return snapshot != null;
   }
 
-  /** Makes the snapshot be read again, as it may be outdated. */
+  /** Schedules a new read, as the snapshot may be outdated. */
   void invalidate() {
     outdated = true;
   }
--- a/src/main/java/beaconturn/agreement/StrictestCommonConfig.java
+++ b/src/main/java/beaconturn/agreement/StrictestCommonConfig.java
@@ -31,8 +31,8 @@
 
   /**
    * Returns the content for a router that does not know which version is in force: no request is
-   * sent more than once, and the servers excluded in the last known content stay excluded. Servers
-   * excluded since then are unknown to it.
+   * sent more than once, and the servers excluded in the last known content stay excluded. The
+   * router does not know of servers that were excluded since then.
    */
   public static ConfigContent strict(ConfigContent known) {
     SortedMap<String, ClassRule> classes = new TreeMap<>();
--- a/src/main/java/beaconturn/agreement/VersionFollower.java
+++ b/src/main/java/beaconturn/agreement/VersionFollower.java
@@ -78,7 +78,7 @@
     recordOutdated = false;
   }
 
-  /** An operator has deleted the record, so versions come into force without this member's ack. */
+  /** Handles the deletion of the record: versions now come into force without this member's ack. */
   void handleDeclaredLost() {
     basis = null;
     persistJoined(false);
@@ -129,7 +129,7 @@
   }
 
   /** Replaces an ack that cannot be persisted by a nack, as the ack would be lost in a restart. */
-  @SuppressWarnings("ReferenceEquality") // Identity tells whether the ack is new.
+  @SuppressWarnings("ReferenceEquality") // A new ack is a different object.
   private void persistFollowed(AgreementSnapshot snapshot, PersistedConfig before) {
     ConfigVersion acked = persisted.ackedVersion();
     boolean ackedNow = acked != null && acked != before.ackedVersion();
--- a/src/main/java/beaconturn/agreement/VersionLease.java
+++ b/src/main/java/beaconturn/agreement/VersionLease.java
@@ -62,7 +62,7 @@
 
   /**
    * Counts a confirmation whose conditions did not hold. Returns false from the second consecutive
-   * one on: a lagging member of the store then serves the reads.
+   * such confirmation on: the reads are then served by a lagging member of the store.
    */
   boolean handleRefuted() {
     consecutiveRefutations++;
--- a/src/main/java/beaconturn/release/ConfigRollout.java
+++ b/src/main/java/beaconturn/release/ConfigRollout.java
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Returns the next transaction that reverts the configuration. Null, with a wait reason, while
-   * the reverting version is pending; null without one after the revert is complete.
+   * Returns the next transaction that reverts the configuration; null if none is due. While the
+   * reverting version is pending, the context gets a wait reason; after the revert it gets none.
    */
   RolloutTransaction revert(DriverContext context) {
     AgreedVersions agreed = context.agreed();
--- a/src/main/java/beaconturn/release/ReleaseFleetCodec.java
+++ b/src/main/java/beaconturn/release/ReleaseFleetCodec.java
@@ -41,7 +41,7 @@
         "cores",
         Double.toString(capacity.coresPerInstance()),
         "failures",
-        // Stored as n + 1: stored integers cannot be negative, and -1 disables the load check.
+        // Stored plus one: stored integers cannot be negative, and -1 disables the load check.
         capacity.toleratedFailures() + 1,
         "sites",
         StoredJson.list(zones));
--- a/src/main/java/beaconturn/release/RolloutAgent.java
+++ b/src/main/java/beaconturn/release/RolloutAgent.java
@@ -222,9 +222,9 @@
   }
 
   /**
-   * Starts the rollback of a failed step while the store is unreachable, if the plan allows it and
-   * its time has come. Returns the variant to which the caller must now bring the instance; null if
-   * no action starts.
+   * Starts the rollback of a failed step while the store is unreachable, if the plan allows that
+   * and the delay after the failure has passed. Returns the variant to which the caller must now
+   * bring the instance; null if no action starts.
    *
    * @param plan plan as last read; null if none was read
    */
--- a/src/main/java/beaconturn/release/RolloutCodec.java
+++ b/src/main/java/beaconturn/release/RolloutCodec.java
@@ -92,7 +92,7 @@
             "why",
             step.failureReason(),
             "started",
-            // Stored as n + 1: stored integers cannot be negative, and -1 means no known start.
+            // Stored plus one: stored integers cannot be negative, and -1 means no known start.
             step.previousStartNanos() + 1,
             "took_ns",
             step.readyAfterNanos()));
--- a/src/main/java/beaconturn/release/Unavailability.java
+++ b/src/main/java/beaconturn/release/Unavailability.java
@@ -139,8 +139,8 @@
   }
 
   /**
-   * Returns why no step may start in a zone because it serves the traffic of another zone; null if
-   * no other zone is out of service. Steps in the zone that is out of service itself are allowed.
+   * Returns why no step may start in a zone because the zone serves the traffic of another zone;
+   * null if no other zone is out of service. Steps in the zone that is out of service are allowed.
    */
   String zoneBlockingReason(String zone) {
     return zoneReasons.keySet().stream()
--- a/src/main/java/beaconturn/zones/FailoverPlanner.java
+++ b/src/main/java/beaconturn/zones/FailoverPlanner.java
@@ -68,7 +68,7 @@
     this.zoneStates = new ZoneStateRule(topology, evidence, timing);
   }
 
-  /** Returns why the last decision was deferred; empty if it was not. */
+  /** Returns why the last decision was deferred; empty if the decision was not deferred. */
   public String waitReason() {
     return waitReason;
   }
--- a/src/main/java/beaconturn/zones/RouterEvidence.java
+++ b/src/main/java/beaconturn/zones/RouterEvidence.java
@@ -1,8 +1,8 @@
 package beaconturn.zones;
 
 /**
- * Tracks the reports of one router: the latest, and baselines that are one and two windows old. Not
- * thread-safe.
+ * Tracks the reports of one router: the latest report, and baselines that are one and two windows
+ * old. Not thread-safe.
  */
 final class RouterEvidence {
   private static final double NANOS_PER_SECOND = 1e9;
--- a/src/main/java/beaconturn/zones/ZoneMember.java
+++ b/src/main/java/beaconturn/zones/ZoneMember.java
@@ -140,7 +140,7 @@
 
   /**
    * Returns the next request to the store, or null if none is due before {@link
-   * #nextRequestAtNanos} or one is outstanding.
+   * #nextRequestAtNanos} or a request is in flight.
    */
   public StoreRequest nextRequest(long nowNanos) {
     if (pendingPurpose != null || nowNanos < pausedUntilNanos) {
--- a/src/main/java/beaconturn/zones/ZoneOverride.java
+++ b/src/main/java/beaconturn/zones/ZoneOverride.java
@@ -7,9 +7,9 @@
  * @param kind what happens to the keys of the zone
  * @param maxHomeWeight for {@link ZoneOverrideKind#WEIGHT}, the largest weight that the zone may
  *     keep
- * @param durationNanos time from being set until it expires; 0 for no expiry
- * @param author operator who set it
- * @param reason why it was set
+ * @param durationNanos time until the override expires, from when it is set; 0 for no expiry
+ * @param author operator who set the override
+ * @param reason why the override was set
  */
 public record ZoneOverride(
     String zone,
--- a/src/main/java/beaconturn/zones/ZonesAdmin.java
+++ b/src/main/java/beaconturn/zones/ZonesAdmin.java
@@ -118,7 +118,7 @@
   /**
    * Removes the override of a zone and returns a description of the change.
    *
-   * @throws AgreementException if there is none
+   * @throws AgreementException if the zone has no override
    */
   public String clearOverride(String zone) throws AgreementException {
     ZonesSnapshot snapshot = readSnapshot();
--- a/src/main/java/beaconturn/zones/ZonesCodec.java
+++ b/src/main/java/beaconturn/zones/ZonesCodec.java
@@ -14,9 +14,7 @@
 
 /** Encodes plans, reports and overrides as the JSON texts kept in the store. */
 public final class ZonesCodec {
-  /**
-   * Flap count of a zone that never failed over. Stored counts are greater by one, so that it is 0.
-   */
+  /** Flap count of a zone that never failed over; stored as 0, as stored counts are one greater. */
   private static final int NEVER_FAILED_OVER = -1;
 
   private ZonesCodec() {}
--- a/src/test/java/beaconturn/agreement/AgreementMemberTest.java
+++ b/src/test/java/beaconturn/agreement/AgreementMemberTest.java
@@ -385,7 +385,7 @@
     assertTrue(versions > 100, "too few versions came into force: " + versions);
   }
 
-  /** Guards against a check that never fails: the member acts on its version after its lease. */
+  /** The check must detect a member that acts on its version after its lease has expired. */
   @Test
   void violationCheckDetectsMemberThatIgnoresItsLease() throws AgreementException {
     int detectedRuns = 0;
--- a/src/test/java/beaconturn/release/ReleaseModelTest.java
+++ b/src/test/java/beaconturn/release/ReleaseModelTest.java
@@ -331,7 +331,7 @@
       while (actions.size() < MAX_WALK_LENGTH && execution.violation == null) {
         List<String> possible = execution.possibleActions();
         String chosen = possible.get(random.nextInt(possible.size()));
-        // External events are chosen rarely, otherwise few walks get far.
+        // External events are chosen rarely, as they would keep most walks from completing steps.
         if (RARE_ACTIONS.contains(chosen) && random.nextInt(8) > 0) {
           continue;
         }
--- a/src/test/java/beaconturn/release/RolloutDriverTest.java
+++ b/src/test/java/beaconturn/release/RolloutDriverTest.java
@@ -69,7 +69,7 @@
     executeStep("r1", true);
     driveUntilWaiting(0);
     assertEquals(StepPhase.VERIFIED, phase("r1"));
-    // At most one of a zone at a time: r4 waits for r3.
+    // At most one instance of a zone is out of service at a time: r4 waits for r3.
     assertEquals(StepPhase.GRANTED, phase("r2"));
     assertEquals(StepPhase.GRANTED, phase("r3"));
     assertNull(phase("r4"));
--- a/src/test/java/beaconturn/zones/SimulatedZones.java
+++ b/src/test/java/beaconturn/zones/SimulatedZones.java
@@ -18,8 +18,9 @@
 
 /**
  * Simulates the routers of several zones with a store, in virtual time. Each router receives
- * requests at a given rate and distributes them by its effective allocation; tests set what the
- * zones make of them. The requests of all routers to a zone are added up in each step.
+ * requests at a given rate and distributes them by its effective allocation; tests set which share
+ * of them fails and how long they take. In each step, the requests of all routers are added up by
+ * zone.
  */
 final class SimulatedZones {
   static final long MILLI_NANOS = 1_000_000;
@@ -122,8 +123,8 @@
     boolean down;
 
     /**
-     * How its reports are wrong: all attempts "bad", all "good", all servers "ejected", or "stuck"
-     * at the first report; empty if they are right.
+     * How the reports of the router are false: all attempts "bad", all "good", all servers
+     * "ejected", or "stuck" at the first report; empty if the reports are correct.
      */
     String falseReports = "";
 
@@ -305,7 +306,7 @@
               double[] since = {
                 c[0] - evaluatedCounts.get(zone)[0], c[1] - evaluatedCounts.get(zone)[1]
               };
-              // A zone that receives nothing is tried again after two intervals.
+              // A zone that receives no requests counts as healthy again after two intervals.
               seenHealthy.put(
                   zone,
                   since[0] + since[1] > 0
