--- a/src/main/java/beaconturn/agreement/AgreementMember.java
+++ b/src/main/java/beaconturn/agreement/AgreementMember.java
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Returns the request to send now, or null if none is due before {@link #nextRequestAtNanos} or
-   * a request is in flight.
+   * Returns the request to send now, or null if none is due before {@link #nextRequestAtNanos} or a
+   * request is in flight.
    */
   public StoreRequest nextRequest(long nowNanos) {
     if (purposeInFlight != null || nowNanos < backoff.pausedUntilNanos()) {
@@ -272,9 +272,9 @@
 
   /**
    * Returns the request that publishes the router's endpoint view, or null if the view is already
-   * published, the member has not joined or its store requests are failing. The request may be
-   * in flight at the same time as a request of {@link #nextRequest}, as no agreement step depends
-   * on the view.
+   * published, the member has not joined or its store requests are failing. The request may be in
+   * flight at the same time as a request of {@link #nextRequest}, as no agreement step depends on
+   * the view.
    */
   public StoreRequest nextViewRequest(EndpointView view) {
     boolean possible =
--- a/src/main/java/beaconturn/agreement/Jitter.java
+++ b/src/main/java/beaconturn/agreement/Jitter.java
@@ -14,7 +14,7 @@
     this.random = new SplittableRandom(seed);
   }
 
-  /** Returns a time drawn uniformly from a fifth below to a fifth above the given one. */
+  /** Returns a time drawn uniformly from a fifth below to a fifth above the given time. */
   public long spreadNanos(long nanos) {
     long spread = Math.max(1, nanos / SPREAD_DIVISOR);
     return nanos - spread + random.nextLong(2 * spread);
--- a/src/main/java/beaconturn/agreement/LastingEjections.java
+++ b/src/main/java/beaconturn/agreement/LastingEjections.java
@@ -16,7 +16,8 @@
   private final Map<String, Long> ejectedSinceNanos = new HashMap<>();
 
   /**
-   * Whether a server that is ejected now has been ejected for at least a second.
+   * Whether a server that is ejected now has been ejected for at least a second. The time counts
+   * from the first call for the server.
    *
    * @param nowNanos the time on a monotonic clock
    */
--- a/src/main/java/beaconturn/release/CanaryBaselines.java
+++ b/src/main/java/beaconturn/release/CanaryBaselines.java
@@ -26,7 +26,7 @@
       Map<String, InstanceSample> atReady,
       Map<String, InstanceSample> comparisonStart) {}
 
-  /** Returns the key of a step; each time that an instance is taken out, its permit differs. */
+  /** Returns the key of a step, which differs each time the instance is taken out of service. */
   static String keyOf(RolloutStep step) {
     return step.instanceId() + "#" + step.permitNumber();
   }
--- a/src/main/java/beaconturn/release/CanaryCheck.java
+++ b/src/main/java/beaconturn/release/CanaryCheck.java
@@ -49,8 +49,8 @@
   }
 
   /**
-   * A router may take any time to acquire its lease; a cache server must be warm within the ready
-   * timeout.
+   * Returns the verdict on an instance that is ready but not in service. A router may take any time
+   * to acquire its lease; a cache server must be warm within the ready timeout.
    */
   private static CanaryVerdict notInService(RolloutPlan plan, String reason, long readyForNanos) {
     String explanation = "not seen back: " + reason;
--- a/src/main/java/beaconturn/release/InstanceSample.java
+++ b/src/main/java/beaconturn/release/InstanceSample.java
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Returns the counters since an earlier sample, with the gauges of this one. Returns this sample
-   * if the earlier one is of another process.
+   * Returns the counters since an earlier sample, with the gauges of this sample. Returns this
+   * sample unchanged if the earlier sample is of another process.
    */
   InstanceSample since(InstanceSample earlier) {
     if (!process.equals(earlier.process)) {
--- a/src/main/java/beaconturn/release/RolloutAgent.java
+++ b/src/main/java/beaconturn/release/RolloutAgent.java
@@ -113,7 +113,8 @@
 
   /**
    * Returns whether an action may start. A step that is stored as started but has no running action
-   * is started again: by this agent if the reply was lost or late, or by its successor if it died.
+   * is started again: by the same agent if the reply was lost or late, or by the successor of an
+   * agent that has died.
    */
   private static boolean mayStart(RolloutStep step, RolloutMode mode) {
     boolean open = step.phase() == StepPhase.GRANTED || step.phase() == StepPhase.STARTED;
--- a/src/main/java/beaconturn/release/StepPhase.java
+++ b/src/main/java/beaconturn/release/StepPhase.java
@@ -8,7 +8,7 @@
   STARTED("begun"),
   /** The instance runs the target variant and is ready. */
   READY("up"),
-  /** The instance did not become ready in time. */
+  /** The instance did not become ready, or the step was interrupted. */
   FAILED("failed"),
   /** The instance has passed the canary check, and its permit is returned. */
   VERIFIED("good"),
--- a/src/main/java/beaconturn/zones/FailoverPlanner.java
+++ b/src/main/java/beaconturn/zones/FailoverPlanner.java
@@ -75,18 +75,18 @@
 
   /** Describes the health of each zone, each faulty router, and whether an outage is shared. */
   public SortedMap<String, String> describeEvidence() {
-    SortedMap<String, String> all = new TreeMap<>();
+    SortedMap<String, String> descriptions = new TreeMap<>();
     for (String zone : topology.zones()) {
       String health = lowerCaseWords(evidence.healthOf(zone).name());
-      all.put(zone, health + ", " + evidence.describe(zone));
+      descriptions.put(zone, health + ", " + evidence.describe(zone));
     }
     for (String router : evidence.faultyRouters()) {
-      all.put(router, "broken router: finds nothing good while its neighbours do");
+      descriptions.put(router, "broken router: finds nothing good while its neighbours do");
     }
     if (sharedOutage.isShared()) {
-      all.put("all", "most are bad at once: a cause that they share, nothing is moved");
+      descriptions.put("all", "most are bad at once: a cause that they share, nothing is moved");
     }
-    return all;
+    return descriptions;
   }
 
   private static String lowerCaseWords(String name) {
--- a/src/main/java/beaconturn/zones/PlanDraft.java
+++ b/src/main/java/beaconturn/zones/PlanDraft.java
@@ -100,7 +100,7 @@
     hasLargeMove = true;
   }
 
-  /** Returns why the last decision was deferred; empty if it was not. */
+  /** Returns why the last decision was deferred; empty if the decision was not deferred. */
   String waitReason() {
     return waitReason;
   }
--- a/src/main/java/beaconturn/zones/SharedOutageRule.java
+++ b/src/main/java/beaconturn/zones/SharedOutageRule.java
@@ -42,7 +42,7 @@
 
   /**
    * Returns whether at least two, and more than half, of the zones that serve their own keys are
-   * unhealthy.
+   * unhealthy. Zones of unknown health are not counted.
    */
   private boolean areMostUnhealthy(ZonePlan plan) {
     List<ZoneHealth> servedAtHome =
--- a/src/main/java/beaconturn/zones/StepLimits.java
+++ b/src/main/java/beaconturn/zones/StepLimits.java
@@ -55,7 +55,7 @@
     lastLargeMoveNanos = nowNanos;
   }
 
-  /** Returns the target, or a point on the way to it if the move would exceed the fetch limit. */
+  /** Returns the target, or an allocation between both if the move would exceed the limit. */
   ZoneAllocation limitMove(String home, ZoneAllocation from, ZoneAllocation to) {
     int moved = to.weightMovedFrom(from);
     double demandPerSecond = Math.max(1, traffic.requestsPerSecond(home));
--- a/src/main/java/beaconturn/zones/ZoneHealthRules.java
+++ b/src/main/java/beaconturn/zones/ZoneHealthRules.java
@@ -32,8 +32,8 @@
       return ZoneHealth.GOOD;
     }
     // Without failed attempts a zone is unknown: an ejection without traffic is only past evidence.
-    boolean mostEjected = 2 * observations.ejectedServers() >= observations.listedServers();
-    return observations.failedAttempts() > 0 && mostEjected
+    boolean halfEjected = 2 * observations.ejectedServers() >= observations.listedServers();
+    return observations.failedAttempts() > 0 && halfEjected
         ? ZoneHealth.BROKEN
         : ZoneHealth.UNKNOWN;
   }
--- a/src/main/java/beaconturn/zones/ZoneMember.java
+++ b/src/main/java/beaconturn/zones/ZoneMember.java
@@ -22,7 +22,7 @@
   /** Interval between two decisions of the leader. */
   static final long TICK_NANOS = SECOND_NANOS / 4;
 
-  /** The pause doubles with each consecutive failure, up to this multiple of the first one. */
+  /** The pause doubles with each consecutive failure, up to this many halves of a tick. */
   private static final int MAX_BACKOFF_STEPS = 8;
 
   /** Renewal intervals without progress after which a router's report is stale. */
@@ -42,7 +42,7 @@
   private final ZonePlanLeader leader;
   private final HomeZoneEvidence homeEvidence;
 
-  /** Purpose of the outstanding request, or null. */
+  /** Purpose of the request in flight, or null. */
   private ZoneRequestPurpose pendingPurpose;
 
   private long sentAtNanos;
@@ -178,7 +178,7 @@
     return Math.max(pausedUntilNanos, Math.min(atNanos, leader.nextRequestAtNanos()));
   }
 
-  /** Handles the response to the outstanding request, received at {@code nowNanos}. */
+  /** Handles the response to the request in flight, received at {@code nowNanos}. */
   public void handleResponse(long nowNanos, StoreResponse response) {
     ZoneRequestPurpose purpose = pendingPurpose;
     pendingPurpose = null;
--- a/src/main/java/beaconturn/zones/ZonePlanLeader.java
+++ b/src/main/java/beaconturn/zones/ZonePlanLeader.java
@@ -108,8 +108,7 @@
   void handleLeaderRead(long nowNanos, StoreResponse.Success response) {
     active = response.entries().isEmpty();
     decideAtNanos = nowNanos;
-    // Frequent checks fill a vacant leadership soon; the jitter keeps routers from checking at
-    // once.
+    // Frequent checks fill a vacant leadership soon; jitter spreads the checks of all routers.
     checkAtNanos = nowNanos + jitter.spreadNanos(2 * TICK_NANOS);
   }
 
--- a/src/test/java/beaconturn/agreement/SimulatedAgreement.java
+++ b/src/test/java/beaconturn/agreement/SimulatedAgreement.java
@@ -230,8 +230,8 @@
   }
 
   /**
-   * Whether a member that does not know the version in force may act so: it repeats no request, and
-   * only violates exclusions and list versions that it cannot know.
+   * Whether a member that does not know the version in force may act on the content: the content
+   * repeats no request, and violates only exclusions and list versions that the member cannot know.
    */
   private static boolean isAllowedWithoutVersion(
       List<String> violatedFields, ConfigContent acting) {
--- a/src/test/java/beaconturn/zones/FailoverPolicyTest.java
+++ b/src/test/java/beaconturn/zones/FailoverPolicyTest.java
@@ -15,7 +15,7 @@
  */
 class FailoverPolicyTest {
   private static final long SECOND_NANOS = SimulatedZones.SECOND_NANOS;
-  private static final Map<String, String> FOUR =
+  private static final Map<String, String> FOUR_ZONES =
       Map.of("a", "one", "b", "one", "c", "two", "d", "two");
 
   private record Figures(
@@ -27,7 +27,7 @@
 
   /** Runs a policy through the loss of one zone at the given demand in each zone. */
   private static Figures figuresOfZoneLoss(SimulatedZones.Policy policy, double requestsPerSecond) {
-    SimulatedZones simulation = new SimulatedZones(3, FOUR, 6, requestsPerSecond / 6, 100);
+    SimulatedZones simulation = new SimulatedZones(3, FOUR_ZONES, 6, requestsPerSecond / 6, 100);
     simulation.policy = policy;
     simulation.run(20 * SECOND_NANOS);
     double sentElsewhereBefore =
@@ -106,7 +106,7 @@
   /** Up to 30 % of the attempts fail at random, independently in each zone and step. */
   @Test
   void randomFailuresInAllZonesCauseNoPlan() {
-    SimulatedZones simulation = new SimulatedZones(5, FOUR, 6, 50, 100);
+    SimulatedZones simulation = new SimulatedZones(5, FOUR_ZONES, 6, 50, 100);
     simulation.zones.values().forEach(zone -> zone.maxRandomFailureShare = 0.3);
     simulation.run(240 * SECOND_NANOS);
     assertTrue(simulation.plan().number() == 0, simulation.logText());
--- a/src/test/java/beaconturn/zones/FailoverTraceTest.java
+++ b/src/test/java/beaconturn/zones/FailoverTraceTest.java
@@ -98,7 +98,7 @@
                 simulation.poissonArrivals = true;
                 simulations[0] = simulation;
               });
-      // The purpose of a failed request may be renamed.
+      // Purposes of failed requests are names of enum constants, which may be renamed.
       simulations[0].log.forEach(line -> add(line.replaceAll("\\([A-Z_]+\\)", "")));
       add("seed " + seed + ": " + failure);
     }
--- a/src/test/java/beaconturn/zones/RandomFailoverScenario.java
+++ b/src/test/java/beaconturn/zones/RandomFailoverScenario.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * A random series of faults in simulated zones. It is generated from a seed, can be run and, if it
- * fails, reduced to a smallest set of faults that still fails.
+ * A random series of faults in simulated zones. The scenario is generated from a seed, can be run
+ * and, if it fails, reduced to faults none of which can be left out.
  *
  * @param routers number of routers in each zone
  * @param baseRequestsPerSecond a third of the requests per second in each zone
@@ -77,7 +77,7 @@
     return failure(simulation -> {});
   }
 
-  /** Runs the scenario in a simulation that is prepared before. */
+  /** Prepares a simulation, runs the scenario in it, and returns the violation or null. */
   String failure(Consumer<SimulatedZones> prepare) {
     Map<String, String> regions = new TreeMap<>();
     for (int i = 0; i < zoneCount; i++) {
