--- a/src/main/java/beaconturn/cli/CacheDrain.java
+++ b/src/main/java/beaconturn/cli/CacheDrain.java
@@ -11,7 +11,8 @@
 
 /**
  * Drains a cache server outside of a release: takes a disruption permit, then proposes a
- * configuration version that excludes the server. Complete once all routers act on that version.
+ * configuration version that excludes the server. The drain is complete once all routers act on
+ * that version.
  *
  * @param agreement where the configuration version is proposed
  * @param permits where the disruption permit is taken and returned
--- a/src/main/java/beaconturn/cli/DeferredResetLogManager.java
+++ b/src/main/java/beaconturn/cli/DeferredResetLogManager.java
@@ -3,9 +3,9 @@
 import java.util.logging.LogManager;
 
 /**
- * Log manager that ignores resets until {@link #finish}. The default one removes all handlers as
- * soon as the JVM shuts down, while the router still drains. Must not be loaded before the system
- * property {@code java.util.logging.manager} names it.
+ * Log manager that ignores resets until {@link #finish}. The default log manager removes all
+ * handlers as soon as the JVM shuts down, while the router still drains. This class must not be
+ * loaded before the system property {@code java.util.logging.manager} names it.
  */
 public final class DeferredResetLogManager extends LogManager {
   private volatile boolean finished;
--- a/src/main/java/beaconturn/cli/InstanceMetricsReader.java
+++ b/src/main/java/beaconturn/cli/InstanceMetricsReader.java
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Sums what routers have counted of the cache server since the first reading of each. Counts of a
-   * router that does not respond are added once it responds again.
+   * Sums the counters of all routers for the cache server since the first reading of each router.
+   * Counts of a router that does not respond are added once the router responds again.
    */
   private InstanceSample readCache() throws IOException {
     IOException failure = new IOException("no admin address is given");
--- a/src/main/java/beaconturn/cli/ReleaseFiles.java
+++ b/src/main/java/beaconturn/cli/ReleaseFiles.java
@@ -103,7 +103,7 @@
         : section.integer(countKey, 1, 0, MAX_INSTANCES);
   }
 
-  /** Reads the plan of a release; without waves in the file it gets the default ones. */
+  /** Reads the plan of a release; a plan without waves gets the default waves. */
   static RolloutPlan readPlan(String file, String reason, ReleaseFleet fleet)
       throws ConfigException {
     return OperatorFile.read(file, root -> parsePlan(root, reason, fleet));
--- a/src/main/java/beaconturn/cli/ServeCommand.java
+++ b/src/main/java/beaconturn/cli/ServeCommand.java
@@ -27,7 +27,7 @@
   @Override
   public int execute() {
     Logging.start();
-    // Installed first: an unhandled SIGHUP would terminate the process.
+    // The handler is installed first, as an unhandled SIGHUP would terminate the process.
     AtomicBoolean reloadRequested = new AtomicBoolean();
     AtomicReference<RouterServer> createdServer = new AtomicReference<>();
     HangUpSignal.handle(
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Reloads the configuration; a request before the router exists is repeated once it does. */
+  /** Reloads the configuration; does nothing while the router is not created yet. */
   private static void reloadIfCreated(RouterServer server) {
     if (server != null) {
       server.reload();
--- a/src/main/java/beaconturn/history/HistoryEvent.java
+++ b/src/main/java/beaconturn/history/HistoryEvent.java
@@ -224,7 +224,7 @@
   record RouterStopped(long atNanos, long untilNanos, int router, boolean planned)
       implements HistoryEvent {}
 
-  /** The process of a router ended without having been asked to. */
+  /** The process of a router ended unexpectedly. */
   record RouterCrashed(long atNanos, int router, String reason) implements HistoryEvent {}
 
   /** The member record of a router was written or removed. */
--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -232,7 +232,7 @@
           new AgentProcess(launcher.command(arguments), folder.resolve(name + ".agent.log")));
       agents.get(i).start();
     }
-    // Starting JVMs compete with the rehearsal for the processors, so it waits for all of them.
+    // Starting JVMs compete with the rehearsal for processors, so the rehearsal waits for them.
     long deadlineNanos = clock.now() + AGENTS_START_TIMEOUT_NANOS;
     while (readyAgentKeys.size() < agents.size()) {
       if (clock.now() > deadlineNanos) {
@@ -371,7 +371,7 @@
   }
 
   private void startAgentFault(Scenario.FaultSpec fault) {
-    // Remembered, as another agent may drive the release when the fault ends.
+    // The target is stored, as another agent may drive the release when the fault ends.
     List<AgentProcess> affected = affectedAgents(fault);
     agentsByFault.put(fault, affected);
     affected.forEach(
--- a/src/main/java/beaconturn/rehearsal/MachinePauseDetector.java
+++ b/src/main/java/beaconturn/rehearsal/MachinePauseDetector.java
@@ -73,7 +73,7 @@
     }
   }
 
-  /** Records a pause that ended at a time, if it is long enough; pauses may overlap. */
+  /** Records a pause that ended at a time if the pause is long enough; pauses may overlap. */
   private void recordPause(long pauseNanos, long nowNanos) {
     if (pauseNanos > MIN_PAUSE_NANOS) {
       history.add(new HistoryEvent.MachinePaused(nowNanos - pauseNanos, nowNanos));
--- a/src/main/java/beaconturn/rehearsal/PipelinedClient.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClient.java
@@ -475,7 +475,7 @@
       try {
         openSocket.close();
       } catch (IOException e) {
-        // Nothing is left to do with a socket that fails to close.
+        // A socket that fails to close needs no further handling.
         return;
       }
     }
--- a/src/main/java/beaconturn/rehearsal/RandomClientScenario.java
+++ b/src/main/java/beaconturn/rehearsal/RandomClientScenario.java
@@ -108,7 +108,7 @@
     out.append(String.format(Locale.ROOT, format, values)).append(System.lineSeparator());
   }
 
-  /** With short deadlines a router is killed soon after a planned stop. */
+  /** Short deadlines, with which a router is killed soon after the start of a planned stop. */
   private void writeClasses(boolean shortDeadlines) {
     int deadlineMillis = shortDeadlines ? 150 + random.nextInt(350) : 800 + random.nextInt(1200);
     writeClass("level", "safe", 0.8, deadlineMillis, 400);
--- a/src/main/java/beaconturn/rehearsal/RandomScenario.java
+++ b/src/main/java/beaconturn/rehearsal/RandomScenario.java
@@ -47,7 +47,7 @@
           Fault.Kind.RESET,
           Fault.Kind.STALL);
 
-  /** Faults that are drawn rarely, as no version comes into force after them. */
+  /** Faults that are drawn rarely, because no version comes into force after such a fault. */
   private static final List<Fault.Kind> FINAL_FAULT_KINDS =
       List.of(Fault.Kind.STORE_EMPTY, Fault.Kind.STORE_BACK);
 
--- a/src/main/java/beaconturn/rehearsal/RehearsalReport.java
+++ b/src/main/java/beaconturn/rehearsal/RehearsalReport.java
@@ -18,7 +18,7 @@
  * @param routerCpuNanos processor time of all routers
  * @param sendDelayP99Millis 99th percentile of how late requests were sent
  * @param pausedNanos how long the machine kept the process that runs the rehearsal from running
- * @param agreementSummary what only routers that agree have, or null
+ * @param agreementSummary figures of the agreement, or null if the routers share none
  */
 public record RehearsalReport(
     Scenario scenario,
@@ -36,7 +36,7 @@
   private static final double MAX_PAUSED_SHARE = 0.2;
 
   /**
-   * Figures of routers that agree.
+   * Figures of a rehearsal whose routers share a coordination store.
    *
    * @param versions the timeline of each configuration version
    * @param storeCallsPerSecond calls a second at the coordination store
--- a/src/main/java/beaconturn/rehearsal/ReleaseSectionReader.java
+++ b/src/main/java/beaconturn/rehearsal/ReleaseSectionReader.java
@@ -23,7 +23,7 @@
           "zone-drain",
           "zone-free");
 
-  /** Commands that are about one instance or site. */
+  /** Commands that take the name of one instance or site. */
   private static final List<String> COMMANDS_WITH_TARGET =
       List.of("drain", "undrain", "lost", "zone-drain", "zone-free");
 
--- a/src/main/java/beaconturn/rehearsal/RouterProcess.java
+++ b/src/main/java/beaconturn/rehearsal/RouterProcess.java
@@ -194,7 +194,7 @@
   /** Kills the process if its planned stop has not finished; its open requests are lost. */
   void killIfStillStopping() {
     if (stopping && running != null && running.isAlive()) {
-      // The end of the process is not counted as that of a planned stop any more.
+      // From here on the end of the process does not count as a planned stop.
       stopping = false;
       running.kill();
     }
@@ -251,7 +251,7 @@
    */
   void kill() {
     exitExpected = true;
-    // A planned stop that was announced before is overtaken by the kill.
+    // The kill replaces a planned stop that was announced before.
     stopping = false;
     long atNanos = clock.now();
     running.kill();
@@ -266,7 +266,7 @@
   void terminate() {
     exitExpected = true;
     if (running == null || !running.isAlive()) {
-      // Killed by a fault and not restarted before the end of the run.
+      // A fault killed the router, which was not restarted before the end of the run.
       return;
     }
     stopping = true;
@@ -324,7 +324,7 @@
     }
   }
 
-  /** Cuts or slows the links to cache servers after the variant's healthy period. */
+  /** Cuts or slows the links to cache servers once the variant's healthy period is over. */
   private void degradeLater(RouterLauncher.RunningRouter process, FaultProxy.State degradedState) {
     Thread thread =
         new Thread(
--- a/src/main/java/beaconturn/rehearsal/Scenario.java
+++ b/src/main/java/beaconturn/rehearsal/Scenario.java
@@ -24,7 +24,7 @@
  * @param seed the seed of all random choices
  * @param lengthNanos how long clients send
  * @param fleet the cache servers
- * @param origin what the origin can do
+ * @param origin the capacity of the origin
  * @param listLagNanos how long after a change discovery lists it
  * @param routingSettings the settings of all routers
  * @param requestClasses the request classes
@@ -36,7 +36,7 @@
  * @param release the release, or null
  * @param operatorCommands the commands of operators, other than proposals and the start of the
  *     release
- * @param zones what operators configure about zones, or null
+ * @param zones the zones of the fleet and their limits, or null
  */
 public record Scenario(
     String name,
--- a/src/main/java/beaconturn/rehearsal/ScheduledRequest.java
+++ b/src/main/java/beaconturn/rehearsal/ScheduledRequest.java
@@ -8,7 +8,7 @@
  * @param stream the index of the clients that it belongs to
  * @param requestClass its class
  * @param key the key that it reads or writes
- * @param randomBits decides everything random about it, so that a rehearsal can be repeated
+ * @param randomBits seeds all random choices about the request, so that runs are reproducible
  */
 record ScheduledRequest(
     int number,
--- a/src/main/java/beaconturn/rehearsal/SilentClients.java
+++ b/src/main/java/beaconturn/rehearsal/SilentClients.java
@@ -93,7 +93,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      // Nothing is left to do with a socket that fails to close.
+      // A socket that fails to close needs no further handling.
       return;
     }
   }
--- a/src/main/java/beaconturn/rehearsal/StolenTime.java
+++ b/src/main/java/beaconturn/rehearsal/StolenTime.java
@@ -29,12 +29,12 @@
     try {
       return Files.exists(STAT_FILE) ? nanosSinceLastCall(Files.readAllLines(STAT_FILE)) : 0;
     } catch (IOException e) {
-      // As on a machine that does not report stolen time.
+      // Treated like a machine that does not report stolen time.
       return 0;
     }
   }
 
-  /** As {@link #nanosSinceLastCall()}, for the lines of {@code /proc/stat}. */
+  /** Like {@link #nanosSinceLastCall()}, for the given lines of {@code /proc/stat}. */
   long nanosSinceLastCall(List<String> lines) {
     long maxTicks = 0;
     for (String line : lines) {
--- a/src/main/java/beaconturn/rehearsal/fleet/ProxyConnection.java
+++ b/src/main/java/beaconturn/rehearsal/fleet/ProxyConnection.java
@@ -148,7 +148,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // Nothing is left to do with a socket that fails to close.
+      // A socket that fails to close needs no further handling.
       return;
     }
   }
--- a/src/main/java/beaconturn/standin/ObjectCache.java
+++ b/src/main/java/beaconturn/standin/ObjectCache.java
@@ -8,7 +8,7 @@
  * time to live. Expired objects are dropped when they are looked up.
  */
 final class ObjectCache {
-  /** Accounted for each object beside its value, so that many small objects are not free. */
+  /** Bytes accounted for each object in addition to its value, as small objects have overhead. */
   static final int OVERHEAD_BYTES = 64;
 
   private final long capacityBytes;
--- a/src/main/java/beaconturn/standin/OriginModel.java
+++ b/src/main/java/beaconturn/standin/OriginModel.java
@@ -29,7 +29,7 @@
   private final List<Call> running = new ArrayList<>();
   private final Queue<Call> waiting = new ArrayDeque<>();
 
-  /** The collapse that is due unless the load falls before it, or null. */
+  /** The scheduled collapse, which is cancelled if the load falls before it; null if none. */
   private EventScheduler.Task collapse;
 
   private double slowdown = 1;
--- a/src/main/java/beaconturn/standin/net/LoopbackPorts.java
+++ b/src/main/java/beaconturn/standin/net/LoopbackPorts.java
@@ -14,8 +14,8 @@
  * Assigns loopback ports below the kernel's ephemeral range, each once in many thousand
  * assignments.
  *
- * <p>An ephemeral port may be called by clients of its last owner, such as a router whose discovery
- * has ended; a stand-in on that port would take them for its own clients.
+ * <p>Clients of the last owner of an ephemeral port, such as a router whose discovery has ended,
+ * may still connect to that port; a stand-in on that port would treat them as its own clients.
  */
 public final class LoopbackPorts {
   private static final int FIRST_PORT = 15_000;
@@ -35,7 +35,7 @@
     /**
      * Binds to an address.
      *
-     * @throws BindException if the address is in use; another attempt is made
+     * @throws BindException if the address is in use; the caller then retries
      */
     T bind(InetSocketAddress address) throws IOException;
   }
@@ -80,7 +80,7 @@
           new InetSocketAddress(
               "127.0.0.1", FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), PORT_COUNT));
       try (ServerSocket probe = new ServerSocket()) {
-        // Also skips ports that are only reserved for a process that is down.
+        // This also skips ports that are only reserved for a process that is down.
         probe.setReuseAddress(false);
         probe.bind(address);
       } catch (BindException e) {
@@ -89,7 +89,7 @@
       try {
         return binding.bind(address);
       } catch (BindException e) {
-        // Taken by another process since the probe.
+        // Another process has bound the port since the probe.
       }
     }
     throw new IOException(
--- a/src/main/java/beaconturn/standin/net/NonBlockingConnection.java
+++ b/src/main/java/beaconturn/standin/net/NonBlockingConnection.java
@@ -26,8 +26,8 @@
   private long firstByteNanos;
 
   /**
-   * Since when nothing was read, or -1. The input that is read next may have been received at any
-   * time since then.
+   * Time since which nothing was read, or -1. The next input may have been received at any time
+   * since then.
    */
   private long unreadSinceNanos = -1;
 
