--- a/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
+++ b/src/main/java/beaconturn/rehearsal/FleetEnvironment.java
@@ -61,7 +61,7 @@
   private final History history;
   private final StoreProcess store;
 
-  /** Returns the version of discovery's current endpoint list. */
+  /** Supplies the version of discovery's current endpoint list. */
   private final LongSupplier currentListVersion;
 
   private final List<FaultProxy> storeLinks = new ArrayList<>();
@@ -568,7 +568,7 @@
       return;
     }
     if (fault.kind().target() == Fault.Target.STORE) {
-      orderStore(
+      executeStoreCommand(
           switch (fault.kind()) {
             case STORE_DOWN -> "down";
             case STORE_SLOW -> "slow " + (long) fault.amount() / NANOS_PER_MILLI;
@@ -606,9 +606,9 @@
   /** Ends a fault; harmless if the fault has not started or has already ended. */
   void endFault(Scenario.FaultSpec fault) {
     switch (fault.kind()) {
-      case STORE_DOWN -> orderStore("up");
-      case STORE_SLOW -> orderStore("slow 0");
-      case STORE_STALE -> orderStore("thaw");
+      case STORE_DOWN -> executeStoreCommand("up");
+      case STORE_SLOW -> executeStoreCommand("slow 0");
+      case STORE_STALE -> executeStoreCommand("thaw");
       case STORE_EMPTY, STORE_BACK -> {}
       case AGENT_KILL, AGENT_PAUSE -> endAgentFault(fault);
       default -> affectedLinks(fault).forEach(link -> setLinkState(link, FaultProxy.State.OPEN, 0));
@@ -665,7 +665,7 @@
     return links;
   }
 
-  private void orderStore(String command) {
+  private void executeStoreCommand(String command) {
     try {
       store.execute(command);
     } catch (IOException e) {
--- a/src/main/java/beaconturn/rehearsal/OpenLoopClients.java
+++ b/src/main/java/beaconturn/rehearsal/OpenLoopClients.java
@@ -12,8 +12,9 @@
 import java.util.stream.IntStream;
 
 /**
- * All clients of a rehearsal behind their front. Sends each scheduled request at its time whatever
- * becomes of earlier ones, retries as clients do, and avoids routers that the front considers down.
+ * All clients of a rehearsal behind a front that selects their router. Sends each scheduled request
+ * at its time regardless of the outcome of earlier requests, retries as clients do, and avoids
+ * routers that the front considers down.
  */
 final class OpenLoopClients implements SequentialClient.AttemptListener {
   private static final long NANOS_PER_MILLI = 1_000_000;
--- a/src/main/java/beaconturn/rehearsal/PipelinedClient.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClient.java
@@ -26,7 +26,7 @@
  * responses in the order of the commands.
  *
  * <p>A request counts as sent once its own last byte is written. When the router closes the
- * connection, the open commands count as crossing the close if the first of them started a batch of
+ * connection, the open commands count as racing the close if the first of them started a batch of
  * which no command has a response; otherwise they are recorded as disconnected, a violation.
  */
 final class PipelinedClient {
@@ -39,7 +39,7 @@
 
   private static final int MAX_PIECES = 4;
   private static final int MAX_PIECE_GAP_MILLIS = 90;
-  private static final int MAX_DELAY_BEFORE_LEAVING_MILLIS = 40;
+  private static final int MAX_DISCONNECT_DELAY_MILLIS = 40;
 
   /** Complete commands, each invalid in a different way. */
   private static final List<String> INVALID_COMMANDS =
@@ -154,8 +154,8 @@
       for (List<Command> batch = gatherBatch(); !batch.isEmpty(); batch = gatherBatch()) {
         sendBatch(batch);
         if (random.nextDouble() < usage.disconnectShare()) {
-          Thread.sleep(random.nextInt(MAX_DELAY_BEFORE_LEAVING_MILLIS));
-          leave();
+          Thread.sleep(random.nextInt(MAX_DISCONNECT_DELAY_MILLIS));
+          disconnect();
           return;
         }
       }
@@ -299,10 +299,10 @@
     }
   }
 
-  private void readResponses(Socket stream) {
+  private void readResponses(Socket connection) {
     try {
       while (true) {
-        RespValue value = readValue(stream.getInputStream());
+        RespValue value = readValue(connection.getInputStream());
         if (value == null) {
           break;
         }
@@ -317,7 +317,7 @@
         handleResponse(command, value);
       }
     } catch (IOException | ProtocolException e) {
-      // The open commands end with the connection.
+      // handleClosed reports the outcome of the open commands.
       handleClosed(true);
       return;
     }
@@ -363,7 +363,7 @@
   }
 
   /** Closes the connection with commands open, by a reset or an orderly close. */
-  private void leave() throws IOException {
+  private void disconnect() throws IOException {
     Socket openSocket;
     synchronized (this) {
       openSocket = socket;
@@ -416,19 +416,19 @@
     }
     close();
     long nowNanos = clock.now();
-    // Crossing is recorded with its times, by which the invariants judge it.
-    boolean crossed = byRouter && !interrupted.isEmpty() && interrupted.get(0).firstOfBatch;
+    // A raced close is recorded with its times, from which invariants decide if it is allowed.
+    boolean racedClose = byRouter && !interrupted.isEmpty() && interrupted.get(0).firstOfBatch;
     for (Command command : interrupted) {
       if (command.attempt != null) {
-        reportInterrupted(command, nowNanos, crossed, command == interrupted.get(0));
+        reportInterrupted(command, nowNanos, racedClose, command == interrupted.get(0));
       }
     }
     unsentAttempts.forEach(listener::connectionClosed);
   }
 
   private void reportInterrupted(
-      Command command, long nowNanos, boolean crossed, boolean isFirstOpen) {
-    boolean rejectedUnread = crossed && connectionLimited && lastResponseNanos == 0;
+      Command command, long nowNanos, boolean racedClose, boolean isFirstOpen) {
+    boolean rejectedUnread = racedClose && connectionLimited && lastResponseNanos == 0;
     if (!command.written && command.firstByteNanos != 0 && !rejectedUnread) {
       history.add(
           new HistoryEvent.ConnectionClosedWhileWriting(
@@ -438,7 +438,7 @@
               command.firstByteNanos,
               isFirstOpen));
     }
-    if (crossed) {
+    if (racedClose) {
       if (command.written) {
         history.add(
             new HistoryEvent.RequestRacedClose(
--- a/src/main/java/beaconturn/rehearsal/SequentialClient.java
+++ b/src/main/java/beaconturn/rehearsal/SequentialClient.java
@@ -25,7 +25,7 @@
 
   private static final int STACK_BYTES = 192 * 1024;
 
-  /** How long after its deadline a response is still awaited, to be recorded as late. */
+  /** How long after its deadline a response is awaited, so that late responses are recorded. */
   private static final long LATE_RESPONSE_NANOS = 300 * NANOS_PER_MILLI;
 
   private final InetSocketAddress router;
@@ -56,7 +56,7 @@
   record AttemptResult(
       Attempt attempt, HistoryEvent.ClientOutcome outcome, long atNanos, long retryAfterNanos) {}
 
-  /** Receives the ends of attempts, on the client's thread. */
+  /** Receives the results of attempts, on the client's thread. */
   interface AttemptListener {
     void attemptEnded(SequentialClient client, AttemptResult result, boolean reusable);
 
@@ -228,7 +228,7 @@
     return value;
   }
 
-  /** Records every value that has arrived since the last response as one response too many. */
+  /** Records every value that has arrived since the last response as an additional response. */
   private void readUnsolicited() {
     try {
       while (socket != null && (input.size() > 0 || socket.getInputStream().available() > 0)) {
