--- a/src/main/java/beaconturn/cli/RandomSearchRunner.java
+++ b/src/main/java/beaconturn/cli/RandomSearchRunner.java
@@ -43,7 +43,7 @@
   private int failedRuns;
   private long checkedCases;
   private long longestContradictionNanos;
-  private long statedNanos;
+  private long maxStalenessNanos;
   private final SortedMap<String, Integer> releaseOutcomes = new TreeMap<>();
 
   RandomSearchRunner(
@@ -114,7 +114,7 @@
           "%d routers each; longest contradiction %.0f ms of %.0f ms stated," + " %d chances%n",
           routers,
           longestContradictionNanos / NANOS_PER_MILLI,
-          statedNanos / NANOS_PER_MILLI,
+          maxStalenessNanos / NANOS_PER_MILLI,
           checkedCases);
     }
     if (kind == RandomScenario.Kind.RELEASES) {
@@ -172,7 +172,7 @@
       }
     }
     releaseOutcomes.merge(report.releaseOutcome(), 1, Integer::sum);
-    statedNanos =
+    maxStalenessNanos =
         report.scenario().agreement() == null
             ? 0
             : report.scenario().agreement().timing().maxStalenessNanos();
--- a/src/main/java/beaconturn/history/DrainGrace.java
+++ b/src/main/java/beaconturn/history/DrainGrace.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Returns when a router received a notification. One that was written while the link was cut or
-   * delayed is received once the link works again.
+   * Returns when a router received a notification. A notification that was written while the link
+   * was cut or delayed is received once the link works again.
    */
   private static long receivedNanos(HistoryIndex history, HistoryEvent.RouterNotified notified) {
     boolean prompt = true;
--- a/src/main/java/beaconturn/history/VersionTransition.java
+++ b/src/main/java/beaconturn/history/VersionTransition.java
@@ -102,7 +102,7 @@
     return state != HistoryEvent.ListingState.READY;
   }
 
-  /** Returns whether an earlier attempt of the request may have run by the time of this one. */
+  /** Returns whether an earlier attempt of the request may have run before the given one. */
   private boolean isRepeat(RequestRecord request, HistoryEvent.AttemptArrived attempt) {
     List<HistoryEvent.AttemptArrived> attempts = request.attempts();
     return attempts.subList(0, indexOf(attempts, attempt)).stream()
--- a/src/main/java/beaconturn/standin/DiscoveryModel.java
+++ b/src/main/java/beaconturn/standin/DiscoveryModel.java
@@ -26,7 +26,7 @@
   private final Map<Integer, Set<String>> notifiedByRouter = new LinkedHashMap<>();
   private boolean unavailable;
   private long delayNanos;
-  private long lagNanos;
+  private long stalenessNanos;
 
   /**
    * A version of the list.
@@ -152,9 +152,9 @@
   /** Returns the version that calls see: the last one, or an older one while the list is stale. */
   private long visibleVersion() {
     long visibleVersion = versions.lastKey();
-    while (lagNanos > 0
+    while (stalenessNanos > 0
         && visibleVersion > 1
-        && versions.get(visibleVersion).createdNanos() > scheduler.now() - lagNanos) {
+        && versions.get(visibleVersion).createdNanos() > scheduler.now() - stalenessNanos) {
       visibleVersion--;
     }
     return visibleVersion;
@@ -269,7 +269,7 @@
 
   /** Makes the list stale by a time; 0 for the current list. */
   void setLagNanos(long nanos) {
-    lagNanos = nanos;
+    stalenessNanos = nanos;
     List.copyOf(watches).forEach(this::replyIfNewer);
   }
 
--- a/src/main/java/beaconturn/standin/net/CacheServerListeners.java
+++ b/src/main/java/beaconturn/standin/net/CacheServerListeners.java
@@ -95,7 +95,7 @@
 
     private ServerSocketChannel channel;
     private State state = State.LISTENS;
-    private boolean changing;
+    private boolean rebindScheduled;
 
     /**
      * Start and end of the last silence. A peer's kernel retransmits what it sent during the
@@ -166,14 +166,14 @@
       silentUntilNanos = state == State.SILENT ? loop.scheduler().now() : silentUntilNanos;
       silentFromNanos = wanted == State.SILENT ? loop.scheduler().now() : silentFromNanos;
       state = wanted;
-      if (!changing) {
-        changing = true;
+      if (!rebindScheduled) {
+        rebindScheduled = true;
         loop.nextTurn(this::rebind);
       }
     }
 
     private void rebind() {
-      changing = false;
+      rebindScheduled = false;
       try {
         switch (state) {
           case LISTENS ->
@@ -186,7 +186,7 @@
       }
     }
 
-    /** Listens with a backlog that is full, so that the kernel drops every other connection. */
+    /** Listens with a backlog that is full, so that the kernel drops all further connections. */
     private void dropConnections() throws IOException {
       channel = ServerSocketChannel.open();
       LoopbackPorts.rebind(address, own -> channel.bind(own, FULL_BACKLOG));
--- a/src/main/java/beaconturn/standin/net/NonBlockingConnection.java
+++ b/src/main/java/beaconturn/standin/net/NonBlockingConnection.java
@@ -48,9 +48,9 @@
     updateInterest();
   }
 
-  /** Declares that the first input may have been sent at any time since the given one. */
-  void setUnreadSince(long nanos) {
-    unreadSinceNanos = nanos;
+  /** Declares that the first input may have been sent at any time since the given time. */
+  void setUnreadSince(long sinceNanos) {
+    unreadSinceNanos = sinceNanos;
   }
 
   /** Consumes all complete messages of the buffer. */
@@ -114,7 +114,7 @@
         return;
       }
       if (count < room) {
-        // All available input was read. A close behind it is seen in the next turn, which the
+        // All available input was read. A close that follows is seen in the next turn, which the
         // invariants allow for.
         return;
       }
--- a/src/main/java/beaconturn/standin/net/RespSession.java
+++ b/src/main/java/beaconturn/standin/net/RespSession.java
@@ -24,7 +24,7 @@
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /**
-   * Items of a C.GET command: name, key, request id, attributes. C.SET has the value behind them.
+   * Items of a C.GET command: name, key, request id, attributes. C.SET has a fifth item, the value.
    */
   private static final int READ_ITEM_COUNT = 4;
 
--- a/src/main/java/beaconturn/standin/net/StoreSession.java
+++ b/src/main/java/beaconturn/standin/net/StoreSession.java
@@ -193,6 +193,6 @@
 
   @Override
   protected void connectionClosed() {
-    // Delayed calls are executed all the same, as by a real store; only their replies are lost.
+    // Delayed calls are still executed, as by a real store; only their replies are lost.
   }
 }
