--- a/src/main/java/beaconturn/rehearsal/ClientStatistics.java
+++ b/src/main/java/beaconturn/rehearsal/ClientStatistics.java
@@ -79,10 +79,10 @@
   synchronized List<ClassSummary> summaries() {
     List<ClassSummary> summaries = new ArrayList<>();
     classCounters.forEach(
-        (type, counters) ->
+        (className, counters) ->
             summaries.add(
                 new ClassSummary(
-                    type,
+                    className,
                     counters.requests,
                     counters.attempts,
                     count(counters, HistoryEvent.ClientOutcome.SERVED),
--- a/src/main/java/beaconturn/rehearsal/RandomClientScenario.java
+++ b/src/main/java/beaconturn/rehearsal/RandomClientScenario.java
@@ -18,7 +18,7 @@
 final class RandomClientScenario {
   private static final int LENGTH_MILLIS = 8000;
 
-  /** Minimal time before the first fault, and minimal length of faults. */
+  /** Minimum time before the first fault; minimum length of a fault. */
   private static final int MIN_INTERVAL_MILLIS = 400;
 
   private static final int LATEST_FAULT_START_MILLIS = 6500;
--- a/src/main/java/beaconturn/rehearsal/RandomScenario.java
+++ b/src/main/java/beaconturn/rehearsal/RandomScenario.java
@@ -18,7 +18,7 @@
 public final class RandomScenario {
   private static final long DEFAULT_LENGTH_MILLIS = 12_000;
 
-  /** Minimal time before the first fault, between commands, and of faults. */
+  /** Minimum time before the first fault and between commands; minimum length of a fault. */
   private static final long MIN_INTERVAL_MILLIS = 500;
 
   private static final int CACHE_SERVER_COUNT = 6;
--- a/src/main/java/beaconturn/rehearsal/TextReport.java
+++ b/src/main/java/beaconturn/rehearsal/TextReport.java
@@ -171,7 +171,7 @@
   }
 
   private void writeCrossZoneTraffic() {
-    CrossZoneTraffic crossings = report.crossZoneTraffic();
+    CrossZoneTraffic crossZoneTraffic = report.crossZoneTraffic();
     int seconds = (int) Math.ceil(report.scenario().lengthNanos() / NANOS_PER_SECOND);
     double worstWindowShare =
         new ServedBySecond(report.events(), report.startNanos(), seconds).worstWindowShare();
@@ -180,21 +180,21 @@
             + " the first trouble; at most %.2f times what its cache servers can do in"
             + " a second (%s); %d"
             + " calls at the origin; worst ten seconds %.1f %% served",
-        100 * crossings.remoteShare(),
-        100 * crossings.remoteShareBeforeFaults(),
-        crossings.peakLoad(),
-        crossings.busiestZone(),
-        crossings.originFetches(),
+        100 * crossZoneTraffic.remoteShare(),
+        100 * crossZoneTraffic.remoteShareBeforeFaults(),
+        crossZoneTraffic.peakLoad(),
+        crossZoneTraffic.busiestZone(),
+        crossZoneTraffic.originFetches(),
         100 * worstWindowShare);
-    if (crossings.firstPlanDelayNanos() >= 0) {
+    if (crossZoneTraffic.firstPlanDelayNanos() >= 0) {
       append(
           "; the first plan %.1f s after the trouble",
-          crossings.firstPlanDelayNanos() / NANOS_PER_SECOND);
+          crossZoneTraffic.firstPlanDelayNanos() / NANOS_PER_SECOND);
     }
-    if (crossings.recoveryPlanDelayNanos() >= 0) {
+    if (crossZoneTraffic.recoveryPlanDelayNanos() >= 0) {
       append(
           "; the last %.1f s after its end%n",
-          crossings.recoveryPlanDelayNanos() / NANOS_PER_SECOND);
+          crossZoneTraffic.recoveryPlanDelayNanos() / NANOS_PER_SECOND);
     } else {
       out.append('\n');
     }
--- a/src/test/java/beaconturn/rehearsal/AgreementRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/AgreementRehearsalTest.java
@@ -99,9 +99,9 @@
         });
   }
 
-  /** Guards against a pass although a trigger was never met and its fault never injected. */
+  /** Guards against a rehearsal that passes although one of its faults was not injected. */
   @Test
-  void failsIfAFaultNeverStarted() throws Exception {
+  void failsIfFaultNeverStarted() throws Exception {
     String scenarioText =
         SCENARIO
             .replace("length = \"15s\"", "length = \"1s\"")
--- a/src/test/java/beaconturn/rehearsal/ReleaseRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/ReleaseRehearsalTest.java
@@ -90,7 +90,7 @@
         });
   }
 
-  /** Two of the scenario's six cache servers, to save time. */
+  /** Releases two of the scenario's six cache servers, to save time. */
   @Test
   void restartsCacheServersOneAfterAnotherAsTheyWarmUp() throws Exception {
     runWithoutViolation(
--- a/src/test/java/beaconturn/rehearsal/ZoneRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/ZoneRehearsalTest.java
@@ -121,8 +121,8 @@
   }
 
   /**
-   * A router that ignores the weights is named by the invariants; one that reports all servers as
-   * ejected moves no traffic.
+   * A router that ignores the weights is named by the invariants; a router that reports all servers
+   * as ejected moves no traffic.
    */
   @ParameterizedTest
   @EnumSource(Defect.class)
