--- a/src/main/java/beaconturn/core/AttemptMetrics.java
+++ b/src/main/java/beaconturn/core/AttemptMetrics.java
@@ -28,12 +28,12 @@
       return;
     }
     AttemptOutcome outcome = result.outcome();
-    boolean responded = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
+    boolean succeeded = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
     long tookNanos = result.endedAtNanos() - attempt.sentAtNanos();
     boolean late = tookNanos > entry.latencyObjectiveNanos();
     CacheLookup lookup = lookup(result.cacheStatus());
     for (RequestMetrics metrics : sinks) {
-      metrics.attemptEnded(attempt.serverId(), responded, lookup, tookNanos, late);
+      metrics.attemptEnded(attempt.serverId(), succeeded, lookup, tookNanos, late);
     }
   }
 
--- a/src/main/java/beaconturn/core/AttemptRunner.java
+++ b/src/main/java/beaconturn/core/AttemptRunner.java
@@ -36,13 +36,14 @@
       enqueueNotSent(policy, requestId, serverId, entry);
       return;
     }
-    long now = context.clock().now();
+    long nowNanos = context.clock().now();
     if (!entry.attempts().isEmpty()) {
-      context.eventLog().retried(entry, () -> serverName(serverId), now);
+      context.eventLog().retried(entry, () -> serverName(serverId), nowNanos);
     }
-    long leftNanos = Math.max(0, entry.request().deadlineNanos() - now);
+    long leftNanos = Math.max(0, entry.request().deadlineNanos() - nowNanos);
     long allowedNanos = timeoutNanos == 0 ? leftNanos : Math.min(leftNanos, timeoutNanos);
-    OutboundAttempt attempt = context.requests().addAttempt(entry, serverId, now, allowedNanos);
+    OutboundAttempt attempt =
+        context.requests().addAttempt(entry, serverId, nowNanos, allowedNanos);
     attempt.setTimeoutTimer(
         context.timers().at(attempt.timesOutAtNanos(), () -> timedOut(attempt)));
     if (!context.servers().send(attempt)) {
--- a/src/main/java/beaconturn/core/ClientRequest.java
+++ b/src/main/java/beaconturn/core/ClientRequest.java
@@ -18,7 +18,10 @@
     return "unknown";
   }
 
-  /** The settings that the request was read under, which define its class; null for the current. */
+  /**
+   * The settings that the request was read under, which define its class; null for the current
+   * settings.
+   */
   default RoutingSettings settings() {
     return null;
   }
@@ -32,7 +35,8 @@
   long deadlineNanos();
 
   /**
-   * Encodes the request for a cache server, with {@code waitMillis} as the time limit it states.
+   * Encodes the request for a cache server; {@code waitMillis} is the time limit stated in the
+   * encoded request.
    */
   List<Slice> encode(long waitMillis);
 
@@ -46,10 +50,10 @@
     throw new UnsupportedOperationException("the protocol does not stream responses");
   }
 
-  /** Forwards a cache server's response to the client; null if it has been streamed. */
+  /** Forwards a cache server's response to the client; null if the response was streamed. */
   void respond(Slice response);
 
-  /** Rejects the request; the client may retry after that time, 0 for no advice. */
+  /** Rejects the request; the client may retry after {@code retryAfterNanos}, 0 for no advice. */
   void reject(long retryAfterNanos);
 
   /** Sends the client an error response. */
--- a/src/main/java/beaconturn/core/EventDispatcher.java
+++ b/src/main/java/beaconturn/core/EventDispatcher.java
@@ -39,7 +39,7 @@
   void deliver(HostedPolicy recipient, RoutingEvent event) {
     enqueue(recipient, event);
     if (queue.size() > 1) {
-      // The loop of an outer call delivers it.
+      // An outer call of this method delivers the queued event.
       return;
     }
     while (!queue.isEmpty()) {
--- a/src/main/java/beaconturn/core/PolicyGenerations.java
+++ b/src/main/java/beaconturn/core/PolicyGenerations.java
@@ -39,11 +39,11 @@
   void replace(RoutingSettings settings, long seed, long nowNanos) {
     policies.removeIf(policy -> policy.isObsolete(nowNanos));
     HostedPolicy last = current();
-    if (!(last.policy() instanceof RingRouter before)) {
+    if (!(last.policy() instanceof RingRouter predecessor)) {
       throw new IllegalStateException("only a RingRouter policy can be replaced");
     }
     last.markReplaced(nowNanos);
-    add(settings, out -> new RingRouter(settings, seed, nowNanos, out, before));
+    add(settings, out -> new RingRouter(settings, seed, nowNanos, out, predecessor));
   }
 
   /** The policy for new requests. */
--- a/src/main/java/beaconturn/core/RepeatedEventLog.java
+++ b/src/main/java/beaconturn/core/RepeatedEventLog.java
@@ -28,7 +28,7 @@
     note(nowNanos, "");
   }
 
-  /** Records an occurrence of the event; its reason is logged if it opens a series. */
+  /** Records an occurrence of the event; the reason is logged if the occurrence starts a series. */
   public void note(long nowNanos, String reason) {
     check(nowNanos);
     if (count == 0) {
@@ -48,7 +48,7 @@
     }
   }
 
-  /** Ends the series if the last event is more than 10 s ago. To be called periodically. */
+  /** Ends the series if the last event is at least 10 s ago. To be called periodically. */
   public void check(long nowNanos) {
     if (count > 0 && nowNanos - lastAtNanos >= SERIES_GAP_NANOS) {
       end();
--- a/src/main/java/beaconturn/core/RequestEventLog.java
+++ b/src/main/java/beaconturn/core/RequestEventLog.java
@@ -7,8 +7,8 @@
 
 /**
  * Logs rejections, failures and retries of requests, each with the request's id, the reason and the
- * outcomes of its attempts so far. Lines of single requests are rate-limited; series of rejections
- * or failures are summarized when they end. Confined to the routing thread.
+ * outcomes of its attempts so far. Lines of single requests are rate-limited; the start and the end
+ * of a series of rejections or failures are always logged. Confined to the routing thread.
  */
 final class RequestEventLog {
   private static final Logger LOG = Logger.getLogger(RoutingEngine.class.getName());
--- a/src/main/java/beaconturn/core/RoutingEngine.java
+++ b/src/main/java/beaconturn/core/RoutingEngine.java
@@ -139,7 +139,7 @@
   }
 
   private void requestReceived(ClientRequest request) {
-    long now = context.clock().now();
+    long nowNanos = context.clock().now();
     context.metrics().requestReceived();
     HostedPolicy policy = stopping ? null : policies.of(request);
     if (policy == null) {
@@ -156,7 +156,7 @@
                 request,
                 policy,
                 added -> context.timers().at(responseDeadlineNanos, () -> failUnanswered(added)));
-    deliver(policy, arrivalOf(entry, now));
+    deliver(policy, arrivalOf(entry, nowNanos));
   }
 
   private static RoutingEvent.RequestArrived arrivalOf(
@@ -235,8 +235,8 @@
 
   /** The time until the next timer is due, at most {@code maxNanos}. */
   public long untilNextTimerNanos(long maxNanos) {
-    long now = context.clock().now();
-    return Math.max(0, context.timers().next(now + maxNanos) - now);
+    long nowNanos = context.clock().now();
+    return Math.max(0, context.timers().next(nowNanos + maxNanos) - nowNanos);
   }
 
   /** The number of requests that have no response yet. */
--- a/src/main/java/beaconturn/core/RoutingMessage.java
+++ b/src/main/java/beaconturn/core/RoutingMessage.java
@@ -41,7 +41,8 @@
    *
    * @param serverId the cache server
    * @param excluded whether the server is excluded from now on
-   * @param atNanos when the exclusion is lifted: the server's start time for its slow start
+   * @param atNanos when the operator made the change; the slow start of a readmitted server counts
+   *     from then
    * @param allowUnlisted whether the override applies even if no server with that id is listed
    * @param onApplied called on the routing thread with whether the override was applied
    */
--- a/src/main/java/beaconturn/core/TimerQueue.java
+++ b/src/main/java/beaconturn/core/TimerQueue.java
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Schedules the action at that time of the router's clock. */
+  /** Schedules the action for {@code timeNanos}, by the router's clock. */
   Timer at(long timeNanos, Runnable action) {
     Timer timer = new Timer(timeNanos, timersCreated++, action);
     queue.add(timer);
--- a/src/main/java/beaconturn/decision/AdmissionController.java
+++ b/src/main/java/beaconturn/decision/AdmissionController.java
@@ -11,8 +11,8 @@
   private static final double SLOW_OBJECTIVE_SHARE = 0.5;
 
   /**
-   * The same for fetches through a cache in read-through mode: they include the work of the cache
-   * and take half of the objective even without load.
+   * Fraction of the latency objective beyond which fetches through a read-through cache count as
+   * slow. Such fetches include the work of the cache and take half of the objective without load.
    */
   private static final double SLOW_OBJECTIVE_SHARE_READ_THROUGH = 0.8;
 
--- a/src/main/java/beaconturn/decision/AttemptFeedback.java
+++ b/src/main/java/beaconturn/decision/AttemptFeedback.java
@@ -80,9 +80,9 @@
   }
 
   /**
-   * Whether the outcome counts as a health sample of the cache. It does not if the key is at fault.
-   * An attempt already counted as late counts again only if it succeeds with a fetch that was on
-   * time: the delay was then the origin's, and the success offsets the failed sample.
+   * Whether the outcome counts as a health sample of the cache. Errors of a key at fault do not. An
+   * attempt already counted as late counts again only if it succeeds with a fetch that was on time:
+   * the delay was then the origin's, and the success offsets the failed sample.
    */
   private boolean isHealthSample(
       RequestState request, AttemptState attempt, AttemptOutcome outcome, boolean fetchedInTime) {
--- a/src/main/java/beaconturn/decision/AttemptState.java
+++ b/src/main/java/beaconturn/decision/AttemptState.java
@@ -16,8 +16,8 @@
   /**
    * Creates an attempt that is sent now.
    *
-   * @param fetchesFromOrigin whether it goes to the origin, or to a cache that is expected to fetch
-   *     from the origin
+   * @param fetchesFromOrigin whether the attempt goes to the origin, or to a cache that is expected
+   *     to fetch from the origin
    */
   AttemptState(ServerState server, long sentAtNanos, boolean toCache, boolean fetchesFromOrigin) {
     this.server = server;
@@ -59,7 +59,10 @@
     provenWithoutEffect = outcome.provesNoEffect();
   }
 
-  /** Whether the server is still working on it: until its response starts or the attempt ends. */
+  /**
+   * Whether the server is still processing the attempt: until the response starts or the attempt
+   * ends.
+   */
   boolean isBeingServed() {
     return beingServed;
   }
@@ -68,12 +71,12 @@
     beingServed = false;
   }
 
-  /** Whether it has ended and certainly had no effect. */
+  /** Whether the attempt has ended and certainly had no effect. */
   boolean isProvenWithoutEffect() {
     return provenWithoutEffect;
   }
 
-  /** Whether it was counted as a failed health sample for being late. */
+  /** Whether the attempt was counted as a failed health sample for being late. */
   boolean isCountedLate() {
     return countedLate;
   }
@@ -82,7 +85,7 @@
     countedLate = true;
   }
 
-  /** Whether its server has responded to no attempt since this one was sent. */
+  /** Whether the server has responded to no attempt since this attempt was sent. */
   boolean isServerUnresponsiveSinceSend() {
     return server.responses() == responsesAtSend;
   }
--- a/src/main/java/beaconturn/decision/ConnectionFailures.java
+++ b/src/main/java/beaconturn/decision/ConnectionFailures.java
@@ -11,7 +11,7 @@
   private final EventClock clock;
   private final SplittableRandom random;
 
-  /** Moving average of failed connections among all that were needed, 0 to 1. */
+  /** Share of failures among attempts that needed a new connection, as a moving average, 0 to 1. */
   private double failureShare;
 
   ConnectionFailures(RoutingPermissions permissions, EventClock clock, SplittableRandom random) {
--- a/src/main/java/beaconturn/decision/EndpointWatch.java
+++ b/src/main/java/beaconturn/decision/EndpointWatch.java
@@ -9,8 +9,8 @@
 final class EndpointWatch {
   /**
    * Longest delay before the list is requested again. A change has to reach the router within 6 s
-   * after discovery is reachable, which covers, twice over, a call that hangs, this delay and a
-   * call that waits in a queue.
+   * after discovery is reachable. These 6 s have to fit two rounds of a call that hangs, this delay
+   * and a call that waits in a queue.
    */
   private static final long MAX_BACKOFF_NANOS = 1_200_000_000;
 
--- a/src/main/java/beaconturn/decision/KeyFailures.java
+++ b/src/main/java/beaconturn/decision/KeyFailures.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Decides at random whether a request for a key at fault is rejected: with N failed caches, all
-   * but one in N are. Draws from the random source only if the key is at fault.
+   * Decides at random whether a request for a key at fault is rejected: after failures at N caches,
+   * one request in N is admitted. Draws from the random source only if the key is at fault.
    */
   boolean isRejectionDrawn(long key, SplittableRandom random) {
     return isKeyAtFault(key) && random.nextDouble() * failedCaches(key) >= 1;
--- a/src/main/java/beaconturn/decision/KeySpread.java
+++ b/src/main/java/beaconturn/decision/KeySpread.java
@@ -9,7 +9,7 @@
   /** Fraction of a cache's even share of requests that a single key may use. */
   private static final double MAX_CAPACITY_SHARE = 0.5;
 
-  /** The same in cache-aside mode, where spreading a key costs few fetches. */
+  /** {@link #MAX_CAPACITY_SHARE} in cache-aside mode, where spreading a key costs few fetches. */
   private static final double MAX_CAPACITY_SHARE_CACHE_ASIDE = 0.17;
 
   /** Number of recent requests per cache over which a key's share is computed. */
--- a/src/main/java/beaconturn/decision/LoadBounds.java
+++ b/src/main/java/beaconturn/decision/LoadBounds.java
@@ -12,8 +12,8 @@
   private static final double MAX_EXCESS = 0.2;
 
   /**
-   * The same in read-through mode, where a request that overflows to the next cache becomes a
-   * fetch, occupies capacity there and pushes further requests on.
+   * {@link #MAX_EXCESS} in read-through mode, where a request that overflows to the next cache
+   * causes a fetch, which occupies capacity there and makes further requests overflow.
    */
   private static final double MAX_EXCESS_READ_THROUGH = 0.9;
 
--- a/src/main/java/beaconturn/decision/OutlierDetector.java
+++ b/src/main/java/beaconturn/decision/OutlierDetector.java
@@ -44,7 +44,7 @@
     return fleetFailureShare >= EJECTION_FAILURE_SHARE;
   }
 
-  /** Whether the whole fleet has half of that share. */
+  /** Whether the whole fleet has half the share of failed samples that makes it unhealthy. */
   boolean isFleetDegraded() {
     return fleetFailureShare >= EJECTION_FAILURE_SHARE / 2;
   }
--- a/src/main/java/beaconturn/decision/QuotaTracker.java
+++ b/src/main/java/beaconturn/decision/QuotaTracker.java
@@ -40,10 +40,10 @@
   }
 
   /**
-   * Counts a request; returns whether it exceeds its tenant's quota. It does if the tenant exceeds
-   * both this router's even part of the quota and its configured share of this router's traffic,
-   * since routers in busy zones receive more. Draws from the random source at a tenant's first
-   * request.
+   * Counts a request; returns whether the request exceeds its tenant's quota, which means that the
+   * tenant exceeds both this router's even part of the quota and the tenant's configured share of
+   * this router's traffic, since routers in busy zones receive more. Draws from the random source
+   * at a tenant's first request.
    */
   boolean isBeyondQuota(int tenantIndex) {
     if (tenantIndex >= usages.size() || settings.tenants().get(tenantIndex).quotaPerSecond() <= 0) {
--- a/src/main/java/beaconturn/decision/RequestCoordinator.java
+++ b/src/main/java/beaconturn/decision/RequestCoordinator.java
@@ -48,7 +48,7 @@
     long deadlineNanos = rules.clock.nowNanos() + arrival.remainingNanos();
     // In cache-aside mode, an attempt is cut off when its response has lost its value: the cache
     // would otherwise keep working on it and delay the next request. In read-through mode, cutting
-    // it off would discard the fetch.
+    // it off would waste the fetch of the cache.
     boolean cutAtObjective = cacheAside && requestClass.isWorthlessWhenLate();
     long dueNanos = cutAtObjective ? Math.min(deadlineNanos, objectiveEndNanos) : deadlineNanos;
     return new RequestState(
--- a/src/main/java/beaconturn/decision/RequestDispatcher.java
+++ b/src/main/java/beaconturn/decision/RequestDispatcher.java
@@ -4,9 +4,9 @@
 interface RequestDispatcher {
   /**
    * Sends the next attempt of the request, or gives the request up if {@link AttemptGuard} forbids
-   * it.
+   * the attempt.
    *
-   * @param fetchesFromOrigin whether the origin will be asked
+   * @param fetchesFromOrigin whether the attempt is expected to fetch from the origin
    */
   void send(RequestState request, ServerState server, boolean fetchesFromOrigin);
 
--- a/src/main/java/beaconturn/decision/RequestState.java
+++ b/src/main/java/beaconturn/decision/RequestState.java
@@ -75,12 +75,12 @@
     return times.deadlineNanos();
   }
 
-  /** Returns until when a response meets the latency objective. */
+  /** Returns the time until which a response meets the latency objective. */
   long objectiveEndNanos() {
     return times.objectiveEndNanos();
   }
 
-  /** Returns until when a response is of use. */
+  /** Returns the time until which a response is of use. */
   long dueNanos() {
     return times.dueNanos();
   }
@@ -142,7 +142,7 @@
     return null;
   }
 
-  /** Whether the request may be sent where it is likely to fail: it is unsent and idempotent. */
+  /** Whether the request may be sent to a trial zone: it is idempotent and has had no attempt. */
   boolean mayJoinTrial() {
     return attempts.isEmpty() && isIdempotent();
   }
@@ -192,7 +192,7 @@
     this.rerouting = rerouting;
   }
 
-  /** Whether the request is answered, given up or cancelled; attempts may still be open. */
+  /** Whether the request is completed, given up or cancelled; attempts may still be open. */
   boolean isDone() {
     return done;
   }
--- a/src/main/java/beaconturn/decision/ResponseTimes.java
+++ b/src/main/java/beaconturn/decision/ResponseTimes.java
@@ -6,8 +6,8 @@
  */
 final class ResponseTimes {
   /**
-   * A response is late beyond the mean plus this many mean deviations: 1 in 60 on an exponential
-   * tail.
+   * A response is late beyond the mean plus this many mean deviations: about 2 % of responses if
+   * their times are exponentially distributed.
    */
   private static final double LATE_DEVIATIONS = 4;
 
--- a/src/main/java/beaconturn/decision/RetryPolicy.java
+++ b/src/main/java/beaconturn/decision/RetryPolicy.java
@@ -14,7 +14,7 @@
   private final ResponseTimes times;
   private final RetryBudget budget;
 
-  /** Uses components of {@code rules} that are initialized before this one. */
+  /** Reads components of {@code rules} that must already be initialized. */
   RetryPolicy(RoutingPermissions permissions, RouterRules rules) {
     this.permissions = permissions;
     this.clock = rules.clock;
--- a/src/main/java/beaconturn/decision/RoutingActions.java
+++ b/src/main/java/beaconturn/decision/RoutingActions.java
@@ -8,7 +8,7 @@
   /** Starts the next attempt of the request, which times out after {@code timeoutNanos}. */
   void send(long requestId, long serverId, long timeoutNanos);
 
-  /** Cancels an attempt; its end is still reported as an event. */
+  /** Cancels an attempt; the end of the attempt is still reported as an event. */
   void cancel(long requestId, int attempt);
 
   /**
@@ -17,10 +17,10 @@
    */
   void reject(long requestId, long retryAfterNanos, GiveUpReason reason);
 
-  /** Completes the request as failed; it may or may not have had its effect. */
+  /** Completes the request as failed; its effect is unknown. */
   void fail(long requestId, GiveUpReason reason);
 
-  /** Requests a {@link RoutingEvent.TimerFired} that returns the token. */
+  /** Requests a {@link RoutingEvent.TimerFired} event with the token after the delay. */
   void setTimer(long delayNanos, long token);
 
   /** Subscribes to the endpoint list and its changes, or unsubscribes. */
--- a/src/main/java/beaconturn/decision/RoutingPolicy.java
+++ b/src/main/java/beaconturn/decision/RoutingPolicy.java
@@ -2,7 +2,7 @@
 
 import java.util.TreeMap;
 
-/** Decides for one router. Not thread-safe; instances share no state. */
+/** Makes the routing decisions of one router. Not thread-safe; instances share no state. */
 public interface RoutingPolicy {
   /** Handles one event at the given time of the host's monotonic clock. */
   void handle(long nowNanos, RoutingEvent event);
--- a/src/main/java/beaconturn/decision/ServerSelector.java
+++ b/src/main/java/beaconturn/decision/ServerSelector.java
@@ -20,7 +20,7 @@
   private final ServerChoice choice;
   private ZoneWeights zoneWeights = ZoneWeights.UNWEIGHTED;
 
-  /** Uses components of {@code rules} that are initialized before this one. */
+  /** Reads components of {@code rules} that must already be initialized. */
   ServerSelector(RoutingSettings settings, SplittableRandom random, RouterRules rules) {
     this.ring = rules.ring;
     this.guard = rules.guard;
--- a/src/main/java/beaconturn/decision/ServerState.java
+++ b/src/main/java/beaconturn/decision/ServerState.java
@@ -18,10 +18,10 @@
   private double rating;
   private long listedBootTimeNanos;
 
-  /** Latest possible time of its last start, by the router's own clock; 0 for long ago. */
+  /** Latest possible start time of the server, by the router's own clock; 0 for long ago. */
   private long startedAtNanos;
 
-  /** When an operator readmitted it; 0 if the endpoint list reports a later start. */
+  /** When an operator readmitted the server; 0 if the endpoint list reports a later start. */
   private long readmittedAtNanos;
 
   private long excludedAtNanos;
@@ -34,8 +34,8 @@
   private boolean unresponsive;
 
   /**
-   * Whether an advisory list removed the server while it was responsive; it stays in use until it
-   * is unresponsive.
+   * Whether an advisory list removed the server while it was responsive. Such a server stays in use
+   * until an attempt ends without a response.
    */
   private boolean removalUnconfirmed;
 
@@ -147,7 +147,8 @@
   }
 
   /**
-   * Returns when the warm-up started, by the list or by an operator's readmission; 0 for long ago.
+   * Returns when the warm-up started, at a listed start or at an operator's readmission; 0 for long
+   * ago.
    */
   long warmUpStartNanos() {
     return Math.max(readmittedAtNanos, startedAtNanos);
--- a/src/main/java/beaconturn/decision/Tenant.java
+++ b/src/main/java/beaconturn/decision/Tenant.java
@@ -1,7 +1,7 @@
 package beaconturn.decision;
 
 /**
- * One customer.
+ * Quota and traffic share of one tenant.
  *
  * @param quotaPerSecond requests per second over all routers; 0 for no quota
  * @param share expected fraction of all requests, 0 to 1
--- a/src/main/java/beaconturn/decision/TimerToken.java
+++ b/src/main/java/beaconturn/decision/TimerToken.java
@@ -1,8 +1,8 @@
 package beaconturn.decision;
 
 /**
- * Purpose of a timer, encoded as the token that returns when it fires: the kind in the low 2 bits,
- * then 6 bits for the attempt index, then the request id.
+ * Purpose of a timer, encoded in the token of its {@link RoutingEvent.TimerFired} event: the kind
+ * in the low 2 bits, then 6 bits for the attempt index, then the request id.
  *
  * @param kind what the timer is for
  * @param requestId the request; 0 for timers of the router itself
--- a/src/main/java/beaconturn/decision/WarmStartState.java
+++ b/src/main/java/beaconturn/decision/WarmStartState.java
@@ -28,7 +28,7 @@
                 fetchTimeNanos,
                 cacheLimit,
                 originLimit)
-            .allMatch(figure -> figure >= 0 && figure < Double.MAX_VALUE)
+            .allMatch(value -> value >= 0 && value < Double.MAX_VALUE)
         && cacheLimit > 0
         && originLimit > 0;
   }
--- a/src/main/java/beaconturn/sim/SimulatorCodec.java
+++ b/src/main/java/beaconturn/sim/SimulatorCodec.java
@@ -103,7 +103,7 @@
     int options = WireFields.unsignedShort(in);
     double size = in.getFloat();
     if (requestClass >= settings.classes().size()) {
-      throw new SimulatorProtocolException("class " + requestClass + " out of range");
+      throw new SimulatorProtocolException("request class " + requestClass + " out of range");
     }
     if (tenant != 0 && (tenant < 0 || tenant >= settings.tenants().size())) {
       throw new SimulatorProtocolException("tenant " + tenant + " out of range");
--- a/src/main/java/beaconturn/sim/SimulatorHost.java
+++ b/src/main/java/beaconturn/sim/SimulatorHost.java
@@ -99,7 +99,7 @@
         }
       }
     } catch (BufferUnderflowException e) {
-      throw malformed(recordStart, "record runs past the end");
+      throw malformed(recordStart, "record extends past the end of the batch");
     } catch (SimulatorProtocolException e) {
       throw malformed(recordStart, e.getMessage());
     }
@@ -142,8 +142,8 @@
       instance.policy().handle(nowNanos, event);
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      String origin = trace.length > 0 ? " at " + trace[0] : "";
-      reply.fault(instanceId, "decision module: " + e + origin);
+      String location = trace.length > 0 ? " at " + trace[0] : "";
+      reply.fault(instanceId, "decision module: " + e + location);
     }
   }
 }
--- a/src/main/java/beaconturn/sim/SimulatorProtocolException.java
+++ b/src/main/java/beaconturn/sim/SimulatorProtocolException.java
@@ -1,6 +1,6 @@
 package beaconturn.sim;
 
-/** Malformed input from the simulator; the message says what is wrong and where. */
+/** Malformed input from the simulator; the message states the problem and its position. */
 public final class SimulatorProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/test/java/beaconturn/core/LifecycleTest.java
+++ b/src/test/java/beaconturn/core/LifecycleTest.java
@@ -10,7 +10,7 @@
   private final Lifecycle lifecycle = new Lifecycle();
 
   @Test
-  void phasesOnlyMoveForward() {
+  void phaseNeverMovesBackwards() {
     assertTrue(lifecycle.advance(Lifecycle.Phase.DRAINING));
     assertFalse(lifecycle.advance(Lifecycle.Phase.SERVING));
     assertFalse(lifecycle.advance(Lifecycle.Phase.DRAINING));
--- a/src/test/java/beaconturn/core/RoutingEngineTest.java
+++ b/src/test/java/beaconturn/core/RoutingEngineTest.java
@@ -32,16 +32,16 @@
   private final List<RoutingEvent> events = new ArrayList<>();
   private final FakeServers servers = new FakeServers();
 
-  /** How many more times the policy may start or stop a watch. */
+  /** Number of remaining calls with which the policy may start or stop a watch. */
   private int permittedWatches;
 
   private Consumer<RoutingEvent> policy = e -> {};
   private RoutingActions actions;
-  private long now = 1000 * MILLI;
+  private long nowNanos = 1000 * MILLI;
   private final RoutingEngine engine =
       new RoutingEngine(
           settings,
-          () -> now,
+          () -> nowNanos,
           servers,
           new NoDiscovery(),
           out -> {
@@ -67,7 +67,7 @@
   }
 
   private FakeRequest receiveRequest(RoutingEngine target) {
-    FakeRequest request = new FakeRequest(now + 400 * MILLI);
+    FakeRequest request = new FakeRequest(nowNanos + 400 * MILLI);
     target.handle(new RoutingMessage.RequestReceived(request));
     return request;
   }
@@ -76,11 +76,11 @@
     return servers.sent.get(servers.sent.size() - 1);
   }
 
-  /** An engine with the production policy and a list of this many servers. */
+  /** An engine with the production policy and a list of {@code serverCount} servers. */
   private RoutingEngine engineWithRingRouter(int serverCount) {
     permittedWatches = 1;
     RoutingEngine ringEngine =
-        new RoutingEngine(settings, 5, () -> now, servers, new NoDiscovery());
+        new RoutingEngine(settings, 5, () -> nowNanos, servers, new NoDiscovery());
     updateEndpoints(
         ringEngine,
         EndpointListKind.FULL,
@@ -112,7 +112,7 @@
 
   private AttemptResult ok(String response) {
     return new AttemptResult(
-        AttemptOutcome.OK, now, CacheStatus.HIT, new float[0], Slice.of(response));
+        AttemptOutcome.OK, nowNanos, CacheStatus.HIT, new float[0], Slice.of(response));
   }
 
   private RoutingEvent.AttemptClosed lastAttemptClosed() {
@@ -123,7 +123,7 @@
   void forwardsFirstResponseToClient() {
     sendArrivals(0);
     FakeRequest request = receiveRequest();
-    now += 30 * MILLI;
+    nowNanos += 30 * MILLI;
     engine.handle(new RoutingMessage.AttemptCompleted(servers.sent.get(0), ok("value")));
     assertEquals(List.of("responded value"), request.outcomes);
     assertEquals(30 * MILLI, lastAttemptClosed().elapsedNanos());
@@ -149,7 +149,7 @@
   @Test
   void rejectsRequestReadUnderUnknownSettings() {
     sendArrivals(0);
-    FakeRequest request = new FakeRequest(now + 400 * MILLI);
+    FakeRequest request = new FakeRequest(nowNanos + 400 * MILLI);
     request.settings = Samples.read("classes.0.effect", "non_idempotent").routing();
     engine.handle(new RoutingMessage.RequestReceived(request));
     assertEquals(List.of("rejected 0"), request.outcomes);
@@ -177,7 +177,7 @@
   void abortsAttemptThatTimesOut() {
     sendArrivals(100 * MILLI);
     FakeRequest request = receiveRequest();
-    now += 100 * MILLI;
+    nowNanos += 100 * MILLI;
     engine.runDueTimers();
     assertEquals(servers.sent, servers.aborted);
     assertEquals(AttemptOutcome.TIMEOUT, lastAttemptClosed().outcome());
@@ -188,7 +188,7 @@
   void attemptTimesOutAtClientDeadline() {
     sendArrivals(10_000 * MILLI);
     receiveRequest();
-    assertEquals(now + 400 * MILLI, servers.sent.get(0).timesOutAtNanos());
+    assertEquals(nowNanos + 400 * MILLI, servers.sent.get(0).timesOutAtNanos());
   }
 
   @Test
@@ -248,7 +248,7 @@
   @Test
   void failsRequestThatPolicyNeverCompletes() {
     FakeRequest request = receiveRequest();
-    now += 400 * MILLI + settings.safetyLimits().responseSlackNanos();
+    nowNanos += 400 * MILLI + settings.safetyLimits().responseSlackNanos();
     engine.runDueTimers();
     assertEquals(List.of("failed"), request.outcomes);
   }
@@ -279,7 +279,7 @@
         };
     receiveRequest();
     assertEquals(10 * MILLI, engine.untilNextTimerNanos(1000 * MILLI));
-    now += 20 * MILLI;
+    nowNanos += 20 * MILLI;
     engine.runDueTimers();
     assertEquals(
         List.of(1L, 2L, 3L),
@@ -324,10 +324,11 @@
     replaceSettings(ringEngine);
     updateEndpoints(ringEngine, EndpointListKind.DELTA, EndpointHealth.DRAINING, first.serverId());
     ringEngine.handle(
-        new RoutingMessage.AttemptCompleted(first, AttemptResult.of(AttemptOutcome.REJECTED, now)));
+        new RoutingMessage.AttemptCompleted(
+            first, AttemptResult.of(AttemptOutcome.REJECTED, nowNanos)));
     assertEquals(1, before.outcomes.size());
     for (int i = 0; i < 20; i++) {
-      now += 10 * MILLI;
+      nowNanos += 10 * MILLI;
       receiveRequest(ringEngine);
     }
     assertEquals(0, servers.sent.stream().filter(a -> a.serverId() == first.serverId()).count());
@@ -340,13 +341,13 @@
     receiveRequest(ringEngine);
     long homeServer = lastSent().serverId();
     for (int i = 0; i < 20; i++) {
-      now += 20 * MILLI;
+      nowNanos += 20 * MILLI;
       receiveRequest(ringEngine);
       ringEngine.handle(
           new RoutingMessage.AttemptCompleted(
               lastSent(),
               lastSent().serverId() == homeServer
-                  ? AttemptResult.of(AttemptOutcome.ERROR, now)
+                  ? AttemptResult.of(AttemptOutcome.ERROR, nowNanos)
                   : ok("x")));
     }
     replaceSettings(ringEngine);
@@ -370,10 +371,11 @@
     RoutingSettings initial =
         Samples.read("rules.cold", "4000000000", "rules.cold_share", "0.2").routing();
     permittedWatches = 1;
-    RoutingEngine ringEngine = new RoutingEngine(initial, 5, () -> now, servers, new NoDiscovery());
+    RoutingEngine ringEngine =
+        new RoutingEngine(initial, 5, () -> nowNanos, servers, new NoDiscovery());
     replaceSettings(ringEngine);
     ringEngine.handle(new RoutingMessage.SettingsReplaced(initial, 7));
-    servers.bootTime = now;
+    servers.bootTimeNanos = nowNanos;
     ringEngine.handle(
         new RoutingMessage.EndpointUpdateReceived(
             new EndpointUpdate(
@@ -381,14 +383,14 @@
                 EndpointListKind.FULL,
                 List.of(
                     new EndpointUpdate.AddressedEndpoint(
-                        new Endpoint(1, 0, 0, 0, EndpointHealth.READY, 1, now), "", "")))));
-    FakeRequest request = new FakeRequest(now + 9000 * MILLI);
+                        new Endpoint(1, 0, 0, 0, EndpointHealth.READY, 1, nowNanos), "", "")))));
+    FakeRequest request = new FakeRequest(nowNanos + 9000 * MILLI);
     request.settings = initial;
     for (ServerStatus status : List.of(ServerStatus.WARMING, ServerStatus.ACTIVE)) {
-      now += 3000 * MILLI;
+      nowNanos += 3000 * MILLI;
       ringEngine.handle(new RoutingMessage.RequestReceived(request));
       assertEquals(
-          Map.of(new CacheServerClients.ListedServer("s1", 0, servers.bootTime), status),
+          Map.of(new CacheServerClients.ListedServer("s1", 0, servers.bootTimeNanos), status),
           ringEngine.serverStatuses());
     }
   }
@@ -442,11 +444,11 @@
     private final List<OutboundAttempt> sent = new ArrayList<>();
     private final List<OutboundAttempt> aborted = new ArrayList<>();
     private boolean reachable = true;
-    private long bootTime;
+    private long bootTimeNanos;
 
     @Override
     public ListedServer listed(long server) {
-      return new ListedServer("s" + server, 0, bootTime);
+      return new ListedServer("s" + server, 0, bootTimeNanos);
     }
 
     @Override
--- a/src/test/java/beaconturn/decision/RouterHarness.java
+++ b/src/test/java/beaconturn/decision/RouterHarness.java
@@ -248,7 +248,7 @@
         .count();
   }
 
-  /** Sends a read with the given expected work (0 if unknown), or a client retry of one. */
+  /** Sends a read with the given expected work (0 if unknown), or a client retry of such a read. */
   void readWithHint(long requestId, long key, long workHintNanos, boolean clientRetry) {
     router.handle(
         nowNanos,
@@ -257,8 +257,8 @@
   }
 
   /**
-   * Sends a read with the given expected work, which succeeds; returns after how long it would have
-   * been late.
+   * Sends a read with the given expected work, which succeeds; returns the time after which the
+   * attempt would have been late.
    */
   long lateAfterNanos(long requestId, long workHintNanos) {
     readWithHint(requestId, 10_000 + requestId, workHintNanos, false);
--- a/src/test/java/beaconturn/decision/RoutingCharacterizationTest.java
+++ b/src/test/java/beaconturn/decision/RoutingCharacterizationTest.java
@@ -11,7 +11,7 @@
 /**
  * Pins all decisions of a router: digests of every action, in order, for several thousand seeded
  * events per setting. A digest changes if a decision or the order of random draws changes; unless
- * that is intended, the change is at fault and not the digest.
+ * that is intended, correct the change and not the digest.
  */
 class RoutingCharacterizationTest {
   private static final long MS = 1_000_000L;
--- a/src/test/java/beaconturn/decision/SeededTraffic.java
+++ b/src/test/java/beaconturn/decision/SeededTraffic.java
@@ -13,9 +13,9 @@
 import java.util.TreeMap;
 
 /**
- * Closed-loop model of clients, cache servers, an origin and discovery around a {@link RingRouter}.
- * All events are drawn from one seed, and every action of the router goes into a digest. The model
- * is not realistic; it only has to exercise every rule.
+ * Simulates clients, cache servers, an origin and discovery around a {@link RingRouter}. All events
+ * are drawn from one seed, and every action of the router goes into a digest. The simulation is not
+ * realistic; it only has to exercise every rule.
  */
 final class SeededTraffic {
   static final int ORIGIN_KIND = 9;
