--- a/src/main/java/beaconturn/core/RoutingThread.java
+++ b/src/main/java/beaconturn/core/RoutingThread.java
@@ -87,7 +87,7 @@
     stopped.set(true);
   }
 
-  /** Runs until it is stopped or interrupted. */
+  /** Handles messages and due timers until the thread is stopped or interrupted. */
   public void run() throws InterruptedException {
     while (!stopped.get()) {
       RoutingMessage message = mailbox.poll(engine.untilNextTimerNanos(maxWaitNanos()));
@@ -103,8 +103,8 @@
 
   /** The longest wait for a message before the observer and the step action run again. */
   private long maxWaitNanos() {
-    boolean observesEngine = observer != null || beforeEachStep != null;
-    return observesEngine ? OBSERVATION_INTERVAL_NANOS : MAX_WAIT_NANOS;
+    boolean stepsPeriodically = observer != null || beforeEachStep != null;
+    return stepsPeriodically ? OBSERVATION_INTERVAL_NANOS : MAX_WAIT_NANOS;
   }
 
   private void step(RoutingMessage message) {
--- a/src/main/java/beaconturn/sim/WireFields.java
+++ b/src/main/java/beaconturn/sim/WireFields.java
@@ -66,10 +66,10 @@
     if (count == 0) {
       return NO_REPORT;
     }
-    float[] figures = new float[count];
+    float[] values = new float[count];
     for (int i = 0; i < count; i++) {
-      figures[i] = in.getFloat();
+      values[i] = in.getFloat();
     }
-    return figures;
+    return values;
   }
 }
--- a/src/test/java/beaconturn/core/RouterSettingsReaderTest.java
+++ b/src/test/java/beaconturn/core/RouterSettingsReaderTest.java
@@ -33,7 +33,7 @@
     assertInvalid("family_info.notes", "some");
   }
 
-  /** Settings of other kinds of deployments must not affect one that leaves them out. */
+  /** A deployment may omit settings that only other kinds of deployments need. */
   @Test
   void optionalSettingsHaveDefaults() {
     assertTrue(Samples.read().routing().origin().reportsCacheHits());
--- a/src/test/java/beaconturn/core/Samples.java
+++ b/src/test/java/beaconturn/core/Samples.java
@@ -8,8 +8,8 @@
   private Samples() {}
 
   /**
-   * One idempotent class, one with an idempotency key and one non-idempotent; the endpoint list is
-   * pulled.
+   * Settings with an idempotent class, a class with idempotency keys and a non-idempotent class;
+   * the policy polls discovery.
    */
   public static Map<String, String> settings() {
     Map<String, String> values = new HashMap<>();
--- a/src/test/java/beaconturn/decision/KeyFailuresTest.java
+++ b/src/test/java/beaconturn/decision/KeyFailuresTest.java
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Each cache that receives the key resets the connection; two caches are affected, hardly any
-   * more.
+   * Every cache resets connections on which it receives the key; the router must not send the key
+   * to many caches.
    */
   @Test
   void keyThatResetsConnectionsIsSentToFewCaches() {
--- a/src/test/java/beaconturn/decision/ZoneWeightsTest.java
+++ b/src/test/java/beaconturn/decision/ZoneWeightsTest.java
@@ -35,10 +35,10 @@
   }
 
   /** Sends a request; returns whether it was sent to a cache, which then responds immediately. */
-  private static boolean sent(RouterHarness harness, long key, int type) {
+  private static boolean sent(RouterHarness harness, long key, int requestClass) {
     int before = harness.sends.size();
     harness.nowNanos += RouterHarness.MS;
-    harness.arrive(harness.nowNanos, type, key);
+    harness.arrive(harness.nowNanos, requestClass, key);
     boolean sent = harness.sends.size() > before;
     if (sent) {
       harness.closeAttempt(harness.lastSend(), 0, AttemptOutcome.OK, true);
@@ -72,7 +72,7 @@
     assertTrue(rejected > KEYS * 0.35 && rejected < KEYS * 0.45, rejected + " of " + KEYS);
   }
 
-  /** Requests that must not be repeated, and second attempts, avoid a trial zone. */
+  /** Requests that must not be repeated are not sent to a trial zone while others are available. */
   @Test
   void onlyIdempotentRequestsAreSentToTrialZone() {
     RouterHarness harness = weighted(weights(ZoneWeights.MAX_TRIAL_WEIGHT, 950, true));
