--- a/Makefile
+++ b/Makefile
@@ -16,11 +16,11 @@
 run: build
 	java -jar target/beaconturn.jar serve --config $(CONFIG)
 
-# What a router needs round it, on loopback: cache servers, a slow origin and discovery; they fail on command.
+# The peers of a router on loopback: cache servers, a slow origin and discovery; they fail on command.
 stand-in: build
 	java -jar target/beaconturn.jar stand-in examples/try-out.toml
 
-# One rehearsal; SCENARIO names another one.
+# Runs one rehearsal; SCENARIO names another scenario.
 SCENARIO ?= examples/rehearsals/stall.toml
 rehearse: build
 	java -jar target/beaconturn.jar rehearse $(SCENARIO)
--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Starts a router once and stops it, and keeps the classes that it loaded in an archive that later starts map:
-# a start then takes a quarter less processor time. Without the archive a router starts all the same.
+# Starts and stops a router once and writes the classes that it loaded to a class-data sharing archive; later starts
+# map the archive and take a quarter less CPU time. The archive is optional.
 cd "$(dirname "$0")/.." || exit 1
 log=target/archive.log
 rm -f target/beaconturn.jsa
--- a/deploy/run.sh
+++ b/deploy/run.sh
@@ -1,9 +1,8 @@
 #!/bin/sh
-# One real router, with a heap that fits the memory that the configuration allows. The heap has its full size
-# from the start and is touched at once: a heap that widens by and by looks like a leak and hides one.
-# Only what the shell itself can do: where the platform lets a router be no more than one process, it cannot
-# start another program to read its configuration.
-# The file is cut at commas and braces first: to strip a prefix from a long line takes the square of its length.
+# Starts one router with a heap sized by the configuration's memory limit. The heap is allocated and touched in full
+# at the start: a growing heap looks like a memory leak and hides one.
+# Shell built-ins only: the platform may limit a router to one process, so no other program can read the configuration.
+# The file is split at commas and braces first: stripping a prefix from a long line takes quadratic time.
 memory=
 set -f
 while [ -z "$memory" ] && { IFS= read -r line || [ -n "$line" ]; }; do
@@ -21,13 +20,13 @@
     unset IFS
 done 2> /dev/null < "${PROXY_CONFIG:-/dev/null}"
 set +f
-# Where the listening socket is inherited two processes of one router may run: each keeps to half.
+# With an inherited listening socket two processes of a router may run at once: each gets half of the memory.
 memory=${memory:-192}
 [ -z "$PROXY_FD" ] || memory=$((memory / 2))
 heap=$((memory * 3 / 10))
 [ "$heap" -le 64 ] || heap=64
 [ "$heap" -ge 16 ] || heap=16
-# Few arenas: else each thread's small allocations outside the heap spread over memory that is never given back.
+# One malloc arena: with one for each thread, native memory is fragmented and never returned.
 export MALLOC_ARENA_MAX=1
 archive=
 [ ! -f target/beaconturn.jsa ] || archive=-XX:SharedArchiveFile=target/beaconturn.jsa
