--- a/src/main/java/beaconturn/rehearsal/PipelinedClient.java
+++ b/src/main/java/beaconturn/rehearsal/PipelinedClient.java
@@ -347,11 +347,12 @@
       long atNanos = lastResponseNanos;
       if (previousResponseNanos != 0) {
         history.add(
-            new HistoryEvent.PrecedingAnswersArrived(previousResponseNanos, command.attempt.id()));
+            new HistoryEvent.PrecedingResponsesReceived(
+                previousResponseNanos, command.attempt.id()));
       }
       HistoryEvent.ClientOutcome outcome = ClientCommands.outcomeOf(value);
       history.add(
-          new HistoryEvent.ResponseReceived(
+          new HistoryEvent.RequestCompleted(
               atNanos, command.attempt.id(), outcome, ClientCommands.valueDigest(value)));
       listener.attemptEnded(
           null,
@@ -388,7 +389,7 @@
     for (Command command : commands) {
       if (command.attempt != null && command.written) {
         history.add(
-            new HistoryEvent.ResponseReceived(
+            new HistoryEvent.RequestCompleted(
                 clock.now(), command.attempt.id(), HistoryEvent.ClientOutcome.ABANDONED, 0));
         listener.attemptEnded(
             null,
@@ -430,7 +431,7 @@
     boolean rejectedUnread = crossed && connectionLimited && lastResponseNanos == 0;
     if (!command.written && command.firstByteNanos != 0 && !rejectedUnread) {
       history.add(
-          new HistoryEvent.ConnectionCutWhileWriting(
+          new HistoryEvent.ConnectionClosedWhileWriting(
               nowNanos,
               command.attempt.id(),
               command.attempt.router(),
@@ -440,7 +441,7 @@
     if (crossed) {
       if (command.written) {
         history.add(
-            new HistoryEvent.RequestCrossedClose(
+            new HistoryEvent.RequestRacedClose(
                 nowNanos, command.attempt.id(), command.batchStartNanos));
       }
       if (lastResponseNanos == 0) {
@@ -456,7 +457,7 @@
       return;
     }
     history.add(
-        new HistoryEvent.ResponseReceived(
+        new HistoryEvent.RequestCompleted(
             nowNanos, command.attempt.id(), HistoryEvent.ClientOutcome.DISCONNECTED, 0));
     listener.attemptEnded(
         null,
--- a/src/test/java/beaconturn/rehearsal/ReleaseRehearsalTest.java
+++ b/src/test/java/beaconturn/rehearsal/ReleaseRehearsalTest.java
@@ -39,9 +39,9 @@
     return report.events().stream()
         .filter(
             event ->
-                event instanceof HistoryEvent.VariantChangeBegun change
-                    && change.released() == released)
-        .map(event -> ((HistoryEvent.VariantChangeBegun) event).router())
+                event instanceof HistoryEvent.VariantChangeStarted change
+                    && change.toReleased() == released)
+        .map(event -> ((HistoryEvent.VariantChangeStarted) event).router())
         .sorted()
         .toList();
   }
@@ -103,8 +103,8 @@
           assertEquals(
               List.of("c1", "c3"),
               report.events().stream()
-                  .filter(event -> event instanceof HistoryEvent.VariantChangeBegun)
-                  .map(event -> ((HistoryEvent.VariantChangeBegun) event).instanceId())
+                  .filter(event -> event instanceof HistoryEvent.VariantChangeStarted)
+                  .map(event -> ((HistoryEvent.VariantChangeStarted) event).instanceId())
                   .toList());
         });
   }
@@ -119,7 +119,7 @@
           List<VersionTimeline> versions = report.agreementSummary().versions();
           long firstStepNanos =
               report.events().stream()
-                  .filter(event -> event instanceof HistoryEvent.VariantChangeBegun)
+                  .filter(event -> event instanceof HistoryEvent.VariantChangeStarted)
                   .mapToLong(HistoryEvent::atNanos)
                   .min()
                   .orElseThrow();
