--- a/src/main/java/beaconturn/net/client/ClientConnections.java
+++ b/src/main/java/beaconturn/net/client/ClientConnections.java
@@ -15,7 +15,7 @@
 public final class ClientConnections {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Time without progress after which a response is given up. */
+  /** Time without progress after which writing a response is abandoned. */
   private static final long WRITE_TIMEOUT_NANOS = 10_000 * NANOS_PER_MILLI;
 
   /**
@@ -94,7 +94,7 @@
    * that clients that only connect do not displace active ones; then the connection that has been
    * idle longest; then one with a stalled partial command. Each counts until its descriptor is
    * free, so the limit may be exceeded slightly; beyond that the call waits some milliseconds for
-   * the poller. After the limit has been lowered, each new connection replaces one.
+   * the poller. After the limit has been lowered, each new connection replaces an open one.
    */
   public boolean makeRoom(long nowNanos) {
     if (connections.size() < limit) {
--- a/src/main/java/beaconturn/release/RolloutAgent.java
+++ b/src/main/java/beaconturn/release/RolloutAgent.java
@@ -113,7 +113,8 @@
 
   /**
    * Returns whether an action may start. A step that is stored as started but has no running action
-   * is started again: by this agent if the reply was lost or late, or by its successor if it died.
+   * is started again: by the same agent if the reply was lost or late, or by the successor of an
+   * agent that has died.
    */
   private static boolean mayStart(RolloutStep step, RolloutMode mode) {
     boolean open = step.phase() == StepPhase.GRANTED || step.phase() == StepPhase.STARTED;
@@ -222,9 +223,9 @@
   }
 
   /**
-   * Starts the rollback of a failed step while the store is unreachable, if the plan allows it and
-   * its time has come. Returns the variant to which the caller must now bring the instance; null if
-   * no action starts.
+   * Starts the rollback of a failed step while the store is unreachable, if the plan allows that
+   * and the delay after the failure has passed. Returns the variant to which the caller must now
+   * bring the instance; null if no action starts.
    *
    * @param plan plan as last read; null if none was read
    */
